--- a/internal/roster/platform/crossings_test.go
+++ b/internal/roster/platform/crossings_test.go
@@ -151,17 +151,25 @@
 
 // followIn follows an agent in a bubble, and gives when the drain was heard of.
 func followIn(t *testing.T, grace time.Duration, a *agent) (heard func() time.Time, end func()) {
+	return followHandler(t, Options{Grace: grace}, a, func() bool { return a.refuses && a.down.Load() })
+}
+
+// followHandler is followIn for whatever serves as discovery. Connections fail while refuses says so.
+func followHandler(t *testing.T, o Options, h http.Handler, refuses func() bool) (heard func() time.Time, end func()) {
 	l := make(pipes)
-	server := &http.Server{Handler: a}
+	server := &http.Server{Handler: h}
 	var at atomic.Int64
 	version := int64(41)
-	d := New(Options{Addr: "127.0.0.1:1", Version: &version, Grace: grace, Log: slog.New(slog.DiscardHandler), Deliver: func(m Members) {
+	o.Addr, o.Version, o.Log = "127.0.0.1:1", &version, slog.New(slog.DiscardHandler)
+	o.Deliver = func(m Members) {
 		if *m.Version == 42 {
 			at.CompareAndSwap(0, time.Now().UnixNano())
 		}
-	}})
+	}
+	d := New(o)
+	d.Subscribe()
 	d.client.Transport = &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
-		if a.refuses && a.down.Load() {
+		if refuses() {
 			return nil, syscall.ECONNREFUSED
 		}
 		here, there := net.Pipe()
@@ -260,3 +268,86 @@
 		}
 	}
 }
+
+// service is discovery where all instances ask one service: it answers one call after the other, takes a while for each, and turns calls
+// away while as many wait as it has places. Until it has fallen silent, a watch is opened at once and stays well.
+type service struct {
+	silent  chan struct{} // closed: open watches bring nothing any more
+	lane    chan struct{} // of one place: held by the call that is being answered
+	waiting atomic.Int32
+}
+
+const (
+	servicePlaces = 5
+	serviceTakes  = 250 * time.Millisecond
+	serviceRefuse = 35 * time.Millisecond
+)
+
+func (s *service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	select {
+	case <-s.silent:
+	default:
+		beats(w, r, s.silent)
+		<-r.Context().Done()
+		return
+	}
+	if s.waiting.Add(1) > servicePlaces {
+		s.waiting.Add(-1)
+		time.Sleep(serviceRefuse)
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	s.lane <- struct{}{}
+	time.Sleep(serviceTakes) // also for a call that was given up meanwhile
+	<-s.lane
+	s.waiting.Add(-1)
+	w.Write([]byte(drains + "\n"))
+	beats(w, r, nil)
+}
+
+// beats writes empty lines, the first at once, until the caller leaves or stop is closed.
+func beats(w http.ResponseWriter, r *http.Request, stop <-chan struct{}) {
+	beat := time.NewTicker(2 * time.Second)
+	defer beat.Stop()
+	for {
+		w.Write([]byte("\n"))
+		w.(http.Flusher).Flush()
+		select {
+		case <-stop:
+			return
+		case <-r.Context().Done():
+			return
+		case <-beat.C:
+		}
+	}
+}
+
+// Where lists are asked for, all instances lose their watches together and ask one service anew. What they ask must not keep it from
+// answering: each of them hears of a drain within 6 s of the silence and the grace.
+func TestInstancesThatAskOneServiceLeaveItTimeToAnswer(t *testing.T) {
+	const instances, bound = 13, 6*time.Second + defaultGrace
+	for range 20 { // gaps are drawn
+		synctest.Test(t, func(t *testing.T) {
+			s := &service{silent: make(chan struct{}), lane: make(chan struct{}, 1)}
+			var heard []func() time.Time
+			var ends []func()
+			for range instances {
+				h, end := followHandler(t, Options{OnAsk: true}, s, func() bool { return false })
+				heard, ends = append(heard, h), append(ends, end)
+			}
+			time.Sleep(5 * time.Second)
+			silent := time.Now()
+			close(s.silent)
+			time.Sleep(20 * time.Second)
+			for _, end := range ends {
+				end()
+			}
+			time.Sleep(3 * time.Second) // calls that were given up are answered to their end
+			for i, h := range heard {
+				if late := h().Sub(silent); late > bound || h().Unix() == 0 {
+					t.Errorf("instance %d heard of a drain %v after its watch fell silent", i, late)
+				}
+			}
+		})
+	}
+}
--- a/internal/roster/platform/platform.go
+++ b/internal/roster/platform/platform.go
@@ -27,8 +27,11 @@
 	defaultGrace = time.Second
 	answerShare  = 0.5 // of the grace, within which an agent that answers at once has done so, or a line that has begun ends
 	retryLeast   = 50 * time.Millisecond
-	retryShare   = 0.2              // of the grace, between two watches at most
-	complainGap  = 10 * time.Second // between two log lines about discovery
+	retryShare   = 0.2                     // of the grace, between two watches at most
+	askedAnswer  = 1500 * time.Millisecond // for an answer to begin where all instances ask one service, which serves calls in turn
+	askedRetry   = 1600 * time.Millisecond // longest backoff there: calls that come sooner than they are served keep all of them from it
+	askedSettled = time.Second             // a watch there that ends sooner resets no backoff
+	complainGap  = 10 * time.Second        // between two log lines about discovery
 )
 
 // Member is an endpoint as discovery lists it.
@@ -111,6 +114,7 @@
 	silence   time.Duration // after which a watch is given up that has brought something
 	answer    time.Duration // within which an answer begins, and what has begun of one is whole
 	retryMost time.Duration
+	settled   time.Duration // a watch that lasts this long resets the backoff
 	spokeAt   time.Time
 }
 
@@ -131,8 +135,9 @@
 	d := &Discovery{addr: o.Addr, version: o.Version, deliver: o.Deliver, current: o.Current, log: o.Log, silence: watchSilence,
 		answer: time.Duration(answerShare * grace), retryMost: time.Duration(retryShare * grace),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
-	if o.OnAsk {
+	if o.OnAsk { // discovery is no agent of this machine then, but one service of bounded capacity for all
 		d.asked = make(chan struct{})
+		d.answer, d.retryMost, d.settled = askedAnswer, askedRetry, askedSettled
 	}
 	return d
 }
@@ -181,12 +186,13 @@
 	}
 	gap := min(retryLeast, d.retryMost)
 	for {
+		begun := time.Now()
 		heard, err := d.follow(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		d.complain(err)
-		if heard {
+		if heard && time.Since(begun) >= d.settled {
 			gap = min(retryLeast, d.retryMost)
 		}
 		sleep(ctx, time.Duration(float64(gap)*(0.5+rand.Float64()))) // jitter: all sidecars lose their watch together
