--- a/api.go
+++ b/balancer/api.go
@@ -1,4 +1,4 @@
-// Package tuliprock makes a load balancer's decisions for a service that calls other services: which
+// Package balancer makes a load balancer's decisions for a service that calls other services: which
 // endpoint gets a request, when to try again, when to hold back and when to refuse.
 //
 // The package has no transport, no clock and no goroutine. A host (a sidecar, a proxy, a test) owns all
@@ -9,7 +9,7 @@
 //
 // Instants are readings of any clock that never runs backwards, given as a time.Duration since an
 // arbitrary zero. The same settings and the same events at the same instants give the same actions.
-package tuliprock
+package balancer
 
 import "time"
 
--- a/balancer.go
+++ b/balancer/balancer.go
@@ -1,4 +1,4 @@
-package tuliprock
+package balancer
 
 // The decisions. The interface is in api.go, the state in state.go; the sources are told in docs/design.md.
 // A weight w is a stretch: latency over what calls like it take here when all is calm.
--- a/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package tuliprock_test
+package balancer_test
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // rig drives a balancer by hand and keeps what it asks for.
 type rig struct {
 	t      *testing.T
 	now    time.Duration
-	b      *tuliprock.Balancer
+	b      *balancer.Balancer
 	did    []string // all actions but timers, in order
 	to     map[string][]string
 	sentAt map[string]time.Duration
@@ -30,23 +30,23 @@
 	r.sentAt[id] = r.now
 }
 func (r *rig) Cancel(id string, n int) { r.did = append(r.did, fmt.Sprint("cancel ", id, " ", n)) }
-func (r *rig) Refuse(id string, _ tuliprock.Reason, _ time.Duration) {
+func (r *rig) Refuse(id string, _ balancer.Reason, _ time.Duration) {
 	r.did = append(r.did, "refuse "+id)
 }
-func (r *rig) Fail(id string, _ tuliprock.Reason) { r.did = append(r.did, "fail "+id) }
-func (r *rig) Subscribe()                         { r.did = append(r.did, "subscribe") }
-func (r *rig) Timer(at time.Duration)             { r.timer = append(r.timer, at) }
-func (r *rig) Log(string)                         {}
+func (r *rig) Fail(id string, _ balancer.Reason) { r.did = append(r.did, "fail "+id) }
+func (r *rig) Subscribe()                        { r.did = append(r.did, "subscribe") }
+func (r *rig) Timer(at time.Duration)            { r.timer = append(r.timer, at) }
+func (r *rig) Log(string)                        {}
 
-func basic() tuliprock.Settings {
-	return tuliprock.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true, Resolution: ms,
-		ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: []tuliprock.Class{
-			{Name: "read", Effect: tuliprock.Safe, Aim: 2 * time.Second},
-			{Name: "bill", Effect: tuliprock.Unsafe, Aim: 2 * time.Second}}}
+func basic() balancer.Settings {
+	return balancer.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true, Resolution: ms,
+		ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: []balancer.Class{
+			{Name: "read", Effect: balancer.Safe, Aim: 2 * time.Second},
+			{Name: "bill", Effect: balancer.Unsafe, Aim: 2 * time.Second}}}
 }
 
 // wanted is basic with another aim: how far answers may stretch, and when an attempt is overdue, hang on it.
-func wanted(within time.Duration) tuliprock.Settings {
+func wanted(within time.Duration) balancer.Settings {
 	s := basic()
 	for i := range s.Classes {
 		s.Classes[i].Aim = within
@@ -54,17 +54,17 @@
 	return s
 }
 
-func newRig(t *testing.T, s tuliprock.Settings, endpoints ...string) *rig {
+func newRig(t *testing.T, s balancer.Settings, endpoints ...string) *rig {
 	return newRigSeeded(t, s, 7, endpoints...)
 }
 
-func newRigSeeded(t *testing.T, s tuliprock.Settings, seed uint64, endpoints ...string) *rig {
+func newRigSeeded(t *testing.T, s balancer.Settings, seed uint64, endpoints ...string) *rig {
 	r := &rig{t: t, now: 100 * time.Second, to: map[string][]string{}, sentAt: map[string]time.Duration{}}
 	s.Seed = seed
-	r.b = tuliprock.New(r.now, s, r)
-	l := tuliprock.List{Complete: true}
+	r.b = balancer.New(r.now, s, r)
+	l := balancer.List{Complete: true}
 	for _, id := range endpoints {
-		l.Entries = append(l.Entries, tuliprock.Endpoint{ID: id})
+		l.Entries = append(l.Entries, balancer.Endpoint{ID: id})
 	}
 	r.b.EndpointList(r.now, l)
 	return r
@@ -100,15 +100,15 @@
 func (r *rig) ask(class, tenant string) string {
 	r.n++
 	id := "r" + strconv.Itoa(r.n)
-	r.b.Request(r.now, tuliprock.Request{ID: id, Class: class, Tenant: tenant, Deadline: r.now + 5*time.Second})
+	r.b.Request(r.now, balancer.Request{ID: id, Class: class, Tenant: tenant, Deadline: r.now + 5*time.Second})
 	return id
 }
 
 // end reports the outcome of the latest attempt of a request.
-func (r *rig) end(id string, result tuliprock.Result) {
+func (r *rig) end(id string, result balancer.Result) {
 	n := len(r.to[id]) - 1
-	r.b.Outcome(r.now, tuliprock.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: result, Took: r.now - r.sentAt[id],
-		Final: result == tuliprock.OK})
+	r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: result, Took: r.now - r.sentAt[id],
+		Final: result == balancer.OK})
 }
 
 func (r *rig) count(prefix string) int {
@@ -128,7 +128,7 @@
 		id, ep := r.call("read")
 		share[ep]++
 		r.wait(took[ep])
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 	}
 	return share
 }
@@ -198,7 +198,7 @@
 			continue
 		}
 		r.wait(20 * ms)
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 	}
 	if trials := int((r.now - start) / (500 * ms)); caught > 5+trials {
 		t.Errorf("a hung endpoint caught %d of 200 calls", caught)
@@ -211,7 +211,7 @@
 		r.warm(50, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms})
 		id, _ := r.call(class)
 		r.wait(time.Second)
-		r.end(id, tuliprock.Reset)
+		r.end(id, balancer.Reset)
 		if n := len(r.to[id]); n != want {
 			t.Errorf("a broken %s was sent %d times, want %d", class, n, want)
 		}
@@ -226,13 +226,13 @@
 		id, ep := r.call("read")
 		if ep == "down" {
 			tries = append(tries, r.now)
-			r.end(id, tuliprock.ConnectFailed)
+			r.end(id, balancer.ConnectFailed)
 			if n := len(r.to[id]); n != 2 || r.to[id][1] == "down" {
 				t.Fatalf("after a failed connect the call went to %v", r.to[id])
 			}
 		}
 		r.wait(20 * ms)
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 	}
 	if len(tries) < 4 || len(tries) > 12 {
 		t.Errorf("a dead endpoint was tried %d times in 20 s", len(tries))
@@ -247,12 +247,12 @@
 func TestWithNoneActiveTheSoonestTrialIsTaken(t *testing.T) {
 	r := newRig(t, basic(), "only")
 	id, _ := r.call("read")
-	r.end(id, tuliprock.ConnectFailed) // dropped, and the resend is the none-active branch
+	r.end(id, balancer.ConnectFailed) // dropped, and the resend is the none-active branch
 	if len(r.to[id]) != 2 {
 		t.Fatalf("actions %v", r.did)
 	}
 	r.wait(30 * ms)
-	r.end(id, tuliprock.OK)
+	r.end(id, balancer.OK)
 	if _, ep := r.call("read"); ep != "only" {
 		t.Error("a trial that succeeded with none active did not readmit its endpoint")
 	}
@@ -274,7 +274,7 @@
 			slow++
 		}
 		r.wait(took[ep])
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 		r.wait(500*ms - min(took[ep], 400*ms))
 	}
 	if slow > 14 {
@@ -299,7 +299,7 @@
 			id, ep := r.call("read")
 			own[ep] = true
 			r.wait(50 * ms)
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 			r.wait(950 * ms)
 		}
 		for ep := range own {
@@ -339,13 +339,13 @@
 	for perSecond, want := range map[int]bool{4: false, 16: true} {
 		s := basic()
 		s.Balancers = 10
-		s.Tenants = []tuliprock.Tenant{{Name: "greedy", Quota: 20}, {Name: "quiet", Quota: 60}} // 8 a second here
+		s.Tenants = []balancer.Tenant{{Name: "greedy", Quota: 20}, {Name: "quiet", Quota: 60}} // 8 a second here
 		r := newRig(t, s, "a", "b", "c")
 		for range 10 * perSecond {
 			id := r.ask("read", "greedy")
 			if len(r.to[id]) > 0 {
 				r.wait(10 * ms)
-				r.end(id, tuliprock.OK)
+				r.end(id, balancer.OK)
 			}
 			r.wait(time.Second/time.Duration(perSecond) - 10*ms)
 		}
@@ -369,7 +369,7 @@
 			id, ep := r.call("read")
 			share[ep[:4]]++
 			r.wait(took[ep])
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 		}
 		if got := share["fast"] / share["slow"]; got < want[0] || got > want[1] {
 			t.Errorf("with %d tiers below, fast ones get %.2f times the calls of slow ones", below, got)
@@ -394,7 +394,7 @@
 			r.wait(10 * ms)
 			for _, id := range slices.Sorted(maps.Keys(due)) {
 				if r.now >= due[id] {
-					r.end(id, tuliprock.OK)
+					r.end(id, balancer.OK)
 					delete(due, id)
 				}
 			}
@@ -420,17 +420,17 @@
 	for c := range callers {
 		s := basic()
 		r := newRig(t, s, names...)
-		r.b = tuliprock.New(r.now, tuliprock.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, Resolution: ms,
+		r.b = balancer.New(r.now, balancer.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, Resolution: ms,
 			ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: s.Classes}, r)
-		l := tuliprock.List{Complete: true}
+		l := balancer.List{Complete: true}
 		for _, id := range names {
-			l.Entries = append(l.Entries, tuliprock.Endpoint{ID: id})
+			l.Entries = append(l.Entries, balancer.Endpoint{ID: id})
 		}
 		r.b.EndpointList(r.now, l)
 		step := func() string {
 			id, ep := r.call("read")
 			r.wait(50 * ms)
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 			r.wait(time.Second/time.Duration(perSecond) - 50*ms)
 			return ep
 		}
@@ -438,7 +438,7 @@
 			step()
 		}
 		start := r.now
-		r.b.EndpointList(r.now, tuliprock.List{Entries: []tuliprock.Endpoint{{ID: "cold", Started: start}}})
+		r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "cold", Started: start}}})
 		for r.now < start+11*time.Second {
 			if at := (r.now - start) / time.Second; step() == "cold" {
 				got[at]++
@@ -473,7 +473,7 @@
 				if id := "r" + strconv.Itoa(j); len(r.to[id]) == 1 && !slices.Contains(out, id) && !slices.Contains(r.did, "refuse "+id) &&
 					!slices.Contains(r.did, "fail "+id) {
 					out = append(out, id)
-					r.end(id, tuliprock.OK)
+					r.end(id, balancer.OK)
 					served[class[id]]++
 					break
 				}
@@ -495,7 +495,7 @@
 		id, ep := r.call("read")
 		share[ep]++
 		r.wait(50 * ms)
-		r.end(id, tuliprock.Errored)
+		r.end(id, balancer.Errored)
 	}
 	for _, ep := range []string{"a", "b", "c", "d"} {
 		if share[ep] < 14 {
@@ -520,11 +520,11 @@
 		if ep == "broken" {
 			broken++
 			r.wait(2 * ms)
-			r.end(id, tuliprock.Errored)
+			r.end(id, balancer.Errored)
 			continue
 		}
 		r.wait(50 * ms)
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 	}
 	if broken > 30 {
 		t.Errorf("a broken endpoint got %d of 400 calls", broken)
@@ -533,12 +533,12 @@
 
 func TestOverShareIsRefusedOnlyWhenRoomIsShort(t *testing.T) {
 	s := basic()
-	s.Tenants = []tuliprock.Tenant{{Name: "big", Quota: 10}, {Name: "small", Quota: 1000}}
+	s.Tenants = []balancer.Tenant{{Name: "big", Quota: 10}, {Name: "small", Quota: 1000}}
 	r := newRig(t, s, "a", "b")
 	ask := func(tenant string) string {
 		r.n++
 		id := "r" + strconv.Itoa(r.n)
-		r.b.Request(r.now, tuliprock.Request{ID: id, Class: "read", Tenant: tenant, Deadline: r.now + 5*time.Second})
+		r.b.Request(r.now, balancer.Request{ID: id, Class: "read", Tenant: tenant, Deadline: r.now + 5*time.Second})
 		return id
 	}
 	for range 9 {
@@ -586,7 +586,7 @@
 					if len(queue[ep]) > 0 {
 						id := queue[ep][0]
 						queue[ep] = queue[ep][1:]
-						r.end(id, tuliprock.OK)
+						r.end(id, balancer.OK)
 						answered++
 					}
 				}
@@ -655,7 +655,7 @@
 		for _, id := range slices.Sorted(maps.Keys(due)) {
 			if r.now >= due[id] {
 				delete(due, id)
-				r.end(id, tuliprock.OK)
+				r.end(id, balancer.OK)
 			}
 		}
 		for asked := 0; len(due)+asked < 22; asked++ {
@@ -696,7 +696,7 @@
 		t.Errorf("actions %v", r.did)
 	}
 	id, _ = r.call("bill")
-	r.b.EndpointList(r.now, tuliprock.List{Entries: []tuliprock.Endpoint{{ID: "new"}}})
+	r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "new"}}})
 	if len(r.to[id]) != 1 {
 		t.Error("a held request did not go to the first endpoint that came")
 	}
@@ -706,7 +706,7 @@
 	s := basic()
 	s.MustSubscribe, s.AskWithin = true, 10*time.Second
 	r := newRig(t, s, "a")
-	r.b.EndpointList(r.now, tuliprock.List{Failed: true})
+	r.b.EndpointList(r.now, balancer.List{Failed: true})
 	r.wait(5 * time.Second)
 	if n := r.count("subscribe"); n != 2 {
 		t.Errorf("asked %d times", n)
@@ -715,8 +715,8 @@
 
 // TestOddSettingsDoNoHarm plays with settings that no site has.
 func TestOddSettingsDoNoHarm(t *testing.T) {
-	for _, s := range []tuliprock.Settings{{}, {Balancers: -1, MaxAttempts: -1,
-		Classes: []tuliprock.Class{{}}, Tenants: []tuliprock.Tenant{{}}}} {
+	for _, s := range []balancer.Settings{{}, {Balancers: -1, MaxAttempts: -1,
+		Classes: []balancer.Class{{}}, Tenants: []balancer.Tenant{{}}}} {
 		r := newRig(t, s, "a", "b")
 		for range 20 {
 			r.call("")
@@ -747,7 +747,7 @@
 		var id string
 		if id, ep = r.call("bill"); ep != "d" {
 			r.wait(50 * ms)
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 		}
 	}
 	r.wait(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within twice the smallest
@@ -765,7 +765,7 @@
 		id, ep := r.call("read")
 		for n := 0; ep != "" && n < len(r.to[id]); n++ {
 			r.wait(10 * ms)
-			r.b.Outcome(r.now, tuliprock.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: tuliprock.Errored, Took: 10 * ms})
+			r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: balancer.Errored, Took: 10 * ms})
 		}
 	}
 	if extra := r.count("send") - before - asked; extra > asked/10+10 || extra < 5 {
@@ -777,9 +777,9 @@
 func TestKindSpeaksForEndpointsHardlySampled(t *testing.T) {
 	s := basic()
 	r := newRig(t, s)
-	l, took := tuliprock.List{Complete: true}, map[string]time.Duration{}
+	l, took := balancer.List{Complete: true}, map[string]time.Duration{}
 	for i := range 20 {
-		e := tuliprock.Endpoint{ID: "f" + strconv.Itoa(i), Kind: "fast"}
+		e := balancer.Endpoint{ID: "f" + strconv.Itoa(i), Kind: "fast"}
 		took[e.ID] = 40 * ms
 		if i%2 == 1 {
 			e.ID, e.Kind = "s"+strconv.Itoa(i), "slow"
@@ -805,7 +805,7 @@
 	r := newRig(t, basic(), "a", "b", "c")
 	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
 	r.warm(300, took)
-	r.b.EndpointList(r.now, tuliprock.List{Entries: []tuliprock.Endpoint{{ID: "new", Started: r.now}}})
+	r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "new", Started: r.now}}})
 	share := r.warm(150, took)
 	if share["new"] == 0 || share["new"] > 150/4*2/3 {
 		t.Errorf("a cold endpoint of four got %d of 150 calls", share["new"])
@@ -823,9 +823,9 @@
 		r.wait(20 * ms)
 		if ep == "c" {
 			resets--
-			r.end(id, tuliprock.Reset)
+			r.end(id, balancer.Reset)
 		} else {
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 		}
 	}
 	r.warm(60, took)
@@ -856,7 +856,7 @@
 			break
 		}
 	}
-	r.b.Request(r.now, tuliprock.Request{ID: "late", Class: "read", Deadline: r.now + 60*ms})
+	r.b.Request(r.now, balancer.Request{ID: "late", Class: "read", Deadline: r.now + 60*ms})
 	if r.did[len(r.did)-1] != "refuse late" {
 		t.Errorf("last action %q", r.did[len(r.did)-1])
 	}
@@ -873,12 +873,12 @@
 		if ep == "b" {
 			r.wait(ms)
 			r.b.ClientLeft(r.now, id)
-			r.end(id, tuliprock.Canceled)
+			r.end(id, balancer.Canceled)
 			off++
 			continue
 		}
 		r.wait(50 * ms)
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 	}
 	if off == 0 || off > 24 {
 		t.Errorf("b got %d of 40 turns; called off early, it must not pass for fast, nor lose its turns", off)
@@ -897,7 +897,7 @@
 		for _, id := range slices.Sorted(maps.Keys(due)) {
 			if r.now >= due[id] {
 				delete(due, id)
-				r.end(id, tuliprock.OK)
+				r.end(id, balancer.OK)
 			}
 		}
 		r.call("read")
@@ -925,13 +925,13 @@
 		r.warm(11, took) // earns a resend, and moves the turns on
 		id, _ := r.call("read")
 		r.wait(10 * ms)
-		r.end(id, tuliprock.Errored)
+		r.end(id, balancer.Errored)
 		if to := r.to[id]; len(to) == 2 {
 			if again++; to[0] == to[1] {
 				t.Fatalf("%s went to %v", id, to)
 			}
 			r.wait(took[to[1]])
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 		}
 	}
 	if again < 10 {
@@ -953,11 +953,11 @@
 		if i >= 40 && ep == "d" { // until then it is learnt what bills take
 			failed++
 			r.wait(ms)
-			r.end(id, tuliprock.Errored)
+			r.end(id, balancer.Errored)
 			continue
 		}
 		r.wait(took[ep])
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 	}
 	if failed < 2 || failed > 4 {
 		t.Errorf("d failed %d of 60 calls; fifteen are its turns", failed)
@@ -979,7 +979,7 @@
 		r.wait(calm * 9 / 5)
 		for _, id := range out {
 			if len(r.to[id]) > 0 {
-				r.end(id, tuliprock.OK)
+				r.end(id, balancer.OK)
 			}
 		}
 	}
--- a/ban_test.go
+++ b/balancer/ban_test.go
@@ -1,4 +1,4 @@
-package tuliprock_test
+package balancer_test
 
 import (
 	"slices"
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // Whatever the list says meanwhile, nothing new goes to what the operators have taken out: no first send, no trial, no resend.
 func TestABanOutlastsWhateverTheListSays(t *testing.T) {
-	ready := func(id string) tuliprock.Endpoint { return tuliprock.Endpoint{ID: id} }
-	for name, told := range map[string][]tuliprock.List{
+	ready := func(id string) balancer.Endpoint { return balancer.Endpoint{ID: id} }
+	for name, told := range map[string][]balancer.List{
 		"nothing":            nil,
-		"a full list":        {{Complete: true, Entries: []tuliprock.Endpoint{ready("a"), ready("b")}}},
-		"a restart":          {{Entries: []tuliprock.Endpoint{{ID: "a", Started: 101 * time.Second}}}},
-		"drained, then back": {{Entries: []tuliprock.Endpoint{{ID: "a", State: tuliprock.Draining}}}, {Entries: []tuliprock.Endpoint{ready("a")}}},
-		"gone, then back":    {{Entries: []tuliprock.Endpoint{{ID: "a", State: tuliprock.Gone}}}, {Entries: []tuliprock.Endpoint{ready("a")}}},
+		"a full list":        {{Complete: true, Entries: []balancer.Endpoint{ready("a"), ready("b")}}},
+		"a restart":          {{Entries: []balancer.Endpoint{{ID: "a", Started: 101 * time.Second}}}},
+		"drained, then back": {{Entries: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}}, {Entries: []balancer.Endpoint{ready("a")}}},
+		"gone, then back":    {{Entries: []balancer.Endpoint{{ID: "a", State: balancer.Gone}}}, {Entries: []balancer.Endpoint{ready("a")}}},
 		"a failed ask":       {{Failed: true}},
 	} {
 		r := newRig(t, basic(), "a", "b")
@@ -32,10 +32,10 @@
 			id, _ := r.call("read")
 			r.wait(10 * ms)
 			if i%4 == 0 { // b fails: the resend and b's trial come later
-				r.end(id, tuliprock.Reset)
+				r.end(id, balancer.Reset)
 				r.wait(3 * time.Second)
 			}
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 			if slices.Contains(r.to[id], "a") {
 				t.Fatalf("%s: a banned endpoint was sent %s", name, id)
 			}
@@ -73,7 +73,7 @@
 		t.Fatalf("the first call went to %s", ep)
 	}
 	r.wait(10 * ms)
-	r.end(first, tuliprock.OK)
+	r.end(first, balancer.OK)
 	for range 10 { // a crowd, all at once
 		if _, ep := r.call("read"); ep == "a" {
 			t.Error("a cold endpoint was sent a second call right behind its first")
@@ -95,7 +95,7 @@
 	if ep != "" || r.count("refuse "+held) != 1 {
 		t.Errorf("a new request: sent to %q, %v", ep, r.did)
 	}
-	r.end(out, tuliprock.OK) // what was out goes on to its end
+	r.end(out, balancer.OK) // what was out goes on to its end
 	if n := r.count("cancel"); n != 0 {
 		t.Errorf("%d attempts called off", n)
 	}
--- /dev/null
+++ b/balancer/example_test.go
@@ -0,0 +1,44 @@
+package balancer_test
+
+import (
+	"fmt"
+	"time"
+
+	"rowancart/balancer"
+)
+
+// printer is a host that only says what it was asked to do. A real one would send, set timers and answer clients.
+type printer struct{}
+
+func (printer) Send(id, endpoint string, timeout time.Duration) {
+	fmt.Println("send", id, "to", endpoint)
+}
+func (printer) Cancel(id string, n int) { fmt.Println("cancel", id, n) }
+func (printer) Refuse(id string, why balancer.Reason, retryAfter time.Duration) {
+	fmt.Println("refuse", id, why)
+}
+func (printer) Fail(id string, why balancer.Reason) { fmt.Println("fail", id) }
+func (printer) Subscribe()                          { fmt.Println("subscribe") }
+func (printer) Timer(at time.Duration)              {}
+func (printer) Log(line string)                     { fmt.Println(line) }
+
+func Example() {
+	b := balancer.New(0, balancer.Settings{
+		Balancers: 1, MaxAttempts: 3, MayCancel: true, Resolution: time.Millisecond,
+		Classes: []balancer.Class{{Name: "lookup", Effect: balancer.Safe, Aim: time.Second}},
+	}, printer{})
+	b.EndpointList(0, balancer.List{Complete: true, Entries: []balancer.Endpoint{{ID: "10.0.0.1:80"}}})
+
+	now := 5 * time.Millisecond
+	b.Request(now, balancer.Request{ID: "r1", Class: "lookup", Deadline: now + 2*time.Second})
+	b.Outcome(now+20*time.Millisecond, balancer.Outcome{ID: "r1", Endpoint: "10.0.0.1:80", Result: balancer.OK,
+		Took: 20 * time.Millisecond, Final: true})
+
+	b.EndpointList(time.Second, balancer.List{Entries: []balancer.Endpoint{{ID: "10.0.0.1:80", State: balancer.Draining}}})
+	b.Request(time.Second, balancer.Request{ID: "r2", Class: "lookup", Deadline: 3 * time.Second})
+	b.Timer(2990 * time.Millisecond)
+	// Output:
+	// send r1 to 10.0.0.1:80
+	// full: no endpoint has room, 1 requests wait
+	// refuse r2 no_endpoint
+}
--- a/index.go
+++ b/balancer/index.go
@@ -1,4 +1,4 @@
-package tuliprock
+package balancer
 
 // Orders in which endpoints are looked for, and the books of endpoints and requests. No decision is made in this file.
 
--- a/learned.go
+++ b/balancer/learned.go
@@ -1,4 +1,4 @@
-package tuliprock
+package balancer
 
 // What a Balancer hands on to a successor, which begins where it stood instead of with no knowledge. No decision is made in
 // this file.
--- a/long_test.go
+++ b/balancer/long_test.go
@@ -1,18 +1,18 @@
-package tuliprock_test
+package balancer_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // long asks for something with a long body.
 func (r *rig) long(class string) string {
 	r.n++
 	id := fmt.Sprint("long", r.n)
-	r.b.Request(r.now, tuliprock.Request{ID: id, Class: class, Deadline: r.now + time.Minute, Long: true})
+	r.b.Request(r.now, balancer.Request{ID: id, Class: class, Deadline: r.now + time.Minute, Long: true})
 	return id
 }
 
@@ -62,7 +62,7 @@
 		r.b.Written(r.now, id, 0)
 		r.sentAt[id] = r.now
 		r.wait(10 * ms)
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 	}
 	if after := weigh(); after > 1.5*before {
 		t.Errorf("weights rise from %v to %v", before, after)
--- a/outage_test.go
+++ b/balancer/outage_test.go
@@ -1,4 +1,4 @@
-package tuliprock_test
+package balancer_test
 
 import (
 	"maps"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // A single endpoint of a few that fails must cost next to nothing: the others serve all that comes, whichever of them were
@@ -15,15 +15,15 @@
 func TestWhatOneEndpointCannotTheOthersServe(t *testing.T) {
 	for _, way := range []struct {
 		name   string
-		result tuliprock.Result
+		result balancer.Result
 		after  time.Duration
 		lost   map[string]int // requests that each day may lose, by class
 	}{
-		{"refuses connections", tuliprock.ConnectFailed, ms / 10, map[string]int{"read": 0, "bill": 0}},
-		{"takes no connections", tuliprock.ConnectFailed, 250 * ms, map[string]int{"read": 0, "bill": 0}},
-		{"turns away", tuliprock.Full, ms, map[string]int{"read": 0, "bill": 0}},
-		{"resets after accept", tuliprock.Reset, ms, map[string]int{"read": 0}},
-		{"fails fast", tuliprock.Errored, ms, map[string]int{"read": 0}},
+		{"refuses connections", balancer.ConnectFailed, ms / 10, map[string]int{"read": 0, "bill": 0}},
+		{"takes no connections", balancer.ConnectFailed, 250 * ms, map[string]int{"read": 0, "bill": 0}},
+		{"turns away", balancer.Full, ms, map[string]int{"read": 0, "bill": 0}},
+		{"resets after accept", balancer.Reset, ms, map[string]int{"read": 0}},
+		{"fails fast", balancer.Errored, ms, map[string]int{"read": 0}},
 	} {
 		for class, most := range way.lost {
 			for seed := range uint64(30) {
@@ -47,7 +47,7 @@
 						lost++
 					} else {
 						r.wait(2 * ms)
-						r.end(id, tuliprock.OK)
+						r.end(id, balancer.OK)
 					}
 					r.wait(30 * ms)
 				}
@@ -68,7 +68,7 @@
 		id, ep := r.call("read")
 		for ep != "" {
 			before := len(r.to[id])
-			r.end(id, tuliprock.ConnectFailed)
+			r.end(id, balancer.ConnectFailed)
 			if ep = ""; len(r.to[id]) > before {
 				ep = r.to[id][before]
 			}
@@ -83,7 +83,7 @@
 	}
 	id, ep := r.call("read")
 	r.wait(ms)
-	r.end(id, tuliprock.OK)
+	r.end(id, balancer.OK)
 	for range 5 {
 		r.wait(30 * ms)
 		id, again := r.call("read")
@@ -92,14 +92,14 @@
 		}
 		r.wait(ms)
 		if again == ep {
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 			continue
 		}
-		r.end(id, tuliprock.ConnectFailed)
+		r.end(id, balancer.ConnectFailed)
 		if to := r.to[id]; len(to) != 2 || to[1] != ep {
 			t.Errorf("after a failed trial the request goes to %v, and %s answers", to, ep)
 		} else {
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 		}
 	}
 }
@@ -116,11 +116,11 @@
 				r.wait(42 * ms)
 			}
 			for _, s := range r.b.Standings(r.now) {
-				if s.Out == tuliprock.OutSilent {
+				if s.Out == balancer.OutSilent {
 					t.Fatalf("seed %d, call %d: %s passes for silent after %v at %s", seed, n, s.ID, 42*ms, ep)
 				}
 			}
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 			r.wait(20 * ms)
 		}
 	}
@@ -151,11 +151,11 @@
 					met++
 				}
 				r.wait(200 * ms)
-				r.end(id, tuliprock.OK)
+				r.end(id, balancer.OK)
 			}
 		}
 		quiet(4)
-		r.b.EndpointList(r.now, tuliprock.List{Entries: []tuliprock.Endpoint{{ID: "new"}}})
+		r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "new"}}})
 		quiet(1)
 	}
 	if met > 45 {
@@ -174,10 +174,10 @@
 		for range 200 {
 			id, _ := r.call("read")
 			r.wait(ms)
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 			r.wait(19 * ms)
 		}
-		r.b.EndpointList(r.now, tuliprock.List{Entries: []tuliprock.Endpoint{{ID: "a", Started: r.now}}})
+		r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "a", Started: r.now}}})
 		sent, begun := 0, r.now
 		r.stream(20*ms, 3*time.Second, func(string) time.Duration { return c.took }, func(string) {
 			if r.now >= begun+2*time.Second {
@@ -195,7 +195,7 @@
 func TestWarmEndpointsDroppedAsSlowDoNotQuickenAColdOne(t *testing.T) {
 	r := newRig(t, basic(), "a", "b", "c")
 	r.warm(300, map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms})
-	r.b.EndpointList(r.now, tuliprock.List{Entries: []tuliprock.Endpoint{{ID: "new", Started: r.now}}})
+	r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "new", Started: r.now}}})
 	took := map[string]time.Duration{"a": 400 * ms, "b": 400 * ms, "c": 400 * ms, "new": 5 * ms}
 	sent := map[string]int{}
 	r.stream(10*ms, 3*time.Second, func(ep string) time.Duration { return took[ep] }, func(ep string) { sent[ep]++ })
@@ -217,7 +217,7 @@
 		for _, id := range slices.Sorted(maps.Keys(due)) {
 			if r.now >= due[id] {
 				delete(due, id)
-				r.end(id, tuliprock.OK)
+				r.end(id, balancer.OK)
 			}
 		}
 		for ; seen < len(r.did); seen++ {
--- a/policy_test.go
+++ b/balancer/policy_test.go
@@ -1,4 +1,4 @@
-package tuliprock_test
+package balancer_test
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 
 	"pgregory.net/rapid"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // under gives a rig whose class "read" is treated as told, warmed up on answers of 10 ms.
-func under(t *testing.T, change func(c *tuliprock.Class)) *rig {
+func under(t *testing.T, change func(c *balancer.Class)) *rig {
 	t.Helper()
 	s := basic()
-	s.Resends = tuliprock.Resends{Share: 1, Most: 100}
+	s.Resends = balancer.Resends{Share: 1, Most: 100}
 	change(&s.Classes[0])
 	r := newRig(t, s, "a", "b", "c")
 	for range 60 {
@@ -31,20 +31,20 @@
 // answer ends all attempts of a request, the latest with success.
 func (r *rig) answer(id string) {
 	for n, ep := range r.to[id] {
-		o := tuliprock.Outcome{ID: id, Attempt: n, Endpoint: ep, Result: tuliprock.Canceled, Took: r.now - r.sentAt[id], Final: true}
+		o := balancer.Outcome{ID: id, Attempt: n, Endpoint: ep, Result: balancer.Canceled, Took: r.now - r.sentAt[id], Final: true}
 		if n == len(r.to[id])-1 {
-			o.Result = tuliprock.OK
+			o.Result = balancer.OK
 		}
 		r.b.Outcome(r.now, o)
 	}
 }
 
 func TestASecondCopyGoesOutOnceTheFirstIsLate(t *testing.T) {
-	for name, change := range map[string]func(*tuliprock.Class){
-		"after a time":    func(c *tuliprock.Class) { c.CopyAfter = 30 * ms },
-		"after a share":   func(c *tuliprock.Class) { c.CopyAfter, c.CopyShare = time.Second, 0.95 },
-		"two in all":      func(c *tuliprock.Class) { c.CopyAfter, c.MaxAttempts = 30*ms, 2 },
-		"not for a queue": func(c *tuliprock.Class) { c.CopyAfter, c.Queue = 30*ms, -1 },
+	for name, change := range map[string]func(*balancer.Class){
+		"after a time":    func(c *balancer.Class) { c.CopyAfter = 30 * ms },
+		"after a share":   func(c *balancer.Class) { c.CopyAfter, c.CopyShare = time.Second, 0.95 },
+		"two in all":      func(c *balancer.Class) { c.CopyAfter, c.MaxAttempts = 30*ms, 2 },
+		"not for a queue": func(c *balancer.Class) { c.CopyAfter, c.Queue = 30*ms, -1 },
 	} {
 		r := under(t, change)
 		id, first := r.call("read")
@@ -57,11 +57,11 @@
 			t.Fatalf("%s: sent to %v", name, to)
 		}
 		// The copy fails: the first still counts, and is not given up.
-		r.end(id, tuliprock.Reset)
+		r.end(id, balancer.Reset)
 		if n := r.count("refuse") + r.count("fail"); n != 0 {
 			t.Errorf("%s: given up with an attempt out: %v", name, r.did)
 		}
-		r.b.Outcome(r.now, tuliprock.Outcome{ID: id, Endpoint: first, Result: tuliprock.OK, Took: 100 * ms, Final: true})
+		r.b.Outcome(r.now, balancer.Outcome{ID: id, Endpoint: first, Result: balancer.OK, Took: 100 * ms, Final: true})
 		if r.count("send") != 2 || r.count("cancel") != 0 {
 			t.Errorf("%s: %v", name, r.did)
 		}
@@ -69,7 +69,7 @@
 }
 
 func TestTheSlowerOfTwoCopiesIsCalledOffAndLosesTurns(t *testing.T) {
-	r := under(t, func(c *tuliprock.Class) { c.CopyAfter = 15 * ms })
+	r := under(t, func(c *balancer.Class) { c.CopyAfter = 15 * ms })
 	turns := map[string]int{}
 	for range 200 {
 		id, first := r.call("read")
@@ -78,11 +78,11 @@
 		if first == "a" {
 			r.wait(15 * ms)
 			last := len(r.to[id]) - 1
-			r.b.Outcome(r.now, tuliprock.Outcome{ID: id, Attempt: last, Endpoint: r.to[id][last], Result: tuliprock.OK, Took: 10 * ms})
+			r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: last, Endpoint: r.to[id][last], Result: balancer.OK, Took: 10 * ms})
 			if last != 1 || r.count("cancel "+id+" 0") != 1 {
 				t.Fatalf("the slow one is still out: %v", r.did)
 			}
-			r.b.Outcome(r.now, tuliprock.Outcome{ID: id, Endpoint: "a", Result: tuliprock.Canceled, Took: 25 * ms, Final: true})
+			r.b.Outcome(r.now, balancer.Outcome{ID: id, Endpoint: "a", Result: balancer.Canceled, Took: 25 * ms, Final: true})
 			continue
 		}
 		r.answer(id)
@@ -97,7 +97,7 @@
 	for i := range s.Classes {
 		s.Classes[i].CopyAfter = 5 * ms
 	}
-	s.Classes = append(s.Classes, tuliprock.Class{Name: "keyed", Effect: tuliprock.Keyed, Window: time.Hour, Aim: time.Second, CopyAfter: 5 * ms})
+	s.Classes = append(s.Classes, balancer.Class{Name: "keyed", Effect: balancer.Keyed, Window: time.Hour, Aim: time.Second, CopyAfter: 5 * ms})
 	r := newRig(t, s, "a", "b", "c")
 	for _, class := range []string{"bill", "keyed"} {
 		id, _ := r.call(class)
@@ -106,7 +106,7 @@
 			t.Errorf("%s: %d attempts", class, n)
 		}
 	}
-	s.Resends = tuliprock.Resends{Share: 0.01, Most: 2}
+	s.Resends = balancer.Resends{Share: 0.01, Most: 2}
 	r = newRig(t, s, "a", "b", "c", "d", "e", "f")
 	for range 10 {
 		r.call("read")
@@ -118,18 +118,18 @@
 }
 
 func TestAttemptsAndQueueAreAClassesOwn(t *testing.T) {
-	once := under(t, func(c *tuliprock.Class) { c.NoRerun = true })
+	once := under(t, func(c *balancer.Class) { c.NoRerun = true })
 	ran, _ := once.call("read")
-	once.end(ran, tuliprock.Reset)
+	once.end(ran, balancer.Reset)
 	unrun, _ := once.call("read")
-	once.end(unrun, tuliprock.ConnectFailed)
+	once.end(unrun, balancer.ConnectFailed)
 	if len(once.to[ran]) != 1 || once.count("refuse "+ran) != 1 || len(once.to[unrun]) != 2 {
 		t.Errorf("not to run again: sent to %v after a run, to %v after none: %v", once.to[ran], once.to[unrun], once.did)
 	}
-	r := under(t, func(c *tuliprock.Class) { c.MaxAttempts = 2 })
+	r := under(t, func(c *balancer.Class) { c.MaxAttempts = 2 })
 	id, _ := r.call("read")
-	r.end(id, tuliprock.Reset)
-	r.end(id, tuliprock.Reset)
+	r.end(id, balancer.Reset)
+	r.end(id, balancer.Reset)
 	if n := len(r.to[id]); n != 2 || r.count("refuse "+id) != 1 {
 		t.Errorf("%d attempts where 2 are allowed: %v", n, r.did)
 	}
@@ -161,11 +161,11 @@
 	h := &timeouts{rig: rig{t: t, now: time.Hour, to: map[string][]string{}, sentAt: map[string]time.Duration{}}}
 	s := basic()
 	s.Classes[0].AttemptTimeout = time.Second
-	h.b = tuliprock.New(h.now, s, h)
-	h.b.EndpointList(h.now, tuliprock.List{Complete: true, Entries: []tuliprock.Endpoint{{ID: "a"}, {ID: "b"}}})
+	h.b = balancer.New(h.now, s, h)
+	h.b.EndpointList(h.now, balancer.List{Complete: true, Entries: []balancer.Endpoint{{ID: "a"}, {ID: "b"}}})
 	h.call("read")
 	h.call("bill")
-	h.b.Request(h.now, tuliprock.Request{ID: "short", Class: "read", Deadline: h.now + 300*ms})
+	h.b.Request(h.now, balancer.Request{ID: "short", Class: "read", Deadline: h.now + 300*ms})
 	if want := []time.Duration{time.Second, 5 * time.Second, 300 * ms}; !slices.Equal(h.got, want) {
 		t.Errorf("time-outs %v, want %v", h.got, want)
 	}
@@ -173,7 +173,7 @@
 
 // A request that waits between two attempts is treated as its class was when it came; the next one as it is now.
 func TestConfigureKeepsWhatWasLearnedAndWhatHasBegun(t *testing.T) {
-	r := under(t, func(*tuliprock.Class) {})
+	r := under(t, func(*balancer.Class) {})
 	r.warm(60, map[string]time.Duration{"a": 60 * ms, "b": 10 * ms, "c": 10 * ms})
 	r.b.Configure(r.now, basic())
 	if share := r.warm(12, map[string]time.Duration{"a": ms, "b": ms, "c": ms}); share["a"] > 1 { // a trial may be due
@@ -181,16 +181,16 @@
 	}
 	before, _ := r.call("read")
 	s := basic()
-	s.Classes[0].Effect = tuliprock.Unsafe
+	s.Classes[0].Effect = balancer.Unsafe
 	r.b.Configure(r.now, s)
 	after, _ := r.call("read")
-	r.end(before, tuliprock.Reset)
-	r.end(after, tuliprock.Reset)
+	r.end(before, balancer.Reset)
+	r.end(after, balancer.Reset)
 	if len(r.to[before]) != 2 || len(r.to[after]) != 1 || r.count("fail "+after) != 1 {
 		t.Errorf("safe when it came: %v; unsafe when it came: %v", r.to[before], r.to[after])
 	}
-	r.end(before, tuliprock.OK)
-	s.Classes = []tuliprock.Class{{Name: "other", Work: "read", Effect: tuliprock.Safe, Aim: 2 * time.Second}}
+	r.end(before, balancer.OK)
+	s.Classes = []balancer.Class{{Name: "other", Work: "read", Effect: balancer.Safe, Aim: 2 * time.Second}}
 	r.b.Configure(r.now, s)
 	if id, to := r.call("other"); to == "" {
 		t.Errorf("%s was not sent", id)
@@ -204,7 +204,7 @@
 // every request gets one answer.
 func TestEveryPolicyKeepsTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func() tuliprock.Settings {
+		draw := func() balancer.Settings {
 			s := basic()
 			for i := range s.Classes {
 				c := &s.Classes[i]
@@ -251,13 +251,13 @@
 						c.ended = append(c.ended, false)
 					}
 					c.ended[n] = true
-					result := rapid.SampledFrom([]tuliprock.Result{tuliprock.OK, tuliprock.Errored, tuliprock.Full, tuliprock.TimedOut,
-						tuliprock.ConnectFailed, tuliprock.Reset, tuliprock.NotSent}).Draw(t, "result")
-					if result != tuliprock.Full && result != tuliprock.ConnectFailed && result != tuliprock.NotSent {
+					result := rapid.SampledFrom([]balancer.Result{balancer.OK, balancer.Errored, balancer.Full, balancer.TimedOut,
+						balancer.ConnectFailed, balancer.Reset, balancer.NotSent}).Draw(t, "result")
+					if result != balancer.Full && result != balancer.ConnectFailed && result != balancer.NotSent {
 						c.ran++
 					}
-					r.b.Outcome(r.now, tuliprock.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: result, Took: ms,
-						Final: result == tuliprock.OK})
+					r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: result, Took: ms,
+						Final: result == balancer.OK})
 				}
 			}
 			for id, c := range calls {
--- a/resends_test.go
+++ b/balancer/resends_test.go
@@ -1,4 +1,4 @@
-package tuliprock
+package balancer
 
 import (
 	"testing"
--- a/room_test.go
+++ b/balancer/room_test.go
@@ -1,11 +1,11 @@
-package tuliprock_test
+package balancer_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // fits tells how many calls may be out at once: more are held.
@@ -21,7 +21,7 @@
 	}
 	n := r.count("send ") - before
 	for _, id := range ids {
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 	}
 	return n
 }
@@ -29,14 +29,14 @@
 // Seen on a day of upgrades during a release: of four endpoints two drained and one failed, the last one got the calls of all, and was
 // tipped into a slow state by them.
 func TestRoomGoesWithTheEndpointsThatTakeWork(t *testing.T) {
-	list := func(r *rig, states ...tuliprock.State) {
-		l := tuliprock.List{}
+	list := func(r *rig, states ...balancer.State) {
+		l := balancer.List{}
 		for i, s := range states {
-			l.Entries = append(l.Entries, tuliprock.Endpoint{ID: fmt.Sprint("e", i), State: s})
+			l.Entries = append(l.Entries, balancer.Endpoint{ID: fmt.Sprint("e", i), State: s})
 		}
 		r.b.EndpointList(r.now, l)
 	}
-	const ready, drains = tuliprock.Ready, tuliprock.Draining
+	const ready, drains = balancer.Ready, balancer.Draining
 	start := func() *rig { return newRig(t, basic(), "e0", "e1", "e2", "e3") }
 	all := start().fits()
 	r := start()
@@ -63,10 +63,10 @@
 		r.wait(10 * ms)
 		if ep == "e2" {
 			failed++
-			r.end(id, tuliprock.Errored)
+			r.end(id, balancer.Errored)
 			r.wait(10 * ms)
 		}
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 	}
 	if n := r.fits(); n < all*3/4-2 || n > all*3/4+2 {
 		t.Errorf("with one of four failing %d calls fit, and %d before", n, all)
@@ -85,7 +85,7 @@
 	trial, ep := r.call("read")
 	for ep != "c" { // which was dropped as slow, and gets its trial
 		r.wait(10 * ms)
-		r.end(trial, tuliprock.OK)
+		r.end(trial, balancer.OK)
 		r.wait(10 * ms)
 		trial, ep = r.call("read")
 	}
@@ -93,7 +93,7 @@
 		_, ep = r.call("read")
 	}
 	r.wait(5 * ms)
-	r.end(trial, tuliprock.OK)
+	r.end(trial, balancer.OK)
 	for i := range 3 {
 		if _, ep := r.call("read"); ep != "c" {
 			t.Fatalf("call %d goes to %q", i+1, ep)
--- a/rules_test.go
+++ b/balancer/rules_test.go
@@ -1,4 +1,4 @@
-package tuliprock_test
+package balancer_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 const ms = time.Millisecond
@@ -17,9 +17,9 @@
 
 // sent is one attempt as the world sees it.
 type sent struct {
-	ep       tuliprock.Endpoint
+	ep       balancer.Endpoint
 	at, ends time.Duration
-	result   tuliprock.Result
+	result   balancer.Result
 	out      bool
 	ran      bool // ended, and nothing proves that it did not run
 	canceled bool
@@ -27,8 +27,8 @@
 
 // asked is one request as the world sees it.
 type asked struct {
-	tuliprock.Request
-	class    tuliprock.Class
+	balancer.Request
+	class    balancer.Class
 	attempts []*sent
 	ended    bool // has its answer, or its client left
 	told     bool // the balancer was told so, or did it itself, before the batch in hand
@@ -38,11 +38,11 @@
 type world struct {
 	t        testing.TB
 	rng      *rand.Rand
-	s        tuliprock.Settings
+	s        balancer.Settings
 	now      time.Duration
-	b        *tuliprock.Balancer
-	list     map[string]tuliprock.Endpoint // as last told
-	stopped  map[string]time.Duration      // when told of a drain or removal
+	b        *balancer.Balancer
+	list     map[string]balancer.Endpoint // as last told
+	stopped  map[string]time.Duration     // when told of a drain or removal
 	requests map[string]*asked
 	order    []string
 	timers   []time.Duration
@@ -51,7 +51,7 @@
 	over     bool // nothing new comes
 	sends    int
 	answers  [3]int // served, refused, failed
-	whys     map[tuliprock.Reason]int
+	whys     map[balancer.Reason]int
 	log      []string
 }
 
@@ -74,12 +74,12 @@
 		if a.out {
 			w.t.Fatalf("%v: second copy of %s", w.now, id)
 		}
-		if !a.out && !a.ran || q.class.Effect == tuliprock.Safe {
+		if !a.out && !a.ran || q.class.Effect == balancer.Safe {
 			continue
 		}
 		c := q.class
-		if c.Effect == tuliprock.Unsafe || w.now > a.at+c.Window || c.Group == tuliprock.GroupZone && a.ep.Zone != e.Zone ||
-			c.Group == tuliprock.GroupCell && a.ep.Cell != e.Cell {
+		if c.Effect == balancer.Unsafe || w.now > a.at+c.Window || c.Group == balancer.GroupZone && a.ep.Zone != e.Zone ||
+			c.Group == balancer.GroupCell && a.ep.Cell != e.Cell {
 			w.t.Fatalf("%v: %s may take effect twice at %s", w.now, id, ep)
 		}
 	}
@@ -90,15 +90,15 @@
 	a := &sent{ep: e, at: w.now, out: true, ends: w.now + time.Duration(1+w.rng.IntN(300))*ms}
 	switch n := w.rng.IntN(20); {
 	case n < 11:
-		a.result = tuliprock.OK
+		a.result = balancer.OK
 	case n == 11: // hangs
-		a.result, a.ends = tuliprock.TimedOut, w.now+timeout
+		a.result, a.ends = balancer.TimedOut, w.now+timeout
 	default:
-		a.result = []tuliprock.Result{tuliprock.Errored, tuliprock.Full, tuliprock.ConnectFailed, tuliprock.Reset,
-			tuliprock.NotSent, tuliprock.OK, tuliprock.TimedOut, tuliprock.Errored}[n-12]
+		a.result = []balancer.Result{balancer.Errored, balancer.Full, balancer.ConnectFailed, balancer.Reset,
+			balancer.NotSent, balancer.OK, balancer.TimedOut, balancer.Errored}[n-12]
 	}
 	if a.ends > w.now+timeout {
-		a.result, a.ends = tuliprock.TimedOut, w.now+timeout
+		a.result, a.ends = balancer.TimedOut, w.now+timeout
 	}
 	q.attempts = append(q.attempts, a)
 }
@@ -114,45 +114,45 @@
 	if a := q.attempts[n]; a.out && !a.canceled {
 		a.canceled = true
 		if w.rng.IntN(4) > 0 || a.ends > w.now+50*ms { // else another outcome is on its way
-			a.result, a.ends = tuliprock.Canceled, w.now
+			a.result, a.ends = balancer.Canceled, w.now
 		}
 	}
 }
 
-func (w *world) Refuse(id string, why tuliprock.Reason, _ time.Duration) {
+func (w *world) Refuse(id string, why balancer.Reason, _ time.Duration) {
 	q := w.answer(id)
 	w.hold(q, why)
 	w.answers[1]++
 	for _, a := range q.attempts {
-		if (a.out || a.ran) && (q.class.Effect == tuliprock.Unsafe ||
-			q.class.Effect == tuliprock.Keyed && q.class.Group != tuliprock.GroupAll) {
+		if (a.out || a.ran) && (q.class.Effect == balancer.Unsafe ||
+			q.class.Effect == balancer.Keyed && q.class.Group != balancer.GroupAll) {
 			w.t.Fatalf("%v: %s is refused though it may have run", w.now, id)
 		}
 	}
 }
 
-func (w *world) Fail(id string, why tuliprock.Reason) {
+func (w *world) Fail(id string, why balancer.Reason) {
 	w.hold(w.answer(id), why)
 	w.answers[2]++
 }
 
 // hold holds a reason to what the world has seen.
-func (w *world) hold(q *asked, why tuliprock.Reason) {
+func (w *world) hold(q *asked, why balancer.Reason) {
 	ready, failed, ran, out := false, false, false, false
 	for _, e := range w.list {
-		ready = ready || e.State == tuliprock.Ready
+		ready = ready || e.State == balancer.Ready
 	}
 	for _, a := range q.attempts {
 		failed, ran, out = failed || !a.out, ran || a.ran, out || a.out
 	}
-	holds := map[tuliprock.Reason]bool{
-		tuliprock.NoEndpoint: !ready,
-		tuliprock.NoRoom:     ready && len(q.attempts) == 0,
-		tuliprock.OverQuota:  q.Tenant != "t2" && len(q.attempts) == 0,
-		tuliprock.TooLate:    true, // how long an answer would take is the module's own estimate
-		tuliprock.NoBudget:   failed && !out,
-		tuliprock.NoAttempt:  len(q.attempts) >= w.s.MaxAttempts && !out,
-		tuliprock.MayHaveRun: ran && q.class.Effect != tuliprock.Safe,
+	holds := map[balancer.Reason]bool{
+		balancer.NoEndpoint: !ready,
+		balancer.NoRoom:     ready && len(q.attempts) == 0,
+		balancer.OverQuota:  q.Tenant != "t2" && len(q.attempts) == 0,
+		balancer.TooLate:    true, // how long an answer would take is the module's own estimate
+		balancer.NoBudget:   failed && !out,
+		balancer.NoAttempt:  len(q.attempts) >= w.s.MaxAttempts && !out,
+		balancer.MayHaveRun: ran && q.class.Effect != balancer.Safe,
 	}
 	if !holds[why] {
 		w.t.Fatalf("%v: %s is told %q after %d attempts, which is not so", w.now, q.ID, why, len(q.attempts))
@@ -181,10 +181,10 @@
 func (w *world) start(seed uint64) {
 	w.requests, w.order, w.timers = map[string]*asked{}, nil, nil
 	w.s.Seed = seed
-	w.b = tuliprock.New(w.now, w.s, w)
-	l := tuliprock.List{Complete: true}
+	w.b = balancer.New(w.now, w.s, w)
+	l := balancer.List{Complete: true}
 	for i := range 12 {
-		if e, ok := w.list["e"+strconv.Itoa(i)]; ok && e.State != tuliprock.Gone {
+		if e, ok := w.list["e"+strconv.Itoa(i)]; ok && e.State != balancer.Gone {
 			l.Entries = append(l.Entries, e)
 		}
 	}
@@ -193,37 +193,37 @@
 
 func (w *world) change() {
 	if w.rng.IntN(10) == 0 {
-		w.b.EndpointList(w.now, tuliprock.List{Failed: true})
+		w.b.EndpointList(w.now, balancer.List{Failed: true})
 		return
 	}
 	id := w.rng.IntN(12)
-	e := tuliprock.Endpoint{ID: "e" + strconv.Itoa(id), State: tuliprock.State(w.rng.IntN(3)), Zone: "z" + strconv.Itoa(id%2),
+	e := balancer.Endpoint{ID: "e" + strconv.Itoa(id), State: balancer.State(w.rng.IntN(3)), Zone: "z" + strconv.Itoa(id%2),
 		Kind: "k" + strconv.Itoa(id%3), Cell: id % 4}
 	if w.rng.IntN(3) > 0 {
-		e.State = tuliprock.Ready
+		e.State = balancer.Ready
 	}
 	old, known := w.list[e.ID]
-	if e.State == tuliprock.Ready && (!known || old.State == tuliprock.Gone || w.rng.IntN(3) == 0) {
+	if e.State == balancer.Ready && (!known || old.State == balancer.Gone || w.rng.IntN(3) == 0) {
 		e.Started = w.now
 	} else {
 		e.Started = old.Started
 	}
-	if e.State == tuliprock.Ready {
+	if e.State == balancer.Ready {
 		delete(w.stopped, e.ID)
 	} else if _, ok := w.stopped[e.ID]; !ok {
 		w.stopped[e.ID] = w.now
 	}
 	w.list[e.ID] = e
-	w.b.EndpointList(w.now, tuliprock.List{Entries: []tuliprock.Endpoint{e}})
+	w.b.EndpointList(w.now, balancer.List{Entries: []balancer.Endpoint{e}})
 }
 
 func (w *world) call() {
 	w.next++
 	c := w.s.Classes[w.rng.IntN(len(w.s.Classes))]
-	r := tuliprock.Request{ID: "r" + strconv.Itoa(w.next), Class: c.Name, Tenant: "t" + strconv.Itoa(w.rng.IntN(3)),
+	r := balancer.Request{ID: "r" + strconv.Itoa(w.next), Class: c.Name, Tenant: "t" + strconv.Itoa(w.rng.IntN(3)),
 		Deadline: w.now + time.Duration(w.rng.IntN(1500))*ms, Repeat: w.rng.IntN(5) == 0}
 	if w.rng.IntN(30) == 0 {
-		r.Class, c = "never listed", tuliprock.Class{Effect: tuliprock.Unsafe}
+		r.Class, c = "never listed", balancer.Class{Effect: balancer.Unsafe}
 	}
 	w.requests[r.ID] = &asked{Request: r, class: c}
 	w.order = append(w.order, r.ID)
@@ -268,17 +268,17 @@
 		out := false
 		for n, a := range q.attempts {
 			if a.out && a.ends <= w.now {
-				a.out, a.ran = false, a.result != tuliprock.Full && a.result != tuliprock.ConnectFailed && a.result != tuliprock.NotSent
-				if a.result == tuliprock.OK && !q.ended {
+				a.out, a.ran = false, a.result != balancer.Full && a.result != balancer.ConnectFailed && a.result != balancer.NotSent
+				if a.result == balancer.OK && !q.ended {
 					q.ended = true
 					w.answers[0]++
 				}
 				final := q.ended
 				q.told = q.told || final
-				w.b.Outcome(w.now, tuliprock.Outcome{ID: id, Attempt: n, Endpoint: a.ep.ID, Result: a.result,
+				w.b.Outcome(w.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.ep.ID, Result: a.result,
 					Took: w.now - a.at, Final: final})
 				if w.rng.IntN(30) == 0 { // a host that reports twice must do no harm
-					w.b.Outcome(w.now, tuliprock.Outcome{ID: id, Attempt: n, Endpoint: a.ep.ID, Result: a.result, Final: final})
+					w.b.Outcome(w.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.ep.ID, Result: a.result, Final: final})
 				}
 			}
 			out = out || a.out
@@ -295,22 +295,22 @@
 
 func newWorld(t testing.TB, seed uint64) *world {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	w := &world{t: t, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second, list: map[string]tuliprock.Endpoint{},
-		whys: map[tuliprock.Reason]int{}, stopped: map[string]time.Duration{}, cold: map[string][]time.Duration{}}
-	w.s = tuliprock.Settings{Balancers: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
+	w := &world{t: t, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second, list: map[string]balancer.Endpoint{},
+		whys: map[balancer.Reason]int{}, stopped: map[string]time.Duration{}, cold: map[string][]time.Duration{}}
+	w.s = balancer.Settings{Balancers: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
 		MustSubscribe: rng.IntN(2) == 0, AskWithin: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
 		MayCancel:  rng.IntN(4) > 0,
 		Resolution: time.Duration(1+rng.IntN(5)) * ms,
 		ColdFrom:   0.3, ColdFor: 9 * time.Second,
-		Tenants: []tuliprock.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 5}}}
-	for i, effect := range []tuliprock.Effect{tuliprock.Safe, tuliprock.Keyed, tuliprock.Keyed, tuliprock.Keyed, tuliprock.Unsafe} {
-		w.s.Classes = append(w.s.Classes, tuliprock.Class{Name: "c" + strconv.Itoa(i), Effect: effect,
-			Group: tuliprock.Group(max(i-1, 0) % 3), Window: time.Duration(100+rng.IntN(400)) * ms, Aim: 400 * ms,
+		Tenants: []balancer.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 5}}}
+	for i, effect := range []balancer.Effect{balancer.Safe, balancer.Keyed, balancer.Keyed, balancer.Keyed, balancer.Unsafe} {
+		w.s.Classes = append(w.s.Classes, balancer.Class{Name: "c" + strconv.Itoa(i), Effect: effect,
+			Group: balancer.Group(max(i-1, 0) % 3), Window: time.Duration(100+rng.IntN(400)) * ms, Aim: 400 * ms,
 		})
 	}
 	for i := range 8 {
 		id := "e" + strconv.Itoa(i)
-		w.list[id] = tuliprock.Endpoint{ID: id, Zone: "z" + strconv.Itoa(i%2), Kind: "k" + strconv.Itoa(i%3), Cell: i % 4}
+		w.list[id] = balancer.Endpoint{ID: id, Zone: "z" + strconv.Itoa(i%2), Kind: "k" + strconv.Itoa(i%3), Cell: i % 4}
 	}
 	w.start(seed)
 	return w
@@ -340,7 +340,7 @@
 
 func TestRulesHoldOnRandomDays(t *testing.T) {
 	var answers [3]int
-	whys := map[tuliprock.Reason]int{}
+	whys := map[balancer.Reason]int{}
 	for seed := range uint64(60) {
 		w := play(t, seed, 1500)
 		for i, n := range w.answers {
@@ -355,8 +355,8 @@
 			t.Errorf("only %d answers of kind %d: the days test too little", n, i)
 		}
 	}
-	for _, why := range tuliprock.Reasons {
-		if why != tuliprock.QueueFull && why != tuliprock.NoEndpoint && whys[why] < 20 {
+	for _, why := range balancer.Reasons {
+		if why != balancer.QueueFull && why != balancer.NoEndpoint && whys[why] < 20 {
 			t.Errorf("only %d answers say %s: the days test too little", whys[why], why)
 		}
 	}
--- a/shorten_test.go
+++ b/balancer/shorten_test.go
@@ -1,11 +1,11 @@
-package tuliprock_test
+package balancer_test
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // Where the host has to end, what would wait for longer has its answer by then: refused if nothing can have run, else failed; what
@@ -53,16 +53,16 @@
 	s.MaxAttempts, s.Resends.Share, s.Resends.Most = 0, 1e-9, 1e-9
 	r := newRig(t, s, "a", "b")
 	for _, row := range []struct {
-		result  tuliprock.Result
+		result  balancer.Result
 		resends int
-	}{{tuliprock.NotSent, 1}, {tuliprock.ConnectFailed, 1}, {tuliprock.Full, 0}} {
+	}{{balancer.NotSent, 1}, {balancer.ConnectFailed, 1}, {balancer.Full, 0}} {
 		id, _ := r.call("bill")
 		r.end(id, row.result)
 		if n := len(r.to[id]) - 1; n != row.resends {
 			t.Errorf("after %v: sent again %d times, want %d", row.result, n, row.resends)
 		}
 		if n := len(r.to[id]) - 1; n > 0 {
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 		}
 	}
 }
--- a/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package tuliprock
+package balancer
 
 // What a Balancer remembers, the measures read off it, and bookkeeping. No decision is made in this file.
 
--- a/thin_test.go
+++ b/balancer/thin_test.go
@@ -1,4 +1,4 @@
-package tuliprock_test
+package balancer_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // thin is one of many callers that share their endpoints and have little to send each.
@@ -53,14 +53,14 @@
 		call := func() bool {
 			id, ep := r.call("read")
 			r.wait(200 * ms)
-			r.end(id, tuliprock.OK)
+			r.end(id, balancer.OK)
 			r.wait(50 * ms)
 			return ep == "fresh"
 		}
 		for range 80 {
 			call()
 		}
-		r.b.EndpointList(r.now, tuliprock.List{Entries: []tuliprock.Endpoint{{ID: "fresh", Started: r.now}}})
+		r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "fresh", Started: r.now}}})
 		for start := r.now; r.now < start+warmUp*time.Second; {
 			if call() {
 				all++
@@ -83,7 +83,7 @@
 // do, ten calls out at one of thirteen callers is no shortage, and nobody is refused; once they stretch it is.
 func TestAnOverfullPartOfAQuotaIsNoShortageWhileAnswersAreQuick(t *testing.T) {
 	s := basic()
-	s.Balancers, s.Tenants = 13, []tuliprock.Tenant{{Name: "large", Quota: 400}, {Name: "small", Quota: 25}}
+	s.Balancers, s.Tenants = 13, []balancer.Tenant{{Name: "large", Quota: 400}, {Name: "small", Quota: 25}}
 	ids := named(16)
 	for took, fewest := range map[time.Duration]int{time.Second: 0, 4 * time.Second: 10} {
 		r := newRig(t, s, ids...)
@@ -100,7 +100,7 @@
 				r.wait(100 * ms)
 				for _, id := range slices.Sorted(maps.Keys(due)) {
 					if r.now >= due[id] {
-						r.end(id, tuliprock.OK)
+						r.end(id, balancer.OK)
 						delete(due, id)
 					}
 				}
@@ -146,10 +146,10 @@
 			r.wait(200 * ms)
 			switch {
 			case i < 48, !below && ep != "a", below && i%3 > 0:
-				r.end(id, tuliprock.OK)
+				r.end(id, balancer.OK)
 			default:
 				errors++
-				r.end(id, tuliprock.Errored)
+				r.end(id, balancer.Errored)
 			}
 			if i >= 48 && ep == "a" {
 				toBad++
@@ -167,23 +167,23 @@
 // What discovery may say of a large fleet: each list is followed by calls at one of thirteen callers, and every call that an endpoint
 // could serve is served.
 func TestOddListsOfALargeFleet(t *testing.T) {
-	list := func(state tuliprock.State, ids ...string) (l tuliprock.List) {
+	list := func(state balancer.State, ids ...string) (l balancer.List) {
 		for _, id := range ids {
-			l.Entries = append(l.Entries, tuliprock.Endpoint{ID: id, State: state})
+			l.Entries = append(l.Entries, balancer.Endpoint{ID: id, State: state})
 		}
 		return l
 	}
 	many := named(1000)
 	for name, odd := range map[string]struct {
-		lists  []tuliprock.List
+		lists  []balancer.List
 		listed []string // in the end
 	}{
-		"nobody, then all again":     {[]tuliprock.List{{Complete: true}, list(tuliprock.Ready, named(16)...)}, named(16)},
-		"a thousand":                 {[]tuliprock.List{list(tuliprock.Ready, many...)}, many},
-		"a thousand, then one":       {[]tuliprock.List{list(tuliprock.Ready, many...), {Complete: true, Entries: list(tuliprock.Ready, "e03").Entries}}, []string{"e03"}},
-		"all that are active drain":  {[]tuliprock.List{list(tuliprock.Draining, named(16)...), list(tuliprock.Ready, "new")}, []string{"new"}},
-		"gone that were never known": {[]tuliprock.List{list(tuliprock.Gone, "x", "y")}, named(16)},
-		"the same list once more":    {[]tuliprock.List{list(tuliprock.Ready, named(16)...)}, named(16)},
+		"nobody, then all again":     {[]balancer.List{{Complete: true}, list(balancer.Ready, named(16)...)}, named(16)},
+		"a thousand":                 {[]balancer.List{list(balancer.Ready, many...)}, many},
+		"a thousand, then one":       {[]balancer.List{list(balancer.Ready, many...), {Complete: true, Entries: list(balancer.Ready, "e03").Entries}}, []string{"e03"}},
+		"all that are active drain":  {[]balancer.List{list(balancer.Draining, named(16)...), list(balancer.Ready, "new")}, []string{"new"}},
+		"gone that were never known": {[]balancer.List{list(balancer.Gone, "x", "y")}, named(16)},
+		"the same list once more":    {[]balancer.List{list(balancer.Ready, named(16)...)}, named(16)},
 	} {
 		for _, gap := range []time.Duration{100 * ms, 10 * time.Second} { // and a caller with one call in ten seconds
 			r := thin(t, 13, 16)
@@ -191,7 +191,7 @@
 				for range n {
 					id, ep := r.call("read")
 					if r.wait(100 * ms); ep != "" {
-						r.end(id, tuliprock.OK)
+						r.end(id, balancer.OK)
 					}
 					r.wait(gap)
 				}
@@ -221,11 +221,11 @@
 // What a successor is told of errors must count beyond its first answer.
 func TestErrorsOutliveARestart(t *testing.T) {
 	r := thin(t, 1, 2)
-	r.b.Recall(r.now, tuliprock.Learned{Endpoints: []tuliprock.LearnedEndpoint{{ID: "e00", Sum: 4, Samples: 4, Errors: 2, Outcomes: 4, Active: true}}}, 0)
+	r.b.Recall(r.now, balancer.Learned{Endpoints: []balancer.LearnedEndpoint{{ID: "e00", Sum: 4, Samples: 4, Errors: 2, Outcomes: 4, Active: true}}}, 0)
 	for range 4 {
 		id, _ := r.call("read")
 		r.wait(10 * ms)
-		r.end(id, tuliprock.OK)
+		r.end(id, balancer.OK)
 	}
 	for _, e := range r.b.Learned(r.now).Endpoints {
 		if e.ID == "e00" && e.Errors < 1 {
@@ -248,21 +248,21 @@
 			call := func() string {
 				id, ep := r.call("read")
 				r.wait(50 * ms)
-				r.end(id, tuliprock.OK)
+				r.end(id, balancer.OK)
 				r.wait(150 * ms)
 				return ep
 			}
-			fresh := tuliprock.Endpoint{ID: "fresh", Started: r.now - time.Second}
-			l := tuliprock.List{Complete: true, Entries: []tuliprock.Endpoint{fresh}}
+			fresh := balancer.Endpoint{ID: "fresh", Started: r.now - time.Second}
+			l := balancer.List{Complete: true, Entries: []balancer.Endpoint{fresh}}
 			for _, id := range named(4) {
-				l.Entries = append(l.Entries, tuliprock.Endpoint{ID: id})
+				l.Entries = append(l.Entries, balancer.Endpoint{ID: id})
 			}
 			if !together {
-				r.b.EndpointList(r.now, tuliprock.List{Complete: true, Entries: l.Entries[1:]})
+				r.b.EndpointList(r.now, balancer.List{Complete: true, Entries: l.Entries[1:]})
 				for range 40 {
 					call()
 				}
-				l = tuliprock.List{Entries: []tuliprock.Endpoint{{ID: "fresh", Started: r.now}}}
+				l = balancer.List{Entries: []balancer.Endpoint{{ID: "fresh", Started: r.now}}}
 			}
 			r.b.EndpointList(r.now, l)
 			for start := r.now; r.now < start+30*time.Second; {
--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -25,9 +25,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"tuliprock/internal/faultnet"
-	"tuliprock/internal/snapshot"
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/faultproxy"
+	"rowancart/internal/snapshot"
+	"rowancart/internal/testpeer"
 )
 
 // instance is one daemon of a fleet, at a unix socket of its own, with its own snapshot.
@@ -54,14 +54,14 @@
 }
 
 // startFleet starts n instances before the endpoints given, each of which it reaches through a relay of faults.
-func startFleet(t *testing.T, n int, endpoints ...string) ([]*instance, []*faultnet.Relay, string) {
+func startFleet(t *testing.T, n int, endpoints ...string) ([]*instance, []*faultproxy.Relay, string) {
 	t.Helper()
 	dir := t.TempDir()
 	program := programIn(t, dir)
-	var relays []*faultnet.Relay
+	var relays []*faultproxy.Relay
 	roster := ""
 	for i, e := range endpoints {
-		r, err := faultnet.Listen(e, faultnet.Options{Seed: uint64(i + 1), Conns: 512})
+		r, err := faultproxy.Listen(e, faultproxy.Options{Seed: uint64(i + 1), Conns: 512})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -265,7 +265,7 @@
 		}())
 	}
 	more("answers before the partition", 200)
-	relays[0].Set(faultnet.Fault{Hold: true})
+	relays[0].Set(faultproxy.Fault{Hold: true})
 	more("answers during the partition", 200)
 	// An attempt held by the partition ends at its time-out: it may have run, and is answered as failed.
 	testpeer.Until(t, "an attempt held until its time-out", func() bool { return l.failed.Load() > 0 })
@@ -308,20 +308,20 @@
 	}
 }
 
-// supervisor is a rowancart fleet process, its log, and the folder whose state tells its instances.
-type supervisor struct {
+// supervisorProcess is a rowancart fleet process, its log, and the folder whose state tells its instances.
+type supervisorProcess struct {
 	cmd    *exec.Cmd
 	log    *journal
 	folder string
 }
 
-func superviseFleet(t *testing.T, program, file, folder string, n int) *supervisor {
+func superviseFleet(t *testing.T, program, file, folder string, n int) *supervisorProcess {
 	t.Helper()
 	errs, stderr, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &supervisor{cmd: exec.Command(program, "fleet", file), folder: folder}
+	s := &supervisorProcess{cmd: exec.Command(program, "fleet", file), folder: folder}
 	s.cmd.Stderr = stderr
 	if err := s.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -333,7 +333,7 @@
 }
 
 // pids are the instances' processes as the supervisor's state tells them; 0 for one that does not run.
-func (s *supervisor) pids(t *testing.T) []int {
+func (s *supervisorProcess) pids(t *testing.T) []int {
 	t.Helper()
 	var k struct{ Instances []struct{ Pid int } }
 	if _, err := snapshot.Read(filepath.Join(s.folder, "fleet.state"), time.Now(), time.Hour, &k); err != nil {
@@ -347,7 +347,7 @@
 }
 
 // healthy tells whether all n instances run and answer for their health.
-func (s *supervisor) healthy(t *testing.T, n int) bool {
+func (s *supervisorProcess) healthy(t *testing.T, n int) bool {
 	pids := s.pids(t)
 	if len(pids) != n {
 		return false
--- a/cmd/rowancart/handover_test.go
+++ b/cmd/rowancart/handover_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 // journal follows what a daemon and its successors log.
--- a/cmd/rowancart/lab.go
+++ b/cmd/rowancart/lab.go
@@ -16,10 +16,10 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"tuliprock/internal/lab/campaign"
-	"tuliprock/internal/lab/expfile"
-	"tuliprock/internal/lab/report"
-	"tuliprock/internal/lab/roundrobin"
+	"rowancart/internal/experiment/hclfile"
+	"rowancart/internal/experiment/report"
+	"rowancart/internal/experiment/roundrobin"
+	"rowancart/internal/experiment/runner"
 )
 
 func newLab() *cobra.Command {
@@ -57,11 +57,11 @@
 			if err != nil {
 				return err
 			}
-			plays, err := expfile.Load(args[0], values)
+			plays, err := hclfile.Load(args[0], values)
 			if err != nil {
 				return err
 			}
-			o := campaign.Options{Virtual: plays[0].Virtual, Arm: arm, Root: root}
+			o := runner.Options{Virtual: plays[0].Virtual, Arm: arm, Root: root}
 			if cmd.Flags().Changed("virtual") {
 				o.Virtual = virtual
 			}
@@ -80,7 +80,7 @@
 			}
 			var finish func()
 			o.Progress, finish = progress(cmd.ErrOrStderr())
-			r, err := campaign.Run(cmd.Context(), plays, o)
+			r, err := runner.Run(cmd.Context(), plays, o)
 			finish()
 			if err != nil {
 				return err
@@ -185,7 +185,7 @@
 			}
 			var errs []error
 			for _, path := range args {
-				if _, err := expfile.Load(path, values); err != nil {
+				if _, err := hclfile.Load(path, values); err != nil {
 					errs = append(errs, err)
 					continue
 				}
@@ -217,7 +217,7 @@
 			}
 			var errs []error
 			for _, path := range paths {
-				plays, err := expfile.Load(path, nil)
+				plays, err := hclfile.Load(path, nil)
 				if err != nil {
 					errs = append(errs, err)
 					continue
--- a/cmd/rowancart/main_test.go
+++ b/cmd/rowancart/main_test.go
@@ -3,8 +3,8 @@
 import (
 	"net"
 	"os"
+	"rowancart/internal/testpeer"
 	"testing"
-	"tuliprock/internal/testpeer"
 
 	"github.com/rogpeppe/go-internal/testscript"
 )
--- a/cmd/rowancart/search.go
+++ b/cmd/rowancart/search.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"tuliprock/internal/lab/search"
+	"rowancart/internal/experiment/search"
 )
 
 func newSearch() *cobra.Command {
--- a/cmd/rowancart/serve.go
+++ b/cmd/rowancart/serve.go
@@ -20,10 +20,10 @@
 	"github.com/hashicorp/hcl/v2/hclwrite"
 	"github.com/spf13/cobra"
 
-	"tuliprock/internal/conf"
-	"tuliprock/internal/daemon"
-	"tuliprock/internal/handover"
-	"tuliprock/internal/hclbody"
+	"rowancart/internal/config"
+	"rowancart/internal/daemon"
+	"rowancart/internal/hcldecode"
+	"rowancart/internal/hotrestart/successor"
 )
 
 const (
@@ -53,7 +53,7 @@
 			usr2 := make(chan os.Signal, 1)
 			signal.Notify(usr2, syscall.SIGUSR2)
 			defer signal.Stop(usr2)
-			predecessor, err := handover.Take()
+			predecessor, err := successor.Take()
 			if err != nil {
 				return err
 			}
@@ -71,7 +71,7 @@
 			}
 			debug.SetGCPercent(gcPercent)
 			d, err := daemon.New(daemon.Options{Path: args[0], Getenv: os.LookupEnv, Log: slog.Default(), Predecessor: predecessor,
-				Successor: successor, HandOver: usr2, Applied: func(c *conf.Config) {
+				Successor: successor, HandOver: usr2, Applied: func(c *config.Config) {
 					debug.SetMemoryLimit(int64(heapShare * float64(c.Limits.Memory)))
 				}})
 			if err != nil {
@@ -83,7 +83,7 @@
 }
 
 func newConfig() *cobra.Command {
-	config := &cobra.Command{Use: "config", Short: "Check, show and compare configurations of the daemon"}
+	command := &cobra.Command{Use: "config", Short: "Check, show and compare configurations of the daemon"}
 	var write bool
 	format := &cobra.Command{
 		Use:   "format FILE",
@@ -94,7 +94,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := hclbody.Parse(text, args[0]); err != nil {
+			if _, err := hcldecode.Parse(text, args[0]); err != nil {
 				return err
 			}
 			if text = hclwrite.Format(text); write {
@@ -125,12 +125,12 @@
 	for _, c := range []*cobra.Command{status, reload} {
 		c.Flags().StringVar(&admin, "admin", "127.0.0.1:9901", "where its admin listener is: host:port, or unix: and a path")
 	}
-	config.AddCommand(format, status, reload, &cobra.Command{
+	command.AddCommand(format, status, reload, &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a configuration and name all that is wrong with it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, err := conf.Load(args[0], os.LookupEnv)
+			c, err := config.Load(args[0], os.LookupEnv)
 			if err != nil {
 				return err
 			}
@@ -145,7 +145,7 @@
 		Short: "Print the policy of each route, and where each value was said",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, err := conf.Load(args[0], os.LookupEnv)
+			c, err := config.Load(args[0], os.LookupEnv)
 			if err != nil {
 				return err
 			}
@@ -156,11 +156,11 @@
 		Short: "Print which parts of a configuration another one changes",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			old, err := conf.Load(args[0], os.LookupEnv)
+			old, err := config.Load(args[0], os.LookupEnv)
 			if err != nil {
 				return err
 			}
-			next, err := conf.Load(args[1], os.LookupEnv)
+			next, err := config.Load(args[1], os.LookupEnv)
 			if err != nil {
 				return err
 			}
@@ -170,7 +170,7 @@
 			return nil
 		},
 	})
-	return config
+	return command
 }
 
 // ask makes a request to a daemon's admin listener and passes on the answer.
--- a/cmd/rowancart/speed.go
+++ b/cmd/rowancart/speed.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"tuliprock/internal/lab/speed"
+	"rowancart/internal/experiment/speed"
 )
 
 func newSpeed() *cobra.Command {
@@ -34,8 +34,8 @@
 				if err != nil {
 					return err
 				}
-				o.Sidecar = filepath.Join(o.Folder, "tuliprock")
-				build := exec.CommandContext(cmd.Context(), "go", "build", "-o", o.Sidecar, "./cmd/tuliprock")
+				o.Sidecar = filepath.Join(o.Folder, "sidecar")
+				build := exec.CommandContext(cmd.Context(), "go", "build", "-o", o.Sidecar, "./cmd/sidecar")
 				build.Dir, build.Stderr = root, cmd.ErrOrStderr()
 				if err := build.Run(); err != nil {
 					return err
--- a/cmd/rowancart/subsets.go
+++ b/cmd/rowancart/subsets.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"tuliprock/internal/lab/subsets"
+	"rowancart/internal/experiment/subsets"
 )
 
 func newSubsets() *cobra.Command {
--- a/cmd/tuliprock/main.go
+++ b/cmd/sidecar/main.go
@@ -13,14 +13,14 @@
 	"sync"
 	"syscall"
 
-	"tuliprock/internal/sidecar"
+	"rowancart/internal/sidecar"
 )
 
 const gcPercent = 300 // the live heap is small: collect less often
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "tuliprock:", err)
+		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/tuliprock/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -119,7 +119,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	allowed := []string{"tuliprock", "tuliprock/cmd/tuliprock", "tuliprock/internal/console", "tuliprock/internal/engine", "tuliprock/internal/figures", "tuliprock/internal/framing", "tuliprock/internal/front/plain", "tuliprock/internal/head", "tuliprock/internal/netaddr", "tuliprock/internal/roster/platform", "tuliprock/internal/route", "tuliprock/internal/sidecar", "tuliprock/internal/snapshot", "tuliprock/internal/upgrade", "tuliprock/internal/wire", "github.com/cespare/xxhash/v2"}
+	allowed := []string{
+		"rowancart/balancer", "rowancart/cmd/sidecar", "rowancart/internal/admin", "rowancart/internal/discovery/platform",
+		"rowancart/internal/hotrestart", "rowancart/internal/http1", "rowancart/internal/httpserver", "rowancart/internal/metrics",
+		"rowancart/internal/netaddr", "rowancart/internal/proxy", "rowancart/internal/route", "rowancart/internal/sidecar",
+		"rowancart/internal/snapshot", "rowancart/internal/wire", "github.com/cespare/xxhash/v2",
+	}
 	for dep := range strings.FieldsSeq(string(out)) {
 		if !slices.Contains(allowed, dep) {
 			t.Errorf("it links %s", dep)
--- a/cmd/tuliprock/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 // platform starts processes of one sidecar as the platform does: it holds the listening socket, and all have one folder for
@@ -56,7 +56,7 @@
 // newPlatform builds the program and lists the endpoints given, named a, b, ...
 func newPlatform(t *testing.T, endpoints ...string) *platform {
 	t.Helper()
-	p := &platform{program: filepath.Join(t.TempDir(), "tuliprock"), folder: t.TempDir()}
+	p := &platform{program: filepath.Join(t.TempDir(), "sidecar"), folder: t.TempDir()}
 	if out, err := exec.Command("go", "build", "-o", p.program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -341,7 +341,7 @@
 		c := exec.Command(p.program)
 		c.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_ACCEPT_FD=" + fd, "TMPDIR=" + p.folder}
 		out, err := c.CombinedOutput()
-		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "tuliprock: ROUTER_ACCEPT_FD: ") {
+		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "sidecar: ROUTER_ACCEPT_FD: ") {
 			t.Errorf("%s: %v, %q", fd, err, out)
 		}
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -8,8 +8,8 @@
 	"os"
 	"runtime/debug"
 
-	"tuliprock"
-	"tuliprock/internal/wire"
+	"rowancart/balancer"
+	"rowancart/internal/wire"
 )
 
 func main() {
@@ -23,19 +23,19 @@
 // run plays the batches of in until it ends.
 func run(in io.Reader, out io.Writer) error {
 	r := wire.NewReader(in)
-	return r.Run(&hosts{out: out, reader: r, running: map[int]*tuliprock.Balancer{}})
+	return r.Run(&hosts{out: out, reader: r, running: map[int]*balancer.Balancer{}})
 }
 
 type hosts struct {
 	out     io.Writer
 	reader  *wire.Reader
 	reply   wire.Reply
-	running map[int]*tuliprock.Balancer
+	running map[int]*balancer.Balancer
 }
 
 // Start implements wire.Handler.
-func (h *hosts) Start(instance int, s tuliprock.Settings) error {
-	h.running[instance] = tuliprock.New(h.reader.Now(), s, h.reply.Of(instance))
+func (h *hosts) Start(instance int, s balancer.Settings) error {
+	h.running[instance] = balancer.New(h.reader.Now(), s, h.reply.Of(instance))
 	return nil
 }
 
@@ -49,7 +49,7 @@
 }
 
 // Instance implements wire.Handler.
-func (h *hosts) Instance(instance int) (tuliprock.Events, error) {
+func (h *hosts) Instance(instance int) (balancer.Events, error) {
 	b, ok := h.running[instance]
 	if !ok {
 		return nil, fmt.Errorf("instance %d was never started", instance)
--- a/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,4 +1,4 @@
-package tuliprock_test
+package deploy_test
 
 import (
 	"os"
@@ -12,7 +12,7 @@
 // TestModuleFitsItsLimits reads the deploy file as the operators do and holds the module to its size.
 func TestModuleFitsItsLimits(t *testing.T) {
 	const mostLines, mostColumns, tab = 1200, 110, 4
-	text, err := os.ReadFile(filepath.Join("deploy", "balancer.toml"))
+	text, err := os.ReadFile("balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,12 +22,12 @@
 		}
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \["([^]]+)"\]$`).FindSubmatch(text)
-	if policy == nil || string(policy[1]) != `balancer.go", "state.go", "resends.go` {
+	if policy == nil || string(policy[1]) != `balancer/balancer.go", "balancer/state.go", "balancer/resends.go` {
 		t.Fatalf("policy does not name the files that decide: %q", policy)
 	}
 	lines := 0
 	for _, file := range strings.Split(string(policy[1]), `", "`) {
-		module, err := os.ReadFile(file)
+		module, err := os.ReadFile(filepath.Join("..", file))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,7 +39,7 @@
 				t.Errorf("%s:%d has %d columns", file, i+1, n)
 			}
 		}
-		if head := strings.Join(strings.Split(string(module), "\n")[:6], "\n"); file == "balancer.go" && !strings.Contains(head, "api.go") {
+		if head := strings.Join(strings.Split(string(module), "\n")[:6], "\n"); file == "balancer/balancer.go" && !strings.Contains(head, "api.go") {
 			t.Error("the first lines of the module do not name api.go")
 		}
 	}
--- a/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,4 @@
-package tuliprock_test
+package docs_test
 
 import (
 	"io/fs"
@@ -11,13 +11,13 @@
 
 // What the page of crossings names has to exist: a test that was renamed or taken out must not pass for one that guards a crossing.
 func TestThePageOfCrossingsNamesWhatThereIs(t *testing.T) {
-	page, err := os.ReadFile(filepath.Join("docs", "design", "crossings.md"))
+	page, err := os.ReadFile(filepath.Join("design", "crossings.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	tests := map[string]bool{}
 	declared := regexp.MustCompile(`(?m)^func (Test\w+)\(`)
-	err = filepath.WalkDir(".", func(path string, _ fs.DirEntry, err error) error {
+	err = filepath.WalkDir("..", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -40,7 +40,7 @@
 		}
 	}
 	for _, m := range regexp.MustCompile("`([a-z]+/[a-z/]+\\.go)`").FindAllSubmatch(page, -1) {
-		if _, err := os.Stat(string(m[1])); err != nil {
+		if _, err := os.Stat(filepath.Join("..", string(m[1]))); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/console/console.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package console is the operators' door: an address of its own on which each connection brings one call, a line, and gets one
+// Package admin is the operators' door: an address of its own on which each connection brings one call, a line, and gets one
 // answer. It shares nothing with the way of requests, so that it answers whatever the load.
-package console
+package admin
 
 import (
 	"bytes"
--- a/internal/console/call.go
+++ b/internal/admin/call.go
@@ -1,4 +1,4 @@
-package console
+package admin
 
 import (
 	"errors"
--- a/internal/conf/conf.go
+++ b/internal/config/config.go
@@ -1,13 +1,13 @@
-// Package conf is the daemon's configuration: a language in HCL, its checks and the immutable value that a good file comes
+// Package config is the daemon's configuration: a language in HCL, its checks and the immutable value that a good file comes
 // to. docs/daemon.md describes the language. A bad file gives one line for each fault, with file, line, column and reason.
-package conf
+package config
 
 import (
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/limit"
-	"tuliprock/internal/route"
+	"rowancart/balancer"
+	"rowancart/internal/ratelimit"
+	"rowancart/internal/route"
 )
 
 // Config is what a good file says.
@@ -20,7 +20,7 @@
 	Limits    Limits
 	Listeners []Listener
 	Classes   []Class
-	Tenants   []tuliprock.Tenant
+	Tenants   []balancer.Tenant
 	Pools     []Pool
 	Routes    []Route
 	Warnings  []string // of what is legal and hardly meant, a line each
@@ -57,8 +57,8 @@
 // Class is a class of requests.
 type Class struct {
 	Name   string
-	Effect tuliprock.Effect
-	Group  tuliprock.Group
+	Effect balancer.Effect
+	Group  balancer.Group
 	Window time.Duration
 	Aim    time.Duration
 	Worth  float64
@@ -74,8 +74,8 @@
 	DialTimeout time.Duration
 	ColdFrom    float64
 	ColdFor     time.Duration
-	ColdShare   float64 // tuliprock.Settings.ColdShare
-	Resends     tuliprock.Resends
+	ColdShare   float64 // balancer.Settings.ColdShare
+	Resends     balancer.Resends
 	TiersBelow  int
 }
 
@@ -104,7 +104,7 @@
 	From      map[string]string // for each attribute of the policy, where its value was said
 }
 
-// Policy is what requests of a route may do. In the module's terms, see tuliprock.Class.
+// Policy is what requests of a route may do. In the module's terms, see balancer.Class.
 type Policy struct {
 	ClientWaits       time.Duration // how long callers wait who do not say so
 	RequestTimeout    time.Duration
@@ -114,9 +114,9 @@
 	CopyAfter         time.Duration // 0: no second copy after a time
 	CopyPercentile    float64       // 0: none after a percentile
 	Queue             int           // that may wait for room; below 0: any number
-	Rate              limit.Rate
+	Rate              ratelimit.Rate
 	Concurrency       int // 0: no limit
-	TenantRate        limit.Rate
+	TenantRate        ratelimit.Rate
 	TenantConcurrency int // 0: no limit
 }
 
@@ -130,12 +130,12 @@
 )
 
 // Rules gives the limits of a policy.
-func (p Policy) Rules() limit.Rules {
-	return limit.Rules{Rate: p.Rate, Concurrency: p.Concurrency, TenantRate: p.TenantRate, TenantConcurrency: p.TenantConcurrency}
+func (p Policy) Rules() ratelimit.Rules {
+	return ratelimit.Rules{Rate: p.Rate, Concurrency: p.Concurrency, TenantRate: p.TenantRate, TenantConcurrency: p.TenantConcurrency}
 }
 
 // Module gives a route's class as the decision module is to treat it.
-func (r Route) Module(name string) tuliprock.Class {
+func (r Route) Module(name string) balancer.Class {
 	p, c := r.Policy, r.Class
 	queue := p.Queue
 	switch {
@@ -144,16 +144,16 @@
 	case queue < 0:
 		queue = 0
 	}
-	return tuliprock.Class{Name: name, Work: c.Name, Effect: c.Effect, Group: c.Group, Window: c.Window, Aim: c.Aim,
+	return balancer.Class{Name: name, Work: c.Name, Effect: c.Effect, Group: c.Group, Window: c.Window, Aim: c.Aim,
 		AttemptTimeout: p.AttemptTimeout, MaxAttempts: p.Attempts, NoRerun: p.Retry == NotRun, CopyAfter: p.CopyAfter,
 		CopyShare: p.CopyPercentile / 100, Queue: queue}
 }
 
 // Effects are the words for effects.
-var Effects = map[string]tuliprock.Effect{"safe": tuliprock.Safe, "keyed": tuliprock.Keyed, "unsafe": tuliprock.Unsafe}
+var Effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 
 // Word gives the word for an effect.
-func Word(e tuliprock.Effect) string {
+func Word(e balancer.Effect) string {
 	for word, effect := range Effects {
 		if effect == e {
 			return word
--- a/internal/conf/conf_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 
 	"pgregory.net/rapid"
 
-	"tuliprock"
-	"tuliprock/internal/limit"
+	"rowancart/balancer"
+	"rowancart/internal/ratelimit"
 )
 
 const good = `listener "front" {
@@ -84,14 +84,14 @@
 		t.Errorf("looks: %+v", looks.Policy)
 	}
 	want = Policy{ClientWaits: 10 * time.Second, RequestTimeout: 10 * time.Second, Attempts: 3, Retry: NotRun, Queue: 0,
-		Rate: limit.Rate{PerSecond: 2, Burst: 2}}
+		Rate: ratelimit.Rate{PerSecond: 2, Burst: 2}}
 	if pays.Policy != want {
 		t.Errorf("pays: %+v", pays.Policy)
 	}
-	if m := pays.Module("m"); m.Name != "m" || m.Work != "pay" || m.Queue != -1 || !m.NoRerun || m.Effect != tuliprock.Unsafe {
+	if m := pays.Module("m"); m.Name != "m" || m.Work != "pay" || m.Queue != -1 || !m.NoRerun || m.Effect != balancer.Unsafe {
 		t.Errorf("pays, to the module: %+v", m)
 	}
-	if m := books.Module("m"); m.Effect != tuliprock.Keyed || m.Group != tuliprock.GroupZone || m.Window != 10*time.Second || m.NoRerun || m.Queue != 0 {
+	if m := books.Module("m"); m.Effect != balancer.Keyed || m.Group != balancer.GroupZone || m.Window != 10*time.Second || m.NoRerun || m.Queue != 0 {
 		t.Errorf("books, to the module: %+v", m)
 	}
 	if looks.From["attempts"] != `x.hcl:19:3, policy "quick"` || pays.From["queue"] != `x.hcl:44:5, route "pays"` || pays.From["attempts"] != "default" {
@@ -290,7 +290,7 @@
 			return
 		}
 		p, class := c.Routes[1].Policy, c.Routes[1].Class
-		if class.Effect == tuliprock.Unsafe && p.Retry != NotRun || class.Effect != tuliprock.Safe && (p.CopyAfter > 0 || p.CopyPercentile > 0) {
+		if class.Effect == balancer.Unsafe && p.Retry != NotRun || class.Effect != balancer.Safe && (p.CopyAfter > 0 || p.CopyPercentile > 0) {
 			t.Fatalf("could run twice: %+v", c.Routes[1])
 		}
 		if p.RequestTimeout > p.ClientWaits || time.Duration(p.Attempts)*p.AttemptTimeout > p.RequestTimeout || p.CopyAfter >= p.RequestTimeout {
--- a/internal/conf/read.go
+++ b/internal/config/read.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"cmp"
@@ -17,9 +17,9 @@
 	"github.com/zclconf/go-cty/cty"
 	"github.com/zclconf/go-cty/cty/function"
 
-	"tuliprock"
-	"tuliprock/internal/hclbody"
-	"tuliprock/internal/limit"
+	"rowancart/balancer"
+	"rowancart/internal/hcldecode"
+	"rowancart/internal/ratelimit"
 )
 
 // What holds where a file says nothing.
@@ -72,7 +72,7 @@
 
 // reader gathers what a file says, and where.
 type reader struct {
-	hclbody.Reader
+	hcldecode.Reader
 	Config
 	policies  map[string]*policy // by name
 	ofClass   map[string]named   // the policy that a class names
@@ -90,7 +90,7 @@
 // policy is a block that says some of a policy's attributes.
 type policy struct {
 	Policy
-	rate, tenantRate   hclbody.Rate
+	rate, tenantRate   hcldecode.Rate
 	burst, tenantBurst int
 	places             map[string]hcl.Range
 	title              string
@@ -99,7 +99,7 @@
 
 // Parse reads and checks the text of a file that is called name in messages.
 func Parse(text []byte, name string, getenv func(string) (string, bool)) (*Config, error) {
-	body, err := hclbody.Parse(text, name)
+	body, err := hcldecode.Parse(text, name)
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 			}
 		}
 	}
-	r.Body(body, nil, hclbody.Blocks{
+	r.Body(body, nil, hcldecode.Blocks{
 		"admin":         once(r.admin),
 		"fleet":         once(r.fleet),
 		"limits":        once(r.limits),
@@ -149,7 +149,7 @@
 		r.Fault(start, "the file has no route")
 	}
 	r.overlaps(places)
-	if err := hclbody.Faults(r.Diags); err != nil {
+	if err := hcldecode.Faults(r.Diags); err != nil {
 		return nil, err
 	}
 	r.unused()
@@ -179,7 +179,7 @@
 		key += fmt.Sprintf(" %q", label)
 	}
 	if first, ok := r.named[key]; ok {
-		r.Fault(b.DefRange, "%s: there is one already, at %s", key, hclbody.Where(first))
+		r.Fault(b.DefRange, "%s: there is one already, at %s", key, hcldecode.Where(first))
 		return false
 	}
 	r.named[key] = b.DefRange
@@ -216,14 +216,14 @@
 		return // any free port
 	}
 	if first, ok := r.addresses[addr]; ok {
-		r.Fault(at, "%s: %s is in use already, at %s", what, addr, hclbody.Where(first))
+		r.Fault(at, "%s: %s is in use already, at %s", what, addr, hcldecode.Where(first))
 		return
 	}
 	r.addresses[addr] = at
 }
 
 func (r *reader) admin(b *hcl.Block) {
-	if r.Body(b.Body, hclbody.Fields{"listen!": &r.Admin}, nil) {
+	if r.Body(b.Body, hcldecode.Fields{"listen!": &r.Admin}, nil) {
 		r.address(r.Places[&r.Admin], "listen", r.Admin)
 		host, _, err := net.SplitHostPort(r.Admin)
 		if ip := net.ParseIP(host); err == nil && !strings.HasPrefix(r.Admin, "unix:") && host != "localhost" && !ip.IsLoopback() {
@@ -234,7 +234,7 @@
 
 func (r *reader) fleet(b *hcl.Block) {
 	f := &r.Fleet
-	if !r.Body(b.Body, hclbody.Fields{"instances": &f.Instances, "index": &f.Index, "name": &f.Name}, nil) {
+	if !r.Body(b.Body, hcldecode.Fields{"instances": &f.Instances, "index": &f.Index, "name": &f.Name}, nil) {
 		return
 	}
 	if f.Instances < 1 || f.Index >= f.Instances {
@@ -248,7 +248,7 @@
 func (r *reader) state(b *hcl.Block) {
 	s := &r.State
 	s.Every, s.FreshFor = defaultStateEvery, defaultStateFresh
-	if !r.Body(b.Body, hclbody.Fields{"path!": &s.Path, "every": &s.Every, "fresh_for": &s.FreshFor}, nil) {
+	if !r.Body(b.Body, hcldecode.Fields{"path!": &s.Path, "every": &s.Every, "fresh_for": &s.FreshFor}, nil) {
 		return
 	}
 	if s.Path == "" {
@@ -264,8 +264,8 @@
 
 func (r *reader) limits(b *hcl.Block) {
 	l := &r.Limits
-	memory := hclbody.Size(l.Memory)
-	if !r.Body(b.Body, hclbody.Fields{"memory": &memory, "connections": &l.Connections, "stop_within": &l.StopWithin, "hand_over_within": &l.HandOverWithin}, nil) {
+	memory := hcldecode.Size(l.Memory)
+	if !r.Body(b.Body, hcldecode.Fields{"memory": &memory, "connections": &l.Connections, "stop_within": &l.StopWithin, "hand_over_within": &l.HandOverWithin}, nil) {
 		return
 	}
 	l.Memory = int64(memory)
@@ -285,7 +285,7 @@
 
 func (r *reader) listener(b *hcl.Block) {
 	l := Listener{Name: b.Labels[0]}
-	if r.name(b, l.Name) && r.Body(b.Body, hclbody.Fields{"address!": &l.Address}, nil) {
+	if r.name(b, l.Name) && r.Body(b.Body, hcldecode.Fields{"address!": &l.Address}, nil) {
 		r.address(r.Places[&l.Address], "address", l.Address)
 	}
 	r.Listeners = append(r.Listeners, l)
@@ -295,12 +295,12 @@
 	c := Class{Name: b.Labels[0], Aim: defaultAim, Worth: 1}
 	var effect, use string
 	group := "all"
-	ok := r.name(b, c.Name) && r.Body(b.Body, hclbody.Fields{"effect!": &effect, "aim": &c.Aim, "worth": &c.Worth, "group": &group,
+	ok := r.name(b, c.Name) && r.Body(b.Body, hcldecode.Fields{"effect!": &effect, "aim": &c.Aim, "worth": &c.Worth, "group": &group,
 		"window": &c.Window, "policy": &use}, nil)
 	if ok {
-		hclbody.OneOf(&r.Reader, r.Places[&effect], "effect", effect, "safe", "keyed", "unsafe")
-		groups := map[string]tuliprock.Group{"all": tuliprock.GroupAll, "zone": tuliprock.GroupZone, "cell": tuliprock.GroupCell}
-		hclbody.OneOf(&r.Reader, r.Places[&group], "group", group, "all", "zone", "cell")
+		hcldecode.OneOf(&r.Reader, r.Places[&effect], "effect", effect, "safe", "keyed", "unsafe")
+		groups := map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
+		hcldecode.OneOf(&r.Reader, r.Places[&group], "group", group, "all", "zone", "cell")
 		c.Effect, c.Group = Effects[effect], groups[group]
 		at, given := r.Places[&c.Window]
 		switch {
@@ -317,10 +317,10 @@
 }
 
 func (r *reader) tenant(b *hcl.Block) {
-	t := tuliprock.Tenant{Name: b.Labels[0]}
-	var quota hclbody.Rate
+	t := balancer.Tenant{Name: b.Labels[0]}
+	var quota hcldecode.Rate
 	if r.name(b, t.Name) {
-		r.Body(b.Body, hclbody.Fields{"quota!": &quota}, nil)
+		r.Body(b.Body, hcldecode.Fields{"quota!": &quota}, nil)
 	}
 	t.Quota = float64(quota)
 	r.Tenants = append(r.Tenants, t)
@@ -332,11 +332,11 @@
 		return
 	}
 	rosters := 0
-	ok := r.Body(b.Body, hclbody.Fields{"connections": &p.Connections, "connection_idle": &p.ConnIdle, "dial_timeout": &p.DialTimeout,
-		"tiers_below": &p.TiersBelow, "subset": &p.Subset}, hclbody.Blocks{
+	ok := r.Body(b.Body, hcldecode.Fields{"connections": &p.Connections, "connection_idle": &p.ConnIdle, "dial_timeout": &p.DialTimeout,
+		"tiers_below": &p.TiersBelow, "subset": &p.Subset}, hcldecode.Blocks{
 		"warm_up": func(b *hcl.Block) {
-			from := hclbody.Share(p.ColdFrom)
-			r.Body(b.Body, hclbody.Fields{"from": &from, "within": &p.ColdFor, "share": &p.ColdShare}, nil)
+			from := hcldecode.Share(p.ColdFrom)
+			r.Body(b.Body, hcldecode.Fields{"from": &from, "within": &p.ColdFor, "share": &p.ColdShare}, nil)
 			if p.ColdShare <= 0 || p.ColdShare > mostColdShare {
 				r.Fault(b.DefRange, "warm_up: share %g is not over 0 and up to %d: it is how much of its warmth's part a fresh server gets", p.ColdShare, mostColdShare)
 			}
@@ -366,21 +366,21 @@
 	ids, addresses := map[string]hcl.Range{}, map[string]hcl.Range{}
 	taken := func(in map[string]hcl.Range, what, value string, at hcl.Range) {
 		if first, ok := in[value]; ok {
-			r.Fault(at, "%s: %q is in use already, at %s", what, value, hclbody.Where(first))
+			r.Fault(at, "%s: %q is in use already, at %s", what, value, hcldecode.Where(first))
 		}
 		in[value] = at
 	}
 	switch b.Labels[0] {
 	case "static":
-		r.Body(b.Body, nil, hclbody.Blocks{"endpoint id": func(b *hcl.Block) {
+		r.Body(b.Body, nil, hcldecode.Blocks{"endpoint id": func(b *hcl.Block) {
 			e := Endpoint{ID: b.Labels[0]}
-			if r.Body(b.Body, hclbody.Fields{"address!": &e.Address, "zone": &e.Zone, "kind": &e.Kind, "cell": &e.Cell}, nil) {
+			if r.Body(b.Body, hcldecode.Fields{"address!": &e.Address, "zone": &e.Zone, "kind": &e.Kind, "cell": &e.Cell}, nil) {
 				at := r.Places[&e.Address]
 				if err := checkAddress(e.Address); err != nil {
 					r.Fault(at, "address: %v", err)
 				}
 				if first, ok := r.addresses[e.Address]; ok {
-					r.Fault(at, "address: %s is where this process listens, at %s", e.Address, hclbody.Where(first))
+					r.Fault(at, "address: %s is where this process listens, at %s", e.Address, hcldecode.Where(first))
 				}
 				taken(ids, "endpoint", e.ID, b.DefRange)
 				taken(addresses, "address", e.Address, at)
@@ -391,9 +391,9 @@
 			r.Fault(b.DefRange, "roster: static, and no endpoint is listed")
 		}
 	case "file":
-		r.Body(b.Body, hclbody.Fields{"path!": &p.Roster.File}, nil)
+		r.Body(b.Body, hcldecode.Fields{"path!": &p.Roster.File}, nil)
 	case "platform":
-		if r.Body(b.Body, hclbody.Fields{"address!": &p.Roster.Platform}, nil) {
+		if r.Body(b.Body, hcldecode.Fields{"address!": &p.Roster.Platform}, nil) {
 			if err := checkAddress(p.Roster.Platform); err != nil {
 				r.Fault(r.Places[&p.Roster.Platform], "address: %v", err)
 			}
@@ -412,11 +412,11 @@
 // policy reads a block of a policy's attributes.
 func (r *reader) policy(b *hcl.Block, title string) *policy {
 	p := &policy{title: title, places: map[string]hcl.Range{}}
-	fields := hclbody.Fields{"client_waits": &p.ClientWaits, "request_timeout": &p.RequestTimeout, "attempt_timeout": &p.AttemptTimeout,
+	fields := hcldecode.Fields{"client_waits": &p.ClientWaits, "request_timeout": &p.RequestTimeout, "attempt_timeout": &p.AttemptTimeout,
 		"attempts": &p.Attempts, "retry": (*string)(&p.Retry), "queue": &p.Queue, "rate": &p.rate, "burst": &p.burst,
 		"concurrency": &p.Concurrency, "tenant_rate": &p.tenantRate, "tenant_burst": &p.tenantBurst, "tenant_concurrency": &p.TenantConcurrency}
-	copyFields := hclbody.Fields{"after": &p.CopyAfter, "percentile": &p.CopyPercentile}
-	p.sound = r.Body(b.Body, fields, hclbody.Blocks{"second_copy": func(b *hcl.Block) {
+	copyFields := hcldecode.Fields{"after": &p.CopyAfter, "percentile": &p.CopyPercentile}
+	p.sound = r.Body(b.Body, fields, hcldecode.Blocks{"second_copy": func(b *hcl.Block) {
 		if r.Body(b.Body, copyFields, nil) && p.CopyAfter == 0 && p.CopyPercentile == 0 {
 			r.Fault(b.DefRange, "second_copy: it says neither after what time nor after what percentile")
 		}
@@ -448,7 +448,7 @@
 		}
 	}
 	if at, ok := p.places["retry"]; ok {
-		hclbody.OneOf(&r.Reader, at, "retry", p.Retry, NotRun, AfterRun)
+		hcldecode.OneOf(&r.Reader, at, "retry", p.Retry, NotRun, AfterRun)
 	}
 	if at, ok := r.Places[&p.CopyPercentile]; ok && (p.CopyPercentile < 50 || p.CopyPercentile >= 100) {
 		r.Fault(at, "percentile: %g is not from 50 to under 100", p.CopyPercentile)
@@ -470,7 +470,7 @@
 	return fmt.Sprint(v)
 }
 
-func rateWord(r limit.Rate) string {
+func rateWord(r ratelimit.Rate) string {
 	if r.PerSecond == 0 {
 		return "no limit"
 	}
@@ -516,11 +516,11 @@
 	var class, use string
 	var own *policy
 	m := &x.Match
-	ok := r.Body(b.Body, hclbody.Fields{"host": &m.Host, "path": &m.Path, "methods": &m.Methods, "listeners": &x.Listeners, "class!": &class,
-		"pool!": &x.Pool, "policy": &use, "tenant_header": &x.Tenant}, hclbody.Blocks{
+	ok := r.Body(b.Body, hcldecode.Fields{"host": &m.Host, "path": &m.Path, "methods": &m.Methods, "listeners": &x.Listeners, "class!": &class,
+		"pool!": &x.Pool, "policy": &use, "tenant_header": &x.Tenant}, hcldecode.Blocks{
 		"header name": func(b *hcl.Block) {
 			var equals string
-			r.Body(b.Body, hclbody.Fields{"equals!": &equals}, nil)
+			r.Body(b.Body, hcldecode.Fields{"equals!": &equals}, nil)
 			if m.Headers == nil {
 				m.Headers = map[string]string{}
 			}
@@ -545,7 +545,7 @@
 		r.Fault(cmp.Or(r.Places[&m.Path], r.Places[&m.Host]), "%v", err)
 	}
 	for _, name := range m.Methods {
-		hclbody.OneOf(&r.Reader, r.Places[&m.Methods], "methods", name, methods...)
+		hcldecode.OneOf(&r.Reader, r.Places[&m.Methods], "methods", name, methods...)
 	}
 	for _, name := range x.Listeners {
 		r.refer(r.Places[&x.Listeners], "listener", name)
@@ -572,7 +572,7 @@
 // settle finds a route's policy: each attribute from the nearest block that says it.
 func (r *reader) settle(x *Route, layers []*policy, at hcl.Range) {
 	p := &policy{Policy: Policy{ClientWaits: defaultClientWaits, Attempts: defaultAttempts, Retry: AfterRun, Queue: -1}, places: map[string]hcl.Range{}}
-	if x.Class.Effect == tuliprock.Unsafe {
+	if x.Class.Effect == balancer.Unsafe {
 		p.Retry = NotRun
 	}
 	if slices.ContainsFunc(layers, func(p *policy) bool { return !p.sound }) {
@@ -585,7 +585,7 @@
 			if place, ok := layer.places[a.name]; ok {
 				a.take(p, layer)
 				p.places[a.name] = place
-				x.From[a.name] = fmt.Sprintf("%s, %s", hclbody.Where(place), layer.title)
+				x.From[a.name] = fmt.Sprintf("%s, %s", hcldecode.Where(place), layer.title)
 				break
 			}
 		}
@@ -593,14 +593,14 @@
 	if p.RequestTimeout == 0 {
 		p.RequestTimeout = p.ClientWaits
 	}
-	burst := func(per hclbody.Rate, burst int) limit.Rate {
+	burst := func(per hcldecode.Rate, burst int) ratelimit.Rate {
 		if per > 0 && burst == 0 {
 			burst = max(int(math.Ceil(float64(per))), 1)
 		}
-		return limit.Rate{PerSecond: float64(per), Burst: burst}
+		return ratelimit.Rate{PerSecond: float64(per), Burst: burst}
 	}
 	p.Rate, p.TenantRate = burst(p.rate, p.burst), burst(p.tenantRate, p.tenantBurst)
-	for name, per := range map[string]hclbody.Rate{"burst": p.rate, "tenant_burst": p.tenantRate} {
+	for name, per := range map[string]hcldecode.Rate{"burst": p.rate, "tenant_burst": p.tenantRate} {
 		if x.From[name] != "default" && per == 0 {
 			r.Fault(p.places[name], "%s: route %q has no rate that it could belong to", name, x.Name)
 		}
@@ -613,10 +613,10 @@
 func (r *reader) judge(x *Route, at map[string]hcl.Range) {
 	p, c := x.Policy, x.Class
 	copies := p.CopyAfter > 0 || p.CopyPercentile > 0
-	if c.Effect == tuliprock.Unsafe && p.Retry == AfterRun {
+	if c.Effect == balancer.Unsafe && p.Retry == AfterRun {
 		r.Fault(at["retry"], "retry: route %q is of class %q, which is unsafe: after a run, another could run it twice", x.Name, c.Name)
 	}
-	if c.Effect != tuliprock.Safe && copies {
+	if c.Effect != balancer.Safe && copies {
 		r.Fault(at["second_copy"], "second_copy: route %q is of class %q, which is %s: both copies could run", x.Name, c.Name, Word(c.Effect))
 	}
 	if copies && p.Attempts < 2 {
@@ -654,7 +654,7 @@
 				slices.ContainsFunc(x.Listeners, func(name string) bool { return slices.Contains(o.Listeners, name) })
 			if shared && x.Match.Overlaps(o.Match) {
 				r.Fault(places[x.Name], "route %q overlaps route %q, at %s: some requests fit both, and neither is more specific", x.Name,
-					o.Name, hclbody.Where(places[o.Name]))
+					o.Name, hcldecode.Where(places[o.Name]))
 			}
 		}
 		byPattern[key] = append(byPattern[key], x)
@@ -666,13 +666,13 @@
 	for _, key := range slices.Sorted(maps.Keys(r.named)) {
 		kind, _, _ := strings.Cut(key, " ")
 		if !r.uses[key] && (kind == "pool" || kind == "class" || kind == "policy") {
-			r.Warnings = append(r.Warnings, fmt.Sprintf("%s: %s: nobody uses it", hclbody.Where(r.named[key]), key))
+			r.Warnings = append(r.Warnings, fmt.Sprintf("%s: %s: nobody uses it", hcldecode.Where(r.named[key]), key))
 		}
 	}
 	for _, l := range r.Listeners {
 		if !slices.ContainsFunc(r.Routes, func(x Route) bool { return len(x.Listeners) == 0 || slices.Contains(x.Listeners, l.Name) }) {
 			key := fmt.Sprintf("listener %q", l.Name)
-			r.Warnings = append(r.Warnings, fmt.Sprintf("%s: %s: no route is served there", hclbody.Where(r.named[key]), key))
+			r.Warnings = append(r.Warnings, fmt.Sprintf("%s: %s: no route is served there", hcldecode.Where(r.named[key]), key))
 		}
 	}
 }
--- a/internal/conf/show.go
+++ b/internal/config/show.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"tuliprock/internal/netaddr"
+	"rowancart/internal/netaddr"
 )
 
 // checkAddress words what is wrong with an address, without the field that its caller names.
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -12,9 +12,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"tuliprock"
-	"tuliprock/internal/engine"
-	"tuliprock/internal/limit"
+	"rowancart/balancer"
+	"rowancart/internal/proxy"
+	"rowancart/internal/ratelimit"
 )
 
 // Status is what the admin listener tells of a daemon.
@@ -42,7 +42,7 @@
 type PoolStatus struct {
 	Name   string `json:"name"`
 	Ending bool   `json:"ending,omitempty"` // the configuration has it no more, or another of its name
-	engine.Stats
+	proxy.Stats
 	Roster    string           `json:"roster_error,omitempty"` // why the roster as it is now is not in force
 	Endpoints []EndpointStatus `json:"endpoints"`              // the first endpointsMost of them
 	Unlisted  int              `json:"endpoints_unlisted,omitempty"`
@@ -67,17 +67,17 @@
 	Fault    string  `json:"fault,omitempty"`        // how the latest attempt failed, until one succeeds
 }
 
-func endpointStatus(e engine.Endpoint) EndpointStatus {
+func endpointStatus(e proxy.Endpoint) EndpointStatus {
 	s := EndpointStatus{ID: e.ID, Address: e.Addr, State: "ready", Out: string(e.Out), Weight: rounded(e.Weight), Errors: rounded(e.Errors),
 		InFlight: e.InFlight, Idle: e.Idle, Warmth: rounded(e.Warmth), Fault: e.Fault}
-	if e.State != tuliprock.Ready {
+	if e.State != balancer.Ready {
 		s.State = "draining"
 	}
 	if e.Answered >= 0 {
 		s.Answered = e.Answered.Round(time.Millisecond).String()
 	}
 	switch {
-	case e.Out == "" || e.Out == tuliprock.OutAside:
+	case e.Out == "" || e.Out == balancer.OutAside:
 	case e.TrialIn < 0:
 		s.TrialIn = "under way"
 	default:
@@ -170,15 +170,15 @@
 type routeMeter struct {
 	m     *meter
 	route string
-	kinds map[engine.Kind]prometheus.Counter
+	kinds map[proxy.Kind]prometheus.Counter
 	bad   prometheus.Counter
-	why   map[tuliprock.Reason]prometheus.Counter
+	why   map[balancer.Reason]prometheus.Counter
 	took  prometheus.Observer
-	worth map[engine.Kind]prometheus.Counter
+	worth map[proxy.Kind]prometheus.Counter
 	each  float64 // worth of an answer
 }
 
-var kindNames = map[engine.Kind]string{engine.Served: "served", engine.Refused: "refused", engine.Failed: "failed", engine.Duplicate: "duplicate"}
+var kindNames = map[proxy.Kind]string{proxy.Served: "served", proxy.Refused: "refused", proxy.Failed: "failed", proxy.Duplicate: "duplicate"}
 
 func newMeter(d *Daemon) *meter {
 	m := &meter{registry: prometheus.NewRegistry(),
@@ -198,10 +198,10 @@
 }
 
 func (m *meter) route(name string, worth float64) *routeMeter {
-	r := &routeMeter{m: m, route: name, each: worth, worth: map[engine.Kind]prometheus.Counter{}, kinds: map[engine.Kind]prometheus.Counter{}, took: m.took.WithLabelValues(name),
+	r := &routeMeter{m: m, route: name, each: worth, worth: map[proxy.Kind]prometheus.Counter{}, kinds: map[proxy.Kind]prometheus.Counter{}, took: m.took.WithLabelValues(name),
 		bad: m.answers.WithLabelValues(name, "improper")}
-	r.why = map[tuliprock.Reason]prometheus.Counter{}
-	for _, why := range tuliprock.Reasons {
+	r.why = map[balancer.Reason]prometheus.Counter{}
+	for _, why := range balancer.Reasons {
 		r.why[why] = m.unserved.WithLabelValues(name, string(why))
 	}
 	for kind, word := range kindNames {
@@ -221,7 +221,7 @@
 	m.worth.DeletePartialMatch(labels)
 }
 
-func (r *routeMeter) over(taken bool, a engine.Reply, took time.Duration) {
+func (r *routeMeter) over(taken bool, a proxy.Reply, took time.Duration) {
 	if !taken {
 		r.bad.Inc()
 		return
@@ -234,7 +234,7 @@
 	r.took.Observe(took.Seconds())
 }
 
-func (r *routeMeter) limited(why limit.Why) {
+func (r *routeMeter) limited(why ratelimit.Why) {
 	r.m.limits.WithLabelValues(r.route, strings.ReplaceAll(string(why), " ", "_")).Inc()
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,10 +24,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"tuliprock/internal/conf"
-	"tuliprock/internal/front/plain"
-	"tuliprock/internal/handover"
-	"tuliprock/internal/watch"
+	"rowancart/internal/config"
+	"rowancart/internal/filewatch"
+	"rowancart/internal/hotrestart/successor"
+	"rowancart/internal/httpserver"
 )
 
 const linger = 600 * time.Millisecond // new connections go on coming for a while after the signal to stop
@@ -39,8 +39,8 @@
 	log     *slog.Logger
 	seed    uint64
 	meter   *meter
-	applied func(*conf.Config) // may be nil
-	admin   net.Listener       // nil: none
+	applied func(*config.Config) // may be nil
+	admin   net.Listener         // nil: none
 
 	work  context.Context // ends what serves; nil before Run, guarded by reloading
 	parts errgroup.Group  // what has been started and must have ended before Run returns
@@ -49,7 +49,7 @@
 	oldAgo time.Duration
 	keeper keeper
 
-	predecessor *handover.Predecessor
+	predecessor *successor.Predecessor
 	successor   func() *exec.Cmd
 	handOver    <-chan os.Signal
 
@@ -81,8 +81,8 @@
 type listener struct {
 	name    string
 	address string
-	conns   *plain.Conns
-	front   *plain.Server
+	conns   *httpserver.Conns
+	front   *httpserver.Server
 	daemon  *Daemon
 	last    *generation // set once the configuration has no such listener: what its connections are served by until they end
 }
@@ -92,17 +92,17 @@
 	Path    string                      // of the configuration
 	Getenv  func(string) (string, bool) // gives the variables that it asks for by name
 	Log     *slog.Logger
-	Applied func(*conf.Config) // hears of each configuration that is put in force, the first included; nil: nobody does
+	Applied func(*config.Config) // hears of each configuration that is put in force, the first included; nil: nobody does
 
-	Predecessor *handover.Predecessor // gives sockets that are open already; nil: there are none
-	Successor   func() *exec.Cmd      // what serves after this process when it is told to hand over; nil: it never is
-	HandOver    <-chan os.Signal      // tells it
+	Predecessor *successor.Predecessor // gives sockets that are open already; nil: there are none
+	Successor   func() *exec.Cmd       // what serves after this process when it is told to hand over; nil: it never is
+	HandOver    <-chan os.Signal       // tells it
 }
 
 // New reads the configuration and opens its listeners.
 func New(o Options) (*Daemon, error) {
 	path, getenv, log := o.Path, o.Getenv, o.Log
-	c, err := conf.Load(path, getenv)
+	c, err := config.Load(path, getenv)
 	if err != nil {
 		return nil, err
 	}
@@ -135,7 +135,7 @@
 const otherDescriptors = 64 // for all but connections
 
 // warn tells what is legal and hardly meant, and what this process cannot hold.
-func (d *Daemon) warn(c *conf.Config) {
+func (d *Daemon) warn(c *config.Config) {
 	need := uint64(c.Limits.Connections + otherDescriptors)
 	for _, p := range c.Pools {
 		need += uint64(p.Connections)
@@ -171,7 +171,7 @@
 }
 
 // open opens the listeners that a configuration has beyond those that are there.
-func (d *Daemon) open(c *conf.Config) (opened []*listener, err error) {
+func (d *Daemon) open(c *config.Config) (opened []*listener, err error) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for _, want := range c.Listeners {
@@ -185,8 +185,8 @@
 			}
 			return nil, fmt.Errorf("listener %q: %w", want.Name, err)
 		}
-		l := &listener{name: want.Name, address: want.Address, conns: plain.NewShedding(nl, c.Limits.Connections/len(c.Listeners)), daemon: d}
-		l.front = plain.New(l, "rowancart", want.Address, d.log)
+		l := &listener{name: want.Name, address: want.Address, conns: httpserver.NewShedding(nl, c.Limits.Connections/len(c.Listeners)), daemon: d}
+		l.front = httpserver.New(l, "rowancart", want.Address, d.log)
 		l.front.RoundAdvice()
 		opened = append(opened, l)
 	}
@@ -243,7 +243,7 @@
 	defer unfollow()
 	changed := make(chan struct{}, 1)
 	d.parts.Go(func() error {
-		err := watch.File(following, d.path, known, func([]byte) {
+		err := filewatch.File(following, d.path, known, func([]byte) {
 			select {
 			case changed <- struct{}{}:
 			default:
@@ -307,7 +307,7 @@
 		listeners[d.now.conf.Admin] = d.admin
 	}
 	d.mu.RUnlock()
-	s, err := handover.Start(d.successor(), listeners)
+	s, err := successor.Start(d.successor(), listeners)
 	if err == nil {
 		d.log.Info("handing over", "pid", s.Pid, "within", within)
 		err = s.Wait(ctx, within)
@@ -409,7 +409,7 @@
 	if d.stopping {
 		return errors.New("the daemon is stopping")
 	}
-	c, err := conf.Load(d.path, d.getenv)
+	c, err := config.Load(d.path, d.getenv)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,7 +19,7 @@
 
 	"go.uber.org/goleak"
 
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 const patience = testpeer.Patience
--- a/internal/daemon/desk.go
+++ b/internal/daemon/desk.go
@@ -6,18 +6,18 @@
 	"strings"
 	"time"
 
-	"tuliprock/internal/engine"
-	"tuliprock/internal/front/plain"
-	"tuliprock/internal/limit"
-	"tuliprock/internal/route"
+	"rowancart/internal/httpserver"
+	"rowancart/internal/proxy"
+	"rowancart/internal/ratelimit"
+	"rowancart/internal/route"
 )
 
 const placeAdvice = 500 * time.Millisecond // when one turned away by a limit of concurrency may come again
 
 // Receive implements plain.Desk: one configuration decides route, limits and pool, from here to the answer.
-func (l *listener) Receive(r *http.Request) (plain.Visit, *plain.Refusal) {
+func (l *listener) Receive(r *http.Request) (httpserver.Visit, *httpserver.Refusal) {
 	if err := route.Check(r.URL.EscapedPath()); err != nil {
-		return plain.Visit{}, &plain.Refusal{Status: http.StatusBadRequest, Reason: err.Error(), Close: true}
+		return httpserver.Visit{}, &httpserver.Refusal{Status: http.StatusBadRequest, Reason: err.Error(), Close: true}
 	}
 	d, arrived := l.daemon, time.Now()
 	d.mu.RLock()
@@ -30,27 +30,27 @@
 	n, allowed := t.Find(r.Host, r.URL.Path, r.Method, r.Header.Get)
 	switch {
 	case n < 0 && len(allowed) > 0:
-		return plain.Visit{}, &plain.Refusal{Status: http.StatusMethodNotAllowed, Reason: "methods here: " + strings.Join(allowed, ", "),
+		return httpserver.Visit{}, &httpserver.Refusal{Status: http.StatusMethodNotAllowed, Reason: "methods here: " + strings.Join(allowed, ", "),
 			Allow: allowed}
 	case n < 0:
-		return plain.Visit{}, &plain.Refusal{Status: http.StatusNotFound, Reason: "no route"}
+		return httpserver.Visit{}, &httpserver.Refusal{Status: http.StatusNotFound, Reason: "no route"}
 	}
 	s := t.routes[n]
 	tenant := r.Header.Get(s.Tenant)
 	s.gate.mu.Lock()
 	pass, why, wait := s.gate.l.Take(arrived, tenant)
 	s.gate.mu.Unlock()
-	if why != limit.None {
+	if why != ratelimit.None {
 		s.meter.limited(why)
 		status := http.StatusServiceUnavailable
 		if wait > 0 {
 			status = http.StatusTooManyRequests
 		}
-		return plain.Visit{}, &plain.Refusal{Status: status, Reason: "over the limit: " + string(why), Limit: string(why), RetryAfter: max(wait, placeAdvice)}
+		return httpserver.Visit{}, &httpserver.Refusal{Status: status, Reason: "over the limit: " + string(why), Limit: string(why), RetryAfter: max(wait, placeAdvice)}
 	}
 	g.users.Add(1)
-	v := plain.Visit{Engine: s.pool.engine, Class: s.class, Effect: s.Class.Effect, Tenant: tenant, Wait: s.Policy.ClientWaits,
-		MostWait: s.Policy.RequestTimeout, AnyForm: true, Over: func(taken bool, a engine.Reply) {
+	v := httpserver.Visit{Engine: s.pool.engine, Class: s.class, Effect: s.Class.Effect, Tenant: tenant, Wait: s.Policy.ClientWaits,
+		MostWait: s.Policy.RequestTimeout, AnyForm: true, Over: func(taken bool, a proxy.Reply) {
 			s.meter.over(taken, a, time.Since(arrived))
 			s.gate.mu.Lock()
 			s.gate.l.Done(pass)
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -11,17 +11,17 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"tuliprock"
-	"tuliprock/internal/conf"
-	"tuliprock/internal/limit"
-	"tuliprock/internal/route"
+	"rowancart/balancer"
+	"rowancart/internal/config"
+	"rowancart/internal/ratelimit"
+	"rowancart/internal/route"
 )
 
 // generation is one configuration in force, or that requests still go by which came while it was. It is immutable but for
 // the count of those.
 type generation struct {
 	n      int
-	conf   *conf.Config
+	conf   *config.Config
 	pools  map[string]*pool
 	tables map[string]*table // by listener
 	users  atomic.Int64      // requests, and listeners that are about to end
@@ -36,7 +36,7 @@
 
 // served is a route with its parts at hand.
 type served struct {
-	conf.Route
+	config.Route
 	pool  *pool
 	class string // as the pool's engine knows it
 	gate  *gate
@@ -46,7 +46,7 @@
 // gate holds a route's traffic to its limits, across generations.
 type gate struct {
 	mu sync.Mutex
-	l  *limit.Limiter
+	l  *ratelimit.Limiter
 }
 
 // release counts a user out. The last user of a generation that is not in force any more sees to what it leaves.
@@ -61,13 +61,13 @@
 
 // className names a route's class to an engine. What differs in any way has another name, so that a request under way keeps
 // the class that it came with, whatever becomes of the route.
-func className(r conf.Route) string {
+func className(r config.Route) string {
 	return fmt.Sprintf("%s~%016x", r.Class.Name, xxhash.Sum64String(fmt.Sprintf("%+v", r.Module(""))))
 }
 
 // swap puts a configuration in force. What it needs is there before the first request goes by it: pools have heard of its
 // classes, and listeners are open. d.reloading is held, or nothing runs yet.
-func (d *Daemon) swap(c *conf.Config, opened []*listener) {
+func (d *Daemon) swap(c *config.Config, opened []*listener) {
 	g := &generation{n: 1, conf: c, pools: map[string]*pool{}, tables: map[string]*table{}, daemon: d}
 	g.users.Store(1) // it is in force
 	old := d.now
@@ -97,7 +97,7 @@
 		names[r.Name] = true
 		gt := d.gates[r.Name]
 		if gt == nil {
-			gt = &gate{l: limit.New(r.Policy.Rules())}
+			gt = &gate{l: ratelimit.New(r.Policy.Rules())}
 			d.gates[r.Name] = gt
 		}
 		gt.mu.Lock()
@@ -144,13 +144,13 @@
 }
 
 // follow makes the listeners those of the configuration, and gives those that it has no more. d.mu is held.
-func (d *Daemon) follow(c *conf.Config, opened []*listener) (gone []*listener) {
+func (d *Daemon) follow(c *config.Config, opened []*listener) (gone []*listener) {
 	d.listeners = append(d.listeners, opened...)
 	for _, l := range d.listeners {
 		if l.last != nil {
 			continue
 		}
-		i := slices.IndexFunc(c.Listeners, func(want conf.Listener) bool { return want.Address == l.address })
+		i := slices.IndexFunc(c.Listeners, func(want config.Listener) bool { return want.Address == l.address })
 		if i < 0 {
 			l.last = d.retired[len(d.retired)-1]
 			l.last.users.Add(1) // it is in force until this returns: its count is above 0
@@ -179,19 +179,19 @@
 // settle tells the pools what the generations want of them that are in force or have requests under way. The newest has the
 // say in all but which classes there are. d.reloading is held.
 func (d *Daemon) settle(newest *generation) {
-	classes := map[*pool]map[string]tuliprock.Class{}
+	classes := map[*pool]map[string]balancer.Class{}
 	for _, g := range append([]*generation{newest}, d.retired...) {
 		for _, r := range g.conf.Routes {
 			p, name := g.pools[r.Pool], className(r)
 			if classes[p] == nil {
-				classes[p] = map[string]tuliprock.Class{}
+				classes[p] = map[string]balancer.Class{}
 			}
 			classes[p][name] = r.Module(name)
 		}
 	}
 	for _, p := range d.pools {
 		// In one order, whatever was first: the module's sums over classes must not depend on it.
-		list := slices.SortedFunc(maps.Values(classes[p]), func(x, y tuliprock.Class) int { return cmp.Compare(x.Name, y.Name) })
+		list := slices.SortedFunc(maps.Values(classes[p]), func(x, y balancer.Class) int { return cmp.Compare(x.Name, y.Name) })
 		p.settle(newest, list)
 	}
 }
--- a/internal/daemon/pool.go
+++ b/internal/daemon/pool.go
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/conf"
-	"tuliprock/internal/engine"
-	"tuliprock/internal/roster/file"
-	"tuliprock/internal/roster/platform"
-	"tuliprock/internal/subset"
+	"rowancart/balancer"
+	"rowancart/internal/config"
+	"rowancart/internal/discovery/file"
+	"rowancart/internal/discovery/platform"
+	"rowancart/internal/proxy"
+	"rowancart/internal/subset"
 )
 
 const (
@@ -25,7 +25,7 @@
 // pool is an engine and the roster that it hears.
 type pool struct {
 	name   string
-	engine *engine.Engine
+	engine *proxy.Engine
 	cancel context.CancelFunc // ends the engine; nil before it runs
 	log    *slog.Logger
 	seed   uint64
@@ -35,10 +35,10 @@
 
 	// The daemon's reloads guard these:
 	work    context.Context
-	conf    conf.Pool
-	classes []tuliprock.Class
-	fleet   conf.Fleet
-	tenants []tuliprock.Tenant
+	conf    config.Pool
+	classes []balancer.Class
+	fleet   config.Fleet
+	tenants []balancer.Tenant
 	follow  *following // nil: a static roster
 
 	part struct {
@@ -65,17 +65,17 @@
 
 // sameServers tells whether a pool whose roster becomes another one is still the same pool. One that lists none of the servers
 // that it had is another under the same name: requests that were meant for the old servers must not go to the new ones.
-func sameServers(was, is conf.Roster) bool {
+func sameServers(was, is config.Roster) bool {
 	if len(was.Static) > 0 && len(is.Static) > 0 {
-		return slices.ContainsFunc(was.Static, func(e conf.Endpoint) bool {
-			return slices.ContainsFunc(is.Static, func(o conf.Endpoint) bool { return o.ID == e.ID && o.Address == e.Address })
+		return slices.ContainsFunc(was.Static, func(e config.Endpoint) bool {
+			return slices.ContainsFunc(is.Static, func(o config.Endpoint) bool { return o.ID == e.ID && o.Address == e.Address })
 		})
 	}
 	return was.File == is.File && was.Platform == is.Platform
 }
 
 // newPool makes a pool that knows its static roster, or nobody yet.
-func (d *Daemon) newPool(c conf.Pool, g *generation) *pool {
+func (d *Daemon) newPool(c config.Pool, g *generation) *pool {
 	p := &pool{name: c.Name, conf: c, seed: d.seed, log: d.log.With("pool", c.Name)}
 	p.fleet, p.tenants = g.conf.Fleet, g.conf.Tenants
 	p.old, p.oldAgo = d.old[c.Name], d.oldAgo
@@ -93,7 +93,7 @@
 		p.mu.Unlock()
 	}
 	p.part.Filter = subset.NewFilter(p.place())
-	p.engine = engine.New(p.settings(), p.part.Hear(known), p.options())
+	p.engine = proxy.New(p.settings(), p.part.Hear(known), p.options())
 	if p.old != nil {
 		p.engine.Recall(p.old.Memory, p.oldAgo)
 	}
@@ -112,33 +112,33 @@
 }
 
 // hear passes on what the roster says of this instance's part.
-func (p *pool) hear(m engine.Members) {
+func (p *pool) hear(m proxy.Members) {
 	p.part.Lock()
 	defer p.part.Unlock()
 	p.engine.Heard(p.part.Hear(m))
 	p.told(nil)
 }
 
-func static(r conf.Roster) engine.Members {
-	out := engine.Members{Complete: true}
+func static(r config.Roster) proxy.Members {
+	out := proxy.Members{Complete: true}
 	for _, e := range r.Static {
-		out.Members = append(out.Members, engine.Member{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell})
+		out.Members = append(out.Members, proxy.Member{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell})
 	}
 	return out
 }
 
-func (p *pool) settings() tuliprock.Settings {
+func (p *pool) settings() balancer.Settings {
 	index := p.fleet.Index
 	if p.fleet.Name != "" { // it knows no number: one of 0 for all would set them in step
 		index = -1
 	}
-	return tuliprock.Settings{Seed: p.seed, Balancers: p.fleet.Instances, Index: index, TiersBelow: p.conf.TiersBelow, Classes: p.classes,
+	return balancer.Settings{Seed: p.seed, Balancers: p.fleet.Instances, Index: index, TiersBelow: p.conf.TiersBelow, Classes: p.classes,
 		Tenants: p.tenants, MayCancel: true, MaxRetryAfter: maxRetryAfter, Resends: p.conf.Resends, Resolution: resolution,
 		ColdFrom: p.conf.ColdFrom, ColdFor: p.conf.ColdFor, ColdShare: p.conf.ColdShare}
 }
 
-func (p *pool) options() engine.Options {
-	return engine.Options{ConnIdle: p.conf.ConnIdle, DialTimeout: p.conf.DialTimeout, Conns: p.conf.Connections, Relay: true,
+func (p *pool) options() proxy.Options {
+	return proxy.Options{ConnIdle: p.conf.ConnIdle, DialTimeout: p.conf.DialTimeout, Conns: p.conf.Connections, Relay: true,
 		Subscribe: func() {}, Log: p.log}
 }
 
@@ -159,7 +159,7 @@
 }
 
 // settle takes what a configuration says of a pool.
-func (p *pool) settle(g *generation, classes []tuliprock.Class) {
+func (p *pool) settle(g *generation, classes []balancer.Class) {
 	was := p.conf
 	for _, c := range g.conf.Pools {
 		if g.pools[c.Name] == p {
@@ -178,7 +178,7 @@
 	p.part.Lock()
 	p.part.Resize(p.place())
 	p.part.Unlock()
-	p.hear(engine.Members{}) // what follows from a new place or size
+	p.hear(proxy.Members{}) // what follows from a new place or size
 	if reflect.DeepEqual(was.Roster, p.conf.Roster) {
 		return
 	}
--- a/internal/daemon/reason_test.go
+++ b/internal/daemon/reason_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 // vacant gives an address of loopback at which nobody listens.
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/conf"
-	"tuliprock/internal/engine"
-	"tuliprock/internal/snapshot"
+	"rowancart/internal/config"
+	"rowancart/internal/proxy"
+	"rowancart/internal/snapshot"
 )
 
 const (
@@ -21,8 +21,8 @@
 
 // poolState is what a snapshot holds of a pool.
 type poolState struct {
-	Memory engine.Memory
-	Roster []engine.Member // all that the roster told of, this instance's part or not
+	Memory proxy.Memory
+	Roster []proxy.Member // all that the roster told of, this instance's part or not
 }
 
 // state is what a snapshot holds. Owner is whose it is: a file copied from another machine or instance speaks of
@@ -34,7 +34,7 @@
 
 // owner names the instance that a configuration makes of this process on this machine. The fleet's size is not in it:
 // an instance of a fleet that grows is still the one it was.
-func owner(f conf.Fleet) string {
+func owner(f config.Fleet) string {
 	host, _ := os.Hostname()
 	if f.Name != "" {
 		return fmt.Sprintf("%s/%s", host, f.Name)
@@ -52,7 +52,7 @@
 }
 
 // recall reads what the process before this one knew. What cannot be used is told in one line.
-func (d *Daemon) recall(c conf.State, f conf.Fleet) {
+func (d *Daemon) recall(c config.State, f config.Fleet) {
 	if c.Path == "" {
 		return
 	}
--- a/internal/roster/file/file.go
+++ b/internal/discovery/file/file.go
@@ -11,18 +11,18 @@
 	"log/slog"
 	"os"
 
-	"tuliprock"
-	"tuliprock/internal/engine"
-	"tuliprock/internal/netaddr"
-	"tuliprock/internal/watch"
+	"rowancart/balancer"
+	"rowancart/internal/filewatch"
+	"rowancart/internal/netaddr"
+	"rowancart/internal/proxy"
 )
 
-var states = map[string]tuliprock.State{"": tuliprock.Ready, "ready": tuliprock.Ready, "draining": tuliprock.Draining}
+var states = map[string]balancer.State{"": balancer.Ready, "ready": balancer.Ready, "draining": balancer.Draining}
 
 // Parse reads the text of a roster: {"endpoints": [{"id", "address", "zone", "kind", "cell", "state", "started_ms"}]}. It is
 // the whole list. One bad entry spoils it, and a text that ends early is no list: a file half written must not pass for one
 // on which nobody is left.
-func Parse(text []byte) (engine.Members, error) {
+func Parse(text []byte) (proxy.Members, error) {
 	var in struct {
 		Endpoints []struct {
 			ID        string `json:"id"`
@@ -37,31 +37,31 @@
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&in); err != nil {
-		return engine.Members{}, fmt.Errorf("roster: %w", err)
+		return proxy.Members{}, fmt.Errorf("roster: %w", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return engine.Members{}, errors.New("roster: more follows the list")
+		return proxy.Members{}, errors.New("roster: more follows the list")
 	}
 	if in.Endpoints == nil {
-		return engine.Members{}, errors.New("endpoints: missing")
+		return proxy.Members{}, errors.New("endpoints: missing")
 	}
-	out := engine.Members{Complete: true}
+	out := proxy.Members{Complete: true}
 	seen := map[string]bool{}
 	for i, e := range in.Endpoints {
 		state, ok := states[e.State]
 		switch {
 		case e.ID == "":
-			return engine.Members{}, fmt.Errorf("endpoints[%d].id: missing", i)
+			return proxy.Members{}, fmt.Errorf("endpoints[%d].id: missing", i)
 		case seen[e.ID]:
-			return engine.Members{}, fmt.Errorf("endpoints[%d].id: %q is there twice", i, e.ID)
+			return proxy.Members{}, fmt.Errorf("endpoints[%d].id: %q is there twice", i, e.ID)
 		case !ok:
-			return engine.Members{}, fmt.Errorf("endpoints[%d].state: %q is neither ready nor draining", i, e.State)
+			return proxy.Members{}, fmt.Errorf("endpoints[%d].state: %q is neither ready nor draining", i, e.State)
 		}
 		if err := netaddr.Check(fmt.Sprintf("endpoints[%d].address", i), e.Address); err != nil {
-			return engine.Members{}, err
+			return proxy.Members{}, err
 		}
 		seen[e.ID] = true
-		out.Members = append(out.Members, engine.Member{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: state,
+		out.Members = append(out.Members, proxy.Member{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: state,
 			StartedMs: e.StartedMs})
 	}
 	return out, nil
@@ -69,7 +69,7 @@
 
 // Follow delivers the list and each later one, until ctx ends. A list that can't be read leaves the one before it standing,
 // and failed hears why.
-func Follow(ctx context.Context, path string, deliver func(engine.Members), failed func(error), log *slog.Logger) {
+func Follow(ctx context.Context, path string, deliver func(proxy.Members), failed func(error), log *slog.Logger) {
 	take := func(text []byte) {
 		m, err := Parse(text)
 		if err != nil {
@@ -88,7 +88,7 @@
 	} else {
 		take(text)
 	}
-	if err := watch.File(ctx, path, text, take); err != nil {
+	if err := filewatch.File(ctx, path, text, take); err != nil {
 		log.Error("roster: not followed", "err", err)
 		failed(err)
 	}
--- a/internal/roster/platform/crossings_test.go
+++ b/internal/discovery/platform/crossings_test.go
@@ -15,7 +15,7 @@
 	"testing/synctest"
 	"time"
 
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 // drains is what must not be missed.
--- a/internal/roster/platform/platform.go
+++ b/internal/discovery/platform/platform.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/engine"
-	"tuliprock/internal/netaddr"
+	"rowancart/balancer"
+	"rowancart/internal/netaddr"
+	"rowancart/internal/proxy"
 )
 
 const (
@@ -36,14 +36,14 @@
 
 // Member is an endpoint as discovery lists it.
 type Member struct {
-	ID        string          `json:"id"`
-	Addr      string          `json:"addr"`
-	Zone      string          `json:"zone"`
-	Kind      string          `json:"kind"`
-	Cell      int             `json:"cell"`
-	StateName string          `json:"state"`
-	StartedMs int64           `json:"started_ms"`
-	State     tuliprock.State `json:"-"`
+	ID        string         `json:"id"`
+	Addr      string         `json:"addr"`
+	Zone      string         `json:"zone"`
+	Kind      string         `json:"kind"`
+	Cell      int            `json:"cell"`
+	StateName string         `json:"state"`
+	StartedMs int64          `json:"started_ms"`
+	State     balancer.State `json:"-"`
 }
 
 // Members is a message from discovery: the whole list, or what has changed.
@@ -54,16 +54,16 @@
 }
 
 // Engine is the message as an engine hears it.
-func (m Members) Engine() engine.Members {
-	out := engine.Members{Complete: m.Full}
+func (m Members) Engine() proxy.Members {
+	out := proxy.Members{Complete: m.Full}
 	for _, s := range m.Servers {
-		out.Members = append(out.Members, engine.Member{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
+		out.Members = append(out.Members, proxy.Member{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
 			State: s.State, StartedMs: s.StartedMs})
 	}
 	return out
 }
 
-var stateNames = map[string]tuliprock.State{"Ready": tuliprock.Ready, "Terminating": tuliprock.Draining, "Gone": tuliprock.Gone}
+var stateNames = map[string]balancer.State{"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone}
 
 // Parse reads and checks a message from discovery. One bad entry spoils the message.
 func Parse(text []byte) (Members, error) {
@@ -86,7 +86,7 @@
 		if s.ID == "" {
 			return Members{}, errors.New("id: missing")
 		}
-		if s.State == tuliprock.Gone {
+		if s.State == balancer.Gone {
 			continue
 		}
 		if err := netaddr.Check("addr", s.Addr); err != nil {
--- a/internal/roster/platform/platform_test.go
+++ b/internal/discovery/platform/platform_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/testpeer"
+	"rowancart/balancer"
+	"rowancart/internal/testpeer"
 )
 
 const patience = testpeer.Patience
@@ -151,7 +151,7 @@
 	}
 	a := m.Servers[0]
 	if *m.Version != 3 || !m.Full || a.ID != "a" || a.Addr != "127.0.0.1:1" || a.Zone != "z" || a.Kind != "k" || a.Cell != 3 ||
-		a.State != tuliprock.Ready || m.Servers[1].State != tuliprock.Gone {
+		a.State != balancer.Ready || m.Servers[1].State != balancer.Gone {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/lab/rival/rival.go
+++ b/internal/experiment/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package rival has textbook balancing policies to compare the project's own with. Each speaks the module's interface,
-// tuliprock.Events and tuliprock.Host, keeps the rule against double effects, and repeats what may be repeated. They
+// Package baseline has textbook balancing policies to compare the project's own with. Each speaks the module's interface,
+// balancer.Events and balancer.Host, keeps the rule against double effects, and repeats what may be repeated. They
 // differ only in how they choose.
-package rival
+package baseline
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // Names lists the policies.
@@ -20,26 +20,26 @@
 const decay = 10 * time.Second
 
 type endpoint struct {
-	tuliprock.Endpoint
+	balancer.Endpoint
 	out  int
 	cost float64 // peak-sensitive average of answer times, seconds
 	at   time.Duration
 }
 
 type request struct {
-	tuliprock.Request
-	effect tuliprock.Effect
+	balancer.Request
+	effect balancer.Effect
 	tried  []*endpoint
 	mayRun bool
 }
 
 // Policy is one instance. It is not safe for concurrent use.
 type Policy struct {
-	s         tuliprock.Settings
-	host      tuliprock.Host
+	s         balancer.Settings
+	host      balancer.Host
 	rng       *rand.Rand
 	choose    func(now time.Duration, among []*endpoint) *endpoint
-	effects   map[string]tuliprock.Effect
+	effects   map[string]balancer.Effect
 	endpoints []*endpoint
 	ready     []*endpoint
 	byName    map[string]*endpoint
@@ -47,11 +47,11 @@
 	turn      int
 }
 
-var _ tuliprock.Events = (*Policy)(nil)
+var _ balancer.Events = (*Policy)(nil)
 
 // New returns an instance of the policy named, or an error that lists the names.
-func New(name string, s tuliprock.Settings, h tuliprock.Host) (*Policy, error) {
-	p := &Policy{s: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 2)), effects: map[string]tuliprock.Effect{},
+func New(name string, s balancer.Settings, h balancer.Host) (*Policy, error) {
+	p := &Policy{s: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 2)), effects: map[string]balancer.Effect{},
 		byName: map[string]*endpoint{}, requests: map[string]*request{}}
 	for _, c := range s.Classes {
 		p.effects[c.Name] = c.Effect
@@ -110,14 +110,14 @@
 	}
 }
 
-// EndpointList implements tuliprock.Events.
-func (p *Policy) EndpointList(now time.Duration, l tuliprock.List) {
+// EndpointList implements balancer.Events.
+func (p *Policy) EndpointList(now time.Duration, l balancer.List) {
 	if l.Failed {
 		return
 	}
 	if l.Complete {
 		for _, e := range p.endpoints {
-			e.State = tuliprock.Gone
+			e.State = balancer.Gone
 		}
 	}
 	for _, in := range l.Entries {
@@ -133,24 +133,24 @@
 		e.Endpoint = in
 	}
 	p.endpoints = slices.DeleteFunc(p.endpoints, func(e *endpoint) bool {
-		if e.State == tuliprock.Gone {
+		if e.State == balancer.Gone {
 			delete(p.byName, e.ID)
 		}
-		return e.State == tuliprock.Gone
+		return e.State == balancer.Gone
 	})
 	p.ready = p.ready[:0]
 	for _, e := range p.endpoints {
-		if e.State == tuliprock.Ready {
+		if e.State == balancer.Ready {
 			p.ready = append(p.ready, e)
 		}
 	}
 }
 
-// Request implements tuliprock.Events.
-func (p *Policy) Request(now time.Duration, r tuliprock.Request) {
+// Request implements balancer.Events.
+func (p *Policy) Request(now time.Duration, r balancer.Request) {
 	effect, ok := p.effects[r.Class]
 	if !ok {
-		effect = tuliprock.Unsafe
+		effect = balancer.Unsafe
 	}
 	q := &request{Request: r, effect: effect}
 	p.requests[r.ID] = q
@@ -166,7 +166,7 @@
 			among = p.ready
 		}
 	}
-	may := len(q.tried) == 0 || (p.s.MaxAttempts <= 0 || len(q.tried) < p.s.MaxAttempts) && (q.effect == tuliprock.Safe || !q.mayRun)
+	may := len(q.tried) == 0 || (p.s.MaxAttempts <= 0 || len(q.tried) < p.s.MaxAttempts) && (q.effect == balancer.Safe || !q.mayRun)
 	if len(among) == 0 || !may || now >= q.Deadline-p.s.Resolution {
 		p.end(q)
 		return
@@ -180,25 +180,25 @@
 func (p *Policy) end(q *request) {
 	delete(p.requests, q.ID)
 	switch {
-	case q.effect != tuliprock.Safe && q.mayRun:
-		p.host.Fail(q.ID, tuliprock.MayHaveRun)
+	case q.effect != balancer.Safe && q.mayRun:
+		p.host.Fail(q.ID, balancer.MayHaveRun)
 	case len(p.ready) == 0:
-		p.host.Refuse(q.ID, tuliprock.NoEndpoint, 0)
+		p.host.Refuse(q.ID, balancer.NoEndpoint, 0)
 	default:
-		p.host.Refuse(q.ID, tuliprock.NoAttempt, 0)
+		p.host.Refuse(q.ID, balancer.NoAttempt, 0)
 	}
 }
 
-// Outcome implements tuliprock.Events.
-func (p *Policy) Outcome(now time.Duration, o tuliprock.Outcome) {
+// Outcome implements balancer.Events.
+func (p *Policy) Outcome(now time.Duration, o balancer.Outcome) {
 	q := p.requests[o.ID]
 	if q == nil || o.Attempt >= len(q.tried) {
 		return
 	}
 	e := q.tried[o.Attempt]
 	e.out--
-	if took := o.Took.Seconds(); o.Result != tuliprock.Canceled && o.Result != tuliprock.NotSent {
-		if o.Result != tuliprock.OK {
+	if took := o.Took.Seconds(); o.Result != balancer.Canceled && o.Result != balancer.NotSent {
+		if o.Result != balancer.OK {
 			took = max(took, 1)
 		}
 		old := math.Exp(-float64(now-e.at) / float64(decay))
@@ -206,11 +206,11 @@
 		e.at = now
 	}
 	switch {
-	case o.Final || o.Result == tuliprock.OK:
+	case o.Final || o.Result == balancer.OK:
 		delete(p.requests, o.ID)
 	default:
 		switch o.Result {
-		case tuliprock.Full, tuliprock.ConnectFailed, tuliprock.NotSent:
+		case balancer.Full, balancer.ConnectFailed, balancer.NotSent:
 		default:
 			q.mayRun = true
 		}
@@ -218,11 +218,11 @@
 	}
 }
 
-// ClientLeft implements tuliprock.Events. The attempt that is out keeps its place until its outcome comes.
+// ClientLeft implements balancer.Events. The attempt that is out keeps its place until its outcome comes.
 func (p *Policy) ClientLeft(time.Duration, string) {}
 
-// StreamStarted implements tuliprock.Events.
+// StreamStarted implements balancer.Events.
 func (p *Policy) StreamStarted(time.Duration, string, int) {}
 
-// Timer implements tuliprock.Events.
+// Timer implements balancer.Events.
 func (p *Policy) Timer(time.Duration) {}
--- a/internal/lab/tally/tally.go
+++ b/internal/experiment/counters/counters.go
@@ -1,13 +1,13 @@
-// Package tally counts what became of what clients wanted: over a whole play, over time, and by class, tenant and box.
-package tally
+// Package counters counts what became of what clients wanted: over a whole play, over time, and by class, tenant and box.
+package counters
 
 import (
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
 )
 
 // Fate is what became of something that a client wanted, its retries included.
@@ -82,7 +82,7 @@
 	Worth    float64                   // of all that was asked
 	Earned   float64                   // of what was served in time
 
-	Why map[tuliprock.Reason]int64 // what instances of all tiers refused or failed, by reason, in virtual time
+	Why map[balancer.Reason]int64 // what instances of all tiers refused or failed, by reason, in virtual time
 }
 
 const (
@@ -91,13 +91,13 @@
 )
 
 // New returns an empty tally for an experiment.
-func New(e *lab.Experiment) *Tally {
+func New(e *experiment.Experiment) *Tally {
 	return &Tally{warmup: e.Warmup, Classes: make([]Counts, len(e.Site.Classes)), Tenants: make([]Counts, len(e.Site.Tenants)),
-		Latency: hdrhistogram.New(1, longest, figures), Why: map[tuliprock.Reason]int64{}}
+		Latency: hdrhistogram.New(1, longest, figures), Why: map[balancer.Reason]int64{}}
 }
 
 // Ended counts one request that was to be sent at the instant at and ended after took.
-func (t *Tally) Ended(c lab.Class, class, tenant int, at, took time.Duration, f Fate) {
+func (t *Tally) Ended(c experiment.Class, class, tenant int, at, took time.Duration, f Fate) {
 	s := int(at / time.Second)
 	for len(t.Seconds) <= s {
 		t.Seconds = append(t.Seconds, Counts{})
--- a/internal/lab/lab.go
+++ b/internal/experiment/experiment.go
@@ -1,14 +1,17 @@
-// Package lab describes experiments: a service of stand-in boxes in tiers, the load on it, what goes wrong and what is
+// Package experiment describes experiments: a service of stand-in boxes in tiers, the load on it, what goes wrong and what is
 // to be compared. It holds values only; box has the model of a box, virtual and rig play an experiment, ledger judges
 // it and report words it.
-package lab
+package experiment
 
 import (
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
+// DesignPolicy is the name of the decision module, package balancer, among the policies of experiment files.
+const DesignPolicy = "tuliprock"
+
 // Experiment is one question put to the lab.
 type Experiment struct {
 	Name     string
@@ -65,7 +68,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name     string
-	Effect   tuliprock.Effect
+	Effect   balancer.Effect
 	Share    float64       // of all requests
 	Work     time.Duration // mean, on a core of speed 1, over all tiers
 	Wait     time.Duration // spent at the last tier without using a core
@@ -211,16 +214,16 @@
 // Arm is one of the programs or policies compared.
 type Arm struct {
 	Name   string
-	Policy string // in virtual time: tuliprock or one of rival.Names
+	Policy string // in virtual time: DesignPolicy or one of baseline.Names
 	Run    string // on sockets: a command that serves as DEPLOY says; empty: the policy's own
 
-	ColdShare float64 // tuliprock.Settings.ColdShare; tuliprock alone goes by it
+	ColdShare float64 // balancer.Settings.ColdShare; the design alone goes by it
 
-	Snapshot bool // an instance that starts again begins with what it had learned; in virtual time, tuliprock alone
+	Snapshot bool // an instance that starts again begins with what it had learned; in virtual time, the design alone
 
-	Resends tuliprock.Resends // tuliprock alone goes by it, in virtual time
+	Resends balancer.Resends // the design alone goes by it, in virtual time
 
-	Classes []ClassPolicy // what classes may do beyond the site's rules; in virtual time, and tuliprock alone goes by it
+	Classes []ClassPolicy // what classes may do beyond the site's rules; in virtual time, and the design alone goes by it
 }
 
 // ClassPolicy is what the requests of a class may do. Its zero values leave the class as the site has it.
@@ -245,7 +248,7 @@
 }
 
 // Apply gives settings with an arm's policies.
-func (a Arm) Apply(s tuliprock.Settings) tuliprock.Settings {
+func (a Arm) Apply(s balancer.Settings) balancer.Settings {
 	s.ColdShare, s.Resends = a.ColdShare, a.Resends
 	for i := range s.Classes {
 		c, p := &s.Classes[i], a.Of(s.Classes[i].Name)
@@ -277,16 +280,16 @@
 }
 
 // Settings gives the module's settings for instance index of count before tier.
-func (s Site) Settings(tier, index, count int, seed uint64) tuliprock.Settings {
+func (s Site) Settings(tier, index, count int, seed uint64) balancer.Settings {
 	index, count = s.Place(tier, index, count)
-	out := tuliprock.Settings{Seed: seed, Balancers: count, Index: index, Tier: tier, TiersBelow: len(s.Tiers) - 1 - tier,
+	out := balancer.Settings{Seed: seed, Balancers: count, Index: index, Tier: tier, TiersBelow: len(s.Tiers) - 1 - tier,
 		MaxAttempts: s.Attempts, MayCancel: true, Resolution: time.Millisecond,
 		ColdFrom: s.Tiers[tier].Box.ColdFrom, ColdFor: s.Tiers[tier].Box.ColdFor, MaxRetryAfter: 2 * time.Second}
 	for _, c := range s.Classes {
-		out.Classes = append(out.Classes, tuliprock.Class{Name: c.Name, Effect: c.Effect, Aim: c.Aim})
+		out.Classes = append(out.Classes, balancer.Class{Name: c.Name, Effect: c.Effect, Aim: c.Aim})
 	}
 	for _, t := range s.Tenants {
-		out.Tenants = append(out.Tenants, tuliprock.Tenant{Name: t.Name, Quota: t.Quota})
+		out.Tenants = append(out.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	return out
 }
--- a/internal/lab/expfile/expfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -1,6 +1,6 @@
-// Package expfile reads experiment files: HCL that says what to play and what must come out. docs/lab.md describes the
+// Package hclfile reads experiment files: HCL that says what to play and what must come out. docs/lab.md describes the
 // language. A bad file gives one line for each fault, with file, line, column and reason.
-package expfile
+package hclfile
 
 import (
 	"fmt"
@@ -15,18 +15,18 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/zclconf/go-cty/cty"
 
-	"tuliprock"
-	"tuliprock/internal/hclbody"
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/rival"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/baseline"
+	"rowancart/internal/hcldecode"
 )
 
 // reader reads the blocks of an experiment.
-type reader struct{ hclbody.Reader }
+type reader struct{ hcldecode.Reader }
 
 // Play is one of the experiments that a file comes to: a sweep makes several, other files one.
 type Play struct {
-	lab.Experiment
+	experiment.Experiment
 	Point string // the sweep's variable and its value here, such as rate=50; empty without a sweep
 }
 
@@ -45,7 +45,7 @@
 }
 
 func parse(text []byte, name, path string, set map[string]string) ([]Play, error) {
-	own, err := hclbody.Parse(text, name)
+	own, err := hcldecode.Parse(text, name)
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 				continue
 			}
 			sweepName, sweepAt = b.Labels[0], b.DefRange
-			r.Body(b.Body, hclbody.Fields{"values!": &sweep}, nil)
+			r.Body(b.Body, hcldecode.Fields{"values!": &sweep}, nil)
 		}
 	}
 	if _, ok := vars[sweepName]; sweepName != "" && !ok {
@@ -90,7 +90,7 @@
 		}
 		vars[k] = cty.StringVal(set[k])
 	}
-	if err := hclbody.Faults(r.Diags); err != nil {
+	if err := hcldecode.Faults(r.Diags); err != nil {
 		return nil, err
 	}
 	if _, fixed := set[sweepName]; sweepName == "" || fixed {
@@ -134,12 +134,12 @@
 			}
 		}
 	}
-	r := &reader{Reader: hclbody.Reader{Vars: &hcl.EvalContext{Variables: map[string]cty.Value{"var": object}}}}
-	p := Play{Experiment: lab.Experiment{Name: strings.TrimSuffix(name, ".hcl"), Settings: settings, Seeds: []uint64{1}}}
+	r := &reader{Reader: hcldecode.Reader{Vars: &hcl.EvalContext{Variables: map[string]cty.Value{"var": object}}}}
+	p := Play{Experiment: experiment.Experiment{Name: strings.TrimSuffix(name, ".hcl"), Settings: settings, Seeds: []uint64{1}}}
 	e := &p.Experiment
-	e.Site = lab.Site{Balancers: 1, Delay: 200 * time.Microsecond, Jitter: 0.2, Attempts: 5,
-		Roster: lab.Roster{Delay: time.Second, Spread: 200 * time.Millisecond},
-		Rules: lab.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second,
+	e.Site = experiment.Site{Balancers: 1, Delay: 200 * time.Microsecond, Jitter: 0.2, Attempts: 5,
+		Roster: experiment.Roster{Delay: time.Second, Spread: 200 * time.Millisecond},
+		Rules: experiment.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second,
 			ImproperFor: 3 * time.Second}}
 	e.Load.Process = "poisson"
 	e.Load.Clients.PatienceLeast = 1
@@ -148,7 +148,7 @@
 	once := func(read func(*hcl.Block)) func(*hcl.Block) {
 		return func(b *hcl.Block) {
 			if first, ok := seen[b.Type]; ok {
-				r.Fault(b.DefRange, "%s: there is one already, at %s", b.Type, hclbody.Where(first))
+				r.Fault(b.DefRange, "%s: there is one already, at %s", b.Type, hcldecode.Where(first))
 				return
 			}
 			seen[b.Type] = b.DefRange
@@ -156,13 +156,13 @@
 		}
 	}
 	var expects []expectation
-	read := r.Body(body, nil, hclbody.Blocks{
+	read := r.Body(body, nil, hcldecode.Blocks{
 		"vars": ignore, "sweep variable": ignore, "include path": ignore,
 		"experiment name": once(func(b *hcl.Block) {
 			e.Name = b.Labels[0]
 			var seeds []uint64
 			repeats := 0
-			ok := r.Body(b.Body, hclbody.Fields{"question!": &e.Question, "duration!": &e.Duration, "warmup": &e.Warmup, "seeds": &seeds, "repeats": &repeats, "virtual": &e.Virtual}, nil)
+			ok := r.Body(b.Body, hcldecode.Fields{"question!": &e.Question, "duration!": &e.Duration, "warmup": &e.Warmup, "seeds": &seeds, "repeats": &repeats, "virtual": &e.Virtual}, nil)
 			switch {
 			case repeats < 0 || repeats > 0 && len(seeds) > 0:
 				r.Fault(b.DefRange, "experiment: either seeds or repeats, a number of seeds from 1 on")
@@ -182,36 +182,36 @@
 		"load":       once(func(b *hcl.Block) { r.load(b, &e.Load) }),
 		"fault kind": func(b *hcl.Block) { r.failure(b, e) },
 		"arm name": func(b *hcl.Block) {
-			a := lab.Arm{Name: b.Labels[0], Policy: "tuliprock"}
-			r.Body(b.Body, hclbody.Fields{"policy": &a.Policy, "run": &a.Run, "cold_share": &a.ColdShare, "snapshot": &a.Snapshot}, hclbody.Blocks{"retry_budget": func(b *hcl.Block) { r.RetryBudget(b, &a.Resends) }, "class name": func(b *hcl.Block) {
-				p := lab.ClassPolicy{Class: b.Labels[0]}
+			a := experiment.Arm{Name: b.Labels[0], Policy: experiment.DesignPolicy}
+			r.Body(b.Body, hcldecode.Fields{"policy": &a.Policy, "run": &a.Run, "cold_share": &a.ColdShare, "snapshot": &a.Snapshot}, hcldecode.Blocks{"retry_budget": func(b *hcl.Block) { r.RetryBudget(b, &a.Resends) }, "class name": func(b *hcl.Block) {
+				p := experiment.ClassPolicy{Class: b.Labels[0]}
 				queue, retry := -1, "after_run"
-				r.Body(b.Body, hclbody.Fields{"attempt_timeout": &p.AttemptTimeout, "attempts": &p.Attempts, "retry": &retry,
+				r.Body(b.Body, hcldecode.Fields{"attempt_timeout": &p.AttemptTimeout, "attempts": &p.Attempts, "retry": &retry,
 					"copy_after": &p.CopyAfter, "copy_percentile": &p.CopyPercentile, "queue": &queue}, nil)
-				hclbody.OneOf(&r.Reader, b.DefRange, "retry", retry, "not_run", "after_run")
+				hcldecode.OneOf(&r.Reader, b.DefRange, "retry", retry, "not_run", "after_run")
 				if p.NoRerun = retry == "not_run"; queue == 0 {
 					p.Queue = -1
 				} else if queue > 0 {
 					p.Queue = queue
 				}
-				if !slices.ContainsFunc(e.Site.Classes, func(c lab.Class) bool { return c.Name == p.Class }) {
+				if !slices.ContainsFunc(e.Site.Classes, func(c experiment.Class) bool { return c.Name == p.Class }) {
 					r.Fault(b.DefRange, "class: the site has none called %q; it must stand before the arms", p.Class)
 				}
 				a.Classes = append(a.Classes, p)
 			}})
-			hclbody.OneOf(&r.Reader, b.DefRange, "policy", a.Policy, append([]string{"tuliprock", "reverse_proxy"}, rival.Names...)...)
-			if slices.ContainsFunc(e.Arms, func(o lab.Arm) bool { return o.Name == a.Name }) {
+			hcldecode.OneOf(&r.Reader, b.DefRange, "policy", a.Policy, append([]string{experiment.DesignPolicy, "reverse_proxy"}, baseline.Names...)...)
+			if slices.ContainsFunc(e.Arms, func(o experiment.Arm) bool { return o.Name == a.Name }) {
 				r.Fault(b.DefRange, "arm: there are two called %q", a.Name)
 			}
 			e.Arms = append(e.Arms, a)
 		},
 		"expect": func(b *hcl.Block) {
 			x := expectation{at: b.DefRange}
-			var served, failed hclbody.Share
-			r.Body(b.Body, hclbody.Fields{"arm": &x.Arm, "rules_kept": &x.RulesKept, "served_in_time_over": &served,
+			var served, failed hcldecode.Share
+			r.Body(b.Body, hcldecode.Fields{"arm": &x.Arm, "rules_kept": &x.RulesKept, "served_in_time_over": &served,
 				"refused_or_failed_under": &failed, "attempts_under": &x.AttemptsUnder, "p99_under": &x.P99Under,
 				"fresh_peak_under": &x.FreshUnder, "resends_under": &x.ResendsUnder}, nil)
-			x.ServedOver, x.FailedUnder, x.Place = float64(served), float64(failed), hclbody.Where(b.DefRange)
+			x.ServedOver, x.FailedUnder, x.Place = float64(served), float64(failed), hcldecode.Where(b.DefRange)
 			expects = append(expects, x)
 		},
 	})
@@ -222,81 +222,81 @@
 		}
 	}
 	if len(e.Arms) == 0 {
-		e.Arms = []lab.Arm{{Name: "design", Policy: "tuliprock"}}
+		e.Arms = []experiment.Arm{{Name: "design", Policy: experiment.DesignPolicy}}
 	}
 	for _, x := range expects {
-		if x.Arm != "" && !slices.ContainsFunc(e.Arms, func(a lab.Arm) bool { return a.Name == x.Arm }) {
+		if x.Arm != "" && !slices.ContainsFunc(e.Arms, func(a experiment.Arm) bool { return a.Name == x.Arm }) {
 			r.Fault(x.at, "expect: there is no arm %q", x.Arm)
 		}
-		if (x.Expectation == lab.Expectation{Arm: x.Arm, Place: x.Place}) {
+		if (x.Expectation == experiment.Expectation{Arm: x.Arm, Place: x.Place}) {
 			r.Fault(x.at, "expect: it asks for nothing")
 		}
 		e.Expect = append(e.Expect, x.Expectation)
 	}
 	for _, f := range e.Faults {
-		if has, known := lab.FaultKinds[f.Kind]; e.Virtual && known && !has {
+		if has, known := experiment.FaultKinds[f.Kind]; e.Virtual && known && !has {
 			r.Fault(seen["experiment"], "experiment: the fault %s needs sockets, and this says virtual", f.Kind)
 		}
 	}
-	return p, hclbody.Faults(r.Diags)
+	return p, hcldecode.Faults(r.Diags)
 }
 
 type expectation struct {
-	lab.Expectation
+	experiment.Expectation
 	at hcl.Range
 }
 
-func (r *reader) site(b *hcl.Block, s *lab.Site) {
+func (r *reader) site(b *hcl.Block, s *experiment.Site) {
 	var rules = &s.Rules
 	var network, ledger, limits, roster hcl.Range
 	once := func(at *hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
 		return func(b *hcl.Block) {
 			if !at.Empty() {
-				r.Fault(b.DefRange, "%s: there is one already, at %s", b.Type, hclbody.Where(*at))
+				r.Fault(b.DefRange, "%s: there is one already, at %s", b.Type, hcldecode.Where(*at))
 				return
 			}
 			*at = b.DefRange
 			read(b)
 		}
 	}
-	r.Body(b.Body, hclbody.Fields{"balancers": &s.Balancers, "told": &s.Told, "attempts": &s.Attempts}, hclbody.Blocks{
+	r.Body(b.Body, hcldecode.Fields{"balancers": &s.Balancers, "told": &s.Told, "attempts": &s.Attempts}, hcldecode.Blocks{
 		"network": once(&network, func(b *hcl.Block) {
-			var jitter hclbody.Share
-			r.Body(b.Body, hclbody.Fields{"delay": &s.Delay, "jitter": &jitter}, nil)
+			var jitter hcldecode.Share
+			r.Body(b.Body, hcldecode.Fields{"delay": &s.Delay, "jitter": &jitter}, nil)
 			s.Jitter = float64(jitter)
 		}),
 		"roster": once(&roster, func(b *hcl.Block) {
-			r.Body(b.Body, hclbody.Fields{"delay": &s.Roster.Delay, "spread": &s.Roster.Spread}, nil)
+			r.Body(b.Body, hcldecode.Fields{"delay": &s.Roster.Delay, "spread": &s.Roster.Spread}, nil)
 		}),
 		"rules": once(&ledger, func(b *hcl.Block) {
-			r.Body(b.Body, hclbody.Fields{"answer_slack": &rules.AnswerSlack, "drain_grace": &rules.DrainGrace, "fall_over": &rules.FallOver,
+			r.Body(b.Body, hcldecode.Fields{"answer_slack": &rules.AnswerSlack, "drain_grace": &rules.DrainGrace, "fall_over": &rules.FallOver,
 				"fall_window": &rules.FallWindow, "improper_for": &rules.ImproperFor}, nil)
 		}),
 		"limits": once(&limits, func(b *hcl.Block) {
-			r.Body(b.Body, hclbody.Fields{"memory_mb": &s.Limits.MemoryMB, "descriptors": &s.Limits.Descriptors, "cores": &s.Limits.Cores}, nil)
+			r.Body(b.Body, hcldecode.Fields{"memory_mb": &s.Limits.MemoryMB, "descriptors": &s.Limits.Descriptors, "cores": &s.Limits.Cores}, nil)
 		}),
 		"class name": func(b *hcl.Block) {
-			c := lab.Class{Name: b.Labels[0], Share: 1, Worth: 1, Spread: lab.Exponential, Cv: 1}
+			c := experiment.Class{Name: b.Labels[0], Share: 1, Worth: 1, Spread: experiment.Exponential, Cv: 1}
 			effect := "safe"
 			spread := string(c.Spread)
-			var hits hclbody.Share
-			r.Body(b.Body, hclbody.Fields{"effect": &effect, "share": &c.Share, "work!": &c.Work, "wait": &c.Wait, "spread": &spread, "cv": &c.Cv,
+			var hits hcldecode.Share
+			r.Body(b.Body, hcldecode.Fields{"effect": &effect, "share": &c.Share, "work!": &c.Work, "wait": &c.Wait, "spread": &spread, "cv": &c.Cv,
 				"hits": &hits, "hit_work": &c.HitWork, "aim!": &c.Aim, "deadline!": &c.Deadline, "worth": &c.Worth}, nil)
-			hclbody.OneOf(&r.Reader, b.DefRange, "effect", effect, "safe", "unsafe")
-			hclbody.OneOf(&r.Reader, b.DefRange, "spread", spread, string(lab.Exponential), string(lab.LogNormal), string(lab.Fixed))
+			hcldecode.OneOf(&r.Reader, b.DefRange, "effect", effect, "safe", "unsafe")
+			hcldecode.OneOf(&r.Reader, b.DefRange, "spread", spread, string(experiment.Exponential), string(experiment.LogNormal), string(experiment.Fixed))
 			if effect == "unsafe" {
-				c.Effect = tuliprock.Unsafe
+				c.Effect = balancer.Unsafe
 			}
-			c.Spread, c.Hits = lab.Spread(spread), float64(hits)
+			c.Spread, c.Hits = experiment.Spread(spread), float64(hits)
 			if c.Aim > c.Deadline {
 				r.Fault(b.DefRange, "class %s: the aim of %v is later than the deadline of %v", c.Name, c.Aim, c.Deadline)
 			}
 			s.Classes = append(s.Classes, c)
 		},
 		"tenant name": func(b *hcl.Block) {
-			t := lab.Tenant{Name: b.Labels[0], Share: 1}
-			var quota hclbody.Rate
-			r.Body(b.Body, hclbody.Fields{"share": &t.Share, "quota": &quota}, nil)
+			t := experiment.Tenant{Name: b.Labels[0], Share: 1}
+			var quota hcldecode.Rate
+			r.Body(b.Body, hcldecode.Fields{"share": &t.Share, "quota": &quota}, nil)
 			t.Quota = float64(quota)
 			s.Tenants = append(s.Tenants, t)
 		},
@@ -314,36 +314,36 @@
 	}
 }
 
-func (r *reader) tier(b *hcl.Block, s *lab.Site) {
-	t := lab.Tier{Name: b.Labels[0], Work: 1}
+func (r *reader) tier(b *hcl.Block, s *experiment.Site) {
+	t := experiment.Tier{Name: b.Labels[0], Work: 1}
 	x := &t.Box
-	var noise, errors hclbody.Share
-	ok := r.Body(b.Body, hclbody.Fields{"boxes!": &t.Boxes, "work": &t.Work, "calls": &t.Calls, "errors": &errors, "cancel_stops": &x.CancelsStops}, hclbody.Blocks{
+	var noise, errors hcldecode.Share
+	ok := r.Body(b.Body, hcldecode.Fields{"boxes!": &t.Boxes, "work": &t.Work, "calls": &t.Calls, "errors": &errors, "cancel_stops": &x.CancelsStops}, hcldecode.Blocks{
 		"kind name": func(b *hcl.Block) {
-			k := lab.Kind{Name: b.Labels[0], Share: 1, Cores: 1, Speed: 1, Slots: 16, Queue: 200}
-			r.Body(b.Body, hclbody.Fields{"share": &k.Share, "cores": &k.Cores, "speed": &k.Speed, "slots": &k.Slots, "queue": &k.Queue}, nil)
+			k := experiment.Kind{Name: b.Labels[0], Share: 1, Cores: 1, Speed: 1, Slots: 16, Queue: 200}
+			r.Body(b.Body, hcldecode.Fields{"share": &k.Share, "cores": &k.Cores, "speed": &k.Speed, "slots": &k.Slots, "queue": &k.Queue}, nil)
 			if k.Cores < 1 || k.Slots < 1 || k.Speed <= 0 {
 				r.Fault(b.DefRange, "kind %s: cores, slots and speed must be above 0", k.Name)
 			}
 			t.Kinds = append(t.Kinds, k)
 		},
 		"cold": func(b *hcl.Block) {
-			var from hclbody.Share
-			r.Body(b.Body, hclbody.Fields{"from!": &from, "for!": &x.ColdFor}, nil)
+			var from hcldecode.Share
+			r.Body(b.Body, hcldecode.Fields{"from!": &from, "for!": &x.ColdFor}, nil)
 			x.ColdFrom = float64(from)
 		},
 		"choke": func(b *hcl.Block) {
-			r.Body(b.Body, hclbody.Fields{"at!": &x.ChokeAt, "over!": &x.ChokeOver, "slower!": &x.ChokeSlower, "below!": &x.ChokeBelow,
+			r.Body(b.Body, hcldecode.Fields{"at!": &x.ChokeAt, "over!": &x.ChokeOver, "slower!": &x.ChokeSlower, "below!": &x.ChokeBelow,
 				"rest!": &x.ChokeRest, "most": &x.ChokeMost}, nil)
 			if x.ChokeSlower < 1 {
 				r.Fault(b.DefRange, "choke: slower is %g; a choked box is slower, not faster", x.ChokeSlower)
 			}
 		},
 		"connections": func(b *hcl.Block) {
-			r.Body(b.Body, hclbody.Fields{"work": &x.ConnWork, "limit": &x.ConnLimit, "idle": &x.ConnIdle}, nil)
+			r.Body(b.Body, hcldecode.Fields{"work": &x.ConnWork, "limit": &x.ConnLimit, "idle": &x.ConnIdle}, nil)
 		},
 		"report": func(b *hcl.Block) {
-			r.Body(b.Body, hclbody.Fields{"every!": &x.ReportEvery, "delay": &x.ReportDelay, "noise": &noise}, nil)
+			r.Body(b.Body, hcldecode.Fields{"every!": &x.ReportEvery, "delay": &x.ReportDelay, "noise": &noise}, nil)
 		},
 	})
 	x.ReportNoise, x.ErrorShare = float64(noise), float64(errors)
@@ -352,7 +352,7 @@
 	}
 	t.Boxes = max(t.Boxes, 1)
 	if len(t.Kinds) == 0 {
-		t.Kinds = []lab.Kind{{Name: "box", Share: 1, Cores: 1, Speed: 1, Slots: 16, Queue: 200}}
+		t.Kinds = []experiment.Kind{{Name: "box", Share: 1, Cores: 1, Speed: 1, Slots: 16, Queue: 200}}
 	}
 	if s.Tier(t.Name) >= 0 {
 		r.Fault(b.DefRange, "tier: there are two called %q", t.Name)
@@ -360,23 +360,23 @@
 	s.Tiers = append(s.Tiers, t)
 }
 
-func (r *reader) load(b *hcl.Block, l *lab.Load) {
-	var per hclbody.Rate
-	patience := hclbody.Share(1)
-	var leave hclbody.Share
-	ok := r.Body(b.Body, hclbody.Fields{"rate": &per, "process": &l.Process, "recorded": &l.Recorded}, hclbody.Blocks{
+func (r *reader) load(b *hcl.Block, l *experiment.Load) {
+	var per hcldecode.Rate
+	patience := hcldecode.Share(1)
+	var leave hcldecode.Share
+	ok := r.Body(b.Body, hcldecode.Fields{"rate": &per, "process": &l.Process, "recorded": &l.Recorded}, hcldecode.Blocks{
 		"step": func(b *hcl.Block) {
-			s := lab.Step{Factor: 1}
-			r.Body(b.Body, hclbody.Fields{"at!": &s.At, "factor!": &s.Factor}, nil)
+			s := experiment.Step{Factor: 1}
+			r.Body(b.Body, hcldecode.Fields{"at!": &s.At, "factor!": &s.Factor}, nil)
 			l.Steps = append(l.Steps, s)
 		},
 		"clients": func(b *hcl.Block) {
 			c := &l.Clients
-			r.Body(b.Body, hclbody.Fields{"patience_least": &patience, "retries": &c.Retries, "retry_wait": &c.RetryWait, "heed": &c.Heed, "leave": &leave}, nil)
+			r.Body(b.Body, hcldecode.Fields{"patience_least": &patience, "retries": &c.Retries, "retry_wait": &c.RetryWait, "heed": &c.Heed, "leave": &leave}, nil)
 		},
 	})
 	l.Rate, l.Clients.PatienceLeast, l.Clients.Leave = float64(per), float64(patience), float64(leave)
-	hclbody.OneOf(&r.Reader, b.DefRange, "process", l.Process, "poisson", "steady", "recorded")
+	hcldecode.OneOf(&r.Reader, b.DefRange, "process", l.Process, "poisson", "steady", "recorded")
 	switch {
 	case !ok:
 	case l.Process == "recorded" && len(l.Recorded) == 0:
@@ -386,24 +386,24 @@
 	}
 }
 
-func (r *reader) failure(b *hcl.Block, e *lab.Experiment) {
-	f := lab.Fault{Kind: lab.FaultKind(b.Labels[0]), Part: 1, Size: 1, Count: 1, Period: time.Second}
+func (r *reader) failure(b *hcl.Block, e *experiment.Experiment) {
+	f := experiment.Fault{Kind: experiment.FaultKind(b.Labels[0]), Part: 1, Size: 1, Count: 1, Period: time.Second}
 	at := b.LabelRanges[0]
-	if _, ok := lab.FaultKinds[f.Kind]; !ok {
-		r.Fault(at, "fault: %q is none of %s", string(f.Kind), hclbody.Join(slices.Sorted(maps.Keys(lab.FaultKinds))))
+	if _, ok := experiment.FaultKinds[f.Kind]; !ok {
+		r.Fault(at, "fault: %q is none of %s", string(f.Kind), hcldecode.Join(slices.Sorted(maps.Keys(experiment.FaultKinds))))
 	}
-	var part = hclbody.Share(1)
-	r.Body(b.Body, hclbody.Fields{"at!": &f.At, "for": &f.For, "tier": &f.Tier, "part": &part, "size": &f.Size, "period": &f.Period, "count": &f.Count}, nil)
+	var part = hcldecode.Share(1)
+	r.Body(b.Body, hcldecode.Fields{"at!": &f.At, "for": &f.For, "tier": &f.Tier, "part": &part, "size": &f.Size, "period": &f.Period, "count": &f.Count}, nil)
 	f.Part = float64(part)
 	if f.Tier != "" && e.Site.Tier(f.Tier) < 0 {
 		r.Fault(b.DefRange, "fault: there is no tier %q above it in the file", f.Tier)
 	}
 	switch f.Kind {
-	case lab.FastErrors, lab.BreakBefore, lab.BreakAfter, lab.BreakAnswer, lab.GarbleAnswer, lab.Neighbour, lab.Deploy:
+	case experiment.FastErrors, experiment.BreakBefore, experiment.BreakAfter, experiment.BreakAnswer, experiment.GarbleAnswer, experiment.Neighbour, experiment.Deploy:
 		if f.Size > 1 || math.IsNaN(f.Size) {
 			r.Fault(b.DefRange, "fault: the size of %s is a share: %g is not from 0 to 1", f.Kind, f.Size)
 		}
-	case lab.SharedSlow:
+	case experiment.SharedSlow:
 		if f.Size < 1 {
 			r.Fault(b.DefRange, "fault: the size of %s is how many times slower: %g is under 1", f.Kind, f.Size)
 		}
--- a/internal/lab/expfile/include.go
+++ b/internal/experiment/hclfile/include.go
@@ -1,4 +1,4 @@
-package expfile
+package hclfile
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"tuliprock/internal/hclbody"
+	"rowancart/internal/hcldecode"
 )
 
 // included gives a body with all that it includes before it, so that its own words come last and count. Paths are relative to
@@ -17,21 +17,21 @@
 func included(body hcl.Body, chain []string) ([]hcl.Body, error) {
 	content, _, diags := body.PartialContent(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{{Type: "include", LabelNames: []string{"path"}}}})
 	if diags.HasErrors() {
-		return nil, hclbody.Faults(diags)
+		return nil, hcldecode.Faults(diags)
 	}
 	var out []hcl.Body
 	here := chain[len(chain)-1]
 	for _, b := range content.Blocks {
 		path := filepath.Join(filepath.Dir(here), b.Labels[0])
 		if slices.Contains(chain, path) {
-			return nil, fmt.Errorf("%s: include: %s leads back to itself: %s", hclbody.Where(b.DefRange), b.Labels[0],
+			return nil, fmt.Errorf("%s: include: %s leads back to itself: %s", hcldecode.Where(b.DefRange), b.Labels[0],
 				strings.Join(append(names(chain), filepath.Base(path)), " > "))
 		}
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return nil, fmt.Errorf("%s: include: %w", hclbody.Where(b.DefRange), err)
+			return nil, fmt.Errorf("%s: include: %w", hcldecode.Where(b.DefRange), err)
 		}
-		inner, err := hclbody.Parse(text, filepath.ToSlash(b.Labels[0]))
+		inner, err := hcldecode.Parse(text, filepath.ToSlash(b.Labels[0]))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/expfile/include_test.go
+++ b/internal/experiment/hclfile/include_test.go
@@ -1,4 +1,4 @@
-package expfile
+package hclfile
 
 import (
 	"os"
--- a/internal/lab/ledger/ledger.go
+++ b/internal/experiment/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package ledger judges a play from outside. Drivers tell it what clients, boxes and the roster saw; it is never told
+// Package invariant judges a play from outside. Drivers tell it what clients, boxes and the roster saw; it is never told
 // what the program under test says of itself. It is pure: instants are passed in.
-package ledger
+package invariant
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
 )
 
 // Rule names what a program under test must keep.
@@ -54,7 +54,7 @@
 type Request struct {
 	ID       string
 	Instance string // of the program under test that was given it
-	Effect   tuliprock.Effect
+	Effect   balancer.Effect
 	Deadline time.Duration
 	Digest   uint64 // of all that must reach boxes unchanged
 	Attempts int    // allowed by its policy; 0: not limited there
@@ -101,7 +101,7 @@
 // Ledger collects and judges. Its methods may be called from several goroutines; instants must not run backwards by
 // more than the driver's own lateness.
 type Ledger struct {
-	rules lab.Rules
+	rules experiment.Rules
 	slack time.Duration // for each limit of time, 0 in virtual time
 
 	mu       sync.Mutex
@@ -114,7 +114,7 @@
 }
 
 // New returns an empty ledger. Slack is added to each limit of time.
-func New(rules lab.Rules, slack time.Duration) *Ledger {
+func New(rules experiment.Rules, slack time.Duration) *Ledger {
 	return &Ledger{rules: rules, slack: slack, calls: map[string]*call{}, drained: map[pair]time.Duration{},
 		started: map[pair]bool{}, pressed: map[string][]press{}, verdicts: map[Rule]*Verdict{}}
 }
@@ -176,7 +176,7 @@
 			l.broken(Invented, now, "request %s at %s was served with what no box made for it", id, c.Instance)
 		}
 	case Refused:
-		if c.Effect == tuliprock.Unsafe && c.mayHaveRun() {
+		if c.Effect == balancer.Unsafe && c.mayHaveRun() {
 			l.broken(Refusal, now, "request %s at %s was refused and may have run", id, c.Instance)
 		}
 	}
@@ -265,7 +265,7 @@
 	if c.Once && slices.ContainsFunc(c.runs, func(r run) bool { return r.declined == 0 || r.declined > a.First }) {
 		l.broken(Policy, a.Last, "request %s reached %s after a run, which its policy forbids", a.ID, a.Box)
 	}
-	if c.Effect == tuliprock.Unsafe {
+	if c.Effect == balancer.Unsafe {
 		for _, r := range c.runs {
 			if r.declined == 0 || r.declined > a.First {
 				l.broken(Duplicate, a.Last, "request %s reached %s after %s, where it may have run", a.ID, a.Box, r.box)
@@ -311,11 +311,11 @@
 }
 
 // Told reports that an instance has been told a box's state; started says that it is news of a start.
-func (l *Ledger) Told(now time.Duration, instance, box string, state tuliprock.State, started bool) {
+func (l *Ledger) Told(now time.Duration, instance, box string, state balancer.State, started bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := pair{instance, box}
-	if state == tuliprock.Ready {
+	if state == balancer.Ready {
 		delete(l.drained, p)
 		l.started[p] = l.started[p] || started
 		return
@@ -365,7 +365,7 @@
 }
 
 // Uses judges a Usage against limits.
-func (l *Ledger) Uses(now time.Duration, u Usage, limits lab.Limits) {
+func (l *Ledger) Uses(now time.Duration, u Usage, limits experiment.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
--- a/internal/lab/report/report.go
+++ b/internal/experiment/report/report.go
@@ -15,10 +15,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/tally"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/invariant"
 )
 
 // Version is that of the JSON form; docs/lab.md describes it. It grows when a field changes its meaning.
@@ -153,11 +153,11 @@
 }
 
 // Reasons counts requests by the reason for which they were not served.
-type Reasons map[tuliprock.Reason]int64
+type Reasons map[balancer.Reason]int64
 
 // String words the reasons, the most frequent one first.
 func (r Reasons) String() string {
-	names := slices.SortedFunc(maps.Keys(r), func(x, y tuliprock.Reason) int { return cmp.Or(cmp.Compare(r[y], r[x]), cmp.Compare(x, y)) })
+	names := slices.SortedFunc(maps.Keys(r), func(x, y balancer.Reason) int { return cmp.Or(cmp.Compare(r[y], r[x]), cmp.Compare(x, y)) })
 	var out []string
 	for _, name := range names {
 		out = append(out, fmt.Sprintf("%s %d", name, r[name]))
@@ -175,10 +175,10 @@
 
 // Played is one play as a driver gives it.
 type Played struct {
-	Arm      lab.Arm
+	Arm      experiment.Arm
 	Seed     uint64
-	Tally    *tally.Tally
-	Verdicts []ledger.Verdict
+	Tally    *counters.Tally
+	Verdicts []invariant.Verdict
 	Cost     *Cost
 	Lateness time.Duration
 	Void     string // why the play says nothing; empty if it does
@@ -186,7 +186,7 @@
 }
 
 // New returns a report with no plays yet.
-func New(e *lab.Experiment, virtual bool) *Report {
+func New(e *experiment.Experiment, virtual bool) *Report {
 	r := &Report{Version: Version, Experiment: e.Name, Question: e.Question, Seeds: e.Seeds, Virtual: virtual,
 		Settings: e.Settings, DurationS: e.Duration.Seconds(), WarmupS: e.Warmup.Seconds()}
 	if len(e.Seeds) > 0 {
@@ -199,13 +199,13 @@
 }
 
 // Summarise turns the plays of one point into its arms, in the order of the experiment's.
-func Summarise(e *lab.Experiment, plays []Played) []Arm {
+func Summarise(e *experiment.Experiment, plays []Played) []Arm {
 	var out []Arm
 	for _, a := range e.Arms {
 		arm := Arm{Name: a.Name, Policy: a.Policy}
-		var total tally.Counts
-		classes := make([]tally.Counts, len(e.Site.Classes))
-		tenants := make([]tally.Counts, len(e.Site.Tenants))
+		var total counters.Counts
+		classes := make([]counters.Counts, len(e.Site.Classes))
+		tenants := make([]counters.Counts, len(e.Site.Tenants))
 		var requests, attempts, sent int64
 		var worth, earned float64
 		for _, p := range plays {
@@ -228,8 +228,8 @@
 			sent += t.Sent
 			worth, earned = worth+t.Worth, earned+t.Earned
 		}
-		arm.Offered, arm.ServedInTime, arm.Late = total.Offered(), total[tally.InTime], total[tally.Late]
-		arm.Refused, arm.Failed = total[tally.Refused], total[tally.Failed]
+		arm.Offered, arm.ServedInTime, arm.Late = total.Offered(), total[counters.InTime], total[counters.Late]
+		arm.Refused, arm.Failed = total[counters.Refused], total[counters.Failed]
 		arm.Attempts, arm.Worth = ratio(float64(attempts), float64(requests)), ratio(earned, worth)
 		if sent > 0 {
 			arm.Resends = ratio(float64(attempts-sent), float64(requests))
@@ -256,8 +256,8 @@
 	r := Repeat{Seed: p.Seed, Void: p.Void}
 	if t := p.Tally; t != nil {
 		r.Offered = t.Total.Offered()
-		r.ServedInTime, r.Late = t.Total.Share(tally.InTime), t.Total.Share(tally.Late)
-		r.Refused, r.Failed = t.Total.Share(tally.Refused), t.Total.Share(tally.Failed)
+		r.ServedInTime, r.Late = t.Total.Share(counters.InTime), t.Total.Share(counters.Late)
+		r.Refused, r.Failed = t.Total.Share(counters.Refused), t.Total.Share(counters.Failed)
 		r.Worth, r.Attempts = ratio(t.Earned, t.Worth), ratio(float64(t.Attempts), float64(t.Requests))
 		r.P50, r.P99 = ms(t.Quantile(0.5)), ms(t.Quantile(0.99))
 	}
@@ -288,7 +288,7 @@
 			a.Seconds = append(a.Seconds, Second{})
 		}
 		x := &a.Seconds[s]
-		x.ServedInTime, x.Late, x.Refused, x.Failed = x.ServedInTime+c[tally.InTime], x.Late+c[tally.Late], x.Refused+c[tally.Refused], x.Failed+c[tally.Failed]
+		x.ServedInTime, x.Late, x.Refused, x.Failed = x.ServedInTime+c[counters.InTime], x.Late+c[counters.Late], x.Refused+c[counters.Refused], x.Failed+c[counters.Failed]
 		n := float64(len(a.Repeats))
 		x.P99 += (ms(p.Tally.SecondP99(s)) - x.P99) / n
 	}
@@ -328,8 +328,8 @@
 	}
 }
 
-func group(name string, c tally.Counts) Group {
-	return Group{name, c.Offered(), c[tally.InTime], c[tally.Late], c[tally.Refused], c[tally.Failed]}
+func group(name string, c counters.Counts) Group {
+	return Group{name, c.Offered(), c[counters.InTime], c[counters.Late], c[counters.Refused], c[counters.Failed]}
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -358,7 +358,7 @@
 func (a *Arm) Share(n int64) float64 { return ratio(float64(n), float64(a.Offered)) }
 
 // Judge holds arms against an experiment's expectations and words those that are not met.
-func Judge(e *lab.Experiment, arms []Arm) []string {
+func Judge(e *experiment.Experiment, arms []Arm) []string {
 	var out []string
 	for _, x := range e.Expect {
 		for i := range arms {
--- a/internal/lab/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -8,33 +8,33 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/tally"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/invariant"
 )
 
 // made is a report of two repeats of one arm: of each 90 in time, 10 failed, and a rule broken once.
-func made(t *testing.T, served int) (*lab.Experiment, *Report) {
+func made(t *testing.T, served int) (*experiment.Experiment, *Report) {
 	t.Helper()
-	e := &lab.Experiment{Name: "x", Question: "<why>?", Seeds: []uint64{1, 2}, Duration: 2 * time.Second,
-		Site: lab.Site{Classes: []lab.Class{{Name: "c", Worth: 1}}}, Arms: []lab.Arm{{Name: "a", Policy: "random"}},
-		Faults: []lab.Fault{{Kind: lab.Crash, At: time.Second, For: time.Second}},
-		Expect: []lab.Expectation{{RulesKept: true, Place: "x.hcl:1:1"}, {ServedOver: 0.95, Place: "x.hcl:2:1"}, {P99Under: time.Second, Place: "x.hcl:3:1"}}}
+	e := &experiment.Experiment{Name: "x", Question: "<why>?", Seeds: []uint64{1, 2}, Duration: 2 * time.Second,
+		Site: experiment.Site{Classes: []experiment.Class{{Name: "c", Worth: 1}}}, Arms: []experiment.Arm{{Name: "a", Policy: "random"}},
+		Faults: []experiment.Fault{{Kind: experiment.Crash, At: time.Second, For: time.Second}},
+		Expect: []experiment.Expectation{{RulesKept: true, Place: "x.hcl:1:1"}, {ServedOver: 0.95, Place: "x.hcl:2:1"}, {P99Under: time.Second, Place: "x.hcl:3:1"}}}
 	var plays []Played
 	for seed := range uint64(2) {
-		y := tally.New(e)
+		y := counters.New(e)
 		for i := range 100 {
-			f := tally.InTime
+			f := counters.InTime
 			if i >= served+int(seed) {
-				f = tally.Failed
+				f = counters.Failed
 			}
 			y.Ended(e.Site.Classes[0], 0, -1, time.Duration(i)*20*time.Millisecond, time.Duration(i+1)*time.Millisecond, f)
 		}
 		y.Requests, y.Attempts = 100, 120
-		plays = append(plays, Played{Arm: e.Arms[0], Seed: seed + 1, Tally: y, Verdicts: []ledger.Verdict{
-			{Rule: ledger.Answer}, {Rule: ledger.Drain, Broken: 1, First: time.Duration(2-seed) * time.Second, Detail: "late"}}})
+		plays = append(plays, Played{Arm: e.Arms[0], Seed: seed + 1, Tally: y, Verdicts: []invariant.Verdict{
+			{Rule: invariant.Answer}, {Rule: invariant.Drain, Broken: 1, First: time.Duration(2-seed) * time.Second, Detail: "late"}}})
 	}
-	plays = append(plays, Played{Arm: e.Arms[0], Seed: 3, Tally: tally.New(e), Void: "late"})
+	plays = append(plays, Played{Arm: e.Arms[0], Seed: 3, Tally: counters.New(e), Void: "late"})
 	r := New(e, true)
 	r.Arms = Summarise(e, plays)
 	return e, r
--- a/internal/lab/campaign/campaign.go
+++ b/internal/experiment/runner/runner.go
@@ -1,6 +1,6 @@
-// Package campaign plays all that an experiment file asks for, every arm on the same arrivals and faults, and gathers
+// Package runner plays all that an experiment file asks for, every arm on the same arrivals and faults, and gathers
 // it into one report.
-package campaign
+package runner
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/expfile"
-	"tuliprock/internal/lab/report"
-	"tuliprock/internal/lab/rig"
-	"tuliprock/internal/lab/virtual"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/hclfile"
+	"rowancart/internal/experiment/report"
+	"rowancart/internal/experiment/testbed"
+	"rowancart/internal/experiment/virtual"
 )
 
 // Options say how to play.
@@ -40,14 +40,14 @@
 // job is one play.
 type job struct {
 	point int
-	arm   lab.Arm
+	arm   experiment.Arm
 	seed  uint64
 	out   report.Played
 	ok    bool
 }
 
 // Run plays and reports. When ctx ends, the report holds what was measured and says that it was stopped.
-func Run(ctx context.Context, plays []expfile.Play, o Options) (*report.Report, error) {
+func Run(ctx context.Context, plays []hclfile.Play, o Options) (*report.Report, error) {
 	for i := range plays {
 		e := &plays[i].Experiment
 		if o.Seeds != nil {
@@ -106,13 +106,13 @@
 }
 
 // narrow drops the arms and expectations that are not to be played.
-func narrow(e *lab.Experiment, o Options) error {
-	var arms []lab.Arm
+func narrow(e *experiment.Experiment, o Options) error {
+	var arms []experiment.Arm
 	var names []string
 	for _, a := range e.Arms {
 		names = append(names, a.Name)
 		virtual := a.Policy != "reverse_proxy" && a.Run == ""
-		sockets := a.Policy == "tuliprock" || a.Policy == "reverse_proxy" || a.Run != ""
+		sockets := a.Policy == experiment.DesignPolicy || a.Policy == "reverse_proxy" || a.Run != ""
 		if (o.Arm == "" || o.Arm == a.Name) && (o.Virtual && virtual || !o.Virtual && sockets) {
 			arms = append(arms, a)
 		}
@@ -125,13 +125,13 @@
 	}
 	if o.Virtual {
 		for _, f := range e.Faults {
-			if !lab.FaultKinds[f.Kind] {
+			if !experiment.FaultKinds[f.Kind] {
 				return fmt.Errorf("%s: the fault %s needs sockets", e.Name, f.Kind)
 			}
 		}
 	}
 	e.Arms = arms
-	var expect []lab.Expectation
+	var expect []experiment.Expectation
 	for _, x := range e.Expect {
 		for _, a := range arms {
 			if x.Arm == "" || x.Arm == a.Name {
@@ -151,7 +151,7 @@
 }
 
 // playVirtual plays side by side: plays share nothing, so their order does not show.
-func playVirtual(ctx context.Context, plays []expfile.Play, jobs []*job, o Options) error {
+func playVirtual(ctx context.Context, plays []hclfile.Play, jobs []*job, o Options) error {
 	// Plays make much garbage and keep little: collecting it less often makes them half as fast again.
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	group, ctx := errgroup.WithContext(ctx)
@@ -182,7 +182,7 @@
 }
 
 // playSockets plays one after another: two at a time would disturb each other.
-func playSockets(ctx context.Context, plays []expfile.Play, jobs []*job, o Options) error {
+func playSockets(ctx context.Context, plays []hclfile.Play, jobs []*job, o Options) error {
 	scratch, err := os.MkdirTemp("", "rowancart-lab-")
 	if err != nil {
 		return err
@@ -197,7 +197,7 @@
 		case j.arm.Policy == "reverse_proxy":
 			line = "exec '" + o.Self + "' lab reverse-proxy"
 		case deployed == "":
-			if deployed, err = rig.Build(ctx, o.Root); err != nil {
+			if deployed, err = testbed.Build(ctx, o.Root); err != nil {
 				return err
 			}
 			fallthrough
@@ -208,10 +208,10 @@
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			return err
 		}
-		program := rig.Command{Line: line, Dir: o.Root, Scratch: dir}
+		program := testbed.Command{Line: line, Dir: o.Root, Scratch: dir}
 		for try := 1; ; try++ {
 			o.tell(n, len(jobs), 0)
-			j.out, err = rig.Run(ctx, e, j.arm, j.seed, rig.Options{Program: program, Progress: func(now time.Duration) {
+			j.out, err = testbed.Run(ctx, e, j.arm, j.seed, testbed.Options{Program: program, Progress: func(now time.Duration) {
 				o.tell(n, len(jobs), min(now.Seconds()/e.Duration.Seconds(), 1))
 			}})
 			if errors.Is(err, context.Canceled) && ctx.Err() != nil {
--- a/internal/lab/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -13,13 +13,13 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/hashicorp/hcl/v2"
 
-	"tuliprock/internal/hclbody"
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/rival"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/baseline"
+	"rowancart/internal/hcldecode"
 )
 
 // Design is the policy that is searched for its weaknesses.
-const Design = "tuliprock"
+const Design = experiment.DesignPolicy
 
 // flap and silentCrash are drawn beside the faults that the lab has: a box that goes and comes, and one of which the roster
 // says nothing.
@@ -56,8 +56,8 @@
 }
 
 var kinds = append([]string{flap, silentCrash, step}, func() (names []string) {
-	for _, k := range slices.Sorted(maps.Keys(lab.FaultKinds)) {
-		if lab.FaultKinds[k] {
+	for _, k := range slices.Sorted(maps.Keys(experiment.FaultKinds)) {
+		if experiment.FaultKinds[k] {
 			names = append(names, string(k))
 		}
 	}
@@ -75,14 +75,14 @@
 
 // Parse reads the text of a file of bounds, called name in messages.
 func Parse(text []byte, name string) (*Bounds, error) {
-	body, err := hclbody.Parse(text, name)
+	body, err := hcldecode.Parse(text, name)
 	if err != nil {
 		return nil, err
 	}
-	r := &hclbody.Reader{}
+	r := &hcldecode.Reader{}
 	b := &Bounds{Digest: xxhash.Sum64(text)}
 	found := false
-	r.Body(body, nil, hclbody.Blocks{"search name": func(block *hcl.Block) {
+	r.Body(body, nil, hcldecode.Blocks{"search name": func(block *hcl.Block) {
 		if found {
 			r.Fault(block.DefRange, "search: there is one already")
 		}
@@ -92,16 +92,16 @@
 	if !found && len(r.Diags) == 0 {
 		r.Fault(hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}, `the file has no block "search"`)
 	}
-	return b, hclbody.Faults(r.Diags)
+	return b, hcldecode.Faults(r.Diags)
 }
 
-func readSearch(r *hclbody.Reader, block *hcl.Block, b *Bounds) {
+func readSearch(r *hcldecode.Reader, block *hcl.Block, b *Bounds) {
 	var whole [5][]uint64
 	var times [2][]time.Duration
 	var load []float64
-	var rates struct{ least, most hclbody.Rate }
-	var quiet, seems hclbody.Share
-	ok := r.Body(block.Body, hclbody.Fields{"boxes!": &whole[0], "instances!": &whole[1], "tiers!": &whole[2], "classes!": &whole[3],
+	var rates struct{ least, most hcldecode.Rate }
+	var quiet, seems hcldecode.Share
+	ok := r.Body(block.Body, hcldecode.Fields{"boxes!": &whole[0], "instances!": &whole[1], "tiers!": &whole[2], "classes!": &whole[3],
 		"faults!": &whole[4], "work!": &times[0], "duration!": &times[1], "load!": &load, "rate_least!": &rates.least,
 		"rate_most!": &rates.most, "requests!": &b.Requests, "known!": &b.Known, "quiet!": &quiet, "fault_kinds!": &b.Kinds,
 		"rivals!": &b.Rivals, "repeats!": &b.Repeats, "more_repeats!": &b.More, "seems!": &seems}, nil)
@@ -145,10 +145,10 @@
 		r.Fault(at(&b.More), "more_repeats: at least two more than repeats are wanted, to measure on plays that did not choose")
 	}
 	for _, k := range b.Kinds {
-		hclbody.OneOf(r, at(&b.Kinds), "fault_kinds", k, kinds...)
+		hcldecode.OneOf(r, at(&b.Kinds), "fault_kinds", k, kinds...)
 	}
 	for _, p := range b.Rivals {
-		hclbody.OneOf(r, at(&b.Rivals), "rivals", p, rival.Names...)
+		hcldecode.OneOf(r, at(&b.Rivals), "rivals", p, baseline.Names...)
 	}
 	if len(b.Rivals) == 0 {
 		r.Fault(at(&b.Rivals), "rivals: at least one is wanted")
--- a/internal/lab/search/draw.go
+++ b/internal/experiment/search/draw.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
 )
 
 // What a site has besides what the bounds say. The figures are those that installations are known to have, and wider.
@@ -54,14 +54,14 @@
 }
 
 // Draw gives site n of a search. The same bounds, seed and n give the same site.
-func Draw(b *Bounds, seed uint64, n int) *lab.Experiment {
-	d := drawer{lab.Rand(seed, "site "+strconv.Itoa(n))}
-	e := &lab.Experiment{Name: fmt.Sprintf("site-%d-%d", seed, n), Question: "Does the design serve as much as the best rival?", Virtual: true,
+func Draw(b *Bounds, seed uint64, n int) *experiment.Experiment {
+	d := drawer{experiment.Rand(seed, "site "+strconv.Itoa(n))}
+	e := &experiment.Experiment{Name: fmt.Sprintf("site-%d-%d", seed, n), Question: "Does the design serve as much as the best rival?", Virtual: true,
 		Settings: map[string]string{}}
 	s := &e.Site
 	s.Delay, s.Jitter, s.Attempts = d.time(20*time.Microsecond, 3*time.Millisecond), digits(d.between(0, 0.5)), 1+d.IntN(5)
-	s.Roster = lab.Roster{Delay: d.time(10*time.Millisecond, 4*time.Second), Spread: d.time(time.Millisecond, time.Second)}
-	s.Rules = lab.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second,
+	s.Roster = experiment.Roster{Delay: d.time(10*time.Millisecond, 4*time.Second), Spread: d.time(time.Millisecond, time.Second)}
+	s.Rules = experiment.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second,
 		ImproperFor: 3 * time.Second}
 	tiers := b.Tiers.Least
 	for tiers < b.Tiers.Most && d.chance(0.35) {
@@ -95,8 +95,8 @@
 	return e
 }
 
-func (d drawer) tier(t, tiers, first int, work float64) lab.Tier {
-	out := lab.Tier{Name: fmt.Sprintf("tier-%d", t+1), Boxes: first, Work: 1}
+func (d drawer) tier(t, tiers, first int, work float64) experiment.Tier {
+	out := experiment.Tier{Name: fmt.Sprintf("tier-%d", t+1), Boxes: first, Work: 1}
 	if tiers > 1 {
 		out.Work = digits(d.between(0.5, 1.5) / float64(tiers))
 	}
@@ -112,7 +112,7 @@
 	}
 	sum := 0.0
 	for i := range n {
-		k := lab.Kind{Name: fmt.Sprintf("kind-%d", i+1), Share: digits(d.between(0.2, 1)), Cores: 1 << d.IntN(4), Speed: 1}
+		k := experiment.Kind{Name: fmt.Sprintf("kind-%d", i+1), Share: digits(d.between(0.2, 1)), Cores: 1 << d.IntN(4), Speed: 1}
 		if n > 1 {
 			k.Speed = digits(d.scale(0.5, 1.6))
 		}
@@ -142,15 +142,15 @@
 	return out
 }
 
-func (d drawer) classes(b *Bounds, s *lab.Site, work float64) {
+func (d drawer) classes(b *Bounds, s *experiment.Site, work float64) {
 	for i := range d.whole(b.Classes) {
 		mean := work
 		if i > 0 {
 			mean *= d.scale(0.3, 3)
 		}
-		c := lab.Class{Name: fmt.Sprintf("class-%d", i+1), Share: digits(d.between(0.2, 1)), Worth: 1, Cv: 1,
-			Spread: []lab.Spread{lab.Exponential, lab.Exponential, lab.LogNormal, lab.Fixed}[d.IntN(4)]}
-		if c.Spread == lab.LogNormal {
+		c := experiment.Class{Name: fmt.Sprintf("class-%d", i+1), Share: digits(d.between(0.2, 1)), Worth: 1, Cv: 1,
+			Spread: []experiment.Spread{experiment.Exponential, experiment.Exponential, experiment.LogNormal, experiment.Fixed}[d.IntN(4)]}
+		if c.Spread == experiment.LogNormal {
 			c.Cv = digits(d.scale(0.3, 3))
 		}
 		longest := mean
@@ -165,7 +165,7 @@
 			c.Wait = d.time(time.Millisecond, 200*time.Millisecond)
 		}
 		if d.chance(0.35) {
-			c.Effect, c.Worth = tuliprock.Unsafe, float64(1+d.IntN(10))
+			c.Effect, c.Worth = balancer.Unsafe, float64(1+d.IntN(10))
 		}
 		usual := time.Duration(3*longest*float64(time.Second)) + c.Wait + 20*s.Delay + 20*time.Millisecond
 		c.Deadline = max(d.time(2*usual, 20*usual).Truncate(time.Millisecond), 100*time.Millisecond)
@@ -175,7 +175,7 @@
 }
 
 // load sets how much is asked, and for how long.
-func (d drawer) load(b *Bounds, e *lab.Experiment, capacity, work float64) {
+func (d drawer) load(b *Bounds, e *experiment.Experiment, capacity, work float64) {
 	l := &e.Load
 	share := d.between(b.Load.Least, min(0.9, b.Load.Most))
 	if d.chance(0.25) {
@@ -197,7 +197,7 @@
 	if d.chance(0.2) {
 		l.Process = "steady"
 	}
-	l.Clients = lab.Clients{PatienceLeast: digits(d.between(0.5, 1)), Retries: d.IntN(3), Heed: d.chance(0.5)}
+	l.Clients = experiment.Clients{PatienceLeast: digits(d.between(0.5, 1)), Retries: d.IntN(3), Heed: d.chance(0.5)}
 	if l.Clients.Retries > 0 && d.chance(0.7) {
 		l.Clients.RetryWait = d.time(50*time.Millisecond, time.Second)
 	}
@@ -207,39 +207,39 @@
 }
 
 // fault adds something that goes wrong.
-func (d drawer) fault(e *lab.Experiment, kind string) {
+func (d drawer) fault(e *experiment.Experiment, kind string) {
 	length := float64(e.Duration)
 	at, last := round(time.Duration(d.between(0.05, 0.6)*length)), round(time.Duration(d.between(0.05, 0.35)*length))
 	tier := e.Site.Tiers[d.IntN(len(e.Site.Tiers))]
 	part := digits(d.scale(min(1/float64(tier.Boxes), 0.9), 1))
-	f := lab.Fault{Kind: lab.FaultKind(kind), At: at, For: last, Tier: tier.Name, Part: part, Size: 1, Period: time.Second, Count: 1}
+	f := experiment.Fault{Kind: experiment.FaultKind(kind), At: at, For: last, Tier: tier.Name, Part: part, Size: 1, Period: time.Second, Count: 1}
 	switch f.Kind {
 	case step:
-		e.Load.Steps = append(e.Load.Steps, lab.Step{At: at, Factor: digits(d.scale(1.3, 5))}, lab.Step{At: at + last, Factor: 1})
+		e.Load.Steps = append(e.Load.Steps, experiment.Step{At: at, Factor: digits(d.scale(1.3, 5))}, experiment.Step{At: at + last, Factor: 1})
 		return
 	case flap:
-		f.Kind, f.For = lab.Crash, max(f.For/8, time.Millisecond)
+		f.Kind, f.For = experiment.Crash, max(f.For/8, time.Millisecond)
 		for range 3 {
 			e.Faults = append(e.Faults, f)
 			f.At += 2 * f.For
 		}
 	case silentCrash:
-		f.Kind = lab.Crash
-		e.Faults = append(e.Faults, lab.Fault{Kind: lab.RosterSilent, At: max(at-e.Site.Roster.Delay-e.Site.Roster.Spread, 0),
+		f.Kind = experiment.Crash
+		e.Faults = append(e.Faults, experiment.Fault{Kind: experiment.RosterSilent, At: max(at-e.Site.Roster.Delay-e.Site.Roster.Spread, 0),
 			For: last + 2*e.Site.Roster.Delay + e.Site.Roster.Spread, Part: 1, Size: 1, Period: time.Second, Count: 1})
-	case lab.FastErrors:
+	case experiment.FastErrors:
 		f.Size = digits(d.between(0.2, 1))
-	case lab.Neighbour:
+	case experiment.Neighbour:
 		f.Size, f.Period = digits(d.between(0.3, 0.9)), d.time(time.Second, 5*time.Second)
-	case lab.SharedSlow:
+	case experiment.SharedSlow:
 		f.Size, f.Tier, f.Part = digits(d.between(1.2, 3)), "", 1
-	case lab.Deploy:
+	case experiment.Deploy:
 		f.Size, f.Period = digits(d.scale(0.05, 0.5)), d.time(500*time.Millisecond, 5*time.Second)
-	case lab.BreakBefore, lab.BreakAfter, lab.BreakAnswer, lab.GarbleAnswer:
+	case experiment.BreakBefore, experiment.BreakAfter, experiment.BreakAnswer, experiment.GarbleAnswer:
 		f.Size = digits(d.scale(0.05, 1))
-	case lab.SlowAnswer:
+	case experiment.SlowAnswer:
 		f.Period = d.time(5*time.Millisecond, 2*time.Second)
-	case lab.RosterLate:
+	case experiment.RosterLate:
 		f.Period = d.time(time.Second, 10*time.Second)
 	}
 	e.Faults = append(e.Faults, f)
--- a/internal/lab/search/judge.go
+++ b/internal/experiment/search/judge.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/report"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/report"
 )
 
 // Behind is how much less worth makes a site one on which the design is behind, or ahead.
@@ -167,7 +167,7 @@
 }
 
 // Describe words a site in a line.
-func Describe(e *lab.Experiment) string {
+func Describe(e *experiment.Experiment) string {
 	s := &e.Site
 	out := fmt.Sprintf("%d instances, ", s.Balancers)
 	for i, t := range s.Tiers {
--- a/internal/lab/search/search.go
+++ b/internal/experiment/search/search.go
@@ -15,10 +15,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/report"
-	"tuliprock/internal/lab/tally"
-	"tuliprock/internal/lab/virtual"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/report"
+	"rowancart/internal/experiment/virtual"
 )
 
 // Site is what the plays of one site came to.
@@ -230,13 +230,13 @@
 	logs          []string
 }
 
-func play(ctx context.Context, e *lab.Experiment, policy string, seed uint64) (played, error) {
-	got, err := virtual.Run(ctx, e, lab.Arm{Name: policy, Policy: policy}, seed, virtual.Options{})
+func play(ctx context.Context, e *experiment.Experiment, policy string, seed uint64) (played, error) {
+	got, err := virtual.Run(ctx, e, experiment.Arm{Name: policy, Policy: policy}, seed, virtual.Options{})
 	if err != nil {
 		return played{}, err
 	}
 	t := got.Tally
-	out := played{Worth: 1, Failed: t.Total.Share(tally.Refused) + t.Total.Share(tally.Failed), Requests: t.Total.Offered(), Why: t.Why, logs: got.Logs}
+	out := played{Worth: 1, Failed: t.Total.Share(counters.Refused) + t.Total.Share(counters.Failed), Requests: t.Total.Offered(), Why: t.Why, logs: got.Logs}
 	if t.Worth > 0 {
 		out.Worth = t.Earned / t.Worth
 	}
--- a/internal/lab/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"tuliprock/internal/lab"
+	"rowancart/internal/experiment"
 )
 
 const small = `search "small" {
@@ -43,7 +43,7 @@
 
 func TestDrawnSitesAreWithinTheirBounds(t *testing.T) {
 	b := bounds(t, small)
-	struck := map[lab.FaultKind]bool{}
+	struck := map[experiment.FaultKind]bool{}
 	for n := range 300 {
 		e := Draw(b, 7, n)
 		if !reflect.DeepEqual(e, Draw(b, 7, n)) {
@@ -61,7 +61,7 @@
 		}
 		for _, f := range e.Faults {
 			struck[f.Kind] = true
-			if _, known := lab.FaultKinds[f.Kind]; !known || f.At <= 0 && f.Kind != lab.RosterSilent || f.Part <= 0 || f.Part > 1 {
+			if _, known := experiment.FaultKinds[f.Kind]; !known || f.At <= 0 && f.Kind != experiment.RosterSilent || f.Part <= 0 || f.Part > 1 {
 				t.Fatalf("site %d: %+v", n, f)
 			}
 		}
--- a/internal/lab/seed.go
+++ b/internal/experiment/seed.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"encoding/binary"
--- a/internal/lab/box/heap.go
+++ b/internal/experiment/server/heap.go
@@ -1,4 +1,4 @@
-package box
+package server
 
 // jobs is a binary heap of running jobs, the one that ends first on top. container/heap would box every job in an
 // interface on the lab's hottest path; each job knows its spot, so that one can leave early.
--- a/internal/lab/box/box.go
+++ b/internal/experiment/server/server.go
@@ -1,17 +1,17 @@
-// Package box is the model of one stand-in server. It is pure: instants are passed in, and a driver, in virtual time or
+// Package server is the model of one stand-in server. It is pure: instants are passed in, and a driver, in virtual time or
 // on sockets, asks when the box wants to be looked at next.
 //
 // A request occupies a slot from its admission to its end, also while it waits for something else, such as the next
 // tier. Of the requests in slots, those that compute share the cores evenly (processor sharing); with as many slots as
 // cores each has a core to itself, and the box is the M/G/c queue of the textbooks.
-package box
+package server
 
 import (
 	"math"
 	"math/rand/v2"
 	"time"
 
-	"tuliprock/internal/lab"
+	"rowancart/internal/experiment"
 )
 
 // coldStep is how finely the growth of a cold box's capacity is followed.
@@ -55,9 +55,9 @@
 
 // Box is one server.
 type Box struct {
-	kind lab.Kind
-	spec lab.BoxSpec
-	rule lab.Rules
+	kind experiment.Kind
+	spec experiment.BoxSpec
+	rule experiment.Rules
 	rng  *rand.Rand
 
 	now     time.Duration
@@ -103,7 +103,7 @@
 const never = time.Duration(math.MaxInt64)
 
 // New returns a box that started at the instant given, a negative one meaning long ago.
-func New(kind lab.Kind, spec lab.BoxSpec, rules lab.Rules, started time.Duration, rng *rand.Rand) *Box {
+func New(kind experiment.Kind, spec experiment.BoxSpec, rules experiment.Rules, started time.Duration, rng *rand.Rand) *Box {
 	return &Box{kind: kind, spec: spec, rule: rules, rng: rng, started: started, slow: 1, overSince: -1, idleSince: -1,
 		chokedAt: -1, now: max(started, 0)}
 }
--- a/internal/lab/box/box_test.go
+++ b/internal/experiment/server/server_test.go
@@ -1,4 +1,4 @@
-package box
+package server
 
 import (
 	"math"
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/lab"
+	"rowancart/internal/experiment"
 )
 
 // station plays one box by itself: requests arrive at random and compute once.
 type station struct {
-	kind    lab.Kind
+	kind    experiment.Kind
 	rate    float64 // arrivals a second
 	work    func(*rand.Rand) float64
 	count   int
@@ -23,7 +23,7 @@
 func (s *station) play(t *testing.T) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(7, 11))
-	b := New(s.kind, lab.BoxSpec{}, lab.Rules{}, -1, rng)
+	b := New(s.kind, experiment.BoxSpec{}, experiment.Rules{}, -1, rng)
 	type entry struct {
 		at   time.Duration
 		work float64
@@ -79,14 +79,14 @@
 	const n = 600_000
 	t.Run("M/M/1", func(t *testing.T) {
 		t.Parallel()
-		s := station{kind: lab.Kind{Cores: 1, Speed: 2, Slots: 1, Queue: plenty}, rate: 14, work: exponential(0.1), count: n}
+		s := station{kind: experiment.Kind{Cores: 1, Speed: 2, Slots: 1, Queue: plenty}, rate: 14, work: exponential(0.1), count: n}
 		s.play(t)
 		rho, mu := 0.7, 20.0
 		within(t, "mean wait", s.waits, rho/(mu*(1-rho)), 0.03)
 	})
 	t.Run("M/D/1", func(t *testing.T) {
 		t.Parallel()
-		s := station{kind: lab.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: plenty}, rate: 8,
+		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: plenty}, rate: 8,
 			work: func(*rand.Rand) float64 { return 0.1 }, count: n}
 		s.play(t)
 		rho, mu := 0.8, 10.0
@@ -95,7 +95,7 @@
 	t.Run("M/M/c", func(t *testing.T) {
 		t.Parallel()
 		const c, lambda, mu = 4, 30.0, 10.0
-		s := station{kind: lab.Kind{Cores: c, Speed: 1, Slots: c, Queue: plenty}, rate: lambda, work: exponential(1 / mu), count: n}
+		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, Queue: plenty}, rate: lambda, work: exponential(1 / mu), count: n}
 		s.play(t)
 		a := lambda / mu
 		sum, term := 0.0, 1.0
@@ -109,7 +109,7 @@
 	t.Run("M/M/c/K", func(t *testing.T) {
 		t.Parallel()
 		const c, k, lambda, mu = 3, 8, 36.0, 10.0
-		s := station{kind: lab.Kind{Cores: c, Speed: 1, Slots: c, Queue: k - c}, rate: lambda, work: exponential(1 / mu), count: n}
+		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, Queue: k - c}, rate: lambda, work: exponential(1 / mu), count: n}
 		s.play(t)
 		p, sum := 1.0, 1.0
 		for i := 1; i <= k; i++ {
@@ -120,7 +120,7 @@
 	})
 	t.Run("M/G/1 processor sharing", func(t *testing.T) {
 		t.Parallel()
-		s := station{kind: lab.Kind{Cores: 1, Speed: 1, Slots: plenty, Queue: 0}, rate: 6,
+		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: plenty, Queue: 0}, rate: 6,
 			work: func(r *rand.Rand) float64 { // two sorts of very different size, mean 0.1
 				if r.Float64() < 0.1 {
 					return 0.55
@@ -148,7 +148,7 @@
 }
 
 func TestSlotIsKeptWhileWaiting(t *testing.T) {
-	b := New(lab.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 1}, lab.BoxSpec{}, lab.Rules{}, -1, lab.Rand(1, "b"))
+	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 1}, experiment.BoxSpec{}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	first, second, third := job(0.1), job(0.2), job(0.1)
 	if b.Arrive(0, first, 0.1) != Admitted || b.Arrive(0, second, 0.2) != Admitted {
 		t.Fatal("the slot or the room was refused")
@@ -172,10 +172,10 @@
 }
 
 func TestColdBoxWarmsAndFallsOver(t *testing.T) {
-	spec := lab.BoxSpec{ColdFrom: 0.25, ColdFor: 4 * time.Second}
-	rules := lab.Rules{FallOver: 4, FallWindow: time.Second}
-	kind := lab.Kind{Cores: 1, Speed: 1, Slots: 10, Queue: 100}
-	b := New(kind, spec, rules, 0, lab.Rand(1, "b"))
+	spec := experiment.BoxSpec{ColdFrom: 0.25, ColdFor: 4 * time.Second}
+	rules := experiment.Rules{FallOver: 4, FallWindow: time.Second}
+	kind := experiment.Kind{Cores: 1, Speed: 1, Slots: 10, Queue: 100}
+	b := New(kind, spec, rules, 0, experiment.Rand(1, "b"))
 	b.Arrive(0, job(0.25), 0.25)
 	// Attained work is the integral of 0.25 + 0.1875 t: 0.25 at t = 0.781 s, less what small steps leave.
 	if at := ends(b, 2*time.Second); len(at) != 1 || math.Abs(at[0].Seconds()-0.781) > 0.02 {
@@ -205,8 +205,8 @@
 }
 
 func TestChoke(t *testing.T) {
-	spec := lab.BoxSpec{ChokeAt: 2, ChokeOver: 500 * time.Millisecond, ChokeSlower: 2, ChokeBelow: 1, ChokeRest: time.Second}
-	b := New(lab.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 100}, spec, lab.Rules{}, -1, lab.Rand(1, "b"))
+	spec := experiment.BoxSpec{ChokeAt: 2, ChokeOver: 500 * time.Millisecond, ChokeSlower: 2, ChokeBelow: 1, ChokeRest: time.Second}
+	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 100}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	for range 5 {
 		b.Arrive(0, job(0.3), 0.3)
 	}
@@ -225,7 +225,7 @@
 }
 
 func TestCrashEndsAllJobs(t *testing.T) {
-	b := New(lab.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 5}, lab.BoxSpec{ConnLimit: 1}, lab.Rules{}, -1, lab.Rand(1, "b"))
+	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 5}, experiment.BoxSpec{ConnLimit: 1}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	jobs := []*Job{job(1), job(1)}
 	for _, j := range jobs {
 		b.Arrive(0, j, 1)
@@ -246,8 +246,8 @@
 }
 
 func TestReportsAreLateAndHeld(t *testing.T) {
-	spec := lab.BoxSpec{ReportEvery: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond}
-	b := New(lab.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 9}, spec, lab.Rules{}, -1, lab.Rand(1, "b"))
+	spec := experiment.BoxSpec{ReportEvery: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond}
+	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 9}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	ms := time.Millisecond
 	look := func(at time.Duration, want float64) {
 		t.Helper()
--- a/internal/lab/speed/speed.go
+++ b/internal/experiment/speed/speed.go
@@ -40,8 +40,11 @@
 	Folder      string // for configurations and logs
 }
 
+// sidecarProgram is the name of the platform's sidecar in flags and reports.
+const sidecarProgram = "tuliprock"
+
 // Programs are what can be compared.
-var Programs = []string{"tuliprock", "daemon", "reverse_proxy", "fasthttp"}
+var Programs = []string{sidecarProgram, "daemon", "reverse_proxy", "fasthttp"}
 
 // Result is what was measured of one program: medians over its turns.
 type Result struct {
@@ -197,7 +200,7 @@
 	var args []string
 	env := append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(o.Cores))
 	switch name {
-	case "tuliprock", "reverse_proxy":
+	case sidecarProgram, "reverse_proxy":
 		file += ".json"
 		if err := os.WriteFile(file, sidecarConfig(o, addr, roster, boxes), 0o600); err != nil {
 			return nil, err
--- a/internal/lab/subsets/subsets.go
+++ b/internal/experiment/subsets/subsets.go
@@ -13,9 +13,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"tuliprock"
-	"tuliprock/internal/engine"
-	"tuliprock/internal/subset"
+	"rowancart/balancer"
+	"rowancart/internal/proxy"
+	"rowancart/internal/subset"
 )
 
 // chooser gives the endpoints of each instance after each change of the list.
@@ -50,23 +50,23 @@
 	}
 	known := map[string]bool{}
 	return func(boxes []string) [][]string {
-		var m engine.Members
+		var m proxy.Members
 		now := map[string]bool{}
 		for _, b := range boxes {
 			if now[b] = true; !known[b] {
-				m.Members = append(m.Members, engine.Member{ID: b})
+				m.Members = append(m.Members, proxy.Member{ID: b})
 			}
 		}
 		for b := range known { // the order makes no difference to the filter
 			if !now[b] {
-				m.Members = append(m.Members, engine.Member{ID: b, State: tuliprock.Gone})
+				m.Members = append(m.Members, proxy.Member{ID: b, State: balancer.Gone})
 			}
 		}
 		known = now
 		out := make([][]string, instances)
 		for i, f := range filters {
 			for _, e := range f.Hear(m).Members {
-				if e.State == tuliprock.Gone {
+				if e.State == balancer.Gone {
 					delete(held[i], e.ID)
 				} else {
 					held[i][e.ID] = true
