--- a/internal/lab/rig/breach_test.go
+++ b/internal/experiment/testbed/breach_test.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"bufio"
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/tally"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/invariant"
 )
 
 // proxy is a small sidecar that keeps every rule, but for the one breach that it is told to commit.
@@ -78,11 +78,11 @@
 func (p *proxy) Kill()                 { p.stop(); p.server.Close(); <-p.done }
 
 // Usage stands in for the kernel's figures: an instance within the test process has none of its own.
-func (p *proxy) Usage() (ledger.Usage, time.Duration, bool) {
+func (p *proxy) Usage() (invariant.Usage, time.Duration, bool) {
 	if p.breach == "uses too much" {
-		return ledger.Usage{MemoryMB: 65}, 0, true
+		return invariant.Usage{MemoryMB: 65}, 0, true
 	}
-	return ledger.Usage{MemoryMB: 1}, 0, true
+	return invariant.Usage{MemoryMB: 1}, 0, true
 }
 
 // follow asks for the list again and again.
@@ -220,50 +220,50 @@
 	}
 }
 
-func small() *lab.Experiment {
-	class := lab.Class{Name: "lookup", Share: 0.5, Work: 4 * time.Millisecond, Spread: lab.Fixed, Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1}
+func small() *experiment.Experiment {
+	class := experiment.Class{Name: "lookup", Share: 0.5, Work: 4 * time.Millisecond, Spread: experiment.Fixed, Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1}
 	submit := class
-	submit.Name, submit.Effect = "submit", tuliprock.Unsafe
-	return &lab.Experiment{Name: "small", Duration: 1500 * time.Millisecond,
-		Site: lab.Site{Balancers: 1, Attempts: 3, Classes: []lab.Class{class, submit}, Limits: lab.Limits{MemoryMB: 64},
-			Roster: lab.Roster{Delay: 50 * time.Millisecond},
-			Tiers: []lab.Tier{{Name: "box", Boxes: 4, Work: 1, Kinds: []lab.Kind{{Name: "std", Share: 1, Cores: 1, Speed: 1, Slots: 8, Queue: 50}},
-				Box: lab.BoxSpec{ColdFrom: 0.05, ColdFor: 10 * time.Second}}},
-			Rules: lab.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second, ImproperFor: 1500 * time.Millisecond}},
-		Load: lab.Load{Rate: 80, Process: "poisson", Clients: lab.Clients{PatienceLeast: 1}},
+	submit.Name, submit.Effect = "submit", balancer.Unsafe
+	return &experiment.Experiment{Name: "small", Duration: 1500 * time.Millisecond,
+		Site: experiment.Site{Balancers: 1, Attempts: 3, Classes: []experiment.Class{class, submit}, Limits: experiment.Limits{MemoryMB: 64},
+			Roster: experiment.Roster{Delay: 50 * time.Millisecond},
+			Tiers: []experiment.Tier{{Name: "box", Boxes: 4, Work: 1, Kinds: []experiment.Kind{{Name: "std", Share: 1, Cores: 1, Speed: 1, Slots: 8, Queue: 50}},
+				Box: experiment.BoxSpec{ColdFrom: 0.05, ColdFor: 10 * time.Second}}},
+			Rules: experiment.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second, ImproperFor: 1500 * time.Millisecond}},
+		Load: experiment.Load{Rate: 80, Process: "poisson", Clients: experiment.Clients{PatienceLeast: 1}},
 	}
 }
 
 func TestLedgerNamesPlantedBreaches(t *testing.T) {
-	deploy := []lab.Fault{{Kind: lab.Deploy, At: 100 * time.Millisecond, For: time.Millisecond, Part: 0.25, Size: 0.25, Period: 1900 * time.Millisecond}}
-	cold := []lab.Fault{{Kind: lab.Deploy, At: 100 * time.Millisecond, For: time.Millisecond, Part: 0.25, Size: 0.25, Period: 300 * time.Millisecond}}
-	peers := []lab.Fault{{Kind: lab.SilentPeer, At: 100 * time.Millisecond, Count: 2, Period: 50 * time.Millisecond}, {Kind: lab.HalfPeer, At: 100 * time.Millisecond, Count: 1}}
+	deploy := []experiment.Fault{{Kind: experiment.Deploy, At: 100 * time.Millisecond, For: time.Millisecond, Part: 0.25, Size: 0.25, Period: 1900 * time.Millisecond}}
+	cold := []experiment.Fault{{Kind: experiment.Deploy, At: 100 * time.Millisecond, For: time.Millisecond, Part: 0.25, Size: 0.25, Period: 300 * time.Millisecond}}
+	peers := []experiment.Fault{{Kind: experiment.SilentPeer, At: 100 * time.Millisecond, Count: 2, Period: 50 * time.Millisecond}, {Kind: experiment.HalfPeer, At: 100 * time.Millisecond, Count: 1}}
 	long := 2500 * time.Millisecond
 	for _, c := range []struct {
 		breach string
-		rule   ledger.Rule
-		faults []lab.Fault
+		rule   invariant.Rule
+		faults []experiment.Fault
 		length time.Duration
 	}{
 		{breach: "none", faults: append(slices.Clone(deploy), peers...), length: long},
-		{breach: "sends twice", rule: ledger.Duplicate},
-		{breach: "answers by itself", rule: ledger.Invented},
-		{breach: "heeds no roster", rule: ledger.Drain, faults: deploy, length: long},
-		{breach: "loses on close", rule: ledger.Answer},
-		{breach: "never answers", rule: ledger.Answer},
-		{breach: "smuggles", rule: ledger.Foreign},
-		{breach: "changes what it carries", rule: ledger.Foreign},
-		{breach: "buries a cold box", rule: ledger.Cold, faults: cold},
-		{breach: "refuses what has run", rule: ledger.Refusal},
-		{breach: "holds improper peers", rule: ledger.Improper, faults: peers},
-		{breach: "uses too much", rule: ledger.Limits},
-		{breach: "crashes", rule: ledger.Limits},
+		{breach: "sends twice", rule: invariant.Duplicate},
+		{breach: "answers by itself", rule: invariant.Invented},
+		{breach: "heeds no roster", rule: invariant.Drain, faults: deploy, length: long},
+		{breach: "loses on close", rule: invariant.Answer},
+		{breach: "never answers", rule: invariant.Answer},
+		{breach: "smuggles", rule: invariant.Foreign},
+		{breach: "changes what it carries", rule: invariant.Foreign},
+		{breach: "buries a cold box", rule: invariant.Cold, faults: cold},
+		{breach: "refuses what has run", rule: invariant.Refusal},
+		{breach: "holds improper peers", rule: invariant.Improper, faults: peers},
+		{breach: "uses too much", rule: invariant.Limits},
+		{breach: "crashes", rule: invariant.Limits},
 	} {
 		t.Run(c.breach, func(t *testing.T) {
 			t.Parallel()
 			e := small()
 			e.Faults = c.faults
-			if c.rule == ledger.Cold {
+			if c.rule == invariant.Cold {
 				for i := range e.Site.Classes {
 					e.Site.Classes[i].Work = 15 * time.Millisecond
 				}
@@ -271,7 +271,7 @@
 			if c.length > 0 {
 				e.Duration = c.length
 			}
-			got, err := Run(t.Context(), e, lab.Arm{Name: c.breach}, 1, Options{Program: planted(c.breach)})
+			got, err := Run(t.Context(), e, experiment.Arm{Name: c.breach}, 1, Options{Program: planted(c.breach)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -283,7 +283,7 @@
 					t.Errorf("rule %q: broken %d times: %s", v.Rule, v.Broken, v.Detail)
 				}
 			}
-			if c.rule == "" && got.Tally.Total.Share(tally.InTime) < 0.9 {
+			if c.rule == "" && got.Tally.Total.Share(counters.InTime) < 0.9 {
 				t.Errorf("a proxy that keeps the rules served %v", got.Tally.Total)
 			}
 		})
--- a/internal/lab/rig/clients.go
+++ b/internal/experiment/testbed/clients.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"context"
@@ -9,18 +9,18 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/tally"
-	"tuliprock/internal/lab/traffic"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/experiment/traffic"
 )
 
 // wanted is what boxes must know of a request to play their part.
 type wanted struct {
 	class    int
 	work     float64 // seconds, over all tiers
-	effect   tuliprock.Effect
+	effect   balancer.Effect
 	tenant   string
 	deadline time.Duration // the class's whole time
 }
@@ -46,7 +46,7 @@
 
 // outcome is how a try ended.
 type outcome struct {
-	fate       ledger.Fate
+	fate       invariant.Fate
 	retryAfter time.Duration
 	nobody     bool // no connection came about: nothing was asked
 	left       bool
@@ -65,12 +65,12 @@
 			if try > 0 {
 				r.ledger.Excuse(m.id)
 			}
-			return outcome{fate: ledger.Failed, nobody: true}
+			return outcome{fate: invariant.Failed, nobody: true}
 		}
 		start := time.Now()
 		deadline := start.Add(m.patience)
 		if try == 0 {
-			r.ledger.Taken(r.now(), ledger.Request{ID: m.id, Instance: s.name, Effect: q.effect, Deadline: r.now() + m.patience, Digest: m.digest()})
+			r.ledger.Taken(r.now(), invariant.Request{ID: m.id, Instance: s.name, Effect: q.effect, Deadline: r.now() + m.patience, Digest: m.digest()})
 		}
 		stop := context.AfterFunc(ctx, func() { // before its connection goes: what ends by that is no loss
 			r.ledger.Excuse(m.id)
@@ -80,7 +80,7 @@
 		used := c.used
 		if !stop() {
 			l.drop(c)
-			return outcome{fate: ledger.Failed, left: true}
+			return outcome{fate: invariant.Failed, left: true}
 		}
 		if err == nil && reusable {
 			l.put(c)
@@ -90,33 +90,33 @@
 		switch {
 		case errors.Is(err, errSilent):
 			r.ledger.Unanswered(m.id)
-			return outcome{fate: ledger.Failed}
+			return outcome{fate: invariant.Failed}
 		case errors.Is(err, errClosed):
 			if !used || s.killed.Load() {
 				r.ledger.Excuse(m.id) // TERMS, Failed and lost requests
-				return outcome{fate: ledger.Failed}
+				return outcome{fate: invariant.Failed}
 			}
 			if r.ledger.Lost(r.now(), m.id) {
-				return outcome{fate: ledger.Failed}
+				return outcome{fate: invariant.Failed}
 			}
 			continue
 		}
 		out := outcome{retryAfter: a.retryAfter}
 		switch {
 		case a.torn:
-			out.fate = ledger.Torn
+			out.fate = invariant.Torn
 		case a.status == http.StatusOK:
-			out.fate = ledger.Served
+			out.fate = invariant.Served
 		case a.status == http.StatusTooManyRequests || a.status == http.StatusServiceUnavailable:
-			out.fate = ledger.Refused
+			out.fate = invariant.Refused
 		default:
-			out.fate = ledger.Failed
+			out.fate = invariant.Failed
 		}
 		r.ledger.Answered(r.now(), m.id, out.fate, xxhash.Sum64(a.body))
 		return out
 	}
 	r.ledger.Excuse(m.id)
-	return outcome{fate: ledger.Failed}
+	return outcome{fate: invariant.Failed}
 }
 
 // client plays one client: its request, at the time intended, and its retries.
@@ -131,12 +131,12 @@
 		left := v.At + class.Deadline - now
 		patience := min(v.Patience, left)
 		if patience < time.Millisecond {
-			r.ended(class, v, tally.Failed)
+			r.ended(class, v, counters.Failed)
 			return
 		}
 		m := &message{id: strconv.FormatUint(v.Seed, 16) + "-" + strconv.Itoa(n) + "-" + strconv.Itoa(try), method: http.MethodGet,
 			target: "/" + class.Name + "/" + strconv.Itoa(n), tenant: q.tenant, patience: patience, retry: try > 0}
-		if class.Effect != tuliprock.Safe {
+		if class.Effect != balancer.Safe {
 			m.method, m.body = http.MethodPost, []byte("return of household "+strconv.Itoa(n))
 		}
 		r.remember(m.id, q)
@@ -151,23 +151,23 @@
 		if out.left || r.work.Err() != nil {
 			return
 		}
-		if out.fate == ledger.Served {
-			fate := tally.InTime
+		if out.fate == invariant.Served {
+			fate := counters.InTime
 			if r.now()-v.At > class.Aim {
-				fate = tally.Late
+				fate = counters.Late
 			}
 			r.ended(class, v, fate)
 			return
 		}
-		harmless := class.Effect == tuliprock.Safe || out.fate == ledger.Refused || out.nobody
+		harmless := class.Effect == balancer.Safe || out.fate == invariant.Refused || out.nobody
 		wait := r.e.Load.Clients.RetryWait << try
 		if r.e.Load.Clients.Heed {
 			wait = max(wait, out.retryAfter)
 		}
 		if !harmless || try >= r.e.Load.Clients.Retries || r.now()+wait >= v.At+class.Deadline {
-			fate := tally.Failed
-			if out.fate == ledger.Refused {
-				fate = tally.Refused
+			fate := counters.Failed
+			if out.fate == invariant.Refused {
+				fate = counters.Refused
 			}
 			r.ended(class, v, fate)
 			return
@@ -180,7 +180,7 @@
 	}
 }
 
-func (r *run) ended(c lab.Class, v *traffic.Request, f tally.Fate) {
+func (r *run) ended(c experiment.Class, v *traffic.Request, f counters.Fate) {
 	took := r.now() - v.At
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/rig/roster.go
+++ b/internal/experiment/testbed/discovery.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // entry is a box as the roster lists it (PROTOCOL, Discovery).
@@ -40,7 +40,7 @@
 	beat          = 2 * time.Second // an empty line comes this often while nothing changes
 )
 
-var states = map[string]tuliprock.State{stateReady: tuliprock.Ready, stateDraining: tuliprock.Draining, stateGone: tuliprock.Gone}
+var states = map[string]balancer.State{stateReady: balancer.Ready, stateDraining: balancer.Draining, stateGone: balancer.Gone}
 
 // feed is the roster as one sidecar sees it, at an address of its own.
 type feed struct {
--- a/internal/lab/rig/peers.go
+++ b/internal/experiment/testbed/peers.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"bufio"
@@ -7,14 +7,14 @@
 	"net/http"
 	"time"
 
-	"tuliprock/internal/lab"
+	"rowancart/internal/experiment"
 )
 
 // hugeSize is what a peer sends that sends too much (TERMS, Improper peers).
 const hugeSize = 60 << 20
 
 // peer plays one improper peer before a sidecar and reports how it ended.
-func (r *run) peer(kind lab.FaultKind, s *sidecar) {
+func (r *run) peer(kind experiment.FaultKind, s *sidecar) {
 	nc, err := net.DialTimeout("tcp", s.addr, dialTimeout)
 	if err != nil {
 		return // a sidecar that is down owes nothing
@@ -24,10 +24,10 @@
 	limit := r.e.Site.Rules.ImproperFor
 	what := "sent nothing"
 	switch kind {
-	case lab.HalfPeer:
+	case experiment.HalfPeer:
 		what = "sent half a request"
 		_, _ = nc.Write([]byte("GET /" + r.e.Site.Classes[0].Name + "/x HTTP/1.1\r\nHost: x\r\nReq-Id: half"))
-	case lab.HugePeer:
+	case experiment.HugePeer:
 		what = "sent 60 MB"
 		limit *= 2
 		go func() { // ends with the connection
@@ -58,7 +58,7 @@
 		got = false
 	}
 	ended := r.now()
-	if kind == lab.HugePeer { // its limit is twice the others'
+	if kind == experiment.HugePeer { // its limit is twice the others'
 		ended = connected + (ended-connected)/2
 	}
 	r.ledger.ImproperEnd(connected, ended, what, got, served)
--- a/internal/lab/rig/program.go
+++ b/internal/experiment/testbed/program.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"tuliprock/internal/lab/ledger"
+	"rowancart/internal/experiment/invariant"
 )
 
 // Config is what a program under test is told, in the form of DEPLOY.
@@ -57,7 +57,7 @@
 	// How tells how it ended, with the last that it wrote.
 	How() string
 	// Usage tells what it uses and the CPU time that it has used; ok is false where that can't be known.
-	Usage() (u ledger.Usage, cpu time.Duration, ok bool)
+	Usage() (u invariant.Usage, cpu time.Duration, ok bool)
 }
 
 // Command is a program that is started by a command line, as deploy/balancer.toml names one.
@@ -194,7 +194,7 @@
 const tick = 10 * time.Millisecond
 
 // Usage implements Running.
-func (p *process) Usage() (u ledger.Usage, cpu time.Duration, ok bool) {
+func (p *process) Usage() (u invariant.Usage, cpu time.Duration, ok bool) {
 	dir := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
--- a/internal/lab/rig/boxes.go
+++ b/internal/experiment/testbed/servers.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"bufio"
@@ -16,11 +16,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/box"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/tally"
-	"tuliprock/internal/lab/traffic"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/experiment/server"
+	"rowancart/internal/experiment/traffic"
 )
 
 // host is a stand-in box: the model behind a listener. It reads HTTP/1.1 by itself, so that it knows when a request's
@@ -36,10 +36,10 @@
 	calls      *links
 
 	mu     sync.Mutex
-	box    *box.Box
+	box    *server.Box
 	alarm  *time.Timer
-	done   []*box.Job
-	stats  tally.Box
+	done   []*server.Job
+	stats  counters.Box
 	came   time.Duration
 	gone   time.Duration
 	rng    *rand.Rand
@@ -55,7 +55,7 @@
 	failing, before, after, within, garble float64
 	delay                                  time.Duration
 	vanished, stalled                      bool
-	slow                                   map[lab.FaultKind]float64
+	slow                                   map[experiment.FaultKind]float64
 }
 
 func (r *run) newHost(tier, place, generation int, started time.Duration) (*host, error) {
@@ -67,11 +67,11 @@
 		return nil, fmt.Errorf("box %s: %w", name, err)
 	}
 	r.hosts++
-	h := &host{r: r, tier: tier, place: place, generation: generation, name: name, listener: l, rng: lab.Rand(r.seed, "faults of "+name),
-		box:  box.New(kind, t.Box, r.e.Site.Rules, started, lab.Rand(r.seed, "box "+name)),
+	h := &host{r: r, tier: tier, place: place, generation: generation, name: name, listener: l, rng: experiment.Rand(r.seed, "faults of "+name),
+		box:  server.New(kind, t.Box, r.e.Site.Rules, started, experiment.Rand(r.seed, "box "+name)),
 		came: max(started, 0), conns: map[net.Conn]bool{}, died: make(chan struct{}), wake: make(chan struct{}),
-		stats: tally.Box{Name: name, Kind: kind.Name, Cores: kind.Cores, Fresh: started >= 0}}
-	h.faults.slow = map[lab.FaultKind]float64{}
+		stats: counters.Box{Name: name, Kind: kind.Name, Cores: kind.Cores, Fresh: started >= 0}}
+	h.faults.slow = map[experiment.FaultKind]float64{}
 	h.alarm = time.AfterFunc(time.Hour, h.ring)
 	r.group.Go(h.accept)
 	return h, nil
@@ -253,13 +253,13 @@
 		h.quiet(died)
 		return false
 	}
-	h.r.ledger.Reached(ledger.Arrival{ID: id, Box: h.name, First: first, Last: last, Digest: digest(req.Method, req.URL.RequestURI(), id, body),
+	h.r.ledger.Reached(invariant.Arrival{ID: id, Box: h.name, First: first, Last: last, Digest: digest(req.Method, req.URL.RequestURI(), id, body),
 		Cold: cold, Work: work})
 	if fails {
 		return h.write(nc, died, http.StatusInternalServerError, nil, id)
 	}
 	through := make(chan struct{}, 1)
-	j := &box.Job{Owner: through, Work: work}
+	j := &server.Job{Owner: through, Work: work}
 	calls, rest := 0, 0.0
 	if h.below != nil {
 		calls, rest = t.Calls, work/2
@@ -269,17 +269,17 @@
 	now := h.advance()
 	verdict := h.box.Arrive(now, j, work)
 	h.stats.Arrivals++
-	if verdict == box.Declined {
+	if verdict == server.Declined {
 		h.stats.Declined++
 	}
-	fell := verdict == box.Dead && h.box.Fell()
+	fell := verdict == server.Dead && h.box.Fell()
 	h.reschedule()
 	h.mu.Unlock()
 	switch verdict {
-	case box.Declined:
+	case server.Declined:
 		h.r.ledger.Declined(now, h.name, id)
 		return h.write(nc, died, http.StatusServiceUnavailable, nil, id)
-	case box.Dead:
+	case server.Dead:
 		if fell {
 			h.r.ledger.Fell(now, h.name)
 			h.crash()
@@ -351,7 +351,7 @@
 		patience: q.deadline, body: body}
 	h.r.remember(m.id, q)
 	out := h.r.ask(m, q, h.below, h.calls, context.Background())
-	return out.fate == ledger.Served
+	return out.fate == invariant.Served
 }
 
 // quiet waits while the machine says nothing, or until it is no more.
@@ -469,27 +469,27 @@
 	}
 	f := &h.faults
 	switch c.Kind {
-	case lab.FastErrors:
+	case experiment.FastErrors:
 		f.failing = size
-	case lab.BreakBefore:
+	case experiment.BreakBefore:
 		f.before = size
-	case lab.BreakAfter:
+	case experiment.BreakAfter:
 		f.after = size
-	case lab.BreakAnswer:
+	case experiment.BreakAnswer:
 		f.within = size
-	case lab.GarbleAnswer:
+	case experiment.GarbleAnswer:
 		f.garble = size
-	case lab.SlowAnswer:
+	case experiment.SlowAnswer:
 		f.delay = period
-	case lab.Vanish:
+	case experiment.Vanish:
 		f.vanished = c.On
-	case lab.StallAccept:
+	case experiment.StallAccept:
 		f.stalled = c.On
-	case lab.Neighbour, lab.SharedSlow:
+	case experiment.Neighbour, experiment.SharedSlow:
 		factor := 1.0
 		if c.On {
 			factor = c.Fault.Size
-			if c.Kind == lab.Neighbour {
+			if c.Kind == experiment.Neighbour {
 				factor = 1 / (1 - min(c.Fault.Size, 0.99))
 			}
 		}
--- a/internal/lab/rig/rig.go
+++ b/internal/experiment/testbed/testbed.go
@@ -1,6 +1,6 @@
-// Package rig plays an experiment on real sockets: stand-in boxes, roster and clients on loopback addresses, and the
+// Package testbed plays an experiment on real sockets: stand-in boxes, roster and clients on loopback addresses, and the
 // programs under test as child processes. It measures its own lateness: a play in which it was late says nothing.
-package rig
+package testbed
 
 import (
 	"cmp"
@@ -17,12 +17,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/report"
-	"tuliprock/internal/lab/tally"
-	"tuliprock/internal/lab/traffic"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/experiment/report"
+	"rowancart/internal/experiment/traffic"
 )
 
 const (
@@ -64,12 +64,12 @@
 
 // run is one play.
 type run struct {
-	arm     lab.Arm
-	e       *lab.Experiment
+	arm     experiment.Arm
+	e       *experiment.Experiment
 	seed    uint64
 	program Program
 	within  time.Duration // in which a program must be healthy
-	ledger  *ledger.Ledger
+	ledger  *invariant.Ledger
 	group   *errgroup.Group // all that serves
 	work    context.Context // ends with the play
 	stop    context.CancelCauseFunc
@@ -79,7 +79,7 @@
 	asked    atomic.Int64
 
 	mu       sync.Mutex
-	tally    *tally.Tally
+	tally    *counters.Tally
 	boxes    [][]*host
 	all      []*host
 	front    []*sidecar
@@ -103,11 +103,11 @@
 
 // Run plays an experiment once. Everything that it starts has ended when it returns. A play that was stopped by ctx
 // comes back with what was measured and ctx's error.
-func Run(ctx context.Context, e *lab.Experiment, arm lab.Arm, seed uint64, o Options) (report.Played, error) {
-	out := report.Played{Arm: arm, Seed: seed, Tally: tally.New(e)}
+func Run(ctx context.Context, e *experiment.Experiment, arm experiment.Arm, seed uint64, o Options) (report.Played, error) {
+	out := report.Played{Arm: arm, Seed: seed, Tally: counters.New(e)}
 	work, stop := context.WithCancelCause(context.Background())
 	group, work2 := errgroup.WithContext(work)
-	r := &run{arm: arm, e: e, seed: seed, program: o.Program, within: cmp.Or(o.StartWithin, startWithin), ledger: ledger.New(e.Site.Rules, socketSlack), group: group, work: work2, stop: stop,
+	r := &run{arm: arm, e: e, seed: seed, program: o.Program, within: cmp.Or(o.StartWithin, startWithin), ledger: invariant.New(e.Site.Rules, socketSlack), group: group, work: work2, stop: stop,
 		tally: out.Tally}
 	r.zero.Store(time.Now().UnixNano())
 	defer func() {
@@ -252,7 +252,7 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	r.places++
-	s := &sidecar{r: r, name: name, tier: tier, index: index, count: count, addr: l.Addr().String(), spread: lab.Rand(r.seed, "spread "+name).Float64()}
+	s := &sidecar{r: r, name: name, tier: tier, index: index, count: count, addr: l.Addr().String(), spread: experiment.Rand(r.seed, "spread "+name).Float64()}
 	if err := l.Close(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -280,7 +280,7 @@
 	}
 	limits := s.r.e.Site.Limits
 	return Config{Name: s.name, Listen: s.addr, Discovery: s.feed.address(), Settings: settings, Known: known,
-		Seed:   strconv.FormatUint(lab.Seed(s.r.seed, s.name+" start "+strconv.Itoa(s.starts)), 16),
+		Seed:   strconv.FormatUint(experiment.Seed(s.r.seed, s.name+" start "+strconv.Itoa(s.starts)), 16),
 		Limits: Limits{limits.Cores, limits.MemoryMB, limits.Descriptors}}, nil
 }
 
@@ -447,7 +447,7 @@
 // change carries out one step of a fault.
 func (r *run) change(c traffic.Change) {
 	switch c.Kind {
-	case lab.RosterLate:
+	case experiment.RosterLate:
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.late = 0
@@ -455,7 +455,7 @@
 			r.late = c.Fault.Period
 		}
 		return
-	case lab.RosterSilent:
+	case experiment.RosterSilent:
 		r.mu.Lock()
 		r.silent = c.On
 		held := r.held
@@ -465,10 +465,10 @@
 			r.publish(t.tier, t.e)
 		}
 		return
-	case lab.SilentPeer, lab.HalfPeer, lab.HugePeer:
+	case experiment.SilentPeer, experiment.HalfPeer, experiment.HugePeer:
 		r.peer(c.Kind, r.front[c.Box%len(r.front)])
 		return
-	case lab.KillSidecar, lab.TermSidecar, lab.RosterMove:
+	case experiment.KillSidecar, experiment.TermSidecar, experiment.RosterMove:
 		r.disturb(c, r.front[c.Box%len(r.front)])
 		return
 	}
@@ -476,9 +476,9 @@
 	h := r.boxes[c.Tier][c.Box]
 	r.mu.Unlock()
 	switch c.Kind {
-	case lab.Deploy:
+	case experiment.Deploy:
 		r.replace(h, c.Fault.Period)
-	case lab.Crash:
+	case experiment.Crash:
 		if c.On {
 			h.crash()
 			if h.below != nil {
@@ -510,7 +510,7 @@
 // disturb kills, ends or reloads a sidecar of the first tier.
 func (r *run) disturb(c traffic.Change, s *sidecar) {
 	switch c.Kind {
-	case lab.RosterMove:
+	case experiment.RosterMove:
 		s.mu.Lock()
 		p := s.running
 		s.mu.Unlock()
@@ -529,10 +529,10 @@
 			r.fail(err)
 		}
 		return
-	case lab.KillSidecar:
+	case experiment.KillSidecar:
 		s.kill()
 		s.links.close()
-	case lab.TermSidecar:
+	case experiment.TermSidecar:
 		s.term()
 		s.links.close()
 	}
@@ -621,13 +621,13 @@
 }
 
 // wireSettings words a site's settings as the platform does (WIRE, Read your settings).
-func wireSettings(site lab.Site, arm lab.Arm, tier, index, count int) (json.RawMessage, error) {
+func wireSettings(site experiment.Site, arm experiment.Arm, tier, index, count int) (json.RawMessage, error) {
 	index, count = site.Place(tier, index, count)
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	var lanes []map[string]any
 	for _, c := range site.Classes {
 		semantics := "read_like"
-		if c.Effect == tuliprock.Unsafe {
+		if c.Effect == balancer.Unsafe {
 			semantics = "non_idempotent"
 		}
 		lanes = append(lanes, map[string]any{"Name": c.Name, "Semantics": semantics, "OnTimeUs": us(c.Aim), "HardLimitUs": us(c.Deadline),
--- a/internal/lab/rig/rig_test.go
+++ b/internal/experiment/testbed/testbed_test.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"go.uber.org/goleak"
 
-	"tuliprock/internal/lab"
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/testpeer"
 )
 
 func TestMain(m *testing.M) {
@@ -31,7 +31,7 @@
 			t.Parallel()
 			dir := t.TempDir()
 			program := Command{Line: c.line, Dir: dir, Scratch: dir}
-			_, err := Run(t.Context(), small(), lab.Arm{Name: "x"}, 1, Options{Program: program, StartWithin: 300 * time.Millisecond})
+			_, err := Run(t.Context(), small(), experiment.Arm{Name: "x"}, 1, Options{Program: program, StartWithin: 300 * time.Millisecond})
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
@@ -66,7 +66,7 @@
 	e.Duration = time.Hour
 	program := kept{planted("none"), make(chan *proxy, 1)}
 	var once sync.Once
-	got, err := Run(ctx, e, lab.Arm{Name: "x"}, 1, Options{Program: program, Progress: func(time.Duration) {
+	got, err := Run(ctx, e, experiment.Arm{Name: "x"}, 1, Options{Program: program, Progress: func(time.Duration) {
 		once.Do(func() { // a second's arrivals are on their way, about 80
 			p := <-program.proxy
 			testpeer.Until(t, "most of the first second's requests were answered", func() bool { return p.over.Load() >= 50 })
--- a/internal/lab/rig/wire.go
+++ b/internal/experiment/testbed/wire.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"bufio"
--- a/internal/lab/traffic/faults.go
+++ b/internal/experiment/traffic/faults.go
@@ -7,32 +7,32 @@
 	"slices"
 	"time"
 
-	"tuliprock/internal/lab"
+	"rowancart/internal/experiment"
 )
 
 // Change is one step of a fault, at one place, as a driver carries it out.
 type Change struct {
 	At    time.Duration
-	Kind  lab.FaultKind
+	Kind  experiment.FaultKind
 	Tier  int // -1: not a tier's
 	Box   int // place in its tier; -1: not a box's
 	On    bool
-	Fault *lab.Fault
+	Fault *experiment.Fault
 }
 
 // Timeline lays out the faults of an experiment: which boxes are struck and when, in order of time. Deploy becomes
 // a Change with On for each box to be drained and replaced; the driver ends it Period later.
-func Timeline(e *lab.Experiment, seed uint64) []Change {
+func Timeline(e *experiment.Experiment, seed uint64) []Change {
 	var out []Change
 	for i := range e.Faults {
 		f := &e.Faults[i]
-		rng := lab.Rand(seed, fmt.Sprintf("fault %d", i))
+		rng := experiment.Rand(seed, fmt.Sprintf("fault %d", i))
 		switch f.Kind {
-		case lab.RosterLate, lab.RosterSilent:
+		case experiment.RosterLate, experiment.RosterSilent:
 			out = append(out, Change{At: f.At, Kind: f.Kind, Tier: -1, Box: -1, On: true, Fault: f},
 				Change{At: f.End(), Kind: f.Kind, Tier: -1, Box: -1, Fault: f})
 			continue
-		case lab.KillSidecar, lab.TermSidecar, lab.RosterMove, lab.SilentPeer, lab.HalfPeer, lab.HugePeer:
+		case experiment.KillSidecar, experiment.TermSidecar, experiment.RosterMove, experiment.SilentPeer, experiment.HalfPeer, experiment.HugePeer:
 			for n := range max(f.Count, 1) {
 				out = append(out, Change{At: f.At + time.Duration(n)*f.Period, Kind: f.Kind, Tier: 0, Box: n, On: true, Fault: f})
 			}
@@ -43,7 +43,7 @@
 				continue
 			}
 			struck := rng.Perm(tier.Boxes)[:Struck(f.Part, tier.Boxes)]
-			if f.Kind == lab.Deploy {
+			if f.Kind == experiment.Deploy {
 				batch := max(int(math.Round(f.Size*float64(tier.Boxes))), 1)
 				batches := (len(struck) + batch - 1) / batch
 				for n, b := range struck {
@@ -57,7 +57,7 @@
 				on := true
 				for at := f.At; at < f.End(); {
 					out = append(out, Change{At: at, Kind: f.Kind, Tier: t, Box: b, On: on, Fault: f})
-					if f.Kind != lab.Neighbour || f.Period <= 0 {
+					if f.Kind != experiment.Neighbour || f.Period <= 0 {
 						break
 					}
 					at += time.Duration(float64(f.Period) * (0.5 + rng.Float64()))
@@ -78,7 +78,7 @@
 
 // Kind gives the kind of the box at a place in its tier. Shares are dealt out evenly, so that the first boxes of a tier
 // are a fair mix of its kinds.
-func Kind(t lab.Tier, place int) lab.Kind {
+func Kind(t experiment.Tier, place int) experiment.Kind {
 	best, behind := 0, math.Inf(-1)
 	given := make([]float64, len(t.Kinds))
 	sum := 0.0
@@ -98,7 +98,7 @@
 }
 
 // Name is the name of the box at a place in its tier; generation counts its successors.
-func Name(t lab.Tier, place, generation int) string {
+func Name(t experiment.Tier, place, generation int) string {
 	if generation == 0 {
 		return fmt.Sprintf("%s-%d", t.Name, place)
 	}
--- a/internal/lab/traffic/traffic.go
+++ b/internal/experiment/traffic/traffic.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"tuliprock/internal/lab"
+	"rowancart/internal/experiment"
 )
 
 // Request is one thing that a client wants; retries belong to it.
@@ -24,9 +24,9 @@
 }
 
 // Draw gives the requests of an experiment in order of arrival.
-func Draw(e *lab.Experiment, seed uint64) []Request {
-	arrivals := lab.Rand(seed, "arrivals")
-	rng := lab.Rand(seed, "requests")
+func Draw(e *experiment.Experiment, seed uint64) []Request {
+	arrivals := experiment.Rand(seed, "arrivals")
+	rng := experiment.Rand(seed, "requests")
 	var out []Request
 	for _, at := range instants(e, arrivals) {
 		r := Request{At: at, Class: class(e.Site.Classes, rng), Tenant: tenant(e.Site.Tenants, rng), Seed: rng.Uint64()}
@@ -45,7 +45,7 @@
 	return out
 }
 
-func instants(e *lab.Experiment, rng *rand.Rand) []time.Duration {
+func instants(e *experiment.Experiment, rng *rand.Rand) []time.Duration {
 	if e.Load.Process == "recorded" {
 		out := slices.Clone(e.Load.Recorded)
 		slices.Sort(out)
@@ -53,7 +53,7 @@
 	}
 	var out []time.Duration
 	steps := slices.Clone(e.Load.Steps)
-	slices.SortStableFunc(steps, func(a, b lab.Step) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(steps, func(a, b experiment.Step) int { return cmp.Compare(a.At, b.At) })
 	// Unit gaps are stretched by the rate of the moment (time change), so that a step takes hold at once.
 	left, factor, next := gap(e, rng), 1.0, 0
 	for now := 0.0; ; {
@@ -79,18 +79,18 @@
 	}
 }
 
-func gap(e *lab.Experiment, rng *rand.Rand) float64 {
+func gap(e *experiment.Experiment, rng *rand.Rand) float64 {
 	if e.Load.Process == "steady" {
 		return 1
 	}
 	return rng.ExpFloat64()
 }
 
-func class(classes []lab.Class, rng *rand.Rand) int {
+func class(classes []experiment.Class, rng *rand.Rand) int {
 	return weighted(len(classes), func(i int) float64 { return classes[i].Share }, rng)
 }
 
-func tenant(tenants []lab.Tenant, rng *rand.Rand) int {
+func tenant(tenants []experiment.Tenant, rng *rand.Rand) int {
 	if len(tenants) == 0 {
 		return -1
 	}
@@ -112,15 +112,15 @@
 }
 
 // Work draws the work of one request of a class, in seconds.
-func Work(c lab.Class, rng *rand.Rand) float64 {
+func Work(c experiment.Class, rng *rand.Rand) float64 {
 	if c.Hits > 0 && rng.Float64() < c.Hits {
 		return c.HitWork.Seconds()
 	}
 	mean := c.Work.Seconds()
 	switch c.Spread {
-	case lab.Fixed:
+	case experiment.Fixed:
 		return mean
-	case lab.LogNormal:
+	case experiment.LogNormal:
 		variance := math.Log1p(c.Cv * c.Cv)
 		return mean * math.Exp(math.Sqrt(variance)*rng.NormFloat64()-variance/2)
 	}
--- a/internal/lab/virtual/client.go
+++ b/internal/experiment/virtual/client.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/tally"
-	"tuliprock/internal/lab/traffic"
+	"rowancart/balancer"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/experiment/traffic"
 )
 
 // want is something that a client wants, with its retries.
@@ -77,24 +77,24 @@
 // outOfTime implements caller.
 func (v *want) outOfTime(now time.Duration, c *call) {
 	if v.current == c {
-		v.w.tried(now, v, ledger.Failed, 0)
+		v.w.tried(now, v, invariant.Failed, 0)
 	}
 }
 
 // tried takes the end of one try: the request's end, or a retry where the client may ask again.
-func (w *world) tried(now time.Duration, v *want, f ledger.Fate, retryAfter time.Duration) {
+func (w *world) tried(now time.Duration, v *want, f invariant.Fate, retryAfter time.Duration) {
 	class := &w.e.Site.Classes[v.Class]
 	took := now - v.At
 	v.current = nil
-	if f == ledger.Served {
-		fate := tally.InTime
+	if f == invariant.Served {
+		fate := counters.InTime
 		if took > class.Aim {
-			fate = tally.Late
+			fate = counters.Late
 		}
 		w.tally.Ended(*class, v.Class, v.Tenant, v.At, took, fate)
 		return
 	}
-	harmless := class.Effect == tuliprock.Safe || f == ledger.Refused || retryAfter == unreachable
+	harmless := class.Effect == balancer.Safe || f == invariant.Refused || retryAfter == unreachable
 	wait := w.e.Load.Clients.RetryWait << (v.tries - 1)
 	if w.e.Load.Clients.Heed {
 		wait = max(wait, retryAfter)
@@ -103,9 +103,9 @@
 		w.at(&w.party, now+wait, func(now time.Duration) { w.try(now, v) })
 		return
 	}
-	fate := tally.Failed
-	if f == ledger.Refused {
-		fate = tally.Refused
+	fate := counters.Failed
+	if f == invariant.Refused {
+		fate = counters.Refused
 	}
 	w.tally.Ended(*class, v.Class, v.Tenant, v.At, took, fate)
 }
--- a/internal/lab/virtual/host.go
+++ b/internal/experiment/virtual/host.go
@@ -5,12 +5,12 @@
 	"strconv"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/box"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/tally"
-	"tuliprock/internal/lab/traffic"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/experiment/server"
+	"rowancart/internal/experiment/traffic"
 )
 
 // host is a box in the world: the model, what strikes it, and the instance that makes its calls.
@@ -21,8 +21,8 @@
 	place      int
 	generation int
 	name       string
-	box        *box.Box
-	stats      tally.Box
+	box        *server.Box
+	stats      counters.Box
 	rng        *rand.Rand
 	below      *instance
 	came, gone time.Duration
@@ -30,9 +30,9 @@
 
 	wake time.Duration // for which the box is scheduled
 	work []*errand     // what it has in hand
-	done []*box.Job
+	done []*server.Job
 
-	slow     map[lab.FaultKind]float64
+	slow     map[experiment.FaultKind]float64
 	failing  float64 // chance of a fast error
 	before   float64 // of a break before the last byte
 	after    float64 // and after it
@@ -46,7 +46,7 @@
 
 // errand is a request in a box.
 type errand struct {
-	box.Job
+	server.Job
 	a     *attempt
 	class int
 	rest  float64 // work left for after the calls
@@ -64,31 +64,31 @@
 		size, period = c.Fault.Size, c.Fault.Period
 	}
 	switch c.Kind {
-	case lab.FastErrors:
+	case experiment.FastErrors:
 		h.failing = size
-	case lab.BreakBefore:
+	case experiment.BreakBefore:
 		h.before = size
-	case lab.BreakAfter:
+	case experiment.BreakAfter:
 		h.after = size
-	case lab.BreakAnswer, lab.GarbleAnswer:
+	case experiment.BreakAnswer, experiment.GarbleAnswer:
 		h.within = size
-	case lab.SlowAnswer:
+	case experiment.SlowAnswer:
 		h.delay = period
-	case lab.Vanish:
+	case experiment.Vanish:
 		h.vanished = c.On
-	case lab.StallAccept:
+	case experiment.StallAccept:
 		h.stalled = c.On
-	case lab.Neighbour, lab.SharedSlow:
+	case experiment.Neighbour, experiment.SharedSlow:
 		factor := 1.0
 		if c.On {
 			factor = c.Fault.Size
-			if c.Kind == lab.Neighbour {
+			if c.Kind == experiment.Neighbour {
 				factor = 1 / (1 - min(c.Fault.Size, 0.99))
 			}
 		}
 		h.slow[c.Kind] = factor
 		all := 1.0
-		for _, kind := range []lab.FaultKind{lab.Neighbour, lab.SharedSlow} {
+		for _, kind := range []experiment.FaultKind{experiment.Neighbour, experiment.SharedSlow} {
 			if f := h.slow[kind]; f > 0 {
 				all *= f
 			}
@@ -158,7 +158,7 @@
 		return
 	}
 	if h.box.Down() {
-		a.comesBack(now, tuliprock.Reset)
+		a.comesBack(now, balancer.Reset)
 		return
 	}
 	h.advance(now)
@@ -171,10 +171,10 @@
 	}
 	h.stats.Arrivals++
 	h.count(now)
-	h.w.ledger.Reached(ledger.Arrival{ID: q.id, Box: h.name, First: now, Last: now, Digest: 1,
+	h.w.ledger.Reached(invariant.Arrival{ID: q.id, Box: h.name, First: now, Last: now, Digest: 1,
 		Cold: h.box.Warmth(now) < 1, Work: work})
 	if h.failing > 0 && h.rng.Float64() < h.failing || h.box.Fails() {
-		h.w.at(&h.party, now+errorAfter, func(now time.Duration) { h.answer(now, a, tuliprock.Errored) })
+		h.w.at(&h.party, now+errorAfter, func(now time.Duration) { h.answer(now, a, balancer.Errored) })
 		return
 	}
 	e := &errand{a: a, class: q.class, total: work}
@@ -186,23 +186,23 @@
 		e.Work, e.wait = work, site.Classes[q.class].Wait
 	}
 	switch h.box.Arrive(now, &e.Job, work) {
-	case box.Declined:
+	case server.Declined:
 		h.stats.Declined++
 		h.w.ledger.Declined(now, h.name, q.id)
 		a.keepAlive = true
-		a.comesBack(now, tuliprock.Full)
-	case box.Dead:
+		a.comesBack(now, balancer.Full)
+	case server.Dead:
 		if h.box.Fell() {
 			h.w.ledger.Fell(now, h.name)
 			h.crash(now)
 		}
-		a.comesBack(now, tuliprock.Reset)
-	case box.Admitted:
+		a.comesBack(now, balancer.Reset)
+	case server.Admitted:
 		e.spot = len(h.work)
 		h.work = append(h.work, e)
 		a.errand = e
 		if h.after > 0 && h.rng.Float64() < h.after {
-			a.comesBack(now, tuliprock.Reset) // the work goes on
+			a.comesBack(now, balancer.Reset) // the work goes on
 		}
 	}
 	h.reschedule()
@@ -227,7 +227,7 @@
 			}
 		})
 	default:
-		h.end(now, e, tuliprock.OK)
+		h.end(now, e, balancer.OK)
 	}
 }
 
@@ -250,10 +250,10 @@
 	if e.Over() {
 		return
 	}
-	if c.fate == ledger.Served {
+	if c.fate == invariant.Served {
 		h.through(now, e)
 	} else {
-		h.end(now, e, tuliprock.Errored)
+		h.end(now, e, balancer.Errored)
 	}
 	h.reschedule()
 }
@@ -262,7 +262,7 @@
 func (e *errand) outOfTime(time.Duration, *call) {}
 
 // end answers a request and frees its slot.
-func (h *host) end(now time.Duration, e *errand, r tuliprock.Result) {
+func (h *host) end(now time.Duration, e *errand, r balancer.Result) {
 	h.box.End(&e.Job)
 	h.drop(e)
 	h.reschedule()
@@ -279,15 +279,15 @@
 }
 
 // answer sends an answer on its way.
-func (h *host) answer(now time.Duration, a *attempt, r tuliprock.Result) {
-	if r == tuliprock.OK {
+func (h *host) answer(now time.Duration, a *attempt, r balancer.Result) {
+	if r == balancer.OK {
 		h.w.ledger.Made(h.name, a.call.id, a.call.digest)
 	}
 	if h.vanished {
 		return
 	}
 	if h.within > 0 && h.rng.Float64() < h.within {
-		a.comesBack(now, tuliprock.Reset)
+		a.comesBack(now, balancer.Reset)
 		return
 	}
 	a.keepAlive = true
@@ -302,7 +302,7 @@
 	for _, e := range work {
 		e.a.errand = nil
 		if !h.vanished {
-			e.a.comesBack(now, tuliprock.Reset)
+			e.a.comesBack(now, balancer.Reset)
 		}
 	}
 	h.life++
--- a/internal/lab/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/rival"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/baseline"
+	"rowancart/internal/experiment/invariant"
 )
 
 // call is a request that an instance has taken.
@@ -24,7 +24,7 @@
 	attempts   []*attempt
 	first      [2]*attempt // room for most
 	over       bool
-	fate       ledger.Fate // once over
+	fate       invariant.Fate // once over
 	retryAfter time.Duration
 }
 
@@ -53,7 +53,7 @@
 }
 
 // end tells the caller, after a delay, how its call ended.
-func (c *call) end(at time.Duration, f ledger.Fate, retryAfter time.Duration) {
+func (c *call) end(at time.Duration, f invariant.Fate, retryAfter time.Duration) {
 	c.fate, c.retryAfter = f, retryAfter
 	c.in.w.plan(&c.in.party, at, c, callEnded)
 }
@@ -84,10 +84,10 @@
 	index  int
 	count  int
 	beside *host
-	policy tuliprock.Events
+	policy balancer.Events
 	spread float64 // its place in the roster's spread
 	toldAt time.Duration
-	missed []tuliprock.Endpoint
+	missed []balancer.Endpoint
 	down   bool
 	life   int
 	starts int
@@ -95,7 +95,7 @@
 	idle   map[*host][]idle
 	rings  time.Duration
 
-	learned   tuliprock.Learned // when it was killed
+	learned   balancer.Learned // when it was killed
 	learnedAt time.Duration
 }
 
@@ -106,8 +106,8 @@
 }
 
 func (w *world) newInstance(name string, tier, index, count int, beside *host) *instance {
-	in := &instance{party: party{rank: lab.Seed(w.seed, name)}, w: w, name: name, tier: tier, index: index, count: count,
-		beside: beside, down: true, spread: lab.Rand(w.seed, "spread "+name).Float64()}
+	in := &instance{party: party{rank: experiment.Seed(w.seed, name)}, w: w, name: name, tier: tier, index: index, count: count,
+		beside: beside, down: true, spread: experiment.Rand(w.seed, "spread "+name).Float64()}
 	return in
 }
 
@@ -118,20 +118,20 @@
 	in.life++
 	in.down = false
 	in.calls, in.idle, in.missed, in.toldAt = map[string]*call{}, map[*host][]idle{}, nil, now
-	seed := lab.Seed(w.seed, in.name+" start "+string(rune('0'+in.starts%10)))
+	seed := experiment.Seed(w.seed, in.name+" start "+string(rune('0'+in.starts%10)))
 	settings := w.arm.Apply(w.e.Site.Settings(in.tier, in.index, in.count, seed))
-	if w.arm.Policy == "tuliprock" {
-		in.policy = tuliprock.New(zero+now, settings, (*hands)(in))
+	if w.arm.Policy == experiment.DesignPolicy {
+		in.policy = balancer.New(zero+now, settings, (*hands)(in))
 	} else {
 		// The name was checked at the start of the run.
-		in.policy, _ = rival.New(w.arm.Policy, settings, (*hands)(in))
+		in.policy, _ = baseline.New(w.arm.Policy, settings, (*hands)(in))
 	}
 	list := w.published[in.tier]
 	for _, e := range list {
 		w.ledger.Told(now, in.name, e.ID, e.State, e.Started > 0)
 	}
-	in.policy.EndpointList(zero+now, tuliprock.List{Complete: true, Entries: list})
-	if b, ok := in.policy.(*tuliprock.Balancer); ok && w.arm.Snapshot && in.starts > 1 {
+	in.policy.EndpointList(zero+now, balancer.List{Complete: true, Entries: list})
+	if b, ok := in.policy.(*balancer.Balancer); ok && w.arm.Snapshot && in.starts > 1 {
 		b.Recall(zero+now, in.learned, now-in.learnedAt)
 	}
 	if in.starts == 1 {
@@ -145,7 +145,7 @@
 		return
 	}
 	in.down = true
-	if b, ok := in.policy.(*tuliprock.Balancer); ok {
+	if b, ok := in.policy.(*balancer.Balancer); ok {
 		in.learned, in.learnedAt = b.Learned(zero+now), now
 	}
 	in.life++
@@ -175,7 +175,7 @@
 	}
 	sortCalls(open)
 	for _, c := range open {
-		c.end(now+in.w.e.Site.Delay, ledger.Failed, 0)
+		c.end(now+in.w.e.Site.Delay, invariant.Failed, 0)
 	}
 }
 
@@ -186,19 +186,19 @@
 func (in *instance) take(now time.Duration, c *call) {
 	w := in.w
 	if in.down {
-		c.end(now+w.e.Site.Delay, ledger.Failed, unreachable)
+		c.end(now+w.e.Site.Delay, invariant.Failed, unreachable)
 		return
 	}
-	c.digest = lab.Seed(w.seed, c.id)
+	c.digest = experiment.Seed(w.seed, c.id)
 	class := &w.e.Site.Classes[c.class]
-	w.ledger.Taken(now, ledger.Request{ID: c.id, Instance: in.name, Effect: class.Effect, Deadline: c.deadline, Digest: 1,
+	w.ledger.Taken(now, invariant.Request{ID: c.id, Instance: in.name, Effect: class.Effect, Deadline: c.deadline, Digest: 1,
 		Attempts: w.arm.Of(class.Name).Attempts, Once: w.arm.Of(class.Name).NoRerun})
 	in.calls[c.id] = c
 	c.attempts = c.first[:0]
 	if in.tier == 0 {
 		w.tally.Requests++
 	}
-	r := tuliprock.Request{ID: c.id, Class: class.Name, Deadline: zero + c.deadline, Repeat: c.repeat}
+	r := balancer.Request{ID: c.id, Class: class.Name, Deadline: zero + c.deadline, Repeat: c.repeat}
 	if c.tenant >= 0 {
 		r.Tenant = w.e.Site.Tenants[c.tenant].Name
 	}
@@ -224,7 +224,7 @@
 }
 
 // finish gives a request's final answer.
-func (in *instance) finish(now time.Duration, c *call, f ledger.Fate, retryAfter time.Duration) {
+func (in *instance) finish(now time.Duration, c *call, f invariant.Fate, retryAfter time.Duration) {
 	if c == nil || c.over {
 		return
 	}
@@ -247,25 +247,25 @@
 }
 
 // over reports the end of an attempt to the policy.
-func (a *attempt) over(now time.Duration, r tuliprock.Result) {
+func (a *attempt) over(now time.Duration, r balancer.Result) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	in, c := a.in, a.call
 	in.w.withdraw(a.limit)
-	if r == tuliprock.OK || a.keepAlive && (r == tuliprock.Errored || r == tuliprock.Full) {
+	if r == balancer.OK || a.keepAlive && (r == balancer.Errored || r == balancer.Full) {
 		a.giveBack(now)
 	} else {
 		a.unlink(now)
 	}
-	o := tuliprock.Outcome{ID: c.id, Attempt: a.n, Result: r, Took: now - a.sent, Final: c.over}
+	o := balancer.Outcome{ID: c.id, Attempt: a.n, Result: r, Took: now - a.sent, Final: c.over}
 	if a.to != nil {
 		o.Endpoint = a.to.name
 	}
-	if r == tuliprock.OK && !c.over {
+	if r == balancer.OK && !c.over {
 		o.Final = true
-		in.finish(now, c, ledger.Served, 0)
+		in.finish(now, c, invariant.Served, 0)
 	}
 	in.policy.Outcome(zero+now, o)
 	in.forget(c)
@@ -278,22 +278,22 @@
 	switch {
 	case what != reaches:
 		if !a.in.down && a.in.life == a.life {
-			a.over(now, tuliprock.Result(what))
+			a.over(now, balancer.Result(what))
 		}
 	case a.ended && a.in.down || a.to.life != a.toLife: // what was not yet written whole breaks with its sender
-		a.comesBack(now, tuliprock.Reset)
+		a.comesBack(now, balancer.Reset)
 	default:
 		a.to.reach(now, a)
 	}
 }
 
 // later ends the attempt at an instant, if nothing else has by then.
-func (a *attempt) later(at time.Duration, r tuliprock.Result) {
+func (a *attempt) later(at time.Duration, r balancer.Result) {
 	a.in.w.plan(&a.in.party, at, a, int(r))
 }
 
 // comesBack carries what the box sent, or the break of the connection, to the instance.
-func (a *attempt) comesBack(now time.Duration, r tuliprock.Result) {
+func (a *attempt) comesBack(now time.Duration, r balancer.Result) {
 	if !a.ended {
 		a.later(now+a.in.w.hop(), r)
 	}
@@ -354,9 +354,9 @@
 // hands carries out what a policy asks for.
 type hands instance
 
-var _ tuliprock.Host = (*hands)(nil)
+var _ balancer.Host = (*hands)(nil)
 
-// Send implements tuliprock.Host.
+// Send implements balancer.Host.
 func (hs *hands) Send(id, endpoint string, timeout time.Duration) {
 	in := (*instance)(hs)
 	w, now := in.w, in.w.now
@@ -374,19 +374,19 @@
 		}
 	}
 	if c.over || h == nil {
-		a.later(now, tuliprock.NotSent)
+		a.later(now, balancer.NotSent)
 		return
 	}
-	a.limit = w.limit(&in.party, now+max(min(timeout, c.deadline-now), 0), a, int(tuliprock.TimedOut))
+	a.limit = w.limit(&in.party, now+max(min(timeout, c.deadline-now), 0), a, int(balancer.TimedOut))
 	lag := w.hop()
 	a.toLife = h.life
 	if !in.link(now, h) {
 		switch {
 		case h.vanished || h.stalled:
-			a.later(now+dialTimeout, tuliprock.ConnectFailed)
+			a.later(now+dialTimeout, balancer.ConnectFailed)
 			return
 		case !h.box.Connect():
-			a.later(now+2*lag, tuliprock.ConnectFailed)
+			a.later(now+2*lag, balancer.ConnectFailed)
 			return
 		}
 		a.dialed = true
@@ -394,44 +394,44 @@
 	}
 	a.linked = true
 	if h.before > 0 && h.rng.Float64() < h.before {
-		a.later(now+lag, tuliprock.ConnectFailed)
+		a.later(now+lag, balancer.ConnectFailed)
 		return
 	}
 	w.plan(&in.party, now+lag, a, reaches)
 }
 
-// Cancel implements tuliprock.Host.
+// Cancel implements balancer.Host.
 func (hs *hands) Cancel(id string, n int) {
 	in := (*instance)(hs)
 	if c := in.calls[id]; c != nil && n >= 0 && n < len(c.attempts) {
-		c.attempts[n].later(in.w.now, tuliprock.Canceled)
+		c.attempts[n].later(in.w.now, balancer.Canceled)
 	}
 }
 
-// Refuse implements tuliprock.Host.
-func (hs *hands) Refuse(id string, why tuliprock.Reason, retryAfter time.Duration) {
+// Refuse implements balancer.Host.
+func (hs *hands) Refuse(id string, why balancer.Reason, retryAfter time.Duration) {
 	in := (*instance)(hs)
 	in.w.tally.Why[why]++
-	in.finish(in.w.now, in.calls[id], ledger.Refused, retryAfter)
+	in.finish(in.w.now, in.calls[id], invariant.Refused, retryAfter)
 }
 
-// Fail implements tuliprock.Host.
-func (hs *hands) Fail(id string, why tuliprock.Reason) {
+// Fail implements balancer.Host.
+func (hs *hands) Fail(id string, why balancer.Reason) {
 	in := (*instance)(hs)
 	in.w.tally.Why[why]++
-	in.finish(in.w.now, in.calls[id], ledger.Failed, 0)
+	in.finish(in.w.now, in.calls[id], invariant.Failed, 0)
 }
 
-// Subscribe implements tuliprock.Host. The roster tells without being asked.
+// Subscribe implements balancer.Host. The roster tells without being asked.
 func (hs *hands) Subscribe() {}
 
-// Timer implements tuliprock.Host.
+// Timer implements balancer.Host.
 func (hs *hands) Timer(at time.Duration) {
 	in := (*instance)(hs)
 	in.w.plan(&in.party, at-zero, in, in.life)
 }
 
-// Log implements tuliprock.Host.
+// Log implements balancer.Host.
 func (hs *hands) Log(line string) {
 	in := (*instance)(hs)
 	in.w.log(in.w.now, in.name, line)
--- a/internal/lab/virtual/virtual.go
+++ b/internal/experiment/virtual/virtual.go
@@ -10,19 +10,19 @@
 	"strconv"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/box"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/rival"
-	"tuliprock/internal/lab/tally"
-	"tuliprock/internal/lab/traffic"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/baseline"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/experiment/server"
+	"rowancart/internal/experiment/traffic"
 )
 
 // Result is what one play came to.
 type Result struct {
-	Tally    *tally.Tally
-	Verdicts []ledger.Verdict
+	Tally    *counters.Tally
+	Verdicts []invariant.Verdict
 	Played   time.Duration // of virtual time
 	Events   int
 	Logs     []string // the first lines that instances logged
@@ -46,12 +46,12 @@
 type world struct {
 	schedule
 	party
-	e    *lab.Experiment
+	e    *experiment.Experiment
 	seed uint64
-	arm  lab.Arm
+	arm  experiment.Arm
 
-	ledger *ledger.Ledger
-	tally  *tally.Tally
+	ledger *invariant.Ledger
+	tally  *counters.Tally
 	rng    *rand.Rand // of the network
 
 	boxes     [][]*host // by tier and place: the present generation
@@ -61,29 +61,29 @@
 	instances []*instance // of all tiers
 	silent    bool
 	late      time.Duration
-	published [][]tuliprock.Endpoint // by tier: what the roster knows
-	arrived   [][]int64              // by tier and second: requests that reached boxes
+	published [][]balancer.Endpoint // by tier: what the roster knows
+	arrived   [][]int64             // by tier and second: requests that reached boxes
 	events    int
 	logs      []string
 }
 
 // Run plays an experiment once.
-func Run(ctx context.Context, e *lab.Experiment, arm lab.Arm, seed uint64, o Options) (*Result, error) {
-	if arm.Policy != "tuliprock" {
-		if _, err := rival.New(arm.Policy, tuliprock.Settings{}, nil); err != nil {
+func Run(ctx context.Context, e *experiment.Experiment, arm experiment.Arm, seed uint64, o Options) (*Result, error) {
+	if arm.Policy != experiment.DesignPolicy {
+		if _, err := baseline.New(arm.Policy, balancer.Settings{}, nil); err != nil {
 			return nil, fmt.Errorf("arm %s: %w", arm.Name, err)
 		}
 	}
-	w := &world{party: party{rank: 0}, e: e, seed: seed, arm: arm, ledger: ledger.New(e.Site.Rules, 0), tally: tally.New(e),
-		rng: lab.Rand(seed, "network"), byName: map[string]*host{}}
+	w := &world{party: party{rank: 0}, e: e, seed: seed, arm: arm, ledger: invariant.New(e.Site.Rules, 0), tally: counters.New(e),
+		rng: experiment.Rand(seed, "network"), byName: map[string]*host{}}
 	w.build(o.Shuffle)
 	for i, c := range traffic.Timeline(e, seed) {
-		p := &party{rank: lab.Seed(seed, "change "+strconv.Itoa(i))}
+		p := &party{rank: experiment.Seed(seed, "change "+strconv.Itoa(i))}
 		w.at(p, c.At, func(now time.Duration) { w.change(now, p, c) })
 	}
 	requests := traffic.Draw(e, seed)
 	next := 0
-	clients := &party{rank: lab.Seed(seed, "clients")}
+	clients := &party{rank: experiment.Seed(seed, "clients")}
 	var arrive func(now time.Duration)
 	arrive = func(now time.Duration) {
 		w.want(now, next, &requests[next])
@@ -133,7 +133,7 @@
 func (w *world) build(shuffle *rand.Rand) {
 	site := w.e.Site
 	w.boxes = make([][]*host, len(site.Tiers))
-	w.published = make([][]tuliprock.Endpoint, len(site.Tiers))
+	w.published = make([][]balancer.Endpoint, len(site.Tiers))
 	w.arrived = make([][]int64, len(site.Tiers))
 	var make1 []func()
 	for t, tier := range site.Tiers {
@@ -155,7 +155,7 @@
 	for t := range site.Tiers {
 		for _, h := range w.boxes[t] {
 			w.all = append(w.all, h)
-			w.published[t] = append(w.published[t], tuliprock.Endpoint{ID: h.name, Kind: h.stats.Kind, State: tuliprock.Ready})
+			w.published[t] = append(w.published[t], balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Ready})
 		}
 	}
 	for _, in := range w.front {
@@ -180,13 +180,13 @@
 }
 
 // publish changes what the roster says of a box and tells every instance of that tier, each in its own time.
-func (w *world) publish(now time.Duration, tier int, e tuliprock.Endpoint) {
+func (w *world) publish(now time.Duration, tier int, e balancer.Endpoint) {
 	list := w.published[tier]
 	found := false
 	for i := range list {
 		if list[i].ID == e.ID {
 			found = true
-			if e.State == tuliprock.Gone {
+			if e.State == balancer.Gone {
 				w.published[tier] = append(list[:i:i], list[i+1:]...)
 			} else {
 				list[i] = e
@@ -194,7 +194,7 @@
 			break
 		}
 	}
-	if !found && e.State != tuliprock.Gone {
+	if !found && e.State != balancer.Gone {
 		w.published[tier] = append(list, e)
 	}
 	for _, in := range w.instances {
@@ -209,7 +209,7 @@
 	}
 }
 
-func (w *world) tell(now time.Duration, in *instance, e tuliprock.Endpoint) {
+func (w *world) tell(now time.Duration, in *instance, e balancer.Endpoint) {
 	roster := w.e.Site.Roster
 	at := now + roster.Delay + w.late + time.Duration(in.spread*float64(roster.Spread))
 	in.toldAt = max(in.toldAt, at)
@@ -219,20 +219,20 @@
 			return
 		}
 		w.ledger.Told(now, in.name, e.ID, e.State, e.Started > 0)
-		in.policy.EndpointList(zero+now, tuliprock.List{Entries: []tuliprock.Endpoint{e}})
+		in.policy.EndpointList(zero+now, balancer.List{Entries: []balancer.Endpoint{e}})
 	})
 }
 
 // change carries out one step of a fault.
 func (w *world) change(now time.Duration, p *party, c traffic.Change) {
 	switch c.Kind {
-	case lab.RosterLate:
+	case experiment.RosterLate:
 		w.late = 0
 		if c.On {
 			w.late = c.Fault.Period
 		}
 		return
-	case lab.RosterSilent:
+	case experiment.RosterSilent:
 		w.silent = c.On
 		if !c.On {
 			for _, in := range w.instances {
@@ -243,7 +243,7 @@
 			}
 		}
 		return
-	case lab.KillSidecar:
+	case experiment.KillSidecar:
 		in := w.front[c.Box%len(w.front)]
 		if !in.down {
 			in.kill(now)
@@ -254,19 +254,19 @@
 	h := w.boxes[c.Tier][c.Box]
 	h.advance(now)
 	switch c.Kind {
-	case lab.Deploy:
+	case experiment.Deploy:
 		w.replace(now, p, h, c.Fault.Period)
 		return
-	case lab.Crash:
+	case experiment.Crash:
 		if c.On {
 			h.crash(now)
-			w.publish(now, h.tier, tuliprock.Endpoint{ID: h.name, Kind: h.stats.Kind, State: tuliprock.Gone})
+			w.publish(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Gone})
 		} else if h.box.Down() {
 			h.box.Restart(now)
 			if h.below != nil {
 				h.below.start(now)
 			}
-			w.publish(now, h.tier, tuliprock.Endpoint{ID: h.name, Kind: h.stats.Kind, State: tuliprock.Ready, Started: zero + now})
+			w.publish(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Ready, Started: zero + now})
 		}
 		return
 	}
@@ -277,19 +277,19 @@
 // replace drains a box, ends it after the time for that, and starts a cold successor in its place.
 func (w *world) replace(now time.Duration, p *party, h *host, drain time.Duration) {
 	h.box.Drain()
-	w.publish(now, h.tier, tuliprock.Endpoint{ID: h.name, Kind: h.stats.Kind, State: tuliprock.Draining})
+	w.publish(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Draining})
 	w.at(p, now+drain, func(now time.Duration) {
 		h.advance(now)
 		h.crash(now)
 		h.gone = now
-		w.publish(now, h.tier, tuliprock.Endpoint{ID: h.name, Kind: h.stats.Kind, State: tuliprock.Gone})
+		w.publish(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Gone})
 		n := w.newHost(h.tier, h.place, h.generation+1, now)
 		w.boxes[h.tier][h.place] = n
 		w.all = append(w.all, n)
 		if n.below != nil {
 			n.below.start(now)
 		}
-		w.publish(now, n.tier, tuliprock.Endpoint{ID: n.name, Kind: n.stats.Kind, State: tuliprock.Ready, Started: zero + now})
+		w.publish(now, n.tier, balancer.Endpoint{ID: n.name, Kind: n.stats.Kind, State: balancer.Ready, Started: zero + now})
 	})
 }
 
@@ -298,10 +298,10 @@
 	t := w.e.Site.Tiers[tier]
 	kind := traffic.Kind(t, place)
 	name := traffic.Name(t, place, generation)
-	h := &host{party: party{rank: lab.Seed(w.seed, name)}, w: w, tier: tier, place: place, generation: generation, name: name,
-		rng: lab.Rand(w.seed, "faults of "+name), came: max(started, 0), slow: map[lab.FaultKind]float64{}}
-	h.stats = tally.Box{Name: name, Kind: kind.Name, Cores: kind.Cores, Fresh: started >= 0}
-	h.box = box.New(kind, t.Box, w.e.Site.Rules, started, lab.Rand(w.seed, "box "+name))
+	h := &host{party: party{rank: experiment.Seed(w.seed, name)}, w: w, tier: tier, place: place, generation: generation, name: name,
+		rng: experiment.Rand(w.seed, "faults of "+name), came: max(started, 0), slow: map[experiment.FaultKind]float64{}}
+	h.stats = counters.Box{Name: name, Kind: kind.Name, Cores: kind.Cores, Fresh: started >= 0}
+	h.box = server.New(kind, t.Box, w.e.Site.Rules, started, experiment.Rand(w.seed, "box "+name))
 	w.byName[name] = h
 	if tier+1 < len(w.e.Site.Tiers) && t.Calls > 0 {
 		h.below = w.newInstance("beside "+name, tier+1, place, t.Boxes, h)
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -8,43 +8,43 @@
 	"testing"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/lab"
-	"tuliprock/internal/lab/ledger"
-	"tuliprock/internal/lab/rival"
-	"tuliprock/internal/lab/tally"
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/baseline"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/invariant"
 )
 
 // calm is a service of two tiers with load to spare.
-func calm() *lab.Experiment {
-	kinds := []lab.Kind{{Name: "fast", Share: 1, Cores: 2, Speed: 1.4, Slots: 16, Queue: 200}, {Name: "slow", Share: 1, Cores: 2, Speed: 0.8, Slots: 16, Queue: 200}}
-	spec := lab.BoxSpec{ColdFrom: 0.3, ColdFor: 5 * time.Second, ConnWork: time.Millisecond, ConnLimit: 500, ConnIdle: 10 * time.Second}
-	return &lab.Experiment{
+func calm() *experiment.Experiment {
+	kinds := []experiment.Kind{{Name: "fast", Share: 1, Cores: 2, Speed: 1.4, Slots: 16, Queue: 200}, {Name: "slow", Share: 1, Cores: 2, Speed: 0.8, Slots: 16, Queue: 200}}
+	spec := experiment.BoxSpec{ColdFrom: 0.3, ColdFor: 5 * time.Second, ConnWork: time.Millisecond, ConnLimit: 500, ConnIdle: 10 * time.Second}
+	return &experiment.Experiment{
 		Name: "calm", Duration: 20 * time.Second, Warmup: 2 * time.Second,
-		Site: lab.Site{Balancers: 2, Delay: 200 * time.Microsecond, Jitter: 0.3, Attempts: 5,
-			Roster: lab.Roster{Delay: time.Second, Spread: 300 * time.Millisecond},
-			Classes: []lab.Class{
-				{Name: "lookup", Effect: tuliprock.Safe, Share: 0.7, Work: 40 * time.Millisecond, Wait: 10 * time.Millisecond, Spread: lab.Exponential, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
-				{Name: "submit", Effect: tuliprock.Unsafe, Share: 0.3, Work: 50 * time.Millisecond, Spread: lab.LogNormal, Cv: 0.5, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 10},
+		Site: experiment.Site{Balancers: 2, Delay: 200 * time.Microsecond, Jitter: 0.3, Attempts: 5,
+			Roster: experiment.Roster{Delay: time.Second, Spread: 300 * time.Millisecond},
+			Classes: []experiment.Class{
+				{Name: "lookup", Effect: balancer.Safe, Share: 0.7, Work: 40 * time.Millisecond, Wait: 10 * time.Millisecond, Spread: experiment.Exponential, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
+				{Name: "submit", Effect: balancer.Unsafe, Share: 0.3, Work: 50 * time.Millisecond, Spread: experiment.LogNormal, Cv: 0.5, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 10},
 			},
-			Tiers: []lab.Tier{{Name: "front", Boxes: 6, Work: 0.4, Calls: 1, Kinds: kinds, Box: spec}, {Name: "back", Boxes: 8, Work: 0.6, Kinds: kinds, Box: spec}},
-			Rules: lab.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second},
+			Tiers: []experiment.Tier{{Name: "front", Boxes: 6, Work: 0.4, Calls: 1, Kinds: kinds, Box: spec}, {Name: "back", Boxes: 8, Work: 0.6, Kinds: kinds, Box: spec}},
+			Rules: experiment.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second},
 		},
-		Load: lab.Load{Rate: 100, Process: "poisson", Clients: lab.Clients{PatienceLeast: 0.6, Retries: 1, RetryWait: 100 * time.Millisecond, Leave: 0.02}},
+		Load: experiment.Load{Rate: 100, Process: "poisson", Clients: experiment.Clients{PatienceLeast: 0.6, Retries: 1, RetryWait: 100 * time.Millisecond, Leave: 0.02}},
 	}
 }
 
-func play(t *testing.T, e *lab.Experiment, policy string, seed uint64, shuffle *rand.Rand) *Result {
+func play(t *testing.T, e *experiment.Experiment, policy string, seed uint64, shuffle *rand.Rand) *Result {
 	t.Helper()
-	r, err := Run(context.Background(), e, lab.Arm{Name: policy, Policy: policy}, seed, Options{Shuffle: shuffle})
+	r, err := Run(context.Background(), e, experiment.Arm{Name: policy, Policy: policy}, seed, Options{Shuffle: shuffle})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func broken(r *Result) map[ledger.Rule]string {
-	out := map[ledger.Rule]string{}
+func broken(r *Result) map[invariant.Rule]string {
+	out := map[invariant.Rule]string{}
 	for _, v := range r.Verdicts {
 		if v.Broken > 0 {
 			out[v.Rule] = v.Detail
@@ -54,13 +54,13 @@
 }
 
 func TestCalmServesAll(t *testing.T) {
-	for _, policy := range append([]string{"tuliprock"}, rival.Names...) {
+	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
 		t.Run(policy, func(t *testing.T) {
 			r := play(t, calm(), policy, 1, nil)
 			if b := broken(r); len(b) > 0 {
 				t.Errorf("rules broken: %v", b)
 			}
-			if share := r.Tally.Total.Share(tally.InTime); share < 0.99 {
+			if share := r.Tally.Total.Share(counters.InTime); share < 0.99 {
 				t.Errorf("served in time: %.4f of %d", share, r.Tally.Total.Offered())
 			}
 			if n := r.Tally.Total.Offered(); n < 1600 || n > 2000 {
@@ -71,15 +71,15 @@
 }
 
 // troubled has every fault that virtual time knows.
-func troubled() *lab.Experiment {
+func troubled() *experiment.Experiment {
 	e := calm()
 	e.Duration = 30 * time.Second
-	for kind, has := range lab.FaultKinds {
+	for kind, has := range experiment.FaultKinds {
 		if !has {
 			continue
 		}
-		f := lab.Fault{Kind: kind, At: 5 * time.Second, For: 10 * time.Second, Part: 0.2, Size: 0.3, Period: time.Second}
-		if kind == lab.SharedSlow {
+		f := experiment.Fault{Kind: kind, At: 5 * time.Second, For: 10 * time.Second, Part: 0.2, Size: 0.3, Period: time.Second}
+		if kind == experiment.SharedSlow {
 			f.Size, f.For, f.Part = 1.5, 3*time.Second, 1
 		}
 		e.Faults = append(e.Faults, f)
@@ -97,7 +97,7 @@
 
 func TestSameSeedSameResult(t *testing.T) {
 	text := func(seed uint64, shuffle *rand.Rand) string {
-		r := play(t, troubled(), "tuliprock", seed, shuffle)
+		r := play(t, troubled(), experiment.DesignPolicy, seed, shuffle)
 		b, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
@@ -121,16 +121,16 @@
 // Under every fault the design and the rivals may serve fewer, but keep every rule that is theirs to keep. Rivals know
 // nothing of cold boxes: that rule is the design's alone.
 func TestRulesUnderFaults(t *testing.T) {
-	for _, policy := range append([]string{"tuliprock"}, rival.Names...) {
+	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
 		r := play(t, troubled(), policy, 3, nil)
 		b := broken(r)
-		if policy != "tuliprock" {
-			delete(b, ledger.Cold)
+		if policy != experiment.DesignPolicy {
+			delete(b, invariant.Cold)
 		}
 		if len(b) > 0 {
 			t.Errorf("%s: rules broken: %v", policy, b)
 		}
-		if n := r.Tally.Total; n.Offered() == n[tally.InTime] {
+		if n := r.Tally.Total; n.Offered() == n[counters.InTime] {
 			t.Errorf("%s: the faults changed nothing", policy)
 		}
 	}
@@ -138,19 +138,19 @@
 
 func TestFaultsBite(t *testing.T) {
 	base := play(t, calm(), "random", 2, nil)
-	for kind, has := range lab.FaultKinds {
-		if !has || kind == lab.RosterLate || kind == lab.RosterSilent {
+	for kind, has := range experiment.FaultKinds {
+		if !has || kind == experiment.RosterLate || kind == experiment.RosterSilent {
 			continue
 		}
 		e := calm()
 		e.Load.Clients.Retries = 0
-		f := lab.Fault{Kind: kind, At: 4 * time.Second, For: 12 * time.Second, Part: 0.6, Size: 0.9, Period: 400 * time.Millisecond}
-		if kind == lab.SharedSlow {
+		f := experiment.Fault{Kind: kind, At: 4 * time.Second, For: 12 * time.Second, Part: 0.6, Size: 0.9, Period: 400 * time.Millisecond}
+		if kind == experiment.SharedSlow {
 			f.Size = 6
 		}
-		e.Faults = []lab.Fault{f}
+		e.Faults = []experiment.Fault{f}
 		r := play(t, e, "random", 2, nil)
-		if r.Tally.Quantile(0.99) <= base.Tally.Quantile(0.99) && r.Tally.Total.Share(tally.InTime) >= base.Tally.Total.Share(tally.InTime) &&
+		if r.Tally.Quantile(0.99) <= base.Tally.Quantile(0.99) && r.Tally.Total.Share(counters.InTime) >= base.Tally.Total.Share(counters.InTime) &&
 			r.Tally.Attempts <= base.Tally.Attempts {
 			t.Errorf("%s: nothing is worse than on a calm day", kind)
 		}
@@ -160,19 +160,19 @@
 // A box that dies while a caller in the tier above holds a slot for it: the caller's request ends, the slot is freed.
 func TestDeathBelowFreesTheSlotAbove(t *testing.T) {
 	e := calm()
-	e.Load.Clients = lab.Clients{}
-	e.Faults = []lab.Fault{{Kind: lab.Crash, At: 8 * time.Second, For: time.Minute, Tier: "back", Part: 1}}
+	e.Load.Clients = experiment.Clients{}
+	e.Faults = []experiment.Fault{{Kind: experiment.Crash, At: 8 * time.Second, For: time.Minute, Tier: "back", Part: 1}}
 	r := play(t, e, "round_robin", 4, nil)
 	if b := broken(r); len(b) > 0 {
 		t.Errorf("rules broken: %v", b)
 	}
-	if r.Tally.Total[tally.Failed]+r.Tally.Total[tally.Refused] == 0 {
+	if r.Tally.Total[counters.Failed]+r.Tally.Total[counters.Refused] == 0 {
 		t.Error("all was served with no box left in the last tier")
 	}
 }
 
 func TestUnknownPolicy(t *testing.T) {
-	if _, err := Run(context.Background(), calm(), lab.Arm{Name: "x", Policy: "best"}, 1, Options{}); err == nil {
+	if _, err := Run(context.Background(), calm(), experiment.Arm{Name: "x", Policy: "best"}, 1, Options{}); err == nil {
 		t.Error("a policy of no known name was played")
 	}
 }
@@ -187,7 +187,7 @@
 			e.Site.Rules.FallOver = 0
 			requests := 0
 			for b.Loop() {
-				r, err := Run(context.Background(), e, lab.Arm{Policy: "tuliprock"}, 1, Options{})
+				r, err := Run(context.Background(), e, experiment.Arm{Policy: experiment.DesignPolicy}, 1, Options{})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/faultnet/faultnet_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -1,4 +1,4 @@
-package faultnet
+package faultproxy
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 func TestScriptTellsTheFaultInForce(t *testing.T) {
--- a/internal/faultnet/relay.go
+++ b/internal/faultproxy/relay.go
@@ -1,4 +1,4 @@
-package faultnet
+package faultproxy
 
 import (
 	"errors"
--- a/internal/faultnet/script.go
+++ b/internal/faultproxy/script.go
@@ -1,8 +1,8 @@
-// Package faultnet puts faults between processes on one machine: a relay on loopback that carries TCP streams or UDP
+// Package faultproxy puts faults between processes on one machine: a relay on loopback that carries TCP streams or UDP
 // datagrams to one target and, as a script or a test says, delays, loses, cuts, half-opens or partitions them. It is the
 // project's own rig for tests and the lab; it reaches nothing but loopback, and every relay is bounded in connections,
 // bytes and time.
-package faultnet
+package faultproxy
 
 import (
 	"cmp"
--- a/internal/watch/watch.go
+++ b/internal/filewatch/filewatch.go
@@ -1,6 +1,6 @@
-// Package watch follows the content of a file, however it is changed: written in place, replaced by rename, or reached
+// Package filewatch follows the content of a file, however it is changed: written in place, replaced by rename, or reached
 // through links that move.
-package watch
+package filewatch
 
 import (
 	"bytes"
--- a/internal/hclbody/budget.go
+++ b/internal/hcldecode/budget.go
@@ -1,15 +1,15 @@
-package hclbody
+package hcldecode
 
 import (
 	"github.com/hashicorp/hcl/v2"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 const budgetMost = 10 // attempts saved up where a block does not say
 
 // RetryBudget reads a block retry_budget.
-func (r *Reader) RetryBudget(b *hcl.Block, to *tuliprock.Resends) {
+func (r *Reader) RetryBudget(b *hcl.Block, to *balancer.Resends) {
 	var share Share
 	var floor Rate
 	to.Most = budgetMost
--- a/internal/hclbody/hclbody.go
+++ b/internal/hcldecode/hcldecode.go
@@ -1,6 +1,6 @@
-// Package hclbody reads the bodies of HCL files into values, with units where they are wanted, and collects all that is
+// Package hcldecode reads the bodies of HCL files into values, with units where they are wanted, and collects all that is
 // wrong: one line for each fault, with file, line, column and reason.
-package hclbody
+package hcldecode
 
 import (
 	"fmt"
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -1,4 +1,4 @@
-package upgrade
+package hotrestart
 
 import (
 	"net"
--- a/internal/upgrade/upgrade.go
+++ b/internal/hotrestart/presence.go
@@ -1,7 +1,7 @@
-// Package upgrade is what the processes of one sidecar share while one takes over from another: who is there, which endpoints the
+// Package hotrestart is what the processes of one sidecar share while one takes over from another: who is there, which endpoints the
 // operators have taken out, and what was learned. Each fact is a file of its own in one folder, so that writers can't undo each other and
 // a process that is killed leaves nothing half done.
-package upgrade
+package hotrestart
 
 import (
 	"encoding/hex"
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/successor/successor.go
@@ -1,6 +1,6 @@
-// Package handover starts a successor of this process that serves at the same sockets, and takes them over from a predecessor.
+// Package successor starts a successor of this process that serves at the same sockets, and takes them over from a predecessor.
 // The kernel keeps one queue of connections for a socket, whoever holds it: between the two nothing is refused and nothing lost.
-package handover
+package successor
 
 import (
 	"bufio"
--- a/internal/framing/body.go
+++ b/internal/http1/body.go
@@ -1,5 +1,5 @@
-// Package framing reads the bodies of HTTP/1.1 messages off connections by their framing (RFC 9112, 6 and 7).
-package framing
+// Package http1 reads the bodies of HTTP/1.1 messages off connections by their framing (RFC 9112, 6 and 7).
+package http1
 
 import (
 	"errors"
--- a/internal/framing/framing_test.go
+++ b/internal/http1/body_test.go
@@ -1,4 +1,4 @@
-package framing
+package http1
 
 import (
 	"bytes"
--- a/internal/framing/chunk.go
+++ b/internal/http1/chunk.go
@@ -1,4 +1,4 @@
-package framing
+package http1
 
 import (
 	"errors"
@@ -8,10 +8,10 @@
 )
 
 const (
-	mostLine    = 4 << 10 // bytes of a chunk's size and its extensions
-	mostTrailer = 8 << 10 // bytes of all trailers
-	mostDigits  = 16      // of a chunk's size
-	mostSize    = 1 << 40 // bytes of a chunk
+	mostLine       = 4 << 10 // bytes of a chunk's size and its extensions
+	mostTrailer    = 8 << 10 // bytes of all trailers
+	maxChunkDigits = 16      // of a chunk's size
+	mostSize       = 1 << 40 // bytes of a chunk
 )
 
 // Errors of chunked bodies.
@@ -89,7 +89,7 @@
 	case inExtension:
 		if b == '\n' {
 			c.sized()
-		} else if b != '\r' && !isText(b) {
+		} else if b != '\r' && !isTextByte(b) {
 			return errLine
 		}
 	case afterData:
@@ -122,7 +122,7 @@
 		return errSize
 	case first:
 		c.size = digit
-	case digit >= 0 && c.seen <= mostDigits && c.size < mostSize>>4:
+	case digit >= 0 && c.seen <= maxChunkDigits && c.size < mostSize>>4:
 		c.size = c.size<<4 | digit
 	case b == ' ' || b == '\t':
 		c.state = inPad
@@ -149,7 +149,7 @@
 // takeTrailer takes a byte of the trailers, which are held to the form of headers and dropped.
 func (c *chunks) takeTrailer(b byte) error {
 	if b != '\n' {
-		if b != '\r' && !isText(b) {
+		if b != '\r' && !isTextByte(b) {
 			return errLine
 		}
 		if b != '\r' {
@@ -173,8 +173,8 @@
 	return errLine
 }
 
-// isText tells whether a byte may stand in a line.
-func isText(b byte) bool { return b >= ' ' && b != 0x7f || b == '\t' }
+// isTextByte tells whether a byte may stand in a line.
+func isTextByte(b byte) bool { return b >= ' ' && b != 0x7f || b == '\t' }
 
 // ChunkHead is how many bytes before a chunk's data its size takes at most, and ChunkTail how many stand behind it.
 const (
--- a/internal/head/head.go
+++ b/internal/http1/head.go
@@ -1,7 +1,7 @@
-// Package head reads heads of HTTP/1.1 messages of the plainest form, the one that nearly all have: what it takes, it
+// Package http1 reads heads of HTTP/1.1 messages of the plainest form, the one that nearly all have: what it takes, it
 // reads as net/http would, and whatever else there may be it leaves to net/http. It exists because reading heads is a tenth
 // of what a request costs.
-package head
+package http1
 
 import (
 	"bytes"
@@ -72,7 +72,7 @@
 // others are the fields of which net/http makes more than a name and a value.
 var others = map[string]bool{"Connection": true, "Transfer-Encoding": true, "Trailer": true, "Pragma": true}
 
-const mostDigits = 9 // of a Content-Length
+const maxLengthDigits = 9 // of a Content-Length
 
 // fields reads the lines of a head up to and with its empty line, nil where one of them is not plain. The length is what
 // Content-Length says, below 0 if it says nothing.
@@ -122,7 +122,7 @@
 
 // digits reads a number that is nothing but digits.
 func digits(s string) (n int, ok bool) {
-	if s == "" || len(s) > mostDigits {
+	if s == "" || len(s) > maxLengthDigits {
 		return 0, false
 	}
 	for i := range len(s) {
--- a/internal/head/head_test.go
+++ b/internal/http1/head_test.go
@@ -1,4 +1,4 @@
-package head
+package http1
 
 import (
 	"bufio"
--- a/internal/front/plain/body.go
+++ b/internal/httpserver/body.go
@@ -1,4 +1,4 @@
-package plain
+package httpserver
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/engine"
-	"tuliprock/internal/framing"
+	"rowancart/internal/http1"
+	"rowancart/internal/proxy"
 )
 
 const (
@@ -29,7 +29,7 @@
 // due gives the instant. Those who begin slowly get as long as any peer does; nobody who stalls gets more than a pause.
 func (p *pace) due() time.Time {
 	by := p.began.Add(time.Duration(p.got) * time.Second / paceLeast)
-	if p.got >= engine.MaxBody {
+	if p.got >= proxy.MaxBody {
 		by = by.Add(p.slack)
 	}
 	if pause := p.last.Add(pauseMost); pause.Before(by) {
@@ -50,7 +50,7 @@
 // incoming is the body of the request that is being served, as it comes off the connection.
 type incoming struct {
 	in   *reader
-	body *framing.Body
+	body *http1.Body
 
 	mu      sync.Mutex // held by a read
 	pace    pace
@@ -62,7 +62,7 @@
 func (t *talk) newIncoming(length int64) *incoming {
 	now := time.Now()
 	b := &incoming{in: &t.in, pace: pace{slack: t.bodyTimeout, came: t.came, began: now, last: now}}
-	b.body = framing.NewBody(b, length)
+	b.body = http1.NewBody(b, length)
 	return b
 }
 
@@ -110,7 +110,7 @@
 		return 0, b.err
 	}
 	n, err := b.body.Read(p)
-	if b.pace.got += int64(n); b.pace.got > engine.MaxLong {
+	if b.pace.got += int64(n); b.pace.got > proxy.MaxLong {
 		err = errBodyTooLong
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -165,7 +165,7 @@
 	n := r.ContentLength
 	expects := r.Header.Get("Expect")
 	switch {
-	case n > engine.MaxLong:
+	case n > proxy.MaxLong:
 		return nil, nil, nil, refusal(errBodyTooLong)
 	case expects != "" && expects != "100-continue":
 		return nil, nil, nil, improper(http.StatusExpectationFailed, "Expect: 100-continue is all that is known")
@@ -177,9 +177,9 @@
 			return nil, nil, nil, improper(http.StatusBadRequest, "the body can't be read")
 		}
 	}
-	room := engine.MaxBody
+	room := proxy.MaxBody
 	if n > 0 {
-		room = int(min(n, engine.MaxBody))
+		room = int(min(n, proxy.MaxBody))
 	}
 	if room <= firstBuffer {
 		body = make([]byte, room)
@@ -208,9 +208,9 @@
 
 // keep reads on as far as there is memory to keep a body in, and gives what an engine is to send: all of it kept, or the rest still to
 // come.
-func (u *upload) keep() (*engine.Upload, error) {
+func (u *upload) keep() (*proxy.Upload, error) {
 	most := u.pieces.each()
-	out := &engine.Upload{Length: u.length, Free: u.free}
+	out := &proxy.Upload{Length: u.length, Free: u.free}
 	total := int64(len(u.first))
 	if u.length < 0 || u.length-total <= int64(most)*pieceSize {
 		for len(u.kept) < most && !u.body.Ended() {
@@ -253,7 +253,7 @@
 
 // within is how long the rest of a body may take.
 func (u *upload) within() time.Duration {
-	left := int64(engine.MaxLong)
+	left := int64(proxy.MaxLong)
 	if u.length >= 0 {
 		left = u.length
 	}
--- a/internal/front/plain/conns_test.go
+++ b/internal/httpserver/conns_test.go
@@ -1,12 +1,12 @@
-package plain
+package httpserver
 
 import (
 	"io"
 	"net"
 	"net/http"
+	"rowancart/internal/testpeer"
 	"testing"
 	"time"
-	"tuliprock/internal/testpeer"
 )
 
 // accepted gives both ends of a caller's connection that the front holds for idle.
--- a/internal/front/plain/lookout_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -1,11 +1,11 @@
-package plain
+package httpserver
 
 import (
 	"io"
 	"net"
 	"testing"
 
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 // looked gives a look-out for one end of a connection, that end, and the caller's.
--- a/internal/front/plain/head.go
+++ b/internal/httpserver/head.go
@@ -1,4 +1,4 @@
-package plain
+package httpserver
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/engine"
-	"tuliprock/internal/head"
+	"rowancart/internal/http1"
+	"rowancart/internal/proxy"
 )
 
 const (
@@ -65,7 +65,7 @@
 		if bytes.Contains(text[max(seen-1, 0):], []byte("\n\n")) { // it ends for some, and not for us
 			return nil, errBareLF
 		}
-		if seen = len(text); seen >= engine.MaxHead {
+		if seen = len(text); seen >= proxy.MaxHead {
 			return nil, errHeadTooLong
 		}
 		if err := r.fill(); err != nil {
@@ -80,11 +80,11 @@
 var errBareLF = errors.New("a line that does not end with CR LF")
 
 // bodies keeps the memory of long bodies for others: *[]byte of engine.MaxBody bytes.
-var bodies = sync.Pool{New: func() any { b := make([]byte, engine.MaxBody); return &b }}
+var bodies = sync.Pool{New: func() any { b := make([]byte, proxy.MaxBody); return &b }}
 
 // readHead reads a request's head, and refuses one that has more than one reading.
 func readHead(text []byte) (*http.Request, *Refusal) {
-	if r := head.Request(text); r != nil { // of the plainest form, in which there is nothing to refuse
+	if r := http1.Request(text); r != nil { // of the plainest form, in which there is nothing to refuse
 		return r, nil
 	}
 	if f := checkHead(text); f != nil {
--- a/internal/front/plain/head_test.go
+++ b/internal/httpserver/head_test.go
@@ -1,4 +1,4 @@
-package plain
+package httpserver
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/engine"
-	"tuliprock/internal/testpeer"
+	"rowancart/balancer"
+	"rowancart/internal/proxy"
+	"rowancart/internal/testpeer"
 )
 
 func TestHeadsOfTwoReadingsAreRefused(t *testing.T) {
@@ -93,7 +93,7 @@
 				if f == nil && checkHead(head) != nil {
 					t.Fatalf("%q is read though it is refused", head)
 				}
-				if f != nil || r.ContentLength < 0 || r.ContentLength > engine.MaxBody {
+				if f != nil || r.ContentLength < 0 || r.ContentLength > proxy.MaxBody {
 					return heads, bodies
 				}
 				heads = append(heads, string(head))
@@ -134,10 +134,10 @@
 }
 
 // echo serves with an engine before one endpoint.
-type echo struct{ e *engine.Engine }
+type echo struct{ e *proxy.Engine }
 
 func (d echo) Receive(*http.Request) (Visit, *Refusal) {
-	return Visit{Engine: d.e, Class: "all", Effect: tuliprock.Safe, Wait: patience, AnyForm: true, ID: "x"}, nil
+	return Visit{Engine: d.e, Class: "all", Effect: balancer.Safe, Wait: patience, AnyForm: true, ID: "x"}, nil
 }
 
 func TestAnswersFitWhatWasAsked(t *testing.T) {
@@ -152,8 +152,8 @@
 		return true
 	})
 	log := slog.New(slog.DiscardHandler)
-	n := engine.New(tuliprock.Settings{MayCancel: true, Classes: []tuliprock.Class{{Name: "all"}}},
-		engine.Members{Complete: true, Members: []engine.Member{{ID: "a", Addr: e.Addr}}}, engine.Options{Conns: 9, Relay: true, Log: log, Subscribe: func() {}})
+	n := proxy.New(balancer.Settings{MayCancel: true, Classes: []balancer.Class{{Name: "all"}}},
+		proxy.Members{Complete: true, Members: []proxy.Member{{ID: "a", Addr: e.Addr}}}, proxy.Options{Conns: 9, Relay: true, Log: log, Subscribe: func() {}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/plain/pace_test.go
+++ b/internal/httpserver/pace_test.go
@@ -1,4 +1,4 @@
-package plain
+package httpserver
 
 import (
 	"testing"
--- a/internal/engine/peers_test.go
+++ b/internal/httpserver/peers_test.go
@@ -1,7 +1,7 @@
-package engine
+package httpserver
 
 import (
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 // What tests here use most.
--- a/internal/front/plain/serve.go
+++ b/internal/httpserver/serve.go
@@ -1,4 +1,4 @@
-package plain
+package httpserver
 
 import (
 	"errors"
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock/internal/engine"
-	"tuliprock/internal/framing"
+	"rowancart/internal/http1"
+	"rowancart/internal/proxy"
 )
 
 const (
@@ -160,11 +160,11 @@
 		f.Close = f.Close || more != nil
 		return t.refuse(r, f)
 	}
-	taken, reply := false, engine.Reply{Kind: engine.Failed}
+	taken, reply := false, proxy.Reply{Kind: proxy.Failed}
 	if v.Over != nil {
 		defer func() { v.Over(taken, reply) }()
 	}
-	m := &engine.Message{Body: body, Free: free}
+	m := &proxy.Message{Body: body, Free: free}
 	arrived := time.Now() // a request's time counts from its last byte
 	c, f := t.read(r, &v, m, more != nil, arrived)
 	if f != nil {
@@ -201,7 +201,7 @@
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil && !errors.Is(err, errDropped) {
-		reply.Kind = engine.Failed
+		reply.Kind = proxy.Failed
 		return t.refuse(r, refusal(err))
 	}
 	if !ended { // what is still to come of it must not be taken for the next request
@@ -245,8 +245,8 @@
 }
 
 // answer writes the final answer of an engine, as the last on its connection or not.
-func (t *talk) answer(r *http.Request, a engine.Reply, end bool) bool {
-	if a.Kind == engine.Served {
+func (t *talk) answer(r *http.Request, a proxy.Reply, end bool) bool {
+	if a.Kind == proxy.Served {
 		if a.Answer.Rest != nil {
 			return t.stream(r, &a.Answer, end)
 		}
@@ -261,7 +261,7 @@
 
 // stream passes an answer on as it comes: what is read off the endpoint is written at once, and only then more is read. One that breaks
 // off ends its connection short of what it has promised, so that the caller can tell.
-func (t *talk) stream(r *http.Request, a *engine.Answer, end bool) bool {
+func (t *talk) stream(r *http.Request, a *proxy.Answer, end bool) bool {
 	defer a.Rest.Close()
 	end = end || t.last(r)
 	chunked := a.Length < 0 && r.ProtoAtLeast(1, 1)
@@ -281,20 +281,20 @@
 	}
 	t.look.start(a.Rest.Cancel)
 	defer t.look.stop()
-	b := framing.Buffers.Get().(*[]byte)
-	defer framing.Buffers.Put(b)
-	room := (*b)[framing.ChunkHead : len(*b)-framing.ChunkTail]
+	b := http1.Buffers.Get().(*[]byte)
+	defer http1.Buffers.Put(b)
+	room := (*b)[http1.ChunkHead : len(*b)-http1.ChunkTail]
 	n := copy(room, a.Body)
 	for more, ended := a.Body[n:], false; ; {
 		if n > 0 {
 			if chunked {
-				t.out = append(t.out, framing.Chunk(*b, n)...)
+				t.out = append(t.out, http1.Chunk(*b, n)...)
 			} else if len(t.out) > 0 {
 				t.out = append(t.out, room[:n]...)
 			}
 		}
 		if ended && chunked {
-			t.out = append(t.out, framing.LastChunk...)
+			t.out = append(t.out, http1.LastChunk...)
 		}
 		if !t.push(t.out) || len(t.out) == 0 && !t.push(room[:n]) {
 			return false
@@ -322,7 +322,7 @@
 	if len(b) == 0 {
 		return true
 	}
-	if t.conn.Conn.SetWriteDeadline(after(framing.StillMost)) != nil {
+	if t.conn.Conn.SetWriteDeadline(after(http1.StillMost)) != nil {
 		return false
 	}
 	t.writesFrom = time.Time{}
--- a/internal/front/plain/server.go
+++ b/internal/httpserver/server.go
@@ -1,6 +1,6 @@
-// Package plain is the front for callers that speak HTTP/1.1: it reads a request, asks the desk whom it is for, hands it
+// Package httpserver is the front for callers that speak HTTP/1.1: it reads a request, asks the desk whom it is for, hands it
 // to an engine and writes the one answer.
-package plain
+package httpserver
 
 import (
 	"cmp"
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/engine"
+	"rowancart/balancer"
+	"rowancart/internal/proxy"
 )
 
 // What callers are answered. Only a refusal is 503, and nothing is 429: both promise that nothing has run.
@@ -46,15 +46,15 @@
 
 // Visit is a request that has found its engine.
 type Visit struct {
-	Engine   *engine.Engine
+	Engine   *proxy.Engine
 	Class    string // as the engine's settings name it
-	Effect   tuliprock.Effect
+	Effect   balancer.Effect
 	Tenant   string
-	Wait     time.Duration                    // how long a caller waits who does not say so; 0: it must say so
-	MostWait time.Duration                    // how long it is served at most; 0: as long as it waits
-	AnyForm  bool                             // methods and bodies are as the desk has found them; else the class decides them
-	ID       string                           // for a request that brings none; empty: it must bring one
-	Over     func(taken bool, a engine.Reply) // is told once whether an engine took the request, and its answer; nil: nobody asks
+	Wait     time.Duration                   // how long a caller waits who does not say so; 0: it must say so
+	MostWait time.Duration                   // how long it is served at most; 0: as long as it waits
+	AnyForm  bool                            // methods and bodies are as the desk has found them; else the class decides them
+	ID       string                          // for a request that brings none; empty: it must bring one
+	Over     func(taken bool, a proxy.Reply) // is told once whether an engine took the request, and its answer; nil: nobody asks
 }
 
 // Refusal is what a request is answered that nobody serves.
@@ -122,12 +122,12 @@
 }
 
 // read makes a call of a request, with a message that has its body, or says what is wrong with it.
-func (t *talk) read(r *http.Request, v *Visit, m *engine.Message, long bool, arrived time.Time) (*engine.Call, *Refusal) {
+func (t *talk) read(r *http.Request, v *Visit, m *proxy.Message, long bool, arrived time.Time) (*proxy.Call, *Refusal) {
 	if err := checkForm(r.Method, v.Effect, len(m.Body) > 0 || long); err != nil && !v.AnyForm {
 		return nil, improper(http.StatusMethodNotAllowed, err.Error())
 	}
 	id := v.ID
-	header := engine.EndToEnd(r.Header, idHeader, keyHeader) // whatever Connection names, these go on unchanged
+	header := proxy.EndToEnd(r.Header, idHeader, keyHeader) // whatever Connection names, these go on unchanged
 	if values := r.Header.Values(idHeader); len(values) > 0 || id == "" {
 		var err error
 		if id, err = one(values, idHeader); err != nil || len(id) > maxID {
@@ -137,14 +137,14 @@
 		header.Set(idHeader, id)
 	}
 	wait := v.Wait
-	if values := r.Header.Values(engine.DeadlineHeader); len(values) > 0 || wait == 0 {
-		text, err := one(values, engine.DeadlineHeader)
+	if values := r.Header.Values(proxy.DeadlineHeader); len(values) > 0 || wait == 0 {
+		text, err := one(values, proxy.DeadlineHeader)
 		if err != nil {
 			return nil, improper(http.StatusBadRequest, err.Error())
 		}
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms < 1 || ms > maxDeadline.Milliseconds() {
-			return nil, improper(http.StatusBadRequest, fmt.Sprintf("%s: %.40q is no usable time", engine.DeadlineHeader, text))
+			return nil, improper(http.StatusBadRequest, fmt.Sprintf("%s: %.40q is no usable time", proxy.DeadlineHeader, text))
 		}
 		wait = time.Duration(ms) * time.Millisecond
 	}
@@ -152,21 +152,21 @@
 	if v.MostWait > 0 {
 		wait = min(wait, v.MostWait)
 	}
-	if v.Effect == tuliprock.Keyed && r.Header.Get(keyHeader) == "" { // endpoints could not drop its repeats
+	if v.Effect == balancer.Keyed && r.Header.Get(keyHeader) == "" { // endpoints could not drop its repeats
 		return nil, improper(http.StatusBadRequest, "Idempotency-Key: missing")
 	}
 	m.Wait = wait
 	m.Method, m.URL, m.Host, m.Header = r.Method, r.URL, cmp.Or(r.Host, t.host), header
-	return engine.NewCall(tuliprock.Request{ID: id, Class: v.Class, Tenant: v.Tenant,
+	return proxy.NewCall(balancer.Request{ID: id, Class: v.Class, Tenant: v.Tenant,
 		Deadline: v.Engine.Now() - time.Since(arrived) + wait, Repeat: r.Header.Get("Req-Retry") == "1"}, m), nil
 }
 
 // checkForm holds a request to the form that its class decides: what is safe is asked for with no body.
-func checkForm(method string, e tuliprock.Effect, body bool) error {
+func checkForm(method string, e balancer.Effect, body bool) error {
 	switch {
-	case e == tuliprock.Safe && (method != http.MethodGet || body):
+	case e == balancer.Safe && (method != http.MethodGet || body):
 		return errors.New("the class takes GET with no body")
-	case e != tuliprock.Safe && method != http.MethodPost:
+	case e != balancer.Safe && method != http.MethodPost:
 		return errors.New("the class takes POST")
 	}
 	return nil
@@ -181,5 +181,5 @@
 }
 
 // statuses are what the kinds of answers are to callers.
-var statuses = map[engine.Kind]int{engine.Served: statusServed, engine.Refused: statusRefused, engine.Failed: statusFailed,
-	engine.Duplicate: statusDuplicate}
+var statuses = map[proxy.Kind]int{proxy.Served: statusServed, proxy.Refused: statusRefused, proxy.Failed: statusFailed,
+	proxy.Duplicate: statusDuplicate}
--- a/internal/front/plain/status.go
+++ b/internal/httpserver/status.go
@@ -1,25 +1,25 @@
-package plain
+package httpserver
 
 import (
 	"net/http"
 	"strings"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // statusHeader tells callers why a proxy made an answer by itself (RFC 9209).
 const statusHeader = "Proxy-Status"
 
 // errorTypes are RFC 9209's names (2.3) for the module's reasons. Details have the reason itself.
-var errorTypes = map[tuliprock.Reason]string{
-	tuliprock.NoEndpoint: "destination_unavailable",
-	tuliprock.NoRoom:     "connection_limit_reached",
-	tuliprock.QueueFull:  "connection_limit_reached",
-	tuliprock.OverQuota:  "http_request_denied",
-	tuliprock.TooLate:    "http_response_timeout",
-	tuliprock.NoBudget:   "destination_unavailable",
-	tuliprock.NoAttempt:  "destination_unavailable",
-	tuliprock.MayHaveRun: "connection_terminated",
+var errorTypes = map[balancer.Reason]string{
+	balancer.NoEndpoint: "destination_unavailable",
+	balancer.NoRoom:     "connection_limit_reached",
+	balancer.QueueFull:  "connection_limit_reached",
+	balancer.OverQuota:  "http_request_denied",
+	balancer.TooLate:    "http_response_timeout",
+	balancer.NoBudget:   "destination_unavailable",
+	balancer.NoAttempt:  "destination_unavailable",
+	balancer.MayHaveRun: "connection_terminated",
 }
 
 // limitType is its name for a request that is over a limit of the configuration.
--- a/internal/figures/figures.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures counts what became of requests, for the people who operate the sidecar. Counters only grow, and are written
+// Package metrics counts what became of requests, for the people who operate the sidecar. Counters only grow, and are written
 // and read without a lock.
-package figures
+package metrics
 
 import (
 	"slices"
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,10 +1,10 @@
-package figures
+package metrics
 
 import (
 	"sync"
 	"testing"
 
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 func TestEveryClassIsThereFromTheStart(t *testing.T) {
--- a/internal/engine/calls_test.go
+++ b/internal/proxy/calls_test.go
@@ -1,4 +1,4 @@
-package engine
+package proxy
 
 import (
 	"context"
@@ -13,16 +13,16 @@
 	"testing"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/testpeer"
+	"rowancart/balancer"
+	"rowancart/internal/testpeer"
 )
 
 // classes are what test calls are of.
-var classes = []tuliprock.Class{{Name: "safe", Aim: time.Minute}, {Name: "unsafe", Effect: tuliprock.Unsafe, Aim: time.Minute},
+var classes = []balancer.Class{{Name: "safe", Aim: time.Minute}, {Name: "unsafe", Effect: balancer.Unsafe, Aim: time.Minute},
 	{Name: "copied", Aim: time.Minute, CopyAfter: time.Millisecond}}
 
 // testEngine runs an engine before the endpoints given, named a, b, ...
-func testEngine(t *testing.T, s tuliprock.Settings, addrs ...string) *Engine {
+func testEngine(t *testing.T, s balancer.Settings, addrs ...string) *Engine {
 	t.Helper()
 	s.Classes = classes
 	known := Members{Complete: true}
@@ -48,7 +48,7 @@
 // call makes one that waits for so long.
 func (l *Engine) call(id, class string, wait time.Duration) *Call {
 	m := &Message{Method: http.MethodPost, URL: &url.URL{Path: "/c"}, Host: "api.internal", Header: http.Header{"Req-Id": {id}}}
-	return NewCall(tuliprock.Request{ID: id, Class: class, Deadline: l.Now() + wait}, m)
+	return NewCall(balancer.Request{ID: id, Class: class, Deadline: l.Now() + wait}, m)
 }
 
 // answer gives the final answer to a call once it is there.
@@ -104,16 +104,16 @@
 	for name, happens := range map[string]func(e *Engine, id, addr string){
 		"banned": func(e *Engine, id, _ string) { e.Ban(id) },
 		"draining": func(e *Engine, id, addr string) {
-			e.Heard(Members{Members: []Member{{ID: id, Addr: addr, State: tuliprock.Draining}}})
+			e.Heard(Members{Members: []Member{{ID: id, Addr: addr, State: balancer.Draining}}})
 		},
 		"gone": func(e *Engine, id, addr string) {
-			e.Heard(Members{Members: []Member{{ID: id, Addr: addr, State: tuliprock.Gone}}})
+			e.Heard(Members{Members: []Member{{ID: id, Addr: addr, State: balancer.Gone}}})
 		},
 	} {
 		for _, class := range []string{"safe", "unsafe"} {
 			t.Run(name+" "+class, func(t *testing.T) {
 				f := newFleet(t, 2, answers)
-				e := testEngine(t, tuliprock.Settings{MayCancel: true}, f.addrs...)
+				e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
 				up, letGo := held(e.upstream)
 				reply := e.answer(e.call("r1", class, patience))
 				addr := (<-up).RemoteAddr().String()
@@ -148,7 +148,7 @@
 		}
 		return answers(nc, id)
 	})
-	e := testEngine(t, tuliprock.Settings{MayCancel: true}, f.addrs...)
+	e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
 	if r := <-e.answer(e.call("old", "unsafe", patience)); r.Kind != Served {
 		t.Fatalf("answered %+v", r)
 	}
@@ -175,7 +175,7 @@
 // A roster whose clock is ahead tells of a start in the future: the endpoint is used, and its connections are kept.
 func TestAStartInTheFutureKeepsNobodyOut(t *testing.T) {
 	f := newFleet(t, 1, answers)
-	e := testEngine(t, tuliprock.Settings{MayCancel: true}, f.addrs...)
+	e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
 	listed := Members{Members: []Member{{ID: "a", Addr: f.addrs[0], StartedMs: time.Now().Add(time.Hour).UnixMilli()}}}
 	for _, id := range []string{"r1", "r2"} {
 		e.Heard(listed)
@@ -196,7 +196,7 @@
 		<-release
 		return answers(nc, id)
 	})
-	e := testEngine(t, tuliprock.Settings{MayCancel: true}, f.addrs...)
+	e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
 	reply := e.answer(e.call("r1", "safe", patience))
 	<-came
 	e.Heard(Members{Members: []Member{{ID: "a", Addr: f.addrs[0], StartedMs: justNow(t)}}})
@@ -219,7 +219,7 @@
 					return answers(nc, id)
 				})
 				// The module gives up a resolution ahead of the deadline, the attempt at the deadline.
-				e := testEngine(t, tuliprock.Settings{MayCancel: mayCancel, Resolution: patience}, f.addrs...)
+				e := testEngine(t, balancer.Settings{MayCancel: mayCancel, Resolution: patience}, f.addrs...)
 				e.silence()
 				due := e.Now() + 50*time.Millisecond
 				reply := e.answer(e.call("r1", class, due+patience-e.Now()))
@@ -261,7 +261,7 @@
 				<-release
 				return answers(nc, id)
 			})
-			e := testEngine(t, tuliprock.Settings{MayCancel: true}, f.addrs...)
+			e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
 			e.silence()
 			c := e.call("r1", "copied", time.Minute)
 			var left atomic.Bool
@@ -302,7 +302,7 @@
 // The caller leaves when its attempt has been handed to the goroutine that serves it, and has not been taken up.
 func TestAnAttemptHandedOverToACallerThatLeft(t *testing.T) {
 	f := newFleet(t, 1, answers)
-	e := testEngine(t, tuliprock.Settings{MayCancel: true}, f.addrs...)
+	e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
 	c := e.call("r1", "unsafe", patience)
 	e.post(func(now time.Duration) { e.start(now, c) })
 	if len(c.work) != 1 {
--- a/internal/engine/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -1,4 +1,4 @@
-package engine
+package proxy
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/testpeer"
+	"rowancart/balancer"
+	"rowancart/internal/testpeer"
 )
 
 // held makes the next dial stop once its connection is up, until let go.
@@ -33,28 +33,28 @@
 func TestNothingIsSentOnAConnectionThatCameUpTooLate(t *testing.T) {
 	for name, row := range map[string]struct {
 		happens func(u *upstream, l *leash, e *testpeer.Endpoint)
-		want    tuliprock.Result
+		want    balancer.Result
 	}{
-		"nothing":                {func(*upstream, *leash, *testpeer.Endpoint) {}, tuliprock.OK},
-		"the endpoint drains":    {func(u *upstream, _ *leash, e *testpeer.Endpoint) { u.setMember("a", e.Addr, false) }, tuliprock.NotSent},
-		"the endpoint is gone":   {func(u *upstream, _ *leash, _ *testpeer.Endpoint) { u.removeMember("a") }, tuliprock.NotSent},
-		"the endpoint has moved": {func(u *upstream, _ *leash, _ *testpeer.Endpoint) { u.setMember("a", "127.0.0.1:1", true) }, tuliprock.NotSent},
+		"nothing":                {func(*upstream, *leash, *testpeer.Endpoint) {}, balancer.OK},
+		"the endpoint drains":    {func(u *upstream, _ *leash, e *testpeer.Endpoint) { u.setMember("a", e.Addr, false) }, balancer.NotSent},
+		"the endpoint is gone":   {func(u *upstream, _ *leash, _ *testpeer.Endpoint) { u.removeMember("a") }, balancer.NotSent},
+		"the endpoint has moved": {func(u *upstream, _ *leash, _ *testpeer.Endpoint) { u.setMember("a", "127.0.0.1:1", true) }, balancer.NotSent},
 		"the endpoint is another of that name": {func(u *upstream, _ *leash, e *testpeer.Endpoint) {
 			u.removeMember("a")
 			u.setMember("a", e.Addr, true)
-		}, tuliprock.NotSent},
-		"the caller leaves":          {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.left = func() bool { return true } }, tuliprock.NotSent},
-		"the attempt is called off":  {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.cancel() }, tuliprock.Canceled},
-		"the attempt is withdrawn":   {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.withdraw() }, tuliprock.Canceled},
-		"the caller is still there":  {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.left = func() bool { return false } }, tuliprock.OK},
-		"the list says ready, again": {func(u *upstream, _ *leash, e *testpeer.Endpoint) { u.setMember("a", e.Addr, true) }, tuliprock.OK},
+		}, balancer.NotSent},
+		"the caller leaves":          {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.left = func() bool { return true } }, balancer.NotSent},
+		"the attempt is called off":  {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.cancel() }, balancer.Canceled},
+		"the attempt is withdrawn":   {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.withdraw() }, balancer.Canceled},
+		"the caller is still there":  {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.left = func() bool { return false } }, balancer.OK},
+		"the list says ready, again": {func(u *upstream, _ *leash, e *testpeer.Endpoint) { u.setMember("a", e.Addr, true) }, balancer.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoint(t, says(served, true))
 			u := testUpstream(t, e.Addr)
 			up, letGo := held(u)
 			l := within(patience)
-			ended := make(chan tuliprock.Result)
+			ended := make(chan balancer.Result)
 			go func() {
 				r, _ := u.attempt(l, "a", get("/c"))
 				ended <- r
@@ -66,7 +66,7 @@
 				t.Errorf("outcome %v, want %v", r, row.want)
 			}
 			_, _, open := u.count()
-			if want := map[bool]int32{true: 1}[row.want == tuliprock.OK]; e.Requests.Load() != want || open != int(want) {
+			if want := map[bool]int32{true: 1}[row.want == balancer.OK]; e.Requests.Load() != want || open != int(want) {
 				t.Errorf("%d requests came, %d connections are open, want %d", e.Requests.Load(), open, want)
 			}
 		})
@@ -82,7 +82,7 @@
 	defer l.Close()
 	u := testUpstream(t, l.Addr().String())
 	up, letGo := held(u)
-	ended := make(chan tuliprock.Result)
+	ended := make(chan balancer.Result)
 	go func() {
 		r, _ := u.attempt(within(patience), "a", get("/c"))
 		ended <- r
@@ -96,7 +96,7 @@
 	there.Close()
 	until(t, "the break comes", func() bool { return testpeer.Pending(nc) })
 	close(letGo)
-	if r := <-ended; r != tuliprock.ConnectFailed {
+	if r := <-ended; r != balancer.ConnectFailed {
 		t.Errorf("outcome %v", r)
 	}
 }
@@ -116,7 +116,7 @@
 		u := testUpstream(t, e.Addr)
 		m := get("/c")
 		m.Method = method
-		if r, _ := u.attempt(within(patience), "a", m); r != tuliprock.OK {
+		if r, _ := u.attempt(within(patience), "a", m); r != balancer.OK {
 			t.Fatalf("first: %v", r)
 		}
 		c := u.pools["a"].idle[0]
@@ -129,7 +129,7 @@
 			})
 			return false
 		}
-		if r, _ := u.attempt(l, "a", m); r != tuliprock.OK {
+		if r, _ := u.attempt(l, "a", m); r != balancer.OK {
 			t.Errorf("%s: outcome %v", method, r)
 		}
 		if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 2 {
@@ -167,13 +167,13 @@
 				rests <- true
 				<-letGo
 			}
-			if r, a := u.attempt(within(patience), "a", get("/x")); r != tuliprock.OK || string(a.Body) != "x" {
+			if r, a := u.attempt(within(patience), "a", get("/x")); r != balancer.OK || string(a.Body) != "x" {
 				t.Fatalf("x: outcome %v, answer %q", r, a.Body)
 			}
 			c := u.pools["a"].idle[0]
 			ended := make(chan bool)
 			go func() {
-				if r, a := u.attempt(within(patience), "a", get("/y")); r != tuliprock.OK || string(a.Body) != "y" {
+				if r, a := u.attempt(within(patience), "a", get("/y")); r != balancer.OK || string(a.Body) != "y" {
 					t.Errorf("y: outcome %v, answer %q", r, a.Body)
 				}
 				close(ended)
@@ -228,21 +228,21 @@
 	e := newEndpoint(t, says(served, true))
 	u := testUpstream(t, e.Addr)
 	u.settle = patience
-	if r, _ := u.attempt(within(patience), "a", get("/c")); r != tuliprock.OK {
+	if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
 		t.Fatal(r)
 	}
 	for name, off := range map[string]func(l *leash){"cancelled": (*leash).cancel, "withdrawn": (*leash).withdraw} {
 		l := within(patience)
 		pause := u.pause
 		u.pause = func(ctx context.Context) { off(l); pause(ctx) }
-		if r, _ := u.attempt(l, "a", get("/c")); r != tuliprock.Canceled {
+		if r, _ := u.attempt(l, "a", get("/c")); r != balancer.Canceled {
 			t.Errorf("%s: outcome %v", name, r)
 		}
 		u.pause = pause
 		if _, _, open := u.count(); open != 0 || e.Requests.Load() != 1 {
 			t.Errorf("%s: %d connections are open, %d requests came", name, open, e.Requests.Load())
 		}
-		if r, _ := u.attempt(within(patience), "a", get("/c")); r != tuliprock.OK {
+		if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
 			t.Fatal(r)
 		}
 		e.Requests.Store(1)
@@ -278,7 +278,7 @@
 	})
 	u := testUpstream(t, e.Addr)
 	l := within(patience)
-	ended := make(chan tuliprock.Result)
+	ended := make(chan balancer.Result)
 	go func() {
 		r, _ := u.attempt(l, "a", get("/c"))
 		ended <- r
@@ -287,7 +287,7 @@
 	until(t, "the request is known to be written", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.whole })
 	l.withdraw()
 	close(release)
-	if r := <-ended; r != tuliprock.OK {
+	if r := <-ended; r != balancer.OK {
 		t.Errorf("outcome %v", r)
 	}
 }
@@ -296,7 +296,7 @@
 func TestACloseBehindAnAnswerTeachesNothing(t *testing.T) {
 	e := newEndpoint(t, says(served, false))
 	u := testUpstream(t, e.Addr)
-	if r, _ := u.attempt(within(patience), "a", get("/c")); r != tuliprock.OK {
+	if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
 		t.Fatal(r)
 	}
 	c := u.pools["a"].idle[0]
--- a/internal/engine/headers.go
+++ b/internal/proxy/headers.go
@@ -1,4 +1,4 @@
-package engine
+package proxy
 
 import (
 	"net/http"
--- a/internal/engine/message.go
+++ b/internal/proxy/message.go
@@ -1,4 +1,4 @@
-package engine
+package proxy
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/framing"
+	"rowancart/balancer"
+	"rowancart/internal/http1"
 )
 
 const (
@@ -75,12 +75,12 @@
 	if err := c.put(c.out); err != nil {
 		return err
 	}
-	b := framing.Buffers.Get().(*[]byte)
-	defer framing.Buffers.Put(b)
-	room := (*b)[framing.ChunkHead : framing.ChunkHead+framing.BufferSize]
+	b := http1.Buffers.Get().(*[]byte)
+	defer http1.Buffers.Put(b)
+	room := (*b)[http1.ChunkHead : http1.ChunkHead+http1.BufferSize]
 	piece := func(n int) error {
 		if up.Length < 0 {
-			return c.put(framing.Chunk(*b, n))
+			return c.put(http1.Chunk(*b, n))
 		}
 		return c.put(room[:n])
 	}
@@ -113,7 +113,7 @@
 			if !c.quiet() { // it has answered, or gone
 				return errEarly
 			}
-			if c.SetWriteDeadline(time.Now().Add(framing.StillMost)) != nil {
+			if c.SetWriteDeadline(time.Now().Add(http1.StillMost)) != nil {
 				return errNotWritten
 			}
 			if err := piece(n); err != nil {
@@ -128,7 +128,7 @@
 		}
 	}
 	if up.Length < 0 {
-		if err := c.put([]byte(framing.LastChunk)); err != nil {
+		if err := c.put([]byte(http1.LastChunk)); err != nil {
 			return err
 		}
 	}
@@ -170,16 +170,16 @@
 type Stream struct {
 	conn     *conn
 	upstream *upstream
-	body     *framing.Body
-	last     bool                     // the connection's last answer
-	left     int64                    // bytes that it may still bring
-	over     func(r tuliprock.Result) // is told how it ended
-	broken   error                    // why it could not be read on
+	body     *http1.Body
+	last     bool                    // the connection's last answer
+	left     int64                   // bytes that it may still bring
+	over     func(r balancer.Result) // is told how it ended
+	broken   error                   // why it could not be read on
 	closed   atomic.Bool
 }
 
 // stream is what follows of an answer whose beginning was read.
-func (u *upstream) stream(c *conn, body *framing.Body, last bool) *Stream {
+func (u *upstream) stream(c *conn, body *http1.Body, last bool) *Stream {
 	return &Stream{conn: c, upstream: u, body: body, last: last, left: u.longest()}
 }
 
@@ -188,7 +188,7 @@
 
 // Read implements io.Reader. An error but io.EOF means that the answer has broken off.
 func (s *Stream) Read(p []byte) (int, error) {
-	if s.conn.SetReadDeadline(time.Now().Add(framing.StillMost)) != nil {
+	if s.conn.SetReadDeadline(time.Now().Add(http1.StillMost)) != nil {
 		s.broken = errClosed
 		return 0, s.broken
 	}
@@ -210,14 +210,14 @@
 	if s.closed.Swap(true) {
 		return nil
 	}
-	r := tuliprock.Canceled
+	r := balancer.Canceled
 	switch {
 	case s.Ended():
-		r = tuliprock.OK
+		r = balancer.OK
 	case s.broken != nil:
-		r = tuliprock.Reset
+		r = balancer.Reset
 	}
-	if r == tuliprock.OK && !s.last && s.conn.read.Buffered() == 0 && s.conn.SetDeadline(time.Time{}) == nil {
+	if r == balancer.OK && !s.last && s.conn.read.Buffered() == 0 && s.conn.SetDeadline(time.Time{}) == nil {
 		s.upstream.giveBack(s.conn)
 	} else {
 		s.upstream.discard(s.conn)
--- a/internal/engine/engine.go
+++ b/internal/proxy/proxy.go
@@ -1,7 +1,7 @@
-// Package engine hosts one Balancer for one pool of endpoints: the lock under which it hears one event after the other, and
+// Package proxy hosts one Balancer for one pool of endpoints: the lock under which it hears one event after the other, and
 // the connections over which it sends. Fronts hand it calls, rosters hand it members. It carries out what the module decides
 // and decides nothing.
-package engine
+package proxy
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // clock gives instants: a monotonic reading since the start, well above zero, so that 0 means long ago and starts
@@ -47,19 +47,19 @@
 
 // BodyGone is why a request is not served whose attempt failed after more of its body had gone out than is kept. The module's
 // reasons stand beside it.
-const BodyGone tuliprock.Reason = "body_gone"
+const BodyGone balancer.Reason = "body_gone"
 
 // Reply is the final answer to a call.
 type Reply struct {
 	Kind       Kind
-	Why        tuliprock.Reason // for Refused and Failed; empty where the caller has left or the engine has ended
-	RetryAfter time.Duration    // for Refused; 0: no advice
-	Answer     Answer           // for Served
+	Why        balancer.Reason // for Refused and Failed; empty where the caller has left or the engine has ended
+	RetryAfter time.Duration   // for Refused; 0: no advice
+	Answer     Answer          // for Served
 }
 
 // Call is a request that a front has taken. NewCall makes one.
 type Call struct {
-	tuliprock.Request
+	balancer.Request
 	Left    func() bool // tells whether the caller has left; nil: nobody knows. It must not block
 	message *Message
 	replies chan Reply    // takes the one final answer without blocking
@@ -82,7 +82,7 @@
 }
 
 // NewCall makes a call of a request, as the module is to see it, and of the message that endpoints are to get.
-func NewCall(r tuliprock.Request, m *Message) *Call {
+func NewCall(r balancer.Request, m *Message) *Call {
 	return &Call{Request: r, message: m, replies: make(chan Reply, 1), work: make(chan *attempt, 1)}
 }
 
@@ -90,7 +90,7 @@
 type Member struct {
 	ID, Addr, Zone, Kind string
 	Cell                 int
-	State                tuliprock.State
+	State                balancer.State
 	StartedMs            int64 // Unix time of the latest start; 0: long ago
 }
 
@@ -122,8 +122,8 @@
 	log      *slog.Logger
 
 	mu       sync.Mutex // guards the rest
-	balancer tuliprock.Events
-	module   *tuliprock.Balancer // the same, for all that is no event
+	balancer balancer.Events
+	module   *balancer.Balancer // the same, for all that is no event
 	banned   map[string]bool
 
 	mayCall  bool // attempts can be called off: then the goroutine in Do may make them, and is free again when the answer is due
@@ -136,7 +136,7 @@
 	members  map[string]Member
 	timers   []time.Duration           // sorted
 	later    []func(now time.Duration) // events that arose within a Host method
-	unserved map[tuliprock.Reason]*unserved
+	unserved map[balancer.Reason]*unserved
 
 	listed, avoided atomic.Int64 // endpoints, as of the latest event
 }
@@ -151,11 +151,11 @@
 }
 
 // New returns an engine that knows the members given, the first that the module hears of. Run does the work.
-func New(s tuliprock.Settings, known Members, o Options) *Engine {
+func New(s balancer.Settings, known Members, o Options) *Engine {
 	l := &Engine{clock: clock{time.Now()}, done: make(chan struct{}), mayCall: s.MayCancel, upstream: newUpstream(o), ask: o.Subscribe, log: o.Log, calls: map[string]*Call{}, members: map[string]Member{},
 		banned:   map[string]bool{},
-		unserved: map[tuliprock.Reason]*unserved{}}
-	b := tuliprock.New(l.clock.now(), s, host{l})
+		unserved: map[balancer.Reason]*unserved{}}
+	b := balancer.New(l.clock.now(), s, host{l})
 	l.balancer, l.module = b, b
 	l.alarm = time.AfterFunc(time.Hour, func() { l.post(l.ring) })
 	l.rings = l.clock.now() + time.Hour
@@ -214,7 +214,7 @@
 	result, answer := l.upstream.attempt(&a.leash, a.endpoint, a.call.message)
 	l.post(func(now time.Duration) {
 		a.call.waits = a.call.waits || inline && l.mayCall && !a.call.over
-		if result == tuliprock.NotSent && a.left != nil && a.left() { // then it goes nowhere else either
+		if result == balancer.NotSent && a.left != nil && a.left() { // then it goes nowhere else either
 			l.leave(now, a.call)
 		}
 		if answer.Rest != nil {
@@ -229,8 +229,8 @@
 func (l *Engine) Heard(m Members) { l.post(func(now time.Duration) { l.list(now, m) }) }
 
 // Configure replaces the settings and what the options say of connections; Subscribe and Log stay. All that was learned is
-// kept, and calls that were taken before keep the classes that they came with (tuliprock.Balancer.Configure).
-func (l *Engine) Configure(s tuliprock.Settings, o Options) {
+// kept, and calls that were taken before keep the classes that they came with (balancer.Balancer.Configure).
+func (l *Engine) Configure(s balancer.Settings, o Options) {
 	l.upstream.configure(o)
 	l.post(func(now time.Duration) {
 		l.mayCall = s.MayCancel
@@ -271,7 +271,7 @@
 // keep tells the connections where an endpoint is, if it is anywhere, and whether they are worth keeping.
 func (l *Engine) keep(id string) {
 	if m, listed := l.members[id]; listed {
-		l.upstream.setMember(id, m.Addr, m.State == tuliprock.Ready && !l.banned[id])
+		l.upstream.setMember(id, m.Addr, m.State == balancer.Ready && !l.banned[id])
 		l.upstream.started(id, time.UnixMilli(m.StartedMs))
 	}
 }
@@ -293,7 +293,7 @@
 
 // Memory is what an engine knows that a successor can begin with.
 type Memory struct {
-	Learned tuliprock.Learned
+	Learned balancer.Learned
 	Members []Member
 }
 
@@ -315,7 +315,7 @@
 			was[e.ID] = e
 		}
 		same := m.Learned
-		same.Endpoints = slices.DeleteFunc(slices.Clone(m.Learned.Endpoints), func(e tuliprock.LearnedEndpoint) bool {
+		same.Endpoints = slices.DeleteFunc(slices.Clone(m.Learned.Endpoints), func(e balancer.LearnedEndpoint) bool {
 			old, known := was[e.ID]
 			is, listed := l.members[e.ID]
 			return !known || !listed || old.Addr != is.Addr || old.StartedMs != is.StartedMs
@@ -343,7 +343,7 @@
 
 // Endpoint is how an endpoint stands with an engine.
 type Endpoint struct {
-	tuliprock.Standing
+	balancer.Standing
 	Addr  string
 	Idle  int    // connections that wait for their next request
 	Fault string // how the latest attempt that failed did so, until one succeeds
@@ -468,11 +468,11 @@
 	c := a.call
 	if c.over { // nobody is there to read it
 		answer.Rest.Cancel()
-		l.later = append(l.later, func(now time.Duration) { l.report(now, a, tuliprock.Canceled, Answer{}) })
+		l.later = append(l.later, func(now time.Duration) { l.report(now, a, balancer.Canceled, Answer{}) })
 		l.upstream.discard(answer.Rest.conn)
 		return
 	}
-	answer.Rest.over = func(r tuliprock.Result) {
+	answer.Rest.over = func(r balancer.Result) {
 		l.post(func(now time.Duration) { l.report(now, a, r, Answer{}) })
 	}
 	l.finish(c, Reply{Kind: Served, Answer: answer})
@@ -480,17 +480,17 @@
 }
 
 // report tells the module how an attempt ended. A whole answer is passed on at once; one that comes too late is dropped.
-func (l *Engine) report(now time.Duration, a *attempt, r tuliprock.Result, answer Answer) {
+func (l *Engine) report(now time.Duration, a *attempt, r balancer.Result, answer Answer) {
 	c := a.call
 	c.out--
-	o := tuliprock.Outcome{ID: c.ID, Attempt: a.n, Endpoint: a.endpoint, Result: r, Took: now - a.sent, Final: c.over}
-	if r == tuliprock.OK && !c.over {
+	o := balancer.Outcome{ID: c.ID, Attempt: a.n, Endpoint: a.endpoint, Result: r, Took: now - a.sent, Final: c.over}
+	if r == balancer.OK && !c.over {
 		o.Final = true
 		l.finish(c, Reply{Kind: Served, Answer: answer})
 	}
 	if !c.over && c.message.gone() { // no other attempt is possible, whatever the module would say
 		kind := Failed
-		if r == tuliprock.Full || r == tuliprock.ConnectFailed || r == tuliprock.NotSent {
+		if r == balancer.Full || r == balancer.ConnectFailed || r == balancer.NotSent {
 			kind = Refused
 		}
 		o.Final = true
@@ -502,13 +502,13 @@
 
 // list tells the module and the connections what a roster says.
 func (l *Engine) list(now time.Duration, m Members) {
-	out := tuliprock.List{Complete: m.Complete, Others: m.Others}
+	out := balancer.List{Complete: m.Complete, Others: m.Others}
 	listed := map[string]bool{}
 	for _, s := range m.Members {
-		out.Entries = append(out.Entries, tuliprock.Endpoint{ID: s.ID, State: s.State, Zone: s.Zone, Kind: s.Kind,
+		out.Entries = append(out.Entries, balancer.Endpoint{ID: s.ID, State: s.State, Zone: s.Zone, Kind: s.Kind,
 			Cell: s.Cell, Started: l.clock.instant(s.StartedMs)})
 		listed[s.ID] = true
-		if s.State == tuliprock.Gone {
+		if s.State == balancer.Gone {
 			l.remove(s.ID)
 			continue
 		}
@@ -539,9 +539,9 @@
 // host carries out what the Balancer asks for. It runs under the engine's lock, blocks on nothing and does not call back.
 type host struct{ *Engine }
 
-var _ tuliprock.Host = host{}
+var _ balancer.Host = host{}
 
-// Send implements tuliprock.Host.
+// Send implements balancer.Host.
 func (h host) Send(id, endpoint string, timeout time.Duration) {
 	c := h.calls[id]
 	if c == nil {
@@ -558,7 +558,7 @@
 	c.out++
 	switch {
 	case c.over:
-		h.later = append(h.later, func(now time.Duration) { h.report(now, a, tuliprock.NotSent, Answer{}) })
+		h.later = append(h.later, func(now time.Duration) { h.report(now, a, balancer.NotSent, Answer{}) })
 	case c.waits:
 		c.waits = false
 		c.work <- a
@@ -567,20 +567,20 @@
 	}
 }
 
-// Cancel implements tuliprock.Host.
+// Cancel implements balancer.Host.
 func (h host) Cancel(id string, n int) {
 	if c := h.calls[id]; c != nil && n >= 0 && n < len(c.attempts) {
 		c.attempts[n].cancel()
 	}
 }
 
-// Refuse implements tuliprock.Host.
-func (h host) Refuse(id string, why tuliprock.Reason, retryAfter time.Duration) {
+// Refuse implements balancer.Host.
+func (h host) Refuse(id string, why balancer.Reason, retryAfter time.Duration) {
 	h.give(id, Reply{Kind: Refused, Why: why, RetryAfter: retryAfter})
 }
 
-// Fail implements tuliprock.Host.
-func (h host) Fail(id string, why tuliprock.Reason) { h.give(id, Reply{Kind: Failed, Why: why}) }
+// Fail implements balancer.Host.
+func (h host) Fail(id string, why balancer.Reason) { h.give(id, Reply{Kind: Failed, Why: why}) }
 
 // give gives a final answer that is not an endpoint's, and says so now and then: lines must not come as fast as requests.
 func (h host) give(id string, r Reply) {
@@ -601,14 +601,14 @@
 	h.finish(c, r)
 }
 
-// Subscribe implements tuliprock.Host.
+// Subscribe implements balancer.Host.
 func (h host) Subscribe() { h.ask() }
 
-// Timer implements tuliprock.Host.
+// Timer implements balancer.Host.
 func (h host) Timer(at time.Duration) {
 	i, _ := slices.BinarySearch(h.timers, at)
 	h.timers = slices.Insert(h.timers, i, at)
 }
 
-// Log implements tuliprock.Host.
+// Log implements balancer.Host.
 func (h host) Log(line string) { h.log.Info(line) }
--- a/internal/engine/engine_test.go
+++ b/internal/proxy/proxy_test.go
@@ -1,4 +1,4 @@
-package engine
+package proxy
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // The same start must always be the same instant, or an old one would pass for a restart.
@@ -29,8 +29,8 @@
 
 // rearming asks for a timer that is due at once, each time one rings.
 type rearming struct {
-	tuliprock.Events
-	host  tuliprock.Host
+	balancer.Events
+	host  balancer.Host
 	rings int
 }
 
@@ -41,7 +41,7 @@
 
 // A timer that is asked for while one rings must wait for its turn, or other events never get theirs.
 func TestATimerDueAtOnceDoesNotHoldTheLoop(t *testing.T) {
-	l := New(tuliprock.Settings{}, Members{}, Options{Log: slog.New(slog.DiscardHandler)})
+	l := New(balancer.Settings{}, Members{}, Options{Log: slog.New(slog.DiscardHandler)})
 	r := &rearming{host: host{l}}
 	l.balancer, l.timers = r, nil
 	r.host.Timer(clockStart)
--- a/internal/engine/recent.go
+++ b/internal/proxy/recent.go
@@ -1,4 +1,4 @@
-package engine
+package proxy
 
 // recentMost is how many ids one generation holds: at the site's busiest some minutes' worth.
 const recentMost = 4096
--- a/internal/engine/upstream.go
+++ b/internal/proxy/upstream.go
@@ -1,4 +1,4 @@
-package engine
+package proxy
 
 import (
 	"bufio"
@@ -18,9 +18,8 @@
 	"syscall"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/framing"
-	"tuliprock/internal/head"
+	"rowancart/balancer"
+	"rowancart/internal/http1"
 )
 
 const (
@@ -345,9 +344,9 @@
 }
 
 // unlessCanceled is r, or Canceled if the attempt was called off.
-func (l *leash) unlessCanceled(r tuliprock.Result) tuliprock.Result {
+func (l *leash) unlessCanceled(r balancer.Result) balancer.Result {
 	if l.canceled() {
-		return tuliprock.Canceled
+		return balancer.Canceled
 	}
 	return r
 }
@@ -471,21 +470,21 @@
 
 // attempt sends a request once and tells by evidence how that ended. When it was called off or its time is over, the
 // connection is closed before attempt returns: no second attempt can be out beside this one.
-func (u *upstream) attempt(l *leash, id string, m *Message) (tuliprock.Result, Answer) {
+func (u *upstream) attempt(l *leash, id string, m *Message) (balancer.Result, Answer) {
 	for {
 		c, err := u.take(l, id)
 		if errors.Is(err, errNotTried) {
-			return tuliprock.NotSent, Answer{}
+			return balancer.NotSent, Answer{}
 		}
 		if err != nil {
 			if !l.canceled() {
 				u.failed(id, err)
 			}
-			return l.unlessCanceled(tuliprock.ConnectFailed), Answer{}
+			return l.unlessCanceled(balancer.ConnectFailed), Answer{}
 		}
 		if !l.hold(c) || c.SetDeadline(l.deadline) != nil {
 			u.discard(c)
-			return l.unlessCanceled(tuliprock.ConnectFailed), Answer{}
+			return l.unlessCanceled(balancer.ConnectFailed), Answer{}
 		}
 		used := !c.idleAt.IsZero()
 		result, a, reusable, err := u.exchange(c, l, m)
@@ -493,7 +492,7 @@
 			u.discard(c)
 			continue
 		}
-		if err != nil && result != tuliprock.Canceled && result != tuliprock.NotSent {
+		if err != nil && result != balancer.Canceled && result != balancer.NotSent {
 			u.failed(id, err)
 		}
 		held := l.hold(nil)
@@ -506,7 +505,7 @@
 			u.discard(c)
 		}
 		if a.Rest != nil {
-			return tuliprock.Canceled, Answer{}
+			return balancer.Canceled, Answer{}
 		}
 		return result, a
 	}
@@ -531,15 +530,15 @@
 }
 
 // broken is the outcome of an attempt whose last byte was written and whose whole answer has not come.
-func (l *leash) broken(err error) tuliprock.Result {
+func (l *leash) broken(err error) balancer.Result {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return l.unlessCanceled(tuliprock.TimedOut)
+		return l.unlessCanceled(balancer.TimedOut)
 	}
-	return l.unlessCanceled(tuliprock.Reset)
+	return l.unlessCanceled(balancer.Reset)
 }
 
 // exchange writes the request and reads the answer, whole or, where it is long, its beginning.
-func (u *upstream) exchange(c *conn, l *leash, m *Message) (r tuliprock.Result, a Answer, reusable bool, err error) {
+func (u *upstream) exchange(c *conn, l *leash, m *Message) (r balancer.Result, a Answer, reusable bool, err error) {
 	if err := u.ready(c, l); err != nil {
 		return l.unready(err), Answer{}, false, err
 	}
@@ -563,11 +562,11 @@
 		} else {
 			maps.DeleteFunc(a.Header, func(name string, _ []string) bool { return name != "Content-Type" })
 		}
-		return tuliprock.OK, a, reusable, nil
+		return balancer.OK, a, reusable, nil
 	case isUnavailable(a.Status) && a.Header.Get(declined) == "1":
-		return tuliprock.Full, Answer{}, reusable, errDeclined
+		return balancer.Full, Answer{}, reusable, errDeclined
 	}
-	return tuliprock.Errored, Answer{}, reusable, fmt.Errorf("the answer was %d", a.Status)
+	return balancer.Errored, Answer{}, reusable, fmt.Errorf("the answer was %d", a.Status)
 }
 
 // passes tells whether an answer goes on to the caller.
@@ -576,11 +575,11 @@
 }
 
 // unready tells how an attempt ended of which not a byte went out.
-func (l *leash) unready(err error) tuliprock.Result {
+func (l *leash) unready(err error) balancer.Result {
 	if errors.Is(err, errBegun) { // a new connection that breaks at once, or on which an answer stands that was not asked for
-		return l.unlessCanceled(tuliprock.ConnectFailed)
+		return l.unlessCanceled(balancer.ConnectFailed)
 	}
-	return l.unlessCanceled(tuliprock.NotSent)
+	return l.unlessCanceled(balancer.NotSent)
 }
 
 // longest is how many bytes an answer's body may have. What a relay passes on has no bound that an engine knows of.
@@ -593,26 +592,26 @@
 
 // unsent tells how an attempt ended that was not written whole. An endpoint begins a request when its last byte has come: it has
 // not run, unless the endpoint says otherwise in an answer ahead of that.
-func (u *upstream) unsent(c *conn, l *leash, m *Message, err error) (tuliprock.Result, Answer, bool, error) {
+func (u *upstream) unsent(c *conn, l *leash, m *Message, err error) (balancer.Result, Answer, bool, error) {
 	if errors.Is(err, errCaller) {
-		return tuliprock.NotSent, Answer{}, false, err // nothing that tells of the endpoint
+		return balancer.NotSent, Answer{}, false, err // nothing that tells of the endpoint
 	}
 	if m.Upload == nil || l.canceled() {
-		return l.unlessCanceled(tuliprock.ConnectFailed), Answer{}, false, err
+		return l.unlessCanceled(balancer.ConnectFailed), Answer{}, false, err
 	}
 	if c.SetReadDeadline(time.Now().Add(lastAnswer)) == nil {
 		if a, _, early := c.readAnswer(u, m.Method, time.Now().Add(lastAnswer)); early == nil {
 			switch {
 			case a.Status == http.StatusOK && a.Rest == nil:
 				maps.DeleteFunc(a.Header, func(name string, _ []string) bool { return name != "Content-Type" })
-				return tuliprock.OK, a, false, nil
+				return balancer.OK, a, false, nil
 			case isUnavailable(a.Status) && a.Header.Get(declined) == "1":
-				return tuliprock.Full, Answer{}, false, errDeclined
+				return balancer.Full, Answer{}, false, errDeclined
 			}
-			return tuliprock.Full, Answer{}, false, fmt.Errorf("the answer ahead of the body's end was %d", a.Status)
+			return balancer.Full, Answer{}, false, fmt.Errorf("the answer ahead of the body's end was %d", a.Status)
 		}
 	}
-	return l.unlessCanceled(tuliprock.ConnectFailed), Answer{}, false, err
+	return l.unlessCanceled(balancer.ConnectFailed), Answer{}, false, err
 }
 
 var (
@@ -643,7 +642,7 @@
 			return Answer{}, true, err
 		}
 		come, _ := c.read.Peek(c.read.Buffered())
-		if status, h, size, length, ok := head.Answer(come); ok {
+		if status, h, size, length, ok := http1.Answer(come); ok {
 			_, _ = c.read.Discard(size) // it is there
 			return c.readBody(Answer{Status: status, Header: h}, int64(length), false, deadline, u)
 		}
@@ -657,9 +656,9 @@
 	case method == http.MethodHead, resp.StatusCode == http.StatusNoContent, resp.StatusCode == http.StatusNotModified:
 		length = 0
 	case len(resp.TransferEncoding) > 0:
-		length = framing.Chunked
+		length = http1.Chunked
 	case length < 0:
-		length, last = framing.ToClose, true
+		length, last = http1.ToClose, true
 	}
 	return c.readBody(Answer{Status: resp.StatusCode, Header: resp.Header}, length, last, deadline, u)
 }
@@ -679,7 +678,7 @@
 // does not come at once: it may be long.
 func (c *conn) readBody(a Answer, length int64, last bool, deadline time.Time, u *upstream) (Answer, bool, error) {
 	c.limit.N = math.MaxInt64
-	body := framing.NewBody(source{c}, length)
+	body := http1.NewBody(source{c}, length)
 	switch {
 	case !u.passes(a.Status) && (length > MaxBody || length < 0):
 		return a, true, nil
--- a/internal/engine/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -1,4 +1,4 @@
-package engine
+package proxy
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 func testUpstream(t *testing.T, addrs ...string) *upstream {
@@ -33,26 +33,26 @@
 	head := "HTTP/1.1 200 OK\r\nContent-Length: "
 	for name, row := range map[string]struct {
 		says string
-		want tuliprock.Result
+		want balancer.Result
 		stay bool
 	}{
-		"200":                      {served, tuliprock.OK, true},
-		"200 in chunks":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", tuliprock.OK, true},
-		"200 after interim":        {"HTTP/1.1 103 Early Hints\r\n\r\n" + served, tuliprock.OK, true},
-		"500":                      {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", tuliprock.Errored, true},
-		"503 declined":             {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", tuliprock.Full, true},
-		"504 declined":             {"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", tuliprock.Full, true},
-		"503 that may have run":    {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", tuliprock.Errored, true},
-		"500 that claims declined": {"HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", tuliprock.Errored, true},
-		"nothing, then an end":     {"", tuliprock.Reset, false},
-		"half a head":              {head, tuliprock.Reset, false},
-		"half a body":              {head + "9\r\n\r\nhi", tuliprock.Reset, false},
-		"half of the chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", tuliprock.Reset, false},
-		"no length":                {"HTTP/1.1 200 OK\r\n\r\nhi", tuliprock.OK, false},
-		"a long body of an error":  {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), tuliprock.Errored, true},
-		"a length that none has":   {head + "3000000000\r\n\r\nhi", tuliprock.Reset, true},
-		"a head without end":       {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200000), tuliprock.Reset, true},
-		"noise":                    {"\x00\x01\r\n\r\n", tuliprock.Reset, true},
+		"200":                      {served, balancer.OK, true},
+		"200 in chunks":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.OK, true},
+		"200 after interim":        {"HTTP/1.1 103 Early Hints\r\n\r\n" + served, balancer.OK, true},
+		"500":                      {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"503 declined":             {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, true},
+		"504 declined":             {"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, true},
+		"503 that may have run":    {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"500 that claims declined": {"HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		"nothing, then an end":     {"", balancer.Reset, false},
+		"half a head":              {head, balancer.Reset, false},
+		"half a body":              {head + "9\r\n\r\nhi", balancer.Reset, false},
+		"half of the chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.Reset, false},
+		"no length":                {"HTTP/1.1 200 OK\r\n\r\nhi", balancer.OK, false},
+		"a long body of an error":  {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), balancer.Errored, true},
+		"a length that none has":   {head + "3000000000\r\n\r\nhi", balancer.Reset, true},
+		"a head without end":       {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200000), balancer.Reset, true},
+		"noise":                    {"\x00\x01\r\n\r\n", balancer.Reset, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoint(t, says(row.says, row.stay))
@@ -60,7 +60,7 @@
 			if result != row.want {
 				t.Errorf("outcome %v, want %v", result, row.want)
 			}
-			if want := map[bool]string{true: "hi"}[row.want == tuliprock.OK]; string(a.Body) != want {
+			if want := map[bool]string{true: "hi"}[row.want == balancer.OK]; string(a.Body) != want {
 				t.Errorf("body %q, want %q", a.Body, want)
 			}
 			if n := e.Requests.Load(); n != 1 {
@@ -86,16 +86,16 @@
 		u := testUpstream(t, e.Addr)
 		u.relay = relay
 		result, a := u.attempt(within(patience), "a", get("/c"))
-		if result != tuliprock.OK || a.Rest == nil {
+		if result != balancer.OK || a.Rest == nil {
 			t.Fatalf("outcome %v, %d bytes and no more", result, len(a.Body))
 		}
-		var ended tuliprock.Result
-		a.Rest.over = func(r tuliprock.Result) { ended = r }
+		var ended balancer.Result
+		a.Rest.over = func(r balancer.Result) { ended = r }
 		n, err := io.CopyN(io.Discard, a.Rest, MaxLong+1<<20)
 		if want := map[bool]error{false: errTooLong}[relay]; !errors.Is(err, want) {
 			t.Errorf("relay %v: after %d bytes %v", relay, n, err)
 		}
-		if a.Rest.Close(); !relay && (n > MaxLong || ended != tuliprock.Reset) {
+		if a.Rest.Close(); !relay && (n > MaxLong || ended != balancer.Reset) {
 			t.Errorf("%d bytes passed, ended %v", n, ended)
 		}
 	}
@@ -105,12 +105,12 @@
 	e := newEndpoint(t, says(served, true))
 	u := testUpstream(t, e.Addr)
 	u.dialTimeout = time.Nanosecond
-	if r, _ := u.attempt(within(patience), "a", get("/c")); r != tuliprock.ConnectFailed {
+	if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.ConnectFailed {
 		t.Errorf("never up: %v", r)
 	}
 	e.Listener.Close()
 	u.dialTimeout = patience
-	if r, _ := u.attempt(within(patience), "a", get("/c")); r != tuliprock.ConnectFailed {
+	if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.ConnectFailed {
 		t.Errorf("refused: %v", r)
 	}
 	if u.open != 0 {
@@ -129,20 +129,20 @@
 	})
 	u := testUpstream(t, e.Addr)
 	u.most = 1
-	first := make(chan tuliprock.Result)
+	first := make(chan balancer.Result)
 	go func() {
 		r, _ := u.attempt(within(patience), "a", get("/c"))
 		first <- r
 	}()
 	<-came
-	if r, _ := u.attempt(within(patience), "a", get("/c")); r != tuliprock.NotSent {
+	if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.NotSent {
 		t.Errorf("all descriptors in use: %v", r)
 	}
 	close(release)
-	if r := <-first; r != tuliprock.OK {
+	if r := <-first; r != balancer.OK {
 		t.Errorf("the one that had the descriptor: %v", r)
 	}
-	if r, _ := u.attempt(within(patience), "unlisted", get("/c")); r != tuliprock.NotSent {
+	if r, _ := u.attempt(within(patience), "unlisted", get("/c")); r != balancer.NotSent {
 		t.Errorf("no address: %v", r)
 	}
 }
@@ -163,14 +163,14 @@
 	}()
 	m := get("/c")
 	m.Method, m.Body = http.MethodPost, make([]byte, 64<<20) // more than socket buffers hold
-	if r, _ := testUpstream(t, l.Addr().String()).attempt(within(patience), "a", m); r != tuliprock.ConnectFailed {
+	if r, _ := testUpstream(t, l.Addr().String()).attempt(within(patience), "a", m); r != balancer.ConnectFailed {
 		t.Errorf("outcome %v", r)
 	}
 }
 
 // The connection must be closed before the outcome is known: the next attempt would be a second one out.
 func TestGivingUpClosesTheConnection(t *testing.T) {
-	for _, want := range []tuliprock.Result{tuliprock.TimedOut, tuliprock.Canceled} {
+	for _, want := range []balancer.Result{balancer.TimedOut, balancer.Canceled} {
 		came, closed := make(chan bool, 1), make(chan error, 1)
 		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 			came <- true
@@ -180,7 +180,7 @@
 		})
 		u := testUpstream(t, e.Addr)
 		l := within(patience)
-		if want == tuliprock.TimedOut {
+		if want == balancer.TimedOut {
 			l = within(300 * time.Millisecond)
 		} else {
 			go func() { <-came; l.cancel() }()
@@ -212,10 +212,10 @@
 		m := get("/c")
 		m.Method = method
 		m.Header.Set("Idempotency-Key", "k")
-		if r, _ := u.attempt(within(patience), "a", m); r != tuliprock.OK {
+		if r, _ := u.attempt(within(patience), "a", m); r != balancer.OK {
 			t.Fatalf("first: %v", r)
 		}
-		if r, _ := u.attempt(within(patience), "a", m); r != tuliprock.Reset {
+		if r, _ := u.attempt(within(patience), "a", m); r != balancer.Reset {
 			t.Errorf("%s on a connection that broke: %v", method, r)
 		}
 		if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
@@ -236,12 +236,12 @@
 			return n > 1
 		})
 		u := testUpstream(t, e.Addr)
-		if r, _ := u.attempt(within(patience), "a", get("/c")); r != tuliprock.OK {
+		if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
 			t.Fatalf("%s: first: %v", name, r)
 		}
 		answered <- true
 		until(t, name, func() bool { idle := u.pools["a"].idle; return len(idle) == 0 || !idle[0].quiet() })
-		if r, _ := u.attempt(within(patience), "a", get("/c")); r != tuliprock.OK {
+		if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
 			t.Errorf("%s: second: %v", name, r)
 		}
 		if c := e.Connections.Load(); c != 2 {
@@ -256,7 +256,7 @@
 	u := testUpstream(t, e.Addr)
 	try := func(want int32) {
 		t.Helper()
-		if r, _ := u.attempt(within(patience), "a", get("/c")); r != tuliprock.OK {
+		if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
 			t.Fatalf("outcome %v", r)
 		}
 		if c := e.Connections.Load(); c != want {
@@ -292,7 +292,7 @@
 	u := testUpstream(t, e.Addr)
 	send := func() {
 		t.Helper()
-		if r, _ := u.attempt(within(patience), "a", get("/c")); r != tuliprock.OK {
+		if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
 			t.Fatal(r)
 		}
 	}
@@ -319,7 +319,7 @@
 	u := testUpstream(t, e.Addr, f.Addr)
 	u.most = 1
 	for _, id := range []string{"a", "b", "a"} {
-		if r, _ := u.attempt(within(patience), id, get("/c")); r != tuliprock.OK {
+		if r, _ := u.attempt(within(patience), id, get("/c")); r != balancer.OK {
 			t.Errorf("%s: %v", id, r)
 		}
 		if u.open != 1 {
--- a/internal/limit/limit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,6 +1,6 @@
-// Package limit decides how much of a route's traffic is let in: so many requests a second and so many at once, for all and
+// Package ratelimit decides how much of a route's traffic is let in: so many requests a second and so many at once, for all and
 // for each tenant. It has no clock and no goroutine: instants are passed in, by any one clock.
-package limit
+package ratelimit
 
 import (
 	"container/list"
--- a/internal/limit/limit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package limit
+package ratelimit
 
 import (
 	"fmt"
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"strings"
 
-	"tuliprock/internal/netaddr"
-	"tuliprock/internal/roster/platform"
-	"tuliprock/internal/wire"
+	"rowancart/internal/discovery/platform"
+	"rowancart/internal/netaddr"
+	"rowancart/internal/wire"
 )
 
 // What holds where the configuration gives no limits, and the least that a sidecar can work with.
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/engine"
-	"tuliprock/internal/upgrade"
+	"rowancart/internal/hotrestart"
+	"rowancart/internal/proxy"
 )
 
 // patientSettings let requests wait for as long as a test takes.
@@ -238,7 +238,7 @@
 				s.tell(t, members(2, true, member("a", a.addr(), "Terminating"), cold))
 				close(a.release)
 				until(t, "all have failed there", func() bool {
-					return !slices.ContainsFunc(s.engine.Endpoints(), func(e engine.Endpoint) bool { return e.InFlight > 0 })
+					return !slices.ContainsFunc(s.engine.Endpoints(), func(e proxy.Endpoint) bool { return e.InFlight > 0 })
 				})
 			},
 			over: func(t *testing.T) { s.tell(t, members(3, false, member("warm", b.addr(), "Ready"))) }}
@@ -252,7 +252,7 @@
 		temp := t.TempDir()
 		w := forRoom(t, setup{temp: temp}, true)
 		w.during = func(t *testing.T, _ int) {
-			folder, err := upgrade.Open(temp, "")
+			folder, err := hotrestart.Open(temp, "")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -416,7 +416,7 @@
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	l, err := upgrade.Listener(strconv.Itoa(fd))
+	l, err := hotrestart.Listener(strconv.Itoa(fd))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/operator.go
+++ b/internal/sidecar/operator.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"tuliprock/internal/engine"
-	"tuliprock/internal/figures"
-	"tuliprock/internal/upgrade"
+	"rowancart/internal/hotrestart"
+	"rowancart/internal/metrics"
+	"rowancart/internal/proxy"
 )
 
 // listWithin is how long a start waits for discovery's word; then the list that the configuration has must do.
@@ -58,10 +58,10 @@
 
 // operator carries out what comes over the console.
 type operator struct {
-	engine  *engine.Engine
-	figures *figures.Figures
+	engine  *proxy.Engine
+	figures *metrics.Figures
 	welcome *welcome
-	folder  *upgrade.Folder // nil: bans end with this process
+	folder  *hotrestart.Folder // nil: bans end with this process
 	log     *slog.Logger
 
 	mu      sync.Mutex      // held while a ban changes; not on the way of requests
@@ -83,7 +83,7 @@
 // Figures implements console.Operated.
 func (o *operator) Figures(b []byte) []byte {
 	g := o.engine.Gauges()
-	return o.figures.Append(b, figures.Gauges{Dispatches: g.Dispatches, Targets: g.Listed, Disabled: g.Avoided})
+	return o.figures.Append(b, metrics.Gauges{Dispatches: g.Dispatches, Targets: g.Listed, Disabled: g.Avoided})
 }
 
 // Disable implements console.Operated. A yes means that the ban is in force here and outlives this process.
@@ -91,7 +91,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.out[id] && !o.engine.Lists(id) {
-		return fmt.Errorf("%w: %q", engine.ErrUnknown, id)
+		return fmt.Errorf("%w: %q", proxy.ErrUnknown, id)
 	}
 	if o.folder != nil {
 		if err := o.folder.Ban(id); err != nil {
@@ -109,7 +109,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.out[id] && !o.engine.Lists(id) {
-		return fmt.Errorf("%w: %q", engine.ErrUnknown, id)
+		return fmt.Errorf("%w: %q", proxy.ErrUnknown, id)
 	}
 	if o.folder != nil {
 		if err := o.folder.Unban(id); err != nil {
--- a/internal/sidecar/operator_test.go
+++ b/internal/sidecar/operator_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 // call asks the console and gives the whole answer.
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -1,7 +1,7 @@
 package sidecar
 
 import (
-	"tuliprock/internal/testpeer"
+	"rowancart/internal/testpeer"
 )
 
 // What tests here use most.
--- a/internal/sidecar/shift.go
+++ b/internal/sidecar/shift.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"tuliprock/internal/engine"
-	"tuliprock/internal/front/plain"
-	"tuliprock/internal/snapshot"
-	"tuliprock/internal/upgrade"
+	"rowancart/internal/hotrestart"
+	"rowancart/internal/httpserver"
+	"rowancart/internal/proxy"
+	"rowancart/internal/snapshot"
 )
 
 const (
@@ -31,11 +31,11 @@
 // shift is this process's part in the change from one process of the sidecar to the next.
 type shift struct {
 	limits   Limits
-	folder   *upgrade.Folder // nil: there is nobody to share with
-	presence *upgrade.Presence
-	engine   *engine.Engine
-	callers  *plain.Server
-	conns    *plain.Conns
+	folder   *hotrestart.Folder // nil: there is nobody to share with
+	presence *hotrestart.Presence
+	engine   *proxy.Engine
+	callers  *httpserver.Server
+	conns    *httpserver.Conns
 	operator *operator
 	log      *slog.Logger
 
@@ -69,7 +69,7 @@
 	if temp == "" {
 		return
 	}
-	folder, err := upgrade.Open(temp, name)
+	folder, err := hotrestart.Open(temp, name)
 	if err != nil {
 		s.log.Warn("nothing is shared with a successor", "err", err)
 		return
@@ -140,7 +140,7 @@
 	if s.folder == nil {
 		return
 	}
-	var m engine.Memory
+	var m proxy.Memory
 	ago, err := snapshot.Read(s.folder.Learned(), time.Now(), learnedFor, &m)
 	switch {
 	case errors.Is(err, snapshot.ErrNone):
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -10,14 +10,14 @@
 	"sync"
 	"time"
 
-	"tuliprock"
-	"tuliprock/internal/console"
-	"tuliprock/internal/engine"
-	"tuliprock/internal/figures"
-	"tuliprock/internal/front/plain"
-	"tuliprock/internal/roster/platform"
-	"tuliprock/internal/route"
-	"tuliprock/internal/upgrade"
+	"rowancart/balancer"
+	"rowancart/internal/admin"
+	"rowancart/internal/discovery/platform"
+	"rowancart/internal/hotrestart"
+	"rowancart/internal/httpserver"
+	"rowancart/internal/metrics"
+	"rowancart/internal/proxy"
+	"rowancart/internal/route"
 )
 
 const (
@@ -31,14 +31,17 @@
 	closedBefore     = 50 * time.Millisecond  // and what is still open is closed
 )
 
+// serverName names the sidecar in Proxy-Status headers, which are on the wire and keep it.
+const serverName = "tuliprock"
+
 // Sidecar is a sidecar that listens.
 type Sidecar struct {
-	callers   *plain.Server
-	conns     *plain.Conns
-	engine    *engine.Engine
+	callers   *httpserver.Server
+	conns     *httpserver.Conns
+	engine    *proxy.Engine
 	discovery *platform.Discovery
-	console   *console.Server // nil: there is none
-	figures   *figures.Figures
+	console   *admin.Server // nil: there is none
+	figures   *metrics.Figures
 	welcome   *welcome
 	shift     *shift
 	kill      time.Duration // after SIGTERM SIGKILL comes no sooner
@@ -59,27 +62,27 @@
 	}
 	settings := c.Settings.Settings
 	each := c.Limits.conns(1)
-	var e *engine.Engine
+	var e *proxy.Engine
 	w := newWelcome()
 	d := platform.New(platform.Options{Addr: c.Discovery, OnAsk: settings.MustSubscribe, Version: c.Known.Version,
 		Grace: c.Settings.DrainGrace, Deliver: func(m platform.Members) { e.Heard(m.Engine()) }, Current: w.hear, Log: log})
 	known := c.Known
 	known.Full = true // the list as it was last had, and the first that the module hears
-	e = engine.New(settings, known.Engine(), engine.Options{ConnIdle: c.Settings.ConnIdle, DialTimeout: c.Settings.DialTimeout,
+	e = proxy.New(settings, known.Engine(), proxy.Options{ConnIdle: c.Settings.ConnIdle, DialTimeout: c.Settings.DialTimeout,
 		Conns: each, Settle: settle, Subscribe: d.Subscribe, Log: log})
 
 	log.Info("listening", "addr", listener.Addr().String())
-	conns := plain.NewWaiting(listener, each, each+spareCallers)
+	conns := httpserver.NewWaiting(listener, each, each+spareCallers)
 
-	at := &desk{engine: e, effects: map[string]tuliprock.Effect{}}
+	at := &desk{engine: e, effects: map[string]balancer.Effect{}}
 	var names []string
 	for _, class := range settings.Classes {
 		at.effects[class.Name] = class.Effect
 		names = append(names, class.Name)
 	}
-	at.figures = figures.New(names)
+	at.figures = metrics.New(names)
 	o := &operator{engine: e, figures: at.figures, welcome: w, log: log, out: map[string]bool{}}
-	s := &Sidecar{callers: plain.New(at, "tuliprock", c.Listen, log), conns: conns, engine: e, discovery: d, figures: at.figures, welcome: w}
+	s := &Sidecar{callers: httpserver.New(at, serverName, c.Listen, log), conns: conns, engine: e, discovery: d, figures: at.figures, welcome: w}
 	s.kill = killAfter(c)
 	s.shift = &shift{limits: c.Limits, engine: e, callers: s.callers, conns: conns, operator: o, log: log}
 	if c.Console == "" && c.AcceptFD == "" {
@@ -88,7 +91,7 @@
 	s.shift.enter(c.Temp, c.Name)
 	if door != nil {
 		log.Info("console", "addr", door.Addr().String())
-		s.console = console.New(door, o, log)
+		s.console = admin.New(door, o, log)
 	}
 	return s, nil
 }
@@ -101,7 +104,7 @@
 // listen opens the listener for callers, or takes the one that the platform holds.
 func listen(c Config) (net.Listener, error) {
 	if c.AcceptFD != "" {
-		l, err := upgrade.Listener(c.AcceptFD)
+		l, err := hotrestart.Listener(c.AcceptFD)
 		if err != nil {
 			return nil, fmt.Errorf("ROUTER_ACCEPT_FD: %w", err)
 		}
@@ -175,38 +178,38 @@
 
 // desk finds a request's class in the first segment of its path; the one engine serves all classes that are listed.
 type desk struct {
-	engine  *engine.Engine
-	effects map[string]tuliprock.Effect
-	figures *figures.Figures
+	engine  *proxy.Engine
+	effects map[string]balancer.Effect
+	figures *metrics.Figures
 }
 
 // Receive implements plain.Desk.
-func (d *desk) Receive(r *http.Request) (plain.Visit, *plain.Refusal) {
+func (d *desk) Receive(r *http.Request) (httpserver.Visit, *httpserver.Refusal) {
 	class, err := route.FirstSegment(r.URL.EscapedPath())
 	if err != nil { // a server might read another class than we do
-		return plain.Visit{}, &plain.Refusal{Status: http.StatusBadRequest, Reason: err.Error(), Close: true}
+		return httpserver.Visit{}, &httpserver.Refusal{Status: http.StatusBadRequest, Reason: err.Error(), Close: true}
 	}
 	effect, listed := d.effects[class]
 	if !listed {
-		return plain.Visit{}, &plain.Refusal{Status: http.StatusNotFound, Reason: fmt.Sprintf("class %.40q is not served", class), Close: true}
+		return httpserver.Visit{}, &httpserver.Refusal{Status: http.StatusNotFound, Reason: fmt.Sprintf("class %.40q is not served", class), Close: true}
 	}
 	d.figures.Take()
-	return plain.Visit{Engine: d.engine, Class: class, Effect: effect, Tenant: r.Header.Get("Req-Owner"),
-		Over: func(taken bool, a engine.Reply) { d.over(class, taken, a) }}, nil
+	return httpserver.Visit{Engine: d.engine, Class: class, Effect: effect, Tenant: r.Header.Get("Req-Owner"),
+		Over: func(taken bool, a proxy.Reply) { d.over(class, taken, a) }}, nil
 }
 
 // ends are what answers count as. A request that came twice was answered the first time.
-var ends = map[engine.Kind]figures.End{engine.Served: figures.Success, engine.Refused: figures.Overload}
+var ends = map[proxy.Kind]metrics.End{proxy.Served: metrics.Success, proxy.Refused: metrics.Overload}
 
 // over counts a request whose answer is written.
-func (d *desk) over(class string, taken bool, a engine.Reply) {
-	if !taken || a.Kind == engine.Duplicate {
+func (d *desk) over(class string, taken bool, a proxy.Reply) {
+	if !taken || a.Kind == proxy.Duplicate {
 		d.figures.Drop()
 		return
 	}
 	end, ok := ends[a.Kind]
 	if !ok {
-		end = figures.Error
+		end = metrics.Error
 	}
 	d.figures.Finish(class, end)
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -11,12 +11,12 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"rowancart/internal/discovery/platform"
+	"rowancart/internal/testpeer"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-	"tuliprock/internal/roster/platform"
-	"tuliprock/internal/testpeer"
 )
 
 const laneSettings = `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
--- a/internal/subset/filter.go
+++ b/internal/subset/filter.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
-	"tuliprock"
-	"tuliprock/internal/engine"
+	"rowancart/balancer"
+	"rowancart/internal/proxy"
 )
 
 // Filter makes of what a roster says of all endpoints what one instance is to hear: its own part. An endpoint that leaves the
@@ -17,8 +17,8 @@
 	resized bool            // since the latest message
 	fresh   map[string]bool // ready since then
 	ring    Ring
-	all     map[string]engine.Member
-	inside  map[string]engine.Member // as the instance was told
+	all     map[string]proxy.Member
+	inside  map[string]proxy.Member // as the instance was told
 }
 
 // Part says which endpoints an instance sends to.
@@ -43,7 +43,7 @@
 
 // NewFilter returns a filter for an instance.
 func NewFilter(p Part) *Filter {
-	return &Filter{part: p, fresh: map[string]bool{}, all: map[string]engine.Member{}, inside: map[string]engine.Member{}}
+	return &Filter{part: p, fresh: map[string]bool{}, all: map[string]proxy.Member{}, inside: map[string]proxy.Member{}}
 }
 
 // Resize sets the part. The next message from Hear has what follows from it.
@@ -53,7 +53,7 @@
 }
 
 // Hear takes a message from a roster and gives what it means to the instance: what has changed, or after a complete list all.
-func (f *Filter) Hear(m engine.Members) engine.Members {
+func (f *Filter) Hear(m proxy.Members) proxy.Members {
 	heard := map[string]bool{}
 	for _, e := range m.Members {
 		heard[e.ID] = true
@@ -62,14 +62,14 @@
 	if m.Complete {
 		for id := range f.all {
 			if !heard[id] {
-				f.take(engine.Member{ID: id, State: tuliprock.Gone})
+				f.take(proxy.Member{ID: id, State: balancer.Gone})
 			}
 		}
 	}
 	if f.part.Size == 0 && !f.resized {
 		clear(f.fresh)
 		for _, e := range m.Members {
-			if f.inside[e.ID] = e; e.State == tuliprock.Gone {
+			if f.inside[e.ID] = e; e.State == balancer.Gone {
 				delete(f.inside, e.ID)
 			}
 		}
@@ -84,12 +84,12 @@
 	}
 	f.resized = false
 	clear(f.fresh)
-	out := engine.Members{Complete: m.Complete, Others: f.ring.Len() - len(part)}
+	out := proxy.Members{Complete: m.Complete, Others: f.ring.Len() - len(part)}
 	for _, id := range slices.Sorted(maps.Keys(f.inside)) {
 		now, known := f.all[id]
 		switch was := f.inside[id]; {
-		case !known, now.State == tuliprock.Ready && !part[id]:
-			was.State = tuliprock.Gone
+		case !known, now.State == balancer.Ready && !part[id]:
+			was.State = balancer.Gone
 			out.Members = append(out.Members, was)
 			delete(f.inside, id)
 		case now != was || m.Complete:
@@ -104,14 +104,14 @@
 		}
 	}
 	if m.Complete { // what is gone need not be said of a complete list
-		out.Members = slices.DeleteFunc(out.Members, func(e engine.Member) bool { return e.State == tuliprock.Gone })
+		out.Members = slices.DeleteFunc(out.Members, func(e proxy.Member) bool { return e.State == balancer.Gone })
 	}
 	return out
 }
 
 // All gives all endpoints that the roster has told of, in the order of their ids.
-func (f *Filter) All() []engine.Member {
-	return slices.SortedFunc(maps.Values(f.all), func(x, y engine.Member) int { return cmp.Compare(x.ID, y.ID) })
+func (f *Filter) All() []proxy.Member {
+	return slices.SortedFunc(maps.Values(f.all), func(x, y proxy.Member) int { return cmp.Compare(x.ID, y.ID) })
 }
 
 // choose gives the part as it is now.
@@ -125,8 +125,8 @@
 }
 
 // take notes what is said of one endpoint.
-func (f *Filter) take(e engine.Member) {
-	if e.State == tuliprock.Ready {
+func (f *Filter) take(e proxy.Member) {
+	if e.State == balancer.Ready {
 		if f.ring.Add(e.ID) {
 			f.fresh[e.ID] = true
 		}
@@ -134,7 +134,7 @@
 		f.ring.Remove(e.ID)
 		delete(f.fresh, e.ID)
 	}
-	if e.State == tuliprock.Gone {
+	if e.State == balancer.Gone {
 		delete(f.all, e.ID)
 		return
 	}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"tuliprock"
-	"tuliprock/internal/engine"
+	"rowancart/balancer"
+	"rowancart/internal/proxy"
 )
 
 func ringOf(n int) *Ring {
@@ -60,17 +60,17 @@
 		size := rapid.IntRange(1, 6).Draw(t, "size")
 		p := Part{Place: Place(rapid.Uint64().Draw(t, "place")), Size: size}
 		f := NewFilter(p)
-		truth, known := map[string]engine.Member{}, map[string]engine.Member{}
+		truth, known := map[string]proxy.Member{}, map[string]proxy.Member{}
 		for range rapid.IntRange(1, 20).Draw(t, "messages") {
-			m := engine.Members{Complete: rapid.Bool().Draw(t, "complete")}
+			m := proxy.Members{Complete: rapid.Bool().Draw(t, "complete")}
 			if m.Complete {
 				clear(truth)
 			}
 			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 11), 0, 8, rapid.ID[int]).Draw(t, "ids") {
-				e := engine.Member{ID: fmt.Sprint(i), Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, "address")),
-					State: rapid.SampledFrom([]tuliprock.State{tuliprock.Ready, tuliprock.Draining, tuliprock.Gone}).Draw(t, "state")}
+				e := proxy.Member{ID: fmt.Sprint(i), Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, "address")),
+					State: rapid.SampledFrom([]balancer.State{balancer.Ready, balancer.Draining, balancer.Gone}).Draw(t, "state")}
 				m.Members = append(m.Members, e)
-				if truth[e.ID] = e; e.State == tuliprock.Gone {
+				if truth[e.ID] = e; e.State == balancer.Gone {
 					delete(truth, e.ID)
 				}
 			}
@@ -81,19 +81,19 @@
 			}
 			was := known
 			out := f.Hear(m)
-			if known = map[string]engine.Member{}; !out.Complete {
+			if known = map[string]proxy.Member{}; !out.Complete {
 				for id, e := range was {
 					known[id] = e
 				}
 			}
 			for _, e := range out.Members {
-				if known[e.ID] = e; e.State == tuliprock.Gone {
+				if known[e.ID] = e; e.State == balancer.Gone {
 					delete(known, e.ID)
 				}
 			}
 			ready := 0
 			for _, e := range truth {
-				if e.State == tuliprock.Ready {
+				if e.State == balancer.Ready {
 					ready++
 				}
 			}
@@ -102,7 +102,7 @@
 				if truth[id] != e {
 					t.Fatalf("%s is known as %v and is %v", id, e, truth[id])
 				}
-				if e.State == tuliprock.Ready {
+				if e.State == balancer.Ready {
 					got++
 				} else if _, old := was[id]; !old && size > 0 {
 					t.Fatalf("%s drains and was never of the part", id)
@@ -112,7 +112,7 @@
 				t.Fatalf("%d ready endpoints of %d are known, %d are wanted; others %d", got, ready, want, out.Others)
 			}
 			for id, e := range was { // of its own that drain none is forgotten
-				if now, there := truth[id]; there && now.State == tuliprock.Draining {
+				if now, there := truth[id]; there && now.State == balancer.Draining {
 					if _, still := known[id]; !still {
 						t.Fatalf("%s, known as %v, drains and is forgotten", id, e)
 					}
@@ -140,21 +140,21 @@
 	fleet := make([]*Filter, instances)
 	held := make([]map[string]bool, instances)
 	moves := 0
-	tell := func(m engine.Members) {
+	tell := func(m proxy.Members) {
 		for i, f := range fleet {
 			for _, e := range f.Hear(m).Members {
-				if e.State == tuliprock.Ready && !held[i][e.ID] {
+				if e.State == balancer.Ready && !held[i][e.ID] {
 					held[i][e.ID] = true
 					moves++
-				} else if e.State == tuliprock.Gone {
+				} else if e.State == balancer.Gone {
 					delete(held[i], e.ID)
 				}
 			}
 		}
 	}
-	var all engine.Members
+	var all proxy.Members
 	for i := range n {
-		all.Members = append(all.Members, engine.Member{ID: fmt.Sprintf("box-%d", i)})
+		all.Members = append(all.Members, proxy.Member{ID: fmt.Sprintf("box-%d", i)})
 	}
 	for i := range fleet {
 		fleet[i], held[i] = NewFilter(Part{Place: PlaceOf(i), Size: size}), map[string]bool{}
@@ -162,8 +162,8 @@
 	tell(all)
 	moves = 0
 	for i := range n / 2 {
-		tell(engine.Members{Members: []engine.Member{{ID: fmt.Sprintf("box-%d", i), State: tuliprock.Gone}}})
-		tell(engine.Members{Members: []engine.Member{{ID: fmt.Sprintf("new-%d", i)}}})
+		tell(proxy.Members{Members: []proxy.Member{{ID: fmt.Sprintf("box-%d", i), State: balancer.Gone}}})
+		tell(proxy.Members{Members: []proxy.Member{{ID: fmt.Sprintf("new-%d", i)}}})
 	}
 	// Each replacement takes an endpoint from size of n instances and gives one to as many: two moves for each of them.
 	if must := instances * (n / 2) * 2 * size / n; moves > must*3/2 {
--- a/internal/fleet/file.go
+++ b/internal/supervisor/file.go
@@ -1,7 +1,7 @@
-// Package fleet runs instances of the daemon on one machine as internal/supervise decides: it starts them, asks each
+// Package supervisor runs instances of the daemon on one machine as internal/supervisor decides: it starts them, asks each
 // for its health at its own admin socket, starts again what ended, keeps its own state on disk, takes up the instances
 // that a supervisor before it left running, and ends them all at SIGTERM.
-package fleet
+package supervisor
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"tuliprock/internal/hclbody"
+	"rowancart/internal/hcldecode"
 )
 
 // File is a fleet's configuration.
@@ -31,17 +31,17 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := hclbody.Parse(text, path)
+	body, err := hcldecode.Parse(text, path)
 	if err != nil {
 		return nil, err
 	}
 	f := &File{ReadyWithin: 15 * time.Second, StopWithin: 30 * time.Second, First: 200 * time.Millisecond, Most: 30 * time.Second}
-	r := &hclbody.Reader{Places: map[any]hcl.Range{}}
+	r := &hcldecode.Reader{Places: map[any]hcl.Range{}}
 	var seed int
-	r.Body(body, nil, hclbody.Blocks{"fleet": func(b *hcl.Block) {
-		r.Body(b.Body, hclbody.Fields{"instances!": &f.Instances, "config!": &f.Config, "folder!": &f.Folder, "seed": &seed,
-			"ready_within": &f.ReadyWithin, "stop_within": &f.StopWithin}, hclbody.Blocks{"back_off": func(b *hcl.Block) {
-			r.Body(b.Body, hclbody.Fields{"first": &f.First, "most": &f.Most}, nil)
+	r.Body(body, nil, hcldecode.Blocks{"fleet": func(b *hcl.Block) {
+		r.Body(b.Body, hcldecode.Fields{"instances!": &f.Instances, "config!": &f.Config, "folder!": &f.Folder, "seed": &seed,
+			"ready_within": &f.ReadyWithin, "stop_within": &f.StopWithin}, hcldecode.Blocks{"back_off": func(b *hcl.Block) {
+			r.Body(b.Body, hcldecode.Fields{"first": &f.First, "most": &f.Most}, nil)
 		}})
 		switch {
 		case f.Instances < 1 || f.Instances > 1024:
@@ -52,7 +52,7 @@
 			r.Fault(b.DefRange, "fleet: ready_within and stop_within must be over 0")
 		}
 	}})
-	if err := hclbody.Faults(r.Diags); err != nil {
+	if err := hcldecode.Faults(r.Diags); err != nil {
 		return nil, err
 	}
 	if f.Instances == 0 {
--- a/internal/fleet/file_test.go
+++ b/internal/supervisor/file_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"os"
--- a/internal/supervise/supervise.go
+++ b/internal/supervisor/restart.go
@@ -1,7 +1,7 @@
-// Package supervise decides for a supervisor of instances on one machine: when each is started again after it ended, and
+// Package supervisor decides for a supervisor of instances on one machine: when each is started again after it ended, and
 // when one that does not become healthy is given up on and killed. It is pure: events come in with the time, the
 // actions to take go out, and the caller runs processes and clocks.
-package supervise
+package supervisor
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Settings of a supervisor. Zero values take the defaults named.
-type Settings struct {
+// RestartSettings of a supervisor. Zero values take the defaults named.
+type RestartSettings struct {
 	Instances   int
 	Seed        uint64        // jitter of back-offs, drawn for each instance alone
 	First       time.Duration // back-off after the first failure (200ms)
@@ -30,18 +30,18 @@
 	Killing // told to end; waits for its exit
 )
 
-// Verb is what the caller is to do.
-type Verb int
+// ActionKind is what the caller is to do.
+type ActionKind int
 
 // The verbs.
 const (
-	Start Verb = iota
-	Kill
+	ActionStart ActionKind = iota
+	ActionKill
 )
 
 // Action is one thing to do to an instance.
 type Action struct {
-	Verb     Verb
+	Kind     ActionKind
 	Instance int
 	Why      string
 }
@@ -55,15 +55,15 @@
 	Starts   int           // in all
 }
 
-// Supervisor holds the phases of all instances.
-type Supervisor struct {
-	s   Settings
+// RestartPolicy holds the phases of all instances.
+type RestartPolicy struct {
+	s   RestartSettings
 	all []Instance
 	rng []*rand.Rand
 }
 
-// New gives a supervisor whose instances are all due to start now.
-func New(now time.Duration, s Settings) (*Supervisor, error) {
+// NewRestartPolicy gives a supervisor whose instances are all due to start now.
+func NewRestartPolicy(now time.Duration, s RestartSettings) (*RestartPolicy, error) {
 	if s.Instances < 1 {
 		return nil, fmt.Errorf("supervise: %d instances", s.Instances)
 	}
@@ -74,7 +74,7 @@
 	}
 	s.First, s.Most = or(s.First, 200*time.Millisecond), or(s.Most, 30*time.Second)
 	s.ReadyWithin, s.Steady = or(s.ReadyWithin, 15*time.Second), or(s.Steady, time.Minute)
-	v := &Supervisor{s: s, all: make([]Instance, s.Instances)}
+	v := &RestartPolicy{s: s, all: make([]Instance, s.Instances)}
 	for i := range v.all {
 		v.all[i] = Instance{Phase: Down, Since: now, StartAt: now}
 		v.rng = append(v.rng, rand.New(rand.NewPCG(s.Seed, uint64(i))))
@@ -90,16 +90,16 @@
 }
 
 // Instances tells what is known of each.
-func (v *Supervisor) Instances() []Instance { return append([]Instance(nil), v.all...) }
+func (v *RestartPolicy) Instances() []Instance { return append([]Instance(nil), v.all...) }
 
 // Started tells that an instance's process runs.
-func (v *Supervisor) Started(now time.Duration, i int) {
+func (v *RestartPolicy) Started(now time.Duration, i int) {
 	v.all[i].Phase, v.all[i].Since = Starting, now
 	v.all[i].Starts++
 }
 
 // Healthy tells that an instance answered for its health; one that was not healthy before is so from now.
-func (v *Supervisor) Healthy(now time.Duration, i int) {
+func (v *RestartPolicy) Healthy(now time.Duration, i int) {
 	if in := &v.all[i]; in.Phase == Starting {
 		in.Phase, in.Since = Healthy, now
 	}
@@ -108,7 +108,7 @@
 // Ended tells that an instance's process has ended. Unless it had been steady, that is a failure, and its next start
 // waits a back-off: doubled with each failure in a row, capped, and jittered by up to a quarter either way so that
 // instances that fail together do not come back together.
-func (v *Supervisor) Ended(now time.Duration, i int) {
+func (v *RestartPolicy) Ended(now time.Duration, i int) {
 	in := &v.all[i]
 	if in.Phase == Healthy && now-in.Since >= v.s.Steady {
 		in.Failures = 0
@@ -123,22 +123,22 @@
 }
 
 // Due gives what is to be done now: starts whose time has come, kills of instances not healthy in time.
-func (v *Supervisor) Due(now time.Duration) []Action {
+func (v *RestartPolicy) Due(now time.Duration) []Action {
 	var out []Action
 	for i := range v.all {
 		switch in := &v.all[i]; {
 		case in.Phase == Down && now >= in.StartAt:
-			out = append(out, Action{Start, i, fmt.Sprintf("start %d", in.Starts+1)})
+			out = append(out, Action{ActionStart, i, fmt.Sprintf("start %d", in.Starts+1)})
 		case in.Phase == Starting && now-in.Since >= v.s.ReadyWithin:
 			in.Phase, in.Since = Killing, now
-			out = append(out, Action{Kill, i, fmt.Sprintf("not healthy within %v", v.s.ReadyWithin)})
+			out = append(out, Action{ActionKill, i, fmt.Sprintf("not healthy within %v", v.s.ReadyWithin)})
 		}
 	}
 	return out
 }
 
 // Next is when Due may have something new to say, other than after an event; false when nothing waits on time.
-func (v *Supervisor) Next() (time.Duration, bool) {
+func (v *RestartPolicy) Next() (time.Duration, bool) {
 	var next time.Duration
 	found := false
 	for _, in := range v.all {
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervisor/restart_test.go
@@ -1,4 +1,4 @@
-package supervise
+package supervisor
 
 import (
 	"testing"
@@ -7,14 +7,14 @@
 
 // An instance that ends as soon as it starts is started again ever later: not 50 times in a minute.
 func TestAnInstanceThatFailsAtOnceIsStartedEverLater(t *testing.T) {
-	v, err := New(0, Settings{Instances: 1})
+	v, err := NewRestartPolicy(0, RestartSettings{Instances: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	starts := 0
 	for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond { // a bound of 6,000 steps
 		for _, a := range v.Due(now) {
-			if a.Verb == Start {
+			if a.Kind == ActionStart {
 				starts++
 				v.Started(now, a.Instance)
 				v.Ended(now, a.Instance)
@@ -33,7 +33,7 @@
 // Forty instances killed in the same moment come back at forty moments, within a quarter of the back-off either way.
 func TestInstancesThatFailTogetherComeBackApart(t *testing.T) {
 	const n = 40
-	v, _ := New(0, Settings{Instances: n, Seed: 7, First: time.Second})
+	v, _ := NewRestartPolicy(0, RestartSettings{Instances: n, Seed: 7, First: time.Second})
 	for i := range n {
 		v.Started(0, i)
 		v.Healthy(time.Millisecond, i)
@@ -53,7 +53,7 @@
 }
 
 func TestAnInstanceNotHealthyInTimeIsKilled(t *testing.T) {
-	v, _ := New(0, Settings{Instances: 2, ReadyWithin: time.Second})
+	v, _ := NewRestartPolicy(0, RestartSettings{Instances: 2, ReadyWithin: time.Second})
 	v.Due(0)
 	v.Started(0, 0)
 	v.Started(0, 1)
@@ -62,7 +62,7 @@
 		t.Fatalf("next: %v %v", next, ok)
 	}
 	got := v.Due(time.Second)
-	if len(got) != 1 || got[0].Verb != Kill || got[0].Instance != 0 {
+	if len(got) != 1 || got[0].Kind != ActionKill || got[0].Instance != 0 {
 		t.Fatalf("due after a second: %+v", got)
 	}
 	if again := v.Due(2 * time.Second); len(again) != 0 {
@@ -72,7 +72,7 @@
 
 // Failures are forgotten after a steady while: a crash a day is not met with the longest back-off.
 func TestASteadyInstanceStartsOverWithTheFirstBackOff(t *testing.T) {
-	v, _ := New(0, Settings{Instances: 1, First: time.Second, Steady: time.Minute})
+	v, _ := NewRestartPolicy(0, RestartSettings{Instances: 1, First: time.Second, Steady: time.Minute})
 	for k := range 5 {
 		at := time.Duration(k) * time.Hour
 		v.Started(at, 0)
--- a/internal/fleet/run.go
+++ b/internal/supervisor/run.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"context"
@@ -17,8 +17,7 @@
 	"syscall"
 	"time"
 
-	"tuliprock/internal/snapshot"
-	"tuliprock/internal/supervise"
+	"rowancart/internal/snapshot"
 )
 
 const (
@@ -75,7 +74,7 @@
 	defer lock.Close()
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	v, err := supervise.New(0, supervise.Settings{Instances: f.Instances, Seed: f.Seed, First: f.First, Most: f.Most,
+	v, err := NewRestartPolicy(0, RestartSettings{Instances: f.Instances, Seed: f.Seed, First: f.First, Most: f.Most,
 		ReadyWithin: f.ReadyWithin})
 	if err != nil {
 		return err
@@ -107,7 +106,7 @@
 type runner struct {
 	f      *File
 	o      Options
-	v      *supervise.Supervisor
+	v      *RestartPolicy
 	state  string
 	procs  []*process
 	events chan event
@@ -129,9 +128,9 @@
 }
 
 // act does what the supervisor decided.
-func (r *runner) act(now time.Duration, a supervise.Action) {
-	switch a.Verb {
-	case supervise.Start:
+func (r *runner) act(now time.Duration, a Action) {
+	switch a.Kind {
+	case ActionStart:
 		p, err := r.start(a.Instance)
 		r.v.Started(now, a.Instance)
 		if err != nil {
@@ -142,7 +141,7 @@
 		r.procs[a.Instance] = p
 		r.o.Log.Info("instance started", "instance", a.Instance, "pid", p.pid, "why", a.Why)
 		r.keep()
-	case supervise.Kill:
+	case ActionKill:
 		if p := r.procs[a.Instance]; p != nil {
 			r.o.Log.Warn("instance killed", "instance", a.Instance, "pid", p.pid, "why", a.Why)
 			_ = syscall.Kill(p.pid, syscall.SIGKILL)
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -5,10 +5,10 @@
 	"strings"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
-// A Reply gathers the actions of one batch. Its Of method gives the tuliprock.Host of an instance.
+// A Reply gathers the actions of one batch. Its Of method gives the balancer.Host of an instance.
 type Reply struct {
 	buf  []byte
 	last int // the instance whose actions were written last
@@ -80,7 +80,7 @@
 }
 
 // Refuse writes a SAY_NO.
-func (h *Host) Refuse(id string, _ tuliprock.Reason, retryAfter time.Duration) {
+func (h *Host) Refuse(id string, _ balancer.Reason, retryAfter time.Duration) {
 	h.begin("SAY_NO")
 	h.text("Rid", id)
 	if retryAfter > 0 {
@@ -90,7 +90,7 @@
 }
 
 // Fail writes a FINISH_ERROR.
-func (h *Host) Fail(id string, _ tuliprock.Reason) {
+func (h *Host) Fail(id string, _ balancer.Reason) {
 	h.begin("FINISH_ERROR")
 	h.text("Rid", id).end()
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // settings is the shape of the START message's Config, as far as it is used.
@@ -71,7 +71,7 @@
 
 // Settings is what the object says to a host: the module's part, and what a host with connections of its own needs.
 type Settings struct {
-	tuliprock.Settings
+	balancer.Settings
 	ConnIdle    time.Duration // an endpoint closes a connection that has been idle for this long; 0: not told
 	DialTimeout time.Duration // a connection not made by then has failed; 0: not told
 	Longest     time.Duration // deadline of all classes; 0: none is told
@@ -88,7 +88,7 @@
 		return Settings{}, fmt.Errorf("Config: %w", err)
 	}
 	s := Settings{ConnIdle: us(c.Permissions.ConnIdleUs), DialTimeout: us(c.Permissions.DialTimeoutUs), DrainGrace: us(c.Rules.DrainGraceUs)}
-	s.Settings = tuliprock.Settings{
+	s.Settings = balancer.Settings{
 		Balancers: c.NInstances, Index: c.Me, Tier: c.Tier, TiersBelow: max(len(c.Tiers)-1-c.Tier, 0),
 		AskWithin: us(c.Rules.AskWithinUs), MaxAttempts: c.Permissions.TryLimit,
 		MayCancel:  c.Permissions.MayCancel,
@@ -106,31 +106,31 @@
 	}
 	for _, l := range c.Lanes {
 		s.Longest = max(s.Longest, us(l.HardLimitUs))
-		k := tuliprock.Class{Name: l.Name, Window: us(l.WindowUs), Aim: us(l.OnTimeUs)}
+		k := balancer.Class{Name: l.Name, Window: us(l.WindowUs), Aim: us(l.OnTimeUs)}
 		switch l.Semantics {
 		case "read_like":
-			k.Effect = tuliprock.Safe
+			k.Effect = balancer.Safe
 		case "idempotency_key":
-			k.Effect = tuliprock.Keyed
+			k.Effect = balancer.Keyed
 		case "non_idempotent":
-			k.Effect = tuliprock.Unsafe
+			k.Effect = balancer.Unsafe
 		default:
 			return s, fmt.Errorf("Config: class %q has unknown Semantics %q", l.Name, l.Semantics)
 		}
 		switch l.Group {
 		case "all", "":
-			k.Group = tuliprock.GroupAll
+			k.Group = balancer.GroupAll
 		case "zone":
-			k.Group = tuliprock.GroupZone
+			k.Group = balancer.GroupZone
 		case "cell":
-			k.Group = tuliprock.GroupCell
+			k.Group = balancer.GroupCell
 		default:
 			return s, fmt.Errorf("Config: class %q has unknown Group %q", l.Name, l.Group)
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, a := range c.Accounts {
-		s.Tenants = append(s.Tenants, tuliprock.Tenant{Name: a.Name, Quota: a.QuotaPerS})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: a.Name, Quota: a.QuotaPerS})
 	}
 	return s, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,15 +11,15 @@
 	"strconv"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // Handler receives the events of the batches, in order. Its methods may return an error to stop reading.
 type Handler interface {
-	Start(instance int, s tuliprock.Settings) error
+	Start(instance int, s balancer.Settings) error
 	Stop(instance int) error
 	// Instance gives the receiver of one event.
-	Instance(instance int) (tuliprock.Events, error)
+	Instance(instance int) (balancer.Events, error)
 	// EndBatch is called when a batch has been read whole and its reply is due.
 	EndBatch() error
 }
@@ -40,8 +40,8 @@
 	now      time.Duration
 	instance int
 	started  bool // an instance was named in this batch
-	lists    [maxLists]*[]tuliprock.Endpoint
-	filling  *[]tuliprock.Endpoint
+	lists    [maxLists]*[]balancer.Endpoint
+	filling  *[]balancer.Endpoint
 	missing  int // entries still to come for the list being filled
 
 }
@@ -170,12 +170,12 @@
 	return r.event(string(name), to)
 }
 
-func (r *Reader) event(name string, to tuliprock.Events) error {
+func (r *Reader) event(name string, to balancer.Events) error {
 	var p fields
 	p.r = r
 	switch name {
 	case "REGISTRY":
-		l := tuliprock.List{}
+		l := balancer.List{}
 		mode := p.text("Mode", true)
 		p.integer("Gen", false)
 		switch mode {
@@ -197,7 +197,7 @@
 			to.EndpointList(r.now, l)
 		}
 	case "CALL":
-		q := tuliprock.Request{ID: p.id("Rid"), Class: p.word("Band", true), Tenant: p.word("Team", false),
+		q := balancer.Request{ID: p.id("Rid"), Class: p.word("Band", true), Tenant: p.word("Team", false),
 			Deadline: p.micros("ValidUntilUs", true)}
 		flags := p.integer("Attrs", false)
 		q.Repeat = flags&2 != 0
@@ -210,7 +210,7 @@
 			to.StreamStarted(r.now, id, n)
 		}
 	case "ATTEMPT_END":
-		o := tuliprock.Outcome{ID: p.id("Rid"), Attempt: p.integer("N", true), Endpoint: p.word("Endpoint", true),
+		o := balancer.Outcome{ID: p.id("Rid"), Attempt: p.integer("N", true), Endpoint: p.word("Endpoint", true),
 			Result: p.result(), Took: p.micros("SpentUs", true), Final: p.integer("DoneFlag", false) != 0}
 		if p.err == nil {
 			to.Outcome(r.now, o)
@@ -244,7 +244,7 @@
 	if ref < 0 || ref >= maxLists || n < 0 {
 		return errors.New("LEDGER with a number out of range")
 	}
-	list := []tuliprock.Endpoint{}
+	list := []balancer.Endpoint{}
 	r.lists[ref], r.filling, r.missing = &list, &list, n
 	return nil
 }
@@ -254,15 +254,15 @@
 		return errors.New("ENDPOINT without a LEDGER that counts it")
 	}
 	p := fields{r: r}
-	e := tuliprock.Endpoint{ID: p.word("Endpoint", true), Zone: p.word("Zone", false), Kind: p.word("Sku", false), Cell: p.integer("Pack", false),
+	e := balancer.Endpoint{ID: p.word("Endpoint", true), Zone: p.word("Zone", false), Kind: p.word("Sku", false), Cell: p.integer("Pack", false),
 		Started: p.micros("LastStartUs", false)}
 	switch phase := p.text("Phase", true); phase {
 	case "ready":
-		e.State = tuliprock.Ready
+		e.State = balancer.Ready
 	case "draining":
-		e.State = tuliprock.Draining
+		e.State = balancer.Draining
 	case "gone":
-		e.State = tuliprock.Gone
+		e.State = balancer.Gone
 	default:
 		p.fail("ENDPOINT has an unknown Phase %q", phase)
 	}
@@ -397,27 +397,27 @@
 	return s
 }
 
-func (p *fields) result() tuliprock.Result {
+func (p *fields) result() balancer.Result {
 	switch v := p.bytes("StateCode", true); string(v) {
 	case "Ok":
-		return tuliprock.OK
+		return balancer.OK
 	case "Failed":
-		return tuliprock.Errored
+		return balancer.Errored
 	case "QueueFull":
-		return tuliprock.Full
+		return balancer.Full
 	case "TimedOut":
-		return tuliprock.TimedOut
+		return balancer.TimedOut
 	case "ConnectError":
-		return tuliprock.ConnectFailed
+		return balancer.ConnectFailed
 	case "ResetByPeer":
-		return tuliprock.Reset
+		return balancer.Reset
 	case "Canceled":
-		return tuliprock.Canceled
+		return balancer.Canceled
 	case "Ignored":
-		return tuliprock.NotSent
+		return balancer.NotSent
 	default:
 		p.fail("unknown StateCode %q", v)
-		return tuliprock.Errored
+		return balancer.Errored
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,13 +9,13 @@
 	"testing"
 	"time"
 
-	"tuliprock"
+	"rowancart/balancer"
 )
 
 // recorder keeps the events it is given, as text.
 type recorder struct {
 	got     []string
-	started map[int]tuliprock.Settings
+	started map[int]balancer.Settings
 	ends    int
 }
 
@@ -23,26 +23,26 @@
 	r.got = append(r.got, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) Start(i int, s tuliprock.Settings) error { r.started[i] = s; return nil }
-func (r *recorder) Stop(i int) error                        { delete(r.started, i); return nil }
-func (r *recorder) EndBatch() error                         { r.ends++; return nil }
-func (r *recorder) Instance(i int) (tuliprock.Events, error) {
+func (r *recorder) Start(i int, s balancer.Settings) error { r.started[i] = s; return nil }
+func (r *recorder) Stop(i int) error                       { delete(r.started, i); return nil }
+func (r *recorder) EndBatch() error                        { r.ends++; return nil }
+func (r *recorder) Instance(i int) (balancer.Events, error) {
 	if _, ok := r.started[i]; !ok {
 		return nil, errors.New("never started")
 	}
 	return r, nil
 }
-func (r *recorder) EndpointList(now time.Duration, l tuliprock.List) { r.add("%v list %+v", now, l) }
-func (r *recorder) Request(now time.Duration, q tuliprock.Request)   { r.add("%v request %+v", now, q) }
+func (r *recorder) EndpointList(now time.Duration, l balancer.List) { r.add("%v list %+v", now, l) }
+func (r *recorder) Request(now time.Duration, q balancer.Request)   { r.add("%v request %+v", now, q) }
 func (r *recorder) StreamStarted(now time.Duration, id string, n int) {
 	r.add("%v stream %s %d", now, id, n)
 }
-func (r *recorder) Outcome(now time.Duration, o tuliprock.Outcome) { r.add("%v outcome %+v", now, o) }
-func (r *recorder) ClientLeft(now time.Duration, id string)        { r.add("%v left %s", now, id) }
-func (r *recorder) Timer(now time.Duration)                        { r.add("%v timer", now) }
+func (r *recorder) Outcome(now time.Duration, o balancer.Outcome) { r.add("%v outcome %+v", now, o) }
+func (r *recorder) ClientLeft(now time.Duration, id string)       { r.add("%v left %s", now, id) }
+func (r *recorder) Timer(now time.Duration)                       { r.add("%v timer", now) }
 
 func read(text string) (*recorder, error) {
-	r := &recorder{started: map[int]tuliprock.Settings{}}
+	r := &recorder{started: map[int]balancer.Settings{}}
 	return r, NewReader(strings.NewReader(text)).Run(r)
 }
 
@@ -90,9 +90,9 @@
 		t.Fatal(err)
 	}
 	us := time.Microsecond
-	want := tuliprock.Settings{Seed: 1<<64 - 1, Balancers: 2, Index: 1, Tier: 1, TiersBelow: 1,
-		Classes: []tuliprock.Class{{Name: "n", Effect: tuliprock.Keyed, Group: tuliprock.GroupCell, Window: 3 * us, Aim: us}},
-		Tenants: []tuliprock.Tenant{{Name: "t", Quota: 6.5}}, MustSubscribe: true, AskWithin: 9 * us, MaxAttempts: 4,
+	want := balancer.Settings{Seed: 1<<64 - 1, Balancers: 2, Index: 1, Tier: 1, TiersBelow: 1,
+		Classes: []balancer.Class{{Name: "n", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 3 * us, Aim: us}},
+		Tenants: []balancer.Tenant{{Name: "t", Quota: 6.5}}, MustSubscribe: true, AskWithin: 9 * us, MaxAttempts: 4,
 		MayCancel: true, MaxRetryAfter: 7 * us,
 		Resolution: 5 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * us}
 	if got := r.started[0]; !reflect.DeepEqual(got, want) {
@@ -163,9 +163,9 @@
 	a, b := r.Of(3), r.Of(5)
 	a.Send("r1", "h:1", 1500*time.Nanosecond)
 	a.Cancel("r1", 2)
-	b.Refuse("r2", tuliprock.NoRoom, 0)
-	b.Refuse("r3", tuliprock.NoRoom, time.Millisecond)
-	b.Fail("r4", tuliprock.MayHaveRun)
+	b.Refuse("r2", balancer.NoRoom, 0)
+	b.Refuse("r3", balancer.NoRoom, time.Millisecond)
+	b.Fail("r4", balancer.MayHaveRun)
 	b.Subscribe()
 	b.Timer(5 * time.Microsecond)
 	b.Log("two\nlines")
