--- a/internal/discovery/platform/crossings_test.go
+++ b/internal/discovery/platform/crossings_test.go
@@ -278,7 +278,7 @@
 }
 
 const (
-	servicePlaces = 5
+	servicePlaces = 8 // the last one waits for 2 s
 	serviceTakes  = 250 * time.Millisecond
 	serviceRefuse = 35 * time.Millisecond
 )
--- a/internal/discovery/platform/platform.go
+++ b/internal/discovery/platform/platform.go
@@ -28,7 +28,7 @@
 	answerShare  = 0.5 // of the grace, within which an agent that answers at once has done so, or a line that has begun ends
 	retryLeast   = 50 * time.Millisecond
 	retryShare   = 0.2                     // of the grace, between two watches at most
-	askedAnswer  = 1500 * time.Millisecond // for an answer to begin where all instances ask one service, which serves calls in turn
+	askedAnswer  = 2500 * time.Millisecond // for an answer to begin where all instances ask one service: a call waits its turn there for up to 2 s
 	askedRetry   = 1600 * time.Millisecond // longest backoff there: calls that come sooner than they are served keep all of them from it
 	askedSettled = time.Second             // a watch there that ends sooner resets no backoff
 	complainGap  = 10 * time.Second        // between two log lines about discovery
