--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -11,37 +11,42 @@
 )
 
 // Learned is what a Balancer has learned. It holds no instants: clocks differ from process to process.
+//
+// The tags here and below are the names in stored snapshots, which outlive a change of the names in the code.
 type Learned struct {
-	Works     []LearnedWork
-	Kinds     []LearnedKind
-	Endpoints []LearnedEndpoint
-	Room      float64 // calls that may be out
-	Calls     float64 // requests of late, and of the latest minutes, faded
-	LongCalls float64
-	For       time.Duration // since the first of all
+	Works     []LearnedWork     `json:"Works"`
+	Kinds     []LearnedKind     `json:"Kinds"`
+	Endpoints []LearnedEndpoint `json:"Endpoints"`
+	Room      float64           `json:"Room"`  // calls that may be out
+	Calls     float64           `json:"Calls"` // requests of late, and of the latest minutes, faded
+	LongCalls float64           `json:"LongCalls"`
+	For       time.Duration     `json:"For"` // since the first of all
 }
 
 // LearnedWork is what calls of one kind of work take.
 type LearnedWork struct {
-	Name       string
-	Calm, Mean float64 // seconds
-	Samples    float64
-	For        time.Duration // since the first answer
+	Name    string        `json:"Name"`
+	Calm    float64       `json:"Calm"` // seconds
+	Mean    float64       `json:"Mean"` // seconds
+	Samples float64       `json:"Samples"`
+	For     time.Duration `json:"For"` // since the first answer
 }
 
 // LearnedKind is what the endpoints of one kind show.
 type LearnedKind struct {
-	Name       string
-	W, Samples float64
+	Name    string  `json:"Name"`
+	W       float64 `json:"W"`
+	Samples float64 `json:"Samples"`
 }
 
 // LearnedEndpoint is how one endpoint compares with its kind.
 type LearnedEndpoint struct {
-	ID           string
-	Sum, Samples float64 // as of now
-	Errors       float64 // of late, of
-	Outcomes     float64
-	Active       bool
+	ID       string  `json:"ID"`
+	Sum      float64 `json:"Sum"`      // as of now
+	Samples  float64 `json:"Samples"`  // as of now
+	Errors   float64 `json:"Errors"`   // of late, of
+	Outcomes float64 `json:"Outcomes"` // these
+	Active   bool    `json:"Active"`
 }
 
 // sane tells whether numbers are such as a Balancer can have: no others must come in from a file.
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -21,15 +21,15 @@
 
 // poolState is what a snapshot holds of a pool.
 type poolState struct {
-	Memory proxy.Memory
-	Roster []proxy.Member // all that the roster told of, this instance's part or not
+	Memory proxy.Memory   `json:"Memory"`
+	Roster []proxy.Member `json:"Roster"` // all that the roster told of, this instance's part or not
 }
 
 // state is what a snapshot holds. Owner is whose it is: a file copied from another machine or instance speaks of
 // endpoints as others saw them. One written before owners were kept has none, and is used.
 type state struct {
-	Owner string `json:",omitempty"`
-	Pools map[string]*poolState
+	Owner string                `json:"Owner,omitempty"`
+	Pools map[string]*poolState `json:"Pools"`
 }
 
 // owner names the instance that a configuration makes of this process on this machine. The fleet's size is not in it:
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -87,11 +87,16 @@
 }
 
 // Member is an endpoint as a roster lists it.
+//
+// The tags are the names in stored snapshots.
 type Member struct {
-	ID, Addr, Zone, Kind string
-	Cell                 int
-	State                balancer.State
-	StartedMs            int64 // Unix time of the latest start; 0: long ago
+	ID        string         `json:"ID"`
+	Addr      string         `json:"Addr"`
+	Zone      string         `json:"Zone"`
+	Kind      string         `json:"Kind"`
+	Cell      int            `json:"Cell"`
+	State     balancer.State `json:"State"`
+	StartedMs int64          `json:"StartedMs"` // Unix time of the latest start; 0: long ago
 }
 
 // Members is what a roster says: the whole list, or what has changed.
@@ -292,9 +297,10 @@
 func (l *Engine) LimitConns(most int) { l.upstream.limit(most) }
 
 // Memory is what an engine knows that a successor can begin with.
+// The tags are the names in stored snapshots.
 type Memory struct {
-	Learned balancer.Learned
-	Members []Member
+	Learned balancer.Learned `json:"Learned"`
+	Members []Member         `json:"Members"`
 }
 
 // Memory gives what is known now.
--- a/internal/supervisor/run.go
+++ b/internal/supervisor/run.go
@@ -34,12 +34,12 @@
 
 // kept is what the supervisor writes of its instances, for one that follows it.
 type kept struct {
-	Instances []keptInstance
+	Instances []keptInstance `json:"Instances"`
 }
 
 type keptInstance struct {
-	Pid   int
-	Since uint64 // the process's start, in ticks after boot: a pid used again is another process
+	Pid   int    `json:"Pid"`
+	Since uint64 `json:"Since"` // the process's start, in ticks after boot: a pid used again is another process
 }
 
 // process is one running instance, a child or one adopted from a supervisor before.
