--- a/balancer/api.go
+++ b/balancer/api.go
@@ -17,7 +17,7 @@
 // they happened.
 type Events interface {
 	// EndpointList reports what service discovery says. The first one follows New directly.
-	EndpointList(now time.Duration, l List)
+	EndpointList(now time.Duration, l EndpointList)
 	// Request reports a request that wants exactly one final answer: the success of an attempt, or the
 	// Host's Refuse or Fail.
 	Request(now time.Duration, r Request)
@@ -38,9 +38,9 @@
 	Send(id, endpoint string, timeout time.Duration)
 	// Cancel stops waiting for attempt n. It still gets its Outcome.
 	Cancel(id string, n int)
-	// Refuse answers a request for good and tells the client that trying again is harmless, best not
+	// Reject answers a request for good and tells the client that trying again is harmless, best not
 	// before retryAfter has passed (0: no advice).
-	Refuse(id string, why Reason, retryAfter time.Duration)
+	Reject(id string, why Reason, retryAfter time.Duration)
 	// Fail answers a request for good and promises nothing about its effect.
 	Fail(id string, why Reason)
 	// Subscribe asks discovery for all changes from now on; an EndpointList answers.
@@ -51,41 +51,41 @@
 	Log(line string)
 }
 
-// Effect says what repeating a request of a class may do.
-type Effect int
+// Repeatability says what repeating a request of a class may do.
+type Repeatability int
 
 // The effects, from harmless to harmful.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // repeats are dropped inside a group of endpoints, for a while
-	Unsafe               // must never run twice
+	Idempotent       Repeatability = iota // may run any number of times
+	IdempotencyKeyed                      // repeats are dropped inside a group of endpoints, for a while
+	NonIdempotent                         // must never run twice
 )
 
-// Group says which endpoints together drop repeats of a keyed request.
-type Group int
+// KeyScope says which endpoints together drop repeats of a keyed request.
+type KeyScope int
 
 // The groups, from wide to narrow.
 const (
-	GroupAll  Group = iota // all endpoints
-	GroupZone              // the endpoints of one zone
-	GroupCell              // the endpoints of one cell
+	KeyScopeAll  KeyScope = iota // all endpoints
+	KeyScopeZone                 // the endpoints of one zone
+	KeyScopeCell                 // the endpoints of one cell
 )
 
 // Class is a class of requests.
 type Class struct {
-	Name   string
-	Effect Effect
-	Group  Group         // for Keyed
-	Window time.Duration // for Keyed: how long a repeat is recognised, from the first send
-	Aim    time.Duration // an answer is wanted within this time
+	Name             string
+	Repeat           Repeatability
+	KeyScope         KeyScope      // for Keyed
+	KeyWindow        time.Duration // for Keyed: how long a repeat is recognised, from the first send
+	LatencyObjective time.Duration // an answer is wanted within this time
 
 	Work           string        // classes of one work take alike, under whatever policy; empty: Name
 	AttemptTimeout time.Duration // an attempt ends as TimedOut after this time; 0: with the request
 	MaxAttempts    int           // attempts allowed for a request, copies included; 0: Settings.MaxAttempts
-	NoRerun        bool          // what may have run is not sent again, whatever the effect
-	CopyAfter      time.Duration // a Safe request without an answer for this long gets a second copy; 0: none
-	CopyShare      float64       // or without one for longer than this share of the latest answers took; 0: none
-	Queue          int           // requests that may wait here for room; 0: any number, below 0: none
+	NeverRerun     bool          // what may have run is not sent again, whatever the effect
+	HedgeAfter     time.Duration // a Safe request without an answer for this long gets a second copy; 0: none
+	HedgeQuantile  float64       // or without one for longer than this share of the latest answers took; 0: none
+	QueueLimit     int           // requests that may wait here for room; 0: any number, below 0: none
 }
 
 // Tenant is one of the parties that share the endpoints.
@@ -97,25 +97,25 @@
 // Settings hold until Configure is called. Zero values are legal everywhere.
 type Settings struct {
 	Seed       uint64 // for spreading choices that would otherwise be alike in every balancer
-	Balancers  int    // balancers that send to these endpoints, this one included
+	Instances  int    // balancers that send to these endpoints, this one included
 	Index      int    // of this one among them, from 0; -1: not known
 	Tier       int    // how many tiers of callers stand before this balancer
 	TiersBelow int    // how many tiers the endpoints themselves depend on
 	Classes    []Class
 	Tenants    []Tenant
 
-	MustSubscribe bool          // discovery tells nothing unless asked
-	AskWithin     time.Duration // without a subscription: ask at least this often
+	SubscribeRequired bool          // discovery tells nothing unless asked
+	PollInterval      time.Duration // without a subscription: ask at least this often
 
 	MaxAttempts   int           // attempts allowed for a request; 0: no limit
-	Resends       Resends       // attempts beyond the first, over all requests
-	MayCancel     bool          // Cancel is allowed
+	RetryBudget   RetryBudget   // attempts beyond the first, over all requests
+	CancelAllowed bool          // Cancel is allowed
 	MaxRetryAfter time.Duration // the longest advice that clients heed; 0: advice does not reach them
 
-	Resolution time.Duration // how late events and timers may come
-	ColdFrom   float64       // share of its capacity that an endpoint starts with at least
-	ColdFor    time.Duration // it is warm after this time at the latest
-	ColdShare  float64       // sends to a cold endpoint, in shares of its warmth; 0: 1.5. Under 1, all balancers together stay
+	Resolution        time.Duration // how late events and timers may come
+	SlowStartCapacity float64       // share of its capacity that an endpoint starts with at least
+	SlowStartWindow   time.Duration // it is warm after this time at the latest
+	SlowStartShare    float64       // sends to a cold endpoint, in shares of its warmth; 0: 1.5. Under 1, all balancers together stay
 	// within what it can take, however many they are and however much the others carry
 }
 
@@ -139,22 +139,22 @@
 	Started time.Duration // instant of the latest start; 0: long ago
 }
 
-// List is a message from discovery.
-type List struct {
+// EndpointList is a message from discovery.
+type EndpointList struct {
 	Failed   bool // an ask failed or a subscription broke: nothing is said of endpoints
 	Complete bool // endpoints not listed are gone; otherwise only the listed ones have changed
 	Entries  []Endpoint
-	Others   int // ready endpoints that other balancers send to, and this one is told nothing of
+	Unlisted int // ready endpoints that other balancers send to, and this one is told nothing of
 }
 
 // Request is something a client wants done.
 type Request struct {
-	ID       string
-	Class    string
-	Tenant   string
-	Deadline time.Duration // instant at which the client stops waiting
-	Repeat   bool          // the client says that it has asked before
-	Long     bool          // its body may take long to write; Written says when it is
+	ID          string
+	Class       string
+	Tenant      string
+	Deadline    time.Duration // instant at which the client stops waiting
+	ClientRetry bool          // the client says that it has asked before
+	Streamed    bool          // its body may take long to write; Written says when it is
 }
 
 // Result is how an attempt ended.
@@ -164,7 +164,7 @@
 const (
 	OK            Result = iota
 	Errored              // the endpoint answered with an error
-	Full                 // turned away unseen
+	Rejected             // turned away unseen
 	TimedOut             // no answer in time
 	ConnectFailed        // no connection came about
 	Reset                // the connection broke
@@ -178,6 +178,6 @@
 	Attempt  int
 	Endpoint string
 	Result   Result
-	Took     time.Duration // since the Send
+	Latency  time.Duration // since the Send
 	Final    bool          // the request has its final answer
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -69,21 +69,21 @@
 )
 
 // EndpointList is membership. Nothing new goes to an endpoint from the event on that says it drains.
-func (b *Balancer) EndpointList(now time.Duration, l List) {
+func (b *Balancer) EndpointList(now time.Duration, l EndpointList) {
 	if l.Failed { // ask anew, each caller at its own moment, and in time to count as asking
-		if b.s.MustSubscribe {
-			b.askGap = min(max(2*b.askGap, backoffMin), max(b.s.AskWithin/2, backoffMin))
+		if b.s.SubscribeRequired {
+			b.askGap = min(max(2*b.askGap, backoffMin), max(b.s.PollInterval/2, backoffMin))
 			b.askAt = now + b.jitter(b.askGap)
 			b.wakeAt(b.askAt)
 		}
 		return
 	}
-	b.askGap, b.askAt, b.others = 0, 0, l.Others
+	b.askGap, b.askAt, b.others = 0, 0, l.Unlisted
 	b.hear(now, l)
 }
 
 // hear takes up what has changed of the endpoints.
-func (b *Balancer) hear(now time.Duration, l List) {
+func (b *Balancer) hear(now time.Duration, l EndpointList) {
 	first := b.known == 0
 	touched, started := b.merge(l)
 	b.fill(touched) // a trial's moment is by the members of the table: with none, all first trials are due
@@ -100,15 +100,15 @@
 	b.release(now)
 }
 
-// Ban takes an endpoint out at the operators' word, whatever the list says; what is out there goes on.
-func (b *Balancer) Ban(now time.Duration, id string) {
+// Disable takes an endpoint out at the operators' word, whatever the list says; what is out there goes on.
+func (b *Balancer) Disable(now time.Duration, id string) {
 	b.banned[id] = true
 	b.relist(now, id)
 }
 
-// Unban leaves an endpoint to the list again. It may have restarted meanwhile: it is cold from now on, and
+// Enable leaves an endpoint to the list again. It may have restarted meanwhile: it is cold from now on, and
 // its trial is due at once, since the operators wait to see it work.
-func (b *Balancer) Unban(now time.Duration, id string) {
+func (b *Balancer) Enable(now time.Duration, id string) {
 	if !b.banned[id] {
 		return
 	}
@@ -145,7 +145,7 @@
 // are even steps through the list, sorted by kind and begun at the caller's own place: all endpoints get as
 // many callers, all callers the same mix of kinds. What has changed decides the work.
 func (b *Balancer) fill(touched []*endpoint) {
-	n, callers := float64(b.ready), float64(max(b.s.Balancers, 1))
+	n, callers := float64(b.ready), float64(max(b.s.Instances, 1))
 	size := math.Floor(max(b.size, tableLeast, tableShare*(n+float64(b.others))/callers))
 	if 2*size >= n {
 		if !b.whole {
@@ -192,9 +192,9 @@
 // All hear of it at once, and drawn at random alone some would meet: their numbers spread them as the golden
 // ratio spreads a range; one that knows none (-1) draws in the whole turn. What was warm at first is active.
 func (b *Balancer) renew(now time.Duration, e *endpoint, first bool) {
-	e.active, e.out = first && b.warmth(now, e) == 1, OutNew
+	e.active, e.out = first && b.warmth(now, e) == 1, InactiveNew
 	e.backoff = b.firstBackoff(now)
-	spread := float64(max(b.s.Balancers*min(b.s.Index+1, 1), 1))
+	spread := float64(max(b.s.Instances*min(b.s.Index+1, 1), 1))
 	turn := math.Mod(float64(max(b.s.Index, 0))*0.6180339887+b.rng.Float64()/spread, 1)
 	e.trialAt = now + max(seconds(turn*b.turnGap(now).Seconds()), b.coldGap(now, e, turn))
 	e.sum, e.samples, e.deficit, e.brisk = 0, 0, b.zero(e)+b.rng.Float64(), 1
@@ -208,7 +208,7 @@
 // retime times again, when asked, the trials of cold endpoints that were timed by a rate not known then.
 func (b *Balancer) retime(now time.Duration, asked bool) {
 	for _, e := range b.cold {
-		if asked && e.State == Ready && e.out == OutNew && e.samples == 0 && b.warmth(now, e) < 1 {
+		if asked && e.State == Ready && e.out == InactiveNew && e.samples == 0 && b.warmth(now, e) < 1 {
 			b.renew(now, e, false)
 		}
 	}
@@ -219,12 +219,12 @@
 // together pushing the endpoint over. The part is the area under the warmth: by the warmth at the last send
 // alone, quiet callers would leave the endpoint at what it could do when it started.
 func (b *Balancer) coldGap(now time.Duration, e *endpoint, turns float64) time.Duration {
-	due := turns * b.turnGap(now).Seconds() / (cmp.Or(b.s.ColdShare, coldShare) * max(e.brisk, 1))
+	due := turns * b.turnGap(now).Seconds() / (cmp.Or(b.s.SlowStartShare, coldShare) * max(e.brisk, 1))
 	warmth := b.warmth(now, e)
 	if warmth == 1 {
 		return seconds(due)
 	}
-	rise := max(1-b.s.ColdFrom, 0) / b.s.ColdFor.Seconds()
+	rise := max(1-b.s.SlowStartCapacity, 0) / b.s.SlowStartWindow.Seconds()
 	return seconds(2 * due / (warmth + math.Sqrt(warmth*warmth+2*rise*due)))
 }
 
@@ -252,7 +252,7 @@
 func (b *Balancer) expected(q *request) float64 {
 	c := q.class
 	if c.samples == 0 || c.calm <= 0 {
-		return max(c.Aim.Seconds()/4, 0.001)
+		return max(c.LatencyObjective.Seconds()/4, 0.001)
 	}
 	return c.calm
 }
@@ -264,7 +264,7 @@
 	if c.samples < lateKnown {
 		least = lateFirst
 	}
-	return max(late*max(w, 1)*took, max(w, 1)*took+lateSpread*c.spread, least*c.Aim.Seconds())
+	return max(late*max(w, 1)*took, max(w, 1)*took+lateSpread*c.spread, least*c.LatencyObjective.Seconds())
 }
 
 // learn updates what calls of the class take. Calm rises by time alone: an overload must not pass for calm.
@@ -280,9 +280,9 @@
 	if step := meanGain * c.mean; c.tail == 0 { // begins at twice the mean
 		c.tail = 2 * c.mean
 	} else if took > c.tail {
-		c.tail += step * c.CopyShare
+		c.tail += step * c.HedgeQuantile
 	} else {
-		c.tail = max(c.tail-step*(1-c.CopyShare), c.mean)
+		c.tail = max(c.tail-step*(1-c.HedgeQuantile), c.mean)
 	}
 	gain := max(1/c.samples, min(meanGain, gap.Seconds()/meanFor))
 	c.spread += (math.Abs(took-c.mean) - c.spread) * gain
@@ -303,7 +303,7 @@
 func (b *Balancer) Request(now time.Duration, r Request) {
 	c := b.classes[r.Class]
 	if c == nil { // a class that nobody listed: what may have run is never repeated
-		c = &class{Class: Class{Effect: Unsafe, Aim: max(r.Deadline-now, 0)}, work: &work{}}
+		c = &class{Class: Class{Repeat: NonIdempotent, LatencyObjective: max(r.Deadline-now, 0)}, work: &work{}}
 		b.classes[r.Class] = c
 	}
 	b.count(now)
@@ -315,7 +315,7 @@
 	short := float64(b.out) > overRoom*b.space() && b.stretch > uncrowded*b.bearable()
 	pressed := len(b.waiting) > 0 || short || b.rate(now) > allShares*b.quota
 	if now >= q.giveUp || len(b.waiting) > 0 && !b.inTime(now, q, hopeless) {
-		b.end(now, q, TooLate)
+		b.end(now, q, DeadlineTooClose)
 		return
 	}
 	if pressed && over {
@@ -333,13 +333,13 @@
 	if t == nil || t.Quota <= 0 || b.s.Tier > 0 {
 		return false
 	}
-	rate := t.Quota / float64(max(b.s.Balancers, 1))
+	rate := t.Quota / float64(max(b.s.Instances, 1))
 	t.tokens = min(t.tokens+rate*(now-t.at).Seconds(), max(rate*quotaBurst, 1))
 	t.at = now
 	if t.tokens < 1 {
 		return true
 	}
-	if !q.Repeat { // the first try has paid
+	if !q.ClientRetry { // the first try has paid
 		t.tokens--
 	}
 	return false
@@ -394,11 +394,11 @@
 		if a.out && !q.copying {
 			return false
 		}
-		if !a.mayRun || c.Effect == Safe && !c.NoRerun {
+		if !a.mayRun || c.Repeat == Idempotent && !c.NeverRerun {
 			continue
 		}
-		if c.Effect == Unsafe || c.NoRerun || now+2*b.s.Resolution >= a.sent+c.Window ||
-			c.Group == GroupZone && a.e.Zone != e.Zone || c.Group == GroupCell && a.e.Cell != e.Cell {
+		if c.Repeat == NonIdempotent || c.NeverRerun || now+2*b.s.Resolution >= a.sent+c.KeyWindow ||
+			c.KeyScope == KeyScopeZone && a.e.Zone != e.Zone || c.KeyScope == KeyScopeCell && a.e.Cell != e.Cell {
 			return false
 		}
 	}
@@ -407,7 +407,7 @@
 
 // mayRefuse tells whether "trying again is harmless" is true.
 func (q *request) mayRefuse() bool {
-	return q.class.Effect == Safe || q.class.Effect == Keyed && q.class.Group == GroupAll ||
+	return q.class.Repeat == Idempotent || q.class.Repeat == IdempotencyKeyed && q.class.KeyScope == KeyScopeAll ||
 		!slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.out || a.mayRun })
 }
 
@@ -472,12 +472,12 @@
 }
 
 // precious tells whether a request that fails at a trial is lost, since it may not be sent again.
-func (q *request) precious() bool { return q.class.Effect != Safe || q.class.NoRerun }
+func (q *request) precious() bool { return q.class.Repeat != Idempotent || q.class.NeverRerun }
 
 // risky tells whether a trial is likely to cost what may not be sent again: the endpoint failed with what it
 // had taken. Other requests are to try it first, if there are any.
 func (e *endpoint) risky(now time.Duration) bool {
-	return (e.out == OutFailing || e.out == OutSilent) && now < e.trialAt+riskyWait*e.backoff
+	return (e.out == InactiveFailing || e.out == InactiveUnresponsive) && now < e.trialAt+riskyWait*e.backoff
 }
 
 // pickAny chooses among all endpoints: a repeat may be bound to some outside the table.
@@ -533,11 +533,11 @@
 func (b *Balancer) queueFull(c *class) bool {
 	n := 0
 	for _, q := range b.waiting {
-		if c.Queue != 0 && q.held && q.class == c {
+		if c.QueueLimit != 0 && q.held && q.class == c {
 			n++
 		}
 	}
-	return c.Queue < 0 || c.Queue > 0 && n >= c.Queue
+	return c.QueueLimit < 0 || c.QueueLimit > 0 && n >= c.QueueLimit
 }
 
 // release sends held requests while there is room, oldest first.
@@ -575,14 +575,14 @@
 		}
 	}
 	a := attempt{e: e, sent: now, out: true, trial: !e.active}
-	if a.overdueAt = now + max(seconds(q.class.late(w, took)), 3*b.s.Resolution); q.Long {
+	if a.overdueAt = now + max(seconds(q.class.late(w, took)), 3*b.s.Resolution); q.Streamed {
 		a.overdueAt = q.Deadline // its endpoint has yet to get it
 	}
 	e.trial = a.trial
 	e.inFlight++
 	b.place(e)
 	q.attempts, q.held, q.copyAt = append(q.attempts, a), false, 0
-	b.load(&q.attempts[len(q.attempts)-1], !q.Long)
+	b.load(&q.attempts[len(q.attempts)-1], !q.Streamed)
 	if gap := q.class.copyGap(); gap > 0 && len(q.attempts) == 1 {
 		q.copyAt = now + gap
 		b.wakeAt(q.copyAt)
@@ -606,12 +606,12 @@
 // copyGap is how long the first attempt may stay unanswered before a second copy goes out; 0: none does.
 func (c *class) copyGap() time.Duration {
 	switch {
-	case c.Effect != Safe:
+	case c.Repeat != Idempotent:
 		return 0
-	case c.CopyShare > 0 && c.samples >= copyLeast && c.tail > 0:
+	case c.HedgeQuantile > 0 && c.samples >= copyLeast && c.tail > 0:
 		return seconds(max(c.tail, c.calm))
 	}
-	return c.CopyAfter
+	return c.HedgeAfter
 }
 
 // copy sends a second copy beside the first, to another endpoint, within the budget. Short of room there are
@@ -646,13 +646,13 @@
 	if a == nil {
 		return
 	}
-	a.out, a.mayRun = false, o.Result != Full && o.Result != ConnectFailed && o.Result != NotSent
+	a.out, a.mayRun = false, o.Result != Rejected && o.Result != ConnectFailed && o.Result != NotSent
 	a.e.inFlight--
 	b.place(a.e)
 	b.load(a, false)
 	free := b.free(q, a, o.Result)
 	if !a.streams {
-		b.judge(now, q, a, o.Result, o.Took)
+		b.judge(now, q, a, o.Result, o.Latency)
 	}
 	switch {
 	case q.done || o.Final || o.Result == OK:
@@ -687,7 +687,7 @@
 	if i < 0 || may(b.endpoints[i]) {
 		return i >= 0
 	}
-	return q.class.Effect == Keyed && q.class.Group != GroupAll && slices.ContainsFunc(b.endpoints, may)
+	return q.class.Repeat == IdempotencyKeyed && q.class.KeyScope != KeyScopeAll && slices.ContainsFunc(b.endpoints, may)
 }
 
 // whyNot tells what rules one more attempt out: rules, limit, time or budget, lest resends multiply by tiers.
@@ -699,11 +699,11 @@
 	case !b.anyLeft(now, q):
 		return MayHaveRun
 	case most > 0 && len(q.attempts) >= most:
-		return NoAttempt
+		return AttemptsExhausted
 	case !free && !b.resends.left():
-		return NoBudget
+		return RetryBudgetSpent
 	case !b.inTime(now, q, 1):
-		return TooLate
+		return DeadlineTooClose
 	}
 	return ""
 }
@@ -723,7 +723,7 @@
 // end gives the final answer: refused if that is true, else failed.
 func (b *Balancer) end(now time.Duration, q *request, why Reason) {
 	if q.mayRefuse() {
-		b.host.Refuse(q.ID, why, min(b.jitter(retryAdvice), b.s.MaxRetryAfter))
+		b.host.Reject(q.ID, why, min(b.jitter(retryAdvice), b.s.MaxRetryAfter))
 	} else {
 		b.host.Fail(q.ID, why)
 	}
@@ -773,7 +773,7 @@
 	// Nobody is there, or it is the last one active: what fails must not pass for the best.
 	last := len(b.turns.list) == 1 && len(b.trials.list) > 0
 	if failed && e.active && (r == ConnectFailed || r == Reset || own || last) {
-		b.drop(now, e, OutFailing)
+		b.drop(now, e, InactiveFailing)
 	}
 	b.blames(e, r, failed)
 }
@@ -783,9 +783,9 @@
 	switch {
 	case e.active || !failed:
 	case r == ConnectFailed:
-		e.out = OutUnreached
-	case r != Full:
-		e.out = OutFailing
+		e.out = InactiveUnreachable
+	case r != Rejected:
+		e.out = InactiveFailing
 	}
 	b.place(e)
 }
@@ -827,7 +827,7 @@
 	e.sum, e.samples, e.sampledAt = e.sum*old+stretch/e.kind.w, e.samples*old+1, now
 	b.place(e)
 	if e.active && b.tooSlow(e) {
-		b.drop(now, e, OutSlow)
+		b.drop(now, e, InactiveSlow)
 	}
 }
 
@@ -841,7 +841,7 @@
 	return e.w() > most*b.smallest()
 }
 
-func (b *Balancer) drop(now time.Duration, e *endpoint, out Out) {
+func (b *Balancer) drop(now time.Duration, e *endpoint, out InactiveReason) {
 	e.active, e.out, e.backoff = false, out, b.firstBackoff(now)
 	b.backOff(now, e, false)
 }
@@ -877,9 +877,9 @@
 	}
 	for _, q := range slices.Clone(b.live) {
 		if now >= q.giveUp || q.held && now >= b.holdEnd(q) {
-			why := cmp.Or(b.outage(), TooLate)
-			if why == TooLate && q.held && len(q.attempts) == 0 {
-				why = NoRoom
+			why := cmp.Or(b.outage(), DeadlineTooClose)
+			if why == DeadlineTooClose && q.held && len(q.attempts) == 0 {
+				why = NoCapacity
 			}
 			if len(q.attempts) == 0 {
 				b.log(now, "full", fmt.Sprintf("no endpoint has room, %d requests wait", len(b.waiting)))
@@ -909,7 +909,7 @@
 		b.sample(now, e, min((now-a.sent).Seconds()/b.expected(q), penaltyMost))
 		if e.active && silent {
 			b.log(now, "silent", e.ID+" answers nothing and gets trials only")
-			b.drop(now, e, OutSilent)
+			b.drop(now, e, InactiveUnresponsive)
 		}
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -30,7 +30,7 @@
 	r.sentAt[id] = r.now
 }
 func (r *rig) Cancel(id string, n int) { r.did = append(r.did, fmt.Sprint("cancel ", id, " ", n)) }
-func (r *rig) Refuse(id string, _ balancer.Reason, _ time.Duration) {
+func (r *rig) Reject(id string, _ balancer.Reason, _ time.Duration) {
 	r.did = append(r.did, "refuse "+id)
 }
 func (r *rig) Fail(id string, _ balancer.Reason) { r.did = append(r.did, "fail "+id) }
@@ -39,17 +39,17 @@
 func (r *rig) Log(string)                        {}
 
 func basic() balancer.Settings {
-	return balancer.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true, Resolution: ms,
-		ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: []balancer.Class{
-			{Name: "read", Effect: balancer.Safe, Aim: 2 * time.Second},
-			{Name: "bill", Effect: balancer.Unsafe, Aim: 2 * time.Second}}}
+	return balancer.Settings{Instances: 1, MaxAttempts: 4, CancelAllowed: true, Resolution: ms,
+		SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second, Classes: []balancer.Class{
+			{Name: "read", Repeat: balancer.Idempotent, LatencyObjective: 2 * time.Second},
+			{Name: "bill", Repeat: balancer.NonIdempotent, LatencyObjective: 2 * time.Second}}}
 }
 
 // wanted is basic with another aim: how far answers may stretch, and when an attempt is overdue, hang on it.
 func wanted(within time.Duration) balancer.Settings {
 	s := basic()
 	for i := range s.Classes {
-		s.Classes[i].Aim = within
+		s.Classes[i].LatencyObjective = within
 	}
 	return s
 }
@@ -62,7 +62,7 @@
 	r := &rig{t: t, now: 100 * time.Second, to: map[string][]string{}, sentAt: map[string]time.Duration{}}
 	s.Seed = seed
 	r.b = balancer.New(r.now, s, r)
-	l := balancer.List{Complete: true}
+	l := balancer.EndpointList{Complete: true}
 	for _, id := range endpoints {
 		l.Entries = append(l.Entries, balancer.Endpoint{ID: id})
 	}
@@ -107,7 +107,7 @@
 // end reports the outcome of the latest attempt of a request.
 func (r *rig) end(id string, result balancer.Result) {
 	n := len(r.to[id]) - 1
-	r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: result, Took: r.now - r.sentAt[id],
+	r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: result, Latency: r.now - r.sentAt[id],
 		Final: result == balancer.OK})
 }
 
@@ -292,7 +292,7 @@
 	met, fewest = map[string]int{}, endpoints
 	for c := range callers {
 		s := basic()
-		s.Balancers, s.Index = callers, c
+		s.Instances, s.Index = callers, c
 		r := newRig(t, s, names...)
 		own := map[string]bool{}
 		for range 40 {
@@ -338,7 +338,7 @@
 func TestOverShareRequestsAreRefusedWhenAllAskTooMuch(t *testing.T) {
 	for perSecond, want := range map[int]bool{4: false, 16: true} {
 		s := basic()
-		s.Balancers = 10
+		s.Instances = 10
 		s.Tenants = []balancer.Tenant{{Name: "greedy", Quota: 20}, {Name: "quiet", Quota: 60}} // 8 a second here
 		r := newRig(t, s, "a", "b", "c")
 		for range 10 * perSecond {
@@ -381,7 +381,7 @@
 // them asked for less.
 func TestQuietCallerSoonSeesTheCrowd(t *testing.T) {
 	s := wanted(700 * ms)
-	s.Balancers = 10
+	s.Instances = 10
 	r := newRig(t, s, "a", "b", "c", "d")
 	due := map[string]time.Duration{}
 	ask := func(took time.Duration, n int) (out int) {
@@ -420,9 +420,9 @@
 	for c := range callers {
 		s := basic()
 		r := newRig(t, s, names...)
-		r.b = balancer.New(r.now, balancer.Settings{Seed: uint64(c), Balancers: callers, Index: c, MaxAttempts: 4, Resolution: ms,
-			ColdFrom: 0.3, ColdFor: 9 * time.Second, Classes: s.Classes}, r)
-		l := balancer.List{Complete: true}
+		r.b = balancer.New(r.now, balancer.Settings{Seed: uint64(c), Instances: callers, Index: c, MaxAttempts: 4, Resolution: ms,
+			SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second, Classes: s.Classes}, r)
+		l := balancer.EndpointList{Complete: true}
 		for _, id := range names {
 			l.Entries = append(l.Entries, balancer.Endpoint{ID: id})
 		}
@@ -438,7 +438,7 @@
 			step()
 		}
 		start := r.now
-		r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "cold", Started: start}}})
+		r.b.EndpointList(r.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "cold", Started: start}}})
 		for r.now < start+11*time.Second {
 			if at := (r.now - start) / time.Second; step() == "cold" {
 				got[at]++
@@ -460,7 +460,7 @@
 // TestNoClassStarvesInTheQueue: the class with the shortest aim must not be the only one refused in overload.
 func TestNoClassStarvesInTheQueue(t *testing.T) {
 	s := basic()
-	s.Classes[0].Aim, s.Classes[1].Aim = 500*ms, 4*time.Second
+	s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective = 500*ms, 4*time.Second
 	r := newRig(t, s, "a")
 	served, out := map[string]int{}, []string{}
 	class := map[string]string{}
@@ -629,7 +629,7 @@
 func TestCallersOfTheFirstTierShareTheRoom(t *testing.T) {
 	sends := func(balancers, tier int) int {
 		s := basic()
-		s.Balancers, s.Tier = balancers, tier
+		s.Instances, s.Tier = balancers, tier
 		r := newRig(t, s, "a", "b", "c", "d", "e", "f", "g", "h")
 		for range 100 {
 			r.call("read")
@@ -696,7 +696,7 @@
 		t.Errorf("actions %v", r.did)
 	}
 	id, _ = r.call("bill")
-	r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "new"}}})
+	r.b.EndpointList(r.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new"}}})
 	if len(r.to[id]) != 1 {
 		t.Error("a held request did not go to the first endpoint that came")
 	}
@@ -704,9 +704,9 @@
 
 func TestDiscoveryIsAskedAgainAfterAFailure(t *testing.T) {
 	s := basic()
-	s.MustSubscribe, s.AskWithin = true, 10*time.Second
+	s.SubscribeRequired, s.PollInterval = true, 10*time.Second
 	r := newRig(t, s, "a")
-	r.b.EndpointList(r.now, balancer.List{Failed: true})
+	r.b.EndpointList(r.now, balancer.EndpointList{Failed: true})
 	r.wait(5 * time.Second)
 	if n := r.count("subscribe"); n != 2 {
 		t.Errorf("asked %d times", n)
@@ -715,7 +715,7 @@
 
 // TestOddSettingsDoNoHarm plays with settings that no site has.
 func TestOddSettingsDoNoHarm(t *testing.T) {
-	for _, s := range []balancer.Settings{{}, {Balancers: -1, MaxAttempts: -1,
+	for _, s := range []balancer.Settings{{}, {Instances: -1, MaxAttempts: -1,
 		Classes: []balancer.Class{{}}, Tenants: []balancer.Tenant{{}}}} {
 		r := newRig(t, s, "a", "b")
 		for range 20 {
@@ -765,7 +765,7 @@
 		id, ep := r.call("read")
 		for n := 0; ep != "" && n < len(r.to[id]); n++ {
 			r.wait(10 * ms)
-			r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: balancer.Errored, Took: 10 * ms})
+			r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: balancer.Errored, Latency: 10 * ms})
 		}
 	}
 	if extra := r.count("send") - before - asked; extra > asked/10+10 || extra < 5 {
@@ -777,7 +777,7 @@
 func TestKindSpeaksForEndpointsHardlySampled(t *testing.T) {
 	s := basic()
 	r := newRig(t, s)
-	l, took := balancer.List{Complete: true}, map[string]time.Duration{}
+	l, took := balancer.EndpointList{Complete: true}, map[string]time.Duration{}
 	for i := range 20 {
 		e := balancer.Endpoint{ID: "f" + strconv.Itoa(i), Kind: "fast"}
 		took[e.ID] = 40 * ms
@@ -805,7 +805,7 @@
 	r := newRig(t, basic(), "a", "b", "c")
 	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
 	r.warm(300, took)
-	r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "new", Started: r.now}}})
+	r.b.EndpointList(r.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new", Started: r.now}}})
 	share := r.warm(150, took)
 	if share["new"] == 0 || share["new"] > 150/4*2/3 {
 		t.Errorf("a cold endpoint of four got %d of 150 calls", share["new"])
--- a/balancer/ban_test.go
+++ b/balancer/ban_test.go
@@ -12,7 +12,7 @@
 // Whatever the list says meanwhile, nothing new goes to what the operators have taken out: no first send, no trial, no resend.
 func TestABanOutlastsWhateverTheListSays(t *testing.T) {
 	ready := func(id string) balancer.Endpoint { return balancer.Endpoint{ID: id} }
-	for name, told := range map[string][]balancer.List{
+	for name, told := range map[string][]balancer.EndpointList{
 		"nothing":            nil,
 		"a full list":        {{Complete: true, Entries: []balancer.Endpoint{ready("a"), ready("b")}}},
 		"a restart":          {{Entries: []balancer.Endpoint{{ID: "a", Started: 101 * time.Second}}}},
@@ -22,8 +22,8 @@
 	} {
 		r := newRig(t, basic(), "a", "b")
 		r.warm(20, map[string]time.Duration{"a": 10 * ms, "b": 10 * ms})
-		r.b.Ban(r.now, "a")
-		r.b.Ban(r.now, "a") // said twice is said once
+		r.b.Disable(r.now, "a")
+		r.b.Disable(r.now, "a") // said twice is said once
 		for _, l := range told {
 			r.wait(10 * ms)
 			r.b.EndpointList(r.now, l)
@@ -47,7 +47,7 @@
 			t.Errorf("%s: %d listed, %d avoided", name, listed, avoided)
 		}
 		r.did = nil
-		r.b.Unban(r.now, "a")
+		r.b.Enable(r.now, "a")
 		r.call("read") // or one that waits is sent there
 		if !slices.ContainsFunc(r.did, func(did string) bool { return strings.HasSuffix(did, " a") }) {
 			t.Errorf("%s: put back, it is not tried at once: %v", name, r.did)
@@ -58,16 +58,16 @@
 // A quiet caller must not keep what was put back waiting for its turn of a minute, and must not crowd it: it may have restarted.
 func TestWhatIsPutBackIsTriedAtOnceAndTakenForCold(t *testing.T) {
 	s := basic()
-	s.Balancers = 8
+	s.Instances = 8
 	r := newRig(t, s, "a", "b", "c", "d")
 	quiet := map[string]time.Duration{"a": 10 * ms, "b": 10 * ms, "c": 10 * ms, "d": 10 * ms}
 	for range 30 {
 		r.warm(1, quiet)
 		r.wait(2 * time.Second)
 	}
-	r.b.Ban(r.now, "a")
+	r.b.Disable(r.now, "a")
 	r.wait(20 * time.Second)
-	r.b.Unban(r.now, "a")
+	r.b.Enable(r.now, "a")
 	first, ep := r.call("bill")
 	if ep != "a" {
 		t.Fatalf("the first call went to %s", ep)
@@ -79,7 +79,7 @@
 			t.Error("a cold endpoint was sent a second call right behind its first")
 		}
 	}
-	for _, standing := range r.b.Standings(r.now) {
+	for _, standing := range r.b.EndpointStatuses(r.now) {
 		if standing.ID == "a" && standing.Warmth > 0.5 {
 			t.Errorf("it passes for warm: %+v", standing)
 		}
@@ -89,8 +89,8 @@
 func TestWithAllTakenOutRequestsAreRefusedAtOnce(t *testing.T) {
 	r := newRig(t, basic(), "a", "b")
 	out, _ := r.call("read")
-	r.b.Ban(r.now, "a")
-	r.b.Ban(r.now, "b")
+	r.b.Disable(r.now, "a")
+	r.b.Disable(r.now, "b")
 	held, ep := r.call("bill")
 	if ep != "" || r.count("refuse "+held) != 1 {
 		t.Errorf("a new request: sent to %q, %v", ep, r.did)
@@ -99,7 +99,7 @@
 	if n := r.count("cancel"); n != 0 {
 		t.Errorf("%d attempts called off", n)
 	}
-	r.b.Unban(r.now, "a")
+	r.b.Enable(r.now, "a")
 	if _, ep := r.call("read"); ep != "a" {
 		t.Errorf("with one put back, a call goes to %q", ep)
 	}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -13,7 +13,7 @@
 
 func (m *mute) Send(_, endpoint string, _ time.Duration)    { m.endpoint = endpoint }
 func (*mute) Cancel(string, int)                            {}
-func (*mute) Refuse(string, balancer.Reason, time.Duration) {}
+func (*mute) Reject(string, balancer.Reason, time.Duration) {}
 func (*mute) Fail(string, balancer.Reason)                  {}
 func (*mute) Subscribe()                                    {}
 func (*mute) Timer(time.Duration)                           {}
@@ -22,11 +22,11 @@
 // BenchmarkModule measures decisions by the number of endpoints: request is one with its outcome on a calm day, change is
 // one endpoint that drains or is back, and whole is a whole list in which nothing has changed.
 func BenchmarkModule(b *testing.B) {
-	settings := balancer.Settings{Balancers: 1, Resolution: time.Millisecond, Classes: []balancer.Class{{Name: "c", Aim: time.Second}}}
+	settings := balancer.Settings{Instances: 1, Resolution: time.Millisecond, Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second}}}
 	for _, n := range []int{10, 1_000, 100_000} {
 		m := &mute{}
 		e := balancer.New(time.Hour, settings, m)
-		l := balancer.List{Complete: true}
+		l := balancer.EndpointList{Complete: true}
 		for i := range n {
 			l.Entries = append(l.Entries, balancer.Endpoint{ID: "e" + strconv.Itoa(i), Kind: "k" + strconv.Itoa(i%3)})
 		}
@@ -38,7 +38,7 @@
 				e.Request(now, balancer.Request{ID: id, Class: "c", Deadline: now + time.Second})
 				took := time.Duration(8+i%5) * time.Millisecond
 				now += took
-				e.Outcome(now, balancer.Outcome{ID: id, Endpoint: m.endpoint, Took: took, Final: true})
+				e.Outcome(now, balancer.Outcome{ID: id, Endpoint: m.endpoint, Latency: took, Final: true})
 			}
 		})
 		b.Run("change/"+strconv.Itoa(n), func(b *testing.B) {
@@ -46,7 +46,7 @@
 				entry := l.Entries[i/2%len(l.Entries)]
 				entry.State = balancer.State((i + 1) % 2)
 				now += time.Millisecond
-				e.EndpointList(now, balancer.List{Entries: []balancer.Endpoint{entry}})
+				e.EndpointList(now, balancer.EndpointList{Entries: []balancer.Endpoint{entry}})
 			}
 		})
 		b.Run("whole/"+strconv.Itoa(n), func(b *testing.B) {
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -14,7 +14,7 @@
 	fmt.Println("send", id, "to", endpoint)
 }
 func (printer) Cancel(id string, n int) { fmt.Println("cancel", id, n) }
-func (printer) Refuse(id string, why balancer.Reason, retryAfter time.Duration) {
+func (printer) Reject(id string, why balancer.Reason, retryAfter time.Duration) {
 	fmt.Println("refuse", id, why)
 }
 func (printer) Fail(id string, why balancer.Reason) { fmt.Println("fail", id) }
@@ -24,17 +24,17 @@
 
 func Example() {
 	b := balancer.New(0, balancer.Settings{
-		Balancers: 1, MaxAttempts: 3, MayCancel: true, Resolution: time.Millisecond,
-		Classes: []balancer.Class{{Name: "lookup", Effect: balancer.Safe, Aim: time.Second}},
+		Instances: 1, MaxAttempts: 3, CancelAllowed: true, Resolution: time.Millisecond,
+		Classes: []balancer.Class{{Name: "lookup", Repeat: balancer.Idempotent, LatencyObjective: time.Second}},
 	}, printer{})
-	b.EndpointList(0, balancer.List{Complete: true, Entries: []balancer.Endpoint{{ID: "10.0.0.1:80"}}})
+	b.EndpointList(0, balancer.EndpointList{Complete: true, Entries: []balancer.Endpoint{{ID: "10.0.0.1:80"}}})
 
 	now := 5 * time.Millisecond
 	b.Request(now, balancer.Request{ID: "r1", Class: "lookup", Deadline: now + 2*time.Second})
 	b.Outcome(now+20*time.Millisecond, balancer.Outcome{ID: "r1", Endpoint: "10.0.0.1:80", Result: balancer.OK,
-		Took: 20 * time.Millisecond, Final: true})
+		Latency: 20 * time.Millisecond, Final: true})
 
-	b.EndpointList(time.Second, balancer.List{Entries: []balancer.Endpoint{{ID: "10.0.0.1:80", State: balancer.Draining}}})
+	b.EndpointList(time.Second, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "10.0.0.1:80", State: balancer.Draining}}})
 	b.Request(time.Second, balancer.Request{ID: "r2", Class: "lookup", Deadline: 3 * time.Second})
 	b.Timer(2990 * time.Millisecond)
 	// Output:
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		members, errors, all = members+1, errors+e.errors, all+e.all
-		if !e.active && e.out == OutFailing {
+		if !e.active && e.out == InactiveFailing {
 			broken++
 		}
 		if e.active {
--- a/balancer/index.go
+++ b/balancer/index.go
@@ -167,7 +167,7 @@
 	b.turns.put(e, e.in && e.active)
 	b.trials.put(e, e.in && !e.active)
 	e.kind.best.put(e, e.in && e.active)
-	broken := e.in && !e.active && e.out == OutFailing
+	broken := e.in && !e.active && e.out == InactiveFailing
 	switch {
 	case broken && !e.broken:
 		b.broken++
@@ -187,7 +187,7 @@
 
 // merge applies what discovery says to the endpoints and returns those that were named or have left, and of them those
 // that are new or have restarted.
-func (b *Balancer) merge(l List) (touched, started []*endpoint) {
+func (b *Balancer) merge(l EndpointList) (touched, started []*endpoint) {
 	b.lists++
 	for _, in := range l.Entries {
 		e := b.byName[in.ID]
@@ -246,7 +246,7 @@
 	if e := b.byName[id]; e != nil {
 		in := e.Endpoint
 		in.State = e.listed
-		b.hear(now, List{Entries: []Endpoint{in}})
+		b.hear(now, EndpointList{Entries: []Endpoint{in}})
 	}
 }
 
@@ -270,9 +270,9 @@
 	}
 }
 
-// Written reports that the last byte of an attempt of a long request is out: only now its endpoint can begin, and what the body took
+// RequestWritten reports that the last byte of an attempt of a long request is out: only now its endpoint can begin, and what the body took
 // is not the endpoint's time.
-func (b *Balancer) Written(now time.Duration, id string, n int) {
+func (b *Balancer) RequestWritten(now time.Duration, id string, n int) {
 	if q := b.requests[id]; q.attempt(n) != nil {
 		a := q.attempt(n)
 		a.sent, a.overdueAt = now, now+max(seconds(q.class.late(a.e.w(), b.expected(q))), 3*b.s.Resolution)
@@ -281,8 +281,8 @@
 	}
 }
 
-// Shorten reports that no answer will be of use after an instant: requests that would wait for longer do not.
-func (b *Balancer) Shorten(now, by time.Duration) {
+// CapDeadlines reports that no answer will be of use after an instant: requests that would wait for longer do not.
+func (b *Balancer) CapDeadlines(now, by time.Duration) {
 	for _, q := range b.live {
 		if q.Deadline > by {
 			q.Deadline, q.giveUp = by, by-max(b.s.Resolution, time.Millisecond)
@@ -327,7 +327,7 @@
 		b.live[last] = nil
 		b.live = b.live[:last]
 		for i := range q.attempts {
-			if a := &q.attempts[i]; a.out && !a.streams && b.s.MayCancel {
+			if a := &q.attempts[i]; a.out && !a.streams && b.s.CancelAllowed {
 				b.host.Cancel(q.ID, i)
 			}
 		}
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// Learned is what a Balancer has learned. It holds no instants: clocks differ from process to process.
+// LearnedState is what a Balancer has learned. It holds no instants: clocks differ from process to process.
 //
 // The tags here and below are the names in stored snapshots, which outlive a change of the names in the code.
-type Learned struct {
-	Works     []LearnedWork     `json:"Works"`
-	Kinds     []LearnedKind     `json:"Kinds"`
-	Endpoints []LearnedEndpoint `json:"Endpoints"`
-	Room      float64           `json:"Room"`  // calls that may be out
-	Calls     float64           `json:"Calls"` // requests of late, and of the latest minutes, faded
-	LongCalls float64           `json:"LongCalls"`
-	For       time.Duration     `json:"For"` // since the first of all
+type LearnedState struct {
+	Works              []LearnedWork     `json:"Works"`
+	Kinds              []LearnedKind     `json:"Kinds"`
+	Endpoints          []LearnedEndpoint `json:"Endpoints"`
+	ConcurrencyLimit   float64           `json:"Room"`  // calls that may be out
+	RecentRequests     float64           `json:"Calls"` // requests of late, and of the latest minutes, faded
+	SlowRecentRequests float64           `json:"LongCalls"`
+	Age                time.Duration     `json:"For"` // since the first of all
 }
 
 // LearnedWork is what calls of one kind of work take.
 type LearnedWork struct {
-	Name    string        `json:"Name"`
-	Calm    float64       `json:"Calm"` // seconds
-	Mean    float64       `json:"Mean"` // seconds
-	Samples float64       `json:"Samples"`
-	For     time.Duration `json:"For"` // since the first answer
+	Name            string        `json:"Name"`
+	BaselineLatency float64       `json:"Calm"` // seconds
+	MeanLatency     float64       `json:"Mean"` // seconds
+	Samples         float64       `json:"Samples"`
+	Age             time.Duration `json:"For"` // since the first answer
 }
 
 // LearnedKind is what the endpoints of one kind show.
 type LearnedKind struct {
 	Name    string  `json:"Name"`
-	W       float64 `json:"W"`
+	Weight  float64 `json:"W"`
 	Samples float64 `json:"Samples"`
 }
 
@@ -62,19 +62,19 @@
 // fadedBy is what is left of a sample after some time.
 func fadedBy(d time.Duration) float64 { return math.Exp(-max(d, 0).Seconds() / memory.Seconds()) }
 
-// Learned gives what has been learned by now.
-func (b *Balancer) Learned(now time.Duration) Learned {
+// LearnedState gives what has been learned by now.
+func (b *Balancer) LearnedState(now time.Duration) LearnedState {
 	gone := (now - b.callsAt).Seconds()
-	l := Learned{Room: b.room, Calls: b.calls * fadedBy(now-b.callsAt), LongCalls: b.slow * math.Exp(-gone/rateMemory.Seconds()),
-		For: now - b.started}
+	l := LearnedState{ConcurrencyLimit: b.room, RecentRequests: b.calls * fadedBy(now-b.callsAt), SlowRecentRequests: b.slow * math.Exp(-gone/rateMemory.Seconds()),
+		Age: now - b.started}
 	for _, w := range b.works {
 		if w.samples > 0 {
-			l.Works = append(l.Works, LearnedWork{Name: w.name, Calm: w.calm, Mean: w.mean, Samples: w.samples, For: now - w.since})
+			l.Works = append(l.Works, LearnedWork{Name: w.name, BaselineLatency: w.calm, MeanLatency: w.mean, Samples: w.samples, Age: now - w.since})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.kinds)) {
 		if k := b.kinds[name]; k.samples > 0 {
-			l.Kinds = append(l.Kinds, LearnedKind{Name: name, W: k.w, Samples: k.samples})
+			l.Kinds = append(l.Kinds, LearnedKind{Name: name, Weight: k.w, Samples: k.samples})
 		}
 	}
 	for _, e := range b.endpoints {
@@ -89,29 +89,29 @@
 
 // recallRate takes up how often requests came. A successor that does not know takes itself for the quietest of callers, and puts off the
 // trials of endpoints that it hears of for as long as one would.
-func (b *Balancer) recallRate(now time.Duration, l Learned, ago time.Duration) {
-	if l.For <= 0 || !sane(l.Calls, l.LongCalls) || now-b.started > l.For {
+func (b *Balancer) recallRate(now time.Duration, l LearnedState, ago time.Duration) {
+	if l.Age <= 0 || !sane(l.RecentRequests, l.SlowRecentRequests) || now-b.started > l.Age {
 		return
 	}
-	b.calls += l.Calls * fadedBy(ago)
-	b.slow += l.LongCalls * math.Exp(-ago.Seconds()/rateMemory.Seconds())
-	b.started = now - l.For
+	b.calls += l.RecentRequests * fadedBy(ago)
+	b.slow += l.SlowRecentRequests * math.Exp(-ago.Seconds()/rateMemory.Seconds())
+	b.started = now - l.Age
 }
 
-// Recall takes up what another Balancer had learned so long ago, as far as this one has learned nothing of it. It is meant to
+// Restore takes up what another Balancer had learned so long ago, as far as this one has learned nothing of it. It is meant to
 // follow the first EndpointList. What is cold, or has been used, stays as it is; endpoints that were dropped wait for a trial,
 // unless that would leave none.
-func (b *Balancer) Recall(now time.Duration, l Learned, ago time.Duration) {
+func (b *Balancer) Restore(now time.Duration, l LearnedState, ago time.Duration) {
 	for _, in := range l.Works {
 		for _, w := range b.works {
-			if w.name == in.Name && w.samples == 0 && in.Calm > 0 && sane(in.Calm, in.Mean, in.Samples) && in.For >= 0 {
-				w.calm, w.mean, w.samples, w.since, w.at = in.Calm, in.Mean, in.Samples, max(now-in.For, 0), now
+			if w.name == in.Name && w.samples == 0 && in.BaselineLatency > 0 && sane(in.BaselineLatency, in.MeanLatency, in.Samples) && in.Age >= 0 {
+				w.calm, w.mean, w.samples, w.since, w.at = in.BaselineLatency, in.MeanLatency, in.Samples, max(now-in.Age, 0), now
 			}
 		}
 	}
 	for _, in := range l.Kinds {
-		if k := b.kinds[in.Name]; k != nil && k.samples == 0 && in.W > 0 && sane(in.W, in.Samples) {
-			k.w, k.samples = in.W, in.Samples
+		if k := b.kinds[in.Name]; k != nil && k.samples == 0 && in.Weight > 0 && sane(in.Weight, in.Samples) {
+			k.w, k.samples = in.Weight, in.Samples
 			for _, e := range b.endpoints {
 				if e.kind == k {
 					b.place(e)
@@ -132,10 +132,10 @@
 		e.notedAt = now
 		if b.place(e); !in.Active && e.active && e.in && active > 1 {
 			active--
-			b.drop(now, e, OutSlow)
+			b.drop(now, e, InactiveSlow)
 		}
 	}
-	if l.Room > 0 && sane(l.Room) && b.out == 0 {
-		b.room = max(l.Room, b.share(b.known+b.others))
+	if l.ConcurrencyLimit > 0 && sane(l.ConcurrencyLimit) && b.out == 0 {
+		b.room = max(l.ConcurrencyLimit, b.share(b.known+b.others))
 	}
 }
--- a/balancer/learned_test.go
+++ b/balancer/learned_test.go
@@ -18,12 +18,12 @@
 func (s *silent) Timer(time.Duration)                       {}
 
 var (
-	learnedSettings = Settings{Classes: []Class{{Name: "look", Aim: time.Second}}, ColdFrom: 0.3, ColdFor: 10 * time.Second}
-	learnedList     = List{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
+	learnedSettings = Settings{Classes: []Class{{Name: "look", LatencyObjective: time.Second}}, SlowStartCapacity: 0.3, SlowStartWindow: 10 * time.Second}
+	learnedList     = EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 )
 
 // learnedFrom plays a Balancer before three endpoints, of which c is slow.
-func learnedFrom(t *testing.T) (Learned, time.Duration) {
+func learnedFrom(t *testing.T) (LearnedState, time.Duration) {
 	t.Helper()
 	h := &silent{sent: map[string]string{}}
 	now := time.Hour
@@ -37,10 +37,10 @@
 		if h.sent[id] == "c" {
 			took = 400 * time.Millisecond
 		}
-		b.Outcome(now+took, Outcome{ID: id, Endpoint: h.sent[id], Result: OK, Took: took, Final: true})
+		b.Outcome(now+took, Outcome{ID: id, Endpoint: h.sent[id], Result: OK, Latency: took, Final: true})
 		now += took
 	}
-	return b.Learned(now), now
+	return b.LearnedState(now), now
 }
 
 func TestASuccessorKnowsWhatItsPredecessorKnew(t *testing.T) {
@@ -49,8 +49,8 @@
 	now := 3 * time.Hour // by another clock
 	b := New(now, learnedSettings, h)
 	b.EndpointList(now, learnedList)
-	b.Recall(now, l, time.Second)
-	if got := b.Learned(now); len(got.Works) != 1 || got.Works[0].Calm != l.Works[0].Calm || got.Room != l.Room {
+	b.Restore(now, l, time.Second)
+	if got := b.LearnedState(now); len(got.Works) != 1 || got.Works[0].BaselineLatency != l.Works[0].BaselineLatency || got.ConcurrencyLimit != l.ConcurrencyLimit {
 		t.Errorf("recalled %+v of %+v", got, l)
 	}
 	if c := b.byName["c"]; c.active || !b.byName["a"].active || !b.byName["b"].active {
@@ -68,8 +68,8 @@
 	l, _ := learnedFrom(t)
 	now := 3 * time.Hour
 	b := New(now, learnedSettings, &silent{sent: map[string]string{}})
-	b.EndpointList(now, List{Complete: true, Entries: []Endpoint{{ID: "a", Started: now - time.Second}, {ID: "c"}}})
-	b.Recall(now, l, time.Second)
+	b.EndpointList(now, EndpointList{Complete: true, Entries: []Endpoint{{ID: "a", Started: now - time.Second}, {ID: "c"}}})
+	b.Restore(now, l, time.Second)
 	if a := b.byName["a"]; a.samples != 0 {
 		t.Errorf("the restarted endpoint has %g samples", a.samples)
 	}
@@ -86,15 +86,15 @@
 		now := time.Hour
 		b := New(now, learnedSettings, h)
 		b.EndpointList(now, learnedList)
-		l := Learned{Room: number.Draw(t, "room"),
-			Works: []LearnedWork{{Name: "look", Calm: number.Draw(t, "calm"), Mean: number.Draw(t, "mean"), Samples: number.Draw(t, "n"),
-				For: time.Duration(rapid.Int64().Draw(t, "for"))}},
-			Kinds: []LearnedKind{{W: number.Draw(t, "w"), Samples: number.Draw(t, "of kind")}}}
+		l := LearnedState{ConcurrencyLimit: number.Draw(t, "room"),
+			Works: []LearnedWork{{Name: "look", BaselineLatency: number.Draw(t, "calm"), MeanLatency: number.Draw(t, "mean"), Samples: number.Draw(t, "n"),
+				Age: time.Duration(rapid.Int64().Draw(t, "for"))}},
+			Kinds: []LearnedKind{{Weight: number.Draw(t, "w"), Samples: number.Draw(t, "of kind")}}}
 		for _, id := range []string{"a", "b", "b", "nobody"} {
 			l.Endpoints = append(l.Endpoints, LearnedEndpoint{ID: id, Sum: number.Draw(t, "sum"), Samples: number.Draw(t, "samples"),
 				Errors: number.Draw(t, "errors"), Active: rapid.Bool().Draw(t, "active")})
 		}
-		b.Recall(now, l, time.Duration(rapid.Int64().Draw(t, "ago")))
+		b.Restore(now, l, time.Duration(rapid.Int64().Draw(t, "ago")))
 		for _, e := range b.endpoints {
 			if w := e.w(); math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !sane(e.errors, e.samples) {
 				t.Fatalf("%s has weight %g of %+v", e.ID, w, l)
@@ -118,9 +118,9 @@
 			b := New(now, s, &silent{sent: map[string]string{}})
 			b.EndpointList(now, learnedList)
 			if recall {
-				b.Recall(now, l, time.Second)
+				b.Restore(now, l, time.Second)
 			}
-			b.EndpointList(now, List{Entries: []Endpoint{{ID: "fresh"}}})
+			b.EndpointList(now, EndpointList{Entries: []Endpoint{{ID: "fresh"}}})
 			wait = max(wait, b.byName["fresh"].trialAt-now)
 		}
 		return wait
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -12,7 +12,7 @@
 func (r *rig) long(class string) string {
 	r.n++
 	id := fmt.Sprint("long", r.n)
-	r.b.Request(r.now, balancer.Request{ID: id, Class: class, Deadline: r.now + time.Minute, Long: true})
+	r.b.Request(r.now, balancer.Request{ID: id, Class: class, Deadline: r.now + time.Minute, Streamed: true})
 	return id
 }
 
@@ -38,8 +38,8 @@
 	if id, _ := r.call("read"); len(r.to[id]) == 0 {
 		t.Error("with nothing but slow callers, a call is not sent")
 	}
-	for _, s := range r.b.Standings(r.now) {
-		if s.Out != "" || s.InFlight < 40 {
+	for _, s := range r.b.EndpointStatuses(r.now) {
+		if s.Inactive != "" || s.InFlight < 40 {
 			t.Errorf("%+v: out, or not told to have its part of them", s)
 		}
 	}
@@ -50,7 +50,7 @@
 	r := newRig(t, basic(), "a", "b")
 	r.warm(40, map[string]time.Duration{"a": 10 * ms, "b": 10 * ms})
 	weigh := func() (most float64) {
-		for _, s := range r.b.Standings(r.now) {
+		for _, s := range r.b.EndpointStatuses(r.now) {
 			most = max(most, s.Weight)
 		}
 		return most
@@ -59,7 +59,7 @@
 	for range 10 {
 		id := r.long("bill")
 		r.wait(3 * time.Second)
-		r.b.Written(r.now, id, 0)
+		r.b.RequestWritten(r.now, id, 0)
 		r.sentAt[id] = r.now
 		r.wait(10 * ms)
 		r.end(id, balancer.OK)
@@ -68,13 +68,13 @@
 		t.Errorf("weights rise from %v to %v", before, after)
 	}
 	id := r.long("bill")
-	r.b.Written(r.now, id, 0)
+	r.b.RequestWritten(r.now, id, 0)
 	r.wait(4 * time.Second)
-	for _, s := range r.b.Standings(r.now) {
-		if s.ID == r.to[id][0] && s.Out == "" {
+	for _, s := range r.b.EndpointStatuses(r.now) {
+		if s.ID == r.to[id][0] && s.Inactive == "" {
 			t.Errorf("an endpoint that answers nothing to a body that is there passes for good: %+v", s)
 		}
 	}
-	r.b.Written(r.now, "nobody", 0) // of what is not known nothing follows
-	r.b.Written(r.now, id, 7)
+	r.b.RequestWritten(r.now, "nobody", 0) // of what is not known nothing follows
+	r.b.RequestWritten(r.now, id, 7)
 }
--- a/balancer/outage_test.go
+++ b/balancer/outage_test.go
@@ -21,7 +21,7 @@
 	}{
 		{"refuses connections", balancer.ConnectFailed, ms / 10, map[string]int{"read": 0, "bill": 0}},
 		{"takes no connections", balancer.ConnectFailed, 250 * ms, map[string]int{"read": 0, "bill": 0}},
-		{"turns away", balancer.Full, ms, map[string]int{"read": 0, "bill": 0}},
+		{"turns away", balancer.Rejected, ms, map[string]int{"read": 0, "bill": 0}},
 		{"resets after accept", balancer.Reset, ms, map[string]int{"read": 0}},
 		{"fails fast", balancer.Errored, ms, map[string]int{"read": 0}},
 	} {
@@ -115,8 +115,8 @@
 			} else {
 				r.wait(42 * ms)
 			}
-			for _, s := range r.b.Standings(r.now) {
-				if s.Out == balancer.OutSilent {
+			for _, s := range r.b.EndpointStatuses(r.now) {
+				if s.Inactive == balancer.InactiveUnresponsive {
 					t.Fatalf("seed %d, call %d: %s passes for silent after %v at %s", seed, n, s.ID, 42*ms, ep)
 				}
 			}
@@ -141,7 +141,7 @@
 	met := 0
 	for caller := range 100 {
 		s := basic()
-		s.Balancers, s.Index = 100, caller
+		s.Instances, s.Index = 100, caller
 		r := newRigSeeded(t, s, uint64(caller), "a", "b", "c")
 		quiet := func(n int) {
 			for range n {
@@ -155,7 +155,7 @@
 			}
 		}
 		quiet(4)
-		r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "new"}}})
+		r.b.EndpointList(r.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new"}}})
 		quiet(1)
 	}
 	if met > 45 {
@@ -177,7 +177,7 @@
 			r.end(id, balancer.OK)
 			r.wait(19 * ms)
 		}
-		r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "a", Started: r.now}}})
+		r.b.EndpointList(r.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "a", Started: r.now}}})
 		sent, begun := 0, r.now
 		r.stream(20*ms, 3*time.Second, func(string) time.Duration { return c.took }, func(string) {
 			if r.now >= begun+2*time.Second {
@@ -195,7 +195,7 @@
 func TestWarmEndpointsDroppedAsSlowDoNotQuickenAColdOne(t *testing.T) {
 	r := newRig(t, basic(), "a", "b", "c")
 	r.warm(300, map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms})
-	r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "new", Started: r.now}}})
+	r.b.EndpointList(r.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new", Started: r.now}}})
 	took := map[string]time.Duration{"a": 400 * ms, "b": 400 * ms, "c": 400 * ms, "new": 5 * ms}
 	sent := map[string]int{}
 	r.stream(10*ms, 3*time.Second, func(ep string) time.Duration { return took[ep] }, func(ep string) { sent[ep]++ })
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -16,7 +16,7 @@
 func under(t *testing.T, change func(c *balancer.Class)) *rig {
 	t.Helper()
 	s := basic()
-	s.Resends = balancer.Resends{Share: 1, Most: 100}
+	s.RetryBudget = balancer.RetryBudget{PerRequest: 1, Burst: 100}
 	change(&s.Classes[0])
 	r := newRig(t, s, "a", "b", "c")
 	for range 60 {
@@ -31,7 +31,7 @@
 // answer ends all attempts of a request, the latest with success.
 func (r *rig) answer(id string) {
 	for n, ep := range r.to[id] {
-		o := balancer.Outcome{ID: id, Attempt: n, Endpoint: ep, Result: balancer.Canceled, Took: r.now - r.sentAt[id], Final: true}
+		o := balancer.Outcome{ID: id, Attempt: n, Endpoint: ep, Result: balancer.Canceled, Latency: r.now - r.sentAt[id], Final: true}
 		if n == len(r.to[id])-1 {
 			o.Result = balancer.OK
 		}
@@ -41,10 +41,10 @@
 
 func TestASecondCopyGoesOutOnceTheFirstIsLate(t *testing.T) {
 	for name, change := range map[string]func(*balancer.Class){
-		"after a time":    func(c *balancer.Class) { c.CopyAfter = 30 * ms },
-		"after a share":   func(c *balancer.Class) { c.CopyAfter, c.CopyShare = time.Second, 0.95 },
-		"two in all":      func(c *balancer.Class) { c.CopyAfter, c.MaxAttempts = 30*ms, 2 },
-		"not for a queue": func(c *balancer.Class) { c.CopyAfter, c.Queue = 30*ms, -1 },
+		"after a time":    func(c *balancer.Class) { c.HedgeAfter = 30 * ms },
+		"after a share":   func(c *balancer.Class) { c.HedgeAfter, c.HedgeQuantile = time.Second, 0.95 },
+		"two in all":      func(c *balancer.Class) { c.HedgeAfter, c.MaxAttempts = 30*ms, 2 },
+		"not for a queue": func(c *balancer.Class) { c.HedgeAfter, c.QueueLimit = 30*ms, -1 },
 	} {
 		r := under(t, change)
 		id, first := r.call("read")
@@ -61,7 +61,7 @@
 		if n := r.count("refuse") + r.count("fail"); n != 0 {
 			t.Errorf("%s: given up with an attempt out: %v", name, r.did)
 		}
-		r.b.Outcome(r.now, balancer.Outcome{ID: id, Endpoint: first, Result: balancer.OK, Took: 100 * ms, Final: true})
+		r.b.Outcome(r.now, balancer.Outcome{ID: id, Endpoint: first, Result: balancer.OK, Latency: 100 * ms, Final: true})
 		if r.count("send") != 2 || r.count("cancel") != 0 {
 			t.Errorf("%s: %v", name, r.did)
 		}
@@ -69,7 +69,7 @@
 }
 
 func TestTheSlowerOfTwoCopiesIsCalledOffAndLosesTurns(t *testing.T) {
-	r := under(t, func(c *balancer.Class) { c.CopyAfter = 15 * ms })
+	r := under(t, func(c *balancer.Class) { c.HedgeAfter = 15 * ms })
 	turns := map[string]int{}
 	for range 200 {
 		id, first := r.call("read")
@@ -78,11 +78,11 @@
 		if first == "a" {
 			r.wait(15 * ms)
 			last := len(r.to[id]) - 1
-			r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: last, Endpoint: r.to[id][last], Result: balancer.OK, Took: 10 * ms})
+			r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: last, Endpoint: r.to[id][last], Result: balancer.OK, Latency: 10 * ms})
 			if last != 1 || r.count("cancel "+id+" 0") != 1 {
 				t.Fatalf("the slow one is still out: %v", r.did)
 			}
-			r.b.Outcome(r.now, balancer.Outcome{ID: id, Endpoint: "a", Result: balancer.Canceled, Took: 25 * ms, Final: true})
+			r.b.Outcome(r.now, balancer.Outcome{ID: id, Endpoint: "a", Result: balancer.Canceled, Latency: 25 * ms, Final: true})
 			continue
 		}
 		r.answer(id)
@@ -95,9 +95,9 @@
 func TestNoSecondCopyOfWhatIsNotSafeOrBeyondTheBudget(t *testing.T) {
 	s := basic()
 	for i := range s.Classes {
-		s.Classes[i].CopyAfter = 5 * ms
+		s.Classes[i].HedgeAfter = 5 * ms
 	}
-	s.Classes = append(s.Classes, balancer.Class{Name: "keyed", Effect: balancer.Keyed, Window: time.Hour, Aim: time.Second, CopyAfter: 5 * ms})
+	s.Classes = append(s.Classes, balancer.Class{Name: "keyed", Repeat: balancer.IdempotencyKeyed, KeyWindow: time.Hour, LatencyObjective: time.Second, HedgeAfter: 5 * ms})
 	r := newRig(t, s, "a", "b", "c")
 	for _, class := range []string{"bill", "keyed"} {
 		id, _ := r.call(class)
@@ -106,7 +106,7 @@
 			t.Errorf("%s: %d attempts", class, n)
 		}
 	}
-	s.Resends = balancer.Resends{Share: 0.01, Most: 2}
+	s.RetryBudget = balancer.RetryBudget{PerRequest: 0.01, Burst: 2}
 	r = newRig(t, s, "a", "b", "c", "d", "e", "f")
 	for range 10 {
 		r.call("read")
@@ -118,7 +118,7 @@
 }
 
 func TestAttemptsAndQueueAreAClassesOwn(t *testing.T) {
-	once := under(t, func(c *balancer.Class) { c.NoRerun = true })
+	once := under(t, func(c *balancer.Class) { c.NeverRerun = true })
 	ran, _ := once.call("read")
 	once.end(ran, balancer.Reset)
 	unrun, _ := once.call("read")
@@ -135,7 +135,7 @@
 	}
 	for queue, want := range map[int]int{-1: 20, 3: 17} {
 		s := basic()
-		s.Classes[0].Queue = queue
+		s.Classes[0].QueueLimit = queue
 		r := newRig(t, s, "a")
 		for range 26 { // room for 6 to begin with
 			r.call("read")
@@ -162,7 +162,7 @@
 	s := basic()
 	s.Classes[0].AttemptTimeout = time.Second
 	h.b = balancer.New(h.now, s, h)
-	h.b.EndpointList(h.now, balancer.List{Complete: true, Entries: []balancer.Endpoint{{ID: "a"}, {ID: "b"}}})
+	h.b.EndpointList(h.now, balancer.EndpointList{Complete: true, Entries: []balancer.Endpoint{{ID: "a"}, {ID: "b"}}})
 	h.call("read")
 	h.call("bill")
 	h.b.Request(h.now, balancer.Request{ID: "short", Class: "read", Deadline: h.now + 300*ms})
@@ -181,7 +181,7 @@
 	}
 	before, _ := r.call("read")
 	s := basic()
-	s.Classes[0].Effect = balancer.Unsafe
+	s.Classes[0].Repeat = balancer.NonIdempotent
 	r.b.Configure(r.now, s)
 	after, _ := r.call("read")
 	r.end(before, balancer.Reset)
@@ -190,7 +190,7 @@
 		t.Errorf("safe when it came: %v; unsafe when it came: %v", r.to[before], r.to[after])
 	}
 	r.end(before, balancer.OK)
-	s.Classes = []balancer.Class{{Name: "other", Work: "read", Effect: balancer.Safe, Aim: 2 * time.Second}}
+	s.Classes = []balancer.Class{{Name: "other", Work: "read", Repeat: balancer.Idempotent, LatencyObjective: 2 * time.Second}}
 	r.b.Configure(r.now, s)
 	if id, to := r.call("other"); to == "" {
 		t.Errorf("%s was not sent", id)
@@ -208,10 +208,10 @@
 			s := basic()
 			for i := range s.Classes {
 				c := &s.Classes[i]
-				c.CopyAfter = time.Duration(rapid.IntRange(0, 20).Draw(t, "copy")) * ms
-				c.CopyShare = rapid.SampledFrom([]float64{0, 0.5, 0.99}).Draw(t, "share")
+				c.HedgeAfter = time.Duration(rapid.IntRange(0, 20).Draw(t, "copy")) * ms
+				c.HedgeQuantile = rapid.SampledFrom([]float64{0, 0.5, 0.99}).Draw(t, "share")
 				c.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "attempts")
-				c.Queue = rapid.IntRange(-1, 3).Draw(t, "queue")
+				c.QueueLimit = rapid.IntRange(-1, 3).Draw(t, "queue")
 			}
 			return s
 		}
@@ -251,12 +251,12 @@
 						c.ended = append(c.ended, false)
 					}
 					c.ended[n] = true
-					result := rapid.SampledFrom([]balancer.Result{balancer.OK, balancer.Errored, balancer.Full, balancer.TimedOut,
+					result := rapid.SampledFrom([]balancer.Result{balancer.OK, balancer.Errored, balancer.Rejected, balancer.TimedOut,
 						balancer.ConnectFailed, balancer.Reset, balancer.NotSent}).Draw(t, "result")
-					if result != balancer.Full && result != balancer.ConnectFailed && result != balancer.NotSent {
+					if result != balancer.Rejected && result != balancer.ConnectFailed && result != balancer.NotSent {
 						c.ran++
 					}
-					r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: result, Took: ms,
+					r.b.Outcome(r.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: r.to[id][n], Result: result, Latency: ms,
 						Final: result == balancer.OK})
 				}
 			}
--- a/balancer/reason.go
+++ b/balancer/reason.go
@@ -7,31 +7,31 @@
 
 // The reasons.
 const (
-	NoEndpoint Reason = "no_endpoint"  // none is known that takes new work
-	NoRoom     Reason = "no_room"      // all that may be used have as much to do as they can finish
-	QueueFull  Reason = "queue_full"   // as many wait for room as the class allows
-	OverQuota  Reason = "over_quota"   // its tenant is over its share while room is short
-	TooLate    Reason = "too_late"     // no answer would come before the deadline
-	NoBudget   Reason = "no_budget"    // an attempt failed, and the budget of resends is spent
-	NoAttempt  Reason = "no_attempt"   // as many attempts have failed as it may have
-	MayHaveRun Reason = "may_have_run" // an attempt failed, and another could be a second effect
+	NoEndpoint        Reason = "no_endpoint"  // none is known that takes new work
+	NoCapacity        Reason = "no_room"      // all that may be used have as much to do as they can finish
+	QueueFull         Reason = "queue_full"   // as many wait for room as the class allows
+	OverQuota         Reason = "over_quota"   // its tenant is over its share while room is short
+	DeadlineTooClose  Reason = "too_late"     // no answer would come before the deadline
+	RetryBudgetSpent  Reason = "no_budget"    // an attempt failed, and the budget of resends is spent
+	AttemptsExhausted Reason = "no_attempt"   // as many attempts have failed as it may have
+	MayHaveRun        Reason = "may_have_run" // an attempt failed, and another could be a second effect
 )
 
 // Reasons lists them all.
-var Reasons = []Reason{NoEndpoint, NoRoom, QueueFull, OverQuota, TooLate, NoBudget, NoAttempt, MayHaveRun}
+var Reasons = []Reason{NoEndpoint, NoCapacity, QueueFull, OverQuota, DeadlineTooClose, RetryBudgetSpent, AttemptsExhausted, MayHaveRun}
 
-// Out says why an endpoint gets no ordinary turns.
-type Out string
+// InactiveReason says why an endpoint gets no ordinary turns.
+type InactiveReason string
 
 // Why an endpoint is out.
 const (
-	OutNew       Out = "new"       // it has to show itself at a trial first
-	OutSlow      Out = "slow"      // beyond the factor
-	OutSilent    Out = "silent"    // it answers nothing
-	OutUnreached Out = "unreached" // connections to it fail
-	OutFailing   Out = "failing"   // attempts at it fail
-	OutAside     Out = "aside"     // this balancer spreads its calls over others
-	OutBanned    Out = "banned"    // the operators have taken it out
+	InactiveNew           InactiveReason = "new"       // it has to show itself at a trial first
+	InactiveSlow          InactiveReason = "slow"      // beyond the factor
+	InactiveUnresponsive  InactiveReason = "silent"    // it answers nothing
+	InactiveUnreachable   InactiveReason = "unreached" // connections to it fail
+	InactiveFailing       InactiveReason = "failing"   // attempts at it fail
+	InactiveOutsideSubset InactiveReason = "aside"     // this balancer spreads its calls over others
+	InactiveDisabled      InactiveReason = "banned"    // the operators have taken it out
 )
 
 // Counts tells how many endpoints are listed, and how many of them get no ordinary turns, at the operators' word or by choice.
@@ -46,41 +46,41 @@
 	return b.known, avoided
 }
 
-// Standing is how an endpoint stands with a Balancer.
-type Standing struct {
-	ID       string
-	State    State
-	Out      Out           // why it gets no ordinary turns; empty where it does
-	Weight   float64       // what it takes, in multiples of what calls take when all is calm
-	Errors   float64       // share of recent outcomes that were errors
-	InFlight int           // attempts out
-	Warmth   float64       // least share of its capacity that it has
-	Answered time.Duration // since its latest answer; below 0: none has come
-	TrialIn  time.Duration // until it may be tried, while out; below 0: its trial is out
+// EndpointStatus is how an endpoint stands with a Balancer.
+type EndpointStatus struct {
+	ID            string
+	State         State
+	Inactive      InactiveReason // why it gets no ordinary turns; empty where it does
+	Weight        float64        // what it takes, in multiples of what calls take when all is calm
+	Errors        float64        // share of recent outcomes that were errors
+	InFlight      int            // attempts out
+	Warmth        float64        // least share of its capacity that it has
+	SinceResponse time.Duration  // since its latest answer; below 0: none has come
+	NextTrial     time.Duration  // until it may be tried, while out; below 0: its trial is out
 }
 
-// Standings tells how all endpoints stand, in order of first mention.
-func (b *Balancer) Standings(now time.Duration) []Standing {
-	var out []Standing
+// EndpointStatuses tells how all endpoints stand, in order of first mention.
+func (b *Balancer) EndpointStatuses(now time.Duration) []EndpointStatus {
+	var out []EndpointStatus
 	for _, e := range b.endpoints {
 		if e.State == Gone {
 			continue
 		}
-		s := Standing{ID: e.ID, State: e.State, Weight: e.w(), Errors: e.errors / max(e.all, 1), InFlight: e.inFlight, Warmth: b.warmth(now, e),
-			Answered: -1}
+		s := EndpointStatus{ID: e.ID, State: e.State, Weight: e.w(), Errors: e.errors / max(e.all, 1), InFlight: e.inFlight, Warmth: b.warmth(now, e),
+			SinceResponse: -1}
 		if e.answeredAt > 0 {
-			s.Answered = now - e.answeredAt
+			s.SinceResponse = now - e.answeredAt
 		}
 		switch {
 		case b.banned[e.ID]:
-			s.Out = OutBanned
+			s.Inactive = InactiveDisabled
 		case !e.active:
-			s.Out, s.TrialIn = e.out, max(e.trialAt-now, 0)
+			s.Inactive, s.NextTrial = e.out, max(e.trialAt-now, 0)
 			if e.trial {
-				s.TrialIn = -1
+				s.NextTrial = -1
 			}
 		case !e.in && e.State == Ready:
-			s.Out = OutAside
+			s.Inactive = InactiveOutsideSubset
 		}
 		out = append(out, s)
 	}
--- a/balancer/resends.go
+++ b/balancer/resends.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Resends is a budget for attempts beyond the first, second copies included, over all requests of a Balancer:
+// RetryBudget is a budget for attempts beyond the first, second copies included, over all requests of a Balancer:
 // what fails must not be asked again by everybody at once. Zero: a tenth of the requests, and no more than 10
 // saved up.
-type Resends struct {
-	Share float64 // earned by each request
-	Rate  float64 // earned each second, so that a quiet caller has some
-	Most  float64 // saved up at most
+type RetryBudget struct {
+	PerRequest float64 // earned by each request
+	PerSecond  float64 // earned each second, so that a quiet caller has some
+	Burst      float64 // saved up at most
 }
 
 // The budget where none is given.
@@ -19,7 +19,7 @@
 
 // resends is what is left of a budget. It starts half full.
 type resends struct {
-	Resends
+	RetryBudget
 	started bool
 	saved   float64
 	at      time.Duration
@@ -27,14 +27,14 @@
 
 // earn adds what a request brings, and the time since the last one.
 func (r *resends) earn(now time.Duration) {
-	share, most := r.Share, r.Most
-	if r.Resends == (Resends{}) {
+	share, most := r.PerRequest, r.Burst
+	if r.RetryBudget == (RetryBudget{}) {
 		share, most = resendShare, resendMost
 	}
 	if !r.started {
 		r.started, r.saved, r.at = true, most/2, now
 	}
-	r.saved = min(r.saved+share+r.Rate*(now-r.at).Seconds(), most)
+	r.saved = min(r.saved+share+r.PerSecond*(now-r.at).Seconds(), most)
 	r.at = now
 }
 
--- a/balancer/resends_test.go
+++ b/balancer/resends_test.go
@@ -10,8 +10,8 @@
 // Over any stretch of time, what is spent stays under what was earned and what may be saved up.
 func TestResendsStayWithinWhatWasEarned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := resends{Resends: Resends{Share: rapid.Float64Range(0, 1).Draw(t, "share"), Rate: rapid.Float64Range(0, 20).Draw(t, "rate"),
-			Most: rapid.Float64Range(1, 50).Draw(t, "most")}}
+		r := resends{RetryBudget: RetryBudget{PerRequest: rapid.Float64Range(0, 1).Draw(t, "share"), PerSecond: rapid.Float64Range(0, 20).Draw(t, "rate"),
+			Burst: rapid.Float64Range(1, 50).Draw(t, "most")}}
 		var now, began time.Duration
 		requests, spent := 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -28,7 +28,7 @@
 				}
 			}
 		}
-		if most := r.Most/2 + r.Share*float64(requests) + r.Rate*(now-began).Seconds(); float64(spent) > most+1e-6 {
+		if most := r.Burst/2 + r.PerRequest*float64(requests) + r.PerSecond*(now-began).Seconds(); float64(spent) > most+1e-6 {
 			t.Fatalf("%d spent of %v", spent, most)
 		}
 	})
--- a/balancer/room_test.go
+++ b/balancer/room_test.go
@@ -30,7 +30,7 @@
 // tipped into a slow state by them.
 func TestRoomGoesWithTheEndpointsThatTakeWork(t *testing.T) {
 	list := func(r *rig, states ...balancer.State) {
-		l := balancer.List{}
+		l := balancer.EndpointList{}
 		for i, s := range states {
 			l.Entries = append(l.Entries, balancer.Endpoint{ID: fmt.Sprint("e", i), State: s})
 		}
@@ -51,8 +51,8 @@
 		t.Errorf("after all drained and came back %d calls fit, and %d before", n, all)
 	}
 	r = start()
-	r.b.Ban(r.now, "e1")
-	r.b.Ban(r.now, "e2")
+	r.b.Disable(r.now, "e1")
+	r.b.Disable(r.now, "e2")
 	if n := r.fits(); n < all/2-1 || n > all/2+1 {
 		t.Errorf("with two of four taken out by hand %d calls fit, and %d before", n, all)
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -74,16 +74,16 @@
 		if a.out {
 			w.t.Fatalf("%v: second copy of %s", w.now, id)
 		}
-		if !a.out && !a.ran || q.class.Effect == balancer.Safe {
+		if !a.out && !a.ran || q.class.Repeat == balancer.Idempotent {
 			continue
 		}
 		c := q.class
-		if c.Effect == balancer.Unsafe || w.now > a.at+c.Window || c.Group == balancer.GroupZone && a.ep.Zone != e.Zone ||
-			c.Group == balancer.GroupCell && a.ep.Cell != e.Cell {
+		if c.Repeat == balancer.NonIdempotent || w.now > a.at+c.KeyWindow || c.KeyScope == balancer.KeyScopeZone && a.ep.Zone != e.Zone ||
+			c.KeyScope == balancer.KeyScopeCell && a.ep.Cell != e.Cell {
 			w.t.Fatalf("%v: %s may take effect twice at %s", w.now, id, ep)
 		}
 	}
-	if e.Started > 0 && w.now-e.Started < w.s.ColdFor {
+	if e.Started > 0 && w.now-e.Started < w.s.SlowStartWindow {
 		w.cold[ep] = append(w.cold[ep], w.now)
 	}
 	w.sends++
@@ -94,7 +94,7 @@
 	case n == 11: // hangs
 		a.result, a.ends = balancer.TimedOut, w.now+timeout
 	default:
-		a.result = []balancer.Result{balancer.Errored, balancer.Full, balancer.ConnectFailed, balancer.Reset,
+		a.result = []balancer.Result{balancer.Errored, balancer.Rejected, balancer.ConnectFailed, balancer.Reset,
 			balancer.NotSent, balancer.OK, balancer.TimedOut, balancer.Errored}[n-12]
 	}
 	if a.ends > w.now+timeout {
@@ -104,7 +104,7 @@
 }
 
 func (w *world) Cancel(id string, n int) {
-	if !w.s.MayCancel {
+	if !w.s.CancelAllowed {
 		w.t.Fatalf("%v: Cancel is not allowed", w.now)
 	}
 	q := w.requests[id]
@@ -119,13 +119,13 @@
 	}
 }
 
-func (w *world) Refuse(id string, why balancer.Reason, _ time.Duration) {
+func (w *world) Reject(id string, why balancer.Reason, _ time.Duration) {
 	q := w.answer(id)
 	w.hold(q, why)
 	w.answers[1]++
 	for _, a := range q.attempts {
-		if (a.out || a.ran) && (q.class.Effect == balancer.Unsafe ||
-			q.class.Effect == balancer.Keyed && q.class.Group != balancer.GroupAll) {
+		if (a.out || a.ran) && (q.class.Repeat == balancer.NonIdempotent ||
+			q.class.Repeat == balancer.IdempotencyKeyed && q.class.KeyScope != balancer.KeyScopeAll) {
 			w.t.Fatalf("%v: %s is refused though it may have run", w.now, id)
 		}
 	}
@@ -146,13 +146,13 @@
 		failed, ran, out = failed || !a.out, ran || a.ran, out || a.out
 	}
 	holds := map[balancer.Reason]bool{
-		balancer.NoEndpoint: !ready,
-		balancer.NoRoom:     ready && len(q.attempts) == 0,
-		balancer.OverQuota:  q.Tenant != "t2" && len(q.attempts) == 0,
-		balancer.TooLate:    true, // how long an answer would take is the module's own estimate
-		balancer.NoBudget:   failed && !out,
-		balancer.NoAttempt:  len(q.attempts) >= w.s.MaxAttempts && !out,
-		balancer.MayHaveRun: ran && q.class.Effect != balancer.Safe,
+		balancer.NoEndpoint:        !ready,
+		balancer.NoCapacity:        ready && len(q.attempts) == 0,
+		balancer.OverQuota:         q.Tenant != "t2" && len(q.attempts) == 0,
+		balancer.DeadlineTooClose:  true, // how long an answer would take is the module's own estimate
+		balancer.RetryBudgetSpent:  failed && !out,
+		balancer.AttemptsExhausted: len(q.attempts) >= w.s.MaxAttempts && !out,
+		balancer.MayHaveRun:        ran && q.class.Repeat != balancer.Idempotent,
 	}
 	if !holds[why] {
 		w.t.Fatalf("%v: %s is told %q after %d attempts, which is not so", w.now, q.ID, why, len(q.attempts))
@@ -182,7 +182,7 @@
 	w.requests, w.order, w.timers = map[string]*asked{}, nil, nil
 	w.s.Seed = seed
 	w.b = balancer.New(w.now, w.s, w)
-	l := balancer.List{Complete: true}
+	l := balancer.EndpointList{Complete: true}
 	for i := range 12 {
 		if e, ok := w.list["e"+strconv.Itoa(i)]; ok && e.State != balancer.Gone {
 			l.Entries = append(l.Entries, e)
@@ -193,7 +193,7 @@
 
 func (w *world) change() {
 	if w.rng.IntN(10) == 0 {
-		w.b.EndpointList(w.now, balancer.List{Failed: true})
+		w.b.EndpointList(w.now, balancer.EndpointList{Failed: true})
 		return
 	}
 	id := w.rng.IntN(12)
@@ -214,16 +214,16 @@
 		w.stopped[e.ID] = w.now
 	}
 	w.list[e.ID] = e
-	w.b.EndpointList(w.now, balancer.List{Entries: []balancer.Endpoint{e}})
+	w.b.EndpointList(w.now, balancer.EndpointList{Entries: []balancer.Endpoint{e}})
 }
 
 func (w *world) call() {
 	w.next++
 	c := w.s.Classes[w.rng.IntN(len(w.s.Classes))]
 	r := balancer.Request{ID: "r" + strconv.Itoa(w.next), Class: c.Name, Tenant: "t" + strconv.Itoa(w.rng.IntN(3)),
-		Deadline: w.now + time.Duration(w.rng.IntN(1500))*ms, Repeat: w.rng.IntN(5) == 0}
+		Deadline: w.now + time.Duration(w.rng.IntN(1500))*ms, ClientRetry: w.rng.IntN(5) == 0}
 	if w.rng.IntN(30) == 0 {
-		r.Class, c = "never listed", balancer.Class{Effect: balancer.Unsafe}
+		r.Class, c = "never listed", balancer.Class{Repeat: balancer.NonIdempotent}
 	}
 	w.requests[r.ID] = &asked{Request: r, class: c}
 	w.order = append(w.order, r.ID)
@@ -268,7 +268,7 @@
 		out := false
 		for n, a := range q.attempts {
 			if a.out && a.ends <= w.now {
-				a.out, a.ran = false, a.result != balancer.Full && a.result != balancer.ConnectFailed && a.result != balancer.NotSent
+				a.out, a.ran = false, a.result != balancer.Rejected && a.result != balancer.ConnectFailed && a.result != balancer.NotSent
 				if a.result == balancer.OK && !q.ended {
 					q.ended = true
 					w.answers[0]++
@@ -276,7 +276,7 @@
 				final := q.ended
 				q.told = q.told || final
 				w.b.Outcome(w.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.ep.ID, Result: a.result,
-					Took: w.now - a.at, Final: final})
+					Latency: w.now - a.at, Final: final})
 				if w.rng.IntN(30) == 0 { // a host that reports twice must do no harm
 					w.b.Outcome(w.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.ep.ID, Result: a.result, Final: final})
 				}
@@ -297,15 +297,15 @@
 	rng := rand.New(rand.NewPCG(seed, 2))
 	w := &world{t: t, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second, list: map[string]balancer.Endpoint{},
 		whys: map[balancer.Reason]int{}, stopped: map[string]time.Duration{}, cold: map[string][]time.Duration{}}
-	w.s = balancer.Settings{Balancers: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
-		MustSubscribe: rng.IntN(2) == 0, AskWithin: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
-		MayCancel:  rng.IntN(4) > 0,
-		Resolution: time.Duration(1+rng.IntN(5)) * ms,
-		ColdFrom:   0.3, ColdFor: 9 * time.Second,
+	w.s = balancer.Settings{Instances: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
+		SubscribeRequired: rng.IntN(2) == 0, PollInterval: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
+		CancelAllowed:     rng.IntN(4) > 0,
+		Resolution:        time.Duration(1+rng.IntN(5)) * ms,
+		SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second,
 		Tenants: []balancer.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 5}}}
-	for i, effect := range []balancer.Effect{balancer.Safe, balancer.Keyed, balancer.Keyed, balancer.Keyed, balancer.Unsafe} {
-		w.s.Classes = append(w.s.Classes, balancer.Class{Name: "c" + strconv.Itoa(i), Effect: effect,
-			Group: balancer.Group(max(i-1, 0) % 3), Window: time.Duration(100+rng.IntN(400)) * ms, Aim: 400 * ms,
+	for i, effect := range []balancer.Repeatability{balancer.Idempotent, balancer.IdempotencyKeyed, balancer.IdempotencyKeyed, balancer.IdempotencyKeyed, balancer.NonIdempotent} {
+		w.s.Classes = append(w.s.Classes, balancer.Class{Name: "c" + strconv.Itoa(i), Repeat: effect,
+			KeyScope: balancer.KeyScope(max(i-1, 0) % 3), KeyWindow: time.Duration(100+rng.IntN(400)) * ms, LatencyObjective: 400 * ms,
 		})
 	}
 	for i := range 8 {
--- a/balancer/shorten_test.go
+++ b/balancer/shorten_test.go
@@ -23,9 +23,9 @@
 	if len(held) == 0 {
 		t.Fatal("nothing waits for room")
 	}
-	r.b.Shorten(r.now, r.now+10*time.Second) // all of them wait for 5 s
+	r.b.CapDeadlines(r.now, r.now+10*time.Second) // all of them wait for 5 s
 	at := r.now + time.Second
-	r.b.Shorten(r.now, at)
+	r.b.CapDeadlines(r.now, at)
 	r.wait(at - 2*ms - r.now)
 	if n := r.count("refuse") + r.count("fail"); n != 0 {
 		t.Fatalf("%d were given up before it was time: %q", n, r.did)
@@ -50,12 +50,12 @@
 // is beside the budget.
 func TestWhatWasNotSentIsBesideTheBudget(t *testing.T) {
 	s := basic()
-	s.MaxAttempts, s.Resends.Share, s.Resends.Most = 0, 1e-9, 1e-9
+	s.MaxAttempts, s.RetryBudget.PerRequest, s.RetryBudget.Burst = 0, 1e-9, 1e-9
 	r := newRig(t, s, "a", "b")
 	for _, row := range []struct {
 		result  balancer.Result
 		resends int
-	}{{balancer.NotSent, 1}, {balancer.ConnectFailed, 1}, {balancer.Full, 0}} {
+	}{{balancer.NotSent, 1}, {balancer.ConnectFailed, 1}, {balancer.Rejected, 0}} {
 		id, _ := r.call("bill")
 		r.end(id, row.result)
 		if n := len(r.to[id]) - 1; n != row.resends {
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -15,29 +15,29 @@
 	Endpoint
 	kind         *kind
 	active       bool
-	out          Out           // why it is not active
-	deficit      float64       // charged turns
-	sum, samples float64       // smoothed samples over the kind's weight, and how many they are worth
-	sampledAt    time.Duration // latest sample
-	answeredAt   time.Duration // latest answer
-	brokeAt      time.Duration // latest reset
-	backoff      time.Duration // wait between trials
-	trialAt      time.Duration // next trial, while not active
-	trial        bool          // the single trial is out
-	inFlight     int           // attempts out
-	outcomes                   // of late
-	notedAt      time.Duration // latest of them
-	coldAt       time.Duration // next send, while cold
-	brisk        float64       // times as often as its warmth alone would have it
-	mention      int           // its place among all that were ever mentioned
-	heard        int           // latest list that named it,
-	changed      int           // and that said something new of it
-	in           bool          // belongs to the table
-	broken       bool          // and is counted as out since it fails
-	pos          int           // place there: of two alike, the first is taken
-	listed       State         // what the list says, whatever the operators do
-	backAt       time.Duration // they put it back
-	places       [3]int        // in the orders that it is in, from 1
+	out          InactiveReason // why it is not active
+	deficit      float64        // charged turns
+	sum, samples float64        // smoothed samples over the kind's weight, and how many they are worth
+	sampledAt    time.Duration  // latest sample
+	answeredAt   time.Duration  // latest answer
+	brokeAt      time.Duration  // latest reset
+	backoff      time.Duration  // wait between trials
+	trialAt      time.Duration  // next trial, while not active
+	trial        bool           // the single trial is out
+	inFlight     int            // attempts out
+	outcomes                    // of late
+	notedAt      time.Duration  // latest of them
+	coldAt       time.Duration  // next send, while cold
+	brisk        float64        // times as often as its warmth alone would have it
+	mention      int            // its place among all that were ever mentioned
+	heard        int            // latest list that named it,
+	changed      int            // and that said something new of it
+	in           bool           // belongs to the table
+	broken       bool           // and is counted as out since it fails
+	pos          int            // place there: of two alike, the first is taken
+	listed       State          // what the list says, whatever the operators do
+	backAt       time.Duration  // they put it back
+	places       [3]int         // in the orders that it is in, from 1
 }
 
 // outcomes are answers and errors, faded.
@@ -166,7 +166,7 @@
 		trials: order{slot: byTrial, before: soonerTrial},
 		byName: map[string]*endpoint{}, requests: map[string]*request{}, logged: map[string]time.Duration{}}
 	b.settle(now, s)
-	if s.MustSubscribe {
+	if s.SubscribeRequired {
 		h.Subscribe()
 	}
 	return b
@@ -175,7 +175,7 @@
 // Configure replaces the settings. All that was learned stays, classes and tenants by their names. A request
 // that has come is treated to its end as its class was when it came. Seed and MustSubscribe stay.
 func (b *Balancer) Configure(now time.Duration, s Settings) {
-	s.Seed, s.MustSubscribe = b.s.Seed, b.s.MustSubscribe
+	s.Seed, s.SubscribeRequired = b.s.Seed, b.s.SubscribeRequired
 	b.settle(now, s)
 	b.fill(nil)
 	b.release(now)
@@ -185,9 +185,9 @@
 	classes, works, tenants := b.classes, b.works, b.tenants
 	b.s, b.aim, b.quota = s, 0, 0
 	b.classes, b.works, b.tenants = map[string]*class{}, nil, map[string]*tenant{}
-	b.resends.Resends = s.Resends
+	b.resends.RetryBudget = s.RetryBudget
 	for _, c := range s.Classes {
-		b.aim += c.Aim.Seconds() / float64(len(s.Classes))
+		b.aim += c.LatencyObjective.Seconds() / float64(len(s.Classes))
 		named := func(w *work) bool { return w.name == cmp.Or(c.Work, c.Name) }
 		if !slices.ContainsFunc(b.works, named) {
 			w := &work{name: cmp.Or(c.Work, c.Name)}
@@ -202,7 +202,7 @@
 		}
 	}
 	for _, t := range s.Tenants {
-		quota := t.Quota / float64(max(s.Balancers, 1))
+		quota := t.Quota / float64(max(s.Instances, 1))
 		b.quota += quota
 		b.tenants[t.Name] = &tenant{Tenant: t, tokens: quota, at: now}
 		if old := tenants[t.Name]; old != nil {
@@ -247,7 +247,7 @@
 func (b *Balancer) share(endpoints int) float64 {
 	n := float64(endpoints)
 	if b.s.Tier == 0 {
-		n /= float64(max(b.s.Balancers, 1))
+		n /= float64(max(b.s.Instances, 1))
 	}
 	return max(n, 1)
 }
@@ -312,11 +312,11 @@
 // warmth is the least share of its capacity that an endpoint has by now.
 func (b *Balancer) warmth(now time.Duration, e *endpoint) float64 {
 	started := max(e.Started, e.backAt)
-	if started <= 0 || now-started >= b.s.ColdFor {
+	if started <= 0 || now-started >= b.s.SlowStartWindow {
 		return 1
 	}
-	age := float64(max(now-started, 0)) / float64(b.s.ColdFor)
-	return max(b.s.ColdFrom+(1-b.s.ColdFrom)*age, 0.05)
+	age := float64(max(now-started, 0)) / float64(b.s.SlowStartWindow)
+	return max(b.s.SlowStartCapacity+(1-b.s.SlowStartCapacity)*age, 0.05)
 }
 
 // turnGap is the time between two calls of this balancer to one endpoint when all get the same. A quiet
--- a/balancer/thin_test.go
+++ b/balancer/thin_test.go
@@ -13,7 +13,7 @@
 // thin is one of many callers that share their endpoints and have little to send each.
 func thin(t *testing.T, callers, endpoints int) *rig {
 	s := basic()
-	s.Balancers = callers
+	s.Instances = callers
 	return newRig(t, s, named(endpoints)...)
 }
 
@@ -47,7 +47,7 @@
 	early, all := 0, 0
 	for seed := range uint64(callers) {
 		s := basic()
-		s.Balancers, s.Index = callers, int(seed)
+		s.Instances, s.Index = callers, int(seed)
 		ids := append([]string{"fresh"}, named(15)...)
 		r := newRigSeeded(t, s, seed, ids...)
 		call := func() bool {
@@ -60,7 +60,7 @@
 		for range 80 {
 			call()
 		}
-		r.b.EndpointList(r.now, balancer.List{Entries: []balancer.Endpoint{{ID: "fresh", Started: r.now}}})
+		r.b.EndpointList(r.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "fresh", Started: r.now}}})
 		for start := r.now; r.now < start+warmUp*time.Second; {
 			if call() {
 				all++
@@ -83,7 +83,7 @@
 // do, ten calls out at one of thirteen callers is no shortage, and nobody is refused; once they stretch it is.
 func TestAnOverfullPartOfAQuotaIsNoShortageWhileAnswersAreQuick(t *testing.T) {
 	s := basic()
-	s.Balancers, s.Tenants = 13, []balancer.Tenant{{Name: "large", Quota: 400}, {Name: "small", Quota: 25}}
+	s.Instances, s.Tenants = 13, []balancer.Tenant{{Name: "large", Quota: 400}, {Name: "small", Quota: 25}}
 	ids := named(16)
 	for took, fewest := range map[time.Duration]int{time.Second: 0, 4 * time.Second: 10} {
 		r := newRig(t, s, ids...)
@@ -167,7 +167,7 @@
 // What discovery may say of a large fleet: each list is followed by calls at one of thirteen callers, and every call that an endpoint
 // could serve is served.
 func TestOddListsOfALargeFleet(t *testing.T) {
-	list := func(state balancer.State, ids ...string) (l balancer.List) {
+	list := func(state balancer.State, ids ...string) (l balancer.EndpointList) {
 		for _, id := range ids {
 			l.Entries = append(l.Entries, balancer.Endpoint{ID: id, State: state})
 		}
@@ -175,15 +175,15 @@
 	}
 	many := named(1000)
 	for name, odd := range map[string]struct {
-		lists  []balancer.List
+		lists  []balancer.EndpointList
 		listed []string // in the end
 	}{
-		"nobody, then all again":     {[]balancer.List{{Complete: true}, list(balancer.Ready, named(16)...)}, named(16)},
-		"a thousand":                 {[]balancer.List{list(balancer.Ready, many...)}, many},
-		"a thousand, then one":       {[]balancer.List{list(balancer.Ready, many...), {Complete: true, Entries: list(balancer.Ready, "e03").Entries}}, []string{"e03"}},
-		"all that are active drain":  {[]balancer.List{list(balancer.Draining, named(16)...), list(balancer.Ready, "new")}, []string{"new"}},
-		"gone that were never known": {[]balancer.List{list(balancer.Gone, "x", "y")}, named(16)},
-		"the same list once more":    {[]balancer.List{list(balancer.Ready, named(16)...)}, named(16)},
+		"nobody, then all again":     {[]balancer.EndpointList{{Complete: true}, list(balancer.Ready, named(16)...)}, named(16)},
+		"a thousand":                 {[]balancer.EndpointList{list(balancer.Ready, many...)}, many},
+		"a thousand, then one":       {[]balancer.EndpointList{list(balancer.Ready, many...), {Complete: true, Entries: list(balancer.Ready, "e03").Entries}}, []string{"e03"}},
+		"all that are active drain":  {[]balancer.EndpointList{list(balancer.Draining, named(16)...), list(balancer.Ready, "new")}, []string{"new"}},
+		"gone that were never known": {[]balancer.EndpointList{list(balancer.Gone, "x", "y")}, named(16)},
+		"the same list once more":    {[]balancer.EndpointList{list(balancer.Ready, named(16)...)}, named(16)},
 	} {
 		for _, gap := range []time.Duration{100 * ms, 10 * time.Second} { // and a caller with one call in ten seconds
 			r := thin(t, 13, 16)
@@ -221,13 +221,13 @@
 // What a successor is told of errors must count beyond its first answer.
 func TestErrorsOutliveARestart(t *testing.T) {
 	r := thin(t, 1, 2)
-	r.b.Recall(r.now, balancer.Learned{Endpoints: []balancer.LearnedEndpoint{{ID: "e00", Sum: 4, Samples: 4, Errors: 2, Outcomes: 4, Active: true}}}, 0)
+	r.b.Restore(r.now, balancer.LearnedState{Endpoints: []balancer.LearnedEndpoint{{ID: "e00", Sum: 4, Samples: 4, Errors: 2, Outcomes: 4, Active: true}}}, 0)
 	for range 4 {
 		id, _ := r.call("read")
 		r.wait(10 * ms)
 		r.end(id, balancer.OK)
 	}
-	for _, e := range r.b.Learned(r.now).Endpoints {
+	for _, e := range r.b.LearnedState(r.now).Endpoints {
 		if e.ID == "e00" && e.Errors < 1 {
 			t.Errorf("of two errors in four, %v are left after a moment", e.Errors)
 		}
@@ -243,7 +243,7 @@
 		first := map[time.Duration]int{} // callers by the tenth of a second of their first call to it
 		for i := range callers {
 			s := basic()
-			s.Balancers, s.Index = callers, i
+			s.Instances, s.Index = callers, i
 			r := newRigSeeded(t, s, 7)
 			call := func() string {
 				id, ep := r.call("read")
@@ -253,16 +253,16 @@
 				return ep
 			}
 			fresh := balancer.Endpoint{ID: "fresh", Started: r.now - time.Second}
-			l := balancer.List{Complete: true, Entries: []balancer.Endpoint{fresh}}
+			l := balancer.EndpointList{Complete: true, Entries: []balancer.Endpoint{fresh}}
 			for _, id := range named(4) {
 				l.Entries = append(l.Entries, balancer.Endpoint{ID: id})
 			}
 			if !together {
-				r.b.EndpointList(r.now, balancer.List{Complete: true, Entries: l.Entries[1:]})
+				r.b.EndpointList(r.now, balancer.EndpointList{Complete: true, Entries: l.Entries[1:]})
 				for range 40 {
 					call()
 				}
-				l = balancer.List{Entries: []balancer.Endpoint{{ID: "fresh", Started: r.now}}}
+				l = balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "fresh", Started: r.now}}}
 			}
 			r.b.EndpointList(r.now, l)
 			for start := r.now; r.now < start+30*time.Second; {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,8 +57,8 @@
 // Class is a class of requests.
 type Class struct {
 	Name   string
-	Effect balancer.Effect
-	Group  balancer.Group
+	Effect balancer.Repeatability
+	Group  balancer.KeyScope
 	Window time.Duration
 	Aim    time.Duration
 	Worth  float64
@@ -75,7 +75,7 @@
 	ColdFrom    float64
 	ColdFor     time.Duration
 	ColdShare   float64 // balancer.Settings.ColdShare
-	Resends     balancer.Resends
+	Resends     balancer.RetryBudget
 	TiersBelow  int
 }
 
@@ -144,16 +144,16 @@
 	case queue < 0:
 		queue = 0
 	}
-	return balancer.Class{Name: name, Work: c.Name, Effect: c.Effect, Group: c.Group, Window: c.Window, Aim: c.Aim,
-		AttemptTimeout: p.AttemptTimeout, MaxAttempts: p.Attempts, NoRerun: p.Retry == NotRun, CopyAfter: p.CopyAfter,
-		CopyShare: p.CopyPercentile / 100, Queue: queue}
+	return balancer.Class{Name: name, Work: c.Name, Repeat: c.Effect, KeyScope: c.Group, KeyWindow: c.Window, LatencyObjective: c.Aim,
+		AttemptTimeout: p.AttemptTimeout, MaxAttempts: p.Attempts, NeverRerun: p.Retry == NotRun, HedgeAfter: p.CopyAfter,
+		HedgeQuantile: p.CopyPercentile / 100, QueueLimit: queue}
 }
 
 // Effects are the words for effects.
-var Effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
+var Effects = map[string]balancer.Repeatability{"safe": balancer.Idempotent, "keyed": balancer.IdempotencyKeyed, "unsafe": balancer.NonIdempotent}
 
 // Word gives the word for an effect.
-func Word(e balancer.Effect) string {
+func Word(e balancer.Repeatability) string {
 	for word, effect := range Effects {
 		if effect == e {
 			return word
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -88,10 +88,10 @@
 	if pays.Policy != want {
 		t.Errorf("pays: %+v", pays.Policy)
 	}
-	if m := pays.Module("m"); m.Name != "m" || m.Work != "pay" || m.Queue != -1 || !m.NoRerun || m.Effect != balancer.Unsafe {
+	if m := pays.Module("m"); m.Name != "m" || m.Work != "pay" || m.QueueLimit != -1 || !m.NeverRerun || m.Repeat != balancer.NonIdempotent {
 		t.Errorf("pays, to the module: %+v", m)
 	}
-	if m := books.Module("m"); m.Effect != balancer.Keyed || m.Group != balancer.GroupZone || m.Window != 10*time.Second || m.NoRerun || m.Queue != 0 {
+	if m := books.Module("m"); m.Repeat != balancer.IdempotencyKeyed || m.KeyScope != balancer.KeyScopeZone || m.KeyWindow != 10*time.Second || m.NeverRerun || m.QueueLimit != 0 {
 		t.Errorf("books, to the module: %+v", m)
 	}
 	if looks.From["attempts"] != `x.hcl:19:3, policy "quick"` || pays.From["queue"] != `x.hcl:44:5, route "pays"` || pays.From["attempts"] != "default" {
@@ -290,7 +290,7 @@
 			return
 		}
 		p, class := c.Routes[1].Policy, c.Routes[1].Class
-		if class.Effect == balancer.Unsafe && p.Retry != NotRun || class.Effect != balancer.Safe && (p.CopyAfter > 0 || p.CopyPercentile > 0) {
+		if class.Effect == balancer.NonIdempotent && p.Retry != NotRun || class.Effect != balancer.Idempotent && (p.CopyAfter > 0 || p.CopyPercentile > 0) {
 			t.Fatalf("could run twice: %+v", c.Routes[1])
 		}
 		if p.RequestTimeout > p.ClientWaits || time.Duration(p.Attempts)*p.AttemptTimeout > p.RequestTimeout || p.CopyAfter >= p.RequestTimeout {
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -299,7 +299,7 @@
 		"window": &c.Window, "policy": &use}, nil)
 	if ok {
 		hcldecode.OneOf(&r.Reader, r.Places[&effect], "effect", effect, "safe", "keyed", "unsafe")
-		groups := map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
+		groups := map[string]balancer.KeyScope{"all": balancer.KeyScopeAll, "zone": balancer.KeyScopeZone, "cell": balancer.KeyScopeCell}
 		hcldecode.OneOf(&r.Reader, r.Places[&group], "group", group, "all", "zone", "cell")
 		c.Effect, c.Group = Effects[effect], groups[group]
 		at, given := r.Places[&c.Window]
@@ -572,7 +572,7 @@
 // settle finds a route's policy: each attribute from the nearest block that says it.
 func (r *reader) settle(x *Route, layers []*policy, at hcl.Range) {
 	p := &policy{Policy: Policy{ClientWaits: defaultClientWaits, Attempts: defaultAttempts, Retry: AfterRun, Queue: -1}, places: map[string]hcl.Range{}}
-	if x.Class.Effect == balancer.Unsafe {
+	if x.Class.Effect == balancer.NonIdempotent {
 		p.Retry = NotRun
 	}
 	if slices.ContainsFunc(layers, func(p *policy) bool { return !p.sound }) {
@@ -613,10 +613,10 @@
 func (r *reader) judge(x *Route, at map[string]hcl.Range) {
 	p, c := x.Policy, x.Class
 	copies := p.CopyAfter > 0 || p.CopyPercentile > 0
-	if c.Effect == balancer.Unsafe && p.Retry == AfterRun {
+	if c.Effect == balancer.NonIdempotent && p.Retry == AfterRun {
 		r.Fault(at["retry"], "retry: route %q is of class %q, which is unsafe: after a run, another could run it twice", x.Name, c.Name)
 	}
-	if c.Effect != balancer.Safe && copies {
+	if c.Effect != balancer.Idempotent && copies {
 		r.Fault(at["second_copy"], "second_copy: route %q is of class %q, which is %s: both copies could run", x.Name, c.Name, Word(c.Effect))
 	}
 	if copies && p.Attempts < 2 {
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -68,20 +68,20 @@
 }
 
 func endpointStatus(e proxy.Endpoint) EndpointStatus {
-	s := EndpointStatus{ID: e.ID, Address: e.Addr, State: "ready", Out: string(e.Out), Weight: rounded(e.Weight), Errors: rounded(e.Errors),
+	s := EndpointStatus{ID: e.ID, Address: e.Addr, State: "ready", Out: string(e.Inactive), Weight: rounded(e.Weight), Errors: rounded(e.Errors),
 		InFlight: e.InFlight, Idle: e.Idle, Warmth: rounded(e.Warmth), Fault: e.Fault}
 	if e.State != balancer.Ready {
 		s.State = "draining"
 	}
-	if e.Answered >= 0 {
-		s.Answered = e.Answered.Round(time.Millisecond).String()
+	if e.SinceResponse >= 0 {
+		s.Answered = e.SinceResponse.Round(time.Millisecond).String()
 	}
 	switch {
-	case e.Out == "" || e.Out == balancer.OutAside:
-	case e.TrialIn < 0:
+	case e.Inactive == "" || e.Inactive == balancer.InactiveOutsideSubset:
+	case e.NextTrial < 0:
 		s.TrialIn = "under way"
 	default:
-		s.TrialIn = e.TrialIn.Round(time.Millisecond).String()
+		s.TrialIn = e.NextTrial.Round(time.Millisecond).String()
 	}
 	return s
 }
--- a/internal/daemon/pool.go
+++ b/internal/daemon/pool.go
@@ -132,9 +132,9 @@
 	if p.fleet.Name != "" { // it knows no number: one of 0 for all would set them in step
 		index = -1
 	}
-	return balancer.Settings{Seed: p.seed, Balancers: p.fleet.Instances, Index: index, TiersBelow: p.conf.TiersBelow, Classes: p.classes,
-		Tenants: p.tenants, MayCancel: true, MaxRetryAfter: maxRetryAfter, Resends: p.conf.Resends, Resolution: resolution,
-		ColdFrom: p.conf.ColdFrom, ColdFor: p.conf.ColdFor, ColdShare: p.conf.ColdShare}
+	return balancer.Settings{Seed: p.seed, Instances: p.fleet.Instances, Index: index, TiersBelow: p.conf.TiersBelow, Classes: p.classes,
+		Tenants: p.tenants, CancelAllowed: true, MaxRetryAfter: maxRetryAfter, RetryBudget: p.conf.Resends, Resolution: resolution,
+		SlowStartCapacity: p.conf.ColdFrom, SlowStartWindow: p.conf.ColdFor, SlowStartShare: p.conf.ColdShare}
 }
 
 func (p *pool) options() proxy.Options {
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -28,7 +28,7 @@
 
 type request struct {
 	balancer.Request
-	effect balancer.Effect
+	effect balancer.Repeatability
 	tried  []*endpoint
 	mayRun bool
 }
@@ -39,7 +39,7 @@
 	host      balancer.Host
 	rng       *rand.Rand
 	choose    func(now time.Duration, among []*endpoint) *endpoint
-	effects   map[string]balancer.Effect
+	effects   map[string]balancer.Repeatability
 	endpoints []*endpoint
 	ready     []*endpoint
 	byName    map[string]*endpoint
@@ -51,10 +51,10 @@
 
 // New returns an instance of the policy named, or an error that lists the names.
 func New(name string, s balancer.Settings, h balancer.Host) (*Policy, error) {
-	p := &Policy{s: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 2)), effects: map[string]balancer.Effect{},
+	p := &Policy{s: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 2)), effects: map[string]balancer.Repeatability{},
 		byName: map[string]*endpoint{}, requests: map[string]*request{}}
 	for _, c := range s.Classes {
-		p.effects[c.Name] = c.Effect
+		p.effects[c.Name] = c.Repeat
 	}
 	switch name {
 	case "random":
@@ -111,7 +111,7 @@
 }
 
 // EndpointList implements balancer.Events.
-func (p *Policy) EndpointList(now time.Duration, l balancer.List) {
+func (p *Policy) EndpointList(now time.Duration, l balancer.EndpointList) {
 	if l.Failed {
 		return
 	}
@@ -150,7 +150,7 @@
 func (p *Policy) Request(now time.Duration, r balancer.Request) {
 	effect, ok := p.effects[r.Class]
 	if !ok {
-		effect = balancer.Unsafe
+		effect = balancer.NonIdempotent
 	}
 	q := &request{Request: r, effect: effect}
 	p.requests[r.ID] = q
@@ -166,7 +166,7 @@
 			among = p.ready
 		}
 	}
-	may := len(q.tried) == 0 || (p.s.MaxAttempts <= 0 || len(q.tried) < p.s.MaxAttempts) && (q.effect == balancer.Safe || !q.mayRun)
+	may := len(q.tried) == 0 || (p.s.MaxAttempts <= 0 || len(q.tried) < p.s.MaxAttempts) && (q.effect == balancer.Idempotent || !q.mayRun)
 	if len(among) == 0 || !may || now >= q.Deadline-p.s.Resolution {
 		p.end(q)
 		return
@@ -180,12 +180,12 @@
 func (p *Policy) end(q *request) {
 	delete(p.requests, q.ID)
 	switch {
-	case q.effect != balancer.Safe && q.mayRun:
+	case q.effect != balancer.Idempotent && q.mayRun:
 		p.host.Fail(q.ID, balancer.MayHaveRun)
 	case len(p.ready) == 0:
-		p.host.Refuse(q.ID, balancer.NoEndpoint, 0)
+		p.host.Reject(q.ID, balancer.NoEndpoint, 0)
 	default:
-		p.host.Refuse(q.ID, balancer.NoAttempt, 0)
+		p.host.Reject(q.ID, balancer.AttemptsExhausted, 0)
 	}
 }
 
@@ -197,7 +197,7 @@
 	}
 	e := q.tried[o.Attempt]
 	e.out--
-	if took := o.Took.Seconds(); o.Result != balancer.Canceled && o.Result != balancer.NotSent {
+	if took := o.Latency.Seconds(); o.Result != balancer.Canceled && o.Result != balancer.NotSent {
 		if o.Result != balancer.OK {
 			took = max(took, 1)
 		}
@@ -210,7 +210,7 @@
 		delete(p.requests, o.ID)
 	default:
 		switch o.Result {
-		case balancer.Full, balancer.ConnectFailed, balancer.NotSent:
+		case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
 		default:
 			q.mayRun = true
 		}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -68,7 +68,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name     string
-	Effect   balancer.Effect
+	Effect   balancer.Repeatability
 	Share    float64       // of all requests
 	Work     time.Duration // mean, on a core of speed 1, over all tiers
 	Wait     time.Duration // spent at the last tier without using a core
@@ -221,7 +221,7 @@
 
 	Snapshot bool // an instance that starts again begins with what it had learned; in virtual time, the design alone
 
-	Resends balancer.Resends // the design alone goes by it, in virtual time
+	Resends balancer.RetryBudget // the design alone goes by it, in virtual time
 
 	Classes []ClassPolicy // what classes may do beyond the site's rules; in virtual time, and the design alone goes by it
 }
@@ -249,11 +249,11 @@
 
 // Apply gives settings with an arm's policies.
 func (a Arm) Apply(s balancer.Settings) balancer.Settings {
-	s.ColdShare, s.Resends = a.ColdShare, a.Resends
+	s.SlowStartShare, s.RetryBudget = a.ColdShare, a.Resends
 	for i := range s.Classes {
 		c, p := &s.Classes[i], a.Of(s.Classes[i].Name)
-		c.AttemptTimeout, c.MaxAttempts, c.NoRerun, c.CopyAfter = p.AttemptTimeout, p.Attempts, p.NoRerun, p.CopyAfter
-		c.CopyShare, c.Queue = p.CopyPercentile/100, p.Queue
+		c.AttemptTimeout, c.MaxAttempts, c.NeverRerun, c.HedgeAfter = p.AttemptTimeout, p.Attempts, p.NoRerun, p.CopyAfter
+		c.HedgeQuantile, c.QueueLimit = p.CopyPercentile/100, p.Queue
 	}
 	return s
 }
@@ -282,11 +282,11 @@
 // Settings gives the module's settings for instance index of count before tier.
 func (s Site) Settings(tier, index, count int, seed uint64) balancer.Settings {
 	index, count = s.Place(tier, index, count)
-	out := balancer.Settings{Seed: seed, Balancers: count, Index: index, Tier: tier, TiersBelow: len(s.Tiers) - 1 - tier,
-		MaxAttempts: s.Attempts, MayCancel: true, Resolution: time.Millisecond,
-		ColdFrom: s.Tiers[tier].Box.ColdFrom, ColdFor: s.Tiers[tier].Box.ColdFor, MaxRetryAfter: 2 * time.Second}
+	out := balancer.Settings{Seed: seed, Instances: count, Index: index, Tier: tier, TiersBelow: len(s.Tiers) - 1 - tier,
+		MaxAttempts: s.Attempts, CancelAllowed: true, Resolution: time.Millisecond,
+		SlowStartCapacity: s.Tiers[tier].Box.ColdFrom, SlowStartWindow: s.Tiers[tier].Box.ColdFor, MaxRetryAfter: 2 * time.Second}
 	for _, c := range s.Classes {
-		out.Classes = append(out.Classes, balancer.Class{Name: c.Name, Effect: c.Effect, Aim: c.Aim})
+		out.Classes = append(out.Classes, balancer.Class{Name: c.Name, Repeat: c.Effect, LatencyObjective: c.Aim})
 	}
 	for _, t := range s.Tenants {
 		out.Tenants = append(out.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
--- a/internal/experiment/hclfile/hclfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -285,7 +285,7 @@
 			hcldecode.OneOf(&r.Reader, b.DefRange, "effect", effect, "safe", "unsafe")
 			hcldecode.OneOf(&r.Reader, b.DefRange, "spread", spread, string(experiment.Exponential), string(experiment.LogNormal), string(experiment.Fixed))
 			if effect == "unsafe" {
-				c.Effect = balancer.Unsafe
+				c.Effect = balancer.NonIdempotent
 			}
 			c.Spread, c.Hits = experiment.Spread(spread), float64(hits)
 			if c.Aim > c.Deadline {
--- a/internal/experiment/invariant/invariant.go
+++ b/internal/experiment/invariant/invariant.go
@@ -54,7 +54,7 @@
 type Request struct {
 	ID       string
 	Instance string // of the program under test that was given it
-	Effect   balancer.Effect
+	Effect   balancer.Repeatability
 	Deadline time.Duration
 	Digest   uint64 // of all that must reach boxes unchanged
 	Attempts int    // allowed by its policy; 0: not limited there
@@ -176,7 +176,7 @@
 			l.broken(Invented, now, "request %s at %s was served with what no box made for it", id, c.Instance)
 		}
 	case Refused:
-		if c.Effect == balancer.Unsafe && c.mayHaveRun() {
+		if c.Effect == balancer.NonIdempotent && c.mayHaveRun() {
 			l.broken(Refusal, now, "request %s at %s was refused and may have run", id, c.Instance)
 		}
 	}
@@ -265,7 +265,7 @@
 	if c.Once && slices.ContainsFunc(c.runs, func(r run) bool { return r.declined == 0 || r.declined > a.First }) {
 		l.broken(Policy, a.Last, "request %s reached %s after a run, which its policy forbids", a.ID, a.Box)
 	}
-	if c.Effect == balancer.Unsafe {
+	if c.Effect == balancer.NonIdempotent {
 		for _, r := range c.runs {
 			if r.declined == 0 || r.declined > a.First {
 				l.broken(Duplicate, a.Last, "request %s reached %s after %s, where it may have run", a.ID, a.Box, r.box)
--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -12,7 +12,7 @@
 
 var rules = experiment.Rules{AnswerSlack: 20 * ms, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second, ImproperFor: 3 * time.Second}
 
-func taken(l *Ledger, id string, e balancer.Effect) {
+func taken(l *Ledger, id string, e balancer.Repeatability) {
 	l.Taken(0, Request{ID: id, Instance: "s", Effect: e, Deadline: time.Second, Digest: 1})
 }
 
@@ -28,13 +28,13 @@
 		play func(l *Ledger)
 	}{
 		{"served", "", func(l *Ledger) {
-			taken(l, "r", balancer.Unsafe)
+			taken(l, "r", balancer.NonIdempotent)
 			reach(l, "r", "a", ms)
 			l.Made("a", "r", 7)
 			l.Answered(5*ms, "r", Served, 7)
 		}},
 		{"sent again after being turned away", "", func(l *Ledger) {
-			taken(l, "r", balancer.Unsafe)
+			taken(l, "r", balancer.NonIdempotent)
 			reach(l, "r", "a", ms)
 			l.Declined(2*ms, "a", "r")
 			reach(l, "r", "b", 3*ms)
@@ -42,7 +42,7 @@
 			l.Answered(5*ms, "r", Served, 7)
 		}},
 		{"a duplicate after the client has left", Duplicate, func(l *Ledger) {
-			taken(l, "r", balancer.Unsafe)
+			taken(l, "r", balancer.NonIdempotent)
 			reach(l, "r", "a", ms)
 			l.Excuse("r")
 			reach(l, "r", "b", 900*ms)
@@ -63,85 +63,85 @@
 			l.Answered(5*ms, "r", Served, 7)
 		}},
 		{"one id on two boxes at once", Duplicate, func(l *Ledger) {
-			taken(l, "r", balancer.Unsafe)
+			taken(l, "r", balancer.NonIdempotent)
 			reach(l, "r", "a", ms)
 			reach(l, "r", "b", ms)
 			l.Declined(2*ms, "a", "r") // too late to have been known
 			l.Answered(5*ms, "r", Failed, 0)
 		}},
 		{"safe on two boxes at once", "", func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
 			reach(l, "r", "a", ms)
 			reach(l, "r", "b", ms)
 			l.Answered(5*ms, "r", Refused, 0)
 		}},
 		{"an answer cut mid-body", "", func(l *Ledger) {
-			taken(l, "r", balancer.Unsafe)
+			taken(l, "r", balancer.NonIdempotent)
 			reach(l, "r", "a", ms)
 			l.Answered(5*ms, "r", Torn, 0)
 		}},
 		{"another request's answer", Invented, func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
-			taken(l, "q", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
+			taken(l, "q", balancer.Idempotent)
 			reach(l, "q", "a", ms)
 			l.Made("a", "q", 7)
 			l.Answered(4*ms, "q", Served, 7)
 			l.Answered(5*ms, "r", Served, 7)
 		}},
 		{"answered late", Answer, func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
 			l.Answered(1100*ms, "r", Failed, 0)
 		}},
 		{"answered twice", Answer, func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
 			l.Answered(1*ms, "r", Failed, 0)
 			l.Answered(2*ms, "r", Failed, 0)
 		}},
-		{"never answered", Answer, func(l *Ledger) { taken(l, "r", balancer.Safe) }},
+		{"never answered", Answer, func(l *Ledger) { taken(l, "r", balancer.Idempotent) }},
 		{"killed before it could answer", "", func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
 			l.Killed("s")
 		}},
 		{"refused, then sent", Refusal, func(l *Ledger) {
-			taken(l, "r", balancer.Unsafe)
+			taken(l, "r", balancer.NonIdempotent)
 			l.Answered(ms, "r", Refused, 0)
 			reach(l, "r", "a", 2*ms)
 		}},
 		{"closed before the request was read", "", func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
 			if l.Lost(ms, "r") {
 				t.Error("no box saw it and it counts as lost")
 			}
 			l.Answered(5*ms, "r", Failed, 0)
 		}},
 		{"within the grace of a drain", "", func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
 			l.Told(0, "s", "a", balancer.Draining, false)
 			reach(l, "r", "a", 999*ms)
 			l.Answered(1000*ms, "r", Failed, 0)
 		}},
 		{"after it", Drain, func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
 			l.Told(0, "s", "a", balancer.Draining, false)
 			l.Told(500*ms, "s", "a", balancer.Draining, false) // told again: the first counts
 			reach(l, "r", "a", 1001*ms)
 			l.Answered(1001*ms, "r", Failed, 0)
 		}},
 		{"after another instance was told", "", func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
 			l.Told(0, "other", "a", balancer.Gone, false)
 			reach(l, "r", "a", 1001*ms)
 			l.Answered(1001*ms, "r", Failed, 0)
 		}},
 		{"pushed over by those who knew", Cold, func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
 			l.Told(0, "s", "a", balancer.Ready, true)
 			l.Reached(Arrival{ID: "r", Box: "a", First: ms, Last: ms, Digest: 1, Cold: true, Work: 3})
 			l.Fell(ms, "a")
 			l.Answered(5*ms, "r", Failed, 0)
 		}},
 		{"pushed over by those who did not", "", func(l *Ledger) {
-			taken(l, "r", balancer.Safe)
+			taken(l, "r", balancer.Idempotent)
 			l.Reached(Arrival{ID: "r", Box: "a", First: ms, Last: ms, Digest: 1, Cold: true, Work: 3})
 			l.Fell(ms, "a")
 			l.Answered(5*ms, "r", Failed, 0)
--- a/internal/experiment/search/draw.go
+++ b/internal/experiment/search/draw.go
@@ -165,7 +165,7 @@
 			c.Wait = d.time(time.Millisecond, 200*time.Millisecond)
 		}
 		if d.chance(0.35) {
-			c.Effect, c.Worth = balancer.Unsafe, float64(1+d.IntN(10))
+			c.Effect, c.Worth = balancer.NonIdempotent, float64(1+d.IntN(10))
 		}
 		usual := time.Duration(3*longest*float64(time.Second)) + c.Wait + 20*s.Delay + 20*time.Millisecond
 		c.Deadline = max(d.time(2*usual, 20*usual).Truncate(time.Millisecond), 100*time.Millisecond)
--- a/internal/experiment/testbed/breach_test.go
+++ b/internal/experiment/testbed/breach_test.go
@@ -223,7 +223,7 @@
 func small() *experiment.Experiment {
 	class := experiment.Class{Name: "lookup", Share: 0.5, Work: 4 * time.Millisecond, Spread: experiment.Fixed, Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1}
 	submit := class
-	submit.Name, submit.Effect = "submit", balancer.Unsafe
+	submit.Name, submit.Effect = "submit", balancer.NonIdempotent
 	return &experiment.Experiment{Name: "small", Duration: 1500 * time.Millisecond,
 		Site: experiment.Site{Balancers: 1, Attempts: 3, Classes: []experiment.Class{class, submit}, Limits: experiment.Limits{MemoryMB: 64},
 			Roster: experiment.Roster{Delay: 50 * time.Millisecond},
--- a/internal/experiment/testbed/clients.go
+++ b/internal/experiment/testbed/clients.go
@@ -20,7 +20,7 @@
 type wanted struct {
 	class    int
 	work     float64 // seconds, over all tiers
-	effect   balancer.Effect
+	effect   balancer.Repeatability
 	tenant   string
 	deadline time.Duration // the class's whole time
 }
@@ -136,7 +136,7 @@
 		}
 		m := &message{id: strconv.FormatUint(v.Seed, 16) + "-" + strconv.Itoa(n) + "-" + strconv.Itoa(try), method: http.MethodGet,
 			target: "/" + class.Name + "/" + strconv.Itoa(n), tenant: q.tenant, patience: patience, retry: try > 0}
-		if class.Effect != balancer.Safe {
+		if class.Effect != balancer.Idempotent {
 			m.method, m.body = http.MethodPost, []byte("return of household "+strconv.Itoa(n))
 		}
 		r.remember(m.id, q)
@@ -159,7 +159,7 @@
 			r.ended(class, v, fate)
 			return
 		}
-		harmless := class.Effect == balancer.Safe || out.fate == invariant.Refused || out.nobody
+		harmless := class.Effect == balancer.Idempotent || out.fate == invariant.Refused || out.nobody
 		wait := r.e.Load.Clients.RetryWait << try
 		if r.e.Load.Clients.Heed {
 			wait = max(wait, out.retryAfter)
--- a/internal/experiment/testbed/testbed.go
+++ b/internal/experiment/testbed/testbed.go
@@ -627,7 +627,7 @@
 	var lanes []map[string]any
 	for _, c := range site.Classes {
 		semantics := "read_like"
-		if c.Effect == balancer.Unsafe {
+		if c.Effect == balancer.NonIdempotent {
 			semantics = "non_idempotent"
 		}
 		lanes = append(lanes, map[string]any{"Name": c.Name, "Semantics": semantics, "OnTimeUs": us(c.Aim), "HardLimitUs": us(c.Deadline),
--- a/internal/experiment/virtual/client.go
+++ b/internal/experiment/virtual/client.go
@@ -94,7 +94,7 @@
 		w.tally.Ended(*class, v.Class, v.Tenant, v.At, took, fate)
 		return
 	}
-	harmless := class.Effect == balancer.Safe || f == invariant.Refused || retryAfter == unreachable
+	harmless := class.Effect == balancer.Idempotent || f == invariant.Refused || retryAfter == unreachable
 	wait := w.e.Load.Clients.RetryWait << (v.tries - 1)
 	if w.e.Load.Clients.Heed {
 		wait = max(wait, retryAfter)
--- a/internal/experiment/virtual/host.go
+++ b/internal/experiment/virtual/host.go
@@ -190,7 +190,7 @@
 		h.stats.Declined++
 		h.w.ledger.Declined(now, h.name, q.id)
 		a.keepAlive = true
-		a.comesBack(now, balancer.Full)
+		a.comesBack(now, balancer.Rejected)
 	case server.Dead:
 		if h.box.Fell() {
 			h.w.ledger.Fell(now, h.name)
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -95,7 +95,7 @@
 	idle   map[*host][]idle
 	rings  time.Duration
 
-	learned   balancer.Learned // when it was killed
+	learned   balancer.LearnedState // when it was killed
 	learnedAt time.Duration
 }
 
@@ -130,9 +130,9 @@
 	for _, e := range list {
 		w.ledger.Told(now, in.name, e.ID, e.State, e.Started > 0)
 	}
-	in.policy.EndpointList(zero+now, balancer.List{Complete: true, Entries: list})
+	in.policy.EndpointList(zero+now, balancer.EndpointList{Complete: true, Entries: list})
 	if b, ok := in.policy.(*balancer.Balancer); ok && w.arm.Snapshot && in.starts > 1 {
-		b.Recall(zero+now, in.learned, now-in.learnedAt)
+		b.Restore(zero+now, in.learned, now-in.learnedAt)
 	}
 	if in.starts == 1 {
 		w.instances = append(w.instances, in)
@@ -146,7 +146,7 @@
 	}
 	in.down = true
 	if b, ok := in.policy.(*balancer.Balancer); ok {
-		in.learned, in.learnedAt = b.Learned(zero+now), now
+		in.learned, in.learnedAt = b.LearnedState(zero+now), now
 	}
 	in.life++
 	in.w.ledger.Killed(in.name)
@@ -198,7 +198,7 @@
 	if in.tier == 0 {
 		w.tally.Requests++
 	}
-	r := balancer.Request{ID: c.id, Class: class.Name, Deadline: zero + c.deadline, Repeat: c.repeat}
+	r := balancer.Request{ID: c.id, Class: class.Name, Deadline: zero + c.deadline, ClientRetry: c.repeat}
 	if c.tenant >= 0 {
 		r.Tenant = w.e.Site.Tenants[c.tenant].Name
 	}
@@ -254,12 +254,12 @@
 	a.ended = true
 	in, c := a.in, a.call
 	in.w.withdraw(a.limit)
-	if r == balancer.OK || a.keepAlive && (r == balancer.Errored || r == balancer.Full) {
+	if r == balancer.OK || a.keepAlive && (r == balancer.Errored || r == balancer.Rejected) {
 		a.giveBack(now)
 	} else {
 		a.unlink(now)
 	}
-	o := balancer.Outcome{ID: c.id, Attempt: a.n, Result: r, Took: now - a.sent, Final: c.over}
+	o := balancer.Outcome{ID: c.id, Attempt: a.n, Result: r, Latency: now - a.sent, Final: c.over}
 	if a.to != nil {
 		o.Endpoint = a.to.name
 	}
@@ -408,8 +408,8 @@
 	}
 }
 
-// Refuse implements balancer.Host.
-func (hs *hands) Refuse(id string, why balancer.Reason, retryAfter time.Duration) {
+// Reject implements balancer.Host.
+func (hs *hands) Reject(id string, why balancer.Reason, retryAfter time.Duration) {
 	in := (*instance)(hs)
 	in.w.tally.Why[why]++
 	in.finish(in.w.now, in.calls[id], invariant.Refused, retryAfter)
--- a/internal/experiment/virtual/virtual.go
+++ b/internal/experiment/virtual/virtual.go
@@ -219,7 +219,7 @@
 			return
 		}
 		w.ledger.Told(now, in.name, e.ID, e.State, e.Started > 0)
-		in.policy.EndpointList(zero+now, balancer.List{Entries: []balancer.Endpoint{e}})
+		in.policy.EndpointList(zero+now, balancer.EndpointList{Entries: []balancer.Endpoint{e}})
 	})
 }
 
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -24,8 +24,8 @@
 		Site: experiment.Site{Balancers: 2, Delay: 200 * time.Microsecond, Jitter: 0.3, Attempts: 5,
 			Roster: experiment.Roster{Delay: time.Second, Spread: 300 * time.Millisecond},
 			Classes: []experiment.Class{
-				{Name: "lookup", Effect: balancer.Safe, Share: 0.7, Work: 40 * time.Millisecond, Wait: 10 * time.Millisecond, Spread: experiment.Exponential, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
-				{Name: "submit", Effect: balancer.Unsafe, Share: 0.3, Work: 50 * time.Millisecond, Spread: experiment.LogNormal, Cv: 0.5, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 10},
+				{Name: "lookup", Effect: balancer.Idempotent, Share: 0.7, Work: 40 * time.Millisecond, Wait: 10 * time.Millisecond, Spread: experiment.Exponential, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
+				{Name: "submit", Effect: balancer.NonIdempotent, Share: 0.3, Work: 50 * time.Millisecond, Spread: experiment.LogNormal, Cv: 0.5, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 10},
 			},
 			Tiers: []experiment.Tier{{Name: "front", Boxes: 6, Work: 0.4, Calls: 1, Kinds: kinds, Box: spec}, {Name: "back", Boxes: 8, Work: 0.6, Kinds: kinds, Box: spec}},
 			Rules: experiment.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second},
--- a/internal/httpserver/head_test.go
+++ b/internal/httpserver/head_test.go
@@ -137,7 +137,7 @@
 type echo struct{ e *proxy.Engine }
 
 func (d echo) Receive(*http.Request) (Visit, *Refusal) {
-	return Visit{Engine: d.e, Class: "all", Effect: balancer.Safe, Wait: patience, AnyForm: true, ID: "x"}, nil
+	return Visit{Engine: d.e, Class: "all", Effect: balancer.Idempotent, Wait: patience, AnyForm: true, ID: "x"}, nil
 }
 
 func TestAnswersFitWhatWasAsked(t *testing.T) {
@@ -152,7 +152,7 @@
 		return true
 	})
 	log := slog.New(slog.DiscardHandler)
-	n := proxy.New(balancer.Settings{MayCancel: true, Classes: []balancer.Class{{Name: "all"}}},
+	n := proxy.New(balancer.Settings{CancelAllowed: true, Classes: []balancer.Class{{Name: "all"}}},
 		proxy.Members{Complete: true, Members: []proxy.Member{{ID: "a", Addr: e.Addr}}}, proxy.Options{Conns: 9, Relay: true, Log: log, Subscribe: func() {}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/httpserver/serve.go
+++ b/internal/httpserver/serve.go
@@ -187,7 +187,7 @@
 		return t.refuse(r, refusal(err))
 	}
 	m.Upload, m.Free = up, func() { release(); more.free() }
-	c.Long = true
+	c.Streamed = true
 	c.Deadline = v.Engine.Now() + m.Wait
 	if up.Rest != nil {
 		c.Deadline += more.within()
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -48,7 +48,7 @@
 type Visit struct {
 	Engine   *proxy.Engine
 	Class    string // as the engine's settings name it
-	Effect   balancer.Effect
+	Effect   balancer.Repeatability
 	Tenant   string
 	Wait     time.Duration                   // how long a caller waits who does not say so; 0: it must say so
 	MostWait time.Duration                   // how long it is served at most; 0: as long as it waits
@@ -152,21 +152,21 @@
 	if v.MostWait > 0 {
 		wait = min(wait, v.MostWait)
 	}
-	if v.Effect == balancer.Keyed && r.Header.Get(keyHeader) == "" { // endpoints could not drop its repeats
+	if v.Effect == balancer.IdempotencyKeyed && r.Header.Get(keyHeader) == "" { // endpoints could not drop its repeats
 		return nil, improper(http.StatusBadRequest, "Idempotency-Key: missing")
 	}
 	m.Wait = wait
 	m.Method, m.URL, m.Host, m.Header = r.Method, r.URL, cmp.Or(r.Host, t.host), header
 	return proxy.NewCall(balancer.Request{ID: id, Class: v.Class, Tenant: v.Tenant,
-		Deadline: v.Engine.Now() - time.Since(arrived) + wait, Repeat: r.Header.Get("Req-Retry") == "1"}, m), nil
+		Deadline: v.Engine.Now() - time.Since(arrived) + wait, ClientRetry: r.Header.Get("Req-Retry") == "1"}, m), nil
 }
 
 // checkForm holds a request to the form that its class decides: what is safe is asked for with no body.
-func checkForm(method string, e balancer.Effect, body bool) error {
+func checkForm(method string, e balancer.Repeatability, body bool) error {
 	switch {
-	case e == balancer.Safe && (method != http.MethodGet || body):
+	case e == balancer.Idempotent && (method != http.MethodGet || body):
 		return errors.New("the class takes GET with no body")
-	case e != balancer.Safe && method != http.MethodPost:
+	case e != balancer.Idempotent && method != http.MethodPost:
 		return errors.New("the class takes POST")
 	}
 	return nil
--- a/internal/httpserver/status.go
+++ b/internal/httpserver/status.go
@@ -12,14 +12,14 @@
 
 // errorTypes are RFC 9209's names (2.3) for the module's reasons. Details have the reason itself.
 var errorTypes = map[balancer.Reason]string{
-	balancer.NoEndpoint: "destination_unavailable",
-	balancer.NoRoom:     "connection_limit_reached",
-	balancer.QueueFull:  "connection_limit_reached",
-	balancer.OverQuota:  "http_request_denied",
-	balancer.TooLate:    "http_response_timeout",
-	balancer.NoBudget:   "destination_unavailable",
-	balancer.NoAttempt:  "destination_unavailable",
-	balancer.MayHaveRun: "connection_terminated",
+	balancer.NoEndpoint:        "destination_unavailable",
+	balancer.NoCapacity:        "connection_limit_reached",
+	balancer.QueueFull:         "connection_limit_reached",
+	balancer.OverQuota:         "http_request_denied",
+	balancer.DeadlineTooClose:  "http_response_timeout",
+	balancer.RetryBudgetSpent:  "destination_unavailable",
+	balancer.AttemptsExhausted: "destination_unavailable",
+	balancer.MayHaveRun:        "connection_terminated",
 }
 
 // limitType is its name for a request that is over a limit of the configuration.
--- a/internal/proxy/calls_test.go
+++ b/internal/proxy/calls_test.go
@@ -18,8 +18,8 @@
 )
 
 // classes are what test calls are of.
-var classes = []balancer.Class{{Name: "safe", Aim: time.Minute}, {Name: "unsafe", Effect: balancer.Unsafe, Aim: time.Minute},
-	{Name: "copied", Aim: time.Minute, CopyAfter: time.Millisecond}}
+var classes = []balancer.Class{{Name: "safe", LatencyObjective: time.Minute}, {Name: "unsafe", Repeat: balancer.NonIdempotent, LatencyObjective: time.Minute},
+	{Name: "copied", LatencyObjective: time.Minute, HedgeAfter: time.Millisecond}}
 
 // testEngine runs an engine before the endpoints given, named a, b, ...
 func testEngine(t *testing.T, s balancer.Settings, addrs ...string) *Engine {
@@ -113,7 +113,7 @@
 		for _, class := range []string{"safe", "unsafe"} {
 			t.Run(name+" "+class, func(t *testing.T) {
 				f := newFleet(t, 2, answers)
-				e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
+				e := testEngine(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 				up, letGo := held(e.upstream)
 				reply := e.answer(e.call("r1", class, patience))
 				addr := (<-up).RemoteAddr().String()
@@ -148,7 +148,7 @@
 		}
 		return answers(nc, id)
 	})
-	e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
+	e := testEngine(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 	if r := <-e.answer(e.call("old", "unsafe", patience)); r.Kind != Served {
 		t.Fatalf("answered %+v", r)
 	}
@@ -175,7 +175,7 @@
 // A roster whose clock is ahead tells of a start in the future: the endpoint is used, and its connections are kept.
 func TestAStartInTheFutureKeepsNobodyOut(t *testing.T) {
 	f := newFleet(t, 1, answers)
-	e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
+	e := testEngine(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 	listed := Members{Members: []Member{{ID: "a", Addr: f.addrs[0], StartedMs: time.Now().Add(time.Hour).UnixMilli()}}}
 	for _, id := range []string{"r1", "r2"} {
 		e.Heard(listed)
@@ -196,7 +196,7 @@
 		<-release
 		return answers(nc, id)
 	})
-	e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
+	e := testEngine(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 	reply := e.answer(e.call("r1", "safe", patience))
 	<-came
 	e.Heard(Members{Members: []Member{{ID: "a", Addr: f.addrs[0], StartedMs: justNow(t)}}})
@@ -219,7 +219,7 @@
 					return answers(nc, id)
 				})
 				// The module gives up a resolution ahead of the deadline, the attempt at the deadline.
-				e := testEngine(t, balancer.Settings{MayCancel: mayCancel, Resolution: patience}, f.addrs...)
+				e := testEngine(t, balancer.Settings{CancelAllowed: mayCancel, Resolution: patience}, f.addrs...)
 				e.silence()
 				due := e.Now() + 50*time.Millisecond
 				reply := e.answer(e.call("r1", class, due+patience-e.Now()))
@@ -261,7 +261,7 @@
 				<-release
 				return answers(nc, id)
 			})
-			e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
+			e := testEngine(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 			e.silence()
 			c := e.call("r1", "copied", time.Minute)
 			var left atomic.Bool
@@ -302,7 +302,7 @@
 // The caller leaves when its attempt has been handed to the goroutine that serves it, and has not been taken up.
 func TestAnAttemptHandedOverToACallerThatLeft(t *testing.T) {
 	f := newFleet(t, 1, answers)
-	e := testEngine(t, balancer.Settings{MayCancel: true}, f.addrs...)
+	e := testEngine(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 	c := e.call("r1", "unsafe", patience)
 	e.post(func(now time.Duration) { e.start(now, c) })
 	if len(c.work) != 1 {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -157,7 +157,7 @@
 
 // New returns an engine that knows the members given, the first that the module hears of. Run does the work.
 func New(s balancer.Settings, known Members, o Options) *Engine {
-	l := &Engine{clock: clock{time.Now()}, done: make(chan struct{}), mayCall: s.MayCancel, upstream: newUpstream(o), ask: o.Subscribe, log: o.Log, calls: map[string]*Call{}, members: map[string]Member{},
+	l := &Engine{clock: clock{time.Now()}, done: make(chan struct{}), mayCall: s.CancelAllowed, upstream: newUpstream(o), ask: o.Subscribe, log: o.Log, calls: map[string]*Call{}, members: map[string]Member{},
 		banned:   map[string]bool{},
 		unserved: map[balancer.Reason]*unserved{}}
 	b := balancer.New(l.clock.now(), s, host{l})
@@ -198,7 +198,7 @@
 func (l *Engine) EndBy(at time.Duration) {
 	l.post(func(now time.Duration) {
 		l.endBy = at
-		l.module.Shorten(now, at)
+		l.module.CapDeadlines(now, at)
 	})
 }
 
@@ -238,7 +238,7 @@
 func (l *Engine) Configure(s balancer.Settings, o Options) {
 	l.upstream.configure(o)
 	l.post(func(now time.Duration) {
-		l.mayCall = s.MayCancel
+		l.mayCall = s.CancelAllowed
 		l.module.Configure(now, s)
 	})
 }
@@ -252,7 +252,7 @@
 	l.post(func(now time.Duration) {
 		l.banned[id] = true
 		l.keep(id)
-		l.module.Ban(now, id)
+		l.module.Disable(now, id)
 	})
 }
 
@@ -261,7 +261,7 @@
 	l.post(func(now time.Duration) {
 		delete(l.banned, id)
 		l.keep(id)
-		l.module.Unban(now, id)
+		l.module.Enable(now, id)
 	})
 }
 
@@ -299,15 +299,15 @@
 // Memory is what an engine knows that a successor can begin with.
 // The tags are the names in stored snapshots.
 type Memory struct {
-	Learned balancer.Learned `json:"Learned"`
-	Members []Member         `json:"Members"`
+	Learned balancer.LearnedState `json:"Learned"`
+	Members []Member              `json:"Members"`
 }
 
 // Memory gives what is known now.
 func (l *Engine) Memory() Memory {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Memory{Learned: l.module.Learned(l.clock.now()), Members: slices.SortedFunc(maps.Values(l.members), func(x, y Member) int {
+	return Memory{Learned: l.module.LearnedState(l.clock.now()), Members: slices.SortedFunc(maps.Values(l.members), func(x, y Member) int {
 		return cmp.Compare(x.ID, y.ID)
 	})}
 }
@@ -326,7 +326,7 @@
 			is, listed := l.members[e.ID]
 			return !known || !listed || old.Addr != is.Addr || old.StartedMs != is.StartedMs
 		})
-		l.module.Recall(now, same, ago)
+		l.module.Restore(now, same, ago)
 	})
 }
 
@@ -349,7 +349,7 @@
 
 // Endpoint is how an endpoint stands with an engine.
 type Endpoint struct {
-	balancer.Standing
+	balancer.EndpointStatus
 	Addr  string
 	Idle  int    // connections that wait for their next request
 	Fault string // how the latest attempt that failed did so, until one succeeds
@@ -358,7 +358,7 @@
 // Endpoints tells how all endpoints stand, in the order in which they were first heard of.
 func (l *Engine) Endpoints() []Endpoint {
 	l.mu.Lock()
-	standings := l.module.Standings(l.clock.now())
+	standings := l.module.EndpointStatuses(l.clock.now())
 	addrs := make(map[string]string, len(l.members))
 	for id, m := range l.members {
 		addrs[id] = m.Addr
@@ -366,7 +366,7 @@
 	l.mu.Unlock()
 	out := make([]Endpoint, len(standings))
 	for i, s := range standings {
-		out[i] = Endpoint{Standing: s, Addr: addrs[s.ID]}
+		out[i] = Endpoint{EndpointStatus: s, Addr: addrs[s.ID]}
 		out[i].Idle, out[i].Fault = l.upstream.standing(s.ID)
 	}
 	return out
@@ -489,14 +489,14 @@
 func (l *Engine) report(now time.Duration, a *attempt, r balancer.Result, answer Answer) {
 	c := a.call
 	c.out--
-	o := balancer.Outcome{ID: c.ID, Attempt: a.n, Endpoint: a.endpoint, Result: r, Took: now - a.sent, Final: c.over}
+	o := balancer.Outcome{ID: c.ID, Attempt: a.n, Endpoint: a.endpoint, Result: r, Latency: now - a.sent, Final: c.over}
 	if r == balancer.OK && !c.over {
 		o.Final = true
 		l.finish(c, Reply{Kind: Served, Answer: answer})
 	}
 	if !c.over && c.message.gone() { // no other attempt is possible, whatever the module would say
 		kind := Failed
-		if r == balancer.Full || r == balancer.ConnectFailed || r == balancer.NotSent {
+		if r == balancer.Rejected || r == balancer.ConnectFailed || r == balancer.NotSent {
 			kind = Refused
 		}
 		o.Final = true
@@ -508,7 +508,7 @@
 
 // list tells the module and the connections what a roster says.
 func (l *Engine) list(now time.Duration, m Members) {
-	out := balancer.List{Complete: m.Complete, Others: m.Others}
+	out := balancer.EndpointList{Complete: m.Complete, Unlisted: m.Others}
 	listed := map[string]bool{}
 	for _, s := range m.Members {
 		out.Entries = append(out.Entries, balancer.Endpoint{ID: s.ID, State: s.State, Zone: s.Zone, Kind: s.Kind,
@@ -539,7 +539,7 @@
 // wrote reports that a long request has been written whole.
 func (l *Engine) wrote(now time.Duration, a *attempt) {
 	a.sent = now
-	l.module.Written(now, a.call.ID, a.n)
+	l.module.RequestWritten(now, a.call.ID, a.n)
 }
 
 // host carries out what the Balancer asks for. It runs under the engine's lock, blocks on nothing and does not call back.
@@ -557,7 +557,7 @@
 	a := &attempt{call: c, n: len(c.attempts), endpoint: endpoint, sent: now}
 	a.left = c.Left
 	a.deadline = time.Now().Add(min(timeout, c.Deadline-now))
-	if c.Long {
+	if c.Streamed {
 		a.written = func() { h.post(func(now time.Duration) { h.wrote(now, a) }) }
 	}
 	c.attempts = append(c.attempts, a)
@@ -580,8 +580,8 @@
 	}
 }
 
-// Refuse implements balancer.Host.
-func (h host) Refuse(id string, why balancer.Reason, retryAfter time.Duration) {
+// Reject implements balancer.Host.
+func (h host) Reject(id string, why balancer.Reason, retryAfter time.Duration) {
 	h.give(id, Reply{Kind: Refused, Why: why, RetryAfter: retryAfter})
 }
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -564,7 +564,7 @@
 		}
 		return balancer.OK, a, reusable, nil
 	case isUnavailable(a.Status) && a.Header.Get(declined) == "1":
-		return balancer.Full, Answer{}, reusable, errDeclined
+		return balancer.Rejected, Answer{}, reusable, errDeclined
 	}
 	return balancer.Errored, Answer{}, reusable, fmt.Errorf("the answer was %d", a.Status)
 }
@@ -606,9 +606,9 @@
 				maps.DeleteFunc(a.Header, func(name string, _ []string) bool { return name != "Content-Type" })
 				return balancer.OK, a, false, nil
 			case isUnavailable(a.Status) && a.Header.Get(declined) == "1":
-				return balancer.Full, Answer{}, false, errDeclined
+				return balancer.Rejected, Answer{}, false, errDeclined
 			}
-			return balancer.Full, Answer{}, false, fmt.Errorf("the answer ahead of the body's end was %d", a.Status)
+			return balancer.Rejected, Answer{}, false, fmt.Errorf("the answer ahead of the body's end was %d", a.Status)
 		}
 	}
 	return l.unlessCanceled(balancer.ConnectFailed), Answer{}, false, err
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -64,7 +64,7 @@
 	each := c.Limits.conns(1)
 	var e *proxy.Engine
 	w := newWelcome()
-	d := platform.New(platform.Options{Addr: c.Discovery, OnAsk: settings.MustSubscribe, Version: c.Known.Version,
+	d := platform.New(platform.Options{Addr: c.Discovery, OnAsk: settings.SubscribeRequired, Version: c.Known.Version,
 		Grace: c.Settings.DrainGrace, Deliver: func(m platform.Members) { e.Heard(m.Engine()) }, Current: w.hear, Log: log})
 	known := c.Known
 	known.Full = true // the list as it was last had, and the first that the module hears
@@ -74,10 +74,10 @@
 	log.Info("listening", "addr", listener.Addr().String())
 	conns := httpserver.NewWaiting(listener, each, each+spareCallers)
 
-	at := &desk{engine: e, effects: map[string]balancer.Effect{}}
+	at := &desk{engine: e, effects: map[string]balancer.Repeatability{}}
 	var names []string
 	for _, class := range settings.Classes {
-		at.effects[class.Name] = class.Effect
+		at.effects[class.Name] = class.Repeat
 		names = append(names, class.Name)
 	}
 	at.figures = metrics.New(names)
@@ -98,7 +98,7 @@
 
 // killAfter is how soon after SIGTERM SIGKILL may come.
 func killAfter(c Config) time.Duration {
-	return min(cmp.Or(c.Settings.Longest, killDeadline), killDeadline) + killLeast
+	return min(cmp.Or(c.Settings.MaxDeadline, killDeadline), killDeadline) + killLeast
 }
 
 // listen opens the listener for callers, or takes the one that the platform holds.
@@ -179,7 +179,7 @@
 // desk finds a request's class in the first segment of its path; the one engine serves all classes that are listed.
 type desk struct {
 	engine  *proxy.Engine
-	effects map[string]balancer.Effect
+	effects map[string]balancer.Repeatability
 	figures *metrics.Figures
 }
 
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -79,8 +79,8 @@
 	h.text("Rid", id).number("N", int64(n)).end()
 }
 
-// Refuse writes a SAY_NO.
-func (h *Host) Refuse(id string, _ balancer.Reason, retryAfter time.Duration) {
+// Reject writes a SAY_NO.
+func (h *Host) Reject(id string, _ balancer.Reason, retryAfter time.Duration) {
 	h.begin("SAY_NO")
 	h.text("Rid", id)
 	if retryAfter > 0 {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -74,7 +74,7 @@
 	balancer.Settings
 	ConnIdle    time.Duration // an endpoint closes a connection that has been idle for this long; 0: not told
 	DialTimeout time.Duration // a connection not made by then has failed; 0: not told
-	Longest     time.Duration // deadline of all classes; 0: none is told
+	MaxDeadline time.Duration // deadline of all classes; 0: none is told
 	DrainGrace  time.Duration // for which endpoints that drain may still be sent to; 0: not told
 }
 
@@ -89,10 +89,10 @@
 	}
 	s := Settings{ConnIdle: us(c.Permissions.ConnIdleUs), DialTimeout: us(c.Permissions.DialTimeoutUs), DrainGrace: us(c.Rules.DrainGraceUs)}
 	s.Settings = balancer.Settings{
-		Balancers: c.NInstances, Index: c.Me, Tier: c.Tier, TiersBelow: max(len(c.Tiers)-1-c.Tier, 0),
-		AskWithin: us(c.Rules.AskWithinUs), MaxAttempts: c.Permissions.TryLimit,
-		MayCancel:  c.Permissions.MayCancel,
-		Resolution: us(c.ResolutionUs), ColdFrom: c.Rules.ColdFrom, ColdShare: c.Rules.ColdShare, ColdFor: us(c.Rules.ColdUs),
+		Instances: c.NInstances, Index: c.Me, Tier: c.Tier, TiersBelow: max(len(c.Tiers)-1-c.Tier, 0),
+		PollInterval: us(c.Rules.AskWithinUs), MaxAttempts: c.Permissions.TryLimit,
+		CancelAllowed: c.Permissions.MayCancel,
+		Resolution:    us(c.ResolutionUs), SlowStartCapacity: c.Rules.ColdFrom, SlowStartShare: c.Rules.ColdShare, SlowStartWindow: us(c.Rules.ColdUs),
 	}
 	if c.Permissions.RetryAfter {
 		s.MaxRetryAfter = us(c.Permissions.MaxRetryAfterUs)
@@ -100,30 +100,30 @@
 	switch c.Discovery {
 	case "automatic", "":
 	case "subscribe":
-		s.MustSubscribe = true
+		s.SubscribeRequired = true
 	default:
 		return s, fmt.Errorf("Config: unknown Discovery %q", c.Discovery)
 	}
 	for _, l := range c.Lanes {
-		s.Longest = max(s.Longest, us(l.HardLimitUs))
-		k := balancer.Class{Name: l.Name, Window: us(l.WindowUs), Aim: us(l.OnTimeUs)}
+		s.MaxDeadline = max(s.MaxDeadline, us(l.HardLimitUs))
+		k := balancer.Class{Name: l.Name, KeyWindow: us(l.WindowUs), LatencyObjective: us(l.OnTimeUs)}
 		switch l.Semantics {
 		case "read_like":
-			k.Effect = balancer.Safe
+			k.Repeat = balancer.Idempotent
 		case "idempotency_key":
-			k.Effect = balancer.Keyed
+			k.Repeat = balancer.IdempotencyKeyed
 		case "non_idempotent":
-			k.Effect = balancer.Unsafe
+			k.Repeat = balancer.NonIdempotent
 		default:
 			return s, fmt.Errorf("Config: class %q has unknown Semantics %q", l.Name, l.Semantics)
 		}
 		switch l.Group {
 		case "all", "":
-			k.Group = balancer.GroupAll
+			k.KeyScope = balancer.KeyScopeAll
 		case "zone":
-			k.Group = balancer.GroupZone
+			k.KeyScope = balancer.KeyScopeZone
 		case "cell":
-			k.Group = balancer.GroupCell
+			k.KeyScope = balancer.KeyScopeCell
 		default:
 			return s, fmt.Errorf("Config: class %q has unknown Group %q", l.Name, l.Group)
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -175,7 +175,7 @@
 	p.r = r
 	switch name {
 	case "REGISTRY":
-		l := balancer.List{}
+		l := balancer.EndpointList{}
 		mode := p.text("Mode", true)
 		p.integer("Gen", false)
 		switch mode {
@@ -200,7 +200,7 @@
 		q := balancer.Request{ID: p.id("Rid"), Class: p.word("Band", true), Tenant: p.word("Team", false),
 			Deadline: p.micros("ValidUntilUs", true)}
 		flags := p.integer("Attrs", false)
-		q.Repeat = flags&2 != 0
+		q.ClientRetry = flags&2 != 0
 		if p.err == nil {
 			to.Request(r.now, q)
 		}
@@ -211,7 +211,7 @@
 		}
 	case "ATTEMPT_END":
 		o := balancer.Outcome{ID: p.id("Rid"), Attempt: p.integer("N", true), Endpoint: p.word("Endpoint", true),
-			Result: p.result(), Took: p.micros("SpentUs", true), Final: p.integer("DoneFlag", false) != 0}
+			Result: p.result(), Latency: p.micros("SpentUs", true), Final: p.integer("DoneFlag", false) != 0}
 		if p.err == nil {
 			to.Outcome(r.now, o)
 		}
@@ -404,7 +404,7 @@
 	case "Failed":
 		return balancer.Errored
 	case "QueueFull":
-		return balancer.Full
+		return balancer.Rejected
 	case "TimedOut":
 		return balancer.TimedOut
 	case "ConnectError":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,8 +32,10 @@
 	}
 	return r, nil
 }
-func (r *recorder) EndpointList(now time.Duration, l balancer.List) { r.add("%v list %+v", now, l) }
-func (r *recorder) Request(now time.Duration, q balancer.Request)   { r.add("%v request %+v", now, q) }
+func (r *recorder) EndpointList(now time.Duration, l balancer.EndpointList) {
+	r.add("%v list %+v", now, l)
+}
+func (r *recorder) Request(now time.Duration, q balancer.Request) { r.add("%v request %+v", now, q) }
 func (r *recorder) StreamStarted(now time.Duration, id string, n int) {
 	r.add("%v stream %s %d", now, id, n)
 }
@@ -63,11 +65,11 @@
 		t.Fatal(err)
 	}
 	want := []string{
-		"1ms list {Failed:false Complete:true Entries:[{ID:h:1 State:0 Zone:z Kind:big Cell:2 Started:7µs}] Others:0}",
-		"1ms list {Failed:true Complete:false Entries:[] Others:0}",
-		"1ms request {ID:r1 Class:c Tenant:t Deadline:2ms Repeat:true Long:false}",
-		"1ms request {ID:r2 Class:c Tenant: Deadline:2ms Repeat:false Long:false}",
-		"1ms outcome {ID:r1 Attempt:0 Endpoint:h:1 Result:0 Took:5µs Final:true}",
+		"1ms list {Failed:false Complete:true Entries:[{ID:h:1 State:0 Zone:z Kind:big Cell:2 Started:7µs}] Unlisted:0}",
+		"1ms list {Failed:true Complete:false Entries:[] Unlisted:0}",
+		"1ms request {ID:r1 Class:c Tenant:t Deadline:2ms ClientRetry:true Streamed:false}",
+		"1ms request {ID:r2 Class:c Tenant: Deadline:2ms ClientRetry:false Streamed:false}",
+		"1ms outcome {ID:r1 Attempt:0 Endpoint:h:1 Result:0 Latency:5µs Final:true}",
 		"1ms stream r2 1", "1ms left r2", "1ms timer"}
 	if !reflect.DeepEqual(r.got, want) {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(r.got, "\n"), strings.Join(want, "\n"))
@@ -90,11 +92,11 @@
 		t.Fatal(err)
 	}
 	us := time.Microsecond
-	want := balancer.Settings{Seed: 1<<64 - 1, Balancers: 2, Index: 1, Tier: 1, TiersBelow: 1,
-		Classes: []balancer.Class{{Name: "n", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 3 * us, Aim: us}},
-		Tenants: []balancer.Tenant{{Name: "t", Quota: 6.5}}, MustSubscribe: true, AskWithin: 9 * us, MaxAttempts: 4,
-		MayCancel: true, MaxRetryAfter: 7 * us,
-		Resolution: 5 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * us}
+	want := balancer.Settings{Seed: 1<<64 - 1, Instances: 2, Index: 1, Tier: 1, TiersBelow: 1,
+		Classes: []balancer.Class{{Name: "n", Repeat: balancer.IdempotencyKeyed, KeyScope: balancer.KeyScopeCell, KeyWindow: 3 * us, LatencyObjective: us}},
+		Tenants: []balancer.Tenant{{Name: "t", Quota: 6.5}}, SubscribeRequired: true, PollInterval: 9 * us, MaxAttempts: 4,
+		CancelAllowed: true, MaxRetryAfter: 7 * us,
+		Resolution: 5 * time.Millisecond, SlowStartCapacity: 0.3, SlowStartWindow: 10 * us}
 	if got := r.started[0]; !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
@@ -163,8 +165,8 @@
 	a, b := r.Of(3), r.Of(5)
 	a.Send("r1", "h:1", 1500*time.Nanosecond)
 	a.Cancel("r1", 2)
-	b.Refuse("r2", balancer.NoRoom, 0)
-	b.Refuse("r3", balancer.NoRoom, time.Millisecond)
+	b.Reject("r2", balancer.NoCapacity, 0)
+	b.Reject("r3", balancer.NoCapacity, time.Millisecond)
 	b.Fail("r4", balancer.MayHaveRun)
 	b.Subscribe()
 	b.Timer(5 * time.Microsecond)
