--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -303,7 +303,8 @@
 func (b *Balancer) Request(now time.Duration, r Request) {
 	c := b.classes[r.Class]
 	if c == nil { // a class that nobody listed: what may have run is never repeated
-		c = &class{Class: Class{Repeat: NonIdempotent, LatencyObjective: max(r.Deadline-now, 0)}, work: &work{}}
+		unlisted := Class{Repeat: NonIdempotent, LatencyObjective: max(r.Deadline-now, 0)}
+		c = &class{Class: unlisted, work: &work{}}
 		b.classes[r.Class] = c
 	}
 	b.count(now)
@@ -398,7 +399,8 @@
 			continue
 		}
 		if c.Repeat == NonIdempotent || c.NeverRerun || now+2*b.s.Resolution >= a.sent+c.KeyWindow ||
-			c.KeyScope == KeyScopeZone && a.e.Zone != e.Zone || c.KeyScope == KeyScopeCell && a.e.Cell != e.Cell {
+			c.KeyScope == KeyScopeZone && a.e.Zone != e.Zone ||
+			c.KeyScope == KeyScopeCell && a.e.Cell != e.Cell {
 			return false
 		}
 	}
@@ -407,7 +409,8 @@
 
 // mayRefuse tells whether "trying again is harmless" is true.
 func (q *request) mayRefuse() bool {
-	return q.class.Repeat == Idempotent || q.class.Repeat == IdempotencyKeyed && q.class.KeyScope == KeyScopeAll ||
+	keyedEverywhere := q.class.Repeat == IdempotencyKeyed && q.class.KeyScope == KeyScopeAll
+	return q.class.Repeat == Idempotent || keyedEverywhere ||
 		!slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.out || a.mayRun })
 }
 
@@ -687,7 +690,10 @@
 	if i < 0 || may(b.endpoints[i]) {
 		return i >= 0
 	}
-	return q.class.Repeat == IdempotencyKeyed && q.class.KeyScope != KeyScopeAll && slices.ContainsFunc(b.endpoints, may)
+	if q.class.Repeat != IdempotencyKeyed || q.class.KeyScope == KeyScopeAll {
+		return false
+	}
+	return slices.ContainsFunc(b.endpoints, may)
 }
 
 // whyNot tells what rules one more attempt out: rules, limit, time or budget, lest resends multiply by tiers.
--- a/balancer/resends.go
+++ b/balancer/resends.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RetryBudget is a budget for attempts beyond the first, second copies included, over all requests of a Balancer:
-// what fails must not be asked again by everybody at once. Zero: a tenth of the requests, and no more than 10
+// RetryBudget is a budget for attempts beyond the first, second copies included, over all requests of a
+// Balancer: what fails must not be asked again by everybody at once. Zero: a tenth of the requests, and no more than 10
 // saved up.
 type RetryBudget struct {
 	PerRequest float64 // earned by each request
--- a/cmd/rowancart/serve.go
+++ b/cmd/rowancart/serve.go
@@ -53,7 +53,7 @@
 			usr2 := make(chan os.Signal, 1)
 			signal.Notify(usr2, syscall.SIGUSR2)
 			defer signal.Stop(usr2)
-			predecessor, err := successor.Take()
+			predecessor, err := successor.Inherit()
 			if err != nil {
 				return err
 			}
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \["([^]]+)"\]$`).FindSubmatch(text)
-	if policy == nil || string(policy[1]) != `balancer/balancer.go", "balancer/state.go", "balancer/resends.go` {
+	if policy == nil || string(policy[1]) != `balancer/balancer.go", "balancer/state.go` {
 		t.Fatalf("policy does not name the files that decide: %q", policy)
 	}
 	lines := 0
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -24,10 +24,10 @@
 	lastRead   = 4 << 10
 )
 
-// Operated is what the console operates. All of it is quick: an answer is due within a second.
-type Operated interface {
+// Operations is what the console operates. All of it is quick: an answer is due within a second.
+type Operations interface {
 	Ready() error // nil once requests can be served
-	Figures(b []byte) []byte
+	AppendStats(b []byte) []byte
 	Disable(id string) error
 	Enable(id string) error
 }
@@ -35,7 +35,7 @@
 // Server answers calls.
 type Server struct {
 	listener net.Listener
-	operated Operated
+	operated Operations
 	log      *slog.Logger
 
 	mu      sync.Mutex
@@ -45,7 +45,7 @@
 }
 
 // New returns a console at a listener, which is its own from now on. Run does the work.
-func New(l net.Listener, o Operated, log *slog.Logger) *Server {
+func New(l net.Listener, o Operations, log *slog.Logger) *Server {
 	return &Server{listener: l, operated: o, log: log}
 }
 
@@ -176,14 +176,14 @@
 	}
 	done := ""
 	switch c.Name {
-	case Show:
-		return append(s.operated.Figures(nil), "EOT\n"...)
-	case Ready:
+	case CommandShowStat:
+		return append(s.operated.AppendStats(nil), "EOT\n"...)
+	case CommandReady:
 		err, done = s.operated.Ready(), "ready"
-	case Disable:
-		err, done = s.operated.Disable(c.ID), c.ID+" is out"
-	case Enable:
-		err, done = s.operated.Enable(c.ID), c.ID+" is back"
+	case CommandDisableServer:
+		err, done = s.operated.Disable(c.Endpoint), c.Endpoint+" is out"
+	case CommandEnableServer:
+		err, done = s.operated.Enable(c.Endpoint), c.Endpoint+" is back"
 	}
 	if err != nil {
 		return failure(nil, err)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,7 +18,7 @@
 
 func (b *box) Ready() error { return nil }
 
-func (b *box) Figures(text []byte) []byte { return append(text, "sidecar_targets 1\n"...) }
+func (b *box) AppendStats(text []byte) []byte { return append(text, "sidecar_targets 1\n"...) }
 
 func (b *box) Disable(id string) error {
 	if id != "a" {
@@ -151,10 +151,10 @@
 			}
 			return
 		}
-		if takesID[c.Name] != (c.ID != "") || strings.ContainsAny(c.ID, " \t\r\n") {
+		if takesID[c.Name] != (c.Endpoint != "") || strings.ContainsAny(c.Endpoint, " \t\r\n") {
 			t.Errorf("%+v", c)
 		}
-		again, err := Parse(strings.TrimSpace(c.Name + " " + c.ID))
+		again, err := Parse(strings.TrimSpace(c.Name + " " + c.Endpoint))
 		if err != nil || again != c {
 			t.Errorf("%+v reads again as %+v, %v", c, again, err)
 		}
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -9,53 +9,53 @@
 // maxLine is how many bytes a call has at most, its end not counted.
 const maxLine = 128
 
-// Call is one call of an operator.
-type Call struct {
-	Name string
-	ID   string // the endpoint that it is about, for calls that take one
+// Command is one call of an operator.
+type Command struct {
+	Name     string
+	Endpoint string // the endpoint that it is about, for calls that take one
 }
 
 // The calls.
 const (
-	Ready   = "ready"
-	Show    = "show-stat"
-	Disable = "disable-server"
-	Enable  = "enable-server"
+	CommandReady         = "ready"
+	CommandShowStat      = "show-stat"
+	CommandDisableServer = "disable-server"
+	CommandEnableServer  = "enable-server"
 )
 
 // takesID tells which calls are about an endpoint.
-var takesID = map[string]bool{Ready: false, Show: false, Disable: true, Enable: true}
+var takesID = map[string]bool{CommandReady: false, CommandShowStat: false, CommandDisableServer: true, CommandEnableServer: true}
 
 var errTooLong = fmt.Errorf("the line is longer than %d bytes", maxLine)
 
 // Parse reads a call from its line, without the line's end. An error says what is wrong in words that fit an answer.
-func Parse(line string) (Call, error) {
+func Parse(line string) (Command, error) {
 	if len(line) > maxLine {
-		return Call{}, errTooLong
+		return Command{}, errTooLong
 	}
 	for i := range len(line) {
 		if c := line[i]; c < ' ' && c != '\t' || c >= 0x7f {
-			return Call{}, fmt.Errorf("byte %d is no printable ASCII", i+1)
+			return Command{}, fmt.Errorf("byte %d is no printable ASCII", i+1)
 		}
 	}
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return Call{}, errors.New("no call: ready, show-stat, disable-server ID and enable-server ID are known")
+		return Command{}, errors.New("no call: ready, show-stat, disable-server ID and enable-server ID are known")
 	}
 	withID, known := takesID[words[0]]
 	switch {
 	case !known:
-		return Call{}, fmt.Errorf("unknown call %q", words[0])
+		return Command{}, fmt.Errorf("unknown call %q", words[0])
 	case withID && len(words) == 1:
-		return Call{}, fmt.Errorf("%s: the endpoint's id is missing", words[0])
+		return Command{}, fmt.Errorf("%s: the endpoint's id is missing", words[0])
 	case withID && len(words) > 2:
-		return Call{}, fmt.Errorf("%s: %q is too much: one id is wanted", words[0], words[2])
+		return Command{}, fmt.Errorf("%s: %q is too much: one id is wanted", words[0], words[2])
 	case !withID && len(words) > 1:
-		return Call{}, fmt.Errorf("%s: %q is too much: nothing is wanted", words[0], words[1])
+		return Command{}, fmt.Errorf("%s: %q is too much: nothing is wanted", words[0], words[1])
 	}
-	c := Call{Name: words[0]}
+	c := Command{Name: words[0]}
 	if withID {
-		c.ID = words[1]
+		c.Endpoint = words[1]
 	}
 	return c, nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -130,8 +130,8 @@
 )
 
 // Rules gives the limits of a policy.
-func (p Policy) Rules() ratelimit.Rules {
-	return ratelimit.Rules{Rate: p.Rate, Concurrency: p.Concurrency, TenantRate: p.TenantRate, TenantConcurrency: p.TenantConcurrency}
+func (p Policy) Rules() ratelimit.Limits {
+	return ratelimit.Limits{Rate: p.Rate, Concurrency: p.Concurrency, TenantRate: p.TenantRate, TenantConcurrency: p.TenantConcurrency}
 }
 
 // Module gives a route's class as the decision module is to treat it.
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -67,9 +67,9 @@
 	Fault    string  `json:"fault,omitempty"`        // how the latest attempt failed, until one succeeds
 }
 
-func endpointStatus(e proxy.Endpoint) EndpointStatus {
+func endpointStatus(e proxy.EndpointStatus) EndpointStatus {
 	s := EndpointStatus{ID: e.ID, Address: e.Addr, State: "ready", Out: string(e.Inactive), Weight: rounded(e.Weight), Errors: rounded(e.Errors),
-		InFlight: e.InFlight, Idle: e.Idle, Warmth: rounded(e.Warmth), Fault: e.Fault}
+		InFlight: e.InFlight, Idle: e.IdleConns, Warmth: rounded(e.Warmth), Fault: e.LastFailure}
 	if e.State != balancer.Ready {
 		s.State = "draining"
 	}
@@ -121,14 +121,14 @@
 	defer d.mu.RUnlock()
 	s.File, s.Generation, s.Reloads, s.Warnings = d.path, d.now.n, d.reloads, d.now.conf.Warnings
 	for _, l := range d.listeners {
-		open, shed := l.conns.Load()
+		open, shed := l.conns.Counts()
 		s.Listeners = append(s.Listeners, ListenerStatus{Name: l.name, Address: l.conns.Addr().String(), Ending: l.last != nil,
 			Connections: open, TurnedAway: shed})
 	}
 	for _, r := range d.now.conf.Routes {
 		g := d.gates[r.Name]
 		g.mu.Lock()
-		out, tenants := g.l.Load()
+		out, tenants := g.l.Usage()
 		g.mu.Unlock()
 		s.Routes = append(s.Routes, RouteStatus{Name: r.Name, Class: r.Class.Name, Pool: r.Pool, UnderWay: out, Tenants: tenants})
 	}
@@ -170,15 +170,15 @@
 type routeMeter struct {
 	m     *meter
 	route string
-	kinds map[proxy.Kind]prometheus.Counter
+	kinds map[proxy.ResultKind]prometheus.Counter
 	bad   prometheus.Counter
 	why   map[balancer.Reason]prometheus.Counter
 	took  prometheus.Observer
-	worth map[proxy.Kind]prometheus.Counter
+	worth map[proxy.ResultKind]prometheus.Counter
 	each  float64 // worth of an answer
 }
 
-var kindNames = map[proxy.Kind]string{proxy.Served: "served", proxy.Refused: "refused", proxy.Failed: "failed", proxy.Duplicate: "duplicate"}
+var kindNames = map[proxy.ResultKind]string{proxy.Served: "served", proxy.Rejected: "refused", proxy.Failed: "failed", proxy.Duplicate: "duplicate"}
 
 func newMeter(d *Daemon) *meter {
 	m := &meter{registry: prometheus.NewRegistry(),
@@ -198,7 +198,7 @@
 }
 
 func (m *meter) route(name string, worth float64) *routeMeter {
-	r := &routeMeter{m: m, route: name, each: worth, worth: map[proxy.Kind]prometheus.Counter{}, kinds: map[proxy.Kind]prometheus.Counter{}, took: m.took.WithLabelValues(name),
+	r := &routeMeter{m: m, route: name, each: worth, worth: map[proxy.ResultKind]prometheus.Counter{}, kinds: map[proxy.ResultKind]prometheus.Counter{}, took: m.took.WithLabelValues(name),
 		bad: m.answers.WithLabelValues(name, "improper")}
 	r.why = map[balancer.Reason]prometheus.Counter{}
 	for _, why := range balancer.Reasons {
@@ -221,20 +221,20 @@
 	m.worth.DeletePartialMatch(labels)
 }
 
-func (r *routeMeter) over(taken bool, a proxy.Reply, took time.Duration) {
+func (r *routeMeter) over(taken bool, a proxy.Result, took time.Duration) {
 	if !taken {
 		r.bad.Inc()
 		return
 	}
 	r.kinds[a.Kind].Inc()
 	r.worth[a.Kind].Add(r.each)
-	if c := r.why[a.Why]; c != nil {
+	if c := r.why[a.Reason]; c != nil {
 		c.Inc()
 	}
 	r.took.Observe(took.Seconds())
 }
 
-func (r *routeMeter) limited(why ratelimit.Why) {
+func (r *routeMeter) limited(why ratelimit.Limit) {
 	r.m.limits.WithLabelValues(r.route, strings.ReplaceAll(string(why), " ", "_")).Inc()
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -81,7 +81,7 @@
 type listener struct {
 	name    string
 	address string
-	conns   *httpserver.Conns
+	conns   *httpserver.Listener
 	front   *httpserver.Server
 	daemon  *Daemon
 	last    *generation // set once the configuration has no such listener: what its connections are served by until they end
@@ -185,9 +185,9 @@
 			}
 			return nil, fmt.Errorf("listener %q: %w", want.Name, err)
 		}
-		l := &listener{name: want.Name, address: want.Address, conns: httpserver.NewShedding(nl, c.Limits.Connections/len(c.Listeners)), daemon: d}
+		l := &listener{name: want.Name, address: want.Address, conns: httpserver.NewSheddingListener(nl, c.Limits.Connections/len(c.Listeners)), daemon: d}
 		l.front = httpserver.New(l, "rowancart", want.Address, d.log)
-		l.front.RoundAdvice()
+		l.front.RoundRetryAfter()
 		opened = append(opened, l)
 	}
 	return opened, nil
@@ -338,8 +338,8 @@
 	finished := make(chan struct{})
 	var all errgroup.Group
 	for _, l := range listeners {
-		l.front.End()
-		all.Go(func() error { return ignoreClosed(l.conns.Finish(0, time.Time{})) })
+		l.front.StartDraining()
+		all.Go(func() error { return ignoreClosed(l.conns.Drain(0, time.Time{})) })
 	}
 	var err error
 	go func() { err = all.Wait(); close(finished) }()
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -158,16 +158,16 @@
 			continue
 		}
 		l.name = c.Listeners[i].Name
-		l.conns.Limit(c.Limits.Connections / len(c.Listeners))
+		l.conns.SetMaxConns(c.Limits.Connections / len(c.Listeners))
 	}
 	return gone
 }
 
 // end lets a listener that is not wanted any more finish.
 func (d *Daemon) end(l *listener) {
-	l.front.End()
+	l.front.StartDraining()
 	d.parts.Go(func() error {
-		err := ignoreClosed(l.conns.Finish(0, time.Time{}))
+		err := ignoreClosed(l.conns.Drain(0, time.Time{}))
 		d.mu.Lock()
 		d.listeners = slices.DeleteFunc(d.listeners, func(o *listener) bool { return o == l })
 		d.mu.Unlock()
--- a/internal/daemon/pool.go
+++ b/internal/daemon/pool.go
@@ -25,7 +25,7 @@
 // pool is an engine and the roster that it hears.
 type pool struct {
 	name   string
-	engine *proxy.Engine
+	engine *proxy.Pool
 	cancel context.CancelFunc // ends the engine; nil before it runs
 	log    *slog.Logger
 	seed   uint64
@@ -86,16 +86,16 @@
 // make makes the engine, which begins where the snapshot says.
 func (p *pool) make() {
 	known := static(p.conf.Roster)
-	if len(known.Members) == 0 && p.old != nil { // the roster has yet to speak
-		known.Members = p.old.Roster
+	if len(known.Endpoints) == 0 && p.old != nil { // the roster has yet to speak
+		known.Endpoints = p.old.Roster
 		p.mu.Lock()
 		p.bad = fmt.Sprintf("it is as a snapshot told it, %v old at the start", p.oldAgo.Round(time.Second))
 		p.mu.Unlock()
 	}
 	p.part.Filter = subset.NewFilter(p.place())
-	p.engine = proxy.New(p.settings(), p.part.Hear(known), p.options())
+	p.engine = proxy.New(p.settings(), p.part.Apply(known), p.options())
 	if p.old != nil {
-		p.engine.Recall(p.old.Memory, p.oldAgo)
+		p.engine.Restore(p.old.Memory, p.oldAgo)
 	}
 }
 
@@ -112,17 +112,17 @@
 }
 
 // hear passes on what the roster says of this instance's part.
-func (p *pool) hear(m proxy.Members) {
+func (p *pool) hear(m proxy.EndpointList) {
 	p.part.Lock()
 	defer p.part.Unlock()
-	p.engine.Heard(p.part.Hear(m))
+	p.engine.UpdateEndpoints(p.part.Apply(m))
 	p.told(nil)
 }
 
-func static(r config.Roster) proxy.Members {
-	out := proxy.Members{Complete: true}
+func static(r config.Roster) proxy.EndpointList {
+	out := proxy.EndpointList{Complete: true}
 	for _, e := range r.Static {
-		out.Members = append(out.Members, proxy.Member{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell})
+		out.Endpoints = append(out.Endpoints, proxy.Endpoint{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell})
 	}
 	return out
 }
@@ -138,7 +138,7 @@
 }
 
 func (p *pool) options() proxy.Options {
-	return proxy.Options{ConnIdle: p.conf.ConnIdle, DialTimeout: p.conf.DialTimeout, Conns: p.conf.Connections, Relay: true,
+	return proxy.Options{ConnIdle: p.conf.ConnIdle, DialTimeout: p.conf.DialTimeout, MaxConns: p.conf.Connections, PassThrough: true,
 		Subscribe: func() {}, Log: p.log}
 }
 
@@ -178,7 +178,7 @@
 	p.part.Lock()
 	p.part.Resize(p.place())
 	p.part.Unlock()
-	p.hear(proxy.Members{}) // what follows from a new place or size
+	p.hear(proxy.EndpointList{}) // what follows from a new place or size
 	if reflect.DeepEqual(was.Roster, p.conf.Roster) {
 		return
 	}
@@ -192,7 +192,7 @@
 	case r.File != "":
 		run = func(ctx context.Context) { file.Follow(ctx, r.File, p.hear, p.told, p.log) }
 	case r.Platform != "":
-		run = platform.New(platform.Options{Addr: r.Platform, Deliver: func(m platform.Members) { p.hear(m.Engine()) },
+		run = platform.New(platform.Options{Addr: r.Platform, OnUpdate: func(m platform.EndpointList) { p.hear(m.ForPool()) },
 			Log: p.log}).Run
 	default:
 		return
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -21,8 +21,8 @@
 
 // poolState is what a snapshot holds of a pool.
 type poolState struct {
-	Memory proxy.Memory   `json:"Memory"`
-	Roster []proxy.Member `json:"Roster"` // all that the roster told of, this instance's part or not
+	Memory proxy.Snapshot   `json:"Memory"`
+	Roster []proxy.Endpoint `json:"Roster"` // all that the roster told of, this instance's part or not
 }
 
 // state is what a snapshot holds. Owner is whose it is: a file copied from another machine or instance speaks of
@@ -62,7 +62,7 @@
 		err = fmt.Errorf("snapshot %s: it is %s's, and this is %s", c.Path, s.Owner, me)
 	}
 	switch {
-	case errors.Is(err, snapshot.ErrNone): // a first start, or a file that was lost: both are told, once
+	case errors.Is(err, snapshot.ErrNotFound): // a first start, or a file that was lost: both are told, once
 		d.log.Info("starting without what was learned", "err", err)
 	case err != nil:
 		d.log.Warn("starting without what was learned", "err", err)
@@ -134,7 +134,7 @@
 
 func (k *keeper) write(path, owner string, pools map[string]*pool) (err error) {
 	if k.lock == nil {
-		if k.lock, err = snapshot.Hold(path); err != nil {
+		if k.lock, err = snapshot.Lock(path); err != nil {
 			return err
 		}
 	}
@@ -143,7 +143,7 @@
 		p.part.Lock()
 		all := p.part.All()
 		p.part.Unlock()
-		s.Pools[name] = &poolState{Memory: p.engine.Memory(), Roster: all}
+		s.Pools[name] = &poolState{Memory: p.engine.Snapshot(), Roster: all}
 	}
 	return snapshot.Write(path, time.Now(), s)
 }
--- a/internal/discovery/file/file.go
+++ b/internal/discovery/file/file.go
@@ -19,10 +19,10 @@
 
 var states = map[string]balancer.State{"": balancer.Ready, "ready": balancer.Ready, "draining": balancer.Draining}
 
-// Parse reads the text of a roster: {"endpoints": [{"id", "address", "zone", "kind", "cell", "state", "started_ms"}]}. It is
+// ParseEndpointList reads the text of a roster: {"endpoints": [{"id", "address", "zone", "kind", "cell", "state", "started_ms"}]}. It is
 // the whole list. One bad entry spoils it, and a text that ends early is no list: a file half written must not pass for one
 // on which nobody is left.
-func Parse(text []byte) (proxy.Members, error) {
+func ParseEndpointList(text []byte) (proxy.EndpointList, error) {
 	var in struct {
 		Endpoints []struct {
 			ID        string `json:"id"`
@@ -37,31 +37,31 @@
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&in); err != nil {
-		return proxy.Members{}, fmt.Errorf("roster: %w", err)
+		return proxy.EndpointList{}, fmt.Errorf("roster: %w", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return proxy.Members{}, errors.New("roster: more follows the list")
+		return proxy.EndpointList{}, errors.New("roster: more follows the list")
 	}
 	if in.Endpoints == nil {
-		return proxy.Members{}, errors.New("endpoints: missing")
+		return proxy.EndpointList{}, errors.New("endpoints: missing")
 	}
-	out := proxy.Members{Complete: true}
+	out := proxy.EndpointList{Complete: true}
 	seen := map[string]bool{}
 	for i, e := range in.Endpoints {
 		state, ok := states[e.State]
 		switch {
 		case e.ID == "":
-			return proxy.Members{}, fmt.Errorf("endpoints[%d].id: missing", i)
+			return proxy.EndpointList{}, fmt.Errorf("endpoints[%d].id: missing", i)
 		case seen[e.ID]:
-			return proxy.Members{}, fmt.Errorf("endpoints[%d].id: %q is there twice", i, e.ID)
+			return proxy.EndpointList{}, fmt.Errorf("endpoints[%d].id: %q is there twice", i, e.ID)
 		case !ok:
-			return proxy.Members{}, fmt.Errorf("endpoints[%d].state: %q is neither ready nor draining", i, e.State)
+			return proxy.EndpointList{}, fmt.Errorf("endpoints[%d].state: %q is neither ready nor draining", i, e.State)
 		}
 		if err := netaddr.Check(fmt.Sprintf("endpoints[%d].address", i), e.Address); err != nil {
-			return proxy.Members{}, err
+			return proxy.EndpointList{}, err
 		}
 		seen[e.ID] = true
-		out.Members = append(out.Members, proxy.Member{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: state,
+		out.Endpoints = append(out.Endpoints, proxy.Endpoint{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: state,
 			StartedMs: e.StartedMs})
 	}
 	return out, nil
@@ -69,9 +69,9 @@
 
 // Follow delivers the list and each later one, until ctx ends. A list that can't be read leaves the one before it standing,
 // and failed hears why.
-func Follow(ctx context.Context, path string, deliver func(proxy.Members), failed func(error), log *slog.Logger) {
+func Follow(ctx context.Context, path string, deliver func(proxy.EndpointList), failed func(error), log *slog.Logger) {
 	take := func(text []byte) {
-		m, err := Parse(text)
+		m, err := ParseEndpointList(text)
 		if err != nil {
 			err = fmt.Errorf("%s: %w", path, err)
 			log.Warn("roster: the old list stands", "err", err)
--- a/internal/discovery/platform/crossings_test.go
+++ b/internal/discovery/platform/crossings_test.go
@@ -43,7 +43,7 @@
 		"a line too long, never whole": {41, []string{`{"version":"` + strings.Repeat("x", maxList), drains + "\nSILENT"}, []string{"watch=1&after=41", "watch=1&after=41"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := follow(t, row.version, func(d *Discovery) {
+			f := follow(t, row.version, func(d *Client) {
 				d.answer = 200 * time.Millisecond
 				if row.version < 0 {
 					d.version = nil
@@ -69,7 +69,7 @@
 		return strings.ReplaceAll(b.String(), "\n", "\r\n")
 	}
 	text := indented(members(41, true, member("{[\"\\", "127.0.0.1:1", "Ready"), member("b}", "127.0.0.1:2", "Ready")))
-	f := follow(t, 0, func(d *Discovery) { d.version = nil }, text,
+	f := follow(t, 0, func(d *Client) { d.version = nil }, text,
 		"\n"+indented(members(42, false, member("}\\\"{", "127.0.0.1:1", "Ready")))+"\n\n"+members(43, false)+"\n"+indented(members(44, false))+"\nSILENT")
 	f.expectVersions(t, 41, 42, 43, 44)
 	f.expectCalls(t, "", "watch=1&after=41")
@@ -86,7 +86,7 @@
 			server := httptest.NewServer(next)
 			t.Cleanup(server.Close)
 			t.Cleanup(server.CloseClientConnections) // the watch is still on
-			f.Move(server.Listener.Addr().String())
+			f.SetAddress(server.Listener.Addr().String())
 			f.expectVersions(t, 7, 8)
 		})
 	}
@@ -151,7 +151,7 @@
 
 // followIn follows an agent in a bubble, and gives when the drain was heard of.
 func followIn(t *testing.T, grace time.Duration, a *agent) (heard func() time.Time, end func()) {
-	return followHandler(t, Options{Grace: grace}, a, func() bool { return a.refuses && a.down.Load() })
+	return followHandler(t, Options{DrainGrace: grace}, a, func() bool { return a.refuses && a.down.Load() })
 }
 
 // followHandler is followIn for whatever serves as discovery. Connections fail while refuses says so.
@@ -161,7 +161,7 @@
 	var at atomic.Int64
 	version := int64(41)
 	o.Addr, o.Version, o.Log = "127.0.0.1:1", &version, slog.New(slog.DiscardHandler)
-	o.Deliver = func(m Members) {
+	o.OnUpdate = func(m EndpointList) {
 		if *m.Version == 42 {
 			at.CompareAndSwap(0, time.Now().UnixNano())
 		}
@@ -332,7 +332,7 @@
 			var heard []func() time.Time
 			var ends []func()
 			for range instances {
-				h, end := followHandler(t, Options{OnAsk: true}, s, func() bool { return false })
+				h, end := followHandler(t, Options{WaitForSubscribe: true}, s, func() bool { return false })
 				heard, ends = append(heard, h), append(ends, end)
 			}
 			time.Sleep(5 * time.Second)
--- a/internal/discovery/platform/platform.go
+++ b/internal/discovery/platform/platform.go
@@ -34,8 +34,8 @@
 	complainGap  = 10 * time.Second        // between two log lines about discovery
 )
 
-// Member is an endpoint as discovery lists it.
-type Member struct {
+// Endpoint is an endpoint as discovery lists it.
+type Endpoint struct {
 	ID        string         `json:"id"`
 	Addr      string         `json:"addr"`
 	Zone      string         `json:"zone"`
@@ -46,18 +46,18 @@
 	State     balancer.State `json:"-"`
 }
 
-// Members is a message from discovery: the whole list, or what has changed.
-type Members struct {
-	Version *int64   `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []Member `json:"servers"`
+// EndpointList is a message from discovery: the whole list, or what has changed.
+type EndpointList struct {
+	Version   *int64     `json:"version"`
+	Full      bool       `json:"full"`
+	Endpoints []Endpoint `json:"servers"`
 }
 
-// Engine is the message as an engine hears it.
-func (m Members) Engine() proxy.Members {
-	out := proxy.Members{Complete: m.Full}
-	for _, s := range m.Servers {
-		out.Members = append(out.Members, proxy.Member{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
+// ForPool is the message as an engine hears it.
+func (m EndpointList) ForPool() proxy.EndpointList {
+	out := proxy.EndpointList{Complete: m.Full}
+	for _, s := range m.Endpoints {
+		out.Endpoints = append(out.Endpoints, proxy.Endpoint{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
 			State: s.State, StartedMs: s.StartedMs})
 	}
 	return out
@@ -65,40 +65,40 @@
 
 var stateNames = map[string]balancer.State{"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone}
 
-// Parse reads and checks a message from discovery. One bad entry spoils the message.
-func Parse(text []byte) (Members, error) {
-	var m Members
+// ParseEndpointList reads and checks a message from discovery. One bad entry spoils the message.
+func ParseEndpointList(text []byte) (EndpointList, error) {
+	var m EndpointList
 	if err := json.Unmarshal(text, &m); err != nil {
-		return Members{}, err
+		return EndpointList{}, err
 	}
 	if m.Version == nil {
-		return Members{}, errors.New("version: missing")
+		return EndpointList{}, errors.New("version: missing")
 	}
-	if m.Servers == nil { // must not pass for a list on which nobody is left
-		return Members{}, errors.New("servers: missing")
+	if m.Endpoints == nil { // must not pass for a list on which nobody is left
+		return EndpointList{}, errors.New("servers: missing")
 	}
-	for i := range m.Servers {
-		s := &m.Servers[i]
+	for i := range m.Endpoints {
+		s := &m.Endpoints[i]
 		var ok bool
 		if s.State, ok = stateNames[s.StateName]; !ok {
-			return Members{}, fmt.Errorf("state: %q of %q is unknown", s.StateName, s.ID)
+			return EndpointList{}, fmt.Errorf("state: %q of %q is unknown", s.StateName, s.ID)
 		}
 		if s.ID == "" {
-			return Members{}, errors.New("id: missing")
+			return EndpointList{}, errors.New("id: missing")
 		}
 		if s.State == balancer.Gone {
 			continue
 		}
 		if err := netaddr.Check("addr", s.Addr); err != nil {
-			return Members{}, err
+			return EndpointList{}, err
 		}
 	}
 	return m, nil
 }
 
-// Discovery follows the list of endpoints. What the agent has counts as told whether or not a watch is open, and sends to an endpoint
+// Client follows the list of endpoints. What the agent has counts as told whether or not a watch is open, and sends to an endpoint
 // that drains have to end within the grace: a watch that brings nothing is given up, and the next one opened, well within that.
-type Discovery struct {
+type Client struct {
 	mu    sync.Mutex
 	addr  string             // guarded by mu, as are the next two
 	moved bool               // since the latest watch began
@@ -107,7 +107,7 @@
 	asked     chan struct{} // closed by the first Subscribe; nil: none is waited for
 	ask       sync.Once     // closes it
 	version   *int64        // of the latest message; nil: the whole list is wanted
-	deliver   func(Members)
+	deliver   func(EndpointList)
 	current   func()
 	log       *slog.Logger
 	client    *http.Client
@@ -120,22 +120,22 @@
 
 // Options say what to follow, and who hears of it.
 type Options struct {
-	Addr    string        // host:port
-	OnAsk   bool          // the first watch begins with a Subscribe; from then on there is always one
-	Version *int64        // of the list that is known already; nil: the whole list is wanted
-	Grace   time.Duration // for which endpoints that drain may still be sent to; 0: a second
-	Deliver func(Members) // takes each message
-	Current func()        // hears at each word of a watch, also that nothing has changed, that the list is up to date; nil: nobody asks
-	Log     *slog.Logger
+	Addr             string             // host:port
+	WaitForSubscribe bool               // the first watch begins with a Subscribe; from then on there is always one
+	Version          *int64             // of the list that is known already; nil: the whole list is wanted
+	DrainGrace       time.Duration      // for which endpoints that drain may still be sent to; 0: a second
+	OnUpdate         func(EndpointList) // takes each message
+	OnCurrent        func()             // hears at each word of a watch, also that nothing has changed, that the list is up to date; nil: nobody asks
+	Log              *slog.Logger
 }
 
 // New returns a follower. Run does the work.
-func New(o Options) *Discovery {
-	grace := float64(cmp.Or(o.Grace, defaultGrace))
-	d := &Discovery{addr: o.Addr, version: o.Version, deliver: o.Deliver, current: o.Current, log: o.Log, silence: watchSilence,
+func New(o Options) *Client {
+	grace := float64(cmp.Or(o.DrainGrace, defaultGrace))
+	d := &Client{addr: o.Addr, version: o.Version, deliver: o.OnUpdate, current: o.OnCurrent, log: o.Log, silence: watchSilence,
 		answer: time.Duration(answerShare * grace), retryMost: time.Duration(retryShare * grace),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
-	if o.OnAsk { // discovery is no agent of this machine then, but one service of bounded capacity for all
+	if o.WaitForSubscribe { // discovery is no agent of this machine then, but one service of bounded capacity for all
 		d.asked = make(chan struct{})
 		d.answer, d.retryMost, d.settled = askedAnswer, askedRetry, askedSettled
 	}
@@ -143,14 +143,14 @@
 }
 
 // Subscribe asks for watches from now on. It does not block.
-func (d *Discovery) Subscribe() {
+func (d *Client) Subscribe() {
 	if d.asked != nil {
 		d.ask.Do(func() { close(d.asked) })
 	}
 }
 
-// Move turns to another address: the watch at the old one ends, and the list is had anew.
-func (d *Discovery) Move(addr string) {
+// SetAddress turns to another address: the watch at the old one ends, and the list is had anew.
+func (d *Client) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if addr == d.addr {
@@ -163,7 +163,7 @@
 }
 
 // begin gives the context of a new watch and the address to keep it at.
-func (d *Discovery) begin(ctx context.Context) (context.Context, context.CancelFunc, string) {
+func (d *Client) begin(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	ctx, cancel := context.WithCancel(ctx)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,7 +176,7 @@
 
 // Run keeps a watch until ctx ends. A watch that breaks leaves the old list standing; the next one asks for what
 // has changed since.
-func (d *Discovery) Run(ctx context.Context) {
+func (d *Client) Run(ctx context.Context) {
 	if d.asked != nil {
 		select {
 		case <-ctx.Done():
@@ -210,7 +210,7 @@
 }
 
 // complain logs, but not more often than of use.
-func (d *Discovery) complain(err error) {
+func (d *Client) complain(err error) {
 	if time.Since(d.spokeAt) > complainGap {
 		d.spokeAt = time.Now()
 		d.log.Warn("discovery: watch ended", "err", err)
@@ -218,7 +218,7 @@
 }
 
 // follow keeps one watch, after a whole list if one is wanted, and tells whether it brought anything.
-func (d *Discovery) follow(ctx context.Context) (heard bool, err error) {
+func (d *Client) follow(ctx context.Context) (heard bool, err error) {
 	ctx, cancel, addr := d.begin(ctx)
 	defer cancel()
 	watchdog := time.AfterFunc(d.answer, cancel)
@@ -253,7 +253,7 @@
 }
 
 // list gets the whole list once.
-func (d *Discovery) list(ctx context.Context, addr string) error {
+func (d *Client) list(ctx context.Context, addr string) error {
 	body, err := d.get(ctx, addr, "")
 	if err != nil {
 		return err
@@ -266,7 +266,7 @@
 	return d.take(text)
 }
 
-func (d *Discovery) get(ctx context.Context, addr, query string) (io.ReadCloser, error) {
+func (d *Client) get(ctx context.Context, addr, query string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+membersPath+query, nil)
 	if err != nil {
 		return nil, err
@@ -284,8 +284,8 @@
 
 // take passes on one message. After one that can't be read, or changes to a list older than ours, something may
 // have been missed: the whole list is asked for anew.
-func (d *Discovery) take(text []byte) error {
-	m, err := Parse(text)
+func (d *Client) take(text []byte) error {
+	m, err := ParseEndpointList(text)
 	if err == nil && !m.Full && (d.version == nil || *m.Version < *d.version) {
 		err = fmt.Errorf("version: %d does not follow", *m.Version)
 	}
--- a/internal/discovery/platform/platform_test.go
+++ b/internal/discovery/platform/platform_test.go
@@ -19,21 +19,21 @@
 )
 
 type followed struct {
-	*Discovery
-	got   chan Members
+	*Client
+	got   chan EndpointList
 	calls chan string
 }
 
-func follow(t *testing.T, version int64, change func(*Discovery), steps ...string) *followed {
+func follow(t *testing.T, version int64, change func(*Client), steps ...string) *followed {
 	s := &testpeer.Script{Steps: steps, Calls: make(chan string, 100)}
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
-	f := &followed{got: make(chan Members, 100), calls: s.Calls}
-	f.Discovery = New(Options{Addr: server.Listener.Addr().String(), Version: &version, Deliver: func(m Members) { f.got <- m },
+	f := &followed{got: make(chan EndpointList, 100), calls: s.Calls}
+	f.Client = New(Options{Addr: server.Listener.Addr().String(), Version: &version, OnUpdate: func(m EndpointList) { f.got <- m },
 		Log: slog.New(slog.DiscardHandler)})
 	f.silence, f.answer = patience, patience
 	if change != nil {
-		change(f.Discovery)
+		change(f.Client)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*patience)
 	t.Cleanup(cancel)
@@ -88,7 +88,7 @@
 }
 
 func TestASilentWatchIsGivenUp(t *testing.T) {
-	f := follow(t, 7, func(d *Discovery) { d.silence = 200 * time.Millisecond },
+	f := follow(t, 7, func(d *Client) { d.silence = 200 * time.Millisecond },
 		"\nSILENT", members(8, false)+"\nSILENT")
 	f.expectCalls(t, "watch=1&after=7", "watch=1&after=7")
 	f.expectVersions(t, 8)
@@ -116,7 +116,7 @@
 
 // Where changes have to be asked for one ask is enough: a watch that ends is opened anew, whoever asks again or does not.
 func TestWhereDiscoveryIsAskedThereIsAWatchFromThenOn(t *testing.T) {
-	f := follow(t, 41, func(d *Discovery) { d.asked = make(chan struct{}) }, members(42, false)+"\n", members(43, false)+"\n",
+	f := follow(t, 41, func(d *Client) { d.asked = make(chan struct{}) }, members(42, false)+"\n", members(43, false)+"\n",
 		members(44, false)+"\nSILENT")
 	select {
 	case q := <-f.calls:
@@ -138,20 +138,20 @@
 	server := httptest.NewServer(next)
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections) // the watch is still on
-	f.Move(server.Listener.Addr().String())
+	f.SetAddress(server.Listener.Addr().String())
 	f.expectVersions(t, 7, 8)
 	f.calls = next.Calls
 	f.expectCalls(t, "", "watch=1&after=7")
 }
 
 func TestEntriesAreRead(t *testing.T) {
-	m, err := Parse([]byte(members(3, true, member("a", "127.0.0.1:1", "Ready"), member("b", "", "Gone"))))
+	m, err := ParseEndpointList([]byte(members(3, true, member("a", "127.0.0.1:1", "Ready"), member("b", "", "Gone"))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := m.Servers[0]
+	a := m.Endpoints[0]
 	if *m.Version != 3 || !m.Full || a.ID != "a" || a.Addr != "127.0.0.1:1" || a.Zone != "z" || a.Kind != "k" || a.Cell != 3 ||
-		a.State != balancer.Ready || m.Servers[1].State != balancer.Gone {
+		a.State != balancer.Ready || m.Endpoints[1].State != balancer.Gone {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/experiment/subsets/subsets.go
+++ b/internal/experiment/subsets/subsets.go
@@ -50,22 +50,22 @@
 	}
 	known := map[string]bool{}
 	return func(boxes []string) [][]string {
-		var m proxy.Members
+		var m proxy.EndpointList
 		now := map[string]bool{}
 		for _, b := range boxes {
 			if now[b] = true; !known[b] {
-				m.Members = append(m.Members, proxy.Member{ID: b})
+				m.Endpoints = append(m.Endpoints, proxy.Endpoint{ID: b})
 			}
 		}
 		for b := range known { // the order makes no difference to the filter
 			if !now[b] {
-				m.Members = append(m.Members, proxy.Member{ID: b, State: balancer.Gone})
+				m.Endpoints = append(m.Endpoints, proxy.Endpoint{ID: b, State: balancer.Gone})
 			}
 		}
 		known = now
 		out := make([][]string, instances)
 		for i, f := range filters {
-			for _, e := range f.Hear(m).Members {
+			for _, e := range f.Apply(m).Endpoints {
 				if e.State == balancer.Gone {
 					delete(held[i], e.ID)
 				} else {
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-func open(t *testing.T) *Folder {
+func open(t *testing.T) *SharedDir {
 	t.Helper()
-	f, err := Open(t.TempDir(), "n/1")
+	f, err := OpenSharedDir(t.TempDir(), "n/1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-func enter(t *testing.T, f *Folder, at int64) *Presence {
+func enter(t *testing.T, f *SharedDir, at int64) *Presence {
 	t.Helper()
-	p, err := f.Enter(time.Unix(1_800_000_000, at))
+	p, err := f.Register(time.Unix(1_800_000_000, at))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-func others(t *testing.T, p *Presence) Others {
+func others(t *testing.T, p *Presence) Peers {
 	t.Helper()
-	o, err := p.Others()
+	o, err := p.Peers()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,35 +42,35 @@
 func TestProcessesSeeEachOther(t *testing.T) {
 	f := open(t)
 	old := enter(t, f, 1)
-	if o := others(t, old); o != (Others{}) {
+	if o := others(t, old); o != (Peers{}) {
 		t.Errorf("alone: %+v", o)
 	}
 	new := enter(t, f, 2)
-	if err := old.Serve(); err != nil {
+	if err := old.MarkServing(); err != nil {
 		t.Fatal(err)
 	}
-	if o := others(t, new); o != (Others{Alive: true}) {
+	if o := others(t, new); o != (Peers{Alive: true}) {
 		t.Errorf("beside its predecessor: %+v", o)
 	}
-	if o := others(t, old); o != (Others{Alive: true}) {
+	if o := others(t, old); o != (Peers{Alive: true}) {
 		t.Errorf("beside one that does not serve yet: %+v", o)
 	}
-	if err := new.Serve(); err != nil {
+	if err := new.MarkServing(); err != nil {
 		t.Fatal(err)
 	}
-	if o := others(t, old); o != (Others{Alive: true, Successor: true}) {
+	if o := others(t, old); o != (Peers{Alive: true, Successor: true}) {
 		t.Errorf("succeeded: %+v", o)
 	}
 	new.file.Close() // as at its death: nothing is cleared away
-	if o := others(t, old); o != (Others{}) {
+	if o := others(t, old); o != (Peers{}) {
 		t.Errorf("with its successor dead: %+v", o)
 	}
 	third := enter(t, f, 3)
-	old.Leave()
-	if o := others(t, third); o != (Others{}) {
+	old.Unregister()
+	if o := others(t, third); o != (Peers{}) {
 		t.Errorf("after the first has left: %+v", o)
 	}
-	third.Leave()
+	third.Unregister()
 	if left, err := os.ReadDir(f.path); err != nil || len(left) != 1 {
 		t.Errorf("left behind: %v, %v", left, err)
 	}
@@ -79,7 +79,7 @@
 func TestWhatIsForeignIsNobody(t *testing.T) {
 	f := open(t)
 	p := enter(t, f, 1)
-	defer p.Leave()
+	defer p.Unregister()
 	for _, name := range []string{"serving-", "serving-x-1", "starting-99999999999999999999", "other", entering + "00000000000000000009-1"} {
 		if err := os.WriteFile(filepath.Join(f.path, name), nil, 0o600); err != nil {
 			t.Fatal(err)
@@ -93,7 +93,7 @@
 			t.Fatal(err)
 		}
 	}
-	if o := others(t, p); o != (Others{}) {
+	if o := others(t, p); o != (Peers{}) {
 		t.Errorf("%+v", o)
 	}
 }
@@ -101,24 +101,24 @@
 func TestBansAreKeptByName(t *testing.T) {
 	f := open(t)
 	for _, id := range []string{"s-1", "../x", "s-1", strings.Repeat("y", mostID)} {
-		if err := f.Ban(id); err != nil {
+		if err := f.Disable(id); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := f.Ban(strings.Repeat("y", mostID+1)); err == nil {
+	if err := f.Disable(strings.Repeat("y", mostID+1)); err == nil {
 		t.Error("an endless id was taken")
 	}
-	if err := f.Unban("s-1"); err != nil {
+	if err := f.Enable("s-1"); err != nil {
 		t.Error(err)
 	}
-	if err := f.Unban("s-1"); err != nil { // said twice
+	if err := f.Enable("s-1"); err != nil { // said twice
 		t.Error(err)
 	}
 	if err := os.WriteFile(filepath.Join(f.path, bansName, "zz"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again := &Folder{f.path}
-	ids, foreign, err := again.Bans()
+	again := &SharedDir{f.path}
+	ids, foreign, err := again.Disabled()
 	slices.Sort(ids)
 	if want := []string{"../x", strings.Repeat("y", mostID)}; err != nil || !slices.Equal(ids, want) || !slices.Equal(foreign, []string{"zz"}) {
 		t.Errorf("%q, %q, %v", ids, foreign, err)
@@ -126,7 +126,7 @@
 	if err := os.RemoveAll(f.path); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := f.Bans(); err == nil {
+	if _, _, err := f.Disabled(); err == nil {
 		t.Error("bans that can't be read pass for none")
 	}
 }
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	inherited, err := Listener(strconv.Itoa(mine))
+	inherited, err := InheritedListener(strconv.Itoa(mine))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 	defer syscall.Close(plain)
 	for text, why := range map[string]string{"": "no descriptor", "seven": "no descriptor", "-1": "no descriptor", "100000": "not open",
 		strconv.Itoa(int(pipe.Fd())): "no socket", strconv.Itoa(plain): "does not listen"} {
-		if _, err := Listener(text); err == nil || !strings.Contains(err.Error(), why) || strings.Contains(err.Error(), "\n") {
+		if _, err := InheritedListener(text); err == nil || !strings.Contains(err.Error(), why) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, want %q", text, err, why)
 		}
 	}
--- a/internal/hotrestart/inherited.go
+++ b/internal/hotrestart/inherited.go
@@ -9,8 +9,8 @@
 	"syscall"
 )
 
-// Listener gives the listening socket that this process has inherited as the descriptor told.
-func Listener(descriptor string) (net.Listener, error) {
+// InheritedListener gives the listening socket that this process has inherited as the descriptor told.
+func InheritedListener(descriptor string) (net.Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 0 {
 		return nil, fmt.Errorf("%.40q is no descriptor", descriptor)
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -26,28 +26,28 @@
 	mostID      = 120         // bytes of an endpoint's id: its ban has to fit a file's name
 )
 
-// Folder is where the processes of one sidecar meet.
-type Folder struct{ path string }
+// SharedDir is where the processes of one sidecar meet.
+type SharedDir struct{ path string }
 
-// Open makes sure of the folder of the sidecar of that name, within one that its processes have in common.
-func Open(within, name string) (*Folder, error) {
-	f := &Folder{filepath.Join(within, "rowancart-"+url.PathEscape(name))}
+// OpenSharedDir makes sure of the folder of the sidecar of that name, within one that its processes have in common.
+func OpenSharedDir(within, name string) (*SharedDir, error) {
+	f := &SharedDir{filepath.Join(within, "rowancart-"+url.PathEscape(name))}
 	if err := os.MkdirAll(filepath.Join(f.path, bansName), 0o700); err != nil {
 		return nil, fmt.Errorf("upgrade: %w", err)
 	}
 	return f, nil
 }
 
-// Learned is the path of the snapshot of what was learned.
-func (f *Folder) Learned() string { return filepath.Join(f.path, learnedName) }
+// SnapshotPath is the path of the snapshot of what was learned.
+func (f *SharedDir) SnapshotPath() string { return filepath.Join(f.path, learnedName) }
 
 // ban is the file that stands for a ban.
-func (f *Folder) ban(id string) string {
+func (f *SharedDir) ban(id string) string {
 	return filepath.Join(f.path, bansName, hex.EncodeToString([]byte(id)))
 }
 
-// Ban notes that an endpoint is taken out.
-func (f *Folder) Ban(id string) error {
+// Disable notes that an endpoint is taken out.
+func (f *SharedDir) Disable(id string) error {
 	if len(id) > mostID {
 		return fmt.Errorf("upgrade: an id of more than %d bytes", mostID)
 	}
@@ -58,16 +58,16 @@
 	return b.Close()
 }
 
-// Unban notes that an endpoint is back.
-func (f *Folder) Unban(id string) error {
+// Enable notes that an endpoint is back.
+func (f *SharedDir) Enable(id string) error {
 	if err := os.Remove(f.ban(id)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("upgrade: %w", err)
 	}
 	return nil
 }
 
-// Bans gives the endpoints that are out, and the names of files that stand for none.
-func (f *Folder) Bans() (ids, foreign []string, err error) {
+// Disabled gives the endpoints that are out, and the names of files that stand for none.
+func (f *SharedDir) Disabled() (ids, foreign []string, err error) {
 	files, err := os.ReadDir(filepath.Join(f.path, bansName))
 	if err != nil {
 		return nil, nil, fmt.Errorf("upgrade: %w", err)
@@ -85,14 +85,14 @@
 
 // Presence is this process among those of the sidecar.
 type Presence struct {
-	folder *Folder
+	folder *SharedDir
 	stamp  string // orders processes by their start
 	file   *os.File
 	path   string
 }
 
-// Enter shows this process to the others, from now on until it leaves or ends.
-func (f *Folder) Enter(started time.Time) (*Presence, error) {
+// Register shows this process to the others, from now on until it leaves or ends.
+func (f *SharedDir) Register(started time.Time) (*Presence, error) {
 	p := &Presence{folder: f, stamp: fmt.Sprintf("%020d-%d", started.UnixNano(), os.Getpid())}
 	path := filepath.Join(f.path, entering+p.stamp)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
@@ -105,14 +105,14 @@
 	}
 	p.file, p.path = file, path
 	if err := p.show(starting); err != nil {
-		p.Leave()
+		p.Unregister()
 		return nil, err
 	}
 	return p, nil
 }
 
-// Serve shows that this process serves.
-func (p *Presence) Serve() error { return p.show(serving) }
+// MarkServing shows that this process serves.
+func (p *Presence) MarkServing() error { return p.show(serving) }
 
 func (p *Presence) show(as string) error {
 	path := filepath.Join(p.folder.path, as+p.stamp)
@@ -123,21 +123,21 @@
 	return nil
 }
 
-// Leave takes this process away.
-func (p *Presence) Leave() {
+// Unregister takes this process away.
+func (p *Presence) Unregister() {
 	_ = os.Remove(p.path) // the others clear it away when they find that nobody holds it
 	p.file.Close()
 }
 
-// Others is who is there beside this process.
-type Others struct {
+// Peers is who is there beside this process.
+type Peers struct {
 	Alive     bool // somebody is
 	Successor bool // somebody that started later, and serves
 }
 
-// Others looks round. What processes that have ended left behind is cleared away.
-func (p *Presence) Others() (Others, error) {
-	var o Others
+// Peers looks round. What processes that have ended left behind is cleared away.
+func (p *Presence) Peers() (Peers, error) {
+	var o Peers
 	files, err := os.ReadDir(p.folder.path)
 	if err != nil {
 		return o, fmt.Errorf("upgrade: %w", err)
@@ -168,7 +168,7 @@
 }
 
 // held tells whether the process that a file stands for lives.
-func (f *Folder) held(name string) bool {
+func (f *SharedDir) held(name string) bool {
 	path := filepath.Join(f.path, name)
 	file, err := os.OpenFile(path, os.O_RDWR|syscall.O_CLOEXEC, 0)
 	if err != nil {
--- a/internal/hotrestart/successor/successor.go
+++ b/internal/hotrestart/successor/successor.go
@@ -39,9 +39,9 @@
 	ready *os.File
 }
 
-// Take takes over what a predecessor hands on; without one there is nothing in it. It must be called once, before the process
+// Inherit takes over what a predecessor hands on; without one there is nothing in it. It must be called once, before the process
 // starts others: they would inherit what they have no use for.
-func Take() (*Predecessor, error) {
+func Inherit() (*Predecessor, error) {
 	p := &Predecessor{files: map[string]*os.File{}}
 	text, told := os.LookupEnv(variable)
 	if !told {
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -10,8 +10,8 @@
 type Source interface {
 	// Buffered gives what has come and was not taken. It is valid until the next call.
 	Buffered() []byte
-	// Take takes so many bytes of it.
-	Take(n int)
+	// Discard takes so many bytes of it.
+	Discard(n int)
 	// Fill waits for more. It is called when nothing is buffered.
 	Fill() error
 	// Read takes what is buffered or, where nothing is, reads from the connection into p.
@@ -20,8 +20,8 @@
 
 // The lengths of a body that is framed otherwise.
 const (
-	Chunked = -1
-	ToClose = -2 // it ends with the connection
+	Chunked    = -1
+	UntilClose = -2 // it ends with the connection
 )
 
 // Body reads one body to its end and not a byte further. A read that ended by a time-out can be tried again.
@@ -49,7 +49,7 @@
 		return 0, nil
 	case b.left == Chunked:
 		return b.readChunked(p)
-	case b.left == ToClose:
+	case b.left == UntilClose:
 		n, err := b.from.Read(p)
 		if n == 0 && errors.Is(err, io.EOF) {
 			b.ended = true
@@ -90,7 +90,7 @@
 // frame takes what framing has come.
 func (b *Body) frame() error {
 	used, err := b.chunks.frame(b.from.Buffered())
-	b.from.Take(used)
+	b.from.Discard(used)
 	b.ended = b.chunks.done()
 	return err
 }
--- a/internal/http1/body_test.go
+++ b/internal/http1/body_test.go
@@ -21,7 +21,7 @@
 }
 
 func (s *pieces) Buffered() []byte { return s.buf }
-func (s *pieces) Take(n int)       { s.buf = s.buf[n:] }
+func (s *pieces) Discard(n int)    { s.buf = s.buf[n:] }
 
 func (s *pieces) Fill() error {
 	if s.late = !s.late; s.late {
@@ -42,7 +42,7 @@
 		}
 	}
 	n := copy(p, s.buf)
-	s.Take(n)
+	s.Discard(n)
 	return n, nil
 }
 
@@ -75,8 +75,8 @@
 		"a length":               {"hello, next", 5, "hello", ", next", true},
 		"no length":              {"next", 0, "", "next", true},
 		"a length, cut":          {"hell", 5, "hell", "", false},
-		"to the close":           {"hello", ToClose, "hello", "", true},
-		"nothing, to the close":  {"", ToClose, "", "", true},
+		"to the close":           {"hello", UntilClose, "hello", "", true},
+		"nothing, to the close":  {"", UntilClose, "", "", true},
 		"chunks":                 {"5\r\nhello\r\n2\r\n!!\r\n0\r\n\r\nnext", Chunked, "hello!!", "next", true},
 		"hex":                    {"00000A\r\n0123456789\r\n0\r\n\r\n", Chunked, "0123456789", "", true},
 		"no chunk":               {"0\r\n\r\nnext", Chunked, "", "next", true},
@@ -122,7 +122,7 @@
 		for _, data := range rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 1, 300), 0, 20).Draw(t, "chunks") {
 			b := make([]byte, ChunkHead+len(data)+ChunkTail)
 			copy(b[ChunkHead:], data)
-			text.Write(Chunk(b, len(data)))
+			text.Write(AppendChunkFraming(b, len(data)))
 			want.Write(data)
 		}
 		text.WriteString(LastChunk + "next")
--- a/internal/http1/chunk.go
+++ b/internal/http1/chunk.go
@@ -182,8 +182,8 @@
 	ChunkTail = 2
 )
 
-// Chunk makes n bytes of data, which stand in b from ChunkHead on and have ChunkTail bytes behind them, a chunk.
-func Chunk(b []byte, n int) []byte {
+// AppendChunkFraming makes n bytes of data, which stand in b from ChunkHead on and have ChunkTail bytes behind them, a chunk.
+func AppendChunkFraming(b []byte, n int) []byte {
 	size := strconv.AppendUint(make([]byte, 0, ChunkHead), uint64(n), 16)
 	size = append(size, "\r\n"...)
 	from := ChunkHead - len(size)
@@ -198,8 +198,8 @@
 // Buffers has memory for streams: *[]byte with room for a chunk of BufferSize bytes, framing included.
 var Buffers = sync.Pool{New: func() any { b := make([]byte, ChunkHead+BufferSize+ChunkTail); return &b }}
 
-// StillMost is how long a side of a stream may neither take nor give a byte. Peers may take seconds for a piece.
-const StillMost = 12 * time.Second
+// MaxReadIdle is how long a side of a stream may neither take nor give a byte. Peers may take seconds for a piece.
+const MaxReadIdle = 12 * time.Second
 
 // LastChunk ends a chunked body that has no trailers.
 const LastChunk = "0\r\n\r\n"
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -13,9 +13,9 @@
 
 const version = "HTTP/1.1"
 
-// Request reads a request's head, whole and with its empty line, as http.ReadRequest would; the request has no body. It
+// ParseRequest reads a request's head, whole and with its empty line, as http.ReadRequest would; the request has no body. It
 // returns nil where the head is not of the plainest form: that tells nothing against it.
-func Request(text []byte) *http.Request {
+func ParseRequest(text []byte) *http.Request {
 	s := string(text)
 	line, rest, ok := strings.Cut(s, "\r\n")
 	if !ok {
@@ -40,10 +40,10 @@
 	return r
 }
 
-// Answer reads the head of an answer at the beginning of what has come. Size is how long the head is, its empty line
+// ParseResponse reads the head of an answer at the beginning of what has come. Size is how long the head is, its empty line
 // included, and length how long the body behind it will be. It is not ok where no whole head has come, where the head is
 // not of the plainest form, or where the body's length does not follow from Content-Length alone (RFC 9112, 6.3).
-func Answer(come []byte) (status int, h http.Header, size, length int, ok bool) {
+func ParseResponse(come []byte) (status int, h http.Header, size, length int, ok bool) {
 	end := bytes.Index(come, []byte("\r\n\r\n"))
 	if end < 0 {
 		return 0, nil, 0, 0, false
--- a/internal/http1/head_test.go
+++ b/internal/http1/head_test.go
@@ -59,7 +59,7 @@
 // likeNetHTTP holds what is taken to net/http's reading of the same text.
 func likeNetHTTP(t *testing.T, text string) (request, answer bool) {
 	t.Helper()
-	if r := Request([]byte(text)); r != nil {
+	if r := ParseRequest([]byte(text)); r != nil {
 		request = true
 		want, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
@@ -70,7 +70,7 @@
 			t.Fatalf("%q is read in another way than net/http's:\n%s", text, d)
 		}
 	}
-	status, h, size, length, ok := Answer([]byte(text))
+	status, h, size, length, ok := ParseResponse([]byte(text))
 	if ok {
 		answer = true
 		want, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
--- a/internal/httpserver/body.go
+++ b/internal/httpserver/body.go
@@ -69,8 +69,8 @@
 // Buffered implements framing.Source.
 func (b *incoming) Buffered() []byte { return b.in.buf[b.in.start:b.in.end] }
 
-// Take implements framing.Source.
-func (b *incoming) Take(n int) { b.in.start += n }
+// Discard implements framing.Source.
+func (b *incoming) Discard(n int) { b.in.start += n }
 
 // Fill implements framing.Source.
 func (b *incoming) Fill() error {
@@ -85,7 +85,7 @@
 // Read implements framing.Source.
 func (b *incoming) Read(p []byte) (int, error) {
 	if n := copy(p, b.Buffered()); n > 0 {
-		b.Take(n)
+		b.Discard(n)
 		return n, nil
 	}
 	if err := b.in.Conn.SetReadDeadline(b.pace.due()); err != nil {
@@ -110,7 +110,7 @@
 		return 0, b.err
 	}
 	n, err := b.body.Read(p)
-	if b.pace.got += int64(n); b.pace.got > proxy.MaxLong {
+	if b.pace.got += int64(n); b.pace.got > proxy.MaxStreamedBody {
 		err = errBodyTooLong
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -153,7 +153,7 @@
 }
 
 // refusal words what is wrong with a body.
-func refusal(err error) *Refusal {
+func refusal(err error) *Rejection {
 	if errors.Is(err, errBodyTooLong) {
 		return improper(http.StatusRequestEntityTooLarge, err.Error())
 	}
@@ -161,11 +161,11 @@
 }
 
 // readBody reads a body whole if it has up to engine.MaxBody bytes. Of one that is longer it reads the beginning; more is nil else.
-func (t *talk) readBody(r *http.Request) (body []byte, free func(), more *upload, f *Refusal) {
+func (t *talk) readBody(r *http.Request) (body []byte, free func(), more *upload, f *Rejection) {
 	n := r.ContentLength
 	expects := r.Header.Get("Expect")
 	switch {
-	case n > proxy.MaxLong:
+	case n > proxy.MaxStreamedBody:
 		return nil, nil, nil, refusal(errBodyTooLong)
 	case expects != "" && expects != "100-continue":
 		return nil, nil, nil, improper(http.StatusExpectationFailed, "Expect: 100-continue is all that is known")
@@ -210,7 +210,7 @@
 // come.
 func (u *upload) keep() (*proxy.Upload, error) {
 	most := u.pieces.each()
-	out := &proxy.Upload{Length: u.length, Free: u.free}
+	out := &proxy.Upload{Length: u.length, Release: u.free}
 	total := int64(len(u.first))
 	if u.length < 0 || u.length-total <= int64(most)*pieceSize {
 		for len(u.kept) < most && !u.body.Ended() {
@@ -232,11 +232,11 @@
 			total += int64(have)
 		}
 	}
-	out.Kept = u.kept
+	out.Buffered = u.kept
 	if u.body.Ended() {
-		out.Length, out.Free = total, nil
+		out.Length, out.Release = total, nil
 	} else {
-		out.Rest = rest{u.incoming}
+		out.Remaining = rest{u.incoming}
 	}
 	return out, nil
 }
@@ -253,7 +253,7 @@
 
 // within is how long the rest of a body may take.
 func (u *upload) within() time.Duration {
-	left := int64(proxy.MaxLong)
+	left := int64(proxy.MaxStreamedBody)
 	if u.length >= 0 {
 		left = u.length
 	}
--- a/internal/httpserver/conns.go
+++ b/internal/httpserver/conns.go
@@ -17,12 +17,12 @@
 	linger     = 3                     // times as long as they may be idle, connections stay at the end
 )
 
-// Conns keeps the callers' connections and closes idle ones: the one idle for longest where there are too many,
+// Listener keeps the callers' connections and closes idle ones: the one idle for longest where there are too many,
 // all of them at the end.
 //
 // It guards against closing a connection on which a request has just been read. A connection
 // that is told to be idle may have its next request in the read that is going on: only that read may end it.
-type Conns struct {
+type Listener struct {
 	net.Listener
 	most int
 
@@ -38,28 +38,28 @@
 	paused chan struct{} // closed when connections are taken again; nil: they are
 }
 
-// NewConns keeps the connections that a listener accepts, closing idle ones where there are more than most.
-func NewConns(l net.Listener, most int) *Conns {
-	return &Conns{Listener: l, most: most, open: map[*callerConn]bool{}, ended: make(chan struct{})}
+// NewListener keeps the connections that a listener accepts, closing idle ones where there are more than most.
+func NewListener(l net.Listener, most int) *Listener {
+	return &Listener{Listener: l, most: most, open: map[*callerConn]bool{}, ended: make(chan struct{})}
 }
 
-// NewWaiting is like NewConns, and accepts no more than so many at once: others wait in the kernel's queue, which costs no
+// NewWaitingListener is like NewConns, and accepts no more than so many at once: others wait in the kernel's queue, which costs no
 // descriptor and loses nothing.
-func NewWaiting(l net.Listener, most, places int) *Conns {
-	c := NewConns(l, most)
+func NewWaitingListener(l net.Listener, most, places int) *Listener {
+	c := NewListener(l, most)
 	c.places = make(chan struct{}, places)
 	return c
 }
 
-// NewShedding is like NewConns, and turns away at once, with 503, what comes when most are open and none is idle.
-func NewShedding(l net.Listener, most int) *Conns {
-	c := NewConns(l, most)
+// NewSheddingListener is like NewConns, and turns away at once, with 503, what comes when most are open and none is idle.
+func NewSheddingListener(l net.Listener, most int) *Listener {
+	c := NewListener(l, most)
 	c.shedder = newShedder()
 	return c
 }
 
 // Pause stops taking connections until Resume: they wait in the kernel's queue, from which another process may take them.
-func (l *Conns) Pause() {
+func (l *Listener) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.paused == nil {
@@ -69,7 +69,7 @@
 }
 
 // Resume takes connections again.
-func (l *Conns) Resume() {
+func (l *Listener) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.paused != nil {
@@ -80,14 +80,14 @@
 }
 
 // wake sets when the accept that waits ends. l.mu is held.
-func (l *Conns) wake(at time.Time) {
+func (l *Listener) wake(at time.Time) {
 	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
 		_ = d.SetDeadline(at) // of one that is closed the accept tells
 	}
 }
 
 // rest waits while connections are not to be taken.
-func (l *Conns) rest() error {
+func (l *Listener) rest() error {
 	l.mu.Lock()
 	paused := l.paused
 	l.mu.Unlock()
@@ -102,15 +102,15 @@
 	}
 }
 
-// Limit sets how many connections there may be before idle ones are closed.
-func (l *Conns) Limit(most int) {
+// SetMaxConns sets how many connections there may be before idle ones are closed.
+func (l *Listener) SetMaxConns(most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.most = most
 }
 
-// Load tells how many connections are open, and how many were turned away so far.
-func (l *Conns) Load() (open, shed int) {
+// Counts tells how many connections are open, and how many were turned away so far.
+func (l *Listener) Counts() (open, shed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open), l.shed
@@ -119,7 +119,7 @@
 // callerConn is a caller's connection. It knows whether anything was read since the last answer.
 type callerConn struct {
 	net.Conn
-	all *Conns
+	all *Listener
 
 	// all.mu guards these:
 	unread  bool      // no byte has come since the last write
@@ -130,7 +130,7 @@
 }
 
 // Accept implements net.Listener.
-func (l *Conns) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		if l.places != nil {
 			select {
@@ -154,7 +154,7 @@
 }
 
 // accept takes a connection from the kernel's queue, once that is wanted.
-func (l *Conns) accept() (net.Conn, error) {
+func (l *Listener) accept() (net.Conn, error) {
 	for {
 		if err := l.rest(); err != nil {
 			return nil, err
@@ -167,7 +167,7 @@
 }
 
 // take counts a connection in, or gives nil if there is no place for it.
-func (l *Conns) take(nc net.Conn) *callerConn {
+func (l *Listener) take(nc net.Conn) *callerConn {
 	c := &callerConn{Conn: nc, all: l, unread: true, new: true, since: time.Now()}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,7 +181,7 @@
 }
 
 // track follows a connection's state for http.Server.
-func (l *Conns) track(nc net.Conn, state http.ConnState) {
+func (l *Listener) track(nc net.Conn, state http.ConnState) {
 	c := nc.(*callerConn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,7 +200,7 @@
 }
 
 // makeRoom retires the connection idle for longest if there are too many, and tells whether that was enough. l.mu is held.
-func (l *Conns) makeRoom() bool {
+func (l *Listener) makeRoom() bool {
 	if len(l.open) <= l.most {
 		return true
 	}
@@ -271,13 +271,13 @@
 }
 
 // Close ends the listener. Connections stay.
-func (l *Conns) Close() error {
+func (l *Listener) Close() error {
 	l.end.Do(func() { close(l.ended) })
 	return l.Listener.Close()
 }
 
 // Abort closes all connections, whatever they are at.
-func (l *Conns) Abort() {
+func (l *Listener) Abort() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.open {
@@ -285,11 +285,11 @@
 	}
 }
 
-// Finish closes the listener, retires what is idle and returns when all connections have ended, each with its last
+// Drain closes the listener, retires what is idle and returns when all connections have ended, each with its last
 // request answered. Connections that were busy within the time given stay for their next request, but not for much longer
 // than that: its answer closes them, which no request can cross. What is still open at the instant given is closed, whatever it
 // is at; zero: it stays.
-func (l *Conns) Finish(lately time.Duration, by time.Time) error {
+func (l *Listener) Drain(lately time.Duration, by time.Time) error {
 	err := l.Close()
 	began := time.Now()
 	for {
@@ -311,7 +311,7 @@
 }
 
 // retireIdle retires all connections that have been idle for so long, and new ones that stay silent, and tells how many are open.
-func (l *Conns) retireIdle(lately time.Duration) int {
+func (l *Listener) retireIdle(lately time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.open {
--- a/internal/httpserver/conns_test.go
+++ b/internal/httpserver/conns_test.go
@@ -10,13 +10,13 @@
 )
 
 // accepted gives both ends of a caller's connection that the front holds for idle.
-func accepted(t *testing.T) (*Conns, *callerConn, net.Conn) {
+func accepted(t *testing.T) (*Listener, *callerConn, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := NewConns(listener, 100)
+	l := NewListener(listener, 100)
 	t.Cleanup(func() { l.Close() })
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/httpserver/head.go
+++ b/internal/httpserver/head.go
@@ -83,8 +83,8 @@
 var bodies = sync.Pool{New: func() any { b := make([]byte, proxy.MaxBody); return &b }}
 
 // readHead reads a request's head, and refuses one that has more than one reading.
-func readHead(text []byte) (*http.Request, *Refusal) {
-	if r := http1.Request(text); r != nil { // of the plainest form, in which there is nothing to refuse
+func readHead(text []byte) (*http.Request, *Rejection) {
+	if r := http1.ParseRequest(text); r != nil { // of the plainest form, in which there is nothing to refuse
 		return r, nil
 	}
 	if f := checkHead(text); f != nil {
@@ -99,7 +99,7 @@
 
 // checkHead holds a head to the framing that has one reading only (RFC 9112, 2.2, 3.2, 5 and 6.3): what net/http's parser
 // would mend or let pass, a server behind us could read in another way.
-func checkHead(head []byte) *Refusal {
+func checkHead(head []byte) *Rejection {
 	lines := bytes.Split(head[:len(head)-4], []byte("\r\n"))
 	hosts, lengths, codings, chunked := 0, 0, 0, false
 	for i, line := range lines {
@@ -142,7 +142,7 @@
 }
 
 // checkHost refuses what is no host and port.
-func checkHost(host string) *Refusal {
+func checkHost(host string) *Rejection {
 	for i := range len(host) {
 		c := host[i]
 		if c <= ' ' || c >= 0x7f || bytes.IndexByte([]byte(`"#/<>?@\^`+"`{|}"), c) >= 0 {
--- a/internal/httpserver/head_test.go
+++ b/internal/httpserver/head_test.go
@@ -134,10 +134,10 @@
 }
 
 // echo serves with an engine before one endpoint.
-type echo struct{ e *proxy.Engine }
+type echo struct{ e *proxy.Pool }
 
-func (d echo) Receive(*http.Request) (Visit, *Refusal) {
-	return Visit{Engine: d.e, Class: "all", Effect: balancer.Idempotent, Wait: patience, AnyForm: true, ID: "x"}, nil
+func (d echo) Route(*http.Request) (Target, *Rejection) {
+	return Target{Pool: d.e, Class: "all", Effect: balancer.Idempotent, DefaultTimeout: patience, AnyMethod: true, DefaultID: "x"}, nil
 }
 
 func TestAnswersFitWhatWasAsked(t *testing.T) {
@@ -153,17 +153,17 @@
 	})
 	log := slog.New(slog.DiscardHandler)
 	n := proxy.New(balancer.Settings{CancelAllowed: true, Classes: []balancer.Class{{Name: "all"}}},
-		proxy.Members{Complete: true, Members: []proxy.Member{{ID: "a", Addr: e.Addr}}}, proxy.Options{Conns: 9, Relay: true, Log: log, Subscribe: func() {}})
+		proxy.EndpointList{Complete: true, Endpoints: []proxy.Endpoint{{ID: "a", Addr: e.Addr}}}, proxy.Options{MaxConns: 9, PassThrough: true, Log: log, Subscribe: func() {}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	conns, s := NewConns(l, 9), New(echo{n}, "front", "h", log)
+	conns, s := NewListener(l, 9), New(echo{n}, "front", "h", log)
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(conns) }()
 	t.Cleanup(func() {
-		s.End()
-		conns.Finish(0, time.Time{})
+		s.StartDraining()
+		conns.Drain(0, time.Time{})
 		if err := <-served; !errors.Is(err, net.ErrClosed) {
 			t.Error(err)
 		}
@@ -207,5 +207,5 @@
 			t.Errorf("%s %s: %d, length %d, %d bytes, close %v, %v", row.method, row.path, resp.StatusCode, resp.ContentLength, len(body), resp.Close, err)
 		}
 	}
-	testpeer.Until(t, "the connection is forgotten", func() bool { open, _ := conns.Load(); return open == 0 })
+	testpeer.Until(t, "the connection is forgotten", func() bool { open, _ := conns.Counts(); return open == 0 })
 }
--- a/internal/httpserver/serve.go
+++ b/internal/httpserver/serve.go
@@ -26,7 +26,7 @@
 )
 
 // Serve serves connections until the listener is closed, and returns net.ErrClosed then.
-func (s *Server) Serve(c *Conns) error {
+func (s *Server) Serve(c *Listener) error {
 	pause := time.Duration(0)
 	for {
 		nc, err := c.Accept()
@@ -58,7 +58,7 @@
 }
 
 // serve serves one connection. Conns knows it until it is closed.
-func (s *Server) serve(all *Conns, c *callerConn) {
+func (s *Server) serve(all *Listener, c *callerConn) {
 	defer all.track(c, http.StateClosed)
 	defer c.Close()
 	defer func() {
@@ -154,17 +154,17 @@
 		}
 		return t.write(r, http.StatusOK, http.Header{"Content-Type": {"text/plain; charset=utf-8"}}, []byte("ok\n"), false)
 	}
-	v, f := t.desk.Receive(r)
+	v, f := t.desk.Route(r)
 	if f != nil {
 		release()
 		f.Close = f.Close || more != nil
 		return t.refuse(r, f)
 	}
-	taken, reply := false, proxy.Reply{Kind: proxy.Failed}
-	if v.Over != nil {
-		defer func() { v.Over(taken, reply) }()
+	taken, reply := false, proxy.Result{Kind: proxy.Failed}
+	if v.Done != nil {
+		defer func() { v.Done(taken, reply) }()
 	}
-	m := &proxy.Message{Body: body, Free: free}
+	m := &proxy.RequestMessage{Body: body, Release: free}
 	arrived := time.Now() // a request's time counts from its last byte
 	c, f := t.read(r, &v, m, more != nil, arrived)
 	if f != nil {
@@ -172,12 +172,12 @@
 		f.Close = f.Close || more != nil
 		return t.refuse(r, f)
 	}
-	c.Left = t.look.gone // also of one that has just been read: nobody knows how long it stood in the kernel's queues
-	leave := func() { v.Engine.Leave(c) }
+	c.ClientGone = t.look.gone // also of one that has just been read: nobody knows how long it stood in the kernel's queues
+	leave := func() { v.Pool.ClientLeft(c) }
 	if more == nil {
 		taken = true
 		t.look.start(leave)
-		reply = v.Engine.Do(c)
+		reply = v.Pool.Do(c)
 		return t.answer(r, reply, t.look.stop()) // also to a caller that has left: one half-closed may still read
 	}
 
@@ -186,15 +186,15 @@
 		release()
 		return t.refuse(r, refusal(err))
 	}
-	m.Upload, m.Free = up, func() { release(); more.free() }
+	m.Upload, m.Release = up, func() { release(); more.free() }
 	c.Streamed = true
-	c.Deadline = v.Engine.Now() + m.Wait
-	if up.Rest != nil {
+	c.Deadline = v.Pool.Now() + m.ClientTimeout
+	if up.Remaining != nil {
 		c.Deadline += more.within()
 	}
 	taken = true
 	t.look.start(leave)
-	reply = v.Engine.Do(c)
+	reply = v.Pool.Do(c)
 	left := t.look.stop()
 	ended, err := more.drop()
 	if err == nil && !ended && t.look.gone() { // nobody is there to send the rest of it
@@ -213,7 +213,7 @@
 
 // refuse answers a request that nobody serves. What is no proper request ends its connection: whatever follows on it, the
 // rest of a body or a request hidden in one, is never taken for one.
-func (t *talk) refuse(r *http.Request, f *Refusal) bool {
+func (t *talk) refuse(r *http.Request, f *Rejection) bool {
 	h := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	t.advise(h, f.RetryAfter)
 	if f.Limit != "" {
@@ -245,24 +245,24 @@
 }
 
 // answer writes the final answer of an engine, as the last on its connection or not.
-func (t *talk) answer(r *http.Request, a proxy.Reply, end bool) bool {
+func (t *talk) answer(r *http.Request, a proxy.Result, end bool) bool {
 	if a.Kind == proxy.Served {
-		if a.Answer.Rest != nil {
-			return t.stream(r, &a.Answer, end)
+		if a.Response.Stream != nil {
+			return t.stream(r, &a.Response, end)
 		}
-		return t.write(r, a.Answer.Status, a.Answer.Header, a.Answer.Body, end)
+		return t.write(r, a.Response.Status, a.Response.Header, a.Response.Body, end)
 	}
 	status := statuses[a.Kind]
 	h := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	t.advise(h, a.RetryAfter)
-	t.proxyStatus(h, errorTypes[a.Why], string(a.Why))
+	t.proxyStatus(h, errorTypes[a.Reason], string(a.Reason))
 	return t.write(r, status, h, []byte(http.StatusText(status)+"\n"), end)
 }
 
 // stream passes an answer on as it comes: what is read off the endpoint is written at once, and only then more is read. One that breaks
 // off ends its connection short of what it has promised, so that the caller can tell.
-func (t *talk) stream(r *http.Request, a *proxy.Answer, end bool) bool {
-	defer a.Rest.Close()
+func (t *talk) stream(r *http.Request, a *proxy.Response, end bool) bool {
+	defer a.Stream.Close()
 	end = end || t.last(r)
 	chunked := a.Length < 0 && r.ProtoAtLeast(1, 1)
 	toClose := a.Length < 0 && !chunked // it ends with the connection
@@ -279,7 +279,7 @@
 	default:
 		t.out = append(strconv.AppendInt(append(t.out, "Content-Length: "...), a.Length, 10), "\r\n\r\n"...)
 	}
-	t.look.start(a.Rest.Cancel)
+	t.look.start(a.Stream.Cancel)
 	defer t.look.stop()
 	b := http1.Buffers.Get().(*[]byte)
 	defer http1.Buffers.Put(b)
@@ -288,7 +288,7 @@
 	for more, ended := a.Body[n:], false; ; {
 		if n > 0 {
 			if chunked {
-				t.out = append(t.out, http1.Chunk(*b, n)...)
+				t.out = append(t.out, http1.AppendChunkFraming(*b, n)...)
 			} else if len(t.out) > 0 {
 				t.out = append(t.out, room[:n]...)
 			}
@@ -310,8 +310,8 @@
 			continue
 		}
 		var err error
-		n, err = a.Rest.Read(room)
-		if ended = errors.Is(err, io.EOF) || a.Rest.Ended(); err != nil && !ended {
+		n, err = a.Stream.Read(room)
+		if ended = errors.Is(err, io.EOF) || a.Stream.Ended(); err != nil && !ended {
 			return false
 		}
 	}
@@ -322,7 +322,7 @@
 	if len(b) == 0 {
 		return true
 	}
-	if t.conn.Conn.SetWriteDeadline(after(http1.StillMost)) != nil {
+	if t.conn.Conn.SetWriteDeadline(after(http1.MaxReadIdle)) != nil {
 		return false
 	}
 	t.writesFrom = time.Time{}
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -38,27 +38,27 @@
 	callersIdle  = 5 * time.Minute
 )
 
-// Desk knows whom a request is for.
-type Desk interface {
-	// Receive says who is to serve a request, or why nobody does. The request's body has been read, or the beginning of a long one.
-	Receive(r *http.Request) (Visit, *Refusal)
+// Router knows whom a request is for.
+type Router interface {
+	// Route says who is to serve a request, or why nobody does. The request's body has been read, or the beginning of a long one.
+	Route(r *http.Request) (Target, *Rejection)
 }
 
-// Visit is a request that has found its engine.
-type Visit struct {
-	Engine   *proxy.Engine
-	Class    string // as the engine's settings name it
-	Effect   balancer.Repeatability
-	Tenant   string
-	Wait     time.Duration                   // how long a caller waits who does not say so; 0: it must say so
-	MostWait time.Duration                   // how long it is served at most; 0: as long as it waits
-	AnyForm  bool                            // methods and bodies are as the desk has found them; else the class decides them
-	ID       string                          // for a request that brings none; empty: it must bring one
-	Over     func(taken bool, a proxy.Reply) // is told once whether an engine took the request, and its answer; nil: nobody asks
+// Target is a request that has found its engine.
+type Target struct {
+	Pool           *proxy.Pool
+	Class          string // as the engine's settings name it
+	Effect         balancer.Repeatability
+	Tenant         string
+	DefaultTimeout time.Duration                    // how long a caller waits who does not say so; 0: it must say so
+	MaxTimeout     time.Duration                    // how long it is served at most; 0: as long as it waits
+	AnyMethod      bool                             // methods and bodies are as the desk has found them; else the class decides them
+	DefaultID      string                           // for a request that brings none; empty: it must bring one
+	Done           func(taken bool, a proxy.Result) // is told once whether an engine took the request, and its answer; nil: nobody asks
 }
 
-// Refusal is what a request is answered that nobody serves.
-type Refusal struct {
+// Rejection is what a request is answered that nobody serves.
+type Rejection struct {
 	Status     int
 	Reason     string
 	Limit      string        // of the configuration, that it is over; empty: it is refused for something else
@@ -67,13 +67,13 @@
 	Close      bool          // ends the connection
 }
 
-func improper(status int, reason string) *Refusal {
-	return &Refusal{Status: status, Reason: reason, Close: true}
+func improper(status int, reason string) *Rejection {
+	return &Rejection{Status: status, Reason: reason, Close: true}
 }
 
 // Server is the callers' side: it serves connections.
 type Server struct {
-	desk        Desk
+	desk        Router
 	name        string // in Proxy-Status
 	host        string // stands in where an HTTP/1.0 caller names no host
 	log         *slog.Logger
@@ -85,30 +85,30 @@
 }
 
 // New returns a server. Name is what it calls itself to callers, and host stands in where a caller names none.
-func New(d Desk, name, host string, log *slog.Logger) *Server {
+func New(d Router, name, host string, log *slog.Logger) *Server {
 	s := &Server{desk: d, name: name, host: host, log: log, bodyTimeout: bodyTimeout}
 	s.pieces.limit(keepDefault)
 	return s
 }
 
-// RoundAdvice makes Retry-After a whole number of seconds, as RFC 9110 (10.2.3) has it. The platform's clients read
+// RoundRetryAfter makes Retry-After a whole number of seconds, as RFC 9110 (10.2.3) has it. The platform's clients read
 // fractions. It must be called before the first request comes.
-func (s *Server) RoundAdvice() { s.wholeSeconds = true }
+func (s *Server) RoundRetryAfter() { s.wholeSeconds = true }
 
-// End makes answers close their connections from now on.
-func (s *Server) End() { s.ending.Store(true) }
+// StartDraining makes answers close their connections from now on.
+func (s *Server) StartDraining() { s.ending.Store(true) }
 
-// Ending tells whether answers do.
-func (s *Server) Ending() bool { return s.ending.Load() }
+// Draining tells whether answers do.
+func (s *Server) Draining() bool { return s.ending.Load() }
 
-// Continue undoes End.
-func (s *Server) Continue() { s.ending.Store(false) }
+// StopDraining undoes End.
+func (s *Server) StopDraining() { s.ending.Store(false) }
 
-// KeepBodies sets how many bytes of long bodies are kept at once, over all connections. What does not fit is passed on as it comes.
-func (s *Server) KeepBodies(bytes int) { s.pieces.limit(bytes) }
+// SetBodyMemory sets how many bytes of long bodies are kept at once, over all connections. What does not fit is passed on as it comes.
+func (s *Server) SetBodyMemory(bytes int) { s.pieces.limit(bytes) }
 
-// LimitBodies sets how far a body may be behind the least pace of one. It must be called before the first request comes.
-func (s *Server) LimitBodies(d time.Duration) { s.bodyTimeout = d }
+// SetBodyTimeout sets how far a body may be behind the least pace of one. It must be called before the first request comes.
+func (s *Server) SetBodyTimeout(d time.Duration) { s.bodyTimeout = d }
 
 // advise says when trying again makes sense.
 func (s *Server) advise(h http.Header, after time.Duration) {
@@ -122,11 +122,11 @@
 }
 
 // read makes a call of a request, with a message that has its body, or says what is wrong with it.
-func (t *talk) read(r *http.Request, v *Visit, m *proxy.Message, long bool, arrived time.Time) (*proxy.Call, *Refusal) {
-	if err := checkForm(r.Method, v.Effect, len(m.Body) > 0 || long); err != nil && !v.AnyForm {
+func (t *talk) read(r *http.Request, v *Target, m *proxy.RequestMessage, long bool, arrived time.Time) (*proxy.Call, *Rejection) {
+	if err := checkForm(r.Method, v.Effect, len(m.Body) > 0 || long); err != nil && !v.AnyMethod {
 		return nil, improper(http.StatusMethodNotAllowed, err.Error())
 	}
-	id := v.ID
+	id := v.DefaultID
 	header := proxy.EndToEnd(r.Header, idHeader, keyHeader) // whatever Connection names, these go on unchanged
 	if values := r.Header.Values(idHeader); len(values) > 0 || id == "" {
 		var err error
@@ -136,7 +136,7 @@
 	} else {
 		header.Set(idHeader, id)
 	}
-	wait := v.Wait
+	wait := v.DefaultTimeout
 	if values := r.Header.Values(proxy.DeadlineHeader); len(values) > 0 || wait == 0 {
 		text, err := one(values, proxy.DeadlineHeader)
 		if err != nil {
@@ -149,16 +149,16 @@
 		wait = time.Duration(ms) * time.Millisecond
 	}
 	wait -= wayBack
-	if v.MostWait > 0 {
-		wait = min(wait, v.MostWait)
+	if v.MaxTimeout > 0 {
+		wait = min(wait, v.MaxTimeout)
 	}
 	if v.Effect == balancer.IdempotencyKeyed && r.Header.Get(keyHeader) == "" { // endpoints could not drop its repeats
 		return nil, improper(http.StatusBadRequest, "Idempotency-Key: missing")
 	}
-	m.Wait = wait
+	m.ClientTimeout = wait
 	m.Method, m.URL, m.Host, m.Header = r.Method, r.URL, cmp.Or(r.Host, t.host), header
 	return proxy.NewCall(balancer.Request{ID: id, Class: v.Class, Tenant: v.Tenant,
-		Deadline: v.Engine.Now() - time.Since(arrived) + wait, ClientRetry: r.Header.Get("Req-Retry") == "1"}, m), nil
+		Deadline: v.Pool.Now() - time.Since(arrived) + wait, ClientRetry: r.Header.Get("Req-Retry") == "1"}, m), nil
 }
 
 // checkForm holds a request to the form that its class decides: what is safe is asked for with no body.
@@ -181,5 +181,5 @@
 }
 
 // statuses are what the kinds of answers are to callers.
-var statuses = map[proxy.Kind]int{proxy.Served: statusServed, proxy.Refused: statusRefused, proxy.Failed: statusFailed,
+var statuses = map[proxy.ResultKind]int{proxy.Served: statusServed, proxy.Rejected: statusRefused, proxy.Failed: statusFailed,
 	proxy.Duplicate: statusDuplicate}
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -31,8 +31,8 @@
 // nobody serves.
 type nobody struct{}
 
-func (nobody) Receive(*http.Request) (Visit, *Refusal) {
-	return Visit{}, &Refusal{Status: http.StatusNotFound, Reason: "nobody serves"}
+func (nobody) Route(*http.Request) (Target, *Rejection) {
+	return Target{}, &Rejection{Status: http.StatusNotFound, Reason: "nobody serves"}
 }
 
 // serveInMemory serves callers until the test ends and returns the way to connect.
@@ -40,7 +40,7 @@
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	listener := make(piped)
-	conns := NewConns(listener, 100)
+	conns := NewListener(listener, 100)
 	s := New(nobody{}, "front", "", log)
 	ended := make(chan error)
 	go func() { ended <- s.Serve(conns) }()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -9,14 +9,14 @@
 	"sync/atomic"
 )
 
-// End is how a request ended.
-type End int
+// Outcome is how a request ended.
+type Outcome int
 
 // The ends.
 const (
-	Success  End = iota // served
-	Overload            // refused: trying again is harmless
-	Error               // failed
+	Success  Outcome = iota // served
+	Overload                // refused: trying again is harmless
+	Error                   // failed
 	ends
 )
 
@@ -25,8 +25,8 @@
 // prefix begins each name.
 const prefix = "sidecar_"
 
-// Figures are the counters of one process, all from 0.
-type Figures struct {
+// Counters are the counters of one process, all from 0.
+type Counters struct {
 	classes []*class // by name
 	taken   atomic.Int64
 	dropped atomic.Int64
@@ -40,37 +40,37 @@
 }
 
 // New returns the figures of the classes named.
-func New(names []string) *Figures {
+func New(names []string) *Counters {
 	names = slices.Compact(slices.Sorted(slices.Values(names)))
-	f := &Figures{classes: make([]*class, len(names))}
+	f := &Counters{classes: make([]*class, len(names))}
 	for i, name := range names {
 		f.classes[i] = &class{name: name}
 	}
 	return f
 }
 
-// Take counts a request of a class that was named in. Finish must follow.
-func (f *Figures) Take() { f.taken.Add(1) }
+// RequestStarted counts a request of a class that was named in. Finish must follow.
+func (f *Counters) RequestStarted() { f.taken.Add(1) }
 
-// Finish counts a request out.
-func (f *Figures) Finish(name string, e End) {
+// RequestFinished counts a request out.
+func (f *Counters) RequestFinished(name string, e Outcome) {
 	if i, found := slices.BinarySearchFunc(f.classes, name, func(c *class, name string) int { return strings.Compare(c.name, name) }); found {
 		f.classes[i].ended[e].Add(1)
 	}
 }
 
-// Drop takes back a request that turned out to be none that ends in any of these ways.
-func (f *Figures) Drop() { f.dropped.Add(1) }
+// RequestDropped takes back a request that turned out to be none that ends in any of these ways.
+func (f *Counters) RequestDropped() { f.dropped.Add(1) }
 
 // Gauges are the figures that are known elsewhere.
 type Gauges struct {
 	Dispatches int64 // attempts written whole
-	Targets    int   // endpoints in the list
-	Disabled   int   // of them, avoided now
+	Listed     int   // endpoints in the list
+	Avoided    int   // of them, avoided now
 }
 
 // Append appends all figures, a line each. What it tells of requests is one reading: none is counted both as ended and as under way.
-func (f *Figures) Append(b []byte, g Gauges) []byte {
+func (f *Counters) Append(b []byte, g Gauges) []byte {
 	ended := f.dropped.Load()
 	for e := range ends {
 		for i := range f.classes {
@@ -87,8 +87,8 @@
 	}{
 		{"dispatches", g.Dispatches},
 		{"concurrent", f.taken.Load() - ended}, // read behind the ends: a request is taken before it ends
-		{"targets", int64(g.Targets)},
-		{"targets_disabled", int64(g.Disabled)},
+		{"targets", int64(g.Listed)},
+		{"targets_disabled", int64(g.Avoided)},
 		{"reload_success", f.Reloads.Load()},
 		{"reload_failure", f.FailedReloads.Load()},
 	} {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,10 +10,10 @@
 func TestEveryClassIsThereFromTheStart(t *testing.T) {
 	f := New([]string{"pay", "lo\"ok\\", "pay"})
 	f.Reloads.Add(1)
-	f.Take()
-	f.Take()
-	f.Finish("pay", Overload)
-	f.Finish("nobody listed this", Success)
+	f.RequestStarted()
+	f.RequestStarted()
+	f.RequestFinished("pay", Overload)
+	f.RequestFinished("nobody listed this", Success)
 	want := `sidecar_success{type="lo\"ok\\"} 0
 sidecar_success{type="pay"} 0
 sidecar_overload{type="lo\"ok\\"} 0
@@ -27,7 +27,7 @@
 sidecar_reload_success 1
 sidecar_reload_failure 0
 `
-	if got := string(f.Append(nil, Gauges{Dispatches: 7, Targets: 3, Disabled: 2})); got != want {
+	if got := string(f.Append(nil, Gauges{Dispatches: 7, Listed: 3, Avoided: 2})); got != want {
 		t.Errorf("%s", got)
 	}
 }
@@ -40,8 +40,8 @@
 	for i := range callers {
 		all.Go(func() {
 			for range each {
-				f.Take()
-				f.Finish("a", End(i%int(ends)))
+				f.RequestStarted()
+				f.RequestFinished("a", Outcome(i%int(ends)))
 			}
 		})
 	}
--- a/internal/proxy/calls_test.go
+++ b/internal/proxy/calls_test.go
@@ -22,14 +22,14 @@
 	{Name: "copied", LatencyObjective: time.Minute, HedgeAfter: time.Millisecond}}
 
 // testEngine runs an engine before the endpoints given, named a, b, ...
-func testEngine(t *testing.T, s balancer.Settings, addrs ...string) *Engine {
+func testEngine(t *testing.T, s balancer.Settings, addrs ...string) *Pool {
 	t.Helper()
 	s.Classes = classes
-	known := Members{Complete: true}
+	known := EndpointList{Complete: true}
 	for i, addr := range addrs {
-		known.Members = append(known.Members, Member{ID: string(rune('a' + i)), Addr: addr})
+		known.Endpoints = append(known.Endpoints, Endpoint{ID: string(rune('a' + i)), Addr: addr})
 	}
-	e := New(s, known, Options{ConnIdle: time.Minute, DialTimeout: patience, Conns: 100, Log: slog.New(slog.DiscardHandler)})
+	e := New(s, known, Options{ConnIdle: time.Minute, DialTimeout: patience, MaxConns: 100, Log: slog.New(slog.DiscardHandler)})
 	ctx, end := context.WithCancel(context.Background())
 	ran := make(chan bool)
 	go func() { e.Run(ctx); close(ran) }()
@@ -38,7 +38,7 @@
 }
 
 // silence stops the alarm of an engine, before its first call: the test rings.
-func (l *Engine) silence() {
+func (l *Pool) silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.alarm.Stop()
@@ -46,14 +46,14 @@
 }
 
 // call makes one that waits for so long.
-func (l *Engine) call(id, class string, wait time.Duration) *Call {
-	m := &Message{Method: http.MethodPost, URL: &url.URL{Path: "/c"}, Host: "api.internal", Header: http.Header{"Req-Id": {id}}}
+func (l *Pool) call(id, class string, wait time.Duration) *Call {
+	m := &RequestMessage{Method: http.MethodPost, URL: &url.URL{Path: "/c"}, Host: "api.internal", Header: http.Header{"Req-Id": {id}}}
 	return NewCall(balancer.Request{ID: id, Class: class, Deadline: l.Now() + wait}, m)
 }
 
 // answer gives the final answer to a call once it is there.
-func (l *Engine) answer(c *Call) <-chan Reply {
-	replies := make(chan Reply, 1)
+func (l *Pool) answer(c *Call) <-chan Result {
+	replies := make(chan Result, 1)
 	go func() { replies <- l.Do(c) }()
 	return replies
 }
@@ -101,13 +101,13 @@
 // The endpoint is taken out, in whatever way, between the choice and the first byte: not a byte goes there, and the request, safe or
 // not, is served by another one.
 func TestATakenOutEndpointGetsNothingThatWasChosenBefore(t *testing.T) {
-	for name, happens := range map[string]func(e *Engine, id, addr string){
-		"banned": func(e *Engine, id, _ string) { e.Ban(id) },
-		"draining": func(e *Engine, id, addr string) {
-			e.Heard(Members{Members: []Member{{ID: id, Addr: addr, State: balancer.Draining}}})
+	for name, happens := range map[string]func(e *Pool, id, addr string){
+		"banned": func(e *Pool, id, _ string) { e.Disable(id) },
+		"draining": func(e *Pool, id, addr string) {
+			e.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Addr: addr, State: balancer.Draining}}})
 		},
-		"gone": func(e *Engine, id, addr string) {
-			e.Heard(Members{Members: []Member{{ID: id, Addr: addr, State: balancer.Gone}}})
+		"gone": func(e *Pool, id, addr string) {
+			e.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Addr: addr, State: balancer.Gone}}})
 		},
 	} {
 		for _, class := range []string{"safe", "unsafe"} {
@@ -152,13 +152,13 @@
 	if r := <-e.answer(e.call("old", "unsafe", patience)); r.Kind != Served {
 		t.Fatalf("answered %+v", r)
 	}
-	listed := Member{ID: "a", Addr: f.addrs[0]}
-	e.Heard(Members{Members: []Member{listed}}) // nothing new
+	listed := Endpoint{ID: "a", Addr: f.addrs[0]}
+	e.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{listed}}) // nothing new
 	if s := e.Stats(); s.Connections != 1 {
 		t.Errorf("%d connections are left after a list that says nothing new", s.Connections)
 	}
 	listed.StartedMs = justNow(t)
-	e.Heard(Members{Members: []Member{listed}})
+	e.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{listed}})
 	if s := e.Stats(); s.Connections != 0 {
 		t.Errorf("%d connections are left after the restart", s.Connections)
 	}
@@ -166,7 +166,7 @@
 	if r := <-e.answer(e.call("new", "unsafe", patience)); r.Kind != Served || f.peers[0].Connections.Load() != 2 {
 		t.Errorf("answered %+v on %d connections", r, f.peers[0].Connections.Load())
 	}
-	e.Heard(Members{Members: []Member{listed}}) // what leads to the process that was told of stays
+	e.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{listed}}) // what leads to the process that was told of stays
 	if s := e.Stats(); s.Connections != 1 {
 		t.Errorf("%d connections are left that came up after the start", s.Connections)
 	}
@@ -176,9 +176,9 @@
 func TestAStartInTheFutureKeepsNobodyOut(t *testing.T) {
 	f := newFleet(t, 1, answers)
 	e := testEngine(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
-	listed := Members{Members: []Member{{ID: "a", Addr: f.addrs[0], StartedMs: time.Now().Add(time.Hour).UnixMilli()}}}
+	listed := EndpointList{Endpoints: []Endpoint{{ID: "a", Addr: f.addrs[0], StartedMs: time.Now().Add(time.Hour).UnixMilli()}}}
 	for _, id := range []string{"r1", "r2"} {
-		e.Heard(listed)
+		e.UpdateEndpoints(listed)
 		if r := <-e.answer(e.call(id, "unsafe", patience)); r.Kind != Served {
 			t.Errorf("answered %+v", r)
 		}
@@ -199,7 +199,7 @@
 	e := testEngine(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 	reply := e.answer(e.call("r1", "safe", patience))
 	<-came
-	e.Heard(Members{Members: []Member{{ID: "a", Addr: f.addrs[0], StartedMs: justNow(t)}}})
+	e.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: "a", Addr: f.addrs[0], StartedMs: justNow(t)}}})
 	close(release)
 	if r := <-reply; r.Kind != Served {
 		t.Errorf("answered %+v", r)
@@ -211,7 +211,7 @@
 func TestADeadlineAndAnAnswerInOneMoment(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		for _, answerFirst := range []bool{true, false} {
-			for class, over := range map[string]Kind{"safe": Refused, "unsafe": Failed} {
+			for class, over := range map[string]ResultKind{"safe": Rejected, "unsafe": Failed} {
 				came, release := make(chan bool, 1), make(chan bool)
 				f := newFleet(t, 1, func(nc net.Conn, id string) bool {
 					came <- true
@@ -265,13 +265,13 @@
 			e.silence()
 			c := e.call("r1", "copied", time.Minute)
 			var left atomic.Bool
-			c.Left = left.Load
+			c.ClientGone = left.Load
 			reply := e.answer(c)
 			<-came
 			up, letGo := held(e.upstream)
 			if row.leavesBefore {
 				left.Store(true)
-				e.Leave(c)
+				e.ClientLeft(c)
 			}
 			due := e.Now() + 2*time.Millisecond
 			until(t, "the copy is due", func() bool { return e.Now() > due })
@@ -308,7 +308,7 @@
 	if len(c.work) != 1 {
 		t.Fatal("no attempt was handed over")
 	}
-	e.Leave(c)
+	e.ClientLeft(c)
 	if r := <-c.replies; r.Kind != Failed {
 		t.Errorf("answered %+v", r)
 	}
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -196,7 +196,7 @@
 
 // With several idle connections the youngest that has rested is used, and with none such the one that will have first.
 func TestRestedConnectionsGoFirst(t *testing.T) {
-	u := newUpstream(Options{Conns: 100, Settle: time.Hour})
+	u := newUpstream(Options{MaxConns: 100, Quarantine: time.Hour})
 	u.setMember("a", "127.0.0.1:1", true)
 	now := time.Now()
 	for _, row := range []struct {
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -19,29 +19,29 @@
 	lastAnswer  = 200 * time.Millisecond // for an answer that came ahead of a body's end to be read
 )
 
-// Message is a request as it goes on to endpoints.
-type Message struct {
-	Method string
-	URL    *url.URL
-	Host   string
-	Header http.Header // end to end; the deadline is set for each attempt
-	Body   []byte      // all of it, or its beginning
-	Upload *Upload     // what stands behind Body; nil: nothing
-	Wait   time.Duration
-	Free   func() // is told when no attempt reads the body any more; it may never be told. nil: nobody asks
+// RequestMessage is a request as it goes on to endpoints.
+type RequestMessage struct {
+	Method        string
+	URL           *url.URL
+	Host          string
+	Header        http.Header // end to end; the deadline is set for each attempt
+	Body          []byte      // all of it, or its beginning
+	Upload        *Upload     // what stands behind Body; nil: nothing
+	ClientTimeout time.Duration
+	Release       func() // is told when no attempt reads the body any more; it may never be told. nil: nobody asks
 }
 
 // Upload is what of a body stands behind its beginning. Message.Wait is how long its caller waits once its last byte is out.
 type Upload struct {
-	Length int64     // of the whole body; below 0: it is not told
-	Kept   [][]byte  // what is there
-	Rest   io.Reader // what is still to come; nil: all is there
-	Free   func()    // is told when what is kept will not be sent again, before Rest is read
-	began  atomic.Bool
+	Length    int64     // of the whole body; below 0: it is not told
+	Buffered  [][]byte  // what is there
+	Remaining io.Reader // what is still to come; nil: all is there
+	Release   func()    // is told when what is kept will not be sent again, before Rest is read
+	began     atomic.Bool
 }
 
 // size is how long the whole body is, below 0 where that is not told.
-func (m *Message) size() int64 {
+func (m *RequestMessage) size() int64 {
 	if m.Upload != nil {
 		return m.Upload.Length
 	}
@@ -49,27 +49,27 @@
 }
 
 // gone tells whether so much of the body has gone out that it can't be sent once more.
-func (m *Message) gone() bool { return m.Upload != nil && m.Upload.began.Load() }
+func (m *RequestMessage) gone() bool { return m.Upload != nil && m.Upload.began.Load() }
 
-// Answer is an endpoint's answer.
-type Answer struct {
+// Response is an endpoint's answer.
+type Response struct {
 	Status int
 	Header http.Header // what goes on to the caller
 	Body   []byte      // all of it, or its beginning
-	Rest   *Stream     // what follows as it comes; nil: Body is all. Whoever takes the answer has to close it
+	Stream *Stream     // what follows as it comes; nil: Body is all. Whoever takes the answer has to close it
 	Length int64       // of the whole body, where there is more; below 0: it is not told
 }
 
 // sendLong writes a request with a long body. What is read off the caller goes out at once, so that a slow endpoint slows its caller
 // down and nothing piles up here.
-func (c *conn) sendLong(l *leash, m *Message) error {
+func (c *conn) sendLong(l *leash, m *RequestMessage) error {
 	up := m.Upload
-	if up.Rest != nil && up.began.Load() {
+	if up.Remaining != nil && up.began.Load() {
 		return errCaller // it is another attempt's
 	}
 	wait := time.Until(l.deadline)
-	if up.Rest != nil {
-		wait = m.Wait
+	if up.Remaining != nil {
+		wait = m.ClientTimeout
 	}
 	c.out = m.appendHead(c.out[:0], wait)
 	if err := c.put(c.out); err != nil {
@@ -80,14 +80,14 @@
 	room := (*b)[http1.ChunkHead : http1.ChunkHead+http1.BufferSize]
 	piece := func(n int) error {
 		if up.Length < 0 {
-			return c.put(http1.Chunk(*b, n))
+			return c.put(http1.AppendChunkFraming(*b, n))
 		}
 		return c.put(room[:n])
 	}
-	for i := -1; i < len(up.Kept); i++ {
+	for i := -1; i < len(up.Buffered); i++ {
 		kept := m.Body
 		if i >= 0 {
-			kept = up.Kept[i]
+			kept = up.Buffered[i]
 		}
 		for len(kept) > 0 {
 			n := copy(room, kept)
@@ -97,23 +97,23 @@
 			}
 		}
 	}
-	if up.Rest == nil {
+	if up.Remaining == nil {
 		return nil
 	}
 	if !c.quiet() {
 		return errEarly
 	}
 	up.began.Store(true)
-	if up.Free != nil {
-		up.Free()
+	if up.Release != nil {
+		up.Release()
 	}
 	for {
-		n, err := up.Rest.Read(room)
+		n, err := up.Remaining.Read(room)
 		if n > 0 {
 			if !c.quiet() { // it has answered, or gone
 				return errEarly
 			}
-			if c.SetWriteDeadline(time.Now().Add(http1.StillMost)) != nil {
+			if c.SetWriteDeadline(time.Now().Add(http1.MaxReadIdle)) != nil {
 				return errNotWritten
 			}
 			if err := piece(n); err != nil {
@@ -132,8 +132,8 @@
 			return err
 		}
 	}
-	l.deadline = time.Now().Add(m.Wait) // the caller's time runs from here
-	_ = c.SetDeadline(l.deadline)       // where it was called off the answer's read tells: written it is, and may run
+	l.deadline = time.Now().Add(m.ClientTimeout) // the caller's time runs from here
+	_ = c.SetDeadline(l.deadline)                // where it was called off the answer's read tells: written it is, and may run
 	return nil
 }
 
@@ -154,8 +154,8 @@
 	return come
 }
 
-// Take implements framing.Source.
-func (s source) Take(n int) { _, _ = s.read.Discard(n) }
+// Discard implements framing.Source.
+func (s source) Discard(n int) { _, _ = s.read.Discard(n) }
 
 // Fill implements framing.Source.
 func (s source) Fill() error {
@@ -188,7 +188,7 @@
 
 // Read implements io.Reader. An error but io.EOF means that the answer has broken off.
 func (s *Stream) Read(p []byte) (int, error) {
-	if s.conn.SetReadDeadline(time.Now().Add(http1.StillMost)) != nil {
+	if s.conn.SetReadDeadline(time.Now().Add(http1.MaxReadIdle)) != nil {
 		s.broken = errClosed
 		return 0, s.broken
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -34,36 +34,36 @@
 	return max(clockStart+time.Duration(unixMs-c.started.UnixMilli())*time.Millisecond, 0)
 }
 
-// Kind is what the final answer to a call is.
-type Kind int
+// ResultKind is what the final answer to a call is.
+type ResultKind int
 
 // The kinds. Only Refused and Duplicate promise that the call has not run.
 const (
-	Served    Kind = iota // an endpoint's whole answer
-	Refused               // turned away; trying again is harmless
-	Failed                // nothing is promised
-	Duplicate             // its id is or was in use
+	Served    ResultKind = iota // an endpoint's whole answer
+	Rejected                    // turned away; trying again is harmless
+	Failed                      // nothing is promised
+	Duplicate                   // its id is or was in use
 )
 
-// BodyGone is why a request is not served whose attempt failed after more of its body had gone out than is kept. The module's
+// BodyNotReplayable is why a request is not served whose attempt failed after more of its body had gone out than is kept. The module's
 // reasons stand beside it.
-const BodyGone balancer.Reason = "body_gone"
+const BodyNotReplayable balancer.Reason = "body_gone"
 
-// Reply is the final answer to a call.
-type Reply struct {
-	Kind       Kind
-	Why        balancer.Reason // for Refused and Failed; empty where the caller has left or the engine has ended
+// Result is the final answer to a call.
+type Result struct {
+	Kind       ResultKind
+	Reason     balancer.Reason // for Refused and Failed; empty where the caller has left or the engine has ended
 	RetryAfter time.Duration   // for Refused; 0: no advice
-	Answer     Answer          // for Served
+	Response   Response        // for Served
 }
 
 // Call is a request that a front has taken. NewCall makes one.
 type Call struct {
 	balancer.Request
-	Left    func() bool // tells whether the caller has left; nil: nobody knows. It must not block
-	message *Message
-	replies chan Reply    // takes the one final answer without blocking
-	work    chan *attempt // takes an attempt for the goroutine that waits in Do
+	ClientGone func() bool // tells whether the caller has left; nil: nobody knows. It must not block
+	message    *RequestMessage
+	replies    chan Result   // takes the one final answer without blocking
+	work       chan *attempt // takes an attempt for the goroutine that waits in Do
 
 	// Engine.mu guards these:
 	over     bool // answered, or the caller has left
@@ -82,14 +82,14 @@
 }
 
 // NewCall makes a call of a request, as the module is to see it, and of the message that endpoints are to get.
-func NewCall(r balancer.Request, m *Message) *Call {
-	return &Call{Request: r, message: m, replies: make(chan Reply, 1), work: make(chan *attempt, 1)}
+func NewCall(r balancer.Request, m *RequestMessage) *Call {
+	return &Call{Request: r, message: m, replies: make(chan Result, 1), work: make(chan *attempt, 1)}
 }
 
-// Member is an endpoint as a roster lists it.
+// Endpoint is an endpoint as a roster lists it.
 //
 // The tags are the names in stored snapshots.
-type Member struct {
+type Endpoint struct {
 	ID        string         `json:"ID"`
 	Addr      string         `json:"Addr"`
 	Zone      string         `json:"Zone"`
@@ -99,27 +99,27 @@
 	StartedMs int64          `json:"StartedMs"` // Unix time of the latest start; 0: long ago
 }
 
-// Members is what a roster says: the whole list, or what has changed.
-type Members struct {
-	Complete bool
-	Members  []Member
-	Others   int // ready endpoints beside those that are ever listed to this instance
+// EndpointList is what a roster says: the whole list, or what has changed.
+type EndpointList struct {
+	Complete  bool
+	Endpoints []Endpoint
+	Unlisted  int // ready endpoints beside those that are ever listed to this instance
 }
 
 // Options are what an engine needs beside the module's settings.
 type Options struct {
 	ConnIdle    time.Duration // endpoints close a connection that has been idle for this long; 0: not told
 	DialTimeout time.Duration // a connection not made by then has failed; 0: not told
-	Conns       int           // connections open at once
-	Settle      time.Duration // for which a connection rests after an answer: a second one that comes late shows meanwhile
-	Relay       bool          // answers below 500 are the endpoint's own and go on whole; else only 200 does, with its type
+	MaxConns    int           // connections open at once
+	Quarantine  time.Duration // for which a connection rests after an answer: a second one that comes late shows meanwhile
+	PassThrough bool          // answers below 500 are the endpoint's own and go on whole; else only 200 does, with its type
 	Subscribe   func()        // asks the roster for all changes from now on, whatever breaks; it must not block
 	Log         *slog.Logger
 }
 
-// Engine owns a Balancer. All that happens is handled in turn under its lock, by the goroutine to which it happens: no
+// Pool owns a Balancer. All that happens is handled in turn under its lock, by the goroutine to which it happens: no
 // request waits for another goroutine to wake up.
-type Engine struct {
+type Pool struct {
 	clock    clock
 	done     chan struct{}
 	upstream *upstream
@@ -138,7 +138,7 @@
 	endBy    time.Duration // final answers are due by then; 0: when calls say so
 	calls    map[string]*Call
 	taken    recent // ids of requests, answered ones included
-	members  map[string]Member
+	members  map[string]Endpoint
 	timers   []time.Duration           // sorted
 	later    []func(now time.Duration) // events that arose within a Host method
 	unserved map[balancer.Reason]*unserved
@@ -156,8 +156,8 @@
 }
 
 // New returns an engine that knows the members given, the first that the module hears of. Run does the work.
-func New(s balancer.Settings, known Members, o Options) *Engine {
-	l := &Engine{clock: clock{time.Now()}, done: make(chan struct{}), mayCall: s.CancelAllowed, upstream: newUpstream(o), ask: o.Subscribe, log: o.Log, calls: map[string]*Call{}, members: map[string]Member{},
+func New(s balancer.Settings, known EndpointList, o Options) *Pool {
+	l := &Pool{clock: clock{time.Now()}, done: make(chan struct{}), mayCall: s.CancelAllowed, upstream: newUpstream(o), ask: o.Subscribe, log: o.Log, calls: map[string]*Call{}, members: map[string]Endpoint{},
 		banned:   map[string]bool{},
 		unserved: map[balancer.Reason]*unserved{}}
 	b := balancer.New(l.clock.now(), s, host{l})
@@ -169,11 +169,11 @@
 }
 
 // Now is the instant by the clock that the module's instants are of.
-func (l *Engine) Now() time.Duration { return l.clock.now() }
+func (l *Pool) Now() time.Duration { return l.clock.now() }
 
 // Do serves a call and gives the one final answer: Failed where the caller has left or the engine has ended, when none is
 // owed any more.
-func (l *Engine) Do(c *Call) Reply {
+func (l *Pool) Do(c *Call) Result {
 	l.post(func(now time.Duration) { l.start(now, c) })
 	for {
 		select {
@@ -189,24 +189,24 @@
 		case a := <-c.work:
 			l.make(a, true)
 		case <-l.done:
-			return Reply{Kind: Failed}
+			return Result{Kind: Failed}
 		}
 	}
 }
 
-// EndBy makes all calls have their final answers by an instant, those that are still to come as well: the process has to end.
-func (l *Engine) EndBy(at time.Duration) {
+// SetFinalDeadline makes all calls have their final answers by an instant, those that are still to come as well: the process has to end.
+func (l *Pool) SetFinalDeadline(at time.Duration) {
 	l.post(func(now time.Duration) {
 		l.endBy = at
 		l.module.CapDeadlines(now, at)
 	})
 }
 
-// Leave reports that the caller of a request that is being served has gone.
-func (l *Engine) Leave(c *Call) { l.post(func(now time.Duration) { l.leave(now, c) }) }
+// ClientLeft reports that the caller of a request that is being served has gone.
+func (l *Pool) ClientLeft(c *Call) { l.post(func(now time.Duration) { l.leave(now, c) }) }
 
 // rest sees to an attempt that was handed over just before the caller left.
-func (l *Engine) rest(c *Call) {
+func (l *Pool) rest(c *Call) {
 	select {
 	case a := <-c.work:
 		go l.make(a, false)
@@ -215,14 +215,14 @@
 }
 
 // make makes an attempt and reports how it ended. Inline tells that the goroutine in Do does so, and can make the next one.
-func (l *Engine) make(a *attempt, inline bool) {
+func (l *Pool) make(a *attempt, inline bool) {
 	result, answer := l.upstream.attempt(&a.leash, a.endpoint, a.call.message)
 	l.post(func(now time.Duration) {
 		a.call.waits = a.call.waits || inline && l.mayCall && !a.call.over
 		if result == balancer.NotSent && a.left != nil && a.left() { // then it goes nowhere else either
 			l.leave(now, a.call)
 		}
-		if answer.Rest != nil {
+		if answer.Stream != nil {
 			l.begin(now, a, answer)
 			return
 		}
@@ -230,12 +230,12 @@
 	})
 }
 
-// Heard reports what a roster says.
-func (l *Engine) Heard(m Members) { l.post(func(now time.Duration) { l.list(now, m) }) }
+// UpdateEndpoints reports what a roster says.
+func (l *Pool) UpdateEndpoints(m EndpointList) { l.post(func(now time.Duration) { l.list(now, m) }) }
 
 // Configure replaces the settings and what the options say of connections; Subscribe and Log stay. All that was learned is
 // kept, and calls that were taken before keep the classes that they came with (balancer.Balancer.Configure).
-func (l *Engine) Configure(s balancer.Settings, o Options) {
+func (l *Pool) Configure(s balancer.Settings, o Options) {
 	l.upstream.configure(o)
 	l.post(func(now time.Duration) {
 		l.mayCall = s.CancelAllowed
@@ -243,12 +243,12 @@
 	})
 }
 
-// ErrUnknown says that no endpoint of that name is listed, or was when it was taken out.
-var ErrUnknown = errors.New("no such endpoint is listed")
+// ErrUnknownEndpoint says that no endpoint of that name is listed, or was when it was taken out.
+var ErrUnknownEndpoint = errors.New("no such endpoint is listed")
 
-// Ban takes an endpoint out at the operators' word: on return nothing new goes there. One that is not listed may be banned
+// Disable takes an endpoint out at the operators' word: on return nothing new goes there. One that is not listed may be banned
 // too; it stays out when it comes.
-func (l *Engine) Ban(id string) {
+func (l *Pool) Disable(id string) {
 	l.post(func(now time.Duration) {
 		l.banned[id] = true
 		l.keep(id)
@@ -256,8 +256,8 @@
 	})
 }
 
-// Unban puts an endpoint back.
-func (l *Engine) Unban(id string) {
+// Enable puts an endpoint back.
+func (l *Pool) Enable(id string) {
 	l.post(func(now time.Duration) {
 		delete(l.banned, id)
 		l.keep(id)
@@ -265,8 +265,8 @@
 	})
 }
 
-// Lists tells whether an endpoint is listed.
-func (l *Engine) Lists(id string) bool {
+// HasEndpoint tells whether an endpoint is listed.
+func (l *Pool) HasEndpoint(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, listed := l.members[id]
@@ -274,7 +274,7 @@
 }
 
 // keep tells the connections where an endpoint is, if it is anywhere, and whether they are worth keeping.
-func (l *Engine) keep(id string) {
+func (l *Pool) keep(id string) {
 	if m, listed := l.members[id]; listed {
 		l.upstream.setMember(id, m.Addr, m.State == balancer.Ready && !l.banned[id])
 		l.upstream.started(id, time.UnixMilli(m.StartedMs))
@@ -289,35 +289,35 @@
 }
 
 // Gauges reads them. It takes no lock that the way of requests takes.
-func (l *Engine) Gauges() Gauges {
+func (l *Pool) Gauges() Gauges {
 	return Gauges{Dispatches: l.upstream.written.Load(), Listed: int(l.listed.Load()), Avoided: int(l.avoided.Load())}
 }
 
-// LimitConns sets how many connections to endpoints may be open at once. Idle ones beyond that are closed.
-func (l *Engine) LimitConns(most int) { l.upstream.limit(most) }
+// SetMaxConns sets how many connections to endpoints may be open at once. Idle ones beyond that are closed.
+func (l *Pool) SetMaxConns(most int) { l.upstream.limit(most) }
 
-// Memory is what an engine knows that a successor can begin with.
+// Snapshot is what an engine knows that a successor can begin with.
 // The tags are the names in stored snapshots.
-type Memory struct {
-	Learned balancer.LearnedState `json:"Learned"`
-	Members []Member              `json:"Members"`
+type Snapshot struct {
+	Learned   balancer.LearnedState `json:"Learned"`
+	Endpoints []Endpoint            `json:"Members"`
 }
 
-// Memory gives what is known now.
-func (l *Engine) Memory() Memory {
+// Snapshot gives what is known now.
+func (l *Pool) Snapshot() Snapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Memory{Learned: l.module.LearnedState(l.clock.now()), Members: slices.SortedFunc(maps.Values(l.members), func(x, y Member) int {
+	return Snapshot{Learned: l.module.LearnedState(l.clock.now()), Endpoints: slices.SortedFunc(maps.Values(l.members), func(x, y Endpoint) int {
 		return cmp.Compare(x.ID, y.ID)
 	})}
 }
 
-// Recall takes up what an engine before this one knew so long ago. Members are not believed: the roster says who they are. An
+// Restore takes up what an engine before this one knew so long ago. Members are not believed: the roster says who they are. An
 // endpoint that has another address, or has started since, is another one of which nothing is known.
-func (l *Engine) Recall(m Memory, ago time.Duration) {
+func (l *Pool) Restore(m Snapshot, ago time.Duration) {
 	l.post(func(now time.Duration) {
-		was := map[string]Member{}
-		for _, e := range m.Members {
+		was := map[string]Endpoint{}
+		for _, e := range m.Endpoints {
 			was[e.ID] = e
 		}
 		same := m.Learned
@@ -339,7 +339,7 @@
 }
 
 // Stats tells what the engine holds.
-func (l *Engine) Stats() Stats {
+func (l *Pool) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := Stats{Calls: len(l.calls)}
@@ -347,16 +347,16 @@
 	return s
 }
 
-// Endpoint is how an endpoint stands with an engine.
-type Endpoint struct {
+// EndpointStatus is how an endpoint stands with an engine.
+type EndpointStatus struct {
 	balancer.EndpointStatus
-	Addr  string
-	Idle  int    // connections that wait for their next request
-	Fault string // how the latest attempt that failed did so, until one succeeds
+	Addr        string
+	IdleConns   int    // connections that wait for their next request
+	LastFailure string // how the latest attempt that failed did so, until one succeeds
 }
 
 // Endpoints tells how all endpoints stand, in the order in which they were first heard of.
-func (l *Engine) Endpoints() []Endpoint {
+func (l *Pool) Endpoints() []EndpointStatus {
 	l.mu.Lock()
 	standings := l.module.EndpointStatuses(l.clock.now())
 	addrs := make(map[string]string, len(l.members))
@@ -364,16 +364,16 @@
 		addrs[id] = m.Addr
 	}
 	l.mu.Unlock()
-	out := make([]Endpoint, len(standings))
+	out := make([]EndpointStatus, len(standings))
 	for i, s := range standings {
-		out[i] = Endpoint{EndpointStatus: s, Addr: addrs[s.ID]}
-		out[i].Idle, out[i].Fault = l.upstream.standing(s.ID)
+		out[i] = EndpointStatus{EndpointStatus: s, Addr: addrs[s.ID]}
+		out[i].IdleConns, out[i].LastFailure = l.upstream.standing(s.ID)
 	}
 	return out
 }
 
 // Run works until ctx ends. Calls that have no answer by then get Failed.
-func (l *Engine) Run(ctx context.Context) {
+func (l *Pool) Run(ctx context.Context) {
 	l.upstream.run(ctx)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -383,7 +383,7 @@
 }
 
 // post handles an event. It must not be called from within another.
-func (l *Engine) post(event func(now time.Duration)) {
+func (l *Pool) post(event func(now time.Duration)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
@@ -408,7 +408,7 @@
 
 // ring reports the timers that are due. One asked for meanwhile waits for the next turn, so that timers can't keep
 // other events out.
-func (l *Engine) ring(now time.Duration) {
+func (l *Pool) ring(now time.Duration) {
 	due, _ := slices.BinarySearch(l.timers, now+1)
 	l.timers = slices.Delete(l.timers, 0, due)
 	for range due {
@@ -418,9 +418,9 @@
 
 // start takes a request. One whose id is or was in use is turned away: every request of a caller's own has a new one,
 // and a repeat must neither disturb the first nor reach an endpoint.
-func (l *Engine) start(now time.Duration, c *Call) {
+func (l *Pool) start(now time.Duration, c *Call) {
 	if !l.taken.add(c.ID) || l.calls[c.ID] != nil {
-		c.replies <- Reply{Kind: Duplicate}
+		c.replies <- Result{Kind: Duplicate}
 		return
 	}
 	if l.endBy > 0 {
@@ -432,16 +432,16 @@
 }
 
 // leave reports that the caller of a request has gone.
-func (l *Engine) leave(now time.Duration, c *Call) {
+func (l *Pool) leave(now time.Duration, c *Call) {
 	if l.calls[c.ID] == c && !c.over {
-		l.end(c, Reply{Kind: Failed})
+		l.end(c, Result{Kind: Failed})
 		l.balancer.ClientLeft(now, c.ID)
 		l.forget(c)
 	}
 }
 
 // end makes a call over, with its one final answer. What of its attempts has not gone out stays here.
-func (l *Engine) end(c *Call, r Reply) {
+func (l *Pool) end(c *Call, r Result) {
 	c.over, c.waits = true, false
 	c.replies <- r
 	for _, a := range c.attempts {
@@ -450,7 +450,7 @@
 }
 
 // finish gives the final answer, once.
-func (l *Engine) finish(c *Call, r Reply) {
+func (l *Pool) finish(c *Call, r Result) {
 	if c == nil || c.over {
 		return
 	}
@@ -460,57 +460,57 @@
 
 // forget drops a call of which nothing is to come any more: no attempt is out, and Send makes none for a call that is not
 // known.
-func (l *Engine) forget(c *Call) {
+func (l *Pool) forget(c *Call) {
 	if c.over && c.out == 0 && l.calls[c.ID] == c {
 		delete(l.calls, c.ID)
-		if c.message.Free != nil {
-			c.message.Free()
+		if c.message.Release != nil {
+			c.message.Release()
 		}
 	}
 }
 
 // begin passes an answer on that is still coming. The attempt ends with it.
-func (l *Engine) begin(now time.Duration, a *attempt, answer Answer) {
+func (l *Pool) begin(now time.Duration, a *attempt, answer Response) {
 	c := a.call
 	if c.over { // nobody is there to read it
-		answer.Rest.Cancel()
-		l.later = append(l.later, func(now time.Duration) { l.report(now, a, balancer.Canceled, Answer{}) })
-		l.upstream.discard(answer.Rest.conn)
+		answer.Stream.Cancel()
+		l.later = append(l.later, func(now time.Duration) { l.report(now, a, balancer.Canceled, Response{}) })
+		l.upstream.discard(answer.Stream.conn)
 		return
 	}
-	answer.Rest.over = func(r balancer.Result) {
-		l.post(func(now time.Duration) { l.report(now, a, r, Answer{}) })
+	answer.Stream.over = func(r balancer.Result) {
+		l.post(func(now time.Duration) { l.report(now, a, r, Response{}) })
 	}
-	l.finish(c, Reply{Kind: Served, Answer: answer})
+	l.finish(c, Result{Kind: Served, Response: answer})
 	l.balancer.StreamStarted(now, c.ID, a.n)
 }
 
 // report tells the module how an attempt ended. A whole answer is passed on at once; one that comes too late is dropped.
-func (l *Engine) report(now time.Duration, a *attempt, r balancer.Result, answer Answer) {
+func (l *Pool) report(now time.Duration, a *attempt, r balancer.Result, answer Response) {
 	c := a.call
 	c.out--
 	o := balancer.Outcome{ID: c.ID, Attempt: a.n, Endpoint: a.endpoint, Result: r, Latency: now - a.sent, Final: c.over}
 	if r == balancer.OK && !c.over {
 		o.Final = true
-		l.finish(c, Reply{Kind: Served, Answer: answer})
+		l.finish(c, Result{Kind: Served, Response: answer})
 	}
 	if !c.over && c.message.gone() { // no other attempt is possible, whatever the module would say
 		kind := Failed
 		if r == balancer.Rejected || r == balancer.ConnectFailed || r == balancer.NotSent {
-			kind = Refused
+			kind = Rejected
 		}
 		o.Final = true
-		host{l}.give(c.ID, Reply{Kind: kind, Why: BodyGone})
+		host{l}.give(c.ID, Result{Kind: kind, Reason: BodyNotReplayable})
 	}
 	l.balancer.Outcome(now, o)
 	l.forget(c)
 }
 
 // list tells the module and the connections what a roster says.
-func (l *Engine) list(now time.Duration, m Members) {
-	out := balancer.EndpointList{Complete: m.Complete, Unlisted: m.Others}
+func (l *Pool) list(now time.Duration, m EndpointList) {
+	out := balancer.EndpointList{Complete: m.Complete, Unlisted: m.Unlisted}
 	listed := map[string]bool{}
-	for _, s := range m.Members {
+	for _, s := range m.Endpoints {
 		out.Entries = append(out.Entries, balancer.Endpoint{ID: s.ID, State: s.State, Zone: s.Zone, Kind: s.Kind,
 			Cell: s.Cell, Started: l.clock.instant(s.StartedMs)})
 		listed[s.ID] = true
@@ -531,19 +531,19 @@
 	l.balancer.EndpointList(now, out)
 }
 
-func (l *Engine) remove(id string) {
+func (l *Pool) remove(id string) {
 	delete(l.members, id)
 	l.upstream.removeMember(id)
 }
 
 // wrote reports that a long request has been written whole.
-func (l *Engine) wrote(now time.Duration, a *attempt) {
+func (l *Pool) wrote(now time.Duration, a *attempt) {
 	a.sent = now
 	l.module.RequestWritten(now, a.call.ID, a.n)
 }
 
 // host carries out what the Balancer asks for. It runs under the engine's lock, blocks on nothing and does not call back.
-type host struct{ *Engine }
+type host struct{ *Pool }
 
 var _ balancer.Host = host{}
 
@@ -555,7 +555,7 @@
 	}
 	now := h.clock.now()
 	a := &attempt{call: c, n: len(c.attempts), endpoint: endpoint, sent: now}
-	a.left = c.Left
+	a.left = c.ClientGone
 	a.deadline = time.Now().Add(min(timeout, c.Deadline-now))
 	if c.Streamed {
 		a.written = func() { h.post(func(now time.Duration) { h.wrote(now, a) }) }
@@ -564,7 +564,7 @@
 	c.out++
 	switch {
 	case c.over:
-		h.later = append(h.later, func(now time.Duration) { h.report(now, a, balancer.NotSent, Answer{}) })
+		h.later = append(h.later, func(now time.Duration) { h.report(now, a, balancer.NotSent, Response{}) })
 	case c.waits:
 		c.waits = false
 		c.work <- a
@@ -582,26 +582,26 @@
 
 // Reject implements balancer.Host.
 func (h host) Reject(id string, why balancer.Reason, retryAfter time.Duration) {
-	h.give(id, Reply{Kind: Refused, Why: why, RetryAfter: retryAfter})
+	h.give(id, Result{Kind: Rejected, Reason: why, RetryAfter: retryAfter})
 }
 
 // Fail implements balancer.Host.
-func (h host) Fail(id string, why balancer.Reason) { h.give(id, Reply{Kind: Failed, Why: why}) }
+func (h host) Fail(id string, why balancer.Reason) { h.give(id, Result{Kind: Failed, Reason: why}) }
 
 // give gives a final answer that is not an endpoint's, and says so now and then: lines must not come as fast as requests.
-func (h host) give(id string, r Reply) {
+func (h host) give(id string, r Result) {
 	c := h.calls[id]
 	if c == nil || c.over {
 		return
 	}
-	u := h.unserved[r.Why]
+	u := h.unserved[r.Reason]
 	if u == nil {
 		u = &unserved{}
-		h.unserved[r.Why] = u
+		h.unserved[r.Reason] = u
 	}
 	u.since++
 	if now := h.clock.now(); u.told == 0 || now-u.told >= tellEvery {
-		h.log.Warn("not served", "why", string(r.Why), "requests", u.since, "latest", id)
+		h.log.Warn("not served", "why", string(r.Reason), "requests", u.since, "latest", id)
 		u.since, u.told = 0, now
 	}
 	h.finish(c, r)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -41,7 +41,7 @@
 
 // A timer that is asked for while one rings must wait for its turn, or other events never get theirs.
 func TestATimerDueAtOnceDoesNotHoldTheLoop(t *testing.T) {
-	l := New(balancer.Settings{}, Members{}, Options{Log: slog.New(slog.DiscardHandler)})
+	l := New(balancer.Settings{}, EndpointList{}, Options{Log: slog.New(slog.DiscardHandler)})
 	r := &rearming{host: host{l}}
 	l.balancer, l.timers = r, nil
 	r.host.Timer(clockStart)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -34,10 +34,10 @@
 
 // What both sides of an engine go by.
 const (
-	MaxBody        = 64 << 10          // bytes of a request's or an answer's body
-	MaxHead        = 16 << 10          // bytes of its head
-	MaxLong        = 40 << 20          // bytes of a body that flows; the platform's have up to 32 MB
-	DeadlineHeader = "Req-Deadline-Ms" // how long a caller waits, in milliseconds
+	MaxBody         = 64 << 10          // bytes of a request's or an answer's body
+	MaxHead         = 16 << 10          // bytes of its head
+	MaxStreamedBody = 40 << 20          // bytes of a body that flows; the platform's have up to 32 MB
+	DeadlineHeader  = "Req-Deadline-Ms" // how long a caller waits, in milliseconds
 )
 
 // upstream makes attempts over connections of its own. net/http's Transport is not used: it sends some requests
@@ -94,7 +94,7 @@
 }
 
 func newUpstream(o Options) *upstream {
-	u := &upstream{connect: (&net.Dialer{}).DialContext, pause: func(ctx context.Context) { <-ctx.Done() }, relay: o.Relay, pools: map[string]*pool{}}
+	u := &upstream{connect: (&net.Dialer{}).DialContext, pause: func(ctx context.Context) { <-ctx.Done() }, relay: o.PassThrough, pools: map[string]*pool{}}
 	u.configure(o)
 	return u
 }
@@ -112,7 +112,7 @@
 	if u.toldIdle != o.ConnIdle {
 		u.toldIdle, u.idleFor = o.ConnIdle, time.Duration(float64(o.ConnIdle)*idleShare)
 	}
-	u.dialTimeout, u.most, u.settle = o.DialTimeout, o.Conns, o.Settle
+	u.dialTimeout, u.most, u.settle = o.DialTimeout, o.MaxConns, o.Quarantine
 }
 
 // limit sets how many connections may be open at once.
@@ -470,21 +470,21 @@
 
 // attempt sends a request once and tells by evidence how that ended. When it was called off or its time is over, the
 // connection is closed before attempt returns: no second attempt can be out beside this one.
-func (u *upstream) attempt(l *leash, id string, m *Message) (balancer.Result, Answer) {
+func (u *upstream) attempt(l *leash, id string, m *RequestMessage) (balancer.Result, Response) {
 	for {
 		c, err := u.take(l, id)
 		if errors.Is(err, errNotTried) {
-			return balancer.NotSent, Answer{}
+			return balancer.NotSent, Response{}
 		}
 		if err != nil {
 			if !l.canceled() {
 				u.failed(id, err)
 			}
-			return l.unlessCanceled(balancer.ConnectFailed), Answer{}
+			return l.unlessCanceled(balancer.ConnectFailed), Response{}
 		}
 		if !l.hold(c) || c.SetDeadline(l.deadline) != nil {
 			u.discard(c)
-			return l.unlessCanceled(balancer.ConnectFailed), Answer{}
+			return l.unlessCanceled(balancer.ConnectFailed), Response{}
 		}
 		used := !c.idleAt.IsZero()
 		result, a, reusable, err := u.exchange(c, l, m)
@@ -497,15 +497,15 @@
 		}
 		held := l.hold(nil)
 		switch {
-		case held && a.Rest != nil: // the connection is the stream's
+		case held && a.Stream != nil: // the connection is the stream's
 			return result, a
 		case held && reusable:
 			u.giveBack(c)
 		default:
 			u.discard(c)
 		}
-		if a.Rest != nil {
-			return balancer.Canceled, Answer{}
+		if a.Stream != nil {
+			return balancer.Canceled, Response{}
 		}
 		return result, a
 	}
@@ -538,9 +538,9 @@
 }
 
 // exchange writes the request and reads the answer, whole or, where it is long, its beginning.
-func (u *upstream) exchange(c *conn, l *leash, m *Message) (r balancer.Result, a Answer, reusable bool, err error) {
+func (u *upstream) exchange(c *conn, l *leash, m *RequestMessage) (r balancer.Result, a Response, reusable bool, err error) {
 	if err := u.ready(c, l); err != nil {
-		return l.unready(err), Answer{}, false, err
+		return l.unready(err), Response{}, false, err
 	}
 	if err := c.send(l, m); err != nil {
 		return u.unsent(c, l, m, err)
@@ -552,9 +552,9 @@
 	}
 	a, last, err := c.readAnswer(u, m.Method, l.deadline)
 	if err != nil {
-		return l.broken(err), Answer{}, false, err
+		return l.broken(err), Response{}, false, err
 	}
-	reusable = !last && a.Rest == nil && c.read.Buffered() == 0
+	reusable = !last && a.Stream == nil && c.read.Buffered() == 0
 	switch {
 	case u.passes(a.Status):
 		if u.relay {
@@ -564,9 +564,9 @@
 		}
 		return balancer.OK, a, reusable, nil
 	case isUnavailable(a.Status) && a.Header.Get(declined) == "1":
-		return balancer.Rejected, Answer{}, reusable, errDeclined
+		return balancer.Rejected, Response{}, reusable, errDeclined
 	}
-	return balancer.Errored, Answer{}, reusable, fmt.Errorf("the answer was %d", a.Status)
+	return balancer.Errored, Response{}, reusable, fmt.Errorf("the answer was %d", a.Status)
 }
 
 // passes tells whether an answer goes on to the caller.
@@ -587,31 +587,31 @@
 	if u.relay {
 		return math.MaxInt64
 	}
-	return MaxLong
+	return MaxStreamedBody
 }
 
 // unsent tells how an attempt ended that was not written whole. An endpoint begins a request when its last byte has come: it has
 // not run, unless the endpoint says otherwise in an answer ahead of that.
-func (u *upstream) unsent(c *conn, l *leash, m *Message, err error) (balancer.Result, Answer, bool, error) {
+func (u *upstream) unsent(c *conn, l *leash, m *RequestMessage, err error) (balancer.Result, Response, bool, error) {
 	if errors.Is(err, errCaller) {
-		return balancer.NotSent, Answer{}, false, err // nothing that tells of the endpoint
+		return balancer.NotSent, Response{}, false, err // nothing that tells of the endpoint
 	}
 	if m.Upload == nil || l.canceled() {
-		return l.unlessCanceled(balancer.ConnectFailed), Answer{}, false, err
+		return l.unlessCanceled(balancer.ConnectFailed), Response{}, false, err
 	}
 	if c.SetReadDeadline(time.Now().Add(lastAnswer)) == nil {
 		if a, _, early := c.readAnswer(u, m.Method, time.Now().Add(lastAnswer)); early == nil {
 			switch {
-			case a.Status == http.StatusOK && a.Rest == nil:
+			case a.Status == http.StatusOK && a.Stream == nil:
 				maps.DeleteFunc(a.Header, func(name string, _ []string) bool { return name != "Content-Type" })
 				return balancer.OK, a, false, nil
 			case isUnavailable(a.Status) && a.Header.Get(declined) == "1":
-				return balancer.Rejected, Answer{}, false, errDeclined
+				return balancer.Rejected, Response{}, false, errDeclined
 			}
-			return balancer.Rejected, Answer{}, false, fmt.Errorf("the answer ahead of the body's end was %d", a.Status)
+			return balancer.Rejected, Response{}, false, fmt.Errorf("the answer ahead of the body's end was %d", a.Status)
 		}
 	}
-	return l.unlessCanceled(balancer.ConnectFailed), Answer{}, false, err
+	return l.unlessCanceled(balancer.ConnectFailed), Response{}, false, err
 }
 
 var (
@@ -635,21 +635,21 @@
 
 // readAnswer reads an answer whole, or the beginning of one that is long or slow to come, and tells whether it is the connection's
 // last. What does not go on to the caller is read whole or not at all.
-func (c *conn) readAnswer(u *upstream, method string, deadline time.Time) (a Answer, last bool, err error) {
+func (c *conn) readAnswer(u *upstream, method string, deadline time.Time) (a Response, last bool, err error) {
 	c.limit.N = MaxHead
 	if method != http.MethodHead {
 		if _, err := c.read.Peek(1); err != nil {
-			return Answer{}, true, err
+			return Response{}, true, err
 		}
 		come, _ := c.read.Peek(c.read.Buffered())
-		if status, h, size, length, ok := http1.Answer(come); ok {
+		if status, h, size, length, ok := http1.ParseResponse(come); ok {
 			_, _ = c.read.Discard(size) // it is there
-			return c.readBody(Answer{Status: status, Header: h}, int64(length), false, deadline, u)
+			return c.readBody(Response{Status: status, Header: h}, int64(length), false, deadline, u)
 		}
 	}
 	resp, err := c.readHead(method)
 	if err != nil {
-		return Answer{}, true, err
+		return Response{}, true, err
 	}
 	length, last := resp.ContentLength, resp.Close
 	switch {
@@ -658,9 +658,9 @@
 	case len(resp.TransferEncoding) > 0:
 		length = http1.Chunked
 	case length < 0:
-		length, last = http1.ToClose, true
+		length, last = http1.UntilClose, true
 	}
-	return c.readBody(Answer{Status: resp.StatusCode, Header: resp.Header}, length, last, deadline, u)
+	return c.readBody(Response{Status: resp.StatusCode, Header: resp.Header}, length, last, deadline, u)
 }
 
 // readHead reads the head of an answer that is not of the plainest form.
@@ -676,7 +676,7 @@
 
 // readBody reads what stands behind a head. An answer whose length is not told is passed on from its first byte if its end
 // does not come at once: it may be long.
-func (c *conn) readBody(a Answer, length int64, last bool, deadline time.Time, u *upstream) (Answer, bool, error) {
+func (c *conn) readBody(a Response, length int64, last bool, deadline time.Time, u *upstream) (Response, bool, error) {
 	c.limit.N = math.MaxInt64
 	body := http1.NewBody(source{c}, length)
 	switch {
@@ -685,7 +685,7 @@
 	case length > u.longest():
 		return a, true, errTooLong
 	case length > MaxBody:
-		a.Length, a.Rest = length, u.stream(c, body, last)
+		a.Length, a.Stream = length, u.stream(c, body, last)
 		return a, last, nil
 	case length >= 0:
 		a.Body = make([]byte, length)
@@ -707,7 +707,7 @@
 			break
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(deadline) {
-			a.Length, a.Rest = length, u.stream(c, body, last)
+			a.Length, a.Stream = length, u.stream(c, body, last)
 			return a, last, nil
 		}
 		if err != nil {
@@ -715,7 +715,7 @@
 		}
 	}
 	if !body.Ended() {
-		a.Length, a.Rest = length, u.stream(c, body, last)
+		a.Length, a.Stream = length, u.stream(c, body, last)
 	}
 	return a, last, nil
 }
@@ -724,7 +724,7 @@
 var notOurs = map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true, DeadlineHeader: true}
 
 // appendHead appends the request's head as every endpoint gets it, with how long this side waits.
-func (m *Message) appendHead(b []byte, wait time.Duration) []byte {
+func (m *RequestMessage) appendHead(b []byte, wait time.Duration) []byte {
 	text := func(parts ...string) {
 		for _, s := range parts {
 			b = append(b, s...)
@@ -755,7 +755,7 @@
 const smallBody = 4 << 10 // that is copied behind its head, so that both go in one write
 
 // send writes a request whole, or tells why it did not. Its deadline says how long this side waits.
-func (c *conn) send(l *leash, m *Message) error {
+func (c *conn) send(l *leash, m *RequestMessage) error {
 	if m.Upload != nil {
 		return c.sendLong(l, m)
 	}
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -15,7 +15,7 @@
 
 func testUpstream(t *testing.T, addrs ...string) *upstream {
 	t.Helper()
-	u := newUpstream(Options{ConnIdle: time.Minute, DialTimeout: patience, Conns: 100})
+	u := newUpstream(Options{ConnIdle: time.Minute, DialTimeout: patience, MaxConns: 100})
 	for i, addr := range addrs {
 		u.setMember(string(rune('a'+i)), addr, true)
 	}
@@ -23,8 +23,8 @@
 	return u
 }
 
-func get(path string) *Message {
-	return &Message{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}}}
+func get(path string) *RequestMessage {
+	return &RequestMessage{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}}}
 }
 
 func within(d time.Duration) *leash { return &leash{deadline: time.Now().Add(d)} }
@@ -86,16 +86,16 @@
 		u := testUpstream(t, e.Addr)
 		u.relay = relay
 		result, a := u.attempt(within(patience), "a", get("/c"))
-		if result != balancer.OK || a.Rest == nil {
+		if result != balancer.OK || a.Stream == nil {
 			t.Fatalf("outcome %v, %d bytes and no more", result, len(a.Body))
 		}
 		var ended balancer.Result
-		a.Rest.over = func(r balancer.Result) { ended = r }
-		n, err := io.CopyN(io.Discard, a.Rest, MaxLong+1<<20)
+		a.Stream.over = func(r balancer.Result) { ended = r }
+		n, err := io.CopyN(io.Discard, a.Stream, MaxStreamedBody+1<<20)
 		if want := map[bool]error{false: errTooLong}[relay]; !errors.Is(err, want) {
 			t.Errorf("relay %v: after %d bytes %v", relay, n, err)
 		}
-		if a.Rest.Close(); !relay && (n > MaxLong || ended != balancer.Reset) {
+		if a.Stream.Close(); !relay && (n > MaxStreamedBody || ended != balancer.Reset) {
 			t.Errorf("%d bytes passed, ended %v", n, ended)
 		}
 	}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -15,8 +15,8 @@
 	Burst     int // 0: a second's worth, and at least 1
 }
 
-// Rules are what a route's traffic is held to. Zero: no limit.
-type Rules struct {
+// Limits are what a route's traffic is held to. Zero: no limit.
+type Limits struct {
 	Rate              Rate
 	Concurrency       int
 	TenantRate        Rate
@@ -27,21 +27,21 @@
 // DefaultTenants is how many tenants are told apart where the rules do not say.
 const DefaultTenants = 10000
 
-// Why says which limit turned a request away.
-type Why string
+// Limit says which limit turned a request away.
+type Limit string
 
 // The limits.
 const (
-	None              Why = ""
-	RouteRate         Why = "route rate"
-	RouteConcurrency  Why = "route concurrency"
-	TenantRate        Why = "tenant rate"
-	TenantConcurrency Why = "tenant concurrency"
+	None              Limit = ""
+	RouteRate         Limit = "route rate"
+	RouteConcurrency  Limit = "route concurrency"
+	TenantRate        Limit = "tenant rate"
+	TenantConcurrency Limit = "tenant concurrency"
 )
 
 // Limiter holds the traffic of one route to its rules. It is not safe for concurrent use.
 type Limiter struct {
-	rules   Rules
+	rules   Limits
 	all     party
 	others  party // of tenants for whom there is no place
 	tenants map[string]*list.Element
@@ -55,18 +55,18 @@
 	out    int
 }
 
-// Pass is what a request that was let in must bring back at its end.
-type Pass struct{ tenant *party }
+// Permit is what a request that was let in must bring back at its end.
+type Permit struct{ tenant *party }
 
 // New returns a limiter at rest.
-func New(r Rules) *Limiter {
+func New(r Limits) *Limiter {
 	l := &Limiter{tenants: map[string]*list.Element{}, used: list.New()}
 	l.Configure(time.Time{}, r)
 	return l
 }
 
 // Configure changes the rules. What is under way goes on counting, and what was saved up stays, within the new limits.
-func (l *Limiter) Configure(now time.Time, r Rules) {
+func (l *Limiter) Configure(now time.Time, r Limits) {
 	if r.Tenants == 0 {
 		r.Tenants = DefaultTenants
 	}
@@ -96,37 +96,37 @@
 	p.bucket.SetBurstAt(now, burst)
 }
 
-// Take lets a request in, or says which limit is reached and when trying again makes sense. What is turned away costs
+// Acquire lets a request in, or says which limit is reached and when trying again makes sense. What is turned away costs
 // nothing of any limit. A request without a tenant counts for the route alone.
-func (l *Limiter) Take(now time.Time, tenant string) (Pass, Why, time.Duration) {
+func (l *Limiter) Acquire(now time.Time, tenant string) (Permit, Limit, time.Duration) {
 	var t *party
 	if tenant != "" && (l.rules.TenantRate.PerSecond > 0 || l.rules.TenantConcurrency > 0) {
 		t = l.tenant(now, tenant)
 	}
 	switch {
 	case t != nil && l.rules.TenantConcurrency > 0 && t.out >= l.rules.TenantConcurrency:
-		return Pass{}, TenantConcurrency, 0
+		return Permit{}, TenantConcurrency, 0
 	case l.rules.Concurrency > 0 && l.all.out >= l.rules.Concurrency:
-		return Pass{}, RouteConcurrency, 0
+		return Permit{}, RouteConcurrency, 0
 	}
 	var paid *rate.Reservation
 	if t != nil {
 		var wait time.Duration
 		if paid, wait = t.pay(now); wait > 0 {
-			return Pass{}, TenantRate, wait
+			return Permit{}, TenantRate, wait
 		}
 	}
 	if _, wait := l.all.pay(now); wait > 0 {
 		if paid != nil {
 			paid.CancelAt(now)
 		}
-		return Pass{}, RouteRate, wait
+		return Permit{}, RouteRate, wait
 	}
 	l.all.out++
 	if t != nil {
 		t.out++
 	}
-	return Pass{t}, None, 0
+	return Permit{t}, None, 0
 }
 
 // pay takes a token, or says how long until there is one.
@@ -142,8 +142,8 @@
 	return r, 0
 }
 
-// Done reports the end of a request that was let in.
-func (l *Limiter) Done(p Pass) {
+// Release reports the end of a request that was let in.
+func (l *Limiter) Release(p Permit) {
 	l.all.out--
 	if p.tenant != nil {
 		p.tenant.out--
@@ -173,5 +173,5 @@
 	return p
 }
 
-// Load tells how many requests are under way, and how many tenants have places.
-func (l *Limiter) Load() (out, tenants int) { return l.all.out, l.used.Len() }
+// Usage tells how many requests are under way, and how many tenants have places.
+func (l *Limiter) Usage() (out, tenants int) { return l.all.out, l.used.Len() }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -33,15 +33,15 @@
 
 // Config is what a sidecar is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Console   string // where operators connect; empty: nowhere
-	AcceptFD  string // descriptor of the listening socket that was inherited; empty: none was
-	Temp      string // a folder that all processes of this sidecar have; empty: none
-	Limits    Limits
-	Known     platform.Members
-	Settings  wire.Settings
+	Name           string
+	Listen         string
+	Discovery      string
+	AdminAddr      string // where operators connect; empty: nowhere
+	AcceptFD       string // descriptor of the listening socket that was inherited; empty: none was
+	SharedDir      string // a folder that all processes of this sidecar have; empty: none
+	Limits         Limits
+	KnownEndpoints platform.EndpointList
+	Settings       wire.Settings
 }
 
 // LoadConfig reads the file that ROUTER_CONFIG names. Variables fill what it lacks. An error names the field at
@@ -76,20 +76,20 @@
 	c := Config{Name: fill(file.Name, "ROUTER_NAME"), Listen: fill(file.Listen, "ROUTER_LISTEN"),
 		Discovery: fill(file.Discovery, "ROUTER_DISCOVERY"), Limits: file.Limits,
 		// Two processes of one sidecar may read one file: what this one was started with comes first.
-		Console:  cmp.Or(getenv("ROUTER_CONSOLE"), file.Console),
-		AcceptFD: getenv("ROUTER_ACCEPT_FD"), Temp: getenv("TMPDIR")}
+		AdminAddr: cmp.Or(getenv("ROUTER_CONSOLE"), file.Console),
+		AcceptFD:  getenv("ROUTER_ACCEPT_FD"), SharedDir: getenv("TMPDIR")}
 	if err := netaddr.Check("listen", c.Listen); err != nil {
 		return c, err
 	}
 	if err := netaddr.Check("discovery", c.Discovery); err != nil {
 		return c, err
 	}
-	if c.Console != "" {
-		if err := netaddr.Check("console", c.Console); err != nil {
+	if c.AdminAddr != "" {
+		if err := netaddr.Check("console", c.AdminAddr); err != nil {
 			return c, err
 		}
-		if c.Console == c.Listen && !strings.HasSuffix(c.Console, ":0") {
-			return c, fmt.Errorf("console: %s is where callers connect", c.Console)
+		if c.AdminAddr == c.Listen && !strings.HasSuffix(c.AdminAddr, ":0") {
+			return c, fmt.Errorf("console: %s is where callers connect", c.AdminAddr)
 		}
 	}
 	if err := c.Limits.check(); err != nil {
@@ -106,7 +106,7 @@
 		return c, fmt.Errorf("seed: %w", err)
 	}
 	if len(file.Known) > 0 {
-		if c.Known, err = platform.Parse(file.Known); err != nil {
+		if c.KnownEndpoints, err = platform.ParseEndpointList(file.Known); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Limits != (Limits{1, 128, 512}) || *c.Known.Version != 41 || c.Settings.Seed != 0x8c1f30d27a5be964 ||
+	if c.Name != "n3" || c.Limits != (Limits{1, 128, 512}) || *c.KnownEndpoints.Version != 41 || c.Settings.Seed != 0x8c1f30d27a5be964 ||
 		c.Settings.ConnIdle != 30*time.Second || c.Settings.DialTimeout != 200*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
--- a/internal/sidecar/end_test.go
+++ b/internal/sidecar/end_test.go
@@ -43,7 +43,7 @@
 	}
 	s.concurrent(t, fullAt+2)
 	half, silent, never := s.calls(t, "half", look[:len(look)-2]), s.calls(t, "", ""), s.calls(t, "never", "")
-	until(t, "all connections are taken", func() bool { open, _ := s.conns.Load(); return open == fullAt+5 })
+	until(t, "all connections are taken", func() bool { open, _ := s.conns.Counts(); return open == fullAt+5 })
 
 	signalled := time.Now()
 	s.term()
@@ -51,7 +51,7 @@
 	if resp := fresh.answer(t); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("a new one is answered %d", resp.StatusCode)
 	}
-	until(t, "answers end their connections", s.callers.Ending)
+	until(t, "answers end their connections", s.callers.Draining)
 	io.WriteString(half, "\r\n") // the last byte
 	io.WriteString(silent, strings.ReplaceAll(look, "ID", "silent"))
 	for _, c := range append(taken, half, silent) {
@@ -123,7 +123,7 @@
 				io.WriteString(c, strings.ReplaceAll(ahead, "ID", "hang"))
 			}
 			s.term()
-			until(t, "answers end their connections", s.callers.Ending)
+			until(t, "answers end their connections", s.callers.Draining)
 			close(b.release)
 			in := bufio.NewReader(c)
 			for i, last := range []bool{false, true} {
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -238,7 +238,7 @@
 				s.tell(t, members(2, true, member("a", a.addr(), "Terminating"), cold))
 				close(a.release)
 				until(t, "all have failed there", func() bool {
-					return !slices.ContainsFunc(s.engine.Endpoints(), func(e proxy.Endpoint) bool { return e.InFlight > 0 })
+					return !slices.ContainsFunc(s.engine.Endpoints(), func(e proxy.EndpointStatus) bool { return e.InFlight > 0 })
 				})
 			},
 			over: func(t *testing.T) { s.tell(t, members(3, false, member("warm", b.addr(), "Ready"))) }}
@@ -252,16 +252,16 @@
 		temp := t.TempDir()
 		w := forRoom(t, setup{temp: temp}, true)
 		w.during = func(t *testing.T, _ int) {
-			folder, err := hotrestart.Open(temp, "")
+			folder, err := hotrestart.OpenSharedDir(temp, "")
 			if err != nil {
 				t.Fatal(err)
 			}
-			successor, err := folder.Enter(time.Now())
+			successor, err := folder.Register(time.Now())
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(successor.Leave)
-			if err := successor.Serve(); err != nil {
+			t.Cleanup(successor.Unregister)
+			if err := successor.MarkServing(); err != nil {
 				t.Fatal(err)
 			}
 			until(t, "the successor is seen", func() bool { w.shift.mu.Lock(); defer w.shift.mu.Unlock(); return w.shift.succeeded })
@@ -318,7 +318,7 @@
 	stays := s.calls(t, "stays", look+ahead)
 	s.conns.Resume()
 	stays.isServed(t)
-	until(t, "all are done with", func() bool { open, _ := s.conns.Load(); return open == 1 })
+	until(t, "all are done with", func() bool { open, _ := s.conns.Counts(); return open == 1 })
 	for _, id := range b.came() {
 		if strings.HasPrefix(id, "leaves") {
 			t.Errorf("the request that %s was sent on", id)
@@ -416,7 +416,7 @@
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	l, err := hotrestart.Listener(strconv.Itoa(fd))
+	l, err := hotrestart.InheritedListener(strconv.Itoa(fd))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/operator.go
+++ b/internal/sidecar/operator.go
@@ -58,10 +58,10 @@
 
 // operator carries out what comes over the console.
 type operator struct {
-	engine  *proxy.Engine
-	figures *metrics.Figures
+	engine  *proxy.Pool
+	figures *metrics.Counters
 	welcome *welcome
-	folder  *hotrestart.Folder // nil: bans end with this process
+	folder  *hotrestart.SharedDir // nil: bans end with this process
 	log     *slog.Logger
 
 	mu      sync.Mutex      // held while a ban changes; not on the way of requests
@@ -80,21 +80,21 @@
 	return nil
 }
 
-// Figures implements console.Operated.
-func (o *operator) Figures(b []byte) []byte {
+// AppendStats implements console.Operated.
+func (o *operator) AppendStats(b []byte) []byte {
 	g := o.engine.Gauges()
-	return o.figures.Append(b, metrics.Gauges{Dispatches: g.Dispatches, Targets: g.Listed, Disabled: g.Avoided})
+	return o.figures.Append(b, metrics.Gauges{Dispatches: g.Dispatches, Listed: g.Listed, Avoided: g.Avoided})
 }
 
 // Disable implements console.Operated. A yes means that the ban is in force here and outlives this process.
 func (o *operator) Disable(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.out[id] && !o.engine.Lists(id) {
-		return fmt.Errorf("%w: %q", proxy.ErrUnknown, id)
+	if !o.out[id] && !o.engine.HasEndpoint(id) {
+		return fmt.Errorf("%w: %q", proxy.ErrUnknownEndpoint, id)
 	}
 	if o.folder != nil {
-		if err := o.folder.Ban(id); err != nil {
+		if err := o.folder.Disable(id); err != nil {
 			return err
 		}
 	}
@@ -108,11 +108,11 @@
 func (o *operator) Enable(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.out[id] && !o.engine.Lists(id) {
-		return fmt.Errorf("%w: %q", proxy.ErrUnknown, id)
+	if !o.out[id] && !o.engine.HasEndpoint(id) {
+		return fmt.Errorf("%w: %q", proxy.ErrUnknownEndpoint, id)
 	}
 	if o.folder != nil {
-		if err := o.folder.Unban(id); err != nil {
+		if err := o.folder.Enable(id); err != nil {
 			return err
 		}
 	}
@@ -125,14 +125,14 @@
 // take takes an endpoint out. o.mu is held.
 func (o *operator) take(id string) {
 	o.out[id] = true
-	o.engine.Ban(id)
+	o.engine.Disable(id)
 	o.log.Info("an endpoint is taken out by hand", "id", id)
 }
 
 // put puts an endpoint back. o.mu is held.
 func (o *operator) put(id string) {
 	delete(o.out, id)
-	o.engine.Unban(id)
+	o.engine.Enable(id)
 	o.log.Info("an endpoint is put back by hand", "id", id)
 }
 
@@ -140,7 +140,7 @@
 func (o *operator) reconcile() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	ids, foreign, err := o.folder.Bans()
+	ids, foreign, err := o.folder.Disabled()
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/operator_test.go
+++ b/internal/sidecar/operator_test.go
@@ -251,7 +251,7 @@
 		t.Fatal(err)
 	}
 	s.welcome.hear()
-	s.shift.presence.Leave() // its file is gone: the predecessor can't be told
+	s.shift.presence.Unregister() // its file is gone: the predecessor can't be told
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- s.Serve(ctx) }()
@@ -285,7 +285,7 @@
 	}
 	if c, err := parseConfig([]byte(goodConfig), func(k string) string {
 		return map[string]string{"ROUTER_CONSOLE": "127.0.0.1:9200"}[k]
-	}); err != nil || c.Console != "127.0.0.1:9200" {
-		t.Errorf("by the variable: %q, %v", c.Console, err)
+	}); err != nil || c.AdminAddr != "127.0.0.1:9200" {
+		t.Errorf("by the variable: %q, %v", c.AdminAddr, err)
 	}
 }
--- a/internal/sidecar/shift.go
+++ b/internal/sidecar/shift.go
@@ -31,11 +31,11 @@
 // shift is this process's part in the change from one process of the sidecar to the next.
 type shift struct {
 	limits   Limits
-	folder   *hotrestart.Folder // nil: there is nobody to share with
+	folder   *hotrestart.SharedDir // nil: there is nobody to share with
 	presence *hotrestart.Presence
-	engine   *proxy.Engine
+	engine   *proxy.Pool
 	callers  *httpserver.Server
-	conns    *httpserver.Conns
+	conns    *httpserver.Listener
 	operator *operator
 	log      *slog.Logger
 
@@ -55,9 +55,9 @@
 // take makes this process take its part of the limits.
 func (s *shift) take(processes int) {
 	debug.SetMemoryLimit(int64(heapShare * float64(s.limits.MemoryMB) * mebibyte / float64(processes)))
-	s.engine.LimitConns(s.limits.conns(processes))
-	s.conns.Limit(s.limits.conns(processes))
-	s.callers.KeepBodies(s.limits.MemoryMB * mebibyte / bodyShare / processes)
+	s.engine.SetMaxConns(s.limits.conns(processes))
+	s.conns.SetMaxConns(s.limits.conns(processes))
+	s.callers.SetBodyMemory(s.limits.MemoryMB * mebibyte / bodyShare / processes)
 	if processes > 1 {
 		debug.FreeOSMemory()
 	}
@@ -69,12 +69,12 @@
 	if temp == "" {
 		return
 	}
-	folder, err := hotrestart.Open(temp, name)
+	folder, err := hotrestart.OpenSharedDir(temp, name)
 	if err != nil {
 		s.log.Warn("nothing is shared with a successor", "err", err)
 		return
 	}
-	presence, err := folder.Enter(time.Now())
+	presence, err := folder.Register(time.Now())
 	if err != nil {
 		s.log.Warn("nothing is shared with a successor", "err", err)
 		return
@@ -87,7 +87,7 @@
 func (s *shift) look() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	others, err := s.presence.Others()
+	others, err := s.presence.Peers()
 	if err = errors.Join(err, s.operator.reconcile()); err != nil {
 		if time.Since(s.toldAt) > complainGap {
 			s.toldAt = time.Now()
@@ -109,10 +109,10 @@
 		s.log.Info("a successor serves", "is_so", s.succeeded)
 		if s.succeeded {
 			s.conns.Pause()
-			s.callers.End()
+			s.callers.StartDraining()
 		} else { // it has died: this process is the one that serves
 			s.conns.Resume()
-			s.callers.Continue()
+			s.callers.StopDraining()
 		}
 	}
 }
@@ -140,14 +140,14 @@
 	if s.folder == nil {
 		return
 	}
-	var m proxy.Memory
-	ago, err := snapshot.Read(s.folder.Learned(), time.Now(), learnedFor, &m)
+	var m proxy.Snapshot
+	ago, err := snapshot.Read(s.folder.SnapshotPath(), time.Now(), learnedFor, &m)
 	switch {
-	case errors.Is(err, snapshot.ErrNone):
+	case errors.Is(err, snapshot.ErrNotFound):
 	case err != nil:
 		s.log.Warn("starting without what was learned", "err", err)
 	default:
-		s.engine.Recall(m, ago)
+		s.engine.Restore(m, ago)
 		s.log.Info("starting with what was learned", "ago", ago, "endpoints", len(m.Learned.Endpoints))
 	}
 }
@@ -157,7 +157,7 @@
 	if s.presence == nil {
 		return
 	}
-	if err := s.presence.Serve(); err != nil {
+	if err := s.presence.MarkServing(); err != nil {
 		s.log.Warn("a predecessor is not told that this process serves", "err", err)
 	}
 }
@@ -167,7 +167,7 @@
 	if s.presence == nil {
 		return
 	}
-	defer s.presence.Leave()
+	defer s.presence.Unregister()
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for {
@@ -194,7 +194,7 @@
 	if !due || !s.operator.welcome.open.Load() {
 		return nil
 	}
-	if err := snapshot.WriteLightly(s.folder.Learned(), time.Now(), s.engine.Memory()); err != nil {
+	if err := snapshot.WriteNoSync(s.folder.SnapshotPath(), time.Now(), s.engine.Snapshot()); err != nil {
 		return fmt.Errorf("shift: %w", err)
 	}
 	return nil
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -37,11 +37,11 @@
 // Sidecar is a sidecar that listens.
 type Sidecar struct {
 	callers   *httpserver.Server
-	conns     *httpserver.Conns
-	engine    *proxy.Engine
-	discovery *platform.Discovery
+	conns     *httpserver.Listener
+	engine    *proxy.Pool
+	discovery *platform.Client
 	console   *admin.Server // nil: there is none
-	figures   *metrics.Figures
+	figures   *metrics.Counters
 	welcome   *welcome
 	shift     *shift
 	kill      time.Duration // after SIGTERM SIGKILL comes no sooner
@@ -54,27 +54,27 @@
 		return nil, err
 	}
 	var door net.Listener
-	if c.Console != "" {
-		if door, err = net.Listen("tcp", c.Console); err != nil {
+	if c.AdminAddr != "" {
+		if door, err = net.Listen("tcp", c.AdminAddr); err != nil {
 			listener.Close()
 			return nil, fmt.Errorf("console: %w", err)
 		}
 	}
 	settings := c.Settings.Settings
 	each := c.Limits.conns(1)
-	var e *proxy.Engine
+	var e *proxy.Pool
 	w := newWelcome()
-	d := platform.New(platform.Options{Addr: c.Discovery, OnAsk: settings.SubscribeRequired, Version: c.Known.Version,
-		Grace: c.Settings.DrainGrace, Deliver: func(m platform.Members) { e.Heard(m.Engine()) }, Current: w.hear, Log: log})
-	known := c.Known
+	d := platform.New(platform.Options{Addr: c.Discovery, WaitForSubscribe: settings.SubscribeRequired, Version: c.KnownEndpoints.Version,
+		DrainGrace: c.Settings.DrainGrace, OnUpdate: func(m platform.EndpointList) { e.UpdateEndpoints(m.ForPool()) }, OnCurrent: w.hear, Log: log})
+	known := c.KnownEndpoints
 	known.Full = true // the list as it was last had, and the first that the module hears
-	e = proxy.New(settings, known.Engine(), proxy.Options{ConnIdle: c.Settings.ConnIdle, DialTimeout: c.Settings.DialTimeout,
-		Conns: each, Settle: settle, Subscribe: d.Subscribe, Log: log})
+	e = proxy.New(settings, known.ForPool(), proxy.Options{ConnIdle: c.Settings.ConnIdle, DialTimeout: c.Settings.DialTimeout,
+		MaxConns: each, Quarantine: settle, Subscribe: d.Subscribe, Log: log})
 
 	log.Info("listening", "addr", listener.Addr().String())
-	conns := httpserver.NewWaiting(listener, each, each+spareCallers)
+	conns := httpserver.NewWaitingListener(listener, each, each+spareCallers)
 
-	at := &desk{engine: e, effects: map[string]balancer.Repeatability{}}
+	at := &router{engine: e, effects: map[string]balancer.Repeatability{}}
 	var names []string
 	for _, class := range settings.Classes {
 		at.effects[class.Name] = class.Repeat
@@ -85,10 +85,10 @@
 	s := &Sidecar{callers: httpserver.New(at, serverName, c.Listen, log), conns: conns, engine: e, discovery: d, figures: at.figures, welcome: w}
 	s.kill = killAfter(c)
 	s.shift = &shift{limits: c.Limits, engine: e, callers: s.callers, conns: conns, operator: o, log: log}
-	if c.Console == "" && c.AcceptFD == "" {
-		c.Temp = "" // nobody bans, and nobody takes over
+	if c.AdminAddr == "" && c.AcceptFD == "" {
+		c.SharedDir = "" // nobody bans, and nobody takes over
 	}
-	s.shift.enter(c.Temp, c.Name)
+	s.shift.enter(c.SharedDir, c.Name)
 	if door != nil {
 		log.Info("console", "addr", door.Addr().String())
 		s.console = admin.New(door, o, log)
@@ -104,7 +104,7 @@
 // listen opens the listener for callers, or takes the one that the platform holds.
 func listen(c Config) (net.Listener, error) {
 	if c.AcceptFD != "" {
-		l, err := hotrestart.Listener(c.AcceptFD)
+		l, err := hotrestart.InheritedListener(c.AcceptFD)
 		if err != nil {
 			return nil, fmt.Errorf("ROUTER_ACCEPT_FD: %w", err)
 		}
@@ -122,12 +122,12 @@
 
 // Reload takes up what of a new configuration may change while requests are served: where discovery is.
 func (s *Sidecar) Reload(c Config) {
-	s.discovery.Move(c.Discovery)
+	s.discovery.SetAddress(c.Discovery)
 	s.figures.Reloads.Add(1)
 }
 
-// NotReloaded notes that a new configuration could not be read.
-func (s *Sidecar) NotReloaded() { s.figures.FailedReloads.Add(1) }
+// ReloadFailed notes that a new configuration could not be read.
+func (s *Sidecar) ReloadFailed() { s.figures.FailedReloads.Add(1) }
 
 // Serve serves until ctx ends and then until all that was taken has been answered.
 func (s *Sidecar) Serve(ctx context.Context) error {
@@ -164,52 +164,52 @@
 // before SIGKILL can come: requests whose deadlines are later are given up on, and connections that bring none by then are closed.
 func (s *Sidecar) drain(served <-chan error) error {
 	kill := time.Now().Add(s.kill)
-	s.engine.EndBy(s.engine.Now() + s.kill - answersBefore)
+	s.engine.SetFinalDeadline(s.engine.Now() + s.kill - answersBefore)
 	busy := lately
 	if !s.shift.end() {
 		time.Sleep(acceptAfterTerm)
 		busy = 0
 	}
-	s.callers.End()
-	err := s.conns.Finish(busy, kill.Add(-closedBefore))
+	s.callers.StartDraining()
+	err := s.conns.Drain(busy, kill.Add(-closedBefore))
 	<-served // the listener is closed
 	return err
 }
 
-// desk finds a request's class in the first segment of its path; the one engine serves all classes that are listed.
-type desk struct {
-	engine  *proxy.Engine
+// router finds a request's class in the first segment of its path; the one engine serves all classes that are listed.
+type router struct {
+	engine  *proxy.Pool
 	effects map[string]balancer.Repeatability
-	figures *metrics.Figures
+	figures *metrics.Counters
 }
 
-// Receive implements plain.Desk.
-func (d *desk) Receive(r *http.Request) (httpserver.Visit, *httpserver.Refusal) {
+// Route implements plain.Desk.
+func (d *router) Route(r *http.Request) (httpserver.Target, *httpserver.Rejection) {
 	class, err := route.FirstSegment(r.URL.EscapedPath())
 	if err != nil { // a server might read another class than we do
-		return httpserver.Visit{}, &httpserver.Refusal{Status: http.StatusBadRequest, Reason: err.Error(), Close: true}
+		return httpserver.Target{}, &httpserver.Rejection{Status: http.StatusBadRequest, Reason: err.Error(), Close: true}
 	}
 	effect, listed := d.effects[class]
 	if !listed {
-		return httpserver.Visit{}, &httpserver.Refusal{Status: http.StatusNotFound, Reason: fmt.Sprintf("class %.40q is not served", class), Close: true}
+		return httpserver.Target{}, &httpserver.Rejection{Status: http.StatusNotFound, Reason: fmt.Sprintf("class %.40q is not served", class), Close: true}
 	}
-	d.figures.Take()
-	return httpserver.Visit{Engine: d.engine, Class: class, Effect: effect, Tenant: r.Header.Get("Req-Owner"),
-		Over: func(taken bool, a proxy.Reply) { d.over(class, taken, a) }}, nil
+	d.figures.RequestStarted()
+	return httpserver.Target{Pool: d.engine, Class: class, Effect: effect, Tenant: r.Header.Get("Req-Owner"),
+		Done: func(taken bool, a proxy.Result) { d.over(class, taken, a) }}, nil
 }
 
 // ends are what answers count as. A request that came twice was answered the first time.
-var ends = map[proxy.Kind]metrics.End{proxy.Served: metrics.Success, proxy.Refused: metrics.Overload}
+var ends = map[proxy.ResultKind]metrics.Outcome{proxy.Served: metrics.Success, proxy.Rejected: metrics.Overload}
 
 // over counts a request whose answer is written.
-func (d *desk) over(class string, taken bool, a proxy.Reply) {
+func (d *router) over(class string, taken bool, a proxy.Result) {
 	if !taken || a.Kind == proxy.Duplicate {
-		d.figures.Drop()
+		d.figures.RequestDropped()
 		return
 	}
 	end, ok := ends[a.Kind]
 	if !ok {
 		end = metrics.Error
 	}
-	d.figures.Finish(class, end)
+	d.figures.RequestFinished(class, end)
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -299,11 +299,11 @@
 // A list is an event of the engine's, as discovery's are: what comes after it finds it in force.
 func (s *running) tell(t *testing.T, text string) {
 	t.Helper()
-	m, err := platform.Parse([]byte(text))
+	m, err := platform.ParseEndpointList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.engine.Heard(m.Engine())
+	s.engine.UpdateEndpoints(m.ForPool())
 }
 
 func TestNothingNewGoesToWhatDrainsOrIsGone(t *testing.T) {
@@ -406,7 +406,7 @@
 func TestAnUnfinishedBodyIsGivenUp(t *testing.T) {
 	e := newEndpoint(t, says(served, true))
 	s := run(t, e.Addr)
-	s.callers.LimitBodies(100 * time.Millisecond)
+	s.callers.SetBodyTimeout(100 * time.Millisecond)
 	for name, fields := range map[string]string{"good": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -37,18 +37,18 @@
 
 // Errors that say why a snapshot is not used.
 var (
-	ErrNone   = errors.New("there is none")
-	ErrBroken = errors.New("it is broken or cut")
-	ErrOther  = errors.New("it is of another version")
-	ErrOld    = errors.New("it is too old")
-	ErrAhead  = errors.New("it was written in the future")
+	ErrNotFound   = errors.New("there is none")
+	ErrCorrupt    = errors.New("it is broken or cut")
+	ErrVersion    = errors.New("it is of another version")
+	ErrExpired    = errors.New("it is too old")
+	ErrFromFuture = errors.New("it was written in the future")
 )
 
 // Write puts a value into the file at path, as of now. Until it is all there the old file stands, also where the machine fails.
 func Write(path string, now time.Time, value any) error { return replace(path, now, value, true) }
 
-// WriteLightly is Write for a folder that lasts no longer than the machine runs: it does not wait for the disk.
-func WriteLightly(path string, now time.Time, value any) error {
+// WriteNoSync is Write for a folder that lasts no longer than the machine runs: it does not wait for the disk.
+func WriteNoSync(path string, now time.Time, value any) error {
 	return replace(path, now, value, false)
 }
 
@@ -98,7 +98,7 @@
 	}()
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return 0, ErrNone
+		return 0, ErrNotFound
 	}
 	if err != nil {
 		return 0, err
@@ -114,30 +114,30 @@
 	}
 	var h head
 	if err := json.Unmarshal(text[:end], &h); err != nil || h.Form != form {
-		return 0, ErrBroken
+		return 0, ErrCorrupt
 	}
 	if h.Version != version {
-		return 0, fmt.Errorf("%w: %d, and this program reads %d", ErrOther, h.Version, version)
+		return 0, fmt.Errorf("%w: %d, and this program reads %d", ErrVersion, h.Version, version)
 	}
 	if len(text) != end+1+h.Bytes+1 || sum(text[end+1:len(text)-1]) != h.Sum {
-		return 0, ErrBroken
+		return 0, ErrCorrupt
 	}
 	ago = now.Sub(time.UnixMilli(h.WrittenMs))
 	switch {
 	case ago < -ahead:
-		return 0, fmt.Errorf("%w, in %v by this machine's clock", ErrAhead, -ago.Round(time.Second))
+		return 0, fmt.Errorf("%w, in %v by this machine's clock", ErrFromFuture, -ago.Round(time.Second))
 	case ago > most:
-		return 0, fmt.Errorf("%w: %v, and %v is the most", ErrOld, ago.Round(time.Second), most)
+		return 0, fmt.Errorf("%w: %v, and %v is the most", ErrExpired, ago.Round(time.Second), most)
 	}
 	if err := json.Unmarshal(text[end+1:], value); err != nil {
-		return 0, ErrBroken
+		return 0, ErrCorrupt
 	}
 	return max(ago, 0), nil
 }
 
-// Hold makes this process the one that writes the file at path, until the lock that it gives is closed or the process ends. It
+// Lock makes this process the one that writes the file at path, until the lock that it gives is closed or the process ends. It
 // fails while another process does.
-func Hold(path string) (io.Closer, error) {
+func Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -39,7 +39,7 @@
 	if ago, err := Read(path, written.Add(-time.Second), time.Minute, &c); err != nil || ago != 0 {
 		t.Errorf("a second ahead: %v, %v", ago, err)
 	}
-	if err := WriteLightly(path, written, content{Share: 1}); err != nil {
+	if err := WriteNoSync(path, written, content{Share: 1}); err != nil {
 		t.Fatal(err)
 	}
 	left, err := os.ReadDir(filepath.Dir(path))
@@ -73,10 +73,10 @@
 			t.Fatalf("with byte %d (%q) changed, it is read", i, text[i])
 		}
 	}
-	if err := read(text + "x"); !errors.Is(err, ErrBroken) {
+	if err := read(text + "x"); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("with more behind it: %v", err)
 	}
-	if err := read(strings.Replace(text, `"version":1`, `"version":2`, 1)); !errors.Is(err, ErrOther) {
+	if err := read(strings.Replace(text, `"version":1`, `"version":2`, 1)); !errors.Is(err, ErrVersion) {
 		t.Errorf("of another version: %v", err)
 	}
 }
@@ -86,12 +86,12 @@
 	for _, row := range []struct {
 		after time.Duration
 		want  error
-	}{{time.Minute, nil}, {time.Minute + time.Second, ErrOld}, {-time.Hour, ErrAhead}} {
+	}{{time.Minute, nil}, {time.Minute + time.Second, ErrExpired}, {-time.Hour, ErrFromFuture}} {
 		if _, err := Read(path, written.Add(row.after), time.Minute, &content{}); !errors.Is(err, row.want) {
 			t.Errorf("%v after: %v, want %v", row.after, err, row.want)
 		}
 	}
-	if _, err := Read(path+"x", written, time.Minute, &content{}); !errors.Is(err, ErrNone) {
+	if _, err := Read(path+"x", written, time.Minute, &content{}); !errors.Is(err, ErrNotFound) {
 		t.Errorf("no file: %v", err)
 	}
 }
@@ -123,15 +123,15 @@
 
 func TestOneProcessWrites(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
-	first, err := Hold(path)
+	first, err := Lock(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Hold(path); err == nil {
+	if _, err := Lock(path); err == nil {
 		t.Error("two hold it")
 	}
 	first.Close()
-	second, err := Hold(path)
+	second, err := Lock(path)
 	if err != nil {
 		t.Fatalf("after the first has let go: %v", err)
 	}
--- a/internal/subset/filter.go
+++ b/internal/subset/filter.go
@@ -17,8 +17,8 @@
 	resized bool            // since the latest message
 	fresh   map[string]bool // ready since then
 	ring    Ring
-	all     map[string]proxy.Member
-	inside  map[string]proxy.Member // as the instance was told
+	all     map[string]proxy.Endpoint
+	inside  map[string]proxy.Endpoint // as the instance was told
 }
 
 // Part says which endpoints an instance sends to.
@@ -43,7 +43,7 @@
 
 // NewFilter returns a filter for an instance.
 func NewFilter(p Part) *Filter {
-	return &Filter{part: p, fresh: map[string]bool{}, all: map[string]proxy.Member{}, inside: map[string]proxy.Member{}}
+	return &Filter{part: p, fresh: map[string]bool{}, all: map[string]proxy.Endpoint{}, inside: map[string]proxy.Endpoint{}}
 }
 
 // Resize sets the part. The next message from Hear has what follows from it.
@@ -52,23 +52,23 @@
 	f.part = p
 }
 
-// Hear takes a message from a roster and gives what it means to the instance: what has changed, or after a complete list all.
-func (f *Filter) Hear(m proxy.Members) proxy.Members {
+// Apply takes a message from a roster and gives what it means to the instance: what has changed, or after a complete list all.
+func (f *Filter) Apply(m proxy.EndpointList) proxy.EndpointList {
 	heard := map[string]bool{}
-	for _, e := range m.Members {
+	for _, e := range m.Endpoints {
 		heard[e.ID] = true
 		f.take(e)
 	}
 	if m.Complete {
 		for id := range f.all {
 			if !heard[id] {
-				f.take(proxy.Member{ID: id, State: balancer.Gone})
+				f.take(proxy.Endpoint{ID: id, State: balancer.Gone})
 			}
 		}
 	}
 	if f.part.Size == 0 && !f.resized {
 		clear(f.fresh)
-		for _, e := range m.Members {
+		for _, e := range m.Endpoints {
 			if f.inside[e.ID] = e; e.State == balancer.Gone {
 				delete(f.inside, e.ID)
 			}
@@ -84,34 +84,34 @@
 	}
 	f.resized = false
 	clear(f.fresh)
-	out := proxy.Members{Complete: m.Complete, Others: f.ring.Len() - len(part)}
+	out := proxy.EndpointList{Complete: m.Complete, Unlisted: f.ring.Len() - len(part)}
 	for _, id := range slices.Sorted(maps.Keys(f.inside)) {
 		now, known := f.all[id]
 		switch was := f.inside[id]; {
 		case !known, now.State == balancer.Ready && !part[id]:
 			was.State = balancer.Gone
-			out.Members = append(out.Members, was)
+			out.Endpoints = append(out.Endpoints, was)
 			delete(f.inside, id)
 		case now != was || m.Complete:
-			out.Members = append(out.Members, now)
+			out.Endpoints = append(out.Endpoints, now)
 			f.inside[id] = now
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(part)) {
 		if _, in := f.inside[id]; !in {
-			out.Members = append(out.Members, f.all[id])
+			out.Endpoints = append(out.Endpoints, f.all[id])
 			f.inside[id] = f.all[id]
 		}
 	}
 	if m.Complete { // what is gone need not be said of a complete list
-		out.Members = slices.DeleteFunc(out.Members, func(e proxy.Member) bool { return e.State == balancer.Gone })
+		out.Endpoints = slices.DeleteFunc(out.Endpoints, func(e proxy.Endpoint) bool { return e.State == balancer.Gone })
 	}
 	return out
 }
 
 // All gives all endpoints that the roster has told of, in the order of their ids.
-func (f *Filter) All() []proxy.Member {
-	return slices.SortedFunc(maps.Values(f.all), func(x, y proxy.Member) int { return cmp.Compare(x.ID, y.ID) })
+func (f *Filter) All() []proxy.Endpoint {
+	return slices.SortedFunc(maps.Values(f.all), func(x, y proxy.Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 }
 
 // choose gives the part as it is now.
@@ -125,7 +125,7 @@
 }
 
 // take notes what is said of one endpoint.
-func (f *Filter) take(e proxy.Member) {
+func (f *Filter) take(e proxy.Endpoint) {
 	if e.State == balancer.Ready {
 		if f.ring.Add(e.ID) {
 			f.fresh[e.ID] = true
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -60,16 +60,16 @@
 		size := rapid.IntRange(1, 6).Draw(t, "size")
 		p := Part{Place: Place(rapid.Uint64().Draw(t, "place")), Size: size}
 		f := NewFilter(p)
-		truth, known := map[string]proxy.Member{}, map[string]proxy.Member{}
+		truth, known := map[string]proxy.Endpoint{}, map[string]proxy.Endpoint{}
 		for range rapid.IntRange(1, 20).Draw(t, "messages") {
-			m := proxy.Members{Complete: rapid.Bool().Draw(t, "complete")}
+			m := proxy.EndpointList{Complete: rapid.Bool().Draw(t, "complete")}
 			if m.Complete {
 				clear(truth)
 			}
 			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 11), 0, 8, rapid.ID[int]).Draw(t, "ids") {
-				e := proxy.Member{ID: fmt.Sprint(i), Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, "address")),
+				e := proxy.Endpoint{ID: fmt.Sprint(i), Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, "address")),
 					State: rapid.SampledFrom([]balancer.State{balancer.Ready, balancer.Draining, balancer.Gone}).Draw(t, "state")}
-				m.Members = append(m.Members, e)
+				m.Endpoints = append(m.Endpoints, e)
 				if truth[e.ID] = e; e.State == balancer.Gone {
 					delete(truth, e.ID)
 				}
@@ -80,13 +80,13 @@
 				f.Resize(p)
 			}
 			was := known
-			out := f.Hear(m)
-			if known = map[string]proxy.Member{}; !out.Complete {
+			out := f.Apply(m)
+			if known = map[string]proxy.Endpoint{}; !out.Complete {
 				for id, e := range was {
 					known[id] = e
 				}
 			}
-			for _, e := range out.Members {
+			for _, e := range out.Endpoints {
 				if known[e.ID] = e; e.State == balancer.Gone {
 					delete(known, e.ID)
 				}
@@ -108,8 +108,8 @@
 					t.Fatalf("%s drains and was never of the part", id)
 				}
 			}
-			if want := min(cmp.Or(size, ready), ready); got != want || out.Others != ready-got {
-				t.Fatalf("%d ready endpoints of %d are known, %d are wanted; others %d", got, ready, want, out.Others)
+			if want := min(cmp.Or(size, ready), ready); got != want || out.Unlisted != ready-got {
+				t.Fatalf("%d ready endpoints of %d are known, %d are wanted; others %d", got, ready, want, out.Unlisted)
 			}
 			for id, e := range was { // of its own that drain none is forgotten
 				if now, there := truth[id]; there && now.State == balancer.Draining {
@@ -140,9 +140,9 @@
 	fleet := make([]*Filter, instances)
 	held := make([]map[string]bool, instances)
 	moves := 0
-	tell := func(m proxy.Members) {
+	tell := func(m proxy.EndpointList) {
 		for i, f := range fleet {
-			for _, e := range f.Hear(m).Members {
+			for _, e := range f.Apply(m).Endpoints {
 				if e.State == balancer.Ready && !held[i][e.ID] {
 					held[i][e.ID] = true
 					moves++
@@ -152,9 +152,9 @@
 			}
 		}
 	}
-	var all proxy.Members
+	var all proxy.EndpointList
 	for i := range n {
-		all.Members = append(all.Members, proxy.Member{ID: fmt.Sprintf("box-%d", i)})
+		all.Endpoints = append(all.Endpoints, proxy.Endpoint{ID: fmt.Sprintf("box-%d", i)})
 	}
 	for i := range fleet {
 		fleet[i], held[i] = NewFilter(Part{Place: PlaceOf(i), Size: size}), map[string]bool{}
@@ -162,8 +162,8 @@
 	tell(all)
 	moves = 0
 	for i := range n / 2 {
-		tell(proxy.Members{Members: []proxy.Member{{ID: fmt.Sprintf("box-%d", i), State: balancer.Gone}}})
-		tell(proxy.Members{Members: []proxy.Member{{ID: fmt.Sprintf("new-%d", i)}}})
+		tell(proxy.EndpointList{Endpoints: []proxy.Endpoint{{ID: fmt.Sprintf("box-%d", i), State: balancer.Gone}}})
+		tell(proxy.EndpointList{Endpoints: []proxy.Endpoint{{ID: fmt.Sprintf("new-%d", i)}}})
 	}
 	// Each replacement takes an endpoint from size of n instances and gives one to as many: two moves for each of them.
 	if must := instances * (n / 2) * 2 * size / n; moves > must*3/2 {
--- a/internal/supervisor/run.go
+++ b/internal/supervisor/run.go
@@ -67,7 +67,7 @@
 		return fmt.Errorf("fleet: %w", err)
 	}
 	state := filepath.Join(f.Folder, stateName)
-	lock, err := snapshot.Hold(state)
+	lock, err := snapshot.Lock(state)
 	if err != nil {
 		return fmt.Errorf("fleet: another supervisor runs this fleet: %w", err)
 	}
@@ -236,7 +236,7 @@
 func (r *runner) adopt(now time.Duration) {
 	var k kept
 	if _, err := snapshot.Read(r.state, time.Now(), stateFor, &k); err != nil {
-		if !errors.Is(err, snapshot.ErrNone) {
+		if !errors.Is(err, snapshot.ErrNotFound) {
 			r.o.Log.Warn("the state of a supervisor before is not used", "err", err)
 		}
 		return
