--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -122,12 +122,12 @@
 }
 
 // warm serves calls one after another, each endpoint taking its own time.
-func (r *rig) warm(calls int, took map[string]time.Duration) map[string]int {
+func (r *rig) warm(calls int, latency map[string]time.Duration) map[string]int {
 	share := map[string]int{}
 	for range calls {
 		id, ep := r.call("read")
 		share[ep]++
-		r.wait(took[ep])
+		r.wait(latency[ep])
 		r.end(id, balancer.OK)
 	}
 	return share
@@ -135,9 +135,9 @@
 
 func TestTurnsFollowSpeed(t *testing.T) {
 	r := newRig(t, basic(), "fast", "slow")
-	took := map[string]time.Duration{"fast": 40 * ms, "slow": 60 * ms}
-	r.warm(100, took)
-	share := r.warm(400, took)
+	latency := map[string]time.Duration{"fast": 40 * ms, "slow": 60 * ms}
+	r.warm(100, latency)
+	share := r.warm(400, latency)
 	if f, s := share["fast"], share["slow"]; f < s*5/4 || f > s*2 {
 		t.Errorf("fast got %d turns and slow %d; between 1.25 and 2 times as many were due", f, s)
 	}
@@ -155,26 +155,26 @@
 
 func TestSlowEndpointIsDroppedAndWinsItsTurnsBack(t *testing.T) {
 	r := newRig(t, basic(), "a", "b", "c", "d")
-	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms}
-	r.warm(100, took)
-	took["d"] = 400 * ms
-	r.warm(60, took)
-	if n := r.warm(200, took)["d"]; n > 10 {
+	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms}
+	r.warm(100, latency)
+	latency["d"] = 400 * ms
+	r.warm(60, latency)
+	if n := r.warm(200, latency)["d"]; n > 10 {
 		t.Errorf("a slow endpoint got %d of 200 calls", n)
 	}
-	took["d"] = 50 * ms
-	r.warm(200, took)
-	if n := r.warm(200, took)["d"]; n < 35 {
+	latency["d"] = 50 * ms
+	r.warm(200, latency)
+	if n := r.warm(200, latency)["d"]; n < 35 {
 		t.Errorf("a recovered endpoint got %d of 200 calls", n)
 	}
 }
 
 func TestOneLuckyEndpointKeepsHalfActive(t *testing.T) {
 	r := newRig(t, basic(), "lucky", "b", "c", "d", "e", "f")
-	took := map[string]time.Duration{"lucky": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
-	r.warm(200, took)
+	latency := map[string]time.Duration{"lucky": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
+	r.warm(200, latency)
 	others := 0
-	for ep, n := range r.warm(600, took) {
+	for ep, n := range r.warm(600, latency) {
 		if ep != "lucky" && n > 1 {
 			others++
 		}
@@ -187,8 +187,8 @@
 // TestHungEndpointLosesItsTurnsWithinAFewAnswerTimes: a hang must not keep its turns for a whole time-out.
 func TestHungEndpointLosesItsTurnsWithinAFewAnswerTimes(t *testing.T) {
 	r := newRig(t, basic(), "a", "b", "c", "hung")
-	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
-	r.warm(100, took)
+	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
+	r.warm(100, latency)
 	caught, start := 0, r.now
 	for range 200 {
 		id, ep := r.call("read")
@@ -261,10 +261,10 @@
 // TestQuietCallersDoNotCrowdADroppedEndpoint: trials must stay below the caller's own even share (big-1 of regina).
 func TestQuietCallersDoNotCrowdADroppedEndpoint(t *testing.T) {
 	names := []string{"slow"}
-	took := map[string]time.Duration{"slow": 900 * ms}
+	latency := map[string]time.Duration{"slow": 900 * ms}
 	for i := range 19 {
 		names = append(names, "e"+strconv.Itoa(i))
-		took[names[i+1]] = 50 * ms
+		latency[names[i+1]] = 50 * ms
 	}
 	r := newRig(t, basic(), names...)
 	slow := 0
@@ -273,9 +273,9 @@
 		if ep == "slow" {
 			slow++
 		}
-		r.wait(took[ep])
+		r.wait(latency[ep])
 		r.end(id, balancer.OK)
-		r.wait(500*ms - min(took[ep], 400*ms))
+		r.wait(500*ms - min(latency[ep], 400*ms))
 	}
 	if slow > 14 {
 		t.Errorf("the slow endpoint got %d of 400 calls; an even share is 20", slow)
@@ -362,13 +362,13 @@
 		s := basic()
 		s.TiersBelow = below
 		r := newRig(t, s, "fast1", "fast2", "slow1", "slow2")
-		took := map[string]time.Duration{"fast1": 100 * ms, "fast2": 100 * ms, "slow1": 150 * ms, "slow2": 150 * ms}
-		r.warm(200, took)
+		latency := map[string]time.Duration{"fast1": 100 * ms, "fast2": 100 * ms, "slow1": 150 * ms, "slow2": 150 * ms}
+		r.warm(200, latency)
 		share := map[string]float64{}
 		for range 400 {
 			id, ep := r.call("read")
 			share[ep[:4]]++
-			r.wait(took[ep])
+			r.wait(latency[ep])
 			r.end(id, balancer.OK)
 		}
 		if got := share["fast"] / share["slow"]; got < want[0] || got > want[1] {
@@ -384,11 +384,11 @@
 	s.Instances = 10
 	r := newRig(t, s, "a", "b", "c", "d")
 	due := map[string]time.Duration{}
-	ask := func(took time.Duration, n int) (out int) {
+	ask := func(latency time.Duration, n int) (out int) {
 		for range n * 50 {
 			if r.now%(125*ms) < 10*ms {
 				if id, ep := r.call("read"); ep != "" {
-					due[id] = r.now + took
+					due[id] = r.now + latency
 				}
 			}
 			r.wait(10 * ms)
@@ -777,20 +777,20 @@
 func TestKindSpeaksForEndpointsHardlySampled(t *testing.T) {
 	s := basic()
 	r := newRig(t, s)
-	l, took := balancer.EndpointList{Complete: true}, map[string]time.Duration{}
+	l, latency := balancer.EndpointList{Complete: true}, map[string]time.Duration{}
 	for i := range 20 {
 		e := balancer.Endpoint{ID: "f" + strconv.Itoa(i), Kind: "fast"}
-		took[e.ID] = 40 * ms
+		latency[e.ID] = 40 * ms
 		if i%2 == 1 {
 			e.ID, e.Kind = "s"+strconv.Itoa(i), "slow"
-			took[e.ID] = 70 * ms
+			latency[e.ID] = 70 * ms
 		}
 		l.Entries = append(l.Entries, e)
 	}
 	r.b.EndpointList(r.now, l)
-	r.warm(60, took)
+	r.warm(60, latency)
 	slow := 0
-	for ep, n := range r.warm(60, took) {
+	for ep, n := range r.warm(60, latency) {
 		if ep[0] == 's' {
 			slow += n
 		}
@@ -803,10 +803,10 @@
 // Rule 4: what a cold endpoint gets stays near its share, however much comes in.
 func TestSendsToAColdEndpointArePaced(t *testing.T) {
 	r := newRig(t, basic(), "a", "b", "c")
-	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
-	r.warm(300, took)
+	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
+	r.warm(300, latency)
 	r.b.EndpointList(r.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new", Started: r.now}}})
-	share := r.warm(150, took)
+	share := r.warm(150, latency)
 	if share["new"] == 0 || share["new"] > 150/4*2/3 {
 		t.Errorf("a cold endpoint of four got %d of 150 calls", share["new"])
 	}
@@ -816,8 +816,8 @@
 func resetting(t *testing.T, resets int) int {
 	t.Helper()
 	r := newRig(t, basic(), "a", "b", "c")
-	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms}
-	r.warm(300, took)
+	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms}
+	r.warm(300, latency)
 	for resets > 0 {
 		id, ep := r.call("bill")
 		r.wait(20 * ms)
@@ -828,8 +828,8 @@
 			r.end(id, balancer.OK)
 		}
 	}
-	r.warm(60, took)
-	return r.warm(60, took)["c"]
+	r.warm(60, latency)
+	return r.warm(60, latency)["c"]
 }
 
 // An endpoint that resets again before it has answered went down: it is cold when it comes back, whatever the list says.
@@ -865,8 +865,8 @@
 // An attempt that was called off says nothing of its endpoint, good or bad.
 func TestCanceledAttemptIsNoSample(t *testing.T) {
 	r := newRig(t, basic(), "a", "b")
-	took := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
-	r.warm(100, took)
+	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
+	r.warm(100, latency)
 	off := 0
 	for range 40 { // calls to b alone are called off, early
 		id, ep := r.call("read")
@@ -883,7 +883,7 @@
 	if off == 0 || off > 24 {
 		t.Errorf("b got %d of 40 turns; called off early, it must not pass for fast, nor lose its turns", off)
 	}
-	if share := r.warm(60, took); share["b"] < 20 {
+	if share := r.warm(60, latency); share["b"] < 20 {
 		t.Errorf("turns after calls were called off: %v", share)
 	}
 }
@@ -918,11 +918,11 @@
 	s := basic()
 	s.TiersBelow = 1
 	r := newRig(t, s, "fast", "slow")
-	took := map[string]time.Duration{"fast": 20 * ms, "slow": 30 * ms}
-	r.warm(200, took)
+	latency := map[string]time.Duration{"fast": 20 * ms, "slow": 30 * ms}
+	r.warm(200, latency)
 	again := 0
 	for range 30 {
-		r.warm(11, took) // earns a resend, and moves the turns on
+		r.warm(11, latency) // earns a resend, and moves the turns on
 		id, _ := r.call("read")
 		r.wait(10 * ms)
 		r.end(id, balancer.Errored)
@@ -930,7 +930,7 @@
 			if again++; to[0] == to[1] {
 				t.Fatalf("%s went to %v", id, to)
 			}
-			r.wait(took[to[1]])
+			r.wait(latency[to[1]])
 			r.end(id, balancer.OK)
 		}
 	}
@@ -945,8 +945,8 @@
 	s := basic()
 	s.TiersBelow = 1
 	r := newRig(t, s, "a", "b", "c", "d")
-	took := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "d": 20 * ms}
-	r.warm(200, took)
+	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "d": 20 * ms}
+	r.warm(200, latency)
 	failed := 0
 	for i := range 100 {
 		id, ep := r.call("bill")
@@ -956,7 +956,7 @@
 			r.end(id, balancer.Errored)
 			continue
 		}
-		r.wait(took[ep])
+		r.wait(latency[ep])
 		r.end(id, balancer.OK)
 	}
 	if failed < 2 || failed > 4 {
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -36,9 +36,9 @@
 			for i := 0; b.Loop(); i++ {
 				id := strconv.Itoa(i)
 				e.Request(now, balancer.Request{ID: id, Class: "c", Deadline: now + time.Second})
-				took := time.Duration(8+i%5) * time.Millisecond
-				now += took
-				e.Outcome(now, balancer.Outcome{ID: id, Endpoint: m.endpoint, Latency: took, Final: true})
+				latency := time.Duration(8+i%5) * time.Millisecond
+				now += latency
+				e.Outcome(now, balancer.Outcome{ID: id, Endpoint: m.endpoint, Latency: latency, Final: true})
 			}
 		})
 		b.Run("change/"+strconv.Itoa(n), func(b *testing.B) {
--- /dev/null
+++ b/balancer/concurrency.go
@@ -0,0 +1,92 @@
+package balancer
+
+// The concurrency limit: how many attempts of this instance may be in flight at once.
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	initialLimitPerEndpoint = 6.0             // attempts in flight for each endpoint before anything is known
+	limitDeviations         = 3.0             // and deviations of chance that the instance must bear alone
+	congestionThreshold     = 2.0             // latency ratio from which the limit shrinks: 1.8 is usual
+	minLimitCutShare        = 0.5             // share that a cut leaves at least, every half latency
+	limitGrowthGain         = 0.2             // the limit grows by this with each response at the limit,
+	limitGrowthThreshold    = 1.5             // times what the recent latency ratio is short of this
+	ratioMemory             = 2 * time.Second // a latency ratio this old counts 1/e,
+	minRatioGain            = 0.05            // but each response counts this much at least
+	maxRatioSample          = 4.0             // latency ratio that one response can show here
+	objectiveShare          = 0.5             // share of the latency objective that responses may take
+)
+
+// updateConcurrencyLimit adapts the limit to a response: down while it is in use and recent
+// responses are slow, up while it is used up and they hardly are. It guards against endpoints that
+// collapse under overload. A quiet instance has few responses to go by, and seldom an attempt in
+// flight: the latest response counts most, and the attempt that it ended counts as well.
+func (b *Balancer) updateConcurrencyLimit(now time.Duration, latencyRatio float64) {
+	gain := 1 - decay(now-b.limitUpdatedAt, ratioMemory)
+	b.limitUpdatedAt = now
+	tolerated := b.toleratedRatio()
+	sample := min(latencyRatio, maxRatioSample*tolerated)
+	b.recentLatencyRatio += (sample - b.recentLatencyRatio) * max(gain, minRatioGain)
+	threshold, used := congestionThreshold*tolerated, float64(b.concurrency+1)
+	limit := b.effectiveConcurrencyLimit()
+	switch {
+	case b.recentLatencyRatio > threshold && used > highUtilization*limit && now >= b.nextLimitCutAt:
+		cut := max(minLimitCutShare, threshold/b.recentLatencyRatio)
+		least := b.instanceShare(b.listedCount + b.unlistedCount)
+		b.concurrencyLimit = max(min(b.concurrencyLimit, used)*cut, least)
+		b.nextLimitCutAt = now + seconds(b.recentLatencyRatio*b.typicalLatency()/2)
+	case float64(b.concurrency+2) > limit:
+		headroom := max(limitGrowthThreshold*tolerated-b.recentLatencyRatio, 0)
+		b.concurrencyLimit += limitGrowthGain * tolerated * headroom
+	}
+}
+
+// effectiveConcurrencyLimit returns what is left of the limit while some endpoints fail: the others
+// must not get their part.
+func (b *Balancer) effectiveConcurrencyLimit() float64 {
+	working := b.concurrencyLimitFor(b.subsetSize - b.failingCount)
+	return max(b.concurrencyLimit*working/b.concurrencyLimitFor(b.subsetSize), 1)
+}
+
+// concurrencyLimitFor returns the instance's part of what so many endpoints can take, and what
+// chance needs beyond it: of calls that come at random, one instance has more than its part in
+// flight far sooner than all together have more than theirs.
+func (b *Balancer) concurrencyLimitFor(endpoints int) float64 {
+	part := initialLimitPerEndpoint * b.instanceShare(endpoints)
+	all := initialLimitPerEndpoint * float64(max(endpoints, 1))
+	return part + limitDeviations*(math.Sqrt(part)-part/math.Sqrt(all))
+}
+
+// instanceShare returns how many of the endpoints there are for this instance alone. Behind the
+// first tier instances are many and each has little to send: there it is all of them.
+func (b *Balancer) instanceShare(endpoints int) float64 {
+	n := float64(endpoints)
+	if b.settings.Tier == 0 {
+		n /= float64(max(b.settings.Instances, 1))
+	}
+	return max(n, 1)
+}
+
+// toleratedRatio returns how far latencies may rise beyond the ordinary: as far as leaves them well
+// within the latency objective, of which each tier has its part. Where that is long, a wait is
+// better than a rejection.
+func (b *Balancer) toleratedRatio() float64 {
+	tiers := float64(1 + b.settings.Tier + b.settings.TiersBelow)
+	return max(objectiveShare*b.meanObjective/b.typicalLatency()/tiers/congestionThreshold, 1)
+}
+
+// isHighlyUtilized reports whether much of the concurrency limit is in use.
+func (b *Balancer) isHighlyUtilized() bool {
+	return float64(b.concurrency) > highUtilization*b.effectiveConcurrencyLimit()
+}
+
+// hasCapacity reports whether one more attempt may go to an endpoint: within the limit, or within
+// the endpoint's own part of it while others use more than theirs.
+func (b *Balancer) hasCapacity(e *endpoint) bool {
+	limit := b.effectiveConcurrencyLimit()
+	part := limit / float64(max(len(b.activeHeap.endpoints), 1))
+	return float64(b.concurrency) < limit || e.active && float64(e.inFlight+1) <= part
+}
--- /dev/null
+++ b/balancer/endpointset.go
@@ -0,0 +1,346 @@
+package balancer
+
+// The set of known endpoints, its subset and its heaps. No decision is made in this file.
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	minGoneEndpoints = 16 // endpoints that may be gone before they are removed, beside as many as are listed
+	maxSortedInserts = 64 // changes from which sorting all ready endpoints costs less than inserting each
+)
+
+// endpoint is all that is known of one endpoint.
+type endpoint struct {
+	Endpoint
+	kind        *endpointKind
+	listedState State         // what the list says, whatever the operators do
+	enabledAt   time.Duration // latest Enable
+
+	active         bool
+	inactiveReason InactiveReason
+	deficit        float64       // charged turns
+	backoff        time.Duration // wait between trials
+	nextTrialAt    time.Duration // while not active
+	trialInFlight  bool          // its single trial is in flight
+	inFlight       int           // attempts in flight
+
+	sampleSum        float64       // decayed latency ratios, over the kind's weight
+	sampleCount      float64       // how many samples these are worth
+	sampledAt        time.Duration // latest sample
+	respondedAt      time.Duration // latest response
+	resetAt          time.Duration // latest connection reset
+	outcomes         outcomeCounts
+	outcomesAt       time.Duration // latest of the outcomes
+	nextSendAt       time.Duration // next send, while it warms up
+	slowStartSpeedUp float64       // times as often as its capacity alone would allow
+
+	insertionIndex   int            // among all endpoints that were ever listed
+	namedInVersion   int            // latest list version that named it
+	changedInVersion int            // latest list version that changed it
+	inSubset         bool           // this instance sends to it
+	subsetIndex      int            // of two alike, the first is selected
+	countedFailing   bool           // counted in Balancer.failingCount
+	heapIndexes      [heapSlots]int // in the heaps that it is in, from 1
+}
+
+// endpointSet is the endpoints known, the subset of them that this instance sends to, and the heaps
+// in which the subset is searched.
+type endpointSet struct {
+	endpoints   []*endpoint // in order of insertion; gone ones are removed now and then
+	byID        map[string]*endpoint
+	kindByName  map[string]*endpointKind
+	kinds       []*endpointKind
+	disabled    map[string]bool // IDs that the operators have taken out, listed or not
+	listedCount int             // endpoints that are not gone
+	readyCount  int             // endpoints that are neither draining nor gone
+	listVersion int             // counts the endpoint lists applied
+
+	subset       []*endpoint   // endpoints that this instance sends to, unless all are
+	subsetIsAll  bool          // the subset is all ready endpoints
+	subsetSize   int           // endpoints in the subset
+	readyByKind  []*endpoint   // all ready endpoints, sorted; kept while the subset is a part of them
+	activeHeap   endpointHeap  // active endpoints of the subset, by deficit
+	trialHeap    endpointHeap  // the others of the subset, by the time of their trial
+	deficitBase  float64       // deficit that counts as 0 in the subset
+	outcomes     outcomeCounts // of the subset's endpoints together
+	failingCount int           // endpoints of the subset that are ejected for failures
+	warming      []*endpoint   // endpoints whose next send may have to wait for nextSendAt
+}
+
+// newEndpointSet returns an empty set.
+func newEndpointSet() endpointSet {
+	return endpointSet{
+		byID:       map[string]*endpoint{},
+		kindByName: map[string]*endpointKind{},
+		disabled:   map[string]bool{},
+		activeHeap: endpointHeap{slot: activeHeapSlot, less: hasLowerDeficit},
+		trialHeap:  endpointHeap{slot: trialHeapSlot, less: hasSoonerTrial},
+	}
+}
+
+// mergeEndpointList applies a list to the endpoints. It returns those that were changed or have
+// left, and of them those that are new or have restarted.
+func (s *endpointSet) mergeEndpointList(l EndpointList) (touched, started []*endpoint) {
+	s.listVersion++
+	for _, entry := range l.Entries {
+		e := s.endpointFor(entry.ID)
+		changed, restarted := s.mergeEntry(e, entry)
+		if changed {
+			touched = append(touched, e)
+		}
+		if restarted {
+			started = append(started, e)
+		}
+	}
+	if l.Complete {
+		touched = append(touched, s.markUnlistedGone()...)
+	}
+	s.removeGone(touched)
+	return touched, started
+}
+
+// endpointFor returns the endpoint with an ID, a new one if need be.
+func (s *endpointSet) endpointFor(id string) *endpoint {
+	e := s.byID[id]
+	if e == nil {
+		e = &endpoint{insertionIndex: len(s.endpoints)}
+		if n := len(s.endpoints); n > 0 {
+			e.insertionIndex = s.endpoints[n-1].insertionIndex + 1
+		}
+		e.State = Gone
+		s.byID[id], s.endpoints = e, append(s.endpoints, e)
+	}
+	return e
+}
+
+// mergeEntry applies an entry of a list to its endpoint. It reports whether the entry says anything
+// new, and whether the endpoint is new or has restarted.
+func (s *endpointSet) mergeEntry(e *endpoint, entry Endpoint) (changed, restarted bool) {
+	e.namedInVersion, e.listedState = s.listVersion, entry.State
+	if s.disabled[entry.ID] && entry.State == Ready {
+		entry.State = Draining
+	}
+	if e.kind != nil && e.Endpoint == entry {
+		return false, false
+	}
+	restarted = e.kind == nil || entry.Started > e.Started
+	if e.kind != nil && e.Kind != entry.Kind {
+		e.kind.activeByWeight.setMember(e, false)
+	}
+	e.kind = s.kindFor(entry.Kind)
+	s.countState(e.State, entry.State)
+	e.Endpoint, e.changedInVersion = entry, s.listVersion
+	return true, restarted
+}
+
+// kindFor returns the kind with a name, a new one if need be.
+func (s *endpointSet) kindFor(name string) *endpointKind {
+	k := s.kindByName[name]
+	if k == nil {
+		k = &endpointKind{weight: 1, activeByWeight: endpointHeap{slot: weightHeapSlot, less: hasLowerWeight}}
+		s.kindByName[name], s.kinds = k, append(s.kinds, k)
+	}
+	return k
+}
+
+// markUnlistedGone marks the endpoints that a complete list did not name, and returns them.
+func (s *endpointSet) markUnlistedGone() []*endpoint {
+	var gone []*endpoint
+	for _, e := range s.endpoints {
+		if e.namedInVersion != s.listVersion && e.State != Gone {
+			s.countState(e.State, Gone)
+			e.State, e.changedInVersion = Gone, s.listVersion
+			gone = append(gone, e)
+		}
+	}
+	return gone
+}
+
+// removeGone forgets the endpoints that are gone.
+func (s *endpointSet) removeGone(touched []*endpoint) {
+	for _, e := range touched {
+		if e.State == Gone {
+			delete(s.byID, e.ID)
+		}
+	}
+	if len(s.endpoints) > 2*s.listedCount+minGoneEndpoints {
+		s.endpoints = slices.DeleteFunc(s.endpoints, func(e *endpoint) bool { return e.State == Gone })
+	}
+}
+
+// countState updates the counts of listed and ready endpoints for a change of one endpoint's state.
+func (s *endpointSet) countState(before, after State) {
+	count := func(state State, n int) {
+		if state != Gone {
+			s.listedCount += n
+		}
+		if state == Ready {
+			s.readyCount += n
+		}
+	}
+	count(before, -1)
+	count(after, 1)
+}
+
+// setSubsetMembership puts an endpoint into the subset or takes it out, with all that is counted
+// there.
+func (s *endpointSet) setSubsetMembership(e *endpoint, member bool, index int) {
+	if member != e.inSubset {
+		deficit := e.deficit - s.zeroDeficit(e)
+		e.inSubset = member
+		e.deficit = deficit + s.zeroDeficit(e)
+		if member {
+			s.subsetSize++
+			s.outcomes.errors += e.outcomes.errors
+			s.outcomes.total += e.outcomes.total
+		} else {
+			s.subsetSize--
+			s.outcomes.errors -= e.outcomes.errors
+			s.outcomes.total -= e.outcomes.total
+		}
+	}
+	e.subsetIndex = index
+	s.updateHeaps(e)
+}
+
+// replaceSubset makes a part of the endpoints the subset.
+func (s *endpointSet) replaceSubset(subset []*endpoint) {
+	const notInSubset = -1
+	for _, e := range s.subsetCandidates() { // the heaps go by indexes that are about to change
+		s.activeHeap.setMember(e, false)
+		s.trialHeap.setMember(e, false)
+		e.subsetIndex = notInSubset
+	}
+	for i, e := range subset {
+		e.subsetIndex = i
+	}
+	for _, e := range s.subsetCandidates() {
+		if e.subsetIndex == notInSubset {
+			s.setSubsetMembership(e, false, 0)
+		}
+	}
+	s.subsetIsAll, s.subset = false, subset
+	for i, e := range subset {
+		s.setSubsetMembership(e, true, i)
+	}
+}
+
+// subsetCandidates returns endpoints among which are all of the subset, in its order.
+func (s *endpointSet) subsetCandidates() []*endpoint {
+	if s.subsetIsAll {
+		return s.endpoints
+	}
+	return s.subset
+}
+
+// zeroDeficit returns the deficit that counts as 0. When it rises, all deficits of the subset drop
+// together; those of other endpoints stay.
+func (s *endpointSet) zeroDeficit(e *endpoint) float64 {
+	if e.inSubset {
+		return s.deficitBase
+	}
+	return 0
+}
+
+// updateHeaps moves an endpoint to where it belongs in all heaps. It must be called after any
+// change of what they are ordered by.
+func (s *endpointSet) updateHeaps(e *endpoint) {
+	s.activeHeap.setMember(e, e.inSubset && e.active)
+	s.trialHeap.setMember(e, e.inSubset && !e.active)
+	e.kind.activeByWeight.setMember(e, e.inSubset && e.active)
+	failing := e.inSubset && !e.active && e.inactiveReason == InactiveFailing
+	switch {
+	case failing && !e.countedFailing:
+		s.failingCount++
+	case !failing && e.countedFailing:
+		s.failingCount--
+	}
+	e.countedFailing = failing
+}
+
+// recordOutcome counts a response of an endpoint, with 1 error or none.
+func (s *endpointSet) recordOutcome(now time.Duration, e *endpoint, errors float64) {
+	left := decay(now-e.outcomesAt, outcomeMemory)
+	e.outcomesAt = now
+	s.setOutcomes(e, e.outcomes.add(left, errors))
+}
+
+// setOutcomes sets an endpoint's outcomes, and the sum over the subset with them.
+func (s *endpointSet) setOutcomes(e *endpoint, o outcomeCounts) {
+	if e.inSubset {
+		s.outcomes.errors = s.outcomes.errors + o.errors - e.outcomes.errors
+		s.outcomes.total = s.outcomes.total + o.total - e.outcomes.total
+	}
+	e.outcomes = o
+}
+
+// useAllEndpoints makes the subset all ready endpoints.
+func (s *endpointSet) useAllEndpoints(touched []*endpoint) {
+	if !s.subsetIsAll {
+		for _, e := range s.subset { // endpoints that are gone may no longer be in s.endpoints
+			s.setSubsetMembership(e, e.State == Ready, e.insertionIndex)
+		}
+		s.subsetIsAll, s.subset, s.readyByKind, touched = true, nil, nil, s.endpoints
+	}
+	for _, e := range touched {
+		s.setSubsetMembership(e, e.State == Ready, e.insertionIndex)
+	}
+}
+
+// updateReadyByKind brings the sorted list of ready endpoints up to date.
+func (s *endpointSet) updateReadyByKind(touched []*endpoint) {
+	if s.subsetIsAll || s.readyByKind == nil {
+		touched = s.endpoints
+	}
+	notReady := func(e *endpoint) bool { return e.State != Ready }
+	s.readyByKind = slices.DeleteFunc(s.readyByKind, func(e *endpoint) bool {
+		return notReady(e) || len(touched) > 0 && e.changedInVersion == s.listVersion
+	})
+	if len(touched) > maxSortedInserts {
+		s.readyByKind = append(s.readyByKind, touched...)
+		slices.SortFunc(s.readyByKind, compareByKind)
+		s.readyByKind = slices.DeleteFunc(slices.Compact(s.readyByKind), notReady)
+		return
+	}
+	for _, e := range touched {
+		i, found := slices.BinarySearchFunc(s.readyByKind, e, compareByKind)
+		if !found && e.State == Ready {
+			s.readyByKind = slices.Insert(s.readyByKind, i, e)
+		}
+	}
+}
+
+// compareByKind orders endpoints by kind, and those of one kind by their ID.
+func compareByKind(x, y *endpoint) int {
+	return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.ID, y.ID))
+}
+
+// smallestActiveWeight returns the smallest weight of an active endpoint, 1 if there is none.
+func (s *endpointSet) smallestActiveWeight() float64 {
+	if len(s.activeHeap.endpoints) == 0 {
+		return 1
+	}
+	least := math.Inf(1)
+	for _, k := range s.kinds {
+		if len(k.activeByWeight.endpoints) > 0 {
+			least = min(least, k.activeByWeight.endpoints[0].weight())
+		}
+	}
+	return least
+}
+
+// trackWarming records an endpoint whose next send may have to wait, so that queued requests wait
+// for it.
+func (s *endpointSet) trackWarming(e *endpoint) {
+	if !slices.Contains(s.warming, e) {
+		s.warming = append(s.warming, e)
+		slices.SortFunc(s.warming, func(x, y *endpoint) int {
+			return cmp.Compare(x.insertionIndex, y.insertionIndex)
+		})
+	}
+}
--- /dev/null
+++ b/balancer/events.go
@@ -0,0 +1,50 @@
+package balancer
+
+// Events that change what is known of a request and ask for no decision.
+
+import "time"
+
+// StreamStarted implements Events: the client has the response from here on, and no time limit runs
+// any more.
+func (b *Balancer) StreamStarted(now time.Duration, id string, n int) {
+	req := b.requests[id]
+	if a := req.attemptInFlight(n); a != nil {
+		a.streaming = true
+		b.setCountsToLimit(a, false)
+		b.evaluateAttempt(now, req, a, OK, now-a.sentAt)
+		b.closeRequest(req)
+	}
+}
+
+// ClientLeft implements Events.
+func (b *Balancer) ClientLeft(now time.Duration, id string) {
+	if req := b.requests[id]; req != nil && !req.answered {
+		b.closeRequest(req)
+		b.dispatchQueue(now)
+	}
+}
+
+// RequestWritten reports that the last byte of an attempt of a streamed request has been sent. Only
+// now can its endpoint begin, and the time that the body took is not the endpoint's latency.
+func (b *Balancer) RequestWritten(now time.Duration, id string, n int) {
+	req := b.requests[id]
+	a := req.attemptInFlight(n)
+	if a == nil {
+		return
+	}
+	a.sentAt = now
+	a.stragglingAt = now + b.stragglingDelay(req, a.endpoint)
+	b.setCountsToLimit(a, true)
+	b.scheduleWakeUp(a.stragglingAt)
+}
+
+// CapDeadlines reports that no answer will be of use after an instant: requests do not wait for
+// longer.
+func (b *Balancer) CapDeadlines(now, latest time.Duration) {
+	for _, req := range b.unanswered {
+		if req.Deadline > latest {
+			req.Deadline, req.giveUpAt = latest, b.giveUpBefore(latest)
+			b.scheduleWakeUp(max(b.nextCheckAt(req), now))
+		}
+	}
+}
--- a/balancer/outage_test.go
+++ b/balancer/outage_test.go
@@ -196,9 +196,9 @@
 	r := newRig(t, basic(), "a", "b", "c")
 	r.warm(300, map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms})
 	r.b.EndpointList(r.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new", Started: r.now}}})
-	took := map[string]time.Duration{"a": 400 * ms, "b": 400 * ms, "c": 400 * ms, "new": 5 * ms}
+	latency := map[string]time.Duration{"a": 400 * ms, "b": 400 * ms, "c": 400 * ms, "new": 5 * ms}
 	sent := map[string]int{}
-	r.stream(10*ms, 3*time.Second, func(ep string) time.Duration { return took[ep] }, func(ep string) { sent[ep]++ })
+	r.stream(10*ms, 3*time.Second, func(ep string) time.Duration { return latency[ep] }, func(ep string) { sent[ep]++ })
 	// A quarter of 300 calls, times the share of 1.5 and a warmth that goes from 0.3 to 0.53: about 50.
 	if sent["new"] == 0 || sent["new"] > 60 {
 		t.Errorf("the cold endpoint was sent %d of 300 calls in 3 s: %v", sent["new"], sent)
@@ -207,7 +207,7 @@
 
 // stream calls every so often for a while, and ends each call that was sent after the time its endpoint takes; sent hears
 // of each send as it is made.
-func (r *rig) stream(every, lasting time.Duration, took func(ep string) time.Duration, sent func(ep string)) {
+func (r *rig) stream(every, lasting time.Duration, latency func(ep string) time.Duration, sent func(ep string)) {
 	due, seen := map[string]time.Duration{}, len(r.did)
 	for begun := r.now; r.now < begun+lasting; {
 		if r.now%every == 0 {
@@ -222,7 +222,7 @@
 		}
 		for ; seen < len(r.did); seen++ {
 			if f := strings.Fields(r.did[seen]); f[0] == "send" {
-				due[f[1]] = r.now + took(f[2])
+				due[f[1]] = r.now + latency(f[2])
 				sent(f[2])
 			}
 		}
--- /dev/null
+++ b/balancer/requests.go
@@ -0,0 +1,121 @@
+package balancer
+
+// The requests and attempts in flight. No decision is made in this file.
+
+import (
+	"slices"
+	"time"
+)
+
+// attempt is one Host.Send.
+type attempt struct {
+	endpoint      *endpoint
+	sentAt        time.Duration
+	stragglingAt  time.Duration // when it counts as straggling
+	inFlight      bool          // no outcome yet
+	mayHaveRun    bool          // it ended, and its endpoint may have run the request
+	trial         bool          // its endpoint was not active
+	straggling    bool          // has taken longer than expected
+	streaming     bool          // its response goes to the client already
+	countsToLimit bool          // its endpoint has all of the request, and has not begun to respond
+}
+
+// request is a request with its attempts.
+type request struct {
+	Request
+	class           *class
+	arrivedAt       time.Duration
+	giveUpAt        time.Duration // a response after this is of no use
+	attempts        []attempt
+	answered        bool          // has its final answer
+	queued          bool          // waits for capacity
+	hedgeAt         time.Duration // a hedged request is due; 0: none is
+	hedging         bool          // one is being sent
+	hedged          bool          // one was sent
+	unansweredIndex int           // in Balancer.unanswered
+}
+
+// attemptInFlight returns attempt n if it is in flight, else nil. The request may be nil.
+func (r *request) attemptInFlight(n int) *attempt {
+	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].inFlight {
+		return nil
+	}
+	return &r.attempts[n]
+}
+
+// inFlight counts the attempts in flight.
+func (r *request) inFlight() int {
+	n := 0
+	for i := range r.attempts {
+		if r.attempts[i].inFlight {
+			n++
+		}
+	}
+	return n
+}
+
+// wasSentTo reports whether an attempt went to the endpoint.
+func (r *request) wasSentTo(e *endpoint) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
+}
+
+// requestSet is the requests that a final answer or an outcome is awaited for.
+type requestSet struct {
+	requests   map[string]*request
+	unanswered []*request // without a final answer, in no order
+}
+
+// newRequestSet returns an empty set.
+func newRequestSet() requestSet { return requestSet{requests: map[string]*request{}} }
+
+// openRequest records a request that has come.
+func (s *requestSet) openRequest(req *request) {
+	req.unansweredIndex = len(s.unanswered)
+	s.requests[req.ID], s.unanswered = req, append(s.unanswered, req)
+}
+
+// closeRequest marks a request as answered and cancels its attempts in flight, except for one that
+// streams. The request is removed once none is left.
+func (b *Balancer) closeRequest(req *request) {
+	if !req.answered {
+		req.answered, req.queued = true, false
+		b.removeUnanswered(req)
+		for i := range req.attempts {
+			if a := &req.attempts[i]; a.inFlight && !a.streaming && b.settings.CancelAllowed {
+				b.host.Cancel(req.ID, i)
+			}
+		}
+	}
+	if req.inFlight() == 0 {
+		delete(b.requests, req.ID)
+	}
+}
+
+// removeUnanswered takes a request out of the unanswered ones. The last one gets its index.
+func (s *requestSet) removeUnanswered(req *request) {
+	last := len(s.unanswered) - 1
+	moved := s.unanswered[last]
+	s.unanswered[req.unansweredIndex], moved.unansweredIndex = moved, req.unansweredIndex
+	s.unanswered[last] = nil
+	s.unanswered = s.unanswered[:last]
+}
+
+// setCountsToLimit sets whether an attempt counts against the concurrency limit. The limit is for
+// what makes endpoints slow: what a client takes to send or to read does not count.
+func (b *Balancer) setCountsToLimit(a *attempt, counts bool) {
+	switch {
+	case counts && !a.countsToLimit:
+		b.concurrency++
+	case !counts && a.countsToLimit:
+		b.concurrency--
+	}
+	a.countsToLimit = counts
+}
+
+// log writes at most one line of a kind every logInterval.
+func (b *Balancer) log(now time.Duration, kind, text string) {
+	if at, ok := b.loggedAt[kind]; !ok || now-at >= logInterval {
+		b.loggedAt[kind] = now
+		b.host.Log(kind + ": " + text)
+	}
+}
--- a/balancer/resends_test.go
+++ b/balancer/retrybudget_test.go
@@ -10,7 +10,7 @@
 // Over any stretch of time, what is spent stays under what was earned and what may be saved up.
 func TestResendsStayWithinWhatWasEarned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := resends{RetryBudget: RetryBudget{PerRequest: rapid.Float64Range(0, 1).Draw(t, "share"), PerSecond: rapid.Float64Range(0, 20).Draw(t, "rate"),
+		r := retryBucket{RetryBudget: RetryBudget{PerRequest: rapid.Float64Range(0, 1).Draw(t, "share"), PerSecond: rapid.Float64Range(0, 20).Draw(t, "rate"),
 			Burst: rapid.Float64Range(1, 50).Draw(t, "most")}}
 		var now, began time.Duration
 		requests, spent := 0, 0
@@ -22,8 +22,8 @@
 			r.earn(now)
 			requests++
 			for range rapid.IntRange(0, 5).Draw(t, "wanted") {
-				if r.left() {
-					r.spend()
+				if r.hasToken() {
+					r.takeToken()
 					spent++
 				}
 			}
@@ -35,12 +35,12 @@
 }
 
 func TestTheBudgetWhereNoneIsGiven(t *testing.T) {
-	var r resends
+	var r retryBucket
 	n := 0
 	for range 1000 {
 		r.earn(time.Second)
-		if r.left() {
-			r.spend()
+		if r.hasToken() {
+			r.takeToken()
 			n++
 		}
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -57,27 +57,27 @@
 
 func (w *world) Send(id, ep string, timeout time.Duration) {
 	w.log = append(w.log, fmt.Sprintf("%v send %s %s", w.now, id, ep))
-	q, e := w.requests[id], w.list[ep]
-	if q == nil || e.ID == "" {
+	req, e := w.requests[id], w.list[ep]
+	if req == nil || e.ID == "" {
 		w.t.Fatalf("%v: Send of %s to %s, one of them unknown", w.now, id, ep)
 	}
-	if q.told {
+	if req.told {
 		w.t.Fatalf("%v: Send of %s, which has ended", w.now, id)
 	}
 	if at, ok := w.stopped[ep]; ok && w.now > at {
 		w.t.Fatalf("%v: Send to %s, told to stop at %v", w.now, ep, at)
 	}
-	if w.s.MaxAttempts > 0 && len(q.attempts) >= w.s.MaxAttempts {
-		w.t.Fatalf("%v: attempt %d of %s", w.now, len(q.attempts), id)
+	if w.s.MaxAttempts > 0 && len(req.attempts) >= w.s.MaxAttempts {
+		w.t.Fatalf("%v: attempt %d of %s", w.now, len(req.attempts), id)
 	}
-	for _, a := range q.attempts {
+	for _, a := range req.attempts {
 		if a.out {
 			w.t.Fatalf("%v: second copy of %s", w.now, id)
 		}
-		if !a.out && !a.ran || q.class.Repeat == balancer.Idempotent {
+		if !a.out && !a.ran || req.class.Repeat == balancer.Idempotent {
 			continue
 		}
-		c := q.class
+		c := req.class
 		if c.Repeat == balancer.NonIdempotent || w.now > a.at+c.KeyWindow || c.KeyScope == balancer.KeyScopeZone && a.ep.Zone != e.Zone ||
 			c.KeyScope == balancer.KeyScopeCell && a.ep.Cell != e.Cell {
 			w.t.Fatalf("%v: %s may take effect twice at %s", w.now, id, ep)
@@ -100,18 +100,18 @@
 	if a.ends > w.now+timeout {
 		a.result, a.ends = balancer.TimedOut, w.now+timeout
 	}
-	q.attempts = append(q.attempts, a)
+	req.attempts = append(req.attempts, a)
 }
 
 func (w *world) Cancel(id string, n int) {
 	if !w.s.CancelAllowed {
 		w.t.Fatalf("%v: Cancel is not allowed", w.now)
 	}
-	q := w.requests[id]
-	if q == nil || n < 0 || n >= len(q.attempts) {
+	req := w.requests[id]
+	if req == nil || n < 0 || n >= len(req.attempts) {
 		w.t.Fatalf("%v: Cancel of %s/%d, which was never sent", w.now, id, n)
 	}
-	if a := q.attempts[n]; a.out && !a.canceled {
+	if a := req.attempts[n]; a.out && !a.canceled {
 		a.canceled = true
 		if w.rng.IntN(4) > 0 || a.ends > w.now+50*ms { // else another outcome is on its way
 			a.result, a.ends = balancer.Canceled, w.now
@@ -120,12 +120,12 @@
 }
 
 func (w *world) Reject(id string, why balancer.Reason, _ time.Duration) {
-	q := w.answer(id)
-	w.hold(q, why)
+	req := w.answer(id)
+	w.hold(req, why)
 	w.answers[1]++
-	for _, a := range q.attempts {
-		if (a.out || a.ran) && (q.class.Repeat == balancer.NonIdempotent ||
-			q.class.Repeat == balancer.IdempotencyKeyed && q.class.KeyScope != balancer.KeyScopeAll) {
+	for _, a := range req.attempts {
+		if (a.out || a.ran) && (req.class.Repeat == balancer.NonIdempotent ||
+			req.class.Repeat == balancer.IdempotencyKeyed && req.class.KeyScope != balancer.KeyScopeAll) {
 			w.t.Fatalf("%v: %s is refused though it may have run", w.now, id)
 		}
 	}
@@ -137,40 +137,40 @@
 }
 
 // hold holds a reason to what the world has seen.
-func (w *world) hold(q *asked, why balancer.Reason) {
+func (w *world) hold(req *asked, why balancer.Reason) {
 	ready, failed, ran, out := false, false, false, false
 	for _, e := range w.list {
 		ready = ready || e.State == balancer.Ready
 	}
-	for _, a := range q.attempts {
+	for _, a := range req.attempts {
 		failed, ran, out = failed || !a.out, ran || a.ran, out || a.out
 	}
 	holds := map[balancer.Reason]bool{
 		balancer.NoEndpoint:        !ready,
-		balancer.NoCapacity:        ready && len(q.attempts) == 0,
-		balancer.OverQuota:         q.Tenant != "t2" && len(q.attempts) == 0,
+		balancer.NoCapacity:        ready && len(req.attempts) == 0,
+		balancer.OverQuota:         req.Tenant != "t2" && len(req.attempts) == 0,
 		balancer.DeadlineTooClose:  true, // how long an answer would take is the module's own estimate
 		balancer.RetryBudgetSpent:  failed && !out,
-		balancer.AttemptsExhausted: len(q.attempts) >= w.s.MaxAttempts && !out,
-		balancer.MayHaveRun:        ran && q.class.Repeat != balancer.Idempotent,
+		balancer.AttemptsExhausted: len(req.attempts) >= w.s.MaxAttempts && !out,
+		balancer.MayHaveRun:        ran && req.class.Repeat != balancer.Idempotent,
 	}
 	if !holds[why] {
-		w.t.Fatalf("%v: %s is told %q after %d attempts, which is not so", w.now, q.ID, why, len(q.attempts))
+		w.t.Fatalf("%v: %s is told %q after %d attempts, which is not so", w.now, req.ID, why, len(req.attempts))
 	}
 	w.whys[why]++
 }
 
 func (w *world) answer(id string) *asked {
 	w.log = append(w.log, fmt.Sprintf("%v answer %s", w.now, id))
-	q := w.requests[id]
-	if q == nil || q.told {
+	req := w.requests[id]
+	if req == nil || req.told {
 		w.t.Fatalf("%v: a second answer to %s", w.now, id)
 	}
-	if !q.ended && w.now > q.Deadline+answerSlack {
-		w.t.Fatalf("%v: a late answer to %s, due at %v", w.now, id, q.Deadline)
+	if !req.ended && w.now > req.Deadline+answerSlack {
+		w.t.Fatalf("%v: a late answer to %s, due at %v", w.now, id, req.Deadline)
 	}
-	q.ended, q.told = true, true
-	return q
+	req.ended, req.told = true, true
+	return req
 }
 
 func (w *world) Subscribe()             {}
@@ -260,21 +260,21 @@
 	}
 	kept := w.order[:0]
 	for _, id := range w.order {
-		q := w.requests[id]
-		if !w.over && !q.ended && w.rng.IntN(400) == 0 {
-			q.ended, q.told = true, true
+		req := w.requests[id]
+		if !w.over && !req.ended && w.rng.IntN(400) == 0 {
+			req.ended, req.told = true, true
 			w.b.ClientLeft(w.now, id)
 		}
 		out := false
-		for n, a := range q.attempts {
+		for n, a := range req.attempts {
 			if a.out && a.ends <= w.now {
 				a.out, a.ran = false, a.result != balancer.Rejected && a.result != balancer.ConnectFailed && a.result != balancer.NotSent
-				if a.result == balancer.OK && !q.ended {
-					q.ended = true
+				if a.result == balancer.OK && !req.ended {
+					req.ended = true
 					w.answers[0]++
 				}
-				final := q.ended
-				q.told = q.told || final
+				final := req.ended
+				req.told = req.told || final
 				w.b.Outcome(w.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.ep.ID, Result: a.result,
 					Latency: w.now - a.at, Final: final})
 				if w.rng.IntN(30) == 0 { // a host that reports twice must do no harm
@@ -283,10 +283,10 @@
 			}
 			out = out || a.out
 		}
-		if !q.ended && w.now > q.Deadline+answerSlack {
-			w.t.Fatalf("%v: no answer to %s by %v", w.now, id, q.Deadline)
+		if !req.ended && w.now > req.Deadline+answerSlack {
+			w.t.Fatalf("%v: no answer to %s by %v", w.now, id, req.Deadline)
 		}
-		if !q.ended || out {
+		if !req.ended || out {
 			kept = append(kept, id)
 		}
 	}
--- a/balancer/learned_test.go
+++ b/balancer/snapshot_test.go
@@ -33,12 +33,12 @@
 		id := string(rune('0'+i%10)) + string(rune('a'+i/10))
 		now += 50 * time.Millisecond
 		b.Request(now, Request{ID: id, Class: "look", Deadline: now + 5*time.Second})
-		took := 20 * time.Millisecond
+		latency := 20 * time.Millisecond
 		if h.sent[id] == "c" {
-			took = 400 * time.Millisecond
+			latency = 400 * time.Millisecond
 		}
-		b.Outcome(now+took, Outcome{ID: id, Endpoint: h.sent[id], Result: OK, Latency: took, Final: true})
-		now += took
+		b.Outcome(now+latency, Outcome{ID: id, Endpoint: h.sent[id], Result: OK, Latency: latency, Final: true})
+		now += latency
 	}
 	return b.LearnedState(now), now
 }
@@ -53,8 +53,8 @@
 	if got := b.LearnedState(now); len(got.Works) != 1 || got.Works[0].BaselineLatency != l.Works[0].BaselineLatency || got.ConcurrencyLimit != l.ConcurrencyLimit {
 		t.Errorf("recalled %+v of %+v", got, l)
 	}
-	if c := b.byName["c"]; c.active || !b.byName["a"].active || !b.byName["b"].active {
-		t.Errorf("active: a %v, b %v, c %v", b.byName["a"].active, b.byName["b"].active, c.active)
+	if c := b.byID["c"]; c.active || !b.byID["a"].active || !b.byID["b"].active {
+		t.Errorf("active: a %v, b %v, c %v", b.byID["a"].active, b.byID["b"].active, c.active)
 	}
 	for _, id := range []string{"1", "2", "3", "4"} {
 		b.Request(now, Request{ID: id, Class: "look", Deadline: now + 5*time.Second})
@@ -70,10 +70,10 @@
 	b := New(now, learnedSettings, &silent{sent: map[string]string{}})
 	b.EndpointList(now, EndpointList{Complete: true, Entries: []Endpoint{{ID: "a", Started: now - time.Second}, {ID: "c"}}})
 	b.Restore(now, l, time.Second)
-	if a := b.byName["a"]; a.samples != 0 {
-		t.Errorf("the restarted endpoint has %g samples", a.samples)
+	if a := b.byID["a"]; a.sampleCount != 0 {
+		t.Errorf("the restarted endpoint has %g samples", a.sampleCount)
 	}
-	if !b.byName["c"].active {
+	if !b.byID["c"].active {
 		t.Error("the only warm endpoint is dropped")
 	}
 }
@@ -96,7 +96,7 @@
 		}
 		b.Restore(now, l, time.Duration(rapid.Int64().Draw(t, "ago")))
 		for _, e := range b.endpoints {
-			if w := e.w(); math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !sane(e.errors, e.samples) {
+			if w := e.weight(); math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !areValid(e.outcomes.errors, e.sampleCount) {
 				t.Fatalf("%s has weight %g of %+v", e.ID, w, l)
 			}
 		}
@@ -121,7 +121,7 @@
 				b.Restore(now, l, time.Second)
 			}
 			b.EndpointList(now, EndpointList{Entries: []Endpoint{{ID: "fresh"}}})
-			wait = max(wait, b.byName["fresh"].trialAt-now)
+			wait = max(wait, b.byID["fresh"].nextTrialAt-now)
 		}
 		return wait
 	}
--- /dev/null
+++ b/balancer/status.go
@@ -0,0 +1,65 @@
+package balancer
+
+// What a Balancer reports of its endpoints. No decision is made in this file.
+
+import "time"
+
+// Counts returns how many endpoints are listed, and how many of them are not in the ordinary
+// selection, by the operators or by decision. Its cost does not grow with the list.
+func (b *Balancer) Counts() (listed, avoided int) {
+	avoided = b.readyCount - len(b.activeHeap.endpoints)
+	for id := range b.disabled {
+		if e := b.byID[id]; e != nil && e.listedState == Ready {
+			avoided++
+		}
+	}
+	return b.listedCount, avoided
+}
+
+// EndpointStatus is how an endpoint stands with a Balancer.
+type EndpointStatus struct {
+	ID            string
+	State         State
+	Inactive      InactiveReason // why it is not in the ordinary selection; empty where it is
+	Weight        float64        // its latency ratio: latency over the baseline latency
+	Errors        float64        // share of recent outcomes that were errors
+	InFlight      int            // attempts in flight
+	Warmth        float64        // least share of its capacity that it has
+	SinceResponse time.Duration  // since its latest response; below 0: none has come
+	NextTrial     time.Duration  // until its trial, while inactive; below 0: its trial is in flight
+}
+
+// EndpointStatuses returns how all endpoints stand, in order of insertion.
+func (b *Balancer) EndpointStatuses(now time.Duration) []EndpointStatus {
+	var statuses []EndpointStatus
+	for _, e := range b.endpoints {
+		if e.State != Gone {
+			statuses = append(statuses, b.endpointStatus(now, e))
+		}
+	}
+	return statuses
+}
+
+// endpointStatus returns how one endpoint stands.
+func (b *Balancer) endpointStatus(now time.Duration, e *endpoint) EndpointStatus {
+	s := EndpointStatus{
+		ID: e.ID, State: e.State, Weight: e.weight(), InFlight: e.inFlight, Warmth: b.capacityShare(now, e),
+		Errors:        e.outcomes.errors / max(e.outcomes.total, 1),
+		SinceResponse: -1,
+	}
+	if e.respondedAt > 0 {
+		s.SinceResponse = now - e.respondedAt
+	}
+	switch {
+	case b.disabled[e.ID]:
+		s.Inactive = InactiveDisabled
+	case !e.active:
+		s.Inactive, s.NextTrial = e.inactiveReason, max(e.nextTrialAt-now, 0)
+		if e.trialInFlight {
+			s.NextTrial = -1
+		}
+	case !e.inSubset && e.State == Ready:
+		s.Inactive = InactiveOutsideSubset
+	}
+	return s
+}
--- /dev/null
+++ b/balancer/subset.go
@@ -0,0 +1,53 @@
+package balancer
+
+// Subsetting: which endpoints this instance sends to. Many quiet instances would otherwise meet
+// each endpoint too seldom to know it, and open a connection for nearly every call.
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	subsetSendInterval = time.Second // a subset is so large that each endpoint in it is called this often,
+	subsetsPerEndpoint = 6.0         // that each endpoint is in the subsets of this many instances,
+	minSubsetSize      = 4.0         // and no smaller than this
+
+	subsetGrowth = 1.5 // the wanted size follows the rate beyond this multiple of itself
+	subsetShrink = 0.5 // and below this; otherwise it would change with each request
+
+)
+
+// recordRequest counts a request and adapts the wanted size of the subset to the rate.
+func (b *Balancer) recordRequest(now time.Duration) {
+	first := b.rate.recent == 0
+	b.rate.observe(now)
+	wanted := b.rate.perSecond(now) * subsetSendInterval.Seconds()
+	if wanted > subsetGrowth*b.wantedSubsetSize || wanted < subsetShrink*b.wantedSubsetSize {
+		b.wantedSubsetSize = wanted
+		b.updateSubset(nil)
+	}
+	if first { // no endpoint list before this request could go by a rate
+		b.rescheduleFirstTrials(now)
+	}
+}
+
+// updateSubset chooses the subset. Subsets are even steps through the list, sorted by kind and
+// begun at the instance's own place: all endpoints are in as many subsets, and all subsets have the
+// same mix of kinds. The work depends on the number of endpoints touched.
+func (b *Balancer) updateSubset(touched []*endpoint) {
+	ready, instances := float64(b.readyCount), float64(max(b.settings.Instances, 1))
+	even := subsetsPerEndpoint * (ready + float64(b.unlistedCount)) / instances
+	size := math.Floor(max(b.wantedSubsetSize, minSubsetSize, even))
+	if 2*size >= ready {
+		b.useAllEndpoints(touched)
+		return
+	}
+	b.updateReadyByKind(touched)
+	place := min(float64(max(b.settings.Index, 0))/instances, 1-1/instances)
+	subset := make([]*endpoint, int(size))
+	for i := range subset {
+		subset[i] = b.readyByKind[int((float64(i)+place)/size*ready)]
+	}
+	b.replaceSubset(subset)
+}
--- a/balancer/thin_test.go
+++ b/balancer/thin_test.go
@@ -85,17 +85,17 @@
 	s := basic()
 	s.Instances, s.Tenants = 13, []balancer.Tenant{{Name: "large", Quota: 400}, {Name: "small", Quota: 25}}
 	ids := named(16)
-	for took, fewest := range map[time.Duration]int{time.Second: 0, 4 * time.Second: 10} {
+	for latency, fewest := range map[time.Duration]int{time.Second: 0, 4 * time.Second: 10} {
 		r := newRig(t, s, ids...)
 		due := map[string]time.Duration{}
-		play := func(took time.Duration, steps int) {
+		play := func(latency time.Duration, steps int) {
 			for range steps {
 				tenant := "large"
 				if r.n%4 == 0 {
 					tenant = "small"
 				}
 				if id := r.ask("read", tenant); len(r.to[id]) > 0 {
-					due[id] = r.now + took
+					due[id] = r.now + latency
 				}
 				r.wait(100 * ms)
 				for _, id := range slices.Sorted(maps.Keys(due)) {
@@ -108,9 +108,9 @@
 		}
 		play(time.Second, 100)
 		before := r.count("refuse")
-		play(took, 100)
+		play(latency, 100)
 		if n := r.count("refuse") - before; n < fewest || fewest == 0 && n > 0 {
-			t.Errorf("answers in %v: %d of 100 refused", took, n)
+			t.Errorf("answers in %v: %d of 100 refused", latency, n)
 		}
 	}
 }
--- /dev/null
+++ b/balancer/timers.go
@@ -0,0 +1,86 @@
+package balancer
+
+// Timers: when the Balancer has to look again at what time alone changes, and what it does then.
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Timer implements Events. Timers cannot be withdrawn: one that is not the next wake-up is stale.
+func (b *Balancer) Timer(now time.Duration) {
+	if b.nextWakeUp == 0 || now < b.nextWakeUp {
+		return
+	}
+	b.nextWakeUp = 0
+	b.runDueTimers(now)
+	if b.subscribeAt > 0 {
+		b.scheduleWakeUp(b.subscribeAt)
+	}
+	for _, req := range b.unanswered {
+		b.scheduleWakeUp(b.nextCheckAt(req))
+	}
+}
+
+// scheduleWakeUp makes sure that the Balancer looks again at the instant given.
+func (b *Balancer) scheduleWakeUp(at time.Duration) {
+	if b.nextWakeUp == 0 || at < b.nextWakeUp {
+		b.nextWakeUp = at
+		b.host.Timer(at)
+	}
+}
+
+// nextCheckAt returns when a request has to be looked at again.
+func (b *Balancer) nextCheckAt(req *request) time.Duration {
+	at := req.giveUpAt
+	if req.queued {
+		at = b.queueDeadline(req)
+	}
+	if req.hedgeAt > 0 {
+		at = min(at, req.hedgeAt)
+	}
+	for i := range req.attempts {
+		if req.attempts[i].inFlight {
+			at = min(at, req.attempts[i].stragglingAt)
+		}
+	}
+	return at
+}
+
+// runDueTimers does what is due: subscribe, give requests up, hedge them, and see to straggling
+// attempts.
+func (b *Balancer) runDueTimers(now time.Duration) {
+	if b.subscribeAt > 0 && now >= b.subscribeAt {
+		b.subscribeAt = 0
+		b.host.Subscribe()
+	}
+	for _, req := range slices.Clone(b.unanswered) {
+		if now >= req.giveUpAt || req.queued && now >= b.queueDeadline(req) {
+			b.giveUp(now, req)
+			continue
+		}
+		if req.hedgeAt > 0 && now >= req.hedgeAt {
+			b.hedge(now, req)
+		}
+		for i := range req.attempts {
+			if a := &req.attempts[i]; a.inFlight && now >= a.stragglingAt {
+				b.handleStraggler(now, req, a)
+			}
+		}
+	}
+	b.dispatchQueue(now)
+}
+
+// giveUp answers a request that can no longer be in time, or has waited for capacity too long.
+func (b *Balancer) giveUp(now time.Duration, req *request) {
+	if len(req.attempts) == 0 {
+		b.log(now, "full", fmt.Sprintf("no endpoint has room, %d requests wait", len(b.queue)))
+	}
+	b.rejectOrFail(req, b.queueTimeoutReason(req))
+}
+
+// jitter keeps instances that see the same from acting at the same moment.
+func (b *Balancer) jitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (0.75 + 0.5*b.rng.Float64()))
+}
--- /dev/null
+++ b/balancer/tokenbucket.go
@@ -0,0 +1,21 @@
+package balancer
+
+import "time"
+
+// tokenBucket is an allowance that refills with time. No decision is made in this file.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Duration
+}
+
+// refill adds a deposit and what the time since the last refill brings, up to a number of tokens.
+func (t *tokenBucket) refill(now time.Duration, deposit, perSecond, burst float64) {
+	t.tokens = min(t.tokens+deposit+perSecond*(now-t.refilledAt).Seconds(), burst)
+	t.refilledAt = now
+}
+
+// hasToken reports whether a whole token is left.
+func (t *tokenBucket) hasToken() bool { return t.tokens >= 1 }
+
+// takeToken takes one token.
+func (t *tokenBucket) takeToken() { t.tokens-- }
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -4,11 +4,27 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 	"unicode/utf8"
 )
 
+// policyFiles are all the files of the decision module that hold a decision.
+var policyFiles = []string{
+	"balancer/balancer.go",
+	"balancer/endpoints.go",
+	"balancer/subset.go",
+	"balancer/selection.go",
+	"balancer/slowstart.go",
+	"balancer/ejection.go",
+	"balancer/admission.go",
+	"balancer/concurrency.go",
+	"balancer/retry.go",
+	"balancer/hedge.go",
+	"balancer/timers.go",
+}
+
 // TestModuleFitsItsLimits reads the deploy file as the operators do and holds the module to its size.
 func TestModuleFitsItsLimits(t *testing.T) {
 	const mostLines, mostColumns, tab = 1200, 110, 4
@@ -22,11 +38,15 @@
 		}
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \["([^]]+)"\]$`).FindSubmatch(text)
-	if policy == nil || string(policy[1]) != `balancer/balancer.go", "balancer/state.go` {
-		t.Fatalf("policy does not name the files that decide: %q", policy)
+	if policy == nil {
+		t.Fatal("deploy file has no policy")
+	}
+	files := strings.Split(string(policy[1]), `", "`)
+	if !slices.Equal(files, policyFiles) {
+		t.Fatalf("policy names %q, and the files that decide are %q", files, policyFiles)
 	}
 	lines := 0
-	for _, file := range strings.Split(string(policy[1]), `", "`) {
+	for _, file := range files {
 		module, err := os.ReadFile(filepath.Join("..", file))
 		if err != nil {
 			t.Fatal(err)
