--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,11 +1,11 @@
 // Package balancer makes a load balancer's decisions for a service that calls other services: which
-// endpoint gets a request, when to try again, when to hold back and when to refuse.
+// endpoint gets a request, when to retry or hedge it, when to hold it back and when to reject it.
 //
-// The package has no transport, no clock and no goroutine. A host (a sidecar, a proxy, a test) owns all
-// of these: it creates a Balancer with New, reports what happens through the methods of Events and
-// carries out what the Balancer asks for through Host, in the order asked. Host methods are called from
-// within the event methods and must not call back into the Balancer. A Balancer is not safe for
-// concurrent use.
+// The package has no transport, no clock and no goroutine. A host (a sidecar, a proxy, a test) owns
+// all of these: it creates a Balancer with New, reports what happens through the methods of Events
+// and carries out what the Balancer asks for through Host, in the order asked. Host methods are
+// called from within the event methods and must not call back into the Balancer. A Balancer is not
+// safe for concurrent use.
 //
 // Instants are readings of any clock that never runs backwards, given as a time.Duration since an
 // arbitrary zero. The same settings and the same events at the same instants give the same actions.
@@ -13,19 +13,20 @@
 
 import "time"
 
-// Events is what a host reports. *Balancer implements it. Events must be reported in the order in which
-// they happened.
+// Events is what a host reports. *Balancer implements it. Events must be reported in the order in
+// which they happened.
 type Events interface {
 	// EndpointList reports what service discovery says. The first one follows New directly.
 	EndpointList(now time.Duration, l EndpointList)
-	// Request reports a request that wants exactly one final answer: the success of an attempt, or the
-	// Host's Refuse or Fail.
+	// Request reports a request that wants exactly one final answer: the success of an attempt, or
+	// Host.Reject or Host.Fail.
 	Request(now time.Duration, r Request)
-	// StreamStarted reports that attempt n of a request has begun to stream its answer to the client.
+	// StreamStarted reports that attempt n of a request has begun to stream its response to the
+	// client.
 	StreamStarted(now time.Duration, id string, n int)
 	// Outcome reports the end of an attempt; every Send gets exactly one.
 	Outcome(now time.Duration, o Outcome)
-	// ClientLeft reports that the client no longer waits: no answer is owed any more.
+	// ClientLeft reports that the client no longer waits: it is owed no answer any more.
 	ClientLeft(now time.Duration, id string)
 	// Timer reports that an instant asked for with Host.Timer has come.
 	Timer(now time.Duration)
@@ -38,8 +39,8 @@
 	Send(id, endpoint string, timeout time.Duration)
 	// Cancel stops waiting for attempt n. It still gets its Outcome.
 	Cancel(id string, n int)
-	// Reject answers a request for good and tells the client that trying again is harmless, best not
-	// before retryAfter has passed (0: no advice).
+	// Reject answers a request for good and tells the client that a retry is harmless, best not before
+	// retryAfter has passed (0: no advice).
 	Reject(id string, why Reason, retryAfter time.Duration)
 	// Fail answers a request for good and promises nothing about its effect.
 	Fail(id string, why Reason)
@@ -54,17 +55,17 @@
 // Repeatability says what repeating a request of a class may do.
 type Repeatability int
 
-// The effects, from harmless to harmful.
+// Repeatability, from harmless to harmful.
 const (
 	Idempotent       Repeatability = iota // may run any number of times
 	IdempotencyKeyed                      // repeats are dropped inside a group of endpoints, for a while
 	NonIdempotent                         // must never run twice
 )
 
-// KeyScope says which endpoints together drop repeats of a keyed request.
+// KeyScope says which endpoints together drop repeats of a request with an idempotency key.
 type KeyScope int
 
-// The groups, from wide to narrow.
+// The groups of endpoints, from wide to narrow.
 const (
 	KeyScopeAll  KeyScope = iota // all endpoints
 	KeyScopeZone                 // the endpoints of one zone
@@ -75,23 +76,23 @@
 type Class struct {
 	Name             string
 	Repeat           Repeatability
-	KeyScope         KeyScope      // for Keyed
-	KeyWindow        time.Duration // for Keyed: how long a repeat is recognised, from the first send
-	LatencyObjective time.Duration // an answer is wanted within this time
+	KeyScope         KeyScope      // for IdempotencyKeyed
+	KeyWindow        time.Duration // for IdempotencyKeyed: how long a repeat is recognised, from the first send
+	LatencyObjective time.Duration // a response is wanted within this time
 
-	Work           string        // classes of one work take alike, under whatever policy; empty: Name
+	Work           string        // classes of one kind of work have one latency, under whatever policy; empty: Name
 	AttemptTimeout time.Duration // an attempt ends as TimedOut after this time; 0: with the request
-	MaxAttempts    int           // attempts allowed for a request, copies included; 0: Settings.MaxAttempts
-	NeverRerun     bool          // what may have run is not sent again, whatever the effect
-	HedgeAfter     time.Duration // a Safe request without an answer for this long gets a second copy; 0: none
-	HedgeQuantile  float64       // or without one for longer than this share of the latest answers took; 0: none
-	QueueLimit     int           // requests that may wait here for room; 0: any number, below 0: none
+	MaxAttempts    int           // attempts allowed for a request, hedged ones included; 0: Settings.MaxAttempts
+	NeverRerun     bool          // what may have run is not sent again, even if it is idempotent
+	HedgeAfter     time.Duration // an Idempotent request without a response for this long is hedged; 0: never
+	HedgeQuantile  float64       // or one for longer than this share of the recent responses took; 0: never
+	QueueLimit     int           // requests that may wait for capacity; 0: any number, below 0: none
 }
 
 // Tenant is one of the parties that share the endpoints.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second within its share, over all balancers of the tier
+	Quota float64 // requests a second within its quota, over all balancers of the tier
 }
 
 // Settings hold until Configure is called. Zero values are legal everywhere.
@@ -99,24 +100,27 @@
 	Seed       uint64 // for spreading choices that would otherwise be alike in every balancer
 	Instances  int    // balancers that send to these endpoints, this one included
 	Index      int    // of this one among them, from 0; -1: not known
-	Tier       int    // how many tiers of callers stand before this balancer
+	Tier       int    // how many tiers of clients stand before this balancer
 	TiersBelow int    // how many tiers the endpoints themselves depend on
 	Classes    []Class
 	Tenants    []Tenant
 
-	SubscribeRequired bool          // discovery tells nothing unless asked
-	PollInterval      time.Duration // without a subscription: ask at least this often
+	SubscribeRequired bool          // discovery reports nothing without a subscription
+	PollInterval      time.Duration // without a subscription: poll at least this often
 
 	MaxAttempts   int           // attempts allowed for a request; 0: no limit
 	RetryBudget   RetryBudget   // attempts beyond the first, over all requests
-	CancelAllowed bool          // Cancel is allowed
-	MaxRetryAfter time.Duration // the longest advice that clients heed; 0: advice does not reach them
+	CancelAllowed bool          // Host.Cancel may be called
+	MaxRetryAfter time.Duration // the longest Retry-After that clients honor; 0: it does not reach them
 
 	Resolution        time.Duration // how late events and timers may come
 	SlowStartCapacity float64       // share of its capacity that an endpoint starts with at least
-	SlowStartWindow   time.Duration // it is warm after this time at the latest
-	SlowStartShare    float64       // sends to a cold endpoint, in shares of its warmth; 0: 1.5. Under 1, all balancers together stay
-	// within what it can take, however many they are and however much the others carry
+	SlowStartWindow   time.Duration // an endpoint has warmed up after this time at the latest
+
+	// SlowStartShare is the rate of sends to an endpoint that warms up, in shares of its capacity; 0:
+	// 1.5. Under 1, all balancers together stay within what it can take, however many they are and
+	// however much the others send.
+	SlowStartShare float64
 }
 
 // State is what discovery says of an endpoint.
@@ -135,16 +139,16 @@
 	State   State
 	Zone    string
 	Kind    string        // endpoints of one kind are alike in size and speed, as far as discovery knows
-	Cell    int           // endpoints of one cell share which keys they have seen
+	Cell    int           // endpoints of one cell share which idempotency keys they have seen
 	Started time.Duration // instant of the latest start; 0: long ago
 }
 
 // EndpointList is a message from discovery.
 type EndpointList struct {
-	Failed   bool // an ask failed or a subscription broke: nothing is said of endpoints
+	Failed   bool // a poll failed or a subscription broke: it says nothing of endpoints
 	Complete bool // endpoints not listed are gone; otherwise only the listed ones have changed
 	Entries  []Endpoint
-	Unlisted int // ready endpoints that other balancers send to, and this one is told nothing of
+	Unlisted int // ready endpoints that other balancers send to, and that this one is not notified of
 }
 
 // Request is something a client wants done.
@@ -153,20 +157,20 @@
 	Class       string
 	Tenant      string
 	Deadline    time.Duration // instant at which the client stops waiting
-	ClientRetry bool          // the client says that it has asked before
-	Streamed    bool          // its body may take long to write; Written says when it is
+	ClientRetry bool          // the client says that this is a retry of its own
+	Streamed    bool          // its body may take long to send; RequestWritten reports when it has been
 }
 
 // Result is how an attempt ended.
 type Result int
 
-// The results. Only Full, ConnectFailed and NotSent prove that the request did not run.
+// The results. Only Rejected, ConnectFailed and NotSent prove that the request did not run.
 const (
 	OK            Result = iota
 	Errored              // the endpoint answered with an error
-	Rejected             // turned away unseen
-	TimedOut             // no answer in time
-	ConnectFailed        // no connection came about
+	Rejected             // the endpoint rejected the request without looking at it
+	TimedOut             // no response in time
+	ConnectFailed        // no connection was established
 	Reset                // the connection broke
 	Canceled             // withdrawn by Cancel
 	NotSent              // the Send was not carried out
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -609,11 +609,11 @@
 // The servers of i2b2df6 and of many overloaded days tipped into a slow state while the room still grew.
 func TestOverloadLeavesEndpointsUncrowded(t *testing.T) {
 	r := newRig(t, wanted(80*ms), "a", "b")
-	most, answered := r.crowd(30*ms, 20*ms, 3*time.Second, "a", "b")
+	r.crowd(30*ms, 20*ms, 3*time.Second, "a", "b")
 	if r.count("refuse") > 0 {
 		t.Fatal("refused at a third of what the endpoints can do")
 	}
-	most, answered = r.crowd(5*ms, 20*ms, 6*time.Second, "a", "b")
+	most, answered := r.crowd(5*ms, 20*ms, 6*time.Second, "a", "b")
 	if most > 5 {
 		t.Errorf("an endpoint that does one call at a time held %d", most)
 	}
--- /dev/null
+++ b/balancer/endpointset_test.go
@@ -0,0 +1,87 @@
+package balancer
+
+import (
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+)
+
+func ids(endpoints []*endpoint) []string {
+	out := []string{}
+	for _, e := range endpoints {
+		out = append(out, e.ID)
+	}
+	return out
+}
+
+// TestMergeEndpointList checks what a merge counts, and which endpoints it reports as changed and as started.
+func TestMergeEndpointList(t *testing.T) {
+	s := newEndpointSet()
+	s.disabled["d"] = true
+	for _, step := range []struct {
+		name             string
+		list             EndpointList
+		touched, started []string
+		listed, ready    int
+	}{
+		{"the first list", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "d"}}},
+			[]string{"a", "b", "d"}, []string{"a", "b", "d"}, 3, 2},
+		{"the same again", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "d"}}}, []string{}, []string{}, 3, 2},
+		{"a drain", EndpointList{Entries: []Endpoint{{ID: "b", State: Draining}}}, []string{"b"}, []string{}, 3, 1},
+		{"a restart", EndpointList{Entries: []Endpoint{{ID: "b", Started: time.Second}}}, []string{"b"}, []string{"b"}, 3, 2},
+		{"another kind", EndpointList{Entries: []Endpoint{{ID: "b", Started: time.Second, Kind: "k"}}}, []string{"b"}, []string{}, 3, 2},
+		{"a complete list without two", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}}}, []string{"b", "d"}, []string{}, 1, 1},
+		{"one is back", EndpointList{Entries: []Endpoint{{ID: "b"}}}, []string{"b"}, []string{"b"}, 2, 2},
+	} {
+		touched, started := s.mergeEndpointList(step.list)
+		if got := ids(touched); !slices.Equal(got, step.touched) {
+			t.Errorf("%s: touched %v, want %v", step.name, got, step.touched)
+		}
+		if got := ids(started); !slices.Equal(got, step.started) {
+			t.Errorf("%s: started %v, want %v", step.name, got, step.started)
+		}
+		if s.listedCount != step.listed || s.readyCount != step.ready {
+			t.Errorf("%s: %d listed and %d ready, want %d and %d", step.name, s.listedCount, s.readyCount, step.listed, step.ready)
+		}
+	}
+}
+
+// TestGoneEndpointsAreRemoved checks that the set does not grow with endpoints that come and go.
+func TestGoneEndpointsAreRemoved(t *testing.T) {
+	s := newEndpointSet()
+	for i := range 1000 {
+		s.mergeEndpointList(EndpointList{Complete: true, Entries: []Endpoint{{ID: strconv.Itoa(i)}}})
+	}
+	if n := len(s.endpoints); n > 2+minGoneEndpoints {
+		t.Errorf("%d endpoints are kept where one is listed", n)
+	}
+	if e := s.byID["999"]; len(s.byID) != 1 || e == nil || e.insertionIndex != 999 {
+		t.Errorf("by ID: %v", s.byID)
+	}
+}
+
+// TestSubsetMembershipMovesCountsAndDeficits checks that an endpoint brings its outcomes, and keeps its deficit over
+// the zero of where it is.
+func TestSubsetMembershipMovesCountsAndDeficits(t *testing.T) {
+	s := newEndpointSet()
+	touched, _ := s.mergeEndpointList(EndpointList{Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
+	a, b := touched[0], touched[1]
+	a.outcomes, a.deficit, a.active = outcomeCounts{errors: 1, total: 4}, 2, true
+	s.deficitBase = 10
+	s.replaceSubset([]*endpoint{b, a})
+	if s.subsetSize != 2 || s.outcomes != a.outcomes || a.deficit != 12 || a.subsetIndex != 1 {
+		t.Errorf("in the subset: size %d, outcomes %+v, deficit %v, index %d", s.subsetSize, s.outcomes, a.deficit, a.subsetIndex)
+	}
+	if got := ids(s.activeHeap.endpoints); !slices.Equal(got, []string{"a"}) {
+		t.Errorf("active: %v", got)
+	}
+	s.replaceSubset([]*endpoint{b})
+	if s.subsetSize != 1 || s.outcomes != (outcomeCounts{}) || a.deficit != 2 || a.inSubset || len(s.activeHeap.endpoints) != 0 {
+		t.Errorf("outside: size %d, outcomes %+v, deficit %v", s.subsetSize, s.outcomes, a.deficit)
+	}
+	s.useAllEndpoints(nil)
+	if s.subsetSize != 3 || !s.subsetIsAll {
+		t.Errorf("all: size %d", s.subsetSize)
+	}
+}
--- /dev/null
+++ b/balancer/heap_test.go
@@ -0,0 +1,76 @@
+package balancer
+
+import (
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// TestHeapKeepsTheLowestFirst checks the heap against a plain list under random changes of membership and order.
+func TestHeapKeepsTheLowestFirst(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		heap := endpointHeap{slot: activeHeapSlot, less: hasLowerDeficit}
+		var all, members []*endpoint
+		for i := range 12 {
+			all = append(all, &endpoint{Endpoint: Endpoint{ID: strconv.Itoa(i)}, subsetIndex: i})
+		}
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			e := rapid.SampledFrom(all).Draw(t, "endpoint")
+			e.deficit = float64(rapid.IntRange(0, 5).Draw(t, "deficit"))
+			member := rapid.Bool().Draw(t, "member")
+			heap.setMember(e, member)
+			members = slices.DeleteFunc(members, func(m *endpoint) bool { return m == e })
+			if member {
+				members = append(members, e)
+			}
+			if len(heap.endpoints) != len(members) {
+				t.Fatalf("the heap has %d members, and %d are", len(heap.endpoints), len(members))
+			}
+			for _, m := range members {
+				if hasLowerDeficit(m, heap.endpoints[0]) {
+					t.Fatalf("%s is first, before %s", heap.endpoints[0].ID, m.ID)
+				}
+				if heap.endpoints[m.heapIndexes[activeHeapSlot]-1] != m {
+					t.Fatalf("%s does not know its index", m.ID)
+				}
+			}
+		}
+	})
+}
+
+// TestHeapVisitLeavesOutWhatIsBelow checks that nothing below an endpoint is visited once visit is told so.
+func TestHeapVisitLeavesOutWhatIsBelow(t *testing.T) {
+	heap := endpointHeap{slot: trialHeapSlot, less: hasSoonerTrial}
+	for i := range 7 {
+		heap.setMember(&endpoint{nextTrialAt: time.Duration(i), subsetIndex: i}, true)
+	}
+	visited := 0
+	heap.visit(0, func(e *endpoint) bool {
+		visited++
+		return e.nextTrialAt < 1
+	})
+	if visited != 3 {
+		t.Errorf("%d endpoints visited; the first and the two below it are right", visited)
+	}
+}
+
+// TestCandidatesOfAListAreThoseOfOneState checks the search outside heaps.
+func TestCandidatesOfAListAreThoseOfOneState(t *testing.T) {
+	gone := &endpoint{active: true}
+	gone.State = Gone
+	active, inactive := &endpoint{active: true}, &endpoint{}
+	for _, want := range []*endpoint{active, inactive} {
+		var got []*endpoint
+		c := candidates{endpoints: []*endpoint{gone, active, inactive}, active: want.active}
+		c.visit(func(e *endpoint) bool {
+			got = append(got, e)
+			return false
+		})
+		if !slices.Equal(got, []*endpoint{want}) {
+			t.Errorf("active %v: %d candidates", want.active, len(got))
+		}
+	}
+}
