--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -13,12 +13,12 @@
 	"rowancart/internal/testpeer"
 )
 
-// held makes the next dial stop once its connection is up, until let go.
-func held(u *upstream) (up chan net.Conn, letGo chan bool) {
+// holdNextDial makes the next dial stop once its connection is up, until let go.
+func holdNextDial(u *connPool) (up chan net.Conn, letGo chan bool) {
 	up, letGo = make(chan net.Conn, 1), make(chan bool)
-	dial := u.connect
+	dial := u.dial
 	var once sync.Once
-	u.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := dial(context.WithoutCancel(ctx), network, addr)
 		once.Do(func() {
 			up <- nc
@@ -30,33 +30,35 @@
 }
 
 // What happens while a connection comes up must count when it is up: nothing may go out that was right only when it was decided.
-func TestNothingIsSentOnAConnectionThatCameUpTooLate(t *testing.T) {
+func TestNothingSentOnConnEstablishedTooLate(t *testing.T) {
 	for name, row := range map[string]struct {
-		happens func(u *upstream, l *leash, e *testpeer.Endpoint)
+		happens func(u *connPool, l *AttemptControl, e *testpeer.Endpoint)
 		want    balancer.Result
 	}{
-		"nothing":                {func(*upstream, *leash, *testpeer.Endpoint) {}, balancer.OK},
-		"the endpoint drains":    {func(u *upstream, _ *leash, e *testpeer.Endpoint) { u.setMember("a", e.Addr, false) }, balancer.NotSent},
-		"the endpoint is gone":   {func(u *upstream, _ *leash, _ *testpeer.Endpoint) { u.removeMember("a") }, balancer.NotSent},
-		"the endpoint has moved": {func(u *upstream, _ *leash, _ *testpeer.Endpoint) { u.setMember("a", "127.0.0.1:1", true) }, balancer.NotSent},
-		"the endpoint is another of that name": {func(u *upstream, _ *leash, e *testpeer.Endpoint) {
-			u.removeMember("a")
-			u.setMember("a", e.Addr, true)
+		"nothing":                {func(*connPool, *AttemptControl, *testpeer.Endpoint) {}, balancer.OK},
+		"the endpoint drains":    {func(u *connPool, _ *AttemptControl, e *testpeer.Endpoint) { u.SetEndpoint("a", e.Addr, false) }, balancer.NotSent},
+		"the endpoint is gone":   {func(u *connPool, _ *AttemptControl, _ *testpeer.Endpoint) { u.RemoveEndpoint("a") }, balancer.NotSent},
+		"the endpoint has moved": {func(u *connPool, _ *AttemptControl, _ *testpeer.Endpoint) { u.SetEndpoint("a", "127.0.0.1:1", true) }, balancer.NotSent},
+		"the endpoint is another of that name": {func(u *connPool, _ *AttemptControl, e *testpeer.Endpoint) {
+			u.RemoveEndpoint("a")
+			u.SetEndpoint("a", e.Addr, true)
 		}, balancer.NotSent},
-		"the caller leaves":          {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.left = func() bool { return true } }, balancer.NotSent},
-		"the attempt is called off":  {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.cancel() }, balancer.Canceled},
-		"the attempt is withdrawn":   {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.withdraw() }, balancer.Canceled},
-		"the caller is still there":  {func(_ *upstream, l *leash, _ *testpeer.Endpoint) { l.left = func() bool { return false } }, balancer.OK},
-		"the list says ready, again": {func(u *upstream, _ *leash, e *testpeer.Endpoint) { u.setMember("a", e.Addr, true) }, balancer.OK},
+		"the caller leaves":         {func(_ *connPool, l *AttemptControl, _ *testpeer.Endpoint) { l.ClientGone = func() bool { return true } }, balancer.NotSent},
+		"the attempt is called off": {func(_ *connPool, l *AttemptControl, _ *testpeer.Endpoint) { l.Cancel() }, balancer.Canceled},
+		"the attempt is withdrawn":  {func(_ *connPool, l *AttemptControl, _ *testpeer.Endpoint) { l.CancelUnlessWritten() }, balancer.Canceled},
+		"the caller is still there": {func(_ *connPool, l *AttemptControl, _ *testpeer.Endpoint) {
+			l.ClientGone = func() bool { return false }
+		}, balancer.OK},
+		"the list says ready, again": {func(u *connPool, _ *AttemptControl, e *testpeer.Endpoint) { u.SetEndpoint("a", e.Addr, true) }, balancer.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoint(t, says(served, true))
-			u := testUpstream(t, e.Addr)
-			up, letGo := held(u)
-			l := within(patience)
+			u := newTestConnPool(t, e.Addr)
+			up, letGo := holdNextDial(u)
+			l := attemptWithin(patience)
 			ended := make(chan balancer.Result)
 			go func() {
-				r, _ := u.attempt(l, "a", get("/c"))
+				r, _ := u.RoundTrip(l, "a", getRequest("/c"))
 				ended <- r
 			}()
 			<-up
@@ -65,7 +67,7 @@
 			if r := <-ended; r != row.want {
 				t.Errorf("outcome %v, want %v", r, row.want)
 			}
-			_, _, open := u.count()
+			_, _, open := u.Counts()
 			if want := map[bool]int32{true: 1}[row.want == balancer.OK]; e.Requests.Load() != want || open != int(want) {
 				t.Errorf("%d requests came, %d connections are open, want %d", e.Requests.Load(), open, want)
 			}
@@ -74,17 +76,17 @@
 }
 
 // A new connection that its endpoint breaks before a byte was sent has carried nothing, and what must not run twice may go elsewhere.
-func TestANewConnectionBrokenAtOnceIsConnectFailed(t *testing.T) {
+func TestNewConnBrokenAtOnceIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	u := testUpstream(t, l.Addr().String())
-	up, letGo := held(u)
+	u := newTestConnPool(t, l.Addr().String())
+	up, letGo := holdNextDial(u)
 	ended := make(chan balancer.Result)
 	go func() {
-		r, _ := u.attempt(within(patience), "a", get("/c"))
+		r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c"))
 		ended <- r
 	}()
 	nc := (<-up).(*net.TCPConn)
@@ -103,7 +105,7 @@
 
 // The endpoint closes an idle connection when a request is about to be written there: nothing was, and any request, also one that must
 // not run twice, goes out on another connection within the same attempt.
-func TestAnIdleConnectionClosedBeforeTheFirstByte(t *testing.T) {
+func TestIdleConnClosedBeforeFirstByteIsReplaced(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		hangUp := make(chan bool)
 		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
@@ -113,23 +115,23 @@
 			}
 			return n > 1
 		})
-		u := testUpstream(t, e.Addr)
-		m := get("/c")
+		u := newTestConnPool(t, e.Addr)
+		m := getRequest("/c")
 		m.Method = method
-		if r, _ := u.attempt(within(patience), "a", m); r != balancer.OK {
+		if r, _ := u.RoundTrip(attemptWithin(patience), "a", m); r != balancer.OK {
 			t.Fatalf("first: %v", r)
 		}
-		c := u.pools["a"].idle[0]
-		l := within(patience)
+		c := u.endpoints["a"].idle[0]
+		l := attemptWithin(patience)
 		var once sync.Once
-		l.left = func() bool { // between the choice of the connection and the first byte
+		l.ClientGone = func() bool { // between the choice of the connection and the first byte
 			once.Do(func() {
 				close(hangUp)
 				until(t, "the close comes", func() bool { return !c.quiet() })
 			})
 			return false
 		}
-		if r, _ := u.attempt(l, "a", m); r != balancer.OK {
+		if r, _ := u.RoundTrip(l, "a", m); r != balancer.OK {
 			t.Errorf("%s: outcome %v", method, r)
 		}
 		if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 2 {
@@ -140,7 +142,7 @@
 
 // A second answer that comes late must not be taken for the answer to the next request: a connection rests before it is used again,
 // and one on which something has come meanwhile is not used at all. One that has rested goes first, and one that has been quiet is used.
-func TestALateSecondAnswerIsNobodys(t *testing.T) {
+func TestLateSecondResponseIsDropped(t *testing.T) {
 	for name, spoilt := range map[string]bool{"a second answer comes": true, "nothing comes": false} {
 		t.Run(name, func(t *testing.T) {
 			second := make(chan bool)
@@ -157,23 +159,23 @@
 				}
 				return true
 			})
-			u := testUpstream(t, e.Addr)
-			u.settle = patience
+			u := newTestConnPool(t, e.Addr)
+			u.quarantine = patience
 			rests, letGo := make(chan bool), make(chan bool)
-			u.pause = func(ctx context.Context) {
+			u.waitUntilDone = func(ctx context.Context) {
 				if until, _ := ctx.Deadline(); time.Until(until) < patience/2 {
 					t.Error("the rest ends too soon")
 				}
 				rests <- true
 				<-letGo
 			}
-			if r, a := u.attempt(within(patience), "a", get("/x")); r != balancer.OK || string(a.Body) != "x" {
+			if r, a := u.RoundTrip(attemptWithin(patience), "a", getRequest("/x")); r != balancer.OK || string(a.Body) != "x" {
 				t.Fatalf("x: outcome %v, answer %q", r, a.Body)
 			}
-			c := u.pools["a"].idle[0]
+			c := u.endpoints["a"].idle[0]
 			ended := make(chan bool)
 			go func() {
-				if r, a := u.attempt(within(patience), "a", get("/y")); r != balancer.OK || string(a.Body) != "y" {
+				if r, a := u.RoundTrip(attemptWithin(patience), "a", getRequest("/y")); r != balancer.OK || string(a.Body) != "y" {
 					t.Errorf("y: outcome %v, answer %q", r, a.Body)
 				}
 				close(ended)
@@ -187,7 +189,7 @@
 			}
 			close(letGo)
 			<-ended
-			if _, _, open := u.count(); open != 1 || e.Connections.Load() != map[bool]int32{true: 2, false: 1}[spoilt] {
+			if _, _, open := u.Counts(); open != 1 || e.Connections.Load() != map[bool]int32{true: 2, false: 1}[spoilt] {
 				t.Errorf("%d of %d connections are open", open, e.Connections.Load())
 			}
 		})
@@ -195,62 +197,62 @@
 }
 
 // With several idle connections the youngest that has rested is used, and with none such the one that will have first.
-func TestRestedConnectionsGoFirst(t *testing.T) {
-	u := newUpstream(Options{MaxConns: 100, Quarantine: time.Hour})
-	u.setMember("a", "127.0.0.1:1", true)
+func TestConnsPastQuarantineAreUsedFirst(t *testing.T) {
+	u := newConnPool(Options{MaxConns: 100, Quarantine: time.Hour})
+	u.SetEndpoint("a", "127.0.0.1:1", true)
 	now := time.Now()
 	for _, row := range []struct {
 		ages []time.Duration
 		want int
 	}{{[]time.Duration{3, 2, 0}, 1}, {[]time.Duration{2, 0, 0}, 0}, {[]time.Duration{0, 0}, 0}, {[]time.Duration{3, 2}, 1}} {
-		p := u.pools["a"]
+		p := u.endpoints["a"]
 		p.idle = nil
 		for _, age := range row.ages {
-			client, server := loopback(t)
+			client, server := loopbackConns(t)
 			t.Cleanup(func() { server.Close() })
 			c, err := newConn(client, p, p.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.idleAt = now.Add(-age * time.Hour)
+			c.idleSince = now.Add(-age * time.Hour)
 			p.idle = append(p.idle, c)
 		}
-		u.idleFor = 100 * time.Hour
+		u.maxIdleAge = 100 * time.Hour
 		want := p.idle[row.want]
-		if _, _, _, c, err := u.reserve("a"); c != want || err != nil {
+		if _, _, _, c, err := u.reserveConn("a"); c != want || err != nil {
 			t.Errorf("%v: another one was taken, %v", row.ages, err)
 		}
 	}
 }
 
 // An attempt that is called off while its connection rests ends at once, and nothing goes out.
-func TestAnAttemptCalledOffWhileItsConnectionRests(t *testing.T) {
+func TestAttemptCanceledDuringQuarantine(t *testing.T) {
 	e := newEndpoint(t, says(served, true))
-	u := testUpstream(t, e.Addr)
-	u.settle = patience
-	if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
+	u := newTestConnPool(t, e.Addr)
+	u.quarantine = patience
+	if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
 		t.Fatal(r)
 	}
-	for name, off := range map[string]func(l *leash){"cancelled": (*leash).cancel, "withdrawn": (*leash).withdraw} {
-		l := within(patience)
-		pause := u.pause
-		u.pause = func(ctx context.Context) { off(l); pause(ctx) }
-		if r, _ := u.attempt(l, "a", get("/c")); r != balancer.Canceled {
+	for name, off := range map[string]func(l *AttemptControl){"cancelled": (*AttemptControl).Cancel, "withdrawn": (*AttemptControl).CancelUnlessWritten} {
+		l := attemptWithin(patience)
+		pause := u.waitUntilDone
+		u.waitUntilDone = func(ctx context.Context) { off(l); pause(ctx) }
+		if r, _ := u.RoundTrip(l, "a", getRequest("/c")); r != balancer.Canceled {
 			t.Errorf("%s: outcome %v", name, r)
 		}
-		u.pause = pause
-		if _, _, open := u.count(); open != 0 || e.Requests.Load() != 1 {
+		u.waitUntilDone = pause
+		if _, _, open := u.Counts(); open != 0 || e.Requests.Load() != 1 {
 			t.Errorf("%s: %d connections are open, %d requests came", name, open, e.Requests.Load())
 		}
-		if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
+		if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
 			t.Fatal(r)
 		}
 		e.Requests.Store(1)
 	}
 }
 
-// loopback gives both ends of a connection.
-func loopback(t *testing.T) (client, server net.Conn) {
+// loopbackConns gives both ends of a connection.
+func loopbackConns(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -268,7 +270,7 @@
 }
 
 // Withdrawing ends what is not written whole, and nothing else.
-func TestWhatIsWrittenIsNotWithdrawn(t *testing.T) {
+func TestWrittenRequestIsNotWithdrawn(t *testing.T) {
 	came, release := make(chan bool), make(chan bool)
 	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		came <- true
@@ -276,16 +278,16 @@
 		io.WriteString(nc, served)
 		return true
 	})
-	u := testUpstream(t, e.Addr)
-	l := within(patience)
+	u := newTestConnPool(t, e.Addr)
+	l := attemptWithin(patience)
 	ended := make(chan balancer.Result)
 	go func() {
-		r, _ := u.attempt(l, "a", get("/c"))
+		r, _ := u.RoundTrip(l, "a", getRequest("/c"))
 		ended <- r
 	}()
 	<-came
-	until(t, "the request is known to be written", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.whole })
-	l.withdraw()
+	until(t, "the request is known to be written", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.requestWritten })
+	l.CancelUnlessWritten()
 	close(release)
 	if r := <-ended; r != balancer.OK {
 		t.Errorf("outcome %v", r)
@@ -293,16 +295,16 @@
 }
 
 // A close right behind an answer says nothing of how long endpoints keep idle connections.
-func TestACloseBehindAnAnswerTeachesNothing(t *testing.T) {
+func TestCloseRightAfterResponseKeepsMaxIdleAge(t *testing.T) {
 	e := newEndpoint(t, says(served, false))
-	u := testUpstream(t, e.Addr)
-	if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
+	u := newTestConnPool(t, e.Addr)
+	if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
 		t.Fatal(r)
 	}
-	c := u.pools["a"].idle[0]
+	c := u.endpoints["a"].idle[0]
 	until(t, "the close comes", func() bool { return !c.quiet() })
-	was := u.idleFor
-	if u.usable(c, c.idleAt.Add(sweepEvery)) || u.idleFor != was {
-		t.Errorf("idle connections are used for %v now", u.idleFor)
+	was := u.maxIdleAge
+	if u.usableLocked(c, c.idleSince.Add(sweepInterval)) || u.maxIdleAge != was {
+		t.Errorf("idle connections are used for %v now", u.maxIdleAge)
 	}
 }
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
+// hopByHopHeaders are the headers that concern one connection only (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
 // EndToEnd takes the headers away that concern one connection only, but for those kept, and gives what is left.
 func EndToEnd(h http.Header, kept ...string) http.Header {
@@ -18,7 +18,7 @@
 			}
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		delete(h, name)
 	}
 	return h
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	firstPart   = 4 << 10                // bytes by which room for an answer of untold length grows at least
-	wholeWithin = 50 * time.Millisecond  // an answer of untold length that has not ended by then is passed on as it comes
-	lastAnswer  = 200 * time.Millisecond // for an answer that came ahead of a body's end to be read
+	minBodyGrowth        = 4 << 10                // bytes by which room for an answer of untold length grows at least
+	streamAfter          = 50 * time.Millisecond  // an answer of untold length that has not ended by then is passed on as it comes
+	earlyResponseTimeout = 200 * time.Millisecond // for an answer that came ahead of a body's end to be read
 )
 
 // RequestMessage is a request as it goes on to endpoints.
@@ -37,19 +37,19 @@
 	Buffered  [][]byte  // what is there
 	Remaining io.Reader // what is still to come; nil: all is there
 	Release   func()    // is told when what is kept will not be sent again, before Rest is read
-	began     atomic.Bool
+	consumed  atomic.Bool
 }
 
-// size is how long the whole body is, below 0 where that is not told.
-func (m *RequestMessage) size() int64 {
+// bodyLength is how long the whole body is, below 0 where that is not told.
+func (m *RequestMessage) bodyLength() int64 {
 	if m.Upload != nil {
 		return m.Upload.Length
 	}
 	return int64(len(m.Body))
 }
 
-// gone tells whether so much of the body has gone out that it can't be sent once more.
-func (m *RequestMessage) gone() bool { return m.Upload != nil && m.Upload.began.Load() }
+// bodyConsumed tells whether so much of the body has gone out that it can't be sent once more.
+func (m *RequestMessage) bodyConsumed() bool { return m.Upload != nil && m.Upload.consumed.Load() }
 
 // Response is an endpoint's answer.
 type Response struct {
@@ -60,19 +60,19 @@
 	Length int64       // of the whole body, where there is more; below 0: it is not told
 }
 
-// sendLong writes a request with a long body. What is read off the caller goes out at once, so that a slow endpoint slows its caller
+// writeUpload writes a request with a long body. What is read off the caller goes out at once, so that a slow endpoint slows its caller
 // down and nothing piles up here.
-func (c *conn) sendLong(l *leash, m *RequestMessage) error {
+func (c *conn) writeUpload(l *AttemptControl, m *RequestMessage) error {
 	up := m.Upload
-	if up.Remaining != nil && up.began.Load() {
-		return errCaller // it is another attempt's
+	if up.Remaining != nil && up.consumed.Load() {
+		return errUploadFailed // it is another attempt's
 	}
-	wait := time.Until(l.deadline)
+	wait := time.Until(l.Deadline)
 	if up.Remaining != nil {
 		wait = m.ClientTimeout
 	}
-	c.out = m.appendHead(c.out[:0], wait)
-	if err := c.put(c.out); err != nil {
+	c.writeBuffer = m.appendRequestHead(c.writeBuffer[:0], wait)
+	if err := c.writeAll(c.writeBuffer); err != nil {
 		return err
 	}
 	b := http1.Buffers.Get().(*[]byte)
@@ -80,9 +80,9 @@
 	room := (*b)[http1.ChunkHead : http1.ChunkHead+http1.BufferSize]
 	piece := func(n int) error {
 		if up.Length < 0 {
-			return c.put(http1.AppendChunkFraming(*b, n))
+			return c.writeAll(http1.AppendChunkFraming(*b, n))
 		}
-		return c.put(room[:n])
+		return c.writeAll(room[:n])
 	}
 	for i := -1; i < len(up.Buffered); i++ {
 		kept := m.Body
@@ -101,9 +101,9 @@
 		return nil
 	}
 	if !c.quiet() {
-		return errEarly
+		return errEarlyResponse
 	}
-	up.began.Store(true)
+	up.consumed.Store(true)
 	if up.Release != nil {
 		up.Release()
 	}
@@ -111,10 +111,10 @@
 		n, err := up.Remaining.Read(room)
 		if n > 0 {
 			if !c.quiet() { // it has answered, or gone
-				return errEarly
+				return errEarlyResponse
 			}
 			if c.SetWriteDeadline(time.Now().Add(http1.MaxReadIdle)) != nil {
-				return errNotWritten
+				return errWriteFailed
 			}
 			if err := piece(n); err != nil {
 				return err
@@ -124,80 +124,80 @@
 			break
 		}
 		if err != nil {
-			return fmt.Errorf("%w: %w", errCaller, err)
+			return fmt.Errorf("%w: %w", errUploadFailed, err)
 		}
 	}
 	if up.Length < 0 {
-		if err := c.put([]byte(http1.LastChunk)); err != nil {
+		if err := c.writeAll([]byte(http1.LastChunk)); err != nil {
 			return err
 		}
 	}
-	l.deadline = time.Now().Add(m.ClientTimeout) // the caller's time runs from here
-	_ = c.SetDeadline(l.deadline)                // where it was called off the answer's read tells: written it is, and may run
+	l.Deadline = time.Now().Add(m.ClientTimeout) // the caller's time runs from here
+	_ = c.SetDeadline(l.Deadline)                // where it was called off the answer's read tells: written it is, and may run
 	return nil
 }
 
-// put writes all of some bytes.
-func (c *conn) put(b []byte) error {
+// writeAll writes all of some bytes.
+func (c *conn) writeAll(b []byte) error {
 	if n, err := c.Write(b); n != len(b) {
-		return fmt.Errorf("%w: %w", errNotWritten, err)
+		return fmt.Errorf("%w: %w", errWriteFailed, err)
 	}
 	return nil
 }
 
-// source is a connection as bodies are read off it.
-type source struct{ *conn }
+// bodySource is a connection as bodies are read off it.
+type bodySource struct{ *conn }
 
 // Buffered implements framing.Source.
-func (s source) Buffered() []byte {
-	come, _ := s.read.Peek(s.read.Buffered()) // it is there
+func (s bodySource) Buffered() []byte {
+	come, _ := s.reader.Peek(s.reader.Buffered()) // it is there
 	return come
 }
 
 // Discard implements framing.Source.
-func (s source) Discard(n int) { _, _ = s.read.Discard(n) }
+func (s bodySource) Discard(n int) { _, _ = s.reader.Discard(n) }
 
 // Fill implements framing.Source.
-func (s source) Fill() error {
-	_, err := s.read.Peek(1)
+func (s bodySource) Fill() error {
+	_, err := s.reader.Peek(1)
 	return err
 }
 
 // Read implements framing.Source.
-func (s source) Read(p []byte) (int, error) { return s.read.Read(p) }
+func (s bodySource) Read(p []byte) (int, error) { return s.reader.Read(p) }
 
 // Stream is what follows of an answer that is passed on while it comes.
 type Stream struct {
-	conn     *conn
-	upstream *upstream
-	body     *http1.Body
-	last     bool                    // the connection's last answer
-	left     int64                   // bytes that it may still bring
-	over     func(r balancer.Result) // is told how it ended
-	broken   error                   // why it could not be read on
-	closed   atomic.Bool
+	conn       *conn
+	pool       *connPool
+	body       *http1.Body
+	lastOnConn bool                    // the connection's last answer
+	remaining  int64                   // bytes that it may still bring
+	onClose    func(r balancer.Result) // is told how it ended
+	readErr    error                   // why it could not be read on
+	closed     atomic.Bool
 }
 
-// stream is what follows of an answer whose beginning was read.
-func (u *upstream) stream(c *conn, body *http1.Body, last bool) *Stream {
-	return &Stream{conn: c, upstream: u, body: body, last: last, left: u.longest()}
+// newStream is what follows of an answer whose beginning was read.
+func (p *connPool) newStream(c *conn, body *http1.Body, last bool) *Stream {
+	return &Stream{conn: c, pool: p, body: body, lastOnConn: last, remaining: p.maxBodyLength()}
 }
 
 // Ended tells whether the answer was read to its end.
-func (s *Stream) Ended() bool { return s.broken == nil && s.body.Ended() }
+func (s *Stream) Ended() bool { return s.readErr == nil && s.body.Ended() }
 
 // Read implements io.Reader. An error but io.EOF means that the answer has broken off.
 func (s *Stream) Read(p []byte) (int, error) {
 	if s.conn.SetReadDeadline(time.Now().Add(http1.MaxReadIdle)) != nil {
-		s.broken = errClosed
-		return 0, s.broken
+		s.readErr = errConnClosed
+		return 0, s.readErr
 	}
 	n, err := s.body.Read(p)
-	if s.left -= int64(n); s.left < 0 {
-		n, err = 0, errTooLong
+	if s.remaining -= int64(n); s.remaining < 0 {
+		n, err = 0, errResponseTooLong
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		s.broken = err
+		s.readErr = err
 	}
 	return n, err
 }
@@ -214,16 +214,16 @@
 	switch {
 	case s.Ended():
 		r = balancer.OK
-	case s.broken != nil:
+	case s.readErr != nil:
 		r = balancer.Reset
 	}
-	if r == balancer.OK && !s.last && s.conn.read.Buffered() == 0 && s.conn.SetDeadline(time.Time{}) == nil {
-		s.upstream.giveBack(s.conn)
+	if r == balancer.OK && !s.lastOnConn && s.conn.reader.Buffered() == 0 && s.conn.SetDeadline(time.Time{}) == nil {
+		s.pool.releaseConn(s.conn)
 	} else {
-		s.upstream.discard(s.conn)
+		s.pool.closeConn(s.conn)
 	}
-	if s.over != nil {
-		s.over(r)
+	if s.onClose != nil {
+		s.onClose(r)
 	}
 	return nil
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -10,59 +10,59 @@
 )
 
 // The same start must always be the same instant, or an old one would pass for a restart.
-func TestStartsOfEndpointsBecomeInstants(t *testing.T) {
+func TestStartTimesBecomeInstants(t *testing.T) {
 	c := clock{time.Now()}
 	at := c.started.UnixMilli()
 	if c.instant(0) != 0 {
 		t.Errorf("long ago: %v", c.instant(0))
 	}
-	if got := c.instant(at - 2000); got != clockStart-2*time.Second {
+	if got := c.instant(at - 2000); got != clockEpoch-2*time.Second {
 		t.Errorf("two seconds before the start: %v", got)
 	}
 	if got := c.instant(1); got != 0 {
 		t.Errorf("years ago: %v", got)
 	}
-	if now := c.now(); now < clockStart {
+	if now := c.now(); now < clockEpoch {
 		t.Errorf("now: %v", now)
 	}
 }
 
-// rearming asks for a timer that is due at once, each time one rings.
-type rearming struct {
+// rearmingEvents asks for a timer that is due at once, each time one rings.
+type rearmingEvents struct {
 	balancer.Events
 	host  balancer.Host
-	rings int
+	fired int
 }
 
-func (r *rearming) Timer(now time.Duration) {
-	r.rings++
+func (r *rearmingEvents) Timer(now time.Duration) {
+	r.fired++
 	r.host.Timer(now)
 }
 
 // A timer that is asked for while one rings must wait for its turn, or other events never get theirs.
-func TestATimerDueAtOnceDoesNotHoldTheLoop(t *testing.T) {
+func TestTimerDueAtOnceDoesNotBlockOtherEvents(t *testing.T) {
 	l := New(balancer.Settings{}, EndpointList{}, Options{Log: slog.New(slog.DiscardHandler)})
-	r := &rearming{host: host{l}}
-	l.balancer, l.timers = r, nil
-	r.host.Timer(clockStart)
-	r.host.Timer(clockStart + 1)
-	l.ring(l.clock.now())
-	if r.rings != 2 || len(l.timers) != 2 {
-		t.Errorf("%d rings, %d timers wait", r.rings, len(l.timers))
+	r := &rearmingEvents{host: host{l}}
+	l.events, l.timerInstants = r, nil
+	r.host.Timer(clockEpoch)
+	r.host.Timer(clockEpoch + 1)
+	l.fireDueTimers(l.clock.now())
+	if r.fired != 2 || len(l.timerInstants) != 2 {
+		t.Errorf("%d rings, %d timers wait", r.fired, len(l.timerInstants))
 	}
 }
 
 func TestRecentIDsAreBounded(t *testing.T) {
-	var r recent
-	for i := range 10 * recentMost {
+	var r recentIDs
+	for i := range 10 * idsPerGeneration {
 		if !r.add(fmt.Sprint(i)) {
 			t.Fatalf("id %d passes for known", i)
 		}
-		if i >= recentMost && r.add(fmt.Sprint(i-recentMost+1)) {
-			t.Fatalf("of %d ids, number %d is forgotten", i, i-recentMost+1)
+		if i >= idsPerGeneration && r.add(fmt.Sprint(i-idsPerGeneration+1)) {
+			t.Fatalf("of %d ids, number %d is forgotten", i, i-idsPerGeneration+1)
 		}
 	}
-	if n := len(r.young) + len(r.old); n > 2*recentMost {
+	if n := len(r.current) + len(r.previous); n > 2*idsPerGeneration {
 		t.Errorf("%d ids are kept", n)
 	}
 }
--- a/internal/proxy/recent.go
+++ b/internal/proxy/recent.go
@@ -1,19 +1,19 @@
 package proxy
 
-// recentMost is how many ids one generation holds: at the site's busiest some minutes' worth.
-const recentMost = 4096
+// idsPerGeneration is how many ids one generation holds: at the site's busiest some minutes' worth.
+const idsPerGeneration = 4096
 
-// recent remembers the latest ids in bounded memory: at least recentMost of them, at most twice as many.
-type recent struct{ young, old map[string]bool }
+// recentIDs remembers the latest ids in bounded memory: at least recentMost of them, at most twice as many.
+type recentIDs struct{ current, previous map[string]bool }
 
 // add remembers an id and tells whether it is new.
-func (r *recent) add(id string) bool {
-	if r.young[id] || r.old[id] {
+func (r *recentIDs) add(id string) bool {
+	if r.current[id] || r.previous[id] {
 		return false
 	}
-	if r.young == nil || len(r.young) >= recentMost {
-		r.young, r.old = make(map[string]bool, len(r.young)), r.young
+	if r.current == nil || len(r.current) >= idsPerGeneration {
+		r.current, r.previous = make(map[string]bool, len(r.current)), r.current
 	}
-	r.young[id] = true
+	r.current[id] = true
 	return true
 }
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -13,23 +13,25 @@
 	"rowancart/balancer"
 )
 
-func testUpstream(t *testing.T, addrs ...string) *upstream {
+func newTestConnPool(t *testing.T, addrs ...string) *connPool {
 	t.Helper()
-	u := newUpstream(Options{ConnIdle: time.Minute, DialTimeout: patience, MaxConns: 100})
+	u := newConnPool(Options{ConnIdle: time.Minute, DialTimeout: patience, MaxConns: 100})
 	for i, addr := range addrs {
-		u.setMember(string(rune('a'+i)), addr, true)
+		u.SetEndpoint(string(rune('a'+i)), addr, true)
 	}
-	t.Cleanup(func() { u.sweep(func(*conn) bool { return false }) })
+	t.Cleanup(func() { u.sweepIdle(func(*conn) bool { return false }) })
 	return u
 }
 
-func get(path string) *RequestMessage {
+func getRequest(path string) *RequestMessage {
 	return &RequestMessage{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}}}
 }
 
-func within(d time.Duration) *leash { return &leash{deadline: time.Now().Add(d)} }
+func attemptWithin(d time.Duration) *AttemptControl {
+	return &AttemptControl{Deadline: time.Now().Add(d)}
+}
 
-func TestAnAnswerTellsTheOutcome(t *testing.T) {
+func TestResponseDeterminesOutcome(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: "
 	for name, row := range map[string]struct {
 		says string
@@ -56,7 +58,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoint(t, says(row.says, row.stay))
-			result, a := testUpstream(t, e.Addr).attempt(within(patience), "a", get("/c"))
+			result, a := newTestConnPool(t, e.Addr).RoundTrip(attemptWithin(patience), "a", getRequest("/c"))
 			if result != row.want {
 				t.Errorf("outcome %v, want %v", result, row.want)
 			}
@@ -72,7 +74,7 @@
 
 // An answer of untold length may be one that never ends. It is passed on up to what an answer may have, and breaks off there; a relay
 // knows of no such bound.
-func TestAnEndlessAnswerBreaksOff(t *testing.T) {
+func TestEndlessResponseIsCutOff(t *testing.T) {
 	for _, relay := range []bool{false, true} {
 		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -83,16 +85,16 @@
 				}
 			}
 		})
-		u := testUpstream(t, e.Addr)
-		u.relay = relay
-		result, a := u.attempt(within(patience), "a", get("/c"))
+		u := newTestConnPool(t, e.Addr)
+		u.passThrough = relay
+		result, a := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c"))
 		if result != balancer.OK || a.Stream == nil {
 			t.Fatalf("outcome %v, %d bytes and no more", result, len(a.Body))
 		}
 		var ended balancer.Result
-		a.Stream.over = func(r balancer.Result) { ended = r }
+		a.Stream.onClose = func(r balancer.Result) { ended = r }
 		n, err := io.CopyN(io.Discard, a.Stream, MaxStreamedBody+1<<20)
-		if want := map[bool]error{false: errTooLong}[relay]; !errors.Is(err, want) {
+		if want := map[bool]error{false: errResponseTooLong}[relay]; !errors.Is(err, want) {
 			t.Errorf("relay %v: after %d bytes %v", relay, n, err)
 		}
 		if a.Stream.Close(); !relay && (n > MaxStreamedBody || ended != balancer.Reset) {
@@ -101,25 +103,25 @@
 	}
 }
 
-func TestNoConnectionIsConnectFailed(t *testing.T) {
+func TestFailedDialIsConnectFailed(t *testing.T) {
 	e := newEndpoint(t, says(served, true))
-	u := testUpstream(t, e.Addr)
+	u := newTestConnPool(t, e.Addr)
 	u.dialTimeout = time.Nanosecond
-	if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.ConnectFailed {
+	if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.ConnectFailed {
 		t.Errorf("never up: %v", r)
 	}
 	e.Listener.Close()
 	u.dialTimeout = patience
-	if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.ConnectFailed {
+	if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.ConnectFailed {
 		t.Errorf("refused: %v", r)
 	}
-	if u.open != 0 {
-		t.Errorf("%d descriptors are still counted", u.open)
+	if u.openConns != 0 {
+		t.Errorf("%d descriptors are still counted", u.openConns)
 	}
 }
 
 // What the sidecar itself lacks is no failure of the endpoint's: told as one, it would count against its weight.
-func TestWhatCouldNotBeTriedIsNotSent(t *testing.T) {
+func TestNoConnectionAvailableIsNotSent(t *testing.T) {
 	came, release := make(chan bool), make(chan bool)
 	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		came <- true
@@ -127,28 +129,28 @@
 		io.WriteString(nc, served)
 		return true
 	})
-	u := testUpstream(t, e.Addr)
-	u.most = 1
+	u := newTestConnPool(t, e.Addr)
+	u.maxConns = 1
 	first := make(chan balancer.Result)
 	go func() {
-		r, _ := u.attempt(within(patience), "a", get("/c"))
+		r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c"))
 		first <- r
 	}()
 	<-came
-	if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.NotSent {
+	if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.NotSent {
 		t.Errorf("all descriptors in use: %v", r)
 	}
 	close(release)
 	if r := <-first; r != balancer.OK {
 		t.Errorf("the one that had the descriptor: %v", r)
 	}
-	if r, _ := u.attempt(within(patience), "unlisted", get("/c")); r != balancer.NotSent {
+	if r, _ := u.RoundTrip(attemptWithin(patience), "unlisted", getRequest("/c")); r != balancer.NotSent {
 		t.Errorf("no address: %v", r)
 	}
 }
 
 // A request whose last byte was not written can't have run.
-func TestABreakWhileWritingIsConnectFailed(t *testing.T) {
+func TestResetWhileWritingIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -161,15 +163,15 @@
 			nc.Close() // with bytes unread: a reset
 		}
 	}()
-	m := get("/c")
+	m := getRequest("/c")
 	m.Method, m.Body = http.MethodPost, make([]byte, 64<<20) // more than socket buffers hold
-	if r, _ := testUpstream(t, l.Addr().String()).attempt(within(patience), "a", m); r != balancer.ConnectFailed {
+	if r, _ := newTestConnPool(t, l.Addr().String()).RoundTrip(attemptWithin(patience), "a", m); r != balancer.ConnectFailed {
 		t.Errorf("outcome %v", r)
 	}
 }
 
 // The connection must be closed before the outcome is known: the next attempt would be a second one out.
-func TestGivingUpClosesTheConnection(t *testing.T) {
+func TestTimeoutAndCancelCloseTheConn(t *testing.T) {
 	for _, want := range []balancer.Result{balancer.TimedOut, balancer.Canceled} {
 		came, closed := make(chan bool, 1), make(chan error, 1)
 		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -178,18 +180,18 @@
 			closed <- err
 			return false
 		})
-		u := testUpstream(t, e.Addr)
-		l := within(patience)
+		u := newTestConnPool(t, e.Addr)
+		l := attemptWithin(patience)
 		if want == balancer.TimedOut {
-			l = within(300 * time.Millisecond)
+			l = attemptWithin(300 * time.Millisecond)
 		} else {
-			go func() { <-came; l.cancel() }()
+			go func() { <-came; l.Cancel() }()
 		}
-		r, _ := u.attempt(l, "a", get("/c"))
+		r, _ := u.RoundTrip(l, "a", getRequest("/c"))
 		if r != want {
 			t.Errorf("outcome %v, want %v", r, want)
 		}
-		if u.open != 0 {
+		if u.openConns != 0 {
 			t.Errorf("%v: the connection is still open", want)
 		}
 		if err := <-closed; err == nil {
@@ -199,7 +201,7 @@
 }
 
 // net/http's Transport would send these again by itself.
-func TestABrokenReusedConnectionIsNotResent(t *testing.T) {
+func TestRequestOnBrokenReusedConnIsNotResent(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
 			if n > 1 {
@@ -208,14 +210,14 @@
 			io.WriteString(nc, served)
 			return true
 		})
-		u := testUpstream(t, e.Addr)
-		m := get("/c")
+		u := newTestConnPool(t, e.Addr)
+		m := getRequest("/c")
 		m.Method = method
 		m.Header.Set("Idempotency-Key", "k")
-		if r, _ := u.attempt(within(patience), "a", m); r != balancer.OK {
+		if r, _ := u.RoundTrip(attemptWithin(patience), "a", m); r != balancer.OK {
 			t.Fatalf("first: %v", r)
 		}
-		if r, _ := u.attempt(within(patience), "a", m); r != balancer.Reset {
+		if r, _ := u.RoundTrip(attemptWithin(patience), "a", m); r != balancer.Reset {
 			t.Errorf("%s on a connection that broke: %v", method, r)
 		}
 		if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
@@ -224,7 +226,7 @@
 	}
 }
 
-func TestADeadIdleConnectionIsNotPicked(t *testing.T) {
+func TestDeadIdleConnIsNotReused(t *testing.T) {
 	for name, behind := range map[string]string{"closed": "", "bytes that nobody asked for": "x"} {
 		answered := make(chan bool, 1)
 		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
@@ -235,13 +237,13 @@
 			}
 			return n > 1
 		})
-		u := testUpstream(t, e.Addr)
-		if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
+		u := newTestConnPool(t, e.Addr)
+		if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
 			t.Fatalf("%s: first: %v", name, r)
 		}
 		answered <- true
-		until(t, name, func() bool { idle := u.pools["a"].idle; return len(idle) == 0 || !idle[0].quiet() })
-		if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
+		until(t, name, func() bool { idle := u.endpoints["a"].idle; return len(idle) == 0 || !idle[0].quiet() })
+		if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
 			t.Errorf("%s: second: %v", name, r)
 		}
 		if c := e.Connections.Load(); c != 2 {
@@ -250,13 +252,13 @@
 	}
 }
 
-func TestConnectionsAreReusedAndRetired(t *testing.T) {
+func TestConnsAreReusedAndRetired(t *testing.T) {
 	e := newEndpoint(t, says(served, true))
 	other := newEndpoint(t, says(served, true))
-	u := testUpstream(t, e.Addr)
+	u := newTestConnPool(t, e.Addr)
 	try := func(want int32) {
 		t.Helper()
-		if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
+		if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
 			t.Fatalf("outcome %v", r)
 		}
 		if c := e.Connections.Load(); c != want {
@@ -265,22 +267,22 @@
 	}
 	try(1)
 	try(1)
-	u.pools["a"].idle[0].idleAt = time.Now().Add(-u.idleFor) // the endpoint may close it any moment
+	u.endpoints["a"].idle[0].idleSince = time.Now().Add(-u.maxIdleAge) // the endpoint may close it any moment
 	try(2)
-	u.setMember("a", other.Addr, true) // moved: the old connection leads elsewhere
+	u.SetEndpoint("a", other.Addr, true) // moved: the old connection leads elsewhere
 	try(2)
-	if c := other.Connections.Load(); c != 1 || u.open != 1 {
-		t.Errorf("%d connections to the new address, %d open", c, u.open)
+	if c := other.Connections.Load(); c != 1 || u.openConns != 1 {
+		t.Errorf("%d connections to the new address, %d open", c, u.openConns)
 	}
-	u.setMember("a", other.Addr, false)
-	if u.open != 0 {
-		t.Errorf("%d connections to an endpoint that drains", u.open)
+	u.SetEndpoint("a", other.Addr, false)
+	if u.openConns != 0 {
+		t.Errorf("%d connections to an endpoint that drains", u.openConns)
 	}
 }
 
 // Seen on a day on which endpoints closed idle connections after 0.25 to 0.6 s, where 30 s were stated: of the requests
 // sent on connections nearly that old one in ten crossed the close.
-func TestAnEarlyCloseShortensTheUseOfIdleConnections(t *testing.T) {
+func TestEarlyCloseShortensMaxIdleAge(t *testing.T) {
 	hangUp := make(chan bool)
 	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
 		io.WriteString(nc, served)
@@ -289,69 +291,69 @@
 		}
 		return n != 1
 	})
-	u := testUpstream(t, e.Addr)
+	u := newTestConnPool(t, e.Addr)
 	send := func() {
 		t.Helper()
-		if r, _ := u.attempt(within(patience), "a", get("/c")); r != balancer.OK {
+		if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
 			t.Fatal(r)
 		}
 	}
-	idle := func() *conn { return u.pools["a"].idle[0] }
+	idle := func() *conn { return u.endpoints["a"].idle[0] }
 	send()
 	close(hangUp)
 	until(t, "the close comes", func() bool { return !idle().quiet() })
-	idle().idleAt = time.Now().Add(-time.Second)
-	u.sweep(func(c *conn) bool { return u.usable(c, time.Now()) })
-	if u.open != 0 {
-		t.Errorf("%d connections are open after the close", u.open)
+	idle().idleSince = time.Now().Add(-time.Second)
+	u.sweepIdle(func(c *conn) bool { return u.usableLocked(c, time.Now()) })
+	if u.openConns != 0 {
+		t.Errorf("%d connections are open after the close", u.openConns)
 	}
 	send()
 	for age, want := range map[time.Duration]bool{400 * time.Millisecond: true, 700 * time.Millisecond: false} {
-		now := idle().idleAt.Add(age)
-		if got := u.usable(idle(), now); got != want {
+		now := idle().idleSince.Add(age)
+		if got := u.usableLocked(idle(), now); got != want {
 			t.Errorf("idle for %v, after a close at 1 s: usable %v", age, got)
 		}
 	}
 }
 
-func TestIdleConnectionsGiveWayToNewOnes(t *testing.T) {
+func TestOldestIdleConnIsEvictedForNewConn(t *testing.T) {
 	e, f := newEndpoint(t, says(served, true)), newEndpoint(t, says(served, true))
-	u := testUpstream(t, e.Addr, f.Addr)
-	u.most = 1
+	u := newTestConnPool(t, e.Addr, f.Addr)
+	u.maxConns = 1
 	for _, id := range []string{"a", "b", "a"} {
-		if r, _ := u.attempt(within(patience), id, get("/c")); r != balancer.OK {
+		if r, _ := u.RoundTrip(attemptWithin(patience), id, getRequest("/c")); r != balancer.OK {
 			t.Errorf("%s: %v", id, r)
 		}
-		if u.open != 1 {
-			t.Errorf("%d open", u.open)
+		if u.openConns != 1 {
+			t.Errorf("%d open", u.openConns)
 		}
 	}
 }
 
 // While two processes share the limits, each gives up idle connections beyond its part.
-func TestFewerConnectionsMayBeOpen(t *testing.T) {
+func TestSetMaxConnsClosesIdleConns(t *testing.T) {
 	e := newEndpoint(t, says(served, true))
-	u := testUpstream(t, e.Addr)
+	u := newTestConnPool(t, e.Addr)
 	hold := make([]*conn, 0, 6)
 	for range 6 {
-		c, err := u.take(within(patience), "a")
+		c, err := u.acquireConn(attemptWithin(patience), "a")
 		if err != nil {
 			t.Fatal(err)
 		}
 		hold = append(hold, c)
 	}
 	for _, c := range hold[:4] {
-		u.giveBack(c)
+		u.releaseConn(c)
 	}
-	u.limit(3)
-	if _, _, open := u.count(); open != 3 {
+	u.SetMaxConns(3)
+	if _, _, open := u.Counts(); open != 3 {
 		t.Errorf("%d are open", open)
 	}
-	u.limit(1)
+	u.SetMaxConns(1)
 	for _, c := range hold[4:] { // in use at the time
-		u.giveBack(c)
+		u.releaseConn(c)
 	}
-	if idle, _ := u.standing("a"); idle != 1 {
+	if idle, _ := u.EndpointStatus("a"); idle != 1 {
 		t.Errorf("%d are kept", idle)
 	}
 }
