--- /dev/null
+++ b/internal/connpool/errors.go
@@ -0,0 +1,67 @@
+package connpool
+
+import "errors"
+
+// FailureKind says what is known of an attempt that failed.
+type FailureKind int
+
+// The kinds of failure. NotSent, ConnectFailed and Declined prove that the request has not run.
+const (
+	// NotSent: no byte was sent, or the client's body ended early. The endpoint is not to blame.
+	NotSent FailureKind = iota + 1
+	// ConnectFailed: no connection came about, or it broke before the request was written completely.
+	ConnectFailed
+	// Declined: the endpoint responded that it has not run the request, or responded before the
+	// request's last byte was written and so can't have run it.
+	Declined
+	// ErrorStatus: the endpoint responded with a status that is no success.
+	ErrorStatus
+	// TimedOut: the deadline passed before the response was complete.
+	TimedOut
+	// Reset: the connection broke, or what came is no response, after the request was written
+	// completely.
+	Reset
+	// Canceled: the attempt was canceled, whatever else happened to it.
+	Canceled
+)
+
+// Error is how an attempt failed. Its text is that of Err.
+type Error struct {
+	Kind FailureKind
+	Err  error // the cause
+}
+
+// Error implements error.
+func (e *Error) Error() string { return e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *Error) Unwrap() error { return e.Err }
+
+// isEndpointFailure reports whether an attempt's error is a failure of the endpoint's.
+func isEndpointFailure(err error) bool {
+	if err == nil {
+		return false // errors.As would allocate for each success
+	}
+	var failure *Error
+	return errors.As(err, &failure) && failure.Kind != Canceled && failure.Kind != NotSent
+}
+
+// errNoConnection says that nothing was asked of the endpoint: it takes no new requests any more,
+// or all connections that may be open are in use. That is no failure of the endpoint's.
+var errNoConnection = errors.New("no connection could be tried")
+
+// The causes of failed attempts.
+var (
+	errEndpointRemoved  = errors.New("endpoint was removed or drained before anything was sent")
+	errClientGone       = errors.New("client disconnected before anything was sent")
+	errStaleConn        = errors.New("connection was closed or written to before anything was sent")
+	errWriteFailed      = errors.New("connection broke before the request was written completely")
+	errEarlyResponse    = errors.New("input arrived before the request was written completely")
+	errUploadFailed     = errors.New("client's request body ended early")
+	errConnClosed       = errors.New("connection is closed")
+	errDeclined         = errors.New("endpoint declined the request")
+	errResponseTooLong  = errors.New("response is longer than the maximum")
+	errTooManyInterim   = errors.New("too many interim responses")
+	errStreamUnfinished = errors.New("response was closed before its end")
+	errAttemptCanceled  = errors.New("attempt was canceled")
+)
--- a/internal/proxy/upstream_test.go
+++ b/internal/connpool/exchange_test.go
@@ -1,4 +1,4 @@
-package proxy
+package connpool
 
 import (
 	"errors"
@@ -9,60 +9,81 @@
 	"strings"
 	"testing"
 	"time"
-
-	"rowancart/balancer"
 )
 
-func newTestConnPool(t *testing.T, addrs ...string) *connPool {
+func newTestPool(t *testing.T, addrs ...string) *Pool {
 	t.Helper()
-	u := newConnPool(Options{ConnIdle: time.Minute, DialTimeout: patience, MaxConns: 100})
+	p := New(Options{IdleTimeout: time.Minute, DialTimeout: patience, MaxConns: 100})
 	for i, addr := range addrs {
-		u.SetEndpoint(string(rune('a'+i)), addr, true)
+		p.SetEndpoint(string(rune('a'+i)), addr, true)
+	}
+	t.Cleanup(func() { p.sweepIdle(func(*conn) bool { return false }) })
+	return p
+}
+
+func newRequest(path string) *Request {
+	return &Request{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}}}
+}
+
+// succeeded is the kind of an attempt that did not fail.
+const succeeded FailureKind = 0
+
+// kindOf returns the kind of an attempt's error.
+func kindOf(t *testing.T, err error) FailureKind {
+	t.Helper()
+	var failure *Error
+	if err != nil && !errors.As(err, &failure) {
+		t.Errorf("untyped error %v", err)
 	}
-	t.Cleanup(func() { u.sweepIdle(func(*conn) bool { return false }) })
-	return u
+	if failure == nil {
+		return succeeded
+	}
+	return failure.Kind
 }
 
-func getRequest(path string) *RequestMessage {
-	return &RequestMessage{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}}}
+// roundTrip makes an attempt and returns how it ended.
+func roundTrip(t *testing.T, p *Pool, a *Attempt, id string, req *Request) (FailureKind, Response) {
+	t.Helper()
+	resp, err := p.RoundTrip(a, id, req)
+	return kindOf(t, err), resp
 }
 
-func attemptWithin(d time.Duration) *AttemptControl {
-	return &AttemptControl{Deadline: time.Now().Add(d)}
+func attemptWithin(d time.Duration) *Attempt {
+	return &Attempt{Deadline: time.Now().Add(d)}
 }
 
 func TestResponseDeterminesOutcome(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: "
 	for name, row := range map[string]struct {
 		says string
-		want balancer.Result
+		want FailureKind
 		stay bool
 	}{
-		"200":                      {served, balancer.OK, true},
-		"200 in chunks":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.OK, true},
-		"200 after interim":        {"HTTP/1.1 103 Early Hints\r\n\r\n" + served, balancer.OK, true},
-		"500":                      {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
-		"503 declined":             {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, true},
-		"504 declined":             {"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, true},
-		"503 that may have run":    {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
-		"500 that claims declined": {"HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
-		"nothing, then an end":     {"", balancer.Reset, false},
-		"half a head":              {head, balancer.Reset, false},
-		"half a body":              {head + "9\r\n\r\nhi", balancer.Reset, false},
-		"half of the chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.Reset, false},
-		"no length":                {"HTTP/1.1 200 OK\r\n\r\nhi", balancer.OK, false},
-		"a long body of an error":  {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), balancer.Errored, true},
-		"a length that none has":   {head + "3000000000\r\n\r\nhi", balancer.Reset, true},
-		"a head without end":       {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200000), balancer.Reset, true},
-		"noise":                    {"\x00\x01\r\n\r\n", balancer.Reset, true},
+		"200":                      {served, succeeded, true},
+		"200 in chunks":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", succeeded, true},
+		"200 after interim":        {"HTTP/1.1 103 Early Hints\r\n\r\n" + served, succeeded, true},
+		"500":                      {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", ErrorStatus, true},
+		"503 declined":             {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", Declined, true},
+		"504 declined":             {"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", Declined, true},
+		"503 that may have run":    {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", ErrorStatus, true},
+		"500 that claims declined": {"HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", ErrorStatus, true},
+		"nothing, then an end":     {"", Reset, false},
+		"half a head":              {head, Reset, false},
+		"half a body":              {head + "9\r\n\r\nhi", Reset, false},
+		"half of the chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", Reset, false},
+		"no length":                {"HTTP/1.1 200 OK\r\n\r\nhi", succeeded, false},
+		"a long body of an error":  {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), ErrorStatus, true},
+		"a length that none has":   {head + "3000000000\r\n\r\nhi", Reset, true},
+		"a head without end":       {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200000), Reset, true},
+		"noise":                    {"\x00\x01\r\n\r\n", Reset, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoint(t, says(row.says, row.stay))
-			result, a := newTestConnPool(t, e.Addr).RoundTrip(attemptWithin(patience), "a", getRequest("/c"))
+			result, a := roundTrip(t, newTestPool(t, e.Addr), attemptWithin(patience), "a", newRequest("/c"))
 			if result != row.want {
 				t.Errorf("outcome %v, want %v", result, row.want)
 			}
-			if want := map[bool]string{true: "hi"}[row.want == balancer.OK]; string(a.Body) != want {
+			if want := map[bool]string{true: "hi"}[row.want == succeeded]; string(a.Body) != want {
 				t.Errorf("body %q, want %q", a.Body, want)
 			}
 			if n := e.Requests.Load(); n != 1 {
@@ -72,8 +93,8 @@
 	}
 }
 
-// An answer of untold length may be one that never ends. It is passed on up to what an answer may have, and breaks off there; a relay
-// knows of no such bound.
+// An answer of untold length may be one that never ends. It is passed on up to what an answer may
+// have, and breaks off there; a relay knows of no such bound.
 func TestEndlessResponseIsCutOff(t *testing.T) {
 	for _, relay := range []bool{false, true} {
 		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -85,19 +106,19 @@
 				}
 			}
 		})
-		u := newTestConnPool(t, e.Addr)
-		u.passThrough = relay
-		result, a := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c"))
-		if result != balancer.OK || a.Stream == nil {
+		p := newTestPool(t, e.Addr)
+		p.passThrough = relay
+		result, a := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c"))
+		if result != succeeded || a.Stream == nil {
 			t.Fatalf("outcome %v, %d bytes and no more", result, len(a.Body))
 		}
-		var ended balancer.Result
-		a.Stream.onClose = func(r balancer.Result) { ended = r }
+		var ended FailureKind
+		a.Stream.NotifyClose(func(err error) { ended = kindOf(t, err) })
 		n, err := io.CopyN(io.Discard, a.Stream, MaxStreamedBody+1<<20)
 		if want := map[bool]error{false: errResponseTooLong}[relay]; !errors.Is(err, want) {
 			t.Errorf("relay %v: after %d bytes %v", relay, n, err)
 		}
-		if a.Stream.Close(); !relay && (n > MaxStreamedBody || ended != balancer.Reset) {
+		if a.Stream.Close(); !relay && (n > MaxStreamedBody || ended != Reset) {
 			t.Errorf("%d bytes passed, ended %v", n, ended)
 		}
 	}
@@ -105,22 +126,23 @@
 
 func TestFailedDialIsConnectFailed(t *testing.T) {
 	e := newEndpoint(t, says(served, true))
-	u := newTestConnPool(t, e.Addr)
-	u.dialTimeout = time.Nanosecond
-	if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.ConnectFailed {
+	p := newTestPool(t, e.Addr)
+	p.dialTimeout = time.Nanosecond
+	if r, _ := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c")); r != ConnectFailed {
 		t.Errorf("never up: %v", r)
 	}
 	e.Listener.Close()
-	u.dialTimeout = patience
-	if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.ConnectFailed {
+	p.dialTimeout = patience
+	if r, _ := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c")); r != ConnectFailed {
 		t.Errorf("refused: %v", r)
 	}
-	if u.openConns != 0 {
-		t.Errorf("%d descriptors are still counted", u.openConns)
+	if p.openConns != 0 {
+		t.Errorf("%d descriptors are still counted", p.openConns)
 	}
 }
 
-// What the sidecar itself lacks is no failure of the endpoint's: told as one, it would count against its weight.
+// What the sidecar itself lacks is no failure of the endpoint's: told as one, it would count
+// against its weight.
 func TestNoConnectionAvailableIsNotSent(t *testing.T) {
 	came, release := make(chan bool), make(chan bool)
 	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -129,22 +151,22 @@
 		io.WriteString(nc, served)
 		return true
 	})
-	u := newTestConnPool(t, e.Addr)
-	u.maxConns = 1
-	first := make(chan balancer.Result)
+	p := newTestPool(t, e.Addr)
+	p.maxConns = 1
+	first := make(chan FailureKind)
 	go func() {
-		r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c"))
+		r, _ := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c"))
 		first <- r
 	}()
 	<-came
-	if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.NotSent {
+	if r, _ := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c")); r != NotSent {
 		t.Errorf("all descriptors in use: %v", r)
 	}
 	close(release)
-	if r := <-first; r != balancer.OK {
+	if r := <-first; r != succeeded {
 		t.Errorf("the one that had the descriptor: %v", r)
 	}
-	if r, _ := u.RoundTrip(attemptWithin(patience), "unlisted", getRequest("/c")); r != balancer.NotSent {
+	if r, _ := roundTrip(t, p, attemptWithin(patience), "unlisted", newRequest("/c")); r != NotSent {
 		t.Errorf("no address: %v", r)
 	}
 }
@@ -163,16 +185,17 @@
 			nc.Close() // with bytes unread: a reset
 		}
 	}()
-	m := getRequest("/c")
+	m := newRequest("/c")
 	m.Method, m.Body = http.MethodPost, make([]byte, 64<<20) // more than socket buffers hold
-	if r, _ := newTestConnPool(t, l.Addr().String()).RoundTrip(attemptWithin(patience), "a", m); r != balancer.ConnectFailed {
+	if r, _ := roundTrip(t, newTestPool(t, l.Addr().String()), attemptWithin(patience), "a", m); r != ConnectFailed {
 		t.Errorf("outcome %v", r)
 	}
 }
 
-// The connection must be closed before the outcome is known: the next attempt would be a second one out.
+// The connection must be closed before the outcome is known: the next attempt would be a second one
+// out.
 func TestTimeoutAndCancelCloseTheConn(t *testing.T) {
-	for _, want := range []balancer.Result{balancer.TimedOut, balancer.Canceled} {
+	for _, want := range []FailureKind{TimedOut, Canceled} {
 		came, closed := make(chan bool, 1), make(chan error, 1)
 		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 			came <- true
@@ -180,18 +203,18 @@
 			closed <- err
 			return false
 		})
-		u := newTestConnPool(t, e.Addr)
+		p := newTestPool(t, e.Addr)
 		l := attemptWithin(patience)
-		if want == balancer.TimedOut {
+		if want == TimedOut {
 			l = attemptWithin(300 * time.Millisecond)
 		} else {
 			go func() { <-came; l.Cancel() }()
 		}
-		r, _ := u.RoundTrip(l, "a", getRequest("/c"))
+		r, _ := roundTrip(t, p, l, "a", newRequest("/c"))
 		if r != want {
 			t.Errorf("outcome %v, want %v", r, want)
 		}
-		if u.openConns != 0 {
+		if p.openConns != 0 {
 			t.Errorf("%v: the connection is still open", want)
 		}
 		if err := <-closed; err == nil {
@@ -210,14 +233,14 @@
 			io.WriteString(nc, served)
 			return true
 		})
-		u := newTestConnPool(t, e.Addr)
-		m := getRequest("/c")
+		p := newTestPool(t, e.Addr)
+		m := newRequest("/c")
 		m.Method = method
 		m.Header.Set("Idempotency-Key", "k")
-		if r, _ := u.RoundTrip(attemptWithin(patience), "a", m); r != balancer.OK {
+		if r, _ := roundTrip(t, p, attemptWithin(patience), "a", m); r != succeeded {
 			t.Fatalf("first: %v", r)
 		}
-		if r, _ := u.RoundTrip(attemptWithin(patience), "a", m); r != balancer.Reset {
+		if r, _ := roundTrip(t, p, attemptWithin(patience), "a", m); r != Reset {
 			t.Errorf("%s on a connection that broke: %v", method, r)
 		}
 		if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
@@ -237,13 +260,13 @@
 			}
 			return n > 1
 		})
-		u := newTestConnPool(t, e.Addr)
-		if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
+		p := newTestPool(t, e.Addr)
+		if r, _ := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c")); r != succeeded {
 			t.Fatalf("%s: first: %v", name, r)
 		}
 		answered <- true
-		until(t, name, func() bool { idle := u.endpoints["a"].idle; return len(idle) == 0 || !idle[0].quiet() })
-		if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
+		until(t, name, func() bool { idle := p.endpoints["a"].idle; return len(idle) == 0 || idle[0].hasPendingInput() })
+		if r, _ := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c")); r != succeeded {
 			t.Errorf("%s: second: %v", name, r)
 		}
 		if c := e.Connections.Load(); c != 2 {
@@ -255,10 +278,10 @@
 func TestConnsAreReusedAndRetired(t *testing.T) {
 	e := newEndpoint(t, says(served, true))
 	other := newEndpoint(t, says(served, true))
-	u := newTestConnPool(t, e.Addr)
+	p := newTestPool(t, e.Addr)
 	try := func(want int32) {
 		t.Helper()
-		if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
+		if r, _ := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c")); r != succeeded {
 			t.Fatalf("outcome %v", r)
 		}
 		if c := e.Connections.Load(); c != want {
@@ -267,21 +290,21 @@
 	}
 	try(1)
 	try(1)
-	u.endpoints["a"].idle[0].idleSince = time.Now().Add(-u.maxIdleAge) // the endpoint may close it any moment
+	p.endpoints["a"].idle[0].idleSince = time.Now().Add(-p.maxIdleAge) // the endpoint may close it any moment
 	try(2)
-	u.SetEndpoint("a", other.Addr, true) // moved: the old connection leads elsewhere
+	p.SetEndpoint("a", other.Addr, true) // moved: the old connection leads elsewhere
 	try(2)
-	if c := other.Connections.Load(); c != 1 || u.openConns != 1 {
-		t.Errorf("%d connections to the new address, %d open", c, u.openConns)
+	if c := other.Connections.Load(); c != 1 || p.openConns != 1 {
+		t.Errorf("%d connections to the new address, %d open", c, p.openConns)
 	}
-	u.SetEndpoint("a", other.Addr, false)
-	if u.openConns != 0 {
-		t.Errorf("%d connections to an endpoint that drains", u.openConns)
+	p.SetEndpoint("a", other.Addr, false)
+	if p.openConns != 0 {
+		t.Errorf("%d connections to an endpoint that drains", p.openConns)
 	}
 }
 
-// Seen on a day on which endpoints closed idle connections after 0.25 to 0.6 s, where 30 s were stated: of the requests
-// sent on connections nearly that old one in ten crossed the close.
+// Seen on a day on which endpoints closed idle connections after 0.25 to 0.6 s, where 30 s were
+// stated: of the requests sent on connections nearly that old one in ten crossed the close.
 func TestEarlyCloseShortensMaxIdleAge(t *testing.T) {
 	hangUp := make(chan bool)
 	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
@@ -291,26 +314,26 @@
 		}
 		return n != 1
 	})
-	u := newTestConnPool(t, e.Addr)
+	p := newTestPool(t, e.Addr)
 	send := func() {
 		t.Helper()
-		if r, _ := u.RoundTrip(attemptWithin(patience), "a", getRequest("/c")); r != balancer.OK {
+		if r, _ := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c")); r != succeeded {
 			t.Fatal(r)
 		}
 	}
-	idle := func() *conn { return u.endpoints["a"].idle[0] }
+	idle := func() *conn { return p.endpoints["a"].idle[0] }
 	send()
 	close(hangUp)
-	until(t, "the close comes", func() bool { return !idle().quiet() })
+	until(t, "the close comes", func() bool { return idle().hasPendingInput() })
 	idle().idleSince = time.Now().Add(-time.Second)
-	u.sweepIdle(func(c *conn) bool { return u.usableLocked(c, time.Now()) })
-	if u.openConns != 0 {
-		t.Errorf("%d connections are open after the close", u.openConns)
+	p.sweepIdle(func(c *conn) bool { return p.usableLocked(c, time.Now()) })
+	if p.openConns != 0 {
+		t.Errorf("%d connections are open after the close", p.openConns)
 	}
 	send()
 	for age, want := range map[time.Duration]bool{400 * time.Millisecond: true, 700 * time.Millisecond: false} {
 		now := idle().idleSince.Add(age)
-		if got := u.usableLocked(idle(), now); got != want {
+		if got := p.usableLocked(idle(), now); got != want {
 			t.Errorf("idle for %v, after a close at 1 s: usable %v", age, got)
 		}
 	}
@@ -318,14 +341,14 @@
 
 func TestOldestIdleConnIsEvictedForNewConn(t *testing.T) {
 	e, f := newEndpoint(t, says(served, true)), newEndpoint(t, says(served, true))
-	u := newTestConnPool(t, e.Addr, f.Addr)
-	u.maxConns = 1
+	p := newTestPool(t, e.Addr, f.Addr)
+	p.maxConns = 1
 	for _, id := range []string{"a", "b", "a"} {
-		if r, _ := u.RoundTrip(attemptWithin(patience), id, getRequest("/c")); r != balancer.OK {
+		if r, _ := roundTrip(t, p, attemptWithin(patience), id, newRequest("/c")); r != succeeded {
 			t.Errorf("%s: %v", id, r)
 		}
-		if u.openConns != 1 {
-			t.Errorf("%d open", u.openConns)
+		if p.openConns != 1 {
+			t.Errorf("%d open", p.openConns)
 		}
 	}
 }
@@ -333,27 +356,27 @@
 // While two processes share the limits, each gives up idle connections beyond its part.
 func TestSetMaxConnsClosesIdleConns(t *testing.T) {
 	e := newEndpoint(t, says(served, true))
-	u := newTestConnPool(t, e.Addr)
+	p := newTestPool(t, e.Addr)
 	hold := make([]*conn, 0, 6)
 	for range 6 {
-		c, err := u.acquireConn(attemptWithin(patience), "a")
+		c, err := p.acquireConn(attemptWithin(patience), "a")
 		if err != nil {
 			t.Fatal(err)
 		}
 		hold = append(hold, c)
 	}
 	for _, c := range hold[:4] {
-		u.releaseConn(c)
+		p.releaseConn(c)
 	}
-	u.SetMaxConns(3)
-	if _, _, open := u.Counts(); open != 3 {
+	p.SetMaxConns(3)
+	if _, _, open := p.Counts(); open != 3 {
 		t.Errorf("%d are open", open)
 	}
-	u.SetMaxConns(1)
+	p.SetMaxConns(1)
 	for _, c := range hold[4:] { // in use at the time
-		u.releaseConn(c)
+		p.releaseConn(c)
 	}
-	if idle, _ := u.EndpointStatus("a"); idle != 1 {
+	if idle, _ := p.EndpointStatus("a"); idle != 1 {
 		t.Errorf("%d are kept", idle)
 	}
 }
--- a/internal/proxy/peers_test.go
+++ b/internal/connpool/peers_test.go
@@ -1,4 +1,4 @@
-package proxy
+package connpool
 
 import (
 	"rowancart/internal/testpeer"
--- /dev/null
+++ b/internal/connpool/stream.go
@@ -0,0 +1,93 @@
+package connpool
+
+import (
+	"errors"
+	"io"
+	"sync/atomic"
+	"time"
+
+	"rowancart/internal/http1"
+)
+
+// Stream is the rest of a response that is passed on while it arrives. It owns its connection until
+// Close or Discard.
+type Stream struct {
+	conn       *conn
+	pool       *Pool
+	body       *http1.Body
+	lastOnConn bool            // the endpoint closes the connection behind this response
+	remaining  int64           // bytes that it may still bring
+	onClose    func(err error) // see NotifyClose
+	readErr    error           // why it could not be read on
+	closed     atomic.Bool
+}
+
+func (p *Pool) newStream(c *conn, body *http1.Body, lastOnConn bool) *Stream {
+	return &Stream{conn: c, pool: p, body: body, lastOnConn: lastOnConn, remaining: p.maxBodyLength()}
+}
+
+// NotifyClose sets the function that Close calls, once, with nil where the response was read to its
+// end and with an *Error of kind Reset or Canceled where it was not. It must be called before the
+// Stream is handed on.
+func (s *Stream) NotifyClose(onClose func(err error)) { s.onClose = onClose }
+
+// Ended reports whether the response was read to its end.
+func (s *Stream) Ended() bool { return s.readErr == nil && s.body.Ended() }
+
+// Read implements io.Reader. An error other than io.EOF means that the response is incomplete.
+func (s *Stream) Read(p []byte) (int, error) {
+	if s.conn.SetReadDeadline(time.Now().Add(http1.MaxReadIdle)) != nil {
+		s.readErr = errConnClosed
+		return 0, s.readErr
+	}
+	n, err := s.body.Read(p)
+	if s.remaining -= int64(n); s.remaining < 0 {
+		n, err = 0, errResponseTooLong
+	}
+	if err != nil && !errors.Is(err, io.EOF) {
+		s.readErr = err
+	}
+	return n, err
+}
+
+// Cancel ends a Read in progress and makes all later ones fail: the client has gone. It may be
+// called from any goroutine.
+func (s *Stream) Cancel() { s.conn.Close() }
+
+// Close ends the stream. Its connection is kept for the next request if the response was read to
+// its end.
+func (s *Stream) Close() error {
+	if s.closed.Swap(true) {
+		return nil
+	}
+	err := s.outcome()
+	if err == nil && !s.lastOnConn && s.conn.reader.Buffered() == 0 && s.conn.SetDeadline(time.Time{}) == nil {
+		s.pool.releaseConn(s.conn)
+	} else {
+		s.pool.closeConn(s.conn)
+	}
+	if s.onClose != nil {
+		s.onClose(err)
+	}
+	return nil
+}
+
+// outcome returns nil for a response that was read to its end, else an *Error.
+func (s *Stream) outcome() error {
+	switch {
+	case s.Ended():
+		return nil
+	case s.readErr != nil:
+		return &Error{Kind: Reset, Err: s.readErr}
+	}
+	return &Error{Kind: Canceled, Err: errStreamUnfinished}
+}
+
+// Discard closes the connection of a response that nobody will read, without the notification. It
+// is called instead of Close.
+func (s *Stream) Discard() {
+	if s.closed.Swap(true) {
+		return
+	}
+	s.pool.closeConn(s.conn)
+}
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -6,65 +6,61 @@
 	"rowancart/balancer"
 )
 
-// ResultKind is what the final answer to a call is.
+// ResultKind is the kind of a call's result.
 type ResultKind int
 
-// The kinds. Only Refused and Duplicate promise that the call has not run.
+// The kinds. Only Rejected and Duplicate promise that the call has not run.
 const (
-	Served    ResultKind = iota // an endpoint's whole answer
-	Rejected                    // turned away; trying again is harmless
+	Served    ResultKind = iota // an endpoint's response
+	Rejected                    // trying again is harmless
 	Failed                      // nothing is promised
-	Duplicate                   // its id is or was in use
+	Duplicate                   // the call's id is or was in use
 )
 
-// BodyNotReplayable is why a request is not served whose attempt failed after more of its body had gone out than is kept. The module's
-// reasons stand beside it.
+// BodyNotReplayable is the reason for a request that is not served since its attempt failed after
+// more of its body had been sent than is kept. It stands beside the Balancer's reasons.
 const BodyNotReplayable balancer.Reason = "body_gone"
 
-// Result is the final answer to a call.
+// Result is the one result of a call.
 type Result struct {
 	Kind       ResultKind
-	Reason     balancer.Reason // for Refused and Failed; empty where the caller has left or the engine has ended
-	RetryAfter time.Duration   // for Refused; 0: no advice
+	Reason     balancer.Reason // for Rejected and Failed; empty where the client has left or the Pool was closed
+	RetryAfter time.Duration   // for Rejected; 0: no advice
 	Response   Response        // for Served
 }
 
-// Call is a request that a front has taken. NewCall makes one.
+// Call is a request that a server has read. NewCall makes one.
+//
+// It is in the Pool's calls from startCall until it has its result and none of its attempts is in
+// flight: only then may the buffers of its body be reused.
 type Call struct {
 	balancer.Request
-	ClientGone     func() bool // tells whether the caller has left; nil: nobody knows. It must not block
+	ClientGone func() bool // reports whether the client has disconnected; nil: unknown. It must not block
+
 	message        *RequestMessage
-	results        chan Result   // takes the one final answer without blocking
-	inlineAttempts chan *attempt // takes an attempt for the goroutine that waits in Do
+	results        chan Result   // of capacity 1: the one result never blocks its sender
+	inlineAttempts chan *attempt // of capacity 1: hands an attempt to the goroutine in Do
 
-	// Engine.mu guards these:
-	finished         bool // answered, or the caller has left
-	canRunInline     bool // Do waits and can make an attempt by itself
+	// Pool.mu guards these:
+	finished         bool // has its result
+	canRunInline     bool // the goroutine in Do waits and can run an attempt itself
 	attempts         []*attempt
-	attemptsInFlight int // attempts out
+	attemptsInFlight int
 }
 
-// NewCall makes a call of a request, as the module is to see it, and of the message that endpoints are to get.
+// NewCall returns a call of a request as the Balancer sees it and of the message that endpoints
+// get.
 func NewCall(r balancer.Request, m *RequestMessage) *Call {
 	return &Call{Request: r, message: m, results: make(chan Result, 1), inlineAttempts: make(chan *attempt, 1)}
 }
 
-// failureLogInterval is the time between two log lines about requests that were not served for one reason.
-const failureLogInterval = 10 * time.Second
-
-// failureLog follows requests that were not served for one reason.
-type failureLog struct {
-	count    int           // the latest line
-	loggedAt time.Duration // at
-}
-
-// Do serves a call and gives the one final answer: Failed where the caller has left or the engine has ended, when none is
-// owed any more.
+// Do carries out a call and returns its result: Failed where the client has left or the Pool was
+// closed, when no result is owed any more.
 func (p *Pool) Do(c *Call) Result {
 	p.handleEvent(func(now time.Duration) { p.startCall(now, c) })
 	for {
 		select {
-		case r := <-c.results: // an answer comes before any more work
+		case r := <-c.results: // a result goes before any further attempt
 			p.runAbandonedAttempt(c)
 			return r
 		default:
@@ -81,13 +77,14 @@
 	}
 }
 
-// ClientLeft reports that the caller of a request that is being served has gone.
+// ClientLeft reports that the client of a call in Do has disconnected.
 func (p *Pool) ClientLeft(c *Call) {
 	p.handleEvent(func(now time.Duration) { p.handleClientLeft(now, c) })
 }
 
-// startCall takes a request. One whose id is or was in use is turned away: every request of a caller's own has a new one,
-// and a repeat must neither disturb the first nor reach an endpoint.
+// startCall passes a call on to the Balancer. A call whose id is or was in use is answered with
+// Duplicate: every request has an id of its own, and a repeat must neither disturb the first nor
+// reach an endpoint. p.mu must be held.
 func (p *Pool) startCall(now time.Duration, c *Call) {
 	if !p.recentIDs.add(c.ID) || p.calls[c.ID] != nil {
 		c.results <- Result{Kind: Duplicate}
@@ -101,7 +98,7 @@
 	p.events.Request(now, c.Request)
 }
 
-// handleClientLeft reports that the caller of a request has gone.
+// handleClientLeft finishes a call whose client has disconnected. p.mu must be held.
 func (p *Pool) handleClientLeft(now time.Duration, c *Call) {
 	if p.calls[c.ID] == c && !c.finished {
 		p.setResult(c, Result{Kind: Failed})
@@ -110,16 +107,7 @@
 	}
 }
 
-// setResult makes a call over, with its one final answer. What of its attempts has not gone out stays here.
-func (p *Pool) setResult(c *Call, r Result) {
-	c.finished, c.canRunInline = true, false
-	c.results <- r
-	for _, a := range c.attempts {
-		a.CancelUnlessWritten()
-	}
-}
-
-// finishCall gives the final answer, once.
+// finishCall sets the result of a call that has none yet. p.mu must be held.
 func (p *Pool) finishCall(c *Call, r Result) {
 	if c == nil || c.finished {
 		return
@@ -128,8 +116,18 @@
 	p.removeIfDone(c)
 }
 
-// removeIfDone drops a call of which nothing is to come any more: no attempt is out, and Send makes none for a call that is not
-// known.
+// setResult sets the result of a call, which must not have one. It is the only place that does so.
+// Attempts whose request has not been written completely are canceled. p.mu must be held.
+func (p *Pool) setResult(c *Call, r Result) {
+	c.finished, c.canRunInline = true, false
+	c.results <- r
+	for _, a := range c.attempts {
+		a.control.CancelUnlessWritten()
+	}
+}
+
+// removeIfDone forgets a call that has its result and no attempt in flight. No attempt can follow:
+// Send makes none for a call that is not known. p.mu must be held.
 func (p *Pool) removeIfDone(c *Call) {
 	if c.finished && c.attemptsInFlight == 0 && p.calls[c.ID] == c {
 		delete(p.calls, c.ID)
@@ -139,21 +137,37 @@
 	}
 }
 
-// finishUnserved gives a final answer that is not an endpoint's, and says so now and then: lines must not come as fast as requests.
-func (h host) finishUnserved(id string, r Result) {
-	c := h.calls[id]
+// finishUnserved sets a result that is no endpoint's response, and logs it. p.mu must be held.
+func (p *Pool) finishUnserved(id string, r Result) {
+	c := p.calls[id]
 	if c == nil || c.finished {
 		return
 	}
-	u := h.failureLogs[r.Reason]
-	if u == nil {
-		u = &failureLog{}
-		h.failureLogs[r.Reason] = u
+	p.logUnserved(id, r.Reason)
+	p.finishCall(c, r)
+}
+
+// failureLogInterval is the least time between two log lines about requests that were not served
+// for the same reason: lines must not come as fast as requests.
+const failureLogInterval = 10 * time.Second
+
+// failureLog counts the requests that were not served for one reason.
+type failureLog struct {
+	count    int           // since the latest line
+	loggedAt time.Duration // when the latest line was written; 0: never
+}
+
+// logUnserved logs that a request was not served, unless a line for the same reason was written
+// recently. p.mu must be held.
+func (p *Pool) logUnserved(id string, why balancer.Reason) {
+	l := p.failureLogs[why]
+	if l == nil {
+		l = &failureLog{}
+		p.failureLogs[why] = l
 	}
-	u.count++
-	if now := h.clock.now(); u.loggedAt == 0 || now-u.loggedAt >= failureLogInterval {
-		h.log.Warn("not served", "why", string(r.Reason), "requests", u.count, "latest", id)
-		u.count, u.loggedAt = 0, now
+	l.count++
+	if now := p.clock.now(); l.loggedAt == 0 || now-l.loggedAt >= failureLogInterval {
+		p.log.Warn("not served", "why", string(why), "requests", l.count, "latest", id)
+		l.count, l.loggedAt = 0, now
 	}
-	h.finishCall(c, r)
 }
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -7,7 +7,10 @@
 	"rowancart/balancer"
 )
 
-// Endpoint is an endpoint as a roster lists it.
+// ErrUnknownEndpoint says that no endpoint of that name is listed, or was when it was disabled.
+var ErrUnknownEndpoint = errors.New("no such endpoint is listed")
+
+// Endpoint is an endpoint as endpoint discovery lists it.
 //
 // The tags are the names in stored snapshots.
 type Endpoint struct {
@@ -20,23 +23,63 @@
 	StartedMs int64          `json:"StartedMs"` // Unix time of the latest start; 0: long ago
 }
 
-// EndpointList is what a roster says: the whole list, or what has changed.
+// EndpointList is an update from endpoint discovery: the complete list, or what has changed.
 type EndpointList struct {
 	Complete  bool
 	Endpoints []Endpoint
 	Unlisted  int // ready endpoints beside those that are ever listed to this instance
 }
 
-// UpdateEndpoints reports what a roster says.
-func (p *Pool) UpdateEndpoints(m EndpointList) {
-	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, m) })
+// UpdateEndpoints applies an update from endpoint discovery.
+func (p *Pool) UpdateEndpoints(l EndpointList) {
+	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, l) })
 }
 
-// ErrUnknownEndpoint says that no endpoint of that name is listed, or was when it was taken out.
-var ErrUnknownEndpoint = errors.New("no such endpoint is listed")
+// applyEndpointList passes an update on to the connections and the Balancer. The connections come
+// first: what the Balancer decides on the new list must find them up to date. p.mu must be held.
+func (p *Pool) applyEndpointList(now time.Duration, l EndpointList) {
+	update := balancer.EndpointList{Complete: l.Complete, Unlisted: l.Unlisted}
+	listed := map[string]bool{}
+	for _, e := range l.Endpoints {
+		update.Entries = append(update.Entries, balancer.Endpoint{
+			ID: e.ID, State: e.State, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+			Started: p.clock.instant(e.StartedMs),
+		})
+		listed[e.ID] = true
+		if e.State == balancer.Gone {
+			p.removeEndpoint(e.ID)
+			continue
+		}
+		p.endpoints[e.ID] = e
+		p.updateConns(e.ID)
+	}
+	if l.Complete {
+		for id := range p.endpoints {
+			if !listed[id] {
+				p.removeEndpoint(id)
+			}
+		}
+	}
+	p.events.EndpointList(now, update)
+}
+
+// removeEndpoint forgets an endpoint. p.mu must be held.
+func (p *Pool) removeEndpoint(id string) {
+	delete(p.endpoints, id)
+	p.conns.RemoveEndpoint(id)
+}
+
+// updateConns tells the connection pool where an endpoint is, if it is listed, and whether it takes
+// new requests. p.mu must be held.
+func (p *Pool) updateConns(id string) {
+	if e, listed := p.endpoints[id]; listed {
+		p.conns.SetEndpoint(id, e.Addr, e.State == balancer.Ready && !p.disabled[id])
+		p.conns.SetStartTime(id, time.UnixMilli(e.StartedMs))
+	}
+}
 
-// Disable takes an endpoint out at the operators' word: on return nothing new goes there. One that is not listed may be banned
-// too; it stays out when it comes.
+// Disable takes an endpoint out at the operators' request: once it has returned, no new attempt
+// goes there. An endpoint that is not listed may be disabled too; it stays out when it is listed.
 func (p *Pool) Disable(id string) {
 	p.handleEvent(func(now time.Duration) {
 		p.disabled[id] = true
@@ -54,7 +97,7 @@
 	})
 }
 
-// HasEndpoint tells whether an endpoint is listed.
+// HasEndpoint reports whether an endpoint is listed.
 func (p *Pool) HasEndpoint(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,65 +105,35 @@
 	return listed
 }
 
-// updateConns tells the connections where an endpoint is, if it is anywhere, and whether they are worth keeping.
-func (p *Pool) updateConns(id string) {
-	if m, listed := p.endpoints[id]; listed {
-		p.conns.SetEndpoint(id, m.Addr, m.State == balancer.Ready && !p.disabled[id])
-		p.conns.SetStartTime(id, time.UnixMilli(m.StartedMs))
-	}
-}
-
-// EndpointStatus is how an endpoint stands with an engine.
+// EndpointStatus is the state of one endpoint.
 type EndpointStatus struct {
 	balancer.EndpointStatus
 	Addr        string
 	IdleConns   int    // connections that wait for their next request
-	LastFailure string // how the latest attempt that failed did so, until one succeeds
+	LastFailure string // how the latest failed attempt failed, until one succeeds
 }
 
-// Endpoints tells how all endpoints stand, in the order in which they were first heard of.
+// Endpoints returns the state of all endpoints, in the order in which they were first listed.
 func (p *Pool) Endpoints() []EndpointStatus {
-	p.mu.Lock()
-	standings := p.balancer.EndpointStatuses(p.clock.now())
-	addrs := make(map[string]string, len(p.endpoints))
-	for id, m := range p.endpoints {
-		addrs[id] = m.Addr
-	}
-	p.mu.Unlock()
-	out := make([]EndpointStatus, len(standings))
-	for i, s := range standings {
+	statuses, addrs := p.endpointStatuses()
+	out := make([]EndpointStatus, len(statuses))
+	for i, s := range statuses {
 		out[i] = EndpointStatus{EndpointStatus: s, Addr: addrs[s.ID]}
 		out[i].IdleConns, out[i].LastFailure = p.conns.EndpointStatus(s.ID)
 	}
 	return out
 }
 
-// applyEndpointList tells the module and the connections what a roster says.
-func (p *Pool) applyEndpointList(now time.Duration, m EndpointList) {
-	out := balancer.EndpointList{Complete: m.Complete, Unlisted: m.Unlisted}
-	listed := map[string]bool{}
-	for _, s := range m.Endpoints {
-		out.Entries = append(out.Entries, balancer.Endpoint{ID: s.ID, State: s.State, Zone: s.Zone, Kind: s.Kind,
-			Cell: s.Cell, Started: p.clock.instant(s.StartedMs)})
-		listed[s.ID] = true
-		if s.State == balancer.Gone {
-			p.removeEndpoint(s.ID)
-			continue
-		}
-		p.endpoints[s.ID] = s
-		p.updateConns(s.ID)
-	}
-	if m.Complete {
-		for id := range p.endpoints {
-			if !listed[id] {
-				p.removeEndpoint(id)
-			}
-		}
+// endpointStatuses returns what the Balancer knows of all endpoints, and their addresses by id. The
+// state of their connections is read after it, without p.mu: this is for people to read, and
+// requests need not wait for it.
+func (p *Pool) endpointStatuses() (statuses []balancer.EndpointStatus, addrs map[string]string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	statuses = p.balancer.EndpointStatuses(p.clock.now())
+	addrs = make(map[string]string, len(p.endpoints))
+	for id, e := range p.endpoints {
+		addrs[id] = e.Addr
 	}
-	p.events.EndpointList(now, out)
-}
-
-func (p *Pool) removeEndpoint(id string) {
-	delete(p.endpoints, id)
-	p.conns.RemoveEndpoint(id)
+	return statuses, addrs
 }
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -6,7 +6,9 @@
 	"rowancart/balancer"
 )
 
-// host carries out what the Balancer asks for. It runs under the engine's lock, blocks on nothing and does not call back.
+// host carries out what the Balancer asks for. The Balancer calls it while it handles an event, so
+// p.mu is held. No method blocks or calls the Balancer back: what would be another event is
+// deferred until the present one has been handled.
 type host struct{ *Pool }
 
 var _ balancer.Host = host{}
@@ -15,32 +17,40 @@
 func (h host) Send(id, endpoint string, timeout time.Duration) {
 	c := h.calls[id]
 	if c == nil {
-		return // not a request of ours: nothing to report either
+		return // not a request of this Pool's: nothing to report either
 	}
-	now := h.clock.now()
-	a := &attempt{call: c, number: len(c.attempts), endpoint: endpoint, sentAt: now}
-	a.ClientGone = c.ClientGone
-	a.Deadline = time.Now().Add(min(timeout, c.Deadline-now))
-	if c.Streamed {
-		a.OnRequestWritten = func() { h.handleEvent(func(now time.Duration) { h.reportRequestWritten(now, a) }) }
-	}
-	c.attempts = append(c.attempts, a)
-	c.attemptsInFlight++
+	a := h.newAttempt(c, endpoint, timeout)
 	switch {
 	case c.finished:
-		h.deferredEvents = append(h.deferredEvents, func(now time.Duration) { h.reportOutcome(now, a, balancer.NotSent, Response{}) })
+		h.deferEvent(func(now time.Duration) { h.reportOutcome(now, a, balancer.NotSent, Response{}) })
 	case c.canRunInline:
 		c.canRunInline = false
-		c.inlineAttempts <- a
-	default: // a copy beside the first attempt, or one that cannot be called off and must not hold up the answer
+		c.inlineAttempts <- a // does not block: Do takes each attempt before it can run the next one
+	default: // a hedged request, or an attempt that can't be canceled and must not hold up the result
 		go h.runAttempt(a, false)
 	}
 }
 
+// newAttempt adds an attempt to a call. p.mu must be held.
+func (p *Pool) newAttempt(c *Call, endpoint string, timeout time.Duration) *attempt {
+	now := p.clock.now()
+	a := &attempt{call: c, number: len(c.attempts), endpoint: endpoint, sentAt: now}
+	a.control.ClientGone = c.ClientGone
+	a.control.Deadline = time.Now().Add(min(timeout, c.Deadline-now))
+	if c.Streamed {
+		a.control.OnRequestWritten = func() {
+			p.handleEvent(func(now time.Duration) { p.reportRequestWritten(now, a) })
+		}
+	}
+	c.attempts = append(c.attempts, a)
+	c.attemptsInFlight++
+	return a
+}
+
 // Cancel implements balancer.Host.
 func (h host) Cancel(id string, n int) {
 	if c := h.calls[id]; c != nil && n >= 0 && n < len(c.attempts) {
-		c.attempts[n].Cancel()
+		c.attempts[n].control.Cancel()
 	}
 }
 
@@ -57,5 +67,8 @@
 // Subscribe implements balancer.Host.
 func (h host) Subscribe() { h.subscribe() }
 
+// Timer implements balancer.Host.
+func (h host) Timer(at time.Duration) { h.requestTimer(at) }
+
 // Log implements balancer.Host.
 func (h host) Log(line string) { h.log.Info(line) }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -1,6 +1,7 @@
-// Package proxy hosts one Balancer for one pool of endpoints: the lock under which it hears one event after the other, and
-// the connections over which it sends. Fronts hand it calls, rosters hand it members. It carries out what the module decides
-// and decides nothing.
+// Package proxy hosts one Balancer for one pool of endpoints: the lock under which it handles one
+// event after the other, the calls and attempts in flight, and the connections over which attempts
+// are made. Servers hand it calls, endpoint discovery hands it lists. It carries out what the
+// Balancer decides and decides nothing itself.
 package proxy
 
 import (
@@ -11,65 +12,134 @@
 	"time"
 
 	"rowancart/balancer"
+	"rowancart/internal/connpool"
 )
 
-// Options are what an engine needs beside the module's settings.
+// Options are what a Pool needs beside the Balancer's settings.
 type Options struct {
-	ConnIdle    time.Duration // endpoints close a connection that has been idle for this long; 0: not told
-	DialTimeout time.Duration // a connection not made by then has failed; 0: not told
+	ConnIdle    time.Duration // endpoints close a connection that has been idle for this long; 0: unknown
+	DialTimeout time.Duration // after which a dial has failed; 0: the connection pool's default
 	MaxConns    int           // connections open at once
-	Quarantine  time.Duration // for which a connection rests after an answer: a second one that comes late shows meanwhile
-	PassThrough bool          // answers below 500 are the endpoint's own and go on whole; else only 200 does, with its type
-	Subscribe   func()        // asks the roster for all changes from now on, whatever breaks; it must not block
+	Quarantine  time.Duration // for which a connection is not reused after a response: a late second one shows meanwhile
+	PassThrough bool          // responses below 500 are passed on as they are; else only 200 is, with its type
+	Subscribe   func()        // asks endpoint discovery for all changes from now on, for good; it must not block
 	Log         *slog.Logger
+
+	dialContext connpool.DialFunc // of tests; nil: a net.Dialer
 }
 
-// Pool owns a Balancer. All that happens is handled in turn under its lock, by the goroutine to which it happens: no
-// request waits for another goroutine to wake up.
+// connOptions returns the part of the options that is about connections.
+func (o Options) connOptions() connpool.Options {
+	return connpool.Options{
+		IdleTimeout: o.ConnIdle,
+		DialTimeout: o.DialTimeout,
+		MaxConns:    o.MaxConns,
+		Quarantine:  o.Quarantine,
+		PassThrough: o.PassThrough,
+		DialContext: o.dialContext,
+	}
+}
+
+// Pool owns a Balancer. Everything that happens is an event, handled under the Pool's lock by the
+// goroutine to which it happens: no request waits for another goroutine to be scheduled.
 type Pool struct {
 	clock     clock
-	done      chan struct{}
-	conns     *connPool
+	done      chan struct{} // closed when Run ends
+	conns     *connpool.Pool
 	subscribe func()
 	log       *slog.Logger
 
-	mu       sync.Mutex // guards the rest
-	events   balancer.Events
-	balancer *balancer.Balancer // the same, for all that is no event
-	disabled map[string]bool
-
-	cancelAllowed  bool // attempts can be called off: then the goroutine in Do may make them, and is free again when the answer is due
-	timer          *time.Timer
-	timerDeadline  time.Duration // when the alarm is set to
+	// mu makes events one sequence: handleEvent holds it for the whole of an event, with all that the
+	// Balancer asks for meanwhile, so that nothing comes between the Balancer's choice of an endpoint
+	// and its Send. It is also held to read a consistent state. It is never held over I/O or any wait.
+	// connpool's locks may be taken while it is held, not the other way round.
+	mu             sync.Mutex
+	events         balancer.Events    // the Balancer as a receiver of events; tests replace it
+	balancer       *balancer.Balancer // the same Balancer, for all else
+	disabled       map[string]bool    // ids of endpoints, listed or not
+	cancelAllowed  bool               // attempts may be canceled; then the goroutine in Do may run them and still be in time
 	closed         bool
-	finalDeadline  time.Duration // final answers are due by then; 0: when calls say so
+	finalDeadline  time.Duration // by which all calls have to have their results; 0: their own deadlines hold
 	calls          map[string]*Call
-	recentIDs      recentIDs // ids of requests, answered ones included
+	recentIDs      recentIDs // of calls, finished ones included
 	endpoints      map[string]Endpoint
-	timerInstants  []time.Duration           // sorted
-	deferredEvents []func(now time.Duration) // events that arose within a Host method
+	timer          *time.Timer
+	timerDeadline  time.Duration             // the instant that timer is set to
+	timerInstants  []time.Duration           // asked for by the Balancer; sorted
+	deferredEvents []func(now time.Duration) // arose while an event was handled
 	failureLogs    map[balancer.Reason]*failureLog
 
-	listedCount, avoidedCount atomic.Int64 // endpoints, as of the latest event
+	// Written under mu at the end of each event, read without it.
+	listedCount, avoidedCount atomic.Int64 // endpoints
 }
 
-// New returns an engine that knows the members given, the first that the module hears of. Run does the work.
+// New returns a Pool with the endpoints given as the first list of its Balancer. Its calls are
+// carried out from now on; Run maintains its connections and closes it.
 func New(s balancer.Settings, known EndpointList, o Options) *Pool {
-	p := &Pool{clock: clock{time.Now()}, done: make(chan struct{}), cancelAllowed: s.CancelAllowed, conns: newConnPool(o), subscribe: o.Subscribe, log: o.Log, calls: map[string]*Call{}, endpoints: map[string]Endpoint{},
-		disabled:    map[string]bool{},
-		failureLogs: map[balancer.Reason]*failureLog{}}
+	p := &Pool{
+		clock:         clock{time.Now()},
+		done:          make(chan struct{}),
+		conns:         connpool.New(o.connOptions()),
+		subscribe:     o.Subscribe,
+		log:           o.Log,
+		disabled:      map[string]bool{},
+		cancelAllowed: s.CancelAllowed,
+		calls:         map[string]*Call{},
+		endpoints:     map[string]Endpoint{},
+		failureLogs:   map[balancer.Reason]*failureLog{},
+	}
 	b := balancer.New(p.clock.now(), s, host{p})
 	p.events, p.balancer = b, b
-	p.timer = time.AfterFunc(time.Hour, func() { p.handleEvent(p.fireDueTimers) })
-	p.timerDeadline = p.clock.now() + time.Hour
+	p.timer = time.AfterFunc(farFuture, func() { p.handleEvent(p.fireDueTimers) })
+	p.timerDeadline = p.clock.now() + farFuture
 	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, known) })
 	return p
 }
 
-// Now is the instant by the clock that the module's instants are of.
+// Run maintains the connections until ctx is done and closes the Pool: calls that have no result by
+// then get Failed, and no further event is handled.
+func (p *Pool) Run(ctx context.Context) {
+	p.conns.Run(ctx)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	p.timer.Stop()
+	close(p.done)
+}
+
+// handleEvent handles an event and those that arise from it. It must not be called while mu is
+// held.
+func (p *Pool) handleEvent(event func(now time.Duration)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return
+	}
+	now := p.clock.now()
+	event(now)
+	for len(p.deferredEvents) > 0 {
+		next := p.deferredEvents[0]
+		p.deferredEvents = p.deferredEvents[1:]
+		now = p.clock.now()
+		next(now)
+	}
+	listed, avoided := p.balancer.Counts()
+	p.listedCount.Store(int64(listed))
+	p.avoidedCount.Store(int64(avoided))
+	p.resetTimer(now)
+}
+
+// deferEvent has an event handled right after the present one and those deferred before. p.mu must
+// be held.
+func (p *Pool) deferEvent(event func(now time.Duration)) {
+	p.deferredEvents = append(p.deferredEvents, event)
+}
+
+// Now returns the present instant by the clock of all instants that the Balancer sees.
 func (p *Pool) Now() time.Duration { return p.clock.now() }
 
-// SetFinalDeadline makes all calls have their final answers by an instant, those that are still to come as well: the process has to end.
+// SetFinalDeadline sets an instant by which all calls, those still to come included, have to have
+// their results: the process has to end.
 func (p *Pool) SetFinalDeadline(at time.Duration) {
 	p.handleEvent(func(now time.Duration) {
 		p.finalDeadline = at
@@ -77,40 +147,46 @@
 	})
 }
 
-// Configure replaces the settings and what the options say of connections; Subscribe and Log stay. All that was learned is
-// kept, and calls that were taken before keep the classes that they came with (balancer.Balancer.Configure).
+// Configure replaces the settings and those of the options that are about connections, but for
+// PassThrough; Subscribe and Log stay too. All learned state is kept, and calls that were started
+// before keep the classes that they came with (see balancer.Balancer.Configure).
 func (p *Pool) Configure(s balancer.Settings, o Options) {
-	p.conns.Configure(o)
+	p.conns.Configure(o.connOptions())
 	p.handleEvent(func(now time.Duration) {
 		p.cancelAllowed = s.CancelAllowed
 		p.balancer.Configure(now, s)
 	})
 }
 
-// Gauges are what can be told at any time without a wait.
+// SetMaxConns sets how many connections to endpoints may be open at once. Idle ones beyond that are
+// closed.
+func (p *Pool) SetMaxConns(most int) { p.conns.SetMaxConns(most) }
+
+// Gauges are the numbers that can be read at any time without a wait.
 type Gauges struct {
-	Dispatches int64 // attempts written whole, so far
+	Dispatches int64 // requests written completely, so far
 	Listed     int   // endpoints
-	Avoided    int   // of them, out at the operators' word or by the module's choice
+	Avoided    int   // of them, disabled or not chosen by the Balancer at present
 }
 
-// Gauges reads them. It takes no lock that the way of requests takes.
+// Gauges returns them as of the latest event. It takes no lock that requests take.
 func (p *Pool) Gauges() Gauges {
-	return Gauges{Dispatches: p.conns.requestsWritten.Load(), Listed: int(p.listedCount.Load()), Avoided: int(p.avoidedCount.Load())}
+	return Gauges{
+		Dispatches: p.conns.RequestsWritten(),
+		Listed:     int(p.listedCount.Load()),
+		Avoided:    int(p.avoidedCount.Load()),
+	}
 }
 
-// SetMaxConns sets how many connections to endpoints may be open at once. Idle ones beyond that are closed.
-func (p *Pool) SetMaxConns(most int) { p.conns.SetMaxConns(most) }
-
-// Stats is what an engine holds at a moment.
+// Stats are a Pool's numbers at one moment.
 type Stats struct {
-	Calls       int `json:"calls"`       // taken, not yet done with
-	Ready       int `json:"ready"`       // endpoints that take new work
+	Calls       int `json:"calls"`       // in flight
+	Ready       int `json:"ready"`       // endpoints that take new requests
 	Draining    int `json:"draining"`    // endpoints that do not
 	Connections int `json:"connections"` // open to endpoints, idle ones included
 }
 
-// Stats tells what the engine holds.
+// Stats returns them.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,37 +194,3 @@
 	s.Ready, s.Draining, s.Connections = p.conns.Counts()
 	return s
 }
-
-// Run works until ctx ends. Calls that have no answer by then get Failed.
-func (p *Pool) Run(ctx context.Context) {
-	p.conns.Run(ctx)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	p.timer.Stop()
-	close(p.done)
-}
-
-// handleEvent handles an event. It must not be called from within another.
-func (p *Pool) handleEvent(event func(now time.Duration)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
-		return
-	}
-	now := p.clock.now()
-	event(now)
-	for len(p.deferredEvents) > 0 {
-		next := p.deferredEvents[0]
-		p.deferredEvents = p.deferredEvents[1:]
-		now = p.clock.now()
-		next(now)
-	}
-	listed, avoided := p.balancer.Counts()
-	p.listedCount.Store(int64(listed))
-	p.avoidedCount.Store(int64(avoided))
-	if len(p.timerInstants) > 0 && (p.timerInstants[0] < p.timerDeadline || p.timerDeadline <= now) {
-		p.timerDeadline = p.timerInstants[0]
-		p.timer.Reset(p.timerDeadline - now)
-	}
-}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/pool_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// rearmingEvents asks for a timer that is due at once, each time one rings.
+// rearmingEvents asks for a timer that is due at once, each time one fires.
 type rearmingEvents struct {
 	balancer.Events
 	host  balancer.Host
@@ -39,16 +39,17 @@
 	r.host.Timer(now)
 }
 
-// A timer that is asked for while one rings must wait for its turn, or other events never get theirs.
+// A timer that is asked for while another one fires must wait for the next event, or other events
+// are never handled.
 func TestTimerDueAtOnceDoesNotBlockOtherEvents(t *testing.T) {
-	l := New(balancer.Settings{}, EndpointList{}, Options{Log: slog.New(slog.DiscardHandler)})
-	r := &rearmingEvents{host: host{l}}
-	l.events, l.timerInstants = r, nil
+	p := New(balancer.Settings{}, EndpointList{}, Options{Log: slog.New(slog.DiscardHandler)})
+	r := &rearmingEvents{host: host{p}}
+	p.events, p.timerInstants = r, nil
 	r.host.Timer(clockEpoch)
 	r.host.Timer(clockEpoch + 1)
-	l.fireDueTimers(l.clock.now())
-	if r.fired != 2 || len(l.timerInstants) != 2 {
-		t.Errorf("%d rings, %d timers wait", r.fired, len(l.timerInstants))
+	p.fireDueTimers(p.clock.now())
+	if r.fired != 2 || len(p.timerInstants) != 2 {
+		t.Errorf("%d timers fired, %d wait", r.fired, len(p.timerInstants))
 	}
 }
 
@@ -56,13 +57,13 @@
 	var r recentIDs
 	for i := range 10 * idsPerGeneration {
 		if !r.add(fmt.Sprint(i)) {
-			t.Fatalf("id %d passes for known", i)
+			t.Fatalf("id %d is taken for a known one", i)
 		}
 		if i >= idsPerGeneration && r.add(fmt.Sprint(i-idsPerGeneration+1)) {
 			t.Fatalf("of %d ids, number %d is forgotten", i, i-idsPerGeneration+1)
 		}
 	}
 	if n := len(r.current) + len(r.previous); n > 2*idsPerGeneration {
-		t.Errorf("%d ids are kept", n)
+		t.Errorf("%d ids are held", n)
 	}
 }
--- a/internal/proxy/request_ids.go
+++ b/internal/proxy/request_ids.go
@@ -1,12 +1,14 @@
 package proxy
 
-// idsPerGeneration is how many ids one generation holds: at the site's busiest some minutes' worth.
+// idsPerGeneration is how many ids one generation of recentIDs holds: at the site's busiest some
+// minutes' worth.
 const idsPerGeneration = 4096
 
-// recentIDs remembers the latest ids in bounded memory: at least recentMost of them, at most twice as many.
+// recentIDs is a set of the latest ids in bounded memory: at least idsPerGeneration of them, at
+// most twice as many. Pool.mu guards it.
 type recentIDs struct{ current, previous map[string]bool }
 
-// add remembers an id and tells whether it is new.
+// add adds an id and reports whether it is new.
 func (r *recentIDs) add(id string) bool {
 	if r.current[id] || r.previous[id] {
 		return false
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -5,8 +5,29 @@
 	"time"
 )
 
-// fireDueTimers reports the timers that are due. One asked for meanwhile waits for the next turn, so that timers can't keep
-// other events out.
+// farFuture is what the timer is set to while the Balancer has asked for nothing.
+const farFuture = time.Hour
+
+// The Balancer asks for instants; one time.Timer serves them all. It is set to the earliest one
+// known, or earlier, and calls fireDueTimers as an event like any other.
+
+// requestTimer notes an instant at which the Balancer wants a Timer event. p.mu must be held.
+func (p *Pool) requestTimer(at time.Duration) {
+	i, _ := slices.BinarySearch(p.timerInstants, at)
+	p.timerInstants = slices.Insert(p.timerInstants, i, at)
+}
+
+// resetTimer sets the timer to the earliest instant asked for, unless it fires before anyway. p.mu
+// must be held.
+func (p *Pool) resetTimer(now time.Duration) {
+	if len(p.timerInstants) > 0 && (p.timerInstants[0] < p.timerDeadline || p.timerDeadline <= now) {
+		p.timerDeadline = p.timerInstants[0]
+		p.timer.Reset(p.timerDeadline - now)
+	}
+}
+
+// fireDueTimers reports the instants that have come. One that is asked for meanwhile waits for the
+// next event, so that timers can't keep other events out. p.mu must be held.
 func (p *Pool) fireDueTimers(now time.Duration) {
 	due, _ := slices.BinarySearch(p.timerInstants, now+1)
 	p.timerInstants = slices.Delete(p.timerInstants, 0, due)
@@ -14,9 +35,3 @@
 		p.events.Timer(now)
 	}
 }
-
-// Timer implements balancer.Host.
-func (h host) Timer(at time.Duration) {
-	i, _ := slices.BinarySearch(h.timerInstants, at)
-	h.timerInstants = slices.Insert(h.timerInstants, i, at)
-}
