--- a/internal/connpool/errors.go
+++ b/internal/connpool/errors.go
@@ -1,6 +1,9 @@
 package connpool
 
-import "errors"
+import (
+	"errors"
+	"fmt"
+)
 
 // FailureKind says what is known of an attempt that failed.
 type FailureKind int
@@ -25,6 +28,19 @@
 	Canceled
 )
 
+var failureKindNames = map[FailureKind]string{
+	NotSent: "not sent", ConnectFailed: "connect failed", Declined: "declined", ErrorStatus: "error status",
+	TimedOut: "timed out", Reset: "reset", Canceled: "canceled",
+}
+
+// String returns the kind's name.
+func (k FailureKind) String() string {
+	if name, ok := failureKindNames[k]; ok {
+		return name
+	}
+	return fmt.Sprintf("FailureKind(%d)", int(k))
+}
+
 // Error is how an attempt failed. Its text is that of Err.
 type Error struct {
 	Kind FailureKind
--- a/internal/proxy/calls_test.go
+++ b/internal/proxy/calls_test.go
@@ -9,8 +9,8 @@
 	"rowancart/balancer"
 )
 
-// An endpoint is taken out, in whatever way, between the Balancer's choice and the first byte: not a
-// byte goes there, and the request, idempotent or not, is served by another endpoint.
+// An endpoint is taken out, in whatever way, between the Balancer's choice and the first byte: not
+// a byte goes there, and the request, idempotent or not, is served by another endpoint.
 func TestRemovedEndpointGetsNoPendingAttempt(t *testing.T) {
 	for name, happens := range map[string]func(p *Pool, id, addr string){
 		"disabled": func(p *Pool, id, _ string) { p.Disable(id) },
@@ -41,8 +41,8 @@
 	}
 }
 
-// startMsAfterNow returns a start time, in Unix milliseconds, after all that has happened and before
-// all that is to come.
+// startMsAfterNow returns a start time, in Unix milliseconds, after all that has happened and
+// before all that is to come.
 func startMsAfterNow(t *testing.T) int64 {
 	t.Helper()
 	ms := time.Now().UnixMilli() + 1
@@ -50,8 +50,8 @@
 	return ms
 }
 
-// An endpoint that has restarted has nobody at the other end of the connections from before. No close
-// need have been received, where its machine vanished: what is sent there is lost.
+// An endpoint that has restarted has nobody at the other end of the connections from before. No
+// close need have been received, where its machine vanished: what is sent there is lost.
 func TestConnsFromBeforeRestartAreNotReused(t *testing.T) {
 	var restarted atomic.Bool
 	f := newTestEndpoints(t, 1, func(nc net.Conn, id string) bool {
@@ -120,8 +120,8 @@
 	until(t, "the connection is closed", func() bool { return p.Stats().Connections == 0 })
 }
 
-// The deadline passes and the response arrives at the same time: whichever is handled first decides,
-// once, and the other one changes nothing.
+// The deadline passes and the response arrives at the same time: whichever is handled first
+// decides, once, and the other one changes nothing.
 func TestDeadlineAndResponseAtSameTime(t *testing.T) {
 	for _, cancelAllowed := range []bool{true, false} {
 		for _, responseFirst := range []bool{true, false} {
@@ -214,8 +214,8 @@
 	}
 }
 
-// The client disconnects when its attempt has been handed to the goroutine in Do, which has not taken
-// it yet.
+// The client disconnects when its attempt has been handed to the goroutine in Do, which has not
+// taken it yet.
 func TestAttemptHandedOverToDisconnectedClientIsNotSent(t *testing.T) {
 	f := newTestEndpoints(t, 1, writeServed)
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
