--- a/internal/connpool/acquire_test.go
+++ b/internal/connpool/acquire_test.go
@@ -62,10 +62,14 @@
 		happens func(p *Pool, a *Attempt, e *testpeer.Endpoint)
 		want    FailureKind
 	}{
-		"nothing":                {func(*Pool, *Attempt, *testpeer.Endpoint) {}, succeeded},
-		"the endpoint drains":    {func(p *Pool, _ *Attempt, e *testpeer.Endpoint) { p.SetEndpoint("a", e.Addr, false) }, NotSent},
-		"the endpoint is gone":   {func(p *Pool, _ *Attempt, _ *testpeer.Endpoint) { p.RemoveEndpoint("a") }, NotSent},
-		"the endpoint has moved": {func(p *Pool, _ *Attempt, _ *testpeer.Endpoint) { p.SetEndpoint("a", "127.0.0.1:1", true) }, NotSent},
+		"nothing": {func(*Pool, *Attempt, *testpeer.Endpoint) {}, succeeded},
+		"the endpoint drains": {func(p *Pool, _ *Attempt, e *testpeer.Endpoint) {
+			p.SetEndpoint("a", e.Addr, false)
+		}, NotSent},
+		"the endpoint is gone": {func(p *Pool, _ *Attempt, _ *testpeer.Endpoint) { p.RemoveEndpoint("a") }, NotSent},
+		"the endpoint has moved": {func(p *Pool, _ *Attempt, _ *testpeer.Endpoint) {
+			p.SetEndpoint("a", "127.0.0.1:1", true)
+		}, NotSent},
 		"the endpoint is another one of that name": {func(p *Pool, _ *Attempt, e *testpeer.Endpoint) {
 			p.RemoveEndpoint("a")
 			p.SetEndpoint("a", e.Addr, true)
@@ -73,12 +77,16 @@
 		"the client disconnects": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) {
 			a.ClientGone = func() bool { return true }
 		}, NotSent},
-		"the attempt is canceled":                {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) { a.Cancel() }, Canceled},
-		"the attempt is canceled unless written": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) { a.CancelUnlessWritten() }, Canceled},
+		"the attempt is canceled": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) { a.Cancel() }, Canceled},
+		"the attempt is canceled unless written": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) {
+			a.CancelUnlessWritten()
+		}, Canceled},
 		"the client is still there": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) {
 			a.ClientGone = func() bool { return false }
 		}, succeeded},
-		"the list says ready again": {func(p *Pool, _ *Attempt, e *testpeer.Endpoint) { p.SetEndpoint("a", e.Addr, true) }, succeeded},
+		"the list says ready again": {func(p *Pool, _ *Attempt, e *testpeer.Endpoint) {
+			p.SetEndpoint("a", e.Addr, true)
+		}, succeeded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoint(t, says(served, true))
@@ -193,14 +201,16 @@
 				waiting <- true
 				<-endWait
 			}
-			if r, resp := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/x")); r != succeeded || string(resp.Body) != "x" {
-				t.Fatalf("x: outcome %v, body %q", r, resp.Body)
+			kind, resp := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/x"))
+			if kind != succeeded || string(resp.Body) != "x" {
+				t.Fatalf("x: outcome %v, body %q", kind, resp.Body)
 			}
 			c := p.endpoints["a"].idle[0]
 			ended := make(chan bool)
 			go func() {
-				if r, resp := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/y")); r != succeeded || string(resp.Body) != "y" {
-					t.Errorf("y: outcome %v, body %q", r, resp.Body)
+				kind, resp := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/y"))
+				if kind != succeeded || string(resp.Body) != "y" {
+					t.Errorf("y: outcome %v, body %q", kind, resp.Body)
 				}
 				close(ended)
 			}()
@@ -227,9 +237,14 @@
 	p.SetEndpoint("a", "127.0.0.1:1", true)
 	now := time.Now()
 	for _, row := range []struct {
-		ages []time.Duration
-		want int
-	}{{[]time.Duration{3, 2, 0}, 1}, {[]time.Duration{2, 0, 0}, 0}, {[]time.Duration{0, 0}, 0}, {[]time.Duration{3, 2}, 1}} {
+		ages []time.Duration // in hours
+		want int             // index of the connection
+	}{
+		{[]time.Duration{3, 2, 0}, 1},
+		{[]time.Duration{2, 0, 0}, 0},
+		{[]time.Duration{0, 0}, 0},
+		{[]time.Duration{3, 2}, 1},
+	} {
 		e := p.endpoints["a"]
 		e.idle = nil
 		for _, age := range row.ages {
--- a/internal/connpool/exchange_test.go
+++ b/internal/connpool/exchange_test.go
@@ -12,13 +12,15 @@
 
 func TestResponseDeterminesOutcome(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: "
+	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	longBody := strings.Repeat("x", 70000)
 	for name, row := range map[string]struct {
 		says string
 		want FailureKind
 		stay bool
 	}{
 		"200":                         {served, succeeded, true},
-		"200 in chunks":               {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", succeeded, true},
+		"200 in chunks":               {chunked + "2\r\nhi\r\n0\r\n\r\n", succeeded, true},
 		"200 after interim":           {"HTTP/1.1 103 Early Hints\r\n\r\n" + served, succeeded, true},
 		"500":                         {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", ErrorStatus, true},
 		"503 declined":                {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", Declined, true},
@@ -28,9 +30,9 @@
 		"nothing, then a close":       {"", Reset, false},
 		"half a head":                 {head, Reset, false},
 		"half a body":                 {head + "9\r\n\r\nhi", Reset, false},
-		"half of the chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", Reset, false},
+		"half of the chunks":          {chunked + "2\r\nhi\r\n", Reset, false},
 		"no length":                   {"HTTP/1.1 200 OK\r\n\r\nhi", succeeded, false},
-		"a long body of an error":     {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), ErrorStatus, true},
+		"a long body of an error":     {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + longBody, ErrorStatus, true},
 		"a length beyond the maximum": {head + "3000000000\r\n\r\nhi", Reset, true},
 		"a head without end":          {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200000), Reset, true},
 		"noise":                       {"\x00\x01\r\n\r\n", Reset, true},
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -43,7 +43,7 @@
 
 	// Pool.mu guards these:
 	finished         bool // has its result
-	canRunInline     bool // the goroutine in Do waits and can run an attempt itself
+	canRunInline     bool // the goroutine in Do waits and may run an attempt, which can be canceled when a result is due
 	attempts         []*attempt
 	attemptsInFlight int
 }
--- a/internal/proxy/calls_test.go
+++ b/internal/proxy/calls_test.go
@@ -89,7 +89,8 @@
 func TestFutureStartTimeDoesNotBlockEndpoint(t *testing.T) {
 	f := newTestEndpoints(t, 1, writeServed)
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
-	listed := EndpointList{Endpoints: []Endpoint{{ID: "a", Addr: f.addrs[0], StartedMs: time.Now().Add(time.Hour).UnixMilli()}}}
+	inOneHour := time.Now().Add(time.Hour).UnixMilli()
+	listed := EndpointList{Endpoints: []Endpoint{{ID: "a", Addr: f.addrs[0], StartedMs: inOneHour}}}
 	for _, id := range []string{"r1", "r2"} {
 		p.UpdateEndpoints(listed)
 		if r := <-p.doAsync(p.newTestCall(id, "unsafe", patience)); r.Kind != Served {
@@ -167,7 +168,9 @@
 // connection is dialed: none is sent. A client that stays gets it.
 func TestNoHedgedRequestForDisconnectedClient(t *testing.T) {
 	for name, row := range map[string]struct{ leftBefore, leftDuring bool }{
-		"stays": {}, "leaves before it is due": {leftBefore: true}, "leaves while its connection is dialed": {leftDuring: true},
+		"stays":                                 {},
+		"leaves before it is due":               {leftBefore: true},
+		"leaves while its connection is dialed": {leftDuring: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			received, release := make(chan bool, 2), make(chan bool)
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -57,7 +57,7 @@
 	events         balancer.Events    // the Balancer as a receiver of events; tests replace it
 	balancer       *balancer.Balancer // the same Balancer, for all else
 	disabled       map[string]bool    // ids of endpoints, listed or not
-	cancelAllowed  bool               // attempts may be canceled; then the goroutine in Do may run them and still be in time
+	cancelAllowed  bool               // attempts may be canceled, see canRunInline of Call
 	closed         bool
 	finalDeadline  time.Duration // by which all calls have to have their results; 0: their own deadlines hold
 	calls          map[string]*Call
