--- /dev/null
+++ b/internal/proxy/pool.go
@@ -0,0 +1,196 @@
+// Package proxy hosts one Balancer for one pool of endpoints: the lock under which it handles one
+// event after the other, the calls and attempts in flight, and the connections over which attempts
+// are made. Servers hand it calls, endpoint discovery hands it lists. It carries out what the
+// Balancer decides and decides nothing itself.
+package proxy
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"rowancart/balancer"
+	"rowancart/internal/connpool"
+)
+
+// Options are what a Pool needs beside the Balancer's settings.
+type Options struct {
+	ConnIdle    time.Duration // endpoints close a connection that has been idle for this long; 0: unknown
+	DialTimeout time.Duration // after which a dial has failed; 0: the connection pool's default
+	MaxConns    int           // connections open at once
+	Quarantine  time.Duration // for which a connection is not reused after a response: a late second one shows meanwhile
+	PassThrough bool          // responses below 500 are passed on as they are; else only 200 is, with its type
+	Subscribe   func()        // asks endpoint discovery for all changes from now on, for good; it must not block
+	Log         *slog.Logger
+
+	dialContext connpool.DialFunc // of tests; nil: a net.Dialer
+}
+
+// connOptions returns the part of the options that is about connections.
+func (o Options) connOptions() connpool.Options {
+	return connpool.Options{
+		IdleTimeout: o.ConnIdle,
+		DialTimeout: o.DialTimeout,
+		MaxConns:    o.MaxConns,
+		Quarantine:  o.Quarantine,
+		PassThrough: o.PassThrough,
+		DialContext: o.dialContext,
+	}
+}
+
+// Pool owns a Balancer. Everything that happens is an event, handled under the Pool's lock by the
+// goroutine to which it happens: no request waits for another goroutine to be scheduled.
+type Pool struct {
+	clock     clock
+	done      chan struct{} // closed when Run ends
+	conns     *connpool.Pool
+	subscribe func()
+	log       *slog.Logger
+
+	// mu makes events one sequence: handleEvent holds it for the whole of an event, with all that the
+	// Balancer asks for meanwhile, so that nothing comes between the Balancer's choice of an endpoint
+	// and its Send. It is also held to read a consistent state. It is never held over I/O or any wait.
+	// connpool's locks may be taken while it is held, not the other way round.
+	mu             sync.Mutex
+	events         balancer.Events    // the Balancer as a receiver of events; tests replace it
+	balancer       *balancer.Balancer // the same Balancer, for all else
+	disabled       map[string]bool    // ids of endpoints, listed or not
+	cancelAllowed  bool               // attempts may be canceled, see canRunInline of Call
+	closed         bool
+	finalDeadline  time.Duration // by which all calls have to have their results; 0: their own deadlines hold
+	calls          map[string]*Call
+	recentIDs      recentIDs // of calls, finished ones included
+	endpoints      map[string]Endpoint
+	timer          *time.Timer
+	timerDeadline  time.Duration             // the instant that timer is set to
+	timerInstants  []time.Duration           // asked for by the Balancer; sorted
+	deferredEvents []func(now time.Duration) // arose while an event was handled
+	failureLogs    map[balancer.Reason]*failureLog
+
+	// Written under mu at the end of each event, read without it.
+	listedCount, avoidedCount atomic.Int64 // endpoints
+}
+
+// New returns a Pool with the endpoints given as the first list of its Balancer. Its calls are
+// carried out from now on; Run maintains its connections and closes it.
+func New(s balancer.Settings, known EndpointList, o Options) *Pool {
+	p := &Pool{
+		clock:         clock{time.Now()},
+		done:          make(chan struct{}),
+		conns:         connpool.New(o.connOptions()),
+		subscribe:     o.Subscribe,
+		log:           o.Log,
+		disabled:      map[string]bool{},
+		cancelAllowed: s.CancelAllowed,
+		calls:         map[string]*Call{},
+		endpoints:     map[string]Endpoint{},
+		failureLogs:   map[balancer.Reason]*failureLog{},
+	}
+	b := balancer.New(p.clock.now(), s, host{p})
+	p.events, p.balancer = b, b
+	p.timer = time.AfterFunc(farFuture, func() { p.handleEvent(p.fireDueTimers) })
+	p.timerDeadline = p.clock.now() + farFuture
+	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, known) })
+	return p
+}
+
+// Run maintains the connections until ctx is done and closes the Pool: calls that have no result by
+// then get Failed, and no further event is handled.
+func (p *Pool) Run(ctx context.Context) {
+	p.conns.Run(ctx)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	p.timer.Stop()
+	close(p.done)
+}
+
+// handleEvent handles an event and those that arise from it. It must not be called while mu is
+// held.
+func (p *Pool) handleEvent(event func(now time.Duration)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return
+	}
+	now := p.clock.now()
+	event(now)
+	for len(p.deferredEvents) > 0 {
+		next := p.deferredEvents[0]
+		p.deferredEvents = p.deferredEvents[1:]
+		now = p.clock.now()
+		next(now)
+	}
+	listed, avoided := p.balancer.Counts()
+	p.listedCount.Store(int64(listed))
+	p.avoidedCount.Store(int64(avoided))
+	p.resetTimer(now)
+}
+
+// deferEvent has an event handled right after the present one and those deferred before. p.mu must
+// be held.
+func (p *Pool) deferEvent(event func(now time.Duration)) {
+	p.deferredEvents = append(p.deferredEvents, event)
+}
+
+// Now returns the present instant by the clock of all instants that the Balancer sees.
+func (p *Pool) Now() time.Duration { return p.clock.now() }
+
+// SetFinalDeadline sets an instant by which all calls, those still to come included, have to have
+// their results: the process has to end.
+func (p *Pool) SetFinalDeadline(at time.Duration) {
+	p.handleEvent(func(now time.Duration) {
+		p.finalDeadline = at
+		p.balancer.CapDeadlines(now, at)
+	})
+}
+
+// Configure replaces the settings and those of the options that are about connections, but for
+// PassThrough; Subscribe and Log stay too. All learned state is kept, and calls that were started
+// before keep the classes that they came with (see balancer.Balancer.Configure).
+func (p *Pool) Configure(s balancer.Settings, o Options) {
+	p.conns.Configure(o.connOptions())
+	p.handleEvent(func(now time.Duration) {
+		p.cancelAllowed = s.CancelAllowed
+		p.balancer.Configure(now, s)
+	})
+}
+
+// SetMaxConns sets how many connections to endpoints may be open at once. Idle ones beyond that are
+// closed.
+func (p *Pool) SetMaxConns(most int) { p.conns.SetMaxConns(most) }
+
+// Gauges are the numbers that can be read at any time without a wait.
+type Gauges struct {
+	Dispatches int64 // requests written completely, so far
+	Listed     int   // endpoints
+	Avoided    int   // of them, disabled or not chosen by the Balancer at present
+}
+
+// Gauges returns them as of the latest event. It takes no lock that requests take.
+func (p *Pool) Gauges() Gauges {
+	return Gauges{
+		Dispatches: p.conns.RequestsWritten(),
+		Listed:     int(p.listedCount.Load()),
+		Avoided:    int(p.avoidedCount.Load()),
+	}
+}
+
+// Stats are a Pool's numbers at one moment.
+type Stats struct {
+	Calls       int `json:"calls"`       // in flight
+	Ready       int `json:"ready"`       // endpoints that take new requests
+	Draining    int `json:"draining"`    // endpoints that do not
+	Connections int `json:"connections"` // open to endpoints, idle ones included
+}
+
+// Stats returns them.
+func (p *Pool) Stats() Stats {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := Stats{Calls: len(p.calls)}
+	s.Ready, s.Draining, s.Connections = p.conns.Counts()
+	return s
+}
