--- a/internal/http1/head_test.go
+++ b/internal/http1/head_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"io"
 	"net/http"
 	"strings"
 	"testing"
@@ -110,3 +111,34 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) { likeNetHTTP(t, text) })
 }
+
+func BenchmarkParse(b *testing.B) {
+	request, response := []byte(heads[0].text), []byte(answers[0].text)
+	b.Run("request", func(b *testing.B) {
+		b.ReportAllocs()
+		for b.Loop() {
+			ParseRequest(request)
+		}
+	})
+	b.Run("response", func(b *testing.B) {
+		b.ReportAllocs()
+		for b.Loop() {
+			ParseResponse(response)
+		}
+	})
+}
+
+func BenchmarkChunkedBody(b *testing.B) {
+	text := []byte("400\r\n" + strings.Repeat("x", 0x400) + "\r\n400;a=b\r\n" + strings.Repeat("y", 0x400) + "\r\n0\r\nA: b\r\n\r\n")
+	buf := make([]byte, 4<<10)
+	b.SetBytes(int64(len(text)))
+	b.ReportAllocs()
+	for b.Loop() {
+		body := NewBody(&pieces{buf: text}, Chunked)
+		for !body.Ended() {
+			if _, err := body.Read(buf); err != nil && err != io.EOF {
+				b.Fatal(err)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/httpserver/bench_test.go
@@ -0,0 +1,131 @@
+package httpserver
+
+import (
+	"bytes"
+	"io"
+	"log/slog"
+	"net"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"rowancart/balancer"
+	"rowancart/internal/proxy"
+)
+
+// serveBenchmark starts a server in front of one endpoint that answers each request at once, and returns a client's connection.
+func serveBenchmark(b *testing.B) net.Conn {
+	b.Helper()
+	endpoint := listenLoopback(b)
+	go func() {
+		nc, err := endpoint.Accept()
+		if err != nil {
+			return
+		}
+		defer nc.Close()
+		answerEach(nc, []byte(served))
+	}()
+	log := slog.New(slog.DiscardHandler)
+	pool := proxy.New(balancer.Settings{CancelAllowed: true, Classes: []balancer.Class{{Name: "all"}}},
+		proxy.EndpointList{Complete: true, Endpoints: []proxy.Endpoint{{ID: "a", Addr: endpoint.Addr().String()}}},
+		proxy.Options{MaxConns: 9, PassThrough: true, Log: log, Subscribe: func() {}})
+	listener := NewListener(listenLoopback(b), 9)
+	s := New(echo{pool}, "front", "h", log)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		s.Serve(listener)
+	}()
+	client, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() {
+		client.Close()
+		listener.Drain(0, time.Time{})
+		<-ended
+	})
+	return client
+}
+
+func listenLoopback(b *testing.B) net.Listener {
+	b.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { l.Close() })
+	return l
+}
+
+// answerEach writes response whenever the end of a request's head has come, until the connection ends.
+func answerEach(nc net.Conn, response []byte) {
+	buf, n := make([]byte, 4<<10), 0
+	for {
+		got, err := nc.Read(buf[n:])
+		if err != nil {
+			return
+		}
+		if n += got; !bytes.HasSuffix(buf[:n], []byte("\r\n\r\n")) {
+			continue
+		}
+		n = 0
+		if _, err := nc.Write(response); err != nil {
+			return
+		}
+	}
+}
+
+func BenchmarkServe(b *testing.B) {
+	for _, row := range []struct{ name, head, last string }{
+		{"health", "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\nok\n"},
+		{"forwarded", "GET /form-lookup/a?b=c HTTP/1.1\r\nHost: h\r\nReq-Id: r00000000\r\nReq-Deadline-Ms: 5000\r\nReq-Owner: x\r\n\r\n", "\r\n\r\nhi"},
+		{"not plain", "GET /_health HTTP/1.1\r\nHost: h\r\nPragma: no-cache\r\n\r\n", "\r\n\r\nok\n"},
+	} {
+		b.Run(row.name, func(b *testing.B) {
+			client := serveBenchmark(b)
+			request, last, answer := []byte(row.head), []byte(row.last), make([]byte, 4<<10)
+			b.ReportAllocs()
+			id := bytes.Index(request, []byte("00000000"))
+			for n := 0; b.Loop(); n++ {
+				if id >= 0 { // a repeated id would be rejected
+					strconv.AppendInt(request[id:id], int64(10_000_000+n), 10)
+				}
+				client.SetDeadline(time.Now().Add(patience))
+				if _, err := client.Write(request); err != nil {
+					b.Fatal(err)
+				}
+				for n := 0; !bytes.HasSuffix(answer[:n], last); {
+					got, err := client.Read(answer[n:])
+					if err != nil {
+						b.Fatal(err)
+					}
+					n += got
+				}
+			}
+		})
+	}
+}
+
+// BenchmarkReadBody reads bodies off a connection in memory.
+func BenchmarkReadBody(b *testing.B) {
+	text := "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 20000\r\n\r\n" + strings.Repeat("x", 20000)
+	in := strings.NewReader(text)
+	b.SetBytes(int64(len(text)))
+	b.ReportAllocs()
+	tk := &talk{Server: &Server{}, in: reader{Conn: &trickle{text: in, size: 16 << 10}}}
+	for b.Loop() {
+		in.Seek(0, io.SeekStart)
+		head, err := tk.in.head()
+		if err != nil {
+			b.Fatal(err)
+		}
+		r, _ := readHead(head)
+		body, free, _, _ := tk.readBody(r)
+		if len(body) != 20000 {
+			b.Fatal(len(body))
+		}
+		free()
+	}
+}
