--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -114,14 +114,14 @@
 	in := strings.NewReader(text)
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
-	tk := &talk{Server: &Server{}, in: reader{Conn: &trickle{text: in, size: 16 << 10}}}
+	tk := &conn{Server: &Server{}, reader: connReader{Conn: &trickle{text: in, size: 16 << 10}}}
 	for b.Loop() {
 		in.Seek(0, io.SeekStart)
-		head, err := tk.in.head()
+		head, err := tk.reader.readHead()
 		if err != nil {
 			b.Fatal(err)
 		}
-		r, _ := readHead(head)
+		r, _ := parseHead(head)
 		body, free, _, _ := tk.readBody(r)
 		if len(body) != 20000 {
 			b.Fatal(len(body))
--- a/internal/httpserver/body.go
+++ b/internal/httpserver/body.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	paceLeast    = 48 << 10                // bytes a second that a body has to come at, on average
-	pauseMost    = 2200 * time.Millisecond // between two of its pieces
-	improperMost = 2800 * time.Millisecond // a peer that sends no whole request is owed an end within 3 s of connecting
+	minBodyRate              = 48 << 10                // bytes a second that a body has to come at, on average
+	maxBodyPause             = 2200 * time.Millisecond // between two of its pieces
+	incompleteRequestTimeout = 2800 * time.Millisecond // a peer that sends no whole request is owed an end within 3 s of connecting
 )
 
-// pace says until when the next piece of a body has to come.
-type pace struct {
-	slack time.Duration // once the body is long: pieces are
-	came  time.Time     // the connection, or the request's first byte
-	began time.Time     // the body
-	last  time.Time     // the latest piece
-	got   int64
+// bodyPace says until when the next piece of a body has to come.
+type bodyPace struct {
+	allowance    time.Duration // once the body is long: pieces are
+	requestStart time.Time     // the connection, or the request's first byte
+	bodyStart    time.Time     // the body
+	lastRead     time.Time     // the latest piece
+	received     int64
 }
 
-// due gives the instant. Those who begin slowly get as long as any peer does; nobody who stalls gets more than a pause.
-func (p *pace) due() time.Time {
-	by := p.began.Add(time.Duration(p.got) * time.Second / paceLeast)
-	if p.got >= proxy.MaxBody {
-		by = by.Add(p.slack)
+// nextDeadline gives the instant. Those who begin slowly get as long as any peer does; nobody who stalls gets more than a pause.
+func (p *bodyPace) nextDeadline() time.Time {
+	by := p.bodyStart.Add(time.Duration(p.received) * time.Second / minBodyRate)
+	if p.received >= proxy.MaxBody {
+		by = by.Add(p.allowance)
 	}
-	if pause := p.last.Add(pauseMost); pause.Before(by) {
+	if pause := p.lastRead.Add(maxBodyPause); pause.Before(by) {
 		by = pause
 	}
-	if least := p.came.Add(improperMost); by.Before(least) {
+	if least := p.requestStart.Add(incompleteRequestTimeout); by.Before(least) {
 		return least
 	}
 	return by
@@ -43,74 +43,74 @@
 
 // Errors of bodies.
 var (
-	errBodyTooLong = errors.New("the body is too long")
-	errDropped     = errors.New("the body is not read on")
+	errBodyTooLong   = errors.New("the body is too long")
+	errBodyAbandoned = errors.New("the body is not read on")
 )
 
-// incoming is the body of the request that is being served, as it comes off the connection.
-type incoming struct {
-	in   *reader
-	body *http1.Body
+// requestBody is the body of the request that is being served, as it comes off the connection.
+type requestBody struct {
+	reader  *connReader
+	decoder *http1.Body
 
-	mu      sync.Mutex // held by a read
-	pace    pace
-	dropped bool
-	err     error // why it can't be read to its end; the caller's doing
+	mu        sync.Mutex // held by a read
+	pace      bodyPace
+	abandoned bool
+	err       error // why it can't be read to its end; the caller's doing
 }
 
-// newIncoming begins to read a body of so many bytes, or framing.Chunked.
-func (t *talk) newIncoming(length int64) *incoming {
+// newRequestBody begins to read a body of so many bytes, or framing.Chunked.
+func (c *conn) newRequestBody(length int64) *requestBody {
 	now := time.Now()
-	b := &incoming{in: &t.in, pace: pace{slack: t.bodyTimeout, came: t.came, began: now, last: now}}
-	b.body = http1.NewBody(b, length)
+	b := &requestBody{reader: &c.reader, pace: bodyPace{allowance: c.bodyTimeout, requestStart: c.requestStart, bodyStart: now, lastRead: now}}
+	b.decoder = http1.NewBody(b, length)
 	return b
 }
 
 // Buffered implements framing.Source.
-func (b *incoming) Buffered() []byte { return b.in.buf[b.in.start:b.in.end] }
+func (b *requestBody) Buffered() []byte { return b.reader.buf[b.reader.start:b.reader.end] }
 
 // Discard implements framing.Source.
-func (b *incoming) Discard(n int) { b.in.start += n }
+func (b *requestBody) Discard(n int) { b.reader.start += n }
 
 // Fill implements framing.Source.
-func (b *incoming) Fill() error {
-	if err := b.in.Conn.SetReadDeadline(b.pace.due()); err != nil {
+func (b *requestBody) Fill() error {
+	if err := b.reader.Conn.SetReadDeadline(b.pace.nextDeadline()); err != nil {
 		return err
 	}
-	err := b.in.fill()
-	b.pace.last = time.Now()
+	err := b.reader.fill()
+	b.pace.lastRead = time.Now()
 	return err
 }
 
 // Read implements framing.Source.
-func (b *incoming) Read(p []byte) (int, error) {
+func (b *requestBody) Read(p []byte) (int, error) {
 	if n := copy(p, b.Buffered()); n > 0 {
 		b.Discard(n)
 		return n, nil
 	}
-	if err := b.in.Conn.SetReadDeadline(b.pace.due()); err != nil {
+	if err := b.reader.Conn.SetReadDeadline(b.pace.nextDeadline()); err != nil {
 		return 0, err
 	}
-	n, err := b.in.Conn.Read(p)
-	b.pace.last = time.Now()
+	n, err := b.reader.Conn.Read(p)
+	b.pace.lastRead = time.Now()
 	if n > 0 {
 		return n, nil
 	}
 	return n, err
 }
 
-// next reads on in the body.
-func (b *incoming) next(p []byte) (int, error) {
+// read reads on in the body.
+func (b *requestBody) read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.dropped {
-		return 0, errDropped
+	if b.abandoned {
+		return 0, errBodyAbandoned
 	}
 	if b.err != nil {
 		return 0, b.err
 	}
-	n, err := b.body.Read(p)
-	if b.pace.got += int64(n); b.pace.got > proxy.MaxStreamedBody {
+	n, err := b.decoder.Read(p)
+	if b.pace.received += int64(n); b.pace.received > proxy.MaxStreamedBody {
 		err = errBodyTooLong
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -120,142 +120,142 @@
 	return n, err
 }
 
-// rest is the body for an engine, which reads it on.
-type rest struct{ *incoming }
+// remainingBody is the body for an engine, which reads it on.
+type remainingBody struct{ *requestBody }
 
 // Read implements io.Reader.
-func (r rest) Read(p []byte) (int, error) { return r.next(p) }
+func (r remainingBody) Read(p []byte) (int, error) { return r.read(p) }
 
-// drop ends the reading, also one that waits, and tells whether the body was read to its end, and what was wrong with it.
-func (b *incoming) drop() (ended bool, err error) {
+// abandon ends the reading, also one that waits, and tells whether the body was read to its end, and what was wrong with it.
+func (b *requestBody) abandon() (ended bool, err error) {
 	if b.mu.TryLock() { // nobody reads
-		b.dropped = true
+		b.abandoned = true
 		b.mu.Unlock()
 	} else {
-		_ = b.in.Conn.SetReadDeadline(time.Unix(1, 0)) // the next read sets its own
+		_ = b.reader.Conn.SetReadDeadline(time.Unix(1, 0)) // the next read sets its own
 		b.mu.Lock()
-		b.dropped = true
+		b.abandoned = true
 		b.mu.Unlock()
 	}
-	return b.body.Ended(), b.err
+	return b.decoder.Ended(), b.err
 }
 
-// upload is a request's body: its beginning, and the way to the rest of it.
-type upload struct {
-	*incoming
-	length int64 // below 0: not told
-	first  []byte
-	pieces *pieces
+// streamedBody is a request's body: its beginning, and the way to the rest of it.
+type streamedBody struct {
+	*requestBody
+	length  int64 // below 0: not told
+	prefix  []byte
+	buffers *bodyBufferPool
 
-	mu    sync.Mutex // guards the rest
-	kept  [][]byte
-	freed bool
+	mu       sync.Mutex // guards the rest
+	buffered [][]byte
+	released bool
 }
 
-// refusal words what is wrong with a body.
-func refusal(err error) *Rejection {
+// bodyRejection words what is wrong with a body.
+func bodyRejection(err error) *Rejection {
 	if errors.Is(err, errBodyTooLong) {
-		return improper(http.StatusRequestEntityTooLarge, err.Error())
+		return closingRejection(http.StatusRequestEntityTooLarge, err.Error())
 	}
-	return improper(http.StatusBadRequest, "the body can't be read")
+	return closingRejection(http.StatusBadRequest, "the body can't be read")
 }
 
 // readBody reads a body whole if it has up to engine.MaxBody bytes. Of one that is longer it reads the beginning; more is nil else.
-func (t *talk) readBody(r *http.Request) (body []byte, free func(), more *upload, f *Rejection) {
+func (c *conn) readBody(r *http.Request) (body []byte, free func(), more *streamedBody, f *Rejection) {
 	n := r.ContentLength
 	expects := r.Header.Get("Expect")
 	switch {
 	case n > proxy.MaxStreamedBody:
-		return nil, nil, nil, refusal(errBodyTooLong)
+		return nil, nil, nil, bodyRejection(errBodyTooLong)
 	case expects != "" && expects != "100-continue":
-		return nil, nil, nil, improper(http.StatusExpectationFailed, "Expect: 100-continue is all that is known")
+		return nil, nil, nil, closingRejection(http.StatusExpectationFailed, "Expect: 100-continue is all that is known")
 	case n == 0:
 		return nil, nil, nil, nil
 	}
-	if expects != "" && t.in.start == t.in.end { // else the caller has not waited for it
-		if _, err := io.WriteString(t.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-			return nil, nil, nil, improper(http.StatusBadRequest, "the body can't be read")
+	if expects != "" && c.reader.start == c.reader.end { // else the caller has not waited for it
+		if _, err := io.WriteString(c.netConn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+			return nil, nil, nil, closingRejection(http.StatusBadRequest, "the body can't be read")
 		}
 	}
 	room := proxy.MaxBody
 	if n > 0 {
 		room = int(min(n, proxy.MaxBody))
 	}
-	if room <= firstBuffer {
+	if room <= initialBufferSize {
 		body = make([]byte, room)
 	} else {
-		b := bodies.Get().(*[]byte)
-		body, free = (*b)[:room], func() { bodies.Put(b) }
+		b := bodyMemory.Get().(*[]byte)
+		body, free = (*b)[:room], func() { bodyMemory.Put(b) }
 	}
-	in := t.newIncoming(n)
+	in := c.newRequestBody(n)
 	have := 0
-	for have < room && !in.body.Ended() {
-		got, err := in.next(body[have:])
+	for have < room && !in.decoder.Ended() {
+		got, err := in.read(body[have:])
 		have += got
 		if err != nil && !errors.Is(err, io.EOF) {
 			if free != nil {
 				free()
 			}
-			return nil, nil, nil, refusal(err)
+			return nil, nil, nil, bodyRejection(err)
 		}
 	}
 	body = body[:have]
-	if in.body.Ended() {
+	if in.decoder.Ended() {
 		return body, free, nil, nil
 	}
-	return body, free, &upload{incoming: in, length: n, first: body, pieces: &t.pieces}, nil
+	return body, free, &streamedBody{requestBody: in, length: n, prefix: body, buffers: &c.bodyBuffers}, nil
 }
 
-// keep reads on as far as there is memory to keep a body in, and gives what an engine is to send: all of it kept, or the rest still to
+// bufferAhead reads on as far as there is memory to keep a body in, and gives what an engine is to send: all of it kept, or the rest still to
 // come.
-func (u *upload) keep() (*proxy.Upload, error) {
-	most := u.pieces.each()
-	out := &proxy.Upload{Length: u.length, Release: u.free}
-	total := int64(len(u.first))
-	if u.length < 0 || u.length-total <= int64(most)*pieceSize {
-		for len(u.kept) < most && !u.body.Ended() {
-			piece := u.pieces.get()
+func (u *streamedBody) bufferAhead() (*proxy.Upload, error) {
+	most := u.buffers.maxPerBody()
+	out := &proxy.Upload{Length: u.length, Release: u.release}
+	total := int64(len(u.prefix))
+	if u.length < 0 || u.length-total <= int64(most)*bodyBufferSize {
+		for len(u.buffered) < most && !u.decoder.Ended() {
+			piece := u.buffers.get()
 			if piece == nil {
 				break
 			}
-			u.kept = append(u.kept, piece)
+			u.buffered = append(u.buffered, piece)
 			have := 0
-			for have < pieceSize && !u.body.Ended() {
-				n, err := u.next(piece[have:])
+			for have < bodyBufferSize && !u.decoder.Ended() {
+				n, err := u.read(piece[have:])
 				have += n
 				if err != nil && !errors.Is(err, io.EOF) {
-					u.free()
+					u.release()
 					return nil, err
 				}
 			}
-			u.kept[len(u.kept)-1] = piece[:have]
+			u.buffered[len(u.buffered)-1] = piece[:have]
 			total += int64(have)
 		}
 	}
-	out.Buffered = u.kept
-	if u.body.Ended() {
+	out.Buffered = u.buffered
+	if u.decoder.Ended() {
 		out.Length, out.Release = total, nil
 	} else {
-		out.Remaining = rest{u.incoming}
+		out.Remaining = remainingBody{u.requestBody}
 	}
 	return out, nil
 }
 
-// free gives back what was kept.
-func (u *upload) free() {
+// release gives back what was kept.
+func (u *streamedBody) release() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.freed {
-		u.freed = true
-		u.pieces.put(u.kept)
+	if !u.released {
+		u.released = true
+		u.buffers.put(u.buffered)
 	}
 }
 
-// within is how long the rest of a body may take.
-func (u *upload) within() time.Duration {
+// timeLimit is how long the rest of a body may take.
+func (u *streamedBody) timeLimit() time.Duration {
 	left := int64(proxy.MaxStreamedBody)
 	if u.length >= 0 {
 		left = u.length
 	}
-	return u.pace.slack + pauseMost + time.Duration(left-u.pace.got)*time.Second/paceLeast
+	return u.pace.allowance + maxBodyPause + time.Duration(left-u.pace.received)*time.Second/minBodyRate
 }
--- a/internal/httpserver/conns_test.go
+++ b/internal/httpserver/conns_test.go
@@ -10,7 +10,7 @@
 )
 
 // accepted gives both ends of a caller's connection that the front holds for idle.
-func accepted(t *testing.T) (*Listener, *callerConn, net.Conn) {
+func accepted(t *testing.T) (*Listener, *trackedConn, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,12 +28,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	c := nc.(*callerConn)
-	l.track(c, http.StateActive)
+	c := nc.(*trackedConn)
+	l.setState(c, http.StateActive)
 	if _, err := c.Write([]byte("answer")); err != nil {
 		t.Fatal(err)
 	}
-	l.track(c, http.StateIdle)
+	l.setState(c, http.StateIdle)
 	return l, c, client
 }
 
@@ -45,7 +45,7 @@
 	if n, err := c.Read(make([]byte, 2)); n != 2 || err != nil {
 		t.Fatal(n, err)
 	}
-	l.retireIdle(0)
+	l.closeIdle(0)
 	io.WriteString(client, "st")
 	if n, err := io.ReadFull(c, make([]byte, 2)); n != 2 || err != nil {
 		t.Errorf("the rest of the request: %d bytes, %v", n, err)
@@ -59,7 +59,7 @@
 		_, err := c.Read(make([]byte, 1))
 		read <- err
 	}()
-	l.retireIdle(0)
+	l.closeIdle(0)
 	if err := <-read; err != io.EOF {
 		t.Errorf("the read that waited: %v", err)
 	}
@@ -75,15 +75,15 @@
 	l, c, client := accepted(t)
 	c.idle, c.new = false, true
 	c.since = time.Now().Add(time.Hour)
-	l.retireIdle(0)
+	l.closeIdle(0)
 	io.WriteString(client, "r")
 	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
 		t.Errorf("its first byte: %d, %v", n, err)
 	}
 	l, c, _ = accepted(t)
 	c.idle, c.new = false, true
-	c.since = time.Now().Add(-2 * silentFor)
-	l.retireIdle(0)
+	c.since = time.Now().Add(-2 * newConnTimeout)
+	l.closeIdle(0)
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("silent for long: %v", err)
 	}
@@ -94,7 +94,7 @@
 	l, c, client := accepted(t)
 	io.WriteString(client, "request")
 	until(t, "the request comes", func() bool { return testpeer.Pending(c.Conn.(*net.TCPConn)) })
-	l.retireIdle(0)
+	l.closeIdle(0)
 	if n, err := c.Read(make([]byte, 7)); n == 0 || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
--- a/internal/httpserver/disconnect_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -9,11 +9,11 @@
 )
 
 // looked gives a look-out for one end of a connection, that end, and the caller's.
-func looked(t *testing.T) (w *lookout, here, client *net.TCPConn) {
+func looked(t *testing.T) (w *disconnectWatcher, here, client *net.TCPConn) {
 	t.Helper()
 	_, c, nc := accepted(t)
-	w = &lookout{}
-	w.of(c.Conn)
+	w = &disconnectWatcher{}
+	w.attach(c.Conn)
 	return w, c.Conn.(*net.TCPConn), nc.(*net.TCPConn)
 }
 
@@ -39,20 +39,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, here, client := looked(t)
-			if w.gone() {
+			if w.clientGone() {
 				t.Fatal("gone before it has done anything")
 			}
 			for _, do := range row.does {
 				do(client)
 			}
 			if row.gone {
-				until(t, "it is seen to have left", w.gone)
+				until(t, "it is seen to have left", w.clientGone)
 				return
 			}
 			if len(row.does) > 0 {
 				until(t, "the bytes come", func() bool { return testpeer.Pending(here) })
 			}
-			if w.gone() {
+			if w.clientGone() {
 				t.Error("it is taken for gone")
 			}
 		})
@@ -66,16 +66,16 @@
 	w.start(func() { told++ })
 	client.SetLinger(0)
 	client.Close()
-	until(t, "it is seen to have left", w.gone)
+	until(t, "it is seen to have left", w.clientGone)
 	w.stop()
 	was := told
-	w.look() // as the timer of the request before may still do
+	w.poll() // as the timer of the request before may still do
 	if told != was {
 		t.Error("told after the stop")
 	}
 	w.start(func() { told++ })
-	w.look()
-	w.look()
+	w.poll()
+	w.poll()
 	if told != was+1 {
 		t.Errorf("told %d times of one that has left", told-was)
 	}
--- a/internal/httpserver/head_test.go
+++ b/internal/httpserver/head_test.go
@@ -44,18 +44,18 @@
 		"no version":             {"GET /a\r\n" + host + "\r\n", 505},
 		"an empty line at first": {"\r\n\r\n", 505},
 	} {
-		f := checkHead([]byte(row.head))
+		f := validateHead([]byte(row.head))
 		if (f == nil) != (row.want == 0) || f != nil && (f.Status != row.want || !f.Close) {
 			t.Errorf("%s: %+v, want %d", name, f, row.want)
 		}
 	}
 	for _, host := range []string{"h", "h:80", "[::1]:80", "a-b.c_d", ""} {
-		if f := checkHost(host); f != nil {
+		if f := validateHost(host); f != nil {
 			t.Errorf("%q: %+v", host, f)
 		}
 	}
 	for _, host := range []string{"a b", "a/b", "u@h", "a\"b", "ä"} {
-		if checkHost(host) == nil {
+		if validateHost(host) == nil {
 			t.Errorf("%q passes", host)
 		}
 	}
@@ -82,15 +82,15 @@
 	f.Add("GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: +5\r\n\r\nhello", 9)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		read := func(size int) (heads, bodies []string) {
-			tk := &talk{Server: &Server{}, in: reader{Conn: &trickle{text: strings.NewReader(text), size: size}}}
-			in := &tk.in
+			tk := &conn{Server: &Server{}, reader: connReader{Conn: &trickle{text: strings.NewReader(text), size: size}}}
+			in := &tk.reader
 			for {
-				head, err := in.head()
+				head, err := in.readHead()
 				if err != nil {
 					return heads, bodies
 				}
-				r, f := readHead(head)
-				if f == nil && checkHead(head) != nil {
+				r, f := parseHead(head)
+				if f == nil && validateHead(head) != nil {
 					t.Fatalf("%q is read though it is refused", head)
 				}
 				if f != nil || r.ContentLength < 0 || r.ContentLength > proxy.MaxBody {
@@ -111,7 +111,7 @@
 		}
 		rest := text
 		for i, head := range heads {
-			for range emptyMost {
+			for range maxLeadingEmptyLines {
 				rest = strings.TrimPrefix(rest, "\r\n")
 			}
 			if !strings.HasPrefix(rest, head) {
--- a/internal/httpserver/pace_test.go
+++ b/internal/httpserver/pace_test.go
@@ -23,25 +23,25 @@
 		{"at half the pace", 0, 3_200, 0.1, 300, false},
 		{"with a long pause", 0, 1 << 20, 2.5, 3, false},
 	} {
-		p := pace{slack: bodyTimeout, came: came, began: at(row.head), last: at(row.head)}
+		p := bodyPace{allowance: defaultBodyTimeout, requestStart: came, bodyStart: at(row.head), lastRead: at(row.head)}
 		now, ok := at(row.head), true
 		for i := range row.pieces {
 			if i > 0 {
 				now = now.Add(time.Duration(row.gap * float64(time.Second)))
 			}
-			if now.After(p.due()) {
+			if now.After(p.nextDeadline()) {
 				ok = false
 				break
 			}
-			p.got, p.last = p.got+int64(row.piece), now
+			p.received, p.lastRead = p.received+int64(row.piece), now
 		}
 		if ok != row.ok {
-			t.Errorf("%s: taken %v, %d bytes in", row.name, ok, p.got)
+			t.Errorf("%s: taken %v, %d bytes in", row.name, ok, p.received)
 		}
 	}
 	for _, sent := range []int64{0, 4, 30_000} {
-		p := pace{slack: bodyTimeout, came: came, began: at(2), last: at(2), got: sent}
-		if due := p.due(); due.After(at(3)) {
+		p := bodyPace{allowance: defaultBodyTimeout, requestStart: came, bodyStart: at(2), lastRead: at(2), received: sent}
+		if due := p.nextDeadline(); due.After(at(3)) {
 			t.Errorf("a peer that stops after %d bytes is ended %v after it came", sent, due.Sub(came))
 		}
 	}
--- a/internal/httpserver/serve.go
+++ b/internal/httpserver/serve.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	acceptPauseLeast = 5 * time.Millisecond // between two failures to accept, doubled up to
-	acceptPauseMost  = time.Second
-	keepBuffer       = time.Second            // that an idle connection keeps its buffer
-	writeSlack       = time.Second            // a deadline of writes this young is kept for the next
-	lastWords        = 500 * time.Millisecond // for an error to be read before its connection is closed
-	lastRead         = 256 << 10              // bytes of what a refused caller goes on sending that are read meanwhile
+	minAcceptBackoff   = 5 * time.Millisecond // between two failures to accept, doubled up to
+	maxAcceptBackoff   = time.Second
+	bufferIdleTimeout  = time.Second            // that an idle connection keeps its buffer
+	writeDeadlineReuse = time.Second            // a deadline of writes this young is kept for the next
+	lingerTimeout      = 500 * time.Millisecond // for an error to be read before its connection is closed
+	maxLingerBytes     = 256 << 10              // bytes of what a refused caller goes on sending that are read meanwhile
 )
 
 // Serve serves connections until the listener is closed, and returns net.ErrClosed then.
@@ -33,7 +33,7 @@
 		switch temporary := (interface{ Temporary() bool })(nil); {
 		case err == nil:
 		case errors.As(err, &temporary) && temporary.Temporary(): // lack of descriptors, mostly: it passes
-			pause = min(max(2*pause, acceptPauseLeast), acceptPauseMost)
+			pause = min(max(2*pause, minAcceptBackoff), maxAcceptBackoff)
 			s.log.Warn("accept failed", "err", err, "again_in", pause)
 			time.Sleep(pause)
 			continue
@@ -41,106 +41,106 @@
 			return err
 		}
 		pause = 0
-		go s.serve(c, nc.(*callerConn))
+		go s.serveConn(c, nc.(*trackedConn))
 	}
 }
 
-// talk is what a connection is served with.
-type talk struct {
+// conn is what a connection is served with.
+type conn struct {
 	*Server
-	conn *callerConn
-	in   reader
-	out  []byte // an answer
-	look lookout
-	came time.Time // the connection, or the first byte of its latest request
+	netConn      *trackedConn
+	reader       connReader
+	output       []byte // an answer
+	disconnect   disconnectWatcher
+	requestStart time.Time // the connection, or the first byte of its latest request
 
-	writesFrom time.Time // when the deadline of writes was set
+	writeDeadlineSet time.Time // when the deadline of writes was set
 }
 
-// serve serves one connection. Conns knows it until it is closed.
-func (s *Server) serve(all *Listener, c *callerConn) {
-	defer all.track(c, http.StateClosed)
+// serveConn serves one connection. Conns knows it until it is closed.
+func (s *Server) serveConn(all *Listener, c *trackedConn) {
+	defer all.setState(c, http.StateClosed)
 	defer c.Close()
 	defer func() {
 		if cause := recover(); cause != nil { // one request's fault must not end the others
 			s.log.Error("a request failed", "cause", cause, "stack", string(debug.Stack()))
 		}
 	}()
-	t := &talk{Server: s, conn: c, in: reader{Conn: c}, came: c.since}
-	t.look.of(c.Conn)
-	if c.SetReadDeadline(after(headTimeout)) != nil {
+	t := &conn{Server: s, netConn: c, reader: connReader{Conn: c}, requestStart: c.since}
+	t.disconnect.attach(c.Conn)
+	if c.SetReadDeadline(deadlineAfter(requestHeadTimeout)) != nil {
 		return
 	}
-	for first := true; first || t.await(); first = false {
+	for first := true; first || t.waitForRequest(); first = false {
 		if !first {
-			t.came = time.Now()
+			t.requestStart = time.Now()
 		}
-		if !first && !t.in.whole() && c.SetReadDeadline(after(headTimeout)) != nil {
+		if !first && !t.reader.hasCompleteHead() && c.SetReadDeadline(deadlineAfter(requestHeadTimeout)) != nil {
 			return
 		}
-		if first && t.in.fill() != nil {
+		if first && t.reader.fill() != nil {
 			return
 		}
-		all.track(c, http.StateActive)
-		if !t.turn() {
+		all.setState(c, http.StateActive)
+		if !t.serveRequest() {
 			return
 		}
-		if t.in.start == t.in.end { // else its next request has begun
-			all.track(c, http.StateIdle)
+		if t.reader.start == t.reader.end { // else its next request has begun
+			all.setState(c, http.StateIdle)
 		}
 	}
 }
 
-// await waits for the next request. One that is long in coming costs the connection its buffer: idle connections are many.
-func (t *talk) await() bool {
-	if t.in.start < t.in.end {
+// waitForRequest waits for the next request. One that is long in coming costs the connection its buffer: idle connections are many.
+func (c *conn) waitForRequest() bool {
+	if c.reader.start < c.reader.end {
 		return true
 	}
-	if t.conn.SetReadDeadline(after(keepBuffer)) != nil {
+	if c.netConn.SetReadDeadline(deadlineAfter(bufferIdleTimeout)) != nil {
 		return false
 	}
-	err := t.in.fill()
+	err := c.reader.fill()
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err == nil
 	}
-	t.in.buf, t.in.start, t.in.end, t.out = nil, 0, 0, nil
-	if t.conn.SetReadDeadline(after(callersIdle)) != nil {
+	c.reader.buf, c.reader.start, c.reader.end, c.output = nil, 0, 0, nil
+	if c.netConn.SetReadDeadline(deadlineAfter(idleTimeout)) != nil {
 		return false
 	}
 	var one [1]byte
-	n, _ := t.conn.Read(one[:])
+	n, _ := c.netConn.Read(one[:])
 	if n == 0 {
 		return false
 	}
-	t.in.buf = append(make([]byte, 0, firstBuffer), one[0])[:firstBuffer]
-	t.in.end = 1
+	c.reader.buf = append(make([]byte, 0, initialBufferSize), one[0])[:initialBufferSize]
+	c.reader.end = 1
 	return true
 }
 
-// turn reads one request and writes its answer. It tells whether the connection goes on.
-func (t *talk) turn() bool {
-	head, err := t.in.head()
+// serveRequest reads one request and writes its answer. It tells whether the connection goes on.
+func (c *conn) serveRequest() bool {
+	head, err := c.reader.readHead()
 	switch {
 	case errors.Is(err, errHeadTooLong):
-		return t.refuse(nil, improper(http.StatusRequestHeaderFieldsTooLarge, err.Error()))
+		return c.reject(nil, closingRejection(http.StatusRequestHeaderFieldsTooLarge, err.Error()))
 	case errors.Is(err, errBareLF):
-		return t.refuse(nil, improper(http.StatusBadRequest, err.Error()))
+		return c.reject(nil, closingRejection(http.StatusBadRequest, err.Error()))
 	case err != nil:
 		return false
 	}
-	r, f := readHead(head)
-	if f != nil {
-		return t.refuse(nil, f)
+	r, rejection := parseHead(head)
+	if rejection != nil {
+		return c.reject(nil, rejection)
 	}
-	if f := checkHost(r.Host); f != nil {
-		return t.refuse(r, f)
+	if rejection := validateHost(r.Host); rejection != nil {
+		return c.reject(r, rejection)
 	}
 	if r.ContentLength != 0 && !r.ProtoAtLeast(1, 1) {
-		return t.refuse(r, improper(http.StatusHTTPVersionNotSupported, "a body is not taken in this version"))
+		return c.reject(r, closingRejection(http.StatusHTTPVersionNotSupported, "a body is not taken in this version"))
 	}
-	body, free, more, f := t.readBody(r)
-	if f != nil {
-		return t.refuse(r, f)
+	body, free, more, rejection := c.readBody(r)
+	if rejection != nil {
+		return c.reject(r, rejection)
 	}
 	release := func() {
 		if free != nil {
@@ -150,275 +150,278 @@
 	if r.URL.Path == healthPath {
 		release()
 		if more != nil {
-			return t.refuse(r, refusal(errBodyTooLong))
+			return c.reject(r, bodyRejection(errBodyTooLong))
 		}
-		return t.write(r, http.StatusOK, http.Header{"Content-Type": {"text/plain; charset=utf-8"}}, []byte("ok\n"), false)
+		return c.writeResponse(r, http.StatusOK, http.Header{"Content-Type": {"text/plain; charset=utf-8"}}, []byte("ok\n"), false)
 	}
-	v, f := t.desk.Route(r)
-	if f != nil {
+	target, rejection := c.router.Route(r)
+	if rejection != nil {
 		release()
-		f.Close = f.Close || more != nil
-		return t.refuse(r, f)
+		rejection.Close = rejection.Close || more != nil
+		return c.reject(r, rejection)
 	}
-	taken, reply := false, proxy.Result{Kind: proxy.Failed}
-	if v.Done != nil {
-		defer func() { v.Done(taken, reply) }()
+	forwarded, result := false, proxy.Result{Kind: proxy.Failed}
+	if target.Done != nil {
+		defer func() { target.Done(forwarded, result) }()
 	}
-	m := &proxy.RequestMessage{Body: body, Release: free}
-	arrived := time.Now() // a request's time counts from its last byte
-	c, f := t.read(r, &v, m, more != nil, arrived)
-	if f != nil {
+	message := &proxy.RequestMessage{Body: body, Release: free}
+	received := time.Now() // a request's time counts from its last byte
+	call, rejection := c.newCall(r, &target, message, more != nil, received)
+	if rejection != nil {
 		release()
-		f.Close = f.Close || more != nil
-		return t.refuse(r, f)
+		rejection.Close = rejection.Close || more != nil
+		return c.reject(r, rejection)
 	}
-	c.ClientGone = t.look.gone // also of one that has just been read: nobody knows how long it stood in the kernel's queues
-	leave := func() { v.Pool.ClientLeft(c) }
+	call.ClientGone = c.disconnect.clientGone // also of one that has just been read: nobody knows how long it stood in the kernel's queues
+	leave := func() { target.Pool.ClientLeft(call) }
 	if more == nil {
-		taken = true
-		t.look.start(leave)
-		reply = v.Pool.Do(c)
-		return t.answer(r, reply, t.look.stop()) // also to a caller that has left: one half-closed may still read
+		forwarded = true
+		c.disconnect.start(leave)
+		result = target.Pool.Do(call)
+		return c.writeResult(r, result, c.disconnect.stop()) // also to a caller that has left: one half-closed may still read
 	}
 
-	up, err := more.keep()
+	up, err := more.bufferAhead()
 	if err != nil {
 		release()
-		return t.refuse(r, refusal(err))
+		return c.reject(r, bodyRejection(err))
 	}
-	m.Upload, m.Release = up, func() { release(); more.free() }
-	c.Streamed = true
-	c.Deadline = v.Pool.Now() + m.ClientTimeout
+	message.Upload, message.Release = up, func() { release(); more.release() }
+	call.Streamed = true
+	call.Deadline = target.Pool.Now() + message.ClientTimeout
 	if up.Remaining != nil {
-		c.Deadline += more.within()
-	}
-	taken = true
-	t.look.start(leave)
-	reply = v.Pool.Do(c)
-	left := t.look.stop()
-	ended, err := more.drop()
-	if err == nil && !ended && t.look.gone() { // nobody is there to send the rest of it
+		call.Deadline += more.timeLimit()
+	}
+	forwarded = true
+	c.disconnect.start(leave)
+	result = target.Pool.Do(call)
+	left := c.disconnect.stop()
+	ended, err := more.abandon()
+	if err == nil && !ended && c.disconnect.clientGone() { // nobody is there to send the rest of it
 		err = io.ErrUnexpectedEOF
 	}
-	if err != nil && !errors.Is(err, errDropped) {
-		reply.Kind = proxy.Failed
-		return t.refuse(r, refusal(err))
+	if err != nil && !errors.Is(err, errBodyAbandoned) {
+		result.Kind = proxy.Failed
+		return c.reject(r, bodyRejection(err))
 	}
 	if !ended { // what is still to come of it must not be taken for the next request
-		t.answer(r, reply, true)
-		return t.linger()
+		c.writeResult(r, result, true)
+		return c.lingeringClose()
 	}
-	return t.answer(r, reply, left)
+	return c.writeResult(r, result, left)
 }
 
-// refuse answers a request that nobody serves. What is no proper request ends its connection: whatever follows on it, the
+// reject answers a request that nobody serves. What is no proper request ends its connection: whatever follows on it, the
 // rest of a body or a request hidden in one, is never taken for one.
-func (t *talk) refuse(r *http.Request, f *Rejection) bool {
+func (c *conn) reject(r *http.Request, rejection *Rejection) bool {
 	h := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
-	t.advise(h, f.RetryAfter)
-	if f.Limit != "" {
-		t.proxyStatus(h, limitType, f.Limit)
+	c.setRetryAfter(h, rejection.RetryAfter)
+	if rejection.Limit != "" {
+		c.setProxyStatus(h, limitErrorType, rejection.Limit)
 	}
-	if len(f.Allow) > 0 {
-		h["Allow"] = []string{strings.Join(f.Allow, ", ")}
+	if len(rejection.Allow) > 0 {
+		h["Allow"] = []string{strings.Join(rejection.Allow, ", ")}
 	}
-	if t.write(r, f.Status, h, []byte(f.Reason+"\n"), f.Close) {
+	if c.writeResponse(r, rejection.Status, h, []byte(rejection.Reason+"\n"), rejection.Close) {
 		return true
 	}
-	return t.linger()
+	return c.lingeringClose()
 }
 
-// linger lets a caller read its answer before the connection closes. A close before all that has come was read would end as a reset, and
+// lingeringClose lets a caller read its answer before the connection closes. A close before all that has come was read would end as a reset, and
 // take the answer with it.
-func (t *talk) linger() bool {
-	if half, ok := t.conn.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		_ = t.conn.SetReadDeadline(after(lastWords))
-		_, _ = io.CopyN(io.Discard, t.conn, lastRead)
+func (c *conn) lingeringClose() bool {
+	if half, ok := c.netConn.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+		_ = c.netConn.SetReadDeadline(deadlineAfter(lingerTimeout))
+		_, _ = io.CopyN(io.Discard, c.netConn, maxLingerBytes)
 	}
 	return false
 }
 
-// last tells whether the answer to a request is to be the last on its connection. At the end of the process it is, unless the next
+// isLastResponse tells whether the answer to a request is to be the last on its connection. At the end of the process it is, unless the next
 // request stands behind it: that has been taken as well. A request that could not be read is nil.
-func (t *talk) last(r *http.Request) bool {
-	return r == nil || r.Close || t.ending.Load() && t.in.start == t.in.end && !t.look.pending()
+func (c *conn) isLastResponse(r *http.Request) bool {
+	return r == nil || r.Close || c.draining.Load() && c.reader.start == c.reader.end && !c.disconnect.hasUnreadBytes()
 }
 
-// answer writes the final answer of an engine, as the last on its connection or not.
-func (t *talk) answer(r *http.Request, a proxy.Result, end bool) bool {
-	if a.Kind == proxy.Served {
-		if a.Response.Stream != nil {
-			return t.stream(r, &a.Response, end)
+// writeResult writes the final answer of an engine, as the last on its connection or not.
+func (c *conn) writeResult(r *http.Request, result proxy.Result, closeAfter bool) bool {
+	if result.Kind == proxy.Served {
+		if result.Response.Stream != nil {
+			return c.streamResponse(r, &result.Response, closeAfter)
 		}
-		return t.write(r, a.Response.Status, a.Response.Header, a.Response.Body, end)
+		return c.writeResponse(r, result.Response.Status, result.Response.Header, result.Response.Body, closeAfter)
 	}
-	status := statuses[a.Kind]
+	status := resultStatuses[result.Kind]
 	h := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
-	t.advise(h, a.RetryAfter)
-	t.proxyStatus(h, errorTypes[a.Reason], string(a.Reason))
-	return t.write(r, status, h, []byte(http.StatusText(status)+"\n"), end)
+	c.setRetryAfter(h, result.RetryAfter)
+	c.setProxyStatus(h, proxyErrorTypes[result.Reason], string(result.Reason))
+	return c.writeResponse(r, status, h, []byte(http.StatusText(status)+"\n"), closeAfter)
 }
 
-// stream passes an answer on as it comes: what is read off the endpoint is written at once, and only then more is read. One that breaks
+// streamResponse passes an answer on as it comes: what is read off the endpoint is written at once, and only then more is read. One that breaks
 // off ends its connection short of what it has promised, so that the caller can tell.
-func (t *talk) stream(r *http.Request, a *proxy.Response, end bool) bool {
-	defer a.Stream.Close()
-	end = end || t.last(r)
-	chunked := a.Length < 0 && r.ProtoAtLeast(1, 1)
-	toClose := a.Length < 0 && !chunked // it ends with the connection
-	end = end || toClose
+func (c *conn) streamResponse(r *http.Request, response *proxy.Response, closeAfter bool) bool {
+	defer response.Stream.Close()
+	closeAfter = closeAfter || c.isLastResponse(r)
+	chunked := response.Length < 0 && r.ProtoAtLeast(1, 1)
+	toClose := response.Length < 0 && !chunked // it ends with the connection
+	closeAfter = closeAfter || toClose
 	if toClose { // only a reset shows that it broke off, whoever ends it: an endpoint, the end of the process or a signal
-		t.setLinger(0)
+		c.setLinger(0)
 	}
-	t.head(r, a.Status, a.Header, end)
+	c.appendHead(r, response.Status, response.Header, closeAfter)
 	switch {
 	case chunked:
-		t.out = append(t.out, "Transfer-Encoding: chunked\r\n\r\n"...)
-	case a.Length < 0:
-		t.out = append(t.out, "\r\n"...)
+		c.output = append(c.output, "Transfer-Encoding: chunked\r\n\r\n"...)
+	case response.Length < 0:
+		c.output = append(c.output, "\r\n"...)
 	default:
-		t.out = append(strconv.AppendInt(append(t.out, "Content-Length: "...), a.Length, 10), "\r\n\r\n"...)
+		c.output = append(strconv.AppendInt(append(c.output, "Content-Length: "...), response.Length, 10), "\r\n\r\n"...)
 	}
-	t.look.start(a.Stream.Cancel)
-	defer t.look.stop()
+	c.disconnect.start(response.Stream.Cancel)
+	defer c.disconnect.stop()
 	b := http1.Buffers.Get().(*[]byte)
 	defer http1.Buffers.Put(b)
 	room := (*b)[http1.ChunkHead : len(*b)-http1.ChunkTail]
-	n := copy(room, a.Body)
-	for more, ended := a.Body[n:], false; ; {
+	n := copy(room, response.Body)
+	for more, ended := response.Body[n:], false; ; {
 		if n > 0 {
 			if chunked {
-				t.out = append(t.out, http1.AppendChunkFraming(*b, n)...)
-			} else if len(t.out) > 0 {
-				t.out = append(t.out, room[:n]...)
+				c.output = append(c.output, http1.AppendChunkFraming(*b, n)...)
+			} else if len(c.output) > 0 {
+				c.output = append(c.output, room[:n]...)
 			}
 		}
 		if ended && chunked {
-			t.out = append(t.out, http1.LastChunk...)
+			c.output = append(c.output, http1.LastChunk...)
 		}
-		if !t.push(t.out) || len(t.out) == 0 && !t.push(room[:n]) {
+		if !c.writePart(c.output) || len(c.output) == 0 && !c.writePart(room[:n]) {
 			return false
 		}
-		if t.out = t.out[:0]; ended {
+		if c.output = c.output[:0]; ended {
 			if toClose {
-				t.setLinger(-1)
+				c.setLinger(-1)
 			}
-			return !end
+			return !closeAfter
 		}
 		if n = copy(room, more); n > 0 {
 			more = more[n:]
 			continue
 		}
 		var err error
-		n, err = a.Stream.Read(room)
-		if ended = errors.Is(err, io.EOF) || a.Stream.Ended(); err != nil && !ended {
+		n, err = response.Stream.Read(room)
+		if ended = errors.Is(err, io.EOF) || response.Stream.Ended(); err != nil && !ended {
 			return false
 		}
 	}
 }
 
-// push writes a part of an answer. A caller may take seconds to read it, but not for ever.
-func (t *talk) push(b []byte) bool {
+// writePart writes a part of an answer. A caller may take seconds to read it, but not for ever.
+func (c *conn) writePart(b []byte) bool {
 	if len(b) == 0 {
 		return true
 	}
-	if t.conn.Conn.SetWriteDeadline(after(http1.MaxReadIdle)) != nil {
+	if c.netConn.Conn.SetWriteDeadline(deadlineAfter(http1.MaxReadIdle)) != nil {
 		return false
 	}
-	t.writesFrom = time.Time{}
-	_, err := t.conn.Write(b)
+	c.writeDeadlineSet = time.Time{}
+	_, err := c.netConn.Write(b)
 	return err == nil
 }
 
 // setLinger makes the end of the connection a reset (0) or an ordinary end (-1).
-func (t *talk) setLinger(seconds int) {
-	if c, ok := t.conn.Conn.(*net.TCPConn); ok {
+func (c *conn) setLinger(seconds int) {
+	if c, ok := c.netConn.Conn.(*net.TCPConn); ok {
 		_ = c.SetLinger(seconds) // of one that is closed the next write tells
 	}
 }
 
-// date is the time as headers have it, made once a second.
-type date struct{ latest atomic.Pointer[stamp] }
+// dateCache is the time as headers have it, made once a second.
+type dateCache struct{ latest atomic.Pointer[dateText] }
 
-type stamp struct {
+type dateText struct {
 	second int64
 	text   string
 }
 
-var now date
+var currentDate dateCache
 
-func (d *date) get(at time.Time) string {
+func (d *dateCache) get(at time.Time) string {
 	s := d.latest.Load()
 	if s == nil || s.second != at.Unix() {
-		s = &stamp{at.Unix(), at.UTC().Format(http.TimeFormat)}
+		s = &dateText{at.Unix(), at.UTC().Format(http.TimeFormat)}
 		d.latest.Store(s)
 	}
 	return s.text
 }
 
-// framings are the headers that are written for the connection, whatever an answer has.
-var framings = map[string]bool{"Content-Length": true, "Connection": true, "Transfer-Encoding": true, "Date": true}
+// connectionHeaders are the headers that are written for the connection, whatever an answer has.
+var connectionHeaders = map[string]bool{"Content-Length": true, "Connection": true, "Transfer-Encoding": true, "Date": true}
 
-// appender is a byte slice that is written to.
-type appender struct{ b *[]byte }
+// sliceWriter is a byte slice that is written to.
+type sliceWriter struct{ b *[]byte }
 
 // Write implements io.Writer.
-func (a appender) Write(p []byte) (int, error) { *a.b = append(*a.b, p...); return len(p), nil }
+func (a sliceWriter) Write(p []byte) (int, error) { *a.b = append(*a.b, p...); return len(p), nil }
 
 // WriteString implements io.StringWriter.
-func (a appender) WriteString(s string) (int, error) { *a.b = append(*a.b, s...); return len(s), nil }
+func (a sliceWriter) WriteString(s string) (int, error) {
+	*a.b = append(*a.b, s...)
+	return len(s), nil
+}
 
-// head begins an answer, up to what its framing says. A request that could not be read is nil.
-func (t *talk) head(r *http.Request, status int, h http.Header, end bool) {
-	t.out = append(t.out[:0], "HTTP/1.1 "...)
-	t.out = strconv.AppendInt(t.out, int64(status), 10)
-	t.out = append(append(append(t.out, ' '), http.StatusText(status)...), "\r\nDate: "...)
+// appendHead begins an answer, up to what its framing says. A request that could not be read is nil.
+func (c *conn) appendHead(r *http.Request, status int, h http.Header, closeAfter bool) {
+	c.output = append(c.output[:0], "HTTP/1.1 "...)
+	c.output = strconv.AppendInt(c.output, int64(status), 10)
+	c.output = append(append(append(c.output, ' '), http.StatusText(status)...), "\r\nDate: "...)
 	if date := h["Date"]; len(date) == 1 { // an endpoint's own
-		t.out = append(t.out, date[0]...)
+		c.output = append(c.output, date[0]...)
 	} else {
-		t.out = append(t.out, now.get(time.Now())...)
+		c.output = append(c.output, currentDate.get(time.Now())...)
 	}
-	t.out = append(t.out, "\r\n"...)
-	_ = h.WriteSubset(appender{&t.out}, framings)
+	c.output = append(c.output, "\r\n"...)
+	_ = h.WriteSubset(sliceWriter{&c.output}, connectionHeaders)
 	switch {
-	case end:
-		t.out = append(t.out, "Connection: close\r\n"...)
+	case closeAfter:
+		c.output = append(c.output, "Connection: close\r\n"...)
 	case r != nil && !r.ProtoAtLeast(1, 1):
-		t.out = append(t.out, "Connection: keep-alive\r\n"...)
+		c.output = append(c.output, "Connection: keep-alive\r\n"...)
 	}
 }
 
-// write writes an answer and tells whether the connection goes on. A request that could not be read is nil.
-func (t *talk) write(r *http.Request, status int, h http.Header, body []byte, end bool) bool {
-	at := time.Now()
-	end = end || t.last(r)
-	t.head(r, status, h, end)
+// writeResponse writes an answer and tells whether the connection goes on. A request that could not be read is nil.
+func (c *conn) writeResponse(r *http.Request, status int, h http.Header, body []byte, closeAfter bool) bool {
+	now := time.Now()
+	closeAfter = closeAfter || c.isLastResponse(r)
+	c.appendHead(r, status, h, closeAfter)
 	bodiless := r != nil && r.Method == http.MethodHead
 	switch {
 	case status < 200 || status == http.StatusNoContent || status == http.StatusNotModified:
 		bodiless = true
 	case bodiless && h.Get("Content-Length") != "": // of what the answer to HEAD stands for
-		t.out = append(append(append(t.out, "Content-Length: "...), h.Get("Content-Length")...), "\r\n"...)
+		c.output = append(append(append(c.output, "Content-Length: "...), h.Get("Content-Length")...), "\r\n"...)
 	default:
-		t.out = append(strconv.AppendInt(append(t.out, "Content-Length: "...), int64(len(body)), 10), "\r\n"...)
+		c.output = append(strconv.AppendInt(append(c.output, "Content-Length: "...), int64(len(body)), 10), "\r\n"...)
 	}
-	t.out = append(t.out, "\r\n"...)
+	c.output = append(c.output, "\r\n"...)
 	if bodiless {
 		body = nil
 	}
 	// Bounded, so that a caller that does not read can't hold a connection for good.
-	if at.Sub(t.writesFrom) > writeSlack {
-		if t.conn.Conn.SetWriteDeadline(at.Add(writeSlack+writeTimeout)) != nil {
+	if now.Sub(c.writeDeadlineSet) > writeDeadlineReuse {
+		if c.netConn.Conn.SetWriteDeadline(now.Add(writeDeadlineReuse+writeTimeout)) != nil {
 			return false
 		}
-		t.writesFrom = at
+		c.writeDeadlineSet = now
 	}
 	var err error
-	if len(body) <= firstBuffer {
-		t.out = append(t.out, body...)
-		_, err = t.conn.Write(t.out)
-	} else if _, err = t.conn.Write(t.out); err == nil {
-		_, err = t.conn.Write(body)
+	if len(body) <= initialBufferSize {
+		c.output = append(c.output, body...)
+		_, err = c.netConn.Write(c.output)
+	} else if _, err = c.netConn.Write(c.output); err == nil {
+		_, err = c.netConn.Write(body)
 	}
-	return err == nil && !end
+	return err == nil && !closeAfter
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -20,22 +20,22 @@
 // What callers are answered. Only a refusal is 503, and nothing is 429: both promise that nothing has run.
 const (
 	statusServed    = http.StatusOK
-	statusRefused   = http.StatusServiceUnavailable
+	statusRejected  = http.StatusServiceUnavailable
 	statusFailed    = http.StatusBadGateway
 	statusDuplicate = http.StatusConflict
 )
 
 const (
-	idHeader     = "Req-Id"
-	keyHeader    = "Idempotency-Key"
-	healthPath   = "/_health"
-	maxID        = 256
-	maxDeadline  = time.Hour
-	wayBack      = 10 * time.Millisecond   // kept of a deadline for the way here and back: 0.4 ms here (p99), the rest the network's
-	headTimeout  = 2500 * time.Millisecond // a caller may take 2 s; an improper peer is owed an end within 3 s
-	bodyTimeout  = 800 * time.Millisecond  // that a body may be behind the least pace of one
-	writeTimeout = 5 * time.Second
-	callersIdle  = 5 * time.Minute
+	requestIDHeader      = "Req-Id"
+	idempotencyKeyHeader = "Idempotency-Key"
+	healthPath           = "/_health"
+	maxRequestIDLength   = 256
+	maxClientTimeout     = time.Hour
+	networkAllowance     = 10 * time.Millisecond   // kept of a deadline for the way here and back: 0.4 ms here (p99), the rest the network's
+	requestHeadTimeout   = 2500 * time.Millisecond // a caller may take 2 s; an improper peer is owed an end within 3 s
+	defaultBodyTimeout   = 800 * time.Millisecond  // that a body may be behind the least pace of one
+	writeTimeout         = 5 * time.Second
+	idleTimeout          = 5 * time.Minute
 )
 
 // Router knows whom a request is for.
@@ -67,119 +67,119 @@
 	Close      bool          // ends the connection
 }
 
-func improper(status int, reason string) *Rejection {
+func closingRejection(status int, reason string) *Rejection {
 	return &Rejection{Status: status, Reason: reason, Close: true}
 }
 
 // Server is the callers' side: it serves connections.
 type Server struct {
-	desk        Router
+	router      Router
 	name        string // in Proxy-Status
-	host        string // stands in where an HTTP/1.0 caller names no host
+	defaultHost string // stands in where an HTTP/1.0 caller names no host
 	log         *slog.Logger
 	bodyTimeout time.Duration
-	pieces      pieces // for long bodies
-	ending      atomic.Bool
+	bodyBuffers bodyBufferPool // for long bodies
+	draining    atomic.Bool
 
-	wholeSeconds bool // in Retry-After
+	roundRetryAfter bool // in Retry-After
 }
 
 // New returns a server. Name is what it calls itself to callers, and host stands in where a caller names none.
 func New(d Router, name, host string, log *slog.Logger) *Server {
-	s := &Server{desk: d, name: name, host: host, log: log, bodyTimeout: bodyTimeout}
-	s.pieces.limit(keepDefault)
+	s := &Server{router: d, name: name, defaultHost: host, log: log, bodyTimeout: defaultBodyTimeout}
+	s.bodyBuffers.setLimit(defaultBodyMemory)
 	return s
 }
 
 // RoundRetryAfter makes Retry-After a whole number of seconds, as RFC 9110 (10.2.3) has it. The platform's clients read
 // fractions. It must be called before the first request comes.
-func (s *Server) RoundRetryAfter() { s.wholeSeconds = true }
+func (s *Server) RoundRetryAfter() { s.roundRetryAfter = true }
 
 // StartDraining makes answers close their connections from now on.
-func (s *Server) StartDraining() { s.ending.Store(true) }
+func (s *Server) StartDraining() { s.draining.Store(true) }
 
 // Draining tells whether answers do.
-func (s *Server) Draining() bool { return s.ending.Load() }
+func (s *Server) Draining() bool { return s.draining.Load() }
 
 // StopDraining undoes End.
-func (s *Server) StopDraining() { s.ending.Store(false) }
+func (s *Server) StopDraining() { s.draining.Store(false) }
 
 // SetBodyMemory sets how many bytes of long bodies are kept at once, over all connections. What does not fit is passed on as it comes.
-func (s *Server) SetBodyMemory(bytes int) { s.pieces.limit(bytes) }
+func (s *Server) SetBodyMemory(bytes int) { s.bodyBuffers.setLimit(bytes) }
 
 // SetBodyTimeout sets how far a body may be behind the least pace of one. It must be called before the first request comes.
 func (s *Server) SetBodyTimeout(d time.Duration) { s.bodyTimeout = d }
 
-// advise says when trying again makes sense.
-func (s *Server) advise(h http.Header, after time.Duration) {
+// setRetryAfter says when trying again makes sense.
+func (s *Server) setRetryAfter(h http.Header, after time.Duration) {
 	switch {
 	case after <= 0:
-	case s.wholeSeconds:
+	case s.roundRetryAfter:
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 	default:
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
 }
 
-// read makes a call of a request, with a message that has its body, or says what is wrong with it.
-func (t *talk) read(r *http.Request, v *Target, m *proxy.RequestMessage, long bool, arrived time.Time) (*proxy.Call, *Rejection) {
-	if err := checkForm(r.Method, v.Effect, len(m.Body) > 0 || long); err != nil && !v.AnyMethod {
-		return nil, improper(http.StatusMethodNotAllowed, err.Error())
+// newCall makes a call of a request, with a message that has its body, or says what is wrong with it.
+func (c *conn) newCall(r *http.Request, target *Target, message *proxy.RequestMessage, streamed bool, arrived time.Time) (*proxy.Call, *Rejection) {
+	if err := checkMethod(r.Method, target.Effect, len(message.Body) > 0 || streamed); err != nil && !target.AnyMethod {
+		return nil, closingRejection(http.StatusMethodNotAllowed, err.Error())
 	}
-	id := v.DefaultID
-	header := proxy.EndToEnd(r.Header, idHeader, keyHeader) // whatever Connection names, these go on unchanged
-	if values := r.Header.Values(idHeader); len(values) > 0 || id == "" {
+	id := target.DefaultID
+	header := proxy.EndToEnd(r.Header, requestIDHeader, idempotencyKeyHeader) // whatever Connection names, these go on unchanged
+	if values := r.Header.Values(requestIDHeader); len(values) > 0 || id == "" {
 		var err error
-		if id, err = one(values, idHeader); err != nil || len(id) > maxID {
-			return nil, improper(http.StatusBadRequest, "Req-Id: one of moderate length is wanted")
+		if id, err = singleValue(values, requestIDHeader); err != nil || len(id) > maxRequestIDLength {
+			return nil, closingRejection(http.StatusBadRequest, "Req-Id: one of moderate length is wanted")
 		}
 	} else {
-		header.Set(idHeader, id)
+		header.Set(requestIDHeader, id)
 	}
-	wait := v.DefaultTimeout
-	if values := r.Header.Values(proxy.DeadlineHeader); len(values) > 0 || wait == 0 {
-		text, err := one(values, proxy.DeadlineHeader)
+	timeout := target.DefaultTimeout
+	if values := r.Header.Values(proxy.DeadlineHeader); len(values) > 0 || timeout == 0 {
+		text, err := singleValue(values, proxy.DeadlineHeader)
 		if err != nil {
-			return nil, improper(http.StatusBadRequest, err.Error())
+			return nil, closingRejection(http.StatusBadRequest, err.Error())
 		}
 		ms, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || ms < 1 || ms > maxDeadline.Milliseconds() {
-			return nil, improper(http.StatusBadRequest, fmt.Sprintf("%s: %.40q is no usable time", proxy.DeadlineHeader, text))
+		if err != nil || ms < 1 || ms > maxClientTimeout.Milliseconds() {
+			return nil, closingRejection(http.StatusBadRequest, fmt.Sprintf("%s: %.40q is no usable time", proxy.DeadlineHeader, text))
 		}
-		wait = time.Duration(ms) * time.Millisecond
+		timeout = time.Duration(ms) * time.Millisecond
 	}
-	wait -= wayBack
-	if v.MaxTimeout > 0 {
-		wait = min(wait, v.MaxTimeout)
+	timeout -= networkAllowance
+	if target.MaxTimeout > 0 {
+		timeout = min(timeout, target.MaxTimeout)
 	}
-	if v.Effect == balancer.IdempotencyKeyed && r.Header.Get(keyHeader) == "" { // endpoints could not drop its repeats
-		return nil, improper(http.StatusBadRequest, "Idempotency-Key: missing")
+	if target.Effect == balancer.IdempotencyKeyed && r.Header.Get(idempotencyKeyHeader) == "" { // endpoints could not drop its repeats
+		return nil, closingRejection(http.StatusBadRequest, "Idempotency-Key: missing")
 	}
-	m.ClientTimeout = wait
-	m.Method, m.URL, m.Host, m.Header = r.Method, r.URL, cmp.Or(r.Host, t.host), header
-	return proxy.NewCall(balancer.Request{ID: id, Class: v.Class, Tenant: v.Tenant,
-		Deadline: v.Pool.Now() - time.Since(arrived) + wait, ClientRetry: r.Header.Get("Req-Retry") == "1"}, m), nil
+	message.ClientTimeout = timeout
+	message.Method, message.URL, message.Host, message.Header = r.Method, r.URL, cmp.Or(r.Host, c.defaultHost), header
+	return proxy.NewCall(balancer.Request{ID: id, Class: target.Class, Tenant: target.Tenant,
+		Deadline: target.Pool.Now() - time.Since(arrived) + timeout, ClientRetry: r.Header.Get("Req-Retry") == "1"}, message), nil
 }
 
-// checkForm holds a request to the form that its class decides: what is safe is asked for with no body.
-func checkForm(method string, e balancer.Repeatability, body bool) error {
+// checkMethod holds a request to the form that its class decides: what is safe is asked for with no body.
+func checkMethod(method string, effect balancer.Repeatability, hasBody bool) error {
 	switch {
-	case e == balancer.Idempotent && (method != http.MethodGet || body):
+	case effect == balancer.Idempotent && (method != http.MethodGet || hasBody):
 		return errors.New("the class takes GET with no body")
-	case e != balancer.Idempotent && method != http.MethodPost:
+	case effect != balancer.Idempotent && method != http.MethodPost:
 		return errors.New("the class takes POST")
 	}
 	return nil
 }
 
-// one gives the value of a header that must come exactly once.
-func one(v []string, name string) (string, error) {
-	if len(v) != 1 || v[0] == "" {
+// singleValue gives the value of a header that must come exactly once.
+func singleValue(values []string, name string) (string, error) {
+	if len(values) != 1 || values[0] == "" {
 		return "", fmt.Errorf("%s: exactly one is wanted", name)
 	}
-	return v[0], nil
+	return values[0], nil
 }
 
-// statuses are what the kinds of answers are to callers.
-var statuses = map[proxy.ResultKind]int{proxy.Served: statusServed, proxy.Rejected: statusRefused, proxy.Failed: statusFailed,
+// resultStatuses are what the kinds of answers are to callers.
+var resultStatuses = map[proxy.ResultKind]int{proxy.Served: statusServed, proxy.Rejected: statusRejected, proxy.Failed: statusFailed,
 	proxy.Duplicate: statusDuplicate}
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -88,7 +88,7 @@
 		nc := serveInMemory(t)()
 		connected := time.Now()
 		go func() {
-			time.Sleep(headTimeout - time.Millisecond)
+			time.Sleep(requestHeadTimeout - time.Millisecond)
 			io.WriteString(nc, "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf")
 		}()
 		nc.SetReadDeadline(connected.Add(time.Hour))
--- a/internal/httpserver/status.go
+++ b/internal/httpserver/status.go
@@ -7,11 +7,11 @@
 	"rowancart/balancer"
 )
 
-// statusHeader tells callers why a proxy made an answer by itself (RFC 9209).
-const statusHeader = "Proxy-Status"
+// proxyStatusHeader tells callers why a proxy made an answer by itself (RFC 9209).
+const proxyStatusHeader = "Proxy-Status"
 
-// errorTypes are RFC 9209's names (2.3) for the module's reasons. Details have the reason itself.
-var errorTypes = map[balancer.Reason]string{
+// proxyErrorTypes are RFC 9209's names (2.3) for the module's reasons. Details have the reason itself.
+var proxyErrorTypes = map[balancer.Reason]string{
 	balancer.NoEndpoint:        "destination_unavailable",
 	balancer.NoCapacity:        "connection_limit_reached",
 	balancer.QueueFull:         "connection_limit_reached",
@@ -22,12 +22,12 @@
 	balancer.MayHaveRun:        "connection_terminated",
 }
 
-// limitType is its name for a request that is over a limit of the configuration.
-const limitType = "http_request_denied"
+// limitErrorType is its name for a request that is over a limit of the configuration.
+const limitErrorType = "http_request_denied"
 
-// proxyStatus words the header. Details must be of characters that a quoted string takes as they are.
-func (s *Server) proxyStatus(h http.Header, kind, details string) {
+// setProxyStatus words the header. Details must be of characters that a quoted string takes as they are.
+func (s *Server) setProxyStatus(h http.Header, kind, details string) {
 	if kind != "" {
-		h[statusHeader] = []string{s.name + "; error=" + kind + `; details="` + strings.ReplaceAll(details, " ", "_") + `"`}
+		h[proxyStatusHeader] = []string{s.name + "; error=" + kind + `; details="` + strings.ReplaceAll(details, " ", "_") + `"`}
 	}
 }
