--- /dev/null
+++ b/internal/discovery/platform/client_test.go
@@ -0,0 +1,135 @@
+package platform
+
+import (
+	"context"
+	"log/slog"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"rowancart/internal/testpeer"
+)
+
+const patience = testpeer.Patience
+
+var (
+	members = testpeer.Members
+	member  = testpeer.Member
+)
+
+// testClient is a running Client of a scripted discovery.
+type testClient struct {
+	*Client
+	updates chan EndpointList
+	calls   chan string // queries that discovery was called with
+}
+
+// startClient runs a client that knows a version, after configure (nil: nothing) has changed it.
+// Discovery answers its calls with one step each.
+func startClient(t *testing.T, version int64, configure func(*Client), steps ...string) *testClient {
+	t.Helper()
+	addr, calls := startDiscovery(t, steps...)
+	c := &testClient{updates: make(chan EndpointList, 100), calls: calls}
+	c.Client = New(Options{Addr: addr, Version: &version, OnUpdate: func(l EndpointList) { c.updates <- l },
+		Log: slog.New(slog.DiscardHandler)})
+	c.timing.idleTimeout, c.timing.responseTimeout = patience, patience
+	if configure != nil {
+		configure(c.Client)
+	}
+	ctx, cancel := context.WithTimeout(t.Context(), 2*patience)
+	t.Cleanup(cancel)
+	go c.Run(ctx)
+	return c
+}
+
+// startDiscovery serves a script. It returns its address and the queries of its calls.
+func startDiscovery(t *testing.T, steps ...string) (addr string, calls chan string) {
+	t.Helper()
+	script := &testpeer.Script{Steps: steps, Calls: make(chan string, 100)}
+	server := httptest.NewServer(script)
+	t.Cleanup(server.Close)
+	t.Cleanup(server.CloseClientConnections) // a watch may still be open
+	return server.Listener.Addr().String(), script.Calls
+}
+
+func (c *testClient) expectCalls(t *testing.T, queries ...string) {
+	t.Helper()
+	for _, want := range queries {
+		select {
+		case got := <-c.calls:
+			if got != want {
+				t.Errorf("called with %q, want %q", got, want)
+			}
+		case <-time.After(patience):
+			t.Fatalf("never called with %q", want)
+		}
+	}
+}
+
+func (c *testClient) expectVersions(t *testing.T, versions ...int64) {
+	t.Helper()
+	for _, want := range versions {
+		select {
+		case list := <-c.updates:
+			if *list.Version != want {
+				t.Errorf("version %d, want %d", *list.Version, want)
+			}
+		case <-time.After(patience):
+			t.Fatalf("version %d never came", want)
+		}
+	}
+}
+
+func TestLostWatchIsResumed(t *testing.T) {
+	c := startClient(t, 41, nil,
+		"\n"+members(43, false, member("a", "127.0.0.1:1", "Terminating"))+"\n\n"+members(44, false)+"\n",
+		members(50, true, member("b", "127.0.0.1:2", "Ready"))+"\nSILENT")
+	c.expectVersions(t, 43, 44, 50)
+	c.expectCalls(t, "watch=1&after=41", "watch=1&after=44")
+}
+
+// One Subscribe is enough: a watch that ends is reopened, whether or not there are further calls of
+// Subscribe.
+func TestWatchesBeginWithSubscribe(t *testing.T) {
+	c := startClient(t, 41, func(c *Client) { c.subscribed = make(chan struct{}) },
+		members(42, false)+"\n", members(43, false)+"\n", members(44, false)+"\nSILENT")
+	select {
+	case query := <-c.calls:
+		t.Fatalf("called with %q before Subscribe", query)
+	default:
+	}
+	c.Subscribe()
+	c.expectVersions(t, 42, 43)
+	c.Subscribe()
+	c.expectVersions(t, 44)
+	c.expectCalls(t, "watch=1&after=41", "watch=1&after=42", "watch=1&after=43")
+}
+
+// Versions at the new address may have nothing to do with those of the old one.
+func TestSetAddressRefetchesList(t *testing.T) {
+	c := startClient(t, 41, nil, members(42, false)+"\nSILENT")
+	c.expectVersions(t, 42)
+	addr, calls := startDiscovery(t, members(7, true), members(8, false)+"\nSILENT")
+	c.SetAddress(addr)
+	c.expectVersions(t, 7, 8)
+	c.calls = calls
+	c.expectCalls(t, "", "watch=1&after=7")
+}
+
+// A reload may change the address at any point of a watch. The old address is left at once.
+func TestSetAddressAtAnyPointOfAWatch(t *testing.T) {
+	for name, step := range map[string]string{
+		"before the headers": "MUTE",
+		"after the headers":  "SILENT",
+		"within a line":      drainMessage[:20] + "SILENT",
+		"between lines":      "\nSILENT",
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := startClient(t, 41, nil, step)
+			c.expectCalls(t, "watch=1&after=41")
+			addr, _ := startDiscovery(t, members(7, true), members(8, false)+"\nSILENT")
+			c.SetAddress(addr)
+			c.expectVersions(t, 7, 8)
+		})
+	}
+}
--- /dev/null
+++ b/internal/discovery/platform/drain_test.go
@@ -0,0 +1,298 @@
+package platform
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// The tests of this file measure, in synctest bubbles, how long it takes until a client is notified
+// of a drain.
+
+// drainObserver is a running client that notes when it was notified of the drain.
+type drainObserver struct {
+	notified atomic.Int64 // Unix time in ns; 0: not yet
+	stop     func()       // ends the client and its discovery
+}
+
+func (o *drainObserver) notifiedAt() time.Time { return time.Unix(0, o.notified.Load()) }
+
+// wasNotifiedBy reports whether the client was notified by a time.
+func (o *drainObserver) wasNotifiedBy(deadline time.Time) bool {
+	return o.notified.Load() != 0 && !o.notifiedAt().After(deadline)
+}
+
+// observeDrain starts a client of a handler that serves as discovery, over connections in memory.
+// Connections fail while refuses returns true.
+func observeDrain(t *testing.T, options Options, discovery http.Handler, refuses func() bool) *drainObserver {
+	observer := &drainObserver{}
+	version := int64(41)
+	options.Addr, options.Version, options.Log = "127.0.0.1:1", &version, slog.New(slog.DiscardHandler)
+	options.OnUpdate = func(list EndpointList) {
+		if *list.Version == 42 {
+			observer.notified.CompareAndSwap(0, time.Now().UnixNano())
+		}
+	}
+	listener := make(pipeListener)
+	client := New(options)
+	client.Subscribe()
+	client.httpClient.Transport = &http.Transport{
+		DisableKeepAlives: true,
+		DialContext: func(context.Context, string, string) (net.Conn, error) {
+			if refuses() {
+				return nil, syscall.ECONNREFUSED
+			}
+			clientSide, serverSide := net.Pipe()
+			listener <- serverSide
+			return clientSide, nil
+		},
+	}
+	server := &http.Server{Handler: discovery}
+	ctx, cancel := context.WithCancel(t.Context())
+	serverDone, clientDone := make(chan struct{}), make(chan struct{})
+	go func() { server.Serve(listener); close(serverDone) }()
+	go func() { client.Run(ctx); close(clientDone) }()
+	observer.stop = func() {
+		cancel()
+		<-clientDone
+		close(listener)
+		server.Close()
+		<-serverDone
+	}
+	return observer
+}
+
+// pipeListener is a net.Listener of connections in memory.
+type pipeListener chan net.Conn
+
+func (l pipeListener) Accept() (net.Conn, error) {
+	conn, ok := <-l
+	if !ok {
+		return nil, net.ErrClosed
+	}
+	return conn, nil
+}
+func (l pipeListener) Close() error   { return nil }
+func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+
+// agent is discovery on the client's own machine.
+type agent struct {
+	refusesWhenDown bool // connections; else it accepts them and doesn't respond
+	// firstWatch writes the beginning of the first watch, which then stalls; nil: it is healthy.
+	firstWatch func(w http.ResponseWriter)
+	down       atomic.Bool
+	draining   atomic.Bool
+	watches    atomic.Int32
+}
+
+func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	watch := a.watches.Add(1)
+	if a.down.Load() {
+		<-r.Context().Done()
+		return
+	}
+	if a.firstWatch != nil {
+		if watch == 1 {
+			a.firstWatch(w)
+		}
+		w.(http.Flusher).Flush()
+		if watch == 1 {
+			<-r.Context().Done()
+			return
+		}
+	}
+	a.serveWatch(w, r)
+}
+
+// serveWatch looks every 100 ms whether there is a drain to report, and writes an empty line every
+// 2 s.
+func (a *agent) serveWatch(w http.ResponseWriter, r *http.Request) {
+	reported := false
+	for tick := 0; !a.down.Load(); tick++ {
+		switch {
+		case a.draining.Load() && !reported:
+			reported = true
+			w.Write([]byte(drainMessage + "\n"))
+		case tick%20 == 0:
+			w.Write([]byte("\n"))
+		}
+		w.(http.Flusher).Flush()
+		select {
+		case <-r.Context().Done():
+			return
+		case <-time.After(100 * time.Millisecond):
+		}
+	}
+	<-r.Context().Done()
+}
+
+// drainCase is a state of agent and watch in which an endpoint starts to drain.
+type drainCase struct {
+	agent func() *agent
+	// drain brings the drain about and returns when the grace, of a length that it is passed, begins.
+	drain func(a *agent, grace time.Duration) time.Time
+}
+
+// drainOnStalledWatch is a drain that the first watch hides: it stalls after the given beginning.
+// A watch that has been stalled for 6 s counts as one that has notified.
+func drainOnStalledWatch(beginning string) drainCase {
+	const bound = 6 * time.Second
+	return drainCase{
+		agent: func() *agent {
+			return &agent{firstWatch: func(w http.ResponseWriter) { w.Write([]byte(beginning)) }}
+		},
+		drain: func(a *agent, grace time.Duration) time.Time {
+			a.draining.Store(true)
+			return time.Now().Add(bound - grace)
+		},
+	}
+}
+
+// drainAtOutage is a drain that begins when an outage of the agent ends.
+func drainAtOutage(newAgent func() *agent, begin, length time.Duration) drainCase {
+	return drainCase{newAgent, func(a *agent, _ time.Duration) time.Time {
+		time.Sleep(begin)
+		a.down.Store(true)
+		time.Sleep(length)
+		a.draining.Store(true)
+		a.down.Store(false)
+		return time.Now()
+	}}
+}
+
+func drainCases() map[string]drainCase {
+	hanging := func() *agent { return &agent{} }
+	refusing := func() *agent { return &agent{refusesWhenDown: true} }
+	return map[string]drainCase{
+		"a healthy watch": {hanging, func(a *agent, _ time.Duration) time.Time {
+			time.Sleep(7 * time.Second)
+			a.draining.Store(true)
+			return time.Now()
+		}},
+		"stalled from its first byte":                  drainOnStalledWatch(""),
+		"stalled within its first line":                drainOnStalledWatch(drainMessage[:30]),
+		"stalled after a line":                         drainOnStalledWatch(members(41, false) + "\n"),
+		"discovery down for long, calls hang":          drainAtOutage(hanging, 3*time.Second, 8*time.Second),
+		"discovery down for long, connections refused": drainAtOutage(refusing, 0, 9*time.Second),
+		// The outage begins right before a line is due.
+		"discovery down for some seconds": drainAtOutage(hanging, 1900*time.Millisecond, 2*time.Second),
+	}
+}
+
+// An instance counts as notified of what the agent has whether or not a watch is open, and requests
+// have to end within the drain grace after that. However a watch stalled, or discovery was down, the
+// client is notified well within the grace.
+func TestADrainIsHeardOfWithinItsBound(t *testing.T) {
+	for _, setting := range []time.Duration{0, 800 * time.Millisecond, 2 * time.Second} {
+		grace := setting
+		if grace == 0 {
+			grace = defaultDrainGrace
+		}
+		for name, test := range drainCases() {
+			t.Run(name+" "+setting.String(), func(t *testing.T) {
+				for range 20 { // the jitter of backoffs is random
+					synctest.Test(t, func(t *testing.T) {
+						a := test.agent()
+						observer := observeDrain(t, Options{DrainGrace: setting}, a,
+							func() bool { return a.refusesWhenDown && a.down.Load() })
+						graceBegins := test.drain(a, grace)
+						time.Sleep(20 * time.Second)
+						observer.stop()
+						if !observer.wasNotifiedBy(graceBegins.Add(grace)) {
+							t.Errorf("notified %v after the grace of %v began", observer.notifiedAt().Sub(graceBegins), grace)
+						}
+					})
+				}
+			})
+		}
+	}
+}
+
+// sharedService is discovery as one service for all instances: it answers one call after the other,
+// takes a while for each, and rejects calls while its queue is full. Until it stalls, a watch is
+// opened at once and stays healthy.
+type sharedService struct {
+	stalled   chan struct{} // closed: watches that are open deliver nothing any more
+	answering chan struct{} // capacity 1: a semaphore held by the call that is being answered
+	queued    atomic.Int32
+}
+
+const (
+	serviceQueueLimit = 8 // the last one waits for 2 s
+	serviceTime       = 250 * time.Millisecond
+	rejectionTime     = 35 * time.Millisecond
+)
+
+func (s *sharedService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	select {
+	case <-s.stalled:
+	default:
+		writeEmptyLines(w, r, s.stalled)
+		<-r.Context().Done()
+		return
+	}
+	if s.queued.Add(1) > serviceQueueLimit {
+		s.queued.Add(-1)
+		time.Sleep(rejectionTime)
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	s.answering <- struct{}{}
+	time.Sleep(serviceTime) // also for a call that was cancelled meanwhile
+	<-s.answering
+	s.queued.Add(-1)
+	w.Write([]byte(drainMessage + "\n"))
+	writeEmptyLines(w, r, nil)
+}
+
+// writeEmptyLines writes an empty line at once and every 2 s, until the client disconnects or stop
+// is closed.
+func writeEmptyLines(w http.ResponseWriter, r *http.Request, stop <-chan struct{}) {
+	ticker := time.NewTicker(2 * time.Second)
+	defer ticker.Stop()
+	for {
+		w.Write([]byte("\n"))
+		w.(http.Flusher).Flush()
+		select {
+		case <-stop:
+			return
+		case <-r.Context().Done():
+			return
+		case <-ticker.C:
+		}
+	}
+}
+
+// All instances lose their watches together and call one service anew. Their attempts must not keep
+// it from answering: each is notified of a drain within 6 s of the stall and the grace.
+func TestRetriesDoNotOverloadASharedService(t *testing.T) {
+	const instances, bound = 13, 6*time.Second + defaultDrainGrace
+	for range 20 { // the jitter of backoffs is random
+		synctest.Test(t, func(t *testing.T) {
+			s := &sharedService{stalled: make(chan struct{}), answering: make(chan struct{}, 1)}
+			var observers []*drainObserver
+			for range instances {
+				observers = append(observers, observeDrain(t, Options{WaitForSubscribe: true}, s, func() bool { return false }))
+			}
+			time.Sleep(5 * time.Second)
+			stalledAt := time.Now()
+			close(s.stalled)
+			time.Sleep(20 * time.Second)
+			for _, o := range observers {
+				o.stop()
+			}
+			time.Sleep(3 * time.Second) // calls that were cancelled are answered all the same
+			for i, o := range observers {
+				if !o.wasNotifiedBy(stalledAt.Add(bound)) {
+					t.Errorf("instance %d was notified of a drain %v after its watch stalled", i, o.notifiedAt().Sub(stalledAt))
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/discovery/platform/watch.go
@@ -0,0 +1,134 @@
+package platform
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// One watch, of which a watchdog bounds each phase. When the watchdog expires it cancels the watch,
+// and Run starts the next one:
+//
+//	phase      ends with                       time limit
+//	listing    the complete list               responseTimeout; only if there is no version to start from
+//	opening    the first byte of the response  responseTimeout; connecting is part of it
+//	receiving  the end of a message or line    responseTimeout, from its first byte
+//	idle       the first byte of the next one  idleTimeout
+//
+// Where the watchdog expires just as something arrives, the next watch starts after the latest
+// version that was applied: nothing is missed, at the cost of a call.
+
+const membersPath = "/catalog/members"
+
+// startWatch returns the context of a new watch, its cancel function, and the address to watch. A
+// SetAddress that follows cancels that context: one critical section both reads the address and
+// registers the cancel function.
+func (c *Client) startWatch(ctx context.Context) (context.Context, context.CancelFunc, string) {
+	ctx, cancel := context.WithCancel(ctx)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.addrChanged {
+		c.addrChanged, c.version = false, nil
+	}
+	c.cancelWatch = cancel
+	return ctx, cancel, c.addr
+}
+
+// watch runs one watch to its end, after it has fetched the complete list if there is no version to
+// start from. It reports whether the watch delivered anything, and returns why it ended, which is
+// never nil.
+func (c *Client) watch(ctx context.Context) (received bool, err error) {
+	ctx, cancel, addr := c.startWatch(ctx)
+	defer cancel()
+	watchdog := time.AfterFunc(c.timing.responseTimeout, cancel)
+	defer watchdog.Stop()
+	if c.version == nil {
+		if err := c.fetchList(ctx, addr); err != nil {
+			return false, err
+		}
+		watchdog.Reset(c.timing.responseTimeout)
+	}
+	body, err := c.get(ctx, addr, "?watch=1&after="+strconv.FormatInt(*c.version, 10))
+	if err != nil {
+		return false, err
+	}
+	defer body.Close()
+	stream := newMessageReader(body, func() { watchdog.Reset(c.timing.responseTimeout) })
+	for {
+		message, err := stream.next()
+		if err != nil {
+			return received, fmt.Errorf("watch: %w", err)
+		}
+		watchdog.Reset(c.timing.idleTimeout)
+		if len(message) > 0 {
+			if err := c.applyMessage(message); err != nil {
+				return received, err
+			}
+		}
+		received = true
+		if c.onCurrent != nil {
+			c.onCurrent()
+		}
+	}
+}
+
+// fetchList fetches and applies the complete list.
+func (c *Client) fetchList(ctx context.Context, addr string) error {
+	body, err := c.get(ctx, addr, "")
+	if err != nil {
+		return err
+	}
+	defer body.Close()
+	text, err := io.ReadAll(io.LimitReader(body, maxMessageBytes))
+	if err != nil {
+		return fmt.Errorf("list: %w", err)
+	}
+	return c.applyMessage(text)
+}
+
+// get calls discovery and returns the body of a 200 response, which the caller must close.
+func (c *Client) get(ctx context.Context, addr, query string) (io.ReadCloser, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+membersPath+query, nil)
+	if err != nil {
+		return nil, err
+	}
+	resp, err := c.httpClient.Do(req)
+	if err != nil {
+		return nil, err
+	}
+	if resp.StatusCode != http.StatusOK {
+		resp.Body.Close()
+		return nil, fmt.Errorf("%s%s: %s", membersPath, query, resp.Status)
+	}
+	return resp.Body, nil
+}
+
+// applyMessage passes one message to onUpdate. A message that can't be read, or whose changes are
+// to an older list than the known one, means that something may have been missed: the complete list
+// is fetched before the next watch. The version changes only where the message is passed on, by the
+// same goroutine.
+func (c *Client) applyMessage(text []byte) error {
+	list, err := ParseEndpointList(text)
+	if err == nil {
+		err = c.checkVersion(list)
+	}
+	if err != nil {
+		c.version = nil
+		return fmt.Errorf("malformed message: %w", err)
+	}
+	c.version = list.Version
+	c.onUpdate(list)
+	return nil
+}
+
+// checkVersion returns an error if the list consists of changes that don't follow the known
+// version.
+func (c *Client) checkVersion(list EndpointList) error {
+	if list.Full || c.version != nil && *list.Version >= *c.version {
+		return nil
+	}
+	return &fieldError{"version", fmt.Sprintf("%d does not follow", *list.Version)}
+}
