--- a/internal/discovery/platform/watch_test.go
+++ b/internal/discovery/platform/watch_test.go
@@ -20,6 +20,7 @@
 	const list, after40, after41 = "", "watch=1&after=40", "watch=1&after=41"
 	drained := drainMessage + "\nSILENT"
 	partOfLine := drainMessage[:20]
+	stalledLine, resetLine := partOfLine+"SILENT", partOfLine+"RESET"
 	list41, change41 := members(41, true), members(41, false)
 	tooLong := `{"version":"` + strings.Repeat("x", maxMessageBytes)
 	for name, test := range map[string]struct {
@@ -29,13 +30,13 @@
 	}{
 		"stalled before the headers":      {41, steps{"MUTE", drained}, calls{after41, after41}},
 		"stalled after the headers":       {41, steps{"SILENT", drained}, calls{after41, after41}},
-		"stalled in the first line":       {41, steps{partOfLine + "SILENT", drained}, calls{after41, after41}},
-		"stalled in a later line":         {40, steps{change41 + "\n\n" + partOfLine + "SILENT", drained}, calls{after40, after41}},
+		"stalled in the first line":       {41, steps{stalledLine, drained}, calls{after41, after41}},
+		"stalled in a later line":         {40, steps{change41 + "\n\n" + stalledLine, drained}, calls{after40, after41}},
 		"stalled before a line's end":     {41, steps{drainMessage + "SILENT", drained}, calls{after41, after41}},
 		"reset at once":                   {41, steps{"RESET", drained}, calls{after41, after41}},
-		"reset within a line":             {40, steps{change41 + "\n" + partOfLine + "RESET", drained}, calls{after40, after41}},
+		"reset within a line":             {40, steps{change41 + "\n" + resetLine, drained}, calls{after40, after41}},
 		"a list without a response":       {unknown, steps{"MUTE", list41, drained}, calls{list, list, after41}},
-		"a list that stalls":              {unknown, steps{partOfLine + "SILENT", list41, drained}, calls{list, list, after41}},
+		"a list that stalls":              {unknown, steps{stalledLine, list41, drained}, calls{list, list, after41}},
 		"a list, then a stalled watch":    {unknown, steps{list41, "MUTE", drained}, calls{list, after41, after41}},
 		"two in a row, then a reset":      {41, steps{"MUTE", "SILENT", "RESET", drained}, calls{after41, after41, after41}},
 		"a list that is malformed":        {unknown, steps{"{nonsense", list41, drained}, calls{list, list, after41}},
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -1,14 +1,7 @@
-// Package hotrestart is what the processes of one sidecar share while one takes over from another: who is there, which endpoints the
-// operators have taken out, and what was learned. Each fact is a file of its own in one folder, so that writers can't undo each other and
-// a process that is killed leaves nothing half done.
 package hotrestart
 
 import (
-	"encoding/hex"
-	"errors"
 	"fmt"
-	"io/fs"
-	"net/url"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -17,167 +10,153 @@
 	"time"
 )
 
+// Each running process owns one presence file, named by its status and its stamp:
+//
+//	registering --locked--> starting --MarkServing--> serving
+//
+// The owner holds an exclusive flock on the file for as long as it lives: the kernel releases the
+// lock at its death, however it dies, and no child inherits the descriptor. Peers therefore take a
+// file that they can lock for that of a dead process. Peers ignore the status registering, in which
+// the lock is not held yet.
+//
+// The owner removes its file in Unregister. The file of a process that was killed is removed by the
+// first peer that finds it unlocked.
+
+// status is the phase of a process, as the prefix of its presence file's name. Processes of
+// different versions meet in the directory, so these values must not change.
+type status string
+
 const (
-	bansName    = "bans"
-	learnedName = "learned"
-	starting    = "starting-"
-	serving     = "serving-"
-	entering    = "entering-" // not locked yet
-	mostID      = 120         // bytes of an endpoint's id: its ban has to fit a file's name
+	statusRegistering status = "entering-"
+	statusStarting    status = "starting-"
+	statusServing     status = "serving-"
 )
 
-// SharedDir is where the processes of one sidecar meet.
-type SharedDir struct{ path string }
-
-// OpenSharedDir makes sure of the folder of the sidecar of that name, within one that its processes have in common.
-func OpenSharedDir(within, name string) (*SharedDir, error) {
-	f := &SharedDir{filepath.Join(within, "rowancart-"+url.PathEscape(name))}
-	if err := os.MkdirAll(filepath.Join(f.path, bansName), 0o700); err != nil {
-		return nil, fmt.Errorf("upgrade: %w", err)
-	}
-	return f, nil
-}
-
-// SnapshotPath is the path of the snapshot of what was learned.
-func (f *SharedDir) SnapshotPath() string { return filepath.Join(f.path, learnedName) }
-
-// ban is the file that stands for a ban.
-func (f *SharedDir) ban(id string) string {
-	return filepath.Join(f.path, bansName, hex.EncodeToString([]byte(id)))
-}
+// startDigits is the width of the start time in a stamp, such that stamps sort by time.
+const startDigits = 20
 
-// Disable notes that an endpoint is taken out.
-func (f *SharedDir) Disable(id string) error {
-	if len(id) > mostID {
-		return fmt.Errorf("upgrade: an id of more than %d bytes", mostID)
-	}
-	b, err := os.OpenFile(f.ban(id), os.O_CREATE|os.O_WRONLY|syscall.O_CLOEXEC, 0o600)
-	if err != nil {
-		return fmt.Errorf("upgrade: %w", err)
-	}
-	return b.Close()
+// newStamp returns the identity of this process among its peers. Stamps sort by start time.
+func newStamp(started time.Time) string {
+	return fmt.Sprintf("%0*d-%d", startDigits, started.UnixNano(), os.Getpid())
 }
 
-// Enable notes that an endpoint is back.
-func (f *SharedDir) Enable(id string) error {
-	if err := os.Remove(f.ban(id)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("upgrade: %w", err)
-	}
-	return nil
+// isStamp reports whether newStamp can have returned the text. Foreign files must not count as
+// processes.
+func isStamp(text string) bool {
+	started, pid, ok := strings.Cut(text, "-")
+	_, startedErr := strconv.ParseUint(started, 10, 64)
+	_, pidErr := strconv.ParseUint(pid, 10, 32)
+	return ok && startedErr == nil && pidErr == nil && len(started) == startDigits
 }
 
-// Disabled gives the endpoints that are out, and the names of files that stand for none.
-func (f *SharedDir) Disabled() (ids, foreign []string, err error) {
-	files, err := os.ReadDir(filepath.Join(f.path, bansName))
-	if err != nil {
-		return nil, nil, fmt.Errorf("upgrade: %w", err)
-	}
-	for _, file := range files {
-		id, err := hex.DecodeString(file.Name())
-		if err != nil || len(id) == 0 {
-			foreign = append(foreign, file.Name())
-			continue
+// parsePresenceName splits the name of a presence file. It reports false for other files, and for
+// those of processes that are still registering.
+func parsePresenceName(name string) (s status, stamp string, ok bool) {
+	for _, s := range []status{statusServing, statusStarting} {
+		if stamp, ok := strings.CutPrefix(name, string(s)); ok {
+			return s, stamp, isStamp(stamp)
 		}
-		ids = append(ids, string(id))
 	}
-	return ids, foreign, nil
+	return "", "", false
 }
 
-// Presence is this process among those of the sidecar.
+// Presence makes this process visible to the other processes of the sidecar. Its methods must not
+// be called concurrently.
 type Presence struct {
-	folder *SharedDir
-	stamp  string // orders processes by their start
-	file   *os.File
-	path   string
+	dir   *SharedDir
+	stamp string
+	file  *os.File // holds the lock
+	path  string   // of file, under its current name
 }
 
-// Register shows this process to the others, from now on until it leaves or ends.
-func (f *SharedDir) Register(started time.Time) (*Presence, error) {
-	p := &Presence{folder: f, stamp: fmt.Sprintf("%020d-%d", started.UnixNano(), os.Getpid())}
-	path := filepath.Join(f.path, entering+p.stamp)
+// Register makes this process visible to the others, until it calls Unregister or ends. Processes
+// are ordered by the time at which they started.
+func (d *SharedDir) Register(started time.Time) (*Presence, error) {
+	p := &Presence{dir: d, stamp: newStamp(started)}
+	path := p.pathFor(statusRegistering)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("upgrade: %w", err)
+		return nil, wrapError(err)
 	}
-	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+	if err := tryLock(file); err != nil {
 		file.Close()
-		return nil, fmt.Errorf("upgrade: %w", err)
+		return nil, wrapError(err)
 	}
 	p.file, p.path = file, path
-	if err := p.show(starting); err != nil {
+	if err := p.setStatus(statusStarting); err != nil {
 		p.Unregister()
 		return nil, err
 	}
 	return p, nil
 }
 
-// MarkServing shows that this process serves.
-func (p *Presence) MarkServing() error { return p.show(serving) }
+// MarkServing lets the others see that this process serves requests.
+func (p *Presence) MarkServing() error { return p.setStatus(statusServing) }
+
+func (p *Presence) pathFor(s status) string {
+	return filepath.Join(p.dir.path, string(s)+p.stamp)
+}
 
-func (p *Presence) show(as string) error {
-	path := filepath.Join(p.folder.path, as+p.stamp)
+// setStatus renames the presence file. The lock is on the open file and stays.
+func (p *Presence) setStatus(s status) error {
+	path := p.pathFor(s)
 	if err := os.Rename(p.path, path); err != nil {
-		return fmt.Errorf("upgrade: %w", err)
+		return wrapError(err)
 	}
 	p.path = path
 	return nil
 }
 
-// Unregister takes this process away.
+// Unregister removes the presence file and releases its lock.
 func (p *Presence) Unregister() {
-	_ = os.Remove(p.path) // the others clear it away when they find that nobody holds it
+	_ = os.Remove(p.path) // where that fails, a peer removes it once it finds it unlocked
 	p.file.Close()
 }
 
-// Peers is who is there beside this process.
+// Peers says which other processes of the sidecar are running.
 type Peers struct {
-	Alive     bool // somebody is
-	Successor bool // somebody that started later, and serves
+	Alive     bool // there is one
+	Successor bool // there is one that started later than this process, and serves
 }
 
-// Peers looks round. What processes that have ended left behind is cleared away.
+// Peers reads the shared directory. It removes the files of processes that have ended.
 func (p *Presence) Peers() (Peers, error) {
-	var o Peers
-	files, err := os.ReadDir(p.folder.path)
+	var peers Peers
+	files, err := os.ReadDir(p.dir.path)
 	if err != nil {
-		return o, fmt.Errorf("upgrade: %w", err)
+		return peers, wrapError(err)
 	}
 	for _, file := range files {
-		stamp, serves := strings.CutPrefix(file.Name(), serving)
-		if !serves {
-			var starts bool
-			if stamp, starts = strings.CutPrefix(file.Name(), starting); !starts {
-				continue
-			}
-		}
-		if stamp == p.stamp || !wellFormed(stamp) || !p.folder.held(file.Name()) {
+		status, stamp, ok := parsePresenceName(file.Name())
+		if !ok || stamp == p.stamp || !p.dir.isAlive(file.Name()) {
 			continue
 		}
-		o.Alive = true
-		o.Successor = o.Successor || serves && stamp > p.stamp
+		peers.Alive = true
+		if status == statusServing && stamp > p.stamp {
+			peers.Successor = true
+		}
 	}
-	return o, nil
-}
-
-// wellFormed tells whether a stamp is one of ours: what is foreign must count for nobody.
-func wellFormed(stamp string) bool {
-	at, pid, ok := strings.Cut(stamp, "-")
-	_, errAt := strconv.ParseUint(at, 10, 64)
-	_, errPid := strconv.ParseUint(pid, 10, 32)
-	return ok && errAt == nil && errPid == nil && len(at) == 20
+	return peers, nil
 }
 
-// held tells whether the process that a file stands for lives.
-func (f *SharedDir) held(name string) bool {
-	path := filepath.Join(f.path, name)
+// isAlive reports whether the process of a presence file is running. It removes the file if not.
+// Where two peers check the file of a dead process at once, one of them takes it for running in
+// this call.
+func (d *SharedDir) isAlive(name string) bool {
+	path := filepath.Join(d.path, name)
 	file, err := os.OpenFile(path, os.O_RDWR|syscall.O_CLOEXEC, 0)
 	if err != nil {
-		return false // it has just gone, or goes by its next name
+		return false // it was removed or renamed meanwhile: the next call of Peers sees which
 	}
-	defer file.Close()
-	if syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil {
+	defer file.Close() // releases the lock, if this process got it
+	if tryLock(file) != nil {
 		return true
 	}
-	_ = os.Remove(path) // tried again at the next look
+	_ = os.Remove(path) // where that fails, the next call of Peers tries again
 	return false
 }
+
+// tryLock takes an exclusive lock on a file, or fails at once if another process has it.
+func tryLock(file *os.File) error {
+	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+}
--- /dev/null
+++ b/internal/hotrestart/presence_test.go
@@ -0,0 +1,120 @@
+package hotrestart
+
+import (
+	"os"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+)
+
+func openSharedDir(t *testing.T) *SharedDir {
+	t.Helper()
+	dir, err := OpenSharedDir(t.TempDir(), "n/1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// register registers a process that started at a time in ns.
+func register(t *testing.T, dir *SharedDir, started int64) *Presence {
+	t.Helper()
+	p, err := dir.Register(time.Unix(1_800_000_000, started))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+func expectPeers(t *testing.T, when string, p *Presence, want Peers) {
+	t.Helper()
+	got, err := p.Peers()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != want {
+		t.Errorf("%s: %+v, want %+v", when, got, want)
+	}
+}
+
+func TestProcessesSeeEachOther(t *testing.T) {
+	dir := openSharedDir(t)
+	first := register(t, dir, 1)
+	expectPeers(t, "alone", first, Peers{})
+	second := register(t, dir, 2)
+	if err := first.MarkServing(); err != nil {
+		t.Fatal(err)
+	}
+	expectPeers(t, "with its predecessor", second, Peers{Alive: true})
+	expectPeers(t, "with a successor that doesn't serve yet", first, Peers{Alive: true})
+	if err := second.MarkServing(); err != nil {
+		t.Fatal(err)
+	}
+	expectPeers(t, "superseded", first, Peers{Alive: true, Successor: true})
+	second.file.Close() // as at its death: its file stays
+	expectPeers(t, "with a dead successor", first, Peers{})
+	third := register(t, dir, 3)
+	first.Unregister()
+	expectPeers(t, "after the first has unregistered", third, Peers{})
+	third.Unregister()
+	if left, err := os.ReadDir(dir.path); err != nil || len(left) != 1 { // that of disabled endpoints
+		t.Errorf("left in the directory: %v, %v", left, err)
+	}
+}
+
+func TestForeignFilesAreNoPeers(t *testing.T) {
+	dir := openSharedDir(t)
+	p := register(t, dir, 1)
+	defer p.Unregister()
+	for _, name := range []string{
+		"serving-",
+		"serving-x-1",
+		"starting-99999999999999999999",
+		"other",
+		string(statusRegistering) + "00000000000000000009-1",
+	} {
+		path := filepath.Join(dir.path, name)
+		if err := os.WriteFile(path, nil, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		locked, err := os.Open(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer locked.Close()
+		if err := syscall.Flock(int(locked.Fd()), syscall.LOCK_EX); err != nil {
+			t.Fatal(err)
+		}
+	}
+	expectPeers(t, "with foreign files", p, Peers{})
+}
+
+// Processes of different versions meet in the directory: a rename in the code must not reach it.
+func TestFileNamesInTheSharedDirectory(t *testing.T) {
+	parent := t.TempDir()
+	dir, err := OpenSharedDir(parent, "n/1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := register(t, dir, 1)
+	defer p.Unregister()
+	expectMatch := func(pattern string) {
+		t.Helper()
+		if found, err := filepath.Glob(filepath.Join(parent, "rowancart-n%2F1", pattern)); err != nil || len(found) != 1 {
+			t.Errorf("%d files match %s, %v", len(found), pattern, err)
+		}
+	}
+	expectMatch("starting-01800000000000000001-*")
+	if err := p.MarkServing(); err != nil {
+		t.Fatal(err)
+	}
+	expectMatch("serving-01800000000000000001-*")
+	if err := dir.Disable("s-1"); err != nil {
+		t.Fatal(err)
+	}
+	expectMatch("bans/732d31")
+	if got, want := dir.SnapshotPath(), filepath.Join(parent, "rowancart-n%2F1", "learned"); got != want {
+		t.Errorf("snapshot at %s, want %s", got, want)
+	}
+}
