--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-type content struct {
+type state struct {
 	Names []string
 	Share float64
 }
 
-var written = time.UnixMilli(1_800_000_000_000)
+var writtenAt = time.UnixMilli(1_800_000_000_000)
 
-func write(t *testing.T) (path string, text string) {
+// writeState writes a snapshot and returns its path and text.
+func writeState(t *testing.T) (path string, text string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "state")
-	if err := Write(path, written, content{[]string{"a", "b\n{"}, 0.25}); err != nil {
+	if err := Write(path, writtenAt, state{[]string{"a", "b\n{"}, 0.25}); err != nil {
 		t.Fatal(err)
 	}
 	b, err := os.ReadFile(path)
@@ -29,36 +30,50 @@
 	return path, string(b)
 }
 
-func TestWhatWasWrittenIsRead(t *testing.T) {
-	path, _ := write(t)
-	var c content
-	ago, err := Read(path, written.Add(3*time.Second), time.Minute, &c)
-	if err != nil || ago != 3*time.Second || len(c.Names) != 2 || c.Names[1] != "b\n{" || c.Share != 0.25 {
-		t.Fatalf("%+v, %v ago, %v", c, ago, err)
+func TestReadReturnsWhatWasWritten(t *testing.T) {
+	path, _ := writeState(t)
+	var s state
+	age, err := Read(path, writtenAt.Add(3*time.Second), time.Minute, &s)
+	if err != nil || age != 3*time.Second || len(s.Names) != 2 || s.Names[1] != "b\n{" || s.Share != 0.25 {
+		t.Fatalf("%+v, of age %v, %v", s, age, err)
 	}
-	if ago, err := Read(path, written.Add(-time.Second), time.Minute, &c); err != nil || ago != 0 {
-		t.Errorf("a second ahead: %v, %v", ago, err)
+	if age, err := Read(path, writtenAt.Add(-time.Second), time.Minute, &s); err != nil || age != 0 {
+		t.Errorf("a second in the future: %v, %v", age, err)
 	}
-	if err := WriteNoSync(path, written, content{Share: 1}); err != nil {
+	if err := WriteNoSync(path, writtenAt, state{Share: 1}); err != nil {
 		t.Fatal(err)
 	}
-	left, err := os.ReadDir(filepath.Dir(path))
-	if err != nil || len(left) != 1 {
-		t.Errorf("after a second write there are %v, %v", left, err)
+	files, err := os.ReadDir(filepath.Dir(path))
+	if err != nil || len(files) != 1 {
+		t.Errorf("after a second write there are %v, %v", files, err)
+	}
+}
+
+// Snapshots are exchanged between versions of the program: the form on disk is fixed.
+func TestFileFormat(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
+	if err := Write(path, writtenAt, 1); err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadFile(path)
+	const want = `{"form":"rowancart snapshot","version":1,"written_ms":1800000000000,"bytes":1,"xxhash64":"b7b41276360564d4"}` +
+		"\n1\n"
+	if err != nil || string(got) != want {
+		t.Errorf("%q, %v, want %q", got, err, want)
 	}
 }
 
 // Whatever is cut off or changed, nothing of the file is used.
-func TestABrokenFileIsIgnored(t *testing.T) {
-	path, text := write(t)
+func TestCorruptFileIsNotUsed(t *testing.T) {
+	path, text := writeState(t)
 	read := func(text string) error {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var c content
-		_, err := Read(path, written, time.Minute, &c)
-		if err != nil && (c.Names != nil || strings.Contains(err.Error(), "\n")) {
-			t.Fatalf("%q: %+v is used, or more than a line is said: %v", text, c, err)
+		var s state
+		_, err := Read(path, writtenAt, time.Minute, &s)
+		if err != nil && (s.Names != nil || strings.Contains(err.Error(), "\n")) {
+			t.Fatalf("%q: %+v is used, or the error has more than a line: %v", text, s, err)
 		}
 		return err
 	}
@@ -66,74 +81,84 @@
 		if read(text[:i]) == nil {
 			t.Fatalf("cut after %d bytes, it is read", i)
 		}
-		other := []byte(text)
-		other[i] ^= 0x10
-		// One bit in the time of writing makes it old, or of the future, or leaves it a time that will do.
-		if err := read(string(other)); err == nil && !strings.Contains(text[max(i-16, 0):i+1], "written_ms") {
+		changed := []byte(text)
+		changed[i] ^= 0x10
+		// One bit in the time of writing makes it old, or of the future, or leaves a valid time.
+		if err := read(string(changed)); err == nil && !strings.Contains(text[max(i-16, 0):i+1], "written_ms") {
 			t.Fatalf("with byte %d (%q) changed, it is read", i, text[i])
 		}
 	}
-	if err := read(text + "x"); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("with more behind it: %v", err)
-	}
-	if err := read(strings.Replace(text, `"version":1`, `"version":2`, 1)); !errors.Is(err, ErrVersion) {
-		t.Errorf("of another version: %v", err)
+	for _, test := range []struct {
+		name, text string
+		want       error
+	}{
+		{"more after the content", text + "x", ErrCorrupt},
+		{"another version", strings.Replace(text, `"version":1`, `"version":2`, 1), ErrVersion},
+		{"a negative length", `{"form":"rowancart snapshot","version":1,"bytes":-1}` + "\n", ErrCorrupt},
+	} {
+		if err := read(test.text); !errors.Is(err, test.want) {
+			t.Errorf("%s: %v, want %v", test.name, err, test.want)
+		}
 	}
 }
 
-func TestOnlyWhatIsFreshIsUsed(t *testing.T) {
-	path, _ := write(t)
-	for _, row := range []struct {
-		after time.Duration
-		want  error
-	}{{time.Minute, nil}, {time.Minute + time.Second, ErrExpired}, {-time.Hour, ErrFromFuture}} {
-		if _, err := Read(path, written.Add(row.after), time.Minute, &content{}); !errors.Is(err, row.want) {
-			t.Errorf("%v after: %v, want %v", row.after, err, row.want)
+func TestReadChecksAge(t *testing.T) {
+	path, _ := writeState(t)
+	for _, test := range []struct {
+		age  time.Duration
+		want error
+	}{
+		{time.Minute, nil},
+		{time.Minute + time.Second, ErrExpired},
+		{-time.Hour, ErrFromFuture},
+	} {
+		if _, err := Read(path, writtenAt.Add(test.age), time.Minute, &state{}); !errors.Is(err, test.want) {
+			t.Errorf("at an age of %v: %v, want %v", test.age, err, test.want)
 		}
 	}
-	if _, err := Read(path+"x", written, time.Minute, &content{}); !errors.Is(err, ErrNotFound) {
+	if _, err := Read(path+"x", writtenAt, time.Minute, &state{}); !errors.Is(err, ErrNotFound) {
 		t.Errorf("no file: %v", err)
 	}
 }
 
 // A write that fails leaves the file that was there, and nothing else.
-func TestAFailedWriteLeavesTheOldFile(t *testing.T) {
-	path, text := write(t)
-	if err := Write(path, written, map[string]any{"x": func() {}}); err == nil {
+func TestFailedWriteKeepsOldFile(t *testing.T) {
+	path, text := writeState(t)
+	if err := Write(path, writtenAt, map[string]any{"x": func() {}}); err == nil {
 		t.Error("a func was written")
 	}
 	dir := filepath.Join(filepath.Dir(path), "none")
-	if err := Write(filepath.Join(dir, "state"), written, content{}); err == nil {
-		t.Error("written into a folder that is not there")
+	if err := Write(filepath.Join(dir, "state"), writtenAt, state{}); err == nil {
+		t.Error("written into a directory that doesn't exist")
 	}
-	// Nothing can be renamed onto a folder: the write fails at its last step.
+	// Nothing can be renamed onto a directory: the write fails at its last step.
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := Write(dir, written, content{}); err == nil {
-		t.Error("a folder was replaced")
+	if err := Write(dir, writtenAt, state{}); err == nil {
+		t.Error("a directory was replaced")
 	}
 	if now, err := os.ReadFile(path); err != nil || string(now) != text {
 		t.Errorf("the old file is %q, %v", now, err)
 	}
-	if left, err := os.ReadDir(filepath.Dir(path)); err != nil || len(left) != 2 {
-		t.Errorf("left behind: %v, %v", left, err)
+	if files, err := os.ReadDir(filepath.Dir(path)); err != nil || len(files) != 2 {
+		t.Errorf("left in the directory: %v, %v", files, err)
 	}
 }
 
-func TestOneProcessWrites(t *testing.T) {
+func TestLockIsExclusive(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	first, err := Lock(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Lock(path); err == nil {
-		t.Error("two hold it")
+		t.Error("two hold the lock")
 	}
 	first.Close()
 	second, err := Lock(path)
 	if err != nil {
-		t.Fatalf("after the first has let go: %v", err)
+		t.Fatalf("after the first was closed: %v", err)
 	}
 	second.Close()
 }
