--- /dev/null
+++ b/internal/hotrestart/successor/predecessor.go
@@ -0,0 +1,80 @@
+package successor
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+)
+
+// Predecessor is what a process inherits from the one before it: listening sockets, and the pipe on
+// which to report readiness. Its methods must not be called concurrently.
+type Predecessor struct {
+	sockets map[string]*os.File // by address; those that Listener has not returned yet
+	ready   *os.File            // nil: there is nobody to notify, or it is done
+}
+
+// Inherit takes over what a predecessor passes on; without a predecessor the result is empty. It
+// must be called once, before the process starts others, which would inherit the descriptors too.
+func Inherit() (*Predecessor, error) {
+	p := &Predecessor{sockets: map[string]*os.File{}}
+	text, ok := os.LookupEnv(inheritVariable)
+	if !ok {
+		return p, nil
+	}
+	_ = os.Unsetenv(inheritVariable) // fails only for an invalid name
+	var inherited inheritance
+	if err := json.Unmarshal([]byte(text), &inherited); err != nil {
+		return nil, fmt.Errorf("handover: %s: %w", inheritVariable, err)
+	}
+	for address, fd := range inherited.Addresses {
+		p.sockets[address] = openInherited(fd, address)
+	}
+	if inherited.Ready > 0 {
+		p.ready = openInherited(inherited.Ready, "ready")
+	}
+	return p, nil
+}
+
+// openInherited returns a file of an inherited descriptor, which no child inherits in turn.
+func openInherited(fd int, name string) *os.File {
+	syscall.CloseOnExec(fd)
+	return os.NewFile(uintptr(fd), name)
+}
+
+// Listener returns a listener of the predecessor's socket for an address, nil if it had none. It can
+// be called once for each address.
+func (p *Predecessor) Listener(address string) (net.Listener, error) {
+	f := p.sockets[address]
+	if f == nil {
+		return nil, nil
+	}
+	delete(p.sockets, address)
+	defer f.Close() // the listener has a descriptor of its own
+	l, err := net.FileListener(f)
+	if err != nil {
+		return nil, fmt.Errorf("handover: %s: %w", address, err)
+	}
+	return l, nil
+}
+
+// Ready notifies the predecessor that this process serves, and closes the sockets for which Listener
+// was not called. It does nothing more when called again.
+func (p *Predecessor) Ready() error {
+	for address, f := range p.sockets {
+		f.Close()
+		delete(p.sockets, address)
+	}
+	if p.ready == nil {
+		return nil
+	}
+	_, err := p.ready.WriteString(readyMessage)
+	err = errors.Join(err, p.ready.Close())
+	p.ready = nil
+	if errors.Is(err, syscall.EPIPE) {
+		return nil // the predecessor has ended: there is nobody to notify
+	}
+	return err
+}
--- a/internal/hotrestart/successor/successor.go
+++ b/internal/hotrestart/successor/successor.go
@@ -1,5 +1,10 @@
-// Package successor starts a successor of this process that serves at the same sockets, and takes them over from a predecessor.
-// The kernel keeps one queue of connections for a socket, whoever holds it: between the two nothing is refused and nothing lost.
+// Package successor starts a successor of this process that serves at the same listening sockets, and
+// in the successor takes them over from its predecessor.
+//
+// The kernel keeps one queue of connections for a listening socket, however many processes have a
+// descriptor of it. Between the two processes no connection is refused, and none is lost. The
+// successor gets the sockets as extra descriptors, and a variable of its environment says which is
+// which. It reports on a pipe that it serves: a pipe that closes before means that it has ended.
 package successor
 
 import (
@@ -17,186 +22,166 @@
 	"golang.org/x/sys/unix"
 )
 
+// The protocol between the two processes. They may be of different versions, so it must not change.
 const (
-	variable   = "ROWANCART_INHERIT"
-	firstExtra = 3 // descriptors of a child begin after its standard ones
-	ready      = "ready\n"
-	killAfter  = time.Second // a successor that is to end gets this long for it
+	inheritVariable = "ROWANCART_INHERIT" // of the environment: an inheritance in JSON
+	readyMessage    = "ready\n"
 )
 
-// ErrNotReady says that a successor was started and did not say in time that it serves. It has been ended.
-var ErrNotReady = errors.New("the successor did not get ready in time")
-
-// sockets says which descriptor is for which address; Ready is the pipe on which readiness is told.
-type sockets struct {
-	Addresses map[string]int `json:"addresses"`
-	Ready     int            `json:"ready"`
-}
-
-// Predecessor is what a process has from the one before it.
-type Predecessor struct {
-	files map[string]*os.File
-	ready *os.File
-}
-
-// Inherit takes over what a predecessor hands on; without one there is nothing in it. It must be called once, before the process
-// starts others: they would inherit what they have no use for.
-func Inherit() (*Predecessor, error) {
-	p := &Predecessor{files: map[string]*os.File{}}
-	text, told := os.LookupEnv(variable)
-	if !told {
-		return p, nil
-	}
-	_ = os.Unsetenv(variable) // its name is good
-	var s sockets
-	if err := json.Unmarshal([]byte(text), &s); err != nil {
-		return nil, fmt.Errorf("handover: %s: %w", variable, err)
-	}
-	for address, fd := range s.Addresses {
-		syscall.CloseOnExec(fd)
-		p.files[address] = os.NewFile(uintptr(fd), address)
-	}
-	if s.Ready > 0 {
-		syscall.CloseOnExec(s.Ready)
-		p.ready = os.NewFile(uintptr(s.Ready), "ready")
-	}
-	return p, nil
+// inheritance says which descriptor the successor inherits for what.
+type inheritance struct {
+	Addresses map[string]int `json:"addresses"` // listening sockets
+	Ready     int            `json:"ready"`     // the pipe on which readiness is reported
 }
 
-// Listener gives the predecessor's socket for an address, nil if it had none.
-func (p *Predecessor) Listener(address string) (net.Listener, error) {
-	f := p.files[address]
-	if f == nil {
-		return nil, nil
-	}
-	delete(p.files, address)
-	defer f.Close()
-	l, err := net.FileListener(f)
-	if err != nil {
-		return nil, fmt.Errorf("handover: %s: %w", address, err)
-	}
-	return l, nil
-}
-
-// Ready tells the predecessor that this process serves, and lets go of the sockets that nobody asked for.
-func (p *Predecessor) Ready() error {
-	for address, f := range p.files {
-		f.Close()
-		delete(p.files, address)
-	}
-	if p.ready == nil {
-		return nil
-	}
-	_, err := p.ready.WriteString(ready)
-	err = errors.Join(err, p.ready.Close())
-	p.ready = nil
-	if errors.Is(err, syscall.EPIPE) {
-		return nil // the predecessor is gone already: there is nobody to tell
-	}
-	return err
-}
+const (
+	// firstExtraFD is the descriptor of the first extra file of a child, after its standard ones.
+	firstExtraFD = 3
+	// killDelay is the time from SIGTERM to SIGKILL for a successor that didn't get ready.
+	killDelay = time.Second
+)
 
-// share gives another descriptor of a listener's socket. Its File method would not do: the exec package makes what comes from
-// there blocking, and with it the listener itself, which is the same socket and could not be closed any more.
-func share(l net.Listener) (*os.File, error) {
-	c, ok := l.(syscall.Conn)
-	if !ok {
-		return nil, errors.New("this kind of listener can't be handed on")
-	}
-	raw, err := c.SyscallConn()
-	if err != nil {
-		return nil, err
-	}
-	var fd int
-	var failed error
-	if err := raw.Control(func(old uintptr) { fd, failed = unix.FcntlInt(old, unix.F_DUPFD_CLOEXEC, 0) }); err != nil || failed != nil {
-		return nil, errors.Join(err, failed)
-	}
-	return os.NewFile(uintptr(fd), l.Addr().String()), nil
-}
+// ErrNotReady says that a successor was started but did not report in time that it serves. It has
+// been ended.
+var ErrNotReady = errors.New("the successor did not get ready in time")
 
-// Successor is a process that was started at the sockets of this one, and may not serve yet.
+// Successor is a process that was started with the sockets of this one, and may not serve yet.
 type Successor struct {
 	Pid       int
 	command   *exec.Cmd
-	told      *os.File // where it says that it serves
+	ready     *os.File // the end of the pipe that is read
 	listeners map[string]net.Listener
 }
 
-// Start starts a command as the successor at the sockets of listeners, by their addresses. From its return on the successor
-// holds the sockets, whatever becomes of this process. Wait must follow.
+// Start starts a command as the successor with the sockets of listeners, which are by address. Once
+// Start has returned the successor holds the sockets, whatever becomes of this process. The caller
+// must call Wait.
 func Start(command *exec.Cmd, listeners map[string]net.Listener) (*Successor, error) {
-	s := sockets{Addresses: map[string]int{}}
-	var files []*os.File
+	var extra []*os.File // what the child inherits
 	defer func() {
-		for _, f := range files {
-			f.Close() // that of the pipe above all: else the end of the successor would not show there
+		// Above all the writing end of the pipe: while this process has it open, the end of the
+		// successor doesn't close the pipe.
+		for _, f := range extra {
+			f.Close()
 		}
 	}()
+	passedOn := inheritance{Addresses: map[string]int{}}
 	for address, l := range listeners {
-		f, err := share(l)
+		f, err := duplicateSocket(l)
 		if err != nil {
 			return nil, fmt.Errorf("handover: %s: %w", address, err)
 		}
-		s.Addresses[address] = firstExtra + len(files)
-		files = append(files, f)
+		passedOn.Addresses[address] = firstExtraFD + len(extra)
+		extra = append(extra, f)
 	}
-	told, tells, err := os.Pipe()
+	ready, reportReady, err := os.Pipe()
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	s.Ready = firstExtra + len(files)
-	files = append(files, tells)
-	text, err := json.Marshal(s)
-	if err != nil {
-		told.Close()
+	passedOn.Ready = firstExtraFD + len(extra)
+	extra = append(extra, reportReady)
+	if err := startWith(command, passedOn, extra); err != nil {
+		ready.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
+	return &Successor{Pid: command.Process.Pid, command: command, ready: ready, listeners: listeners}, nil
+}
+
+// startWith starts a command that inherits the extra files. Its environment says which is which.
+func startWith(command *exec.Cmd, passedOn inheritance, extra []*os.File) error {
+	text, err := json.Marshal(passedOn)
+	if err != nil {
+		return err
+	}
 	if command.Env == nil {
 		command.Env = os.Environ()
 	}
-	command.Env = append(command.Env, variable+"="+string(text))
-	command.ExtraFiles = files
-	if err := command.Start(); err != nil {
-		told.Close()
-		return nil, fmt.Errorf("handover: %w", err)
+	command.Env = append(command.Env, inheritVariable+"="+string(text))
+	command.ExtraFiles = extra
+	return command.Start()
+}
+
+// duplicateSocket returns another descriptor of a listener's socket. The listener's File method would
+// not do: the exec package makes such a file blocking, and with it the listener itself, which is the
+// same socket and could then not be closed any more.
+func duplicateSocket(l net.Listener) (*os.File, error) {
+	conn, ok := l.(syscall.Conn)
+	if !ok {
+		return nil, errors.New("this kind of listener can't be handed on")
+	}
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return nil, err
 	}
-	return &Successor{Pid: command.Process.Pid, command: command, told: told, listeners: listeners}, nil
+	var fd int
+	var dupErr error
+	err = raw.Control(func(old uintptr) { fd, dupErr = unix.FcntlInt(old, unix.F_DUPFD_CLOEXEC, 0) })
+	if err != nil || dupErr != nil {
+		return nil, errors.Join(err, dupErr)
+	}
+	return os.NewFile(uintptr(fd), l.Addr().String()), nil
 }
 
-// Wait waits until the successor serves. When it does not within the time given, or ctx ends, it is ended and the listeners
-// stay with this process alone.
-func (s *Successor) Wait(ctx context.Context, within time.Duration) error {
-	defer s.told.Close()
-	ended := make(chan struct{})
+// Wait returns nil once the successor has reported that it serves. Where it doesn't within the
+// timeout, or ends, or ctx ends, Wait ends it and returns an error; this process is then the only one
+// that listens. The error wraps ErrNotReady after the timeout, and that of ctx if it ended.
+func (s *Successor) Wait(ctx context.Context, timeout time.Duration) error {
+	defer s.ready.Close()
+	exited := make(chan struct{})
 	go func() {
-		defer close(ended)
-		_ = s.command.Wait() // a successor that serves outlives this process, as a rule
+		defer close(exited)
+		_ = s.command.Wait() // a successor that serves normally outlives this process
 	}()
-	_ = s.told.SetReadDeadline(time.Now().Add(within))
-	stop := context.AfterFunc(ctx, func() { _ = s.told.SetReadDeadline(time.Unix(1, 0)) })
-	defer stop()
-	line, err := bufio.NewReader(s.told).ReadString('\n')
-	if line == ready {
-		for _, l := range s.listeners {
-			if u, ok := l.(*net.UnixListener); ok {
-				u.SetUnlinkOnClose(false) // the path is the successor's now
-			}
-		}
+	err := s.awaitReady(ctx, timeout)
+	if err == nil {
+		s.giveUpPaths()
 		return nil
 	}
-	_ = s.command.Process.Signal(syscall.SIGTERM)
-	select {
-	case <-ended:
-	case <-time.After(killAfter):
-		_ = s.command.Process.Kill()
-		<-ended
-	}
+	s.terminate(exited)
 	if ctx.Err() != nil {
 		return fmt.Errorf("handover: %w", ctx.Err())
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return fmt.Errorf("handover: process %d: %w: %v", s.Pid, ErrNotReady, within)
+		return fmt.Errorf("handover: process %d: %w: %v", s.Pid, ErrNotReady, timeout)
 	}
 	return fmt.Errorf("handover: process %d ended before it served: %v", s.Pid, s.command.ProcessState)
 }
+
+var errOtherMessage = errors.New("the successor reported something else than readiness")
+
+// awaitReady returns nil if the successor reports readiness before the timeout and the end of ctx.
+func (s *Successor) awaitReady(ctx context.Context, timeout time.Duration) error {
+	_ = s.ready.SetReadDeadline(time.Now().Add(timeout))
+	longAgo := time.Unix(1, 0)
+	stop := context.AfterFunc(ctx, func() { _ = s.ready.SetReadDeadline(longAgo) })
+	defer stop()
+	line, err := bufio.NewReader(s.ready).ReadString('\n')
+	if line == readyMessage {
+		return nil
+	}
+	if err == nil {
+		return errOtherMessage
+	}
+	return err
+}
+
+// giveUpPaths leaves the paths of Unix sockets to the successor: the close of a listener in this
+// process must not remove them.
+func (s *Successor) giveUpPaths() {
+	for _, l := range s.listeners {
+		if u, ok := l.(*net.UnixListener); ok {
+			u.SetUnlinkOnClose(false)
+		}
+	}
+}
+
+// terminate ends the process and returns once it has exited.
+func (s *Successor) terminate(exited <-chan struct{}) {
+	_ = s.command.Process.Signal(syscall.SIGTERM)
+	select {
+	case <-exited:
+	case <-time.After(killDelay):
+		_ = s.command.Process.Kill()
+		<-exited
+	}
+}
--- /dev/null
+++ b/internal/hotrestart/successor/successor_test.go
@@ -0,0 +1,176 @@
+package successor
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// The test program is its own successor: behaviorVariable says how it behaves then.
+const behaviorVariable = "SUCCESSOR_TEST_BEHAVIOR"
+
+const (
+	behaviorServe   = "serve"   // gets ready and answers one connection
+	behaviorHang    = "hang"    // never gets ready
+	behaviorExit    = "exit"    // ends before it is ready
+	behaviorMisread = "misread" // reports something else than readiness
+)
+
+const servedBySuccessor = "served by the successor"
+
+// patience is a time that no test should come near.
+const patience = 20 * time.Second
+
+func TestMain(m *testing.M) {
+	behavior, ok := os.LookupEnv(behaviorVariable)
+	if !ok {
+		os.Exit(m.Run())
+	}
+	if err := behave(behavior); err != nil {
+		os.Exit(1)
+	}
+}
+
+func behave(behavior string) error {
+	p, err := Inherit()
+	if err != nil {
+		return err
+	}
+	switch behavior {
+	case behaviorServe:
+		return serveOnce(p)
+	case behaviorHang:
+		time.Sleep(patience)
+	case behaviorMisread:
+		_, err := p.ready.WriteString("hello\n")
+		time.Sleep(patience)
+		return err
+	}
+	return nil
+}
+
+func serveOnce(p *Predecessor) error {
+	l, err := p.Listener("main")
+	if err != nil {
+		return err
+	}
+	if other, err := p.Listener("other"); other != nil || err != nil {
+		return errors.New("a listener that was not passed on")
+	}
+	if err := p.Ready(); err != nil {
+		return err
+	}
+	conn, err := l.Accept()
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	_, err = io.WriteString(conn, servedBySuccessor)
+	return err
+}
+
+func startSuccessor(t *testing.T, behavior string, l net.Listener) *Successor {
+	t.Helper()
+	command := exec.Command(os.Args[0])
+	command.Env = append(os.Environ(), behaviorVariable+"="+behavior)
+	s, err := Start(command, map[string]net.Listener{"main": l})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+func TestSuccessorServesAtTheSameSocket(t *testing.T) {
+	for network, address := range map[string]string{
+		"tcp":  "127.0.0.1:0",
+		"unix": filepath.Join(t.TempDir(), "socket"),
+	} {
+		t.Run(network, func(t *testing.T) {
+			l, err := net.Listen(network, address)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer l.Close()
+			s := startSuccessor(t, behaviorServe, l)
+			if err := s.Wait(t.Context(), patience); err != nil {
+				t.Fatal(err)
+			}
+			l.Close() // the successor still listens, also at a path
+			conn, err := net.Dial(network, l.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer conn.Close()
+			conn.SetDeadline(time.Now().Add(patience))
+			if got, err := io.ReadAll(conn); err != nil || string(got) != servedBySuccessor {
+				t.Errorf("%q, %v", got, err)
+			}
+		})
+	}
+}
+
+func TestWaitEndsASuccessorThatIsNotReady(t *testing.T) {
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	for name, test := range map[string]struct {
+		behavior string
+		ctx      context.Context
+		timeout  time.Duration
+		want     error  // nil: any
+		text     string // part of the error
+	}{
+		"not ready in time":      {behaviorHang, t.Context(), 100 * time.Millisecond, ErrNotReady, "100ms"},
+		"context ended":          {behaviorHang, cancelled, patience, context.Canceled, ""},
+		"exits before readiness": {behaviorExit, t.Context(), patience, nil, "ended before it served"},
+		"reports something else": {behaviorMisread, t.Context(), patience, nil, "ended before it served"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			l, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer l.Close()
+			s := startSuccessor(t, test.behavior, l)
+			err = s.Wait(test.ctx, test.timeout)
+			if err == nil || test.want != nil && !errors.Is(err, test.want) || !strings.Contains(err.Error(), test.text) {
+				t.Errorf("%v, want %v, %q", err, test.want, test.text)
+			}
+			if s.command.ProcessState == nil {
+				t.Error("the successor was not waited for")
+			}
+			go net.Dial("tcp", l.Addr().String())
+			if conn, err := l.Accept(); err != nil {
+				t.Errorf("this process doesn't accept any more: %v", err)
+			} else {
+				conn.Close()
+			}
+		})
+	}
+}
+
+func TestInheritWithoutPredecessor(t *testing.T) {
+	p, err := Inherit()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if l, err := p.Listener("main"); l != nil || err != nil {
+		t.Errorf("%v, %v", l, err)
+	}
+	if err := p.Ready(); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestInheritRejectsAnInvalidVariable(t *testing.T) {
+	t.Setenv(inheritVariable, "{")
+	if _, err := Inherit(); err == nil || !strings.Contains(err.Error(), inheritVariable) {
+		t.Error(err)
+	}
+}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -56,8 +56,8 @@
 		t.Fatal(err)
 	}
 	got, err := os.ReadFile(path)
-	const want = `{"form":"rowancart snapshot","version":1,"written_ms":1800000000000,"bytes":1,"xxhash64":"b7b41276360564d4"}` +
-		"\n1\n"
+	const want = `{"form":"rowancart snapshot","version":1,"written_ms":1800000000000,` +
+		`"bytes":1,"xxhash64":"b7b41276360564d4"}` + "\n1\n"
 	if err != nil || string(got) != want {
 		t.Errorf("%q, %v, want %q", got, err, want)
 	}
