--- /dev/null
+++ b/internal/discovery/file/follow.go
@@ -0,0 +1,49 @@
+// Package file is endpoint discovery by a file that others write: a JSON document with the complete
+// list of endpoints,
+//
+//	{"endpoints": [{"id": "a", "address": "127.0.0.1:8080", "zone": "z", "kind": "k", "cell": 1,
+//	                "state": "draining", "started_ms": 1800000000000}]}
+//
+// which is read anew whenever it changes.
+package file
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+
+	"rowancart/internal/filewatch"
+	"rowancart/internal/proxy"
+)
+
+// Follow passes the list in a file, and each later one, to onUpdate, until ctx ends. A list that can't
+// be read leaves the one before it in use.
+//
+// onStatus is called with why the file can't be read or followed, and with nil for each list that
+// can be, before onUpdate. All calls come from the goroutine of Follow.
+func Follow(ctx context.Context, path string, onUpdate func(proxy.EndpointList), onStatus func(error),
+	log *slog.Logger) {
+	apply := func(text []byte) {
+		list, err := ParseEndpointList(text)
+		if err != nil {
+			err = fmt.Errorf("%s: %w", path, err)
+			log.Warn("endpoint list: invalid, the previous one stays in use", "err", err)
+			onStatus(err)
+			return
+		}
+		onStatus(nil)
+		onUpdate(list)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		log.Warn("endpoint list: no list yet", "err", err)
+		onStatus(err)
+	} else {
+		apply(text)
+	}
+	if err := filewatch.File(ctx, path, text, apply); err != nil {
+		log.Error("endpoint list: the file is not followed", "err", err)
+		onStatus(err)
+	}
+}
--- /dev/null
+++ b/internal/discovery/file/list.go
@@ -0,0 +1,96 @@
+package file
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+
+	"rowancart/balancer"
+	"rowancart/internal/netaddr"
+	"rowancart/internal/proxy"
+)
+
+// The types of the file's form are aliases of unnamed types, so that errors of the decoder name a
+// field by its path in the file and not by a type of this program.
+type (
+	document = struct {
+		Endpoints []entry `json:"endpoints"`
+	}
+	entry = struct {
+		ID        string `json:"id"`
+		Address   string `json:"address"` // host:port
+		Zone      string `json:"zone"`
+		Kind      string `json:"kind"`
+		Cell      int    `json:"cell"`
+		State     string `json:"state"`      // a key of states
+		StartedMs int64  `json:"started_ms"` // Unix time of the process's start, in ms
+	}
+)
+
+// states maps the names of states in a file. An entry without a state is ready.
+var states = map[string]balancer.State{
+	"":         balancer.Ready,
+	"ready":    balancer.Ready,
+	"draining": balancer.Draining,
+}
+
+// ParseEndpointList parses the text of a file into a complete endpoint list. One invalid entry makes
+// the entire text invalid. So does an unknown field, and a text that ends early: a file that is half
+// written must not pass for a list without endpoints.
+//
+// Errors name the field, as in "endpoints[2].id: missing". The prefix of others is the name of the
+// block that configures the file.
+func ParseEndpointList(text []byte) (proxy.EndpointList, error) {
+	entries, err := decode(text)
+	if err != nil {
+		return proxy.EndpointList{}, err
+	}
+	list := proxy.EndpointList{Complete: true}
+	seen := map[string]bool{}
+	for i, e := range entries {
+		endpoint, err := resolve(e, fmt.Sprintf("endpoints[%d]", i), seen)
+		if err != nil {
+			return proxy.EndpointList{}, err
+		}
+		seen[e.ID] = true
+		list.Endpoints = append(list.Endpoints, endpoint)
+	}
+	return list, nil
+}
+
+// decode returns the entries of a text that is one document and nothing else.
+func decode(text []byte) ([]entry, error) {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	var d document
+	if err := decoder.Decode(&d); err != nil {
+		return nil, fmt.Errorf("roster: %w", err)
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return nil, errors.New("roster: more follows the list")
+	}
+	if d.Endpoints == nil {
+		return nil, errors.New("endpoints: missing")
+	}
+	return d.Endpoints, nil
+}
+
+// resolve validates the entry at a path within the document. Its ID must not be among the seen ones.
+func resolve(e entry, path string, seen map[string]bool) (proxy.Endpoint, error) {
+	state, ok := states[e.State]
+	switch {
+	case e.ID == "":
+		return proxy.Endpoint{}, fmt.Errorf("%s.id: missing", path)
+	case seen[e.ID]:
+		return proxy.Endpoint{}, fmt.Errorf("%s.id: %q is there twice", path, e.ID)
+	case !ok:
+		return proxy.Endpoint{}, fmt.Errorf("%s.state: %q is neither ready nor draining", path, e.State)
+	}
+	if err := netaddr.Check(path+".address", e.Address); err != nil {
+		return proxy.Endpoint{}, err
+	}
+	return proxy.Endpoint{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: state,
+		StartedMs: e.StartedMs}, nil
+}
