--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -62,7 +62,7 @@
 		c, err := sidecar.LoadConfig(os.Getenv)
 		if err != nil {
 			log.Error("reload: the old configuration stays", "err", err)
-			s.ReloadFailed()
+			s.RecordFailedReload()
 			continue
 		}
 		s.Reload(c)
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -18,10 +18,10 @@
 	"time"
 )
 
-const patience = 20 * time.Second // no test should come near it
+const testTimeout = 20 * time.Second // no test should come near it
 
-// agent is a discovery agent that never has news and reports each call.
-func agent(t *testing.T) (addr string, called <-chan string) {
+// startDiscovery is a discovery agent that never has news and reports each call.
+func startDiscovery(t *testing.T) (addr string, called <-chan string) {
 	t.Helper()
 	calls := make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,7 +37,7 @@
 	return s.Listener.Addr().String(), calls
 }
 
-func configure(t *testing.T, path, discovery string) {
+func writeConfig(t *testing.T, path, discovery string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"t","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 		"known":{"version":1,"full":true,"servers":[]},"settings":{}}`, discovery)
@@ -46,25 +46,25 @@
 	}
 }
 
-func await(t *testing.T, what string, called <-chan string) {
+func waitForCall(t *testing.T, what string, called <-chan string) {
 	t.Helper()
 	select {
 	case <-called:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("%s was never called", what)
 	}
 }
 
 // The platform replaces the file and sends SIGHUP: the program must go on, with discovery at its new address.
-func TestSIGHUPTurnsToTheNewDiscovery(t *testing.T) {
-	first, firstCalled := agent(t)
-	second, secondCalled := agent(t)
+func TestSIGHUPReloadsDiscoveryAddress(t *testing.T) {
+	first, firstCalled := startDiscovery(t)
+	second, secondCalled := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	configure(t, path, first)
+	writeConfig(t, path, first)
 	t.Setenv("ROUTER_CONFIG", path)
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
-	await(t, "the first agent", firstCalled)
+	waitForCall(t, "the first agent", firstCalled)
 
 	signal := func(s syscall.Signal) {
 		if err := syscall.Kill(os.Getpid(), s); err != nil {
@@ -75,9 +75,9 @@
 		t.Fatal(err)
 	}
 	signal(syscall.SIGHUP)
-	configure(t, path, second)
+	writeConfig(t, path, second)
 	signal(syscall.SIGHUP)
-	await(t, "the second agent", secondCalled)
+	waitForCall(t, "the second agent", secondCalled)
 
 	signal(syscall.SIGTERM)
 	select {
@@ -85,22 +85,22 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("never ended")
 	}
 }
 
 // SIGHUP may come at any time up to the very end: a sidecar that ends on it has crashed.
-func TestSIGHUPBehindTheEndIsHeeded(t *testing.T) {
+func TestSIGHUPAfterShutdownIsHandled(t *testing.T) {
 	procs, percent, most := runtime.GOMAXPROCS(0), debug.SetGCPercent(100), debug.SetMemoryLimit(-1)
 	t.Cleanup(func() { runtime.GOMAXPROCS(procs); debug.SetGCPercent(percent); debug.SetMemoryLimit(most) })
-	addr, called := agent(t)
+	addr, called := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	configure(t, path, addr)
+	writeConfig(t, path, addr)
 	t.Setenv("ROUTER_CONFIG", path)
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
-	await(t, "discovery is called", called)
+	waitForCall(t, "discovery is called", called)
 	signalled := make(chan os.Signal, 1)
 	signal.Notify(signalled, syscall.SIGUSR1)
 	defer signal.Stop(signalled)
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -19,44 +19,44 @@
 	"rowancart/internal/testpeer"
 )
 
-// platform starts processes of one sidecar as the platform does: it holds the listening socket, and all have one folder for
+// testPlatform starts processes of one sidecar as the platform does: it holds the listening socket, and all have one folder for
 // what does not last.
-type platform struct {
-	program, folder, discovery string
-	listener                   *os.File
-	addr                       string
+type testPlatform struct {
+	program, sharedDir, discovery string
+	listener                      *os.File
+	addr                          string
 }
 
-// process is one of them.
-type process struct {
+// sidecarProcess is one of them.
+type sidecarProcess struct {
 	*exec.Cmd
-	console string
-	log     journal
-	ended   chan error
+	adminAddr string
+	log       logBuffer
+	exited    chan error
 }
 
-// journal is what a process has logged so far.
-type journal struct {
+// logBuffer is what a process has logged so far.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (j *journal) add(line string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.text.WriteString(line + "\n")
+func (b *logBuffer) appendLine(line string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.text.WriteString(line + "\n")
 }
 
-func (j *journal) String() string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.text.String()
+func (b *logBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
 }
 
 // newPlatform builds the program and lists the endpoints given, named a, b, ...
-func newPlatform(t *testing.T, endpoints ...string) *platform {
+func newPlatform(t *testing.T, endpoints ...string) *testPlatform {
 	t.Helper()
-	p := &platform{program: filepath.Join(t.TempDir(), "sidecar"), folder: t.TempDir()}
+	p := &testPlatform{program: filepath.Join(t.TempDir(), "sidecar"), sharedDir: t.TempDir()}
 	if out, err := exec.Command("go", "build", "-o", p.program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -94,7 +94,7 @@
 }
 
 // start starts a process; ready waits until it says that it serves.
-func (p *platform) start(t *testing.T) *process {
+func (p *testPlatform) start(t *testing.T) *sidecarProcess {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -103,8 +103,8 @@
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x := &process{Cmd: exec.Command(p.program), ended: make(chan error, 1)}
-	x.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_CONSOLE=127.0.0.1:0", "ROUTER_ACCEPT_FD=3", "TMPDIR=" + p.folder}
+	x := &sidecarProcess{Cmd: exec.Command(p.program), exited: make(chan error, 1)}
+	x.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_CONSOLE=127.0.0.1:0", "ROUTER_ACCEPT_FD=3", "TMPDIR=" + p.sharedDir}
 	x.ExtraFiles = []*os.File{p.listener}
 	out, err := x.StderrPipe()
 	if err != nil {
@@ -116,26 +116,26 @@
 	addr := make(chan string, 1)
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
-			x.log.add(lines.Text())
+			x.log.appendLine(lines.Text())
 			if _, rest, ok := strings.Cut(lines.Text(), "msg=console name=t addr="); ok {
 				addr <- rest
 			}
 		}
-		x.ended <- x.Wait()
+		x.exited <- x.Wait()
 	}()
-	t.Cleanup(func() { x.Process.Kill(); <-x.ended })
+	t.Cleanup(func() { x.Process.Kill(); <-x.exited })
 	select {
-	case x.console = <-addr:
-	case <-time.After(patience):
+	case x.adminAddr = <-addr:
+	case <-time.After(testTimeout):
 		t.Fatal("no console")
 	}
 	return x
 }
 
-// call asks a console.
-func (x *process) call(t *testing.T, line string) string {
+// adminCommand asks a console.
+func (p *sidecarProcess) adminCommand(t *testing.T, line string) string {
 	t.Helper()
-	nc, err := net.Dial("tcp", x.console)
+	nc, err := net.Dial("tcp", p.adminAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,28 +148,28 @@
 	return string(text)
 }
 
-func (x *process) ready(t *testing.T) {
+func (p *sidecarProcess) waitUntilReady(t *testing.T) {
 	t.Helper()
-	testpeer.Until(t, "ready", func() bool { return strings.HasPrefix(x.call(t, "ready"), "SUCCESS") })
+	testpeer.Until(t, "ready", func() bool { return strings.HasPrefix(p.adminCommand(t, "ready"), "SUCCESS") })
 }
 
-// end waits for a process that was told to end.
-func (x *process) end(t *testing.T) {
+// waitForExit waits for a process that was told to end.
+func (p *sidecarProcess) waitForExit(t *testing.T) {
 	t.Helper()
 	select {
-	case err := <-x.ended:
-		x.ended <- err
+	case err := <-p.exited:
+		p.exited <- err
 		if err != nil {
-			t.Errorf("ended with %v:\n%s", err, x.log.String())
+			t.Errorf("ended with %v:\n%s", err, p.log.String())
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("never ended")
 	}
 }
 
-// caller keeps a connection and asks one request after the other. A request to which a connection that was used before says nothing
+// runClient keeps a connection and asks one request after the other. A request to which a connection that was used before says nothing
 // at all is asked once more on a new one.
-func (p *platform) caller(t *testing.T, name string, stop <-chan struct{}, served *atomic.Int32) {
+func (p *testPlatform) runClient(t *testing.T, name string, stop <-chan struct{}, served *atomic.Int32) {
 	var nc net.Conn
 	var in *bufio.Reader
 	used := false
@@ -218,7 +218,7 @@
 
 // Three processes follow one another under load. No request is lost, bans hold whichever process they were said to, and also
 // where the one that said yes is killed right after.
-func TestAnUpgradeUnderLoadLosesNothing(t *testing.T) {
+func TestHandoverUnderLoadLosesNoRequest(t *testing.T) {
 	slow := func(nc net.Conn, r *http.Request, _ int) bool {
 		time.Sleep(5 * time.Millisecond) // so that requests are under way at any moment; nothing hangs on how long
 		_, err := io.WriteString(nc, testpeer.Served)
@@ -227,35 +227,35 @@
 	a, b, c := testpeer.New(t, slow), testpeer.New(t, slow), testpeer.New(t, slow)
 	p := newPlatform(t, a.Addr, b.Addr, c.Addr)
 	first := p.start(t)
-	first.ready(t)
+	first.waitUntilReady(t)
 
 	stop := make(chan struct{})
 	var served atomic.Int32
 	var callers sync.WaitGroup
 	for i := range 8 {
-		callers.Go(func() { p.caller(t, fmt.Sprint("c", i), stop, &served) })
+		callers.Go(func() { p.runClient(t, fmt.Sprint("c", i), stop, &served) })
 	}
 	more := func() {
 		n := served.Load()
 		testpeer.Until(t, "more is served", func() bool { return served.Load() > n+50 })
 	}
 	more()
-	if answer := first.call(t, "disable-server a"); !strings.HasPrefix(answer, "SUCCESS") {
+	if answer := first.adminCommand(t, "disable-server a"); !strings.HasPrefix(answer, "SUCCESS") {
 		t.Fatal(answer)
 	}
 	second := p.start(t)
-	second.ready(t)
+	second.waitUntilReady(t)
 	n := a.Requests.Load()
-	if answer := second.call(t, "disable-server b"); !strings.HasPrefix(answer, "SUCCESS") { // while both run
+	if answer := second.adminCommand(t, "disable-server b"); !strings.HasPrefix(answer, "SUCCESS") { // while both run
 		t.Fatal(answer)
 	}
 	testpeer.Until(t, "the first process heeds it, too", func() bool {
-		return strings.Contains(first.call(t, "show-stat"), "sidecar_targets_disabled 2\n")
+		return strings.Contains(first.adminCommand(t, "show-stat"), "sidecar_targets_disabled 2\n")
 	})
 	settled := b.Requests.Load()
 	more()
 	first.Process.Signal(syscall.SIGTERM)
-	first.end(t)
+	first.waitForExit(t)
 	more()
 	if now := a.Requests.Load(); now > n+8 { // what was under way at the ban
 		t.Errorf("the banned endpoint got %d more", now-n)
@@ -264,21 +264,21 @@
 		t.Errorf("the one banned later got %d more", now-settled)
 	}
 
-	if answer := second.call(t, "enable-server a"); !strings.HasPrefix(answer, "SUCCESS") {
+	if answer := second.adminCommand(t, "enable-server a"); !strings.HasPrefix(answer, "SUCCESS") {
 		t.Fatal(answer)
 	}
 	third := p.start(t)
-	third.ready(t)
-	if answer := second.call(t, "disable-server a"); !strings.HasPrefix(answer, "SUCCESS") {
+	third.waitUntilReady(t)
+	if answer := second.adminCommand(t, "disable-server a"); !strings.HasPrefix(answer, "SUCCESS") {
 		t.Fatal(answer)
 	}
 	close(stop)
 	callers.Wait()
 	second.Process.Kill()
-	<-second.ended
-	second.ended <- nil
+	<-second.exited
+	second.exited <- nil
 	testpeer.Until(t, "the ban outlives the process that said yes", func() bool {
-		return strings.Contains(third.call(t, "show-stat"), "sidecar_targets_disabled 2\n")
+		return strings.Contains(third.adminCommand(t, "show-stat"), "sidecar_targets_disabled 2\n")
 	})
 	if !strings.Contains(third.log.String(), "starting with what was learned") {
 		t.Errorf("the third process learned nothing from the second:\n%s", third.log.String())
@@ -286,33 +286,33 @@
 }
 
 // A successor that dies before it says yes, or right after, leaves the first process serving.
-func TestASuccessorThatDiesCostsNothing(t *testing.T) {
+func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
 	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
 	p := newPlatform(t, a.Addr)
 	first := p.start(t)
-	first.ready(t)
+	first.waitUntilReady(t)
 	second := p.start(t)
-	second.ready(t)
+	second.waitUntilReady(t)
 	testpeer.Until(t, "the first has seen it", func() bool { return strings.Contains(first.log.String(), "is_so=true") })
 	second.Process.Kill()
-	<-second.ended
-	second.ended <- nil
+	<-second.exited
+	second.exited <- nil
 	var served atomic.Int32
 	stop := make(chan struct{})
 	ended := make(chan bool)
-	go func() { p.caller(t, "c", stop, &served); close(ended) }()
+	go func() { p.runClient(t, "c", stop, &served); close(ended) }()
 	testpeer.Until(t, "the first serves again", func() bool { return served.Load() > 10 })
 	close(stop)
 	<-ended
 	first.Process.Signal(syscall.SIGTERM)
-	first.end(t)
+	first.waitForExit(t)
 }
 
 // Whatever lies in the shared folder, a start is a start.
-func TestNothingInTheSharedFolderKeepsAProcessFromStarting(t *testing.T) {
+func TestForeignFilesInSharedDirDoNotPreventStart(t *testing.T) {
 	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
 	p := newPlatform(t, a.Addr)
-	folder := filepath.Join(p.folder, "rowancart-t")
+	folder := filepath.Join(p.sharedDir, "rowancart-t")
 	if err := os.MkdirAll(filepath.Join(folder, "bans"), 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -322,8 +322,8 @@
 		}
 	}
 	x := p.start(t)
-	x.ready(t)
-	if text := x.call(t, "show-stat"); !strings.Contains(text, "sidecar_targets_disabled 1\n") {
+	x.waitUntilReady(t)
+	if text := x.adminCommand(t, "show-stat"); !strings.Contains(text, "sidecar_targets_disabled 1\n") {
 		t.Errorf("the ban that stands is not heeded: %s", text)
 	}
 	for _, want := range []string{"starting without what was learned", "stand for no ban"} {
@@ -333,13 +333,13 @@
 	}
 }
 
-func TestABadDescriptorFailsTheStartWithOneLine(t *testing.T) {
+func TestInvalidListenerDescriptorFailsStart(t *testing.T) {
 	p := newPlatform(t)
 	for _, fd := range []string{"seven", "63"} {
 		config := filepath.Join(t.TempDir(), "config.json")
-		configure(t, config, p.discovery)
+		writeConfig(t, config, p.discovery)
 		c := exec.Command(p.program)
-		c.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_ACCEPT_FD=" + fd, "TMPDIR=" + p.folder}
+		c.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_ACCEPT_FD=" + fd, "TMPDIR=" + p.sharedDir}
 		out, err := c.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "sidecar: ROUTER_ACCEPT_FD: ") {
 			t.Errorf("%s: %v, %q", fd, err, out)
@@ -349,11 +349,11 @@
 
 // SIGHUP and SIGTERM come while the new process still waits for its list, and it dies before it has said yes: the first goes on, and what
 // comes after SIGTERM is answered.
-func TestSignalsDuringAnUpgradeLoseNothing(t *testing.T) {
+func TestSignalsDuringHandoverLoseNoRequest(t *testing.T) {
 	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
 	p := newPlatform(t, a.Addr)
 	first := p.start(t)
-	first.ready(t)
+	first.waitUntilReady(t)
 	discovery := p.discovery
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts and says nothing
 	if err != nil {
@@ -363,25 +363,25 @@
 	p.discovery = silent.Addr().String()
 	second := p.start(t)
 	p.discovery = discovery
-	if answer := second.call(t, "ready"); !strings.HasPrefix(answer, "FAILURE") {
+	if answer := second.adminCommand(t, "ready"); !strings.HasPrefix(answer, "FAILURE") {
 		t.Errorf("ready without a list: %q", answer)
 	}
 	first.Process.Signal(syscall.SIGHUP)
 	testpeer.Until(t, "the first has reloaded", func() bool {
-		return strings.Contains(first.call(t, "show-stat"), "sidecar_reload_success 1\n")
+		return strings.Contains(first.adminCommand(t, "show-stat"), "sidecar_reload_success 1\n")
 	})
 	second.Process.Kill()
-	<-second.ended
-	second.ended <- nil
+	<-second.exited
+	second.exited <- nil
 	stop := make(chan struct{})
 	var served atomic.Int32
 	ended := make(chan bool)
-	go func() { p.caller(t, "c", stop, &served); close(ended) }()
+	go func() { p.runClient(t, "c", stop, &served); close(ended) }()
 	testpeer.Until(t, "the first serves", func() bool { return served.Load() > 10 })
 	third := p.start(t)
 	first.Process.Signal(syscall.SIGTERM) // whether the third has said yes or not
-	first.end(t)
-	third.ready(t)
+	first.waitForExit(t)
+	third.waitUntilReady(t)
 	n := served.Load()
 	testpeer.Until(t, "the third serves", func() bool { return served.Load() > n+10 })
 	close(stop)
@@ -389,11 +389,11 @@
 }
 
 // A request is half read, in its head or in its body, when a successor says yes and SIGTERM comes: who began to read it answers it.
-func TestAnUpgradeWithARequestHalfRead(t *testing.T) {
+func TestHandoverWithPartiallyReadRequest(t *testing.T) {
 	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
 	p := newPlatform(t, a.Addr)
 	first := p.start(t)
-	first.ready(t)
+	first.waitUntilReady(t)
 	whole := "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 10000\r\nContent-Length: 4\r\n\r\nbody"
 	type half struct {
 		net.Conn
@@ -406,7 +406,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(patience))
+		nc.SetDeadline(time.Now().Add(testTimeout))
 		text := strings.Replace(whole, "ID", fmt.Sprint("r", i), 1)
 		io.WriteString(nc, text[:at])
 		halves = append(halves, half{nc, text[at:]})
@@ -415,10 +415,10 @@
 	stop := make(chan struct{})
 	var served atomic.Int32
 	ended := make(chan bool)
-	go func() { p.caller(t, "c", stop, &served); close(ended) }()
+	go func() { p.runClient(t, "c", stop, &served); close(ended) }()
 	testpeer.Until(t, "more is served", func() bool { return served.Load() > 10 })
 	second := p.start(t)
-	second.ready(t)
+	second.waitUntilReady(t)
 	testpeer.Until(t, "the first has seen it", func() bool { return strings.Contains(first.log.String(), "is_so=true") })
 	first.Process.Signal(syscall.SIGTERM)
 	for i, h := range halves {
@@ -428,7 +428,7 @@
 			t.Errorf("half %d: %+v, %v", i, resp, err)
 		}
 	}
-	first.end(t)
+	first.waitForExit(t)
 	close(stop)
 	<-ended
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// Descriptors is how many of them a console needs at most.
-	Descriptors = mostOpen + 2 // its listener, and one accepted for which room is being made
-
-	mostOpen   = 24
-	callWithin = 5 * time.Second        // for a call's line to come
-	tellWithin = 2 * time.Second        // for its answer to be read
-	lastWords  = 200 * time.Millisecond // for the caller to close first: else what it sent too much would break its answer
-	lastRead   = 4 << 10
+	// MaxDescriptors is how many of them a console needs at most.
+	MaxDescriptors = maxOpenConns + 2 // its listener, and one accepted for which room is being made
+
+	maxOpenConns    = 24
+	commandTimeout  = 5 * time.Second        // for a call's line to come
+	responseTimeout = 2 * time.Second        // for its answer to be read
+	lingerTimeout   = 200 * time.Millisecond // for the caller to close first: else what it sent too much would break its answer
+	lingerMaxBytes  = 4 << 10
 )
 
 // Operations is what the console operates. All of it is quick: an answer is due within a second.
@@ -34,19 +34,19 @@
 
 // Server answers calls.
 type Server struct {
-	listener net.Listener
-	operated Operations
-	log      *slog.Logger
-
-	mu      sync.Mutex
-	waiting []net.Conn // for their call, the one that came first in front
-	open    int
-	ended   bool
+	listener   net.Listener
+	operations Operations
+	log        *slog.Logger
+
+	mu              sync.Mutex
+	awaitingCommand []net.Conn // for their call, the one that came first in front
+	open            int
+	closed          bool
 }
 
 // New returns a console at a listener, which is its own from now on. Run does the work.
 func New(l net.Listener, o Operations, log *slog.Logger) *Server {
-	return &Server{listener: l, operated: o, log: log}
+	return &Server{listener: l, operations: o, log: log}
 }
 
 // Addr is where calls come.
@@ -58,7 +58,7 @@
 	defer stop()
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	defer s.end()
+	defer s.closeAwaiting()
 	for {
 		nc, err := s.listener.Accept()
 		if err != nil {
@@ -72,87 +72,87 @@
 			}
 			continue
 		}
-		if !s.admit(nc) {
+		if !s.admitConn(nc) {
 			nc.Close()
 			continue
 		}
-		calls.Go(func() { s.serve(nc) })
+		calls.Go(func() { s.serveConn(nc) })
 	}
 }
 
-// admit takes a connection in. Where there are too many, the one that has waited longest for its call gives way: callers that say
+// admitConn takes a connection in. Where there are too many, the one that has waited longest for its call gives way: callers that say
 // nothing must not keep out one that does.
-func (s *Server) admit(nc net.Conn) bool {
+func (s *Server) admitConn(nc net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended || s.open >= mostOpen && len(s.waiting) == 0 {
+	if s.closed || s.open >= maxOpenConns && len(s.awaitingCommand) == 0 {
 		return false
 	}
-	if s.open >= mostOpen {
-		s.waiting[0].Close()
-		s.waiting = s.waiting[1:]
+	if s.open >= maxOpenConns {
+		s.awaitingCommand[0].Close()
+		s.awaitingCommand = s.awaitingCommand[1:]
 	}
 	s.open++
-	s.waiting = append(s.waiting, nc)
+	s.awaitingCommand = append(s.awaitingCommand, nc)
 	return true
 }
 
-// heard takes a connection off those that wait for their call.
-func (s *Server) heard(nc net.Conn) {
+// stopAwaiting takes a connection off those that wait for their call.
+func (s *Server) stopAwaiting(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, other := range s.waiting {
+	for i, other := range s.awaitingCommand {
 		if other == nc {
-			s.waiting = append(s.waiting[:i:i], s.waiting[i+1:]...)
+			s.awaitingCommand = append(s.awaitingCommand[:i:i], s.awaitingCommand[i+1:]...)
 			return
 		}
 	}
 }
 
-// end turns away what still waits.
-func (s *Server) end() {
+// closeAwaiting turns away what still waits.
+func (s *Server) closeAwaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
-	for _, nc := range s.waiting {
+	s.closed = true
+	for _, nc := range s.awaitingCommand {
 		nc.Close()
 	}
-	s.waiting = nil
+	s.awaitingCommand = nil
 }
 
-func (s *Server) serve(nc net.Conn) {
+func (s *Server) serveConn(nc net.Conn) {
 	defer func() {
-		s.heard(nc)
+		s.stopAwaiting(nc)
 		nc.Close()
 		s.mu.Lock()
 		s.open--
 		s.mu.Unlock()
 	}()
-	_ = nc.SetDeadline(time.Now().Add(callWithin)) // one that is closed shows at the read
+	_ = nc.SetDeadline(time.Now().Add(commandTimeout)) // one that is closed shows at the read
 	line, err := readLine(nc)
-	if err != nil && !errors.Is(err, errTooLong) {
+	if err != nil && !errors.Is(err, errLineTooLong) {
 		return // nothing, or half a call, which is none
 	}
-	s.heard(nc)
+	s.stopAwaiting(nc)
 	var out []byte
 	if err != nil {
 		out = failure(nil, err)
 	} else {
-		out = s.answer(line)
+		out = s.execute(line)
 	}
-	_ = nc.SetDeadline(time.Now().Add(tellWithin))
+	_ = nc.SetDeadline(time.Now().Add(responseTimeout))
 	if _, err := nc.Write(out); err != nil {
 		return
 	}
 	if half, ok := nc.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		_ = nc.SetDeadline(time.Now().Add(lastWords))
-		_, _ = io.CopyN(io.Discard, nc, lastRead)
+		_ = nc.SetDeadline(time.Now().Add(lingerTimeout))
+		_, _ = io.CopyN(io.Discard, nc, lingerMaxBytes)
 	}
 }
 
 // readLine reads up to a line's end, LF or CR LF. What comes behind it is nobody's.
 func readLine(r io.Reader) (string, error) {
-	buf := make([]byte, 0, maxLine+2)
+	buf := make([]byte, 0, maxLineBytes+2)
 	for {
 		n, err := r.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
@@ -160,7 +160,7 @@
 			return string(bytes.TrimSuffix(buf[:i], []byte("\r"))), nil
 		}
 		if len(buf) == cap(buf) {
-			return "", errTooLong
+			return "", errLineTooLong
 		}
 		if err != nil {
 			return "", err
@@ -168,22 +168,22 @@
 	}
 }
 
-// answer carries out a call.
-func (s *Server) answer(line string) []byte {
-	c, err := Parse(line)
+// execute carries out a call.
+func (s *Server) execute(line string) []byte {
+	c, err := ParseCommand(line)
 	if err != nil {
 		return failure(nil, err)
 	}
 	done := ""
 	switch c.Name {
 	case CommandShowStat:
-		return append(s.operated.AppendStats(nil), "EOT\n"...)
+		return append(s.operations.AppendStats(nil), "EOT\n"...)
 	case CommandReady:
-		err, done = s.operated.Ready(), "ready"
+		err, done = s.operations.Ready(), "ready"
 	case CommandDisableServer:
-		err, done = s.operated.Disable(c.Endpoint), c.Endpoint+" is out"
+		err, done = s.operations.Disable(c.Endpoint), c.Endpoint+" is out"
 	case CommandEnableServer:
-		err, done = s.operated.Enable(c.Endpoint), c.Endpoint+" is back"
+		err, done = s.operations.Enable(c.Endpoint), c.Endpoint+" is back"
 	}
 	if err != nil {
 		return failure(nil, err)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,50 +13,52 @@
 	"time"
 )
 
-// box has the one endpoint "a".
-type box struct{ out map[string]bool }
+// fakeOperations has the one endpoint "a".
+type fakeOperations struct{ disabled map[string]bool }
 
-func (b *box) Ready() error { return nil }
+func (o *fakeOperations) Ready() error { return nil }
 
-func (b *box) AppendStats(text []byte) []byte { return append(text, "sidecar_targets 1\n"...) }
+func (o *fakeOperations) AppendStats(text []byte) []byte {
+	return append(text, "sidecar_targets 1\n"...)
+}
 
-func (b *box) Disable(id string) error {
+func (o *fakeOperations) Disable(id string) error {
 	if id != "a" {
 		return fmt.Errorf("no endpoint %q is listed", id)
 	}
-	b.out[id] = true
+	o.disabled[id] = true
 	return nil
 }
 
-func (b *box) Enable(id string) error {
+func (o *fakeOperations) Enable(id string) error {
 	if id != "a" {
 		return errors.New("not\nhere")
 	}
-	delete(b.out, id)
+	delete(o.disabled, id)
 	return nil
 }
 
-// piped is a listener whose connections live in memory, so that time in a synctest bubble covers them.
-type piped struct {
+// pipeListener is a listener whose connections live in memory, so that time in a synctest bubble covers them.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (p piped) Accept() (net.Conn, error) {
+func (l pipeListener) Accept() (net.Conn, error) {
 	select {
-	case nc := <-p.conns:
+	case nc := <-l.conns:
 		return nc, nil
-	case <-p.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
-func (p piped) Close() error   { close(p.done); return nil }
-func (p piped) Addr() net.Addr { return &net.TCPAddr{} }
+func (l pipeListener) Close() error   { close(l.done); return nil }
+func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// start runs a console and returns the way to connect.
-func start(t *testing.T) (connect func() net.Conn) {
-	l := piped{make(chan net.Conn), make(chan struct{})}
-	s := New(l, &box{out: map[string]bool{}}, slog.New(slog.DiscardHandler))
+// startServer runs a console and returns the way to connect.
+func startServer(t *testing.T) (connect func() net.Conn) {
+	l := pipeListener{make(chan net.Conn), make(chan struct{})}
+	s := New(l, &fakeOperations{disabled: map[string]bool{}}, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan bool)
 	go func() { s.Run(ctx); close(ended) }()
@@ -69,32 +71,32 @@
 	}
 }
 
-func TestCallsAndTheirAnswers(t *testing.T) {
+func TestCommandResponses(t *testing.T) {
 	for line, want := range map[string]string{
-		"ready\n":                             "SUCCESS ready\n",
-		"ready\r\n":                           "SUCCESS ready\n",
-		"  ready \t\n":                        "SUCCESS ready\n",
-		"show-stat\n":                         "sidecar_targets 1\nEOT\n",
-		"disable-server a\n":                  "SUCCESS a is out\n",
-		"enable-server a\r\n":                 "SUCCESS a is back\n",
-		"disable-server b\n":                  "FAILURE no endpoint \"b\" is listed\n",
-		"enable-server b\n":                   "FAILURE not here\n",
-		"disable-server\n":                    "FAILURE disable-server: the endpoint's id is missing\n",
-		"disable-server a b\n":                "FAILURE disable-server: \"b\" is too much: one id is wanted\n",
-		"ready now\n":                         "FAILURE ready: \"now\" is too much: nothing is wanted\n",
-		"drain\n":                             "FAILURE unknown call \"drain\"\n",
-		"READY\n":                             "FAILURE unknown call \"READY\"\n",
-		"\n":                                  "FAILURE no call: ready, show-stat, disable-server ID and enable-server ID are known\n",
-		"ready\x00\n":                         "FAILURE byte 6 is no printable ASCII\n",
-		"re\xc3\xa4dy\n":                      "FAILURE byte 3 is no printable ASCII\n",
-		strings.Repeat("x", maxLine+1) + "\n": "FAILURE the line is longer than 128 bytes\n",
-		strings.Repeat("x", 9*maxLine):        "FAILURE the line is longer than 128 bytes\n",
-		"ready":                               "", // cut by the end of input: no call
+		"ready\n":              "SUCCESS ready\n",
+		"ready\r\n":            "SUCCESS ready\n",
+		"  ready \t\n":         "SUCCESS ready\n",
+		"show-stat\n":          "sidecar_targets 1\nEOT\n",
+		"disable-server a\n":   "SUCCESS a is out\n",
+		"enable-server a\r\n":  "SUCCESS a is back\n",
+		"disable-server b\n":   "FAILURE no endpoint \"b\" is listed\n",
+		"enable-server b\n":    "FAILURE not here\n",
+		"disable-server\n":     "FAILURE disable-server: the endpoint's id is missing\n",
+		"disable-server a b\n": "FAILURE disable-server: \"b\" is too much: one id is wanted\n",
+		"ready now\n":          "FAILURE ready: \"now\" is too much: nothing is wanted\n",
+		"drain\n":              "FAILURE unknown call \"drain\"\n",
+		"READY\n":              "FAILURE unknown call \"READY\"\n",
+		"\n":                   "FAILURE no call: ready, show-stat, disable-server ID and enable-server ID are known\n",
+		"ready\x00\n":          "FAILURE byte 6 is no printable ASCII\n",
+		"re\xc3\xa4dy\n":       "FAILURE byte 3 is no printable ASCII\n",
+		strings.Repeat("x", maxLineBytes+1) + "\n": "FAILURE the line is longer than 128 bytes\n",
+		strings.Repeat("x", 9*maxLineBytes):        "FAILURE the line is longer than 128 bytes\n",
+		"ready":                                    "", // cut by the end of input: no call
 	} {
-		nc := start(t)()
+		nc := startServer(t)()
 		go func() {
 			io.WriteString(nc, line)
-			if !strings.HasSuffix(line, "\n") && len(line) < maxLine {
+			if !strings.HasSuffix(line, "\n") && len(line) < maxLineBytes {
 				nc.Close()
 			}
 		}()
@@ -106,10 +108,10 @@
 }
 
 // Far more silent callers than there is room for stay for seconds: one that says something is answered at once all the same.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
+func TestSilentClientsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		connect := start(t)
-		for i := range 3 * mostOpen {
+		connect := startServer(t)
+		for i := range 3 * maxOpenConns {
 			nc := connect()
 			if i%2 == 0 {
 				go io.WriteString(nc, "show-")
@@ -126,12 +128,12 @@
 }
 
 // A caller that sends nothing, or does not read, is let go of by itself.
-func TestNobodyHoldsAPlaceForGood(t *testing.T) {
+func TestStalledConnectionsTimeOut(t *testing.T) {
 	for name, line := range map[string]string{"silent": "", "half a call": "show-", "not reading": "show-stat\n"} {
 		synctest.Test(t, func(t *testing.T) {
-			nc := start(t)()
+			nc := startServer(t)()
 			go io.WriteString(nc, line)
-			time.Sleep(callWithin + tellWithin + time.Second)
+			time.Sleep(commandTimeout + responseTimeout + time.Second)
 			if got, err := io.ReadAll(nc); len(got) != 0 || err != nil {
 				t.Errorf("%s: %q, %v", name, got, err)
 			}
@@ -144,17 +146,17 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, line string) {
-		c, err := Parse(line)
+		c, err := ParseCommand(line)
 		if err != nil {
 			if text := string(failure(nil, err)); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, "FAILURE ") {
 				t.Errorf("%q", text)
 			}
 			return
 		}
-		if takesID[c.Name] != (c.Endpoint != "") || strings.ContainsAny(c.Endpoint, " \t\r\n") {
+		if commandTakesID[c.Name] != (c.Endpoint != "") || strings.ContainsAny(c.Endpoint, " \t\r\n") {
 			t.Errorf("%+v", c)
 		}
-		again, err := Parse(strings.TrimSpace(c.Name + " " + c.Endpoint))
+		again, err := ParseCommand(strings.TrimSpace(c.Name + " " + c.Endpoint))
 		if err != nil || again != c {
 			t.Errorf("%+v reads again as %+v, %v", c, again, err)
 		}
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// maxLine is how many bytes a call has at most, its end not counted.
-const maxLine = 128
+// maxLineBytes is how many bytes a call has at most, its end not counted.
+const maxLineBytes = 128
 
 // Command is one call of an operator.
 type Command struct {
@@ -23,15 +23,15 @@
 	CommandEnableServer  = "enable-server"
 )
 
-// takesID tells which calls are about an endpoint.
-var takesID = map[string]bool{CommandReady: false, CommandShowStat: false, CommandDisableServer: true, CommandEnableServer: true}
+// commandTakesID tells which calls are about an endpoint.
+var commandTakesID = map[string]bool{CommandReady: false, CommandShowStat: false, CommandDisableServer: true, CommandEnableServer: true}
 
-var errTooLong = fmt.Errorf("the line is longer than %d bytes", maxLine)
+var errLineTooLong = fmt.Errorf("the line is longer than %d bytes", maxLineBytes)
 
-// Parse reads a call from its line, without the line's end. An error says what is wrong in words that fit an answer.
-func Parse(line string) (Command, error) {
-	if len(line) > maxLine {
-		return Command{}, errTooLong
+// ParseCommand reads a call from its line, without the line's end. An error says what is wrong in words that fit an answer.
+func ParseCommand(line string) (Command, error) {
+	if len(line) > maxLineBytes {
+		return Command{}, errLineTooLong
 	}
 	for i := range len(line) {
 		if c := line[i]; c < ' ' && c != '\t' || c >= 0x7f {
@@ -42,7 +42,7 @@
 	if len(words) == 0 {
 		return Command{}, errors.New("no call: ready, show-stat, disable-server ID and enable-server ID are known")
 	}
-	withID, known := takesID[words[0]]
+	withID, known := commandTakesID[words[0]]
 	switch {
 	case !known:
 		return Command{}, fmt.Errorf("unknown call %q", words[0])
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -17,67 +17,67 @@
 	Success  Outcome = iota // served
 	Overload                // refused: trying again is harmless
 	Error                   // failed
-	ends
+	outcomeCount
 )
 
-var endNames = [ends]string{"success", "overload", "error"}
+var outcomeNames = [outcomeCount]string{"success", "overload", "error"}
 
-// prefix begins each name.
-const prefix = "sidecar_"
+// namePrefix begins each name.
+const namePrefix = "sidecar_"
 
 // Counters are the counters of one process, all from 0.
 type Counters struct {
-	classes []*class // by name
-	taken   atomic.Int64
+	classes []*classCounters // by name
+	started atomic.Int64
 	dropped atomic.Int64
 
 	Reloads, FailedReloads atomic.Int64
 }
 
-type class struct {
-	name  string
-	ended [ends]atomic.Int64
+type classCounters struct {
+	name     string
+	outcomes [outcomeCount]atomic.Int64
 }
 
 // New returns the figures of the classes named.
 func New(names []string) *Counters {
 	names = slices.Compact(slices.Sorted(slices.Values(names)))
-	f := &Counters{classes: make([]*class, len(names))}
+	f := &Counters{classes: make([]*classCounters, len(names))}
 	for i, name := range names {
-		f.classes[i] = &class{name: name}
+		f.classes[i] = &classCounters{name: name}
 	}
 	return f
 }
 
 // RequestStarted counts a request of a class that was named in. Finish must follow.
-func (f *Counters) RequestStarted() { f.taken.Add(1) }
+func (c *Counters) RequestStarted() { c.started.Add(1) }
 
 // RequestFinished counts a request out.
-func (f *Counters) RequestFinished(name string, e Outcome) {
-	if i, found := slices.BinarySearchFunc(f.classes, name, func(c *class, name string) int { return strings.Compare(c.name, name) }); found {
-		f.classes[i].ended[e].Add(1)
+func (c *Counters) RequestFinished(name string, e Outcome) {
+	if i, found := slices.BinarySearchFunc(c.classes, name, func(c *classCounters, name string) int { return strings.Compare(c.name, name) }); found {
+		c.classes[i].outcomes[e].Add(1)
 	}
 }
 
 // RequestDropped takes back a request that turned out to be none that ends in any of these ways.
-func (f *Counters) RequestDropped() { f.dropped.Add(1) }
+func (c *Counters) RequestDropped() { c.dropped.Add(1) }
 
 // Gauges are the figures that are known elsewhere.
 type Gauges struct {
-	Dispatches int64 // attempts written whole
-	Listed     int   // endpoints in the list
-	Avoided    int   // of them, avoided now
+	Dispatches       int64 // attempts written whole
+	ListedEndpoints  int   // endpoints in the list
+	AvoidedEndpoints int   // of them, avoided now
 }
 
 // Append appends all figures, a line each. What it tells of requests is one reading: none is counted both as ended and as under way.
-func (f *Counters) Append(b []byte, g Gauges) []byte {
-	ended := f.dropped.Load()
-	for e := range ends {
-		for i := range f.classes {
-			n := f.classes[i].ended[e].Load()
+func (c *Counters) Append(b []byte, g Gauges) []byte {
+	ended := c.dropped.Load()
+	for e := range outcomeCount {
+		for i := range c.classes {
+			n := c.classes[i].outcomes[e].Load()
 			ended += n
-			b = append(append(append(b, prefix...), endNames[e]...), `{type="`...)
-			b = append(append(b, escape.Replace(f.classes[i].name)...), `"} `...)
+			b = append(append(append(b, namePrefix...), outcomeNames[e]...), `{type="`...)
+			b = append(append(b, labelEscaper.Replace(c.classes[i].name)...), `"} `...)
 			b = append(strconv.AppendInt(b, n, 10), '\n')
 		}
 	}
@@ -86,17 +86,17 @@
 		n    int64
 	}{
 		{"dispatches", g.Dispatches},
-		{"concurrent", f.taken.Load() - ended}, // read behind the ends: a request is taken before it ends
-		{"targets", int64(g.Listed)},
-		{"targets_disabled", int64(g.Avoided)},
-		{"reload_success", f.Reloads.Load()},
-		{"reload_failure", f.FailedReloads.Load()},
+		{"concurrent", c.started.Load() - ended}, // read behind the ends: a request is taken before it ends
+		{"targets", int64(g.ListedEndpoints)},
+		{"targets_disabled", int64(g.AvoidedEndpoints)},
+		{"reload_success", c.Reloads.Load()},
+		{"reload_failure", c.FailedReloads.Load()},
 	} {
-		b = append(append(append(b, prefix...), line.name...), ' ')
+		b = append(append(append(b, namePrefix...), line.name...), ' ')
 		b = append(strconv.AppendInt(b, line.n, 10), '\n')
 	}
 	return b
 }
 
-// escape writes label values as the text format for metrics has them.
-var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+// labelEscaper writes label values as the text format for metrics has them.
+var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,7 @@
 	"rowancart/internal/testpeer"
 )
 
-func TestEveryClassIsThereFromTheStart(t *testing.T) {
+func TestEveryClassIsReportedFromTheStart(t *testing.T) {
 	f := New([]string{"pay", "lo\"ok\\", "pay"})
 	f.Reloads.Add(1)
 	f.RequestStarted()
@@ -27,13 +27,13 @@
 sidecar_reload_success 1
 sidecar_reload_failure 0
 `
-	if got := string(f.Append(nil, Gauges{Dispatches: 7, Listed: 3, Avoided: 2})); got != want {
+	if got := string(f.Append(nil, Gauges{Dispatches: 7, ListedEndpoints: 3, AvoidedEndpoints: 2})); got != want {
 		t.Errorf("%s", got)
 	}
 }
 
 // However readings fall between the counting of many, no request is both ended and under way, and none is under way too often.
-func TestAReadingIsConsistent(t *testing.T) {
+func TestConcurrentReadingIsConsistent(t *testing.T) {
 	const callers, each = 8, 2000
 	f := New([]string{"a"})
 	var all sync.WaitGroup
@@ -41,7 +41,7 @@
 		all.Go(func() {
 			for range each {
 				f.RequestStarted()
-				f.RequestFinished("a", Outcome(i%int(ends)))
+				f.RequestFinished("a", Outcome(i%int(outcomeCount)))
 			}
 		})
 	}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -20,8 +20,8 @@
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastMemoryMB   = 16
-	leastSockets    = 64
+	minMemoryMB     = 16
+	minSockets      = 64
 )
 
 // Limits is what the platform grants a sidecar.
@@ -92,7 +92,7 @@
 			return c, fmt.Errorf("console: %s is where callers connect", c.AdminAddr)
 		}
 	}
-	if err := c.Limits.check(); err != nil {
+	if err := c.Limits.setDefaults(); err != nil {
 		return c, err
 	}
 	if len(file.Settings) == 0 {
@@ -113,15 +113,15 @@
 	return c, nil
 }
 
-// check fills what is absent and refuses what nothing can run with.
-func (l *Limits) check() error {
+// setDefaults fills what is absent and refuses what nothing can run with.
+func (l *Limits) setDefaults() error {
 	switch {
 	case l.Cores < 0:
 		return fmt.Errorf("limits.cores: %v is not a number of cores", l.Cores)
-	case l.MemoryMB != 0 && l.MemoryMB < leastMemoryMB:
-		return fmt.Errorf("limits.memory_mb: %d is under %d", l.MemoryMB, leastMemoryMB)
-	case l.Sockets != 0 && l.Sockets < leastSockets:
-		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, leastSockets)
+	case l.MemoryMB != 0 && l.MemoryMB < minMemoryMB:
+		return fmt.Errorf("limits.memory_mb: %d is under %d", l.MemoryMB, minMemoryMB)
+	case l.Sockets != 0 && l.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, minSockets)
 	}
 	if l.Cores == 0 {
 		l.Cores = 1
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -15,7 +15,7 @@
 
 func noEnv(string) string { return "" }
 
-func TestAConfigurationIsRead(t *testing.T) {
+func TestParseConfig(t *testing.T) {
 	c, err := parseConfig([]byte(goodConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestVariablesFillWhatTheFileLacks(t *testing.T) {
+func TestLoadConfigTakesMissingFieldsFromEnvironment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"seed":"1","settings":{},"listen":"127.0.0.1:1"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestABadConfigurationNamesTheField(t *testing.T) {
+func TestParseConfigErrorNamesTheField(t *testing.T) {
 	for field, swap := range map[string][2]string{
 		"config":           {`{"name"`, `{name`},
 		"listen":           {`"127.0.0.1:0"`, `"nowhere"`},
--- a/internal/sidecar/end_test.go
+++ b/internal/sidecar/end_test.go
@@ -13,7 +13,7 @@
 )
 
 // SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM, the deadline counting as 3 s where it is longer.
-func TestTheEndGoesByTheLongestDeadline(t *testing.T) {
+func TestKillDelayFollowsTheLongestDeadline(t *testing.T) {
 	for lanes, want := range map[string]time.Duration{
 		`{"Semantics":"read_like","HardLimitUs":200000},{"Semantics":"read_like","HardLimitUs":300000}`: time.Second,
 		`{"Semantics":"read_like","HardLimitUs":6000000}`:                                               3700 * time.Millisecond,
@@ -23,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := killAfter(c); got != want {
+		if got := killDelay(c); got != want {
 			t.Errorf("%s: %v, want %v", lanes, got, want)
 		}
 	}
@@ -31,31 +31,31 @@
 
 // Endpoints hang when SIGTERM comes, and deadlines are far off: whatever was taken has its answer before SIGKILL can come, and
 // what was not taken by then does not hold up the end.
-func TestAllThatWasTakenIsAnsweredBeforeTheKill(t *testing.T) {
-	b := newBox(t, nil).open()
-	b.hangs = ""
+func TestShutdownAnswersEveryAcceptedRequestBeforeSIGKILL(t *testing.T) {
+	b := newBlockingEndpoint(t, nil).accept()
+	b.blockPrefix = ""
 	defer close(b.release)
-	s := setup{settings: fmt.Sprintf(patientSettings, true), known: []string{member("a", b.addr(), "Ready")}, kill: 2 * time.Second}.run(t)
-	taken := []*caller{s.calls(t, "safe", look), s.calls(t, "unsafe", submit)}
-	until(t, "both are at the endpoint", func() bool { return len(b.came()) == 2 })
-	for i := range fullAt { // all but two of these wait for room
-		taken = append(taken, s.calls(t, fmt.Sprint("more", i), look))
+	s := testOptions{settings: fmt.Sprintf(longWaitSettings, true), endpoints: []string{endpointJSON("a", b.addr(), "Ready")}, killDelay: 2 * time.Second}.start(t)
+	taken := []*testClient{s.connectAndSend(t, "safe", lookRequest), s.connectAndSend(t, "unsafe", payRequest)}
+	waitUntil(t, "both are at the endpoint", func() bool { return len(b.startedIDs()) == 2 })
+	for i := range initialCapacity { // all but two of these wait for room
+		taken = append(taken, s.connectAndSend(t, fmt.Sprint("more", i), lookRequest))
 	}
-	s.concurrent(t, fullAt+2)
-	half, silent, never := s.calls(t, "half", look[:len(look)-2]), s.calls(t, "", ""), s.calls(t, "never", "")
-	until(t, "all connections are taken", func() bool { open, _ := s.conns.Counts(); return open == fullAt+5 })
+	s.waitForInFlight(t, initialCapacity+2)
+	half, silent, never := s.connectAndSend(t, "half", lookRequest[:len(lookRequest)-2]), s.connectAndSend(t, "", ""), s.connectAndSend(t, "never", "")
+	waitUntil(t, "all connections are taken", func() bool { open, _ := s.listener.Counts(); return open == initialCapacity+5 })
 
 	signalled := time.Now()
-	s.term()
-	fresh := s.calls(t, "new", look) // too little time is left for it, by what is known: it is refused at once
-	if resp := fresh.answer(t); resp.StatusCode != http.StatusServiceUnavailable {
+	s.terminate()
+	fresh := s.connectAndSend(t, "new", lookRequest) // too little time is left for it, by what is known: it is refused at once
+	if resp := fresh.readResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("a new one is answered %d", resp.StatusCode)
 	}
-	until(t, "answers end their connections", s.callers.Draining)
+	waitUntil(t, "answers end their connections", s.server.Draining)
 	io.WriteString(half, "\r\n") // the last byte
-	io.WriteString(silent, strings.ReplaceAll(look, "ID", "silent"))
+	io.WriteString(silent, strings.ReplaceAll(lookRequest, "ID", "silent"))
 	for _, c := range append(taken, half, silent) {
-		resp := c.answer(t)
+		resp := c.readResponse(t)
 		want := map[string]int{"unsafe": http.StatusBadGateway}[c.id]
 		if want == 0 {
 			want = http.StatusServiceUnavailable
@@ -68,18 +68,18 @@
 		t.Errorf("the one that never asked is answered")
 	}
 	select {
-	case err := <-s.ended:
+	case err := <-s.serveResult:
 		if took := time.Since(signalled); err != nil || took > 5*time.Second { // 60 s and more, else
 			t.Errorf("ended after %v with %v", took, err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("never ended")
 	}
 }
 
 // An answer that ends with its connection and is cut off at the end must not pass for a whole one.
-func TestAnAnswerCutOffAtTheEndIsSeenToBe(t *testing.T) {
-	b := newBox(t, nil)
+func TestShutdownResetsTruncatedResponse(t *testing.T) {
+	b := newBlockingEndpoint(t, nil)
 	go func() {
 		nc, err := b.Accept()
 		if err != nil {
@@ -90,13 +90,13 @@
 		<-b.release
 	}()
 	defer close(b.release)
-	s := setup{settings: fmt.Sprintf(patientSettings, true), known: []string{member("a", b.addr(), "Ready")}, kill: 2 * time.Second}.run(t)
-	c := s.calls(t, "old", strings.Replace(look, "HTTP/1.1", "HTTP/1.0", 1))
+	s := testOptions{settings: fmt.Sprintf(longWaitSettings, true), endpoints: []string{endpointJSON("a", b.addr(), "Ready")}, killDelay: 2 * time.Second}.start(t)
+	c := s.connectAndSend(t, "old", strings.Replace(lookRequest, "HTTP/1.1", "HTTP/1.0", 1))
 	if _, err := io.ReadFull(c, make([]byte, len("HTTP/1.1 200"))); err != nil {
 		t.Fatal(err)
 	}
 	signalled := time.Now()
-	s.term()
+	s.terminate()
 	text, err := io.ReadAll(c)
 	if took := time.Since(signalled); took > 8*time.Second { // an endpoint that is silent is borne for 12 s, else
 		t.Errorf("cut off after %v", took)
@@ -108,22 +108,22 @@
 
 // What stands behind a request when its answer goes out at the end has been taken as well, read or not: it is answered, and only the
 // last answer closes the connection.
-func TestWhatCameAheadOfTheEndIsAnswered(t *testing.T) {
+func TestShutdownAnswersPipelinedRequests(t *testing.T) {
 	for name, atOnce := range map[string]bool{"read with the first": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
-			b := newBox(t, nil).open()
-			s := setup{settings: fmt.Sprintf(patientSettings, true), known: []string{member("a", b.addr(), "Ready")}}.run(t)
-			text := look
+			b := newBlockingEndpoint(t, nil).accept()
+			s := testOptions{settings: fmt.Sprintf(longWaitSettings, true), endpoints: []string{endpointJSON("a", b.addr(), "Ready")}}.start(t)
+			text := lookRequest
 			if atOnce {
-				text += ahead
+				text += pipelinedRequest
 			}
-			c := s.calls(t, "hang", text)
-			until(t, "it is at the endpoint", func() bool { return len(b.came()) == 1 })
+			c := s.connectAndSend(t, "hang", text)
+			waitUntil(t, "it is at the endpoint", func() bool { return len(b.startedIDs()) == 1 })
 			if !atOnce {
-				io.WriteString(c, strings.ReplaceAll(ahead, "ID", "hang"))
+				io.WriteString(c, strings.ReplaceAll(pipelinedRequest, "ID", "hang"))
 			}
-			s.term()
-			until(t, "answers end their connections", s.callers.Draining)
+			s.terminate()
+			waitUntil(t, "answers end their connections", s.server.Draining)
 			close(b.release)
 			in := bufio.NewReader(c)
 			for i, last := range []bool{false, true} {
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -20,28 +20,28 @@
 	"rowancart/internal/proxy"
 )
 
-// patientSettings let requests wait for as long as a test takes.
-const patientSettings = `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":60000000},
+// longWaitSettings let requests wait for as long as a test takes.
+const longWaitSettings = `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":60000000},
 	{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":60000000}],
 	"Permissions":{"MayCancel":%v,"TryLimit":4,"DialTimeoutUs":15000000},
 	"Rules":{"ColdUs":60000000,"ColdFrom":0.1,"ColdShare":0.000001}}`
 
-// fullAt is how many requests fill one endpoint for one sidecar before anything is known.
-const fullAt = 6
+// initialCapacity is how many requests fill one endpoint for one sidecar before anything is known.
+const initialCapacity = 6
 
-// box is an endpoint that notes each request from its head on. Those whose names begin so wait for release.
-type box struct {
+// blockingEndpoint is an endpoint that notes each request from its head on. Those whose names begin so wait for release.
+type blockingEndpoint struct {
 	net.Listener
-	hangs   string
-	breaks  bool // then it does not answer these
-	release chan bool
+	blockPrefix     string
+	closeUnanswered bool // then it does not answer these
+	release         chan bool
 
-	mu    sync.Mutex
-	ids   []string
-	whole []string // those that came whole
+	mu        sync.Mutex
+	started   []string
+	completed []string // those that came whole
 }
 
-func newBox(t *testing.T, l net.Listener) *box {
+func newBlockingEndpoint(t *testing.T, l net.Listener) *blockingEndpoint {
 	t.Helper()
 	if l == nil {
 		var err error
@@ -49,28 +49,28 @@
 			t.Fatal(err)
 		}
 	}
-	b := &box{Listener: l, hangs: "hang", release: make(chan bool)}
+	b := &blockingEndpoint{Listener: l, blockPrefix: "hang", release: make(chan bool)}
 	t.Cleanup(func() { l.Close() })
 	return b
 }
 
-func (b *box) addr() string { return b.Addr().String() }
+func (e *blockingEndpoint) addr() string { return e.Addr().String() }
 
-// open begins to accept.
-func (b *box) open() *box {
+// accept begins to accept.
+func (e *blockingEndpoint) accept() *blockingEndpoint {
 	go func() {
 		for {
-			nc, err := b.Accept()
+			nc, err := e.Accept()
 			if err != nil {
 				return
 			}
-			go b.serve(nc)
+			go e.serve(nc)
 		}
 	}()
-	return b
+	return e
 }
 
-func (b *box) serve(nc net.Conn) {
+func (e *blockingEndpoint) serve(nc net.Conn) {
 	defer nc.Close()
 	in := bufio.NewReader(nc)
 	for {
@@ -79,56 +79,56 @@
 			return
 		}
 		id := r.Header.Get("Req-Id")
-		b.mu.Lock()
-		b.ids = append(b.ids, id)
-		b.mu.Unlock()
-		hangs := strings.HasPrefix(id, b.hangs)
+		e.mu.Lock()
+		e.started = append(e.started, id)
+		e.mu.Unlock()
+		hangs := strings.HasPrefix(id, e.blockPrefix)
 		if hangs {
-			<-b.release
+			<-e.release
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		b.mu.Lock()
-		b.whole = append(b.whole, id)
-		b.mu.Unlock()
-		if hangs && b.breaks {
+		e.mu.Lock()
+		e.completed = append(e.completed, id)
+		e.mu.Unlock()
+		if hangs && e.closeUnanswered {
 			return
 		}
-		io.WriteString(nc, served)
+		io.WriteString(nc, okResponse)
 	}
 }
 
-// came gives the ids of the requests of which anything has come.
-func (b *box) came() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return slices.Clone(b.ids)
+// startedIDs gives the ids of the requests of which anything has come.
+func (e *blockingEndpoint) startedIDs() []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return slices.Clone(e.started)
 }
 
-// caller is a client's connection.
-type caller struct {
+// testClient is a client's connection.
+type testClient struct {
 	*net.TCPConn
 	id string
 }
 
-// calls sends text on a new connection, ID in it standing for the caller's own.
-func (s *running) calls(t *testing.T, id, text string) *caller {
+// connectAndSend sends text on a new connection, ID in it standing for the caller's own.
+func (s *testSidecar) connectAndSend(t *testing.T, id, text string) *testClient {
 	t.Helper()
 	nc, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience)) // a bound, not a verdict
+	nc.SetDeadline(time.Now().Add(testTimeout)) // a bound, not a verdict
 	if _, err := io.WriteString(nc, strings.ReplaceAll(text, "ID", id)); err != nil {
 		t.Fatal(err)
 	}
-	return &caller{nc.(*net.TCPConn), id}
+	return &testClient{nc.(*net.TCPConn), id}
 }
 
-// answer reads one.
-func (c *caller) answer(t *testing.T) *http.Response {
+// readResponse reads one.
+func (c *testClient) readResponse(t *testing.T) *http.Response {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -138,120 +138,128 @@
 	return resp
 }
 
-func (c *caller) isServed(t *testing.T) {
+func (c *testClient) requireOK(t *testing.T) {
 	t.Helper()
-	if resp := c.answer(t); resp.StatusCode != http.StatusOK {
+	if resp := c.readResponse(t); resp.StatusCode != http.StatusOK {
 		t.Errorf("%s, which stays, is answered %d", c.id, resp.StatusCode)
 	}
 }
 
 const (
-	look  = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\n\r\n"
-	ahead = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID-next\r\nReq-Deadline-Ms: 600000\r\n\r\n"
+	lookRequest      = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\n\r\n"
+	pipelinedRequest = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID-next\r\nReq-Deadline-Ms: 600000\r\n\r\n"
 )
 
-// long is a request whose body is still coming: some of it stands unread while the request waits.
-var long = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\nContent-Length: 8388608\r\n\r\n" +
+// partialUpload is a request whose body is still coming: some of it stands unread while the request waits.
+var partialUpload = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\nContent-Length: 8388608\r\n\r\n" +
 	strings.Repeat("x", 64<<10+10<<10)
 
-// submit is a request that must not run twice.
-const submit = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\nContent-Length: 2\r\n\r\nhi"
+// payRequest is a request that must not run twice.
+const payRequest = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\nContent-Length: 2\r\n\r\nhi"
 
-// leavings are the ways in which a client leaves.
-var leavings = map[string]func(c *caller){
-	"fin":              func(c *caller) { c.Close() },
-	"rst":              func(c *caller) { c.SetLinger(0); c.Close() },
-	"half":             func(c *caller) { c.CloseWrite() },
-	"fin behind bytes": func(c *caller) { io.WriteString(c, strings.ReplaceAll(ahead, "ID", c.id)); c.Close() },
-	"rst behind bytes": func(c *caller) { io.WriteString(c, strings.ReplaceAll(ahead, "ID", c.id)); c.SetLinger(0); c.Close() },
+// disconnects are the ways in which a client leaves.
+var disconnects = map[string]func(c *testClient){
+	"fin":              func(c *testClient) { c.Close() },
+	"rst":              func(c *testClient) { c.SetLinger(0); c.Close() },
+	"half":             func(c *testClient) { c.CloseWrite() },
+	"fin behind bytes": func(c *testClient) { io.WriteString(c, strings.ReplaceAll(pipelinedRequest, "ID", c.id)); c.Close() },
+	"rst behind bytes": func(c *testClient) {
+		io.WriteString(c, strings.ReplaceAll(pipelinedRequest, "ID", c.id))
+		c.SetLinger(0)
+		c.Close()
+	},
 }
 
-// concurrent waits for a number of requests that the module has heard of and that are not done with. The console's figure runs ahead
+// waitForInFlight waits for a number of requests that the module has heard of and that are not done with. The console's figure runs ahead
 // of that: a request counts there from the moment at which it is read.
-func (s *running) concurrent(t *testing.T, want int) {
+func (s *testSidecar) waitForInFlight(t *testing.T, want int) {
 	t.Helper()
-	until(t, fmt.Sprint(want, " requests are under way"), func() bool { return s.engine.Stats().Calls == want })
+	waitUntil(t, fmt.Sprint(want, " requests are under way"), func() bool { return s.pool.Stats().Calls == want })
 }
 
-// wait is something that requests wait for.
-type wait struct {
-	*running
-	box    *box
-	text   string   // of the requests; empty: look
-	other  int      // requests under way beside them
-	ways   []string // of leaving; none: all
-	during func(t *testing.T, waiting int)
-	over   func(t *testing.T) // ends it
+// waitCase is something that requests wait for.
+type waitCase struct {
+	*testSidecar
+	endpoint       *blockingEndpoint
+	request        string   // of the requests; empty: look
+	othersInFlight int      // requests under way beside them
+	disconnects    []string // of leaving; none: all
+	whileWaiting   func(t *testing.T, waiting int)
+	endWait        func(t *testing.T) // ends it
 }
 
-// forRoom is a wait for room at one endpoint.
-func forRoom(t *testing.T, u setup, mayCancel bool) wait {
-	b := newBox(t, nil).open()
-	u.settings, u.known = fmt.Sprintf(patientSettings, mayCancel), []string{member("a", b.addr(), "Ready")}
-	s := u.run(t)
-	for i := range fullAt {
-		s.calls(t, fmt.Sprint("hang", i), look)
+// waitForCapacity is a wait for room at one endpoint.
+func waitForCapacity(t *testing.T, u testOptions, mayCancel bool) waitCase {
+	b := newBlockingEndpoint(t, nil).accept()
+	u.settings, u.endpoints = fmt.Sprintf(longWaitSettings, mayCancel), []string{endpointJSON("a", b.addr(), "Ready")}
+	s := u.start(t)
+	for i := range initialCapacity {
+		s.connectAndSend(t, fmt.Sprint("hang", i), lookRequest)
 	}
-	s.concurrent(t, fullAt)
-	return wait{running: s, box: b, other: fullAt, over: func(*testing.T) { close(b.release) }}
+	s.waitForInFlight(t, initialCapacity)
+	return waitCase{testSidecar: s, endpoint: b, othersInFlight: initialCapacity, endWait: func(*testing.T) { close(b.release) }}
 }
 
-// forConnection is a wait for a connection to come up, at the last of the endpoints.
-func forConnection(t *testing.T, mayCancel bool, before ...string) wait {
-	b := unaccepting(t)
-	u := setup{settings: fmt.Sprintf(patientSettings, mayCancel), known: []string{member("z", b.addr(), "Ready")}}
+// waitForConnection is a wait for a connection to come up, at the last of the endpoints.
+func waitForConnection(t *testing.T, mayCancel bool, before ...string) waitCase {
+	b := newFullBacklogEndpoint(t)
+	u := testOptions{settings: fmt.Sprintf(longWaitSettings, mayCancel), endpoints: []string{endpointJSON("z", b.addr(), "Ready")}}
 	for i, addr := range before {
-		u.known = append(u.known, member(fmt.Sprint("a", i), addr, "Ready"))
+		u.endpoints = append(u.endpoints, endpointJSON(fmt.Sprint("a", i), addr, "Ready"))
 	}
-	return wait{running: u.run(t), box: b, over: func(*testing.T) { b.open() }}
+	return waitCase{testSidecar: u.start(t), endpoint: b, endWait: func(*testing.T) { b.accept() }}
 }
 
-// waits are all that a request may wait for.
-var waits = map[string]func(t *testing.T) wait{
-	"room":                                  func(t *testing.T) wait { return forRoom(t, setup{}, true) },
-	"room, where nothing may be called off": func(t *testing.T) wait { return forRoom(t, setup{}, false) },
-	"a connection":                          func(t *testing.T) wait { return forConnection(t, true) },
-	"a connection, nothing may be called off": func(t *testing.T) wait { return forConnection(t, false) },
-	"the connection of a resend": func(t *testing.T) wait {
-		refuses := newBox(t, nil)
+// waitCases are all that a request may wait for.
+var waitCases = map[string]func(t *testing.T) waitCase{
+	"room":                                  func(t *testing.T) waitCase { return waitForCapacity(t, testOptions{}, true) },
+	"room, where nothing may be called off": func(t *testing.T) waitCase { return waitForCapacity(t, testOptions{}, false) },
+	"a connection":                          func(t *testing.T) waitCase { return waitForConnection(t, true) },
+	"a connection, nothing may be called off": func(t *testing.T) waitCase { return waitForConnection(t, false) },
+	"the connection of a resend": func(t *testing.T) waitCase {
+		refuses := newBlockingEndpoint(t, nil)
 		refuses.Close()
-		return forConnection(t, true, refuses.addr())
+		return waitForConnection(t, true, refuses.addr())
 	},
-	"room, the body still coming and not read": func(t *testing.T) wait {
-		w := forRoom(t, setup{limits: `{"memory_mb":32}`}, true)
-		w.text, w.ways = long, []string{"fin", "rst", "half"} // the rest of the body stands before its end in any case
+	"room, the body still coming and not read": func(t *testing.T) waitCase {
+		w := waitForCapacity(t, testOptions{limits: `{"memory_mb":32}`}, true)
+		w.request, w.disconnects = partialUpload, []string{"fin", "rst", "half"} // the rest of the body stands before its end in any case
 		return w
 	},
-	"the first list": func(t *testing.T) wait {
-		b := newBox(t, nil).open()
-		s := setup{settings: fmt.Sprintf(patientSettings, true)}.run(t)
-		return wait{running: s, box: b, over: func(t *testing.T) { s.tell(t, members(2, true, member("a", b.addr(), "Ready"))) }}
+	"the first list": func(t *testing.T) waitCase {
+		b := newBlockingEndpoint(t, nil).accept()
+		s := testOptions{settings: fmt.Sprintf(longWaitSettings, true)}.start(t)
+		return waitCase{testSidecar: s, endpoint: b, endWait: func(t *testing.T) {
+			s.updateEndpoints(t, endpointListJSON(2, true, endpointJSON("a", b.addr(), "Ready")))
+		}}
 	},
-	"a resend": func(t *testing.T) wait {
-		a, b := newBox(t, nil).open(), newBox(t, nil).open()
-		a.hangs, a.breaks = "", true
-		s := setup{settings: fmt.Sprintf(patientSettings, true), known: []string{member("a", a.addr(), "Ready")}}.run(t)
-		return wait{running: s, box: b, ways: []string{"fin", "rst", "fin behind bytes"}, // no more than the budget of resends allows
-			during: func(t *testing.T, waiting int) {
-				until(t, "all are at the first endpoint", func() bool { return len(a.came()) == waiting })
-				cold := strings.Replace(member("cold", b.addr(), "Ready"), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli()), 1)
-				s.tell(t, members(2, true, member("a", a.addr(), "Terminating"), cold))
+	"a resend": func(t *testing.T) waitCase {
+		a, b := newBlockingEndpoint(t, nil).accept(), newBlockingEndpoint(t, nil).accept()
+		a.blockPrefix, a.closeUnanswered = "", true
+		s := testOptions{settings: fmt.Sprintf(longWaitSettings, true), endpoints: []string{endpointJSON("a", a.addr(), "Ready")}}.start(t)
+		return waitCase{testSidecar: s, endpoint: b, disconnects: []string{"fin", "rst", "fin behind bytes"}, // no more than the budget of resends allows
+			whileWaiting: func(t *testing.T, waiting int) {
+				waitUntil(t, "all are at the first endpoint", func() bool { return len(a.startedIDs()) == waiting })
+				cold := strings.Replace(endpointJSON("cold", b.addr(), "Ready"), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli()), 1)
+				s.updateEndpoints(t, endpointListJSON(2, true, endpointJSON("a", a.addr(), "Terminating"), cold))
 				close(a.release)
-				until(t, "all have failed there", func() bool {
-					return !slices.ContainsFunc(s.engine.Endpoints(), func(e proxy.EndpointStatus) bool { return e.InFlight > 0 })
+				waitUntil(t, "all have failed there", func() bool {
+					return !slices.ContainsFunc(s.pool.Endpoints(), func(e proxy.EndpointStatus) bool { return e.InFlight > 0 })
 				})
 			},
-			over: func(t *testing.T) { s.tell(t, members(3, false, member("warm", b.addr(), "Ready"))) }}
+			endWait: func(t *testing.T) {
+				s.updateEndpoints(t, endpointListJSON(3, false, endpointJSON("warm", b.addr(), "Ready")))
+			}}
 	},
-	"room, SIGTERM has come": func(t *testing.T) wait {
-		w := forRoom(t, setup{}, true)
-		w.during = func(*testing.T, int) { w.term() }
+	"room, SIGTERM has come": func(t *testing.T) waitCase {
+		w := waitForCapacity(t, testOptions{}, true)
+		w.whileWaiting = func(*testing.T, int) { w.terminate() }
 		return w
 	},
-	"room, a successor serves": func(t *testing.T) wait {
+	"room, a successor serves": func(t *testing.T) waitCase {
 		temp := t.TempDir()
-		w := forRoom(t, setup{temp: temp}, true)
-		w.during = func(t *testing.T, _ int) {
+		w := waitForCapacity(t, testOptions{sharedDir: temp}, true)
+		w.whileWaiting = func(t *testing.T, _ int) {
 			folder, err := hotrestart.OpenSharedDir(temp, "")
 			if err != nil {
 				t.Fatal(err)
@@ -264,7 +272,7 @@
 			if err := successor.MarkServing(); err != nil {
 				t.Fatal(err)
 			}
-			until(t, "the successor is seen", func() bool { w.shift.mu.Lock(); defer w.shift.mu.Unlock(); return w.shift.succeeded })
+			waitUntil(t, "the successor is seen", func() bool { w.handover.mu.Lock(); defer w.handover.mu.Unlock(); return w.handover.superseded })
 		}
 		return w
 	},
@@ -272,32 +280,32 @@
 
 // Whatever a request waits for when its client leaves: nothing is sent for it any more, though the wait ends. Nor is a client that
 // stays taken for gone, also one that has sent bytes ahead.
-func TestNothingIsSentForACallerThatLeft(t *testing.T) {
-	for name, begin := range waits {
+func TestNothingIsForwardedAfterClientDisconnect(t *testing.T) {
+	for name, begin := range waitCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := begin(t)
 			var leave []func()
-			for way, does := range leavings {
-				if len(w.ways) > 0 && !slices.Contains(w.ways, way) {
+			for way, does := range disconnects {
+				if len(w.disconnects) > 0 && !slices.Contains(w.disconnects, way) {
 					continue
 				}
-				c := w.calls(t, "leaves by "+way, cmp.Or(w.text, look))
+				c := w.connectAndSend(t, "leaves by "+way, cmp.Or(w.request, lookRequest))
 				leave = append(leave, func() { does(c) })
 			}
-			stays := w.calls(t, "stays", look+ahead)
-			w.concurrent(t, w.other+len(leave)+1)
-			if w.during != nil {
-				w.during(t, len(leave)+1)
+			stays := w.connectAndSend(t, "stays", lookRequest+pipelinedRequest)
+			w.waitForInFlight(t, w.othersInFlight+len(leave)+1)
+			if w.whileWaiting != nil {
+				w.whileWaiting(t, len(leave)+1)
 			}
 			for _, does := range leave {
 				does()
 			}
-			w.concurrent(t, w.other+1) // all have been looked at, the one that stays as well
-			w.over(t)
-			stays.isServed(t)
-			w.concurrent(t, 0)
-			for _, id := range w.box.came() {
+			w.waitForInFlight(t, w.othersInFlight+1) // all have been looked at, the one that stays as well
+			w.endWait(t)
+			stays.requireOK(t)
+			w.waitForInFlight(t, 0)
+			for _, id := range w.endpoint.startedIDs() {
 				if strings.HasPrefix(id, "leaves") {
 					t.Errorf("the request that %s was sent on", id)
 				}
@@ -308,18 +316,18 @@
 
 // A connection may stand in the kernel's queue for long, while another process takes over or all places are taken, with its request
 // written and its client gone.
-func TestNothingIsSentForACallerThatLeftBeforeItWasAccepted(t *testing.T) {
-	b := newBox(t, nil).open()
-	s := setup{settings: fmt.Sprintf(patientSettings, true), known: []string{member("a", b.addr(), "Ready")}}.run(t)
-	s.conns.Pause()
-	for way, leave := range leavings {
-		leave(s.calls(t, "leaves by "+way, look))
+func TestNothingIsForwardedAfterDisconnectBeforeAccept(t *testing.T) {
+	b := newBlockingEndpoint(t, nil).accept()
+	s := testOptions{settings: fmt.Sprintf(longWaitSettings, true), endpoints: []string{endpointJSON("a", b.addr(), "Ready")}}.start(t)
+	s.listener.Pause()
+	for way, leave := range disconnects {
+		leave(s.connectAndSend(t, "leaves by "+way, lookRequest))
 	}
-	stays := s.calls(t, "stays", look+ahead)
-	s.conns.Resume()
-	stays.isServed(t)
-	until(t, "all are done with", func() bool { open, _ := s.conns.Counts(); return open == 1 })
-	for _, id := range b.came() {
+	stays := s.connectAndSend(t, "stays", lookRequest+pipelinedRequest)
+	s.listener.Resume()
+	stays.requireOK(t)
+	waitUntil(t, "all are done with", func() bool { open, _ := s.listener.Counts(); return open == 1 })
+	for _, id := range b.startedIDs() {
 		if strings.HasPrefix(id, "leaves") {
 			t.Errorf("the request that %s was sent on", id)
 		}
@@ -328,17 +336,17 @@
 
 // A body is being written, kept whole or still coming, to an endpoint that reads none of it when its client leaves: its end never goes
 // out, there or elsewhere. That of a client that stays does.
-func TestABodyIsNotWrittenToItsEndForACallerThatLeft(t *testing.T) {
+func TestBodyIsNotCompletedAfterClientDisconnect(t *testing.T) {
 	const size = 12 << 20 // more than the kernel holds on both sides
 	body := strings.Repeat("x", size)
 	for name, limits := range map[string]string{"kept": `{"memory_mb":512}`, "still coming": `{"memory_mb":32}`} {
-		for way, leave := range map[string]func(c *caller){"fin": leavings["fin"], "rst": leavings["rst"], "stays": nil} {
+		for way, leave := range map[string]func(c *testClient){"fin": disconnects["fin"], "rst": disconnects["rst"], "stays": nil} {
 			t.Run(name+" "+way, func(t *testing.T) {
 				t.Parallel()
-				a, b := newBox(t, nil).open(), newBox(t, nil).open()
-				s := setup{limits: limits, settings: fmt.Sprintf(patientSettings, true),
-					known: []string{member("a", a.addr(), "Ready"), member("b", b.addr(), "Ready")}}.run(t)
-				c := s.calls(t, "hang", fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\nContent-Length: %d\r\n\r\n", size))
+				a, b := newBlockingEndpoint(t, nil).accept(), newBlockingEndpoint(t, nil).accept()
+				s := testOptions{limits: limits, settings: fmt.Sprintf(longWaitSettings, true),
+					endpoints: []string{endpointJSON("a", a.addr(), "Ready"), endpointJSON("b", b.addr(), "Ready")}}.start(t)
+				c := s.connectAndSend(t, "hang", fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\nContent-Length: %d\r\n\r\n", size))
 				sent := make(chan bool)
 				go func() {
 					n := size
@@ -348,25 +356,25 @@
 					io.WriteString(c, body[:n])
 					close(sent)
 				}()
-				until(t, "it is being written", func() bool { return len(a.came())+len(b.came()) == 1 })
+				waitUntil(t, "it is being written", func() bool { return len(a.startedIDs())+len(b.startedIDs()) == 1 })
 				if leave != nil {
 					<-sent
 					leave(c)
-					s.concurrent(t, 0)
+					s.waitForInFlight(t, 0)
 				}
 				close(a.release)
 				close(b.release)
 				if leave == nil {
-					c.isServed(t)
+					c.requireOK(t)
 					<-sent
 				}
-				s.concurrent(t, 0)
-				until(t, "no connection carries anything", func() bool { return s.engine.Stats().Connections <= map[bool]int{true: 1}[leave == nil] })
+				s.waitForInFlight(t, 0)
+				waitUntil(t, "no connection carries anything", func() bool { return s.pool.Stats().Connections <= map[bool]int{true: 1}[leave == nil] })
 				a.mu.Lock()
 				defer a.mu.Unlock()
 				b.mu.Lock()
 				defer b.mu.Unlock()
-				if n, all := len(a.whole)+len(b.whole), len(a.ids)+len(b.ids); n != map[bool]int{true: 1}[leave == nil] || all != 1 {
+				if n, all := len(a.completed)+len(b.completed), len(a.started)+len(b.started); n != map[bool]int{true: 1}[leave == nil] || all != 1 {
 					t.Errorf("it was sent %d times, %d times whole", all, n)
 				}
 			})
@@ -376,7 +384,7 @@
 
 // An endpoint closes an idle connection when a request that was written there arrives, unheard: the safe one is sent again, the unsafe one,
 // which nothing proves not to have run, is not.
-func TestAnIdleConnectionClosedUnderARequest(t *testing.T) {
+func TestIdleEndpointConnectionClosedDuringRequest(t *testing.T) {
 	for path, want := range map[string]int{"/look": http.StatusOK, "/pay": http.StatusBadGateway} {
 		method := map[string]string{"/look": http.MethodGet, "/pay": http.MethodPost}[path]
 		var closed atomic.Int32
@@ -385,16 +393,16 @@
 				nc.(*net.TCPConn).SetLinger(0)
 				return false
 			}
-			io.WriteString(nc, served)
+			io.WriteString(nc, okResponse)
 			return true
 		})
-		s := run(t, e.Addr)
-		if status, _, _ := ask(t, s.request(t, method, path, "first", 10000)); status != http.StatusOK {
+		s := startSidecar(t, e.Addr)
+		if status, _, _ := sendRequest(t, s.newRequest(t, method, path, "first", 10000)); status != http.StatusOK {
 			t.Fatalf("the first on %s: %d", path, status)
 		}
-		rested := time.Now().Add(settle)
-		until(t, "the connection has rested", func() bool { return time.Now().After(rested) })
-		if status, _, _ := ask(t, s.request(t, method, path, "second", 10000)); status != want {
+		rested := time.Now().Add(responseQuarantine)
+		waitUntil(t, "the connection has rested", func() bool { return time.Now().After(rested) })
+		if status, _, _ := sendRequest(t, s.newRequest(t, method, path, "second", 10000)); status != want {
 			t.Errorf("%s is answered %d", path, status)
 		}
 		if n, all := e.Connections.Load(), e.Requests.Load(); want == http.StatusOK && (n != 2 || all != 3) || want != http.StatusOK && (n != 1 || all != 2) {
@@ -403,8 +411,8 @@
 	}
 }
 
-// unaccepting is an endpoint whose connections do not come up until it opens: its queue is full.
-func unaccepting(t *testing.T) *box {
+// newFullBacklogEndpoint is an endpoint whose connections do not come up until it opens: its queue is full.
+func newFullBacklogEndpoint(t *testing.T) *blockingEndpoint {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -420,7 +428,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBox(t, l)
+	b := newBlockingEndpoint(t, l)
 	nc, err := net.Dial("tcp", b.addr()) // the one that there is a place for
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/operator_test.go
+++ b/internal/sidecar/operator_test.go
@@ -16,15 +16,15 @@
 	"rowancart/internal/testpeer"
 )
 
-// call asks the console and gives the whole answer.
-func (s *running) call(t *testing.T, line string) string {
+// adminCommand asks the console and gives the whole answer.
+func (s *testSidecar) adminCommand(t *testing.T, line string) string {
 	t.Helper()
-	nc, err := net.Dial("tcp", s.console.Addr().String())
+	nc, err := net.Dial("tcp", s.admin.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(nc, line+"\n")
 	text, err := io.ReadAll(nc)
 	if err != nil {
@@ -33,33 +33,33 @@
 	return string(text)
 }
 
-func (s *running) yes(t *testing.T, line string) {
+func (s *testSidecar) requireSuccess(t *testing.T, line string) {
 	t.Helper()
-	if answer := s.call(t, line); !strings.HasPrefix(answer, "SUCCESS ") || strings.Count(answer, "\n") != 1 {
+	if answer := s.adminCommand(t, line); !strings.HasPrefix(answer, "SUCCESS ") || strings.Count(answer, "\n") != 1 {
 		t.Errorf("%s: %q", line, answer)
 	}
 }
 
-func (s *running) no(t *testing.T, line string) {
+func (s *testSidecar) requireFailure(t *testing.T, line string) {
 	t.Helper()
-	if answer := s.call(t, line); !strings.HasPrefix(answer, "FAILURE ") || strings.Count(answer, "\n") != 1 {
+	if answer := s.adminCommand(t, line); !strings.HasPrefix(answer, "FAILURE ") || strings.Count(answer, "\n") != 1 {
 		t.Errorf("%s: %q", line, answer)
 	}
 }
 
-// figure reads one figure.
-func (s *running) figure(t *testing.T, name string) int {
+// metric reads one figure.
+func (s *testSidecar) metric(t *testing.T, name string) int {
 	t.Helper()
-	text := s.call(t, "show-stat")
+	text := s.adminCommand(t, "show-stat")
 	if !strings.HasSuffix(text, "\nEOT\n") {
 		t.Fatalf("the figures end with no EOT: %q", text)
 	}
 	return testpeer.Figure(t, text, name)
 }
 
-func TestAnEndpointIsTakenOutAndPutBackByHand(t *testing.T) {
-	a, b := newEndpoint(t, says(served, true)), newEndpoint(t, says(served, true))
-	s := run(t, a.Addr, b.Addr)
+func TestDisableAndEnableEndpoint(t *testing.T) {
+	a, b := newEndpoint(t, respondWith(okResponse, true)), newEndpoint(t, respondWith(okResponse, true))
+	s := startSidecar(t, a.Addr, b.Addr)
 	n := 0
 	calls := func(class string) (int32, int32) {
 		for range 12 {
@@ -68,7 +68,7 @@
 			if class == "pay" {
 				method = http.MethodPost
 			}
-			if status, _, _ := ask(t, s.request(t, method, "/"+class, fmt.Sprint("r", n), 60000)); status != http.StatusOK {
+			if status, _, _ := sendRequest(t, s.newRequest(t, method, "/"+class, fmt.Sprint("r", n), 60000)); status != http.StatusOK {
 				t.Errorf("status %d", status)
 			}
 		}
@@ -77,36 +77,36 @@
 	if x, y := calls("look"); x == 0 || y == 0 {
 		t.Errorf("at first %d and %d", x, y)
 	}
-	s.yes(t, "disable-server a")
-	s.yes(t, "disable-server a") // said twice
+	s.requireSuccess(t, "disable-server a")
+	s.requireSuccess(t, "disable-server a") // said twice
 	if x, y := calls("pay"); x != 0 || y != 12 {
 		t.Errorf("with a out, %d and %d", x, y)
 	}
-	if n := s.figure(t, "sidecar_targets_disabled"); n != 1 {
+	if n := s.metric(t, "sidecar_targets_disabled"); n != 1 {
 		t.Errorf("%d endpoints are told to be avoided", n)
 	}
-	s.tell(t, members(2, true, member("b", b.Addr, "Ready"))) // gone, and here again
-	s.tell(t, members(3, true, member("a", a.Addr, "Ready"), member("b", b.Addr, "Ready")))
+	s.updateEndpoints(t, endpointListJSON(2, true, endpointJSON("b", b.Addr, "Ready"))) // gone, and here again
+	s.updateEndpoints(t, endpointListJSON(3, true, endpointJSON("a", a.Addr, "Ready"), endpointJSON("b", b.Addr, "Ready")))
 	if x, y := calls("look"); x != 0 || y != 12 {
 		t.Errorf("with a out and listed anew, %d and %d", x, y)
 	}
-	s.yes(t, "enable-server a") // once is enough
+	s.requireSuccess(t, "enable-server a") // once is enough
 	if x, _ := calls("look"); x == 0 {
 		t.Error("put back, a gets nothing")
 	}
-	s.yes(t, "enable-server a") // listed and not banned
-	s.no(t, "disable-server c")
-	s.no(t, "enable-server c")
-	s.no(t, "drain a")
-	s.no(t, "disable-server a b")
+	s.requireSuccess(t, "enable-server a") // listed and not banned
+	s.requireFailure(t, "disable-server c")
+	s.requireFailure(t, "enable-server c")
+	s.requireFailure(t, "drain a")
+	s.requireFailure(t, "disable-server a b")
 }
 
 // What the figures tell is what peers saw: each answer by its kind, each attempt written whole, nothing under way at the end.
-func TestFiguresAreWhatPeersSaw(t *testing.T) {
+func TestMetricsMatchWhatPeersObserved(t *testing.T) {
 	e := newEndpoint(t, func(nc net.Conn, r *http.Request, n int) bool {
 		switch r.URL.Query().Get("do") {
 		case "serve":
-			io.WriteString(nc, served)
+			io.WriteString(nc, okResponse)
 		case "fail":
 			io.WriteString(nc, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		case "decline":
@@ -121,21 +121,21 @@
 		}
 		return true
 	})
-	s := run(t, e.Addr)
+	s := startSidecar(t, e.Addr)
 	var mu sync.Mutex
 	saw := map[string]int{}
 	kinds := map[int]string{http.StatusOK: "success", http.StatusServiceUnavailable: "overload", http.StatusBadGateway: "error"}
 	for i, do := range []string{"serve", "fail", "decline", "break", "serve", "serve", "decline", "fail"} {
 		for _, class := range []string{"look", "pay"} {
 			method := map[string]string{"look": http.MethodGet, "pay": http.MethodPost}[class]
-			status, _, _ := ask(t, s.request(t, method, "/"+class+"?do="+do, fmt.Sprint(class, i), 500))
+			status, _, _ := sendRequest(t, s.newRequest(t, method, "/"+class+"?do="+do, fmt.Sprint(class, i), 500))
 			mu.Lock()
 			saw[fmt.Sprintf("sidecar_%s{type=%q}", kinds[status], class)]++
 			mu.Unlock()
 		}
 	}
-	long := s.request(t, http.MethodGet, "/look?do=stream", "long", 60000)
-	nc, _, resp := keep(t, long) // reads it to its end
+	long := s.newRequest(t, http.MethodGet, "/look?do=stream", "long", 60000)
+	nc, _, resp := sendKeepingConn(t, long) // reads it to its end
 	nc.Close()
 	if resp.StatusCode == http.StatusOK {
 		saw[`sidecar_success{type="look"}`]++
@@ -144,97 +144,100 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.request(t, http.MethodPost, "/book?do=hang", "leaves", 60000).Write(leaver)
-	until(t, "the one that leaves is under way", func() bool { return s.figure(t, "sidecar_concurrent") == 1 })
+	s.newRequest(t, http.MethodPost, "/book?do=hang", "leaves", 60000).Write(leaver)
+	waitUntil(t, "the one that leaves is under way", func() bool { return s.metric(t, "sidecar_concurrent") == 1 })
 	leaver.Close() // counts as failed here: nobody hears its answer
 	saw[`sidecar_error{type="book"}`]++
-	ask(t, s.request(t, http.MethodGet, "/look?do=serve", "look0", 500))   // a repeat: answered before
-	ask(t, s.request(t, http.MethodDelete, "/look?do=serve", "no", 500))   // improper
-	ask(t, s.request(t, http.MethodGet, "/nothing?do=serve", "none", 500)) // no class of ours
+	sendRequest(t, s.newRequest(t, http.MethodGet, "/look?do=serve", "look0", 500))   // a repeat: answered before
+	sendRequest(t, s.newRequest(t, http.MethodDelete, "/look?do=serve", "no", 500))   // improper
+	sendRequest(t, s.newRequest(t, http.MethodGet, "/nothing?do=serve", "none", 500)) // no class of ours
 	for _, kind := range kinds {
 		for _, class := range []string{"look", "book", "pay"} {
 			name := fmt.Sprintf("sidecar_%s{type=%q}", kind, class)
-			until(t, name, func() bool { return s.figure(t, name) == saw[name] }) // the answer may be read before it is counted
+			waitUntil(t, name, func() bool { return s.metric(t, name) == saw[name] }) // the answer may be read before it is counted
 		}
 	}
-	if n := s.figure(t, "sidecar_concurrent"); n != 0 {
+	if n := s.metric(t, "sidecar_concurrent"); n != 0 {
 		t.Errorf("%d under way", n)
 	}
-	if n, sent := s.figure(t, "sidecar_dispatches"), int(e.Requests.Load()); n != sent {
+	if n, sent := s.metric(t, "sidecar_dispatches"), int(e.Requests.Load()); n != sent {
 		t.Errorf("%d attempts told, and %d came", n, sent)
 	}
-	if n := s.figure(t, "sidecar_targets"); n != 1 {
+	if n := s.metric(t, "sidecar_targets"); n != 1 {
 		t.Errorf("%d endpoints told", n)
 	}
 }
 
 // Whatever callers do on their side, operators are answered: with every place of theirs taken and silent callers at the console.
-func TestTheConsoleAnswersUnderLoad(t *testing.T) {
+func TestAdminRespondsUnderLoad(t *testing.T) {
 	came, release := make(chan bool, 200), make(chan bool)
 	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		came <- true
 		<-release
-		io.WriteString(nc, served)
+		io.WriteString(nc, okResponse)
 		return true
 	})
-	s := runWithin(t, `{"sockets":128}`, e.Addr)
+	s := startSidecarWithLimits(t, `{"sockets":128}`, e.Addr)
 	var callers sync.WaitGroup
 	for i := range 40 {
-		callers.Go(func() { ask(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)) })
+		callers.Go(func() { sendRequest(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)) })
 	}
 	<-came
 	for range 50 {
-		nc, err := net.Dial("tcp", s.console.Addr().String())
+		nc, err := net.Dial("tcp", s.admin.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer nc.Close()
 		io.WriteString(nc, "disable-ser")
 	}
-	until(t, "all that is asked shows", func() bool { return s.figure(t, "sidecar_concurrent") > 5 })
-	s.yes(t, "disable-server a")
+	waitUntil(t, "all that is asked shows", func() bool { return s.metric(t, "sidecar_concurrent") > 5 })
+	s.requireSuccess(t, "disable-server a")
 	close(release)
 	callers.Wait()
 }
 
-func TestTheConsoleSaysReadyOnceTheListIsThere(t *testing.T) {
-	w := newWelcome()
-	o := &operator{welcome: w}
+func TestReadyRequiresListAndAccepting(t *testing.T) {
+	w := newReadiness()
+	o := &operations{readiness: w}
 	if err := o.Ready(); err == nil {
 		t.Error("ready before discovery has said anything")
 	}
-	w.hear()
-	w.hear()
+	w.markListReceived()
+	w.markListReceived()
 	if err := o.Ready(); err == nil {
 		t.Error("ready before connections are taken")
 	}
-	w.open.Store(true)
+	w.accepting.Store(true)
 	if err := o.Ready(); err != nil {
 		t.Error(err)
 	}
-	silent := newWelcome()
-	silent.until = time.Now()
-	silent.open.Store(true)
-	if o = (&operator{welcome: silent}); o.Ready() != nil {
+	silent := newReadiness()
+	silent.deadline = time.Now()
+	silent.accepting.Store(true)
+	if o = (&operations{readiness: silent}); o.Ready() != nil {
 		t.Error("not ready though discovery has been waited for")
 	}
 }
 
-// during is a log that does something at each line.
-type during struct {
+// hookHandler is a log that does something at each line.
+type hookHandler struct {
 	slog.Handler
-	does func(line string)
+	onMessage func(line string)
 }
 
 // Handle implements slog.Handler.
-func (d during) Handle(_ context.Context, r slog.Record) error { d.does(r.Message); return nil }
+func (d hookHandler) Handle(_ context.Context, r slog.Record) error {
+	d.onMessage(r.Message)
+	return nil
+}
 
 // Enabled implements slog.Handler.
-func (d during) Enabled(context.Context, slog.Level) bool { return true }
+func (d hookHandler) Enabled(context.Context, slog.Level) bool { return true }
 
 // At the yes the platform sends SIGTERM to the predecessor, which must be able to know by then that it has a successor. So nothing says
 // yes before that is told; here it can't be, and what comes of that is told in between.
-func TestAPredecessorIsToldBeforeTheYes(t *testing.T) {
+func TestPredecessorIsNotifiedBeforeReady(t *testing.T) {
 	c, err := parseConfig([]byte(`{"listen":"127.0.0.1:0","console":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"7","known":{"version":1,"full":true,"servers":[]},"settings":{}}`),
 		func(name string) string { return map[string]string{"TMPDIR": t.TempDir()}[name] })
 	if err != nil {
@@ -242,30 +245,30 @@
 	}
 	told := make(chan error, 1)
 	var s *Sidecar
-	s, err = Start(c, slog.New(during{slog.DiscardHandler, func(line string) {
+	s, err = Start(c, slog.New(hookHandler{slog.DiscardHandler, func(line string) {
 		if line == "a predecessor is not told that this process serves" {
-			told <- (&operator{welcome: s.welcome}).Ready()
+			told <- (&operations{readiness: s.readiness}).Ready()
 		}
 	}}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.welcome.hear()
-	s.shift.presence.Unregister() // its file is gone: the predecessor can't be told
+	s.readiness.markListReceived()
+	s.handover.presence.Unregister() // its file is gone: the predecessor can't be told
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- s.Serve(ctx) }()
-	if err := <-told; !errors.Is(err, errNotOpen) {
+	if err := <-told; !errors.Is(err, errNotAccepting) {
 		t.Errorf("before it is told: %v", err)
 	}
-	until(t, "it says yes", func() bool { return (&operator{welcome: s.welcome}).Ready() == nil })
+	waitUntil(t, "it says yes", func() bool { return (&operations{readiness: s.readiness}).Ready() == nil })
 	end()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-func TestAConsoleThatCannotBeOpenedFailsTheStart(t *testing.T) {
+func TestStartFailsWhenAdminAddressIsUnusable(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -6,14 +6,14 @@
 
 // What tests here use most.
 const (
-	patience = testpeer.Patience
-	served   = testpeer.Served
+	testTimeout = testpeer.Patience
+	okResponse  = testpeer.Served
 )
 
 var (
-	newEndpoint = testpeer.New
-	says        = testpeer.Says
-	until       = testpeer.Until
-	members     = testpeer.Members
-	member      = testpeer.Member
+	newEndpoint      = testpeer.New
+	respondWith      = testpeer.Says
+	waitUntil        = testpeer.Until
+	endpointListJSON = testpeer.Members
+	endpointJSON     = testpeer.Member
 )
--- a/internal/sidecar/shift.go
+++ b/internal/sidecar/shift.go
@@ -16,159 +16,159 @@
 )
 
 const (
-	lookEvery    = 100 * time.Millisecond // for other processes, and for bans said to them
-	keepEvery    = time.Second            // between two snapshots of what was learned
-	learnedFor   = time.Minute            // after which it tells nothing any more
-	complainGap  = 10 * time.Second       // between two log lines about the folder
-	lately       = 300 * time.Millisecond // connections used within this are likely to be used again at once
-	heapShare    = 0.7                    // of the memory limit that the heap may take before the collector works harder
-	bodyShare    = 8                      // part of the memory limit in which long bodies are kept
-	leastConns   = 8
-	mebibyte     = 1 << 20
-	otherProcess = 2 // processes that share the limits while one takes over from another
+	peerCheckInterval       = 100 * time.Millisecond // for other processes, and for bans said to them
+	snapshotInterval        = time.Second            // between two snapshots of what was learned
+	snapshotMaxAge          = time.Minute            // after which it tells nothing any more
+	sharedDirWarnInterval   = 10 * time.Second       // between two log lines about the folder
+	recentUseWindow         = 300 * time.Millisecond // connections used within this are likely to be used again at once
+	heapLimitFraction       = 0.7                    // of the memory limit that the heap may take before the collector works harder
+	bodyMemoryDivisor       = 8                      // part of the memory limit in which long bodies are kept
+	minConns                = 8
+	mebibyte                = 1 << 20
+	processesDuringHandover = 2 // processes that share the limits while one takes over from another
 )
 
-// shift is this process's part in the change from one process of the sidecar to the next.
-type shift struct {
-	limits   Limits
-	folder   *hotrestart.SharedDir // nil: there is nobody to share with
-	presence *hotrestart.Presence
-	engine   *proxy.Pool
-	callers  *httpserver.Server
-	conns    *httpserver.Listener
-	operator *operator
-	log      *slog.Logger
+// handover is this process's part in the change from one process of the sidecar to the next.
+type handover struct {
+	limits     Limits
+	sharedDir  *hotrestart.SharedDir // nil: there is nobody to share with
+	presence   *hotrestart.Presence
+	pool       *proxy.Pool
+	server     *httpserver.Server
+	listener   *httpserver.Listener
+	operations *operations
+	log        *slog.Logger
 
-	mu        sync.Mutex
-	ending    bool // SIGTERM has come
-	beside    bool // another process lives
-	succeeded bool // and serves in place of this one
-	keptAt    time.Time
-	toldAt    time.Time
+	mu                sync.Mutex
+	ending            bool // SIGTERM has come
+	peerRunning       bool // another process lives
+	superseded        bool // and serves in place of this one
+	snapshotWrittenAt time.Time
+	warnedAt          time.Time
 }
 
-// conns is how many connections there may be on either side.
-func (l Limits) conns(processes int) int {
-	return max((l.Sockets-otherDescriptors)/2/processes, leastConns)
+// maxConns is how many connections there may be on either side.
+func (l Limits) maxConns(processes int) int {
+	return max((l.Sockets-reservedDescriptors)/2/processes, minConns)
 }
 
-// take makes this process take its part of the limits.
-func (s *shift) take(processes int) {
-	debug.SetMemoryLimit(int64(heapShare * float64(s.limits.MemoryMB) * mebibyte / float64(processes)))
-	s.engine.SetMaxConns(s.limits.conns(processes))
-	s.conns.SetMaxConns(s.limits.conns(processes))
-	s.callers.SetBodyMemory(s.limits.MemoryMB * mebibyte / bodyShare / processes)
+// applyLimits makes this process take its part of the limits.
+func (h *handover) applyLimits(processes int) {
+	debug.SetMemoryLimit(int64(heapLimitFraction * float64(h.limits.MemoryMB) * mebibyte / float64(processes)))
+	h.pool.SetMaxConns(h.limits.maxConns(processes))
+	h.listener.SetMaxConns(h.limits.maxConns(processes))
+	h.server.SetBodyMemory(h.limits.MemoryMB * mebibyte / bodyMemoryDivisor / processes)
 	if processes > 1 {
 		debug.FreeOSMemory()
 	}
 }
 
-// enter shows this process to others and takes up the bans that stand. What fails there fails no start: it is told.
-func (s *shift) enter(temp, name string) {
-	s.take(1)
+// join shows this process to others and takes up the bans that stand. What fails there fails no start: it is told.
+func (h *handover) join(temp, name string) {
+	h.applyLimits(1)
 	if temp == "" {
 		return
 	}
 	folder, err := hotrestart.OpenSharedDir(temp, name)
 	if err != nil {
-		s.log.Warn("nothing is shared with a successor", "err", err)
+		h.log.Warn("nothing is shared with a successor", "err", err)
 		return
 	}
 	presence, err := folder.Register(time.Now())
 	if err != nil {
-		s.log.Warn("nothing is shared with a successor", "err", err)
+		h.log.Warn("nothing is shared with a successor", "err", err)
 		return
 	}
-	s.folder, s.presence, s.operator.folder = folder, presence, folder
-	s.look()
+	h.sharedDir, h.presence, h.operations.sharedDir = folder, presence, folder
+	h.checkPeers()
 }
 
-// look takes up what has changed since the latest look.
-func (s *shift) look() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	others, err := s.presence.Peers()
-	if err = errors.Join(err, s.operator.reconcile()); err != nil {
-		if time.Since(s.toldAt) > complainGap {
-			s.toldAt = time.Now()
-			s.log.Warn("what other processes share can't be read: all stays as it is", "err", err)
+// checkPeers takes up what has changed since the latest look.
+func (h *handover) checkPeers() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	others, err := h.presence.Peers()
+	if err = errors.Join(err, h.operations.applySharedBans()); err != nil {
+		if time.Since(h.warnedAt) > sharedDirWarnInterval {
+			h.warnedAt = time.Now()
+			h.log.Warn("what other processes share can't be read: all stays as it is", "err", err)
 		}
 		return
 	}
-	if others.Alive != s.beside {
-		s.beside = others.Alive
-		s.log.Info("processes of this sidecar", "another", s.beside)
-		if s.beside {
-			s.take(otherProcess)
+	if others.Alive != h.peerRunning {
+		h.peerRunning = others.Alive
+		h.log.Info("processes of this sidecar", "another", h.peerRunning)
+		if h.peerRunning {
+			h.applyLimits(processesDuringHandover)
 		} else {
-			s.take(1)
+			h.applyLimits(1)
 		}
 	}
-	if others.Successor != s.succeeded && !s.ending {
-		s.succeeded = others.Successor
-		s.log.Info("a successor serves", "is_so", s.succeeded)
-		if s.succeeded {
-			s.conns.Pause()
-			s.callers.StartDraining()
+	if others.Successor != h.superseded && !h.ending {
+		h.superseded = others.Successor
+		h.log.Info("a successor serves", "is_so", h.superseded)
+		if h.superseded {
+			h.listener.Pause()
+			h.server.StartDraining()
 		} else { // it has died: this process is the one that serves
-			s.conns.Resume()
-			s.callers.StopDraining()
+			h.listener.Resume()
+			h.server.StopDraining()
 		}
 	}
 }
 
-// end tells that this process is to end, and whether a successor takes the connections that come.
-func (s *shift) end() (succeeded bool) {
-	if s.presence != nil {
-		s.look() // it may have said so just now
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ending = true
-	return s.succeeded
+// beginShutdown tells that this process is to end, and whether a successor takes the connections that come.
+func (h *handover) beginShutdown() (succeeded bool) {
+	if h.presence != nil {
+		h.checkPeers() // it may have said so just now
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.ending = true
+	return h.superseded
 }
 
-// isBeside tells whether another process of the sidecar lives.
-func (s *shift) isBeside() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.beside
+// hasPeer tells whether another process of the sidecar lives.
+func (h *handover) hasPeer() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.peerRunning
 }
 
-// recall takes up what the process before this one had learned. The list has to be there already.
-func (s *shift) recall() {
-	if s.folder == nil {
+// restoreSnapshot takes up what the process before this one had learned. The list has to be there already.
+func (h *handover) restoreSnapshot() {
+	if h.sharedDir == nil {
 		return
 	}
 	var m proxy.Snapshot
-	ago, err := snapshot.Read(s.folder.SnapshotPath(), time.Now(), learnedFor, &m)
+	ago, err := snapshot.Read(h.sharedDir.SnapshotPath(), time.Now(), snapshotMaxAge, &m)
 	switch {
 	case errors.Is(err, snapshot.ErrNotFound):
 	case err != nil:
-		s.log.Warn("starting without what was learned", "err", err)
+		h.log.Warn("starting without what was learned", "err", err)
 	default:
-		s.engine.Restore(m, ago)
-		s.log.Info("starting with what was learned", "ago", ago, "endpoints", len(m.Learned.Endpoints))
+		h.pool.Restore(m, ago)
+		h.log.Info("starting with what was learned", "ago", ago, "endpoints", len(m.Learned.Endpoints))
 	}
 }
 
-// serve shows that this process serves.
-func (s *shift) serve() {
-	if s.presence == nil {
+// markServing shows that this process serves.
+func (h *handover) markServing() {
+	if h.presence == nil {
 		return
 	}
-	if err := s.presence.MarkServing(); err != nil {
-		s.log.Warn("a predecessor is not told that this process serves", "err", err)
+	if err := h.presence.MarkServing(); err != nil {
+		h.log.Warn("a predecessor is not told that this process serves", "err", err)
 	}
 }
 
 // run looks round and keeps what is learned, until ctx ends.
-func (s *shift) run(ctx context.Context) {
-	if s.presence == nil {
+func (h *handover) run(ctx context.Context) {
+	if h.presence == nil {
 		return
 	}
-	defer s.presence.Unregister()
-	tick := time.NewTicker(lookEvery)
+	defer h.presence.Unregister()
+	tick := time.NewTicker(peerCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -176,25 +176,25 @@
 			return
 		case <-tick.C:
 		}
-		s.look()
-		if err := s.keep(); err != nil {
-			s.log.Warn("what was learned is not kept", "err", err)
+		h.checkPeers()
+		if err := h.writeSnapshotIfDue(); err != nil {
+			h.log.Warn("what was learned is not kept", "err", err)
 		}
 	}
 }
 
-// keep writes a snapshot if one is due. Once a successor serves, what is learned is its own matter.
-func (s *shift) keep() error {
-	s.mu.Lock()
-	due := !s.succeeded && time.Since(s.keptAt) >= keepEvery
+// writeSnapshotIfDue writes a snapshot if one is due. Once a successor serves, what is learned is its own matter.
+func (h *handover) writeSnapshotIfDue() error {
+	h.mu.Lock()
+	due := !h.superseded && time.Since(h.snapshotWrittenAt) >= snapshotInterval
 	if due {
-		s.keptAt = time.Now()
+		h.snapshotWrittenAt = time.Now()
 	}
-	s.mu.Unlock()
-	if !due || !s.operator.welcome.open.Load() {
+	h.mu.Unlock()
+	if !due || !h.operations.readiness.accepting.Load() {
 		return nil
 	}
-	if err := snapshot.WriteNoSync(s.folder.SnapshotPath(), time.Now(), s.engine.Snapshot()); err != nil {
+	if err := snapshot.WriteNoSync(h.sharedDir.SnapshotPath(), time.Now(), h.pool.Snapshot()); err != nil {
 		return fmt.Errorf("shift: %w", err)
 	}
 	return nil
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -19,49 +19,49 @@
 	"time"
 )
 
-const laneSettings = `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
+const testSettings = `{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
 	{"Name":"book","Semantics":"idempotency_key","Group":"cell","WindowUs":10000000,"OnTimeUs":2000000},
 	{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],
 	"Permissions":{"MayCancel":true,"TryLimit":4,"RetryAfter":true,"MaxRetryAfterUs":2000000,"DialTimeoutUs":5000000}}`
 
-// running is a whole sidecar on loopback sockets.
-type running struct {
+// testSidecar is a whole sidecar on loopback sockets.
+type testSidecar struct {
 	*Sidecar
-	addr  string
-	term  context.CancelFunc
-	ended chan error
+	addr        string
+	terminate   context.CancelFunc
+	serveResult chan error
 }
 
-// run starts a sidecar before the endpoints given, named a, b, ... Its discovery never says anything.
-func run(t *testing.T, addrs ...string) *running {
+// startSidecar starts a sidecar before the endpoints given, named a, b, ... Its discovery never says anything.
+func startSidecar(t *testing.T, addrs ...string) *testSidecar {
 	t.Helper()
-	return runWithin(t, "{}", addrs...)
+	return startSidecarWithLimits(t, "{}", addrs...)
 }
 
-func runWithin(t *testing.T, limits string, addrs ...string) *running {
+func startSidecarWithLimits(t *testing.T, limits string, addrs ...string) *testSidecar {
 	t.Helper()
 	var list []string
 	for i, addr := range addrs {
-		list = append(list, member(string(rune('a'+i)), addr, "Ready"))
+		list = append(list, endpointJSON(string(rune('a'+i)), addr, "Ready"))
 	}
-	return setup{limits: limits, known: list}.run(t)
+	return testOptions{limits: limits, endpoints: list}.start(t)
 }
 
-// setup is what a sidecar is started with, where something else is wanted than run gives.
-type setup struct {
-	limits   string
-	settings string // instead of laneSettings
-	known    []string
-	temp     string
-	kill     time.Duration // after SIGTERM; 0: when tests have lost patience
+// testOptions is what a sidecar is started with, where something else is wanted than run gives.
+type testOptions struct {
+	limits    string
+	settings  string // instead of laneSettings
+	endpoints []string
+	sharedDir string
+	killDelay time.Duration // after SIGTERM; 0: when tests have lost patience
 }
 
-func (u setup) run(t *testing.T) *running {
+func (o testOptions) start(t *testing.T) *testSidecar {
 	t.Helper()
 	silent := httptest.NewServer(&testpeer.Script{Calls: make(chan string, 100)})
 	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","console":"127.0.0.1:0","discovery":%q,"seed":"7","limits":%s,"known":%s,"settings":%s}`,
-		silent.Listener.Addr(), cmp.Or(u.limits, "{}"), members(1, true, u.known...), cmp.Or(u.settings, laneSettings))
-	c, err := parseConfig([]byte(text), func(name string) string { return map[string]string{"TMPDIR": u.temp}[name] })
+		silent.Listener.Addr(), cmp.Or(o.limits, "{}"), endpointListJSON(1, true, o.endpoints...), cmp.Or(o.settings, testSettings))
+	c, err := parseConfig([]byte(text), func(name string) string { return map[string]string{"TMPDIR": o.sharedDir}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,20 +69,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.kill = cmp.Or(u.kill, patience)
+	s.killDelay = cmp.Or(o.killDelay, testTimeout)
 	ctx, term := context.WithCancel(context.Background())
-	r := &running{Sidecar: s, addr: s.Addr().String(), term: term, ended: make(chan error, 1)}
-	go func() { r.ended <- s.Serve(ctx); close(r.ended) }()
+	r := &testSidecar{Sidecar: s, addr: s.Addr().String(), terminate: term, serveResult: make(chan error, 1)}
+	go func() { r.serveResult <- s.Serve(ctx); close(r.serveResult) }()
 	t.Cleanup(func() {
 		term()
-		<-r.ended
+		<-r.serveResult
 		silent.Close()
 	})
 	return r
 }
 
-// request is one as clients send it.
-func (s *running) request(t *testing.T, method, path, id string, ms int) *http.Request {
+// newRequest is one as clients send it.
+func (s *testSidecar) newRequest(t *testing.T, method, path, id string, ms int) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.addr+path, nil)
 	if err != nil {
@@ -96,8 +96,8 @@
 	return r
 }
 
-// ask sends a request on a connection of its own.
-func ask(t *testing.T, r *http.Request) (status int, body string, h http.Header) {
+// sendRequest sends a request on a connection of its own.
+func sendRequest(t *testing.T, r *http.Request) (status int, body string, h http.Header) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(r)
@@ -113,8 +113,8 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-// keep sends a request on a new connection and leaves that open.
-func keep(t *testing.T, r *http.Request) (net.Conn, *bufio.Reader, *http.Response) {
+// sendKeepingConn sends a request on a new connection and leaves that open.
+func sendKeepingConn(t *testing.T, r *http.Request) (net.Conn, *bufio.Reader, *http.Response) {
 	t.Helper()
 	nc, err := net.Dial("tcp", r.URL.Host)
 	if err != nil {
@@ -125,7 +125,7 @@
 	in := bufio.NewReader(nc)
 	err = r.Write(nc)
 	if err == nil {
-		nc.SetReadDeadline(time.Now().Add(patience))
+		nc.SetReadDeadline(time.Now().Add(testTimeout))
 		var resp *http.Response
 		if resp, err = http.ReadResponse(in, r); err == nil {
 			io.Copy(io.Discard, resp.Body)
@@ -136,7 +136,7 @@
 	return nc, in, &http.Response{}
 }
 
-func TestARequestGoesOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	body := make(chan string, 1)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -146,10 +146,10 @@
 		io.WriteString(w, "done")
 	}))
 	defer e.Close()
-	s := run(t, e.Listener.Addr().String())
-	r := s.request(t, http.MethodPost, "/book/a%2Fb?x=1&y=%20", "id-1", 4000)
+	s := startSidecar(t, e.Listener.Addr().String())
+	r := s.newRequest(t, http.MethodPost, "/book/a%2Fb?x=1&y=%20", "id-1", 4000)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader("parcel")), 6
-	if status, text, _ := ask(t, r); status != http.StatusOK || text != "done" {
+	if status, text, _ := sendRequest(t, r); status != http.StatusOK || text != "done" {
 		t.Errorf("%d %q", status, text)
 	}
 	in := <-got
@@ -164,36 +164,36 @@
 }
 
 // What can't have run may be refused; what may have run is failed, and sent only once.
-func TestUnsafeWorkIsNotResentAndNotRefused(t *testing.T) {
-	e := newEndpoint(t, says("", false))
-	s := run(t, e.Addr, e.Addr, e.Addr)
-	if status, _, _ := ask(t, s.request(t, http.MethodPost, "/pay", "r1", 4000)); status != http.StatusBadGateway {
+func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
+	e := newEndpoint(t, respondWith("", false))
+	s := startSidecar(t, e.Addr, e.Addr, e.Addr)
+	if status, _, _ := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 4000)); status != http.StatusBadGateway {
 		t.Errorf("may have run: %d", status)
 	}
 	if n := e.Requests.Load(); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
-	closed := newEndpoint(t, says("", false))
+	closed := newEndpoint(t, respondWith("", false))
 	closed.Listener.Close()
-	s = run(t, closed.Addr)
-	status, _, h := ask(t, s.request(t, http.MethodPost, "/pay", "r2", 4000))
+	s = startSidecar(t, closed.Addr)
+	status, _, h := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r2", 4000))
 	if status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
 		t.Errorf("never ran: %d %v", status, h)
 	}
 }
 
-func TestASilentEndpointStillGetsAnAnswerOut(t *testing.T) {
+func TestSilentEndpointYieldsBadGatewayAtDeadline(t *testing.T) {
 	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		nc.Read(make([]byte, 1))
 		return false
 	})
-	s := run(t, e.Addr)
-	if status, _, _ := ask(t, s.request(t, http.MethodPost, "/pay", "r1", 300)); status != http.StatusBadGateway {
+	s := startSidecar(t, e.Addr)
+	if status, _, _ := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 300)); status != http.StatusBadGateway {
 		t.Errorf("status %d", status)
 	}
 }
 
-func TestACallerThatLeavesEndsTheAttempt(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	came, left := make(chan bool), make(chan bool)
 	e := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		came <- true
@@ -201,35 +201,35 @@
 		left <- true
 	}))
 	defer e.Close()
-	s := run(t, e.Listener.Addr().String())
+	s := startSidecar(t, e.Listener.Addr().String())
 	ctx, leave := context.WithCancel(context.Background())
 	go func() { <-came; leave() }()
-	if _, err := http.DefaultClient.Do(s.request(t, http.MethodGet, "/look", "r1", 60000).WithContext(ctx)); !errors.Is(err, context.Canceled) {
+	if _, err := http.DefaultClient.Do(s.newRequest(t, http.MethodGet, "/look", "r1", 60000).WithContext(ctx)); !errors.Is(err, context.Canceled) {
 		t.Errorf("error %v", err)
 	}
 	select {
 	case <-left:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the endpoint was left waiting")
 	}
 }
 
-func TestADuplicateLiveIDDoesNotDisturbTheFirst(t *testing.T) {
+func TestDuplicateInFlightIDIsRejected(t *testing.T) {
 	came, release := make(chan bool, 2), make(chan bool)
 	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		came <- true
 		<-release
-		io.WriteString(nc, served)
+		io.WriteString(nc, okResponse)
 		return true
 	})
-	s := run(t, e.Addr)
+	s := startSidecar(t, e.Addr)
 	first := make(chan int)
 	go func() {
-		status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "same", 60000))
+		status, _, _ := sendRequest(t, s.newRequest(t, http.MethodGet, "/look", "same", 60000))
 		first <- status
 	}()
 	<-came
-	if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "same", 60000)); status != http.StatusConflict {
+	if status, _, _ := sendRequest(t, s.newRequest(t, http.MethodGet, "/look", "same", 60000)); status != http.StatusConflict {
 		t.Errorf("second: %d", status)
 	}
 	close(release)
@@ -241,9 +241,9 @@
 	}
 }
 
-func TestBadInputReachesNoEndpoint(t *testing.T) {
-	e := newEndpoint(t, says(served, true))
-	s := run(t, e.Addr)
+func TestMalformedRequestReachesNoEndpoint(t *testing.T) {
+	e := newEndpoint(t, respondWith(okResponse, true))
+	s := startSidecar(t, e.Addr)
 	const host, id, ms = " HTTP/1.1\r\nHost: h\r\n", "Req-Id: r1\r\n", "Req-Deadline-Ms: 1000\r\n"
 	for name, text := range map[string]string{
 		"noise":                     "\x01\x02 \x03\r\n\r\n",
@@ -291,29 +291,29 @@
 	if n := e.Requests.Load(); n != 0 {
 		t.Errorf("%d requests reached the endpoint", n)
 	}
-	if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "r1", 4000)); status != http.StatusOK {
+	if status, _, _ := sendRequest(t, s.newRequest(t, http.MethodGet, "/look", "r1", 4000)); status != http.StatusOK {
 		t.Errorf("a good request afterwards: %d", status)
 	}
 }
 
 // A list is an event of the engine's, as discovery's are: what comes after it finds it in force.
-func (s *running) tell(t *testing.T, text string) {
+func (s *testSidecar) updateEndpoints(t *testing.T, text string) {
 	t.Helper()
 	m, err := platform.ParseEndpointList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.engine.UpdateEndpoints(m.ForPool())
+	s.pool.UpdateEndpoints(m.ForPool())
 }
 
-func TestNothingNewGoesToWhatDrainsOrIsGone(t *testing.T) {
-	a, b := newEndpoint(t, says(served, true)), newEndpoint(t, says(served, true))
-	s := run(t, a.Addr, b.Addr)
+func TestDrainingAndRemovedEndpointsGetNoNewRequests(t *testing.T) {
+	a, b := newEndpoint(t, respondWith(okResponse, true)), newEndpoint(t, respondWith(okResponse, true))
+	s := startSidecar(t, a.Addr, b.Addr)
 	n := 0
 	calls := func() (int32, int32) {
 		for range 8 {
 			n++
-			if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", n), 60000)); status != http.StatusOK {
+			if status, _, _ := sendRequest(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", n), 60000)); status != http.StatusOK {
 				t.Errorf("status %d", status)
 			}
 		}
@@ -322,51 +322,51 @@
 	if x, y := calls(); x == 0 || y == 0 {
 		t.Errorf("at first %d and %d", x, y)
 	}
-	s.tell(t, members(2, false, member("a", a.Addr, "Terminating")))
+	s.updateEndpoints(t, endpointListJSON(2, false, endpointJSON("a", a.Addr, "Terminating")))
 	if x, y := calls(); x != 0 || y != 8 {
 		t.Errorf("with a draining, %d and %d", x, y)
 	}
-	s.tell(t, members(3, true, member("b", a.Addr, "Ready"))) // a gone, b moved
+	s.updateEndpoints(t, endpointListJSON(3, true, endpointJSON("b", a.Addr, "Ready"))) // a gone, b moved
 	if x, y := calls(); x != 8 || y != 0 {
 		t.Errorf("with b moved, %d to its new address and %d to the old", x, y)
 	}
 }
 
 // After SIGTERM callers go on coming for a while; all that was taken is answered before the end.
-func TestTheEndLosesNothing(t *testing.T) {
+func TestGracefulShutdownLosesNoRequest(t *testing.T) {
 	came, release := make(chan bool, 100), make(chan bool)
 	e := newEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if strings.HasPrefix(r.Header.Get("Req-Id"), "slow") {
 			came <- true
 			<-release
 		}
-		io.WriteString(nc, served)
+		io.WriteString(nc, okResponse)
 		return true
 	})
-	s := run(t, e.Addr)
+	s := startSidecar(t, e.Addr)
 	var slow sync.WaitGroup
 	for i := range 3 {
 		slow.Go(func() {
-			_, _, resp := keep(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000))
+			_, _, resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000))
 			if resp.StatusCode != http.StatusOK || !resp.Close {
 				t.Errorf("in flight: %d, close %v", resp.StatusCode, resp.Close)
 			}
 		})
 		<-came
 	}
-	_, in, resp := keep(t, s.request(t, http.MethodGet, "/look", "kept", 60000))
+	_, in, resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", "kept", 60000))
 	if resp.StatusCode != http.StatusOK || resp.Close {
 		t.Errorf("before the signal: %d, close %v", resp.StatusCode, resp.Close)
 	}
 
-	s.term()
-	if status, _, _ := ask(t, s.request(t, http.MethodGet, "/look", "late", 60000)); status != http.StatusOK {
+	s.terminate()
+	if status, _, _ := sendRequest(t, s.newRequest(t, http.MethodGet, "/look", "late", 60000)); status != http.StatusOK {
 		t.Errorf("right after the signal: %d", status)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection: %v", err)
 	}
-	until(t, "the listener closes", func() bool {
+	waitUntil(t, "the listener closes", func() bool {
 		nc, err := net.Dial("tcp", s.addr)
 		if err == nil {
 			nc.Close()
@@ -374,28 +374,28 @@
 		return err != nil
 	})
 	select {
-	case err := <-s.ended:
+	case err := <-s.serveResult:
 		t.Fatalf("ended with requests in flight: %v", err)
 	default:
 	}
 	close(release)
 	slow.Wait()
 	select {
-	case err := <-s.ended:
+	case err := <-s.serveResult:
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("never ended")
 	}
 }
 
 // Idle callers must give way when connections run short, and none may be lost.
-func TestIdleCallersGiveWay(t *testing.T) {
-	e := newEndpoint(t, says(served, true))
-	s := runWithin(t, `{"sockets":64}`, e.Addr)
+func TestIdleClientConnectionsAreClosedAtTheLimit(t *testing.T) {
+	e := newEndpoint(t, respondWith(okResponse, true))
+	s := startSidecarWithLimits(t, `{"sockets":64}`, e.Addr)
 	for i := range 100 { // far over the limit
-		_, _, resp := keep(t, s.request(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
+		_, _, resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
 		if resp.StatusCode != http.StatusOK {
 			t.Fatalf("caller %d: status %d", i, resp.StatusCode)
 		}
@@ -403,17 +403,17 @@
 }
 
 // A body that never ends must not hold its connection, whatever else is wrong with the request.
-func TestAnUnfinishedBodyIsGivenUp(t *testing.T) {
-	e := newEndpoint(t, says(served, true))
-	s := run(t, e.Addr)
-	s.callers.SetBodyTimeout(100 * time.Millisecond)
+func TestUnfinishedBodyTimesOut(t *testing.T) {
+	e := newEndpoint(t, respondWith(okResponse, true))
+	s := startSidecar(t, e.Addr)
+	s.server.SetBodyTimeout(100 * time.Millisecond)
 	for name, fields := range map[string]string{"good": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		io.WriteString(nc, "POST /look HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 9\r\n\r\nhalf")
-		nc.SetReadDeadline(time.Now().Add(patience))
+		nc.SetReadDeadline(time.Now().Add(testTimeout))
 		text, err := io.ReadAll(nc) // to the end of the connection
 		if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 400 ") {
 			t.Errorf("%s: %q, %v", name, text, err)
--- a/internal/sidecar/size_test.go
+++ b/internal/sidecar/size_test.go
@@ -18,25 +18,25 @@
 	"time"
 )
 
-// block is what bodies are made of. Its length fits no buffer's: what is cut out, doubled or moved shows.
-var block = func() []byte {
+// bodyPattern is what bodies are made of. Its length fits no buffer's: what is cut out, doubled or moved shows.
+var bodyPattern = func() []byte {
 	b := make([]byte, 65_537)
 	rand.NewChaCha8([32]byte{}).Read(b)
 	return b
 }()
 
-// blocks is a body without end that is not held anywhere.
-type blocks int
+// patternReader is a body without end that is not held anywhere.
+type patternReader int
 
-func (b *blocks) Read(p []byte) (int, error) {
-	n := copy(p, block[*b:])
-	*b = (*b + blocks(n)) % blocks(len(block))
+func (b *patternReader) Read(p []byte) (int, error) {
+	n := copy(p, bodyPattern[*b:])
+	*b = (*b + patternReader(n)) % patternReader(len(bodyPattern))
 	return n, nil
 }
 
-// noise is a body, another one for each seed.
-func noise(seed uint64, n int64) io.Reader {
-	b := blocks(seed * 997 % uint64(len(block)))
+// testBody is a body, another one for each seed.
+func testBody(seed uint64, n int64) io.Reader {
+	b := patternReader(seed * 997 % uint64(len(bodyPattern)))
 	return io.LimitReader(&b, n)
 }
 
@@ -51,19 +51,19 @@
 }
 
 // A hundred answers of 2 MB are read slowly at once, 200 MB under a limit of 64: all come whole, and what is held stays small.
-func TestLongAnswersFlowThroughBoundedMemory(t *testing.T) {
+func TestLongResponsesUseBoundedMemory(t *testing.T) {
 	const answers, size = 100, 2 << 20
 	e := newEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		var seed uint64
 		fmt.Sscan(r.URL.Query().Get("seed"), &seed)
 		if seed%2 == 0 {
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
-			_, err := io.Copy(nc, noise(seed, size))
+			_, err := io.Copy(nc, testBody(seed, size))
 			return err == nil
 		}
 		fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		b := make([]byte, 100_000)
-		for in := noise(seed, size); ; {
+		for in := testBody(seed, size); ; {
 			n, err := io.ReadFull(in, b)
 			if n > 0 {
 				fmt.Fprintf(nc, "%x;part=1\r\n%s\r\n", n, b[:n])
@@ -75,7 +75,7 @@
 		_, err := fmt.Fprint(nc, "0\r\nEnd: yes\r\n\r\n")
 		return err == nil
 	})
-	s := runWithin(t, `{"memory_mb":64,"sockets":1024}`, e.Addr)
+	s := startSidecarWithLimits(t, `{"memory_mb":64,"sockets":1024}`, e.Addr)
 	var before, now runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -84,7 +84,7 @@
 	slow := make(chan bool)
 	for i := range answers {
 		all.Go(func() {
-			r := s.request(t, http.MethodGet, fmt.Sprint("/look?seed=", i), fmt.Sprint("r", i), 60000)
+			r := s.newRequest(t, http.MethodGet, fmt.Sprint("/look?seed=", i), fmt.Sprint("r", i), 60000)
 			nc, err := net.Dial("tcp", s.addr)
 			if err != nil {
 				t.Error(err)
@@ -101,7 +101,7 @@
 				return
 			}
 			<-slow
-			want, _ := digest(t, noise(uint64(i), size))
+			want, _ := digest(t, testBody(uint64(i), size))
 			if got, n := digest(t, resp.Body); got != want {
 				t.Errorf("%d: another answer, %d bytes", i, n)
 			}
@@ -118,9 +118,9 @@
 }
 
 // Bodies longer than what is kept of one go through as they come; shorter ones are kept. Both arrive as they were, in either framing.
-func TestLongBodiesArriveAsTheyWere(t *testing.T) {
+func TestLongBodiesArriveUnchanged(t *testing.T) {
 	got := make(chan [32]byte, 100)
-	e := newEndpoint(t, says(served, true))
+	e := newEndpoint(t, respondWith(okResponse, true))
 	e.Listener.Close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,19 +133,19 @@
 	})}
 	go server.Serve(l)
 	t.Cleanup(func() { server.Close() })
-	s := runWithin(t, `{"memory_mb":32}`, l.Addr().String())
+	s := startSidecarWithLimits(t, `{"memory_mb":32}`, l.Addr().String())
 	for i, size := range []int64{0, 1, 64 << 10, 64<<10 + 1, 300_000, 1 << 20, 3 << 20, 32 << 20} {
 		for _, told := range []bool{true, false} {
-			r := s.request(t, http.MethodPost, "/pay", fmt.Sprint("r", i, told), 60000)
-			r.Body, r.ContentLength = io.NopCloser(noise(uint64(i), size)), -1
+			r := s.newRequest(t, http.MethodPost, "/pay", fmt.Sprint("r", i, told), 60000)
+			r.Body, r.ContentLength = io.NopCloser(testBody(uint64(i), size)), -1
 			if told {
 				r.ContentLength = size
 			}
-			status, text, _ := ask(t, r)
+			status, text, _ := sendRequest(t, r)
 			if status != http.StatusOK || text != "hi" {
 				t.Fatalf("%d bytes, length told %v: %d %q", size, told, status, text)
 			}
-			want, _ := digest(t, noise(uint64(i), size))
+			want, _ := digest(t, testBody(uint64(i), size))
 			if sum := <-got; sum != want {
 				t.Errorf("%d bytes, length told %v: another body arrived", size, told)
 			}
@@ -153,8 +153,8 @@
 	}
 }
 
-// post writes a request with a long body up to somewhere in the middle.
-func (s *running) post(t *testing.T, id string, length, come int64) net.Conn {
+// startUpload writes a request with a long body up to somewhere in the middle.
+func (s *testSidecar) startUpload(t *testing.T, id string, length, come int64) net.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -162,13 +162,13 @@
 	}
 	t.Cleanup(func() { nc.Close() })
 	fmt.Fprintf(nc, "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: 60000\r\nContent-Length: %d\r\n\r\n", id, length)
-	nc.SetDeadline(time.Now().Add(patience))
-	go io.Copy(nc, noise(1, come)) // it may be answered before
+	nc.SetDeadline(time.Now().Add(testTimeout))
+	go io.Copy(nc, testBody(1, come)) // it may be answered before
 	return nc
 }
 
 // What is kept whole is sent again by the rules. What has begun to flow can't be, and has not run if its end never went out.
-func TestABrokenUploadNeverRunsAndNeverRunsTwice(t *testing.T) {
+func TestBrokenUploadNeverRunsTwice(t *testing.T) {
 	var ran atomic.Int32
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error { // the rest of a body must not fit behind what is read
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 64<<10) })
@@ -191,13 +191,13 @@
 	}()
 	good := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		ran.Add(1)
-		io.WriteString(nc, served)
+		io.WriteString(nc, okResponse)
 		return true
 	})
 	// A body that the sending kernel's buffer holds whole, 4 MB at most, is written before the break shows: it may have run then.
-	s := runWithin(t, `{"memory_mb":512}`, l.Addr().String(), good.Addr)
+	s := startSidecarWithLimits(t, `{"memory_mb":512}`, l.Addr().String(), good.Addr)
 	for i := range 6 { // kept: whichever endpoint is first, it is served, once
-		nc := s.post(t, fmt.Sprint("kept", i), 12<<20, 12<<20)
+		nc := s.startUpload(t, fmt.Sprint("kept", i), 12<<20, 12<<20)
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("kept whole: %v, %v", resp, err)
@@ -206,15 +206,15 @@
 			t.Errorf("kept whole: ran %d times", n)
 		}
 	}
-	only := runWithin(t, `{"memory_mb":32}`, l.Addr().String())
-	nc := only.post(t, "flows", 12<<20, 12<<20-1) // its break has to show before all that comes of it has gone out
+	only := startSidecarWithLimits(t, `{"memory_mb":32}`, l.Addr().String())
+	nc := only.startUpload(t, "flows", 12<<20, 12<<20-1) // its break has to show before all that comes of it has gone out
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Errorf("broken by its endpoint: %+v, %v", resp, err)
 	}
-	gone := runWithin(t, `{"memory_mb":32}`, good.Addr)
-	nc = gone.post(t, "left", 8<<20, 2<<20)
-	until(t, "it flows", func() bool { return gone.figure(t, "sidecar_concurrent") > 0 })
+	gone := startSidecarWithLimits(t, `{"memory_mb":32}`, good.Addr)
+	nc = gone.startUpload(t, "left", 8<<20, 2<<20)
+	waitUntil(t, "it flows", func() bool { return gone.metric(t, "sidecar_concurrent") > 0 })
 	nc.(*net.TCPConn).CloseWrite()
 	if resp, err = http.ReadResponse(bufio.NewReader(nc), nil); err != nil || resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("broken by its caller: %+v, %v", resp, err)
@@ -222,13 +222,13 @@
 	if n := ran.Load(); n != 0 {
 		t.Errorf("a broken upload ran %d times", n)
 	}
-	if status, _, _ := ask(t, gone.request(t, http.MethodGet, "/look", "next", 4000)); status != http.StatusOK {
+	if status, _, _ := sendRequest(t, gone.newRequest(t, http.MethodGet, "/look", "next", 4000)); status != http.StatusOK {
 		t.Errorf("afterwards: %d", status)
 	}
 }
 
 // An endpoint may answer before it has the whole body: its word goes on, and nothing of the rest is taken for a request.
-func TestAnAnswerAheadOfTheBodysEnd(t *testing.T) {
+func TestResponseBeforeEndOfBody(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -241,13 +241,13 @@
 				return
 			}
 			if _, err := http.ReadRequest(bufio.NewReader(nc)); err == nil {
-				io.WriteString(nc, served)
+				io.WriteString(nc, okResponse)
 			}
 			defer nc.Close()
 		}
 	}()
-	s := runWithin(t, `{"memory_mb":32}`, l.Addr().String())
-	nc := s.post(t, "early", 8<<20, 8<<20-1)
+	s := startSidecarWithLimits(t, `{"memory_mb":32}`, l.Addr().String())
+	nc := s.startUpload(t, "early", 8<<20, 8<<20-1)
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("%+v, %v", resp, err)
@@ -255,7 +255,7 @@
 }
 
 // Every form in which an endpoint may frame an answer, and in which a caller may ask.
-func TestAllFramings(t *testing.T) {
+func TestAllResponseFramings(t *testing.T) {
 	long := strings.Repeat("0123456789", 20_000)
 	chunked := func(text string) string {
 		var b strings.Builder
@@ -288,14 +288,14 @@
 		io.WriteString(nc, text)
 		return !strings.Contains(text, "close\r\n") && strings.Contains(text, "Content-Length: 2\r\n")
 	})
-	s := run(t, e.Addr)
+	s := startSidecar(t, e.Addr)
 	for name, row := range answers {
 		for _, version := range []string{"1.1", "1.0"} {
 			nc, err := net.Dial("tcp", s.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			nc.SetDeadline(time.Now().Add(patience))
+			nc.SetDeadline(time.Now().Add(testTimeout))
 			fmt.Fprintf(nc, "GET /look?as=%s HTTP/%s\r\nHost: h\r\nReq-Id: %s%s\r\nReq-Deadline-Ms: 60000\r\n\r\n",
 				strings.ReplaceAll(name, " ", "_"), version, name, version)
 			resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
@@ -328,13 +328,13 @@
 	})}
 	go server.Serve(l)
 	t.Cleanup(func() { server.Close() })
-	s := run(t, l.Addr().String())
+	s := startSidecar(t, l.Addr().String())
 	nc, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	head := func(id string) string {
 		return "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\nReq-Deadline-Ms: 60000\r\n"
 	}
