--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,7 @@
-// Tuliprock is a load-balancing sidecar: it takes requests from callers and passes each to the endpoint that
-// the decision module chooses.
+// Command sidecar is a load-balancing sidecar: it accepts requests from clients and forwards each to the
+// endpoint that the balancer chooses. Its configuration is the file that ROUTER_CONFIG names.
+//
+// SIGHUP reloads the configuration; SIGTERM and SIGINT shut the sidecar down gracefully.
 package main
 
 import (
@@ -16,7 +18,9 @@
 	"rowancart/internal/sidecar"
 )
 
-const gcPercent = 300 // the live heap is small: collect less often
+// gcPercent is the heap growth, in per cent, that starts a garbage collection. The live heap is small, so
+// it is collected less often than by default.
+const gcPercent = 300
 
 func main() {
 	if err := run(); err != nil {
@@ -25,9 +29,10 @@
 	}
 }
 
-// run serves until SIGTERM or SIGINT has come and all that was taken has been answered.
+// run serves until SIGTERM or SIGINT has come and every accepted request has been answered.
 func run() error {
-	hup := make(chan os.Signal, 1) // first of all, and for good: unheeded, the signal would end the process
+	// SIGHUP is handled first of all, and until the process exits: by default it would end the process.
+	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	c, err := sidecar.LoadConfig(os.Getenv)
 	if err != nil {
@@ -43,16 +48,17 @@
 	if err != nil {
 		return err
 	}
-	reloads, stopReloads := context.WithCancel(context.Background())
+	reloadCtx, stopReloads := context.WithCancel(context.Background())
 	var reloader sync.WaitGroup
-	reloader.Go(func() { reload(reloads, hup, s, log) })
+	reloader.Go(func() { reloadOnSignal(reloadCtx, hup, s, log) })
 	defer reloader.Wait()
 	defer stopReloads()
 	return s.Serve(ctx)
 }
 
-// reload reads the configuration again at each signal until ctx ends. One that can't be read leaves all as it is.
-func reload(ctx context.Context, hup <-chan os.Signal, s *sidecar.Sidecar, log *slog.Logger) {
+// reloadOnSignal loads the configuration again at each signal until ctx ends. A configuration that can't
+// be loaded changes nothing.
+func reloadOnSignal(ctx context.Context, hup <-chan os.Signal, s *sidecar.Sidecar, log *slog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -61,7 +67,7 @@
 		}
 		c, err := sidecar.LoadConfig(os.Getenv)
 		if err != nil {
-			log.Error("reload: the old configuration stays", "err", err)
+			log.Error("reload failed, keeping the current configuration", "err", err)
 			s.RecordFailedReload()
 			continue
 		}
--- /dev/null
+++ b/internal/admin/server.go
@@ -0,0 +1,225 @@
+// Package admin is the operators' line protocol. It has an address of its own, on which each connection
+// carries one command, a line, and gets one response. It shares nothing with the path of requests, so that
+// it responds whatever the load.
+package admin
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"sync"
+	"time"
+)
+
+const (
+	// MaxDescriptors is how many descriptors a Server needs at most: its connections, its listener, and a
+	// connection that has been accepted in the place of one that is being closed.
+	MaxDescriptors = maxOpenConns + 2
+
+	maxOpenConns     = 24
+	acceptRetryDelay = 100 * time.Millisecond // after a failed accept
+	commandTimeout   = 5 * time.Second        // for the command's line to be received
+	responseTimeout  = 2 * time.Second        // for the response to be written
+	// lingerTimeout is how long the client may take to close the connection first. A close with unread
+	// input would reset it, and the client could lose the response.
+	lingerTimeout  = 200 * time.Millisecond
+	lingerMaxBytes = 4 << 10 // of input discarded meanwhile
+)
+
+// Operations is what the commands operate. Each of its methods must return quickly: a response is due
+// within a second.
+type Operations interface {
+	// Ready returns nil once requests can be served, and otherwise why they can't.
+	Ready() error
+	// AppendStats appends all metrics, one a line.
+	AppendStats(b []byte) []byte
+	// Disable ends new requests to an endpoint until Enable.
+	Disable(id string) error
+	// Enable undoes Disable.
+	Enable(id string) error
+}
+
+// Server executes commands.
+type Server struct {
+	listener   net.Listener
+	operations Operations
+	log        *slog.Logger
+
+	mu              sync.Mutex
+	awaitingCommand []net.Conn // their command has not been received yet, the oldest first
+	openConns       int
+	closed          bool // no connection is admitted any more
+}
+
+// New returns a server on a listener, which it owns from now on. Run does the work.
+func New(l net.Listener, o Operations, log *slog.Logger) *Server {
+	return &Server{listener: l, operations: o, log: log}
+}
+
+// Addr returns the address of the listener.
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
+
+// Run executes commands until ctx ends. It returns once all connections have ended.
+func (s *Server) Run(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() { s.listener.Close() })
+	defer stop()
+	var conns sync.WaitGroup
+	defer conns.Wait()
+	defer s.closeAwaiting()
+	for {
+		conn, err := s.listener.Accept()
+		if err != nil {
+			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
+				return
+			}
+			s.log.Warn("admin: accept failed", "err", err)
+			select {
+			case <-ctx.Done():
+			case <-time.After(acceptRetryDelay):
+			}
+			continue
+		}
+		if !s.admitConn(conn) {
+			conn.Close()
+			continue
+		}
+		conns.Go(func() { s.serveConn(conn) })
+	}
+}
+
+// admitConn admits a connection and reports whether there is room for it. Where too many are open, the one
+// that has waited longest for its command is closed: silent clients must not keep out one that has a command.
+func (s *Server) admitConn(conn net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	full := s.openConns >= maxOpenConns
+	if s.closed || full && len(s.awaitingCommand) == 0 {
+		return false
+	}
+	if full {
+		s.awaitingCommand[0].Close()
+		s.awaitingCommand = s.awaitingCommand[1:]
+	}
+	s.openConns++
+	s.awaitingCommand = append(s.awaitingCommand, conn)
+	return true
+}
+
+// stopAwaiting removes a connection from those that may be closed in favour of a new one.
+func (s *Server) stopAwaiting(conn net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i, other := range s.awaitingCommand {
+		if other == conn {
+			s.awaitingCommand = append(s.awaitingCommand[:i:i], s.awaitingCommand[i+1:]...)
+			return
+		}
+	}
+}
+
+// closeAwaiting closes the connections whose command has not been received, and admits none from now on.
+func (s *Server) closeAwaiting() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	for _, conn := range s.awaitingCommand {
+		conn.Close()
+	}
+	s.awaitingCommand = nil
+}
+
+// releaseConn closes an admitted connection.
+func (s *Server) releaseConn(conn net.Conn) {
+	s.stopAwaiting(conn)
+	conn.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.openConns--
+}
+
+// serveConn reads one command, executes it and writes the response. A command that is cut off is none and
+// gets no response.
+func (s *Server) serveConn(conn net.Conn) {
+	defer s.releaseConn(conn)
+	_ = conn.SetDeadline(time.Now().Add(commandTimeout)) // a closed connection shows at the read
+	line, err := readLine(conn)
+	if err != nil && !errors.Is(err, errLineTooLong) {
+		return
+	}
+	s.stopAwaiting(conn)
+	var response []byte
+	if err != nil {
+		response = failure(err)
+	} else {
+		response = s.execute(line)
+	}
+	_ = conn.SetDeadline(time.Now().Add(responseTimeout))
+	if _, err := conn.Write(response); err != nil {
+		return
+	}
+	lingerUntilClosed(conn)
+}
+
+// lingerUntilClosed ends this side of a connection and lets the client close the other side.
+func lingerUntilClosed(conn net.Conn) {
+	half, ok := conn.(interface{ CloseWrite() error })
+	if !ok || half.CloseWrite() != nil {
+		return
+	}
+	_ = conn.SetDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.CopyN(io.Discard, conn, lingerMaxBytes)
+}
+
+// readLine reads up to the end of a line, LF or CR LF, and returns the line without it. What follows is
+// ignored.
+func readLine(r io.Reader) (string, error) {
+	buf := make([]byte, 0, maxLineBytes+len("\r\n"))
+	for {
+		n, err := r.Read(buf[len(buf):cap(buf)])
+		buf = buf[:len(buf)+n]
+		if i := bytes.IndexByte(buf, '\n'); i >= 0 {
+			return string(bytes.TrimSuffix(buf[:i], []byte("\r"))), nil
+		}
+		if len(buf) == cap(buf) {
+			return "", errLineTooLong
+		}
+		if err != nil {
+			return "", err
+		}
+	}
+}
+
+// execute executes the command of a line and returns the response.
+func (s *Server) execute(line string) []byte {
+	c, err := ParseCommand(line)
+	if err != nil {
+		return failure(err)
+	}
+	switch c.Name {
+	case CommandShowStat:
+		return append(s.operations.AppendStats(nil), "EOT\n"...)
+	case CommandReady:
+		return outcome(s.operations.Ready(), "ready")
+	case CommandDisableServer:
+		return outcome(s.operations.Disable(c.Endpoint), c.Endpoint+" is out")
+	default: // CommandEnableServer: ParseCommand returns no other name
+		return outcome(s.operations.Enable(c.Endpoint), c.Endpoint+" is back")
+	}
+}
+
+// outcome returns the response to a command that has failed with err or, where err is nil, succeeded.
+func outcome(err error, success string) []byte {
+	if err != nil {
+		return failure(err)
+	}
+	return []byte("SUCCESS " + success + "\n")
+}
+
+// failure returns the response for an error. It is one line, whatever the error's text.
+func failure(err error) []byte {
+	text := bytes.ReplaceAll([]byte(err.Error()), []byte("\n"), []byte(" "))
+	return append(append([]byte("FAILURE "), text...), '\n')
+}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/server_test.go
@@ -148,7 +148,7 @@
 	f.Fuzz(func(t *testing.T, line string) {
 		c, err := ParseCommand(line)
 		if err != nil {
-			if text := string(failure(nil, err)); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, "FAILURE ") {
+			if text := string(failure(err)); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, "FAILURE ") {
 				t.Errorf("%q", text)
 			}
 			return
@@ -156,7 +156,7 @@
 		if commandTakesID[c.Name] != (c.Endpoint != "") || strings.ContainsAny(c.Endpoint, " \t\r\n") {
 			t.Errorf("%+v", c)
 		}
-		again, err := ParseCommand(strings.TrimSpace(c.Name + " " + c.Endpoint))
+		again, err := ParseCommand(strings.TrimSpace(string(c.Name) + " " + c.Endpoint))
 		if err != nil || again != c {
 			t.Errorf("%+v reads again as %+v, %v", c, again, err)
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what became of requests, for the people who operate the sidecar. Counters only grow, and are written
-// and read without a lock.
+// Package metrics counts the outcomes of requests, for the operators of the sidecar. Counters only grow, and
+// are written and read without a lock.
 package metrics
 
 import (
@@ -12,91 +12,98 @@
 // Outcome is how a request ended.
 type Outcome int
 
-// The ends.
+// The outcomes.
 const (
 	Success  Outcome = iota // served
-	Overload                // refused: trying again is harmless
+	Overload                // rejected: a retry is harmless
 	Error                   // failed
 	outcomeCount
 )
 
+// outcomeNames are the names of the outcomes' metrics, without the prefix.
 var outcomeNames = [outcomeCount]string{"success", "overload", "error"}
 
-// namePrefix begins each name.
+// namePrefix begins the name of each metric.
 const namePrefix = "sidecar_"
 
-// Counters are the counters of one process, all from 0.
+// labelEscaper escapes label values for the text format of metrics.
+var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+
+// Counters are the counters of one process. All begin at 0.
 type Counters struct {
-	classes []*classCounters // by name
-	started atomic.Int64
-	dropped atomic.Int64
+	classes []*classCounters // sorted by name
+	started atomic.Int64     // requests
+	dropped atomic.Int64     // requests that were started and have no outcome
 
-	Reloads, FailedReloads atomic.Int64
+	Reloads, FailedReloads atomic.Int64 // of the configuration
 }
 
+// classCounters counts the requests of one class by their outcomes.
 type classCounters struct {
 	name     string
 	outcomes [outcomeCount]atomic.Int64
 }
 
-// New returns the figures of the classes named.
+// New returns the counters of the classes named.
 func New(names []string) *Counters {
 	names = slices.Compact(slices.Sorted(slices.Values(names)))
-	f := &Counters{classes: make([]*classCounters, len(names))}
+	c := &Counters{classes: make([]*classCounters, len(names))}
 	for i, name := range names {
-		f.classes[i] = &classCounters{name: name}
+		c.classes[i] = &classCounters{name: name}
 	}
-	return f
+	return c
 }
 
-// RequestStarted counts a request of a class that was named in. Finish must follow.
+// RequestStarted counts a request. RequestFinished or RequestDropped must follow.
 func (c *Counters) RequestStarted() { c.started.Add(1) }
 
-// RequestFinished counts a request out.
-func (c *Counters) RequestFinished(name string, e Outcome) {
-	if i, found := slices.BinarySearchFunc(c.classes, name, func(c *classCounters, name string) int { return strings.Compare(c.name, name) }); found {
-		c.classes[i].outcomes[e].Add(1)
+// RequestFinished counts the outcome of a request. The class must be one that New was given; the outcome
+// of another is not counted.
+func (c *Counters) RequestFinished(class string, outcome Outcome) {
+	i, found := slices.BinarySearchFunc(c.classes, class, func(counters *classCounters, name string) int {
+		return strings.Compare(counters.name, name)
+	})
+	if found {
+		c.classes[i].outcomes[outcome].Add(1)
 	}
 }
 
-// RequestDropped takes back a request that turned out to be none that ends in any of these ways.
+// RequestDropped takes back a request that has none of the outcomes.
 func (c *Counters) RequestDropped() { c.dropped.Add(1) }
 
-// Gauges are the figures that are known elsewhere.
+// Gauges are the metrics whose values are known elsewhere.
 type Gauges struct {
-	Dispatches       int64 // attempts written whole
+	Dispatches       int64 // attempts whose request was written completely
 	ListedEndpoints  int   // endpoints in the list
-	AvoidedEndpoints int   // of them, avoided now
+	AvoidedEndpoints int   // of them, those avoided now
 }
 
-// Append appends all figures, a line each. What it tells of requests is one reading: none is counted both as ended and as under way.
-func (c *Counters) Append(b []byte, g Gauges) []byte {
+// Append appends all metrics, one a line. Those of requests are one consistent reading: no request is
+// counted both with an outcome and as in flight.
+func (c *Counters) Append(b []byte, gauges Gauges) []byte {
+	// The requests that have ended are read before those that have started: each starts before it ends,
+	// so that the difference is never negative.
 	ended := c.dropped.Load()
-	for e := range outcomeCount {
-		for i := range c.classes {
-			n := c.classes[i].outcomes[e].Load()
+	for outcome := range outcomeCount {
+		for _, class := range c.classes {
+			n := class.outcomes[outcome].Load()
 			ended += n
-			b = append(append(append(b, namePrefix...), outcomeNames[e]...), `{type="`...)
-			b = append(append(b, labelEscaper.Replace(c.classes[i].name)...), `"} `...)
-			b = append(strconv.AppendInt(b, n, 10), '\n')
+			b = appendMetric(b, outcomeNames[outcome]+`{type="`+labelEscaper.Replace(class.name)+`"}`, n)
 		}
 	}
-	for _, line := range []struct {
-		name string
-		n    int64
-	}{
-		{"dispatches", g.Dispatches},
-		{"concurrent", c.started.Load() - ended}, // read behind the ends: a request is taken before it ends
-		{"targets", int64(g.ListedEndpoints)},
-		{"targets_disabled", int64(g.AvoidedEndpoints)},
-		{"reload_success", c.Reloads.Load()},
-		{"reload_failure", c.FailedReloads.Load()},
-	} {
-		b = append(append(append(b, namePrefix...), line.name...), ' ')
-		b = append(strconv.AppendInt(b, line.n, 10), '\n')
-	}
-	return b
+	b = appendMetric(b, "dispatches", gauges.Dispatches)
+	b = appendMetric(b, "concurrent", c.started.Load()-ended)
+	b = appendMetric(b, "targets", int64(gauges.ListedEndpoints))
+	b = appendMetric(b, "targets_disabled", int64(gauges.AvoidedEndpoints))
+	b = appendMetric(b, "reload_success", c.Reloads.Load())
+	return appendMetric(b, "reload_failure", c.FailedReloads.Load())
 }
 
-// labelEscaper writes label values as the text format for metrics has them.
-var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+// appendMetric appends the line of one metric, named without the prefix.
+func appendMetric(b []byte, name string, value int64) []byte {
+	b = append(b, namePrefix...)
+	b = append(b, name...)
+	b = append(b, ' ')
+	b = strconv.AppendInt(b, value, 10)
+	return append(b, '\n')
+}
--- a/internal/netaddr/netaddr.go
+++ b/internal/netaddr/netaddr.go
@@ -1,4 +1,4 @@
-// Package netaddr checks addresses that come from configuration and rosters.
+// Package netaddr checks the addresses in configurations and endpoint lists.
 package netaddr
 
 import (
@@ -7,7 +7,11 @@
 	"strconv"
 )
 
-// Check tells whether an address is host:port with a number for a port. An error begins with the name of the field.
+// portBits is the size of a port number.
+const portBits = 16
+
+// Check returns nil if an address is host:port with a number for the port. An error begins with the name
+// of the field.
 func Check(field, addr string) error {
 	if addr == "" {
 		return fmt.Errorf("%s: missing", field)
@@ -16,7 +20,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", field, err)
 	}
-	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
+	if _, err := strconv.ParseUint(port, 10, portBits); err != nil {
 		return fmt.Errorf("%s: port %q is not a number up to 65535", field, port)
 	}
 	return nil
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,5 +1,3 @@
-// Package sidecar puts the decision module on real sockets: callers on one side, endpoints and discovery on
-// the other. It carries out what the module decides and decides nothing itself.
 package sidecar
 
 import (
@@ -16,48 +14,48 @@
 	"rowancart/internal/wire"
 )
 
-// What holds where the configuration gives no limits, and the least that a sidecar can work with.
+// Environment variables that the platform sets.
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	minMemoryMB     = 16
-	minSockets      = 64
+	envConfig    = "ROUTER_CONFIG"    // path of the configuration file
+	envName      = "ROUTER_NAME"      // where the file has no "name"
+	envListen    = "ROUTER_LISTEN"    // where the file has no "listen"
+	envDiscovery = "ROUTER_DISCOVERY" // where the file has no "discovery"
+	envConsole   = "ROUTER_CONSOLE"   // instead of the file's "console"
+	envAcceptFD  = "ROUTER_ACCEPT_FD" // descriptor of the inherited listening socket
+	envSharedDir = "TMPDIR"           // directory that all processes of this sidecar share
 )
 
-// Limits is what the platform grants a sidecar.
-type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-}
+// anyPort ends an address whose port the kernel chooses: two such addresses are not the same.
+const anyPort = ":0"
 
-// Config is what a sidecar is told at its start.
+// Config is the configuration of a sidecar.
 type Config struct {
 	Name           string
-	Listen         string
-	Discovery      string
-	AdminAddr      string // where operators connect; empty: nowhere
-	AcceptFD       string // descriptor of the listening socket that was inherited; empty: none was
-	SharedDir      string // a folder that all processes of this sidecar have; empty: none
+	Listen         string // host:port on which clients connect
+	Discovery      string // host:port of discovery
+	AdminAddr      string // host:port on which operators connect; empty: there is no admin interface
+	AcceptFD       string // descriptor of the inherited listening socket; empty: none was inherited
+	SharedDir      string // directory that all processes of this sidecar share; empty: none
 	Limits         Limits
-	KnownEndpoints platform.EndpointList
+	KnownEndpoints platform.EndpointList // the latest list that the platform had
 	Settings       wire.Settings
 }
 
-// LoadConfig reads the file that ROUTER_CONFIG names. Variables fill what it lacks. An error names the field at
-// fault.
+// LoadConfig reads the configuration file that ROUTER_CONFIG names. Environment variables fill in what the
+// file lacks. An error begins with the name of the field or variable at fault.
 func LoadConfig(getenv func(string) string) (Config, error) {
-	path := getenv("ROUTER_CONFIG")
+	path := getenv(envConfig)
 	if path == "" {
-		return Config{}, errors.New("ROUTER_CONFIG: not set")
+		return Config{}, fmt.Errorf("%s: not set", envConfig)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
+		return Config{}, fmt.Errorf("%s: %w", envConfig, err)
 	}
 	return parseConfig(text, getenv)
 }
 
+// parseConfig is LoadConfig for the text of a configuration file.
 func parseConfig(text []byte, getenv func(string) string) (Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Seed, Console string
@@ -67,43 +65,31 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return Config{}, fmt.Errorf("config: %w", err)
 	}
-	fill := func(value, variable string) string {
+	orEnv := func(value, variable string) string {
 		if value == "" {
 			return getenv(variable)
 		}
 		return value
 	}
-	c := Config{Name: fill(file.Name, "ROUTER_NAME"), Listen: fill(file.Listen, "ROUTER_LISTEN"),
-		Discovery: fill(file.Discovery, "ROUTER_DISCOVERY"), Limits: file.Limits,
-		// Two processes of one sidecar may read one file: what this one was started with comes first.
-		AdminAddr: cmp.Or(getenv("ROUTER_CONSOLE"), file.Console),
-		AcceptFD:  getenv("ROUTER_ACCEPT_FD"), SharedDir: getenv("TMPDIR")}
-	if err := netaddr.Check("listen", c.Listen); err != nil {
-		return c, err
-	}
-	if err := netaddr.Check("discovery", c.Discovery); err != nil {
+	c := Config{
+		Name:      orEnv(file.Name, envName),
+		Listen:    orEnv(file.Listen, envListen),
+		Discovery: orEnv(file.Discovery, envDiscovery),
+		// Two processes of one sidecar may read the same file: what this one was started with comes first.
+		AdminAddr: cmp.Or(getenv(envConsole), file.Console),
+		AcceptFD:  getenv(envAcceptFD),
+		SharedDir: getenv(envSharedDir),
+		Limits:    file.Limits.withDefaults(),
+	}
+	if err := c.validateAddresses(); err != nil {
 		return c, err
 	}
-	if c.AdminAddr != "" {
-		if err := netaddr.Check("console", c.AdminAddr); err != nil {
-			return c, err
-		}
-		if c.AdminAddr == c.Listen && !strings.HasSuffix(c.AdminAddr, ":0") {
-			return c, fmt.Errorf("console: %s is where callers connect", c.AdminAddr)
-		}
-	}
-	if err := c.Limits.setDefaults(); err != nil {
+	if err := file.Limits.validate(); err != nil {
 		return c, err
 	}
-	if len(file.Settings) == 0 {
-		return c, errors.New("settings: missing")
-	}
 	var err error
-	if c.Settings, err = wire.ParseSettings(file.Settings); err != nil {
-		return c, fmt.Errorf("settings: %w", err)
-	}
-	if c.Settings.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return c, fmt.Errorf("seed: %w", err)
+	if c.Settings, err = parseSettings(file.Settings, file.Seed); err != nil {
+		return c, err
 	}
 	if len(file.Known) > 0 {
 		if c.KnownEndpoints, err = platform.ParseEndpointList(file.Known); err != nil {
@@ -113,24 +99,37 @@
 	return c, nil
 }
 
-// setDefaults fills what is absent and refuses what nothing can run with.
-func (l *Limits) setDefaults() error {
-	switch {
-	case l.Cores < 0:
-		return fmt.Errorf("limits.cores: %v is not a number of cores", l.Cores)
-	case l.MemoryMB != 0 && l.MemoryMB < minMemoryMB:
-		return fmt.Errorf("limits.memory_mb: %d is under %d", l.MemoryMB, minMemoryMB)
-	case l.Sockets != 0 && l.Sockets < minSockets:
-		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, minSockets)
-	}
-	if l.Cores == 0 {
-		l.Cores = 1
-	}
-	if l.MemoryMB == 0 {
-		l.MemoryMB = defaultMemoryMB
-	}
-	if l.Sockets == 0 {
-		l.Sockets = defaultSockets
+// parseSettings parses the balancer's settings and their seed, which is hexadecimal.
+func parseSettings(text json.RawMessage, seed string) (wire.Settings, error) {
+	if len(text) == 0 {
+		return wire.Settings{}, errors.New("settings: missing")
+	}
+	settings, err := wire.ParseSettings(text)
+	if err != nil {
+		return wire.Settings{}, fmt.Errorf("settings: %w", err)
+	}
+	if settings.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
+		return wire.Settings{}, fmt.Errorf("seed: %w", err)
+	}
+	return settings, nil
+}
+
+// validateAddresses returns an error that names the first address at fault.
+func (c *Config) validateAddresses() error {
+	if err := netaddr.Check("listen", c.Listen); err != nil {
+		return err
+	}
+	if err := netaddr.Check("discovery", c.Discovery); err != nil {
+		return err
+	}
+	if c.AdminAddr == "" {
+		return nil
+	}
+	if err := netaddr.Check("console", c.AdminAddr); err != nil {
+		return err
+	}
+	if c.AdminAddr == c.Listen && !strings.HasSuffix(c.AdminAddr, anyPort) {
+		return fmt.Errorf("console: %s is where clients connect", c.AdminAddr)
 	}
 	return nil
 }
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -272,7 +272,7 @@
 			if err := successor.MarkServing(); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(t, "the successor is seen", func() bool { w.handover.mu.Lock(); defer w.handover.mu.Unlock(); return w.handover.superseded })
+			waitUntil(t, "the successor is seen", w.handover.isSuperseded)
 		}
 		return w
 	},
--- a/internal/sidecar/operator_test.go
+++ b/internal/sidecar/operator_test.go
@@ -213,7 +213,7 @@
 		t.Error(err)
 	}
 	silent := newReadiness()
-	silent.deadline = time.Now()
+	silent.listDeadline = time.Now()
 	silent.accepting.Store(true)
 	if o = (&operations{readiness: silent}); o.Ready() != nil {
 		t.Error("not ready though discovery has been waited for")
@@ -246,7 +246,7 @@
 	told := make(chan error, 1)
 	var s *Sidecar
 	s, err = Start(c, slog.New(hookHandler{slog.DiscardHandler, func(line string) {
-		if line == "a predecessor is not told that this process serves" {
+		if line == "cannot notify the predecessor that this process serves" {
 			told <- (&operations{readiness: s.readiness}).Ready()
 		}
 	}}))
--- /dev/null
+++ b/internal/sidecar/readiness.go
@@ -0,0 +1,67 @@
+package sidecar
+
+import (
+	"errors"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// firstListTimeout is how long a start waits for discovery's first endpoint list. After that the list in
+// the configuration has to do.
+const firstListTimeout = 2 * time.Second
+
+// Why a sidecar is not ready. The admin interface returns these texts.
+var (
+	errNoList       = errors.New("discovery has not told its list yet")
+	errNotAccepting = errors.New("connections are not taken yet")
+)
+
+// readiness knows whether requests can be served: the endpoint list has been received, or has been
+// waited for long enough, and connections are accepted.
+type readiness struct {
+	listReceived chan struct{} // closed once the list has been received
+	closeOnce    sync.Once
+	listDeadline time.Time // after which the list is no longer waited for
+	accepting    atomic.Bool
+}
+
+// newReadiness returns the readiness of a sidecar that starts now.
+func newReadiness() *readiness {
+	return &readiness{listReceived: make(chan struct{}), listDeadline: time.Now().Add(firstListTimeout)}
+}
+
+// markListReceived notes that discovery's list is up to date. It may be called any number of times.
+func (r *readiness) markListReceived() { r.closeOnce.Do(func() { close(r.listReceived) }) }
+
+// waitForList returns once the list has been received or its deadline is over, or when stop is closed.
+func (r *readiness) waitForList(stop <-chan struct{}) {
+	timeout := time.NewTimer(time.Until(r.listDeadline))
+	defer timeout.Stop()
+	select {
+	case <-r.listReceived:
+	case <-timeout.C:
+	case <-stop:
+	}
+}
+
+// listSettled reports whether the list has been received or its deadline is over.
+func (r *readiness) listSettled() bool {
+	select {
+	case <-r.listReceived:
+		return true
+	default:
+		return time.Now().After(r.listDeadline)
+	}
+}
+
+// check returns nil once requests can be served, and otherwise what is still missing.
+func (r *readiness) check() error {
+	switch {
+	case !r.listSettled():
+		return errNoList
+	case !r.accepting.Load():
+		return errNotAccepting
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/sidecar/router.go
@@ -0,0 +1,84 @@
+package sidecar
+
+import (
+	"fmt"
+	"net/http"
+
+	"rowancart/balancer"
+	"rowancart/internal/httpserver"
+	"rowancart/internal/metrics"
+	"rowancart/internal/proxy"
+	"rowancart/internal/route"
+)
+
+// tenantHeader is the request header that names the tenant.
+const tenantHeader = "Req-Owner"
+
+// requestRouter finds a request's class in the first segment of its path. One pool serves all classes
+// that the settings list. It implements httpserver.Router.
+type requestRouter struct {
+	pool          *proxy.Pool
+	repeatability map[string]balancer.Repeatability // by class
+	counters      *metrics.Counters
+}
+
+// newRequestRouter returns a router for the classes given.
+func newRequestRouter(pool *proxy.Pool, classes []balancer.Class) *requestRouter {
+	r := &requestRouter{pool: pool, repeatability: map[string]balancer.Repeatability{}}
+	var names []string
+	for _, class := range classes {
+		r.repeatability[class.Name] = class.Repeat
+		names = append(names, class.Name)
+	}
+	r.counters = metrics.New(names)
+	return r
+}
+
+// Route implements httpserver.Router.
+func (r *requestRouter) Route(req *http.Request) (httpserver.Target, *httpserver.Rejection) {
+	class, err := route.FirstSegment(req.URL.EscapedPath())
+	if err != nil { // an endpoint might read another class than this process does
+		return httpserver.Target{}, &httpserver.Rejection{
+			Status: http.StatusBadRequest,
+			Reason: err.Error(),
+			Close:  true,
+		}
+	}
+	repeatability, listed := r.repeatability[class]
+	if !listed {
+		return httpserver.Target{}, &httpserver.Rejection{
+			Status: http.StatusNotFound,
+			Reason: fmt.Sprintf("class %.40q is not served", class),
+			Close:  true,
+		}
+	}
+	r.counters.RequestStarted()
+	return httpserver.Target{
+		Pool:   r.pool,
+		Class:  class,
+		Effect: repeatability,
+		Tenant: req.Header.Get(tenantHeader),
+		Done:   func(accepted bool, result proxy.Result) { r.countOutcome(class, accepted, result.Kind) },
+	}, nil
+}
+
+// countOutcome counts a request whose response has been written. One that the pool has not accepted
+// is no request of the class, and a duplicate has been counted the first time.
+func (r *requestRouter) countOutcome(class string, accepted bool, kind proxy.ResultKind) {
+	if !accepted || kind == proxy.Duplicate {
+		r.counters.RequestDropped()
+		return
+	}
+	r.counters.RequestFinished(class, outcomeOf(kind))
+}
+
+// outcomeOf returns what a result counts as.
+func outcomeOf(kind proxy.ResultKind) metrics.Outcome {
+	switch kind {
+	case proxy.Served:
+		return metrics.Success
+	case proxy.Rejected:
+		return metrics.Overload
+	}
+	return metrics.Error
+}
--- /dev/null
+++ b/internal/sidecar/shutdown.go
@@ -0,0 +1,50 @@
+package sidecar
+
+import (
+	"cmp"
+	"time"
+)
+
+// The platform sends SIGKILL no sooner after SIGTERM than the longest deadline of the settings, which
+// counts as maxCountedDeadline where it is longer, plus minKillDelay.
+const (
+	minKillDelay       = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+)
+
+const (
+	// acceptAfterSIGTERM is for how long connections are accepted after SIGTERM: clients learn of the
+	// shutdown with a delay.
+	acceptAfterSIGTERM = 600 * time.Millisecond
+	// finalResponseMargin is how long before SIGKILL the last responses are written.
+	finalResponseMargin = 100 * time.Millisecond
+	// finalCloseMargin is how long before SIGKILL the connections that are still open are closed.
+	finalCloseMargin = 50 * time.Millisecond
+	// recentUseWindow is the time since its latest request within which a connection is likely to bring
+	// another one at once.
+	recentUseWindow = 300 * time.Millisecond
+)
+
+// killDelay returns how long after SIGTERM the platform may send SIGKILL.
+func killDelay(c Config) time.Duration {
+	return min(cmp.Or(c.Settings.MaxDeadline, maxCountedDeadline), maxCountedDeadline) + minKillDelay
+}
+
+// drain shuts the clients' side down; served ends once the server has stopped. It must not lose what the
+// kernel has accepted: unless a successor accepts connections, they are accepted for a while as before.
+// Then responses carry Connection: close, and idle connections are closed. All of it ends before SIGKILL
+// can come: requests with later deadlines are given up, and connections that bring no request by then are
+// closed.
+func (s *Sidecar) drain(served <-chan error) error {
+	killAt := time.Now().Add(s.killDelay)
+	s.pool.SetFinalDeadline(s.pool.Now() + s.killDelay - finalResponseMargin)
+	keepUsedWithin := recentUseWindow
+	if !s.handover.beginShutdown() {
+		time.Sleep(acceptAfterSIGTERM)
+		keepUsedWithin = 0
+	}
+	s.server.StartDraining()
+	err := s.listener.Drain(keepUsedWithin, killAt.Add(-finalCloseMargin))
+	<-served // the listener is closed
+	return err
+}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,108 +1,102 @@
+// Package sidecar runs the platform's sidecar: it accepts clients' requests, has the balancer choose an
+// endpoint for each, and follows the endpoint list of the platform's discovery. It carries out what the
+// balancer decides and decides nothing itself.
+//
+// Two processes of one sidecar may run while one takes over from the other; handover.go is their
+// protocol.
 package sidecar
 
 import (
-	"cmp"
 	"context"
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"sync"
 	"time"
 
-	"rowancart/balancer"
 	"rowancart/internal/admin"
 	"rowancart/internal/discovery/platform"
 	"rowancart/internal/hotrestart"
 	"rowancart/internal/httpserver"
 	"rowancart/internal/metrics"
 	"rowancart/internal/proxy"
-	"rowancart/internal/route"
 )
 
 const (
-	reservedDescriptors = 64                     // of the limit, for all but callers' and endpoints' connections
-	spareClientConns    = 16                     // of them, for callers that have come before an idle one is closed
-	responseQuarantine  = 20 * time.Millisecond  // a second answer may come some milliseconds late, 6 at most so far; some closes come then
-	acceptAfterSIGTERM  = 600 * time.Millisecond // new connections go on coming for a while after SIGTERM
-	minKillDelay        = 700 * time.Millisecond // SIGKILL comes no sooner after SIGTERM than this and the longest deadline,
-	maxCountedDeadline  = 3 * time.Second        // which counts as this where it is longer
-	finalResponseMargin = 100 * time.Millisecond // the last answers go out so long before it,
-	finalCloseMargin    = 50 * time.Millisecond  // and what is still open is closed
+	// spareClientConns is how many of the reserved descriptors accept clients before an idle connection
+	// is closed in their place.
+	spareClientConns = 16
+	// responseQuarantine is for how long a connection to an endpoint rests after a response. A second
+	// response may come some milliseconds late, 6 at most so far, and so may a close.
+	responseQuarantine = 20 * time.Millisecond
+	// serverName names the sidecar in Proxy-Status headers. It is on the wire and keeps its form.
+	serverName = "tuliprock"
 )
 
-// serverName names the sidecar in Proxy-Status headers, which are on the wire and keep it.
-const serverName = "tuliprock"
-
-// Sidecar is a sidecar that listens.
+// Sidecar is one process of a sidecar, with its listeners open.
 type Sidecar struct {
 	server    *httpserver.Server
 	listener  *httpserver.Listener
 	pool      *proxy.Pool
 	discovery *platform.Client
-	admin     *admin.Server // nil: there is none
+	admin     *admin.Server // nil: there is no admin interface
 	counters  *metrics.Counters
 	readiness *readiness
 	handover  *handover
-	killDelay time.Duration // after SIGTERM SIGKILL comes no sooner
+	killDelay time.Duration // the platform sends SIGKILL no sooner after SIGTERM
 }
 
-// Start wires the parts and opens the listeners; Serve does the work.
+// Start opens the listeners and connects the parts. Serve does the work.
 func Start(c Config, log *slog.Logger) (*Sidecar, error) {
-	listener, err := openListener(c)
+	clients, operators, err := openListeners(c)
 	if err != nil {
 		return nil, err
 	}
-	var door net.Listener
-	if c.AdminAddr != "" {
-		if door, err = net.Listen("tcp", c.AdminAddr); err != nil {
-			listener.Close()
-			return nil, fmt.Errorf("console: %w", err)
-		}
-	}
-	settings := c.Settings.Settings
-	each := c.Limits.maxConns(1)
-	var e *proxy.Pool
-	w := newReadiness()
-	d := platform.New(platform.Options{Addr: c.Discovery, WaitForSubscribe: settings.SubscribeRequired, Version: c.KnownEndpoints.Version,
-		DrainGrace: c.Settings.DrainGrace, OnUpdate: func(m platform.EndpointList) { e.UpdateEndpoints(m.ForPool()) }, OnCurrent: w.markListReceived, Log: log})
-	known := c.KnownEndpoints
-	known.Full = true // the list as it was last had, and the first that the module hears
-	e = proxy.New(settings, known.ForPool(), proxy.Options{ConnIdle: c.Settings.ConnIdle, DialTimeout: c.Settings.DialTimeout,
-		MaxConns: each, Quarantine: responseQuarantine, Subscribe: d.Subscribe, Log: log})
-
-	log.Info("listening", "addr", listener.Addr().String())
-	conns := httpserver.NewWaitingListener(listener, each, each+spareClientConns)
-
-	at := &requestRouter{pool: e, repeatability: map[string]balancer.Repeatability{}}
-	var names []string
-	for _, class := range settings.Classes {
-		at.repeatability[class.Name] = class.Repeat
-		names = append(names, class.Name)
-	}
-	at.counters = metrics.New(names)
-	o := &operations{pool: e, counters: at.counters, readiness: w, log: log, disabled: map[string]bool{}}
-	s := &Sidecar{server: httpserver.New(at, serverName, c.Listen, log), listener: conns, pool: e, discovery: d, counters: at.counters, readiness: w}
-	s.killDelay = killDelay(c)
-	s.handover = &handover{limits: c.Limits, pool: e, server: s.server, listener: conns, operations: o, log: log}
-	if c.AdminAddr == "" && c.AcceptFD == "" {
-		c.SharedDir = "" // nobody bans, and nobody takes over
+	s := &Sidecar{readiness: newReadiness(), killDelay: killDelay(c)}
+	s.connectDiscovery(c, log)
+
+	log.Info("listening", "addr", clients.Addr().String())
+	maxConns := c.Limits.maxConns(processesAlone)
+	s.listener = httpserver.NewWaitingListener(clients, maxConns, maxConns+spareClientConns)
+	router := newRequestRouter(s.pool, c.Settings.Classes)
+	s.counters = router.counters
+	s.server = httpserver.New(router, serverName, c.Listen, log)
+
+	operations := &operations{
+		pool:      s.pool,
+		counters:  s.counters,
+		readiness: s.readiness,
+		log:       log,
+		disabled:  map[string]bool{},
 	}
-	s.handover.join(c.SharedDir, c.Name)
-	if door != nil {
-		log.Info("console", "addr", door.Addr().String())
-		s.admin = admin.New(door, o, log)
+	s.joinPeers(c, operations, log)
+	if operators != nil {
+		log.Info("console", "addr", operators.Addr().String())
+		s.admin = admin.New(operators, operations, log)
 	}
 	return s, nil
 }
 
-// killDelay is how soon after SIGTERM SIGKILL may come.
-func killDelay(c Config) time.Duration {
-	return min(cmp.Or(c.Settings.MaxDeadline, maxCountedDeadline), maxCountedDeadline) + minKillDelay
+// openListeners opens the listener for clients, and that for operators where the configuration names an
+// address for them; otherwise it is nil.
+func openListeners(c Config) (clients, operators net.Listener, err error) {
+	clients, err = openClientListener(c)
+	if err != nil {
+		return nil, nil, err
+	}
+	if c.AdminAddr == "" {
+		return clients, nil, nil
+	}
+	operators, err = net.Listen("tcp", c.AdminAddr)
+	if err != nil {
+		clients.Close()
+		return nil, nil, fmt.Errorf("console: %w", err)
+	}
+	return clients, operators, nil
 }
 
-// openListener opens the listener for callers, or takes the one that the platform holds.
-func openListener(c Config) (net.Listener, error) {
+// openClientListener opens the listener for clients, or returns the one that the platform holds.
+func openClientListener(c Config) (net.Listener, error) {
 	if c.AcceptFD != "" {
 		l, err := hotrestart.InheritedListener(c.AcceptFD)
 		if err != nil {
@@ -117,30 +111,66 @@
 	return l, nil
 }
 
-// Addr is where the sidecar listens.
+// connectDiscovery creates the pool and the discovery client, which refer to each other.
+func (s *Sidecar) connectDiscovery(c Config, log *slog.Logger) {
+	s.discovery = platform.New(platform.Options{
+		Addr:             c.Discovery,
+		WaitForSubscribe: c.Settings.SubscribeRequired,
+		Version:          c.KnownEndpoints.Version,
+		DrainGrace:       c.Settings.DrainGrace,
+		OnUpdate:         func(list platform.EndpointList) { s.pool.UpdateEndpoints(list.ForPool()) },
+		OnCurrent:        s.readiness.markListReceived,
+		Log:              log,
+	})
+	known := c.KnownEndpoints
+	known.Full = true // the latest list that the platform had, and the first that the pool receives
+	s.pool = proxy.New(c.Settings.Settings, known.ForPool(), proxy.Options{
+		ConnIdle:    c.Settings.ConnIdle,
+		DialTimeout: c.Settings.DialTimeout,
+		MaxConns:    c.Limits.maxConns(processesAlone),
+		Quarantine:  responseQuarantine,
+		Subscribe:   s.discovery.Subscribe,
+		Log:         log,
+	})
+}
+
+// joinPeers applies the limits and registers this process with the others of the sidecar.
+func (s *Sidecar) joinPeers(c Config, operations *operations, log *slog.Logger) {
+	s.handover = &handover{
+		limits:     &limitEnforcer{limits: c.Limits, pool: s.pool, server: s.server, listener: s.listener},
+		server:     s.server,
+		listener:   s.listener,
+		operations: operations,
+		readiness:  s.readiness,
+		log:        log,
+	}
+	sharedDir := c.SharedDir
+	if c.AdminAddr == "" && c.AcceptFD == "" {
+		sharedDir = "" // no operator disables an endpoint, and no other process takes over
+	}
+	s.handover.join(sharedDir, c.Name)
+}
+
+// Addr returns the address on which clients' connections are accepted.
 func (s *Sidecar) Addr() net.Addr { return s.listener.Addr() }
 
-// Reload takes up what of a new configuration may change while requests are served: where discovery is.
+// Reload applies what may change in a configuration while requests are served: the address of discovery.
 func (s *Sidecar) Reload(c Config) {
 	s.discovery.SetAddress(c.Discovery)
 	s.counters.Reloads.Add(1)
 }
 
-// RecordFailedReload notes that a new configuration could not be read.
+// RecordFailedReload counts a new configuration that could not be loaded.
 func (s *Sidecar) RecordFailedReload() { s.counters.FailedReloads.Add(1) }
 
-// Serve serves until ctx ends and then until all that was taken has been answered.
+// Serve serves requests until ctx ends, and then until every accepted request has been answered.
 func (s *Sidecar) Serve(ctx context.Context) error {
 	work, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	runs := []func(context.Context){s.pool.Run, s.discovery.Run, s.handover.run}
-	if s.admin != nil {
-		runs = append(runs, s.admin.Run)
-	}
-	for _, run := range runs {
-		parts.Go(func() { run(work) })
+	var background sync.WaitGroup
+	for _, run := range s.backgroundTasks() {
+		background.Go(func() { run(work) })
 	}
-	defer parts.Wait()
+	defer background.Wait()
 	defer stop()
 
 	if s.handover.hasPeer() { // the process that serves goes on doing so until this one can do it as well
@@ -149,7 +179,9 @@
 	s.handover.restoreSnapshot()
 	served := make(chan error, 1)
 	go func() { served <- s.server.Serve(s.listener) }()
-	s.handover.markServing() // before the yes: who sends SIGTERM at the yes finds a predecessor that can know
+	// The predecessor is notified before this process is ready: the platform sends it SIGTERM once this
+	// process reports that it is, and it must be able to find its successor then.
+	s.handover.markServing()
 	s.readiness.accepting.Store(true)
 	select {
 	case err := <-served:
@@ -159,57 +191,11 @@
 	return s.drain(served)
 }
 
-// drain ends the callers' side. It guards against losing what the kernel has accepted: unless a successor takes it, for a
-// while new connections are taken as before; then answers say Connection: close, and idle connections are closed. All of it ends
-// before SIGKILL can come: requests whose deadlines are later are given up on, and connections that bring none by then are closed.
-func (s *Sidecar) drain(served <-chan error) error {
-	kill := time.Now().Add(s.killDelay)
-	s.pool.SetFinalDeadline(s.pool.Now() + s.killDelay - finalResponseMargin)
-	busy := recentUseWindow
-	if !s.handover.beginShutdown() {
-		time.Sleep(acceptAfterSIGTERM)
-		busy = 0
-	}
-	s.server.StartDraining()
-	err := s.listener.Drain(busy, kill.Add(-finalCloseMargin))
-	<-served // the listener is closed
-	return err
-}
-
-// requestRouter finds a request's class in the first segment of its path; the one engine serves all classes that are listed.
-type requestRouter struct {
-	pool          *proxy.Pool
-	repeatability map[string]balancer.Repeatability
-	counters      *metrics.Counters
-}
-
-// Route implements plain.Desk.
-func (r *requestRouter) Route(req *http.Request) (httpserver.Target, *httpserver.Rejection) {
-	class, err := route.FirstSegment(req.URL.EscapedPath())
-	if err != nil { // a server might read another class than we do
-		return httpserver.Target{}, &httpserver.Rejection{Status: http.StatusBadRequest, Reason: err.Error(), Close: true}
-	}
-	effect, listed := r.repeatability[class]
-	if !listed {
-		return httpserver.Target{}, &httpserver.Rejection{Status: http.StatusNotFound, Reason: fmt.Sprintf("class %.40q is not served", class), Close: true}
-	}
-	r.counters.RequestStarted()
-	return httpserver.Target{Pool: r.pool, Class: class, Effect: effect, Tenant: req.Header.Get("Req-Owner"),
-		Done: func(taken bool, a proxy.Result) { r.countOutcome(class, taken, a) }}, nil
-}
-
-// outcomes are what answers count as. A request that came twice was answered the first time.
-var outcomes = map[proxy.ResultKind]metrics.Outcome{proxy.Served: metrics.Success, proxy.Rejected: metrics.Overload}
-
-// countOutcome counts a request whose answer is written.
-func (r *requestRouter) countOutcome(class string, taken bool, a proxy.Result) {
-	if !taken || a.Kind == proxy.Duplicate {
-		r.counters.RequestDropped()
-		return
-	}
-	end, ok := outcomes[a.Kind]
-	if !ok {
-		end = metrics.Error
+// backgroundTasks returns what runs beside the server. Each task returns when its context ends.
+func (s *Sidecar) backgroundTasks() []func(context.Context) {
+	tasks := []func(context.Context){s.pool.Run, s.discovery.Run, s.handover.run}
+	if s.admin != nil {
+		tasks = append(tasks, s.admin.Run)
 	}
-	r.counters.RequestFinished(class, end)
+	return tasks
 }
