--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -335,8 +335,18 @@
 		t.Error("the log does not say so")
 	}
 	s.reload(good)
-	if st := s.Status(false); st.Generation != 2 || st.Reloads.LastBad != "" {
-		t.Errorf("%+v", st)
+	// The file watcher may have put the mended file in force before the explicit reload did so once more. Either way each
+	// good reload makes exactly one generation, and no bad one makes any.
+	mended := s.Status(false)
+	if good := mended.Reloads.Good; good < 1 || good > 2 || mended.Generation != 1+good || mended.Reloads.LastBad != "" {
+		t.Errorf("%+v", mended)
+	}
+	// The file in force is the file on disk now, so that the watcher has nothing left to reload.
+	if err := s.Reload(); err != nil {
+		t.Error(err)
+	}
+	if st := s.Status(false); st.Generation != mended.Generation+1 || st.Reloads.Good != mended.Reloads.Good+1 || st.Reloads.LastBad != "" {
+		t.Errorf("%+v after %+v", st, mended)
 	}
 }
 
