--- a/cmd/rowancart/serve.go
+++ b/cmd/rowancart/serve.go
@@ -70,8 +70,8 @@
 				return c
 			}
 			debug.SetGCPercent(gcPercent)
-			d, err := daemon.New(daemon.Options{Path: args[0], Getenv: os.LookupEnv, Log: slog.Default(), Predecessor: predecessor,
-				Successor: successor, HandOver: usr2, Applied: func(c *config.Config) {
+			d, err := daemon.New(daemon.Options{ConfigPath: args[0], LookupEnv: os.LookupEnv, Log: slog.Default(), Predecessor: predecessor,
+				NewSuccessor: successor, HandoverSignal: usr2, OnApply: func(c *config.Config) {
 					debug.SetMemoryLimit(int64(heapShare * float64(c.Limits.Memory)))
 				}})
 			if err != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -57,7 +57,7 @@
 	s := &site{t: t, path: filepath.Join(t.TempDir(), "rowancart.hcl"), ended: make(chan error, 1), log: &lockedBuffer{}}
 	s.write(text)
 	var err error
-	s.Daemon, err = New(Options{Path: s.path, Getenv: os.LookupEnv, Log: slog.New(slog.NewTextHandler(s.log, nil))})
+	s.Daemon, err = New(Options{ConfigPath: s.path, LookupEnv: os.LookupEnv, Log: slog.New(slog.NewTextHandler(s.log, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,7 +221,8 @@
 	}
 }
 
-// A request that waits for its first attempt's end when the file makes its class unsafe goes on as it came; the next does not.
+// A request that waits for its first attempt's end when the file makes its class unsafe goes on as
+// it came; the next does not.
 func TestARequestKeepsThePolicyThatItCameWith(t *testing.T) {
 	came, release := make(chan bool, 10), make(chan bool)
 	e := testpeer.New(t, func(nc net.Conn, r *http.Request, n int) bool {
@@ -262,7 +263,8 @@
 	}
 }
 
-// The pool that a reload takes away answers what it has taken, and is gone then, with its connections.
+// The pool that a reload takes away answers what it has taken, and is gone then, with its
+// connections.
 func TestAPoolThatWentAnswersWhatItHas(t *testing.T) {
 	came, release := make(chan bool, 10), make(chan bool)
 	old := testpeer.New(t, func(nc net.Conn, r *http.Request, _ int) bool {
@@ -286,12 +288,12 @@
 	if status, _, _ := s.ask(http.MethodGet, "/x"); status != http.StatusOK || next.Requests.Load() != 1 {
 		t.Errorf("%d, %d at the new pool", status, next.Requests.Load())
 	}
-	if st := s.Status(false); len(st.Pools) != 2 || st.Draining != 1 {
+	if st := s.Status(false); len(st.Pools) != 2 || st.DrainingGenerations != 1 {
 		t.Errorf("with a request under way: %+v", st)
 	}
 	close(release)
 	all.Wait()
-	testpeer.Until(t, "the old pool ends", func() bool { st := s.Status(false); return len(st.Pools) == 1 && st.Draining == 0 })
+	testpeer.Until(t, "the old pool ends", func() bool { st := s.Status(false); return len(st.Pools) == 1 && st.DrainingGenerations == 0 })
 }
 
 func TestAnEndpointThatMovesToAnotherPoolGetsNothingFromTheOld(t *testing.T) {
@@ -324,7 +326,7 @@
 		if err := s.Reload(); err == nil {
 			t.Errorf("taken: %s", bad)
 		}
-		if st := s.Status(false); st.Generation != 1 || st.Reloads.LastBad == "" {
+		if st := s.Status(false); st.Generation != 1 || st.Reloads.LastError == "" {
 			t.Errorf("%+v", st)
 		}
 		if status, _, _ := s.ask(http.MethodGet, "/x"); status != http.StatusOK {
@@ -335,17 +337,17 @@
 		t.Error("the log does not say so")
 	}
 	s.reload(good)
-	// The file watcher may have put the mended file in force before the explicit reload did so once more. Either way each
-	// good reload makes exactly one generation, and no bad one makes any.
+	// The file watcher may have put the mended file in force before the explicit reload did so once
+	// more. Either way each good reload makes exactly one generation, and no bad one makes any.
 	mended := s.Status(false)
-	if good := mended.Reloads.Good; good < 1 || good > 2 || mended.Generation != 1+good || mended.Reloads.LastBad != "" {
+	if good := mended.Reloads.Succeeded; good < 1 || good > 2 || mended.Generation != 1+good || mended.Reloads.LastError != "" {
 		t.Errorf("%+v", mended)
 	}
 	// The file in force is the file on disk now, so that the watcher has nothing left to reload.
 	if err := s.Reload(); err != nil {
 		t.Error(err)
 	}
-	if st := s.Status(false); st.Generation != mended.Generation+1 || st.Reloads.Good != mended.Reloads.Good+1 || st.Reloads.LastBad != "" {
+	if st := s.Status(false); st.Generation != mended.Generation+1 || st.Reloads.Succeeded != mended.Reloads.Succeeded+1 || st.Reloads.LastError != "" {
 		t.Errorf("%+v after %+v", st, mended)
 	}
 }
@@ -387,13 +389,13 @@
 	}
 	testpeer.Until(t, "a serves", says("a"))
 	put(list(b.Addr)[:40]) // half written
-	testpeer.Until(t, "the status says so", func() bool { return strings.Contains(s.Status(false).Pools[0].Roster, "unexpected EOF") })
+	testpeer.Until(t, "the status says so", func() bool { return strings.Contains(s.Status(false).Pools[0].SourceError, "unexpected EOF") })
 	if !says("a")() {
 		t.Error("half a list took a away")
 	}
 	put(list(b.Addr))
 	testpeer.Until(t, "b serves", says("b"))
-	if st := s.Status(false).Pools[0]; st.Roster != "" || st.Ready != 1 || st.Draining != 1 {
+	if st := s.Status(false).Pools[0]; st.SourceError != "" || st.Ready != 1 || st.Draining != 1 {
 		t.Errorf("%+v", st)
 	}
 }
@@ -428,10 +430,11 @@
 	}
 	close(release)
 	all.Wait()
-	testpeer.Until(t, "the listener ends", func() bool { st := s.Status(false); return len(st.Listeners) == 1 && st.Draining == 0 })
+	testpeer.Until(t, "the listener ends", func() bool { st := s.Status(false); return len(st.Listeners) == 1 && st.DrainingGenerations == 0 })
 }
 
-// A thousand reloads under load: nothing is lost, nothing is judged by a mixture of two files, and nothing is left behind.
+// A thousand reloads under load: nothing is lost, nothing is judged by a mixture of two files, and
+// nothing is left behind.
 func TestAThousandReloadsUnderLoad(t *testing.T) {
 	reloads := 1000
 	if testing.Short() {
@@ -439,7 +442,8 @@
 	}
 	a, b := testpeer.New(t, answer("200 OK", "", "a")), testpeer.New(t, answer("200 OK", "", "b"))
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	// By either file path and pool belong together: /a to a, /b to b. Each file has one of the routes under another name and pool.
+	// By either file path and pool belong together: /a to a, /b to b. Each file has one of the routes
+	// under another name and pool.
 	texts := []string{
 		aPool("p1", a.Addr) + aPool("p2", b.Addr) + aRoute("r1", "/a", "look", "p1", "policy {\n concurrency = 100\n}") + aRoute("r2", "/b", "look", "p2", ""),
 		aPool("p1", b.Addr) + aPool("p3", a.Addr) + aRoute("r1", "/b", "look", "p1", "policy {\n attempt_timeout = \"3s\"\n}") + aRoute("r3", "/a", "look", "p3", ""),
@@ -480,13 +484,13 @@
 	end()
 	load.Wait()
 	transport.CloseIdleConnections()
-	testpeer.Until(t, "old generations end", func() bool { return s.Status(false).Draining == 0 })
+	testpeer.Until(t, "old generations end", func() bool { return s.Status(false).DrainingGenerations == 0 })
 	st := s.Status(false)
 	if st.Generation <= reloads || len(st.Pools) != 2 || len(st.Listeners) != 1 {
 		t.Errorf("%+v", st)
 	}
 	for _, r := range st.Routes {
-		if r.UnderWay != 0 {
+		if r.InFlight != 0 {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -591,12 +595,12 @@
 	box := testpeer.New(t, answer("200 OK", "", "x"))
 	s := serve(t, fmt.Sprintf("state {\n path = %q\n every = \"1s\"\n}\n", filepath.Join(t.TempDir(), "none", "state"))+
 		aPool("one", box.Addr)+aRoute("x", "/x", "look", "one", ""))
-	testpeer.Until(t, "it is told", func() bool { return strings.Contains(s.log.String(), "what was learned is not kept") })
+	testpeer.Until(t, "it is told", func() bool { return strings.Contains(s.log.String(), "the snapshot cannot be saved") })
 	if status, _, _ := s.ask(http.MethodGet, "/x"); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
 	s.end() // it is tried once more
-	if n := strings.Count(s.log.String(), "what was learned is not kept"); n != 1 {
+	if n := strings.Count(s.log.String(), "the snapshot cannot be saved"); n != 1 {
 		t.Errorf("told %d times:\n%s", n, s.log)
 	}
 }
@@ -648,7 +652,7 @@
 	s := serve(t, aPool("one", e.Addr)+aRoute("x", "/x", "look", "one", ""))
 	s.ask(http.MethodGet, "/x")
 	get := func(method, path string) (int, string) {
-		r, _ := http.NewRequest(method, "http://"+s.Admin().String()+path, nil)
+		r, _ := http.NewRequest(method, "http://"+s.AdminAddr().String()+path, nil)
 		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 		if err != nil {
 			t.Fatal(err)
@@ -741,7 +745,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d, err := New(Options{Path: path, Getenv: os.LookupEnv, Log: slog.New(slog.DiscardHandler)})
+	d, err := New(Options{ConfigPath: path, LookupEnv: os.LookupEnv, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -771,7 +775,7 @@
 	}
 	close(release)
 	all.Wait()
-	if n := s.Status(false).Listeners[0].TurnedAway; n != 1 {
+	if n := s.Status(false).Listeners[0].RejectedConnections; n != 1 {
 		t.Errorf("%d turned away", n)
 	}
 	stop()
@@ -780,8 +784,8 @@
 	}
 }
 
-// A snapshot of another instance, here one of another number, is not taken for this one's: it says so once and begins anew.
-// One of a fleet that has grown since is its own.
+// A snapshot of another instance, here one of another number, is not taken for this one's: it says
+// so once and begins anew. One of a fleet that has grown since is its own.
 func TestASnapshotOfAnotherInstanceIsNotUsed(t *testing.T) {
 	quick := testpeer.New(t, answer("200 OK", "", "quick"))
 	state := filepath.Join(t.TempDir(), "state")
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -17,171 +17,187 @@
 	"rowancart/internal/route"
 )
 
-// generation is one configuration in force, or that requests still go by which came while it was. It is immutable but for
-// the count of those.
+// generation is one configuration that is in force, or that was when requests came which are still
+// in flight. It is immutable but for the count of its users.
+//
+// A generation is current, then retired when the next one is applied, and removed once it has no
+// users. Its users are the daemon while it is current, each request that it routed, and each
+// listener that drains since its successor.
 type generation struct {
-	n      int
-	conf   *config.Config
-	pools  map[string]*pool
-	tables map[string]*table // by listener
-	users  atomic.Int64      // requests, and listeners that are about to end
+	number int
+	config *config.Config
+	pools  map[string]*pool       // by name
+	tables map[string]*routeTable // by listener
+	users  atomic.Int64
 	daemon *Daemon
 }
 
-// table finds the routes of one listener.
-type table struct {
+// routeTable finds the routes of one listener.
+type routeTable struct {
 	*route.Table
-	routes []*served // by the number that the table gives
+	entries []*routeEntry // by the index that the table returns
 }
 
-// served is a route with its parts at hand.
-type served struct {
+// routeEntry is a route of a generation with all that serves it.
+type routeEntry struct {
 	config.Route
-	pool  *pool
-	class string // as the pool's engine knows it
-	gate  *gate
-	meter *routeMeter
+	pool    *pool
+	class   string // name of the route's class in the pool
+	limiter *routeLimiter
+	metrics *routeMetrics
 }
 
-// gate holds a route's traffic to its limits, across generations.
-type gate struct {
-	mu sync.Mutex
-	l  *ratelimit.Limiter
+// routeLimiter holds a route to its limits, across generations.
+type routeLimiter struct {
+	mu      sync.Mutex
+	limiter *ratelimit.Limiter
 }
 
-// release counts a user out. The last user of a generation that is not in force any more sees to what it leaves.
+func (l *routeLimiter) acquire(now time.Time, tenant string) (ratelimit.Permit, ratelimit.Limit, time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.limiter.Acquire(now, tenant)
+}
+
+func (l *routeLimiter) release(permit ratelimit.Permit) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limiter.Release(permit)
+}
+
+func (l *routeLimiter) configure(now time.Time, limits ratelimit.Limits) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limiter.Configure(now, limits)
+}
+
+// usage returns how many requests are in flight, and how many tenants are tracked.
+func (l *routeLimiter) usage() (inFlight, tenants int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.limiter.Usage()
+}
+
+// release ends one use. With the last use of a retired generation the daemon is notified to remove
+// it.
 func (g *generation) release() {
 	if g.users.Add(-1) == 0 {
 		select {
-		case g.daemon.idle <- struct{}{}:
-		default: // that has been told already
+		case g.daemon.generationIdle <- struct{}{}:
+		default: // notified already
 		}
 	}
 }
 
-// className names a route's class to an engine. What differs in any way has another name, so that a request under way keeps
-// the class that it came with, whatever becomes of the route.
+// className returns the name of a route's class in its pool. Classes that differ in any way have
+// different names, so that a request in flight keeps the class that it came with, whatever becomes
+// of the route.
 func className(r config.Route) string {
 	return fmt.Sprintf("%s~%016x", r.Class.Name, xxhash.Sum64String(fmt.Sprintf("%+v", r.Module(""))))
 }
 
-// swap puts a configuration in force. What it needs is there before the first request goes by it: pools have heard of its
-// classes, and listeners are open. d.reloading is held, or nothing runs yet.
-func (d *Daemon) swap(c *config.Config, opened []*listener) {
-	g := &generation{n: 1, conf: c, pools: map[string]*pool{}, tables: map[string]*table{}, daemon: d}
-	g.users.Store(1) // it is in force
-	old := d.now
+// apply puts a configuration in force. What it needs is ready before the first request is routed by
+// it: pools are configured with its classes, and listeners are open. The caller must hold
+// d.reloadMu, except before Run.
+func (d *Daemon) apply(c *config.Config, opened []*listener) {
+	g := &generation{number: 1, config: c, pools: map[string]*pool{}, tables: map[string]*routeTable{}, daemon: d}
+	g.users.Store(1) // the daemon, while it is current
+	old := d.current
 	if old != nil {
-		g.n = old.n + 1
+		g.number = old.number + 1
 		d.retired = append(d.retired, old)
 	}
-	for _, pc := range c.Pools {
+	d.addPools(g, old)
+	d.configurePools(g)
+
+	d.mu.Lock()
+	d.syncLimiters(c)
+	for _, l := range c.Listeners {
+		g.tables[l.Name] = d.newRouteTable(g, l.Name)
+	}
+	d.current = g
+	removed := d.syncListeners(c, opened)
+	d.mu.Unlock()
+
+	for _, l := range removed {
+		d.drainRemoved(l)
+	}
+	if old != nil {
+		old.release()
+	}
+	if d.onApply != nil {
+		d.onApply(c)
+	}
+}
+
+// addPools gives a generation its pools: those of the generation before it where they serve the
+// same endpoints, else new ones.
+func (d *Daemon) addPools(g, old *generation) {
+	for _, pc := range g.config.Pools {
 		var p *pool
 		if old != nil {
 			p = old.pools[pc.Name]
 		}
-		if p == nil || !sameServers(p.conf.Roster, pc.Roster) {
+		if p == nil || !servesSameEndpoints(p.config.Roster, pc.Roster) {
 			p = d.newPool(pc, g)
 			d.pools = append(d.pools, p)
-			if d.work != nil { // else Run starts it
+			if d.runCtx != nil { // otherwise Run starts it
 				d.startPool(p)
 			}
 		}
 		g.pools[pc.Name] = p
 	}
-	d.settle(g)
+}
 
-	d.mu.Lock()
-	names := map[string]bool{}
+// syncLimiters makes the limiters those of the configuration's routes. The caller must hold d.mu.
+func (d *Daemon) syncLimiters(c *config.Config) {
+	routes := map[string]bool{}
 	for _, r := range c.Routes {
-		names[r.Name] = true
-		gt := d.gates[r.Name]
-		if gt == nil {
-			gt = &gate{l: ratelimit.New(r.Policy.Rules())}
-			d.gates[r.Name] = gt
+		routes[r.Name] = true
+		limits := r.Policy.Rules()
+		l := d.limiters[r.Name]
+		if l == nil {
+			l = &routeLimiter{limiter: ratelimit.New(limits)}
+			d.limiters[r.Name] = l
 		}
-		gt.mu.Lock()
-		gt.l.Configure(time.Now(), r.Policy.Rules())
-		gt.mu.Unlock()
+		l.configure(time.Now(), limits)
 	}
-	for name := range d.gates {
-		if !names[name] {
-			delete(d.gates, name)
-			d.meter.forget(name)
+	for name := range d.limiters {
+		if !routes[name] {
+			delete(d.limiters, name)
+			d.metrics.deleteRoute(name)
 		}
 	}
-	for _, l := range c.Listeners {
-		g.tables[l.Name] = d.table(g, l.Name)
-	}
-	d.now = g
-	gone := d.follow(c, opened)
-	d.mu.Unlock()
-
-	for _, l := range gone {
-		d.end(l)
-	}
-	if old != nil {
-		old.release()
-	}
-	if d.applied != nil {
-		d.applied(c)
-	}
 }
 
-// table gathers the routes of a listener. d.mu is held.
-func (d *Daemon) table(g *generation, listener string) *table {
-	t := &table{}
+// newRouteTable collects the routes of a listener. The caller must hold d.mu.
+func (d *Daemon) newRouteTable(g *generation, listener string) *routeTable {
+	t := &routeTable{}
 	var matches []route.Match
-	for _, r := range g.conf.Routes {
+	for _, r := range g.config.Routes {
 		if len(r.Listeners) > 0 && !slices.Contains(r.Listeners, listener) {
 			continue
 		}
 		matches = append(matches, r.Match)
-		t.routes = append(t.routes, &served{Route: r, pool: g.pools[r.Pool], class: className(r), gate: d.gates[r.Name], meter: d.meter.route(r.Name, r.Class.Worth)})
+		t.entries = append(t.entries, &routeEntry{
+			Route:   r,
+			pool:    g.pools[r.Pool],
+			class:   className(r),
+			limiter: d.limiters[r.Name],
+			metrics: d.metrics.forRoute(r.Name, r.Class.Worth),
+		})
 	}
 	t.Table = route.New(matches)
 	return t
 }
 
-// follow makes the listeners those of the configuration, and gives those that it has no more. d.mu is held.
-func (d *Daemon) follow(c *config.Config, opened []*listener) (gone []*listener) {
-	d.listeners = append(d.listeners, opened...)
-	for _, l := range d.listeners {
-		if l.last != nil {
-			continue
-		}
-		i := slices.IndexFunc(c.Listeners, func(want config.Listener) bool { return want.Address == l.address })
-		if i < 0 {
-			l.last = d.retired[len(d.retired)-1]
-			l.last.users.Add(1) // it is in force until this returns: its count is above 0
-			gone = append(gone, l)
-			continue
-		}
-		l.name = c.Listeners[i].Name
-		l.conns.SetMaxConns(c.Limits.Connections / len(c.Listeners))
-	}
-	return gone
-}
-
-// end lets a listener that is not wanted any more finish.
-func (d *Daemon) end(l *listener) {
-	l.front.StartDraining()
-	d.parts.Go(func() error {
-		err := ignoreClosed(l.conns.Drain(0, time.Time{}))
-		d.mu.Lock()
-		d.listeners = slices.DeleteFunc(d.listeners, func(o *listener) bool { return o == l })
-		d.mu.Unlock()
-		l.last.release()
-		return err
-	})
-}
-
-// settle tells the pools what the generations want of them that are in force or have requests under way. The newest has the
-// say in all but which classes there are. d.reloading is held.
-func (d *Daemon) settle(newest *generation) {
+// configurePools configures each pool for all generations that have users. The newest decides all
+// but the classes, which are those of all of them. The caller must hold d.reloadMu, except before
+// Run.
+func (d *Daemon) configurePools(newest *generation) {
 	classes := map[*pool]map[string]balancer.Class{}
 	for _, g := range append([]*generation{newest}, d.retired...) {
-		for _, r := range g.conf.Routes {
+		for _, r := range g.config.Routes {
 			p, name := g.pools[r.Pool], className(r)
 			if classes[p] == nil {
 				classes[p] = map[string]balancer.Class{}
@@ -190,31 +206,32 @@
 		}
 	}
 	for _, p := range d.pools {
-		// In one order, whatever was first: the module's sums over classes must not depend on it.
-		list := slices.SortedFunc(maps.Values(classes[p]), func(x, y balancer.Class) int { return cmp.Compare(x.Name, y.Name) })
-		p.settle(newest, list)
+		// The order must not depend on that of the generations: the balancer sums over classes in it.
+		sorted := slices.SortedFunc(maps.Values(classes[p]), func(x, y balancer.Class) int { return cmp.Compare(x.Name, y.Name) })
+		p.configure(newest, sorted)
 	}
 }
 
-// clean forgets generations that nobody goes by any more, and ends the pools that only they had. d.reloading is held.
-func (d *Daemon) clean() {
+// removeUnusedGenerations forgets retired generations without users, and stops the pools that only
+// they had. The caller must hold d.reloadMu.
+func (d *Daemon) removeUnusedGenerations() {
 	before := len(d.retired)
 	d.retired = slices.DeleteFunc(d.retired, func(g *generation) bool { return g.users.Load() == 0 })
 	if len(d.retired) == before {
 		return
 	}
-	wanted := map[*pool]bool{}
-	for _, g := range append([]*generation{d.now}, d.retired...) {
+	used := map[*pool]bool{}
+	for _, g := range append([]*generation{d.current}, d.retired...) {
 		for _, p := range g.pools {
-			wanted[p] = true
+			used[p] = true
 		}
 	}
 	d.pools = slices.DeleteFunc(d.pools, func(p *pool) bool {
-		if !wanted[p] {
+		if !used[p] {
 			p.stop()
 			d.log.Info("pool ended", "pool", p.name)
 		}
-		return !wanted[p]
+		return !used[p]
 	})
-	d.settle(d.now)
+	d.configurePools(d.current)
 }
--- /dev/null
+++ b/internal/daemon/metrics.go
@@ -0,0 +1,176 @@
+package daemon
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"rowancart/balancer"
+	"rowancart/internal/proxy"
+	"rowancart/internal/ratelimit"
+)
+
+// metrics are the daemon's counters. Labels come from the configuration alone, so that clients
+// cannot create more of them.
+type metrics struct {
+	registry *prometheus.Registry
+	results  *prometheus.CounterVec
+	limited  *prometheus.CounterVec
+	unserved *prometheus.CounterVec
+	latency  *prometheus.HistogramVec
+	value    *prometheus.CounterVec // of results, by the priority weights of their classes
+}
+
+// resultLabels are the values of the label "kind".
+var resultLabels = map[proxy.ResultKind]string{
+	proxy.Served:    "served",
+	proxy.Rejected:  "refused",
+	proxy.Failed:    "failed",
+	proxy.Duplicate: "duplicate",
+}
+
+// resultLabelInvalid is the label "kind" of requests that no pool accepted.
+const resultLabelInvalid = "improper"
+
+func newMetrics(d *Daemon) *metrics {
+	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
+		return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
+	}
+	m := &metrics{
+		registry: prometheus.NewRegistry(),
+		results:  counter("rowancart_answers_total", "Final answers, by route and kind.", "route", "kind"),
+		limited:  counter("rowancart_limited_total", "Requests turned away by a limit, by route and limit.", "route", "limit"),
+		unserved: counter("rowancart_unserved_total", "Requests refused or failed, by route and reason.", "route", "reason"),
+		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name:    "rowancart_answer_seconds",
+			Help:    "Time from a request's arrival to its final answer, by route.",
+			Buckets: prometheus.ExponentialBuckets(0.001, 2, 15),
+		}, []string{"route"}),
+		value: counter("rowancart_worth_total", "Worth of final answers as their classes state it, by route and kind.",
+			"route", "kind"),
+	}
+	m.registry.MustRegister(m.results, m.unserved, m.limited, m.latency, m.value, &statusCollector{d})
+	return m
+}
+
+// routeMetrics are the counters of one route, looked up once.
+type routeMetrics struct {
+	all      *metrics
+	route    string
+	weight   float64 // added to value for each result
+	results  map[proxy.ResultKind]prometheus.Counter
+	value    map[proxy.ResultKind]prometheus.Counter
+	invalid  prometheus.Counter
+	unserved map[balancer.Reason]prometheus.Counter
+	latency  prometheus.Observer
+}
+
+// forRoute returns the counters of a route whose class has that priority weight.
+func (m *metrics) forRoute(route string, weight float64) *routeMetrics {
+	r := &routeMetrics{
+		all:      m,
+		route:    route,
+		weight:   weight,
+		results:  map[proxy.ResultKind]prometheus.Counter{},
+		value:    map[proxy.ResultKind]prometheus.Counter{},
+		invalid:  m.results.WithLabelValues(route, resultLabelInvalid),
+		unserved: map[balancer.Reason]prometheus.Counter{},
+		latency:  m.latency.WithLabelValues(route),
+	}
+	for _, reason := range balancer.Reasons {
+		r.unserved[reason] = m.unserved.WithLabelValues(route, string(reason))
+	}
+	for kind, label := range resultLabels {
+		r.results[kind] = m.results.WithLabelValues(route, label)
+		r.value[kind] = m.value.WithLabelValues(route, label)
+	}
+	return r
+}
+
+// deleteRoute removes the metrics of a route that no longer exists.
+func (m *metrics) deleteRoute(route string) {
+	labels := prometheus.Labels{"route": route}
+	m.results.DeletePartialMatch(labels)
+	m.limited.DeletePartialMatch(labels)
+	m.unserved.DeletePartialMatch(labels)
+	m.latency.DeletePartialMatch(labels)
+	m.value.DeletePartialMatch(labels)
+}
+
+// observe counts a request that has been answered. Accepted says whether a pool took it, which
+// alone makes a result.
+func (r *routeMetrics) observe(accepted bool, result proxy.Result, latency time.Duration) {
+	if !accepted {
+		r.invalid.Inc()
+		return
+	}
+	r.results[result.Kind].Inc()
+	r.value[result.Kind].Add(r.weight)
+	if counter := r.unserved[result.Reason]; counter != nil {
+		counter.Inc()
+	}
+	r.latency.Observe(latency.Seconds())
+}
+
+// countLimited counts a request rejected by a limit.
+func (r *routeMetrics) countLimited(limit ratelimit.Limit) {
+	r.all.limited.WithLabelValues(r.route, strings.ReplaceAll(string(limit), " ", "_")).Inc()
+}
+
+// statusCollector is a prometheus.Collector that reads the daemon's status at each scrape.
+type statusCollector struct{ daemon *Daemon }
+
+var (
+	generationDesc = newDesc("rowancart_generation", "Number of the configuration in force.")
+	reloadsDesc    = newDesc("rowancart_reloads_total", "Reloads, by whether the file was good.", "good")
+	endpointsDesc  = newDesc("rowancart_endpoints", "Endpoints of a pool, by state.", "pool", "state")
+	requestsDesc   = newDesc("rowancart_calls", "Requests that a pool is at work on.", "pool")
+	poolConnsDesc  = newDesc("rowancart_pool_connections", "Connections open to the endpoints of a pool.", "pool")
+	connsDesc      = newDesc("rowancart_connections", "Callers' connections, by listener.", "listener")
+	rejectedDesc   = newDesc("rowancart_turned_away_total", "Connections turned away for lack of places, by listener.", "listener")
+)
+
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
+	return prometheus.NewDesc(name, help, labels, nil)
+}
+
+// Describe implements prometheus.Collector.
+func (c *statusCollector) Describe(out chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{
+		generationDesc, reloadsDesc, endpointsDesc, requestsDesc, poolConnsDesc, connsDesc, rejectedDesc,
+	} {
+		out <- d
+	}
+}
+
+// Collect implements prometheus.Collector. Pools and listeners that drain are left out: others may
+// have their names.
+func (c *statusCollector) Collect(out chan<- prometheus.Metric) {
+	s := c.daemon.Status(false)
+	gauge := func(d *prometheus.Desc, v int, labels ...string) {
+		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, float64(v), labels...)
+	}
+	counter := func(d *prometheus.Desc, v int, labels ...string) {
+		out <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
+	}
+	gauge(generationDesc, s.Generation)
+	counter(reloadsDesc, s.Reloads.Succeeded, strconv.FormatBool(true))
+	counter(reloadsDesc, s.Reloads.Failed, strconv.FormatBool(false))
+	for _, p := range s.Pools {
+		if p.Removed {
+			continue
+		}
+		gauge(endpointsDesc, p.Ready, p.Name, "ready")
+		gauge(endpointsDesc, p.Draining, p.Name, "draining")
+		gauge(requestsDesc, p.Calls, p.Name)
+		gauge(poolConnsDesc, p.Connections, p.Name)
+	}
+	for _, l := range s.Listeners {
+		if !l.Removed {
+			gauge(connsDesc, l.Connections, l.Name)
+			counter(rejectedDesc, l.RejectedConnections, l.Name)
+		}
+	}
+}
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/outage_test.go
@@ -44,8 +44,8 @@
 	b.CloseClientConnections()
 }
 
-// Two boxes that answer at once, one caller that asks one request after the other. When something befalls one of them, the other
-// serves all that it can.
+// Two boxes that answer at once, one caller that asks one request after the other. When something
+// befalls one of them, the other serves all that it can.
 func TestOneOfTwoBoxesIsEnough(t *testing.T) {
 	const rounds, asked = 6, 20
 	const trialsApart = 375 * time.Millisecond // a backoff at its shortest
--- a/internal/daemon/reason_test.go
+++ b/internal/daemon/reason_test.go
@@ -26,7 +26,7 @@
 
 func (s *site) admin(path string) string {
 	s.t.Helper()
-	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + s.Admin().String() + path)
+	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + s.AdminAddr().String() + path)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -38,7 +38,8 @@
 	return string(text)
 }
 
-// Each answer that no endpoint made says why, in its header, the metrics, the log and the status of the endpoint.
+// Each answer that no endpoint made says why, in its header, the metrics, the log and the status of
+// the endpoint.
 func TestWhatIsNotServedSaysWhy(t *testing.T) {
 	resets := testpeer.New(t, func(net.Conn, *http.Request, int) bool { return false })
 	empty := filepath.Join(t.TempDir(), "roster.json")
--- /dev/null
+++ b/internal/daemon/router.go
@@ -0,0 +1,97 @@
+package daemon
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"rowancart/internal/httpserver"
+	"rowancart/internal/proxy"
+	"rowancart/internal/ratelimit"
+	"rowancart/internal/route"
+)
+
+// concurrencyRetryAfter is the advice to a client rejected by a limit of concurrency, and the least
+// to any rejected by a limit.
+const concurrencyRetryAfter = 500 * time.Millisecond
+
+// Route implements httpserver.Router. One generation decides the route, the limits and the pool of
+// a request, and stays in use until the request has been answered.
+func (l *listener) Route(r *http.Request) (httpserver.Target, *httpserver.Rejection) {
+	if err := route.Check(r.URL.EscapedPath()); err != nil {
+		rejection := &httpserver.Rejection{Status: http.StatusBadRequest, Reason: err.Error(), Close: true}
+		return httpserver.Target{}, rejection
+	}
+	d, arrived := l.daemon, time.Now()
+	d.mu.RLock()
+	defer d.mu.RUnlock()
+	g := d.current
+	if l.drainingFor != nil {
+		g = l.drainingFor
+	}
+	entry, rejection := g.tables[l.name].find(r)
+	if rejection != nil {
+		return httpserver.Target{}, rejection
+	}
+	tenant := r.Header.Get(entry.Tenant)
+	permit, rejection := entry.acquire(arrived, tenant)
+	if rejection != nil {
+		return httpserver.Target{}, rejection
+	}
+	g.users.Add(1)
+	target := httpserver.Target{
+		Pool:           entry.pool.proxy,
+		Class:          entry.class,
+		Effect:         entry.Class.Effect,
+		Tenant:         tenant,
+		DefaultTimeout: entry.Policy.ClientWaits,
+		MaxTimeout:     entry.Policy.RequestTimeout,
+		AnyMethod:      true,
+		Done: func(taken bool, result proxy.Result) {
+			entry.metrics.observe(taken, result, time.Since(arrived))
+			entry.limiter.release(permit)
+			g.release()
+		},
+	}
+	if r.Header.Get("Req-Id") == "" {
+		target.DefaultID = fmt.Sprintf("%016x-%x", d.seed, d.requestSerial.Add(1))
+	}
+	return target, nil
+}
+
+// find returns the route of a request, or the rejection for a request that has none.
+func (t *routeTable) find(r *http.Request) (*routeEntry, *httpserver.Rejection) {
+	index, allowed := t.Find(r.Host, r.URL.Path, r.Method, r.Header.Get)
+	switch {
+	case index >= 0:
+		return t.entries[index], nil
+	case len(allowed) > 0:
+		return nil, &httpserver.Rejection{
+			Status: http.StatusMethodNotAllowed,
+			Reason: "methods here: " + strings.Join(allowed, ", "),
+			Allow:  allowed,
+		}
+	}
+	return nil, &httpserver.Rejection{Status: http.StatusNotFound, Reason: "no route"}
+}
+
+// acquire admits a request under the route's limits, or returns the rejection that names the limit
+// it is over. Rejections that a rate causes are 429, those that concurrency causes 503.
+func (e *routeEntry) acquire(arrived time.Time, tenant string) (ratelimit.Permit, *httpserver.Rejection) {
+	permit, exceeded, wait := e.limiter.acquire(arrived, tenant)
+	if exceeded == ratelimit.None {
+		return permit, nil
+	}
+	e.metrics.countLimited(exceeded)
+	status := http.StatusServiceUnavailable
+	if wait > 0 {
+		status = http.StatusTooManyRequests
+	}
+	return permit, &httpserver.Rejection{
+		Status:     status,
+		Reason:     "over the limit: " + string(exceeded),
+		Limit:      string(exceeded),
+		RetryAfter: max(wait, concurrencyRetryAfter),
+	}
+}
