--- a/cmd/rowancart/fleet.go
+++ b/cmd/rowancart/fleet.go
@@ -26,7 +26,7 @@
 instances are ended.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := supervisor.Load(args[0])
+			config, err := supervisor.LoadConfig(args[0])
 			if err != nil {
 				return err
 			}
@@ -39,7 +39,7 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			return supervisor.Run(ctx, f, supervisor.Options{Program: self, Log: slog.Default()})
+			return supervisor.Run(ctx, config, supervisor.Options{Program: self, Log: slog.Default()})
 		},
 	}
 }
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -207,8 +207,8 @@
 	}
 	for _, p := range d.pools {
 		// The order must not depend on that of the generations: the balancer sums over classes in it.
-		sorted := slices.SortedFunc(maps.Values(classes[p]), func(x, y balancer.Class) int { return cmp.Compare(x.Name, y.Name) })
-		p.configure(newest, sorted)
+		byName := func(x, y balancer.Class) int { return cmp.Compare(x.Name, y.Name) }
+		p.configure(newest, slices.SortedFunc(maps.Values(classes[p]), byName))
 	}
 }
 
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -129,7 +129,8 @@
 	requestsDesc   = newDesc("rowancart_calls", "Requests that a pool is at work on.", "pool")
 	poolConnsDesc  = newDesc("rowancart_pool_connections", "Connections open to the endpoints of a pool.", "pool")
 	connsDesc      = newDesc("rowancart_connections", "Callers' connections, by listener.", "listener")
-	rejectedDesc   = newDesc("rowancart_turned_away_total", "Connections turned away for lack of places, by listener.", "listener")
+	rejectedDesc   = newDesc("rowancart_turned_away_total", "Connections turned away for lack of places, by listener.",
+		"listener")
 )
 
 func newDesc(name, help string, labels ...string) *prometheus.Desc {
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -141,7 +141,9 @@
 func staticEndpoints(source config.Roster) proxy.EndpointList {
 	list := proxy.EndpointList{Complete: true}
 	for _, e := range source.Static {
-		list.Endpoints = append(list.Endpoints, proxy.Endpoint{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell})
+		list.Endpoints = append(list.Endpoints, proxy.Endpoint{
+			ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+		})
 	}
 	return list
 }
--- /dev/null
+++ b/internal/supervisor/config.go
@@ -0,0 +1,103 @@
+package supervisor
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/hashicorp/hcl/v2"
+
+	"rowancart/internal/hcldecode"
+)
+
+const (
+	maxInstances = 1024
+
+	defaultReadyTimeout   = 15 * time.Second
+	defaultStopTimeout    = 30 * time.Second
+	defaultInitialBackoff = 200 * time.Millisecond
+	defaultMaxBackoff     = 30 * time.Second
+)
+
+// Config is a fleet's configuration.
+type Config struct {
+	Instances      int
+	InstanceConfig string // path of the daemon's configuration, for every instance
+	Folder         string // the supervisor's own: its state, its lock, the instances' admin sockets and logs
+	Seed           uint64
+	ReadyTimeout   time.Duration // an instance that is not healthy by then is killed
+	StopTimeout    time.Duration // instances that have not ended by then are killed
+	InitialBackoff time.Duration // after the first failure
+	MaxBackoff     time.Duration
+}
+
+// LoadConfig reads a fleet's file. Its error has one line for each fault, with file, line and
+// column. Relative paths in the file are relative to its folder.
+func LoadConfig(path string) (*Config, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	body, err := hcldecode.Parse(text, path)
+	if err != nil {
+		return nil, err
+	}
+	c := &Config{
+		ReadyTimeout:   defaultReadyTimeout,
+		StopTimeout:    defaultStopTimeout,
+		InitialBackoff: defaultInitialBackoff,
+		MaxBackoff:     defaultMaxBackoff,
+	}
+	r := &hcldecode.Reader{Places: map[any]hcl.Range{}}
+	r.Body(body, nil, hcldecode.Blocks{"fleet": func(b *hcl.Block) { c.decode(r, b) }})
+	if err := hcldecode.Faults(r.Diags); err != nil {
+		return nil, err
+	}
+	if c.Instances == 0 {
+		return nil, fmt.Errorf("%s: no fleet block", path)
+	}
+	if err := c.resolvePaths(filepath.Dir(path)); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// decode reads and checks the block fleet. Faults are added to the reader's.
+func (c *Config) decode(r *hcldecode.Reader, b *hcl.Block) {
+	seed := int(c.Seed)
+	r.Body(b.Body, hcldecode.Fields{
+		"instances!":   &c.Instances,
+		"config!":      &c.InstanceConfig,
+		"folder!":      &c.Folder,
+		"seed":         &seed,
+		"ready_within": &c.ReadyTimeout,
+		"stop_within":  &c.StopTimeout,
+	}, hcldecode.Blocks{
+		"back_off": func(b *hcl.Block) {
+			r.Body(b.Body, hcldecode.Fields{"first": &c.InitialBackoff, "most": &c.MaxBackoff}, nil)
+		},
+	})
+	c.Seed = uint64(seed)
+	switch {
+	case c.Instances < 1 || c.Instances > maxInstances:
+		r.Fault(r.Places[&c.Instances], "instances: %d is not from 1 to %d", c.Instances, maxInstances)
+	case c.InitialBackoff <= 0 || c.MaxBackoff < c.InitialBackoff:
+		r.Fault(b.DefRange, "back_off: first must be over 0 and most no less than first")
+	case c.ReadyTimeout <= 0 || c.StopTimeout <= 0:
+		r.Fault(b.DefRange, "fleet: ready_within and stop_within must be over 0")
+	}
+}
+
+// resolvePaths makes the paths absolute: instances may be started from another folder.
+func (c *Config) resolvePaths(dir string) (err error) {
+	for _, p := range []*string{&c.InstanceConfig, &c.Folder} {
+		if !filepath.IsAbs(*p) {
+			*p = filepath.Join(dir, *p)
+		}
+		if *p, err = filepath.Abs(*p); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/supervisor/restart.go
+++ b/internal/supervisor/restart.go
@@ -1,39 +1,51 @@
-// Package supervisor decides for a supervisor of instances on one machine: when each is started again after it ended, and
-// when one that does not become healthy is given up on and killed. It is pure: events come in with the time, the
-// actions to take go out, and the caller runs processes and clocks.
 package supervisor
 
 import (
+	"cmp"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"time"
 )
 
-// RestartSettings of a supervisor. Zero values take the defaults named.
+// This file is pure: events come in with the time, actions go out, and Run starts processes and
+// reads clocks. Times are durations since any one origin.
+//
+// An instance is Down until its start is due, Starting once its process runs, and Healthy once it
+// has answered its health check. One that is not healthy in time is Killing until its process has
+// ended. From each phase, the end of the process leads to Down, with the next start after a
+// backoff.
+
+const (
+	defaultStableAfter = time.Minute
+	maxBackoffDoubling = 30 // more would overflow the shift before the cap is applied
+)
+
+// RestartSettings are the parameters of a RestartPolicy. Zero values stand for the defaults named.
 type RestartSettings struct {
-	Instances   int
-	Seed        uint64        // jitter of back-offs, drawn for each instance alone
-	First       time.Duration // back-off after the first failure (200ms)
-	Most        time.Duration // back-off at most (30s)
-	ReadyWithin time.Duration // an instance that is not healthy by then is killed (15s)
-	Steady      time.Duration // healthy this long, an instance's failures are forgotten (1m)
+	Instances      int
+	Seed           uint64        // of the backoffs' jitter, which is drawn for each instance separately
+	InitialBackoff time.Duration // after the first failure (200ms)
+	MaxBackoff     time.Duration // before jitter (30s)
+	ReadyTimeout   time.Duration // an instance that is not healthy by then is killed (15s)
+	StableAfter    time.Duration // an instance healthy for this long has its failures forgotten (1m)
 }
 
-// Phase is where an instance stands.
+// Phase is the state of an instance in the restart policy.
 type Phase int
 
 // The phases.
 const (
-	Down     Phase = iota // not running; started at its time
+	Down     Phase = iota // not running; started when its backoff is over
 	Starting              // running, not yet healthy
-	Healthy
-	Killing // told to end; waits for its exit
+	Healthy               // running, and has answered its health check
+	Killing               // killed, its process has not ended yet
 )
 
-// ActionKind is what the caller is to do.
+// ActionKind is what the caller of a RestartPolicy is to do.
 type ActionKind int
 
-// The verbs.
+// The actions.
 const (
 	ActionStart ActionKind = iota
 	ActionKill
@@ -43,108 +55,109 @@
 type Action struct {
 	Kind     ActionKind
 	Instance int
-	Why      string
+	Reason   string // for the log
 }
 
-// Instance is what the supervisor knows of one.
+// Instance is the state of one instance.
 type Instance struct {
 	Phase    Phase
-	Since    time.Duration // of its phase
-	Failures int           // in a row; each doubles the back-off
-	StartAt  time.Duration // when Down: of its next start
-	Starts   int           // in all
+	Since    time.Duration // when the phase began
+	Failures int           // in a row; each doubles the backoff
+	StartAt  time.Duration // when Down: when the next start is due
+	Starts   int           // in total
 }
 
-// RestartPolicy holds the phases of all instances.
+// RestartPolicy decides when each instance is started again after it ended, and when one that does
+// not become healthy is killed. It is not safe for concurrent use.
 type RestartPolicy struct {
-	s   RestartSettings
-	all []Instance
-	rng []*rand.Rand
+	settings  RestartSettings
+	instances []Instance
+	jitter    []*rand.Rand // by instance
 }
 
-// NewRestartPolicy gives a supervisor whose instances are all due to start now.
+// NewRestartPolicy returns a policy whose instances are all due to start now.
 func NewRestartPolicy(now time.Duration, s RestartSettings) (*RestartPolicy, error) {
 	if s.Instances < 1 {
-		return nil, fmt.Errorf("supervise: %d instances", s.Instances)
-	}
-	for _, d := range []*time.Duration{&s.First, &s.Most, &s.ReadyWithin, &s.Steady} {
-		if *d < 0 {
-			return nil, fmt.Errorf("supervise: a negative time")
-		}
+		return nil, fmt.Errorf("supervisor: %d instances", s.Instances)
 	}
-	s.First, s.Most = or(s.First, 200*time.Millisecond), or(s.Most, 30*time.Second)
-	s.ReadyWithin, s.Steady = or(s.ReadyWithin, 15*time.Second), or(s.Steady, time.Minute)
-	v := &RestartPolicy{s: s, all: make([]Instance, s.Instances)}
-	for i := range v.all {
-		v.all[i] = Instance{Phase: Down, Since: now, StartAt: now}
-		v.rng = append(v.rng, rand.New(rand.NewPCG(s.Seed, uint64(i))))
+	if min(s.InitialBackoff, s.MaxBackoff, s.ReadyTimeout, s.StableAfter) < 0 {
+		return nil, errors.New("supervisor: a negative time")
 	}
-	return v, nil
-}
-
-func or(d, fallback time.Duration) time.Duration {
-	if d == 0 {
-		return fallback
+	s.InitialBackoff = cmp.Or(s.InitialBackoff, defaultInitialBackoff)
+	s.MaxBackoff = cmp.Or(s.MaxBackoff, defaultMaxBackoff)
+	s.ReadyTimeout = cmp.Or(s.ReadyTimeout, defaultReadyTimeout)
+	s.StableAfter = cmp.Or(s.StableAfter, defaultStableAfter)
+	p := &RestartPolicy{settings: s, instances: make([]Instance, s.Instances)}
+	for i := range p.instances {
+		p.instances[i] = Instance{Phase: Down, Since: now, StartAt: now}
+		p.jitter = append(p.jitter, rand.New(rand.NewPCG(s.Seed, uint64(i))))
 	}
-	return d
+	return p, nil
 }
 
-// Instances tells what is known of each.
-func (v *RestartPolicy) Instances() []Instance { return append([]Instance(nil), v.all...) }
+// Instances returns a copy of the state of each instance.
+func (p *RestartPolicy) Instances() []Instance { return append([]Instance(nil), p.instances...) }
 
-// Started tells that an instance's process runs.
-func (v *RestartPolicy) Started(now time.Duration, i int) {
-	v.all[i].Phase, v.all[i].Since = Starting, now
-	v.all[i].Starts++
+// OnStarted records that an instance's process runs.
+func (p *RestartPolicy) OnStarted(now time.Duration, i int) {
+	p.instances[i].Phase, p.instances[i].Since = Starting, now
+	p.instances[i].Starts++
 }
 
-// Healthy tells that an instance answered for its health; one that was not healthy before is so from now.
-func (v *RestartPolicy) Healthy(now time.Duration, i int) {
-	if in := &v.all[i]; in.Phase == Starting {
+// OnHealthy records that an instance answered its health check.
+func (p *RestartPolicy) OnHealthy(now time.Duration, i int) {
+	if in := &p.instances[i]; in.Phase == Starting {
 		in.Phase, in.Since = Healthy, now
 	}
 }
 
-// Ended tells that an instance's process has ended. Unless it had been steady, that is a failure, and its next start
-// waits a back-off: doubled with each failure in a row, capped, and jittered by up to a quarter either way so that
-// instances that fail together do not come back together.
-func (v *RestartPolicy) Ended(now time.Duration, i int) {
-	in := &v.all[i]
-	if in.Phase == Healthy && now-in.Since >= v.s.Steady {
+// OnExited records that an instance's process has ended. Unless it had been stable, that is a
+// failure more in a row, and its next start waits for the backoff.
+func (p *RestartPolicy) OnExited(now time.Duration, i int) {
+	in := &p.instances[i]
+	if in.Phase == Healthy && now-in.Since >= p.settings.StableAfter {
 		in.Failures = 0
 	}
 	in.Failures++
-	wait := v.s.First << min(in.Failures-1, 30)
-	if wait > v.s.Most || wait <= 0 {
-		wait = v.s.Most
+	in.Phase, in.Since, in.StartAt = Down, now, now+p.backoff(i)
+}
+
+// backoff returns the pause before an instance's next start: doubled with each failure in a row,
+// capped, and jittered by up to a quarter either way, so that instances that fail together do not
+// start together.
+func (p *RestartPolicy) backoff(i int) time.Duration {
+	pause := p.settings.InitialBackoff << min(p.instances[i].Failures-1, maxBackoffDoubling)
+	if pause > p.settings.MaxBackoff || pause <= 0 {
+		pause = p.settings.MaxBackoff
 	}
-	wait = time.Duration(float64(wait) * (0.75 + 0.5*v.rng[i].Float64()))
-	in.Phase, in.Since, in.StartAt = Down, now, now+wait
+	return time.Duration(float64(pause) * (0.75 + 0.5*p.jitter[i].Float64()))
 }
 
-// Due gives what is to be done now: starts whose time has come, kills of instances not healthy in time.
-func (v *RestartPolicy) Due(now time.Duration) []Action {
-	var out []Action
-	for i := range v.all {
-		switch in := &v.all[i]; {
+// DueActions returns what is to be done now: starts whose backoff is over, and kills of instances
+// not healthy in time. A kill is returned once, a start until OnStarted has been called.
+func (p *RestartPolicy) DueActions(now time.Duration) []Action {
+	var due []Action
+	for i := range p.instances {
+		switch in := &p.instances[i]; {
 		case in.Phase == Down && now >= in.StartAt:
-			out = append(out, Action{ActionStart, i, fmt.Sprintf("start %d", in.Starts+1)})
-		case in.Phase == Starting && now-in.Since >= v.s.ReadyWithin:
+			due = append(due, Action{ActionStart, i, fmt.Sprintf("start %d", in.Starts+1)})
+		case in.Phase == Starting && now-in.Since >= p.settings.ReadyTimeout:
 			in.Phase, in.Since = Killing, now
-			out = append(out, Action{ActionKill, i, fmt.Sprintf("not healthy within %v", v.s.ReadyWithin)})
+			due = append(due, Action{ActionKill, i, fmt.Sprintf("not healthy within %v", p.settings.ReadyTimeout)})
 		}
 	}
-	return out
+	return due
 }
 
-// Next is when Due may have something new to say, other than after an event; false when nothing waits on time.
-func (v *RestartPolicy) Next() (time.Duration, bool) {
+// NextDeadline returns when DueActions may return an action without a further event. It returns
+// false if no instance waits for a time.
+func (p *RestartPolicy) NextDeadline() (time.Duration, bool) {
 	var next time.Duration
 	found := false
-	for _, in := range v.all {
+	for _, in := range p.instances {
 		at, waits := in.StartAt, in.Phase == Down
 		if in.Phase == Starting {
-			at, waits = in.Since+v.s.ReadyWithin, true
+			at, waits = in.Since+p.settings.ReadyTimeout, true
 		}
 		if waits && (!found || at < next) {
 			next, found = at, true
--- /dev/null
+++ b/internal/supervisor/state.go
@@ -0,0 +1,66 @@
+package supervisor
+
+import (
+	"errors"
+	"syscall"
+	"time"
+
+	"rowancart/internal/snapshot"
+)
+
+const (
+	stateName   = "fleet.state"
+	stateMaxAge = 24 * time.Hour // an older state names processes that have long ended
+)
+
+// savedState is what the supervisor writes of its instances, for the supervisor after it.
+type savedState struct {
+	Instances []savedInstance `json:"Instances"`
+}
+
+// savedInstance identifies an instance's process.
+type savedInstance struct {
+	Pid       int    `json:"Pid"`   // 0: the instance does not run
+	StartTime uint64 `json:"Since"` // in ticks after boot
+}
+
+// adoptInstances takes over the instances that the supervisor before this one left running, and
+// ends those beyond the fleet's size.
+func (s *supervisor) adoptInstances(now time.Duration) {
+	var saved savedState
+	if _, err := snapshot.Read(s.statePath, time.Now(), stateMaxAge, &saved); err != nil {
+		if !errors.Is(err, snapshot.ErrNotFound) {
+			s.log.Warn("the state of a supervisor before is not used", "err", err)
+		}
+		return
+	}
+	for i, in := range saved.Instances {
+		p := &process{pid: in.Pid, startTime: in.StartTime}
+		switch {
+		case p.pid <= 0 || !p.isRunning():
+		case i >= s.config.Instances:
+			s.log.Info("instance beyond the fleet's size ended", "instance", i, "pid", p.pid)
+			p.signal(syscall.SIGTERM)
+		default:
+			s.processes[i] = p
+			s.policy.OnStarted(now, i)
+			s.log.Info("instance taken up", "instance", i, "pid", p.pid)
+			s.watchers.Go(func() { s.watchAdopted(i, p) })
+			s.watchers.Go(func() { s.awaitHealthy(i, p) })
+		}
+	}
+	s.saveState()
+}
+
+// saveState writes which processes are the instances, for the supervisor after this one.
+func (s *supervisor) saveState() {
+	saved := savedState{Instances: make([]savedInstance, len(s.processes))}
+	for i, p := range s.processes {
+		if p != nil {
+			saved.Instances[i] = savedInstance{Pid: p.pid, StartTime: p.startTime}
+		}
+	}
+	if err := snapshot.Write(s.statePath, time.Now(), saved); err != nil {
+		s.log.Warn("the supervisor's state cannot be saved", "err", err)
+	}
+}
