--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Simhost hosts balancers for the simulator: it reads batches of events on standard input and writes one
-// reply a batch to standard output. The balancers share nothing; the host decides nothing.
+// Simhost runs balancers for the simulator: it reads batches of events on standard input and writes
+// one reply a batch to standard output. The balancers share no state, and every decision is theirs.
 package main
 
 import (
@@ -12,45 +12,52 @@
 	"rowancart/internal/wire"
 )
 
+// gcPercent trades memory, of which balancers use little, for fewer collections of their
+// short-lived garbage.
+const gcPercent = 400
+
 func main() {
-	debug.SetGCPercent(400) // balancers are small and their garbage short-lived
+	debug.SetGCPercent(gcPercent)
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
 }
 
-// run plays the batches of in until it ends.
+// run handles the batches of in until it ends, and writes the replies to out.
 func run(in io.Reader, out io.Writer) error {
-	r := wire.NewReader(in)
-	return r.Run(&hosts{out: out, reader: r, running: map[int]*balancer.Balancer{}})
+	reader := wire.NewReader(in)
+	return reader.Run(&host{out: out, reader: reader, balancers: map[int]*balancer.Balancer{}})
 }
 
-type hosts struct {
-	out     io.Writer
-	reader  *wire.Reader
-	reply   wire.Reply
-	running map[int]*balancer.Balancer
+// host is a wire.Handler that owns the balancers of all instances.
+type host struct {
+	out       io.Writer
+	reader    *wire.Reader
+	reply     wire.Reply                 // of the current batch
+	balancers map[int]*balancer.Balancer // by instance, while it runs
 }
 
+var _ wire.Handler = (*host)(nil)
+
 // Start implements wire.Handler.
-func (h *hosts) Start(instance int, s balancer.Settings) error {
-	h.running[instance] = balancer.New(h.reader.Now(), s, h.reply.Of(instance))
+func (h *host) Start(instance int, s balancer.Settings) error {
+	h.balancers[instance] = balancer.New(h.reader.Now(), s, h.reply.Host(instance))
 	return nil
 }
 
 // Stop implements wire.Handler.
-func (h *hosts) Stop(instance int) error {
+func (h *host) Stop(instance int) error {
 	if _, err := h.Instance(instance); err != nil {
 		return err
 	}
-	delete(h.running, instance)
+	delete(h.balancers, instance)
 	return nil
 }
 
 // Instance implements wire.Handler.
-func (h *hosts) Instance(instance int) (balancer.Events, error) {
-	b, ok := h.running[instance]
+func (h *host) Instance(instance int) (balancer.Events, error) {
+	b, ok := h.balancers[instance]
 	if !ok {
 		return nil, fmt.Errorf("instance %d was never started", instance)
 	}
@@ -58,7 +65,7 @@
 }
 
 // EndBatch implements wire.Handler.
-func (h *hosts) EndBatch() error {
+func (h *host) EndBatch() error {
 	_, err := h.out.Write(h.reply.Bytes())
 	return err
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// start begins a batch in which instance 3 starts and is sent a list of one endpoint.
 const start = "CLOCK\tAtTimeUs=1000\nSWITCH_TO\tSidecar=3\nSTART\tRandomSeed=9\tConfig={\"Lanes\":[{\"Name\":\"c\"," +
 	"\"Semantics\":\"read_like\",\"OnTimeUs\":1000000}]}\nLEDGER\tRef=0\tHosts=1\nENDPOINT\tPhase=ready\tEndpoint=h:1\n" +
 	"REGISTRY\tMode=C\tGen=1\tRef=0\n"
--- a/internal/tools/linkage/main.go
+++ b/internal/tools/linkage/main.go
@@ -1,5 +1,6 @@
-// Linkage tells whether a program is linked dynamically against the C library, as the platform needs it to be: a library loaded
-// ahead of a program (LD_PRELOAD) does nothing in a static one, without a word.
+// Linkage checks that a program is linked dynamically against the C library, which the platform
+// requires: a library that is loaded ahead of a program (LD_PRELOAD) silently has no effect on a
+// static one.
 package main
 
 import (
@@ -21,20 +22,23 @@
 	}
 }
 
-// check returns an error unless the ELF file at path names a dynamic loader and needs the C library.
+// check returns an error unless the ELF file at path names a dynamic loader and needs the C
+// library.
 func check(path string) error {
 	file, err := elf.Open(path)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	defer file.Close()
-	loaded := slices.ContainsFunc(file.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP })
+	hasLoader := slices.ContainsFunc(file.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP })
 	libraries, err := file.ImportedLibraries()
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if !loaded || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		return fmt.Errorf("%s is not linked dynamically against the C library: build it with cgo and -ldflags=-linkmode=external", path)
+	needsLibc := slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") })
+	if !hasLoader || !needsLibc {
+		return fmt.Errorf("%s is not linked dynamically against the C library: "+
+			"build it with cgo and -ldflags=-linkmode=external", path)
 	}
 	return nil
 }
--- a/internal/tools/linkage/main_test.go
+++ b/internal/tools/linkage/main_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// The same program linked both ways: only the one that a loader finishes is good.
+// TestOnlyADynamicProgramPasses builds the same program both ways: only the one that needs a loader
+// passes.
 func TestOnlyADynamicProgramPasses(t *testing.T) {
 	dir := t.TempDir()
 	source := filepath.Join(dir, "main.go")
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,129 +8,201 @@
 	"rowancart/balancer"
 )
 
-// settings is the shape of the START message's Config, as far as it is used.
+// Settings are what the settings object says to a host: those of the balancer, and what a host with
+// connections of its own needs besides.
+type Settings struct {
+	balancer.Settings
+	ConnIdle    time.Duration // an endpoint closes a connection that has been idle for this long; 0: unknown
+	DialTimeout time.Duration // a connection not established by then has failed; 0: no such limit
+	MaxDeadline time.Duration // deadline of all classes; 0: none is set
+	DrainGrace  time.Duration // draining endpoints may still be sent requests for this long; 0: unknown
+}
+
+// settings is the JSON form of the settings object: the fields that are used, under the platform's
+// names. Times are in microseconds.
 type settings struct {
-	NInstances int
-	Me         int
-	Tier       int
-	Tiers      []string
-	Lanes      []struct {
-		Name, Semantics, Group          string
-		OnTimeUs, HardLimitUs, WindowUs int64
-	}
-	Accounts []struct {
-		Name      string
-		QuotaPerS float64
-	}
-	Discovery    string
-	ResolutionUs int64
-	Permissions  struct {
-		MayCancel, RetryAfter                      bool
-		TryLimit                                   int
-		MaxRetryAfterUs, ConnIdleUs, DialTimeoutUs int64
-	}
-	Rules struct {
-		AskWithinUs, ColdUs, DrainGraceUs int64
-		ColdFrom                          float64
-		ColdShare                         float64 // ours: the platform says nothing of it
-	}
+	Instances    int               `json:"NInstances"`
+	Index        int               `json:"Me"`
+	Tier         int               `json:"Tier"`
+	Tiers        []string          `json:"Tiers"`
+	Classes      []classSettings   `json:"Lanes"`
+	Tenants      []tenantSettings  `json:"Accounts"`
+	Discovery    string            `json:"Discovery"`
+	ResolutionUs int64             `json:"ResolutionUs"`
+	Permissions  permissions       `json:"Permissions"`
+	Rules        endpointBehaviour `json:"Rules"`
 }
 
-// check refuses what is no amount: a time, a count or a share under zero would be taken for none, or turn a rule round.
-func (c *settings) check() error {
-	amounts := []struct {
-		field string
-		value float64
-	}{
-		{"NInstances", float64(c.NInstances)}, {"Me", float64(c.Me)}, {"Tier", float64(c.Tier)}, {"ResolutionUs", float64(c.ResolutionUs)},
-		{"Permissions.TryLimit", float64(c.Permissions.TryLimit)}, {"Permissions.MaxRetryAfterUs", float64(c.Permissions.MaxRetryAfterUs)},
-		{"Permissions.ConnIdleUs", float64(c.Permissions.ConnIdleUs)}, {"Permissions.DialTimeoutUs", float64(c.Permissions.DialTimeoutUs)},
-		{"Rules.AskWithinUs", float64(c.Rules.AskWithinUs)}, {"Rules.ColdUs", float64(c.Rules.ColdUs)},
-		{"Rules.DrainGraceUs", float64(c.Rules.DrainGraceUs)},
-		{"Rules.ColdFrom", c.Rules.ColdFrom}, {"Rules.ColdShare", c.Rules.ColdShare},
-	}
-	for _, a := range amounts {
-		if a.value < 0 {
-			return fmt.Errorf("%s: %v is negative", a.field, a.value)
-		}
-	}
-	for _, l := range c.Lanes {
-		if l.OnTimeUs < 0 || l.HardLimitUs < 0 || l.WindowUs < 0 {
-			return fmt.Errorf("Lanes: class %q has a negative time", l.Name)
-		}
-	}
-	for _, a := range c.Accounts {
-		if a.QuotaPerS < 0 {
-			return fmt.Errorf("Accounts: tenant %q has a quota of %v/s", a.Name, a.QuotaPerS)
-		}
-	}
-	return nil
+type classSettings struct {
+	Name               string `json:"Name"`
+	Repeatability      string `json:"Semantics"`
+	KeyScope           string `json:"Group"`
+	LatencyObjectiveUs int64  `json:"OnTimeUs"`
+	MaxDeadlineUs      int64  `json:"HardLimitUs"`
+	KeyWindowUs        int64  `json:"WindowUs"`
 }
 
-func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+type tenantSettings struct {
+	Name  string  `json:"Name"`
+	Quota float64 `json:"QuotaPerS"` // requests a second
+}
 
-// Settings is what the object says to a host: the module's part, and what a host with connections of its own needs.
-type Settings struct {
-	balancer.Settings
-	ConnIdle    time.Duration // an endpoint closes a connection that has been idle for this long; 0: not told
-	DialTimeout time.Duration // a connection not made by then has failed; 0: not told
-	MaxDeadline time.Duration // deadline of all classes; 0: none is told
-	DrainGrace  time.Duration // for which endpoints that drain may still be sent to; 0: not told
+type permissions struct {
+	CancelAllowed     bool  `json:"MayCancel"`
+	RetryAfterAllowed bool  `json:"RetryAfter"`
+	MaxAttempts       int   `json:"TryLimit"`
+	MaxRetryAfterUs   int64 `json:"MaxRetryAfterUs"`
+	ConnIdleUs        int64 `json:"ConnIdleUs"`
+	DialTimeoutUs     int64 `json:"DialTimeoutUs"`
+}
+
+type endpointBehaviour struct {
+	PollIntervalUs    int64   `json:"AskWithinUs"`
+	SlowStartWindowUs int64   `json:"ColdUs"`
+	DrainGraceUs      int64   `json:"DrainGraceUs"`
+	SlowStartCapacity float64 `json:"ColdFrom"`
+	SlowStartShare    float64 `json:"ColdShare"` // our own field: the platform does not send it
+}
+
+// fieldError is a fault in a field of the wire, which it names as the wire does.
+type fieldError struct {
+	field string
+	err   error
 }
 
-// ParseSettings reads the settings object, which the simulator and the deployment give in the same form.
+func (e *fieldError) Error() string { return e.field + ": " + e.err.Error() }
+func (e *fieldError) Unwrap() error { return e.err }
+
+// ParseSettings decodes the settings object, which has the same form in the simulator and in the
+// deployment.
 func ParseSettings(text []byte) (Settings, error) {
+	s, err := parseSettings(text)
+	if err != nil {
+		return Settings{}, &fieldError{configField, err}
+	}
+	return s, nil
+}
+
+func parseSettings(text []byte) (Settings, error) {
 	var c settings
 	if err := json.Unmarshal(text, &c); err != nil {
-		return Settings{}, fmt.Errorf("Config: %w", err)
+		return Settings{}, err
 	}
-	if err := c.check(); err != nil {
-		return Settings{}, fmt.Errorf("Config: %w", err)
+	if err := c.validate(); err != nil {
+		return Settings{}, err
 	}
-	s := Settings{ConnIdle: us(c.Permissions.ConnIdleUs), DialTimeout: us(c.Permissions.DialTimeoutUs), DrainGrace: us(c.Rules.DrainGraceUs)}
-	s.Settings = balancer.Settings{
-		Instances: c.NInstances, Index: c.Me, Tier: c.Tier, TiersBelow: max(len(c.Tiers)-1-c.Tier, 0),
-		PollInterval: us(c.Rules.AskWithinUs), MaxAttempts: c.Permissions.TryLimit,
-		CancelAllowed: c.Permissions.MayCancel,
-		Resolution:    us(c.ResolutionUs), SlowStartCapacity: c.Rules.ColdFrom, SlowStartShare: c.Rules.ColdShare, SlowStartWindow: us(c.Rules.ColdUs),
-	}
-	if c.Permissions.RetryAfter {
-		s.MaxRetryAfter = us(c.Permissions.MaxRetryAfterUs)
+	s := Settings{
+		Settings:    c.balancerSettings(),
+		ConnIdle:    microseconds(c.Permissions.ConnIdleUs),
+		DialTimeout: microseconds(c.Permissions.DialTimeoutUs),
+		DrainGrace:  microseconds(c.Rules.DrainGraceUs),
 	}
 	switch c.Discovery {
 	case "automatic", "":
 	case "subscribe":
 		s.SubscribeRequired = true
 	default:
-		return s, fmt.Errorf("Config: unknown Discovery %q", c.Discovery)
+		return Settings{}, fmt.Errorf("unknown Discovery %q", c.Discovery)
 	}
-	for _, l := range c.Lanes {
-		s.MaxDeadline = max(s.MaxDeadline, us(l.HardLimitUs))
-		k := balancer.Class{Name: l.Name, KeyWindow: us(l.WindowUs), LatencyObjective: us(l.OnTimeUs)}
-		switch l.Semantics {
-		case "read_like":
-			k.Repeat = balancer.Idempotent
-		case "idempotency_key":
-			k.Repeat = balancer.IdempotencyKeyed
-		case "non_idempotent":
-			k.Repeat = balancer.NonIdempotent
-		default:
-			return s, fmt.Errorf("Config: class %q has unknown Semantics %q", l.Name, l.Semantics)
-		}
-		switch l.Group {
-		case "all", "":
-			k.KeyScope = balancer.KeyScopeAll
-		case "zone":
-			k.KeyScope = balancer.KeyScopeZone
-		case "cell":
-			k.KeyScope = balancer.KeyScopeCell
-		default:
-			return s, fmt.Errorf("Config: class %q has unknown Group %q", l.Name, l.Group)
+	for _, class := range c.Classes {
+		s.MaxDeadline = max(s.MaxDeadline, microseconds(class.MaxDeadlineUs))
+		parsed, err := class.parse()
+		if err != nil {
+			return Settings{}, err
 		}
-		s.Classes = append(s.Classes, k)
+		s.Classes = append(s.Classes, parsed)
 	}
-	for _, a := range c.Accounts {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: a.Name, Quota: a.QuotaPerS})
+	for _, tenant := range c.Tenants {
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: tenant.Name, Quota: tenant.Quota})
 	}
 	return s, nil
 }
+
+// balancerSettings returns the balancer's settings except discovery, classes and tenants.
+func (c *settings) balancerSettings() balancer.Settings {
+	s := balancer.Settings{
+		Instances:         c.Instances,
+		Index:             c.Index,
+		Tier:              c.Tier,
+		TiersBelow:        max(len(c.Tiers)-1-c.Tier, 0),
+		PollInterval:      microseconds(c.Rules.PollIntervalUs),
+		MaxAttempts:       c.Permissions.MaxAttempts,
+		CancelAllowed:     c.Permissions.CancelAllowed,
+		Resolution:        microseconds(c.ResolutionUs),
+		SlowStartCapacity: c.Rules.SlowStartCapacity,
+		SlowStartShare:    c.Rules.SlowStartShare,
+		SlowStartWindow:   microseconds(c.Rules.SlowStartWindowUs),
+	}
+	if c.Permissions.RetryAfterAllowed {
+		s.MaxRetryAfter = microseconds(c.Permissions.MaxRetryAfterUs)
+	}
+	return s
+}
+
+// parse returns the balancer's form of a class.
+func (c classSettings) parse() (balancer.Class, error) {
+	class := balancer.Class{Name: c.Name, KeyWindow: microseconds(c.KeyWindowUs),
+		LatencyObjective: microseconds(c.LatencyObjectiveUs)}
+	switch c.Repeatability {
+	case "read_like":
+		class.Repeat = balancer.Idempotent
+	case "idempotency_key":
+		class.Repeat = balancer.IdempotencyKeyed
+	case "non_idempotent":
+		class.Repeat = balancer.NonIdempotent
+	default:
+		return class, fmt.Errorf("class %q has unknown Semantics %q", c.Name, c.Repeatability)
+	}
+	switch c.KeyScope {
+	case "all", "":
+		class.KeyScope = balancer.KeyScopeAll
+	case "zone":
+		class.KeyScope = balancer.KeyScopeZone
+	case "cell":
+		class.KeyScope = balancer.KeyScopeCell
+	default:
+		return class, fmt.Errorf("class %q has unknown Group %q", c.Name, c.KeyScope)
+	}
+	return class, nil
+}
+
+// validate rejects negative amounts. The balancer would take a negative time, count or share for an
+// absent one, or apply the reverse of a rule.
+func (c *settings) validate() error {
+	amounts := []struct {
+		field string
+		value float64
+	}{
+		{"NInstances", float64(c.Instances)},
+		{"Me", float64(c.Index)},
+		{"Tier", float64(c.Tier)},
+		{"ResolutionUs", float64(c.ResolutionUs)},
+		{"Permissions.TryLimit", float64(c.Permissions.MaxAttempts)},
+		{"Permissions.MaxRetryAfterUs", float64(c.Permissions.MaxRetryAfterUs)},
+		{"Permissions.ConnIdleUs", float64(c.Permissions.ConnIdleUs)},
+		{"Permissions.DialTimeoutUs", float64(c.Permissions.DialTimeoutUs)},
+		{"Rules.AskWithinUs", float64(c.Rules.PollIntervalUs)},
+		{"Rules.ColdUs", float64(c.Rules.SlowStartWindowUs)},
+		{"Rules.DrainGraceUs", float64(c.Rules.DrainGraceUs)},
+		{"Rules.ColdFrom", c.Rules.SlowStartCapacity},
+		{"Rules.ColdShare", c.Rules.SlowStartShare},
+	}
+	for _, a := range amounts {
+		if a.value < 0 {
+			return &fieldError{a.field, fmt.Errorf("%v is negative", a.value)}
+		}
+	}
+	for _, class := range c.Classes {
+		if class.LatencyObjectiveUs < 0 || class.MaxDeadlineUs < 0 || class.KeyWindowUs < 0 {
+			return &fieldError{"Lanes", fmt.Errorf("class %q has a negative time", class.Name)}
+		}
+	}
+	for _, tenant := range c.Tenants {
+		if tenant.Quota < 0 {
+			return &fieldError{"Accounts", fmt.Errorf("tenant %q has a quota of %v/s", tenant.Name, tenant.Quota)}
+		}
+	}
+	return nil
+}
+
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,20 +12,20 @@
 	"rowancart/balancer"
 )
 
-// recorder keeps the events it is given, as text.
+// recorder is a Handler that records the events as text.
 type recorder struct {
-	got     []string
+	events  []string
 	started map[int]balancer.Settings
-	ends    int
+	batches int
 }
 
 func (r *recorder) add(format string, args ...any) {
-	r.got = append(r.got, fmt.Sprintf(format, args...))
+	r.events = append(r.events, fmt.Sprintf(format, args...))
 }
 
 func (r *recorder) Start(i int, s balancer.Settings) error { r.started[i] = s; return nil }
 func (r *recorder) Stop(i int) error                       { delete(r.started, i); return nil }
-func (r *recorder) EndBatch() error                        { r.ends++; return nil }
+func (r *recorder) EndBatch() error                        { r.batches++; return nil }
 func (r *recorder) Instance(i int) (balancer.Events, error) {
 	if _, ok := r.started[i]; !ok {
 		return nil, errors.New("never started")
@@ -43,11 +43,13 @@
 func (r *recorder) ClientLeft(now time.Duration, id string)       { r.add("%v left %s", now, id) }
 func (r *recorder) Timer(now time.Duration)                       { r.add("%v timer", now) }
 
+// read handles the batches of text.
 func read(text string) (*recorder, error) {
 	r := &recorder{started: map[int]balancer.Settings{}}
 	return r, NewReader(strings.NewReader(text)).Run(r)
 }
 
+// head begins a batch and starts instance 3.
 const head = "CLOCK\tAtTimeUs=1000\nSWITCH_TO\tSidecar=3\nSTART\tRandomSeed=9\tConfig={}\n"
 
 func TestEventsAreRead(t *testing.T) {
@@ -71,11 +73,11 @@
 		"1ms request {ID:r2 Class:c Tenant: Deadline:2ms ClientRetry:false Streamed:false}",
 		"1ms outcome {ID:r1 Attempt:0 Endpoint:h:1 Result:0 Latency:5µs Final:true}",
 		"1ms stream r2 1", "1ms left r2", "1ms timer"}
-	if !reflect.DeepEqual(r.got, want) {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(r.got, "\n"), strings.Join(want, "\n"))
+	if !reflect.DeepEqual(r.events, want) {
+		t.Errorf("got\n%s\nwant\n%s", strings.Join(r.events, "\n"), strings.Join(want, "\n"))
 	}
-	if r.ends != 2 || r.started[3].Seed != 9 {
-		t.Errorf("%d batches, seed %d", r.ends, r.started[3].Seed)
+	if r.batches != 2 || r.started[3].Seed != 9 {
+		t.Errorf("%d batches, seed %d", r.batches, r.started[3].Seed)
 	}
 }
 
@@ -93,7 +95,8 @@
 	}
 	us := time.Microsecond
 	want := balancer.Settings{Seed: 1<<64 - 1, Instances: 2, Index: 1, Tier: 1, TiersBelow: 1,
-		Classes: []balancer.Class{{Name: "n", Repeat: balancer.IdempotencyKeyed, KeyScope: balancer.KeyScopeCell, KeyWindow: 3 * us, LatencyObjective: us}},
+		Classes: []balancer.Class{{Name: "n", Repeat: balancer.IdempotencyKeyed, KeyScope: balancer.KeyScopeCell,
+			KeyWindow: 3 * us, LatencyObjective: us}},
 		Tenants: []balancer.Tenant{{Name: "t", Quota: 6.5}}, SubscribeRequired: true, PollInterval: 9 * us, MaxAttempts: 4,
 		CancelAllowed: true, MaxRetryAfter: 7 * us,
 		Resolution: 5 * time.Millisecond, SlowStartCapacity: 0.3, SlowStartWindow: 10 * us}
@@ -111,7 +114,8 @@
 		`{"Accounts":[{"Name":"erie","QuotaPerS":-2}]}`:                           `"erie"`,
 		`{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":-2500000}]}`: `"look"`,
 	} {
-		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+		_, err := ParseSettings([]byte(text))
+		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want one line that names %s", text, err, field)
 		}
 	}
@@ -159,10 +163,10 @@
 	}
 }
 
-// TestActionsComeBackAsWritten reads a reply's lines with the reader's own splitter.
+// TestActionsComeBackAsWritten parses a reply's lines with the Reader's own splitFields.
 func TestActionsComeBackAsWritten(t *testing.T) {
 	var r Reply
-	a, b := r.Of(3), r.Of(5)
+	a, b := r.Host(3), r.Host(5)
 	a.Send("r1", "h:1", 1500*time.Nanosecond)
 	a.Cancel("r1", 2)
 	b.Reject("r2", balancer.NoCapacity, 0)
@@ -179,15 +183,15 @@
 	if got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
-	rd := NewReader(nil)
+	reader := NewReader(nil)
 	for _, line := range strings.Split(strings.TrimSpace(got), "\n") {
 		name, rest, _ := bytes.Cut([]byte(line), []byte("\t"))
-		if err := rd.split(rest, string(name)); err != nil {
+		if err := reader.splitFields(rest, string(name)); err != nil {
 			t.Error(err)
 		}
 		back := string(name)
-		for _, p := range rd.parts {
-			back += "\t" + string(p.key) + "=" + string(p.value)
+		for _, f := range reader.fields {
+			back += "\t" + string(f.key) + "=" + string(f.value)
 		}
 		if back != line {
 			t.Errorf("%q came back as %q", line, back)
