--- a/cmd/rowancart/lab.go
+++ b/cmd/rowancart/lab.go
@@ -61,7 +61,7 @@
 			if err != nil {
 				return err
 			}
-			o := runner.Options{Virtual: plays[0].Virtual, Arm: arm, Root: root}
+			o := runner.Options{Virtual: plays[0].Virtual, Variant: arm, Root: root}
 			if cmd.Flags().Changed("virtual") {
 				o.Virtual = virtual
 			}
@@ -227,7 +227,7 @@
 				if e.Virtual {
 					where = "virtual"
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%-24s %-8s %2d plays  %s\n", filepath.Base(path), where, len(plays)*len(e.Arms)*len(e.Seeds), e.Question)
+				fmt.Fprintf(cmd.OutOrStdout(), "%-24s %-8s %2d plays  %s\n", filepath.Base(path), where, len(plays)*len(e.Variants)*len(e.Seeds), e.Question)
 			}
 			return errors.Join(errs...)
 		},
@@ -256,10 +256,10 @@
 			beyond := 0
 			for _, d := range differences {
 				if math.IsNaN(d.Noise) {
-					fmt.Fprintf(w, "%-12s %-18s %-18s %12.4f -> %12.4f  (too few repeats to tell noise)\n", d.Point, d.Arm, d.Figure, d.A, d.B)
-				} else if d.Beyond() {
+					fmt.Fprintf(w, "%-12s %-18s %-18s %12.4f -> %12.4f  (too few repeats to tell noise)\n", d.Point, d.Variant, d.Metric, d.A, d.B)
+				} else if d.Significant() {
 					beyond++
-					fmt.Fprintf(w, "%-12s %-18s %-18s %12.4f -> %12.4f  (noise %.4f)\n", d.Point, d.Arm, d.Figure, d.A, d.B, d.Noise)
+					fmt.Fprintf(w, "%-12s %-18s %-18s %12.4f -> %12.4f  (noise %.4f)\n", d.Point, d.Variant, d.Metric, d.A, d.B, d.Noise)
 				}
 			}
 			fmt.Fprintf(w, "%d of %d figures differ by more than the repeats do\n", beyond, len(differences))
--- a/cmd/rowancart/speed.go
+++ b/cmd/rowancart/speed.go
@@ -25,16 +25,16 @@
 			if o.Self, err = os.Executable(); err != nil {
 				return err
 			}
-			if o.Folder, err = os.MkdirTemp("", "rowancart-speed"); err != nil {
+			if o.Dir, err = os.MkdirTemp("", "rowancart-speed"); err != nil {
 				return err
 			}
-			defer os.RemoveAll(o.Folder)
+			defer os.RemoveAll(o.Dir)
 			if o.Sidecar == "" {
 				root, err := repository()
 				if err != nil {
 					return err
 				}
-				o.Sidecar = filepath.Join(o.Folder, "sidecar")
+				o.Sidecar = filepath.Join(o.Dir, "sidecar")
 				build := exec.CommandContext(cmd.Context(), "go", "build", "-o", o.Sidecar, "./cmd/sidecar")
 				build.Dir, build.Stderr = root, cmd.ErrOrStderr()
 				if err := build.Run(); err != nil {
@@ -50,13 +50,13 @@
 	}
 	f := cmd.Flags()
 	f.StringSliceVar(&o.Programs, "programs", speed.Programs, "what to compare")
-	f.IntVar(&o.Boxes, "boxes", 12, "boxes that answer at once")
+	f.IntVar(&o.Servers, "boxes", 12, "boxes that answer at once")
 	f.IntVar(&o.Connections, "connections", 32, "connections of clients, each with one request at a time")
-	f.IntVar(&o.Body, "body", 0, "bytes that a request posts; 0: a GET")
+	f.IntVar(&o.BodySize, "body", 0, "bytes that a request posts; 0: a GET")
 	f.IntVar(&o.Cores, "cores", 1, "cores of each program")
 	f.IntVar(&o.Rounds, "rounds", 5, "rounds in which each program has a turn, after one that warms up")
-	f.DurationVar(&o.Turn, "turn", time.Second, "time of a turn")
-	f.IntVar(&o.Idle, "idle", 0, "further connections of clients that send nothing")
+	f.DurationVar(&o.SampleTime, "turn", time.Second, "time of a turn")
+	f.IntVar(&o.IdleConnections, "idle", 0, "further connections of clients that send nothing")
 	f.StringVar(&o.Sidecar, "sidecar", "", "the platform's program (default: built from the repository around the working folder)")
 	return cmd
 }
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -16,75 +16,77 @@
 // Names lists the policies.
 var Names = []string{"random", "round_robin", "least_outstanding", "two_choices", "peak_ewma"}
 
-// decay is the time over which peak_ewma forgets a peak (Finagle's default).
-const decay = 10 * time.Second
+// costDecay is the time over which peak_ewma forgets a peak (Finagle's default).
+const costDecay = 10 * time.Second
 
 type endpoint struct {
 	balancer.Endpoint
-	out  int
-	cost float64 // peak-sensitive average of answer times, seconds
-	at   time.Duration
+	outstanding int
+	cost        float64 // peak-sensitive average of answer times, seconds
+	costUpdated time.Duration
 }
 
 type request struct {
 	balancer.Request
-	effect balancer.Repeatability
-	tried  []*endpoint
-	mayRun bool
+	repeat     balancer.Repeatability
+	tried      []*endpoint
+	mayHaveRun bool
 }
 
 // Policy is one instance. It is not safe for concurrent use.
 type Policy struct {
-	s         balancer.Settings
-	host      balancer.Host
-	rng       *rand.Rand
-	choose    func(now time.Duration, among []*endpoint) *endpoint
-	effects   map[string]balancer.Repeatability
-	endpoints []*endpoint
-	ready     []*endpoint
-	byName    map[string]*endpoint
-	requests  map[string]*request
-	turn      int
+	settings      balancer.Settings
+	host          balancer.Host
+	rng           *rand.Rand
+	choose        func(now time.Duration, among []*endpoint) *endpoint
+	repeatability map[string]balancer.Repeatability
+	endpoints     []*endpoint
+	ready         []*endpoint
+	byName        map[string]*endpoint
+	requests      map[string]*request
+	next          int
 }
 
 var _ balancer.Events = (*Policy)(nil)
 
 // New returns an instance of the policy named, or an error that lists the names.
 func New(name string, s balancer.Settings, h balancer.Host) (*Policy, error) {
-	p := &Policy{s: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 2)), effects: map[string]balancer.Repeatability{},
+	p := &Policy{settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 2)), repeatability: map[string]balancer.Repeatability{},
 		byName: map[string]*endpoint{}, requests: map[string]*request{}}
 	for _, c := range s.Classes {
-		p.effects[c.Name] = c.Repeat
+		p.repeatability[c.Name] = c.Repeat
 	}
 	switch name {
 	case "random":
-		p.choose = func(_ time.Duration, among []*endpoint) *endpoint { return among[p.rng.IntN(len(among))] }
+		p.choose = func(_ time.Duration, candidates []*endpoint) *endpoint {
+			return candidates[p.rng.IntN(len(candidates))]
+		}
 	case "round_robin":
-		p.turn = p.rng.IntN(1 << 20) // instances must not go round in step
-		p.choose = func(_ time.Duration, among []*endpoint) *endpoint {
-			p.turn++
-			return among[p.turn%len(among)]
+		p.next = p.rng.IntN(1 << 20) // instances must not go round in step
+		p.choose = func(_ time.Duration, candidates []*endpoint) *endpoint {
+			p.next++
+			return candidates[p.next%len(candidates)]
 		}
 	case "least_outstanding":
-		p.choose = func(_ time.Duration, among []*endpoint) *endpoint {
-			start := p.rng.IntN(len(among)) // ties go to no one in particular
-			best := among[start]
-			for i := range among {
-				if e := among[(start+i)%len(among)]; e.out < best.out {
+		p.choose = func(_ time.Duration, candidates []*endpoint) *endpoint {
+			start := p.rng.IntN(len(candidates)) // ties go to no one in particular
+			best := candidates[start]
+			for i := range candidates {
+				if e := candidates[(start+i)%len(candidates)]; e.outstanding < best.outstanding {
 					best = e
 				}
 			}
 			return best
 		}
 	case "two_choices":
-		p.choose = p.two(func(_ time.Duration, e *endpoint) float64 { return float64(e.out) })
+		p.choose = p.powerOfTwo(func(_ time.Duration, e *endpoint) float64 { return float64(e.outstanding) })
 	case "peak_ewma":
-		p.choose = p.two(func(now time.Duration, e *endpoint) float64 {
-			cost := e.cost * math.Exp(-float64(now-e.at)/float64(decay))
-			if cost == 0 && e.out > 0 { // nothing known yet: one at a time
+		p.choose = p.powerOfTwo(func(now time.Duration, e *endpoint) float64 {
+			cost := e.cost * math.Exp(-float64(now-e.costUpdated)/float64(costDecay))
+			if cost == 0 && e.outstanding > 0 { // nothing known yet: one at a time
 				return math.MaxFloat64 / 2
 			}
-			return cost * float64(e.out+1)
+			return cost * float64(e.outstanding+1)
 		})
 	default:
 		return nil, fmt.Errorf("policy %q is none of %v", name, Names)
@@ -92,16 +94,16 @@
 	return p, nil
 }
 
-// two draws two and takes the one of lower cost.
-func (p *Policy) two(cost func(time.Duration, *endpoint) float64) func(time.Duration, []*endpoint) *endpoint {
-	return func(now time.Duration, among []*endpoint) *endpoint {
-		a := among[p.rng.IntN(len(among))]
-		if len(among) == 1 {
+// powerOfTwo draws two and takes the one of lower cost.
+func (p *Policy) powerOfTwo(cost func(time.Duration, *endpoint) float64) func(time.Duration, []*endpoint) *endpoint {
+	return func(now time.Duration, candidates []*endpoint) *endpoint {
+		a := candidates[p.rng.IntN(len(candidates))]
+		if len(candidates) == 1 {
 			return a
 		}
-		b := among[p.rng.IntN(len(among))]
+		b := candidates[p.rng.IntN(len(candidates))]
 		for b == a {
-			b = among[p.rng.IntN(len(among))]
+			b = candidates[p.rng.IntN(len(candidates))]
 		}
 		if cost(now, b) < cost(now, a) {
 			return b
@@ -148,39 +150,39 @@
 
 // Request implements balancer.Events.
 func (p *Policy) Request(now time.Duration, r balancer.Request) {
-	effect, ok := p.effects[r.Class]
+	effect, ok := p.repeatability[r.Class]
 	if !ok {
 		effect = balancer.NonIdempotent
 	}
-	q := &request{Request: r, effect: effect}
+	q := &request{Request: r, repeat: effect}
 	p.requests[r.ID] = q
-	p.try(now, q)
+	p.attempt(now, q)
 }
 
-// try sends a request to one that it has not met, if there is any, or else gives the final answer.
-func (p *Policy) try(now time.Duration, q *request) {
-	among := p.ready
+// attempt sends a request to one that it has not met, if there is any, or else gives the final answer.
+func (p *Policy) attempt(now time.Duration, q *request) {
+	candidates := p.ready
 	if len(q.tried) > 0 {
-		among = slices.DeleteFunc(slices.Clone(among), func(e *endpoint) bool { return slices.Contains(q.tried, e) })
-		if len(among) == 0 {
-			among = p.ready
+		candidates = slices.DeleteFunc(slices.Clone(candidates), func(e *endpoint) bool { return slices.Contains(q.tried, e) })
+		if len(candidates) == 0 {
+			candidates = p.ready
 		}
 	}
-	may := len(q.tried) == 0 || (p.s.MaxAttempts <= 0 || len(q.tried) < p.s.MaxAttempts) && (q.effect == balancer.Idempotent || !q.mayRun)
-	if len(among) == 0 || !may || now >= q.Deadline-p.s.Resolution {
-		p.end(q)
+	may := len(q.tried) == 0 || (p.settings.MaxAttempts <= 0 || len(q.tried) < p.settings.MaxAttempts) && (q.repeat == balancer.Idempotent || !q.mayHaveRun)
+	if len(candidates) == 0 || !may || now >= q.Deadline-p.settings.Resolution {
+		p.finish(q)
 		return
 	}
-	e := p.choose(now, among)
-	e.out++
+	e := p.choose(now, candidates)
+	e.outstanding++
 	q.tried = append(q.tried, e)
 	p.host.Send(q.ID, e.ID, q.Deadline-now)
 }
 
-func (p *Policy) end(q *request) {
+func (p *Policy) finish(q *request) {
 	delete(p.requests, q.ID)
 	switch {
-	case q.effect != balancer.Idempotent && q.mayRun:
+	case q.repeat != balancer.Idempotent && q.mayHaveRun:
 		p.host.Fail(q.ID, balancer.MayHaveRun)
 	case len(p.ready) == 0:
 		p.host.Reject(q.ID, balancer.NoEndpoint, 0)
@@ -196,14 +198,14 @@
 		return
 	}
 	e := q.tried[o.Attempt]
-	e.out--
+	e.outstanding--
 	if took := o.Latency.Seconds(); o.Result != balancer.Canceled && o.Result != balancer.NotSent {
 		if o.Result != balancer.OK {
 			took = max(took, 1)
 		}
-		old := math.Exp(-float64(now-e.at) / float64(decay))
+		old := math.Exp(-float64(now-e.costUpdated) / float64(costDecay))
 		e.cost = max(took, e.cost*old+took*(1-old))
-		e.at = now
+		e.costUpdated = now
 	}
 	switch {
 	case o.Final || o.Result == balancer.OK:
@@ -212,9 +214,9 @@
 		switch o.Result {
 		case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
 		default:
-			q.mayRun = true
+			q.mayHaveRun = true
 		}
-		p.try(now, q)
+		p.attempt(now, q)
 	}
 }
 
--- a/internal/experiment/hclfile/hclfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -21,8 +21,8 @@
 	"rowancart/internal/hcldecode"
 )
 
-// reader reads the blocks of an experiment.
-type reader struct{ hcldecode.Reader }
+// decoder reads the blocks of an experiment.
+type decoder struct{ hcldecode.Reader }
 
 // Play is one of the experiments that a file comes to: a sweep makes several, other files one.
 type Play struct {
@@ -49,13 +49,13 @@
 	if err != nil {
 		return nil, err
 	}
-	bodies, err := included(own, []string{path})
+	bodies, err := includedBodies(own, []string{path})
 	if err != nil {
 		return nil, err
 	}
 	body := hcl.MergeBodies(bodies)
 	// The variables come first: everything else may name them.
-	r := &reader{}
+	r := &decoder{}
 	vars := map[string]cty.Value{}
 	sweepName, sweepAt := "", hcl.Range{}
 	var sweep []string
@@ -86,7 +86,7 @@
 	for _, k := range slices.Sorted(maps.Keys(set)) {
 		if _, ok := vars[k]; !ok {
 			return nil, fmt.Errorf("%s: --set %s: the file has no such variable; it has %s", name, k,
-				orNone(slices.Sorted(maps.Keys(vars))))
+				joinOrNone(slices.Sorted(maps.Keys(vars))))
 		}
 		vars[k] = cty.StringVal(set[k])
 	}
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	if _, fixed := set[sweepName]; sweepName == "" || fixed {
-		p, err := one(body, name, vars)
+		p, err := decodePlay(body, name, vars)
 		if err != nil {
 			return nil, err
 		}
@@ -103,7 +103,7 @@
 	var out []Play
 	for _, v := range sweep {
 		vars[sweepName] = cty.StringVal(v)
-		p, err := one(body, name, vars)
+		p, err := decodePlay(body, name, vars)
 		if err != nil {
 			return nil, fmt.Errorf("with %s = %s: %w", sweepName, v, err)
 		}
@@ -113,15 +113,15 @@
 	return out, nil
 }
 
-func orNone(names []string) string {
+func joinOrNone(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
 	return strings.Join(names, ", ")
 }
 
-// one reads the whole file with its variables set.
-func one(body hcl.Body, name string, vars map[string]cty.Value) (Play, error) {
+// decodePlay reads the whole file with its variables set.
+func decodePlay(body hcl.Body, name string, vars map[string]cty.Value) (Play, error) {
 	object := cty.EmptyObjectVal
 	settings := map[string]string{}
 	if len(vars) > 0 {
@@ -134,15 +134,15 @@
 			}
 		}
 	}
-	r := &reader{Reader: hcldecode.Reader{Vars: &hcl.EvalContext{Variables: map[string]cty.Value{"var": object}}}}
+	r := &decoder{Reader: hcldecode.Reader{Vars: &hcl.EvalContext{Variables: map[string]cty.Value{"var": object}}}}
 	p := Play{Experiment: experiment.Experiment{Name: strings.TrimSuffix(name, ".hcl"), Settings: settings, Seeds: []uint64{1}}}
 	e := &p.Experiment
-	e.Site = experiment.Site{Balancers: 1, Delay: 200 * time.Microsecond, Jitter: 0.2, Attempts: 5,
-		Roster: experiment.Roster{Delay: time.Second, Spread: 200 * time.Millisecond},
-		Rules: experiment.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second,
-			ImproperFor: 3 * time.Second}}
+	e.Site = experiment.Site{Balancers: 1, NetworkDelay: 200 * time.Microsecond, NetworkJitter: 0.2, MaxAttempts: 5,
+		Discovery: experiment.Discovery{Delay: time.Second, Spread: 200 * time.Millisecond},
+		Rules: experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4, OverloadWindow: time.Second,
+			ImproperPeerTimeout: 3 * time.Second}}
 	e.Load.Process = "poisson"
-	e.Load.Clients.PatienceLeast = 1
+	e.Load.Clients.MinPatience = 1
 	ignore := func(*hcl.Block) {}
 	seen := map[string]hcl.Range{}
 	once := func(read func(*hcl.Block)) func(*hcl.Block) {
@@ -178,21 +178,21 @@
 				r.Fault(b.DefRange, "experiment: the duration must be longer than the warmup")
 			}
 		}),
-		"site":       once(func(b *hcl.Block) { r.site(b, &e.Site) }),
-		"load":       once(func(b *hcl.Block) { r.load(b, &e.Load) }),
-		"fault kind": func(b *hcl.Block) { r.failure(b, e) },
+		"site":       once(func(b *hcl.Block) { r.readSite(b, &e.Site) }),
+		"load":       once(func(b *hcl.Block) { r.readLoad(b, &e.Load) }),
+		"fault kind": func(b *hcl.Block) { r.readFault(b, e) },
 		"arm name": func(b *hcl.Block) {
-			a := experiment.Arm{Name: b.Labels[0], Policy: experiment.DesignPolicy}
-			r.Body(b.Body, hcldecode.Fields{"policy": &a.Policy, "run": &a.Run, "cold_share": &a.ColdShare, "snapshot": &a.Snapshot}, hcldecode.Blocks{"retry_budget": func(b *hcl.Block) { r.RetryBudget(b, &a.Resends) }, "class name": func(b *hcl.Block) {
+			a := experiment.Variant{Name: b.Labels[0], Policy: experiment.DesignPolicy}
+			r.Body(b.Body, hcldecode.Fields{"policy": &a.Policy, "run": &a.Command, "cold_share": &a.SlowStartShare, "snapshot": &a.RestoreLearnedState}, hcldecode.Blocks{"retry_budget": func(b *hcl.Block) { r.RetryBudget(b, &a.RetryBudget) }, "class name": func(b *hcl.Block) {
 				p := experiment.ClassPolicy{Class: b.Labels[0]}
 				queue, retry := -1, "after_run"
-				r.Body(b.Body, hcldecode.Fields{"attempt_timeout": &p.AttemptTimeout, "attempts": &p.Attempts, "retry": &retry,
-					"copy_after": &p.CopyAfter, "copy_percentile": &p.CopyPercentile, "queue": &queue}, nil)
+				r.Body(b.Body, hcldecode.Fields{"attempt_timeout": &p.AttemptTimeout, "attempts": &p.MaxAttempts, "retry": &retry,
+					"copy_after": &p.HedgeAfter, "copy_percentile": &p.HedgePercentile, "queue": &queue}, nil)
 				hcldecode.OneOf(&r.Reader, b.DefRange, "retry", retry, "not_run", "after_run")
-				if p.NoRerun = retry == "not_run"; queue == 0 {
-					p.Queue = -1
+				if p.NeverRerun = retry == "not_run"; queue == 0 {
+					p.QueueLimit = -1
 				} else if queue > 0 {
-					p.Queue = queue
+					p.QueueLimit = queue
 				}
 				if !slices.ContainsFunc(e.Site.Classes, func(c experiment.Class) bool { return c.Name == p.Class }) {
 					r.Fault(b.DefRange, "class: the site has none called %q; it must stand before the arms", p.Class)
@@ -200,18 +200,18 @@
 				a.Classes = append(a.Classes, p)
 			}})
 			hcldecode.OneOf(&r.Reader, b.DefRange, "policy", a.Policy, append([]string{experiment.DesignPolicy, "reverse_proxy"}, baseline.Names...)...)
-			if slices.ContainsFunc(e.Arms, func(o experiment.Arm) bool { return o.Name == a.Name }) {
+			if slices.ContainsFunc(e.Variants, func(o experiment.Variant) bool { return o.Name == a.Name }) {
 				r.Fault(b.DefRange, "arm: there are two called %q", a.Name)
 			}
-			e.Arms = append(e.Arms, a)
+			e.Variants = append(e.Variants, a)
 		},
 		"expect": func(b *hcl.Block) {
-			x := expectation{at: b.DefRange}
+			x := expectation{position: b.DefRange}
 			var served, failed hcldecode.Share
-			r.Body(b.Body, hcldecode.Fields{"arm": &x.Arm, "rules_kept": &x.RulesKept, "served_in_time_over": &served,
-				"refused_or_failed_under": &failed, "attempts_under": &x.AttemptsUnder, "p99_under": &x.P99Under,
-				"fresh_peak_under": &x.FreshUnder, "resends_under": &x.ResendsUnder}, nil)
-			x.ServedOver, x.FailedUnder, x.Place = float64(served), float64(failed), hcldecode.Where(b.DefRange)
+			r.Body(b.Body, hcldecode.Fields{"arm": &x.Variant, "rules_kept": &x.NoViolations, "served_in_time_over": &served,
+				"refused_or_failed_under": &failed, "attempts_under": &x.AttemptsBelow, "p99_under": &x.P99Below,
+				"fresh_peak_under": &x.WarmupPeakBelow, "resends_under": &x.RetriesBelow}, nil)
+			x.ServedInTimeAbove, x.FailedBelow, x.Position = float64(served), float64(failed), hcldecode.Where(b.DefRange)
 			expects = append(expects, x)
 		},
 	})
@@ -221,15 +221,15 @@
 			r.Fault(start, "the file has no block %q", needed)
 		}
 	}
-	if len(e.Arms) == 0 {
-		e.Arms = []experiment.Arm{{Name: "design", Policy: experiment.DesignPolicy}}
+	if len(e.Variants) == 0 {
+		e.Variants = []experiment.Variant{{Name: "design", Policy: experiment.DesignPolicy}}
 	}
 	for _, x := range expects {
-		if x.Arm != "" && !slices.ContainsFunc(e.Arms, func(a experiment.Arm) bool { return a.Name == x.Arm }) {
-			r.Fault(x.at, "expect: there is no arm %q", x.Arm)
+		if x.Variant != "" && !slices.ContainsFunc(e.Variants, func(a experiment.Variant) bool { return a.Name == x.Variant }) {
+			r.Fault(x.position, "expect: there is no arm %q", x.Variant)
 		}
-		if (x.Expectation == experiment.Expectation{Arm: x.Arm, Place: x.Place}) {
-			r.Fault(x.at, "expect: it asks for nothing")
+		if (x.Expectation == experiment.Expectation{Variant: x.Variant, Position: x.Position}) {
+			r.Fault(x.position, "expect: it asks for nothing")
 		}
 		e.Expect = append(e.Expect, x.Expectation)
 	}
@@ -243,12 +243,12 @@
 
 type expectation struct {
 	experiment.Expectation
-	at hcl.Range
+	position hcl.Range
 }
 
-func (r *reader) site(b *hcl.Block, s *experiment.Site) {
+func (r *decoder) readSite(b *hcl.Block, s *experiment.Site) {
 	var rules = &s.Rules
-	var network, ledger, limits, roster hcl.Range
+	var networkAt, rulesAt, limitsAt, discoveryAt hcl.Range
 	once := func(at *hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
 		return func(b *hcl.Block) {
 			if !at.Empty() {
@@ -259,48 +259,48 @@
 			read(b)
 		}
 	}
-	r.Body(b.Body, hcldecode.Fields{"balancers": &s.Balancers, "told": &s.Told, "attempts": &s.Attempts}, hcldecode.Blocks{
-		"network": once(&network, func(b *hcl.Block) {
+	r.Body(b.Body, hcldecode.Fields{"balancers": &s.Balancers, "told": &s.ConfiguredBalancers, "attempts": &s.MaxAttempts}, hcldecode.Blocks{
+		"network": once(&networkAt, func(b *hcl.Block) {
 			var jitter hcldecode.Share
-			r.Body(b.Body, hcldecode.Fields{"delay": &s.Delay, "jitter": &jitter}, nil)
-			s.Jitter = float64(jitter)
+			r.Body(b.Body, hcldecode.Fields{"delay": &s.NetworkDelay, "jitter": &jitter}, nil)
+			s.NetworkJitter = float64(jitter)
 		}),
-		"roster": once(&roster, func(b *hcl.Block) {
-			r.Body(b.Body, hcldecode.Fields{"delay": &s.Roster.Delay, "spread": &s.Roster.Spread}, nil)
+		"roster": once(&discoveryAt, func(b *hcl.Block) {
+			r.Body(b.Body, hcldecode.Fields{"delay": &s.Discovery.Delay, "spread": &s.Discovery.Spread}, nil)
 		}),
-		"rules": once(&ledger, func(b *hcl.Block) {
-			r.Body(b.Body, hcldecode.Fields{"answer_slack": &rules.AnswerSlack, "drain_grace": &rules.DrainGrace, "fall_over": &rules.FallOver,
-				"fall_window": &rules.FallWindow, "improper_for": &rules.ImproperFor}, nil)
+		"rules": once(&rulesAt, func(b *hcl.Block) {
+			r.Body(b.Body, hcldecode.Fields{"answer_slack": &rules.ResponseSlack, "drain_grace": &rules.DrainGrace, "fall_over": &rules.WarmupOverload,
+				"fall_window": &rules.OverloadWindow, "improper_for": &rules.ImproperPeerTimeout}, nil)
 		}),
-		"limits": once(&limits, func(b *hcl.Block) {
+		"limits": once(&limitsAt, func(b *hcl.Block) {
 			r.Body(b.Body, hcldecode.Fields{"memory_mb": &s.Limits.MemoryMB, "descriptors": &s.Limits.Descriptors, "cores": &s.Limits.Cores}, nil)
 		}),
 		"class name": func(b *hcl.Block) {
-			c := experiment.Class{Name: b.Labels[0], Share: 1, Worth: 1, Spread: experiment.Exponential, Cv: 1}
+			c := experiment.Class{Name: b.Labels[0], TrafficShare: 1, PriorityWeight: 1, Distribution: experiment.Exponential, VariationCoefficient: 1}
 			effect := "safe"
-			spread := string(c.Spread)
+			spread := string(c.Distribution)
 			var hits hcldecode.Share
-			r.Body(b.Body, hcldecode.Fields{"effect": &effect, "share": &c.Share, "work!": &c.Work, "wait": &c.Wait, "spread": &spread, "cv": &c.Cv,
-				"hits": &hits, "hit_work": &c.HitWork, "aim!": &c.Aim, "deadline!": &c.Deadline, "worth": &c.Worth}, nil)
+			r.Body(b.Body, hcldecode.Fields{"effect": &effect, "share": &c.TrafficShare, "work!": &c.Work, "wait": &c.OffCPUTime, "spread": &spread, "cv": &c.VariationCoefficient,
+				"hits": &hits, "hit_work": &c.CacheHitWork, "aim!": &c.LatencyObjective, "deadline!": &c.Deadline, "worth": &c.PriorityWeight}, nil)
 			hcldecode.OneOf(&r.Reader, b.DefRange, "effect", effect, "safe", "unsafe")
 			hcldecode.OneOf(&r.Reader, b.DefRange, "spread", spread, string(experiment.Exponential), string(experiment.LogNormal), string(experiment.Fixed))
 			if effect == "unsafe" {
-				c.Effect = balancer.NonIdempotent
+				c.Repeat = balancer.NonIdempotent
 			}
-			c.Spread, c.Hits = experiment.Spread(spread), float64(hits)
-			if c.Aim > c.Deadline {
-				r.Fault(b.DefRange, "class %s: the aim of %v is later than the deadline of %v", c.Name, c.Aim, c.Deadline)
+			c.Distribution, c.CacheHitRatio = experiment.Distribution(spread), float64(hits)
+			if c.LatencyObjective > c.Deadline {
+				r.Fault(b.DefRange, "class %s: the aim of %v is later than the deadline of %v", c.Name, c.LatencyObjective, c.Deadline)
 			}
 			s.Classes = append(s.Classes, c)
 		},
 		"tenant name": func(b *hcl.Block) {
-			t := experiment.Tenant{Name: b.Labels[0], Share: 1}
+			t := experiment.Tenant{Name: b.Labels[0], TrafficShare: 1}
 			var quota hcldecode.Rate
-			r.Body(b.Body, hcldecode.Fields{"share": &t.Share, "quota": &quota}, nil)
+			r.Body(b.Body, hcldecode.Fields{"share": &t.TrafficShare, "quota": &quota}, nil)
 			t.Quota = float64(quota)
 			s.Tenants = append(s.Tenants, t)
 		},
-		"tier name": func(b *hcl.Block) { r.tier(b, s) },
+		"tier name": func(b *hcl.Block) { r.readTier(b, s) },
 	})
 	if len(s.Classes) == 0 || len(s.Tiers) == 0 {
 		r.Fault(b.DefRange, "site: at least one class and one tier are wanted")
@@ -314,14 +314,14 @@
 	}
 }
 
-func (r *reader) tier(b *hcl.Block, s *experiment.Site) {
-	t := experiment.Tier{Name: b.Labels[0], Work: 1}
-	x := &t.Box
+func (r *decoder) readTier(b *hcl.Block, s *experiment.Site) {
+	t := experiment.Tier{Name: b.Labels[0], WorkFraction: 1}
+	x := &t.Server
 	var noise, errors hcldecode.Share
-	ok := r.Body(b.Body, hcldecode.Fields{"boxes!": &t.Boxes, "work": &t.Work, "calls": &t.Calls, "errors": &errors, "cancel_stops": &x.CancelsStops}, hcldecode.Blocks{
+	ok := r.Body(b.Body, hcldecode.Fields{"boxes!": &t.Servers, "work": &t.WorkFraction, "calls": &t.Calls, "errors": &errors, "cancel_stops": &x.CancelStopsWork}, hcldecode.Blocks{
 		"kind name": func(b *hcl.Block) {
-			k := experiment.Kind{Name: b.Labels[0], Share: 1, Cores: 1, Speed: 1, Slots: 16, Queue: 200}
-			r.Body(b.Body, hcldecode.Fields{"share": &k.Share, "cores": &k.Cores, "speed": &k.Speed, "slots": &k.Slots, "queue": &k.Queue}, nil)
+			k := experiment.Kind{Name: b.Labels[0], Fraction: 1, Cores: 1, Speed: 1, Slots: 16, QueueLimit: 200}
+			r.Body(b.Body, hcldecode.Fields{"share": &k.Fraction, "cores": &k.Cores, "speed": &k.Speed, "slots": &k.Slots, "queue": &k.QueueLimit}, nil)
 			if k.Cores < 1 || k.Slots < 1 || k.Speed <= 0 {
 				r.Fault(b.DefRange, "kind %s: cores, slots and speed must be above 0", k.Name)
 			}
@@ -329,38 +329,38 @@
 		},
 		"cold": func(b *hcl.Block) {
 			var from hcldecode.Share
-			r.Body(b.Body, hcldecode.Fields{"from!": &from, "for!": &x.ColdFor}, nil)
-			x.ColdFrom = float64(from)
+			r.Body(b.Body, hcldecode.Fields{"from!": &from, "for!": &x.WarmupTime}, nil)
+			x.InitialCapacity = float64(from)
 		},
 		"choke": func(b *hcl.Block) {
-			r.Body(b.Body, hcldecode.Fields{"at!": &x.ChokeAt, "over!": &x.ChokeOver, "slower!": &x.ChokeSlower, "below!": &x.ChokeBelow,
-				"rest!": &x.ChokeRest, "most": &x.ChokeMost}, nil)
-			if x.ChokeSlower < 1 {
-				r.Fault(b.DefRange, "choke: slower is %g; a choked box is slower, not faster", x.ChokeSlower)
+			r.Body(b.Body, hcldecode.Fields{"at!": &x.CollapseQueue, "over!": &x.CollapseAfter, "slower!": &x.CollapseSlowdown, "below!": &x.RecoveryLoad,
+				"rest!": &x.RecoveryAfter, "most": &x.MaxCollapse}, nil)
+			if x.CollapseSlowdown < 1 {
+				r.Fault(b.DefRange, "choke: slower is %g; a choked box is slower, not faster", x.CollapseSlowdown)
 			}
 		},
 		"connections": func(b *hcl.Block) {
-			r.Body(b.Body, hcldecode.Fields{"work": &x.ConnWork, "limit": &x.ConnLimit, "idle": &x.ConnIdle}, nil)
+			r.Body(b.Body, hcldecode.Fields{"work": &x.ConnWork, "limit": &x.ConnLimit, "idle": &x.ConnIdleTimeout}, nil)
 		},
 		"report": func(b *hcl.Block) {
-			r.Body(b.Body, hcldecode.Fields{"every!": &x.ReportEvery, "delay": &x.ReportDelay, "noise": &noise}, nil)
+			r.Body(b.Body, hcldecode.Fields{"every!": &x.ReportInterval, "delay": &x.ReportDelay, "noise": &noise}, nil)
 		},
 	})
-	x.ReportNoise, x.ErrorShare = float64(noise), float64(errors)
-	if ok && t.Boxes < 1 {
+	x.ReportNoise, x.ErrorRate = float64(noise), float64(errors)
+	if ok && t.Servers < 1 {
 		r.Fault(b.DefRange, "tier %s: at least one box is wanted", t.Name)
 	}
-	t.Boxes = max(t.Boxes, 1)
+	t.Servers = max(t.Servers, 1)
 	if len(t.Kinds) == 0 {
-		t.Kinds = []experiment.Kind{{Name: "box", Share: 1, Cores: 1, Speed: 1, Slots: 16, Queue: 200}}
+		t.Kinds = []experiment.Kind{{Name: "box", Fraction: 1, Cores: 1, Speed: 1, Slots: 16, QueueLimit: 200}}
 	}
-	if s.Tier(t.Name) >= 0 {
+	if s.TierIndex(t.Name) >= 0 {
 		r.Fault(b.DefRange, "tier: there are two called %q", t.Name)
 	}
 	s.Tiers = append(s.Tiers, t)
 }
 
-func (r *reader) load(b *hcl.Block, l *experiment.Load) {
+func (r *decoder) readLoad(b *hcl.Block, l *experiment.Load) {
 	var per hcldecode.Rate
 	patience := hcldecode.Share(1)
 	var leave hcldecode.Share
@@ -372,10 +372,10 @@
 		},
 		"clients": func(b *hcl.Block) {
 			c := &l.Clients
-			r.Body(b.Body, hcldecode.Fields{"patience_least": &patience, "retries": &c.Retries, "retry_wait": &c.RetryWait, "heed": &c.Heed, "leave": &leave}, nil)
+			r.Body(b.Body, hcldecode.Fields{"patience_least": &patience, "retries": &c.Retries, "retry_wait": &c.RetryWait, "heed": &c.HonorRetryAfter, "leave": &leave}, nil)
 		},
 	})
-	l.Rate, l.Clients.PatienceLeast, l.Clients.Leave = float64(per), float64(patience), float64(leave)
+	l.Rate, l.Clients.MinPatience, l.Clients.DisconnectRate = float64(per), float64(patience), float64(leave)
 	hcldecode.OneOf(&r.Reader, b.DefRange, "process", l.Process, "poisson", "steady", "recorded")
 	switch {
 	case !ok:
@@ -386,24 +386,24 @@
 	}
 }
 
-func (r *reader) failure(b *hcl.Block, e *experiment.Experiment) {
-	f := experiment.Fault{Kind: experiment.FaultKind(b.Labels[0]), Part: 1, Size: 1, Count: 1, Period: time.Second}
+func (r *decoder) readFault(b *hcl.Block, e *experiment.Experiment) {
+	f := experiment.Fault{Kind: experiment.FaultKind(b.Labels[0]), Fraction: 1, Size: 1, Count: 1, Period: time.Second}
 	at := b.LabelRanges[0]
 	if _, ok := experiment.FaultKinds[f.Kind]; !ok {
 		r.Fault(at, "fault: %q is none of %s", string(f.Kind), hcldecode.Join(slices.Sorted(maps.Keys(experiment.FaultKinds))))
 	}
 	var part = hcldecode.Share(1)
-	r.Body(b.Body, hcldecode.Fields{"at!": &f.At, "for": &f.For, "tier": &f.Tier, "part": &part, "size": &f.Size, "period": &f.Period, "count": &f.Count}, nil)
-	f.Part = float64(part)
-	if f.Tier != "" && e.Site.Tier(f.Tier) < 0 {
+	r.Body(b.Body, hcldecode.Fields{"at!": &f.At, "for": &f.Duration, "tier": &f.Tier, "part": &part, "size": &f.Size, "period": &f.Period, "count": &f.Count}, nil)
+	f.Fraction = float64(part)
+	if f.Tier != "" && e.Site.TierIndex(f.Tier) < 0 {
 		r.Fault(b.DefRange, "fault: there is no tier %q above it in the file", f.Tier)
 	}
 	switch f.Kind {
-	case experiment.FastErrors, experiment.BreakBefore, experiment.BreakAfter, experiment.BreakAnswer, experiment.GarbleAnswer, experiment.Neighbour, experiment.Deploy:
+	case experiment.FastErrors, experiment.BreakBeforeRequest, experiment.BreakAfterRequest, experiment.TruncateResponse, experiment.CorruptResponse, experiment.NoisyNeighbour, experiment.RollingDeploy:
 		if f.Size > 1 || math.IsNaN(f.Size) {
 			r.Fault(b.DefRange, "fault: the size of %s is a share: %g is not from 0 to 1", f.Kind, f.Size)
 		}
-	case experiment.SharedSlow:
+	case experiment.SharedSlowdown:
 		if f.Size < 1 {
 			r.Fault(b.DefRange, "fault: the size of %s is how many times slower: %g is under 1", f.Kind, f.Size)
 		}
--- a/internal/experiment/hclfile/include.go
+++ b/internal/experiment/hclfile/include.go
@@ -12,9 +12,9 @@
 	"rowancart/internal/hcldecode"
 )
 
-// included gives a body with all that it includes before it, so that its own words come last and count. Paths are relative to
+// includedBodies gives a body with all that it includes before it, so that its own words come last and count. Paths are relative to
 // the file that names them; chain has the files that led here, from the one that was asked for.
-func included(body hcl.Body, chain []string) ([]hcl.Body, error) {
+func includedBodies(body hcl.Body, chain []string) ([]hcl.Body, error) {
 	content, _, diags := body.PartialContent(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{{Type: "include", LabelNames: []string{"path"}}}})
 	if diags.HasErrors() {
 		return nil, hcldecode.Faults(diags)
@@ -25,7 +25,7 @@
 		path := filepath.Join(filepath.Dir(here), b.Labels[0])
 		if slices.Contains(chain, path) {
 			return nil, fmt.Errorf("%s: include: %s leads back to itself: %s", hcldecode.Where(b.DefRange), b.Labels[0],
-				strings.Join(append(names(chain), filepath.Base(path)), " > "))
+				strings.Join(append(baseNames(chain), filepath.Base(path)), " > "))
 		}
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -35,7 +35,7 @@
 		if err != nil {
 			return nil, err
 		}
-		bodies, err := included(inner, append(slices.Clone(chain), path))
+		bodies, err := includedBodies(inner, append(slices.Clone(chain), path))
 		if err != nil {
 			return nil, err
 		}
@@ -44,7 +44,7 @@
 	return append(out, body), nil
 }
 
-func names(paths []string) []string {
+func baseNames(paths []string) []string {
 	var out []string
 	for _, p := range paths {
 		out = append(out, filepath.Base(p))
--- a/internal/experiment/report/compare.go
+++ b/internal/experiment/report/compare.go
@@ -7,19 +7,19 @@
 
 // Difference is one figure of one arm in two reports.
 type Difference struct {
-	Point, Arm, Figure string
-	A, B               float64
-	Noise              float64 // half width of the 95% interval of the difference; NaN with fewer than two repeats
+	Point, Variant, Metric string
+	A, B                   float64
+	Noise                  float64 // half width of the 95% interval of the difference; NaN with fewer than two repeats
 }
 
-// Beyond tells whether the difference is more than the repeats' noise. Without repeats nothing can be told apart.
-func (d Difference) Beyond() bool { return !math.IsNaN(d.Noise) && math.Abs(d.B-d.A) > d.Noise }
+// Significant tells whether the difference is more than the repeats' noise. Without repeats nothing can be told apart.
+func (d Difference) Significant() bool { return !math.IsNaN(d.Noise) && math.Abs(d.B-d.A) > d.Noise }
 
 // student97 is the 97.5% quantile of Student's t distribution for 1 to 10 degrees of freedom, and for many.
 var student97 = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228}
 
-// Student is the 97.5% quantile of Student's t distribution, for 95% intervals.
-func Student(freedom float64) float64 {
+// StudentQuantile is the 97.5% quantile of Student's t distribution, for 95% intervals.
+func StudentQuantile(freedom float64) float64 {
 	if i := int(freedom) - 1; i >= 0 && i < len(student97) {
 		return student97[max(i, 0)]
 	}
@@ -44,10 +44,10 @@
 			if pa.Point != pb.Point {
 				continue
 			}
-			for _, x := range pa.Arms {
-				for _, y := range pb.Arms {
+			for _, x := range pa.Variants {
+				for _, y := range pb.Variants {
 					if x.Name == y.Name {
-						out = append(out, compareArms(pa.Point, x, y)...)
+						out = append(out, compareVariants(pa.Point, x, y)...)
 					}
 				}
 			}
@@ -63,47 +63,47 @@
 	if len(r.Points) > 0 {
 		return r.Points
 	}
-	return []Point{{Arms: r.Arms}}
+	return []Point{{Variants: r.Variants}}
 }
 
-var figures = []struct {
+var metrics = []struct {
 	name string
 	of   func(Repeat) float64
 }{
 	{"served in time", func(r Repeat) float64 { return r.ServedInTime }},
-	{"late", func(r Repeat) float64 { return r.Late }},
-	{"refused", func(r Repeat) float64 { return r.Refused }},
+	{"late", func(r Repeat) float64 { return r.ServedLate }},
+	{"refused", func(r Repeat) float64 { return r.Rejected }},
 	{"failed", func(r Repeat) float64 { return r.Failed }},
-	{"worth", func(r Repeat) float64 { return r.Worth }},
+	{"worth", func(r Repeat) float64 { return r.ServedWeight }},
 	{"p50 ms", func(r Repeat) float64 { return r.P50 }},
 	{"p99 ms", func(r Repeat) float64 { return r.P99 }},
-	{"attempts a request", func(r Repeat) float64 { return r.Attempts }},
+	{"attempts a request", func(r Repeat) float64 { return r.AttemptsPerRequest }},
 }
 
-func compareArms(point string, a, b Arm) []Difference {
+func compareVariants(point string, a, b Variant) []Difference {
 	var out []Difference
-	for _, f := range figures {
-		ma, va, na := spread(a.Repeats, f.of)
-		mb, vb, nb := spread(b.Repeats, f.of)
-		d := Difference{Point: point, Arm: a.Name, Figure: f.name, A: ma, B: mb, Noise: math.NaN()}
+	for _, f := range metrics {
+		ma, va, na := meanAndVariance(a.Repeats, f.of)
+		mb, vb, nb := meanAndVariance(b.Repeats, f.of)
+		d := Difference{Point: point, Variant: a.Name, Metric: f.name, A: ma, B: mb, Noise: math.NaN()}
 		if na >= 2 && nb >= 2 {
 			sa, sb := va/na, vb/nb
 			freedom := na + nb - 2
 			if sa+sb > 0 {
 				freedom = (sa + sb) * (sa + sb) / (sa*sa/(na-1) + sb*sb/(nb-1))
 			}
-			d.Noise = Student(freedom) * math.Sqrt(sa+sb)
+			d.Noise = StudentQuantile(freedom) * math.Sqrt(sa+sb)
 		}
 		out = append(out, d)
 	}
-	if x, y := a.Broken(), b.Broken(); x != y {
-		out = append(out, Difference{Point: point, Arm: a.Name, Figure: "rules broken", A: float64(x), B: float64(y)})
+	if x, y := a.Violations(), b.Violations(); x != y {
+		out = append(out, Difference{Point: point, Variant: a.Name, Metric: "rules broken", A: float64(x), B: float64(y)})
 	}
 	return out
 }
 
-// spread gives mean, variance and number of the repeats that count.
-func spread(repeats []Repeat, of func(Repeat) float64) (mean, variance, n float64) {
+// meanAndVariance gives mean, variance and number of the repeats that count.
+func meanAndVariance(repeats []Repeat, of func(Repeat) float64) (mean, variance, n float64) {
 	for _, r := range repeats {
 		if r.Void == "" {
 			n++
--- a/internal/experiment/report/html.go
+++ b/internal/experiment/report/html.go
@@ -24,47 +24,47 @@
 	"fixed":   func(n int, x float64) string { return fmt.Sprintf("%.*f", n, x) },
 }).ParseFS(pages, "page.html"))
 
-// shownArm is an arm with its pictures.
-type shownArm struct {
-	*Arm
+// variantView is an arm with its pictures.
+type variantView struct {
+	*Variant
 	OverTime template.HTML
 	Boxplot  template.HTML
 }
 
-type shownPoint struct {
-	Point   string
-	Arms    []shownArm
-	Latency template.HTML
+type pointView struct {
+	Point    string
+	Variants []variantView
+	Latency  template.HTML
 }
 
 // HTML writes the page.
 func (r *Report) HTML(w io.Writer) error {
 	points := r.Points
 	if len(points) == 0 {
-		points = []Point{{Arms: r.Arms}}
+		points = []Point{{Variants: r.Variants}}
 	}
-	var shown []shownPoint
+	var shown []pointView
 	for _, p := range points {
-		s := shownPoint{Point: p.Point}
+		s := pointView{Point: p.Point}
 		var err error
-		if s.Latency, err = latencies(p.Arms); err != nil {
+		if s.Latency, err = latencyChart(p.Variants); err != nil {
 			return err
 		}
-		for i := range p.Arms {
-			a := shownArm{Arm: &p.Arms[i]}
-			if a.OverTime, err = r.overTime(a.Arm); err != nil {
+		for i := range p.Variants {
+			a := variantView{Variant: &p.Variants[i]}
+			if a.OverTime, err = r.overTime(a.Variant); err != nil {
 				return err
 			}
-			if a.Boxplot, err = boxes(a.Arm); err != nil {
+			if a.Boxplot, err = serverChart(a.Variant); err != nil {
 				return err
 			}
-			s.Arms = append(s.Arms, a)
+			s.Variants = append(s.Variants, a)
 		}
 		shown = append(shown, s)
 	}
 	return page.Execute(w, struct {
 		*Report
-		Shown []shownPoint
+		Shown []pointView
 	}{r, shown})
 }
 
@@ -77,7 +77,7 @@
 )
 
 // overTime shows what became of requests, second by second, with the faults shaded.
-func (r *Report) overTime(a *Arm) (template.HTML, error) {
+func (r *Report) overTime(a *Variant) (template.HTML, error) {
 	if len(a.Seconds) == 0 {
 		return "", nil
 	}
@@ -87,7 +87,7 @@
 	n := float64(max(len(a.Repeats), 1))
 	highest := 1.0
 	for _, s := range a.Seconds {
-		highest = max(highest, float64(s.ServedInTime+s.Late+s.Refused+s.Failed)/n)
+		highest = max(highest, float64(s.ServedInTime+s.ServedLate+s.Rejected+s.Failed)/n)
 	}
 	for _, f := range r.Faults {
 		shade, err := plotter.NewPolygon(plotter.XYs{{X: f.FromS, Y: 0}, {X: f.ToS, Y: 0}, {X: f.ToS, Y: highest}, {X: f.FromS, Y: highest}})
@@ -106,8 +106,8 @@
 		name string
 		of   func(Second) int64
 	}{
-		{"in time", func(s Second) int64 { return s.ServedInTime }}, {"late", func(s Second) int64 { return s.Late }},
-		{"refused", func(s Second) int64 { return s.Refused }}, {"failed", func(s Second) int64 { return s.Failed }},
+		{"in time", func(s Second) int64 { return s.ServedInTime }}, {"late", func(s Second) int64 { return s.ServedLate }},
+		{"refused", func(s Second) int64 { return s.Rejected }}, {"failed", func(s Second) int64 { return s.Failed }},
 	} {
 		var xy plotter.XYs
 		for t, s := range a.Seconds {
@@ -125,8 +125,8 @@
 	return svg(p, plotWidth, plotHeight)
 }
 
-// latencies shows the percentiles of all arms side by side.
-func latencies(arms []Arm) (template.HTML, error) {
+// latencyChart shows the percentiles of all arms side by side.
+func latencyChart(arms []Variant) (template.HTML, error) {
 	p := plot.New()
 	p.Y.Label.Text = "ms"
 	p.Y.Min = 0
@@ -146,19 +146,19 @@
 	return svg(p, plotWidth, plotHeight)
 }
 
-// boxesMost is how many boxes a picture shows; the table has them all.
-const boxesMost = 100
+// maxServersShown is how many boxes a picture shows; the table has them all.
+const maxServersShown = 100
 
-// boxes shows how busy each box was.
-func boxes(a *Arm) (template.HTML, error) {
-	if len(a.Boxes) == 0 {
+// serverChart shows how busy each box was.
+func serverChart(a *Variant) (template.HTML, error) {
+	if len(a.Servers) == 0 {
 		return "", nil
 	}
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "box", "busy share of its cores"
 	p.Y.Min = 0
 	var values plotter.Values
-	for _, b := range a.Boxes[:min(len(a.Boxes), boxesMost)] {
+	for _, b := range a.Servers[:min(len(a.Servers), maxServersShown)] {
 		values = append(values, b.Load)
 	}
 	bars, err := plotter.NewBarChart(values, vg.Points(max(400/float64(len(values)), 2)))
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -35,8 +35,8 @@
 	Settings   map[string]string `json:"settings,omitempty"`
 	DurationS  float64           `json:"duration_s"`
 	WarmupS    float64           `json:"warmup_s"`
-	Faults     []Mark            `json:"faults,omitempty"`
-	Arms       []Arm             `json:"arms"`             // of the only point, or of a sweep's first
+	Faults     []FaultSpan       `json:"faults,omitempty"`
+	Variants   []Variant         `json:"arms"`             // of the only point, or of a sweep's first
 	Points     []Point           `json:"points,omitempty"` // of a sweep
 	Missed     []string          `json:"missed,omitempty"` // expectations that were not met
 	Stopped    string            `json:"stopped,omitempty"`
@@ -44,12 +44,12 @@
 
 // Point is one value of a sweep.
 type Point struct {
-	Point string `json:"point"`
-	Arms  []Arm  `json:"arms"`
+	Point    string    `json:"point"`
+	Variants []Variant `json:"arms"`
 }
 
-// Mark is a fault as the page shows it.
-type Mark struct {
+// FaultSpan is a fault as the page shows it.
+type FaultSpan struct {
 	Kind  string  `json:"kind"`
 	Tier  string  `json:"tier,omitempty"`
 	FromS float64 `json:"from_s"`
@@ -66,32 +66,32 @@
 
 // Rule is the verdict on one rule, over all repeats.
 type Rule struct {
-	Rule   string  `json:"rule"`
-	Broken int     `json:"broken"`
-	FirstS float64 `json:"first_s"`
-	Detail string  `json:"detail"`
+	Rule       string  `json:"rule"`
+	Violations int     `json:"broken"`
+	FirstS     float64 `json:"first_s"`
+	Detail     string  `json:"detail"`
 }
 
 // Repeat is one play of an arm.
 type Repeat struct {
-	Seed         uint64  `json:"seed"`
-	Offered      int64   `json:"offered"`
-	ServedInTime float64 `json:"served_in_time"` // shares
-	Late         float64 `json:"late"`
-	Refused      float64 `json:"refused"`
-	Failed       float64 `json:"failed"`
-	Worth        float64 `json:"worth"` // share of the worth asked for that was served in time
-	P50          float64 `json:"p50_ms"`
-	P99          float64 `json:"p99_ms"`
-	Attempts     float64 `json:"attempts_per_request"`
-	Void         string  `json:"void,omitempty"`
+	Seed               uint64  `json:"seed"`
+	Offered            int64   `json:"offered"`
+	ServedInTime       float64 `json:"served_in_time"` // shares
+	ServedLate         float64 `json:"late"`
+	Rejected           float64 `json:"refused"`
+	Failed             float64 `json:"failed"`
+	ServedWeight       float64 `json:"worth"` // share of the worth asked for that was served in time
+	P50                float64 `json:"p50_ms"`
+	P99                float64 `json:"p99_ms"`
+	AttemptsPerRequest float64 `json:"attempts_per_request"`
+	Void               string  `json:"void,omitempty"`
 }
 
 // Second is what became of the requests that were to be sent within one second, over all repeats.
 type Second struct {
 	ServedInTime int64   `json:"served_in_time"`
-	Late         int64   `json:"late"`
-	Refused      int64   `json:"refused"`
+	ServedLate   int64   `json:"late"`
+	Rejected     int64   `json:"refused"`
 	Failed       int64   `json:"failed"`
 	P99          float64 `json:"p99_ms"` // mean over the repeats
 }
@@ -101,17 +101,17 @@
 	Name         string `json:"name"`
 	Offered      int64  `json:"offered"`
 	ServedInTime int64  `json:"served_in_time"`
-	Late         int64  `json:"late"`
-	Refused      int64  `json:"refused"`
+	ServedLate   int64  `json:"late"`
+	Rejected     int64  `json:"refused"`
 	Failed       int64  `json:"failed"`
 }
 
-// Box is one box's part in the first repeat.
-type Box struct {
+// Server is one box's part in the first repeat.
+type Server struct {
 	Name     string  `json:"name"`
 	Kind     string  `json:"kind"`
 	Arrivals int64   `json:"arrivals"`
-	Declined int64   `json:"declined"`
+	Rejected int64   `json:"declined"`
 	Load     float64 `json:"load"` // busy share of its cores while it was there
 }
 
@@ -123,33 +123,33 @@
 	Descriptors int     `json:"descriptors"`
 }
 
-// Arm is what one arm came to over all repeats.
-type Arm struct {
-	Name         string   `json:"name"`
-	Policy       string   `json:"policy"`
-	Offered      int64    `json:"offered"`
-	ServedInTime int64    `json:"served_in_time"`
-	Late         int64    `json:"late"`
-	Refused      int64    `json:"refused"`
-	Failed       int64    `json:"failed"`
-	Worth        float64  `json:"worth"`
-	LatencyMs    Latency  `json:"latency_ms"`
-	Attempts     float64  `json:"attempts_per_request"`
-	Resends      float64  `json:"resends_per_request,omitempty"` // attempts beyond the first, in virtual time
-	Rules        []Rule   `json:"rules"`
-	Repeats      []Repeat `json:"repeats"`
-	Classes      []Group  `json:"classes"`
-	Tenants      []Group  `json:"tenants,omitempty"`
-	Seconds      []Second `json:"seconds"`
-	Boxes        []Box    `json:"boxes"`
-	Fresh        *Fresh   `json:"fresh,omitempty"`
-	Why          Reasons  `json:"why,omitempty"` // instances of all tiers refused or failed, in virtual time
-	Cost         *Cost    `json:"cost,omitempty"`
-	LatenessMs   float64  `json:"lateness_ms,omitempty"` // of the rig's own sending, p99 of the worst repeat
-	Log          []string `json:"log,omitempty"`
-
-	hist *hdrhistogram.Histogram
-	full []float64 // of fresh boxes, in seconds
+// Variant is what one arm came to over all repeats.
+type Variant struct {
+	Name               string        `json:"name"`
+	Policy             string        `json:"policy"`
+	Offered            int64         `json:"offered"`
+	ServedInTime       int64         `json:"served_in_time"`
+	ServedLate         int64         `json:"late"`
+	Rejected           int64         `json:"refused"`
+	Failed             int64         `json:"failed"`
+	ServedWeight       float64       `json:"worth"`
+	LatencyMs          Latency       `json:"latency_ms"`
+	AttemptsPerRequest float64       `json:"attempts_per_request"`
+	RetriesPerRequest  float64       `json:"resends_per_request,omitempty"` // attempts beyond the first, in virtual time
+	Rules              []Rule        `json:"rules"`
+	Repeats            []Repeat      `json:"repeats"`
+	Classes            []Group       `json:"classes"`
+	Tenants            []Group       `json:"tenants,omitempty"`
+	Seconds            []Second      `json:"seconds"`
+	Servers            []Server      `json:"boxes"`
+	AddedServers       *AddedServers `json:"fresh,omitempty"`
+	Reasons            Reasons       `json:"why,omitempty"` // instances of all tiers refused or failed, in virtual time
+	Cost               *Cost         `json:"cost,omitempty"`
+	LatenessMs         float64       `json:"lateness_ms,omitempty"` // of the rig's own sending, p99 of the worst repeat
+	Log                []string      `json:"log,omitempty"`
+
+	latency         *hdrhistogram.Histogram
+	timesToFullLoad []float64 // of fresh boxes, in seconds
 }
 
 // Reasons counts requests by the reason for which they were not served.
@@ -165,19 +165,19 @@
 	return strings.Join(out, ", ")
 }
 
-// Fresh is what became of boxes that came cold, over all repeats.
-type Fresh struct {
-	Boxes int     `json:"boxes"`
-	Peak  float64 `json:"peak"`             // the most that any one was sent within the ledger's window, in multiples of its capacity then
-	Over  int     `json:"over"`             // boxes that were sent more than that capacity
-	FullS float64 `json:"full_s,omitempty"` // median time until one carried as much as the others, in virtual time
+// AddedServers is what became of boxes that came cold, over all repeats.
+type AddedServers struct {
+	Servers         int     `json:"boxes"`
+	WarmupPeak      float64 `json:"peak"`             // the most that any one was sent within the ledger's window, in multiples of its capacity then
+	Overloaded      int     `json:"over"`             // boxes that were sent more than that capacity
+	TimeToFullLoadS float64 `json:"full_s,omitempty"` // median time until one carried as much as the others, in virtual time
 }
 
-// Played is one play as a driver gives it.
-type Played struct {
-	Arm      experiment.Arm
+// Run is one play as a driver gives it.
+type Run struct {
+	Variant  experiment.Variant
 	Seed     uint64
-	Tally    *counters.Tally
+	Counters *counters.Counters
 	Verdicts []invariant.Verdict
 	Cost     *Cost
 	Lateness time.Duration
@@ -193,30 +193,30 @@
 		r.Seed = e.Seeds[0]
 	}
 	for _, f := range e.Faults {
-		r.Faults = append(r.Faults, Mark{string(f.Kind), f.Tier, f.At.Seconds(), max(f.End(), f.At+100*time.Millisecond).Seconds()})
+		r.Faults = append(r.Faults, FaultSpan{string(f.Kind), f.Tier, f.At.Seconds(), max(f.End(), f.At+100*time.Millisecond).Seconds()})
 	}
 	return r
 }
 
 // Summarise turns the plays of one point into its arms, in the order of the experiment's.
-func Summarise(e *experiment.Experiment, plays []Played) []Arm {
-	var out []Arm
-	for _, a := range e.Arms {
-		arm := Arm{Name: a.Name, Policy: a.Policy}
+func Summarise(e *experiment.Experiment, plays []Run) []Variant {
+	var out []Variant
+	for _, a := range e.Variants {
+		arm := Variant{Name: a.Name, Policy: a.Policy}
 		var total counters.Counts
 		classes := make([]counters.Counts, len(e.Site.Classes))
 		tenants := make([]counters.Counts, len(e.Site.Tenants))
 		var requests, attempts, sent int64
 		var worth, earned float64
 		for _, p := range plays {
-			if p.Arm.Name != a.Name {
+			if p.Variant.Name != a.Name {
 				continue
 			}
-			arm.repeat(p)
+			arm.addRun(p)
 			if p.Void != "" {
 				continue
 			}
-			t := p.Tally
+			t := p.Counters
 			total.Add(t.Total)
 			for i := range classes {
 				classes[i].Add(t.Classes[i])
@@ -225,23 +225,23 @@
 				tenants[i].Add(t.Tenants[i])
 			}
 			requests, attempts = requests+t.Requests, attempts+t.Attempts
-			sent += t.Sent
-			worth, earned = worth+t.Worth, earned+t.Earned
+			sent += t.RequestsSent
+			worth, earned = worth+t.OfferedWeight, earned+t.ServedWeight
 		}
-		arm.Offered, arm.ServedInTime, arm.Late = total.Offered(), total[counters.InTime], total[counters.Late]
-		arm.Refused, arm.Failed = total[counters.Refused], total[counters.Failed]
-		arm.Attempts, arm.Worth = ratio(float64(attempts), float64(requests)), ratio(earned, worth)
+		arm.Offered, arm.ServedInTime, arm.ServedLate = total.Offered(), total[counters.ServedInTime], total[counters.ServedLate]
+		arm.Rejected, arm.Failed = total[counters.Rejected], total[counters.Failed]
+		arm.AttemptsPerRequest, arm.ServedWeight = ratio(float64(attempts), float64(requests)), ratio(earned, worth)
 		if sent > 0 {
-			arm.Resends = ratio(float64(attempts-sent), float64(requests))
+			arm.RetriesPerRequest = ratio(float64(attempts-sent), float64(requests))
 		}
-		if arm.hist != nil {
-			arm.LatencyMs = Latency{quantile(arm.hist, 50), quantile(arm.hist, 90), quantile(arm.hist, 99), quantile(arm.hist, 99.9)}
+		if arm.latency != nil {
+			arm.LatencyMs = Latency{quantile(arm.latency, 50), quantile(arm.latency, 90), quantile(arm.latency, 99), quantile(arm.latency, 99.9)}
 		}
 		for i, c := range e.Site.Classes {
-			arm.Classes = append(arm.Classes, group(c.Name, classes[i]))
+			arm.Classes = append(arm.Classes, newGroup(c.Name, classes[i]))
 		}
 		for i, t := range e.Site.Tenants {
-			arm.Tenants = append(arm.Tenants, group(t.Name, tenants[i]))
+			arm.Tenants = append(arm.Tenants, newGroup(t.Name, tenants[i]))
 		}
 		if c := arm.Cost; c != nil {
 			c.CPUPerReqUs = ratio(c.CPUSeconds*1e6, float64(requests))
@@ -251,85 +251,85 @@
 	return out
 }
 
-// repeat adds one play. A void one is listed and counts for nothing.
-func (a *Arm) repeat(p Played) {
+// addRun adds one play. A void one is listed and counts for nothing.
+func (v *Variant) addRun(p Run) {
 	r := Repeat{Seed: p.Seed, Void: p.Void}
-	if t := p.Tally; t != nil {
+	if t := p.Counters; t != nil {
 		r.Offered = t.Total.Offered()
-		r.ServedInTime, r.Late = t.Total.Share(counters.InTime), t.Total.Share(counters.Late)
-		r.Refused, r.Failed = t.Total.Share(counters.Refused), t.Total.Share(counters.Failed)
-		r.Worth, r.Attempts = ratio(t.Earned, t.Worth), ratio(float64(t.Attempts), float64(t.Requests))
+		r.ServedInTime, r.ServedLate = t.Total.Fraction(counters.ServedInTime), t.Total.Fraction(counters.ServedLate)
+		r.Rejected, r.Failed = t.Total.Fraction(counters.Rejected), t.Total.Fraction(counters.Failed)
+		r.ServedWeight, r.AttemptsPerRequest = ratio(t.ServedWeight, t.OfferedWeight), ratio(float64(t.Attempts), float64(t.Requests))
 		r.P50, r.P99 = ms(t.Quantile(0.5)), ms(t.Quantile(0.99))
 	}
-	a.Repeats = append(a.Repeats, r)
-	a.LatenessMs = max(a.LatenessMs, ms(p.Lateness))
+	v.Repeats = append(v.Repeats, r)
+	v.LatenessMs = max(v.LatenessMs, ms(p.Lateness))
 	if p.Void != "" {
 		return
 	}
-	for why, n := range p.Tally.Why {
-		if a.Why == nil {
-			a.Why = Reasons{}
+	for why, n := range p.Counters.Reasons {
+		if v.Reasons == nil {
+			v.Reasons = Reasons{}
 		}
-		a.Why[why] += n
+		v.Reasons[why] += n
 	}
-	for i, v := range p.Verdicts {
-		if i == len(a.Rules) {
-			a.Rules = append(a.Rules, Rule{Rule: string(v.Rule)})
+	for i, verdict := range p.Verdicts {
+		if i == len(v.Rules) {
+			v.Rules = append(v.Rules, Rule{Rule: string(verdict.Rule)})
 		}
-		if rule := &a.Rules[i]; v.Broken > 0 {
-			if rule.Broken == 0 || v.First.Seconds() < rule.FirstS {
-				rule.FirstS, rule.Detail = v.First.Seconds(), v.Detail
+		if rule := &v.Rules[i]; verdict.Violations > 0 {
+			if rule.Violations == 0 || verdict.FirstAt.Seconds() < rule.FirstS {
+				rule.FirstS, rule.Detail = verdict.FirstAt.Seconds(), verdict.Detail
 			}
-			rule.Broken += v.Broken
+			rule.Violations += verdict.Violations
 		}
 	}
-	for s, c := range p.Tally.Seconds {
-		if s == len(a.Seconds) {
-			a.Seconds = append(a.Seconds, Second{})
+	for s, c := range p.Counters.Seconds {
+		if s == len(v.Seconds) {
+			v.Seconds = append(v.Seconds, Second{})
 		}
-		x := &a.Seconds[s]
-		x.ServedInTime, x.Late, x.Refused, x.Failed = x.ServedInTime+c[counters.InTime], x.Late+c[counters.Late], x.Refused+c[counters.Refused], x.Failed+c[counters.Failed]
-		n := float64(len(a.Repeats))
-		x.P99 += (ms(p.Tally.SecondP99(s)) - x.P99) / n
+		x := &v.Seconds[s]
+		x.ServedInTime, x.ServedLate, x.Rejected, x.Failed = x.ServedInTime+c[counters.ServedInTime], x.ServedLate+c[counters.ServedLate], x.Rejected+c[counters.Rejected], x.Failed+c[counters.Failed]
+		n := float64(len(v.Repeats))
+		x.P99 += (ms(p.Counters.P99OfSecond(s)) - x.P99) / n
 	}
-	for _, b := range p.Tally.Boxes {
-		if !b.Fresh {
+	for _, b := range p.Counters.Servers {
+		if !b.AddedDuringRun {
 			continue
 		}
-		if a.Fresh == nil {
-			a.Fresh = &Fresh{}
+		if v.AddedServers == nil {
+			v.AddedServers = &AddedServers{}
 		}
-		f := a.Fresh
-		f.Boxes, f.Peak = f.Boxes+1, max(f.Peak, b.Peak)
-		if b.Peak > 1 {
-			f.Over++
+		f := v.AddedServers
+		f.Servers, f.WarmupPeak = f.Servers+1, max(f.WarmupPeak, b.WarmupPeak)
+		if b.WarmupPeak > 1 {
+			f.Overloaded++
 		}
-		if b.Full > 0 {
-			a.full = append(a.full, b.Full.Seconds())
-			slices.Sort(a.full)
-			f.FullS = a.full[len(a.full)/2]
+		if b.TimeToFullLoad > 0 {
+			v.timesToFullLoad = append(v.timesToFullLoad, b.TimeToFullLoad.Seconds())
+			slices.Sort(v.timesToFullLoad)
+			f.TimeToFullLoadS = v.timesToFullLoad[len(v.timesToFullLoad)/2]
 		}
 	}
-	if a.hist == nil {
-		a.hist = hdrhistogram.New(p.Tally.Latency.LowestTrackableValue(), p.Tally.Latency.HighestTrackableValue(), 3)
-		a.Log = p.Log
-		for _, b := range p.Tally.Boxes {
-			a.Boxes = append(a.Boxes, Box{b.Name, b.Kind, b.Arrivals, b.Declined, ratio(b.Busy, b.Up.Seconds()*float64(b.Cores))})
+	if v.latency == nil {
+		v.latency = hdrhistogram.New(p.Counters.Latency.LowestTrackableValue(), p.Counters.Latency.HighestTrackableValue(), 3)
+		v.Log = p.Log
+		for _, b := range p.Counters.Servers {
+			v.Servers = append(v.Servers, Server{b.Name, b.Kind, b.Arrivals, b.Rejected, ratio(b.Busy, b.Lifetime.Seconds()*float64(b.Cores))})
 		}
 	}
-	a.hist.Merge(p.Tally.Latency)
+	v.latency.Merge(p.Counters.Latency)
 	if p.Cost != nil {
-		if a.Cost == nil {
-			a.Cost = &Cost{}
+		if v.Cost == nil {
+			v.Cost = &Cost{}
 		}
-		a.Cost.CPUSeconds += p.Cost.CPUSeconds
-		a.Cost.MemoryMB = max(a.Cost.MemoryMB, p.Cost.MemoryMB)
-		a.Cost.Descriptors = max(a.Cost.Descriptors, p.Cost.Descriptors)
+		v.Cost.CPUSeconds += p.Cost.CPUSeconds
+		v.Cost.MemoryMB = max(v.Cost.MemoryMB, p.Cost.MemoryMB)
+		v.Cost.Descriptors = max(v.Cost.Descriptors, p.Cost.Descriptors)
 	}
 }
 
-func group(name string, c counters.Counts) Group {
-	return Group{name, c.Offered(), c[counters.InTime], c[counters.Late], c[counters.Refused], c[counters.Failed]}
+func newGroup(name string, c counters.Counts) Group {
+	return Group{name, c.Offered(), c[counters.ServedInTime], c[counters.ServedLate], c[counters.Rejected], c[counters.Failed]}
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -345,62 +345,62 @@
 	return a / b
 }
 
-// Broken is how many breaches of rules the arm has.
-func (a *Arm) Broken() int {
+// Violations is how many breaches of rules the arm has.
+func (v *Variant) Violations() int {
 	n := 0
-	for _, r := range a.Rules {
-		n += r.Broken
+	for _, r := range v.Rules {
+		n += r.Violations
 	}
 	return n
 }
 
-// Share is a part of what was offered.
-func (a *Arm) Share(n int64) float64 { return ratio(float64(n), float64(a.Offered)) }
+// Fraction is a part of what was offered.
+func (v *Variant) Fraction(n int64) float64 { return ratio(float64(n), float64(v.Offered)) }
 
-// Judge holds arms against an experiment's expectations and words those that are not met.
-func Judge(e *experiment.Experiment, arms []Arm) []string {
+// CheckExpectations holds arms against an experiment's expectations and words those that are not met.
+func CheckExpectations(e *experiment.Experiment, arms []Variant) []string {
 	var out []string
 	for _, x := range e.Expect {
 		for i := range arms {
 			a := &arms[i]
-			if x.Arm != "" && x.Arm != a.Name {
+			if x.Variant != "" && x.Variant != a.Name {
 				continue
 			}
 			miss := func(format string, args ...any) {
-				out = append(out, fmt.Sprintf("%s: arm %s: ", x.Place, a.Name)+fmt.Sprintf(format, args...))
+				out = append(out, fmt.Sprintf("%s: arm %s: ", x.Position, a.Name)+fmt.Sprintf(format, args...))
 			}
 			if a.Offered == 0 {
 				miss("nothing was measured")
 				continue
 			}
-			if x.RulesKept && a.Broken() > 0 {
+			if x.NoViolations && a.Violations() > 0 {
 				for _, r := range a.Rules {
-					if r.Broken > 0 {
-						miss("rule %q is broken %d times, first at %.1f s: %s", r.Rule, r.Broken, r.FirstS, r.Detail)
+					if r.Violations > 0 {
+						miss("rule %q is broken %d times, first at %.1f s: %s", r.Rule, r.Violations, r.FirstS, r.Detail)
 					}
 				}
 			}
-			if got := a.Share(a.ServedInTime); x.ServedOver > 0 && got <= x.ServedOver {
-				miss("served in time: %.4f, wanted over %g", got, x.ServedOver)
+			if got := a.Fraction(a.ServedInTime); x.ServedInTimeAbove > 0 && got <= x.ServedInTimeAbove {
+				miss("served in time: %.4f, wanted over %g", got, x.ServedInTimeAbove)
 			}
-			if got := a.Share(a.Refused + a.Failed); x.FailedUnder > 0 && got >= x.FailedUnder {
-				miss("refused or failed: %.4f, wanted under %g", got, x.FailedUnder)
+			if got := a.Fraction(a.Rejected + a.Failed); x.FailedBelow > 0 && got >= x.FailedBelow {
+				miss("refused or failed: %.4f, wanted under %g", got, x.FailedBelow)
 			}
-			if x.AttemptsUnder > 0 && a.Attempts >= x.AttemptsUnder {
-				miss("attempts for each request: %.3f, wanted under %g", a.Attempts, x.AttemptsUnder)
+			if x.AttemptsBelow > 0 && a.AttemptsPerRequest >= x.AttemptsBelow {
+				miss("attempts for each request: %.3f, wanted under %g", a.AttemptsPerRequest, x.AttemptsBelow)
 			}
-			if x.ResendsUnder > 0 && a.Resends >= x.ResendsUnder {
-				miss("attempts beyond the first for each request: %.3f, wanted under %g", a.Resends, x.ResendsUnder)
+			if x.RetriesBelow > 0 && a.RetriesPerRequest >= x.RetriesBelow {
+				miss("attempts beyond the first for each request: %.3f, wanted under %g", a.RetriesPerRequest, x.RetriesBelow)
 			}
-			if f := a.Fresh; x.FreshUnder > 0 && (f == nil || f.Peak >= x.FreshUnder) {
+			if f := a.AddedServers; x.WarmupPeakBelow > 0 && (f == nil || f.WarmupPeak >= x.WarmupPeakBelow) {
 				if f == nil {
 					miss("no fresh box came")
 				} else {
-					miss("a fresh box was sent %.2f of its capacity, wanted under %g", f.Peak, x.FreshUnder)
+					miss("a fresh box was sent %.2f of its capacity, wanted under %g", f.WarmupPeak, x.WarmupPeakBelow)
 				}
 			}
-			if x.P99Under > 0 && a.LatencyMs.P99 >= ms(x.P99Under) {
-				miss("p99: %.1f ms, wanted under %v", a.LatencyMs.P99, x.P99Under)
+			if x.P99Below > 0 && a.LatencyMs.P99 >= ms(x.P99Below) {
+				miss("p99: %.1f ms, wanted under %v", a.LatencyMs.P99, x.P99Below)
 			}
 		}
 	}
@@ -463,11 +463,11 @@
 	}
 	fmt.Fprintf(w, "%s, %s, seeds %s\n%s\n", r.Experiment, kind, seeds, r.Question)
 	if len(r.Points) == 0 {
-		r.table(w, r.Arms)
+		r.table(w, r.Variants)
 	}
 	for _, p := range r.Points {
 		fmt.Fprintf(w, "\n%s\n", p.Point)
-		r.table(w, p.Arms)
+		r.table(w, p.Variants)
 	}
 	if r.Stopped != "" {
 		fmt.Fprintf(w, "\nstopped early: %s\n", r.Stopped)
@@ -480,23 +480,23 @@
 	}
 }
 
-func (r *Report) table(w io.Writer, arms []Arm) {
+func (r *Report) table(w io.Writer, arms []Variant) {
 	fmt.Fprintf(w, "%-18s %9s %8s %7s %7s %7s %7s %8s %8s %8s %8s %6s\n", "arm", "offered", "in time", "late", "refused", "failed",
 		"worth", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms", "tries")
 	for i := range arms {
 		a := &arms[i]
 		fmt.Fprintf(w, "%-18s %9d %7.2f%% %6.2f%% %6.2f%% %6.2f%% %7.4f %8.1f %8.1f %8.1f %8.1f %6.3f\n", a.Name, a.Offered,
-			100*a.Share(a.ServedInTime), 100*a.Share(a.Late), 100*a.Share(a.Refused), 100*a.Share(a.Failed), a.Worth,
-			a.LatencyMs.P50, a.LatencyMs.P90, a.LatencyMs.P99, a.LatencyMs.P999, a.Attempts)
+			100*a.Fraction(a.ServedInTime), 100*a.Fraction(a.ServedLate), 100*a.Fraction(a.Rejected), 100*a.Fraction(a.Failed), a.ServedWeight,
+			a.LatencyMs.P50, a.LatencyMs.P90, a.LatencyMs.P99, a.LatencyMs.P999, a.AttemptsPerRequest)
 	}
 	for i := range arms {
-		if why := arms[i].Why; len(why) > 0 {
+		if why := arms[i].Reasons; len(why) > 0 {
 			fmt.Fprintf(w, "  %s, not served: %v\n", arms[i].Name, why)
 		}
-		if f := arms[i].Fresh; f != nil {
-			fmt.Fprintf(w, "  %s: %d fresh boxes, sent %.2f of their capacity at most, %d of them too much", arms[i].Name, f.Boxes, f.Peak, f.Over)
-			if f.FullS > 0 { // else it was not followed, or never seen
-				fmt.Fprintf(w, "; an even part after %.1f s", f.FullS)
+		if f := arms[i].AddedServers; f != nil {
+			fmt.Fprintf(w, "  %s: %d fresh boxes, sent %.2f of their capacity at most, %d of them too much", arms[i].Name, f.Servers, f.WarmupPeak, f.Overloaded)
+			if f.TimeToFullLoadS > 0 { // else it was not followed, or never seen
+				fmt.Fprintf(w, "; an even part after %.1f s", f.TimeToFullLoadS)
 			}
 			fmt.Fprintln(w)
 		}
@@ -504,8 +504,8 @@
 	for i := range arms {
 		a := &arms[i]
 		for _, rule := range a.Rules {
-			if rule.Broken > 0 {
-				fmt.Fprintf(w, "  %s breaks %q %d times, first at %.2f s: %s\n", a.Name, rule.Rule, rule.Broken, rule.FirstS, rule.Detail)
+			if rule.Violations > 0 {
+				fmt.Fprintf(w, "  %s breaks %q %d times, first at %.2f s: %s\n", a.Name, rule.Rule, rule.Violations, rule.FirstS, rule.Detail)
 			}
 		}
 		for _, p := range a.Repeats {
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -13,59 +13,59 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// made is a report of two repeats of one arm: of each 90 in time, 10 failed, and a rule broken once.
-func made(t *testing.T, served int) (*experiment.Experiment, *Report) {
+// newTestReport is a report of two repeats of one arm: of each 90 in time, 10 failed, and a rule broken once.
+func newTestReport(t *testing.T, served int) (*experiment.Experiment, *Report) {
 	t.Helper()
 	e := &experiment.Experiment{Name: "x", Question: "<why>?", Seeds: []uint64{1, 2}, Duration: 2 * time.Second,
-		Site: experiment.Site{Classes: []experiment.Class{{Name: "c", Worth: 1}}}, Arms: []experiment.Arm{{Name: "a", Policy: "random"}},
-		Faults: []experiment.Fault{{Kind: experiment.Crash, At: time.Second, For: time.Second}},
-		Expect: []experiment.Expectation{{RulesKept: true, Place: "x.hcl:1:1"}, {ServedOver: 0.95, Place: "x.hcl:2:1"}, {P99Under: time.Second, Place: "x.hcl:3:1"}}}
-	var plays []Played
+		Site: experiment.Site{Classes: []experiment.Class{{Name: "c", PriorityWeight: 1}}}, Variants: []experiment.Variant{{Name: "a", Policy: "random"}},
+		Faults: []experiment.Fault{{Kind: experiment.Crash, At: time.Second, Duration: time.Second}},
+		Expect: []experiment.Expectation{{NoViolations: true, Position: "x.hcl:1:1"}, {ServedInTimeAbove: 0.95, Position: "x.hcl:2:1"}, {P99Below: time.Second, Position: "x.hcl:3:1"}}}
+	var plays []Run
 	for seed := range uint64(2) {
 		y := counters.New(e)
 		for i := range 100 {
-			f := counters.InTime
+			f := counters.ServedInTime
 			if i >= served+int(seed) {
 				f = counters.Failed
 			}
-			y.Ended(e.Site.Classes[0], 0, -1, time.Duration(i)*20*time.Millisecond, time.Duration(i+1)*time.Millisecond, f)
+			y.Record(e.Site.Classes[0], 0, -1, time.Duration(i)*20*time.Millisecond, time.Duration(i+1)*time.Millisecond, f)
 		}
 		y.Requests, y.Attempts = 100, 120
-		plays = append(plays, Played{Arm: e.Arms[0], Seed: seed + 1, Tally: y, Verdicts: []invariant.Verdict{
-			{Rule: invariant.Answer}, {Rule: invariant.Drain, Broken: 1, First: time.Duration(2-seed) * time.Second, Detail: "late"}}})
+		plays = append(plays, Run{Variant: e.Variants[0], Seed: seed + 1, Counters: y, Verdicts: []invariant.Verdict{
+			{Rule: invariant.RuleResponse}, {Rule: invariant.RuleDrain, Violations: 1, FirstAt: time.Duration(2-seed) * time.Second, Detail: "late"}}})
 	}
-	plays = append(plays, Played{Arm: e.Arms[0], Seed: 3, Tally: counters.New(e), Void: "late"})
+	plays = append(plays, Run{Variant: e.Variants[0], Seed: 3, Counters: counters.New(e), Void: "late"})
 	r := New(e, true)
-	r.Arms = Summarise(e, plays)
+	r.Variants = Summarise(e, plays)
 	return e, r
 }
 
 func TestSummary(t *testing.T) {
-	e, r := made(t, 90)
-	a := r.Arms[0]
-	if a.Offered != 200 || a.ServedInTime != 181 || a.Failed != 19 || a.Attempts != 1.2 || len(a.Repeats) != 3 {
+	e, r := newTestReport(t, 90)
+	a := r.Variants[0]
+	if a.Offered != 200 || a.ServedInTime != 181 || a.Failed != 19 || a.AttemptsPerRequest != 1.2 || len(a.Repeats) != 3 {
 		t.Errorf("%+v", a)
 	}
 	if a.LatencyMs.P50 < 44 || a.LatencyMs.P50 > 47 {
 		t.Errorf("p50 %v ms of 1 to 91", a.LatencyMs.P50)
 	}
-	if d := a.Rules[1]; d.Broken != 2 || d.FirstS != 1 {
+	if d := a.Rules[1]; d.Violations != 2 || d.FirstS != 1 {
 		t.Errorf("rule: %+v", d)
 	}
 	want := []string{`x.hcl:1:1: arm a: rule "drain" is broken 2 times, first at 1.0 s: late`, "x.hcl:2:1: arm a: served in time: 0.9050, wanted over 0.95"}
-	if got := Judge(e, r.Arms); strings.Join(got, "\n") != strings.Join(want, "\n") {
+	if got := CheckExpectations(e, r.Variants); strings.Join(got, "\n") != strings.Join(want, "\n") {
 		t.Errorf("judged:\n%s", strings.Join(got, "\n"))
 	}
 }
 
 func TestFormsOfTheReport(t *testing.T) {
-	_, r := made(t, 90)
+	_, r := newTestReport(t, 90)
 	dir := t.TempDir()
 	if err := r.Write(dir); err != nil {
 		t.Fatal(err)
 	}
 	back, err := ReadJSON(filepath.Join(dir, "report.json"))
-	if err != nil || back.Arms[0].ServedInTime != 181 {
+	if err != nil || back.Variants[0].ServedInTime != 181 {
 		t.Fatalf("read back: %+v, %v", back, err)
 	}
 	var page, text bytes.Buffer
@@ -95,9 +95,9 @@
 }
 
 func TestCompareTellsNoiseApart(t *testing.T) {
-	_, a := made(t, 90)
-	_, b := made(t, 90)
-	_, c := made(t, 40)
+	_, a := newTestReport(t, 90)
+	_, b := newTestReport(t, 90)
+	_, c := newTestReport(t, 40)
 	beyond := func(x, y *Report) []string {
 		differences, err := Compare(x, y)
 		if err != nil {
@@ -105,8 +105,8 @@
 		}
 		var out []string
 		for _, d := range differences {
-			if d.Beyond() {
-				out = append(out, d.Figure)
+			if d.Significant() {
+				out = append(out, d.Metric)
 			}
 		}
 		return out
--- a/internal/experiment/roundrobin/roundrobin.go
+++ b/internal/experiment/roundrobin/roundrobin.go
@@ -21,49 +21,49 @@
 	"time"
 )
 
-type member struct {
+type endpoint struct {
 	ID    string `json:"id"`
 	Addr  string `json:"addr"`
 	State string `json:"state"`
 }
 
-type members struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []member `json:"servers"`
+type endpointList struct {
+	Version int64      `json:"version"`
+	Full    bool       `json:"full"`
+	Servers []endpoint `json:"servers"`
 }
 
-// table is the list of endpoints and whose turn it is.
-type table struct {
-	mu    sync.Mutex
-	all   []member
-	turn  int
-	since int64
+// endpoints is the list of endpoints and whose turn it is.
+type endpoints struct {
+	mu      sync.Mutex
+	ready   []endpoint
+	last    int
+	version int64
 }
 
-func (t *table) take(m members) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (e *endpoints) apply(m endpointList) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if m.Full {
-		t.all = nil
+		e.ready = nil
 	}
 	for _, s := range m.Servers {
-		t.all = slices.DeleteFunc(t.all, func(o member) bool { return o.ID == s.ID })
+		e.ready = slices.DeleteFunc(e.ready, func(o endpoint) bool { return o.ID == s.ID })
 		if s.State == "Ready" {
-			t.all = append(t.all, s)
+			e.ready = append(e.ready, s)
 		}
 	}
-	t.since = m.Version
+	e.version = m.Version
 }
 
-func (t *table) next() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if len(t.all) == 0 {
+func (e *endpoints) next() string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.ready) == 0 {
 		return ""
 	}
-	t.turn++
-	return t.all[t.turn%len(t.all)].Addr
+	e.last++
+	return e.ready[e.last%len(e.ready)].Addr
 }
 
 // Serve serves by the configuration in the file at path until ctx ends.
@@ -74,15 +74,15 @@
 	}
 	var config struct {
 		Listen, Discovery string
-		Known             members
+		Known             endpointList
 		Settings          struct{ Permissions struct{ ConnIdleUs int64 } }
 	}
 	if err := json.Unmarshal(text, &config); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	t := &table{}
+	t := &endpoints{}
 	config.Known.Full = true
-	t.take(config.Known)
+	t.apply(config.Known)
 	idle := time.Duration(config.Settings.Permissions.ConnIdleUs) * time.Microsecond
 	proxy := &httputil.ReverseProxy{
 		Director: func(r *http.Request) {
@@ -101,7 +101,7 @@
 	}
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second}
 	var watch sync.WaitGroup
-	watch.Go(func() { t.follow(ctx, config.Discovery, logger) })
+	watch.Go(func() { t.keepWatching(ctx, config.Discovery, logger) })
 	defer watch.Wait()
 	stop := context.AfterFunc(ctx, func() { _ = server.Shutdown(context.WithoutCancel(ctx)) })
 	defer stop()
@@ -111,10 +111,10 @@
 	return nil
 }
 
-// follow keeps a watch of the roster until ctx ends.
-func (t *table) follow(ctx context.Context, addr string, logger *slog.Logger) {
+// keepWatching keeps a watch of the roster until ctx ends.
+func (e *endpoints) keepWatching(ctx context.Context, addr string, logger *slog.Logger) {
 	for ctx.Err() == nil {
-		if err := t.watch(ctx, addr); err != nil && ctx.Err() == nil {
+		if err := e.watch(ctx, addr); err != nil && ctx.Err() == nil {
 			logger.Warn("watch ended", "err", err)
 		}
 		select {
@@ -124,8 +124,8 @@
 	}
 }
 
-func (t *table) watch(ctx context.Context, addr string) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/catalog/members?watch=1&after=%d", addr, t.since), nil)
+func (e *endpoints) watch(ctx context.Context, addr string) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/catalog/members?watch=1&after=%d", addr, e.version), nil)
 	if err != nil {
 		return err
 	}
@@ -140,11 +140,11 @@
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		var m members
+		var m endpointList
 		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
 			return err
 		}
-		t.take(m)
+		e.apply(m)
 	}
 	return lines.Err()
 }
--- a/internal/experiment/runner/runner.go
+++ b/internal/experiment/runner/runner.go
@@ -26,7 +26,7 @@
 type Options struct {
 	Virtual bool
 	Seeds   []uint64 // in place of the file's
-	Arm     string   // this one only
+	Variant string   // this one only
 	Root    string   // of the repository, for programs that the deploy file starts
 	Self    string   // this program's own path, for the arm that it hosts itself
 	// Progress hears how many of all plays are done, and how far the present one is, from 0 to 1. It may be called from
@@ -34,16 +34,16 @@
 	Progress func(done, all int, part float64)
 }
 
-// voidTries is how often a play in which the rig was late is played.
-const voidTries = 3
+// maxVoidRuns is how often a play in which the rig was late is played.
+const maxVoidRuns = 3
 
 // job is one play.
 type job struct {
-	point int
-	arm   experiment.Arm
-	seed  uint64
-	out   report.Played
-	ok    bool
+	point    int
+	variant  experiment.Variant
+	seed     uint64
+	run      report.Run
+	complete bool
 }
 
 // Run plays and reports. When ctx ends, the report holds what was measured and says that it was stopped.
@@ -53,7 +53,7 @@
 		if o.Seeds != nil {
 			e.Seeds = o.Seeds
 		}
-		if err := narrow(e, o); err != nil {
+		if err := selectPlayable(e, o); err != nil {
 			return nil, err
 		}
 	}
@@ -62,8 +62,8 @@
 	var jobs []*job
 	for p := range plays {
 		for _, seed := range plays[p].Seeds { // arms side by side in time: a machine's moods hit all alike
-			for _, a := range plays[p].Arms {
-				jobs = append(jobs, &job{point: p, arm: a, seed: seed})
+			for _, a := range plays[p].Variants {
+				jobs = append(jobs, &job{point: p, variant: a, seed: seed})
 			}
 		}
 	}
@@ -80,21 +80,21 @@
 		r.Stopped = "it was interrupted; the figures are of what had been played"
 	}
 	for p := range plays {
-		var done []report.Played
+		var done []report.Run
 		for _, j := range jobs {
-			if j.point == p && j.ok {
-				done = append(done, j.out)
+			if j.point == p && j.complete {
+				done = append(done, j.run)
 			}
 		}
 		arms := report.Summarise(&plays[p].Experiment, done)
 		if p == 0 {
-			r.Arms = arms
+			r.Variants = arms
 		}
 		if plays[p].Point != "" {
-			r.Points = append(r.Points, report.Point{Point: plays[p].Point, Arms: arms})
+			r.Points = append(r.Points, report.Point{Point: plays[p].Point, Variants: arms})
 		}
 		if r.Stopped == "" {
-			for _, m := range report.Judge(&plays[p].Experiment, arms) {
+			for _, m := range report.CheckExpectations(&plays[p].Experiment, arms) {
 				if plays[p].Point != "" {
 					m = plays[p].Point + ": " + m
 				}
@@ -105,21 +105,21 @@
 	return r, nil
 }
 
-// narrow drops the arms and expectations that are not to be played.
-func narrow(e *experiment.Experiment, o Options) error {
-	var arms []experiment.Arm
+// selectPlayable drops the arms and expectations that are not to be played.
+func selectPlayable(e *experiment.Experiment, o Options) error {
+	var arms []experiment.Variant
 	var names []string
-	for _, a := range e.Arms {
+	for _, a := range e.Variants {
 		names = append(names, a.Name)
-		virtual := a.Policy != "reverse_proxy" && a.Run == ""
-		sockets := a.Policy == experiment.DesignPolicy || a.Policy == "reverse_proxy" || a.Run != ""
-		if (o.Arm == "" || o.Arm == a.Name) && (o.Virtual && virtual || !o.Virtual && sockets) {
+		virtual := a.Policy != "reverse_proxy" && a.Command == ""
+		sockets := a.Policy == experiment.DesignPolicy || a.Policy == "reverse_proxy" || a.Command != ""
+		if (o.Variant == "" || o.Variant == a.Name) && (o.Virtual && virtual || !o.Virtual && sockets) {
 			arms = append(arms, a)
 		}
 	}
 	if len(arms) == 0 {
-		if o.Arm != "" {
-			return fmt.Errorf("%s: no arm %q can be played so; there are %v", e.Name, o.Arm, names)
+		if o.Variant != "" {
+			return fmt.Errorf("%s: no arm %q can be played so; there are %v", e.Name, o.Variant, names)
 		}
 		return fmt.Errorf("%s: none of the arms %v can be played so", e.Name, names)
 	}
@@ -130,11 +130,11 @@
 			}
 		}
 	}
-	e.Arms = arms
+	e.Variants = arms
 	var expect []experiment.Expectation
 	for _, x := range e.Expect {
 		for _, a := range arms {
-			if x.Arm == "" || x.Arm == a.Name {
+			if x.Variant == "" || x.Variant == a.Name {
 				expect = append(expect, x)
 				break
 			}
@@ -144,7 +144,7 @@
 	return nil
 }
 
-func (o Options) tell(done, all int, part float64) {
+func (o Options) reportProgress(done, all int, part float64) {
 	if o.Progress != nil {
 		o.Progress(done, all, part)
 	}
@@ -161,20 +161,20 @@
 	for _, j := range jobs {
 		group.Go(func() error {
 			e := &plays[j.point].Experiment
-			got, err := virtual.Run(ctx, e, j.arm, j.seed, virtual.Options{Progress: func(now time.Duration) {
+			got, err := virtual.Run(ctx, e, j.variant, j.seed, virtual.Options{Progress: func(now time.Duration) {
 				mu.Lock()
 				defer mu.Unlock()
-				o.tell(done, len(jobs), min(now.Seconds()/e.Duration.Seconds(), 1))
+				o.reportProgress(done, len(jobs), min(now.Seconds()/e.Duration.Seconds(), 1))
 			}})
 			if err != nil {
 				return err
 			}
-			j.out = report.Played{Arm: j.arm, Seed: j.seed, Tally: got.Tally, Verdicts: got.Verdicts, Log: got.Logs}
-			j.ok = true
+			j.run = report.Run{Variant: j.variant, Seed: j.seed, Counters: got.Counters, Verdicts: got.Verdicts, Log: got.Logs}
+			j.complete = true
 			mu.Lock()
 			defer mu.Unlock()
 			done++
-			o.tell(done, len(jobs), 0)
+			o.reportProgress(done, len(jobs), 0)
 			return nil
 		})
 	}
@@ -191,10 +191,10 @@
 	deployed := ""
 	for n, j := range jobs {
 		e := &plays[j.point].Experiment
-		line := j.arm.Run
+		line := j.variant.Command
 		switch {
 		case line != "":
-		case j.arm.Policy == "reverse_proxy":
+		case j.variant.Policy == "reverse_proxy":
 			line = "exec '" + o.Self + "' lab reverse-proxy"
 		case deployed == "":
 			if deployed, err = testbed.Build(ctx, o.Root); err != nil {
@@ -210,23 +210,23 @@
 		}
 		program := testbed.Command{Line: line, Dir: o.Root, Scratch: dir}
 		for try := 1; ; try++ {
-			o.tell(n, len(jobs), 0)
-			j.out, err = testbed.Run(ctx, e, j.arm, j.seed, testbed.Options{Program: program, Progress: func(now time.Duration) {
-				o.tell(n, len(jobs), min(now.Seconds()/e.Duration.Seconds(), 1))
+			o.reportProgress(n, len(jobs), 0)
+			j.run, err = testbed.Run(ctx, e, j.variant, j.seed, testbed.Options{Program: program, Progress: func(now time.Duration) {
+				o.reportProgress(n, len(jobs), min(now.Seconds()/e.Duration.Seconds(), 1))
 			}})
 			if errors.Is(err, context.Canceled) && ctx.Err() != nil {
-				j.ok = j.out.Tally.Total.Offered() > 0
+				j.complete = j.run.Counters.Total.Offered() > 0
 				return err
 			}
 			if err != nil {
 				return err
 			}
-			if j.out.Void == "" || try == voidTries {
+			if j.run.Void == "" || try == maxVoidRuns {
 				break
 			}
 		}
-		j.ok = true
-		o.tell(n+1, len(jobs), 0)
+		j.complete = true
+		o.reportProgress(n+1, len(jobs), 0)
 	}
 	return nil
 }
--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -24,38 +24,38 @@
 // flap and silentCrash are drawn beside the faults that the lab has: a box that goes and comes, and one of which the roster
 // says nothing.
 const (
-	flap        = "flap"
+	flapping    = "flap"
 	silentCrash = "silent_crash"
-	step        = "step" // a step in the load
+	loadStep    = "step" // a step in the load
 )
 
 // Span is a range, both ends included.
-type Span[T int | float64 | time.Duration] struct{ Least, Most T }
+type Span[T int | float64 | time.Duration] struct{ Min, Max T }
 
 // Bounds say within what sites are drawn, and how each is played.
 type Bounds struct {
-	Name      string
-	Boxes     Span[int]           // of the first tier
-	Instances Span[int]           // before it
-	Tiers     Span[int]           //
-	Classes   Span[int]           //
-	Faults    Span[int]           // that strike during a play
-	Work      Span[time.Duration] // mean of a request over all tiers
-	Duration  Span[time.Duration]
-	Load      Span[float64] // in shares of what the service can do
-	Rate      Span[float64] // requests a second
-	Requests  int           // most in one play: the rate gives in to it
-	Known     int           // most pairs of an instance and a box that it knows
-	Quiet     float64       // share of sites whose callers ask less than once a second each
-	Kinds     []string      // of faults
-	Rivals    []string
-	Repeats   int     // plays of every site and policy
-	More      int     // and of those where the design seems behind
-	Seems     float64 // by more than this
-	Digest    uint64  // of the file
+	Name          string
+	Servers       Span[int]           // of the first tier
+	Instances     Span[int]           // before it
+	Tiers         Span[int]           //
+	Classes       Span[int]           //
+	Faults        Span[int]           // that strike during a play
+	Work          Span[time.Duration] // mean of a request over all tiers
+	Duration      Span[time.Duration]
+	Load          Span[float64] // in shares of what the service can do
+	Rate          Span[float64] // requests a second
+	MaxRequests   int           // most in one play: the rate gives in to it
+	MaxKnownPairs int           // most pairs of an instance and a box that it knows
+	QuietFraction float64       // share of sites whose callers ask less than once a second each
+	FaultKinds    []string      // of faults
+	Baselines     []string
+	Repeats       int     // plays of every site and policy
+	MoreRepeats   int     // and of those where the design seems behind
+	SuspectRegret float64 // by more than this
+	Digest        uint64  // of the file
 }
 
-var kinds = append([]string{flap, silentCrash, step}, func() (names []string) {
+var faultKinds = append([]string{flapping, silentCrash, loadStep}, func() (names []string) {
 	for _, k := range slices.Sorted(maps.Keys(experiment.FaultKinds)) {
 		if experiment.FaultKinds[k] {
 			names = append(names, string(k))
@@ -96,29 +96,29 @@
 }
 
 func readSearch(r *hcldecode.Reader, block *hcl.Block, b *Bounds) {
-	var whole [5][]uint64
+	var integers [5][]uint64
 	var times [2][]time.Duration
 	var load []float64
 	var rates struct{ least, most hcldecode.Rate }
 	var quiet, seems hcldecode.Share
-	ok := r.Body(block.Body, hcldecode.Fields{"boxes!": &whole[0], "instances!": &whole[1], "tiers!": &whole[2], "classes!": &whole[3],
-		"faults!": &whole[4], "work!": &times[0], "duration!": &times[1], "load!": &load, "rate_least!": &rates.least,
-		"rate_most!": &rates.most, "requests!": &b.Requests, "known!": &b.Known, "quiet!": &quiet, "fault_kinds!": &b.Kinds,
-		"rivals!": &b.Rivals, "repeats!": &b.Repeats, "more_repeats!": &b.More, "seems!": &seems}, nil)
+	ok := r.Body(block.Body, hcldecode.Fields{"boxes!": &integers[0], "instances!": &integers[1], "tiers!": &integers[2], "classes!": &integers[3],
+		"faults!": &integers[4], "work!": &times[0], "duration!": &times[1], "load!": &load, "rate_least!": &rates.least,
+		"rate_most!": &rates.most, "requests!": &b.MaxRequests, "known!": &b.MaxKnownPairs, "quiet!": &quiet, "fault_kinds!": &b.FaultKinds,
+		"rivals!": &b.Baselines, "repeats!": &b.Repeats, "more_repeats!": &b.MoreRepeats, "seems!": &seems}, nil)
 	if !ok {
 		return
 	}
 	at := func(to any) hcl.Range { return r.Places[to] }
-	for i, to := range []*Span[int]{&b.Boxes, &b.Instances, &b.Tiers, &b.Classes, &b.Faults} {
+	for i, to := range []*Span[int]{&b.Servers, &b.Instances, &b.Tiers, &b.Classes, &b.Faults} {
 		least := uint64(1)
 		if to == &b.Faults {
 			least = 0
 		}
-		if len(whole[i]) != 2 || whole[i][0] > whole[i][1] || whole[i][0] < least || whole[i][1] > 1e6 {
-			r.Fault(at(&whole[i]), "two whole numbers from %d up are wanted, the smaller one first", least)
+		if len(integers[i]) != 2 || integers[i][0] > integers[i][1] || integers[i][0] < least || integers[i][1] > 1e6 {
+			r.Fault(at(&integers[i]), "two whole numbers from %d up are wanted, the smaller one first", least)
 			continue
 		}
-		*to = Span[int]{int(whole[i][0]), int(whole[i][1])}
+		*to = Span[int]{int(integers[i][0]), int(integers[i][1])}
 	}
 	for i, to := range []*Span[time.Duration]{&b.Work, &b.Duration} {
 		if len(times[i]) != 2 || times[i][0] > times[i][1] || times[i][0] <= 0 {
@@ -135,23 +135,23 @@
 	if rates.least <= 0 || rates.least > rates.most {
 		r.Fault(at(&rates.most), "rate_most: it is under rate_least, or that is 0")
 	}
-	if b.Requests < 100 || b.Known < 1 {
-		r.Fault(at(&b.Requests), "requests and known: at least 100 requests and one pair are wanted")
+	if b.MaxRequests < 100 || b.MaxKnownPairs < 1 {
+		r.Fault(at(&b.MaxRequests), "requests and known: at least 100 requests and one pair are wanted")
 	}
-	if b.Tiers.Most > 3 {
-		r.Fault(at(&whole[2]), "tiers: three at most")
+	if b.Tiers.Max > 3 {
+		r.Fault(at(&integers[2]), "tiers: three at most")
 	}
-	if b.Repeats < 1 || b.More < b.Repeats+2 {
-		r.Fault(at(&b.More), "more_repeats: at least two more than repeats are wanted, to measure on plays that did not choose")
+	if b.Repeats < 1 || b.MoreRepeats < b.Repeats+2 {
+		r.Fault(at(&b.MoreRepeats), "more_repeats: at least two more than repeats are wanted, to measure on plays that did not choose")
 	}
-	for _, k := range b.Kinds {
-		hcldecode.OneOf(r, at(&b.Kinds), "fault_kinds", k, kinds...)
+	for _, k := range b.FaultKinds {
+		hcldecode.OneOf(r, at(&b.FaultKinds), "fault_kinds", k, faultKinds...)
 	}
-	for _, p := range b.Rivals {
-		hcldecode.OneOf(r, at(&b.Rivals), "rivals", p, baseline.Names...)
+	for _, p := range b.Baselines {
+		hcldecode.OneOf(r, at(&b.Baselines), "rivals", p, baseline.Names...)
 	}
-	if len(b.Rivals) == 0 {
-		r.Fault(at(&b.Rivals), "rivals: at least one is wanted")
+	if len(b.Baselines) == 0 {
+		r.Fault(at(&b.Baselines), "rivals: at least one is wanted")
 	}
-	b.Rate, b.Quiet, b.Seems = Span[float64]{float64(rates.least), float64(rates.most)}, float64(quiet), float64(seems)
+	b.Rate, b.QuietFraction, b.SuspectRegret = Span[float64]{float64(rates.least), float64(rates.most)}, float64(quiet), float64(seems)
 }
--- a/internal/experiment/search/draw.go
+++ b/internal/experiment/search/draw.go
@@ -13,34 +13,34 @@
 
 // What a site has besides what the bounds say. The figures are those that installations are known to have, and wider.
 const (
-	leastRequests = 300              // in one play, where the longest duration allows it
-	longestPlay   = 10 * time.Minute // of callers that ask seldom
-	tiersBoxes    = 60               // boxes of a tier at most where there are several: each has an instance of its own
+	minRequests              = 300              // in one play, where the longest duration allows it
+	maxDuration              = 10 * time.Minute // of callers that ask seldom
+	maxServersOfSeveralTiers = 60               // boxes of a tier at most where there are several: each has an instance of its own
 )
 
-type drawer struct{ *rand.Rand }
+type sampler struct{ *rand.Rand }
 
-func (d drawer) chance(p float64) bool { return d.Float64() < p }
+func (d sampler) bernoulli(p float64) bool { return d.Float64() < p }
 
-func (d drawer) between(least, most float64) float64 { return least + (most-least)*d.Float64() }
+func (d sampler) uniform(least, most float64) float64 { return least + (most-least)*d.Float64() }
 
-// scale draws evenly over orders of magnitude.
-func (d drawer) scale(least, most float64) float64 {
-	return math.Exp(d.between(math.Log(least), math.Log(most)))
+// logUniform draws evenly over orders of magnitude.
+func (d sampler) logUniform(least, most float64) float64 {
+	return math.Exp(d.uniform(math.Log(least), math.Log(most)))
 }
 
-func (d drawer) whole(s Span[int]) int { return s.Least + d.IntN(s.Most-s.Least+1) }
+func (d sampler) integer(s Span[int]) int { return s.Min + d.IntN(s.Max-s.Min+1) }
 
-func (d drawer) wholeScale(s Span[int]) int {
-	return min(max(int(math.Round(d.scale(float64(s.Least), float64(s.Most)))), s.Least), s.Most)
+func (d sampler) logUniformInt(s Span[int]) int {
+	return min(max(int(math.Round(d.logUniform(float64(s.Min), float64(s.Max)))), s.Min), s.Max)
 }
 
-func (d drawer) time(least, most time.Duration) time.Duration {
-	return round(time.Duration(d.scale(float64(least), float64(most))))
+func (d sampler) logUniformTime(least, most time.Duration) time.Duration {
+	return roundTime(time.Duration(d.logUniform(float64(least), float64(most))))
 }
 
-// round keeps three digits: a drawn site is to be written down.
-func round(t time.Duration) time.Duration {
+// roundTime keeps three digits: a drawn site is to be written down.
+func roundTime(t time.Duration) time.Duration {
 	if t <= 0 {
 		return 0
 	}
@@ -48,199 +48,199 @@
 	return time.Duration(math.Round(float64(t)/unit) * unit)
 }
 
-func digits(x float64) float64 {
+func threeDigits(x float64) float64 {
 	y, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 3, 64), 64) // it was written by FormatFloat
 	return y
 }
 
 // Draw gives site n of a search. The same bounds, seed and n give the same site.
 func Draw(b *Bounds, seed uint64, n int) *experiment.Experiment {
-	d := drawer{experiment.Rand(seed, "site "+strconv.Itoa(n))}
+	d := sampler{experiment.Rand(seed, "site "+strconv.Itoa(n))}
 	e := &experiment.Experiment{Name: fmt.Sprintf("site-%d-%d", seed, n), Question: "Does the design serve as much as the best rival?", Virtual: true,
 		Settings: map[string]string{}}
 	s := &e.Site
-	s.Delay, s.Jitter, s.Attempts = d.time(20*time.Microsecond, 3*time.Millisecond), digits(d.between(0, 0.5)), 1+d.IntN(5)
-	s.Roster = experiment.Roster{Delay: d.time(10*time.Millisecond, 4*time.Second), Spread: d.time(time.Millisecond, time.Second)}
-	s.Rules = experiment.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second,
-		ImproperFor: 3 * time.Second}
-	tiers := b.Tiers.Least
-	for tiers < b.Tiers.Most && d.chance(0.35) {
+	s.NetworkDelay, s.NetworkJitter, s.MaxAttempts = d.logUniformTime(20*time.Microsecond, 3*time.Millisecond), threeDigits(d.uniform(0, 0.5)), 1+d.IntN(5)
+	s.Discovery = experiment.Discovery{Delay: d.logUniformTime(10*time.Millisecond, 4*time.Second), Spread: d.logUniformTime(time.Millisecond, time.Second)}
+	s.Rules = experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4, OverloadWindow: time.Second,
+		ImproperPeerTimeout: 3 * time.Second}
+	tiers := b.Tiers.Min
+	for tiers < b.Tiers.Max && d.bernoulli(0.35) {
 		tiers++
 	}
-	s.Balancers = d.wholeScale(b.Instances)
-	boxes := b.Boxes
-	if boxes.Most = max(min(boxes.Most, b.Known/s.Balancers), boxes.Least); tiers > 1 {
-		boxes.Most = max(min(boxes.Most, tiersBoxes), boxes.Least)
+	s.Balancers = d.logUniformInt(b.Instances)
+	boxes := b.Servers
+	if boxes.Max = max(min(boxes.Max, b.MaxKnownPairs/s.Balancers), boxes.Min); tiers > 1 {
+		boxes.Max = max(min(boxes.Max, maxServersOfSeveralTiers), boxes.Min)
 	}
-	first := d.wholeScale(boxes)
-	work := d.scale(b.Work.Least.Seconds(), b.Work.Most.Seconds())
+	first := d.logUniformInt(boxes)
+	work := d.logUniform(b.Work.Min.Seconds(), b.Work.Max.Seconds())
 	capacity, calls := math.Inf(1), 1
 	for t := range tiers {
 		tier := d.tier(t, tiers, first, work)
 		per := 0.0
 		for _, k := range tier.Kinds {
-			per += k.Share * float64(k.Cores) * k.Speed
+			per += k.Fraction * float64(k.Cores) * k.Speed
 		}
-		capacity = min(capacity, per*float64(tier.Boxes)/(work*tier.Work*float64(calls)))
+		capacity = min(capacity, per*float64(tier.Servers)/(work*tier.WorkFraction*float64(calls)))
 		calls *= max(tier.Calls, 1)
 		s.Tiers = append(s.Tiers, tier)
 	}
 	d.classes(b, s, work)
 	d.load(b, e, capacity, work)
-	for range d.whole(b.Faults) {
-		if len(b.Kinds) > 0 {
-			d.fault(e, b.Kinds[d.IntN(len(b.Kinds))])
+	for range d.integer(b.Faults) {
+		if len(b.FaultKinds) > 0 {
+			d.fault(e, b.FaultKinds[d.IntN(len(b.FaultKinds))])
 		}
 	}
 	return e
 }
 
-func (d drawer) tier(t, tiers, first int, work float64) experiment.Tier {
-	out := experiment.Tier{Name: fmt.Sprintf("tier-%d", t+1), Boxes: first, Work: 1}
+func (d sampler) tier(t, tiers, first int, work float64) experiment.Tier {
+	out := experiment.Tier{Name: fmt.Sprintf("tier-%d", t+1), Servers: first, WorkFraction: 1}
 	if tiers > 1 {
-		out.Work = digits(d.between(0.5, 1.5) / float64(tiers))
+		out.WorkFraction = threeDigits(d.uniform(0.5, 1.5) / float64(tiers))
 	}
 	if t > 0 {
-		out.Boxes = max(int(float64(first)*d.scale(0.5, 2)), 1)
+		out.Servers = max(int(float64(first)*d.logUniform(0.5, 2)), 1)
 	}
 	if t+1 < tiers {
 		out.Calls = 1 + d.IntN(2)
 	}
 	n := 1
-	for n < 3 && d.chance(0.4) {
+	for n < 3 && d.bernoulli(0.4) {
 		n++
 	}
 	sum := 0.0
 	for i := range n {
-		k := experiment.Kind{Name: fmt.Sprintf("kind-%d", i+1), Share: digits(d.between(0.2, 1)), Cores: 1 << d.IntN(4), Speed: 1}
+		k := experiment.Kind{Name: fmt.Sprintf("kind-%d", i+1), Fraction: threeDigits(d.uniform(0.2, 1)), Cores: 1 << d.IntN(4), Speed: 1}
 		if n > 1 {
-			k.Speed = digits(d.scale(0.5, 1.6))
+			k.Speed = threeDigits(d.logUniform(0.5, 1.6))
 		}
 		k.Slots = k.Cores * (2 << d.IntN(6))
-		k.Queue = d.IntN(2) * d.IntN(400)
-		sum += k.Share
+		k.QueueLimit = d.IntN(2) * d.IntN(400)
+		sum += k.Fraction
 		out.Kinds = append(out.Kinds, k)
 	}
 	for i := range out.Kinds {
-		out.Kinds[i].Share = digits(out.Kinds[i].Share / sum)
+		out.Kinds[i].Fraction = threeDigits(out.Kinds[i].Fraction / sum)
 	}
-	x := &out.Box
-	if d.chance(0.6) {
-		x.ColdFrom, x.ColdFor = digits(d.between(0.1, 0.8)), d.time(time.Second, 20*time.Second)
+	x := &out.Server
+	if d.bernoulli(0.6) {
+		x.InitialCapacity, x.WarmupTime = threeDigits(d.uniform(0.1, 0.8)), d.logUniformTime(time.Second, 20*time.Second)
 	}
-	if d.chance(0.25) {
-		x.ChokeAt, x.ChokeOver, x.ChokeSlower = digits(d.between(4, 20)), d.time(500*time.Millisecond, 3*time.Second), digits(d.between(1.5, 3))
-		x.ChokeBelow, x.ChokeRest, x.ChokeMost = 1, d.time(time.Second, 5*time.Second), d.time(10*time.Second, 30*time.Second)
+	if d.bernoulli(0.25) {
+		x.CollapseQueue, x.CollapseAfter, x.CollapseSlowdown = threeDigits(d.uniform(4, 20)), d.logUniformTime(500*time.Millisecond, 3*time.Second), threeDigits(d.uniform(1.5, 3))
+		x.RecoveryLoad, x.RecoveryAfter, x.MaxCollapse = 1, d.logUniformTime(time.Second, 5*time.Second), d.logUniformTime(10*time.Second, 30*time.Second)
 	}
-	if d.chance(0.5) {
-		x.ConnWork = round(time.Duration(d.between(0, 0.2) * work * float64(time.Second)))
-		x.ConnIdle = d.time(time.Second, time.Minute)
+	if d.bernoulli(0.5) {
+		x.ConnWork = roundTime(time.Duration(d.uniform(0, 0.2) * work * float64(time.Second)))
+		x.ConnIdleTimeout = d.logUniformTime(time.Second, time.Minute)
 	}
-	if d.chance(0.1) {
-		x.ErrorShare = digits(d.scale(0.001, 0.05))
+	if d.bernoulli(0.1) {
+		x.ErrorRate = threeDigits(d.logUniform(0.001, 0.05))
 	}
 	return out
 }
 
-func (d drawer) classes(b *Bounds, s *experiment.Site, work float64) {
-	for i := range d.whole(b.Classes) {
+func (d sampler) classes(b *Bounds, s *experiment.Site, work float64) {
+	for i := range d.integer(b.Classes) {
 		mean := work
 		if i > 0 {
-			mean *= d.scale(0.3, 3)
+			mean *= d.logUniform(0.3, 3)
 		}
-		c := experiment.Class{Name: fmt.Sprintf("class-%d", i+1), Share: digits(d.between(0.2, 1)), Worth: 1, Cv: 1,
-			Spread: []experiment.Spread{experiment.Exponential, experiment.Exponential, experiment.LogNormal, experiment.Fixed}[d.IntN(4)]}
-		if c.Spread == experiment.LogNormal {
-			c.Cv = digits(d.scale(0.3, 3))
+		c := experiment.Class{Name: fmt.Sprintf("class-%d", i+1), TrafficShare: threeDigits(d.uniform(0.2, 1)), PriorityWeight: 1, VariationCoefficient: 1,
+			Distribution: []experiment.Distribution{experiment.Exponential, experiment.Exponential, experiment.LogNormal, experiment.Fixed}[d.IntN(4)]}
+		if c.Distribution == experiment.LogNormal {
+			c.VariationCoefficient = threeDigits(d.logUniform(0.3, 3))
 		}
 		longest := mean
-		if d.chance(0.25) { // hits and misses: the mean stays
-			c.Hits = digits(d.between(0.3, 0.95))
-			ratio := d.scale(0.001, 0.1)
-			longest = mean / (c.Hits*ratio + 1 - c.Hits)
-			c.HitWork = max(round(time.Duration(ratio*longest*float64(time.Second))), time.Microsecond)
+		if d.bernoulli(0.25) { // hits and misses: the mean stays
+			c.CacheHitRatio = threeDigits(d.uniform(0.3, 0.95))
+			ratio := d.logUniform(0.001, 0.1)
+			longest = mean / (c.CacheHitRatio*ratio + 1 - c.CacheHitRatio)
+			c.CacheHitWork = max(roundTime(time.Duration(ratio*longest*float64(time.Second))), time.Microsecond)
 		}
-		c.Work = max(round(time.Duration(longest*float64(time.Second))), time.Microsecond)
-		if d.chance(0.2) {
-			c.Wait = d.time(time.Millisecond, 200*time.Millisecond)
+		c.Work = max(roundTime(time.Duration(longest*float64(time.Second))), time.Microsecond)
+		if d.bernoulli(0.2) {
+			c.OffCPUTime = d.logUniformTime(time.Millisecond, 200*time.Millisecond)
 		}
-		if d.chance(0.35) {
-			c.Effect, c.Worth = balancer.NonIdempotent, float64(1+d.IntN(10))
+		if d.bernoulli(0.35) {
+			c.Repeat, c.PriorityWeight = balancer.NonIdempotent, float64(1+d.IntN(10))
 		}
-		usual := time.Duration(3*longest*float64(time.Second)) + c.Wait + 20*s.Delay + 20*time.Millisecond
-		c.Deadline = max(d.time(2*usual, 20*usual).Truncate(time.Millisecond), 100*time.Millisecond)
-		c.Aim = max(round(time.Duration(d.between(0.3, 1)*float64(c.Deadline))), time.Millisecond)
+		usual := time.Duration(3*longest*float64(time.Second)) + c.OffCPUTime + 20*s.NetworkDelay + 20*time.Millisecond
+		c.Deadline = max(d.logUniformTime(2*usual, 20*usual).Truncate(time.Millisecond), 100*time.Millisecond)
+		c.LatencyObjective = max(roundTime(time.Duration(d.uniform(0.3, 1)*float64(c.Deadline))), time.Millisecond)
 		s.Classes = append(s.Classes, c)
 	}
 }
 
 // load sets how much is asked, and for how long.
-func (d drawer) load(b *Bounds, e *experiment.Experiment, capacity, work float64) {
+func (d sampler) load(b *Bounds, e *experiment.Experiment, capacity, work float64) {
 	l := &e.Load
-	share := d.between(b.Load.Least, min(0.9, b.Load.Most))
-	if d.chance(0.25) {
-		share = d.between(min(0.9, b.Load.Most), b.Load.Most)
+	share := d.uniform(b.Load.Min, min(0.9, b.Load.Max))
+	if d.bernoulli(0.25) {
+		share = d.uniform(min(0.9, b.Load.Max), b.Load.Max)
 	}
 	l.Rate = share * capacity
-	if d.chance(b.Quiet) {
-		l.Rate = min(l.Rate, d.scale(0.05, 1)*float64(e.Site.Balancers))
+	if d.bernoulli(b.QuietFraction) {
+		l.Rate = min(l.Rate, d.logUniform(0.05, 1)*float64(e.Site.Balancers))
 	}
-	e.Duration = max(d.time(b.Duration.Least, b.Duration.Most), round(time.Duration(min(20*work, 120)*float64(time.Second))))
-	l.Rate = min(max(l.Rate, b.Rate.Least), b.Rate.Most, float64(b.Requests)/b.Duration.Least.Seconds())
-	if most := float64(b.Requests) / l.Rate; e.Duration.Seconds() > most {
-		e.Duration = max(round(time.Duration(most*float64(time.Second))), b.Duration.Least)
+	e.Duration = max(d.logUniformTime(b.Duration.Min, b.Duration.Max), roundTime(time.Duration(min(20*work, 120)*float64(time.Second))))
+	l.Rate = min(max(l.Rate, b.Rate.Min), b.Rate.Max, float64(b.MaxRequests)/b.Duration.Min.Seconds())
+	if most := float64(b.MaxRequests) / l.Rate; e.Duration.Seconds() > most {
+		e.Duration = max(roundTime(time.Duration(most*float64(time.Second))), b.Duration.Min)
 	}
-	if least := leastRequests / l.Rate; e.Duration.Seconds() < least {
-		e.Duration = min(round(time.Duration(least*float64(time.Second))), max(longestPlay, e.Duration))
+	if least := minRequests / l.Rate; e.Duration.Seconds() < least {
+		e.Duration = min(roundTime(time.Duration(least*float64(time.Second))), max(maxDuration, e.Duration))
 	}
-	l.Rate, l.Process = max(digits(l.Rate), 0.01), "poisson"
-	if d.chance(0.2) {
+	l.Rate, l.Process = max(threeDigits(l.Rate), 0.01), "poisson"
+	if d.bernoulli(0.2) {
 		l.Process = "steady"
 	}
-	l.Clients = experiment.Clients{PatienceLeast: digits(d.between(0.5, 1)), Retries: d.IntN(3), Heed: d.chance(0.5)}
-	if l.Clients.Retries > 0 && d.chance(0.7) {
-		l.Clients.RetryWait = d.time(50*time.Millisecond, time.Second)
+	l.Clients = experiment.Clients{MinPatience: threeDigits(d.uniform(0.5, 1)), Retries: d.IntN(3), HonorRetryAfter: d.bernoulli(0.5)}
+	if l.Clients.Retries > 0 && d.bernoulli(0.7) {
+		l.Clients.RetryWait = d.logUniformTime(50*time.Millisecond, time.Second)
 	}
-	if d.chance(0.2) {
-		l.Clients.Leave = digits(d.between(0, 0.05))
+	if d.bernoulli(0.2) {
+		l.Clients.DisconnectRate = threeDigits(d.uniform(0, 0.05))
 	}
 }
 
 // fault adds something that goes wrong.
-func (d drawer) fault(e *experiment.Experiment, kind string) {
+func (d sampler) fault(e *experiment.Experiment, kind string) {
 	length := float64(e.Duration)
-	at, last := round(time.Duration(d.between(0.05, 0.6)*length)), round(time.Duration(d.between(0.05, 0.35)*length))
+	at, last := roundTime(time.Duration(d.uniform(0.05, 0.6)*length)), roundTime(time.Duration(d.uniform(0.05, 0.35)*length))
 	tier := e.Site.Tiers[d.IntN(len(e.Site.Tiers))]
-	part := digits(d.scale(min(1/float64(tier.Boxes), 0.9), 1))
-	f := experiment.Fault{Kind: experiment.FaultKind(kind), At: at, For: last, Tier: tier.Name, Part: part, Size: 1, Period: time.Second, Count: 1}
+	part := threeDigits(d.logUniform(min(1/float64(tier.Servers), 0.9), 1))
+	f := experiment.Fault{Kind: experiment.FaultKind(kind), At: at, Duration: last, Tier: tier.Name, Fraction: part, Size: 1, Period: time.Second, Count: 1}
 	switch f.Kind {
-	case step:
-		e.Load.Steps = append(e.Load.Steps, experiment.Step{At: at, Factor: digits(d.scale(1.3, 5))}, experiment.Step{At: at + last, Factor: 1})
+	case loadStep:
+		e.Load.Steps = append(e.Load.Steps, experiment.Step{At: at, Factor: threeDigits(d.logUniform(1.3, 5))}, experiment.Step{At: at + last, Factor: 1})
 		return
-	case flap:
-		f.Kind, f.For = experiment.Crash, max(f.For/8, time.Millisecond)
+	case flapping:
+		f.Kind, f.Duration = experiment.Crash, max(f.Duration/8, time.Millisecond)
 		for range 3 {
 			e.Faults = append(e.Faults, f)
-			f.At += 2 * f.For
+			f.At += 2 * f.Duration
 		}
 	case silentCrash:
 		f.Kind = experiment.Crash
-		e.Faults = append(e.Faults, experiment.Fault{Kind: experiment.RosterSilent, At: max(at-e.Site.Roster.Delay-e.Site.Roster.Spread, 0),
-			For: last + 2*e.Site.Roster.Delay + e.Site.Roster.Spread, Part: 1, Size: 1, Period: time.Second, Count: 1})
+		e.Faults = append(e.Faults, experiment.Fault{Kind: experiment.DiscoverySilence, At: max(at-e.Site.Discovery.Delay-e.Site.Discovery.Spread, 0),
+			Duration: last + 2*e.Site.Discovery.Delay + e.Site.Discovery.Spread, Fraction: 1, Size: 1, Period: time.Second, Count: 1})
 	case experiment.FastErrors:
-		f.Size = digits(d.between(0.2, 1))
-	case experiment.Neighbour:
-		f.Size, f.Period = digits(d.between(0.3, 0.9)), d.time(time.Second, 5*time.Second)
-	case experiment.SharedSlow:
-		f.Size, f.Tier, f.Part = digits(d.between(1.2, 3)), "", 1
-	case experiment.Deploy:
-		f.Size, f.Period = digits(d.scale(0.05, 0.5)), d.time(500*time.Millisecond, 5*time.Second)
-	case experiment.BreakBefore, experiment.BreakAfter, experiment.BreakAnswer, experiment.GarbleAnswer:
-		f.Size = digits(d.scale(0.05, 1))
-	case experiment.SlowAnswer:
-		f.Period = d.time(5*time.Millisecond, 2*time.Second)
-	case experiment.RosterLate:
-		f.Period = d.time(time.Second, 10*time.Second)
+		f.Size = threeDigits(d.uniform(0.2, 1))
+	case experiment.NoisyNeighbour:
+		f.Size, f.Period = threeDigits(d.uniform(0.3, 0.9)), d.logUniformTime(time.Second, 5*time.Second)
+	case experiment.SharedSlowdown:
+		f.Size, f.Tier, f.Fraction = threeDigits(d.uniform(1.2, 3)), "", 1
+	case experiment.RollingDeploy:
+		f.Size, f.Period = threeDigits(d.logUniform(0.05, 0.5)), d.logUniformTime(500*time.Millisecond, 5*time.Second)
+	case experiment.BreakBeforeRequest, experiment.BreakAfterRequest, experiment.TruncateResponse, experiment.CorruptResponse:
+		f.Size = threeDigits(d.logUniform(0.05, 1))
+	case experiment.SlowResponse:
+		f.Period = d.logUniformTime(5*time.Millisecond, 2*time.Second)
+	case experiment.DiscoveryDelay:
+		f.Period = d.logUniformTime(time.Second, 10*time.Second)
 	}
 	e.Faults = append(e.Faults, f)
 }
--- a/internal/experiment/search/judge.go
+++ b/internal/experiment/search/judge.go
@@ -17,51 +17,51 @@
 	"rowancart/internal/experiment/report"
 )
 
-// Behind is how much less worth makes a site one on which the design is behind, or ahead.
-const Behind = 0.01
+// minRegret is how much less worth makes a site one on which the design is behind, or ahead.
+const minRegret = 0.01
 
 // Regret is what the best rival serves, by worth, less what the design serves, below 0 where the design is ahead.
 type Regret struct {
-	Rival    string
-	Mean     float64 // over the plays that did not choose the rival, where there are any
-	Bound    float64 // half of the 95% interval of Mean; infinite where there are too few plays to tell
-	chosenBy float64 // mean over the plays that did
+	Baseline      string
+	Mean          float64 // over the plays that did not choose the rival, where there are any
+	Bound         float64 // half of the 95% interval of Mean; infinite where there are too few plays to tell
+	selectionMean float64 // mean over the plays that did
 }
 
-// Sure tells whether the design is behind by more than noise and Behind together.
-func (r Regret) Sure() bool { return r.Mean-r.Bound > 0 && r.Mean > Behind }
+// Significant tells whether the design is behind by more than noise and Behind together.
+func (r Regret) Significant() bool { return r.Mean-r.Bound > 0 && r.Mean > minRegret }
 
 // Regret judges a site. The rival that is best on the first repeats is the one compared with, on the other repeats: the best
 // of several on the same plays would seem better than it is.
 func (s Site) Regret(choosing int) Regret {
-	r := Regret{chosenBy: math.Inf(-1)}
-	for _, rival := range slices.Sorted(maps.Keys(s.Worth)) {
-		if rival == Design {
+	r := Regret{selectionMean: math.Inf(-1)}
+	for _, policy := range slices.Sorted(maps.Keys(s.ServedWeight)) {
+		if policy == Design {
 			continue
 		}
-		if m, _, _ := s.difference(rival, 0, choosing); m > r.chosenBy {
-			r.Rival, r.chosenBy = rival, m
+		if m, _, _ := s.difference(policy, 0, choosing); m > r.selectionMean {
+			r.Baseline, r.selectionMean = policy, m
 		}
 	}
-	r.Mean, r.Bound = r.chosenBy, math.Inf(1)
-	if mean, bound, n := s.difference(r.Rival, choosing, len(s.Worth[Design])); n > 0 {
+	r.Mean, r.Bound = r.selectionMean, math.Inf(1)
+	if mean, bound, n := s.difference(r.Baseline, choosing, len(s.ServedWeight[Design])); n > 0 {
 		r.Mean, r.Bound = mean, bound
 	}
 	return r
 }
 
-// Against is how much more a rival serves, over all plays, below 0 where the design does.
-func (s Site) Against(rival string) float64 {
-	mean, _, _ := s.difference(rival, 0, len(s.Worth[Design]))
+// BaselineLead is how much more a rival serves, over all plays, below 0 where the design does.
+func (s Site) BaselineLead(policy string) float64 {
+	mean, _, _ := s.difference(policy, 0, len(s.ServedWeight[Design]))
 	return mean
 }
 
 // difference is the mean of a rival's worth less the design's over some of the repeats, paired, and half of its 95% interval.
-func (s Site) difference(rival string, from, to int) (mean, bound float64, n int) {
-	to = min(to, len(s.Worth[Design]), len(s.Worth[rival]))
+func (s Site) difference(policy string, from, to int) (mean, bound float64, n int) {
+	to = min(to, len(s.ServedWeight[Design]), len(s.ServedWeight[policy]))
 	sum, squares := 0.0, 0.0
 	for i := from; i < to; i++ {
-		d := s.Worth[rival][i] - s.Worth[Design][i]
+		d := s.ServedWeight[policy][i] - s.ServedWeight[Design][i]
 		sum, squares, n = sum+d, squares+d*d, n+1
 	}
 	if n < 2 {
@@ -69,22 +69,22 @@
 	}
 	mean = sum / float64(n)
 	variance := max(squares-sum*mean, 0) / float64(n-1)
-	return mean, report.Student(float64(n-1)) * math.Sqrt(variance/float64(n)), n
+	return mean, report.StudentQuantile(float64(n-1)) * math.Sqrt(variance/float64(n)), n
 }
 
 // Summary is what a search came to.
 type Summary struct {
-	Sites   int
-	Regrets []float64 // in rising order
-	Behind  int       // sites where the design is surely behind the best rival by more than Behind
-	Rivals  []Versus
-	Broken  map[string]int // sites on which a policy broke a rule
-	Worst   []Finding      // by regret, the largest first
+	Sites               int
+	Regrets             []float64 // in rising order
+	Behind              int       // sites where the design is surely behind the best rival by more than Behind
+	Baselines           []Comparison
+	SitesWithViolations map[string]int // sites on which a policy broke a rule
+	Worst               []Finding      // by regret, the largest first
 }
 
-// Versus compares the design with one rival on all sites.
-type Versus struct {
-	Rival         string
+// Comparison compares the design with one rival on all sites.
+type Comparison struct {
+	Baseline      string
 	Mean          float64 // of the rival's worth less the design's
 	Behind, Ahead int     // sites where the design is so by more than Behind
 }
@@ -92,40 +92,40 @@
 // Finding is a site on which the design is behind.
 type Finding struct {
 	Site
-	Judged Regret
+	Regret Regret
 }
 
 // Summarise judges all sites of a search.
 func Summarise(b *Bounds, sites []Site) Summary {
-	out := Summary{Sites: len(sites), Broken: map[string]int{}}
-	for _, rival := range b.Rivals {
-		out.Rivals = append(out.Rivals, Versus{Rival: rival})
+	out := Summary{Sites: len(sites), SitesWithViolations: map[string]int{}}
+	for _, policy := range b.Baselines {
+		out.Baselines = append(out.Baselines, Comparison{Baseline: policy})
 	}
 	for _, s := range sites {
 		r := s.Regret(b.Repeats)
 		out.Regrets = append(out.Regrets, r.Mean)
-		if r.Sure() {
+		if r.Significant() {
 			out.Behind++
 			out.Worst = append(out.Worst, Finding{s, r})
 		}
-		for i := range out.Rivals {
-			v := &out.Rivals[i]
-			d := s.Against(v.Rival)
+		for i := range out.Baselines {
+			v := &out.Baselines[i]
+			d := s.BaselineLead(v.Baseline)
 			v.Mean += d / float64(len(sites))
-			if d > Behind {
+			if d > minRegret {
 				v.Behind++
-			} else if d < -Behind {
+			} else if d < -minRegret {
 				v.Ahead++
 			}
 		}
-		for policy, rules := range s.Broken {
+		for policy, rules := range s.ViolatedRules {
 			if len(rules) > 0 {
-				out.Broken[policy]++
+				out.SitesWithViolations[policy]++
 			}
 		}
 	}
 	slices.Sort(out.Regrets)
-	slices.SortStableFunc(out.Worst, func(x, y Finding) int { return cmp.Compare(y.Judged.Mean, x.Judged.Mean) })
+	slices.SortStableFunc(out.Worst, func(x, y Finding) int { return cmp.Compare(y.Regret.Mean, x.Regret.Mean) })
 	return out
 }
 
@@ -139,27 +139,27 @@
 
 // Text writes a summary, with the worst sites drawn again for their description.
 func (s Summary) Text(w io.Writer, b *Bounds, seed uint64, worst int) {
-	share := float64(s.Behind) / max(float64(s.Sites), 1)
+	fraction := float64(s.Behind) / max(float64(s.Sites), 1)
 	fmt.Fprintf(w, "%d sites: the design is behind the best of %d rivals by more than 1 point, and by more than noise, on %d (%.2f%%, ±%.2f)\n",
-		s.Sites, len(s.Rivals), s.Behind, 100*share, 196*math.Sqrt(share*(1-share)/max(float64(s.Sites), 1)))
+		s.Sites, len(s.Baselines), s.Behind, 100*fraction, 196*math.Sqrt(fraction*(1-fraction)/max(float64(s.Sites), 1)))
 	fmt.Fprint(w, "regret in points:")
 	for _, q := range []float64{0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 1} {
 		fmt.Fprintf(w, "  %g%%: %.2f", 100*q, 100*s.Quantile(q))
 	}
 	fmt.Fprintf(w, "\n%-18s %12s %12s %14s %14s\n", "rival", "behind it", "ahead of it", "mean, points", "it broke rules")
-	for _, v := range s.Rivals {
-		fmt.Fprintf(w, "%-18s %11.2f%% %11.2f%% %+14.3f %13.2f%%\n", v.Rival, 100*float64(v.Behind)/float64(s.Sites),
-			100*float64(v.Ahead)/float64(s.Sites), -100*v.Mean, 100*float64(s.Broken[v.Rival])/float64(s.Sites))
+	for _, v := range s.Baselines {
+		fmt.Fprintf(w, "%-18s %11.2f%% %11.2f%% %+14.3f %13.2f%%\n", v.Baseline, 100*float64(v.Behind)/float64(s.Sites),
+			100*float64(v.Ahead)/float64(s.Sites), -100*v.Mean, 100*float64(s.SitesWithViolations[v.Baseline])/float64(s.Sites))
 	}
-	fmt.Fprintf(w, "the design broke rules on %d sites\n", s.Broken[Design])
+	fmt.Fprintf(w, "the design broke rules on %d sites\n", s.SitesWithViolations[Design])
 	for i, f := range s.Worst[:min(worst, len(s.Worst))] {
-		fmt.Fprintf(w, "%2d. site %d: %.1f ±%.1f points behind %s, refused or failed %.1f%%%s: %s\n", i+1, f.N, 100*f.Judged.Mean,
-			100*f.Judged.Bound, f.Judged.Rival, 100*f.Failed[0], reasons(f.Why), Describe(Draw(b, seed, f.N)))
+		fmt.Fprintf(w, "%2d. site %d: %.1f ±%.1f points behind %s, refused or failed %.1f%%%s: %s\n", i+1, f.N, 100*f.Regret.Mean,
+			100*f.Regret.Bound, f.Regret.Baseline, 100*f.Failed[0], formatReasons(f.Reasons), Describe(Draw(b, seed, f.N)))
 	}
 }
 
-// reasons words why requests were not served.
-func reasons(why report.Reasons) string {
+// formatReasons words why requests were not served.
+func formatReasons(why report.Reasons) string {
 	if len(why) == 0 {
 		return ""
 	}
@@ -174,25 +174,25 @@
 		if i > 0 {
 			out += " > "
 		}
-		out += fmt.Sprint(t.Boxes)
+		out += fmt.Sprint(t.Servers)
 	}
 	capacity, work := 0.0, 0.0
 	for _, k := range s.Tiers[0].Kinds {
-		capacity += k.Share * float64(k.Cores) * k.Speed * float64(s.Tiers[0].Boxes)
+		capacity += k.Fraction * float64(k.Cores) * k.Speed * float64(s.Tiers[0].Servers)
 	}
 	shares := 0.0
 	for _, c := range s.Classes {
-		work += c.Share * (c.Hits*c.HitWork.Seconds() + (1-c.Hits)*c.Work.Seconds())
-		shares += c.Share
+		work += c.TrafficShare * (c.CacheHitRatio*c.CacheHitWork.Seconds() + (1-c.CacheHitRatio)*c.Work.Seconds())
+		shares += c.TrafficShare
 	}
-	out += fmt.Sprintf(" boxes, %.3g/s (load %.2f) of %.3g ms for %v", e.Load.Rate, e.Load.Rate*work/shares*s.Tiers[0].Work/capacity,
+	out += fmt.Sprintf(" boxes, %.3g/s (load %.2f) of %.3g ms for %v", e.Load.Rate, e.Load.Rate*work/shares*s.Tiers[0].WorkFraction/capacity,
 		1000*work/shares, e.Duration)
 	for _, c := range s.Classes {
-		out += fmt.Sprintf(", %s aim %v", c.Spread, c.Aim)
-		if c.Hits > 0 {
-			out += fmt.Sprintf(" hits %g of %v", c.Hits, c.HitWork)
+		out += fmt.Sprintf(", %s aim %v", c.Distribution, c.LatencyObjective)
+		if c.CacheHitRatio > 0 {
+			out += fmt.Sprintf(" hits %g of %v", c.CacheHitRatio, c.CacheHitWork)
 		}
-		if c.Effect != 0 {
+		if c.Repeat != 0 {
 			out += " unsafe"
 		}
 	}
@@ -200,7 +200,7 @@
 		out += fmt.Sprintf(", step x%g at %v", st.Factor, st.At)
 	}
 	for _, f := range e.Faults {
-		out += fmt.Sprintf(", %s at %v for %v (%g of %s, size %g)", f.Kind, f.At, f.For, f.Part, cmp.Or(f.Tier, "all"), f.Size)
+		out += fmt.Sprintf(", %s at %v for %v (%g of %s, size %g)", f.Kind, f.At, f.Duration, f.Fraction, cmp.Or(f.Tier, "all"), f.Size)
 	}
 	return out
 }
--- a/internal/experiment/search/search.go
+++ b/internal/experiment/search/search.go
@@ -23,12 +23,12 @@
 
 // Site is what the plays of one site came to.
 type Site struct {
-	N        int                  `json:"site"`
-	Worth    map[string][]float64 `json:"worth"`            // served in time, as a share, by policy and repeat
-	Failed   []float64            `json:"failed"`           // share of requests that the design refused or failed, by repeat
-	Why      report.Reasons       `json:"why,omitempty"`    // the design refused or failed requests, by reason, in the first repeat
-	Broken   map[string][]string  `json:"broken,omitempty"` // rules, by policy
-	Requests int64                `json:"requests"`         // in the first repeat
+	N             int                  `json:"site"`
+	ServedWeight  map[string][]float64 `json:"worth"`            // served in time, as a share, by policy and repeat
+	Failed        []float64            `json:"failed"`           // share of requests that the design refused or failed, by repeat
+	Reasons       report.Reasons       `json:"why,omitempty"`    // the design refused or failed requests, by reason, in the first repeat
+	ViolatedRules map[string][]string  `json:"broken,omitempty"` // rules, by policy
+	Requests      int64                `json:"requests"`         // in the first repeat
 }
 
 // header is the first line of a file of results: what they hang on beside the program.
@@ -51,7 +51,7 @@
 func Run(ctx context.Context, b *Bounds, o Options) error {
 	h := header{b.Name, b.Digest, o.Seed}
 	done := map[int]bool{}
-	whole, err := scan(o.Out, func(found header) error {
+	complete, err := scanResults(o.Out, func(found header) error {
 		if found != h {
 			return fmt.Errorf("%s holds results of other bounds or another seed (search %q, seed %d)", o.Out, found.Search, found.Seed)
 		}
@@ -65,14 +65,14 @@
 		return err
 	}
 	defer f.Close()
-	if err := f.Truncate(whole); err != nil { // what a kill left of a line
+	if err := f.Truncate(complete); err != nil { // what a kill left of a line
 		return err
 	}
-	if _, err := f.Seek(whole, io.SeekStart); err != nil {
+	if _, err := f.Seek(complete, io.SeekStart); err != nil {
 		return err
 	}
-	if whole == 0 {
-		if err := line(f, h); err != nil {
+	if complete == 0 {
+		if err := writeLine(f, h); err != nil {
 			return err
 		}
 	}
@@ -101,7 +101,7 @@
 			if o.Progress != nil {
 				o.Progress(played, o.To-o.From)
 			}
-			return line(f, s)
+			return writeLine(f, s)
 		})
 	}
 	if err := group.Wait(); err != nil {
@@ -110,7 +110,7 @@
 	return ctx.Err()
 }
 
-func line(w io.Writer, v any) error {
+func writeLine(w io.Writer, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -122,15 +122,15 @@
 // Read gives the sites of a file of results, in order.
 func Read(path string) ([]Site, error) {
 	var sites []Site
-	if _, err := scan(path, func(header) error { return nil }, func(s Site) { sites = append(sites, s) }); err != nil {
+	if _, err := scanResults(path, func(header) error { return nil }, func(s Site) { sites = append(sites, s) }); err != nil {
 		return nil, err
 	}
 	slices.SortFunc(sites, func(x, y Site) int { return x.N - y.N })
 	return slices.CompactFunc(sites, func(x, y Site) bool { return x.N == y.N }), nil
 }
 
-// scan reads a file of results and tells up to where its lines are whole.
-func scan(path string, head func(header) error, each func(Site)) (whole int64, err error) {
+// scanResults reads a file of results and tells up to where its lines are whole.
+func scanResults(path string, checkHeader func(header) error, addSite func(Site)) (complete int64, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return 0, err
@@ -140,53 +140,53 @@
 	for n := 1; ; n++ {
 		text, err := r.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return whole, nil
+			return complete, nil
 		}
 		if err != nil {
-			return whole, err
+			return complete, err
 		}
 		if n == 1 {
 			var h header
 			if err := json.Unmarshal(text, &h); err != nil || h.Search == "" {
-				return whole, fmt.Errorf("%s:1: no file of a search's results", path)
+				return complete, fmt.Errorf("%s:1: no file of a search's results", path)
 			}
-			if err := head(h); err != nil {
-				return whole, err
+			if err := checkHeader(h); err != nil {
+				return complete, err
 			}
 		} else {
 			var s Site
 			if err := json.Unmarshal(text, &s); err != nil {
-				return whole, fmt.Errorf("%s:%d: %w", path, n, err)
+				return complete, fmt.Errorf("%s:%d: %w", path, n, err)
 			}
-			each(s)
+			addSite(s)
 		}
-		whole += int64(len(text))
+		complete += int64(len(text))
 	}
 }
 
 // Play plays one site: the design and its rivals with common random numbers, and more often where the design seems behind.
 func Play(ctx context.Context, b *Bounds, seed uint64, n int) (Site, error) {
 	e := Draw(b, seed, n)
-	s := Site{N: n, Worth: map[string][]float64{}, Broken: map[string][]string{}}
-	for repeat := range b.More {
-		if repeat >= b.Repeats && s.Regret(b.Repeats).chosenBy <= b.Seems {
+	s := Site{N: n, ServedWeight: map[string][]float64{}, ViolatedRules: map[string][]string{}}
+	for repeat := range b.MoreRepeats {
+		if repeat >= b.Repeats && s.Regret(b.Repeats).selectionMean <= b.SuspectRegret {
 			break
 		}
-		for _, policy := range append([]string{Design}, b.Rivals...) {
+		for _, policy := range append([]string{Design}, b.Baselines...) {
 			got, err := play(ctx, e, policy, uint64(repeat)+1)
 			if err != nil {
 				return s, err
 			}
-			s.Worth[policy] = append(s.Worth[policy], got.Worth)
+			s.ServedWeight[policy] = append(s.ServedWeight[policy], got.servedWeight)
 			if policy == Design {
-				s.Failed = append(s.Failed, got.Failed)
+				s.Failed = append(s.Failed, got.failed)
 				if repeat == 0 {
-					s.Requests, s.Why = got.Requests, got.Why
+					s.Requests, s.Reasons = got.requests, got.reasons
 				}
 			}
-			for _, rule := range got.Broken {
-				if !slices.Contains(s.Broken[policy], rule) {
-					s.Broken[policy] = append(s.Broken[policy], rule)
+			for _, rule := range got.violatedRules {
+				if !slices.Contains(s.ViolatedRules[policy], rule) {
+					s.ViolatedRules[policy] = append(s.ViolatedRules[policy], rule)
 				}
 			}
 		}
@@ -199,19 +199,19 @@
 	e := Draw(b, seed, n)
 	fmt.Fprintln(w, Describe(e))
 	for _, t := range e.Site.Tiers {
-		fmt.Fprintf(w, "%s: %d boxes, %g of the work, %d calls below, cold from %g for %v, choked at %g, kinds", t.Name, t.Boxes, t.Work, t.Calls,
-			t.Box.ColdFrom, t.Box.ColdFor, t.Box.ChokeAt)
+		fmt.Fprintf(w, "%s: %d boxes, %g of the work, %d calls below, cold from %g for %v, choked at %g, kinds", t.Name, t.Servers, t.WorkFraction, t.Calls,
+			t.Server.InitialCapacity, t.Server.WarmupTime, t.Server.CollapseQueue)
 		for _, k := range t.Kinds {
-			fmt.Fprintf(w, " %g of %d cores at %g, %d slots, queue %d;", k.Share, k.Cores, k.Speed, k.Slots, k.Queue)
+			fmt.Fprintf(w, " %g of %d cores at %g, %d slots, queue %d;", k.Fraction, k.Cores, k.Speed, k.Slots, k.QueueLimit)
 		}
 		fmt.Fprintln(w)
 	}
-	for _, policy := range append([]string{Design}, b.Rivals...) {
+	for _, policy := range append([]string{Design}, b.Baselines...) {
 		got, err := play(ctx, e, policy, 1)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "%-18s %6.2f%% of the worth, refused or failed %.2f%%%s %v\n", policy, 100*got.Worth, 100*got.Failed, reasons(got.Why), got.Broken)
+		fmt.Fprintf(w, "%-18s %6.2f%% of the worth, refused or failed %.2f%%%s %v\n", policy, 100*got.servedWeight, 100*got.failed, formatReasons(got.reasons), got.violatedRules)
 		if policy == Design {
 			for _, l := range got.logs {
 				fmt.Fprintln(w, "   ", l)
@@ -221,28 +221,28 @@
 	return nil
 }
 
-// played is one play of one policy.
-type played struct {
-	Worth, Failed float64
-	Requests      int64
-	Broken        []string
-	Why           report.Reasons
-	logs          []string
+// outcome is one play of one policy.
+type outcome struct {
+	servedWeight, failed float64
+	requests             int64
+	violatedRules        []string
+	reasons              report.Reasons
+	logs                 []string
 }
 
-func play(ctx context.Context, e *experiment.Experiment, policy string, seed uint64) (played, error) {
-	got, err := virtual.Run(ctx, e, experiment.Arm{Name: policy, Policy: policy}, seed, virtual.Options{})
+func play(ctx context.Context, e *experiment.Experiment, policy string, seed uint64) (outcome, error) {
+	got, err := virtual.Run(ctx, e, experiment.Variant{Name: policy, Policy: policy}, seed, virtual.Options{})
 	if err != nil {
-		return played{}, err
+		return outcome{}, err
 	}
-	t := got.Tally
-	out := played{Worth: 1, Failed: t.Total.Share(counters.Refused) + t.Total.Share(counters.Failed), Requests: t.Total.Offered(), Why: t.Why, logs: got.Logs}
-	if t.Worth > 0 {
-		out.Worth = t.Earned / t.Worth
+	t := got.Counters
+	out := outcome{servedWeight: 1, failed: t.Total.Fraction(counters.Rejected) + t.Total.Fraction(counters.Failed), requests: t.Total.Offered(), reasons: t.Reasons, logs: got.Logs}
+	if t.OfferedWeight > 0 {
+		out.servedWeight = t.ServedWeight / t.OfferedWeight
 	}
 	for _, v := range got.Verdicts {
-		if v.Broken > 0 {
-			out.Broken = append(out.Broken, string(v.Rule))
+		if v.Violations > 0 {
+			out.violatedRules = append(out.violatedRules, string(v.Rule))
 		}
 	}
 	return out, nil
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -32,7 +32,7 @@
 }
 `
 
-func bounds(t *testing.T, text string) *Bounds {
+func parseBounds(t *testing.T, text string) *Bounds {
 	t.Helper()
 	b, err := Parse([]byte(text), "small.hcl")
 	if err != nil {
@@ -42,7 +42,7 @@
 }
 
 func TestDrawnSitesAreWithinTheirBounds(t *testing.T) {
-	b := bounds(t, small)
+	b := parseBounds(t, small)
 	struck := map[experiment.FaultKind]bool{}
 	for n := range 300 {
 		e := Draw(b, 7, n)
@@ -50,10 +50,10 @@
 			t.Fatalf("site %d is drawn differently the second time", n)
 		}
 		s := e.Site
-		if s.Balancers < 1 || s.Balancers > 4 || s.Tiers[0].Boxes < 1 || s.Tiers[0].Boxes > 6 || len(s.Tiers) > 2 || len(s.Classes) > 2 {
+		if s.Balancers < 1 || s.Balancers > 4 || s.Tiers[0].Servers < 1 || s.Tiers[0].Servers > 6 || len(s.Tiers) > 2 || len(s.Classes) > 2 {
 			t.Fatalf("site %d is out of bounds: %s", n, Describe(e))
 		}
-		if s.Tiers[0].Boxes > 1 && s.Tiers[0].Boxes*s.Balancers > 20 {
+		if s.Tiers[0].Servers > 1 && s.Tiers[0].Servers*s.Balancers > 20 {
 			t.Fatalf("site %d has more pairs than it may: %s", n, Describe(e))
 		}
 		if e.Load.Rate > 200 || e.Load.Rate*e.Duration.Seconds() > 320 {
@@ -61,7 +61,7 @@
 		}
 		for _, f := range e.Faults {
 			struck[f.Kind] = true
-			if _, known := experiment.FaultKinds[f.Kind]; !known || f.At <= 0 && f.Kind != experiment.RosterSilent || f.Part <= 0 || f.Part > 1 {
+			if _, known := experiment.FaultKinds[f.Kind]; !known || f.At <= 0 && f.Kind != experiment.DiscoverySilence || f.Fraction <= 0 || f.Fraction > 1 {
 				t.Fatalf("site %d: %+v", n, f)
 			}
 		}
@@ -73,7 +73,7 @@
 
 // A run that is killed within a line goes on and comes to the same as one that was not.
 func TestARunGoesOnWhereItWas(t *testing.T) {
-	b := bounds(t, small)
+	b := parseBounds(t, small)
 	dir := t.TempDir()
 	whole, cut := filepath.Join(dir, "whole"), filepath.Join(dir, "cut")
 	if err := Run(t.Context(), b, Options{Seed: 3, To: 6, Out: whole}); err != nil {
@@ -119,21 +119,21 @@
 }
 
 func TestRegretIsMeasuredOnPlaysThatDidNotChooseTheRival(t *testing.T) {
-	s := Site{Worth: map[string][]float64{
+	s := Site{ServedWeight: map[string][]float64{
 		Design: {0.5, 0.5, 0.5, 0.5, 0.5},
 		"a":    {0.9, 0.7, 0.55, 0.53, 0.54},
 		"b":    {0.6, 0.6, 0.9, 0.9, 0.9},
 	}}
 	r := s.Regret(2)
-	if r.Rival != "a" || r.Mean < 0.039 || r.Mean > 0.041 || r.Bound < 0.024 || r.Bound > 0.026 || !r.Sure() {
+	if r.Baseline != "a" || r.Mean < 0.039 || r.Mean > 0.041 || r.Bound < 0.024 || r.Bound > 0.026 || !r.Significant() {
 		t.Errorf("regret is %+v; 0.04 ±0.025 against a is right", r)
 	}
-	s.Worth["a"] = []float64{0.9, 0.7, 0.5, 0.58, 0.54}
-	if r := s.Regret(2); r.Sure() {
+	s.ServedWeight["a"] = []float64{0.9, 0.7, 0.5, 0.58, 0.54}
+	if r := s.Regret(2); r.Significant() {
 		t.Errorf("%+v passes for more than noise", r)
 	}
-	s.Worth = map[string][]float64{Design: {0.5, 0.5}, "a": {0.501, 0.502}}
-	if r := s.Regret(2); r.Sure() || r.Mean <= 0 {
+	s.ServedWeight = map[string][]float64{Design: {0.5, 0.5}, "a": {0.501, 0.502}}
+	if r := s.Regret(2); r.Significant() || r.Mean <= 0 {
 		t.Errorf("two plays that chose the rival prove %+v", r)
 	}
 }
--- a/internal/experiment/server/heap.go
+++ b/internal/experiment/server/heap.go
@@ -1,32 +1,32 @@
 package server
 
-// jobs is a binary heap of running jobs, the one that ends first on top. container/heap would box every job in an
+// jobHeap is a binary heap of running jobs, the one that ends first on top. container/heap would box every job in an
 // interface on the lab's hottest path; each job knows its spot, so that one can leave early.
-type jobs []*Job
+type jobHeap []*Job
 
-func (h jobs) less(i, j int) bool {
-	return h[i].finish < h[j].finish || h[i].finish == h[j].finish && h[i].seq < h[j].seq
+func (h jobHeap) less(i, j int) bool {
+	return h[i].finishClock < h[j].finishClock || h[i].finishClock == h[j].finishClock && h[i].seq < h[j].seq
 }
 
-func (h jobs) swap(i, j int) {
+func (h jobHeap) swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].spot, h[j].spot = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-func (h *jobs) push(j *Job) {
-	j.spot = len(*h)
+func (h *jobHeap) push(j *Job) {
+	j.heapIndex = len(*h)
 	*h = append(*h, j)
-	h.up(j.spot)
+	h.up(j.heapIndex)
 }
 
-func (h *jobs) pop() *Job {
+func (h *jobHeap) pop() *Job {
 	j := (*h)[0]
 	h.remove(j)
 	return j
 }
 
-func (h *jobs) remove(j *Job) {
-	i, last := j.spot, len(*h)-1
+func (h *jobHeap) remove(j *Job) {
+	i, last := j.heapIndex, len(*h)-1
 	h.swap(i, last)
 	(*h)[last] = nil
 	*h = (*h)[:last]
@@ -36,7 +36,7 @@
 	}
 }
 
-func (h jobs) up(i int) {
+func (h jobHeap) up(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !h.less(i, parent) {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (h jobs) down(i int) {
+func (h jobHeap) down(i int) {
 	for {
 		least := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(h); child++ {
--- a/internal/experiment/server/server.go
+++ b/internal/experiment/server/server.go
@@ -14,17 +14,17 @@
 	"rowancart/internal/experiment"
 )
 
-// coldStep is how finely the growth of a cold box's capacity is followed.
-const coldStep = 20 * time.Millisecond
+// warmupStep is how finely the growth of a cold box's capacity is followed.
+const warmupStep = 20 * time.Millisecond
 
-// Verdict is what becomes of a request that arrives.
-type Verdict int
+// Admission is what becomes of a request that arrives.
+type Admission int
 
 // The verdicts.
 const (
-	Admitted Verdict = iota // it has a slot, or will have one
-	Declined                // turned away unseen
-	Dead                    // nobody is there to answer
+	Admitted    Admission = iota // it has a slot, or will have one
+	Rejected                     // turned away unseen
+	Unavailable                  // nobody is there to answer
 )
 
 // Job is a request in a box. The driver makes it and keeps it until the box says that it is over.
@@ -32,377 +32,379 @@
 	Owner any     // the driver's
 	Work  float64 // seconds on a core of speed 1, until the next time that the box hands the job back
 
-	phase  phase
-	finish float64 // reading of the box's work clock at which it is through
-	spot   int     // in the heap of running jobs
-	seq    uint64  // tells jobs of the same finish apart
-	box    *Box
-	life   int // of the box, when it came
+	phase       phase
+	finishClock float64 // reading of the box's work clock at which it is through
+	heapIndex   int     // in the heap of running jobs
+	seq         uint64  // tells jobs of the same finish apart
+	server      *Server
+	incarnation int // of the box, when it came
 }
 
 type phase int
 
 const (
-	fresh phase = iota
+	notAdmitted phase = iota
 	queued
 	running
-	holding // has a slot and does not compute
-	over
+	blocked // has a slot and does not compute
+	finished
 )
 
-// Over tells whether the box has forgotten the job.
-func (j *Job) Over() bool { return j.phase == over || j.box != nil && j.life != j.box.life }
-
-// Box is one server.
-type Box struct {
-	kind experiment.Kind
-	spec experiment.BoxSpec
-	rule experiment.Rules
-	rng  *rand.Rand
-
-	now     time.Duration
-	started time.Duration // latest start; negative: long ago
-	slow    float64       // the machine's speed is divided by this
-	drain   bool
-	down    bool
-	life    int // crashes so far
-
-	clock float64 // attained work of a job that has run since the box began
-	heap  jobs
-	queue []*Job
-	head  int
-	held  int // slots in use
-	seq   uint64
+// Finished tells whether the box has forgotten the job.
+func (j *Job) Finished() bool {
+	return j.phase == finished || j.server != nil && j.incarnation != j.server.incarnation
+}
+
+// Server is one server.
+type Server struct {
+	kind  experiment.Kind
+	spec  experiment.ServerSpec
+	rules experiment.Rules
+	rng   *rand.Rand
+
+	now         time.Duration
+	started     time.Duration // latest start; negative: long ago
+	slowdown    float64       // the machine's speed is divided by this
+	draining    bool
+	down        bool
+	incarnation int // crashes so far
+
+	workClock float64 // attained work of a job that has run since the box began
+	running   jobHeap
+	queue     []*Job
+	queueHead int
+	slotsUsed int // slots in use
+	seq       uint64
 
 	conns int
 
-	overSince time.Duration // too many wait since; negative: not so
-	idleSince time.Duration
-	chokedAt  time.Duration // negative: not choked
-
-	recent  []arrival // within the window of the rule on cold boxes
-	sum     float64
-	peak    float64
-	fell    bool
-	reports []reading
-	noted   time.Duration // latest refresh that the readings cover
-	busy    float64       // core seconds used
+	overloadedSince time.Duration // too many wait since; negative: not so
+	recoveringSince time.Duration
+	collapsedAt     time.Duration // negative: not choked
+
+	recentWork    []workArrival // within the window of the rule on cold boxes
+	recentWorkSum float64
+	warmupPeak    float64
+	fellOver      bool
+	loadReports   []loadReading
+	reportedAt    time.Duration // latest refresh that the readings cover
+	coreSeconds   float64       // core seconds used
 }
 
-type arrival struct {
+type workArrival struct {
 	at   time.Duration
 	work float64
 }
 
-type reading struct {
-	at   time.Duration
-	held float64
+type loadReading struct {
+	at       time.Duration
+	inFlight float64
 }
 
 // never stands for an instant that does not come.
 const never = time.Duration(math.MaxInt64)
 
 // New returns a box that started at the instant given, a negative one meaning long ago.
-func New(kind experiment.Kind, spec experiment.BoxSpec, rules experiment.Rules, started time.Duration, rng *rand.Rand) *Box {
-	return &Box{kind: kind, spec: spec, rule: rules, rng: rng, started: started, slow: 1, overSince: -1, idleSince: -1,
-		chokedAt: -1, now: max(started, 0)}
+func New(kind experiment.Kind, spec experiment.ServerSpec, rules experiment.Rules, started time.Duration, rng *rand.Rand) *Server {
+	return &Server{kind: kind, spec: spec, rules: rules, rng: rng, started: started, slowdown: 1, overloadedSince: -1, recoveringSince: -1,
+		collapsedAt: -1, now: max(started, 0)}
 }
 
 // Started is the instant of the latest start, negative if that was long ago.
-func (b *Box) Started() time.Duration { return b.started }
+func (s *Server) Started() time.Duration { return s.started }
 
-// Held is how many requests the box has, waiting ones included.
-func (b *Box) Held() int { return b.held + b.waiting() }
+// InFlight is how many requests the box has, waiting ones included.
+func (s *Server) InFlight() int { return s.slotsUsed + s.queued() }
 
-// InSlots is how many requests have a slot.
-func (b *Box) InSlots() int { return b.held }
+// SlotsUsed is how many requests have a slot.
+func (s *Server) SlotsUsed() int { return s.slotsUsed }
 
-// Busy is the core time used so far, in seconds.
-func (b *Box) Busy() float64 { return b.busy }
+// CoreSeconds is the core time used so far, in seconds.
+func (s *Server) CoreSeconds() float64 { return s.coreSeconds }
 
-func (b *Box) waiting() int { return len(b.queue) - b.head }
+func (s *Server) queued() int { return len(s.queue) - s.queueHead }
 
-// Warmth is the share of its capacity that the box has.
-func (b *Box) Warmth(now time.Duration) float64 {
-	if b.started < 0 || b.spec.ColdFor <= 0 || now-b.started >= b.spec.ColdFor {
+// CapacityFraction is the share of its capacity that the box has.
+func (s *Server) CapacityFraction(now time.Duration) float64 {
+	if s.started < 0 || s.spec.WarmupTime <= 0 || now-s.started >= s.spec.WarmupTime {
 		return 1
 	}
-	return b.spec.ColdFrom + (1-b.spec.ColdFrom)*float64(max(now-b.started, 0))/float64(b.spec.ColdFor)
+	return s.spec.InitialCapacity + (1-s.spec.InitialCapacity)*float64(max(now-s.started, 0))/float64(s.spec.WarmupTime)
 }
 
 // Capacity is the work that the box can do now, in seconds a second. Faults that slow it do not count: they are not
 // what senders can know.
-func (b *Box) Capacity(now time.Duration) float64 {
-	return float64(b.kind.Cores) * b.kind.Speed * b.Warmth(now)
+func (s *Server) Capacity(now time.Duration) float64 {
+	return float64(s.kind.Cores) * s.kind.Speed * s.CapacityFraction(now)
 }
 
-// rate is the progress of each running job, in work a second.
-func (b *Box) rate(now time.Duration) float64 {
-	n := len(b.heap)
-	if n == 0 || b.down {
+// workRate is the progress of each running job, in work a second.
+func (s *Server) workRate(now time.Duration) float64 {
+	n := len(s.running)
+	if n == 0 || s.down {
 		return 0
 	}
-	speed := b.kind.Speed * b.Warmth(now) / b.slow
-	if b.chokedAt >= 0 {
-		speed /= b.spec.ChokeSlower
+	speed := s.kind.Speed * s.CapacityFraction(now) / s.slowdown
+	if s.collapsedAt >= 0 {
+		speed /= s.spec.CollapseSlowdown
 	}
-	return speed * min(1, float64(b.kind.Cores)/float64(n))
+	return speed * min(1, float64(s.kind.Cores)/float64(n))
 }
 
-// Next is the instant at which the box wants Advance, or a very late one.
-func (b *Box) Next() time.Duration {
+// NextEvent is the instant at which the box wants Advance, or a very late one.
+func (s *Server) NextEvent() time.Duration {
 	next := never
-	if r := b.rate(b.now); r > 0 {
-		left := max(b.heap[0].finish-b.clock, 0) / r
-		next = b.now + time.Duration(math.Round(left*1e9)) // Advance lets pass what rounding leaves
-		if b.Warmth(b.now) < 1 {
-			next = min(next, b.now+coldStep)
+	if r := s.workRate(s.now); r > 0 {
+		left := max(s.running[0].finishClock-s.workClock, 0) / r
+		next = s.now + time.Duration(math.Round(left*1e9)) // Advance lets pass what rounding leaves
+		if s.CapacityFraction(s.now) < 1 {
+			next = min(next, s.now+warmupStep)
 		}
 	}
-	if b.overSince >= 0 && b.chokedAt < 0 {
-		next = min(next, b.overSince+b.spec.ChokeOver)
+	if s.overloadedSince >= 0 && s.collapsedAt < 0 {
+		next = min(next, s.overloadedSince+s.spec.CollapseAfter)
 	}
-	if b.chokedAt >= 0 {
-		if b.spec.ChokeMost > 0 {
-			next = min(next, b.chokedAt+b.spec.ChokeMost)
+	if s.collapsedAt >= 0 {
+		if s.spec.MaxCollapse > 0 {
+			next = min(next, s.collapsedAt+s.spec.MaxCollapse)
 		}
-		if b.idleSince >= 0 {
-			next = min(next, b.idleSince+b.spec.ChokeRest)
+		if s.recoveringSince >= 0 {
+			next = min(next, s.recoveringSince+s.spec.RecoveryAfter)
 		}
 	}
-	return max(next, b.now)
+	return max(next, s.now)
 }
 
 // Advance moves the box to an instant and appends to done the jobs whose work is through, in order. Each keeps its slot:
 // the driver resumes or ends it. The driver must not let more time pass than until Next.
-func (b *Box) Advance(now time.Duration, done []*Job) []*Job {
-	if now > b.now {
-		if r := b.rate(b.now); r > 0 {
-			b.clock += r * (now - b.now).Seconds()
-			b.busy += (now - b.now).Seconds() * min(float64(len(b.heap)), float64(b.kind.Cores))
+func (s *Server) Advance(now time.Duration, done []*Job) []*Job {
+	if now > s.now {
+		if r := s.workRate(s.now); r > 0 {
+			s.workClock += r * (now - s.now).Seconds()
+			s.coreSeconds += (now - s.now).Seconds() * min(float64(len(s.running)), float64(s.kind.Cores))
 		}
-		b.now = now
+		s.now = now
 	}
 	// Instants are whole nanoseconds: what is through but for less than that is through.
-	slack := b.rate(now) * 2e-9
-	for len(b.heap) > 0 && !b.down && b.heap[0].finish <= b.clock+slack {
-		j := b.heap.pop()
-		j.phase = holding
+	slack := s.workRate(now) * 2e-9
+	for len(s.running) > 0 && !s.down && s.running[0].finishClock <= s.workClock+slack {
+		j := s.running.pop()
+		j.phase = blocked
 		done = append(done, j)
 	}
-	b.choke()
+	s.updateCollapse()
 	return done
 }
 
-// choke follows the slow state of a crowded box.
-func (b *Box) choke() {
-	if b.spec.ChokeAt <= 0 || b.down {
+// updateCollapse follows the slow state of a crowded box.
+func (s *Server) updateCollapse() {
+	if s.spec.CollapseQueue <= 0 || s.down {
 		return
 	}
-	cores := float64(b.kind.Cores)
-	if float64(b.waiting()+max(b.held-b.kind.Cores, 0)) > b.spec.ChokeAt*cores {
-		if b.overSince < 0 {
-			b.overSince = b.now
+	cores := float64(s.kind.Cores)
+	if float64(s.queued()+max(s.slotsUsed-s.kind.Cores, 0)) > s.spec.CollapseQueue*cores {
+		if s.overloadedSince < 0 {
+			s.overloadedSince = s.now
 		}
 	} else {
-		b.overSince = -1
+		s.overloadedSince = -1
 	}
-	if b.chokedAt < 0 {
-		if b.overSince >= 0 && b.now-b.overSince >= b.spec.ChokeOver {
-			b.chokedAt, b.idleSince = b.now, -1
+	if s.collapsedAt < 0 {
+		if s.overloadedSince >= 0 && s.now-s.overloadedSince >= s.spec.CollapseAfter {
+			s.collapsedAt, s.recoveringSince = s.now, -1
 		}
 		return
 	}
-	if float64(b.Held()) < b.spec.ChokeBelow*cores {
-		if b.idleSince < 0 {
-			b.idleSince = b.now
+	if float64(s.InFlight()) < s.spec.RecoveryLoad*cores {
+		if s.recoveringSince < 0 {
+			s.recoveringSince = s.now
 		}
 	} else {
-		b.idleSince = -1
+		s.recoveringSince = -1
 	}
-	if b.idleSince >= 0 && b.now-b.idleSince >= b.spec.ChokeRest || b.spec.ChokeMost > 0 && b.now-b.chokedAt >= b.spec.ChokeMost {
-		b.chokedAt, b.overSince, b.idleSince = -1, -1, -1
+	if s.recoveringSince >= 0 && s.now-s.recoveringSince >= s.spec.RecoveryAfter || s.spec.MaxCollapse > 0 && s.now-s.collapsedAt >= s.spec.MaxCollapse {
+		s.collapsedAt, s.overloadedSince, s.recoveringSince = -1, -1, -1
 	}
 }
 
-// Choked tells whether the box is in its slow state.
-func (b *Box) Choked() bool { return b.chokedAt >= 0 }
+// Collapsed tells whether the box is in its slow state.
+func (s *Server) Collapsed() bool { return s.collapsedAt >= 0 }
 
-// Arrive takes a request whose last byte has come. total is all the work that it brings, for the rule on cold boxes;
+// Admit takes a request whose last byte has come. total is all the work that it brings, for the rule on cold boxes;
 // j.Work is the first part of it. The box must have been advanced to now.
-func (b *Box) Arrive(now time.Duration, j *Job, total float64) Verdict {
-	b.note()
-	if b.down {
-		return Dead
+func (s *Server) Admit(now time.Duration, j *Job, total float64) Admission {
+	s.recordLoad()
+	if s.down {
+		return Unavailable
 	}
-	b.press(now, total)
-	if b.down {
-		return Dead
+	s.recordWarmupWork(now, total)
+	if s.down {
+		return Unavailable
 	}
-	if b.drain || b.held >= b.kind.Slots && b.waiting() >= b.kind.Queue {
-		return Declined
+	if s.draining || s.slotsUsed >= s.kind.Slots && s.queued() >= s.kind.QueueLimit {
+		return Rejected
 	}
-	b.seq++
-	j.seq, j.box, j.life = b.seq, b, b.life
-	if b.held < b.kind.Slots {
-		b.held++
-		b.run(j)
+	s.seq++
+	j.seq, j.server, j.incarnation = s.seq, s, s.incarnation
+	if s.slotsUsed < s.kind.Slots {
+		s.slotsUsed++
+		s.startJob(j)
 	} else {
 		j.phase = queued
-		b.queue = append(b.queue, j)
+		s.queue = append(s.queue, j)
 	}
-	b.choke()
+	s.updateCollapse()
 	return Admitted
 }
 
-// press counts the work that arrives at a cold box, and knocks the box over when it is too much. One request is free:
+// recordWarmupWork counts the work that arrives at a cold box, and knocks the box over when it is too much. One request is free:
 // a box so small that a single one is over its budget can be sent nothing otherwise.
-func (b *Box) press(now time.Duration, work float64) {
-	if b.rule.FallOver <= 0 || b.Warmth(now) == 1 {
-		b.recent, b.sum = nil, 0
+func (s *Server) recordWarmupWork(now time.Duration, work float64) {
+	if s.rules.WarmupOverload <= 0 || s.CapacityFraction(now) == 1 {
+		s.recentWork, s.recentWorkSum = nil, 0
 		return
 	}
-	b.recent, b.sum = append(b.recent, arrival{now, work}), b.sum+work
-	for len(b.recent) > 0 && b.recent[0].at <= now-b.rule.FallWindow {
-		b.sum -= b.recent[0].work
-		b.recent = b.recent[1:]
+	s.recentWork, s.recentWorkSum = append(s.recentWork, workArrival{now, work}), s.recentWorkSum+work
+	for len(s.recentWork) > 0 && s.recentWork[0].at <= now-s.rules.OverloadWindow {
+		s.recentWorkSum -= s.recentWork[0].work
+		s.recentWork = s.recentWork[1:]
 	}
-	if len(b.recent) > 1 {
-		b.peak = max(b.peak, b.rule.FallOver*(b.sum-work)/b.Budget(now))
-		if b.sum-work > b.Budget(now) {
-			b.fell, b.down = true, true
+	if len(s.recentWork) > 1 {
+		s.warmupPeak = max(s.warmupPeak, s.rules.WarmupOverload*(s.recentWorkSum-work)/s.WarmupBudget(now))
+		if s.recentWorkSum-work > s.WarmupBudget(now) {
+			s.fellOver, s.down = true, true
 		}
 	}
 }
 
-// Budget is the work that a cold box may be sent within the rule's window, in seconds.
-func (b *Box) Budget(now time.Duration) float64 {
-	return b.rule.FallOver * b.Capacity(now) * b.rule.FallWindow.Seconds()
+// WarmupBudget is the work that a cold box may be sent within the rule's window, in seconds.
+func (s *Server) WarmupBudget(now time.Duration) float64 {
+	return s.rules.WarmupOverload * s.Capacity(now) * s.rules.OverloadWindow.Seconds()
 }
 
-// Peak is the most work that the box was sent within the rule's window while cold, in multiples of what it could do then.
-func (b *Box) Peak() float64 { return b.peak }
+// WarmupPeak is the most work that the box was sent within the rule's window while cold, in multiples of what it could do then.
+func (s *Server) WarmupPeak() float64 { return s.warmupPeak }
 
-// Fell tells whether the box was sent too much while cold and has fallen over.
-func (b *Box) Fell() bool { return b.fell }
+// FellOver tells whether the box was sent too much while cold and has fallen over.
+func (s *Server) FellOver() bool { return s.fellOver }
 
-func (b *Box) run(j *Job) {
-	j.phase, j.finish = running, b.clock+j.Work
-	b.heap.push(j)
+func (s *Server) startJob(j *Job) {
+	j.phase, j.finishClock = running, s.workClock+j.Work
+	s.running.push(j)
 }
 
 // Resume lets a job that waits compute on, for j.Work.
-func (b *Box) Resume(j *Job) {
-	if j.phase == holding && !j.Over() {
-		b.run(j)
+func (s *Server) Resume(j *Job) {
+	if j.phase == blocked && !j.Finished() {
+		s.startJob(j)
 	}
 }
 
-// End takes a job off the box and gives its slot to the next that waits. A job that is over already is left alone.
-func (b *Box) End(j *Job) {
-	if j.Over() {
+// Finish takes a job off the box and gives its slot to the next that waits. A job that is over already is left alone.
+func (s *Server) Finish(j *Job) {
+	if j.Finished() {
 		return
 	}
-	b.note()
+	s.recordLoad()
 	switch j.phase {
 	case queued:
-		for i := b.head; i < len(b.queue); i++ {
-			if b.queue[i] == j {
-				copy(b.queue[i:], b.queue[i+1:])
-				b.queue[len(b.queue)-1] = nil
-				b.queue = b.queue[:len(b.queue)-1]
+		for i := s.queueHead; i < len(s.queue); i++ {
+			if s.queue[i] == j {
+				copy(s.queue[i:], s.queue[i+1:])
+				s.queue[len(s.queue)-1] = nil
+				s.queue = s.queue[:len(s.queue)-1]
 				break
 			}
 		}
 	case running:
-		b.heap.remove(j)
-		b.release()
-	case holding:
-		b.release()
+		s.running.remove(j)
+		s.releaseSlot()
+	case blocked:
+		s.releaseSlot()
 	}
-	j.phase = over
-	b.choke()
+	j.phase = finished
+	s.updateCollapse()
 }
 
-func (b *Box) release() {
-	b.held--
-	if b.waiting() > 0 {
-		j := b.queue[b.head]
-		b.queue[b.head] = nil
-		b.head++
-		if b.head == len(b.queue) || b.head > 1024 {
-			b.queue = append(b.queue[:0], b.queue[b.head:]...)
-			b.head = 0
+func (s *Server) releaseSlot() {
+	s.slotsUsed--
+	if s.queued() > 0 {
+		j := s.queue[s.queueHead]
+		s.queue[s.queueHead] = nil
+		s.queueHead++
+		if s.queueHead == len(s.queue) || s.queueHead > 1024 {
+			s.queue = append(s.queue[:0], s.queue[s.queueHead:]...)
+			s.queueHead = 0
 		}
-		b.held++
-		b.run(j)
+		s.slotsUsed++
+		s.startJob(j)
 	}
 }
 
-// Slow sets how many times slower than usual the machine is. The box must have been advanced to now.
-func (b *Box) Slow(factor float64) { b.slow = factor }
+// SetSlowdown sets how many times slower than usual the machine is. The box must have been advanced to now.
+func (s *Server) SetSlowdown(factor float64) { s.slowdown = factor }
 
 // Drain makes the box turn new requests away.
-func (b *Box) Drain() { b.drain = true }
+func (s *Server) Drain() { s.draining = true }
 
-// Drains tells whether the box turns new requests away.
-func (b *Box) Drains() bool { return b.drain }
+// Draining tells whether the box turns new requests away.
+func (s *Server) Draining() bool { return s.draining }
 
 // Down tells whether the process is gone.
-func (b *Box) Down() bool { return b.down }
+func (s *Server) Down() bool { return s.down }
 
 // Crash ends the process: all jobs are over, none answered.
-func (b *Box) Crash() {
-	b.life++
-	b.down, b.heap, b.queue, b.head, b.held, b.conns = true, nil, nil, 0, 0, 0
-	b.overSince, b.idleSince, b.chokedAt = -1, -1, -1
+func (s *Server) Crash() {
+	s.incarnation++
+	s.down, s.running, s.queue, s.queueHead, s.slotsUsed, s.conns = true, nil, nil, 0, 0, 0
+	s.overloadedSince, s.recoveringSince, s.collapsedAt = -1, -1, -1
 }
 
 // Restart brings a crashed process back, cold.
-func (b *Box) Restart(now time.Duration) {
-	b.now, b.started, b.down, b.drain, b.fell = now, now, false, false, false
-	b.recent, b.sum = nil, 0
+func (s *Server) Restart(now time.Duration) {
+	s.now, s.started, s.down, s.draining, s.fellOver = now, now, false, false, false
+	s.recentWork, s.recentWorkSum = nil, 0
 }
 
 // Connect takes a new connection, or tells that there are too many, or nobody is there.
-func (b *Box) Connect() bool {
-	if b.down || b.spec.ConnLimit > 0 && b.conns >= b.spec.ConnLimit {
+func (s *Server) Connect() bool {
+	if s.down || s.spec.ConnLimit > 0 && s.conns >= s.spec.ConnLimit {
 		return false
 	}
-	b.conns++
+	s.conns++
 	return true
 }
 
 // Disconnect gives a connection back.
-func (b *Box) Disconnect() { b.conns = max(b.conns-1, 0) }
+func (s *Server) Disconnect() { s.conns = max(s.conns-1, 0) }
 
-// note records the load as it has been up to now, at the instants at which reports are refreshed. The driver calls what
+// recordLoad records the load as it has been up to now, at the instants at which reports are refreshed. The driver calls what
 // changes the load only through methods that note first, so one reading stands for all refreshes up to the next.
-func (b *Box) note() {
-	every := b.spec.ReportEvery
-	if every <= 0 || b.now < b.noted+every {
+func (s *Server) recordLoad() {
+	every := s.spec.ReportInterval
+	if every <= 0 || s.now < s.reportedAt+every {
 		return
 	}
-	b.reports = append(b.reports, reading{b.noted + every, float64(b.Held())})
-	b.noted = b.now / every * every
-	for len(b.reports) > 1 && b.reports[1].at <= b.now-b.spec.ReportDelay {
-		b.reports = b.reports[1:]
+	s.loadReports = append(s.loadReports, loadReading{s.reportedAt + every, float64(s.InFlight())})
+	s.reportedAt = s.now / every * every
+	for len(s.loadReports) > 1 && s.loadReports[1].at <= s.now-s.spec.ReportDelay {
+		s.loadReports = s.loadReports[1:]
 	}
 }
 
-// Report is the load report as it stands in an answer now: late and noisy. Without reports, ok is false.
-func (b *Box) Report(now time.Duration) (held float64, ok bool) {
-	b.note()
-	if b.spec.ReportEvery <= 0 {
+// LoadReport is the load report as it stands in an answer now: late and noisy. Without reports, ok is false.
+func (s *Server) LoadReport(now time.Duration) (inFlight float64, ok bool) {
+	s.recordLoad()
+	if s.spec.ReportInterval <= 0 {
 		return 0, false
 	}
-	for _, r := range b.reports {
-		if r.at <= now-b.spec.ReportDelay {
-			held = r.held
+	for _, r := range s.loadReports {
+		if r.at <= now-s.spec.ReportDelay {
+			inFlight = r.inFlight
 		}
 	}
-	return max(held*(1+b.spec.ReportNoise*b.rng.NormFloat64()), 0), true
+	return max(inFlight*(1+s.spec.ReportNoise*s.rng.NormFloat64()), 0), true
 }
 
-// Fails draws whether a request fails in ordinary times.
-func (b *Box) Fails() bool { return b.spec.ErrorShare > 0 && b.rng.Float64() < b.spec.ErrorShare }
+// DrawError draws whether a request fails in ordinary times.
+func (s *Server) DrawError() bool { return s.spec.ErrorRate > 0 && s.rng.Float64() < s.spec.ErrorRate }
--- a/internal/experiment/server/server_test.go
+++ b/internal/experiment/server/server_test.go
@@ -20,10 +20,10 @@
 	replies float64 // mean time to the end
 }
 
-func (s *station) play(t *testing.T) {
+func (st *station) play(t *testing.T) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(7, 11))
-	b := New(s.kind, experiment.BoxSpec{}, experiment.Rules{}, -1, rng)
+	b := New(st.kind, experiment.ServerSpec{}, experiment.Rules{}, -1, rng)
 	type entry struct {
 		at   time.Duration
 		work float64
@@ -31,15 +31,15 @@
 	var now, arrival time.Duration
 	var done []*Job
 	admitted, declined := 0, 0
-	for admitted+declined < s.count || b.Held() > 0 {
-		next := b.Next()
-		if admitted+declined < s.count && arrival < next {
+	for admitted+declined < st.count || b.InFlight() > 0 {
+		next := b.NextEvent()
+		if admitted+declined < st.count && arrival < next {
 			now = arrival
-			arrival += time.Duration(rng.ExpFloat64() / s.rate * 1e9)
+			arrival += time.Duration(rng.ExpFloat64() / st.rate * 1e9)
 			done = b.Advance(now, done[:0])
-			w := s.work(rng)
+			w := st.work(rng)
 			j := &Job{Owner: entry{now, w}, Work: w}
-			if b.Arrive(now, j, w) == Admitted {
+			if b.Admit(now, j, w) == Admitted {
 				admitted++
 			} else {
 				declined++
@@ -50,14 +50,14 @@
 		}
 		for _, j := range done {
 			e := j.Owner.(entry)
-			s.replies += (now - e.at).Seconds()
-			s.waits += (now - e.at).Seconds() - e.work/s.kind.Speed
-			b.End(j)
+			st.replies += (now - e.at).Seconds()
+			st.waits += (now - e.at).Seconds() - e.work/st.kind.Speed
+			b.Finish(j)
 		}
 	}
-	s.waits /= float64(admitted)
-	s.replies /= float64(admitted)
-	s.lost = float64(declined) / float64(s.count)
+	st.waits /= float64(admitted)
+	st.replies /= float64(admitted)
+	st.lost = float64(declined) / float64(st.count)
 }
 
 func exponential(mean float64) func(*rand.Rand) float64 {
@@ -79,14 +79,14 @@
 	const n = 600_000
 	t.Run("M/M/1", func(t *testing.T) {
 		t.Parallel()
-		s := station{kind: experiment.Kind{Cores: 1, Speed: 2, Slots: 1, Queue: plenty}, rate: 14, work: exponential(0.1), count: n}
+		s := station{kind: experiment.Kind{Cores: 1, Speed: 2, Slots: 1, QueueLimit: plenty}, rate: 14, work: exponential(0.1), count: n}
 		s.play(t)
 		rho, mu := 0.7, 20.0
 		within(t, "mean wait", s.waits, rho/(mu*(1-rho)), 0.03)
 	})
 	t.Run("M/D/1", func(t *testing.T) {
 		t.Parallel()
-		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: plenty}, rate: 8,
+		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: plenty}, rate: 8,
 			work: func(*rand.Rand) float64 { return 0.1 }, count: n}
 		s.play(t)
 		rho, mu := 0.8, 10.0
@@ -95,7 +95,7 @@
 	t.Run("M/M/c", func(t *testing.T) {
 		t.Parallel()
 		const c, lambda, mu = 4, 30.0, 10.0
-		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, Queue: plenty}, rate: lambda, work: exponential(1 / mu), count: n}
+		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, QueueLimit: plenty}, rate: lambda, work: exponential(1 / mu), count: n}
 		s.play(t)
 		a := lambda / mu
 		sum, term := 0.0, 1.0
@@ -109,7 +109,7 @@
 	t.Run("M/M/c/K", func(t *testing.T) {
 		t.Parallel()
 		const c, k, lambda, mu = 3, 8, 36.0, 10.0
-		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, Queue: k - c}, rate: lambda, work: exponential(1 / mu), count: n}
+		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, QueueLimit: k - c}, rate: lambda, work: exponential(1 / mu), count: n}
 		s.play(t)
 		p, sum := 1.0, 1.0
 		for i := 1; i <= k; i++ {
@@ -120,7 +120,7 @@
 	})
 	t.Run("M/G/1 processor sharing", func(t *testing.T) {
 		t.Parallel()
-		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: plenty, Queue: 0}, rate: 6,
+		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: plenty, QueueLimit: 0}, rate: 6,
 			work: func(r *rand.Rand) float64 { // two sorts of very different size, mean 0.1
 				if r.Float64() < 0.1 {
 					return 0.55
@@ -135,12 +135,12 @@
 func job(work float64) *Job { return &Job{Work: work} }
 
 // ends plays a box until an instant and gives when each job's work was through.
-func ends(b *Box, until time.Duration) []time.Duration {
+func ends(b *Server, until time.Duration) []time.Duration {
 	var at []time.Duration
-	for next := b.Next(); next <= until; next = b.Next() {
+	for next := b.NextEvent(); next <= until; next = b.NextEvent() {
 		for _, j := range b.Advance(next, nil) {
 			at = append(at, next)
-			b.End(j)
+			b.Finish(j)
 		}
 	}
 	b.Advance(until, nil)
@@ -148,12 +148,12 @@
 }
 
 func TestSlotIsKeptWhileWaiting(t *testing.T) {
-	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 1}, experiment.BoxSpec{}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 1}, experiment.ServerSpec{}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	first, second, third := job(0.1), job(0.2), job(0.1)
-	if b.Arrive(0, first, 0.1) != Admitted || b.Arrive(0, second, 0.2) != Admitted {
+	if b.Admit(0, first, 0.1) != Admitted || b.Admit(0, second, 0.2) != Admitted {
 		t.Fatal("the slot or the room was refused")
 	}
-	if got := b.Arrive(0, third, 0.1); got != Declined {
+	if got := b.Admit(0, third, 0.1); got != Rejected {
 		t.Fatalf("a third request is %v, want declined", got)
 	}
 	if done := b.Advance(100*time.Millisecond, nil); len(done) != 1 || done[0] != first {
@@ -161,8 +161,8 @@
 	}
 	// first calls the next tier: its slot is not second's yet.
 	b.Advance(time.Second, nil)
-	if b.InSlots() != 1 || b.Held() != 2 {
-		t.Fatalf("held %d, in slots %d", b.Held(), b.InSlots())
+	if b.SlotsUsed() != 1 || b.InFlight() != 2 {
+		t.Fatalf("held %d, in slots %d", b.InFlight(), b.SlotsUsed())
 	}
 	first.Work = 0.05
 	b.Resume(first)
@@ -172,96 +172,96 @@
 }
 
 func TestColdBoxWarmsAndFallsOver(t *testing.T) {
-	spec := experiment.BoxSpec{ColdFrom: 0.25, ColdFor: 4 * time.Second}
-	rules := experiment.Rules{FallOver: 4, FallWindow: time.Second}
-	kind := experiment.Kind{Cores: 1, Speed: 1, Slots: 10, Queue: 100}
+	spec := experiment.ServerSpec{InitialCapacity: 0.25, WarmupTime: 4 * time.Second}
+	rules := experiment.Rules{WarmupOverload: 4, OverloadWindow: time.Second}
+	kind := experiment.Kind{Cores: 1, Speed: 1, Slots: 10, QueueLimit: 100}
 	b := New(kind, spec, rules, 0, experiment.Rand(1, "b"))
-	b.Arrive(0, job(0.25), 0.25)
+	b.Admit(0, job(0.25), 0.25)
 	// Attained work is the integral of 0.25 + 0.1875 t: 0.25 at t = 0.781 s, less what small steps leave.
 	if at := ends(b, 2*time.Second); len(at) != 1 || math.Abs(at[0].Seconds()-0.781) > 0.02 {
 		t.Fatalf("a cold box is through at %v", at)
 	}
 	now := 2 * time.Second // capacity 0.625: a budget of 2.5 s of work a second
 	for i := range 3 {
-		if b.Arrive(now, job(1), 1); b.Fell() {
+		if b.Admit(now, job(1), 1); b.FellOver() {
 			t.Fatalf("fell over at request %d", i)
 		}
 	}
-	if got := b.Arrive(now, job(1), 1); got != Dead || !b.Fell() {
-		t.Fatalf("sent 4 s of work at once: %v, fell %v", got, b.Fell())
+	if got := b.Admit(now, job(1), 1); got != Unavailable || !b.FellOver() {
+		t.Fatalf("sent 4 s of work at once: %v, fell %v", got, b.FellOver())
 	}
 	b.Crash()
 	b.Restart(10 * time.Second)
-	if b.Down() || b.Fell() || b.Warmth(10*time.Second) != 0.25 {
+	if b.Down() || b.FellOver() || b.CapacityFraction(10*time.Second) != 0.25 {
 		t.Fatal("not back cold")
 	}
 	b.Advance(20*time.Second, nil)
 	for range 10 {
-		b.Arrive(20*time.Second, job(1), 1)
+		b.Admit(20*time.Second, job(1), 1)
 	}
-	if b.Fell() {
+	if b.FellOver() {
 		t.Fatal("a warm box fell over")
 	}
 }
 
 func TestChoke(t *testing.T) {
-	spec := experiment.BoxSpec{ChokeAt: 2, ChokeOver: 500 * time.Millisecond, ChokeSlower: 2, ChokeBelow: 1, ChokeRest: time.Second}
-	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 100}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	spec := experiment.ServerSpec{CollapseQueue: 2, CollapseAfter: 500 * time.Millisecond, CollapseSlowdown: 2, RecoveryLoad: 1, RecoveryAfter: time.Second}
+	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 100}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	for range 5 {
-		b.Arrive(0, job(0.3), 0.3)
+		b.Admit(0, job(0.3), 0.3)
 	}
 	at := ends(b, 500*time.Millisecond)
-	if !b.Choked() || len(at) != 1 {
-		t.Fatalf("choked %v after %v", b.Choked(), at)
+	if !b.Collapsed() || len(at) != 1 {
+		t.Fatalf("choked %v after %v", b.Collapsed(), at)
 	}
 	at = ends(b, 10*time.Second)
 	// 0.1 s of the second job is left, then three of 0.3 s, at half speed.
 	if len(at) != 4 || at[0] != 700*time.Millisecond || at[3] != 2500*time.Millisecond {
 		t.Fatalf("ends at %v", at)
 	}
-	if b.Choked() {
+	if b.Collapsed() {
 		t.Fatal("choked after a rest")
 	}
 }
 
 func TestCrashEndsAllJobs(t *testing.T) {
-	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 5}, experiment.BoxSpec{ConnLimit: 1}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 5}, experiment.ServerSpec{ConnLimit: 1}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	jobs := []*Job{job(1), job(1)}
 	for _, j := range jobs {
-		b.Arrive(0, j, 1)
+		b.Admit(0, j, 1)
 	}
 	if !b.Connect() || b.Connect() {
 		t.Fatal("the limit of connections does not hold")
 	}
 	b.Crash()
 	for _, j := range jobs {
-		if !j.Over() {
+		if !j.Finished() {
 			t.Error("a job outlived the crash")
 		}
-		b.End(j) // late: the driver may not have heard
+		b.Finish(j) // late: the driver may not have heard
 	}
-	if b.Arrive(0, job(1), 1) != Dead || b.Connect() || b.Held() != 0 {
+	if b.Admit(0, job(1), 1) != Unavailable || b.Connect() || b.InFlight() != 0 {
 		t.Error("a crashed box takes work")
 	}
 }
 
 func TestReportsAreLateAndHeld(t *testing.T) {
-	spec := experiment.BoxSpec{ReportEvery: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond}
-	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, Queue: 9}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	spec := experiment.ServerSpec{ReportInterval: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond}
+	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 9}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	ms := time.Millisecond
 	look := func(at time.Duration, want float64) {
 		t.Helper()
 		b.Advance(at, nil)
-		if got, ok := b.Report(at); !ok || got != want {
+		if got, ok := b.LoadReport(at); !ok || got != want {
 			t.Errorf("at %v: %v, want %v", at, got, want)
 		}
 	}
 	look(10*ms, 0)
-	b.Arrive(10*ms, job(9), 9)
-	b.Arrive(10*ms, job(9), 9)
+	b.Admit(10*ms, job(9), 9)
+	b.Admit(10*ms, job(9), 9)
 	look(120*ms, 0) // refreshed at 100 ms, not yet here
 	look(160*ms, 2)
-	b.Arrive(160*ms, job(9), 9)
+	b.Admit(160*ms, job(9), 9)
 	look(240*ms, 2)
 	look(900*ms, 3)
 }
--- a/internal/experiment/speed/peers.go
+++ b/internal/experiment/speed/endpoints.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	answerText = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 12\r\n\r\nhello, world"
-	peerBuffer = 16 << 10
+	responseText = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 12\r\n\r\nhello, world"
+	peerBuffer   = 16 << 10
 )
 
-// boxes answer every request at once with 12 bytes. They take well-formed requests for granted: the programs between are
+// serverGroup answer every request at once with 12 bytes. They take well-formed requests for granted: the programs between are
 // what is measured, and boxes and clients must cost as little as they can.
-type boxes struct {
+type serverGroup struct {
 	addrs     []string
 	listeners []net.Listener
-	all       sync.WaitGroup
+	conns     sync.WaitGroup
 	mu        sync.Mutex
 	open      map[net.Conn]bool
 }
 
-func newBoxes(n int) (*boxes, error) {
-	b := &boxes{open: map[net.Conn]bool{}}
+func newServerGroup(n int) (*serverGroup, error) {
+	b := &serverGroup{open: map[net.Conn]bool{}}
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -40,7 +40,7 @@
 			return nil, err
 		}
 		b.addrs, b.listeners = append(b.addrs, l.Addr().String()), append(b.listeners, l)
-		b.all.Go(func() {
+		b.conns.Go(func() {
 			for {
 				nc, err := l.Accept()
 				if err != nil {
@@ -49,40 +49,40 @@
 				b.mu.Lock()
 				b.open[nc] = true
 				b.mu.Unlock()
-				b.all.Go(func() { b.serve(nc) })
+				b.conns.Go(func() { b.serve(nc) })
 			}
 		})
 	}
 	return b, nil
 }
 
-func (b *boxes) serve(nc net.Conn) {
+func (g *serverGroup) serve(nc net.Conn) {
 	defer nc.Close()
 	in := bufio.NewReaderSize(nc, peerBuffer)
 	for {
-		if _, err := skip(in); err != nil {
+		if _, err := skipMessage(in); err != nil {
 			return
 		}
-		if _, err := io.WriteString(nc, answerText); err != nil {
+		if _, err := io.WriteString(nc, responseText); err != nil {
 			return
 		}
 	}
 }
 
-func (b *boxes) close() {
-	for _, l := range b.listeners {
+func (g *serverGroup) close() {
+	for _, l := range g.listeners {
 		l.Close()
 	}
-	b.mu.Lock()
-	for nc := range b.open {
+	g.mu.Lock()
+	for nc := range g.open {
 		nc.Close()
 	}
-	b.mu.Unlock()
-	b.all.Wait()
+	g.mu.Unlock()
+	g.conns.Wait()
 }
 
-// skip reads one message with a Content-Length, and gives its first line.
-func skip(in *bufio.Reader) (first string, err error) {
+// skipMessage reads one message with a Content-Length, and gives its first line.
+func skipMessage(in *bufio.Reader) (first string, err error) {
 	length := 0
 	for {
 		line, err := in.ReadSlice('\n')
@@ -106,11 +106,11 @@
 	return first, err
 }
 
-var serial atomic.Int64
+var clientSerial atomic.Int64
 
-// client sends one request after the other over one connection, until the end.
-func client(ctx context.Context, addr string, body int, end time.Time, place int) (turn, error) {
-	t := turn{hist: newHist()}
+// runClient sends one request after the other over one connection, until the end.
+func runClient(ctx context.Context, addr string, body int, end time.Time, place int) (sample, error) {
+	t := sample{latency: newLatencyHistogram()}
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return t, err
@@ -120,7 +120,7 @@
 		return t, err
 	}
 	in := bufio.NewReaderSize(nc, peerBuffer)
-	run, load := serial.Add(1), bytes.Repeat([]byte("x"), body)
+	run, load := clientSerial.Add(1), bytes.Repeat([]byte("x"), body)
 	for n := 0; ctx.Err() == nil && time.Now().Before(end); n++ {
 		text := fmt.Appendf(nil, "GET /get/%d HTTP/1.1\r\n", n)
 		if body > 0 {
@@ -131,15 +131,15 @@
 		if _, err := nc.Write(append(text, load...)); err != nil {
 			return t, err
 		}
-		first, err := skip(in)
+		first, err := skipMessage(in)
 		if err != nil {
 			return t, err
 		}
 		if first != "HTTP/1.1 200 OK" {
-			t.bad++
+			t.failed++
 			continue
 		}
-		if err := t.hist.RecordValue(time.Since(began).Microseconds()); err != nil {
+		if err := t.latency.RecordValue(time.Since(began).Microseconds()); err != nil {
 			return t, err
 		}
 	}
--- a/internal/experiment/speed/speed.go
+++ b/internal/experiment/speed/speed.go
@@ -27,17 +27,17 @@
 
 // Options say what is measured.
 type Options struct {
-	Programs    []string // to compare: of Programs
-	Boxes       int      // that answer at once
-	Connections int      // of clients, each with one request at a time
-	Body        int      // bytes that a request posts; 0: a GET
-	Cores       int      // of each program
-	Rounds      int      // in which each program has a turn
-	Turn        time.Duration
-	Idle        int    // further connections of clients that send nothing
-	Self        string // this program, which serves as the daemon and as the rivals
-	Sidecar     string // the platform's program
-	Folder      string // for configurations and logs
+	Programs        []string // to compare: of Programs
+	Servers         int      // that answer at once
+	Connections     int      // of clients, each with one request at a time
+	BodySize        int      // bytes that a request posts; 0: a GET
+	Cores           int      // of each program
+	Rounds          int      // in which each program has a turn
+	SampleTime      time.Duration
+	IdleConnections int    // further connections of clients that send nothing
+	Self            string // this program, which serves as the daemon and as the rivals
+	Sidecar         string // the platform's program
+	Dir             string // for configurations and logs
 }
 
 // sidecarProgram is the name of the platform's sidecar in flags and reports.
@@ -58,54 +58,54 @@
 
 // program is one that runs.
 type program struct {
-	name  string
-	addr  string
-	cmd   *exec.Cmd
-	ended chan error
-	turns []turn
+	name    string
+	addr    string
+	cmd     *exec.Cmd
+	exited  chan error
+	samples []sample
 }
 
-type turn struct {
-	rate float64
-	cpu  time.Duration
-	hist *hdrhistogram.Histogram
-	bad  int
+type sample struct {
+	rate           float64
+	cpuPerResponse time.Duration
+	latency        *hdrhistogram.Histogram
+	failed         int
 }
 
 // Run measures.
 func Run(ctx context.Context, o Options) ([]Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	boxes, err := newBoxes(o.Boxes)
+	servers, err := newServerGroup(o.Servers)
 	if err != nil {
 		return nil, err
 	}
-	defer boxes.close()
+	defer servers.close()
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // a roster that has no news
 	if err != nil {
 		return nil, err
 	}
-	roster := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discovery := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}), BaseContext: func(net.Listener) context.Context { return ctx }}
-	go func() { _ = roster.Serve(silent) }()
-	defer roster.Close()
+	go func() { _ = discovery.Serve(silent) }()
+	defer discovery.Close()
 
 	var programs []*program
 	defer func() {
 		for _, p := range programs {
 			_ = p.cmd.Process.Kill()
-			<-p.ended
+			<-p.exited
 		}
 	}()
 	for _, name := range o.Programs {
-		p, err := start(o, name, boxes.addrs, silent.Addr().String())
+		p, err := startProgram(o, name, servers.addrs, silent.Addr().String())
 		if err != nil {
 			return nil, err
 		}
 		programs = append(programs, p)
-		if err := p.ready(ctx); err != nil {
+		if err := p.waitReady(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -116,7 +116,7 @@
 		}
 	}()
 	for _, p := range programs {
-		for range o.Idle {
+		for range o.IdleConnections {
 			nc, err := net.Dial("tcp", p.addr)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", p.name, err)
@@ -135,7 +135,7 @@
 				return nil, fmt.Errorf("%s: %w", p.name, err)
 			}
 			if round > 0 {
-				p.turns = append(p.turns, t)
+				p.samples = append(p.samples, t)
 			}
 		}
 	}
@@ -148,21 +148,21 @@
 
 // result gives medians: a machine that others use, too, has bad moments.
 func (p *program) result() Result {
-	r := Result{Program: p.name, Memory: p.memory()}
-	median := func(of func(t turn) float64) float64 {
+	r := Result{Program: p.name, Memory: p.peakMemory()}
+	median := func(of func(t sample) float64) float64 {
 		var all []float64
-		for _, t := range p.turns {
+		for _, t := range p.samples {
 			all = append(all, of(t))
 		}
 		slices.Sort(all)
 		return all[len(all)/2]
 	}
-	r.Rate = median(func(t turn) float64 { return t.rate })
-	r.CPU = time.Duration(median(func(t turn) float64 { return float64(t.cpu) }))
-	r.P50 = time.Duration(median(func(t turn) float64 { return float64(t.hist.ValueAtQuantile(50)) })) * time.Microsecond
-	r.P99 = time.Duration(median(func(t turn) float64 { return float64(t.hist.ValueAtQuantile(99)) })) * time.Microsecond
-	for _, t := range p.turns {
-		r.Failed += t.bad
+	r.Rate = median(func(t sample) float64 { return t.rate })
+	r.CPU = time.Duration(median(func(t sample) float64 { return float64(t.cpuPerResponse) }))
+	r.P50 = time.Duration(median(func(t sample) float64 { return float64(t.latency.ValueAtQuantile(50)) })) * time.Microsecond
+	r.P99 = time.Duration(median(func(t sample) float64 { return float64(t.latency.ValueAtQuantile(99)) })) * time.Microsecond
+	for _, t := range p.samples {
+		r.Failed += t.failed
 	}
 	return r
 }
@@ -189,20 +189,20 @@
 	return tw.Flush()
 }
 
-// start starts a program before the boxes.
-func start(o Options, name string, boxes []string, roster string) (*program, error) {
+// startProgram starts a program before the boxes.
+func startProgram(o Options, name string, servers []string, discoveryAddr string) (*program, error) {
 	addr, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	p := &program{name: name, addr: addr, ended: make(chan error, 1)}
-	file := filepath.Join(o.Folder, name)
+	p := &program{name: name, addr: addr, exited: make(chan error, 1)}
+	file := filepath.Join(o.Dir, name)
 	var args []string
 	env := append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(o.Cores))
 	switch name {
 	case sidecarProgram, "reverse_proxy":
 		file += ".json"
-		if err := os.WriteFile(file, sidecarConfig(o, addr, roster, boxes), 0o600); err != nil {
+		if err := os.WriteFile(file, sidecarConfig(o, addr, discoveryAddr, servers), 0o600); err != nil {
 			return nil, err
 		}
 		env = append(env, "ROUTER_CONFIG="+file)
@@ -211,12 +211,12 @@
 		}
 	case "daemon":
 		file += ".hcl"
-		if err := os.WriteFile(file, daemonConfig(o, addr, boxes), 0o600); err != nil {
+		if err := os.WriteFile(file, daemonConfig(o, addr, servers), 0o600); err != nil {
 			return nil, err
 		}
 		args = []string{o.Self, "serve", file}
 	case "fasthttp":
-		args = append([]string{o.Self, "lab", "fasthttp", addr}, boxes...)
+		args = append([]string{o.Self, "lab", "fasthttp", addr}, servers...)
 	default:
 		return nil, fmt.Errorf("program %q is none of %s", name, strings.Join(Programs, ", "))
 	}
@@ -231,7 +231,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go func() { p.ended <- p.cmd.Wait(); close(p.ended) }()
+	go func() { p.exited <- p.cmd.Wait(); close(p.exited) }()
 	return p, nil
 }
 
@@ -244,21 +244,21 @@
 	return l.Addr().String(), nil
 }
 
-func sidecarConfig(o Options, addr, roster string, boxes []string) []byte {
+func sidecarConfig(o Options, addr, discoveryAddr string, servers []string) []byte {
 	type server struct {
 		ID    string `json:"id"`
 		Addr  string `json:"addr"`
 		Kind  string `json:"kind"`
 		State string `json:"state"`
 	}
-	var servers []server
-	for i, b := range boxes {
-		servers = append(servers, server{ID: "box-" + strconv.Itoa(i), Addr: b, Kind: "box", State: "Ready"})
+	var entries []server
+	for i, b := range servers {
+		entries = append(entries, server{ID: "box-" + strconv.Itoa(i), Addr: b, Kind: "box", State: "Ready"})
 	}
 	text, _ := json.Marshal(map[string]any{ // of plain values: it cannot fail
-		"name": "speed", "listen": addr, "discovery": roster, "seed": "1",
-		"limits": map[string]any{"cores": o.Cores, "memory_mb": 192, "sockets": 4096 + 2*o.Idle},
-		"known":  map[string]any{"version": 1, "full": true, "servers": servers},
+		"name": "speed", "listen": addr, "discovery": discoveryAddr, "seed": "1",
+		"limits": map[string]any{"cores": o.Cores, "memory_mb": 192, "sockets": 4096 + 2*o.IdleConnections},
+		"known":  map[string]any{"version": 1, "full": true, "servers": entries},
 		"settings": map[string]any{
 			"Lanes": []map[string]any{{"Name": "get", "Semantics": "read_like", "OnTimeUs": 1000000},
 				{"Name": "post", "Semantics": "non_idempotent", "OnTimeUs": 1000000}},
@@ -267,12 +267,12 @@
 	return text
 }
 
-func daemonConfig(o Options, addr string, boxes []string) []byte {
+func daemonConfig(o Options, addr string, servers []string) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "listener \"front\" {\n  address = %q\n}\nlimits {\n  connections = %d\n}\n", addr, 1024+o.Idle)
+	fmt.Fprintf(&b, "listener \"front\" {\n  address = %q\n}\nlimits {\n  connections = %d\n}\n", addr, 1024+o.IdleConnections)
 	b.WriteString("class \"get\" {\n  effect = \"safe\"\n}\nclass \"post\" {\n  effect = \"unsafe\"\n}\npool \"boxes\" {\n  connections = 2048\n" +
 		"  connection_idle = \"30s\"\n  roster \"static\" {\n")
-	for i, box := range boxes {
+	for i, box := range servers {
 		fmt.Fprintf(&b, "    endpoint \"box-%d\" {\n      address = %q\n      kind = \"box\"\n    }\n", i, box)
 	}
 	b.WriteString("  }\n}\n")
@@ -282,8 +282,8 @@
 	return b.Bytes()
 }
 
-// ready waits until a program answers for its health.
-func (p *program) ready(ctx context.Context) error {
+// waitReady waits until a program answers for its health.
+func (p *program) waitReady(ctx context.Context) error {
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + p.addr + "/_health")
 		if err == nil {
@@ -291,7 +291,7 @@
 			return nil
 		}
 		select {
-		case err := <-p.ended:
+		case err := <-p.exited:
 			return fmt.Errorf("%s ended at once: %v", p.name, err)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -303,8 +303,8 @@
 	}
 }
 
-// usage gives the processor time that a program has used.
-func (p *program) usage() time.Duration {
+// cpuTime gives the processor time that a program has used.
+func (p *program) cpuTime() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/schedstat", p.cmd.Process.Pid))
 	if err == nil && p.cmd.ProcessState == nil {
 		total := time.Duration(0)
@@ -320,12 +320,12 @@
 	return 0
 }
 
-// memory gives the most bytes that a program had resident.
-func (p *program) memory() int64 {
+// peakMemory gives the most bytes that a program had resident.
+func (p *program) peakMemory() int64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	for line := range strings.Lines(string(text)) {
-		if rest, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			kb, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
+		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
+			kb, _ := strconv.ParseInt(strings.Fields(value)[0], 10, 64)
 			return kb << 10
 		}
 	}
@@ -333,33 +333,33 @@
 }
 
 // measure gives a program its turn.
-func (p *program) measure(ctx context.Context, o Options) (turn, error) {
+func (p *program) measure(ctx context.Context, o Options) (sample, error) {
 	var all errgroup.Group
-	began, used := time.Now(), p.usage()
-	end := began.Add(o.Turn)
-	results := make([]turn, o.Connections)
+	began, used := time.Now(), p.cpuTime()
+	end := began.Add(o.SampleTime)
+	results := make([]sample, o.Connections)
 	for i := range o.Connections {
 		all.Go(func() error {
 			var err error
-			results[i], err = client(ctx, p.addr, o.Body, end, i)
+			results[i], err = runClient(ctx, p.addr, o.BodySize, end, i)
 			return err
 		})
 	}
 	if err := all.Wait(); err != nil {
-		return turn{}, err
+		return sample{}, err
 	}
-	out := turn{hist: newHist()}
+	out := sample{latency: newLatencyHistogram()}
 	for _, r := range results {
-		out.hist.Merge(r.hist)
-		out.bad += r.bad
+		out.latency.Merge(r.latency)
+		out.failed += r.failed
 	}
-	answers := out.hist.TotalCount()
+	answers := out.latency.TotalCount()
 	if answers == 0 {
-		return turn{}, errors.New("it answered nothing")
+		return sample{}, errors.New("it answered nothing")
 	}
 	out.rate = float64(answers) / time.Since(began).Seconds()
-	out.cpu = (p.usage() - used) / time.Duration(answers)
+	out.cpuPerResponse = (p.cpuTime() - used) / time.Duration(answers)
 	return out, nil
 }
 
-func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
+func newLatencyHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
--- a/internal/experiment/testbed/wire.go
+++ b/internal/experiment/testbed/clientconn.go
@@ -17,12 +17,12 @@
 
 // Header names of PROTOCOL.
 const (
-	idName       = "Req-Id"
-	ownerName    = "Req-Owner"
-	deadlineName = "Req-Deadline-Ms"
-	retryName    = "Req-Retry"
-	declinedName = "Srv-Declined"
-	loadName     = "Srv-Load"
+	idHeader       = "Req-Id"
+	tenantHeader   = "Req-Owner"
+	deadlineHeader = "Req-Deadline-Ms"
+	retryHeader    = "Req-Retry"
+	rejectedHeader = "Srv-Declined"
+	loadHeader     = "Srv-Load"
 )
 
 const maxBody = 64 << 10
@@ -35,8 +35,8 @@
 	return h.Sum64()
 }
 
-// message is a request as a client sends it.
-type message struct {
+// request is a request as a client sends it.
+type request struct {
 	id       string
 	method   string
 	target   string
@@ -46,17 +46,17 @@
 	body     []byte
 }
 
-func (m *message) digest() uint64 { return digest(m.method, m.target, m.id, m.body) }
+func (m *request) digest() uint64 { return digest(m.method, m.target, m.id, m.body) }
 
-func (m *message) bytes() []byte {
+func (m *request) bytes() []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: api.internal\r\n%s: %s\r\n%s: %d\r\n", m.method, m.target, idName, m.id,
-		deadlineName, max(m.patience.Milliseconds(), 1))
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: api.internal\r\n%s: %s\r\n%s: %d\r\n", m.method, m.target, idHeader, m.id,
+		deadlineHeader, max(m.patience.Milliseconds(), 1))
 	if m.tenant != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", ownerName, m.tenant)
+		fmt.Fprintf(&b, "%s: %s\r\n", tenantHeader, m.tenant)
 	}
 	if m.retry {
-		fmt.Fprintf(&b, "%s: 1\r\n", retryName)
+		fmt.Fprintf(&b, "%s: 1\r\n", retryHeader)
 	}
 	if m.method == http.MethodPost {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(m.body))
@@ -66,40 +66,40 @@
 	return b.Bytes()
 }
 
-// reply is what came back.
-type reply struct {
+// response is what came back.
+type response struct {
 	status     int
 	retryAfter time.Duration
 	body       []byte
-	torn       bool // begun and not whole, or not to be read
+	truncated  bool // begun and not whole, or not to be read
 }
 
 var (
-	errNobody = errors.New("nobody takes connections")
-	errSilent = errors.New("no answer within the time")
-	errClosed = errors.New("closed without an answer")
+	errConnect = errors.New("nobody takes connections")
+	errTimeout = errors.New("no answer within the time")
+	errClosed  = errors.New("closed without an answer")
 )
 
-// link is a caller's connection to a sidecar. It carries one request at a time.
-type link struct {
+// clientConn is a caller's connection to a sidecar. It carries one request at a time.
+type clientConn struct {
 	net.Conn
-	read *bufio.Reader
-	used bool
+	reader *bufio.Reader
+	used   bool
 }
 
-// links are one caller's connections to one sidecar.
-type links struct {
+// connPool are one caller's connections to one sidecar.
+type connPool struct {
 	addr string
 
 	mu   sync.Mutex
-	idle []*link
-	all  map[*link]bool
+	idle []*clientConn
+	all  map[*clientConn]bool
 }
 
 // dialTimeout is for connections to programs on this machine.
 const dialTimeout = 2 * time.Second
 
-func (l *links) take(fresh bool) (*link, error) {
+func (l *connPool) acquire(fresh bool) (*clientConn, error) {
 	l.mu.Lock()
 	if n := len(l.idle); n > 0 && !fresh {
 		c := l.idle[n-1]
@@ -110,26 +110,26 @@
 	l.mu.Unlock()
 	nc, err := net.DialTimeout("tcp", l.addr, dialTimeout)
 	if err != nil {
-		return nil, errNobody
+		return nil, errConnect
 	}
-	c := &link{Conn: nc, read: bufio.NewReader(nc)}
+	c := &clientConn{Conn: nc, reader: bufio.NewReader(nc)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.all == nil {
-		l.all = map[*link]bool{}
+		l.all = map[*clientConn]bool{}
 	}
 	l.all[c] = true
 	return c, nil
 }
 
-func (l *links) put(c *link) {
+func (l *connPool) release(c *clientConn) {
 	c.used = true
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.idle = append(l.idle, c)
 }
 
-func (l *links) drop(c *link) {
+func (l *connPool) closeConn(c *clientConn) {
 	c.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,7 +137,7 @@
 }
 
 // close closes all connections, also those in use.
-func (l *links) close() {
+func (l *connPool) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.all {
@@ -148,22 +148,22 @@
 
 // exchange sends a request on one connection and reads its answer until the deadline. reusable says that the connection
 // may carry another.
-func (c *link) exchange(text []byte, method string, deadline time.Time) (r reply, reusable bool, err error) {
+func (c *clientConn) exchange(text []byte, method string, deadline time.Time) (r response, reusable bool, err error) {
 	if err := c.SetDeadline(deadline); err != nil {
 		return r, false, errClosed
 	}
 	if _, err := c.Write(text); err != nil {
 		return r, false, errClosed
 	}
-	if _, err := c.read.Peek(1); err != nil {
+	if _, err := c.reader.Peek(1); err != nil {
 		if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
-			return r, false, errSilent
+			return r, false, errTimeout
 		}
 		return r, false, errClosed
 	}
-	resp, err := http.ReadResponse(c.read, &http.Request{Method: method})
+	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
-		return reply{torn: true}, false, nil
+		return response{truncated: true}, false, nil
 	}
 	defer resp.Body.Close()
 	r.status = resp.StatusCode
@@ -171,7 +171,7 @@
 		r.retryAfter = time.Duration(s * float64(time.Second))
 	}
 	if r.body, err = io.ReadAll(io.LimitReader(resp.Body, maxBody+1)); err != nil {
-		r.torn = true
+		r.truncated = true
 		return r, false, nil
 	}
 	return r, !resp.Close, nil
--- a/internal/experiment/testbed/peers.go
+++ b/internal/experiment/testbed/improperpeer.go
@@ -10,24 +10,24 @@
 	"rowancart/internal/experiment"
 )
 
-// hugeSize is what a peer sends that sends too much (TERMS, Improper peers).
-const hugeSize = 60 << 20
+// oversizedBody is what a peer sends that sends too much (TERMS, Improper peers).
+const oversizedBody = 60 << 20
 
-// peer plays one improper peer before a sidecar and reports how it ended.
-func (r *run) peer(kind experiment.FaultKind, s *sidecar) {
+// playImproperPeer plays one improper peer before a sidecar and reports how it ended.
+func (r *testRun) playImproperPeer(kind experiment.FaultKind, s *sidecar) {
 	nc, err := net.DialTimeout("tcp", s.addr, dialTimeout)
 	if err != nil {
 		return // a sidecar that is down owes nothing
 	}
 	defer nc.Close()
 	connected := r.now()
-	limit := r.e.Site.Rules.ImproperFor
+	limit := r.e.Site.Rules.ImproperPeerTimeout
 	what := "sent nothing"
 	switch kind {
-	case experiment.HalfPeer:
+	case experiment.PartialRequestPeer:
 		what = "sent half a request"
 		_, _ = nc.Write([]byte("GET /" + r.e.Site.Classes[0].Name + "/x HTTP/1.1\r\nHost: x\r\nReq-Id: half"))
-	case experiment.HugePeer:
+	case experiment.OversizedPeer:
 		what = "sent 60 MB"
 		limit *= 2
 		go func() { // ends with the connection
@@ -36,7 +36,7 @@
 				return
 			}
 			chunk := make([]byte, 64<<10)
-			for sent := 0; sent < hugeSize; sent += len(chunk) {
+			for sent := 0; sent < oversizedBody; sent += len(chunk) {
 				if _, err := nc.Write(chunk); err != nil {
 					return
 				}
@@ -46,7 +46,7 @@
 	// Waits longer than the rule allows, to tell how late the end was.
 	_ = nc.SetReadDeadline(time.Now().Add(limit + time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
-	if s.killed.Load() || r.work.Err() != nil {
+	if s.killed.Load() || r.ctx.Err() != nil {
 		return
 	}
 	served, got := false, true
@@ -58,8 +58,8 @@
 		got = false
 	}
 	ended := r.now()
-	if kind == experiment.HugePeer { // its limit is twice the others'
+	if kind == experiment.OversizedPeer { // its limit is twice the others'
 		ended = connected + (ended-connected)/2
 	}
-	r.ledger.ImproperEnd(connected, ended, what, got, served)
+	r.checker.RecordImproperPeer(connected, ended, what, got, served)
 }
--- a/internal/experiment/testbed/program.go
+++ b/internal/experiment/testbed/program.go
@@ -41,21 +41,21 @@
 // Program starts instances of a program under test.
 type Program interface {
 	// Start begins an instance that serves as its configuration says until it is killed or told to end.
-	Start(c Config) (Running, error)
+	Start(c Config) (Instance, error)
 }
 
-// Running is an instance of a program under test.
-type Running interface {
+// Instance is an instance of a program under test.
+type Instance interface {
 	// Reload hands over a new configuration, as a file and SIGHUP.
 	Reload(c Config) error
-	// Term asks the instance to end in order, as SIGTERM.
-	Term()
+	// Terminate asks the instance to end in order, as SIGTERM.
+	Terminate()
 	// Kill ends it outright.
 	Kill()
 	// Done is closed when it has ended.
 	Done() <-chan struct{}
-	// How tells how it ended, with the last that it wrote.
-	How() string
+	// ExitReason tells how it ended, with the last that it wrote.
+	ExitReason() string
 	// Usage tells what it uses and the CPU time that it has used; ok is false where that can't be known.
 	Usage() (u invariant.Usage, cpu time.Duration, ok bool)
 }
@@ -92,7 +92,7 @@
 	return lines["run"], nil
 }
 
-const logTail = 4 << 10
+const maxLogTail = 4 << 10
 
 // tail keeps the end of what is written.
 type tail struct {
@@ -104,7 +104,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, b...)
-	if over := len(t.text) - logTail; over > 0 {
+	if over := len(t.text) - maxLogTail; over > 0 {
 		t.text = append(t.text[:0], t.text[over:]...)
 	}
 	return len(b), nil
@@ -118,71 +118,71 @@
 
 // process is an instance of a Command.
 type process struct {
-	cmd  *exec.Cmd
-	path string
-	log  tail
-	done chan struct{}
-	err  error // of its end; read after done
+	cmd        *exec.Cmd
+	configPath string
+	log        tail
+	exited     chan struct{}
+	exitErr    error // of its end; read after done
 }
 
 // Start implements Program.
-func (c Command) Start(config Config) (Running, error) {
-	p := &process{path: filepath.Join(c.Scratch, config.Name+".json"), done: make(chan struct{})}
-	if err := p.write(config); err != nil {
+func (c Command) Start(config Config) (Instance, error) {
+	p := &process{configPath: filepath.Join(c.Scratch, config.Name+".json"), exited: make(chan struct{})}
+	if err := p.writeConfig(config); err != nil {
 		return nil, err
 	}
 	p.cmd = exec.Command("/bin/sh", "-c", c.Line)
 	p.cmd.Dir, p.cmd.Stdout, p.cmd.Stderr = c.Dir, &p.log, &p.log
 	p.cmd.Env = append(os.Environ(), "ROUTER_NAME="+config.Name, "ROUTER_LISTEN="+config.Listen, "ROUTER_DISCOVERY="+config.Discovery,
-		"ROUTER_CONFIG="+p.path, "TMPDIR="+c.Scratch)
+		"ROUTER_CONFIG="+p.configPath, "TMPDIR="+c.Scratch)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // whatever it starts ends with it
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start %s: %w", config.Name, err)
 	}
 	go func() {
-		p.err = p.cmd.Wait()
-		close(p.done)
+		p.exitErr = p.cmd.Wait()
+		close(p.exited)
 	}()
 	return p, nil
 }
 
-// write replaces the configuration file in one step.
-func (p *process) write(c Config) error {
+// writeConfig replaces the configuration file in one step.
+func (p *process) writeConfig(c Config) error {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(p.path+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(p.configPath+".new", text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(p.path+".new", p.path)
+	return os.Rename(p.configPath+".new", p.configPath)
 }
 
 // Reload implements Running.
 func (p *process) Reload(c Config) error {
-	if err := p.write(c); err != nil {
+	if err := p.writeConfig(c); err != nil {
 		return err
 	}
 	return p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// Term implements Running.
-func (p *process) Term() { _ = p.cmd.Process.Signal(syscall.SIGTERM) } // one that has ended needs none
+// Terminate implements Running.
+func (p *process) Terminate() { _ = p.cmd.Process.Signal(syscall.SIGTERM) } // one that has ended needs none
 
 // Kill implements Running.
 func (p *process) Kill() {
 	_ = syscall.Kill(-p.cmd.Process.Pid, syscall.SIGKILL) // the group that was made for it
-	<-p.done
+	<-p.exited
 }
 
 // Done implements Running.
-func (p *process) Done() <-chan struct{} { return p.done }
+func (p *process) Done() <-chan struct{} { return p.exited }
 
-// How implements Running.
-func (p *process) How() string {
+// ExitReason implements Running.
+func (p *process) ExitReason() string {
 	how := "exit status 0"
-	if p.err != nil {
-		how = p.err.Error()
+	if p.exitErr != nil {
+		how = p.exitErr.Error()
 	}
 	if log := p.log.String(); log != "" {
 		how += "; it wrote: " + log
@@ -190,8 +190,8 @@
 	return how
 }
 
-// tick is the kernel's unit of CPU time in /proc: USER_HZ, 100 on every platform that Go runs on.
-const tick = 10 * time.Millisecond
+// cpuClockTick is the kernel's unit of CPU time in /proc: USER_HZ, 100 on every platform that Go runs on.
+const cpuClockTick = 10 * time.Millisecond
 
 // Usage implements Running.
 func (p *process) Usage() (u invariant.Usage, cpu time.Duration, ok bool) {
@@ -212,11 +212,11 @@
 	if open, err := os.ReadDir(dir + "/fd"); err == nil {
 		u.Descriptors = len(open)
 	}
-	return u, time.Duration(user+system) * tick, true
+	return u, time.Duration(user+system) * cpuClockTick, true
 }
 
-// healthy waits until a program answers for its health, or says why it does not.
-func healthy(ctx context.Context, p Running, addr, name string, within time.Duration) error {
+// waitHealthy waits until a program answers for its health, or says why it does not.
+func waitHealthy(ctx context.Context, p Instance, addr, name string, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true,
@@ -232,7 +232,7 @@
 		}
 		select {
 		case <-p.Done():
-			return fmt.Errorf("%s ended before it was healthy: %s", name, p.How())
+			return fmt.Errorf("%s ended before it was healthy: %s", name, p.ExitReason())
 		case <-ctx.Done():
 			if ctx.Err() == context.DeadlineExceeded {
 				return fmt.Errorf("%s was not healthy within %v: %w", name, within, err)
