--- a/internal/experiment/testbed/servers.go
+++ b/internal/experiment/testbed/servers.go
@@ -23,112 +23,112 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// host is a stand-in box: the model behind a listener. It reads HTTP/1.1 by itself, so that it knows when a request's
+// emulatedServer is a stand-in box: the model behind a listener. It reads HTTP/1.1 by itself, so that it knows when a request's
 // first and last byte came and can break connections wherever a fault wants it.
-type host struct {
-	r          *run
-	tier       int
-	place      int
-	generation int
-	name       string
-	listener   net.Listener
-	below      *sidecar // through which it calls the next tier
-	calls      *links
+type emulatedServer struct {
+	run          *testRun
+	tier         int
+	index        int
+	generation   int
+	name         string
+	listener     net.Listener
+	sidecar      *sidecar // through which it calls the next tier
+	sidecarConns *connPool
 
-	mu     sync.Mutex
-	box    *server.Box
-	alarm  *time.Timer
-	done   []*server.Job
-	stats  counters.Box
-	came   time.Duration
-	gone   time.Duration
-	rng    *rand.Rand
-	conns  map[net.Conn]bool
-	died   chan struct{} // closed at a crash; a restart makes another
-	faults faults
-	wake   chan struct{} // closed when a silence or a stall ends
-	closed bool
+	mu           sync.Mutex
+	model        *server.Server
+	timer        *time.Timer
+	finishedJobs []*server.Job
+	stats        counters.Server
+	addedAt      time.Duration
+	removedAt    time.Duration
+	rng          *rand.Rand
+	conns        map[net.Conn]bool
+	crashed      chan struct{} // closed at a crash; a restart makes another
+	faults       activeFaults
+	recovered    chan struct{} // closed when a silence or a stall ends
+	closed       bool
 }
 
-// faults are those in force at a box.
-type faults struct {
-	failing, before, after, within, garble float64
-	delay                                  time.Duration
-	vanished, stalled                      bool
-	slow                                   map[experiment.FaultKind]float64
+// activeFaults are those in force at a box.
+type activeFaults struct {
+	fastErrorRate, breakBeforeRate, breakAfterRate, truncateRate, corruptRate float64
+	responseDelay                                                             time.Duration
+	unresponsive, acceptStalled                                               bool
+	slowdowns                                                                 map[experiment.FaultKind]float64
 }
 
-func (r *run) newHost(tier, place, generation int, started time.Duration) (*host, error) {
+func (r *testRun) newServer(tier, place, generation int, started time.Duration) (*emulatedServer, error) {
 	t := r.e.Site.Tiers[tier]
-	kind := traffic.Kind(t, place)
-	name := traffic.Name(t, place, generation)
-	l, err := net.Listen("tcp", fmt.Sprintf("127.81.%d.%d:0", r.hosts/250, r.hosts%250+1))
+	kind := traffic.KindOf(t, place)
+	name := traffic.ServerName(t, place, generation)
+	l, err := net.Listen("tcp", fmt.Sprintf("127.81.%d.%d:0", r.serverAddrs/250, r.serverAddrs%250+1))
 	if err != nil {
 		return nil, fmt.Errorf("box %s: %w", name, err)
 	}
-	r.hosts++
-	h := &host{r: r, tier: tier, place: place, generation: generation, name: name, listener: l, rng: experiment.Rand(r.seed, "faults of "+name),
-		box:  server.New(kind, t.Box, r.e.Site.Rules, started, experiment.Rand(r.seed, "box "+name)),
-		came: max(started, 0), conns: map[net.Conn]bool{}, died: make(chan struct{}), wake: make(chan struct{}),
-		stats: counters.Box{Name: name, Kind: kind.Name, Cores: kind.Cores, Fresh: started >= 0}}
-	h.faults.slow = map[experiment.FaultKind]float64{}
-	h.alarm = time.AfterFunc(time.Hour, h.ring)
+	r.serverAddrs++
+	h := &emulatedServer{run: r, tier: tier, index: place, generation: generation, name: name, listener: l, rng: experiment.Rand(r.seed, "faults of "+name),
+		model:   server.New(kind, t.Server, r.e.Site.Rules, started, experiment.Rand(r.seed, "box "+name)),
+		addedAt: max(started, 0), conns: map[net.Conn]bool{}, crashed: make(chan struct{}), recovered: make(chan struct{}),
+		stats: counters.Server{Name: name, Kind: kind.Name, Cores: kind.Cores, AddedDuringRun: started >= 0}}
+	h.faults.slowdowns = map[experiment.FaultKind]float64{}
+	h.timer = time.AfterFunc(time.Hour, h.onTimer)
 	r.group.Go(h.accept)
 	return h, nil
 }
 
-// entry is the box as the roster lists it now.
-func (h *host) entry(state string) entry {
-	e := entry{ID: h.name, Addr: h.listener.Addr().String(), Zone: "here", Kind: h.stats.Kind, State: state, Weight: 1}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if s := h.box.Started(); s >= 0 {
-		e.StartedMs = h.r.base().Add(s).UnixMilli()
+// listEntry is the box as the roster lists it now.
+func (s *emulatedServer) listEntry(state string) listEntry {
+	e := listEntry{ID: s.name, Addr: s.listener.Addr().String(), Zone: "here", Kind: s.stats.Kind, State: state, Weight: 1}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if startedAt := s.model.Started(); startedAt >= 0 {
+		e.StartedMs = s.run.startTime().Add(startedAt).UnixMilli()
 	}
 	return e
 }
 
-func (h *host) drains() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.box.Drains()
+func (s *emulatedServer) draining() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.model.Draining()
 }
 
 // advance moves the model to now and hands jobs that are through to those who wait for them. mu is held.
-func (h *host) advance() time.Duration {
-	now := h.r.now()
+func (s *emulatedServer) advance() time.Duration {
+	now := s.run.now()
 	// The model wants to be looked at in time: what a late look missed is caught up step by step.
-	for next := h.box.Next(); next < now; next = h.box.Next() {
-		h.step(next)
+	for next := s.model.NextEvent(); next < now; next = s.model.NextEvent() {
+		s.advanceTo(next)
 	}
-	h.step(now)
+	s.advanceTo(now)
 	return now
 }
 
-func (h *host) step(at time.Duration) {
-	h.done = h.box.Advance(at, h.done[:0])
-	for _, j := range h.done {
+func (s *emulatedServer) advanceTo(at time.Duration) {
+	s.finishedJobs = s.model.Advance(at, s.finishedJobs[:0])
+	for _, j := range s.finishedJobs {
 		j.Owner.(chan struct{}) <- struct{}{} // has room for one, and one is all that comes
 	}
 }
 
 // reschedule sets the alarm for the model's next event. mu is held.
-func (h *host) reschedule() {
-	if next := h.box.Next() - h.r.now(); next < time.Hour {
-		h.alarm.Reset(max(next, 0))
+func (s *emulatedServer) reschedule() {
+	if next := s.model.NextEvent() - s.run.now(); next < time.Hour {
+		s.timer.Reset(max(next, 0))
 	}
 }
 
-func (h *host) ring() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.advance()
-	h.reschedule()
+func (s *emulatedServer) onTimer() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.advance()
+	s.reschedule()
 }
 
-func (h *host) accept() error {
+func (s *emulatedServer) accept() error {
 	for {
-		nc, err := h.listener.Accept()
+		nc, err := s.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
@@ -136,45 +136,45 @@
 			time.Sleep(10 * time.Millisecond) // descriptors are short: others will be given back
 			continue
 		}
-		if !h.awake() {
+		if !s.waitAccepting() {
 			nc.Close()
 			return nil
 		}
-		h.mu.Lock()
-		if h.closed || !h.box.Connect() {
-			h.mu.Unlock()
-			reset(nc)
+		s.mu.Lock()
+		if s.closed || !s.model.Connect() {
+			s.mu.Unlock()
+			resetConn(nc)
 			continue
 		}
-		h.conns[nc] = true
-		died := h.died
-		h.mu.Unlock()
-		h.r.group.Go(func() error {
-			h.serve(nc, died)
+		s.conns[nc] = true
+		died := s.crashed
+		s.mu.Unlock()
+		s.run.group.Go(func() error {
+			s.serve(nc, died)
 			return nil
 		})
 	}
 }
 
-// awake waits until the box is neither silent nor stalled, and tells whether it is still there.
-func (h *host) awake() bool {
+// waitAccepting waits until the box is neither silent nor stalled, and tells whether it is still there.
+func (s *emulatedServer) waitAccepting() bool {
 	for {
-		h.mu.Lock()
-		asleep, wake := h.faults.vanished || h.faults.stalled, h.wake
-		h.mu.Unlock()
+		s.mu.Lock()
+		asleep, wake := s.faults.unresponsive || s.faults.acceptStalled, s.recovered
+		s.mu.Unlock()
 		if !asleep {
 			return true
 		}
 		select {
 		case <-wake:
-		case <-h.r.work.Done():
+		case <-s.run.ctx.Done():
 			return false
 		}
 	}
 }
 
-// reset closes a connection so that the other side sees a reset.
-func reset(nc net.Conn) {
+// resetConn closes a connection so that the other side sees a reset.
+func resetConn(nc net.Conn) {
 	if t, ok := nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
@@ -182,46 +182,46 @@
 }
 
 // serve answers the requests of one connection.
-func (h *host) serve(nc net.Conn, died <-chan struct{}) {
+func (s *emulatedServer) serve(nc net.Conn, died <-chan struct{}) {
 	defer func() {
 		nc.Close()
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		if h.conns[nc] { // else a crash has forgotten it
-			delete(h.conns, nc)
-			h.box.Disconnect()
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if s.conns[nc] { // else a crash has forgotten it
+			delete(s.conns, nc)
+			s.model.Disconnect()
 		}
 	}()
 	read := bufio.NewReader(nc)
-	spec := h.r.e.Site.Tiers[h.tier].Box
+	spec := s.run.e.Site.Tiers[s.tier].Server
 	for dialed := true; ; dialed = false {
-		if spec.ConnIdle > 0 {
-			_ = nc.SetReadDeadline(time.Now().Add(spec.ConnIdle))
+		if spec.ConnIdleTimeout > 0 {
+			_ = nc.SetReadDeadline(time.Now().Add(spec.ConnIdleTimeout))
 		}
 		if _, err := read.Peek(1); err != nil {
 			return
 		}
-		first := h.r.now()
+		first := s.run.now()
 		_ = nc.SetReadDeadline(time.Now().Add(10 * time.Second))
 		req, err := http.ReadRequest(read)
 		if err != nil {
 			return
 		}
-		h.mu.Lock()
-		before := h.faults.before
-		breaks := before > 0 && h.rng.Float64() < before
-		h.mu.Unlock()
+		s.mu.Lock()
+		before := s.faults.breakBeforeRate
+		breaks := before > 0 && s.rng.Float64() < before
+		s.mu.Unlock()
 		if breaks {
-			reset(nc)
+			resetConn(nc)
 			return
 		}
 		body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
 		if err != nil {
 			return
 		}
-		last := h.r.now()
-		if !h.respond(nc, req, body, first, last, dialed, died) {
-			reset(nc)
+		last := s.run.now()
+		if !s.respond(nc, req, body, first, last, dialed, died) {
+			resetConn(nc)
 			return
 		}
 		if req.Close {
@@ -231,70 +231,70 @@
 }
 
 // respond works off one request and tells whether the connection may serve on.
-func (h *host) respond(nc net.Conn, req *http.Request, body []byte, first, last time.Duration, dialed bool, died <-chan struct{}) bool {
-	id := req.Header.Get(idName)
+func (s *emulatedServer) respond(nc net.Conn, req *http.Request, body []byte, first, last time.Duration, dialed bool, died <-chan struct{}) bool {
+	id := req.Header.Get(idHeader)
 	class, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
-	q := h.r.wanted(id)
-	t := h.r.e.Site.Tiers[h.tier]
-	work := q.work * t.Work
+	q := s.run.requestInfo(id)
+	t := s.run.e.Site.Tiers[s.tier]
+	work := q.work * t.WorkFraction
 	if dialed {
-		work += t.Box.ConnWork.Seconds()
+		work += t.Server.ConnWork.Seconds()
 	}
 	if id == "" {
-		return h.write(nc, died, http.StatusNotFound, nil, id) // what came has no form: it was not a request
-	}
-	h.mu.Lock()
-	vanished, failing, after := h.faults.vanished, h.faults.failing, h.faults.after
-	fails := failing > 0 && h.rng.Float64() < failing || h.box.Fails()
-	breaks := after > 0 && h.rng.Float64() < after
-	cold := h.box.Warmth(last) < 1
-	h.mu.Unlock()
+		return s.writeResponse(nc, died, http.StatusNotFound, nil, id) // what came has no form: it was not a request
+	}
+	s.mu.Lock()
+	vanished, failing, after := s.faults.unresponsive, s.faults.fastErrorRate, s.faults.breakAfterRate
+	fails := failing > 0 && s.rng.Float64() < failing || s.model.DrawError()
+	breaks := after > 0 && s.rng.Float64() < after
+	cold := s.model.CapacityFraction(last) < 1
+	s.mu.Unlock()
 	if vanished {
-		h.quiet(died)
+		s.waitResponsive(died)
 		return false
 	}
-	h.r.ledger.Reached(invariant.Arrival{ID: id, Box: h.name, First: first, Last: last, Digest: digest(req.Method, req.URL.RequestURI(), id, body),
-		Cold: cold, Work: work})
+	s.run.checker.RecordArrival(invariant.Arrival{ID: id, Server: s.name, FirstByte: first, LastByte: last, Digest: digest(req.Method, req.URL.RequestURI(), id, body),
+		WarmingUp: cold, Work: work})
 	if fails {
-		return h.write(nc, died, http.StatusInternalServerError, nil, id)
+		return s.writeResponse(nc, died, http.StatusInternalServerError, nil, id)
 	}
 	through := make(chan struct{}, 1)
 	j := &server.Job{Owner: through, Work: work}
-	calls, rest := 0, 0.0
-	if h.below != nil {
-		calls, rest = t.Calls, work/2
-		j.Work = work - rest
-	}
-	h.mu.Lock()
-	now := h.advance()
-	verdict := h.box.Arrive(now, j, work)
-	h.stats.Arrivals++
-	if verdict == server.Declined {
-		h.stats.Declined++
-	}
-	fell := verdict == server.Dead && h.box.Fell()
-	h.reschedule()
-	h.mu.Unlock()
+	calls, workAfterCalls := 0, 0.0
+	if s.sidecar != nil {
+		calls, workAfterCalls = t.Calls, work/2
+		j.Work = work - workAfterCalls
+	}
+	s.mu.Lock()
+	now := s.advance()
+	verdict := s.model.Admit(now, j, work)
+	s.stats.Arrivals++
+	if verdict == server.Rejected {
+		s.stats.Rejected++
+	}
+	fell := verdict == server.Unavailable && s.model.FellOver()
+	s.reschedule()
+	s.mu.Unlock()
 	switch verdict {
-	case server.Declined:
-		h.r.ledger.Declined(now, h.name, id)
-		return h.write(nc, died, http.StatusServiceUnavailable, nil, id)
-	case server.Dead:
+	case server.Rejected:
+		s.run.checker.RecordRejection(now, s.name, id)
+		return s.writeResponse(nc, died, http.StatusServiceUnavailable, nil, id)
+	case server.Unavailable:
 		if fell {
-			h.r.ledger.Fell(now, h.name)
-			h.crash()
+			s.run.checker.RecordOverload(now, s.name)
+			s.crash()
 		}
 		return false
 	}
 	if breaks {
-		reset(nc) // the work goes on
+		resetConn(nc) // the work goes on
 	}
 	wait := func() bool {
 		select {
 		case <-through:
 			return true
 		case <-died:
-		case <-h.r.work.Done():
+		case <-s.run.ctx.Done():
 		}
 		return false
 	}
@@ -303,63 +303,63 @@
 	}
 	status := http.StatusOK
 	for n := range calls {
-		if !h.call(q, class, id, req.Method, body, n) {
+		if !s.callNextTier(q, class, id, req.Method, body, n) {
 			status = http.StatusInternalServerError
 			break
 		}
 	}
-	if status == http.StatusOK && rest > 0 {
-		h.mu.Lock()
-		h.advance()
-		j.Work = rest
-		h.box.Resume(j)
-		h.reschedule()
-		h.mu.Unlock()
+	if status == http.StatusOK && workAfterCalls > 0 {
+		s.mu.Lock()
+		s.advance()
+		j.Work = workAfterCalls
+		s.model.Resume(j)
+		s.reschedule()
+		s.mu.Unlock()
 		if !wait() {
 			return false
 		}
 	}
-	if pause := h.r.pause(q, h.below != nil); status == http.StatusOK && pause > 0 {
+	if pause := s.run.offCPUTime(q, s.sidecar != nil); status == http.StatusOK && pause > 0 {
 		select {
 		case <-time.After(pause):
 		case <-died:
 			return false
-		case <-h.r.work.Done():
+		case <-s.run.ctx.Done():
 			return false
 		}
 	}
-	h.mu.Lock()
-	h.advance()
-	over := j.Over()
-	h.box.End(j)
-	h.reschedule()
-	h.mu.Unlock()
+	s.mu.Lock()
+	s.advance()
+	over := j.Finished()
+	s.model.Finish(j)
+	s.reschedule()
+	s.mu.Unlock()
 	if over || breaks {
 		return false
 	}
 	var answer []byte
 	if status == http.StatusOK {
-		answer = []byte(h.name + " made this for " + id + "\n")
-		h.r.ledger.Made(h.name, id, xxhash.Sum64(answer))
+		answer = []byte(s.name + " made this for " + id + "\n")
+		s.run.checker.RecordServerResponse(s.name, id, xxhash.Sum64(answer))
 	}
-	return h.write(nc, died, status, answer, id)
+	return s.writeResponse(nc, died, status, answer, id)
 }
 
-// call asks the next tier through the box's own sidecar. A box carries no time on: the class's whole deadline is told.
-func (h *host) call(q wanted, class, id, method string, body []byte, n int) bool {
-	m := &message{id: id + "." + h.name + "." + strconv.Itoa(n), method: method, target: "/" + class + "/" + strconv.Itoa(n), tenant: q.tenant,
+// callNextTier asks the next tier through the box's own sidecar. A box carries no time on: the class's whole deadline is told.
+func (s *emulatedServer) callNextTier(q requestInfo, class, id, method string, body []byte, n int) bool {
+	m := &request{id: id + "." + s.name + "." + strconv.Itoa(n), method: method, target: "/" + class + "/" + strconv.Itoa(n), tenant: q.tenant,
 		patience: q.deadline, body: body}
-	h.r.remember(m.id, q)
-	out := h.r.ask(m, q, h.below, h.calls, context.Background())
-	return out.fate == invariant.Served
+	s.run.storeRequest(m.id, q)
+	out := s.run.send(m, q, s.sidecar, s.sidecarConns, context.Background())
+	return out.outcome == invariant.Served
 }
 
-// quiet waits while the machine says nothing, or until it is no more.
-func (h *host) quiet(died <-chan struct{}) {
+// waitResponsive waits while the machine says nothing, or until it is no more.
+func (s *emulatedServer) waitResponsive(died <-chan struct{}) {
 	for {
-		h.mu.Lock()
-		vanished, wake := h.faults.vanished, h.wake
-		h.mu.Unlock()
+		s.mu.Lock()
+		vanished, wake := s.faults.unresponsive, s.recovered
+		s.mu.Unlock()
 		if !vanished {
 			return
 		}
@@ -367,40 +367,40 @@
 		case <-wake:
 		case <-died:
 			return
-		case <-h.r.work.Done():
+		case <-s.run.ctx.Done():
 			return
 		}
 	}
 }
 
-// write sends an answer, as the faults in force let it.
-func (h *host) write(nc net.Conn, died <-chan struct{}, status int, body []byte, id string) bool {
-	h.mu.Lock()
-	f := h.faults
-	cut := f.within > 0 && h.rng.Float64() < f.within
-	garbled := f.garble > 0 && h.rng.Float64() < f.garble
-	held, reports := h.box.Report(h.r.now())
-	h.mu.Unlock()
-	if f.vanished {
-		h.quiet(died)
+// writeResponse sends an answer, as the faults in force let it.
+func (s *emulatedServer) writeResponse(nc net.Conn, died <-chan struct{}, status int, body []byte, id string) bool {
+	s.mu.Lock()
+	f := s.faults
+	cut := f.truncateRate > 0 && s.rng.Float64() < f.truncateRate
+	garbled := f.corruptRate > 0 && s.rng.Float64() < f.corruptRate
+	inFlight, reports := s.model.LoadReport(s.run.now())
+	s.mu.Unlock()
+	if f.unresponsive {
+		s.waitResponsive(died)
 		return false
 	}
-	if f.delay > 0 {
+	if f.responseDelay > 0 {
 		select {
-		case <-time.After(f.delay):
+		case <-time.After(f.responseDelay):
 		case <-died:
 			return false
-		case <-h.r.work.Done():
+		case <-s.run.ctx.Done():
 			return false
 		}
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
 	if status == http.StatusServiceUnavailable {
-		b.WriteString(declinedName + ": 1\r\n")
+		b.WriteString(rejectedHeader + ": 1\r\n")
 	}
 	if reports {
-		fmt.Fprintf(&b, "%s: inflight=%.0f\r\n", loadName, held)
+		fmt.Fprintf(&b, "%s: inflight=%.0f\r\n", loadHeader, inFlight)
 	}
 	b.WriteString("\r\n")
 	b.Write(body)
@@ -420,89 +420,89 @@
 }
 
 // crash ends the process: its connections are reset and new ones refused.
-func (h *host) crash() {
-	h.mu.Lock()
-	h.advance()
-	h.box.Crash()
-	conns := h.conns
-	h.conns = map[net.Conn]bool{}
+func (s *emulatedServer) crash() {
+	s.mu.Lock()
+	s.advance()
+	s.model.Crash()
+	conns := s.conns
+	s.conns = map[net.Conn]bool{}
 	select {
-	case <-h.died:
+	case <-s.crashed:
 	default:
-		close(h.died)
+		close(s.crashed)
 	}
-	h.mu.Unlock()
+	s.mu.Unlock()
 	for nc := range conns {
-		reset(nc)
+		resetConn(nc)
 	}
 }
 
 // restart brings a crashed box back, cold.
-func (h *host) restart() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.box.Restart(h.r.now())
-	h.died = make(chan struct{})
+func (s *emulatedServer) restart() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.model.Restart(s.run.now())
+	s.crashed = make(chan struct{})
 }
 
 // close ends the box for good.
-func (h *host) close() {
-	h.mu.Lock()
-	h.closed = true
-	h.alarm.Stop()
-	h.mu.Unlock()
-	h.listener.Close()
-	h.crash()
-	if h.calls != nil {
-		h.calls.close()
+func (s *emulatedServer) close() {
+	s.mu.Lock()
+	s.closed = true
+	s.timer.Stop()
+	s.mu.Unlock()
+	s.listener.Close()
+	s.crash()
+	if s.sidecarConns != nil {
+		s.sidecarConns.close()
 	}
 }
 
-// strike begins or ends a fault.
-func (h *host) strike(c traffic.Change) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.advance()
+// applyFault begins or ends a fault.
+func (s *emulatedServer) applyFault(c traffic.FaultEvent) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.advance()
 	size, period := 0.0, time.Duration(0)
 	if c.On {
 		size, period = c.Fault.Size, c.Fault.Period
 	}
-	f := &h.faults
+	f := &s.faults
 	switch c.Kind {
 	case experiment.FastErrors:
-		f.failing = size
-	case experiment.BreakBefore:
-		f.before = size
-	case experiment.BreakAfter:
-		f.after = size
-	case experiment.BreakAnswer:
-		f.within = size
-	case experiment.GarbleAnswer:
-		f.garble = size
-	case experiment.SlowAnswer:
-		f.delay = period
-	case experiment.Vanish:
-		f.vanished = c.On
+		f.fastErrorRate = size
+	case experiment.BreakBeforeRequest:
+		f.breakBeforeRate = size
+	case experiment.BreakAfterRequest:
+		f.breakAfterRate = size
+	case experiment.TruncateResponse:
+		f.truncateRate = size
+	case experiment.CorruptResponse:
+		f.corruptRate = size
+	case experiment.SlowResponse:
+		f.responseDelay = period
+	case experiment.Unresponsive:
+		f.unresponsive = c.On
 	case experiment.StallAccept:
-		f.stalled = c.On
-	case experiment.Neighbour, experiment.SharedSlow:
+		f.acceptStalled = c.On
+	case experiment.NoisyNeighbour, experiment.SharedSlowdown:
 		factor := 1.0
 		if c.On {
 			factor = c.Fault.Size
-			if c.Kind == experiment.Neighbour {
+			if c.Kind == experiment.NoisyNeighbour {
 				factor = 1 / (1 - min(c.Fault.Size, 0.99))
 			}
 		}
-		f.slow[c.Kind] = factor
+		f.slowdowns[c.Kind] = factor
 		all := 1.0
-		for _, x := range f.slow {
+		for _, x := range f.slowdowns {
 			all *= x
 		}
-		h.box.Slow(all)
+		s.model.SetSlowdown(all)
 	}
 	if !c.On {
-		close(h.wake)
-		h.wake = make(chan struct{})
+		close(s.recovered)
+		s.recovered = make(chan struct{})
 	}
-	h.reschedule()
+	s.reschedule()
 }
--- a/internal/experiment/testbed/testbed_test.go
+++ b/internal/experiment/testbed/testbed_test.go
@@ -31,7 +31,7 @@
 			t.Parallel()
 			dir := t.TempDir()
 			program := Command{Line: c.line, Dir: dir, Scratch: dir}
-			_, err := Run(t.Context(), small(), experiment.Arm{Name: "x"}, 1, Options{Program: program, StartWithin: 300 * time.Millisecond})
+			_, err := Run(t.Context(), smallExperiment(), experiment.Variant{Name: "x"}, 1, Options{Program: program, StartTimeout: 300 * time.Millisecond})
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
@@ -44,14 +44,14 @@
 	}
 }
 
-// kept is a planted program that the test looks into.
-type kept struct {
-	planted
+// observedProgram is a planted program that the test looks into.
+type observedProgram struct {
+	violatingProgram
 	proxy chan *proxy
 }
 
-func (k kept) Start(c Config) (Running, error) {
-	p, err := k.planted.start(c)
+func (k observedProgram) Start(c Config) (Instance, error) {
+	p, err := k.violatingProgram.startProxy(c)
 	if err != nil {
 		return nil, err
 	}
@@ -62,21 +62,21 @@
 // An interrupt ends all that was started, and what had been measured comes back.
 func TestInterrupt(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	e := small()
+	e := smallExperiment()
 	e.Duration = time.Hour
-	program := kept{planted("none"), make(chan *proxy, 1)}
+	program := observedProgram{violatingProgram("none"), make(chan *proxy, 1)}
 	var once sync.Once
-	got, err := Run(ctx, e, experiment.Arm{Name: "x"}, 1, Options{Program: program, Progress: func(time.Duration) {
+	got, err := Run(ctx, e, experiment.Variant{Name: "x"}, 1, Options{Program: program, Progress: func(time.Duration) {
 		once.Do(func() { // a second's arrivals are on their way, about 80
 			p := <-program.proxy
-			testpeer.Until(t, "most of the first second's requests were answered", func() bool { return p.over.Load() >= 50 })
+			testpeer.Until(t, "most of the first second's requests were answered", func() bool { return p.responses.Load() >= 50 })
 			stop()
 		})
 	}})
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
-	if n := got.Tally.Total.Offered(); n < 20 {
+	if n := got.Counters.Total.Offered(); n < 20 {
 		t.Errorf("%d requests were measured before the interrupt", n)
 	}
 }
--- a/internal/experiment/virtual/virtual.go
+++ b/internal/experiment/virtual/virtual.go
@@ -21,7 +21,7 @@
 
 // Result is what one play came to.
 type Result struct {
-	Tally    *counters.Tally
+	Counters *counters.Counters
 	Verdicts []invariant.Verdict
 	Played   time.Duration // of virtual time
 	Events   int
@@ -35,77 +35,77 @@
 }
 
 const (
-	zero        = 24 * time.Hour         // instances read this at the start: 0 means long ago to them
-	dialTimeout = 250 * time.Millisecond // for connections that do not come up
-	errorAfter  = time.Millisecond       // a box that fails fast answers after this
-	logsMost    = 100
-	progressGap = time.Second // of virtual time
+	balancerEpoch    = 24 * time.Hour         // instances read this at the start: 0 means long ago to them
+	dialTimeout      = 250 * time.Millisecond // for connections that do not come up
+	fastErrorDelay   = time.Millisecond       // a box that fails fast answers after this
+	maxLogs          = 100
+	progressInterval = time.Second // of virtual time
 )
 
-// world is one run.
-type world struct {
-	schedule
-	party
-	e    *experiment.Experiment
-	seed uint64
-	arm  experiment.Arm
+// simulation is one run.
+type simulation struct {
+	eventQueue
+	eventSource
+	e       *experiment.Experiment
+	seed    uint64
+	variant experiment.Variant
 
-	ledger *invariant.Ledger
-	tally  *counters.Tally
-	rng    *rand.Rand // of the network
+	checker  *invariant.Checker
+	counters *counters.Counters
+	rng      *rand.Rand // of the network
 
-	boxes     [][]*host // by tier and place: the present generation
-	all       []*host   // of all generations, in order of coming
-	byName    map[string]*host
-	front     []*instance
-	instances []*instance // of all tiers
-	silent    bool
-	late      time.Duration
-	published [][]balancer.Endpoint // by tier: what the roster knows
-	arrived   [][]int64             // by tier and second: requests that reached boxes
-	events    int
-	logs      []string
+	servers          [][]*serverNode // by tier and place: the present generation
+	allServers       []*serverNode   // of all generations, in order of coming
+	serverByName     map[string]*serverNode
+	frontInstances   []*instance
+	instances        []*instance // of all tiers
+	discoverySilent  bool
+	discoveryDelay   time.Duration
+	endpointLists    [][]balancer.Endpoint // by tier: what the roster knows
+	arrivalsBySecond [][]int64             // by tier and second: requests that reached boxes
+	events           int
+	logs             []string
 }
 
 // Run plays an experiment once.
-func Run(ctx context.Context, e *experiment.Experiment, arm experiment.Arm, seed uint64, o Options) (*Result, error) {
-	if arm.Policy != experiment.DesignPolicy {
-		if _, err := baseline.New(arm.Policy, balancer.Settings{}, nil); err != nil {
-			return nil, fmt.Errorf("arm %s: %w", arm.Name, err)
+func Run(ctx context.Context, e *experiment.Experiment, variant experiment.Variant, seed uint64, o Options) (*Result, error) {
+	if variant.Policy != experiment.DesignPolicy {
+		if _, err := baseline.New(variant.Policy, balancer.Settings{}, nil); err != nil {
+			return nil, fmt.Errorf("arm %s: %w", variant.Name, err)
 		}
 	}
-	w := &world{party: party{rank: 0}, e: e, seed: seed, arm: arm, ledger: invariant.New(e.Site.Rules, 0), tally: counters.New(e),
-		rng: experiment.Rand(seed, "network"), byName: map[string]*host{}}
+	w := &simulation{eventSource: eventSource{rank: 0}, e: e, seed: seed, variant: variant, checker: invariant.New(e.Site.Rules, 0), counters: counters.New(e),
+		rng: experiment.Rand(seed, "network"), serverByName: map[string]*serverNode{}}
 	w.build(o.Shuffle)
 	for i, c := range traffic.Timeline(e, seed) {
-		p := &party{rank: experiment.Seed(seed, "change "+strconv.Itoa(i))}
-		w.at(p, c.At, func(now time.Duration) { w.change(now, p, c) })
+		p := &eventSource{rank: experiment.Seed(seed, "change "+strconv.Itoa(i))}
+		w.scheduleFunc(p, c.At, func(now time.Duration) { w.applyFault(now, p, c) })
 	}
 	requests := traffic.Draw(e, seed)
 	next := 0
-	clients := &party{rank: experiment.Seed(seed, "clients")}
+	clients := &eventSource{rank: experiment.Seed(seed, "clients")}
 	var arrive func(now time.Duration)
 	arrive = func(now time.Duration) {
-		w.want(now, next, &requests[next])
+		w.startClient(now, next, &requests[next])
 		if next++; next < len(requests) {
-			w.at(clients, requests[next].At, arrive)
+			w.scheduleFunc(clients, requests[next].At, arrive)
 		}
 	}
 	if len(requests) > 0 {
-		w.at(clients, requests[0].At, arrive)
+		w.scheduleFunc(clients, requests[0].At, arrive)
 	}
 	end := e.Duration + time.Second
 	for _, c := range e.Site.Classes {
-		end = max(end, e.Duration+2*c.Deadline+e.Site.Rules.AnswerSlack)
+		end = max(end, e.Duration+2*c.Deadline+e.Site.Rules.ResponseSlack)
 	}
 	shown := time.Duration(0)
-	for w.step(end) {
+	for w.runNext(end) {
 		w.events++
 		if w.events%4096 == 0 {
 			if err := ctx.Err(); err != nil {
 				return w.result(), err
 			}
-			if o.Progress != nil && w.now-shown >= progressGap {
+			if o.Progress != nil && w.now-shown >= progressInterval {
 				shown = w.now
 				o.Progress(w.now)
 			}
@@ -114,37 +114,37 @@
 	return w.result(), nil
 }
 
-func (w *world) result() *Result {
-	for _, h := range w.all {
+func (s *simulation) result() *Result {
+	for _, h := range s.allServers {
 		b := h.stats
-		b.Busy = h.box.Busy()
-		until := h.gone
+		b.Busy = h.model.CoreSeconds()
+		until := h.removedAt
 		if until == 0 {
-			until = w.now
+			until = s.now
 		}
-		b.Up = until - h.came
-		b.Peak, b.Full = h.box.Peak(), h.full()
-		w.tally.Boxes = append(w.tally.Boxes, b)
+		b.Lifetime = until - h.addedAt
+		b.WarmupPeak, b.TimeToFullLoad = h.model.WarmupPeak(), h.timeToFullLoad()
+		s.counters.Servers = append(s.counters.Servers, b)
 	}
-	return &Result{Tally: w.tally, Verdicts: w.ledger.Close(w.now), Played: w.now, Events: w.events, Logs: w.logs}
+	return &Result{Counters: s.counters, Verdicts: s.checker.Close(s.now), Played: s.now, Events: s.events, Logs: s.logs}
 }
 
 // build makes boxes and instances, in any order.
-func (w *world) build(shuffle *rand.Rand) {
-	site := w.e.Site
-	w.boxes = make([][]*host, len(site.Tiers))
-	w.published = make([][]balancer.Endpoint, len(site.Tiers))
-	w.arrived = make([][]int64, len(site.Tiers))
+func (s *simulation) build(shuffle *rand.Rand) {
+	site := s.e.Site
+	s.servers = make([][]*serverNode, len(site.Tiers))
+	s.endpointLists = make([][]balancer.Endpoint, len(site.Tiers))
+	s.arrivalsBySecond = make([][]int64, len(site.Tiers))
 	var make1 []func()
 	for t, tier := range site.Tiers {
-		w.boxes[t] = make([]*host, tier.Boxes)
-		for place := range tier.Boxes {
-			make1 = append(make1, func() { w.boxes[t][place] = w.newHost(t, place, 0, -1) })
+		s.servers[t] = make([]*serverNode, tier.Servers)
+		for place := range tier.Servers {
+			make1 = append(make1, func() { s.servers[t][place] = s.newServer(t, place, 0, -1) })
 		}
 	}
-	w.front = make([]*instance, site.Balancers)
+	s.frontInstances = make([]*instance, site.Balancers)
 	for i := range site.Balancers {
-		make1 = append(make1, func() { w.front[i] = w.newInstance(fmt.Sprintf("balancer-%d", i), 0, i, site.Balancers, nil) })
+		make1 = append(make1, func() { s.frontInstances[i] = s.newInstance(fmt.Sprintf("balancer-%d", i), 0, i, site.Balancers, nil) })
 	}
 	if shuffle != nil {
 		shuffle.Shuffle(len(make1), func(i, j int) { make1[i], make1[j] = make1[j], make1[i] })
@@ -153,41 +153,41 @@
 		f()
 	}
 	for t := range site.Tiers {
-		for _, h := range w.boxes[t] {
-			w.all = append(w.all, h)
-			w.published[t] = append(w.published[t], balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Ready})
+		for _, h := range s.servers[t] {
+			s.allServers = append(s.allServers, h)
+			s.endpointLists[t] = append(s.endpointLists[t], balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Ready})
 		}
 	}
-	for _, in := range w.front {
+	for _, in := range s.frontInstances {
 		in.start(0)
 	}
 	for t := range site.Tiers {
-		for _, h := range w.boxes[t] {
-			if h.below != nil {
-				h.below.start(0)
+		for _, h := range s.servers[t] {
+			if h.sidecar != nil {
+				h.sidecar.start(0)
 			}
 		}
 	}
 }
 
-// hop is the time that a message takes one way.
-func (w *world) hop() time.Duration {
-	d := w.e.Site.Delay
-	if w.e.Site.Jitter > 0 {
-		d = time.Duration(float64(d) * (1 + w.e.Site.Jitter*(2*w.rng.Float64()-1)))
+// networkDelay is the time that a message takes one way.
+func (s *simulation) networkDelay() time.Duration {
+	d := s.e.Site.NetworkDelay
+	if s.e.Site.NetworkJitter > 0 {
+		d = time.Duration(float64(d) * (1 + s.e.Site.NetworkJitter*(2*s.rng.Float64()-1)))
 	}
 	return d
 }
 
-// publish changes what the roster says of a box and tells every instance of that tier, each in its own time.
-func (w *world) publish(now time.Duration, tier int, e balancer.Endpoint) {
-	list := w.published[tier]
+// publishEndpoint changes what the roster says of a box and tells every instance of that tier, each in its own time.
+func (s *simulation) publishEndpoint(now time.Duration, tier int, e balancer.Endpoint) {
+	list := s.endpointLists[tier]
 	found := false
 	for i := range list {
 		if list[i].ID == e.ID {
 			found = true
 			if e.State == balancer.Gone {
-				w.published[tier] = append(list[:i:i], list[i+1:]...)
+				s.endpointLists[tier] = append(list[:i:i], list[i+1:]...)
 			} else {
 				list[i] = e
 			}
@@ -195,122 +195,122 @@
 		}
 	}
 	if !found && e.State != balancer.Gone {
-		w.published[tier] = append(list, e)
+		s.endpointLists[tier] = append(list, e)
 	}
-	for _, in := range w.instances {
+	for _, in := range s.instances {
 		if in.tier != tier || in.down {
 			continue
 		}
-		if w.silent {
-			in.missed = append(in.missed, e)
+		if s.discoverySilent {
+			in.missedChanges = append(in.missedChanges, e)
 			continue
 		}
-		w.tell(now, in, e)
+		s.notifyInstance(now, in, e)
 	}
 }
 
-func (w *world) tell(now time.Duration, in *instance, e balancer.Endpoint) {
-	roster := w.e.Site.Roster
-	at := now + roster.Delay + w.late + time.Duration(in.spread*float64(roster.Spread))
-	in.toldAt = max(in.toldAt, at)
-	life := in.life
-	w.at(&in.party, in.toldAt, func(now time.Duration) {
-		if in.down || in.life != life {
+func (s *simulation) notifyInstance(now time.Duration, in *instance, e balancer.Endpoint) {
+	discovery := s.e.Site.Discovery
+	at := now + discovery.Delay + s.discoveryDelay + time.Duration(in.discoverySpread*float64(discovery.Spread))
+	in.notifiedAt = max(in.notifiedAt, at)
+	incarnation := in.incarnation
+	s.scheduleFunc(&in.eventSource, in.notifiedAt, func(now time.Duration) {
+		if in.down || in.incarnation != incarnation {
 			return
 		}
-		w.ledger.Told(now, in.name, e.ID, e.State, e.Started > 0)
-		in.policy.EndpointList(zero+now, balancer.EndpointList{Entries: []balancer.Endpoint{e}})
+		s.checker.RecordNotification(now, in.name, e.ID, e.State, e.Started > 0)
+		in.policy.EndpointList(balancerEpoch+now, balancer.EndpointList{Entries: []balancer.Endpoint{e}})
 	})
 }
 
-// change carries out one step of a fault.
-func (w *world) change(now time.Duration, p *party, c traffic.Change) {
+// applyFault carries out one step of a fault.
+func (s *simulation) applyFault(now time.Duration, p *eventSource, c traffic.FaultEvent) {
 	switch c.Kind {
-	case experiment.RosterLate:
-		w.late = 0
+	case experiment.DiscoveryDelay:
+		s.discoveryDelay = 0
 		if c.On {
-			w.late = c.Fault.Period
+			s.discoveryDelay = c.Fault.Period
 		}
 		return
-	case experiment.RosterSilent:
-		w.silent = c.On
+	case experiment.DiscoverySilence:
+		s.discoverySilent = c.On
 		if !c.On {
-			for _, in := range w.instances {
-				for _, e := range in.missed {
-					w.tell(now, in, e)
+			for _, in := range s.instances {
+				for _, e := range in.missedChanges {
+					s.notifyInstance(now, in, e)
 				}
-				in.missed = nil
+				in.missedChanges = nil
 			}
 		}
 		return
 	case experiment.KillSidecar:
-		in := w.front[c.Box%len(w.front)]
+		in := s.frontInstances[c.Server%len(s.frontInstances)]
 		if !in.down {
 			in.kill(now)
-			w.at(p, now+c.Fault.For, func(now time.Duration) { in.start(now) })
+			s.scheduleFunc(p, now+c.Fault.Duration, func(now time.Duration) { in.start(now) })
 		}
 		return
 	}
-	h := w.boxes[c.Tier][c.Box]
+	h := s.servers[c.Tier][c.Server]
 	h.advance(now)
 	switch c.Kind {
-	case experiment.Deploy:
-		w.replace(now, p, h, c.Fault.Period)
+	case experiment.RollingDeploy:
+		s.replaceServer(now, p, h, c.Fault.Period)
 		return
 	case experiment.Crash:
 		if c.On {
 			h.crash(now)
-			w.publish(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Gone})
-		} else if h.box.Down() {
-			h.box.Restart(now)
-			if h.below != nil {
-				h.below.start(now)
+			s.publishEndpoint(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Gone})
+		} else if h.model.Down() {
+			h.model.Restart(now)
+			if h.sidecar != nil {
+				h.sidecar.start(now)
 			}
-			w.publish(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Ready, Started: zero + now})
+			s.publishEndpoint(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Ready, Started: balancerEpoch + now})
 		}
 		return
 	}
-	h.strike(c)
+	h.applyFault(c)
 	h.reschedule()
 }
 
-// replace drains a box, ends it after the time for that, and starts a cold successor in its place.
-func (w *world) replace(now time.Duration, p *party, h *host, drain time.Duration) {
-	h.box.Drain()
-	w.publish(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Draining})
-	w.at(p, now+drain, func(now time.Duration) {
+// replaceServer drains a box, ends it after the time for that, and starts a cold successor in its place.
+func (s *simulation) replaceServer(now time.Duration, p *eventSource, h *serverNode, drain time.Duration) {
+	h.model.Drain()
+	s.publishEndpoint(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Draining})
+	s.scheduleFunc(p, now+drain, func(now time.Duration) {
 		h.advance(now)
 		h.crash(now)
-		h.gone = now
-		w.publish(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Gone})
-		n := w.newHost(h.tier, h.place, h.generation+1, now)
-		w.boxes[h.tier][h.place] = n
-		w.all = append(w.all, n)
-		if n.below != nil {
-			n.below.start(now)
+		h.removedAt = now
+		s.publishEndpoint(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Gone})
+		n := s.newServer(h.tier, h.index, h.generation+1, now)
+		s.servers[h.tier][h.index] = n
+		s.allServers = append(s.allServers, n)
+		if n.sidecar != nil {
+			n.sidecar.start(now)
 		}
-		w.publish(now, n.tier, balancer.Endpoint{ID: n.name, Kind: n.stats.Kind, State: balancer.Ready, Started: zero + now})
+		s.publishEndpoint(now, n.tier, balancer.Endpoint{ID: n.name, Kind: n.stats.Kind, State: balancer.Ready, Started: balancerEpoch + now})
 	})
 }
 
-// newHost makes a box and, unless its tier is the last, the instance beside it.
-func (w *world) newHost(tier, place, generation int, started time.Duration) *host {
-	t := w.e.Site.Tiers[tier]
-	kind := traffic.Kind(t, place)
-	name := traffic.Name(t, place, generation)
-	h := &host{party: party{rank: experiment.Seed(w.seed, name)}, w: w, tier: tier, place: place, generation: generation, name: name,
-		rng: experiment.Rand(w.seed, "faults of "+name), came: max(started, 0), slow: map[experiment.FaultKind]float64{}}
-	h.stats = counters.Box{Name: name, Kind: kind.Name, Cores: kind.Cores, Fresh: started >= 0}
-	h.box = server.New(kind, t.Box, w.e.Site.Rules, started, experiment.Rand(w.seed, "box "+name))
-	w.byName[name] = h
-	if tier+1 < len(w.e.Site.Tiers) && t.Calls > 0 {
-		h.below = w.newInstance("beside "+name, tier+1, place, t.Boxes, h)
+// newServer makes a box and, unless its tier is the last, the instance beside it.
+func (s *simulation) newServer(tier, place, generation int, started time.Duration) *serverNode {
+	t := s.e.Site.Tiers[tier]
+	kind := traffic.KindOf(t, place)
+	name := traffic.ServerName(t, place, generation)
+	h := &serverNode{eventSource: eventSource{rank: experiment.Seed(s.seed, name)}, sim: s, tier: tier, index: place, generation: generation, name: name,
+		rng: experiment.Rand(s.seed, "faults of "+name), addedAt: max(started, 0), slowdowns: map[experiment.FaultKind]float64{}}
+	h.stats = counters.Server{Name: name, Kind: kind.Name, Cores: kind.Cores, AddedDuringRun: started >= 0}
+	h.model = server.New(kind, t.Server, s.e.Site.Rules, started, experiment.Rand(s.seed, "box "+name))
+	s.serverByName[name] = h
+	if tier+1 < len(s.e.Site.Tiers) && t.Calls > 0 {
+		h.sidecar = s.newInstance("beside "+name, tier+1, place, t.Servers, h)
 	}
 	return h
 }
 
-func (w *world) log(now time.Duration, who, line string) {
-	if len(w.logs) < logsMost {
-		w.logs = append(w.logs, fmt.Sprintf("%.3f %s: %s", now.Seconds(), who, line))
+func (s *simulation) log(now time.Duration, who, line string) {
+	if len(s.logs) < maxLogs {
+		s.logs = append(s.logs, fmt.Sprintf("%.3f %s: %s", now.Seconds(), who, line))
 	}
 }
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -17,36 +17,36 @@
 
 // calm is a service of two tiers with load to spare.
 func calm() *experiment.Experiment {
-	kinds := []experiment.Kind{{Name: "fast", Share: 1, Cores: 2, Speed: 1.4, Slots: 16, Queue: 200}, {Name: "slow", Share: 1, Cores: 2, Speed: 0.8, Slots: 16, Queue: 200}}
-	spec := experiment.BoxSpec{ColdFrom: 0.3, ColdFor: 5 * time.Second, ConnWork: time.Millisecond, ConnLimit: 500, ConnIdle: 10 * time.Second}
+	kinds := []experiment.Kind{{Name: "fast", Fraction: 1, Cores: 2, Speed: 1.4, Slots: 16, QueueLimit: 200}, {Name: "slow", Fraction: 1, Cores: 2, Speed: 0.8, Slots: 16, QueueLimit: 200}}
+	spec := experiment.ServerSpec{InitialCapacity: 0.3, WarmupTime: 5 * time.Second, ConnWork: time.Millisecond, ConnLimit: 500, ConnIdleTimeout: 10 * time.Second}
 	return &experiment.Experiment{
 		Name: "calm", Duration: 20 * time.Second, Warmup: 2 * time.Second,
-		Site: experiment.Site{Balancers: 2, Delay: 200 * time.Microsecond, Jitter: 0.3, Attempts: 5,
-			Roster: experiment.Roster{Delay: time.Second, Spread: 300 * time.Millisecond},
+		Site: experiment.Site{Balancers: 2, NetworkDelay: 200 * time.Microsecond, NetworkJitter: 0.3, MaxAttempts: 5,
+			Discovery: experiment.Discovery{Delay: time.Second, Spread: 300 * time.Millisecond},
 			Classes: []experiment.Class{
-				{Name: "lookup", Effect: balancer.Idempotent, Share: 0.7, Work: 40 * time.Millisecond, Wait: 10 * time.Millisecond, Spread: experiment.Exponential, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
-				{Name: "submit", Effect: balancer.NonIdempotent, Share: 0.3, Work: 50 * time.Millisecond, Spread: experiment.LogNormal, Cv: 0.5, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 10},
+				{Name: "lookup", Repeat: balancer.Idempotent, TrafficShare: 0.7, Work: 40 * time.Millisecond, OffCPUTime: 10 * time.Millisecond, Distribution: experiment.Exponential, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
+				{Name: "submit", Repeat: balancer.NonIdempotent, TrafficShare: 0.3, Work: 50 * time.Millisecond, Distribution: experiment.LogNormal, VariationCoefficient: 0.5, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 10},
 			},
-			Tiers: []experiment.Tier{{Name: "front", Boxes: 6, Work: 0.4, Calls: 1, Kinds: kinds, Box: spec}, {Name: "back", Boxes: 8, Work: 0.6, Kinds: kinds, Box: spec}},
-			Rules: experiment.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, FallOver: 4, FallWindow: time.Second},
+			Tiers: []experiment.Tier{{Name: "front", Servers: 6, WorkFraction: 0.4, Calls: 1, Kinds: kinds, Server: spec}, {Name: "back", Servers: 8, WorkFraction: 0.6, Kinds: kinds, Server: spec}},
+			Rules: experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4, OverloadWindow: time.Second},
 		},
-		Load: experiment.Load{Rate: 100, Process: "poisson", Clients: experiment.Clients{PatienceLeast: 0.6, Retries: 1, RetryWait: 100 * time.Millisecond, Leave: 0.02}},
+		Load: experiment.Load{Rate: 100, Process: "poisson", Clients: experiment.Clients{MinPatience: 0.6, Retries: 1, RetryWait: 100 * time.Millisecond, DisconnectRate: 0.02}},
 	}
 }
 
-func play(t *testing.T, e *experiment.Experiment, policy string, seed uint64, shuffle *rand.Rand) *Result {
+func run(t *testing.T, e *experiment.Experiment, policy string, seed uint64, shuffle *rand.Rand) *Result {
 	t.Helper()
-	r, err := Run(context.Background(), e, experiment.Arm{Name: policy, Policy: policy}, seed, Options{Shuffle: shuffle})
+	r, err := Run(context.Background(), e, experiment.Variant{Name: policy, Policy: policy}, seed, Options{Shuffle: shuffle})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func broken(r *Result) map[invariant.Rule]string {
+func violations(r *Result) map[invariant.Rule]string {
 	out := map[invariant.Rule]string{}
 	for _, v := range r.Verdicts {
-		if v.Broken > 0 {
+		if v.Violations > 0 {
 			out[v.Rule] = v.Detail
 		}
 	}
@@ -56,31 +56,31 @@
 func TestCalmServesAll(t *testing.T) {
 	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
 		t.Run(policy, func(t *testing.T) {
-			r := play(t, calm(), policy, 1, nil)
-			if b := broken(r); len(b) > 0 {
+			r := run(t, calm(), policy, 1, nil)
+			if b := violations(r); len(b) > 0 {
 				t.Errorf("rules broken: %v", b)
 			}
-			if share := r.Tally.Total.Share(counters.InTime); share < 0.99 {
-				t.Errorf("served in time: %.4f of %d", share, r.Tally.Total.Offered())
+			if share := r.Counters.Total.Fraction(counters.ServedInTime); share < 0.99 {
+				t.Errorf("served in time: %.4f of %d", share, r.Counters.Total.Offered())
 			}
-			if n := r.Tally.Total.Offered(); n < 1600 || n > 2000 {
+			if n := r.Counters.Total.Offered(); n < 1600 || n > 2000 {
 				t.Errorf("offered %d, want about 1800", n)
 			}
 		})
 	}
 }
 
-// troubled has every fault that virtual time knows.
-func troubled() *experiment.Experiment {
+// withAllFaults has every fault that virtual time knows.
+func withAllFaults() *experiment.Experiment {
 	e := calm()
 	e.Duration = 30 * time.Second
 	for kind, has := range experiment.FaultKinds {
 		if !has {
 			continue
 		}
-		f := experiment.Fault{Kind: kind, At: 5 * time.Second, For: 10 * time.Second, Part: 0.2, Size: 0.3, Period: time.Second}
-		if kind == experiment.SharedSlow {
-			f.Size, f.For, f.Part = 1.5, 3*time.Second, 1
+		f := experiment.Fault{Kind: kind, At: 5 * time.Second, Duration: 10 * time.Second, Fraction: 0.2, Size: 0.3, Period: time.Second}
+		if kind == experiment.SharedSlowdown {
+			f.Size, f.Duration, f.Fraction = 1.5, 3*time.Second, 1
 		}
 		e.Faults = append(e.Faults, f)
 	}
@@ -97,7 +97,7 @@
 
 func TestSameSeedSameResult(t *testing.T) {
 	text := func(seed uint64, shuffle *rand.Rand) string {
-		r := play(t, troubled(), experiment.DesignPolicy, seed, shuffle)
+		r := run(t, withAllFaults(), experiment.DesignPolicy, seed, shuffle)
 		b, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
@@ -122,36 +122,36 @@
 // nothing of cold boxes: that rule is the design's alone.
 func TestRulesUnderFaults(t *testing.T) {
 	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
-		r := play(t, troubled(), policy, 3, nil)
-		b := broken(r)
+		r := run(t, withAllFaults(), policy, 3, nil)
+		b := violations(r)
 		if policy != experiment.DesignPolicy {
-			delete(b, invariant.Cold)
+			delete(b, invariant.RuleWarmup)
 		}
 		if len(b) > 0 {
 			t.Errorf("%s: rules broken: %v", policy, b)
 		}
-		if n := r.Tally.Total; n.Offered() == n[counters.InTime] {
+		if n := r.Counters.Total; n.Offered() == n[counters.ServedInTime] {
 			t.Errorf("%s: the faults changed nothing", policy)
 		}
 	}
 }
 
 func TestFaultsBite(t *testing.T) {
-	base := play(t, calm(), "random", 2, nil)
+	base := run(t, calm(), "random", 2, nil)
 	for kind, has := range experiment.FaultKinds {
-		if !has || kind == experiment.RosterLate || kind == experiment.RosterSilent {
+		if !has || kind == experiment.DiscoveryDelay || kind == experiment.DiscoverySilence {
 			continue
 		}
 		e := calm()
 		e.Load.Clients.Retries = 0
-		f := experiment.Fault{Kind: kind, At: 4 * time.Second, For: 12 * time.Second, Part: 0.6, Size: 0.9, Period: 400 * time.Millisecond}
-		if kind == experiment.SharedSlow {
+		f := experiment.Fault{Kind: kind, At: 4 * time.Second, Duration: 12 * time.Second, Fraction: 0.6, Size: 0.9, Period: 400 * time.Millisecond}
+		if kind == experiment.SharedSlowdown {
 			f.Size = 6
 		}
 		e.Faults = []experiment.Fault{f}
-		r := play(t, e, "random", 2, nil)
-		if r.Tally.Quantile(0.99) <= base.Tally.Quantile(0.99) && r.Tally.Total.Share(counters.InTime) >= base.Tally.Total.Share(counters.InTime) &&
-			r.Tally.Attempts <= base.Tally.Attempts {
+		r := run(t, e, "random", 2, nil)
+		if r.Counters.Quantile(0.99) <= base.Counters.Quantile(0.99) && r.Counters.Total.Fraction(counters.ServedInTime) >= base.Counters.Total.Fraction(counters.ServedInTime) &&
+			r.Counters.Attempts <= base.Counters.Attempts {
 			t.Errorf("%s: nothing is worse than on a calm day", kind)
 		}
 	}
@@ -161,18 +161,18 @@
 func TestDeathBelowFreesTheSlotAbove(t *testing.T) {
 	e := calm()
 	e.Load.Clients = experiment.Clients{}
-	e.Faults = []experiment.Fault{{Kind: experiment.Crash, At: 8 * time.Second, For: time.Minute, Tier: "back", Part: 1}}
-	r := play(t, e, "round_robin", 4, nil)
-	if b := broken(r); len(b) > 0 {
+	e.Faults = []experiment.Fault{{Kind: experiment.Crash, At: 8 * time.Second, Duration: time.Minute, Tier: "back", Fraction: 1}}
+	r := run(t, e, "round_robin", 4, nil)
+	if b := violations(r); len(b) > 0 {
 		t.Errorf("rules broken: %v", b)
 	}
-	if r.Tally.Total[counters.Failed]+r.Tally.Total[counters.Refused] == 0 {
+	if r.Counters.Total[counters.Failed]+r.Counters.Total[counters.Rejected] == 0 {
 		t.Error("all was served with no box left in the last tier")
 	}
 }
 
 func TestUnknownPolicy(t *testing.T) {
-	if _, err := Run(context.Background(), calm(), experiment.Arm{Name: "x", Policy: "best"}, 1, Options{}); err == nil {
+	if _, err := Run(context.Background(), calm(), experiment.Variant{Name: "x", Policy: "best"}, 1, Options{}); err == nil {
 		t.Error("a policy of no known name was played")
 	}
 }
@@ -182,16 +182,16 @@
 		b.Run(strconv.Itoa(size.balancers)+"x"+strconv.Itoa(size.boxes), func(b *testing.B) {
 			e := calm()
 			e.Site.Tiers = e.Site.Tiers[1:]
-			e.Site.Tiers[0].Boxes, e.Site.Balancers = size.boxes, size.balancers
+			e.Site.Tiers[0].Servers, e.Site.Balancers = size.boxes, size.balancers
 			e.Load.Rate = 25 * float64(size.boxes)
-			e.Site.Rules.FallOver = 0
+			e.Site.Rules.WarmupOverload = 0
 			requests := 0
 			for b.Loop() {
-				r, err := Run(context.Background(), e, experiment.Arm{Policy: experiment.DesignPolicy}, 1, Options{})
+				r, err := Run(context.Background(), e, experiment.Variant{Policy: experiment.DesignPolicy}, 1, Options{})
 				if err != nil {
 					b.Fatal(err)
 				}
-				requests += int(r.Tally.Requests)
+				requests += int(r.Counters.Requests)
 			}
 			b.ReportMetric(float64(requests)/b.Elapsed().Seconds(), "requests/s")
 		})
