--- /dev/null
+++ b/internal/faultproxy/relay_test.go
@@ -0,0 +1,181 @@
+package faultproxy
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"rowancart/internal/testpeer"
+)
+
+// patience bounds waits of a test. It is no expectation.
+const patience = 10 * time.Second
+
+func TestRelayRejectsTargetsThatAreNotLoopback(t *testing.T) {
+	if _, err := Listen("192.0.2.1:80", Options{}); err == nil {
+		t.Fatal("a relay to another machine is started")
+	}
+}
+
+// startEcho starts a target that sends back what it receives.
+func startEcho(t *testing.T) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() { defer conn.Close(); io.Copy(conn, conn) }()
+		}
+	}()
+	return listener.Addr().String()
+}
+
+// testClient is a connection through a relay.
+type testClient struct {
+	net.Conn
+	reader *bufio.Reader
+}
+
+func dialRelay(t *testing.T, r *Relay) *testClient {
+	t.Helper()
+	conn, err := net.Dial("tcp", r.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(patience))
+	return &testClient{conn, bufio.NewReader(conn)}
+}
+
+// startRelay starts a relay to an echo, with one connection.
+func startRelay(t *testing.T, options Options) (*Relay, *testClient) {
+	t.Helper()
+	r, err := Listen(startEcho(t), options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { r.Close() })
+	return r, dialRelay(t, r)
+}
+
+func (c *testClient) send(line string) { io.WriteString(c, line+"\n") }
+
+func (c *testClient) expectLine(t *testing.T, line string) {
+	t.Helper()
+	if got, err := c.reader.ReadString('\n'); err != nil || got != line+"\n" {
+		t.Fatalf("%q, %v, want %q", got, err, line)
+	}
+}
+
+func (c *testClient) roundTrip(t *testing.T, line string) {
+	t.Helper()
+	c.send(line)
+	c.expectLine(t, line)
+}
+
+// rejection opens one more connection and returns how it failed. The kernel completes a handshake
+// before the relay sees the connection, and the reset may come before or after the dial has checked:
+// either shows it.
+func rejection(t *testing.T, r *Relay) error {
+	t.Helper()
+	conn, err := net.Dial("tcp", r.Addr())
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(patience))
+	_, err = conn.Read(make([]byte, 1))
+	return err
+}
+
+// A partition keeps what was sent, and the heal delivers it, as TCP's retransmissions would.
+func TestHealDeliversWhatAPartitionHeld(t *testing.T) {
+	r, c := startRelay(t, Options{})
+	c.roundTrip(t, "before")
+	r.Set(Fault{Hold: true})
+	c.send("during")
+	testpeer.Until(t, "the chunk sent during the partition held", func() bool { return r.Stats().HeldChunks > 0 })
+	r.Heal()
+	c.expectLine(t, "during")
+	if s := r.Stats(); s.HeldChunks != 0 || s.Accepted != 1 {
+		t.Errorf("stats after the heal: %+v", s)
+	}
+}
+
+func TestResetEndsConnectionsAndRejectsNewOnes(t *testing.T) {
+	r, c := startRelay(t, Options{})
+	c.roundTrip(t, "one")
+	r.Set(Fault{Reset: true})
+	if _, err := c.reader.ReadString('\n'); err == nil {
+		t.Fatal("a connection survives a reset")
+	}
+	if err := rejection(t, r); err == nil {
+		t.Fatal("a new connection is accepted during a reset")
+	}
+	r.Heal()
+	dialRelay(t, r).roundTrip(t, "after")
+}
+
+func TestDelayIsAddedInEachDirection(t *testing.T) {
+	const delay = 30 * time.Millisecond
+	_, c := startRelay(t, Options{Script: Script{{Fault: Fault{Delay: delay}}}})
+	start := time.Now()
+	c.roundTrip(t, "slow")
+	if took := time.Since(start); took < 2*delay {
+		t.Errorf("a round trip took %v, less than twice the delay of %v", took, delay)
+	}
+}
+
+// What the target sends never arrives, while what the client sends still does.
+func TestHalfOpenConnectionCarriesOneDirection(t *testing.T) {
+	r, c := startRelay(t, Options{})
+	c.roundTrip(t, "one")
+	r.Set(Fault{HalfOpen: true, Direction: FromTarget})
+	c.send("two")
+	const want = int64(len("one\n")*2 + len("two\n"))
+	testpeer.Until(t, "what the client sent passed", func() bool { return r.Stats().Bytes >= want })
+	if s := r.Stats(); s.Bytes != want {
+		t.Errorf("the response passed a half-open connection: %+v", s)
+	}
+}
+
+func TestARelayIsBoundedInStreams(t *testing.T) {
+	r, c := startRelay(t, Options{Conns: 1})
+	c.roundTrip(t, "one")
+	if err := rejection(t, r); !errors.Is(err, syscall.ECONNRESET) {
+		t.Fatalf("a connection over the bound is not reset: %v", err)
+	}
+	if s := r.Stats(); s.Rejected != 1 {
+		t.Errorf("stats: %+v", s)
+	}
+}
+
+func TestRelayIsBoundedInBytesAndTime(t *testing.T) {
+	t.Run("bytes", func(t *testing.T) {
+		r, c := startRelay(t, Options{MaxBytes: int64(len("one\n"))})
+		c.send("one") // passes, and its echo doesn't
+		testpeer.Until(t, "the line passed", func() bool { return r.Stats().Bytes > 0 })
+		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+		if line, err := c.reader.ReadString('\n'); err == nil {
+			t.Errorf("%q over the bound", line)
+		}
+	})
+	t.Run("time", func(t *testing.T) {
+		_, c := startRelay(t, Options{MaxLifetime: time.Second})
+		if _, err := c.reader.ReadString('\n'); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("after the relay's lifetime: %v", err)
+		}
+	})
+}
--- a/internal/faultproxy/script.go
+++ b/internal/faultproxy/script.go
@@ -1,39 +1,40 @@
-// Package faultproxy puts faults between processes on one machine: a relay on loopback that carries TCP streams or UDP
-// datagrams to one target and, as a script or a test says, delays, loses, cuts, half-opens or partitions them. It is the
-// project's own rig for tests and the lab; it reaches nothing but loopback, and every relay is bounded in connections,
-// bytes and time.
 package faultproxy
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"slices"
 	"time"
 )
 
-// Way is a direction through a relay.
-type Way int
+// Direction is a direction through a relay.
+type Direction int
 
-// The directions: toward the target (what its callers send) and back.
+// The directions.
 const (
-	Both Way = iota
-	Forth
-	Back
+	BothDirections Direction = iota
+	ToTarget                 // what clients send
+	FromTarget               // what the target sends
 )
 
-// Fault is what a relay does while it holds. The zero Fault passes everything at once.
+// Fault is what a relay does to connections while it is in force. With the zero Fault everything
+// passes at once.
 type Fault struct {
-	Way    Way           // that the fault is on; the other passes as if healthy
-	Delay  time.Duration // added to each chunk or datagram
-	Jitter time.Duration // up to this more, drawn for each; datagrams may overtake each other by it
-	Loss   float64       // chance that a datagram is lost, or that a new connection is reset at once
-	Hold   bool          // a partition: nothing passes. Streams keep what was sent and deliver it at the heal, as TCP
-	// would by its retransmissions; datagrams are lost
-	Half bool // half-open: streams stand, nothing passes this way again, and they are never healed
-	Cut  bool // streams that stand are reset, new ones refused at once
+	Direction Direction     // for Delay, Jitter, Hold and HalfOpen; the other one is healthy
+	Delay     time.Duration // added to each chunk
+	Jitter    time.Duration // a random delay of less than this is added to each chunk as well
+	Loss      float64       // probability that a new connection is reset at once
+	// Hold is a partition: nothing passes. What was sent is delivered at the heal, as by TCP's
+	// retransmissions.
+	Hold bool
+	// HalfOpen leaves connections open of which nothing passes in this direction, even after a heal.
+	HalfOpen bool
+	// Reset resets the connections that are open, and new ones at once.
+	Reset bool
 }
 
-func (f Fault) on(w Way) bool { return f.Way == Both || f.Way == w }
+func (f Fault) appliesTo(d Direction) bool { return f.Direction == BothDirections || f.Direction == d }
 
 // Step is a fault in force from At, after the relay's start, for For (0: to the end).
 type Step struct {
@@ -41,53 +42,59 @@
 	Fault   Fault
 }
 
-// Script is a timeline of faults. Where steps overlap, the later step is in force.
+// Script is a timeline of faults. Where steps overlap, the one that begins later is in force.
 type Script []Step
 
-// Check tells the first step that cannot be played.
+// Check returns an error about the first invalid step.
 func (s Script) Check() error {
-	for i, st := range s {
-		switch f := st.Fault; {
-		case st.At < 0 || st.For < 0:
-			return fmt.Errorf("faultnet: step %d: times must not be negative", i+1)
-		case f.Loss < 0 || f.Loss > 1:
-			return fmt.Errorf("faultnet: step %d: loss %g is not a share", i+1, f.Loss)
-		case f.Delay < 0 || f.Jitter < 0:
-			return fmt.Errorf("faultnet: step %d: delays must not be negative", i+1)
-		case f.Way < Both || f.Way > Back:
-			return fmt.Errorf("faultnet: step %d: no such way %d", i+1, f.Way)
+	for i, step := range s {
+		if err := step.check(); err != nil {
+			return fmt.Errorf("faultproxy: step %d: %w", i+1, err)
 		}
 	}
 	return nil
 }
 
-// At is the fault in force at a time after the start.
+func (s Step) check() error {
+	switch f := s.Fault; {
+	case s.At < 0 || s.For < 0:
+		return errors.New("times must not be negative")
+	case f.Loss < 0 || f.Loss > 1:
+		return fmt.Errorf("loss %g is not a probability", f.Loss)
+	case f.Delay < 0 || f.Jitter < 0:
+		return errors.New("delays must not be negative")
+	case f.Direction < BothDirections || f.Direction > FromTarget:
+		return fmt.Errorf("no such direction %d", f.Direction)
+	}
+	return nil
+}
+
+// At returns the fault in force at a time after the start.
 func (s Script) At(elapsed time.Duration) Fault {
 	steps := slices.Clone(s)
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
-	var out Fault
-	for _, st := range steps {
-		if st.At <= elapsed && (st.For == 0 || elapsed < st.At+st.For) {
-			out = st.Fault
+	var current Fault
+	for _, step := range steps {
+		if step.At <= elapsed && (step.For == 0 || elapsed < step.At+step.For) {
+			current = step.Fault
 		}
 	}
-	return out
+	return current
 }
 
-// Next is the first time after elapsed at which the fault in force may change; false where it never does.
-func (s Script) Next(elapsed time.Duration) (time.Duration, bool) {
-	var next time.Duration
-	found := false
-	for _, st := range s {
-		ends := []time.Duration{st.At}
-		if st.For > 0 {
-			ends = append(ends, st.At+st.For)
+// Next returns the first time after elapsed at which the fault in force may change, and false if
+// there is none.
+func (s Script) Next(elapsed time.Duration) (next time.Duration, ok bool) {
+	consider := func(at time.Duration) {
+		if at > elapsed && (!ok || at < next) {
+			next, ok = at, true
 		}
-		for _, t := range ends {
-			if t > elapsed && (!found || t < next) {
-				next, found = t, true
-			}
+	}
+	for _, step := range s {
+		consider(step.At)
+		if step.For > 0 {
+			consider(step.At + step.For)
 		}
 	}
-	return next, found
+	return next, ok
 }
--- /dev/null
+++ b/internal/faultproxy/script_test.go
@@ -0,0 +1,49 @@
+package faultproxy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestScriptReturnsTheFaultInForce(t *testing.T) {
+	s := Script{
+		{At: time.Second, For: 2 * time.Second, Fault: Fault{Hold: true}},
+		{At: 2 * time.Second, Fault: Fault{Loss: 0.3}},
+	}
+	for _, test := range []struct {
+		at   time.Duration
+		want Fault
+	}{
+		{0, Fault{}},
+		{time.Second, Fault{Hold: true}},
+		{2 * time.Second, Fault{Loss: 0.3}},
+		{time.Hour, Fault{Loss: 0.3}},
+	} {
+		if got := s.At(test.at); got != test.want {
+			t.Errorf("at %v: %+v, want %+v", test.at, got, test.want)
+		}
+	}
+	if next, ok := s.Next(1500 * time.Millisecond); !ok || next != 2*time.Second {
+		t.Errorf("next after 1.5 s: %v %v", next, ok)
+	}
+	if next, ok := s.Next(time.Hour); ok {
+		t.Errorf("next after the end: %v", next)
+	}
+}
+
+func TestScriptCheckRejectsInvalidSteps(t *testing.T) {
+	for name, step := range map[string]Step{
+		"a loss of 2":             {Fault: Fault{Loss: 2}},
+		"a time before the start": {At: -1},
+		"a negative length":       {For: -1},
+		"a negative delay":        {Fault: Fault{Delay: -1}},
+		"an unknown direction":    {Fault: Fault{Direction: FromTarget + 1}},
+	} {
+		if err := (Script{{}, step}).Check(); err == nil {
+			t.Errorf("%s is accepted", name)
+		}
+	}
+	if err := (Script{{}, {Fault: Fault{Loss: 1, Direction: FromTarget}}}).Check(); err != nil {
+		t.Error(err)
+	}
+}
