--- a/internal/discovery/file/follow.go
+++ b/internal/discovery/file/follow.go
@@ -17,8 +17,8 @@
 	"rowancart/internal/proxy"
 )
 
-// Follow passes the list in a file, and each later one, to onUpdate, until ctx ends. A list that can't
-// be read leaves the one before it in use.
+// Follow passes the list in a file, and each later one, to onUpdate, until ctx ends. A list that
+// can't be read leaves the one before it in use.
 //
 // onStatus is called with why the file can't be read or followed, and with nil for each list that
 // can be, before onUpdate. All calls come from the goroutine of Follow.
--- a/internal/discovery/file/list.go
+++ b/internal/discovery/file/list.go
@@ -36,9 +36,9 @@
 	"draining": balancer.Draining,
 }
 
-// ParseEndpointList parses the text of a file into a complete endpoint list. One invalid entry makes
-// the entire text invalid. So does an unknown field, and a text that ends early: a file that is half
-// written must not pass for a list without endpoints.
+// ParseEndpointList parses the text of a file into a complete endpoint list. One invalid entry
+// makes the entire text invalid. So does an unknown field, and a text that ends early: a file that
+// is half written must not pass for a list without endpoints.
 //
 // Errors name the field, as in "endpoints[2].id: missing". The prefix of others is the name of the
 // block that configures the file.
@@ -77,7 +77,8 @@
 	return d.Endpoints, nil
 }
 
-// resolve validates the entry at a path within the document. Its ID must not be among the seen ones.
+// resolve validates the entry at a path within the document. Its ID must not be among the seen
+// ones.
 func resolve(e entry, path string, seen map[string]bool) (proxy.Endpoint, error) {
 	state, ok := states[e.State]
 	switch {
--- a/internal/discovery/platform/client.go
+++ b/internal/discovery/platform/client.go
@@ -20,16 +20,22 @@
 
 // Options configure a Client.
 type Options struct {
-	Addr string // host:port of discovery
+	// Addr is the host:port of discovery.
+	Addr string
 	// WaitForSubscribe says that no watch is opened before the first call of Subscribe. From then on
 	// there is always one, or an attempt at one. It also says that discovery is one service shared by
 	// all instances, which sets the timing of attempts.
 	WaitForSubscribe bool
-	Version          *int64        // of the endpoint list that is known already; nil: the complete list is fetched first
-	DrainGrace       time.Duration // how long a draining endpoint may still be sent requests; 0: one second
+	// Version is that of the endpoint list that is known already; nil: the complete list is fetched.
+	Version *int64
+	// DrainGrace is how long a draining endpoint may still be sent requests; 0: one second.
+	DrainGrace time.Duration
 
-	OnUpdate  func(EndpointList) // is passed each message; called by the goroutine of Run only
-	OnCurrent func()             // called for each message or empty line of a watch: the list is up to date; may be nil
+	// OnUpdate is passed each message, by the goroutine of Run.
+	OnUpdate func(EndpointList)
+	// OnCurrent is called after each message or empty line of a watch, by the goroutine of Run: the
+	// endpoint list is up to date. It may be nil.
+	OnCurrent func()
 	Log       *slog.Logger
 }
 
--- a/internal/discovery/platform/drain_test.go
+++ b/internal/discovery/platform/drain_test.go
@@ -186,8 +186,8 @@
 }
 
 // An instance counts as notified of what the agent has whether or not a watch is open, and requests
-// have to end within the drain grace after that. However a watch stalled, or discovery was down, the
-// client is notified well within the grace.
+// have to end within the drain grace after that. However a watch stalled, or discovery was down,
+// the client is notified well within the grace.
 func TestADrainIsHeardOfWithinItsBound(t *testing.T) {
 	for _, setting := range []time.Duration{0, 800 * time.Millisecond, 2 * time.Second} {
 		grace := setting
--- a/internal/discovery/platform/watch.go
+++ b/internal/discovery/platform/watch.go
@@ -13,7 +13,7 @@
 // and Run starts the next one:
 //
 //	phase      ends with                       time limit
-//	listing    the complete list               responseTimeout; only if there is no version to start from
+//	listing    the complete list               responseTimeout; if no version is known
 //	opening    the first byte of the response  responseTimeout; connecting is part of it
 //	receiving  the end of a message or line    responseTimeout, from its first byte
 //	idle       the first byte of the next one  idleTimeout
--- a/internal/faultproxy/conn.go
+++ b/internal/faultproxy/conn.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// forward writes one chunk when the current fault lets it. It reports false if the connection is over
-// in this direction.
+// forward writes one chunk when the current fault lets it. It reports false if the connection is
+// over in this direction.
 func (r *Relay) forward(chunk []byte, to net.Conn, d Direction) bool {
 	f, ok := r.awaitPassage(d)
 	if !ok || !r.sleep(f.Delay+r.jitter(f.Jitter)) || !r.countBytes(len(chunk)) {
@@ -126,8 +126,8 @@
 	return err == nil
 }
 
-// awaitPassage returns the current fault once that lets a chunk pass, and false if none will. A chunk
-// is no longer counted as held when it returns, so that whoever reads the chunk sees that.
+// awaitPassage returns the current fault once that lets a chunk pass, and false if none will. A
+// chunk is no longer counted as held when it returns, so that whoever reads the chunk sees that.
 func (r *Relay) awaitPassage(d Direction) (Fault, bool) {
 	held := false
 	defer func() {
--- a/internal/faultproxy/relay.go
+++ b/internal/faultproxy/relay.go
@@ -1,7 +1,7 @@
-// Package faultproxy injects faults between processes on one machine: a relay on loopback carries TCP
-// connections to one target and, as a script or a test says, delays, rejects, resets, half-opens or
-// partitions them. It is for tests and experiments. It reaches nothing but loopback, and each relay
-// is bounded in connections, bytes and time.
+// Package faultproxy injects faults between processes on one machine: a relay on loopback carries
+// TCP connections to one target and, as a script or a test says, delays, rejects, resets,
+// half-opens or partitions them. It is for tests and experiments. It reaches nothing but loopback,
+// and each relay is bounded in connections, bytes and time.
 package faultproxy
 
 import (
@@ -17,7 +17,7 @@
 	Seed        uint64        // of the random numbers for losses and jitter
 	Script      Script        // played from the start of the relay; Set overrides it
 	Conns       int           // client connections at a time; more are rejected (default 64)
-	MaxBytes    int64         // carried in all, in both directions; then nothing passes (default 64 MiB)
+	MaxBytes    int64         // in both directions together; then nothing passes (default 64 MiB)
 	MaxLifetime time.Duration // after which the relay closes itself (default 2 min)
 }
 
@@ -60,7 +60,7 @@
 	mu           sync.Mutex // guards the fields below
 	rng          *rand.Rand
 	override     *Fault                // of Set; nil: the script decides
-	faultChanged chan struct{}         // closed and replaced whenever the current fault may have changed
+	faultChanged chan struct{}         // closed and replaced when the current fault may have changed
 	conns        map[net.Conn]struct{} // to clients and to the target
 	clients      int                   // connections to clients
 	closed       bool
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -86,8 +86,8 @@
 }
 
 // rejection opens one more connection and returns how it failed. The kernel completes a handshake
-// before the relay sees the connection, and the reset may come before or after the dial has checked:
-// either shows it.
+// before the relay sees the connection, and the reset may come before or after the dial has
+// checked: either shows it.
 func rejection(t *testing.T, r *Relay) error {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.Addr())
--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -1,5 +1,5 @@
-// Package filewatch follows the content of a file, however it is changed: written in place, replaced
-// by a rename, or reached through links that are changed.
+// Package filewatch follows the content of a file, however it is changed: written in place,
+// replaced by a rename, or reached through links that are changed.
 package filewatch
 
 import (
@@ -17,17 +17,17 @@
 	// settleDelay is the time from the last event to reading the file. A change causes several events
 	// in a row, and a file that is written in place is incomplete at first.
 	settleDelay = 20 * time.Millisecond
-	// pollInterval is the time between two readings without an event. Some file systems send no events,
-	// and a change of a link in another directory causes none.
+	// pollInterval is the time between two readings without an event. Some file systems send no
+	// events, and a change of a link in another directory causes none.
 	pollInterval = 5 * time.Second
 )
 
-// File calls onChange whenever the content of the file at path differs from what it was; at first it
-// is compared with known. A file that can't be read counts as unchanged: editors that replace a file
-// remove it for a moment.
+// File calls onChange whenever the content of the file at path differs from what it was; at first
+// it is compared with known. A file that can't be read counts as unchanged: editors that replace a
+// file remove it for a moment.
 //
-// All calls come from the goroutine of File, which returns nil when ctx ends, or an error at once if
-// the file's directory can't be watched.
+// All calls come from the goroutine of File, which returns nil when ctx ends, or an error at once
+// if the file's directory can't be watched.
 func File(ctx context.Context, path string, known []byte, onChange func(text []byte)) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
--- a/internal/hotrestart/successor/predecessor.go
+++ b/internal/hotrestart/successor/predecessor.go
@@ -44,8 +44,8 @@
 	return os.NewFile(uintptr(fd), name)
 }
 
-// Listener returns a listener of the predecessor's socket for an address, nil if it had none. It can
-// be called once for each address.
+// Listener returns a listener of the predecessor's socket for an address, nil if it had none. It
+// can be called once for each address.
 func (p *Predecessor) Listener(address string) (net.Listener, error) {
 	f := p.sockets[address]
 	if f == nil {
@@ -60,8 +60,8 @@
 	return l, nil
 }
 
-// Ready notifies the predecessor that this process serves, and closes the sockets for which Listener
-// was not called. It does nothing more when called again.
+// Ready notifies the predecessor that this process serves, and closes the sockets for which
+// Listener was not called. It does nothing more when called again.
 func (p *Predecessor) Ready() error {
 	for address, f := range p.sockets {
 		f.Close()
--- a/internal/hotrestart/successor/successor.go
+++ b/internal/hotrestart/successor/successor.go
@@ -1,5 +1,5 @@
-// Package successor starts a successor of this process that serves at the same listening sockets, and
-// in the successor takes them over from its predecessor.
+// Package successor starts a successor of this process that serves at the same listening sockets,
+// and in the successor takes them over from its predecessor.
 //
 // The kernel keeps one queue of connections for a listening socket, however many processes have a
 // descriptor of it. Between the two processes no connection is refused, and none is lost. The
@@ -101,9 +101,9 @@
 	return command.Start()
 }
 
-// duplicateSocket returns another descriptor of a listener's socket. The listener's File method would
-// not do: the exec package makes such a file blocking, and with it the listener itself, which is the
-// same socket and could then not be closed any more.
+// duplicateSocket returns another descriptor of a listener's socket. The listener's File method
+// would not do: the exec package makes such a file blocking, and with it the listener itself, which
+// is the same socket and could then not be closed any more.
 func duplicateSocket(l net.Listener) (*os.File, error) {
 	conn, ok := l.(syscall.Conn)
 	if !ok {
@@ -123,8 +123,8 @@
 }
 
 // Wait returns nil once the successor has reported that it serves. Where it doesn't within the
-// timeout, or ends, or ctx ends, Wait ends it and returns an error; this process is then the only one
-// that listens. The error wraps ErrNotReady after the timeout, and that of ctx if it ended.
+// timeout, or ends, or ctx ends, Wait ends it and returns an error; this process is then the only
+// one that listens. The error wraps ErrNotReady after the timeout, and that of ctx if it ended.
 func (s *Successor) Wait(ctx context.Context, timeout time.Duration) error {
 	defer s.ready.Close()
 	exited := make(chan struct{})
--- a/internal/testpeer/metrics.go
+++ b/internal/testpeer/metrics.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Figure returns the value of a metric of which the admin interface's answer has a line "NAME VALUE".
-// It ends the test if there is none.
+// Figure returns the value of a metric of which the admin interface's answer has a line "NAME
+// VALUE". It ends the test if there is none.
 func Figure(t *testing.T, text, name string) int {
 	t.Helper()
 	for line := range strings.Lines(text) {
--- a/internal/testpeer/wait.go
+++ b/internal/testpeer/wait.go
@@ -10,8 +10,8 @@
 // Patience bounds waits for what should come soon. No test that passes comes near it.
 const Patience = 20 * time.Second
 
-// Until polls until ok returns true, for what the kernel or another process does in its own time. It
-// ends the test after Patience; what says what never came.
+// Until polls until ok returns true, for what the kernel or another process does in its own time.
+// It ends the test after Patience; what says what never came.
 func Until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
