--- /dev/null
+++ b/cmd/sidecar/handover_test.go
@@ -0,0 +1,188 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"rowancart/internal/testpeer"
+)
+
+// Three processes follow one another under load. No request is lost. Bans hold whichever process
+// they were given to, and also where that process is killed right after its response.
+func TestHandoverUnderLoadLosesNoRequest(t *testing.T) {
+	const inFlight = 8 // requests that may reach an endpoint after its ban
+	slow := func(conn net.Conn, _ *http.Request, _ int) bool {
+		time.Sleep(5 * time.Millisecond) // requests are in flight at any moment; nothing depends on how long
+		_, err := io.WriteString(conn, testpeer.Served)
+		return err == nil
+	}
+	a, b, c := testpeer.New(t, slow), testpeer.New(t, slow), testpeer.New(t, slow)
+	p := newTestPlatform(t, a.Addr, b.Addr, c.Addr)
+	first := p.startReady(t)
+	clients := p.startClients(t, 8)
+	clients.waitForMore(t, 50)
+	first.requireSuccess(t, "disable-server a")
+	second := p.startReady(t)
+	atBanA := a.Requests.Load()
+	second.requireSuccess(t, "disable-server b") // while both run
+	first.waitForMetric(t, "sidecar_targets_disabled", 2)
+	atBanB := b.Requests.Load()
+	clients.waitForMore(t, 50)
+	first.Process.Signal(syscall.SIGTERM)
+	first.waitForExit(t)
+	clients.waitForMore(t, 50)
+	if now := a.Requests.Load(); now > atBanA+inFlight {
+		t.Errorf("the disabled endpoint got %d more", now-atBanA)
+	}
+	if now := b.Requests.Load(); now > atBanB+inFlight {
+		t.Errorf("the one disabled later got %d more", now-atBanB)
+	}
+
+	second.requireSuccess(t, "enable-server a")
+	third := p.startReady(t)
+	second.requireSuccess(t, "disable-server a")
+	clients.stop()
+	second.kill()
+	third.waitForMetric(t, "sidecar_targets_disabled", 2) // the ban outlives the process that it was given to
+	if !strings.Contains(third.log.String(), "starting with what was learned") {
+		t.Errorf("the third process restored nothing from the second:\n%s", third.log.String())
+	}
+}
+
+// A successor that dies right after it has become ready leaves the first process serving.
+func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
+	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	p := newTestPlatform(t, a.Addr)
+	first := p.startReady(t)
+	second := p.startReady(t)
+	first.waitUntilSuperseded(t)
+	second.kill()
+	clients := p.startClients(t, 1)
+	clients.waitForMore(t, 10)
+	clients.stop()
+	first.Process.Signal(syscall.SIGTERM)
+	first.waitForExit(t)
+}
+
+// Whatever files are in the shared directory, a process starts.
+func TestForeignFilesInSharedDirDoNotPreventStart(t *testing.T) {
+	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	p := newTestPlatform(t, a.Addr)
+	dir := filepath.Join(p.sharedDir, "rowancart-t")
+	if err := os.MkdirAll(filepath.Join(dir, "bans"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	for name, text := range map[string]string{"learned": "{torn", "serving-x": "", "bans/zz": "", "bans/61": ""} {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	s := p.startReady(t)
+	if text := s.adminCommand(t, "show-stat"); !strings.Contains(text, "sidecar_targets_disabled 1\n") {
+		t.Errorf("the ban in the directory is not applied: %s", text)
+	}
+	for _, want := range []string{"starting without what was learned", "stand for no ban"} {
+		if !strings.Contains(s.log.String(), want) {
+			t.Errorf("not logged: %s", want)
+		}
+	}
+}
+
+// An unusable descriptor fails the start with one line.
+func TestInvalidListenerDescriptorFailsStart(t *testing.T) {
+	p := newTestPlatform(t)
+	for _, fd := range []string{"seven", "63"} {
+		config := filepath.Join(t.TempDir(), "config.json")
+		writeConfig(t, config, p.discovery)
+		c := exec.Command(p.program)
+		c.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_ACCEPT_FD=" + fd, "TMPDIR=" + p.sharedDir}
+		out, err := c.CombinedOutput()
+		oneLine := strings.Count(string(out), "\n") == 1
+		if err == nil || !oneLine || !strings.HasPrefix(string(out), "sidecar: ROUTER_ACCEPT_FD: ") {
+			t.Errorf("%s: %v, %q", fd, err, out)
+		}
+	}
+}
+
+// SIGHUP and SIGTERM come while the new process still waits for its list, and it dies before it is
+// ready: the first goes on, and what comes after SIGTERM is answered.
+func TestSignalsDuringHandoverLoseNoRequest(t *testing.T) {
+	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	p := newTestPlatform(t, a.Addr)
+	first := p.startReady(t)
+	discovery := p.discovery
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // sends nothing
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer silent.Close()
+	p.discovery = silent.Addr().String()
+	second := p.start(t)
+	p.discovery = discovery
+	if response := second.adminCommand(t, "ready"); !strings.HasPrefix(response, "FAILURE") {
+		t.Errorf("ready without a list: %q", response)
+	}
+	first.Process.Signal(syscall.SIGHUP)
+	first.waitForMetric(t, "sidecar_reload_success", 1)
+	second.kill()
+	clients := p.startClients(t, 1)
+	clients.waitForMore(t, 10)
+	third := p.start(t)
+	first.Process.Signal(syscall.SIGTERM) // whether the third is ready or not
+	first.waitForExit(t)
+	third.waitUntilReady(t)
+	clients.waitForMore(t, 10)
+	clients.stop()
+}
+
+// A request has been received partially, in its head or in its body, when a successor becomes ready
+// and SIGTERM comes: the process that began to read it answers it.
+func TestHandoverWithPartiallyReadRequest(t *testing.T) {
+	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	p := newTestPlatform(t, a.Addr)
+	first := p.startReady(t)
+	const request = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 10000\r\n" +
+		"Content-Length: 4\r\n\r\nbody"
+	type partialRequest struct {
+		net.Conn
+		rest string
+	}
+	var partial []partialRequest
+	for i, sent := range []int{1, len(request) / 2, len(request) - 5, len(request) - 1} {
+		conn, err := net.Dial("tcp", p.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		text := strings.Replace(request, "ID", fmt.Sprint("r", i), 1)
+		io.WriteString(conn, text[:sent])
+		partial = append(partial, partialRequest{conn, text[sent:]})
+	}
+	// A client that connected after them has been served. Connections are accepted in their order, so
+	// that the first process has accepted all of them.
+	clients := p.startClients(t, 1)
+	clients.waitForMore(t, 10)
+	p.startReady(t)
+	first.waitUntilSuperseded(t)
+	first.Process.Signal(syscall.SIGTERM)
+	for i, r := range partial {
+		io.WriteString(r, r.rest)
+		resp, err := http.ReadResponse(bufio.NewReader(r), nil)
+		if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
+			t.Errorf("request %d: %+v, %v", i, resp, err)
+		}
+	}
+	first.waitForExit(t)
+	clients.stop()
+}
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,6 @@
-// Command sidecar is a load-balancing sidecar: it accepts requests from clients and forwards each to the
-// endpoint that the balancer chooses. Its configuration is the file that ROUTER_CONFIG names.
+// Command sidecar is a load-balancing sidecar: it accepts requests from clients and forwards each
+// to the endpoint that the balancer chooses. Its configuration is the file that ROUTER_CONFIG
+// names.
 //
 // SIGHUP reloads the configuration; SIGTERM and SIGINT shut the sidecar down gracefully.
 package main
@@ -18,8 +19,8 @@
 	"rowancart/internal/sidecar"
 )
 
-// gcPercent is the heap growth, in per cent, that starts a garbage collection. The live heap is small, so
-// it is collected less often than by default.
+// gcPercent is the heap growth, in per cent, that starts a garbage collection. The live heap is
+// small, so it is collected less often than by default.
 const gcPercent = 300
 
 func main() {
@@ -31,7 +32,8 @@
 
 // run serves until SIGTERM or SIGINT has come and every accepted request has been answered.
 func run() error {
-	// SIGHUP is handled first of all, and until the process exits: by default it would end the process.
+	// SIGHUP is handled first of all, and until the process exits: by default it would end the
+	// process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	c, err := sidecar.LoadConfig(os.Getenv)
@@ -56,8 +58,8 @@
 	return s.Serve(ctx)
 }
 
-// reloadOnSignal loads the configuration again at each signal until ctx ends. A configuration that can't
-// be loaded changes nothing.
+// reloadOnSignal loads the configuration again at each signal until ctx ends. A configuration that
+// can't be loaded changes nothing.
 func reloadOnSignal(ctx context.Context, hup <-chan os.Signal, s *sidecar.Sidecar, log *slog.Logger) {
 	for {
 		select {
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -20,7 +20,8 @@
 
 const testTimeout = 20 * time.Second // no test should come near it
 
-// startDiscovery is a discovery agent that never has news and reports each call.
+// startDiscovery starts a discovery agent that lists no endpoints and never has news. It returns
+// its address and reports each call.
 func startDiscovery(t *testing.T) (addr string, called <-chan string) {
 	t.Helper()
 	calls := make(chan string, 100)
@@ -37,6 +38,7 @@
 	return s.Listener.Addr().String(), calls
 }
 
+// writeConfig writes a configuration with discovery at an address.
 func writeConfig(t *testing.T, path, discovery string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"t","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
@@ -46,6 +48,7 @@
 	}
 }
 
+// waitForCall waits until a discovery agent has been called.
 func waitForCall(t *testing.T, what string, called <-chan string) {
 	t.Helper()
 	select {
@@ -55,31 +58,27 @@
 	}
 }
 
-// The platform replaces the file and sends SIGHUP: the program must go on, with discovery at its new address.
-func TestSIGHUPReloadsDiscoveryAddress(t *testing.T) {
-	first, firstCalled := startDiscovery(t)
-	second, secondCalled := startDiscovery(t)
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, first)
-	t.Setenv("ROUTER_CONFIG", path)
+// startProgram starts the program in this process, with the configuration at a path. Its result is
+// sent once it ends.
+func startProgram(t *testing.T, config string) <-chan error {
+	t.Helper()
+	t.Setenv("ROUTER_CONFIG", config)
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
-	waitForCall(t, "the first agent", firstCalled)
+	return ended
+}
 
-	signal := func(s syscall.Signal) {
-		if err := syscall.Kill(os.Getpid(), s); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := os.WriteFile(path, []byte("{half of a"), 0o600); err != nil { // must not end it either
+// signalSelf sends a signal to this process.
+func signalSelf(t *testing.T, s syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), s); err != nil {
 		t.Fatal(err)
 	}
-	signal(syscall.SIGHUP)
-	writeConfig(t, path, second)
-	signal(syscall.SIGHUP)
-	waitForCall(t, "the second agent", secondCalled)
+}
 
-	signal(syscall.SIGTERM)
+// requireCleanEnd waits until the program has ended, which must be without an error.
+func requireCleanEnd(t *testing.T, ended <-chan error) {
+	t.Helper()
 	select {
 	case err := <-ended:
 		if err != nil {
@@ -90,26 +89,48 @@
 	}
 }
 
+// The platform replaces the file and sends SIGHUP: the program must go on, with discovery at its
+// new address.
+func TestSIGHUPReloadsDiscoveryAddress(t *testing.T) {
+	first, firstCalled := startDiscovery(t)
+	second, secondCalled := startDiscovery(t)
+	path := filepath.Join(t.TempDir(), "config.json")
+	writeConfig(t, path, first)
+	ended := startProgram(t, path)
+	waitForCall(t, "the first agent", firstCalled)
+
+	if err := os.WriteFile(path, []byte("{half of a"), 0o600); err != nil { // must not end it either
+		t.Fatal(err)
+	}
+	signalSelf(t, syscall.SIGHUP)
+	writeConfig(t, path, second)
+	signalSelf(t, syscall.SIGHUP)
+	waitForCall(t, "the second agent", secondCalled)
+
+	signalSelf(t, syscall.SIGTERM)
+	requireCleanEnd(t, ended)
+}
+
 // SIGHUP may come at any time up to the very end: a sidecar that ends on it has crashed.
 func TestSIGHUPAfterShutdownIsHandled(t *testing.T) {
-	procs, percent, most := runtime.GOMAXPROCS(0), debug.SetGCPercent(100), debug.SetMemoryLimit(-1)
-	t.Cleanup(func() { runtime.GOMAXPROCS(procs); debug.SetGCPercent(percent); debug.SetMemoryLimit(most) })
+	procs, gcPercent, memoryLimit := runtime.GOMAXPROCS(0), debug.SetGCPercent(100), debug.SetMemoryLimit(-1)
+	t.Cleanup(func() {
+		runtime.GOMAXPROCS(procs)
+		debug.SetGCPercent(gcPercent)
+		debug.SetMemoryLimit(memoryLimit)
+	})
 	addr, called := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, addr)
-	t.Setenv("ROUTER_CONFIG", path)
-	ended := make(chan error, 1)
-	go func() { ended <- run() }()
-	waitForCall(t, "discovery is called", called)
+	ended := startProgram(t, path)
+	waitForCall(t, "discovery", called)
 	signalled := make(chan os.Signal, 1)
 	signal.Notify(signalled, syscall.SIGUSR1)
 	defer signal.Stop(signalled)
-	syscall.Kill(os.Getpid(), syscall.SIGTERM)
-	if err := <-ended; err != nil {
-		t.Errorf("ended with %v", err)
-	}
-	syscall.Kill(os.Getpid(), syscall.SIGHUP) // of several that are pending the lowest number is delivered first
-	syscall.Kill(os.Getpid(), syscall.SIGUSR1)
+	signalSelf(t, syscall.SIGTERM)
+	requireCleanEnd(t, ended)
+	signalSelf(t, syscall.SIGHUP) // of several that are pending the lowest number is delivered first
+	signalSelf(t, syscall.SIGUSR1)
 	<-signalled
 }
 
--- /dev/null
+++ b/cmd/sidecar/testplatform_test.go
@@ -0,0 +1,323 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"rowancart/internal/testpeer"
+)
+
+// testPlatform starts processes of one sidecar as the platform does: it holds the listening socket,
+// and all of them share one directory.
+type testPlatform struct {
+	program, sharedDir, discovery string
+	listener                      *os.File
+	addr                          string
+}
+
+// newTestPlatform builds the program and lists the endpoints given, named a, b, ...
+func newTestPlatform(t *testing.T, endpoints ...string) *testPlatform {
+	t.Helper()
+	p := &testPlatform{program: filepath.Join(t.TempDir(), "sidecar"), sharedDir: t.TempDir()}
+	if out, err := exec.Command("go", "build", "-o", p.program, ".").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	p.discovery = startListingDiscovery(t, endpoints)
+
+	shared, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer shared.Close()
+	p.addr = shared.Addr().String()
+	if p.listener, err = shared.(*net.TCPListener).File(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { p.listener.Close() })
+	return p
+}
+
+// startListingDiscovery starts a discovery agent that lists endpoints and never has news. It
+// returns its address.
+func startListingDiscovery(t *testing.T, endpoints []string) string {
+	t.Helper()
+	var entries []string
+	for i, addr := range endpoints {
+		entries = append(entries, testpeer.Member(string(rune('a'+i)), addr, "Ready"))
+	}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	agent := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		fmt.Fprintln(w, testpeer.Members(1, true, entries...))
+		w.(http.Flusher).Flush()
+		if r.URL.RawQuery != "" { // a watch
+			<-r.Context().Done()
+		}
+	})}
+	go agent.Serve(l)
+	t.Cleanup(func() { agent.Close() })
+	return l.Addr().String()
+}
+
+// sidecarProcess is one process of the sidecar.
+type sidecarProcess struct {
+	*exec.Cmd
+	adminAddr string
+	log       logBuffer
+	exited    chan error
+}
+
+// logBuffer is what a process has logged so far.
+type logBuffer struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (b *logBuffer) appendLine(line string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.text.WriteString(line + "\n")
+}
+
+func (b *logBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
+}
+
+// start starts a process and waits until its admin interface listens. It may not be ready yet.
+func (p *testPlatform) start(t *testing.T) *sidecarProcess {
+	t.Helper()
+	config := filepath.Join(t.TempDir(), "config.json")
+	text := fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1",
+		"limits":{"cores":1,"memory_mb":64,"sockets":256},
+		"settings":{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
+			{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],
+		"Permissions":{"MayCancel":true,"TryLimit":4}}}`, p.addr, p.discovery)
+	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s := &sidecarProcess{Cmd: exec.Command(p.program), exited: make(chan error, 1)}
+	s.Env = []string{
+		"ROUTER_CONFIG=" + config,
+		"ROUTER_CONSOLE=127.0.0.1:0",
+		"ROUTER_ACCEPT_FD=3",
+		"TMPDIR=" + p.sharedDir,
+	}
+	s.ExtraFiles = []*os.File{p.listener}
+	stderr, err := s.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Start(); err != nil {
+		t.Fatal(err)
+	}
+	adminAddr := make(chan string, 1)
+	go s.readLog(stderr, adminAddr)
+	t.Cleanup(func() {
+		s.Process.Kill()
+		<-s.exited
+	})
+	select {
+	case s.adminAddr = <-adminAddr:
+	case <-time.After(testTimeout):
+		t.Fatal("no admin interface")
+	}
+	return s
+}
+
+// readLog records the log until the process exits, and sends the address of the admin interface.
+func (s *sidecarProcess) readLog(stderr io.Reader, adminAddr chan<- string) {
+	for lines := bufio.NewScanner(stderr); lines.Scan(); {
+		s.log.appendLine(lines.Text())
+		if _, addr, ok := strings.Cut(lines.Text(), "msg=console name=t addr="); ok {
+			adminAddr <- addr
+		}
+	}
+	s.exited <- s.Wait()
+}
+
+// startReady starts a process and waits until it is ready.
+func (p *testPlatform) startReady(t *testing.T) *sidecarProcess {
+	t.Helper()
+	s := p.start(t)
+	s.waitUntilReady(t)
+	return s
+}
+
+// adminCommand sends a command to the admin interface and returns the response.
+func (s *sidecarProcess) adminCommand(t *testing.T, line string) string {
+	t.Helper()
+	conn, err := net.Dial("tcp", s.adminAddr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	io.WriteString(conn, line+"\n")
+	text, err := io.ReadAll(conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// requireSuccess sends a command that must succeed.
+func (s *sidecarProcess) requireSuccess(t *testing.T, line string) {
+	t.Helper()
+	if response := s.adminCommand(t, line); !strings.HasPrefix(response, "SUCCESS") {
+		t.Fatal(response)
+	}
+}
+
+func (s *sidecarProcess) waitUntilReady(t *testing.T) {
+	t.Helper()
+	testpeer.Until(t, "ready", func() bool { return strings.HasPrefix(s.adminCommand(t, "ready"), "SUCCESS") })
+}
+
+// waitForMetric waits until a metric has a value.
+func (s *sidecarProcess) waitForMetric(t *testing.T, name string, value int) {
+	t.Helper()
+	line := fmt.Sprintf("%s %d\n", name, value)
+	testpeer.Until(t, line, func() bool { return strings.Contains(s.adminCommand(t, "show-stat"), line) })
+}
+
+// waitUntilSuperseded waits until the process has found that a successor serves.
+func (s *sidecarProcess) waitUntilSuperseded(t *testing.T) {
+	t.Helper()
+	testpeer.Until(t, "superseded", func() bool { return strings.Contains(s.log.String(), "is_so=true") })
+}
+
+// kill ends the process with SIGKILL and waits until it has exited.
+func (s *sidecarProcess) kill() {
+	s.Process.Kill()
+	<-s.exited
+	s.exited <- nil
+}
+
+// waitForExit waits for a process that has been sent SIGTERM.
+func (s *sidecarProcess) waitForExit(t *testing.T) {
+	t.Helper()
+	select {
+	case err := <-s.exited:
+		s.exited <- err
+		if err != nil {
+			t.Errorf("exited with %v:\n%s", err, s.log.String())
+		}
+	case <-time.After(testTimeout):
+		t.Error("never exited")
+	}
+}
+
+// testClients send requests one after the other, each on a connection of its own that it keeps,
+// until they are stopped.
+type testClients struct {
+	platform *testPlatform
+	stopOnce sync.Once
+	stopped  chan struct{}
+	running  sync.WaitGroup
+	served   atomic.Int32 // requests
+}
+
+// startClients starts so many clients, which stop with the test at the latest.
+func (p *testPlatform) startClients(t *testing.T, n int) *testClients {
+	c := &testClients{platform: p, stopped: make(chan struct{})}
+	for i := range n {
+		c.running.Go(func() { c.run(t, fmt.Sprint("c", i)) })
+	}
+	t.Cleanup(c.stop)
+	return c
+}
+
+// stop stops the clients and waits until they have ended.
+func (c *testClients) stop() {
+	c.stopOnce.Do(func() { close(c.stopped) })
+	c.running.Wait()
+}
+
+// waitForMore waits until more than so many further requests have been served.
+func (c *testClients) waitForMore(t *testing.T, n int32) {
+	t.Helper()
+	before := c.served.Load()
+	testpeer.Until(t, "more is served", func() bool { return c.served.Load() > before+n })
+}
+
+// run is one client. A request whose connection had been used before and is closed without a
+// response is sent again, on a new connection: any other that is not answered is lost.
+func (c *testClients) run(t *testing.T, name string) {
+	client := keepAliveClient{addr: c.platform.addr}
+	defer client.close()
+	for n := 0; ; n++ {
+		select {
+		case <-c.stopped:
+			return
+		default:
+		}
+		id := fmt.Sprintf("%s-%d", name, n)
+		resp, err := client.get(id)
+		if err != nil {
+			t.Errorf("%s: %v", id, err)
+			return
+		}
+		_, err = io.Copy(io.Discard, resp.Body)
+		if err != nil || resp.StatusCode != http.StatusOK {
+			t.Errorf("%s: status %d, %v", id, resp.StatusCode, err)
+		}
+		c.served.Add(1)
+		if resp.Close {
+			client.close()
+		}
+	}
+}
+
+// keepAliveClient keeps one connection.
+type keepAliveClient struct {
+	addr string
+	conn net.Conn // nil: there is none
+	in   *bufio.Reader
+}
+
+// get sends a request and returns its response, whose body must be read before the next one.
+func (c *keepAliveClient) get(id string) (*http.Response, error) {
+	for {
+		used := c.conn != nil
+		if !used {
+			var err error
+			if c.conn, err = net.Dial("tcp", c.addr); err != nil {
+				c.conn = nil
+				return nil, err
+			}
+			c.in = bufio.NewReader(c.conn)
+		}
+		fmt.Fprintf(c.conn, "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: 10000\r\n\r\n", id)
+		resp, err := http.ReadResponse(c.in, nil)
+		if err == nil {
+			return resp, nil
+		}
+		c.close()
+		if !used {
+			return nil, err
+		}
+	}
+}
+
+// close closes the connection, if there is one.
+func (c *keepAliveClient) close() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
+	}
+}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin is the operators' line protocol. It has an address of its own, on which each connection
-// carries one command, a line, and gets one response. It shares nothing with the path of requests, so that
-// it responds whatever the load.
+// Package admin is the operators' line protocol. It has an address of its own, on which each
+// connection carries one command, a line, and gets one response. It shares nothing with the path of
+// requests, so that it responds whatever the load.
 package admin
 
 import (
@@ -15,8 +15,8 @@
 )
 
 const (
-	// MaxDescriptors is how many descriptors a Server needs at most: its connections, its listener, and a
-	// connection that has been accepted in the place of one that is being closed.
+	// MaxDescriptors is how many descriptors a Server needs at most: its connections, its listener,
+	// and a connection that has been accepted in the place of one that is being closed.
 	MaxDescriptors = maxOpenConns + 2
 
 	maxOpenConns     = 24
@@ -29,8 +29,8 @@
 	lingerMaxBytes = 4 << 10 // of input discarded meanwhile
 )
 
-// Operations is what the commands operate. Each of its methods must return quickly: a response is due
-// within a second.
+// Operations is what the commands operate. Each of its methods must return quickly: a response is
+// due within a second.
 type Operations interface {
 	// Ready returns nil once requests can be served, and otherwise why they can't.
 	Ready() error
@@ -90,8 +90,9 @@
 	}
 }
 
-// admitConn admits a connection and reports whether there is room for it. Where too many are open, the one
-// that has waited longest for its command is closed: silent clients must not keep out one that has a command.
+// admitConn admits a connection and reports whether there is room for it. Where too many are open,
+// the one that has waited longest for its command is closed: silent clients must not keep out one
+// that has a command.
 func (s *Server) admitConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +121,8 @@
 	}
 }
 
-// closeAwaiting closes the connections whose command has not been received, and admits none from now on.
+// closeAwaiting closes the connections whose command has not been received, and admits none from
+// now on.
 func (s *Server) closeAwaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,8 +142,8 @@
 	s.openConns--
 }
 
-// serveConn reads one command, executes it and writes the response. A command that is cut off is none and
-// gets no response.
+// serveConn reads one command, executes it and writes the response. A command that is cut off is
+// none and gets no response.
 func (s *Server) serveConn(conn net.Conn) {
 	defer s.releaseConn(conn)
 	_ = conn.SetDeadline(time.Now().Add(commandTimeout)) // a closed connection shows at the read
@@ -173,8 +175,8 @@
 	_, _ = io.CopyN(io.Discard, conn, lingerMaxBytes)
 }
 
-// readLine reads up to the end of a line, LF or CR LF, and returns the line without it. What follows is
-// ignored.
+// readLine reads up to the end of a line, LF or CR LF, and returns the line without it. What
+// follows is ignored.
 func readLine(r io.Reader) (string, error) {
 	buf := make([]byte, 0, maxLineBytes+len("\r\n"))
 	for {
@@ -210,7 +212,8 @@
 	}
 }
 
-// outcome returns the response to a command that has failed with err or, where err is nil, succeeded.
+// outcome returns the response to a command that has failed with err or, where err is nil,
+// succeeded.
 func outcome(err error, success string) []byte {
 	if err != nil {
 		return failure(err)
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// pipeListener is a listener whose connections live in memory, so that time in a synctest bubble covers them.
+// pipeListener is a listener whose connections are pipes, so that a synctest bubble's time covers
+// them.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -46,8 +47,8 @@
 
 func (l pipeListener) Accept() (net.Conn, error) {
 	select {
-	case nc := <-l.conns:
-		return nc, nil
+	case conn := <-l.conns:
+		return conn, nil
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
@@ -55,19 +56,25 @@
 func (l pipeListener) Close() error   { close(l.done); return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// startServer runs a console and returns the way to connect.
+// startServer runs a server until the test ends, and returns a function that connects to it.
 func startServer(t *testing.T) (connect func() net.Conn) {
 	l := pipeListener{make(chan net.Conn), make(chan struct{})}
 	s := New(l, &fakeOperations{disabled: map[string]bool{}}, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan bool)
-	go func() { s.Run(ctx); close(ended) }()
-	t.Cleanup(func() { stop(); <-ended })
+	go func() {
+		s.Run(ctx)
+		close(ended)
+	}()
+	t.Cleanup(func() {
+		stop()
+		<-ended
+	})
 	return func() net.Conn {
-		here, there := net.Pipe()
-		t.Cleanup(func() { here.Close() })
-		l.conns <- there
-		return here
+		client, server := net.Pipe()
+		t.Cleanup(func() { client.Close() })
+		l.conns <- server
+		return client
 	}
 }
 
@@ -93,55 +100,60 @@
 		strings.Repeat("x", 9*maxLineBytes):        "FAILURE the line is longer than 128 bytes\n",
 		"ready":                                    "", // cut by the end of input: no call
 	} {
-		nc := startServer(t)()
+		conn := startServer(t)()
 		go func() {
-			io.WriteString(nc, line)
+			io.WriteString(conn, line)
 			if !strings.HasSuffix(line, "\n") && len(line) < maxLineBytes {
-				nc.Close()
+				conn.Close()
 			}
 		}()
-		got, _ := io.ReadAll(nc) // a pipe that this side has closed reads as an error
+		got, _ := io.ReadAll(conn) // a pipe that this side has closed reads as an error
 		if string(got) != want {
 			t.Errorf("%.40q: %q, want %q", line, got, want)
 		}
 	}
 }
 
-// Far more silent callers than there is room for stay for seconds: one that says something is answered at once all the same.
+// Far more silent clients than there is room for stay for seconds: one with a command gets its
+// response at once all the same.
 func TestSilentClientsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		connect := startServer(t)
 		for i := range 3 * maxOpenConns {
-			nc := connect()
+			conn := connect()
 			if i%2 == 0 {
-				go io.WriteString(nc, "show-")
+				go io.WriteString(conn, "show-")
 			}
 		}
 		began := time.Now()
-		nc := connect()
-		go io.WriteString(nc, "ready\n")
-		got, err := io.ReadAll(nc)
+		conn := connect()
+		go io.WriteString(conn, "ready\n")
+		got, err := io.ReadAll(conn)
 		if took := time.Since(began); string(got) != "SUCCESS ready\n" || err != nil || took > time.Second {
 			t.Errorf("%q, %v after %v", got, err, took)
 		}
 	})
 }
 
-// A caller that sends nothing, or does not read, is let go of by itself.
+// The connection of a client that sends nothing, or does not read, is closed in time.
 func TestStalledConnectionsTimeOut(t *testing.T) {
-	for name, line := range map[string]string{"silent": "", "half a call": "show-", "not reading": "show-stat\n"} {
+	for name, line := range map[string]string{
+		"silent":         "",
+		"half a command": "show-",
+		"not reading":    "show-stat\n",
+	} {
 		synctest.Test(t, func(t *testing.T) {
-			nc := startServer(t)()
-			go io.WriteString(nc, line)
+			conn := startServer(t)()
+			go io.WriteString(conn, line)
 			time.Sleep(commandTimeout + responseTimeout + time.Second)
-			if got, err := io.ReadAll(nc); len(got) != 0 || err != nil {
+			if got, err := io.ReadAll(conn); len(got) != 0 || err != nil {
 				t.Errorf("%s: %q, %v", name, got, err)
 			}
 		})
 	}
 }
 
-func FuzzParse(f *testing.F) {
+func FuzzParseCommand(f *testing.F) {
 	for _, seed := range []string{"ready", "disable-server s-1", "enable-server  x ", "show-stat y", "\x00", ""} {
 		f.Add(seed)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts the outcomes of requests, for the operators of the sidecar. Counters only grow, and
-// are written and read without a lock.
+// Package metrics counts the outcomes of requests, for the operators of the sidecar. Counters only
+// grow, and are written and read without a lock.
 package metrics
 
 import (
@@ -57,8 +57,8 @@
 // RequestStarted counts a request. RequestFinished or RequestDropped must follow.
 func (c *Counters) RequestStarted() { c.started.Add(1) }
 
-// RequestFinished counts the outcome of a request. The class must be one that New was given; the outcome
-// of another is not counted.
+// RequestFinished counts the outcome of a request. The class must be one that New was given; the
+// outcome of another is not counted.
 func (c *Counters) RequestFinished(class string, outcome Outcome) {
 	i, found := slices.BinarySearchFunc(c.classes, class, func(counters *classCounters, name string) int {
 		return strings.Compare(counters.name, name)
@@ -78,11 +78,11 @@
 	AvoidedEndpoints int   // of them, those avoided now
 }
 
-// Append appends all metrics, one a line. Those of requests are one consistent reading: no request is
-// counted both with an outcome and as in flight.
+// Append appends all metrics, one a line. Those of requests are one consistent reading: no request
+// is counted both with an outcome and as in flight.
 func (c *Counters) Append(b []byte, gauges Gauges) []byte {
-	// The requests that have ended are read before those that have started: each starts before it ends,
-	// so that the difference is never negative.
+	// The requests that have ended are read before those that have started: each starts before it
+	// ends, so that the difference is never negative.
 	ended := c.dropped.Load()
 	for outcome := range outcomeCount {
 		for _, class := range c.classes {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,12 +8,12 @@
 )
 
 func TestEveryClassIsReportedFromTheStart(t *testing.T) {
-	f := New([]string{"pay", "lo\"ok\\", "pay"})
-	f.Reloads.Add(1)
-	f.RequestStarted()
-	f.RequestStarted()
-	f.RequestFinished("pay", Overload)
-	f.RequestFinished("nobody listed this", Success)
+	c := New([]string{"pay", "lo\"ok\\", "pay"})
+	c.Reloads.Add(1)
+	c.RequestStarted()
+	c.RequestStarted()
+	c.RequestFinished("pay", Overload)
+	c.RequestFinished("not listed", Success)
 	want := `sidecar_success{type="lo\"ok\\"} 0
 sidecar_success{type="pay"} 0
 sidecar_overload{type="lo\"ok\\"} 0
@@ -27,38 +27,51 @@
 sidecar_reload_success 1
 sidecar_reload_failure 0
 `
-	if got := string(f.Append(nil, Gauges{Dispatches: 7, ListedEndpoints: 3, AvoidedEndpoints: 2})); got != want {
+	if got := string(c.Append(nil, Gauges{Dispatches: 7, ListedEndpoints: 3, AvoidedEndpoints: 2})); got != want {
 		t.Errorf("%s", got)
 	}
 }
 
-// However readings fall between the counting of many, no request is both ended and under way, and none is under way too often.
+// Whenever the metrics are read, no request counts both with an outcome and as in flight, and none
+// counts as in flight twice.
 func TestConcurrentReadingIsConsistent(t *testing.T) {
-	const callers, each = 8, 2000
-	f := New([]string{"a"})
+	const clients, requestsEach = 8, 2000
+	c := New([]string{"a"})
 	var all sync.WaitGroup
-	for i := range callers {
+	for i := range clients {
 		all.Go(func() {
-			for range each {
-				f.RequestStarted()
-				f.RequestFinished("a", Outcome(i%int(outcomeCount)))
+			for range requestsEach {
+				c.RequestStarted()
+				c.RequestFinished("a", Outcome(i%int(outcomeCount)))
 			}
 		})
 	}
-	ended := make(chan bool)
-	go func() { all.Wait(); close(ended) }()
+	done := make(chan bool)
+	go func() {
+		all.Wait()
+		close(done)
+	}()
 	for last := false; !last; {
 		select {
-		case <-ended:
+		case <-done:
 			last = true
 		default:
 		}
-		text := string(f.Append(nil, Gauges{}))
+		text := string(c.Append(nil, Gauges{}))
 		if n := testpeer.Figure(t, text, "sidecar_concurrent"); n < 0 || last && n != 0 {
-			t.Fatalf("under way: %d, last %v", n, last)
+			t.Fatalf("in flight: %d, last %v", n, last)
 		}
-		if last && testpeer.Figure(t, text, `sidecar_success{type="a"}`)+testpeer.Figure(t, text, `sidecar_overload{type="a"}`)+testpeer.Figure(t, text, `sidecar_error{type="a"}`) != callers*each {
+		if last && countedOutcomes(t, text) != clients*requestsEach {
 			t.Errorf("%s", text)
 		}
 	}
 }
+
+// countedOutcomes returns how many requests of class a have an outcome.
+func countedOutcomes(t *testing.T, text string) (sum int) {
+	t.Helper()
+	for _, name := range []string{"sidecar_success", "sidecar_overload", "sidecar_error"} {
+		sum += testpeer.Figure(t, text, name+`{type="a"}`)
+	}
+	return sum
+}
--- a/internal/netaddr/netaddr.go
+++ b/internal/netaddr/netaddr.go
@@ -10,8 +10,8 @@
 // portBits is the size of a port number.
 const portBits = 16
 
-// Check returns nil if an address is host:port with a number for the port. An error begins with the name
-// of the field.
+// Check returns nil if an address is host:port with a number for the port. An error begins with the
+// name of the field.
 func Check(field, addr string) error {
 	if addr == "" {
 		return fmt.Errorf("%s: missing", field)
--- /dev/null
+++ b/internal/sidecar/body_test.go
@@ -0,0 +1,296 @@
+package sidecar
+
+import (
+	"bufio"
+	"crypto/sha256"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"runtime"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// bodyPattern is what bodies are made of. Its length is no buffer's: bytes that are missing,
+// doubled or moved show.
+var bodyPattern = func() []byte {
+	b := make([]byte, 65_537)
+	rand.NewChaCha8([32]byte{}).Read(b)
+	return b
+}()
+
+// patternReader is a body without end that takes no memory. Its value is the index in bodyPattern.
+type patternReader int
+
+func (r *patternReader) Read(p []byte) (int, error) {
+	n := copy(p, bodyPattern[*r:])
+	*r = (*r + patternReader(n)) % patternReader(len(bodyPattern))
+	return n, nil
+}
+
+// testBody returns a body of so many bytes, another one for each seed.
+func testBody(seed uint64, length int64) io.Reader {
+	r := patternReader(seed * 997 % uint64(len(bodyPattern)))
+	return io.LimitReader(&r, length)
+}
+
+// digest reads to the end and returns the checksum and the number of bytes.
+func digest(t *testing.T, r io.Reader) (sum [32]byte, n int64) {
+	t.Helper()
+	h := sha256.New()
+	n, err := io.Copy(h, r)
+	if err != nil {
+		t.Error(err)
+	}
+	return [32]byte(h.Sum(nil)), n
+}
+
+// heapInUse returns the bytes in use on the heap after a garbage collection.
+func heapInUse() int64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapInuse)
+}
+
+// writeBody writes a response with the body of a seed, by Content-Length for even seeds and chunked
+// for odd ones. It reports whether it was written completely.
+func writeBody(conn net.Conn, seed uint64, size int64) bool {
+	if seed%2 == 0 {
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
+		_, err := io.Copy(conn, testBody(seed, size))
+		return err == nil
+	}
+	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	chunk := make([]byte, 100_000)
+	for in := testBody(seed, size); ; {
+		n, err := io.ReadFull(in, chunk)
+		if n > 0 {
+			fmt.Fprintf(conn, "%x;part=1\r\n%s\r\n", n, chunk[:n])
+		}
+		if err != nil {
+			break
+		}
+	}
+	_, err := fmt.Fprint(conn, "0\r\nEnd: yes\r\n\r\n")
+	return err == nil
+}
+
+// A hundred responses of 2 MB are read slowly at once, 200 MB under a limit of 64 MB: all arrive
+// complete, and little of them is in memory.
+func TestLongResponsesUseBoundedMemory(t *testing.T) {
+	const responses, size = 100, 2 << 20
+	e := newEndpoint(t, func(conn net.Conn, r *http.Request, _ int) bool {
+		var seed uint64
+		fmt.Sscan(r.URL.Query().Get("seed"), &seed)
+		return writeBody(conn, seed, size)
+	})
+	s := startSidecarWithLimits(t, `{"memory_mb":64,"sockets":1024}`, e.Addr)
+	before := heapInUse()
+	var begun, all sync.WaitGroup
+	begun.Add(responses)
+	readOn := make(chan bool)
+	for i := range responses {
+		all.Go(func() {
+			resp, err := s.getWithSmallBuffer(t, fmt.Sprint("/look?seed=", i), fmt.Sprint("r", i))
+			begun.Done()
+			if err != nil || resp.StatusCode != http.StatusOK {
+				t.Errorf("%d: %v, %v", i, resp, err)
+				return
+			}
+			<-readOn
+			want, _ := digest(t, testBody(uint64(i), size))
+			if got, n := digest(t, resp.Body); got != want {
+				t.Errorf("%d: another body, %d bytes", i, n)
+			}
+		})
+	}
+	begun.Wait()
+	if grown := heapInUse() - before; grown > 40<<20 { // a peer's buffers are in it, too
+		t.Errorf("%d MB are in use while nobody reads", grown>>20)
+	}
+	close(readOn)
+	all.Wait()
+}
+
+// getWithSmallBuffer sends a request and returns its response, of which the kernel buffers little.
+// The connection is closed with the test.
+func (s *testSidecar) getWithSmallBuffer(t *testing.T, path, id string) (*http.Response, error) {
+	r := s.newRequest(t, http.MethodGet, path, id, 60000)
+	conn, err := net.Dial("tcp", s.addr)
+	if err != nil {
+		return nil, err
+	}
+	t.Cleanup(func() { conn.Close() })
+	conn.(*net.TCPConn).SetReadBuffer(64 << 10)
+	if err := r.Write(conn); err != nil {
+		return nil, err
+	}
+	return http.ReadResponse(bufio.NewReader(conn), r)
+}
+
+// Bodies longer than what is buffered of one are forwarded as they are received; shorter ones are
+// buffered. Both arrive unchanged, with either framing.
+func TestLongBodiesArriveUnchanged(t *testing.T) {
+	received := make(chan [32]byte, 100)
+	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		sum, _ := digest(t, r.Body)
+		received <- sum
+		io.WriteString(w, "hi")
+	}))
+	t.Cleanup(e.Close)
+	s := startSidecarWithLimits(t, `{"memory_mb":32}`, e.Listener.Addr().String())
+	for i, size := range []int64{0, 1, 64 << 10, 64<<10 + 1, 300_000, 1 << 20, 3 << 20, 32 << 20} {
+		for _, withLength := range []bool{true, false} {
+			r := s.newRequest(t, http.MethodPost, "/pay", fmt.Sprint("r", i, withLength), 60000)
+			r.Body, r.ContentLength = io.NopCloser(testBody(uint64(i), size)), -1
+			if withLength {
+				r.ContentLength = size
+			}
+			status, text, _ := sendRequest(t, r)
+			if status != http.StatusOK || text != "hi" {
+				t.Fatalf("%d bytes, with length %v: %d %q", size, withLength, status, text)
+			}
+			want, _ := digest(t, testBody(uint64(i), size))
+			if sum := <-received; sum != want {
+				t.Errorf("%d bytes, with length %v: another body arrived", size, withLength)
+			}
+		}
+	}
+}
+
+// startUpload sends a request with a long body of which only so many bytes are sent.
+func (s *testSidecar) startUpload(t *testing.T, id string, length, sent int64) net.Conn {
+	t.Helper()
+	conn := s.dial(t)
+	fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: 60000\r\n"+
+		"Content-Length: %d\r\n\r\n", id, length)
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	go io.Copy(conn, testBody(1, sent)) // the response may come before its end
+	return conn
+}
+
+// readUploadResponse reads the response to an upload.
+func readUploadResponse(conn net.Conn) (*http.Response, error) {
+	return http.ReadResponse(bufio.NewReader(conn), nil)
+}
+
+// newResettingEndpoint returns the address of an endpoint that reads some of a body and resets the
+// connection.
+func newResettingEndpoint(t *testing.T) string {
+	t.Helper()
+	smallBuffer := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) { // the rest of a body must not fit behind what is read
+			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 64<<10)
+		})
+	}}
+	l, err := smallBuffer.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			io.CopyN(io.Discard, conn, 200_000)
+			conn.(*net.TCPConn).SetLinger(0)
+			conn.Close()
+		}
+	}()
+	return l.Addr().String()
+}
+
+// newCountingEndpoint returns an endpoint that serves all requests, and the number of those that it
+// has run.
+func newCountingEndpoint(t *testing.T) (addr string, ran *atomic.Int32) {
+	t.Helper()
+	ran = new(atomic.Int32)
+	e := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) bool {
+		ran.Add(1)
+		io.WriteString(conn, okResponse)
+		return true
+	})
+	return e.Addr, ran
+}
+
+// A buffered body is retried by the rules. One of which some has been forwarded can't be, and its
+// request has not run if the end was never written.
+func TestBrokenUploadNeverRunsTwice(t *testing.T) {
+	const length = 12 << 20
+	resetting := newResettingEndpoint(t)
+	counting, ran := newCountingEndpoint(t)
+	t.Run("buffered", func(t *testing.T) {
+		// A body that the sending kernel's buffer holds completely, 4 MB at most, is written before the
+		// break shows: it may have run then.
+		s := startSidecarWithLimits(t, `{"memory_mb":512}`, resetting, counting)
+		for i := range 6 { // whichever endpoint is first
+			resp, err := readUploadResponse(s.startUpload(t, fmt.Sprint("kept", i), length, length))
+			if err != nil || resp.StatusCode != http.StatusOK {
+				t.Fatalf("%v, %v", resp, err)
+			}
+			if n := ran.Swap(0); n != 1 {
+				t.Errorf("ran %d times", n)
+			}
+		}
+	})
+	t.Run("broken by its endpoint", func(t *testing.T) {
+		s := startSidecarWithLimits(t, `{"memory_mb":32}`, resetting)
+		// The break has to show before all that is sent of the body has been forwarded.
+		resp, err := readUploadResponse(s.startUpload(t, "flows", length, length-1))
+		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
+			t.Errorf("%+v, %v", resp, err)
+		}
+	})
+	t.Run("broken by its client", func(t *testing.T) {
+		s := startSidecarWithLimits(t, `{"memory_mb":32}`, counting)
+		conn := s.startUpload(t, "left", 8<<20, 2<<20)
+		waitUntil(t, "it is in flight", func() bool { return s.metric(t, "sidecar_concurrent") > 0 })
+		conn.(*net.TCPConn).CloseWrite()
+		resp, err := readUploadResponse(conn)
+		if err != nil || resp.StatusCode != http.StatusBadRequest {
+			t.Errorf("%+v, %v", resp, err)
+		}
+		if n := ran.Load(); n != 0 {
+			t.Errorf("broken uploads ran %d times", n)
+		}
+		if status := s.get(t, "/look", "next", 4000); status != http.StatusOK {
+			t.Errorf("afterwards: %d", status)
+		}
+	})
+}
+
+// An endpoint may respond before it has received the whole body: its response is forwarded, and
+// nothing of the rest is taken for a request.
+func TestResponseBeforeEndOfBody(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+				io.WriteString(conn, okResponse)
+			}
+			defer conn.Close()
+		}
+	}()
+	s := startSidecarWithLimits(t, `{"memory_mb":32}`, l.Addr().String())
+	resp, err := readUploadResponse(s.startUpload(t, "early", 8<<20, 8<<20-1))
+	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
+		t.Errorf("%+v, %v", resp, err)
+	}
+}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -41,8 +41,8 @@
 	Settings       wire.Settings
 }
 
-// LoadConfig reads the configuration file that ROUTER_CONFIG names. Environment variables fill in what the
-// file lacks. An error begins with the name of the field or variable at fault.
+// LoadConfig reads the configuration file that ROUTER_CONFIG names. Environment variables fill in
+// what the file lacks. An error begins with the name of the field or variable at fault.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -75,7 +75,8 @@
 		Name:      orEnv(file.Name, envName),
 		Listen:    orEnv(file.Listen, envListen),
 		Discovery: orEnv(file.Discovery, envDiscovery),
-		// Two processes of one sidecar may read the same file: what this one was started with comes first.
+		// Two processes of one sidecar may read the same file: what this one was started with comes
+		// first.
 		AdminAddr: cmp.Or(getenv(envConsole), file.Console),
 		AcceptFD:  getenv(envAcceptFD),
 		SharedDir: getenv(envSharedDir),
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -10,7 +10,8 @@
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
-	"console":"127.0.0.1:9100","limits":{"cores":1.0,"memory_mb":128,"sockets":512},"known":{"version":41,"full":true,"servers":[]},
+	"console":"127.0.0.1:9100","limits":{"cores":1.0,"memory_mb":128,"sockets":512},
+	"known":{"version":41,"full":true,"servers":[]},
 	"settings":{"Permissions":{"ConnIdleUs":30000000,"DialTimeoutUs":200000}}}`
 
 func noEnv(string) string { return "" }
@@ -20,8 +21,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Limits != (Limits{1, 128, 512}) || *c.KnownEndpoints.Version != 41 || c.Settings.Seed != 0x8c1f30d27a5be964 ||
-		c.Settings.ConnIdle != 30*time.Second || c.Settings.DialTimeout != 200*time.Millisecond {
+	if c.Name != "n3" || c.Limits != (Limits{1, 128, 512}) || *c.KnownEndpoints.Version != 41 ||
+		c.Settings.Seed != 0x8c1f30d27a5be964 || c.Settings.ConnIdle != 30*time.Second ||
+		c.Settings.DialTimeout != 200*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
 }
@@ -31,25 +33,46 @@
 	if err := os.WriteFile(path, []byte(`{"seed":"1","settings":{},"listen":"127.0.0.1:1"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	env := map[string]string{"ROUTER_CONFIG": path, "ROUTER_NAME": "n1", "ROUTER_LISTEN": "127.0.0.1:2", "ROUTER_DISCOVERY": "127.0.0.1:3"}
-	c, err := LoadConfig(func(k string) string { return env[k] })
+	env := map[string]string{
+		"ROUTER_CONFIG":    path,
+		"ROUTER_NAME":      "n1",
+		"ROUTER_LISTEN":    "127.0.0.1:2",
+		"ROUTER_DISCOVERY": "127.0.0.1:3",
+	}
+	c, err := LoadConfig(getenvFrom(env))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n1" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:3" || c.Limits != (Limits{1, defaultMemoryMB, defaultSockets}) {
+	if c.Name != "n1" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:3" ||
+		c.Limits != (Limits{1, defaultMemoryMB, defaultSockets}) {
 		t.Errorf("%+v", c)
 	}
 	for variable, want := range map[string]string{"ROUTER_CONFIG": "ROUTER_CONFIG", "ROUTER_DISCOVERY": "discovery"} {
 		less := maps.Clone(env)
 		delete(less, variable)
-		if _, err := LoadConfig(func(k string) string { return less[k] }); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if _, err := LoadConfig(getenvFrom(less)); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("without %s: %v", variable, err)
 		}
 	}
 }
 
+func TestAdminAddressFromEnvironmentComesFirst(t *testing.T) {
+	c, err := parseConfig([]byte(goodConfig), getenvFrom(map[string]string{"ROUTER_CONSOLE": "127.0.0.1:9200"}))
+	if err != nil || c.AdminAddr != "127.0.0.1:9200" {
+		t.Errorf("%q, %v", c.AdminAddr, err)
+	}
+}
+
+func TestAdminAddressMustNotBeTheClients(t *testing.T) {
+	const addr = "127.0.0.1:7000"
+	text := strings.NewReplacer("127.0.0.1:0", addr, "127.0.0.1:9100", addr).Replace(goodConfig)
+	if _, err := parseConfig([]byte(text), noEnv); err == nil || !strings.HasPrefix(err.Error(), "console: ") {
+		t.Errorf("%v", err)
+	}
+}
+
 func TestParseConfigErrorNamesTheField(t *testing.T) {
-	for field, swap := range map[string][2]string{
+	for field, replaced := range map[string][2]string{
 		"config":           {`{"name"`, `{name`},
 		"listen":           {`"127.0.0.1:0"`, `"nowhere"`},
 		"discovery":        {`"127.0.0.1:8500"`, `"127.0.0.1:dns"`},
@@ -61,7 +84,7 @@
 		"known":            {`"version":41,`, ``},
 		"settings":         {`{"Permissions"`, `{"Lanes":[{"Name":"x","Semantics":"odd"}],"Permissions"`},
 	} {
-		text := strings.Replace(goodConfig, swap[0], swap[1], 1)
+		text := strings.Replace(goodConfig, replaced[0], replaced[1], 1)
 		if text == goodConfig {
 			t.Fatalf("%s: nothing replaced", field)
 		}
--- /dev/null
+++ b/internal/sidecar/disconnect_test.go
@@ -0,0 +1,330 @@
+package sidecar
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"rowancart/internal/hotrestart"
+	"rowancart/internal/proxy"
+)
+
+// disconnectPrefix begins the ids of clients that disconnect.
+const disconnectPrefix = "leaves"
+
+// waitCase is something that requests wait for.
+type waitCase struct {
+	*testSidecar
+	endpoint       *blockingEndpoint // where the requests go once the wait ends
+	request        string            // that waits; empty: lookRequest
+	othersInFlight int               // requests beside those that wait
+	disconnects    []string          // the ways to test; none: all
+	whileWaiting   func(t *testing.T, waiting int)
+	endWait        func(t *testing.T)
+}
+
+// waitForCapacity is a wait for capacity at one endpoint.
+func waitForCapacity(t *testing.T, o testOptions, mayCancel bool) waitCase {
+	e := startBlockingEndpoint(t)
+	o.settings, o.endpoints = longWaitSettings(mayCancel), endpointsJSON(e)
+	s := o.start(t)
+	for i := range initialCapacity {
+		s.connectAndSend(t, fmt.Sprint("hang", i), lookRequest)
+	}
+	s.waitForInFlight(t, initialCapacity)
+	return waitCase{
+		testSidecar:    s,
+		endpoint:       e,
+		othersInFlight: initialCapacity,
+		endWait:        func(*testing.T) { close(e.release) },
+	}
+}
+
+// waitForConnection is a wait for a connection to be established to the last of the endpoints.
+func waitForConnection(t *testing.T, mayCancel bool, before ...string) waitCase {
+	e := newFullBacklogEndpoint(t)
+	o := testOptions{
+		settings:  longWaitSettings(mayCancel),
+		endpoints: []string{endpointJSON("z", e.addr(), "Ready")},
+	}
+	for i, addr := range before {
+		o.endpoints = append(o.endpoints, endpointJSON(fmt.Sprint("a", i), addr, "Ready"))
+	}
+	return waitCase{testSidecar: o.start(t), endpoint: e, endWait: func(*testing.T) { e.startAccepting() }}
+}
+
+// waitForRetryConnection is a wait for the connection of a retry: the first endpoint refuses.
+func waitForRetryConnection(t *testing.T) waitCase {
+	refusing := newBlockingEndpoint(t)
+	refusing.Close()
+	return waitForConnection(t, true, refusing.addr())
+}
+
+// waitForCapacityWithBody is a wait for capacity while the request's body is still being sent.
+func waitForCapacityWithBody(t *testing.T) waitCase {
+	w := waitForCapacity(t, testOptions{limits: `{"memory_mb":32}`}, true)
+	w.request = partialUpload
+	w.disconnects = []string{"fin", "rst", "half"} // bytes behind it would be the rest of the body
+	return w
+}
+
+// waitForFirstList is a wait for the first endpoint.
+func waitForFirstList(t *testing.T) waitCase {
+	e := startBlockingEndpoint(t)
+	s := startLongWaitSidecar(t)
+	return waitCase{testSidecar: s, endpoint: e, endWait: func(t *testing.T) {
+		s.updateEndpoints(t, endpointListJSON(2, true, endpointsJSON(e)...))
+	}}
+}
+
+// waitForRetry is a wait for an endpoint to retry at: the first has failed and is draining, and the
+// other is in slow start.
+func waitForRetry(t *testing.T) waitCase {
+	first, second := startBlockingEndpoint(t), startBlockingEndpoint(t)
+	first.blockPrefix, first.closeUnanswered = "", true
+	s := startLongWaitSidecar(t, first)
+	return waitCase{
+		testSidecar: s,
+		endpoint:    second,
+		disconnects: []string{"fin", "rst", "fin behind bytes"}, // no more than the retry budget allows
+		whileWaiting: func(t *testing.T, waiting int) {
+			waitUntil(t, "all are at the first endpoint", func() bool { return len(first.startedIDs()) == waiting })
+			startedNow := fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli())
+			cold := strings.Replace(endpointJSON("cold", second.addr(), "Ready"), `"started_ms":0`, startedNow, 1)
+			s.updateEndpoints(t, endpointListJSON(2, true, endpointJSON("a", first.addr(), "Terminating"), cold))
+			close(first.release)
+			waitUntil(t, "all have failed there", func() bool {
+				return !slices.ContainsFunc(s.pool.Endpoints(), func(e proxy.EndpointStatus) bool {
+					return e.InFlight > 0
+				})
+			})
+		},
+		endWait: func(t *testing.T) {
+			s.updateEndpoints(t, endpointListJSON(3, false, endpointJSON("warm", second.addr(), "Ready")))
+		},
+	}
+}
+
+// waitForCapacityDuringShutdown is a wait for capacity that goes on after SIGTERM.
+func waitForCapacityDuringShutdown(t *testing.T) waitCase {
+	w := waitForCapacity(t, testOptions{}, true)
+	w.whileWaiting = func(*testing.T, int) { w.terminate() }
+	return w
+}
+
+// waitForCapacityWhileSuperseded is a wait for capacity that goes on while a successor serves.
+func waitForCapacityWhileSuperseded(t *testing.T) waitCase {
+	dir := t.TempDir()
+	w := waitForCapacity(t, testOptions{sharedDir: dir}, true)
+	w.whileWaiting = func(t *testing.T, _ int) {
+		sharedDir, err := hotrestart.OpenSharedDir(dir, "")
+		if err != nil {
+			t.Fatal(err)
+		}
+		successor, err := sharedDir.Register(time.Now())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(successor.Unregister)
+		if err := successor.MarkServing(); err != nil {
+			t.Fatal(err)
+		}
+		waitUntil(t, "the successor is found", w.handover.isSuperseded)
+	}
+	return w
+}
+
+// waitCases are all that a request may wait for.
+var waitCases = map[string]func(t *testing.T) waitCase{
+	"capacity":                          func(t *testing.T) waitCase { return waitForCapacity(t, testOptions{}, true) },
+	"capacity, no cancellation":         func(t *testing.T) waitCase { return waitForCapacity(t, testOptions{}, false) },
+	"capacity, with an incomplete body": waitForCapacityWithBody,
+	"capacity, after SIGTERM":           waitForCapacityDuringShutdown,
+	"capacity, while superseded":        waitForCapacityWhileSuperseded,
+	"a connection":                      func(t *testing.T) waitCase { return waitForConnection(t, true) },
+	"a connection, no cancellation":     func(t *testing.T) waitCase { return waitForConnection(t, false) },
+	"the connection of a retry":         waitForRetryConnection,
+	"the first list":                    waitForFirstList,
+	"a retry":                           waitForRetry,
+}
+
+// Whatever a request waits for when its client disconnects, it is not forwarded when the wait ends.
+// A client that stays connected is not taken for a disconnected one, even if it has sent bytes
+// ahead.
+func TestNothingIsForwardedAfterClientDisconnect(t *testing.T) {
+	for name, startWait := range waitCases {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			w := startWait(t)
+			var disconnectAll []func()
+			for way, disconnect := range disconnects {
+				if len(w.disconnects) > 0 && !slices.Contains(w.disconnects, way) {
+					continue
+				}
+				c := w.connectAndSend(t, disconnectPrefix+" by "+way, cmp.Or(w.request, lookRequest))
+				disconnectAll = append(disconnectAll, func() { disconnect(c) })
+			}
+			stays := w.connectAndSend(t, "stays", lookRequest+pipelinedRequest)
+			waiting := len(disconnectAll) + 1
+			w.waitForInFlight(t, w.othersInFlight+waiting)
+			if w.whileWaiting != nil {
+				w.whileWaiting(t, waiting)
+			}
+			for _, disconnect := range disconnectAll {
+				disconnect()
+			}
+			w.waitForInFlight(t, w.othersInFlight+1) // all have been checked, the one that stays as well
+			w.endWait(t)
+			stays.requireOK(t)
+			w.waitForInFlight(t, 0)
+			w.endpoint.requireNoneFrom(t, disconnectPrefix)
+		})
+	}
+}
+
+// A connection may be in the kernel's accept queue for long, while another process takes over or
+// the limit of connections is reached, with its request written and its client gone.
+func TestNothingIsForwardedAfterDisconnectBeforeAccept(t *testing.T) {
+	e := startBlockingEndpoint(t)
+	s := startLongWaitSidecar(t, e)
+	s.listener.Pause()
+	for way, disconnect := range disconnects {
+		disconnect(s.connectAndSend(t, disconnectPrefix+" by "+way, lookRequest))
+	}
+	stays := s.connectAndSend(t, "stays", lookRequest+pipelinedRequest)
+	s.listener.Resume()
+	stays.requireOK(t)
+	waitUntil(t, "the other connections are closed", func() bool { open, _ := s.listener.Counts(); return open == 1 })
+	e.requireNoneFrom(t, disconnectPrefix)
+}
+
+// A body, buffered or still being received, is being written to an endpoint that reads none of it
+// when its client disconnects: its end is never written, there or elsewhere. That of a client that
+// stays connected is.
+func TestBodyIsNotCompletedAfterClientDisconnect(t *testing.T) {
+	for name, c := range map[string]bodyDisconnectCase{
+		"buffered":       {limits: `{"memory_mb":512}`, sentBeforeDisconnect: bodyDisconnectSize},
+		"being received": {limits: `{"memory_mb":32}`, sentBeforeDisconnect: 1 << 20},
+	} {
+		for _, way := range []string{"fin", "rst"} {
+			t.Run(name+" "+way, func(t *testing.T) { t.Parallel(); c.runDisconnected(t, disconnects[way]) })
+		}
+		t.Run(name+" stays", func(t *testing.T) { t.Parallel(); c.runConnected(t) })
+	}
+}
+
+// bodyDisconnectSize is the length of a body that the kernel's buffers on both sides can't hold.
+const bodyDisconnectSize = 12 << 20
+
+// bodyDisconnectCase is one case of TestBodyIsNotCompletedAfterClientDisconnect.
+type bodyDisconnectCase struct {
+	limits               string
+	sentBeforeDisconnect int // bytes of the body
+}
+
+// runDisconnected has the client disconnect while its body is being written.
+func (c bodyDisconnectCase) runDisconnected(t *testing.T, disconnect func(*testClient)) {
+	s, client, sent, endpoints := c.startUpload(t, c.sentBeforeDisconnect)
+	<-sent
+	disconnect(client)
+	s.waitForInFlight(t, 0)
+	for _, e := range endpoints {
+		close(e.release)
+	}
+	s.waitForInFlight(t, 0)
+	requireUploads(t, s, endpoints, 0)
+}
+
+// runConnected has the client stay until its request is served.
+func (c bodyDisconnectCase) runConnected(t *testing.T) {
+	s, client, sent, endpoints := c.startUpload(t, bodyDisconnectSize)
+	for _, e := range endpoints {
+		close(e.release)
+	}
+	client.requireOK(t)
+	<-sent
+	s.waitForInFlight(t, 0)
+	requireUploads(t, s, endpoints, 1)
+}
+
+// startUpload begins an upload of which so many bytes are sent, and waits until it is being written
+// to one of the endpoints. The channel is closed once the bytes are sent.
+func (c bodyDisconnectCase) startUpload(t *testing.T, bytes int) (
+	s *testSidecar, client *testClient, sent chan bool, endpoints []*blockingEndpoint,
+) {
+	first, second := startBlockingEndpoint(t), startBlockingEndpoint(t)
+	endpoints = []*blockingEndpoint{first, second}
+	s = testOptions{
+		limits:    c.limits,
+		settings:  longWaitSettings(true),
+		endpoints: endpointsJSON(first, second),
+	}.start(t)
+	client = s.connectAndSend(t, "hang", uploadHead(bodyDisconnectSize))
+	sent = make(chan bool)
+	go func() {
+		io.WriteString(client, strings.Repeat("x", bytes))
+		close(sent)
+	}()
+	waitUntil(t, "it is being written", func() bool {
+		return len(first.startedIDs())+len(second.startedIDs()) == 1
+	})
+	return s, client, sent, endpoints
+}
+
+// requireUploads checks that one upload was begun in all, that so many were completed, and that no
+// more connections than those stay open.
+func requireUploads(t *testing.T, s *testSidecar, endpoints []*blockingEndpoint, wantCompleted int) {
+	t.Helper()
+	waitUntil(t, "no connection carries anything", func() bool { return s.pool.Stats().Connections <= wantCompleted })
+	var started, completed int
+	for _, e := range endpoints {
+		n, complete := e.counts()
+		started += n
+		completed += complete
+	}
+	if started != 1 || completed != wantCompleted {
+		t.Errorf("it was sent %d times, %d times completely, want 1 and %d", started, completed, wantCompleted)
+	}
+}
+
+// An endpoint closes an idle connection when a request that was written there arrives unread: an
+// idempotent one is retried, and another, which may have run for all that is known, is not.
+func TestIdleEndpointConnectionClosedDuringRequest(t *testing.T) {
+	for _, c := range []struct {
+		method, path      string
+		want              int   // status
+		conns, deliveries int32 // at the endpoint, the first request included
+	}{
+		{http.MethodGet, "/look", http.StatusOK, 2, 3},
+		{http.MethodPost, "/pay", http.StatusBadGateway, 1, 2},
+	} {
+		var closed atomic.Int32
+		e := newEndpoint(t, func(conn net.Conn, r *http.Request, _ int) bool {
+			if r.Header.Get("Req-Id") == "second" && closed.Add(1) == 1 {
+				conn.(*net.TCPConn).SetLinger(0)
+				return false
+			}
+			io.WriteString(conn, okResponse)
+			return true
+		})
+		s := startSidecar(t, e.Addr)
+		if status, _, _ := sendRequest(t, s.newRequest(t, c.method, c.path, "first", 10000)); status != http.StatusOK {
+			t.Fatalf("the first on %s: %d", c.path, status)
+		}
+		quarantineEnd := time.Now().Add(responseQuarantine)
+		waitUntil(t, "the quarantine is over", func() bool { return time.Now().After(quarantineEnd) })
+		if status, _, _ := sendRequest(t, s.newRequest(t, c.method, c.path, "second", 10000)); status != c.want {
+			t.Errorf("%s gets status %d", c.path, status)
+		}
+		if conns, deliveries := e.Connections.Load(), e.Requests.Load(); conns != c.conns || deliveries != c.deliveries {
+			t.Errorf("%s was delivered %d times on %d connections", c.path, deliveries, conns)
+		}
+	}
+}
--- /dev/null
+++ b/internal/sidecar/forwarding_test.go
@@ -0,0 +1,200 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+)
+
+// hangUntilCanceled never responds, and closes its connection once the attempt is canceled.
+func hangUntilCanceled(conn net.Conn, _ *http.Request, _ int) (keepOpen bool) {
+	conn.Read(make([]byte, 1))
+	return false
+}
+
+// requireRequests checks how many requests an endpoint has received.
+func requireRequests(t *testing.T, received, want int32) {
+	t.Helper()
+	if received != want {
+		t.Errorf("%d requests reached the endpoint, want %d", received, want)
+	}
+}
+
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	received, body := make(chan *http.Request, 1), make(chan string, 1)
+	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		text, _ := io.ReadAll(r.Body)
+		body <- string(text)
+		received <- r
+		io.WriteString(w, "done")
+	}))
+	defer e.Close()
+	s := startSidecar(t, e.Listener.Addr().String())
+	r := s.newRequest(t, http.MethodPost, "/book/a%2Fb?x=1&y=%20", "id-1", 4000)
+	r.Body, r.ContentLength = io.NopCloser(strings.NewReader("parcel")), 6
+	if status, text, _ := sendRequest(t, r); status != http.StatusOK || text != "done" {
+		t.Errorf("%d %q", status, text)
+	}
+	in := <-received
+	if b := <-body; in.Method != http.MethodPost || in.RequestURI != "/book/a%2Fb?x=1&y=%20" || b != "parcel" ||
+		in.Header.Get("Req-Id") != "id-1" || in.Header.Get("Idempotency-Key") != "key-id-1" {
+		t.Errorf("%s %s %v, body %q", in.Method, in.RequestURI, in.Header, b)
+	}
+	var leftMs int
+	if _, err := fmt.Sscan(in.Header.Get("Req-Deadline-Ms"), &leftMs); err != nil || leftMs < 1 || leftMs >= 4000 {
+		t.Errorf("the endpoint is told to have %d ms: %v", leftMs, err)
+	}
+}
+
+// A request that can't have run may be rejected; one that may have run fails, and is sent only
+// once.
+func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
+	e := newEndpoint(t, respondWith("", false))
+	s := startSidecar(t, e.Addr, e.Addr, e.Addr)
+	status, _, _ := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 4000))
+	if status != http.StatusBadGateway {
+		t.Errorf("may have run: %d", status)
+	}
+	requireRequests(t, e.Requests.Load(), 1)
+	closed := newEndpoint(t, respondWith("", false))
+	closed.Listener.Close()
+	s = startSidecar(t, closed.Addr)
+	status, _, h := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r2", 4000))
+	if status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
+		t.Errorf("never ran: %d %v", status, h)
+	}
+}
+
+func TestSilentEndpointYieldsBadGatewayAtDeadline(t *testing.T) {
+	e := newEndpoint(t, hangUntilCanceled)
+	s := startSidecar(t, e.Addr)
+	status, _, _ := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 300))
+	if status != http.StatusBadGateway {
+		t.Errorf("status %d", status)
+	}
+}
+
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
+	received, canceled := make(chan bool), make(chan bool)
+	e := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		received <- true
+		<-r.Context().Done()
+		canceled <- true
+	}))
+	defer e.Close()
+	s := startSidecar(t, e.Listener.Addr().String())
+	ctx, disconnect := context.WithCancel(context.Background())
+	go func() {
+		<-received
+		disconnect()
+	}()
+	r := s.newRequest(t, http.MethodGet, "/look", "r1", 60000).WithContext(ctx)
+	if _, err := http.DefaultClient.Do(r); !errors.Is(err, context.Canceled) {
+		t.Errorf("error %v", err)
+	}
+	select {
+	case <-canceled:
+	case <-time.After(testTimeout):
+		t.Error("the endpoint's request is not canceled")
+	}
+}
+
+// A client that had ended its sending before the response was once answered 200, which no endpoint
+// had said.
+func TestHalfClosedClientGetsBadGateway(t *testing.T) {
+	e := newEndpoint(t, hangUntilCanceled)
+	s := startSidecar(t, e.Addr)
+	conn := s.dial(t)
+	if err := s.newRequest(t, http.MethodGet, "/look", "r1", 60000).Write(conn); err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, "the request is forwarded", func() bool { return e.Requests.Load() > 0 })
+	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil || resp.StatusCode != http.StatusBadGateway {
+		t.Errorf("%v, %v", resp, err)
+	}
+}
+
+func TestDuplicateInFlightIDIsRejected(t *testing.T) {
+	received, release := make(chan bool, 2), make(chan bool)
+	e := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) bool {
+		received <- true
+		<-release
+		io.WriteString(conn, okResponse)
+		return true
+	})
+	s := startSidecar(t, e.Addr)
+	first := make(chan int)
+	go func() { first <- s.get(t, "/look", "same", 60000) }()
+	<-received
+	if status := s.get(t, "/look", "same", 60000); status != http.StatusConflict {
+		t.Errorf("second: %d", status)
+	}
+	close(release)
+	if status := <-first; status != http.StatusOK {
+		t.Errorf("first: %d", status)
+	}
+	requireRequests(t, e.Requests.Load(), 1)
+}
+
+// Peers have been seen to send the ids of clients' requests again once those were answered.
+func TestRepeatedIDIsRejectedAfterResponse(t *testing.T) {
+	e := newEndpoint(t, respondWith(okResponse, true))
+	s := startSidecar(t, e.Addr)
+	for i, want := range []int{http.StatusOK, http.StatusConflict, http.StatusConflict} {
+		if status := s.get(t, "/look?v="+fmt.Sprint(i), "same", 6000); status != want {
+			t.Errorf("request %d: status %d, want %d", i, status, want)
+		}
+	}
+	requireRequests(t, e.Requests.Load(), 1)
+}
+
+func TestDrainingAndRemovedEndpointsGetNoNewRequests(t *testing.T) {
+	a, b := newEndpoint(t, respondWith(okResponse, true)), newEndpoint(t, respondWith(okResponse, true))
+	s := startSidecar(t, a.Addr, b.Addr)
+	sent := 0
+	sendEight := func() (toA, toB int32) {
+		for range 8 {
+			sent++
+			if status := s.get(t, "/look", fmt.Sprint("r", sent), 60000); status != http.StatusOK {
+				t.Errorf("status %d", status)
+			}
+		}
+		return a.Requests.Swap(0), b.Requests.Swap(0)
+	}
+	if toA, toB := sendEight(); toA == 0 || toB == 0 {
+		t.Errorf("at first %d and %d", toA, toB)
+	}
+	s.updateEndpoints(t, endpointListJSON(2, false, endpointJSON("a", a.Addr, "Terminating")))
+	if toA, toB := sendEight(); toA != 0 || toB != 8 {
+		t.Errorf("with a draining, %d and %d", toA, toB)
+	}
+	s.updateEndpoints(t, endpointListJSON(3, true, endpointJSON("b", a.Addr, "Ready"))) // a removed, b at its address
+	if toA, toB := sendEight(); toA != 8 || toB != 0 {
+		t.Errorf("with b at another address, %d to that and %d to the old one", toA, toB)
+	}
+}
+
+// Idle connections of clients must be closed when the limit is reached, and no request may be lost.
+func TestIdleClientConnectionsAreClosedAtTheLimit(t *testing.T) {
+	e := newEndpoint(t, respondWith(okResponse, true))
+	s := startSidecarWithLimits(t, `{"sockets":64}`, e.Addr)
+	for i := range 100 { // far over the limit
+		_, _, resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
+		if resp.StatusCode != http.StatusOK {
+			t.Fatalf("client %d: status %d", i, resp.StatusCode)
+		}
+	}
+}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -26,7 +26,8 @@
 //	active      -> endingActive     at SIGTERM
 //	superseded  -> endingSuperseded at SIGTERM
 //
-// The ending phases are final: a shutdown goes on as it has begun, whatever happens to the successor.
+// The ending phases are final: a shutdown goes on as it has begun, whatever happens to the
+// successor.
 type handoverPhase int
 
 const (
@@ -62,9 +63,9 @@
 // isSuperseded reports whether a successor accepts connections in place of this process.
 func (p handoverPhase) isSuperseded() bool { return p == superseded || p == endingSuperseded }
 
-// handover is this process's part in the change from one process of the sidecar to the next: it follows
-// which other processes run, pauses accepting while a successor serves, halves the limits while two
-// processes run, and hands the learned state on.
+// handover is this process's part in the change from one process of the sidecar to the next: it
+// follows which other processes run, pauses accepting while a successor serves, halves the limits
+// while two processes run, and hands the learned state on.
 //
 // Without a shared directory there are no other processes: presence and snapshots are nil.
 type handover struct {
@@ -125,8 +126,8 @@
 	}
 }
 
-// warnUnreadableLocked logs that a check has failed, unless one was logged recently. The caller must
-// hold h.mu.
+// warnUnreadableLocked logs that a check has failed, unless one was logged recently. The caller
+// must hold h.mu.
 func (h *handover) warnUnreadableLocked(err error) {
 	if time.Since(h.warnedAt) <= sharedDirWarnInterval {
 		return
@@ -135,8 +136,8 @@
 	h.log.Warn("cannot read what other processes share; keeping the current state", "err", err)
 }
 
-// setPeerRunningLocked shares the limits with another process, or takes them back. The caller must hold
-// h.mu.
+// setPeerRunningLocked shares the limits with another process, or takes them back. The caller must
+// hold h.mu.
 func (h *handover) setPeerRunningLocked(running bool) {
 	h.peerRunning = running
 	h.log.Info("processes of this sidecar", "another", running)
@@ -161,7 +162,8 @@
 	}
 }
 
-// beginShutdown notes SIGTERM and reports whether a successor accepts the connections that still come.
+// beginShutdown notes SIGTERM and reports whether a successor accepts the connections that still
+// come.
 func (h *handover) beginShutdown() (successorServes bool) {
 	if h.presence != nil {
 		h.checkPeers() // the successor may have begun to serve since the latest check
@@ -186,7 +188,8 @@
 	return h.phase.isSuperseded()
 }
 
-// restoreSnapshot loads what the predecessor had learned. The endpoint list must have been received.
+// restoreSnapshot loads what the predecessor had learned. The endpoint list must have been
+// received.
 func (h *handover) restoreSnapshot() {
 	if h.snapshots != nil {
 		h.snapshots.restore()
@@ -224,8 +227,9 @@
 	}
 }
 
-// writeSnapshotIfDue writes a snapshot at each interval. It writes none before this process serves, as it
-// may not have restored its predecessor's yet, and none once a successor serves, which writes its own.
+// writeSnapshotIfDue writes a snapshot at each interval. It writes none before this process serves,
+// as it may not have restored its predecessor's yet, and none once a successor serves, which writes
+// its own.
 func (h *handover) writeSnapshotIfDue() error {
 	if h.isSuperseded() || !h.snapshots.isDue() || !h.readiness.accepting.Load() {
 		return nil
--- a/internal/sidecar/operations.go
+++ b/internal/sidecar/operations.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// Disable implements admin.Operations. Once it returns nil the ban is in force here and outlives this
-// process.
+// Disable implements admin.Operations. Once it returns nil the ban is in force here and outlives
+// this process.
 func (o *operations) Disable(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// checkKnownLocked returns proxy.ErrUnknownEndpoint for an id that is neither listed nor disabled. The
-// caller must hold o.mu.
+// checkKnownLocked returns proxy.ErrUnknownEndpoint for an id that is neither listed nor disabled.
+// The caller must hold o.mu.
 func (o *operations) checkKnownLocked(id string) error {
 	if !o.disabled[id] && !o.pool.HasEndpoint(id) {
 		return fmt.Errorf("%w: %q", proxy.ErrUnknownEndpoint, id)
--- /dev/null
+++ b/internal/sidecar/operations_test.go
@@ -0,0 +1,246 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// methodOf returns the method that a class of testSettings takes.
+func methodOf(class string) string {
+	if class == "look" {
+		return http.MethodGet
+	}
+	return http.MethodPost
+}
+
+func TestDisableAndEnableEndpoint(t *testing.T) {
+	a, b := newEndpoint(t, respondWith(okResponse, true)), newEndpoint(t, respondWith(okResponse, true))
+	s := startSidecar(t, a.Addr, b.Addr)
+	sent := 0
+	sendTwelve := func(class string) (toA, toB int32) {
+		for range 12 {
+			sent++
+			r := s.newRequest(t, methodOf(class), "/"+class, fmt.Sprint("r", sent), 60000)
+			if status, _, _ := sendRequest(t, r); status != http.StatusOK {
+				t.Errorf("status %d", status)
+			}
+		}
+		return a.Requests.Swap(0), b.Requests.Swap(0)
+	}
+	if toA, toB := sendTwelve("look"); toA == 0 || toB == 0 {
+		t.Errorf("at first %d and %d", toA, toB)
+	}
+	s.requireSuccess(t, "disable-server a")
+	s.requireSuccess(t, "disable-server a") // twice
+	if toA, toB := sendTwelve("pay"); toA != 0 || toB != 12 {
+		t.Errorf("with a disabled, %d and %d", toA, toB)
+	}
+	if n := s.metric(t, "sidecar_targets_disabled"); n != 1 {
+		t.Errorf("%d endpoints are reported as avoided", n)
+	}
+	s.updateEndpoints(t, endpointListJSON(2, true, endpointJSON("b", b.Addr, "Ready"))) // removed, and listed again
+	s.updateEndpoints(t, endpointListJSON(3, true, endpointJSON("a", a.Addr, "Ready"), endpointJSON("b", b.Addr, "Ready")))
+	if toA, toB := sendTwelve("look"); toA != 0 || toB != 12 {
+		t.Errorf("with a disabled and listed again, %d and %d", toA, toB)
+	}
+	s.requireSuccess(t, "enable-server a") // once is enough
+	if toA, _ := sendTwelve("look"); toA == 0 {
+		t.Error("enabled again, a gets nothing")
+	}
+	s.requireSuccess(t, "enable-server a") // listed and not disabled
+	for _, line := range []string{"disable-server c", "enable-server c", "drain a", "disable-server a b"} {
+		s.requireFailure(t, line)
+	}
+}
+
+// behaveAsAsked behaves as a request's query says.
+func behaveAsAsked(conn net.Conn, r *http.Request, _ int) (keepOpen bool) {
+	switch r.URL.Query().Get("do") {
+	case "serve":
+		io.WriteString(conn, okResponse)
+	case "fail":
+		io.WriteString(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+	case "decline":
+		io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+	case "stream":
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n%s", strings.Repeat("x", 200_000))
+	case "hang":
+		conn.Read(make([]byte, 1)) // until the attempt is canceled
+		return false
+	default:
+		return false
+	}
+	return true
+}
+
+// The metrics are what peers observed: each response by its outcome, each attempt that was written
+// completely, nothing in flight at the end.
+func TestMetricsMatchWhatPeersObserved(t *testing.T) {
+	e := newEndpoint(t, behaveAsAsked)
+	s := startSidecar(t, e.Addr)
+	observed := map[string]int{} // by metric
+	outcomes := map[int]string{
+		http.StatusOK:                 "success",
+		http.StatusServiceUnavailable: "overload",
+		http.StatusBadGateway:         "error",
+	}
+	for i, do := range []string{"serve", "fail", "decline", "break", "serve", "serve", "decline", "fail"} {
+		for _, class := range []string{"look", "pay"} {
+			r := s.newRequest(t, methodOf(class), "/"+class+"?do="+do, fmt.Sprint(class, i), 500)
+			status, _, _ := sendRequest(t, r)
+			observed[fmt.Sprintf("sidecar_%s{type=%q}", outcomes[status], class)]++
+		}
+	}
+	stream := s.newRequest(t, http.MethodGet, "/look?do=stream", "long", 60000)
+	conn, _, resp := sendKeepingConn(t, stream) // reads the response to its end
+	conn.Close()
+	if resp.StatusCode == http.StatusOK {
+		observed[`sidecar_success{type="look"}`]++
+	}
+	disconnecting := s.dial(t)
+	s.newRequest(t, http.MethodPost, "/book?do=hang", "leaves", 60000).Write(disconnecting)
+	waitUntil(t, "it is in flight", func() bool { return s.metric(t, "sidecar_concurrent") == 1 })
+	disconnecting.Close() // counts as an error: nobody receives its response
+	observed[`sidecar_error{type="book"}`]++
+	s.get(t, "/look?do=serve", "look0", 500) // a duplicate: it has been answered
+	sendRequest(t, s.newRequest(t, http.MethodDelete, "/look?do=serve", "no", 500))
+	s.get(t, "/nothing?do=serve", "none", 500) // not a class of the settings
+	for _, outcome := range outcomes {
+		for _, class := range []string{"look", "book", "pay"} {
+			name := fmt.Sprintf("sidecar_%s{type=%q}", outcome, class)
+			// The client may read a response before it is counted.
+			waitUntil(t, name, func() bool { return s.metric(t, name) == observed[name] })
+		}
+	}
+	for name, want := range map[string]int{
+		"sidecar_concurrent": 0,
+		"sidecar_dispatches": int(e.Requests.Load()),
+		"sidecar_targets":    1,
+	} {
+		if got := s.metric(t, name); got != want {
+			t.Errorf("%s is %d, want %d", name, got, want)
+		}
+	}
+}
+
+// The admin interface responds whatever clients do: with all connections in use, and silent clients
+// on the admin interface itself.
+func TestAdminRespondsUnderLoad(t *testing.T) {
+	received, release := make(chan bool, 200), make(chan bool)
+	e := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) bool {
+		received <- true
+		<-release
+		io.WriteString(conn, okResponse)
+		return true
+	})
+	s := startSidecarWithLimits(t, `{"sockets":128}`, e.Addr)
+	var clients sync.WaitGroup
+	for i := range 40 {
+		clients.Go(func() { s.get(t, "/look", fmt.Sprint("r", i), 60000) })
+	}
+	<-received
+	for range 50 {
+		conn, err := net.Dial("tcp", s.admin.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		io.WriteString(conn, "disable-ser")
+	}
+	waitUntil(t, "the requests are counted", func() bool { return s.metric(t, "sidecar_concurrent") > 5 })
+	s.requireSuccess(t, "disable-server a")
+	close(release)
+	clients.Wait()
+}
+
+func TestReadyRequiresListAndAccepting(t *testing.T) {
+	r := newReadiness()
+	o := &operations{readiness: r}
+	if err := o.Ready(); !errors.Is(err, errNoList) {
+		t.Errorf("before discovery's first list: %v", err)
+	}
+	r.markListReceived()
+	r.markListReceived()
+	if err := o.Ready(); !errors.Is(err, errNotAccepting) {
+		t.Errorf("before connections are accepted: %v", err)
+	}
+	r.accepting.Store(true)
+	if err := o.Ready(); err != nil {
+		t.Error(err)
+	}
+	silent := newReadiness()
+	silent.listDeadline = time.Now()
+	silent.accepting.Store(true)
+	if err := (&operations{readiness: silent}).Ready(); err != nil {
+		t.Errorf("discovery has been waited for: %v", err)
+	}
+}
+
+// hookHandler is a log handler that calls a function with each message.
+type hookHandler struct {
+	slog.Handler
+	onMessage func(message string)
+}
+
+// Handle implements slog.Handler.
+func (h hookHandler) Handle(_ context.Context, r slog.Record) error {
+	h.onMessage(r.Message)
+	return nil
+}
+
+// Enabled implements slog.Handler.
+func (h hookHandler) Enabled(context.Context, slog.Level) bool { return true }
+
+// Once a process is ready the platform sends SIGTERM to its predecessor, which must be able to know
+// by then that it has a successor. So the predecessor is notified first. Here it can't be, and the
+// process is found not to be ready in between.
+func TestPredecessorIsNotifiedBeforeReady(t *testing.T) {
+	c := testOptions{settings: "{}", sharedDir: t.TempDir()}.config(t, "127.0.0.1:9")
+	readyAtNotification := make(chan error, 1)
+	var s *Sidecar
+	s, err := Start(c, slog.New(hookHandler{slog.DiscardHandler, func(message string) {
+		if message == "cannot notify the predecessor that this process serves" {
+			readyAtNotification <- s.readiness.check()
+		}
+	}}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.readiness.markListReceived()
+	s.handover.presence.Unregister() // its file is removed: the predecessor can't be notified
+	ctx, end := context.WithCancel(context.Background())
+	ended := make(chan error)
+	go func() { ended <- s.Serve(ctx) }()
+	if err := <-readyAtNotification; !errors.Is(err, errNotAccepting) {
+		t.Errorf("before the notification: %v", err)
+	}
+	waitUntil(t, "it is ready", func() bool { return s.readiness.check() == nil })
+	end()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
+
+func TestStartFailsWhenAdminAddressIsUnusable(t *testing.T) {
+	inUse, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer inUse.Close()
+	c, err := parseConfig([]byte(strings.Replace(goodConfig, "127.0.0.1:9100", inUse.Addr().String(), 1)), noEnv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Start(c, slog.New(slog.DiscardHandler)); err == nil || !strings.HasPrefix(err.Error(), "console: ") {
+		t.Errorf("%v", err)
+	}
+}
--- a/internal/sidecar/readiness.go
+++ b/internal/sidecar/readiness.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// firstListTimeout is how long a start waits for discovery's first endpoint list. After that the list in
-// the configuration has to do.
+// firstListTimeout is how long a start waits for discovery's first endpoint list. After that the
+// list in the configuration has to do.
 const firstListTimeout = 2 * time.Second
 
 // Why a sidecar is not ready. The admin interface returns these texts.
@@ -34,7 +34,8 @@
 // markListReceived notes that discovery's list is up to date. It may be called any number of times.
 func (r *readiness) markListReceived() { r.closeOnce.Do(func() { close(r.listReceived) }) }
 
-// waitForList returns once the list has been received or its deadline is over, or when stop is closed.
+// waitForList returns once the list has been received or its deadline is over, or when stop is
+// closed.
 func (r *readiness) waitForList(stop <-chan struct{}) {
 	timeout := time.NewTimer(time.Until(r.listDeadline))
 	defer timeout.Stop()
--- a/internal/sidecar/router.go
+++ b/internal/sidecar/router.go
@@ -14,8 +14,8 @@
 // tenantHeader is the request header that names the tenant.
 const tenantHeader = "Req-Owner"
 
-// requestRouter finds a request's class in the first segment of its path. One pool serves all classes
-// that the settings list. It implements httpserver.Router.
+// requestRouter finds a request's class in the first segment of its path. One pool serves all
+// classes that the settings list. It implements httpserver.Router.
 type requestRouter struct {
 	pool          *proxy.Pool
 	repeatability map[string]balancer.Repeatability // by class
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The platform sends SIGKILL no sooner after SIGTERM than the longest deadline of the settings, which
-// counts as maxCountedDeadline where it is longer, plus minKillDelay.
+// The platform sends SIGKILL no sooner after SIGTERM than the longest deadline of the settings,
+// which counts as maxCountedDeadline where it is longer, plus minKillDelay.
 const (
 	minKillDelay       = 700 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
@@ -20,8 +20,8 @@
 	finalResponseMargin = 100 * time.Millisecond
 	// finalCloseMargin is how long before SIGKILL the connections that are still open are closed.
 	finalCloseMargin = 50 * time.Millisecond
-	// recentUseWindow is the time since its latest request within which a connection is likely to bring
-	// another one at once.
+	// recentUseWindow is the time since its latest request within which a connection is likely to
+	// bring another one at once.
 	recentUseWindow = 300 * time.Millisecond
 )
 
@@ -30,11 +30,11 @@
 	return min(cmp.Or(c.Settings.MaxDeadline, maxCountedDeadline), maxCountedDeadline) + minKillDelay
 }
 
-// drain shuts the clients' side down; served ends once the server has stopped. It must not lose what the
-// kernel has accepted: unless a successor accepts connections, they are accepted for a while as before.
-// Then responses carry Connection: close, and idle connections are closed. All of it ends before SIGKILL
-// can come: requests with later deadlines are given up, and connections that bring no request by then are
-// closed.
+// drain shuts the clients' side down; served ends once the server has stopped. It must not lose
+// what the kernel has accepted: unless a successor accepts connections, they are accepted for a
+// while as before. Then responses carry Connection: close, and idle connections are closed. All of
+// it ends before SIGKILL can come: requests with later deadlines are given up, and connections that
+// bring no request by then are closed.
 func (s *Sidecar) drain(served <-chan error) error {
 	killAt := time.Now().Add(s.killDelay)
 	s.pool.SetFinalDeadline(s.pool.Now() + s.killDelay - finalResponseMargin)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,6 +1,6 @@
-// Package sidecar runs the platform's sidecar: it accepts clients' requests, has the balancer choose an
-// endpoint for each, and follows the endpoint list of the platform's discovery. It carries out what the
-// balancer decides and decides nothing itself.
+// Package sidecar runs the platform's sidecar: it accepts clients' requests, has the balancer
+// choose an endpoint for each, and follows the endpoint list of the platform's discovery. It
+// carries out what the balancer decides and decides nothing itself.
 //
 // Two processes of one sidecar may run while one takes over from the other; handover.go is their
 // protocol.
@@ -23,8 +23,8 @@
 )
 
 const (
-	// spareClientConns is how many of the reserved descriptors accept clients before an idle connection
-	// is closed in their place.
+	// spareClientConns is how many of the reserved descriptors accept clients before an idle
+	// connection is closed in their place.
 	spareClientConns = 16
 	// responseQuarantine is for how long a connection to an endpoint rests after a response. A second
 	// response may come some milliseconds late, 6 at most so far, and so may a close.
@@ -77,8 +77,8 @@
 	return s, nil
 }
 
-// openListeners opens the listener for clients, and that for operators where the configuration names an
-// address for them; otherwise it is nil.
+// openListeners opens the listener for clients, and that for operators where the configuration
+// names an address for them; otherwise it is nil.
 func openListeners(c Config) (clients, operators net.Listener, err error) {
 	clients, err = openClientListener(c)
 	if err != nil {
@@ -154,7 +154,8 @@
 // Addr returns the address on which clients' connections are accepted.
 func (s *Sidecar) Addr() net.Addr { return s.listener.Addr() }
 
-// Reload applies what may change in a configuration while requests are served: the address of discovery.
+// Reload applies what may change in a configuration while requests are served: the address of
+// discovery.
 func (s *Sidecar) Reload(c Config) {
 	s.discovery.SetAddress(c.Discovery)
 	s.counters.Reloads.Add(1)
@@ -179,8 +180,8 @@
 	s.handover.restoreSnapshot()
 	served := make(chan error, 1)
 	go func() { served <- s.server.Serve(s.listener) }()
-	// The predecessor is notified before this process is ready: the platform sends it SIGTERM once this
-	// process reports that it is, and it must be able to find its successor then.
+	// The predecessor is notified before this process is ready: the platform sends it SIGTERM once
+	// this process reports that it is, and it must be able to find its successor then.
 	s.handover.markServing()
 	s.readiness.accepting.Store(true)
 	select {
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -14,8 +14,8 @@
 	snapshotMaxAge   = time.Minute // a snapshot older than this is not restored
 )
 
-// snapshotStore carries the pool's learned state from one process of the sidecar to the next, in one
-// file.
+// snapshotStore carries the pool's learned state from one process of the sidecar to the next, in
+// one file.
 type snapshotStore struct {
 	path string
 	pool *proxy.Pool
@@ -24,9 +24,9 @@
 	lastDue time.Time // only the goroutine that writes snapshots uses it
 }
 
-// restore loads what the predecessor of this process had learned, if anything. The endpoint list must
-// have been received: state of endpoints that are not listed is dropped. An unreadable snapshot is
-// logged and does not keep the process from starting.
+// restore loads what the predecessor of this process had learned, if anything. The endpoint list
+// must have been received: state of endpoints that are not listed is dropped. An unreadable
+// snapshot is logged and does not keep the process from starting.
 func (s *snapshotStore) restore() {
 	var state proxy.Snapshot
 	age, err := snapshot.Read(s.path, time.Now(), snapshotMaxAge, &state)
@@ -49,8 +49,8 @@
 	return true
 }
 
-// write replaces the snapshot. It does not wait for the disk: the file has to survive this process, not
-// the machine.
+// write replaces the snapshot. It does not wait for the disk: the file has to survive this process,
+// not the machine.
 func (s *snapshotStore) write() error {
 	return snapshot.WriteNoSync(s.path, time.Now(), s.pool.Snapshot())
 }
--- /dev/null
+++ b/internal/sidecar/testclient_test.go
@@ -0,0 +1,88 @@
+package sidecar
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Requests as text, in which ID stands for the client's own.
+const (
+	lookRequest      = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\n\r\n"
+	pipelinedRequest = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID-next\r\nReq-Deadline-Ms: 600000\r\n\r\n"
+	payRequest       = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\n" +
+		"Content-Length: 2\r\n\r\nhi"
+)
+
+// partialUpload is a request whose body is still being sent: some of it is unread while the request
+// waits.
+var partialUpload = uploadHead(8<<20) + strings.Repeat("x", 64<<10+10<<10)
+
+// uploadHead returns the head of a request with a body of so many bytes.
+func uploadHead(length int) string {
+	return fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\n"+
+		"Content-Length: %d\r\n\r\n", length)
+}
+
+// testClient is a client's connection.
+type testClient struct {
+	*net.TCPConn
+	id string
+}
+
+// connectAndSend sends text on a new connection, with the client's id in place of ID.
+func (s *testSidecar) connectAndSend(t *testing.T, id, text string) *testClient {
+	t.Helper()
+	conn := s.dial(t)
+	conn.SetDeadline(time.Now().Add(testTimeout)) // a bound: no test depends on it
+	c := &testClient{conn.(*net.TCPConn), id}
+	if err := c.send(text); err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// send sends text, with the client's id in place of ID.
+func (c *testClient) send(text string) error {
+	_, err := io.WriteString(c, strings.ReplaceAll(text, "ID", c.id))
+	return err
+}
+
+// readResponse reads one response.
+func (c *testClient) readResponse(t *testing.T) *http.Response {
+	t.Helper()
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		t.Errorf("%s gets no response: %v", c.id, err)
+		return &http.Response{}
+	}
+	return resp
+}
+
+// requireOK checks that the response has status 200.
+func (c *testClient) requireOK(t *testing.T) {
+	t.Helper()
+	if resp := c.readResponse(t); resp.StatusCode != http.StatusOK {
+		t.Errorf("%s, which stays connected, gets status %d", c.id, resp.StatusCode)
+	}
+}
+
+// reset closes the connection with RST.
+func (c *testClient) reset() {
+	c.SetLinger(0)
+	c.Close()
+}
+
+// disconnects are the ways in which a client disconnects.
+var disconnects = map[string]func(c *testClient){
+	"fin":              func(c *testClient) { c.Close() },
+	"rst":              func(c *testClient) { c.reset() },
+	"half":             func(c *testClient) { c.CloseWrite() },
+	"fin behind bytes": func(c *testClient) { c.send(pipelinedRequest); c.Close() },
+	"rst behind bytes": func(c *testClient) { c.send(pipelinedRequest); c.reset() },
+}
--- /dev/null
+++ b/internal/sidecar/testsidecar_test.go
@@ -0,0 +1,298 @@
+package sidecar
+
+import (
+	"bufio"
+	"cmp"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"rowancart/internal/discovery/platform"
+	"rowancart/internal/testpeer"
+)
+
+// Short names for what the tests of this package use most.
+const (
+	testTimeout = testpeer.Patience
+	okResponse  = testpeer.Served
+)
+
+var (
+	newEndpoint      = testpeer.New
+	respondWith      = testpeer.Says
+	waitUntil        = testpeer.Until
+	endpointListJSON = testpeer.Members
+	endpointJSON     = testpeer.Member
+)
+
+// testSettings have one class for each kind of repeatability: look may be repeated, book with an
+// idempotency key, and pay must not be.
+const testSettings = `{"Lanes":[
+	{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
+	{"Name":"book","Semantics":"idempotency_key","Group":"cell","WindowUs":10000000,"OnTimeUs":2000000},
+	{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],
+	"Permissions":{"MayCancel":true,"TryLimit":4,"RetryAfter":true,"MaxRetryAfterUs":2000000,
+		"DialTimeoutUs":5000000}}`
+
+// longWaitSettings let requests wait for as long as a test takes.
+func longWaitSettings(mayCancel bool) string {
+	return fmt.Sprintf(`{"Lanes":[
+		{"Name":"look","Semantics":"read_like","OnTimeUs":60000000},
+		{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":60000000}],
+		"Permissions":{"MayCancel":%v,"TryLimit":4,"DialTimeoutUs":15000000},
+		"Rules":{"ColdUs":60000000,"ColdFrom":0.1,"ColdShare":0.000001}}`, mayCancel)
+}
+
+// initialCapacity is how many requests fill one endpoint of one sidecar with longWaitSettings
+// before anything is known of it.
+const initialCapacity = 6
+
+// testSidecar is a complete sidecar on loopback sockets.
+type testSidecar struct {
+	*Sidecar
+	addr        string
+	terminate   context.CancelFunc // as SIGTERM does
+	serveResult chan error
+}
+
+// startSidecar starts a sidecar with the endpoints given, named a, b, ... Its discovery sends
+// nothing.
+func startSidecar(t *testing.T, addrs ...string) *testSidecar {
+	t.Helper()
+	return startSidecarWithLimits(t, "{}", addrs...)
+}
+
+// startSidecarWithLimits is startSidecar with limits, in JSON.
+func startSidecarWithLimits(t *testing.T, limits string, addrs ...string) *testSidecar {
+	t.Helper()
+	var endpoints []string
+	for i, addr := range addrs {
+		endpoints = append(endpoints, endpointJSON(string(rune('a'+i)), addr, "Ready"))
+	}
+	return testOptions{limits: limits, endpoints: endpoints}.start(t)
+}
+
+// startLongWaitSidecar starts a sidecar whose requests wait for as long as a test takes.
+func startLongWaitSidecar(t *testing.T, endpoints ...*blockingEndpoint) *testSidecar {
+	t.Helper()
+	return testOptions{settings: longWaitSettings(true), endpoints: endpointsJSON(endpoints...)}.start(t)
+}
+
+// testOptions are the parts of a configuration that differ between tests. Each has a default.
+type testOptions struct {
+	limits    string        // in JSON
+	settings  string        // in JSON; empty: testSettings
+	endpoints []string      // in JSON
+	sharedDir string        // empty: none
+	killDelay time.Duration // after SIGTERM; 0: testTimeout
+}
+
+// config returns the configuration of a sidecar that follows discovery at an address.
+func (o testOptions) config(t *testing.T, discovery string) Config {
+	t.Helper()
+	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","console":"127.0.0.1:0","discovery":%q,"seed":"7",
+		"limits":%s,"known":%s,"settings":%s}`, discovery, cmp.Or(o.limits, "{}"),
+		endpointListJSON(1, true, o.endpoints...), cmp.Or(o.settings, testSettings))
+	c, err := parseConfig([]byte(text), getenvFrom(map[string]string{envSharedDir: o.sharedDir}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// start starts a sidecar, and ends it with the test.
+func (o testOptions) start(t *testing.T) *testSidecar {
+	t.Helper()
+	discovery := httptest.NewServer(&testpeer.Script{Calls: make(chan string, 100)}) // sends nothing
+	s, err := Start(o.config(t, discovery.Listener.Addr().String()), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.killDelay = cmp.Or(o.killDelay, testTimeout)
+	ctx, terminate := context.WithCancel(context.Background())
+	r := &testSidecar{
+		Sidecar:     s,
+		addr:        s.Addr().String(),
+		terminate:   terminate,
+		serveResult: make(chan error, 1),
+	}
+	go func() {
+		r.serveResult <- s.Serve(ctx)
+		close(r.serveResult)
+	}()
+	t.Cleanup(func() {
+		terminate()
+		<-r.serveResult
+		discovery.Close()
+	})
+	return r
+}
+
+// getenvFrom returns a getenv that knows the variables given.
+func getenvFrom(variables map[string]string) func(string) string {
+	return func(name string) string { return variables[name] }
+}
+
+// waitForServeResult waits until Serve returns and returns its error.
+func (s *testSidecar) waitForServeResult(t *testing.T) error {
+	t.Helper()
+	select {
+	case err := <-s.serveResult:
+		return err
+	case <-time.After(testTimeout):
+		t.Error("the sidecar never ends")
+		return nil
+	}
+}
+
+// updateEndpoints applies a list of endpoints. The pool handles it as an event: what follows finds
+// the list in force.
+func (s *testSidecar) updateEndpoints(t *testing.T, text string) {
+	t.Helper()
+	list, err := platform.ParseEndpointList([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.pool.UpdateEndpoints(list.ForPool())
+}
+
+// waitForInFlight waits until exactly so many requests are in flight in the balancer. The metric
+// counts a request earlier, from when it has been read.
+func (s *testSidecar) waitForInFlight(t *testing.T, want int) {
+	t.Helper()
+	waitUntil(t, fmt.Sprint(want, " requests are in flight"), func() bool { return s.pool.Stats().Calls == want })
+}
+
+// waitForDraining waits until responses close their connections.
+func (s *testSidecar) waitForDraining(t *testing.T) {
+	t.Helper()
+	waitUntil(t, "responses close their connections", s.server.Draining)
+}
+
+// dial opens a connection to the sidecar, which is closed with the test.
+func (s *testSidecar) dial(t *testing.T) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", s.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// newRequest returns a request as clients send it, with a deadline in milliseconds.
+func (s *testSidecar) newRequest(t *testing.T, method, path, id string, deadlineMs int) *http.Request {
+	t.Helper()
+	r, err := http.NewRequest(method, "http://"+s.addr+path, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.Header.Set("Req-Id", id)
+	r.Header.Set("Req-Deadline-Ms", fmt.Sprint(deadlineMs))
+	if strings.HasPrefix(path, "/book") {
+		r.Header.Set("Idempotency-Key", "key-"+id)
+	}
+	return r
+}
+
+// get sends a GET request on a connection of its own and returns the status of the response.
+func (s *testSidecar) get(t *testing.T, path, id string, deadlineMs int) (status int) {
+	t.Helper()
+	status, _, _ = sendRequest(t, s.newRequest(t, http.MethodGet, path, id, deadlineMs))
+	return status
+}
+
+// sendRequest sends a request on a connection of its own.
+func sendRequest(t *testing.T, r *http.Request) (status int, body string, h http.Header) {
+	t.Helper()
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := client.Do(r)
+	if err != nil {
+		t.Error(err)
+		return 0, "", nil
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Error(err)
+	}
+	return resp.StatusCode, string(text), resp.Header
+}
+
+// sendKeepingConn sends a request on a new connection, reads the response and leaves the connection
+// open.
+func sendKeepingConn(t *testing.T, r *http.Request) (net.Conn, *bufio.Reader, *http.Response) {
+	t.Helper()
+	conn, err := net.Dial("tcp", r.URL.Host)
+	if err != nil {
+		t.Error(err)
+		return nil, nil, nil
+	}
+	t.Cleanup(func() { conn.Close() })
+	in := bufio.NewReader(conn)
+	err = r.Write(conn)
+	if err == nil {
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
+		var resp *http.Response
+		if resp, err = http.ReadResponse(in, r); err == nil {
+			io.Copy(io.Discard, resp.Body)
+			return conn, in, resp
+		}
+	}
+	t.Error(err)
+	return conn, in, &http.Response{}
+}
+
+// adminCommand sends a command to the admin interface and returns the complete response.
+func (s *testSidecar) adminCommand(t *testing.T, line string) string {
+	t.Helper()
+	conn, err := net.Dial("tcp", s.admin.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	io.WriteString(conn, line+"\n")
+	text, err := io.ReadAll(conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// requireSuccess sends a command that must succeed.
+func (s *testSidecar) requireSuccess(t *testing.T, line string) {
+	t.Helper()
+	s.requireResult(t, line, "SUCCESS ")
+}
+
+// requireFailure sends a command that must fail.
+func (s *testSidecar) requireFailure(t *testing.T, line string) {
+	t.Helper()
+	s.requireResult(t, line, "FAILURE ")
+}
+
+func (s *testSidecar) requireResult(t *testing.T, line, prefix string) {
+	t.Helper()
+	response := s.adminCommand(t, line)
+	if !strings.HasPrefix(response, prefix) || strings.Count(response, "\n") != 1 {
+		t.Errorf("%s: %q, want one line that begins with %s", line, response, prefix)
+	}
+}
+
+// metric returns the value of one metric.
+func (s *testSidecar) metric(t *testing.T, name string) int {
+	t.Helper()
+	text := s.adminCommand(t, "show-stat")
+	if !strings.HasSuffix(text, "\nEOT\n") {
+		t.Fatalf("the metrics do not end with EOT: %q", text)
+	}
+	return testpeer.Figure(t, text, name)
+}
