--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -78,10 +78,10 @@
 	readiness  *readiness
 	log        *slog.Logger
 
-	mu          sync.Mutex // held during a whole peer check, which reads files
+	mu          sync.Mutex // held during a whole peer check, which reads files; guards what follows
 	phase       handoverPhase
-	peerRunning bool // another process of the sidecar runs, serving or not
-	warnedAt    time.Time
+	peerRunning bool      // another process of the sidecar runs, serving or not
+	warnedAt    time.Time // when a failed check was last logged
 }
 
 // join registers this process with the others of the sidecar of that name, which share tempDir, and
@@ -92,12 +92,7 @@
 	if tempDir == "" {
 		return
 	}
-	sharedDir, err := hotrestart.OpenSharedDir(tempDir, name)
-	if err != nil {
-		h.log.Warn("nothing is shared with a successor", "err", err)
-		return
-	}
-	presence, err := sharedDir.Register(time.Now())
+	sharedDir, presence, err := register(tempDir, name)
 	if err != nil {
 		h.log.Warn("nothing is shared with a successor", "err", err)
 		return
@@ -108,6 +103,20 @@
 	h.checkPeers()
 }
 
+// register opens the directory that the processes of one sidecar share within tempDir, and
+// registers this process there.
+func register(tempDir, name string) (*hotrestart.SharedDir, *hotrestart.Presence, error) {
+	sharedDir, err := hotrestart.OpenSharedDir(tempDir, name)
+	if err != nil {
+		return nil, nil, err
+	}
+	presence, err := sharedDir.Register(time.Now())
+	if err != nil {
+		return nil, nil, err
+	}
+	return sharedDir, presence, nil
+}
+
 // checkPeers applies what has changed since the latest check: processes that have come or gone, and
 // endpoints disabled or enabled through another process. An error leaves all as it is.
 func (h *handover) checkPeers() {
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"runtime/debug"
 
+	"rowancart/internal/admin"
 	"rowancart/internal/httpserver"
 	"rowancart/internal/proxy"
 )
@@ -24,8 +25,12 @@
 	heapLimitFraction = 0.7
 	// bodyMemoryDivisor is the part of the memory limit, one in so many, that buffers long bodies.
 	bodyMemoryDivisor = 8
-	// reservedDescriptors are those of the socket limit that serve neither clients nor endpoints.
+	// reservedDescriptors are those of the socket limit that serve neither clients nor endpoints,
+	// except for spareClientConns.
 	reservedDescriptors = 64
+	// spareClientConns is how many of the reserved descriptors accept clients before an idle
+	// connection is closed in their place.
+	spareClientConns = 16
 	// connSides is how many sides share the remaining descriptors: clients and endpoints.
 	connSides = 2
 	// minConns is the least number of connections on either side, whatever the limits.
@@ -34,6 +39,10 @@
 	bytesPerMB = 1 << 20
 )
 
+// The reserved descriptors must cover those of the admin interface: this does not compile
+// otherwise.
+const _ uint = reservedDescriptors - spareClientConns - admin.MaxDescriptors
+
 // How many processes of one sidecar share its limits.
 const (
 	processesAlone          = 1
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -38,13 +38,13 @@
 func (s *Sidecar) drain(served <-chan error) error {
 	killAt := time.Now().Add(s.killDelay)
 	s.pool.SetFinalDeadline(s.pool.Now() + s.killDelay - finalResponseMargin)
-	keepUsedWithin := recentUseWindow
+	recentUse := recentUseWindow
 	if !s.handover.beginShutdown() {
 		time.Sleep(acceptAfterSIGTERM)
-		keepUsedWithin = 0
+		recentUse = 0
 	}
 	s.server.StartDraining()
-	err := s.listener.Drain(keepUsedWithin, killAt.Add(-finalCloseMargin))
+	err := s.listener.Drain(recentUse, killAt.Add(-finalCloseMargin))
 	<-served // the listener is closed
 	return err
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -7,11 +7,9 @@
 package sidecar
 
 import (
-	"context"
 	"fmt"
 	"log/slog"
 	"net"
-	"sync"
 	"time"
 
 	"rowancart/internal/admin"
@@ -23,9 +21,6 @@
 )
 
 const (
-	// spareClientConns is how many of the reserved descriptors accept clients before an idle
-	// connection is closed in their place.
-	spareClientConns = 16
 	// responseQuarantine is for how long a connection to an endpoint rests after a response. A second
 	// response may come some milliseconds late, 6 at most so far, and so may a close.
 	responseQuarantine = 20 * time.Millisecond
@@ -163,40 +158,3 @@
 
 // RecordFailedReload counts a new configuration that could not be loaded.
 func (s *Sidecar) RecordFailedReload() { s.counters.FailedReloads.Add(1) }
-
-// Serve serves requests until ctx ends, and then until every accepted request has been answered.
-func (s *Sidecar) Serve(ctx context.Context) error {
-	work, stop := context.WithCancel(context.Background())
-	var background sync.WaitGroup
-	for _, run := range s.backgroundTasks() {
-		background.Go(func() { run(work) })
-	}
-	defer background.Wait()
-	defer stop()
-
-	if s.handover.hasPeer() { // the process that serves goes on doing so until this one can do it as well
-		s.readiness.waitForList(ctx.Done())
-	}
-	s.handover.restoreSnapshot()
-	served := make(chan error, 1)
-	go func() { served <- s.server.Serve(s.listener) }()
-	// The predecessor is notified before this process is ready: the platform sends it SIGTERM once
-	// this process reports that it is, and it must be able to find its successor then.
-	s.handover.markServing()
-	s.readiness.accepting.Store(true)
-	select {
-	case err := <-served:
-		return fmt.Errorf("serve: %w", err)
-	case <-ctx.Done():
-	}
-	return s.drain(served)
-}
-
-// backgroundTasks returns what runs beside the server. Each task returns when its context ends.
-func (s *Sidecar) backgroundTasks() []func(context.Context) {
-	tasks := []func(context.Context){s.pool.Run, s.discovery.Run, s.handover.run}
-	if s.admin != nil {
-		tasks = append(tasks, s.admin.Run)
-	}
-	return tasks
-}
