--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config is the daemon's configuration: a language in HCL, its checks and the immutable value that a good file comes
-// to. docs/daemon.md describes the language. A bad file gives one line for each fault, with file, line, column and reason.
+// Package config is the daemon's configuration: a language in HCL, its validation, and the
+// immutable value that a valid file makes. docs/daemon.md describes the language. The error for an
+// invalid file has one line for each fault, with file, line, column and reason.
 package config
 
 import (
@@ -10,153 +11,183 @@
 	"rowancart/internal/route"
 )
 
-// Config is what a good file says.
+// Config is a valid configuration.
 type Config struct {
 	File      string
 	Text      []byte // of the file
-	Admin     string // host:port, or unix: and a path; empty: none
+	Admin     string // host:port, or unix: and a path; empty: no admin interface
 	Fleet     Fleet
-	State     State
+	Snapshot  Snapshot
 	Limits    Limits
 	Listeners []Listener
 	Classes   []Class
 	Tenants   []balancer.Tenant
 	Pools     []Pool
 	Routes    []Route
-	Warnings  []string // of what is legal and hardly meant, a line each
+	Warnings  []string // one line for each thing that is valid but probably not meant
 }
 
 // Fleet says which of how many instances this one is.
 type Fleet struct {
 	Instances int
 	Index     int    // from 0
-	Name      string // stands for the index where that is not told; empty: it is
+	Name      string // identifies an instance that has no index; empty: Index does
 }
 
-// State says where a daemon keeps what it has learned, for its successor.
-type State struct {
-	Path     string        // of the file; empty: nothing is kept
-	Every    time.Duration // it is written this often, and at the end
-	FreshFor time.Duration // an older one is not used
+// Snapshot says where a daemon saves its learned state, for its successor.
+type Snapshot struct {
+	Path     string        // of the file; empty: nothing is saved
+	Interval time.Duration // between two snapshots; there is one more at the end
+	MaxAge   time.Duration // an older snapshot is not used
 }
 
-// Limits are what the process is held to.
+// Limits bound what the process uses.
 type Limits struct {
-	Memory      int64 // bytes
-	Connections int   // callers' connections, over all listeners
-	StopWithin  time.Duration
-
-	HandOverWithin time.Duration // a successor that does not serve by then is ended
+	Memory          int64         // bytes
+	MaxConns        int           // clients' connections, over all listeners
+	StopTimeout     time.Duration // for draining
+	HandoverTimeout time.Duration // a successor that does not serve by then is ended
 }
 
-// Listener is an address at which callers are served.
+// Listener is an address at which clients are served.
 type Listener struct {
 	Name, Address string
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name   string
-	Effect balancer.Repeatability
-	Group  balancer.KeyScope
-	Window time.Duration
-	Aim    time.Duration
-	Worth  float64
+	Name             string
+	Repeatability    balancer.Repeatability
+	KeyScope         balancer.KeyScope // within which an endpoint drops repeats of an idempotency key
+	KeyWindow        time.Duration     // for how long it drops them
+	LatencyObjective time.Duration
+	PriorityWeight   float64
 }
 
-// Pool is a set of endpoints that serve alike.
+// Pool is a set of equivalent endpoints.
 type Pool struct {
-	Name        string
-	Roster      Roster
-	Subset      int           // endpoints that one instance sends to; 0: all
-	Connections int           // open at once, to all endpoints of the pool
-	ConnIdle    time.Duration // endpoints close a connection that has been idle for this long
-	DialTimeout time.Duration
-	ColdFrom    float64
-	ColdFor     time.Duration
-	ColdShare   float64 // balancer.Settings.ColdShare
-	Resends     balancer.RetryBudget
-	TiersBelow  int
-}
-
-// Roster says where a pool's endpoints are listed: here, in a file, or with the platform's discovery. One is given.
-type Roster struct {
+	Name              string
+	Source            EndpointSource
+	Subset            int           // endpoints that one instance sends to; 0: all
+	MaxConns          int           // open at once, to all endpoints of the pool
+	ConnIdleTimeout   time.Duration // after which endpoints close an idle connection
+	DialTimeout       time.Duration
+	SlowStartCapacity float64 // of a new endpoint, as a share of a warm one's
+	SlowStartWindow   time.Duration
+	SlowStartShare    float64 // see balancer.Settings.SlowStartShare
+	RetryBudget       balancer.RetryBudget
+	TiersBelow        int // see balancer.Settings.TiersBelow
+}
+
+// EndpointSource says where a pool's endpoints are listed. Exactly one field is set.
+type EndpointSource struct {
 	Static   []Endpoint
-	File     string
-	Platform string // host:port
+	File     string // path of a JSON file
+	Platform string // host:port of the platform's discovery
 }
 
-// Endpoint is a server listed in the file itself.
+// Endpoint is an endpoint listed in the configuration.
 type Endpoint struct {
 	ID, Address, Zone, Kind string
 	Cell                    int
 }
 
-// Route is where some requests go, and what they may do there.
+// Route matches requests, and says which pool serves them under which policy.
 type Route struct {
-	Name      string
-	Match     route.Match
-	Listeners []string // empty: all
-	Class     Class
-	Pool      string
-	Tenant    string // header that names a request's tenant
-	Policy    Policy
-	From      map[string]string // for each attribute of the policy, where its value was said
+	Name         string
+	Match        route.Match
+	Listeners    []string // empty: all
+	Class        Class
+	Pool         string
+	TenantHeader string // names a request's tenant
+	Policy       Policy
+	Origins      map[string]string // for each attribute of the policy, where its value was set
 }
 
-// Policy is what requests of a route may do. In the module's terms, see balancer.Class.
+// Policy bounds the requests of a route. balancer.Class documents most of its fields.
 type Policy struct {
-	ClientWaits       time.Duration // how long callers wait who do not say so
+	ClientTimeout     time.Duration // how long clients wait that do not say so
 	RequestTimeout    time.Duration
-	AttemptTimeout    time.Duration // 0: with the request
-	Attempts          int
-	Retry             Retry
-	CopyAfter         time.Duration // 0: no second copy after a time
-	CopyPercentile    float64       // 0: none after a percentile
-	Queue             int           // that may wait for room; below 0: any number
+	AttemptTimeout    time.Duration // 0: the request's
+	MaxAttempts       int
+	Retry             RetryMode
+	HedgeAfter        time.Duration // 0: no hedged request after a fixed time
+	HedgePercentile   float64       // 0: no hedged request after a percentile of the latency
+	QueueLimit        int           // requests that may wait for capacity; below 0: any number
 	Rate              ratelimit.Rate
 	Concurrency       int // 0: no limit
 	TenantRate        ratelimit.Rate
 	TenantConcurrency int // 0: no limit
 }
 
-// Retry says after what another attempt may follow.
-type Retry string
+// RetryMode says after which failures another attempt may follow.
+type RetryMode string
 
-// The ways to retry.
+// The retry modes, by their names in the file.
 const (
-	NotRun   Retry = "not_run"   // only after attempts that provably never ran
-	AfterRun Retry = "after_run" // after any failure
+	RetryIfNotRun RetryMode = "not_run"   // only after attempts that provably never ran
+	RetryAfterRun RetryMode = "after_run" // after any failure
 )
 
-// Rules gives the limits of a policy.
-func (p Policy) Rules() ratelimit.Limits {
-	return ratelimit.Limits{Rate: p.Rate, Concurrency: p.Concurrency, TenantRate: p.TenantRate, TenantConcurrency: p.TenantConcurrency}
+// Limits returns the rate and concurrency limits of a policy.
+func (p Policy) Limits() ratelimit.Limits {
+	return ratelimit.Limits{
+		Rate:              p.Rate,
+		Concurrency:       p.Concurrency,
+		TenantRate:        p.TenantRate,
+		TenantConcurrency: p.TenantConcurrency,
+	}
 }
 
-// Module gives a route's class as the decision module is to treat it.
-func (r Route) Module(name string) balancer.Class {
+// BalancerClass returns the route's class, with its policy, as the balancer takes it.
+func (r Route) BalancerClass(name string) balancer.Class {
 	p, c := r.Policy, r.Class
-	queue := p.Queue
+	return balancer.Class{
+		Name:             name,
+		Work:             c.Name,
+		Repeat:           c.Repeatability,
+		KeyScope:         c.KeyScope,
+		KeyWindow:        c.KeyWindow,
+		LatencyObjective: c.LatencyObjective,
+		AttemptTimeout:   p.AttemptTimeout,
+		MaxAttempts:      p.MaxAttempts,
+		NeverRerun:       p.Retry == RetryIfNotRun,
+		HedgeAfter:       p.HedgeAfter,
+		HedgeQuantile:    p.HedgePercentile / 100,
+		QueueLimit:       balancerQueueLimit(p.QueueLimit),
+	}
+}
+
+// balancerQueueLimit translates a queue limit to the balancer's terms, in which 0 is no limit and a
+// negative one no queue.
+func balancerQueueLimit(limit int) int {
 	switch {
-	case queue == 0:
-		queue = -1
-	case queue < 0:
-		queue = 0
+	case limit == 0:
+		return -1
+	case limit < 0:
+		return 0
 	}
-	return balancer.Class{Name: name, Work: c.Name, Repeat: c.Effect, KeyScope: c.Group, KeyWindow: c.Window, LatencyObjective: c.Aim,
-		AttemptTimeout: p.AttemptTimeout, MaxAttempts: p.Attempts, NeverRerun: p.Retry == NotRun, HedgeAfter: p.CopyAfter,
-		HedgeQuantile: p.CopyPercentile / 100, QueueLimit: queue}
+	return limit
 }
 
-// Effects are the words for effects.
-var Effects = map[string]balancer.Repeatability{"safe": balancer.Idempotent, "keyed": balancer.IdempotencyKeyed, "unsafe": balancer.NonIdempotent}
+// The values of a class's "effect" in the file.
+const (
+	effectSafe   = "safe"
+	effectKeyed  = "keyed"
+	effectUnsafe = "unsafe"
+)
+
+var effects = map[string]balancer.Repeatability{
+	effectSafe:   balancer.Idempotent,
+	effectKeyed:  balancer.IdempotencyKeyed,
+	effectUnsafe: balancer.NonIdempotent,
+}
 
-// Word gives the word for an effect.
-func Word(e balancer.Repeatability) string {
-	for word, effect := range Effects {
-		if effect == e {
-			return word
+// effectName returns the name of a repeatability in the file.
+func effectName(r balancer.Repeatability) string {
+	for name, effect := range effects {
+		if effect == r {
+			return name
 		}
 	}
 	return ""
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -78,24 +78,24 @@
 		t.Fatal(err)
 	}
 	looks, pays, books := c.Routes[0], c.Routes[1], c.Routes[2]
-	want := Policy{ClientWaits: 5 * time.Second, RequestTimeout: 5 * time.Second, AttemptTimeout: time.Second, Attempts: 3, Retry: AfterRun,
-		CopyAfter: 300 * time.Millisecond, Queue: -1}
+	want := Policy{ClientTimeout: 5 * time.Second, RequestTimeout: 5 * time.Second, AttemptTimeout: time.Second, MaxAttempts: 3, Retry: RetryAfterRun,
+		HedgeAfter: 300 * time.Millisecond, QueueLimit: -1}
 	if looks.Policy != want {
 		t.Errorf("looks: %+v", looks.Policy)
 	}
-	want = Policy{ClientWaits: 10 * time.Second, RequestTimeout: 10 * time.Second, Attempts: 3, Retry: NotRun, Queue: 0,
+	want = Policy{ClientTimeout: 10 * time.Second, RequestTimeout: 10 * time.Second, MaxAttempts: 3, Retry: RetryIfNotRun, QueueLimit: 0,
 		Rate: ratelimit.Rate{PerSecond: 2, Burst: 2}}
 	if pays.Policy != want {
 		t.Errorf("pays: %+v", pays.Policy)
 	}
-	if m := pays.Module("m"); m.Name != "m" || m.Work != "pay" || m.QueueLimit != -1 || !m.NeverRerun || m.Repeat != balancer.NonIdempotent {
+	if m := pays.BalancerClass("m"); m.Name != "m" || m.Work != "pay" || m.QueueLimit != -1 || !m.NeverRerun || m.Repeat != balancer.NonIdempotent {
 		t.Errorf("pays, to the module: %+v", m)
 	}
-	if m := books.Module("m"); m.Repeat != balancer.IdempotencyKeyed || m.KeyScope != balancer.KeyScopeZone || m.KeyWindow != 10*time.Second || m.NeverRerun || m.QueueLimit != 0 {
+	if m := books.BalancerClass("m"); m.Repeat != balancer.IdempotencyKeyed || m.KeyScope != balancer.KeyScopeZone || m.KeyWindow != 10*time.Second || m.NeverRerun || m.QueueLimit != 0 {
 		t.Errorf("books, to the module: %+v", m)
 	}
-	if looks.From["attempts"] != `x.hcl:19:3, policy "quick"` || pays.From["queue"] != `x.hcl:44:5, route "pays"` || pays.From["attempts"] != "default" {
-		t.Errorf("said at %v and %v", looks.From, pays.From)
+	if looks.Origins["attempts"] != `x.hcl:19:3, policy "quick"` || pays.Origins["queue"] != `x.hcl:44:5, route "pays"` || pays.Origins["attempts"] != "default" {
+		t.Errorf("said at %v and %v", looks.Origins, pays.Origins)
 	}
 	var show bytes.Buffer
 	if err := c.Show(&show); err != nil || !strings.Contains(show.String(), "attempt_timeout     1s           x.hcl:18:3, policy \"quick\"") {
@@ -290,10 +290,10 @@
 			return
 		}
 		p, class := c.Routes[1].Policy, c.Routes[1].Class
-		if class.Effect == balancer.NonIdempotent && p.Retry != NotRun || class.Effect != balancer.Idempotent && (p.CopyAfter > 0 || p.CopyPercentile > 0) {
+		if class.Repeatability == balancer.NonIdempotent && p.Retry != RetryIfNotRun || class.Repeatability != balancer.Idempotent && (p.HedgeAfter > 0 || p.HedgePercentile > 0) {
 			t.Fatalf("could run twice: %+v", c.Routes[1])
 		}
-		if p.RequestTimeout > p.ClientWaits || time.Duration(p.Attempts)*p.AttemptTimeout > p.RequestTimeout || p.CopyAfter >= p.RequestTimeout {
+		if p.RequestTimeout > p.ClientTimeout || time.Duration(p.MaxAttempts)*p.AttemptTimeout > p.RequestTimeout || p.HedgeAfter >= p.RequestTimeout {
 			t.Fatalf("does not add up: %+v", p)
 		}
 	})
--- /dev/null
+++ b/internal/config/policy.go
@@ -0,0 +1,256 @@
+package config
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+
+	"github.com/hashicorp/hcl/v2"
+
+	"rowancart/balancer"
+	"rowancart/internal/hcldecode"
+	"rowancart/internal/ratelimit"
+)
+
+// policyBlock is a block that sets some attributes of a policy.
+type policyBlock struct {
+	Policy
+	rate, tenantRate   hcldecode.Rate
+	burst, tenantBurst int
+	places             map[string]hcl.Range // by attribute: where it is set
+	title              string               // in messages
+	valid              bool                 // no fault was found in the block alone
+}
+
+// attribute is one attribute of a policy.
+type attribute struct {
+	name   string
+	copy   func(to, from *policyBlock)
+	format func(p Policy) string // nil: it is shown as part of another attribute
+}
+
+// attributes are all attributes of a policy, in the order in which they are shown.
+var attributes = []attribute{
+	{
+		name:   "client_waits",
+		copy:   func(to, from *policyBlock) { to.ClientTimeout = from.ClientTimeout },
+		format: func(p Policy) string { return p.ClientTimeout.String() },
+	},
+	{
+		name:   "request_timeout",
+		copy:   func(to, from *policyBlock) { to.RequestTimeout = from.RequestTimeout },
+		format: func(p Policy) string { return p.RequestTimeout.String() },
+	},
+	{
+		name:   "attempt_timeout",
+		copy:   func(to, from *policyBlock) { to.AttemptTimeout = from.AttemptTimeout },
+		format: func(p Policy) string { return formatLimit(p.AttemptTimeout != 0, p.AttemptTimeout) },
+	},
+	{
+		name:   "attempts",
+		copy:   func(to, from *policyBlock) { to.MaxAttempts = from.MaxAttempts },
+		format: func(p Policy) string { return fmt.Sprint(p.MaxAttempts) },
+	},
+	{
+		name:   "retry",
+		copy:   func(to, from *policyBlock) { to.Retry = from.Retry },
+		format: func(p Policy) string { return string(p.Retry) },
+	},
+	{
+		name: "second_copy",
+		copy: func(to, from *policyBlock) {
+			to.HedgeAfter, to.HedgePercentile = from.HedgeAfter, from.HedgePercentile
+		},
+		format: formatHedging,
+	},
+	{
+		name:   "queue",
+		copy:   func(to, from *policyBlock) { to.QueueLimit = from.QueueLimit },
+		format: func(p Policy) string { return formatLimit(p.QueueLimit >= 0, p.QueueLimit) },
+	},
+	{
+		name:   "rate",
+		copy:   func(to, from *policyBlock) { to.rate = from.rate },
+		format: func(p Policy) string { return formatRate(p.Rate) },
+	},
+	{
+		name: "burst",
+		copy: func(to, from *policyBlock) { to.burst = from.burst },
+	},
+	{
+		name:   "concurrency",
+		copy:   func(to, from *policyBlock) { to.Concurrency = from.Concurrency },
+		format: func(p Policy) string { return formatLimit(p.Concurrency != 0, p.Concurrency) },
+	},
+	{
+		name:   "tenant_rate",
+		copy:   func(to, from *policyBlock) { to.tenantRate = from.tenantRate },
+		format: func(p Policy) string { return formatRate(p.TenantRate) },
+	},
+	{
+		name: "tenant_burst",
+		copy: func(to, from *policyBlock) { to.tenantBurst = from.tenantBurst },
+	},
+	{
+		name:   "tenant_concurrency",
+		copy:   func(to, from *policyBlock) { to.TenantConcurrency = from.TenantConcurrency },
+		format: func(p Policy) string { return formatLimit(p.TenantConcurrency != 0, p.TenantConcurrency) },
+	},
+}
+
+func formatLimit(limited bool, value any) string {
+	if !limited {
+		return "no limit"
+	}
+	return fmt.Sprint(value)
+}
+
+func formatRate(r ratelimit.Rate) string {
+	if r.PerSecond == 0 {
+		return "no limit"
+	}
+	return fmt.Sprintf("%g/s, burst %d", r.PerSecond, r.Burst)
+}
+
+func formatHedging(p Policy) string {
+	var parts []string
+	if p.HedgeAfter > 0 {
+		parts = append(parts, "after "+p.HedgeAfter.String())
+	}
+	if p.HedgePercentile > 0 {
+		parts = append(parts, fmt.Sprintf("after percentile %g", p.HedgePercentile))
+	}
+	return cmp.Or(strings.Join(parts, ", "), "none")
+}
+
+func (d *decoder) namedPolicy(b *hcl.Block) {
+	if name := b.Labels[0]; d.define(b, name) {
+		d.policies[name] = d.policy(b, fmt.Sprintf("policy %q", name))
+	}
+}
+
+// policy decodes a block of a policy's attributes.
+func (d *decoder) policy(b *hcl.Block, title string) *policyBlock {
+	p := &policyBlock{title: title, places: map[string]hcl.Range{}}
+	fields := hcldecode.Fields{
+		"client_waits":       &p.ClientTimeout,
+		"request_timeout":    &p.RequestTimeout,
+		"attempt_timeout":    &p.AttemptTimeout,
+		"attempts":           &p.MaxAttempts,
+		"retry":              (*string)(&p.Retry),
+		"queue":              &p.QueueLimit,
+		"rate":               &p.rate,
+		"burst":              &p.burst,
+		"concurrency":        &p.Concurrency,
+		"tenant_rate":        &p.tenantRate,
+		"tenant_burst":       &p.tenantBurst,
+		"tenant_concurrency": &p.TenantConcurrency,
+	}
+	p.valid = d.Body(b.Body, fields, hcldecode.Blocks{"second_copy": func(b *hcl.Block) { d.hedging(b, p) }})
+	if !p.valid {
+		return p // further faults would mostly follow from the first
+	}
+	for name, field := range fields {
+		if at, ok := d.Places[field]; ok {
+			p.places[name] = at
+		}
+	}
+	d.checkPolicyBlock(p)
+	return p
+}
+
+func (d *decoder) hedging(b *hcl.Block, p *policyBlock) {
+	ok := d.Body(b.Body, hcldecode.Fields{"after": &p.HedgeAfter, "percentile": &p.HedgePercentile}, nil)
+	if ok && p.HedgeAfter == 0 && p.HedgePercentile == 0 {
+		d.Fault(b.DefRange, "second_copy: it says neither after what time nor after what percentile")
+	}
+	p.places["second_copy"] = b.DefRange
+}
+
+// checkPolicyBlock validates what can be judged without the route that a policy is for.
+func (d *decoder) checkPolicyBlock(p *policyBlock) {
+	const noTime, noRate = "0s is no time to answer in", "at 0 a second nobody is served"
+	for _, required := range []struct {
+		name     string
+		positive bool
+		reason   string
+	}{
+		{"client_waits", p.ClientTimeout > 0, noTime},
+		{"request_timeout", p.RequestTimeout > 0, noTime},
+		{"attempt_timeout", p.AttemptTimeout > 0, noTime},
+		{"attempts", p.MaxAttempts > 0, "0 attempts serve nobody"},
+		{"rate", p.rate > 0, noRate},
+		{"concurrency", p.Concurrency > 0, "0 at once serve nobody"},
+		{"tenant_rate", p.tenantRate > 0, noRate},
+	} {
+		if at, ok := p.places[required.name]; ok && !required.positive {
+			d.Fault(at, "%s: %s", required.name, required.reason)
+			p.valid = false
+		}
+	}
+	if at, ok := p.places["retry"]; ok {
+		hcldecode.OneOf(&d.Reader, at, "retry", p.Retry, RetryIfNotRun, RetryAfterRun)
+	}
+	at, ok := d.Places[&p.HedgePercentile]
+	if ok && (p.HedgePercentile < minHedgePercentile || p.HedgePercentile >= maxHedgePercentile) {
+		d.Fault(at, "percentile: %g is not from %d to under %d", p.HedgePercentile, minHedgePercentile, maxHedgePercentile)
+	}
+}
+
+// mergePolicy sets a route's policy: each attribute comes from the first of the layers that sets
+// it, or else is the default.
+func (d *decoder) mergePolicy(x *Route, layers []*policyBlock, at hcl.Range) {
+	if slices.ContainsFunc(layers, func(layer *policyBlock) bool { return !layer.valid }) {
+		return
+	}
+	p := &policyBlock{places: map[string]hcl.Range{}}
+	p.Policy = Policy{
+		ClientTimeout: defaultClientTimeout,
+		MaxAttempts:   defaultMaxAttempts,
+		Retry:         RetryAfterRun,
+		QueueLimit:    -1,
+	}
+	if x.Class.Repeatability == balancer.NonIdempotent {
+		p.Retry = RetryIfNotRun
+	}
+	for _, a := range attributes {
+		x.Origins[a.name] = originDefault
+		p.places[a.name] = at
+		for _, layer := range layers {
+			if place, ok := layer.places[a.name]; ok {
+				a.copy(p, layer)
+				p.places[a.name] = place
+				x.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.Where(place), layer.title)
+				break
+			}
+		}
+	}
+	if p.RequestTimeout == 0 {
+		p.RequestTimeout = p.ClientTimeout
+	}
+	p.Rate, p.TenantRate = newRate(p.rate, p.burst), newRate(p.tenantRate, p.tenantBurst)
+	d.checkBurst(x, "burst", p.rate, p.places)
+	d.checkBurst(x, "tenant_burst", p.tenantRate, p.places)
+	x.Policy = p.Policy
+	d.checkPolicy(x, p.places)
+}
+
+// originDefault is the origin of an attribute that no block sets.
+const originDefault = "default"
+
+// newRate returns a rate whose burst, where none is set, is what comes in a second.
+func newRate(perSecond hcldecode.Rate, burst int) ratelimit.Rate {
+	if perSecond > 0 && burst == 0 {
+		burst = max(int(math.Ceil(float64(perSecond))), 1)
+	}
+	return ratelimit.Rate{PerSecond: float64(perSecond), Burst: burst}
+}
+
+// checkBurst adds a fault for a burst without a rate.
+func (d *decoder) checkBurst(x *Route, name string, rate hcldecode.Rate, places map[string]hcl.Range) {
+	if x.Origins[name] != originDefault && rate == 0 {
+		d.Fault(places[name], "%s: route %q has no rate that it could belong to", name, x.Name)
+	}
+}
--- /dev/null
+++ b/internal/config/pools.go
@@ -0,0 +1,105 @@
+package config
+
+import (
+	"github.com/hashicorp/hcl/v2"
+
+	"rowancart/internal/hcldecode"
+)
+
+func (d *decoder) pool(b *hcl.Block) {
+	p := Pool{
+		Name:              b.Labels[0],
+		MaxConns:          defaultPoolConns,
+		SlowStartCapacity: defaultSlowStartCapacity,
+		SlowStartWindow:   defaultSlowStartWindow,
+		SlowStartShare:    defaultSlowStartShare,
+	}
+	if !d.define(b, p.Name) {
+		return
+	}
+	sources := 0
+	ok := d.Body(b.Body, hcldecode.Fields{
+		"connections":     &p.MaxConns,
+		"connection_idle": &p.ConnIdleTimeout,
+		"dial_timeout":    &p.DialTimeout,
+		"tiers_below":     &p.TiersBelow,
+		"subset":          &p.Subset,
+	}, hcldecode.Blocks{
+		"warm_up":      func(b *hcl.Block) { d.slowStart(b, &p) },
+		"retry_budget": func(b *hcl.Block) { d.RetryBudget(b, &p.RetryBudget) },
+		"roster kind": func(b *hcl.Block) {
+			if sources++; sources > 1 {
+				d.Fault(b.DefRange, "roster: pool %q has one already", p.Name)
+			}
+			d.endpointSource(b, &p.Source)
+		},
+	})
+	if ok && sources == 0 {
+		d.Fault(b.DefRange, "pool %q has no roster", p.Name)
+	}
+	if at, hasSubset := d.Places[&p.Subset]; ok && hasSubset && p.Subset < minSubset {
+		d.Fault(at, "subset: %d leaves too little to choose from; %d is the least", p.Subset, minSubset)
+	}
+	if ok && p.MaxConns < minPoolConns {
+		d.Fault(d.Places[&p.MaxConns], "connections: a pool needs %d at least", minPoolConns)
+	}
+	d.Pools = append(d.Pools, p)
+}
+
+func (d *decoder) slowStart(b *hcl.Block, p *Pool) {
+	capacity := hcldecode.Share(p.SlowStartCapacity)
+	d.Body(b.Body, hcldecode.Fields{"from": &capacity, "within": &p.SlowStartWindow, "share": &p.SlowStartShare}, nil)
+	if p.SlowStartShare <= 0 || p.SlowStartShare > maxSlowStartShare {
+		d.Fault(b.DefRange, "warm_up: share %g is not over 0 and up to %d: it is how much of its warmth's part a fresh server gets",
+			p.SlowStartShare, maxSlowStartShare)
+	}
+	p.SlowStartCapacity = float64(capacity)
+}
+
+// endpointSource decodes a pool's block "roster".
+func (d *decoder) endpointSource(b *hcl.Block, source *EndpointSource) {
+	switch kind := b.Labels[0]; kind {
+	case "static":
+		d.staticEndpoints(b, source)
+	case "file":
+		d.Body(b.Body, hcldecode.Fields{"path!": &source.File}, nil)
+	case "platform":
+		if d.Body(b.Body, hcldecode.Fields{"address!": &source.Platform}, nil) {
+			if err := checkHostPort(source.Platform); err != nil {
+				d.Fault(d.Places[&source.Platform], "address: %v", err)
+			}
+		}
+	default:
+		d.Fault(b.DefRange, "roster: %q is none of static, file, platform", kind)
+	}
+}
+
+// staticEndpoints decodes a list of endpoints. Ids and addresses must be unique in it.
+func (d *decoder) staticEndpoints(b *hcl.Block, source *EndpointSource) {
+	ids, addresses := map[string]hcl.Range{}, map[string]hcl.Range{}
+	checkUnique := func(seen map[string]hcl.Range, what, value string, at hcl.Range) {
+		if first, ok := seen[value]; ok {
+			d.Fault(at, "%s: %q is in use already, at %s", what, value, hcldecode.Where(first))
+		}
+		seen[value] = at
+	}
+	d.Body(b.Body, nil, hcldecode.Blocks{"endpoint id": func(b *hcl.Block) {
+		e := Endpoint{ID: b.Labels[0]}
+		fields := hcldecode.Fields{"address!": &e.Address, "zone": &e.Zone, "kind": &e.Kind, "cell": &e.Cell}
+		if d.Body(b.Body, fields, nil) {
+			at := d.Places[&e.Address]
+			if err := checkHostPort(e.Address); err != nil {
+				d.Fault(at, "address: %v", err)
+			}
+			if first, ok := d.addresses[e.Address]; ok {
+				d.Fault(at, "address: %s is where this process listens, at %s", e.Address, hcldecode.Where(first))
+			}
+			checkUnique(ids, "endpoint", e.ID, b.DefRange)
+			checkUnique(addresses, "address", e.Address, at)
+		}
+		source.Static = append(source.Static, e)
+	}})
+	if len(source.Static) == 0 {
+		d.Fault(b.DefRange, "roster: static, and no endpoint is listed")
+	}
+}
--- /dev/null
+++ b/internal/config/routes.go
@@ -0,0 +1,96 @@
+package config
+
+import (
+	"cmp"
+	"fmt"
+	"net/http"
+	"slices"
+
+	"github.com/hashicorp/hcl/v2"
+
+	"rowancart/internal/hcldecode"
+	"rowancart/internal/route"
+)
+
+// routableMethods are the methods that a route may name. CONNECT and TRACE are not forwarded.
+var routableMethods = []string{
+	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodOptions,
+}
+
+func (d *decoder) route(b *hcl.Block) {
+	x := Route{Name: b.Labels[0], TenantHeader: defaultTenantHeader, Origins: map[string]string{}}
+	if !d.define(b, x.Name) {
+		return
+	}
+	var class, policy string
+	var ownPolicy *policyBlock
+	m := &x.Match
+	ok := d.Body(b.Body, hcldecode.Fields{
+		"host":          &m.Host,
+		"path":          &m.Path,
+		"methods":       &m.Methods,
+		"listeners":     &x.Listeners,
+		"class!":        &class,
+		"pool!":         &x.Pool,
+		"policy":        &policy,
+		"tenant_header": &x.TenantHeader,
+	}, hcldecode.Blocks{
+		"header name": func(b *hcl.Block) { d.header(b, m) },
+		"policy": func(b *hcl.Block) {
+			if ownPolicy != nil {
+				d.Fault(b.DefRange, "policy: route %q has one already", x.Name)
+			}
+			ownPolicy = d.policy(b, fmt.Sprintf("route %q", x.Name))
+		},
+	})
+	// A route with faults is kept as well: it may overlap others.
+	defer func() { d.Routes = append(d.Routes, x) }()
+	if !ok {
+		return
+	}
+	d.checkMatch(&x)
+	d.resolve(d.Places[&x.Pool], "pool", x.Pool)
+	if !d.resolve(d.Places[&class], "class", class) {
+		return
+	}
+	x.Class = d.Classes[slices.IndexFunc(d.Classes, func(c Class) bool { return c.Name == class })]
+	var layers []*policyBlock
+	if ownPolicy != nil {
+		layers = append(layers, ownPolicy)
+	}
+	if policy != "" && d.resolve(d.Places[&policy], "policy", policy) {
+		layers = append(layers, d.policies[policy])
+	}
+	if p := d.policies[d.classPolicies[class].name]; p != nil {
+		layers = append(layers, p)
+	}
+	d.mergePolicy(&x, layers, b.DefRange)
+}
+
+// header decodes a header that a request must have to match a route.
+func (d *decoder) header(b *hcl.Block, m *route.Match) {
+	var equals string
+	d.Body(b.Body, hcldecode.Fields{"equals!": &equals}, nil)
+	if m.Headers == nil {
+		m.Headers = map[string]string{}
+	}
+	name := http.CanonicalHeaderKey(b.Labels[0])
+	if _, exists := m.Headers[name]; exists {
+		d.Fault(b.DefRange, "header: there are two called %q", name)
+	}
+	m.Headers[name] = equals
+}
+
+// checkMatch validates which requests a route matches, and at which listeners.
+func (d *decoder) checkMatch(x *Route) {
+	m := &x.Match
+	if err := m.Check(); err != nil {
+		d.Fault(cmp.Or(d.Places[&m.Path], d.Places[&m.Host]), "%v", err)
+	}
+	for _, name := range m.Methods {
+		hcldecode.OneOf(&d.Reader, d.Places[&m.Methods], "methods", name, routableMethods...)
+	}
+	for _, name := range x.Listeners {
+		d.resolve(d.Places[&x.Listeners], "listener", name)
+	}
+}
--- /dev/null
+++ b/internal/config/validate.go
@@ -0,0 +1,142 @@
+package config
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/hcl/v2"
+
+	"rowancart/balancer"
+	"rowancart/internal/hcldecode"
+	"rowancart/internal/netaddr"
+)
+
+// checkHostPort returns an error for an address that is not host:port.
+func checkHostPort(address string) error {
+	if err := netaddr.Check("", address); err != nil {
+		return fmt.Errorf("%q is no host:port: %s", address, strings.TrimPrefix(err.Error(), ": "))
+	}
+	return nil
+}
+
+// checkListenAddress validates an address to listen at, and records it. No two may be the same.
+func (d *decoder) checkListenAddress(at hcl.Range, attribute, address string) {
+	if path, ok := strings.CutPrefix(address, "unix:"); ok {
+		if path == "" {
+			d.Fault(at, "%s: unix: without a path", attribute)
+		}
+	} else if err := checkHostPort(address); err != nil {
+		d.Fault(at, "%s: %v", attribute, err)
+		return
+	}
+	if strings.HasSuffix(address, ":0") {
+		return // any free port
+	}
+	if first, ok := d.addresses[address]; ok {
+		d.Fault(at, "%s: %s is in use already, at %s", attribute, address, hcldecode.Where(first))
+		return
+	}
+	d.addresses[address] = at
+}
+
+// checkPolicy validates a route's policy as a whole. At says where each attribute is set.
+func (d *decoder) checkPolicy(x *Route, at map[string]hcl.Range) {
+	d.checkRepeats(x, at)
+	d.checkTimeouts(x, at)
+	p := x.Policy
+	if p.TenantConcurrency > p.Concurrency && p.Concurrency > 0 {
+		d.Fault(at["tenant_concurrency"], "tenant_concurrency: %d is more than all tenants of route %q have together: %d",
+			p.TenantConcurrency, x.Name, p.Concurrency)
+	}
+	if p.TenantRate.PerSecond > p.Rate.PerSecond && p.Rate.PerSecond > 0 {
+		d.Fault(at["tenant_rate"], "tenant_rate: %g/s is more than all tenants of route %q have together: %g/s",
+			p.TenantRate.PerSecond, x.Name, p.Rate.PerSecond)
+	}
+}
+
+// checkRepeats rejects retries and hedged requests by which a request could have its effect twice.
+func (d *decoder) checkRepeats(x *Route, at map[string]hcl.Range) {
+	p, c := x.Policy, x.Class
+	if c.Repeatability == balancer.NonIdempotent && p.Retry == RetryAfterRun {
+		d.Fault(at["retry"], "retry: route %q is of class %q, which is unsafe: after a run, another could run it twice",
+			x.Name, c.Name)
+	}
+	if p.HedgeAfter == 0 && p.HedgePercentile == 0 {
+		return
+	}
+	if c.Repeatability != balancer.Idempotent {
+		d.Fault(at["second_copy"], "second_copy: route %q is of class %q, which is %s: both copies could run",
+			x.Name, c.Name, effectName(c.Repeatability))
+	}
+	if p.MaxAttempts < 2 {
+		d.Fault(at["second_copy"], "second_copy: it is a second attempt, and route %q has 1", x.Name)
+	}
+}
+
+// checkTimeouts rejects timeouts that cannot be reached.
+func (d *decoder) checkTimeouts(x *Route, at map[string]hcl.Range) {
+	p := x.Policy
+	if p.RequestTimeout > p.ClientTimeout {
+		d.Fault(at["request_timeout"], "request_timeout: %v is longer than clients of route %q wait: %v",
+			p.RequestTimeout, x.Name, p.ClientTimeout)
+	}
+	total := min(p.RequestTimeout, p.ClientTimeout)
+	allAttempts := time.Duration(p.MaxAttempts) * p.AttemptTimeout
+	switch {
+	case p.AttemptTimeout > total:
+		d.Fault(at["attempt_timeout"], "attempt_timeout: %v is longer than a request of route %q has: %v",
+			p.AttemptTimeout, x.Name, total)
+	case p.AttemptTimeout > 0 && allAttempts > total:
+		d.Fault(at["attempt_timeout"], "attempt_timeout: %d attempts of %v add up to %v, and a request of route %q has %v",
+			p.MaxAttempts, p.AttemptTimeout, allAttempts, x.Name, total)
+	case p.HedgeAfter > 0 && p.HedgeAfter >= cmp.Or(p.AttemptTimeout, total):
+		d.Fault(at["second_copy"], "second_copy: after %v the first attempt of route %q has ended", p.HedgeAfter, x.Name)
+	}
+}
+
+// checkOverlaps rejects routes of one listener of which neither is more specific for some requests.
+func (d *decoder) checkOverlaps() {
+	byPattern := map[string][]Route{}
+	for _, x := range d.Routes {
+		pattern := x.Match.Host + " " + cmp.Or(x.Match.Path, "/*")
+		for _, other := range byPattern[pattern] {
+			if shareListener(x, other) && x.Match.Overlaps(other.Match) {
+				d.Fault(d.defined[blockKey("route", x.Name)],
+					"route %q overlaps route %q, at %s: some requests fit both, and neither is more specific",
+					x.Name, other.Name, hcldecode.Where(d.defined[blockKey("route", other.Name)]))
+			}
+		}
+		byPattern[pattern] = append(byPattern[pattern], x)
+	}
+}
+
+// shareListener reports whether two routes are served at a common listener.
+func shareListener(x, y Route) bool {
+	return len(x.Listeners) == 0 || len(y.Listeners) == 0 ||
+		slices.ContainsFunc(x.Listeners, func(name string) bool { return slices.Contains(y.Listeners, name) })
+}
+
+// warnUnused warns of blocks to which nothing refers.
+func (d *decoder) warnUnused() {
+	for _, key := range slices.Sorted(maps.Keys(d.defined)) {
+		kind, _, _ := strings.Cut(key, " ")
+		if !d.used[key] && (kind == "pool" || kind == "class" || kind == "policy") {
+			d.warn(key, "nobody uses it")
+		}
+	}
+	for _, l := range d.Listeners {
+		served := func(x Route) bool { return len(x.Listeners) == 0 || slices.Contains(x.Listeners, l.Name) }
+		if !slices.ContainsFunc(d.Routes, served) {
+			d.warn(fmt.Sprintf("listener %q", l.Name), "no route is served there")
+		}
+	}
+}
+
+// warn adds a warning about the block with that key.
+func (d *decoder) warn(key, text string) {
+	d.Warnings = append(d.Warnings, fmt.Sprintf("%s: %s: %s", hcldecode.Where(d.defined[key]), key, text))
+}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -112,7 +112,7 @@
 	}
 	d.metrics = newMetrics(d)
 	d.logWarnings(c)
-	d.readSnapshot(c.State, c.Fleet)
+	d.readSnapshot(c.Snapshot, c.Fleet)
 	opened, err := d.openListeners(c)
 	if err != nil {
 		return nil, err
@@ -243,7 +243,7 @@
 	d.stopping = true
 	d.reloadMu.Unlock()
 	d.mu.RLock()
-	limit := d.current.config.Limits.StopWithin
+	limit := d.current.config.Limits.StopTimeout
 	listeners := slices.Clone(d.listeners)
 	d.mu.RUnlock()
 	d.log.Info("stopping", "within", limit)
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -93,7 +93,7 @@
 // different names, so that a request in flight keeps the class that it came with, whatever becomes
 // of the route.
 func className(r config.Route) string {
-	return fmt.Sprintf("%s~%016x", r.Class.Name, xxhash.Sum64String(fmt.Sprintf("%+v", r.Module(""))))
+	return fmt.Sprintf("%s~%016x", r.Class.Name, xxhash.Sum64String(fmt.Sprintf("%+v", r.BalancerClass(""))))
 }
 
 // apply puts a configuration in force. What it needs is ready before the first request is routed by
@@ -138,7 +138,7 @@
 		if old != nil {
 			p = old.pools[pc.Name]
 		}
-		if p == nil || !servesSameEndpoints(p.config.Roster, pc.Roster) {
+		if p == nil || !servesSameEndpoints(p.config.Source, pc.Source) {
 			p = d.newPool(pc, g)
 			d.pools = append(d.pools, p)
 			if d.runCtx != nil { // otherwise Run starts it
@@ -154,7 +154,7 @@
 	routes := map[string]bool{}
 	for _, r := range c.Routes {
 		routes[r.Name] = true
-		limits := r.Policy.Rules()
+		limits := r.Policy.Limits()
 		l := d.limiters[r.Name]
 		if l == nil {
 			l = &routeLimiter{limiter: ratelimit.New(limits)}
@@ -184,7 +184,7 @@
 			pool:    g.pools[r.Pool],
 			class:   className(r),
 			limiter: d.limiters[r.Name],
-			metrics: d.metrics.forRoute(r.Name, r.Class.Worth),
+			metrics: d.metrics.forRoute(r.Name, r.Class.PriorityWeight),
 		})
 	}
 	t.Table = route.New(matches)
@@ -202,7 +202,7 @@
 			if classes[p] == nil {
 				classes[p] = map[string]balancer.Class{}
 			}
-			classes[p][name] = r.Module(name)
+			classes[p][name] = r.BalancerClass(name)
 		}
 	}
 	for _, p := range d.pools {
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -12,7 +12,7 @@
 func (d *Daemon) handOver(ctx context.Context, done chan<- struct{}, failed chan<- struct{}) {
 	d.saveSnapshot(saveForSuccessor)
 	d.mu.RLock()
-	timeout := d.current.config.Limits.HandOverWithin
+	timeout := d.current.config.Limits.HandoverTimeout
 	sockets := d.openSockets()
 	d.mu.RUnlock()
 	s, err := successor.Start(d.newSuccessor(), sockets)
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -93,7 +93,7 @@
 }
 
 // connsPerListener returns how many client connections each listener may have open.
-func connsPerListener(c *config.Config) int { return c.Limits.Connections / len(c.Listeners) }
+func connsPerListener(c *config.Config) int { return c.Limits.MaxConns / len(c.Listeners) }
 
 func closeListeners(listeners []*listener) {
 	for _, l := range listeners {
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -68,7 +68,7 @@
 // servesSameEndpoints reports whether a pool stays the same pool when its endpoint source changes.
 // A static list that has no endpoint in common with the old one makes another pool under the same
 // name: requests meant for the old endpoints must not go to the new ones.
-func servesSameEndpoints(old, new config.Roster) bool {
+func servesSameEndpoints(old, new config.EndpointSource) bool {
 	if len(old.Static) == 0 || len(new.Static) == 0 {
 		return old.File == new.File && old.Platform == new.Platform
 	}
@@ -97,7 +97,7 @@
 // init creates the proxy.Pool and restores the learned state. It must not be called once the pool
 // runs.
 func (p *pool) init() {
-	known := staticEndpoints(p.config.Roster)
+	known := staticEndpoints(p.config.Source)
 	if len(known.Endpoints) == 0 && p.restored != nil { // until the source has sent its first list
 		known.Endpoints = p.restored.Endpoints
 		p.errMu.Lock()
@@ -138,7 +138,7 @@
 	return p.filter.All()
 }
 
-func staticEndpoints(source config.Roster) proxy.EndpointList {
+func staticEndpoints(source config.EndpointSource) proxy.EndpointList {
 	list := proxy.EndpointList{Complete: true}
 	for _, e := range source.Static {
 		list.Endpoints = append(list.Endpoints, proxy.Endpoint{
@@ -162,19 +162,19 @@
 		Tenants:           p.tenants,
 		CancelAllowed:     true,
 		MaxRetryAfter:     maxRetryAfter,
-		RetryBudget:       p.config.Resends,
+		RetryBudget:       p.config.RetryBudget,
 		Resolution:        timerResolution,
-		SlowStartCapacity: p.config.ColdFrom,
-		SlowStartWindow:   p.config.ColdFor,
-		SlowStartShare:    p.config.ColdShare,
+		SlowStartCapacity: p.config.SlowStartCapacity,
+		SlowStartWindow:   p.config.SlowStartWindow,
+		SlowStartShare:    p.config.SlowStartShare,
 	}
 }
 
 func (p *pool) options() proxy.Options {
 	return proxy.Options{
-		ConnIdle:    p.config.ConnIdle,
+		ConnIdle:    p.config.ConnIdleTimeout,
 		DialTimeout: p.config.DialTimeout,
-		MaxConns:    p.config.Connections,
+		MaxConns:    p.config.MaxConns,
 		PassThrough: true,
 		Subscribe:   func() {},
 		Log:         p.log,
@@ -222,15 +222,15 @@
 	p.filter.Resize(p.subset())
 	p.filterMu.Unlock()
 	p.updateEndpoints(proxy.EndpointList{}) // delivers what the new subset changes
-	if !reflect.DeepEqual(old.Roster, p.config.Roster) {
-		p.updateEndpoints(staticEndpoints(p.config.Roster)) // another source that is not static would be another pool
+	if !reflect.DeepEqual(old.Source, p.config.Source) {
+		p.updateEndpoints(staticEndpoints(p.config.Source)) // another source that is not static would be another pool
 	}
 }
 
 // watchEndpoints follows an endpoint source that is not static.
 func (p *pool) watchEndpoints() {
 	var watch func(ctx context.Context)
-	switch source := p.config.Roster; {
+	switch source := p.config.Source; {
 	case source.File != "":
 		watch = func(ctx context.Context) { file.Follow(ctx, source.File, p.updateEndpoints, p.setSourceError, p.log) }
 	case source.Platform != "":
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -93,9 +93,9 @@
 // logWarnings logs what is valid but probably not meant, and adds a warning for limits that this
 // process cannot reach.
 func (d *Daemon) logWarnings(c *config.Config) {
-	need := uint64(c.Limits.Connections + descriptorsBesideConns)
+	need := uint64(c.Limits.MaxConns + descriptorsBesideConns)
 	for _, p := range c.Pools {
-		need += uint64(p.Connections)
+		need += uint64(p.MaxConns)
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && need > limit.Cur {
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -34,7 +34,7 @@
 	if rejection != nil {
 		return httpserver.Target{}, rejection
 	}
-	tenant := r.Header.Get(entry.Tenant)
+	tenant := r.Header.Get(entry.TenantHeader)
 	permit, rejection := entry.acquire(arrived, tenant)
 	if rejection != nil {
 		return httpserver.Target{}, rejection
@@ -43,9 +43,9 @@
 	target := httpserver.Target{
 		Pool:           entry.pool.proxy,
 		Class:          entry.class,
-		Effect:         entry.Class.Effect,
+		Effect:         entry.Class.Repeatability,
 		Tenant:         tenant,
-		DefaultTimeout: entry.Policy.ClientWaits,
+		DefaultTimeout: entry.Policy.ClientTimeout,
 		MaxTimeout:     entry.Policy.RequestTimeout,
 		AnyMethod:      true,
 		Done: func(taken bool, result proxy.Result) {
--- a/internal/daemon/snapshot.go
+++ b/internal/daemon/snapshot.go
@@ -45,12 +45,12 @@
 
 // readSnapshot loads the learned state of the process before this one. A file that cannot be used
 // is logged in one line.
-func (d *Daemon) readSnapshot(c config.State, f config.Fleet) {
+func (d *Daemon) readSnapshot(c config.Snapshot, f config.Fleet) {
 	if c.Path == "" {
 		return
 	}
 	var s daemonSnapshot
-	age, err := snapshot.Read(c.Path, time.Now(), c.FreshFor, &s)
+	age, err := snapshot.Read(c.Path, time.Now(), c.MaxAge, &s)
 	if self := snapshotOwner(f); err == nil && s.Owner != "" && s.Owner != self {
 		err = fmt.Errorf("snapshot %s: it is %s's, and this is %s", c.Path, s.Owner, self)
 	}
@@ -121,13 +121,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d.mu.RLock()
-	c, pools, fleet := d.current.config.State, d.current.pools, d.current.config.Fleet
+	c, pools, fleet := d.current.config.Snapshot, d.current.pools, d.current.config.Fleet
 	d.mu.RUnlock()
 	if w.path != c.Path {
 		w.releaseLock()
 		w.path = c.Path
 	}
-	if c.Path == "" || mode == savePeriodic && time.Since(w.savedAt) < c.Every {
+	if c.Path == "" || mode == savePeriodic && time.Since(w.savedAt) < c.Interval {
 		return
 	}
 	err := w.write(snapshotOwner(fleet), pools)
