--- a/internal/hcldecode/budget.go
+++ b/internal/hcldecode/budget.go
@@ -6,15 +6,16 @@
 	"rowancart/balancer"
 )
 
-const budgetMost = 10 // attempts saved up where a block does not say
+const defaultBurst = 10 // retries that a budget may save up
 
-// RetryBudget reads a block retry_budget.
+// RetryBudget decodes a block "retry_budget".
 func (r *Reader) RetryBudget(b *hcl.Block, to *balancer.RetryBudget) {
-	var share Share
-	var floor Rate
-	to.Burst = budgetMost
-	if r.Body(b.Body, Fields{"share!": &share, "floor": &floor, "most": &to.Burst}, nil) && to.Burst < 1 {
+	var perRequest Share
+	var perSecond Rate
+	to.Burst = defaultBurst
+	ok := r.Body(b.Body, Fields{"share!": &perRequest, "floor": &perSecond, "most": &to.Burst}, nil)
+	if ok && to.Burst < 1 {
 		r.Fault(r.Places[&to.Burst], "most: %g never lets a retry through; 1 is the least", to.Burst)
 	}
-	to.PerRequest, to.PerSecond = float64(share), float64(floor)
+	to.PerRequest, to.PerSecond = float64(perRequest), float64(perSecond)
 }
--- /dev/null
+++ b/internal/hcldecode/values.go
@@ -0,0 +1,232 @@
+package hcldecode
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/zclconf/go-cty/cty"
+	"github.com/zclconf/go-cty/cty/convert"
+)
+
+// Rate is a number of times a second, written with its unit: "50/s", "3000/min" or "10/h".
+type Rate float64
+
+// Share is a number from 0 to 1.
+type Share float64
+
+// Size is a number of bytes, written with its unit: "64KiB", "128MiB" or "2GiB".
+type Size int64
+
+var (
+	sizeUnits = map[string]float64{"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30} // in bytes
+	rateUnits = map[string]float64{"s": 1, "min": 60, "h": 3600}                   // in seconds
+)
+
+// value is the value of an attribute, or one element of its list, to be converted.
+type value struct {
+	cty.Value
+	r    *Reader
+	name string    // of the attribute
+	at   hcl.Range // of its expression
+}
+
+// attribute decodes an attribute into what to points to.
+func (r *Reader) attribute(a *hcl.Attribute, to any) {
+	evaluated, diags := a.Expr.Value(r.Vars)
+	r.Diags = append(r.Diags, diags...)
+	if diags.HasErrors() || evaluated.IsNull() || !evaluated.IsWhollyKnown() {
+		return
+	}
+	v := value{Value: evaluated, r: r, name: a.Name, at: a.Expr.Range()}
+	if !v.decodeScalar(to) && !v.decodeList(to) {
+		panic(fmt.Sprintf("hcldecode: no way to decode a %T", to))
+	}
+}
+
+// decodeScalar decodes a single value. It returns false if the type of to is none that it knows.
+func (v value) decodeScalar(to any) bool {
+	switch to := to.(type) {
+	case *time.Duration:
+		set(to, v.duration)
+	case *Size:
+		set(to, v.size)
+	case *Rate:
+		set(to, v.rate)
+	case *Share:
+		set(to, v.share)
+	case *float64:
+		set(to, v.nonNegative)
+	case *int:
+		set(to, v.wholeNumber)
+	case *bool:
+		set(to, v.boolean)
+	case *string:
+		set(to, func() (string, bool) { return v.text("a text in quotes") })
+	default:
+		return false
+	}
+	return true
+}
+
+// decodeList decodes a list. It returns false if the type of to is none that it knows.
+func (v value) decodeList(to any) bool {
+	switch to := to.(type) {
+	case *[]uint64:
+		v.each(func(element value) {
+			if x, ok := element.number(); ok {
+				*to = append(*to, uint64(x))
+			}
+		})
+	case *[]float64:
+		v.each(func(element value) {
+			if x, ok := element.number(); ok {
+				*to = append(*to, x)
+			}
+		})
+	case *[]time.Duration:
+		v.each(func(element value) {
+			d, _ := element.duration() // 0 after a fault: the list keeps its length
+			*to = append(*to, d)
+		})
+	case *[]string:
+		v.each(func(element value) {
+			s, err := convert.Convert(element.Value, cty.String)
+			if err != nil {
+				v.fault("plain values are wanted")
+				return
+			}
+			*to = append(*to, s.AsString())
+		})
+	default:
+		return false
+	}
+	return true
+}
+
+// set stores a decoded value if it is valid.
+func set[T any](to *T, decode func() (T, bool)) {
+	if x, ok := decode(); ok {
+		*to = x
+	}
+}
+
+// fault adds a fault about the attribute.
+func (v value) fault(format string, args ...any) {
+	v.r.Fault(v.at, "%s: %s", v.name, fmt.Sprintf(format, args...))
+}
+
+// each calls f with each element of a list.
+func (v value) each(f func(element value)) {
+	if !v.CanIterateElements() || v.Type().IsMapType() || v.Type().IsObjectType() {
+		v.fault("a list in brackets is wanted")
+		return
+	}
+	for it := v.ElementIterator(); it.Next(); {
+		element := v
+		_, element.Value = it.Element()
+		f(element)
+	}
+}
+
+// text returns a string. Expected describes what is required instead of another type.
+func (v value) text(expected string) (string, bool) {
+	if v.Type() != cty.String {
+		v.fault("%s is wanted", expected)
+		return "", false
+	}
+	return v.AsString(), true
+}
+
+// number returns a number, or the number in a string: variables set on the command line are
+// strings.
+func (v value) number() (float64, bool) {
+	n, err := convert.Convert(v.Value, cty.Number)
+	if err != nil {
+		v.fault("a number is wanted")
+		return 0, false
+	}
+	x, _ := n.AsBigFloat().Float64()
+	return x, true
+}
+
+func (v value) nonNegative() (float64, bool) {
+	x, ok := v.number()
+	if ok && x < 0 {
+		v.fault("%g is below 0", x)
+		return 0, false
+	}
+	return x, ok
+}
+
+func (v value) wholeNumber() (int, bool) {
+	x, ok := v.number()
+	if ok && (x != float64(int(x)) || x < 0) {
+		v.fault("%g is no whole number from 0 up", x)
+		return 0, false
+	}
+	return int(x), ok
+}
+
+func (v value) share() (Share, bool) {
+	x, ok := v.number()
+	if ok && (x < 0 || x > 1) {
+		v.fault("%g is no share: it is not from 0 to 1", x)
+		return 0, false
+	}
+	return Share(x), ok
+}
+
+func (v value) boolean() (bool, bool) {
+	b, err := convert.Convert(v.Value, cty.Bool)
+	if err != nil {
+		v.fault("true or false is wanted")
+		return false, false
+	}
+	return b.True(), true
+}
+
+func (v value) duration() (time.Duration, bool) {
+	text, ok := v.text(`a time with its unit, such as "250ms"`)
+	if !ok {
+		return 0, false
+	}
+	d, err := time.ParseDuration(text)
+	if err != nil || d < 0 {
+		v.fault(`%q is no time; write such as "250ms" or "2.5s"`, text)
+		return 0, false
+	}
+	return d, true
+}
+
+func (v value) rate() (Rate, bool) {
+	text, ok := v.text(`a rate with its unit, such as "50/s"`)
+	if !ok {
+		return 0, false
+	}
+	count, unit, _ := strings.Cut(text, "/")
+	seconds := rateUnits[unit]
+	x, err := strconv.ParseFloat(strings.TrimSpace(count), 64)
+	if err != nil || seconds == 0 || x < 0 {
+		v.fault(`%q is no rate; write such as "50/s" or "3000/min"`, text)
+		return 0, false
+	}
+	return Rate(x / seconds), true
+}
+
+func (v value) size() (Size, bool) {
+	text, ok := v.text(`a size with its unit, such as "128MiB"`)
+	if !ok {
+		return 0, false
+	}
+	digits := strings.TrimRight(text, "KMGiB")
+	bytes := sizeUnits[text[len(digits):]]
+	x, err := strconv.ParseFloat(strings.TrimSpace(digits), 64)
+	if err != nil || bytes == 0 || x < 0 {
+		v.fault(`%q is no size; write such as "64KiB" or "128MiB"`, text)
+		return 0, false
+	}
+	return Size(x * bytes), true
+}
