--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -50,8 +50,8 @@
 	capacity := hcldecode.Share(p.SlowStartCapacity)
 	d.Body(b.Body, hcldecode.Fields{"from": &capacity, "within": &p.SlowStartWindow, "share": &p.SlowStartShare}, nil)
 	if p.SlowStartShare <= 0 || p.SlowStartShare > maxSlowStartShare {
-		d.Fault(b.DefRange, "warm_up: share %g is not over 0 and up to %d: it is how much of its warmth's part a fresh server gets",
-			p.SlowStartShare, maxSlowStartShare)
+		d.Fault(b.DefRange, "warm_up: share %g is not over 0 and up to %d: "+
+			"it is how much of its warmth's part a fresh server gets", p.SlowStartShare, maxSlowStartShare)
 	}
 	p.SlowStartCapacity = float64(capacity)
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -14,7 +14,8 @@
 
 // routableMethods are the methods that a route may name. CONNECT and TRACE are not forwarded.
 var routableMethods = []string{
-	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodOptions,
+	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete,
+	http.MethodOptions,
 }
 
 func (d *decoder) route(b *hcl.Block) {
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -135,7 +135,7 @@
 func (p *pool) endpoints() []proxy.Endpoint {
 	p.filterMu.Lock()
 	defer p.filterMu.Unlock()
-	return p.filter.All()
+	return p.filter.Endpoints()
 }
 
 func staticEndpoints(source config.EndpointSource) proxy.EndpointList {
@@ -219,7 +219,7 @@
 	}
 	p.proxy.Configure(p.settings(), p.options())
 	p.filterMu.Lock()
-	p.filter.Resize(p.subset())
+	p.filter.SetPart(p.subset())
 	p.filterMu.Unlock()
 	p.updateEndpoints(proxy.EndpointList{}) // delivers what the new subset changes
 	if !reflect.DeepEqual(old.Source, p.config.Source) {
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -1,11 +1,13 @@
-// Package subset chooses, for one instance of a fleet, the endpoints that it sends to, so that it holds few connections and
-// each endpoint gets about as many instances as any other. It is pure: no I/O, no clock, and no instance asks another.
+// Package subset chooses, for one instance of a fleet, the endpoints that it sends to, so that it
+// has few connections and each endpoint gets about as many instances as any other. It is pure: no
+// I/O, no clock, and no instance asks another.
 //
-// Ready endpoints stand on a ring in the order of their hashes, evenly apart, however unevenly the hashes fall. An instance
-// has a place on the ring and takes the endpoints that follow it. Places come from the instance's number by a sequence of low
-// discrepancy, which spreads the instances evenly whatever their number, and leaves them where they are when more come. An
-// instance without a number has its place from its name. The idea is that of Ward, Wankadia and Guliani, "Reinventing Backend
-// Subsetting at Google" (ACM Queue 20(5), 2022).
+// Ready endpoints are on a ring in the order of their hashes, evenly apart, however unevenly the
+// hashes fall. An instance has a place on the ring, and its subset are the endpoints that follow
+// it. Places come from the instance's number by a low-discrepancy sequence, which spreads the
+// instances evenly whatever their number, and does not move them when more come. An instance
+// without a number has its place from its name. The idea is that of Ward, Wankadia and Guliani,
+// "Reinventing Backend Subsetting at Google" (ACM Queue 20(5), 2022).
 package subset
 
 import (
@@ -16,18 +18,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Place is a place on the ring: a share of its length, in units of 2^-64.
+// Place is a position on the ring: a share of its length, in units of 2^-64.
 type Place uint64
 
-// PlaceOf is the place of the instance with a number, from 0: the van der Corput sequence in base 2, in which any number of
-// first members is spread evenly.
+// PlaceOf returns the place of the instance with a number, from 0. It is the van der Corput
+// sequence in base 2, of which any number of first members is spread evenly.
 func PlaceOf(index int) Place { return Place(bits.Reverse64(uint64(index))) }
 
-// PlaceNamed is the place of an instance that knows no number: instances are spread at random then.
+// PlaceNamed returns the place of an instance that has a name and no number. Such instances are
+// spread at random.
 func PlaceNamed(name string) Place { return Place(xxhash.Sum64String(name)) }
 
 // Ring is a set of endpoints. Its zero value is empty and ready for use.
-type Ring struct{ members []member }
+type Ring struct {
+	members []member // sorted by hash, and by id among equal hashes
+}
 
 type member struct {
 	hash uint64
@@ -38,73 +43,91 @@
 	return cmp.Or(cmp.Compare(m.hash, o.hash), cmp.Compare(m.id, o.id))
 }
 
-func (r *Ring) find(id string) (m member, at int, found bool) {
+// find returns the member for an endpoint, and the index at which it is or would be inserted.
+func (r *Ring) find(id string) (m member, index int, found bool) {
 	m = member{xxhash.Sum64String(id), id}
-	at, found = slices.BinarySearchFunc(r.members, m, member.compare)
-	return m, at, found
+	index, found = slices.BinarySearchFunc(r.members, m, member.compare)
+	return m, index, found
 }
 
-// Add adds an endpoint, and tells whether it is new.
+// Add adds an endpoint. It reports whether it is new.
 func (r *Ring) Add(id string) bool {
-	m, at, found := r.find(id)
+	m, index, found := r.find(id)
 	if !found {
-		r.members = slices.Insert(r.members, at, m)
+		r.members = slices.Insert(r.members, index, m)
 	}
 	return !found
 }
 
-// Remove takes an endpoint away, and tells whether it was there.
+// Remove removes an endpoint. It reports whether it was on the ring.
 func (r *Ring) Remove(id string) bool {
-	_, at, found := r.find(id)
+	_, index, found := r.find(id)
 	if found {
-		r.members = slices.Delete(r.members, at, at+1)
+		r.members = slices.Delete(r.members, index, index+1)
 	}
 	return found
 }
 
-// Len is how many endpoints there are.
+// Len returns the number of endpoints.
 func (r *Ring) Len() int { return len(r.members) }
 
-// From gives size endpoints, all if there are no more, from a place on.
+// From returns the size endpoints that follow a place, or all if there are no more.
 func (r *Ring) From(p Place, size int) []string {
-	return r.Keep(p, size, func(string) bool { return false }, func(string) bool { return false })
+	none := func(string) bool { return false }
+	return r.Select(p, size, none, none)
+}
+
+// candidate is an endpoint that may belong to a subset.
+type candidate struct {
+	id       string
+	rank     rank
+	distance int // twice the distance from the subset's middle, in endpoints
 }
 
-// Keep is like From for an instance that holds some endpoints already: it keeps those that have not moved far, half of size
-// at most, past either end. Each endpoint that comes or goes moves all that stand behind it by a place, and without this every
-// instance would go along, though it makes no difference to an even spread. What is fresh is taken by all whose turn it is, so
-// that a new endpoint has as many instances as any other.
-func (r *Ring) Keep(p Place, size int, held, fresh func(id string) bool) []string {
+// rank orders the candidates for a subset: lower ranks come first.
+type rank int
+
+const (
+	rankAdded    rank = iota // new on the ring, and follows the place: every instance whose turn it is takes it
+	rankSelected             // in the subset before, and not far outside of it now
+	rankInside               // follows the place
+)
+
+// Select is like From for an instance that has a subset already: endpoints of that which have moved
+// out by no more than half of size stay in it. Each endpoint that comes or goes moves all behind it
+// by one, and without this every instance would follow, though that does not make the spread more
+// even. Selected and added report whether an endpoint is in the subset, and whether it is new on
+// the ring: new endpoints are selected first, so that they get as many instances as others.
+func (r *Ring) Select(p Place, size int, selected, added func(id string) bool) []string {
 	n := len(r.members)
 	if size = min(size, n); size == 0 {
 		return nil
 	}
 	slack := min(size/2, (n-size)/2)
-	first, _ := bits.Mul64(uint64(p), uint64(n)) // the whole part of p times n
-	type candidate struct {
-		id         string
-		rank, away int // rank: what goes first; away: twice the distance from the middle
-	}
-	var all []candidate
+	first, _ := bits.Mul64(uint64(p), uint64(n)) // the integer part of p times n
+	var candidates []candidate
 	for i := -slack; i < size+slack; i++ {
 		id := r.members[(int(first)+i+n)%n].id
-		c := candidate{id: id, away: max(2*i-size+1, size-1-2*i)}
-		core := i >= 0 && i < size
+		c := candidate{id: id, distance: max(2*i-size+1, size-1-2*i)}
+		inside := i >= 0 && i < size
 		switch {
-		case core && fresh(id):
-		case held(id):
-			c.rank = 1
-		case core:
-			c.rank = 2
+		case inside && added(id):
+			c.rank = rankAdded
+		case selected(id):
+			c.rank = rankSelected
+		case inside:
+			c.rank = rankInside
 		default:
 			continue
 		}
-		all = append(all, c)
+		candidates = append(candidates, c)
 	}
-	slices.SortStableFunc(all, func(x, y candidate) int { return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(x.away, y.away)) })
-	out := make([]string, 0, size)
-	for _, c := range all[:size] {
-		out = append(out, c.id)
+	slices.SortStableFunc(candidates, func(x, y candidate) int {
+		return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(x.distance, y.distance))
+	})
+	ids := make([]string, 0, size)
+	for _, c := range candidates[:size] {
+		ids = append(ids, c.id)
 	}
-	return out
+	return ids
 }
