--- /dev/null
+++ b/cmd/rowancart/config.go
@@ -0,0 +1,178 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/hcl/v2/hclwrite"
+	"github.com/spf13/cobra"
+
+	"rowancart/internal/config"
+	"rowancart/internal/hcldecode"
+)
+
+const (
+	adminTimeout     = 5 * time.Second
+	defaultAdminAddr = "127.0.0.1:9901"
+)
+
+func newConfig() *cobra.Command {
+	command := &cobra.Command{Use: "config", Short: "Check, show and compare configurations of the daemon"}
+	command.AddCommand(newConfigFormat(), newConfigStatus(), newConfigReload(), newConfigCheck(), newConfigShow(),
+		newConfigCompare())
+	return command
+}
+
+func newConfigFormat() *cobra.Command {
+	var write bool
+	command := &cobra.Command{
+		Use:   "format FILE",
+		Short: "Print a configuration in the usual layout",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			text, err := os.ReadFile(args[0])
+			if err != nil {
+				return err
+			}
+			if _, err := hcldecode.Parse(text, args[0]); err != nil {
+				return err
+			}
+			formatted := hclwrite.Format(text)
+			if write {
+				return os.WriteFile(args[0], formatted, 0o644)
+			}
+			_, err = cmd.OutOrStdout().Write(formatted)
+			return err
+		},
+	}
+	command.Flags().BoolVar(&write, "write", false, "write the file instead")
+	return command
+}
+
+func newConfigStatus() *cobra.Command {
+	return newAdminCommand("status", "Print the state of a daemon that runs, as JSON", http.MethodGet)
+}
+
+func newConfigReload() *cobra.Command {
+	return newAdminCommand("reload", "Make a daemon that runs read its configuration again, and print what is wrong with it",
+		http.MethodPost)
+}
+
+// newAdminCommand returns a command that requests the path of its own name from a daemon's admin
+// interface.
+func newAdminCommand(name, short, method string) *cobra.Command {
+	var admin string
+	command := &cobra.Command{
+		Use:   name,
+		Short: short,
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return requestAdmin(cmd.Context(), cmd.OutOrStdout(), admin, method, "/"+name)
+		},
+	}
+	command.Flags().StringVar(&admin, "admin", defaultAdminAddr, "where its admin listener is: host:port, or unix: and a path")
+	return command
+}
+
+func newConfigCheck() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check a configuration and name all that is wrong with it",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			c, err := config.Load(args[0], os.LookupEnv)
+			if err != nil {
+				return err
+			}
+			for _, w := range c.Warnings {
+				fmt.Fprintln(cmd.ErrOrStderr(), "warning:", w)
+			}
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %d listeners, %d routes, %d pools\n",
+				args[0], len(c.Listeners), len(c.Routes), len(c.Pools))
+			return nil
+		},
+	}
+}
+
+func newConfigShow() *cobra.Command {
+	return &cobra.Command{
+		Use:   "show FILE",
+		Short: "Print the policy of each route, and where each value was said",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			c, err := config.Load(args[0], os.LookupEnv)
+			if err != nil {
+				return err
+			}
+			return c.Show(cmd.OutOrStdout())
+		},
+	}
+}
+
+func newConfigCompare() *cobra.Command {
+	return &cobra.Command{
+		Use:   "compare OLD NEW",
+		Short: "Print which parts of a configuration another one changes",
+		Args:  cobra.ExactArgs(2),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			old, err := config.Load(args[0], os.LookupEnv)
+			if err != nil {
+				return err
+			}
+			next, err := config.Load(args[1], os.LookupEnv)
+			if err != nil {
+				return err
+			}
+			for _, line := range old.Compare(next) {
+				fmt.Fprintln(cmd.OutOrStdout(), line)
+			}
+			return nil
+		},
+	}
+}
+
+// requestAdmin sends a request to a daemon's admin interface and writes the body of the response to
+// out. A response other than 200 is an error with that body.
+func requestAdmin(ctx context.Context, out io.Writer, admin, method, path string) error {
+	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
+	defer cancel()
+	transport := adminTransport(admin)
+	defer transport.CloseIdleConnections()
+	r, err := http.NewRequestWithContext(ctx, method, "http://admin"+path, nil)
+	if err != nil {
+		return err
+	}
+	resp, err := (&http.Client{Transport: transport}).Do(r)
+	if err != nil {
+		return fmt.Errorf("--admin: %w", err)
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return err
+	}
+	if resp.StatusCode != http.StatusOK {
+		return errors.New(strings.TrimSpace(string(text)))
+	}
+	_, err = out.Write(text)
+	return err
+}
+
+// adminTransport returns a transport that connects to the admin interface, whatever the host of a
+// request.
+func adminTransport(admin string) *http.Transport {
+	network, address := "tcp", admin
+	if socket, ok := strings.CutPrefix(admin, "unix:"); ok {
+		network, address = "unix", socket
+	}
+	return &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+		return (&net.Dialer{}).DialContext(ctx, network, address)
+	}}
+}
--- a/cmd/rowancart/fleet.go
+++ b/cmd/rowancart/fleet.go
@@ -2,10 +2,7 @@
 
 import (
 	"log/slog"
-	"os"
-	"os/exec"
 	"os/signal"
-	"path/filepath"
 	"syscall"
 
 	"github.com/spf13/cobra"
@@ -30,16 +27,13 @@
 			if err != nil {
 				return err
 			}
-			self, err := exec.LookPath(os.Args[0])
-			if err == nil {
-				self, err = filepath.Abs(self)
-			}
+			program, err := programPath()
 			if err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			return supervisor.Run(ctx, config, supervisor.Options{Program: self, Log: slog.Default()})
+			return supervisor.Run(ctx, config, supervisor.Options{Program: program, Log: slog.Default()})
 		},
 	}
 }
--- a/cmd/rowancart/main.go
+++ b/cmd/rowancart/main.go
@@ -1,4 +1,6 @@
-// Rowancart is the operators' program. Its lab plays experiments with the balancer before stand-in boxes.
+// Rowancart is the operators' program: it serves an installation, runs the instances of a fleet on
+// one machine, checks configurations, and runs experiments with the balancer against emulated
+// servers.
 package main
 
 import (
@@ -9,9 +11,12 @@
 	"syscall"
 )
 
+const exitFailure = 1
+
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run returns the exit status: 0 if all is well, 1 if something failed or an expectation was missed.
+// run returns the exit status: 0 if all is well, exitFailure if something failed or an expectation
+// was missed.
 func run(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -19,7 +24,7 @@
 	root.SetArgs(args)
 	if err := root.ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "rowancart:", err)
-		return 1
+		return exitFailure
 	}
 	return 0
 }
--- a/cmd/rowancart/root.go
+++ b/cmd/rowancart/root.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newRoot makes the command tree.
+// newRoot returns the command tree.
 func newRoot() *cobra.Command {
 	var format, level string
 	root := &cobra.Command{
@@ -36,12 +36,13 @@
 	return root
 }
 
+// newLogger returns a logger with the format and the least level of the flags.
 func newLogger(w io.Writer, format, level string) (*slog.Logger, error) {
-	var l slog.Level
-	if err := l.UnmarshalText([]byte(level)); err != nil {
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 		return nil, fmt.Errorf("--log-level: %q is none of debug, info, warn, error", level)
 	}
-	options := &slog.HandlerOptions{Level: l}
+	options := &slog.HandlerOptions{Level: minLevel}
 	switch format {
 	case "text":
 		return slog.New(slog.NewTextHandler(w, options)), nil
@@ -51,20 +52,20 @@
 	return nil, fmt.Errorf("--log-format: %q is none of text, json", format)
 }
 
-// version words what the build recorded.
+// version describes the build as the Go toolchain recorded it.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "rowancart, of an unknown version"
 	}
-	revision, changed := "an unrecorded revision", ""
-	for _, s := range info.Settings {
+	revision, modified := "an unrecorded revision", ""
+	for _, setting := range info.Settings {
 		switch {
-		case s.Key == "vcs.revision":
-			revision = s.Value
-		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = ", changed since"
+		case setting.Key == "vcs.revision":
+			revision = setting.Value
+		case setting.Key == "vcs.modified" && setting.Value == "true":
+			modified = ", changed since"
 		}
 	}
-	return fmt.Sprintf("rowancart %s (%s%s), %s", info.Main.Version, revision, changed, info.GoVersion)
+	return fmt.Sprintf("rowancart %s (%s%s), %s", info.Main.Version, revision, modified, info.GoVersion)
 }
