--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -159,7 +159,7 @@
 	p.attempt(now, q)
 }
 
-// attempt sends a request to one that it has not met, if there is any, or else gives the final answer.
+// attempt sends a request to one that it has not met, if there is any, or else returns the final answer.
 func (p *Policy) attempt(now time.Duration, q *request) {
 	candidates := p.ready
 	if len(q.tried) > 0 {
--- a/internal/experiment/counters/counters.go
+++ b/internal/experiment/counters/counters.go
@@ -1,4 +1,5 @@
-// Package counters counts what became of what clients wanted: over a whole play, over time, and by class, tenant and box.
+// Package counters counts the outcomes of clients' requests: over a whole play, by second, class
+// and tenant, and what each server did.
 package counters
 
 import (
@@ -10,10 +11,11 @@
 	"rowancart/internal/experiment"
 )
 
-// Outcome is what became of something that a client wanted, its retries included.
+// Outcome is the final outcome of a client's request, after its retries.
 type Outcome int
 
-// The fates. An answer after the class's aim and before the client gave up is Late.
+// The outcomes. A response after the class's latency objective and before the client's deadline is
+// ServedLate.
 const (
 	ServedInTime Outcome = iota
 	ServedLate
@@ -22,15 +24,15 @@
 	numOutcomes
 )
 
-// String names the fate as reports do.
-func (f Outcome) String() string {
-	return [...]string{"served_in_time", "late", "refused", "failed"}[f]
+// String returns the outcome's name in reports.
+func (o Outcome) String() string {
+	return [...]string{"served_in_time", "late", "refused", "failed"}[o]
 }
 
-// Counts are numbers of requests by fate.
+// Counts are numbers of requests by outcome.
 type Counts [numOutcomes]int64
 
-// Offered is how many there were.
+// Offered returns the number of requests.
 func (c Counts) Offered() int64 {
 	var n int64
 	for _, v := range c {
@@ -39,79 +41,92 @@
 	return n
 }
 
-// Fraction is a fate's share, 0 where nothing was offered.
-func (c Counts) Fraction(f Outcome) float64 {
+// Fraction returns the fraction of requests with an outcome, 0 if there were no requests.
+func (c Counts) Fraction(o Outcome) float64 {
 	if n := c.Offered(); n > 0 {
-		return float64(c[f]) / float64(n)
+		return float64(c[o]) / float64(n)
 	}
 	return 0
 }
 
-// Add adds another's numbers.
-func (c *Counts) Add(o Counts) {
+// Add adds other to c.
+func (c *Counts) Add(other Counts) {
 	for i := range c {
-		c[i] += o[i]
+		c[i] += other[i]
 	}
 }
 
-// Server is what one box did.
+// Server is what one server did.
 type Server struct {
 	Name, Kind string
 	Arrivals   int64
 	Rejected   int64
 	Busy       float64 // core seconds
 	Cores      int
-	Lifetime   time.Duration // for how long it was there
-
-	AddedDuringRun bool          // it came cold while the play went on
-	WarmupPeak     float64       // most work that it was sent within the ledger's window while cold, in multiples of its capacity then
-	TimeToFullLoad time.Duration // from its coming until it got as much as the others, in virtual time; 0: never seen
+	Lifetime   time.Duration // from its start, or that of the play, to its end
+
+	// AddedDuringRun is true for a server that started cold during the play.
+	AddedDuringRun bool
+	// WarmupPeak is the most work that it was sent within Rules.OverloadWindow while it warmed up, in
+	// multiples of its capacity at the time.
+	WarmupPeak float64
+	// TimeToFullLoad is the time from its start until it received as many requests as the others, in
+	// virtual time; 0: it never did.
+	TimeToFullLoad time.Duration
 }
 
-// Counters counts one play. It is not safe for concurrent use.
+// Counters counts one play. It is not safe for concurrent use. Requests that arrive during the
+// warm-up are in Seconds only.
 type Counters struct {
 	warmup          time.Duration
 	Total           Counts
-	Classes         []Counts
-	Tenants         []Counts
-	Seconds         []Counts
+	Classes         []Counts // by index in Site.Classes
+	Tenants         []Counts // by index in Site.Tenants
+	Seconds         []Counts // by second of the intended time of sending
 	Servers         []Server
-	Latency         *hdrhistogram.Histogram   // of what was served, in microseconds from the intended time of sending
-	latencyBySecond []*hdrhistogram.Histogram // the same by second
-	Requests        int64                     // that instances before the first tier took, retries included
-	Attempts        int64                     // that they made
-	RequestsSent    int64                     // requests of which there was an attempt, in virtual time
-	OfferedWeight   float64                   // of all that was asked
-	ServedWeight    float64                   // of what was served in time
-
-	Reasons map[balancer.Reason]int64 // what instances of all tiers refused or failed, by reason, in virtual time
+	Latency         *hdrhistogram.Histogram   // of served requests, in microseconds from the intended time of sending
+	latencyBySecond []*hdrhistogram.Histogram // the same by second; nil where nothing was served
+	Requests        int64                     // received by the instances before the first tier, clients' retries included
+	Attempts        int64                     // sent by those instances
+	RequestsSent    int64                     // requests with at least one attempt, in virtual time
+	OfferedWeight   float64                   // sum of the priority weights of all requests
+	ServedWeight    float64                   // and of those served in time
+
+	Reasons map[balancer.Reason]int64 // of rejections and failures by instances of all tiers, in virtual time
 }
 
+// Parameters of the histograms. Latencies in the histograms of seconds have less precision, to save
+// memory.
 const (
-	maxLatencyMicros  = int64(time.Hour / time.Microsecond)
-	significantDigits = 3
+	maxLatencyMicros        = int64(time.Hour / time.Microsecond)
+	significantDigits       = 3
+	significantDigitsSecond = 2
 )
 
-// New returns an empty tally for an experiment.
+// New returns empty counters for an experiment.
 func New(e *experiment.Experiment) *Counters {
-	return &Counters{warmup: e.Warmup, Classes: make([]Counts, len(e.Site.Classes)), Tenants: make([]Counts, len(e.Site.Tenants)),
-		Latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits), Reasons: map[balancer.Reason]int64{}}
+	return &Counters{
+		warmup:  e.Warmup,
+		Classes: make([]Counts, len(e.Site.Classes)),
+		Tenants: make([]Counts, len(e.Site.Tenants)),
+		Latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+		Reasons: map[balancer.Reason]int64{},
+	}
 }
 
-// Record counts one request that was to be sent at the instant at and ended after took.
-func (c *Counters) Record(class experiment.Class, classIndex, tenantIndex int, at, latency time.Duration, outcome Outcome) {
-	second := int(at / time.Second)
-	for len(c.Seconds) <= second {
-		c.Seconds = append(c.Seconds, Counts{})
-		c.latencyBySecond = append(c.latencyBySecond, nil)
-	}
+// Record counts one request of a class that was to be sent at the instant at and ended after
+// latency. tenantIndex is negative for a request without a tenant.
+func (c *Counters) Record(class experiment.Class, classIndex, tenantIndex int, at, latency time.Duration,
+	outcome Outcome) {
+	served := outcome <= ServedLate
+	micros := min(max(latency.Microseconds(), 1), maxLatencyMicros)
+	second := c.growTo(at)
 	c.Seconds[second][outcome]++
-	us := max(latency.Microseconds(), 1)
-	if outcome <= ServedLate {
+	if served {
 		if c.latencyBySecond[second] == nil {
-			c.latencyBySecond[second] = hdrhistogram.New(1, maxLatencyMicros, 2)
+			c.latencyBySecond[second] = hdrhistogram.New(1, maxLatencyMicros, significantDigitsSecond)
 		}
-		_ = c.latencyBySecond[second].RecordValue(min(us, maxLatencyMicros))
+		_ = c.latencyBySecond[second].RecordValue(micros) // within the range
 	}
 	if at < c.warmup {
 		return
@@ -125,17 +140,28 @@
 	if outcome == ServedInTime {
 		c.ServedWeight += class.PriorityWeight
 	}
-	if outcome <= ServedLate {
-		_ = c.Latency.RecordValue(min(us, maxLatencyMicros)) // the range holds every legal value
+	if served {
+		_ = c.Latency.RecordValue(micros) // within the range
+	}
+}
+
+// growTo makes sure that there are counts for the second of an instant, whose index it returns.
+func (c *Counters) growTo(at time.Duration) int {
+	second := int(at / time.Second)
+	for len(c.Seconds) <= second {
+		c.Seconds = append(c.Seconds, Counts{})
+		c.latencyBySecond = append(c.latencyBySecond, nil)
 	}
+	return second
 }
 
-// Quantile is a quantile of the latency of what was served.
+// Quantile returns a quantile of the latency of served requests; q is from 0 to 1.
 func (c *Counters) Quantile(q float64) time.Duration {
 	return time.Duration(c.Latency.ValueAtQuantile(100*q)) * time.Microsecond
 }
 
-// P99OfSecond is the 99th percentile of what was to be sent within a second and was served, 0 for none.
+// P99OfSecond returns the 99th percentile of the latency of the served requests that were to be
+// sent within a second, 0 if there were none.
 func (c *Counters) P99OfSecond(second int) time.Duration {
 	if second >= len(c.latencyBySecond) || c.latencyBySecond[second] == nil {
 		return 0
--- a/internal/experiment/hclfile/hclfile_test.go
+++ b/internal/experiment/hclfile/hclfile_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// good is a file without a fault.
 const good = `experiment "x" {
   question = "?"
   duration = "10s"
@@ -43,7 +44,7 @@
 	}
 }
 
-// Each bad file gives its faults and nothing else, with the place of each.
+// TestBadFiles checks that each bad file produces its faults and nothing else, with the position of each.
 func TestBadFiles(t *testing.T) {
 	swap := func(old, with string) string { return strings.Replace(good, old, with, 1) }
 	for _, c := range []struct{ name, text, want string }{
@@ -74,7 +75,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse([]byte(c.text), "x.hcl", nil)
 			if err == nil {
-				t.Fatal("taken for good")
+				t.Fatal("accepted")
 			}
 			if err.Error() != c.want {
 				t.Errorf("got:\n%v\nwant:\n%s", err, c.want)
@@ -105,7 +106,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		plays, err := Parse([]byte(text), "x.hcl", nil)
 		if err == nil && len(plays) > 0 && (len(plays[0].Site.Tiers) == 0 || plays[0].Duration <= 0) {
-			t.Error("a file that cannot be played was taken for good")
+			t.Error("a file that cannot be played was accepted")
 		}
 	})
 }
--- a/internal/experiment/hclfile/include.go
+++ b/internal/experiment/hclfile/include.go
@@ -12,17 +12,20 @@
 	"rowancart/internal/hcldecode"
 )
 
-// includedBodies gives a body with all that it includes before it, so that its own words come last and count. Paths are relative to
-// the file that names them; chain has the files that led here, from the one that was asked for.
+// includedBodies returns a body after the bodies that it includes, so that its own attributes come
+// last and replace theirs. Paths are relative to the file that includes them. Chain holds the files
+// that led here, beginning with the one that was asked for; a file that is included by itself is an
+// error.
 func includedBodies(body hcl.Body, chain []string) ([]hcl.Body, error) {
-	content, _, diags := body.PartialContent(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{{Type: "include", LabelNames: []string{"path"}}}})
+	content, _, diags := body.PartialContent(&hcl.BodySchema{
+		Blocks: []hcl.BlockHeaderSchema{{Type: "include", LabelNames: []string{"path"}}}})
 	if diags.HasErrors() {
 		return nil, hcldecode.Faults(diags)
 	}
 	var out []hcl.Body
-	here := chain[len(chain)-1]
+	current := chain[len(chain)-1]
 	for _, b := range content.Blocks {
-		path := filepath.Join(filepath.Dir(here), b.Labels[0])
+		path := filepath.Join(filepath.Dir(current), b.Labels[0])
 		if slices.Contains(chain, path) {
 			return nil, fmt.Errorf("%s: include: %s leads back to itself: %s", hcldecode.Where(b.DefRange), b.Labels[0],
 				strings.Join(append(baseNames(chain), filepath.Base(path)), " > "))
--- /dev/null
+++ b/internal/experiment/hclfile/play.go
@@ -0,0 +1,171 @@
+package hclfile
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/zclconf/go-cty/cty"
+
+	"rowancart/internal/experiment"
+	"rowancart/internal/hcldecode"
+)
+
+// decoder reads the blocks of one experiment. Faults are collected in its Diags.
+type decoder struct {
+	hcldecode.Reader
+	experiment *experiment.Experiment
+	seen       map[string]hcl.Range // top-level blocks that may stand only once
+	expect     []expectation
+}
+
+// expectation is checked after all variants have been read.
+type expectation struct {
+	experiment.Expectation
+	position hcl.Range
+}
+
+// once returns a reader of a block that may stand only once. The reader reports a second one by
+// what seen has.
+func (d *decoder) once(seen map[string]hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
+	return func(b *hcl.Block) {
+		if first, ok := seen[b.Type]; ok {
+			d.Fault(b.DefRange, "%s: there is one already, at %s", b.Type, hcldecode.Where(first))
+			return
+		}
+		seen[b.Type] = b.DefRange
+		read(b)
+	}
+}
+
+// decodePlay reads the experiment of the file called name, with these values of its variables.
+func decodePlay(body hcl.Body, name string, vars map[string]cty.Value) (Play, error) {
+	p := Play{Experiment: defaultExperiment(name)}
+	e := &p.Experiment
+	e.Settings = printableValues(vars)
+	object := cty.EmptyObjectVal
+	if len(vars) > 0 {
+		object = cty.ObjectVal(vars)
+	}
+	d := &decoder{experiment: e, seen: map[string]hcl.Range{}}
+	d.Vars = &hcl.EvalContext{Variables: map[string]cty.Value{"var": object}}
+
+	alreadyRead := func(*hcl.Block) {}
+	ok := d.Body(body, nil, hcldecode.Blocks{
+		"vars":            alreadyRead,
+		"sweep variable":  alreadyRead,
+		"include path":    alreadyRead,
+		"experiment name": d.once(d.seen, d.readExperiment),
+		"site":            d.once(d.seen, d.readSite),
+		"load":            d.once(d.seen, d.readLoad),
+		"fault kind":      d.readFault,
+		"arm name":        d.readVariant,
+		"expect":          d.readExpectation,
+	})
+	start := hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}
+	for _, required := range []string{"experiment", "site", "load"} {
+		if _, found := d.seen[required]; !found && ok {
+			d.Fault(start, "the file has no block %q", required)
+		}
+	}
+	if len(e.Variants) == 0 {
+		e.Variants = []experiment.Variant{{Name: "design", Policy: experiment.DesignPolicy}}
+	}
+	d.checkExpectations()
+	for _, f := range e.Faults {
+		if virtual, known := experiment.FaultKinds[f.Kind]; e.Virtual && known && !virtual {
+			d.Fault(d.seen["experiment"], "experiment: the fault %s needs sockets, and this says virtual", f.Kind)
+		}
+	}
+	return p, hcldecode.Faults(d.Diags)
+}
+
+// defaultExperiment returns what holds where a file says nothing else.
+func defaultExperiment(fileName string) experiment.Experiment {
+	return experiment.Experiment{
+		Name:  strings.TrimSuffix(fileName, ".hcl"),
+		Seeds: []uint64{1},
+		Site: experiment.Site{
+			Balancers:     1,
+			NetworkDelay:  200 * time.Microsecond,
+			NetworkJitter: 0.2,
+			MaxAttempts:   5,
+			Discovery:     experiment.Discovery{Delay: time.Second, Spread: 200 * time.Millisecond},
+			Rules: experiment.Rules{
+				ResponseSlack:       20 * time.Millisecond,
+				DrainGrace:          time.Second,
+				WarmupOverload:      4,
+				OverloadWindow:      time.Second,
+				ImproperPeerTimeout: 3 * time.Second,
+			},
+		},
+		Load: experiment.Load{Process: experiment.Poisson, Clients: experiment.Clients{MinPatience: 1}},
+	}
+}
+
+// printableValues returns the values of variables for reports, without those that are neither text
+// nor numbers.
+func printableValues(vars map[string]cty.Value) map[string]string {
+	out := map[string]string{}
+	for name, v := range vars {
+		switch v.Type() {
+		case cty.String:
+			out[name] = v.AsString()
+		case cty.Number:
+			out[name] = v.AsBigFloat().Text('g', 10)
+		}
+	}
+	return out
+}
+
+func (d *decoder) readExperiment(b *hcl.Block) {
+	e := d.experiment
+	e.Name = b.Labels[0]
+	var seeds []uint64
+	repeats := 0
+	ok := d.Body(b.Body, hcldecode.Fields{"question!": &e.Question, "duration!": &e.Duration, "warmup": &e.Warmup,
+		"seeds": &seeds, "repeats": &repeats, "virtual": &e.Virtual}, nil)
+	switch {
+	case repeats < 0 || repeats > 0 && len(seeds) > 0:
+		d.Fault(b.DefRange, "experiment: either seeds or repeats, a number of seeds from 1 on")
+	case len(seeds) > 0:
+		e.Seeds = seeds
+	case repeats > 0:
+		e.Seeds = nil
+		for seed := range uint64(repeats) {
+			e.Seeds = append(e.Seeds, seed+1)
+		}
+	}
+	if ok && (e.Duration <= 0 || e.Warmup >= e.Duration) {
+		d.Fault(b.DefRange, "experiment: the duration must be longer than the warmup")
+	}
+}
+
+func (d *decoder) readExpectation(b *hcl.Block) {
+	x := expectation{position: b.DefRange}
+	var served, failed hcldecode.Share
+	d.Body(b.Body, hcldecode.Fields{"arm": &x.Variant, "rules_kept": &x.NoViolations, "served_in_time_over": &served,
+		"refused_or_failed_under": &failed, "attempts_under": &x.AttemptsBelow, "p99_under": &x.P99Below,
+		"fresh_peak_under": &x.WarmupPeakBelow, "resends_under": &x.RetriesBelow}, nil)
+	x.ServedInTimeAbove, x.FailedBelow, x.Position = float64(served), float64(failed), hcldecode.Where(b.DefRange)
+	d.expect = append(d.expect, x)
+}
+
+// checkExpectations adds the expectations to the experiment. Those of no variant and those of
+// nothing are faults.
+func (d *decoder) checkExpectations() {
+	for _, x := range d.expect {
+		if x.Variant != "" && !d.hasVariant(x.Variant) {
+			d.Fault(x.position, "expect: there is no arm %q", x.Variant)
+		}
+		if (x.Expectation == experiment.Expectation{Variant: x.Variant, Position: x.Position}) {
+			d.Fault(x.position, "expect: it asks for nothing")
+		}
+		d.experiment.Expect = append(d.experiment.Expect, x.Expectation)
+	}
+}
+
+func (d *decoder) hasVariant(name string) bool {
+	return slices.ContainsFunc(d.experiment.Variants, func(v experiment.Variant) bool { return v.Name == name })
+}
--- /dev/null
+++ b/internal/experiment/hclfile/variant.go
@@ -0,0 +1,55 @@
+package hclfile
+
+import (
+	"slices"
+
+	"github.com/hashicorp/hcl/v2"
+
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/baseline"
+	"rowancart/internal/hcldecode"
+)
+
+// reverseProxyPolicy is the baseline that can be played on sockets only.
+const reverseProxyPolicy = "reverse_proxy"
+
+// What a class policy says of retries.
+const (
+	retryNotRun   = "not_run"   // none after an attempt that may have run
+	retryAfterRun = "after_run" // as the class allows
+)
+
+// readVariant reads an arm block.
+func (d *decoder) readVariant(b *hcl.Block) {
+	v := experiment.Variant{Name: b.Labels[0], Policy: experiment.DesignPolicy}
+	d.Body(b.Body, hcldecode.Fields{"policy": &v.Policy, "run": &v.Command, "cold_share": &v.SlowStartShare,
+		"snapshot": &v.RestoreLearnedState}, hcldecode.Blocks{
+		"retry_budget": func(b *hcl.Block) { d.RetryBudget(b, &v.RetryBudget) },
+		"class name":   func(b *hcl.Block) { v.Classes = append(v.Classes, d.readClassPolicy(b)) },
+	})
+	policies := append([]string{experiment.DesignPolicy, reverseProxyPolicy}, baseline.Names...)
+	hcldecode.OneOf(&d.Reader, b.DefRange, "policy", v.Policy, policies...)
+	if d.hasVariant(v.Name) {
+		d.Fault(b.DefRange, "arm: there are two called %q", v.Name)
+	}
+	d.experiment.Variants = append(d.experiment.Variants, v)
+}
+
+func (d *decoder) readClassPolicy(b *hcl.Block) experiment.ClassPolicy {
+	p := experiment.ClassPolicy{Class: b.Labels[0]}
+	queue, retry := -1, retryAfterRun
+	d.Body(b.Body, hcldecode.Fields{"attempt_timeout": &p.AttemptTimeout, "attempts": &p.MaxAttempts, "retry": &retry,
+		"copy_after": &p.HedgeAfter, "copy_percentile": &p.HedgePercentile, "queue": &queue}, nil)
+	hcldecode.OneOf(&d.Reader, b.DefRange, "retry", retry, retryNotRun, retryAfterRun)
+	p.NeverRerun = retry == retryNotRun
+	switch { // in a file 0 stands for no queue, and no number for no limit
+	case queue == 0:
+		p.QueueLimit = -1
+	case queue > 0:
+		p.QueueLimit = queue
+	}
+	if !slices.ContainsFunc(d.experiment.Site.Classes, func(c experiment.Class) bool { return c.Name == p.Class }) {
+		d.Fault(b.DefRange, "class: the site has none called %q; it must stand before the arms", p.Class)
+	}
+	return p
+}
--- a/internal/experiment/invariant/invariant.go
+++ b/internal/experiment/invariant/invariant.go
@@ -1,4 +1,4 @@
-// Package invariant judges a play from outside. Drivers tell it what clients, boxes and the roster saw; it is never told
+// Package invariant judges a play from outside. Drivers tell it what clients, servers and the discovery service saw; it is never told
 // what the program under test says of itself. It is pure: instants are passed in.
 package invariant
 
@@ -20,10 +20,10 @@
 	RuleResponse           Rule = "answer"    // each request taken gets one final answer, before its client gives up
 	RuleDuplicate          Rule = "duplicate" // what is unsafe is sent again only if no earlier attempt can have run
 	RulePolicy             Rule = "policy"    // no more attempts, and no run after a run, than the class's policy allows
-	RuleDrain              Rule = "drain"     // nothing new to a box told to drain or be gone, a grace after the telling
-	RuleWarmup             Rule = "cold"      // no cold box is sent so much that it falls over
-	RuleForeignRequest     Rule = "foreign"   // nothing reaches a box but what a client sent as a request of its own
-	RuleFabricatedResponse Rule = "invented"  // nothing is served but what a box made for this request
+	RuleDrain              Rule = "drain"     // nothing new to a server told to drain or be gone, a grace after the telling
+	RuleWarmup             Rule = "cold"      // no cold server is sent so much that it falls over
+	RuleForeignRequest     Rule = "foreign"   // nothing reaches a server but what a client sent as a request of its own
+	RuleFabricatedResponse Rule = "invented"  // nothing is served but what a server made for this request
 	RuleFalseRejection     Rule = "refusal"   // "trying again is harmless" is said only if that is true
 	RuleImproperPeer       Rule = "improper"  // a peer that sends no proper request gets an error or a close in time
 	RuleLimits             Rule = "limits"    // memory, descriptors and CPU
@@ -56,20 +56,20 @@
 	Instance    string // of the program under test that was given it
 	Repeat      balancer.Repeatability
 	Deadline    time.Duration
-	Digest      uint64 // of all that must reach boxes unchanged
+	Digest      uint64 // of all that must reach servers unchanged
 	MaxAttempts int    // allowed by its policy; 0: not limited there
 	NeverRerun  bool   // its policy forbids another run after one that may have been, whatever the effect
 }
 
-// Arrival is a request that has reached a box whole.
+// Arrival is a request that has reached a server whole.
 type Arrival struct {
 	ID        string
 	Server    string
 	FirstByte time.Duration // its first byte came
 	LastByte  time.Duration
 	Digest    uint64
-	WarmingUp bool    // the box was not warm
-	Work      float64 // seconds, for the rule on cold boxes
+	WarmingUp bool    // the server was not warm
+	Work      float64 // seconds, for the rule on cold servers
 }
 
 // retention is how long after its deadline a request is remembered: late duplicates come within it.
@@ -86,7 +86,7 @@
 type execution struct {
 	server         string
 	at             time.Duration
-	rejectedAt     time.Duration // 0: not turned away
+	rejectedAt     time.Duration // 0: not rejected
 	responseDigest uint64        // digest of the answer made; 0: none
 }
 
@@ -108,12 +108,12 @@
 	requests        map[string]*request
 	byAge           []*request // in order of taking
 	drainingSince   map[instanceServer]time.Duration
-	notifiedOfStart map[instanceServer]bool // told of the box's latest start
+	notifiedOfStart map[instanceServer]bool // told of the server's latest start
 	recentWork      map[string][]workArrival
 	verdicts        map[Rule]*Verdict
 }
 
-// New returns an empty ledger. Slack is added to each limit of time.
+// New returns an empty checker. Slack is added to each limit of time.
 func New(rules experiment.Rules, slack time.Duration) *Checker {
 	return &Checker{rules: rules, slack: slack, requests: map[string]*request{}, drainingSince: map[instanceServer]time.Duration{},
 		notifiedOfStart: map[instanceServer]bool{}, recentWork: map[string][]workArrival{}, verdicts: map[Rule]*Verdict{}}
@@ -186,8 +186,8 @@
 	return slices.ContainsFunc(r.executions, func(e execution) bool { return e.rejectedAt == 0 })
 }
 
-// RecordClosedConn reports that the program closed a connection without an answer to a request written to it, and tells whether the
-// request had been read: a box has seen it. Only then is it lost; one that crossed the close is the client's to send
+// RecordClosedConn reports that the program closed a connection without an answer to a request written to it, and reports whether the
+// request had been read: a server has seen it. Only then is it lost; one that crossed the close is the client's to send
 // again.
 func (c *Checker) RecordClosedConn(now time.Duration, id string) bool {
 	c.mu.Lock()
@@ -240,7 +240,7 @@
 	}
 }
 
-// RecordArrival reports a request that has come to a box whole. It may run from now on unless the box turns it away.
+// RecordArrival reports a request that has come to a server whole. It may run from now on unless the server turns it away.
 func (c *Checker) RecordArrival(a Arrival) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -287,12 +287,12 @@
 	c.recentWork[a.Server] = p
 }
 
-// RecordRejection reports that the box turned away the request that reached it last under this id.
+// RecordRejection reports that the server rejected the request that reached it last under this id.
 func (c *Checker) RecordRejection(now time.Duration, server, id string) {
 	c.updateExecution(server, id, func(r *execution) { r.rejectedAt = max(now, 1) })
 }
 
-// RecordServerResponse reports the digest of the answer that a box made.
+// RecordServerResponse reports the digest of the answer that a server made.
 func (c *Checker) RecordServerResponse(server, id string, digest uint64) {
 	c.updateExecution(server, id, func(r *execution) { r.responseDigest = digest })
 }
@@ -310,7 +310,7 @@
 	}
 }
 
-// RecordNotification reports that an instance has been told a box's state; started says that it is news of a start.
+// RecordNotification reports that an instance has been told a server's state; started says that it is news of a start.
 func (c *Checker) RecordNotification(now time.Duration, instance, server string, state balancer.State, started bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -328,7 +328,7 @@
 // notifiedWorkFraction is the share of the work that must have come from instances told of the start for a fall to be theirs.
 const notifiedWorkFraction = 2.0 / 3
 
-// RecordOverload reports that a cold box has fallen over.
+// RecordOverload reports that a cold server has fallen over.
 func (c *Checker) RecordOverload(now time.Duration, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -385,7 +385,7 @@
 	c.addViolation(RuleLimits, now, "%s ended by itself: %s", instance, how)
 }
 
-// Close settles what is open and gives a verdict for every rule.
+// Close settles what is open and returns a verdict for every rule.
 func (c *Checker) Close(now time.Duration) []Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/experiment/report/compare.go
+++ b/internal/experiment/report/compare.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// Difference is one figure of one arm in two reports.
+// Difference is one figure of one variant in two reports.
 type Difference struct {
 	Point, Variant, Metric string
 	A, B                   float64
 	Noise                  float64 // half width of the 95% interval of the difference; NaN with fewer than two repeats
 }
 
-// Significant tells whether the difference is more than the repeats' noise. Without repeats nothing can be told apart.
+// Significant reports whether the difference is more than the repeats' noise. Without repeats nothing can be told apart.
 func (d Difference) Significant() bool { return !math.IsNaN(d.Noise) && math.Abs(d.B-d.A) > d.Noise }
 
 // student97 is the 97.5% quantile of Student's t distribution for 1 to 10 degrees of freedom, and for many.
@@ -29,7 +29,7 @@
 	return 2.1 // between the values for 11 and for 30, and 0.14 above that for very many
 }
 
-// Compare gives the differences between two runs of one experiment, arm by arm. Noise is taken from the spread of the
+// Compare returns the differences between two runs of one experiment, variant by variant. Noise is taken from the spread of the
 // repeats (Welch's interval).
 func Compare(a, b *Report) ([]Difference, error) {
 	if a.Experiment != b.Experiment {
@@ -102,7 +102,7 @@
 	return out
 }
 
-// meanAndVariance gives mean, variance and number of the repeats that count.
+// meanAndVariance returns mean, variance and number of the repeats that count.
 func meanAndVariance(repeats []Repeat, of func(Repeat) float64) (mean, variance, n float64) {
 	for _, r := range repeats {
 		if r.Void == "" {
--- a/internal/experiment/report/html.go
+++ b/internal/experiment/report/html.go
@@ -24,7 +24,7 @@
 	"fixed":   func(n int, x float64) string { return fmt.Sprintf("%.*f", n, x) },
 }).ParseFS(pages, "page.html"))
 
-// variantView is an arm with its pictures.
+// variantView is a variant with its pictures.
 type variantView struct {
 	*Variant
 	OverTime template.HTML
@@ -125,7 +125,7 @@
 	return svg(p, plotWidth, plotHeight)
 }
 
-// latencyChart shows the percentiles of all arms side by side.
+// latencyChart shows the percentiles of all variants side by side.
 func latencyChart(arms []Variant) (template.HTML, error) {
 	p := plot.New()
 	p.Y.Label.Text = "ms"
@@ -146,10 +146,10 @@
 	return svg(p, plotWidth, plotHeight)
 }
 
-// maxServersShown is how many boxes a picture shows; the table has them all.
+// maxServersShown is how many servers a picture shows; the table has them all.
 const maxServersShown = 100
 
-// serverChart shows how busy each box was.
+// serverChart shows how busy each server was.
 func serverChart(a *Variant) (template.HTML, error) {
 	if len(a.Servers) == 0 {
 		return "", nil
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -72,7 +72,7 @@
 	Detail     string  `json:"detail"`
 }
 
-// Repeat is one play of an arm.
+// Repeat is one play of a variant.
 type Repeat struct {
 	Seed               uint64  `json:"seed"`
 	Offered            int64   `json:"offered"`
@@ -106,7 +106,7 @@
 	Failed       int64  `json:"failed"`
 }
 
-// Server is one box's part in the first repeat.
+// Server is one server's part in the first repeat.
 type Server struct {
 	Name     string  `json:"name"`
 	Kind     string  `json:"kind"`
@@ -123,7 +123,7 @@
 	Descriptors int     `json:"descriptors"`
 }
 
-// Variant is what one arm came to over all repeats.
+// Variant is what one variant came to over all repeats.
 type Variant struct {
 	Name               string        `json:"name"`
 	Policy             string        `json:"policy"`
@@ -145,11 +145,11 @@
 	AddedServers       *AddedServers `json:"fresh,omitempty"`
 	Reasons            Reasons       `json:"why,omitempty"` // instances of all tiers refused or failed, in virtual time
 	Cost               *Cost         `json:"cost,omitempty"`
-	LatenessMs         float64       `json:"lateness_ms,omitempty"` // of the rig's own sending, p99 of the worst repeat
+	LatenessMs         float64       `json:"lateness_ms,omitempty"` // of the test bed's own sending, p99 of the worst repeat
 	Log                []string      `json:"log,omitempty"`
 
 	latency         *hdrhistogram.Histogram
-	timesToFullLoad []float64 // of fresh boxes, in seconds
+	timesToFullLoad []float64 // of fresh servers, in seconds
 }
 
 // Reasons counts requests by the reason for which they were not served.
@@ -165,15 +165,15 @@
 	return strings.Join(out, ", ")
 }
 
-// AddedServers is what became of boxes that came cold, over all repeats.
+// AddedServers is what became of servers that came cold, over all repeats.
 type AddedServers struct {
 	Servers         int     `json:"boxes"`
-	WarmupPeak      float64 `json:"peak"`             // the most that any one was sent within the ledger's window, in multiples of its capacity then
-	Overloaded      int     `json:"over"`             // boxes that were sent more than that capacity
+	WarmupPeak      float64 `json:"peak"`             // the most that any one was sent within the checker's window, in multiples of its capacity then
+	Overloaded      int     `json:"over"`             // servers that were sent more than that capacity
 	TimeToFullLoadS float64 `json:"full_s,omitempty"` // median time until one carried as much as the others, in virtual time
 }
 
-// Run is one play as a driver gives it.
+// Run is one play as a driver returns it.
 type Run struct {
 	Variant  experiment.Variant
 	Seed     uint64
@@ -198,7 +198,7 @@
 	return r
 }
 
-// Summarise turns the plays of one point into its arms, in the order of the experiment's.
+// Summarise turns the plays of one point into its variants, in the order of the experiment's.
 func Summarise(e *experiment.Experiment, plays []Run) []Variant {
 	var out []Variant
 	for _, a := range e.Variants {
@@ -345,7 +345,7 @@
 	return a / b
 }
 
-// Violations is how many breaches of rules the arm has.
+// Violations is how many breaches of rules the variant has.
 func (v *Variant) Violations() int {
 	n := 0
 	for _, r := range v.Rules {
@@ -357,7 +357,7 @@
 // Fraction is a part of what was offered.
 func (v *Variant) Fraction(n int64) float64 { return ratio(float64(n), float64(v.Offered)) }
 
-// CheckExpectations holds arms against an experiment's expectations and words those that are not met.
+// CheckExpectations holds variants against an experiment's expectations and words those that are not met.
 func CheckExpectations(e *experiment.Experiment, arms []Variant) []string {
 	var out []string
 	for _, x := range e.Expect {
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -13,7 +13,7 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// newTestReport is a report of two repeats of one arm: of each 90 in time, 10 failed, and a rule broken once.
+// newTestReport is a report of two repeats of one variant: of each 90 in time, 10 failed, and a rule broken once.
 func newTestReport(t *testing.T, served int) (*experiment.Experiment, *Report) {
 	t.Helper()
 	e := &experiment.Experiment{Name: "x", Question: "<why>?", Seeds: []uint64{1, 2}, Duration: 2 * time.Second,
--- a/internal/experiment/roundrobin/roundrobin.go
+++ b/internal/experiment/roundrobin/roundrobin.go
@@ -1,4 +1,4 @@
-// Package roundrobin is the rival on sockets: net/http/httputil's ReverseProxy, sending to the endpoints in turn. It is
+// Package roundrobin is the baseline on sockets: net/http/httputil's ReverseProxy, sending to the endpoints in turn. It is
 // told and serves as DEPLOY describes, so that the lab can start it in the sidecar's place.
 package roundrobin
 
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// keepWatching keeps a watch of the roster until ctx ends.
+// keepWatching keeps a watch of the discovery service until ctx ends.
 func (e *endpoints) keepWatching(ctx context.Context, addr string, logger *slog.Logger) {
 	for ctx.Err() == nil {
 		if err := e.watch(ctx, addr); err != nil && ctx.Err() == nil {
--- a/internal/experiment/runner/runner.go
+++ b/internal/experiment/runner/runner.go
@@ -1,4 +1,4 @@
-// Package runner plays all that an experiment file asks for, every arm on the same arrivals and faults, and gathers
+// Package runner plays all that an experiment file asks for, every variant on the same arrivals and faults, and gathers
 // it into one report.
 package runner
 
@@ -28,13 +28,13 @@
 	Seeds   []uint64 // in place of the file's
 	Variant string   // this one only
 	Root    string   // of the repository, for programs that the deploy file starts
-	Self    string   // this program's own path, for the arm that it hosts itself
+	Self    string   // this program's own path, for the variant that it hosts itself
 	// Progress hears how many of all plays are done, and how far the present one is, from 0 to 1. It may be called from
 	// several goroutines.
 	Progress func(done, all int, part float64)
 }
 
-// maxVoidRuns is how often a play in which the rig was late is played.
+// maxVoidRuns is how often a play in which the test bed was late is played.
 const maxVoidRuns = 3
 
 // job is one play.
@@ -61,7 +61,7 @@
 	r := report.New(first, o.Virtual)
 	var jobs []*job
 	for p := range plays {
-		for _, seed := range plays[p].Seeds { // arms side by side in time: a machine's moods hit all alike
+		for _, seed := range plays[p].Seeds { // variants side by side in time: a machine's moods hit all alike
 			for _, a := range plays[p].Variants {
 				jobs = append(jobs, &job{point: p, variant: a, seed: seed})
 			}
@@ -105,7 +105,7 @@
 	return r, nil
 }
 
-// selectPlayable drops the arms and expectations that are not to be played.
+// selectPlayable drops the variants and expectations that are not to be played.
 func selectPlayable(e *experiment.Experiment, o Options) error {
 	var arms []experiment.Variant
 	var names []string
--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -1,6 +1,6 @@
 // Package search looks for the sites on which the design loses: it draws services, loads and faults within bounds, plays the
-// design and the rival policies on each in virtual time, ranks the sites by regret, and shrinks the worst to experiments that
-// play by themselves. Regret is what the best rival serves in time, by worth, less what the design does.
+// design and the baseline policies on each in virtual time, ranks the sites by regret, and shrinks the worst to experiments that
+// play by themselves. Regret is what the best baseline serves in time, by worth, less what the design does.
 package search
 
 import (
@@ -21,7 +21,7 @@
 // Design is the policy that is searched for its weaknesses.
 const Design = experiment.DesignPolicy
 
-// flap and silentCrash are drawn beside the faults that the lab has: a box that goes and comes, and one of which the roster
+// flap and silentCrash are drawn beside the faults that the lab has: a server that goes and comes, and one of which the discovery service
 // says nothing.
 const (
 	flapping    = "flap"
@@ -44,9 +44,9 @@
 	Duration      Span[time.Duration]
 	Load          Span[float64] // in shares of what the service can do
 	Rate          Span[float64] // requests a second
-	MaxRequests   int           // most in one play: the rate gives in to it
-	MaxKnownPairs int           // most pairs of an instance and a box that it knows
-	QuietFraction float64       // share of sites whose callers ask less than once a second each
+	MaxRequests   int           // most in one play: the rate is lowered to it
+	MaxKnownPairs int           // most pairs of an instance and a server that it knows
+	QuietFraction float64       // share of sites whose clients ask less than once a second each
 	FaultKinds    []string      // of faults
 	Baselines     []string
 	Repeats       int     // plays of every site and policy
--- a/internal/experiment/search/draw.go
+++ b/internal/experiment/search/draw.go
@@ -14,8 +14,8 @@
 // What a site has besides what the bounds say. The figures are those that installations are known to have, and wider.
 const (
 	minRequests              = 300              // in one play, where the longest duration allows it
-	maxDuration              = 10 * time.Minute // of callers that ask seldom
-	maxServersOfSeveralTiers = 60               // boxes of a tier at most where there are several: each has an instance of its own
+	maxDuration              = 10 * time.Minute // of clients that ask seldom
+	maxServersOfSeveralTiers = 60               // servers of a tier at most where there are several: each has an instance of its own
 )
 
 type sampler struct{ *rand.Rand }
@@ -53,7 +53,7 @@
 	return y
 }
 
-// Draw gives site n of a search. The same bounds, seed and n give the same site.
+// Draw returns site n of a search. The same bounds, seed and n give the same site.
 func Draw(b *Bounds, seed uint64, n int) *experiment.Experiment {
 	d := sampler{experiment.Rand(seed, "site "+strconv.Itoa(n))}
 	e := &experiment.Experiment{Name: fmt.Sprintf("site-%d-%d", seed, n), Question: "Does the design serve as much as the best rival?", Virtual: true,
@@ -193,9 +193,9 @@
 	if least := minRequests / l.Rate; e.Duration.Seconds() < least {
 		e.Duration = min(roundTime(time.Duration(least*float64(time.Second))), max(maxDuration, e.Duration))
 	}
-	l.Rate, l.Process = max(threeDigits(l.Rate), 0.01), "poisson"
+	l.Rate, l.Process = max(threeDigits(l.Rate), 0.01), experiment.Poisson
 	if d.bernoulli(0.2) {
-		l.Process = "steady"
+		l.Process = experiment.Steady
 	}
 	l.Clients = experiment.Clients{MinPatience: threeDigits(d.uniform(0.5, 1)), Retries: d.IntN(3), HonorRetryAfter: d.bernoulli(0.5)}
 	if l.Clients.Retries > 0 && d.bernoulli(0.7) {
--- a/internal/experiment/search/judge.go
+++ b/internal/experiment/search/judge.go
@@ -20,18 +20,18 @@
 // minRegret is how much less worth makes a site one on which the design is behind, or ahead.
 const minRegret = 0.01
 
-// Regret is what the best rival serves, by worth, less what the design serves, below 0 where the design is ahead.
+// Regret is what the best baseline serves, by worth, less what the design serves, below 0 where the design is ahead.
 type Regret struct {
 	Baseline      string
-	Mean          float64 // over the plays that did not choose the rival, where there are any
+	Mean          float64 // over the plays that did not choose the baseline, where there are any
 	Bound         float64 // half of the 95% interval of Mean; infinite where there are too few plays to tell
 	selectionMean float64 // mean over the plays that did
 }
 
-// Significant tells whether the design is behind by more than noise and Behind together.
+// Significant reports whether the design is behind by more than noise and Behind together.
 func (r Regret) Significant() bool { return r.Mean-r.Bound > 0 && r.Mean > minRegret }
 
-// Regret judges a site. The rival that is best on the first repeats is the one compared with, on the other repeats: the best
+// Regret judges a site. The baseline that is best on the first repeats is the one compared with, on the other repeats: the best
 // of several on the same plays would seem better than it is.
 func (s Site) Regret(choosing int) Regret {
 	r := Regret{selectionMean: math.Inf(-1)}
@@ -50,13 +50,13 @@
 	return r
 }
 
-// BaselineLead is how much more a rival serves, over all plays, below 0 where the design does.
+// BaselineLead is how much more a baseline serves, over all plays, below 0 where the design does.
 func (s Site) BaselineLead(policy string) float64 {
 	mean, _, _ := s.difference(policy, 0, len(s.ServedWeight[Design]))
 	return mean
 }
 
-// difference is the mean of a rival's worth less the design's over some of the repeats, paired, and half of its 95% interval.
+// difference is the mean of a baseline's worth less the design's over some of the repeats, paired, and half of its 95% interval.
 func (s Site) difference(policy string, from, to int) (mean, bound float64, n int) {
 	to = min(to, len(s.ServedWeight[Design]), len(s.ServedWeight[policy]))
 	sum, squares := 0.0, 0.0
@@ -76,16 +76,16 @@
 type Summary struct {
 	Sites               int
 	Regrets             []float64 // in rising order
-	Behind              int       // sites where the design is surely behind the best rival by more than Behind
+	Behind              int       // sites where the design is surely behind the best baseline by more than Behind
 	Baselines           []Comparison
 	SitesWithViolations map[string]int // sites on which a policy broke a rule
 	Worst               []Finding      // by regret, the largest first
 }
 
-// Comparison compares the design with one rival on all sites.
+// Comparison compares the design with one baseline on all sites.
 type Comparison struct {
 	Baseline      string
-	Mean          float64 // of the rival's worth less the design's
+	Mean          float64 // of the baseline's worth less the design's
 	Behind, Ahead int     // sites where the design is so by more than Behind
 }
 
@@ -129,7 +129,7 @@
 	return out
 }
 
-// Quantile gives a quantile of the regrets.
+// Quantile returns a quantile of the regrets.
 func (s Summary) Quantile(q float64) float64 {
 	if len(s.Regrets) == 0 {
 		return 0
--- a/internal/experiment/search/search.go
+++ b/internal/experiment/search/search.go
@@ -119,7 +119,7 @@
 	return err
 }
 
-// Read gives the sites of a file of results, in order.
+// Read returns the sites of a file of results, in order.
 func Read(path string) ([]Site, error) {
 	var sites []Site
 	if _, err := scanResults(path, func(header) error { return nil }, func(s Site) { sites = append(sites, s) }); err != nil {
@@ -164,7 +164,7 @@
 	}
 }
 
-// Play plays one site: the design and its rivals with common random numbers, and more often where the design seems behind.
+// Play plays one site: the design and its baselines with common random numbers, and more often where the design seems behind.
 func Play(ctx context.Context, b *Bounds, seed uint64, n int) (Site, error) {
 	e := Draw(b, seed, n)
 	s := Site{N: n, ServedWeight: map[string][]float64{}, ViolatedRules: map[string][]string{}}
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -66,7 +66,7 @@
 			}
 		}
 	}
-	if len(struck) != 5 { // a flap is crashes, a step is of the load, and a silent crash silences the roster
+	if len(struck) != 5 { // a flap is crashes, a step is of the load, and a silent crash silences the discovery service
 		t.Errorf("only %v were drawn", struck)
 	}
 }
--- a/internal/experiment/seed.go
+++ b/internal/experiment/seed.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Seed derives a seed from a run's own and a name. Named seeds keep a part's draws the same whatever other parts there
-// are and in whatever order they were made.
+// Seed derives a seed from the seed of a play and the name of a component. A component's random
+// draws depend on neither the other components nor the order in which they are created.
 func Seed(seed uint64, name string) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], seed)
@@ -18,7 +18,7 @@
 	return h.Sum64()
 }
 
-// Rand is a source of random numbers for the part of a run that name names.
+// Rand returns the source of random numbers of the component called name.
 func Rand(seed uint64, name string) *rand.Rand {
 	s := Seed(seed, name)
 	return rand.New(rand.NewPCG(s, s^0x9e3779b97f4a7c15))
--- a/internal/experiment/server/server.go
+++ b/internal/experiment/server/server.go
@@ -1,9 +1,9 @@
-// Package server is the model of one stand-in server. It is pure: instants are passed in, and a driver, in virtual time or
-// on sockets, asks when the box wants to be looked at next.
+// Package server is the model of one emulated server. It is pure: instants are passed in, and a driver, in virtual time or
+// on sockets, asks when the server wants to be looked at next.
 //
 // A request occupies a slot from its admission to its end, also while it waits for something else, such as the next
 // tier. Of the requests in slots, those that compute share the cores evenly (processor sharing); with as many slots as
-// cores each has a core to itself, and the box is the M/G/c queue of the textbooks.
+// cores each has a core to itself, and the server is the M/G/c queue of the textbooks.
 package server
 
 import (
@@ -14,7 +14,7 @@
 	"rowancart/internal/experiment"
 )
 
-// warmupStep is how finely the growth of a cold box's capacity is followed.
+// warmupStep is how finely the growth of a cold server's capacity is followed.
 const warmupStep = 20 * time.Millisecond
 
 // Admission is what becomes of a request that arrives.
@@ -23,21 +23,21 @@
 // The verdicts.
 const (
 	Admitted    Admission = iota // it has a slot, or will have one
-	Rejected                     // turned away unseen
+	Rejected                     // rejected unseen
 	Unavailable                  // nobody is there to answer
 )
 
-// Job is a request in a box. The driver makes it and keeps it until the box says that it is over.
+// Job is a request in a server. The driver makes it and keeps it until the server says that it is over.
 type Job struct {
 	Owner any     // the driver's
-	Work  float64 // seconds on a core of speed 1, until the next time that the box hands the job back
+	Work  float64 // seconds on a core of speed 1, until the next time that the server hands the job back
 
 	phase       phase
-	finishClock float64 // reading of the box's work clock at which it is through
+	finishClock float64 // reading of the server's work clock at which it is through
 	heapIndex   int     // in the heap of running jobs
 	seq         uint64  // tells jobs of the same finish apart
 	server      *Server
-	incarnation int // of the box, when it came
+	incarnation int // of the server, when it came
 }
 
 type phase int
@@ -50,7 +50,7 @@
 	finished
 )
 
-// Finished tells whether the box has forgotten the job.
+// Finished reports whether the server has forgotten the job.
 func (j *Job) Finished() bool {
 	return j.phase == finished || j.server != nil && j.incarnation != j.server.incarnation
 }
@@ -69,7 +69,7 @@
 	down        bool
 	incarnation int // crashes so far
 
-	workClock float64 // attained work of a job that has run since the box began
+	workClock float64 // attained work of a job that has run since the server began
 	running   jobHeap
 	queue     []*Job
 	queueHead int
@@ -82,7 +82,7 @@
 	recoveringSince time.Duration
 	collapsedAt     time.Duration // negative: not choked
 
-	recentWork    []workArrival // within the window of the rule on cold boxes
+	recentWork    []workArrival // within the window of the rule on cold servers
 	recentWorkSum float64
 	warmupPeak    float64
 	fellOver      bool
@@ -104,7 +104,7 @@
 // never stands for an instant that does not come.
 const never = time.Duration(math.MaxInt64)
 
-// New returns a box that started at the instant given, a negative one meaning long ago.
+// New returns a server that started at the instant given, a negative one meaning long ago.
 func New(kind experiment.Kind, spec experiment.ServerSpec, rules experiment.Rules, started time.Duration, rng *rand.Rand) *Server {
 	return &Server{kind: kind, spec: spec, rules: rules, rng: rng, started: started, slowdown: 1, overloadedSince: -1, recoveringSince: -1,
 		collapsedAt: -1, now: max(started, 0)}
@@ -113,7 +113,7 @@
 // Started is the instant of the latest start, negative if that was long ago.
 func (s *Server) Started() time.Duration { return s.started }
 
-// InFlight is how many requests the box has, waiting ones included.
+// InFlight is how many requests the server has, waiting ones included.
 func (s *Server) InFlight() int { return s.slotsUsed + s.queued() }
 
 // SlotsUsed is how many requests have a slot.
@@ -124,7 +124,7 @@
 
 func (s *Server) queued() int { return len(s.queue) - s.queueHead }
 
-// CapacityFraction is the share of its capacity that the box has.
+// CapacityFraction is the share of its capacity that the server has.
 func (s *Server) CapacityFraction(now time.Duration) float64 {
 	if s.started < 0 || s.spec.WarmupTime <= 0 || now-s.started >= s.spec.WarmupTime {
 		return 1
@@ -132,7 +132,7 @@
 	return s.spec.InitialCapacity + (1-s.spec.InitialCapacity)*float64(max(now-s.started, 0))/float64(s.spec.WarmupTime)
 }
 
-// Capacity is the work that the box can do now, in seconds a second. Faults that slow it do not count: they are not
+// Capacity is the work that the server can do now, in seconds a second. Faults that slow it do not count: they are not
 // what senders can know.
 func (s *Server) Capacity(now time.Duration) float64 {
 	return float64(s.kind.Cores) * s.kind.Speed * s.CapacityFraction(now)
@@ -151,7 +151,7 @@
 	return speed * min(1, float64(s.kind.Cores)/float64(n))
 }
 
-// NextEvent is the instant at which the box wants Advance, or a very late one.
+// NextEvent is the instant at which the server wants Advance, or a very late one.
 func (s *Server) NextEvent() time.Duration {
 	next := never
 	if r := s.workRate(s.now); r > 0 {
@@ -175,7 +175,7 @@
 	return max(next, s.now)
 }
 
-// Advance moves the box to an instant and appends to done the jobs whose work is through, in order. Each keeps its slot:
+// Advance moves the server to an instant and appends to done the jobs whose work is through, in order. Each keeps its slot:
 // the driver resumes or ends it. The driver must not let more time pass than until Next.
 func (s *Server) Advance(now time.Duration, done []*Job) []*Job {
 	if now > s.now {
@@ -196,7 +196,7 @@
 	return done
 }
 
-// updateCollapse follows the slow state of a crowded box.
+// updateCollapse follows the slow state of a crowded server.
 func (s *Server) updateCollapse() {
 	if s.spec.CollapseQueue <= 0 || s.down {
 		return
@@ -227,11 +227,11 @@
 	}
 }
 
-// Collapsed tells whether the box is in its slow state.
+// Collapsed reports whether the server is in its slow state.
 func (s *Server) Collapsed() bool { return s.collapsedAt >= 0 }
 
-// Admit takes a request whose last byte has come. total is all the work that it brings, for the rule on cold boxes;
-// j.Work is the first part of it. The box must have been advanced to now.
+// Admit takes a request whose last byte has come. total is all the work that it brings, for the rule on cold servers;
+// j.Work is the first part of it. The server must have been advanced to now.
 func (s *Server) Admit(now time.Duration, j *Job, total float64) Admission {
 	s.recordLoad()
 	if s.down {
@@ -257,8 +257,8 @@
 	return Admitted
 }
 
-// recordWarmupWork counts the work that arrives at a cold box, and knocks the box over when it is too much. One request is free:
-// a box so small that a single one is over its budget can be sent nothing otherwise.
+// recordWarmupWork counts the work that arrives at a cold server, and knocks the server over when it is too much. One request is free:
+// a server so small that a single one is over its budget can be sent nothing otherwise.
 func (s *Server) recordWarmupWork(now time.Duration, work float64) {
 	if s.rules.WarmupOverload <= 0 || s.CapacityFraction(now) == 1 {
 		s.recentWork, s.recentWorkSum = nil, 0
@@ -277,15 +277,15 @@
 	}
 }
 
-// WarmupBudget is the work that a cold box may be sent within the rule's window, in seconds.
+// WarmupBudget is the work that a cold server may be sent within the rule's window, in seconds.
 func (s *Server) WarmupBudget(now time.Duration) float64 {
 	return s.rules.WarmupOverload * s.Capacity(now) * s.rules.OverloadWindow.Seconds()
 }
 
-// WarmupPeak is the most work that the box was sent within the rule's window while cold, in multiples of what it could do then.
+// WarmupPeak is the most work that the server was sent within the rule's window while cold, in multiples of what it could do then.
 func (s *Server) WarmupPeak() float64 { return s.warmupPeak }
 
-// FellOver tells whether the box was sent too much while cold and has fallen over.
+// FellOver reports whether the server was sent too much while cold and has fallen over.
 func (s *Server) FellOver() bool { return s.fellOver }
 
 func (s *Server) startJob(j *Job) {
@@ -300,7 +300,7 @@
 	}
 }
 
-// Finish takes a job off the box and gives its slot to the next that waits. A job that is over already is left alone.
+// Finish takes a job off the server and returns its slot to the next that waits. A job that is over already is left alone.
 func (s *Server) Finish(j *Job) {
 	if j.Finished() {
 		return
@@ -341,16 +341,16 @@
 	}
 }
 
-// SetSlowdown sets how many times slower than usual the machine is. The box must have been advanced to now.
+// SetSlowdown sets how many times slower than usual the machine is. The server must have been advanced to now.
 func (s *Server) SetSlowdown(factor float64) { s.slowdown = factor }
 
-// Drain makes the box turn new requests away.
+// Drain makes the server reject new requests.
 func (s *Server) Drain() { s.draining = true }
 
-// Draining tells whether the box turns new requests away.
+// Draining reports whether the server rejects new requests.
 func (s *Server) Draining() bool { return s.draining }
 
-// Down tells whether the process is gone.
+// Down reports whether the process is gone.
 func (s *Server) Down() bool { return s.down }
 
 // Crash ends the process: all jobs are over, none answered.
@@ -375,7 +375,7 @@
 	return true
 }
 
-// Disconnect gives a connection back.
+// Disconnect closes a connection.
 func (s *Server) Disconnect() { s.conns = max(s.conns-1, 0) }
 
 // recordLoad records the load as it has been up to now, at the instants at which reports are refreshed. The driver calls what
--- a/internal/experiment/server/server_test.go
+++ b/internal/experiment/server/server_test.go
@@ -9,14 +9,14 @@
 	"rowancart/internal/experiment"
 )
 
-// station plays one box by itself: requests arrive at random and compute once.
+// station plays one server by itself: requests arrive at random and compute once.
 type station struct {
 	kind    experiment.Kind
 	rate    float64 // arrivals a second
 	work    func(*rand.Rand) float64
 	count   int
 	waits   float64 // mean time not spent computing, seconds
-	lost    float64 // share turned away
+	lost    float64 // share rejected
 	replies float64 // mean time to the end
 }
 
@@ -134,7 +134,7 @@
 
 func job(work float64) *Job { return &Job{Work: work} }
 
-// ends plays a box until an instant and gives when each job's work was through.
+// ends plays a server until an instant and returns when each job's work was through.
 func ends(b *Server, until time.Duration) []time.Duration {
 	var at []time.Duration
 	for next := b.NextEvent(); next <= until; next = b.NextEvent() {
--- /dev/null
+++ b/internal/experiment/site.go
@@ -0,0 +1,175 @@
+package experiment
+
+import (
+	"time"
+
+	"rowancart/balancer"
+)
+
+// Site is the service under test.
+type Site struct {
+	Balancers           int // instances before the first tier
+	ConfiguredBalancers int // how many their settings say there are; 0: Balancers
+	NetworkDelay        time.Duration
+	NetworkJitter       float64 // fraction of NetworkDelay by which a delay differs at most, either way
+	Discovery           Discovery
+	Classes             []Class
+	Tenants             []Tenant
+	Tiers               []Tier // from the clients inwards
+	Rules               Rules
+	Limits              Limits
+	MaxAttempts         int // for one request
+}
+
+// Discovery says how long a change of an endpoint list takes to reach the instances.
+type Discovery struct {
+	Delay  time.Duration // to the first instance
+	Spread time.Duration // from the first to the last
+}
+
+// Rules are the parameters of the invariants.
+type Rules struct {
+	ResponseSlack       time.Duration // a final response is in time up to this long after the deadline
+	DrainGrace          time.Duration // an instance notified that a server drains or is gone may send to it for this long
+	WarmupOverload      float64       // a warming server falls over when sent more than this multiple of its capacity
+	OverloadWindow      time.Duration // within this time
+	ImproperPeerTimeout time.Duration // a peer that sends no proper request must be disconnected within this time
+}
+
+// Limits are what a program under test may use on sockets; 0 stands for no limit.
+type Limits struct {
+	MemoryMB    int
+	Descriptors int
+	Cores       float64
+}
+
+// Distribution is the distribution of a class's work.
+type Distribution string
+
+// The distributions.
+const (
+	Exponential Distribution = "exponential"
+	LogNormal   Distribution = "lognormal"
+	Fixed       Distribution = "fixed"
+)
+
+// Class is a class of requests.
+type Class struct {
+	Name                 string
+	Repeat               balancer.Repeatability
+	TrafficShare         float64       // relative to the other classes
+	Work                 time.Duration // mean, on a core of speed 1, over all tiers
+	OffCPUTime           time.Duration // spent at the last tier without using a core
+	Distribution         Distribution
+	VariationCoefficient float64 // standard deviation of the work over its mean, for LogNormal
+	CacheHitRatio        float64 // fraction of requests that a cache answers
+	CacheHitWork         time.Duration
+	LatencyObjective     time.Duration
+	Deadline             time.Duration
+	PriorityWeight       float64
+}
+
+// Tenant is one of the parties that share the service.
+type Tenant struct {
+	Name         string
+	TrafficShare float64 // relative to the other tenants
+	Quota        float64 // requests a second
+}
+
+// Tier is a set of servers that do the same.
+type Tier struct {
+	Name         string
+	Servers      int
+	WorkFraction float64 // of a request's work, for each call
+	Calls        int     // calls to the next tier for each request, one after another
+	Kinds        []Kind
+	Server       ServerSpec // what all kinds have in common
+}
+
+// Kind is a kind of machine.
+type Kind struct {
+	Name       string
+	Fraction   float64 // of the tier's servers, relative to the other kinds
+	Cores      int
+	Speed      float64 // of a core, relative to the core that Class.Work is given for
+	Slots      int     // requests processed at once
+	QueueLimit int     // requests that may wait for a slot; more are rejected
+}
+
+// ServerSpec holds the properties of a server that do not depend on its kind. A zero value turns
+// the property off.
+type ServerSpec struct {
+	// Warm-up: capacity grows linearly after a start.
+
+	InitialCapacity float64 // fraction of the full capacity
+	WarmupTime      time.Duration
+
+	// Overload collapse: a server with long queues becomes slower, and stays so until it recovers.
+
+	CollapseQueue    float64       // waiting requests per core
+	CollapseAfter    time.Duration // that many must wait for this long
+	CollapseSlowdown float64       // how many times slower the server becomes
+	RecoveryLoad     float64       // requests per core, below which it recovers
+	RecoveryAfter    time.Duration // load must be below RecoveryLoad for this long
+	MaxCollapse      time.Duration // it recovers after this in any case
+
+	ConnWork        time.Duration // CPU time to accept a connection
+	ConnLimit       int
+	ConnIdleTimeout time.Duration // the server closes a connection that has been idle for this long
+
+	ReportInterval time.Duration // between refreshes of the load report
+	ReportDelay    time.Duration // age of a refresh when responses begin to carry it
+	ReportNoise    float64       // standard deviation, as a fraction of the load
+
+	ErrorRate       float64 // fraction of requests answered 500 without any fault
+	CancelStopsWork bool    // canceling an attempt stops its work
+}
+
+// AssignedIndex returns the index and the number of instances that the settings of an instance
+// before a tier name.
+func (s Site) AssignedIndex(tier, index, count int) (assigned, total int) {
+	if tier == 0 && s.ConfiguredBalancers > 0 {
+		return index % s.ConfiguredBalancers, s.ConfiguredBalancers
+	}
+	return index, count
+}
+
+// maxRetryAfter is the longest Retry-After that the design may send in an experiment.
+const maxRetryAfter = 2 * time.Second
+
+// Settings returns the balancer's settings for instance index of count before a tier.
+func (s Site) Settings(tier, index, count int, seed uint64) balancer.Settings {
+	index, count = s.AssignedIndex(tier, index, count)
+	server := s.Tiers[tier].Server
+	out := balancer.Settings{
+		Seed:              seed,
+		Instances:         count,
+		Index:             index,
+		Tier:              tier,
+		TiersBelow:        len(s.Tiers) - 1 - tier,
+		MaxAttempts:       s.MaxAttempts,
+		CancelAllowed:     true,
+		Resolution:        time.Millisecond,
+		SlowStartCapacity: server.InitialCapacity,
+		SlowStartWindow:   server.WarmupTime,
+		MaxRetryAfter:     maxRetryAfter,
+	}
+	for _, c := range s.Classes {
+		out.Classes = append(out.Classes, balancer.Class{Name: c.Name, Repeat: c.Repeat,
+			LatencyObjective: c.LatencyObjective})
+	}
+	for _, t := range s.Tenants {
+		out.Tenants = append(out.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
+	}
+	return out
+}
+
+// TierIndex returns the index of a tier by name, or -1.
+func (s Site) TierIndex(name string) int {
+	for i, t := range s.Tiers {
+		if t.Name == name {
+			return i
+		}
+	}
+	return -1
+}
--- a/internal/experiment/speed/endpoints.go
+++ b/internal/experiment/speed/endpoints.go
@@ -22,7 +22,7 @@
 )
 
 // serverGroup answer every request at once with 12 bytes. They take well-formed requests for granted: the programs between are
-// what is measured, and boxes and clients must cost as little as they can.
+// what is measured, and servers and clients must cost as little as they can.
 type serverGroup struct {
 	addrs     []string
 	listeners []net.Listener
@@ -81,7 +81,7 @@
 	g.conns.Wait()
 }
 
-// skipMessage reads one message with a Content-Length, and gives its first line.
+// skipMessage reads one message with a Content-Length, and returns its first line.
 func skipMessage(in *bufio.Reader) (first string, err error) {
 	length := 0
 	for {
@@ -146,7 +146,7 @@
 	return t, nil
 }
 
-// ServeFast serves as the rival on fasthttp: a server and its LBClient, which sends to the endpoint with the fewest requests
+// ServeFast serves as the baseline on fasthttp: a server and its LBClient, which sends to the endpoint with the fewest requests
 // out, until ctx ends.
 func ServeFast(ctx context.Context, listen string, endpoints []string) error {
 	var lb fasthttp.LBClient
--- a/internal/experiment/speed/speed.go
+++ b/internal/experiment/speed/speed.go
@@ -1,5 +1,5 @@
-// Package speed measures how fast the programs pass requests on, beside rivals in the same run: each is a process of its own
-// with so many cores, before the same boxes, under the same clients, in turns.
+// Package speed measures how fast the programs pass requests on, beside baselines in the same run: each is a process of its own
+// with so many cores, before the same servers, under the same clients, in turns.
 package speed
 
 import (
@@ -35,7 +35,7 @@
 	Rounds          int      // in which each program has a turn
 	SampleTime      time.Duration
 	IdleConnections int    // further connections of clients that send nothing
-	Self            string // this program, which serves as the daemon and as the rivals
+	Self            string // this program, which serves as the daemon and as the baselines
 	Sidecar         string // the platform's program
 	Dir             string // for configurations and logs
 }
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	defer servers.close()
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // a roster that has no news
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // a discovery service that has no news
 	if err != nil {
 		return nil, err
 	}
@@ -146,7 +146,7 @@
 	return out, nil
 }
 
-// result gives medians: a machine that others use, too, has bad moments.
+// result returns medians: a machine that others use, too, has bad moments.
 func (p *program) result() Result {
 	r := Result{Program: p.name, Memory: p.peakMemory()}
 	median := func(of func(t sample) float64) float64 {
@@ -167,7 +167,7 @@
 	return r
 }
 
-// Text prints results, with ratios to each rival.
+// Text prints results, with ratios to each baseline.
 func Text(w io.Writer, results []Result) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	rate := map[string]float64{}
@@ -189,7 +189,7 @@
 	return tw.Flush()
 }
 
-// startProgram starts a program before the boxes.
+// startProgram starts a program before the servers.
 func startProgram(o Options, name string, servers []string, discoveryAddr string) (*program, error) {
 	addr, err := freeAddress()
 	if err != nil {
@@ -303,7 +303,7 @@
 	}
 }
 
-// cpuTime gives the processor time that a program has used.
+// cpuTime returns the processor time that a program has used.
 func (p *program) cpuTime() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/schedstat", p.cmd.Process.Pid))
 	if err == nil && p.cmd.ProcessState == nil {
@@ -320,7 +320,7 @@
 	return 0
 }
 
-// peakMemory gives the most bytes that a program had resident.
+// peakMemory returns the most bytes that a program had resident.
 func (p *program) peakMemory() int64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	for line := range strings.Lines(string(text)) {
@@ -332,7 +332,7 @@
 	return 0
 }
 
-// measure gives a program its turn.
+// measure returns a program its turn.
 func (p *program) measure(ctx context.Context, o Options) (sample, error) {
 	var all errgroup.Group
 	began, used := time.Now(), p.cpuTime()
--- a/internal/experiment/subsets/subsets.go
+++ b/internal/experiment/subsets/subsets.go
@@ -18,7 +18,7 @@
 	"rowancart/internal/subset"
 )
 
-// chooser gives the endpoints of each instance after each change of the list.
+// chooser returns the endpoints of each instance after each change of the list.
 type chooser func(boxes []string) [][]string
 
 // methods are what is compared, ours first.
@@ -91,7 +91,7 @@
 	return out
 }
 
-// rendezvous gives each instance the endpoints that score highest with its name (Thaler and Ravishankar, 1996): a random
+// rendezvous returns each instance the endpoints that score highest with its name (Thaler and Ravishankar, 1996): a random
 // subset that needs no number and moves as little as can be.
 func rendezvous(instances, size int, servers []string) [][]string {
 	type scored struct {
--- a/internal/experiment/testbed/breach_test.go
+++ b/internal/experiment/testbed/breach_test.go
@@ -28,7 +28,7 @@
 
 	mu        sync.Mutex
 	endpoints []listEntry  // ready ones, the newest last
-	next      atomic.Int64 // of the boxes
+	next      atomic.Int64 // of the servers
 	requests  atomic.Int64
 	responses atomic.Int64 // requests whose answer is written
 	server    *http.Server
@@ -230,7 +230,7 @@
 			Tiers: []experiment.Tier{{Name: "box", Servers: 4, WorkFraction: 1, Kinds: []experiment.Kind{{Name: "std", Fraction: 1, Cores: 1, Speed: 1, Slots: 8, QueueLimit: 50}},
 				Server: experiment.ServerSpec{InitialCapacity: 0.05, WarmupTime: 10 * time.Second}}},
 			Rules: experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4, OverloadWindow: time.Second, ImproperPeerTimeout: 1500 * time.Millisecond}},
-		Load: experiment.Load{Rate: 80, Process: "poisson", Clients: experiment.Clients{MinPatience: 1}},
+		Load: experiment.Load{Rate: 80, Process: experiment.Poisson, Clients: experiment.Clients{MinPatience: 1}},
 	}
 }
 
--- a/internal/experiment/testbed/clientconn.go
+++ b/internal/experiment/testbed/clientconn.go
@@ -27,7 +27,7 @@
 
 const maxBody = 64 << 10
 
-// digest sums up all of a request that must reach boxes unchanged.
+// digest sums up all of a request that must reach servers unchanged.
 func digest(method, target, id string, body []byte) uint64 {
 	h := xxhash.New()
 	fmt.Fprintf(h, "%s %s %s %d ", method, target, id, len(body))
@@ -80,14 +80,14 @@
 	errClosed  = errors.New("closed without an answer")
 )
 
-// clientConn is a caller's connection to a sidecar. It carries one request at a time.
+// clientConn is a client's connection to a sidecar. It carries one request at a time.
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
 	used   bool
 }
 
-// connPool are one caller's connections to one sidecar.
+// connPool are one client's connections to one sidecar.
 type connPool struct {
 	addr string
 
--- a/internal/experiment/testbed/clients.go
+++ b/internal/experiment/testbed/clients.go
@@ -16,7 +16,7 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// requestInfo is what boxes must know of a request to play their part.
+// requestInfo is what servers must know of a request to play their part.
 type requestInfo struct {
 	classIndex int
 	work       float64 // seconds, over all tiers
@@ -25,10 +25,10 @@
 	deadline   time.Duration // the class's whole time
 }
 
-// storeRequest notes what boxes must know of a request.
+// storeRequest notes what servers must know of a request.
 func (r *testRun) storeRequest(id string, q requestInfo) { r.requests.Store(id, q) }
 
-// requestInfo gives what is known of a request; nothing is known of one that no client sent.
+// requestInfo returns what is known of a request; nothing is known of one that no client sent.
 func (r *testRun) requestInfo(id string) requestInfo {
 	if q, ok := r.requests.Load(id); ok {
 		return q.(requestInfo)
@@ -44,7 +44,7 @@
 	return r.e.Site.Classes[q.classIndex].OffCPUTime
 }
 
-// attemptOutcome is how a try ended.
+// attemptOutcome is how an attempt ended.
 type attemptOutcome struct {
 	outcome       invariant.Outcome
 	retryAfter    time.Duration
@@ -52,7 +52,7 @@
 	clientLeft    bool
 }
 
-// timingSlack is how long after the deadline an answer still counts on sockets, as for the ledger.
+// timingSlack is how long after the deadline an answer still counts on sockets, as for the checker.
 const timingSlack = 50 * time.Millisecond
 
 // send sends a request to a sidecar and waits for its end. A connection that closes without an answer before a request
@@ -187,7 +187,7 @@
 	r.counters.Record(c, v.Class, v.Tenant, v.At, took, f)
 }
 
-// pickSidecar deals a client to one of the sidecars that the front knows to be up, or to any if none is.
+// pickSidecar deals a client to one of the sidecars that the front tier's load balancer knows to be up, or to any if none is.
 func (r *testRun) pickSidecar(n uint64) *sidecar {
 	for i := range r.frontSidecars {
 		if s := r.frontSidecars[(n+uint64(i))%uint64(len(r.frontSidecars))]; s.up.Load() {
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -13,7 +13,7 @@
 	"rowancart/balancer"
 )
 
-// listEntry is a box as the roster lists it (PROTOCOL, Discovery).
+// listEntry is a server as the discovery service lists it (PROTOCOL, Discovery).
 type listEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -25,7 +25,7 @@
 	StartedMs int64   `json:"started_ms"`
 }
 
-// endpointList is one message of the roster.
+// endpointList is one message of the discovery service.
 type endpointList struct {
 	Version int         `json:"version"`
 	Full    bool        `json:"full"`
@@ -42,7 +42,7 @@
 
 var endpointStates = map[string]balancer.State{stateReady: balancer.Ready, stateDraining: balancer.Draining, stateGone: balancer.Gone}
 
-// discoveryServer is the roster as one sidecar sees it, at an address of its own.
+// discoveryServer is the discovery service as one sidecar sees it, at an address of its own.
 type discoveryServer struct {
 	onDelivered func(listEntry) // is called when an entry has been written to the sidecar
 
--- a/internal/experiment/testbed/program.go
+++ b/internal/experiment/testbed/program.go
@@ -54,7 +54,7 @@
 	Kill()
 	// Done is closed when it has ended.
 	Done() <-chan struct{}
-	// ExitReason tells how it ended, with the last that it wrote.
+	// ExitReason returns how it ended, with the last that it wrote.
 	ExitReason() string
 	// Usage tells what it uses and the CPU time that it has used; ok is false where that can't be known.
 	Usage() (u invariant.Usage, cpu time.Duration, ok bool)
--- a/internal/experiment/testbed/servers.go
+++ b/internal/experiment/testbed/servers.go
@@ -23,7 +23,7 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// emulatedServer is a stand-in box: the model behind a listener. It reads HTTP/1.1 by itself, so that it knows when a request's
+// emulatedServer is a emulated server: the model behind a listener. It reads HTTP/1.1 by itself, so that it knows when a request's
 // first and last byte came and can break connections wherever a fault wants it.
 type emulatedServer struct {
 	run          *testRun
@@ -50,7 +50,7 @@
 	closed       bool
 }
 
-// activeFaults are those in force at a box.
+// activeFaults are those in force at a server.
 type activeFaults struct {
 	fastErrorRate, breakBeforeRate, breakAfterRate, truncateRate, corruptRate float64
 	responseDelay                                                             time.Duration
@@ -77,7 +77,7 @@
 	return h, nil
 }
 
-// listEntry is the box as the roster lists it now.
+// listEntry is the server as the discovery service lists it now.
 func (s *emulatedServer) listEntry(state string) listEntry {
 	e := listEntry{ID: s.name, Addr: s.listener.Addr().String(), Zone: "here", Kind: s.stats.Kind, State: state, Weight: 1}
 	s.mu.Lock()
@@ -156,7 +156,7 @@
 	}
 }
 
-// waitAccepting waits until the box is neither silent nor stalled, and tells whether it is still there.
+// waitAccepting waits until the server is neither silent nor stalled, and reports whether it is still there.
 func (s *emulatedServer) waitAccepting() bool {
 	for {
 		s.mu.Lock()
@@ -230,7 +230,7 @@
 	}
 }
 
-// respond works off one request and tells whether the connection may serve on.
+// respond works off one request and reports whether the connection may serve on.
 func (s *emulatedServer) respond(nc net.Conn, req *http.Request, body []byte, first, last time.Duration, dialed bool, died <-chan struct{}) bool {
 	id := req.Header.Get(idHeader)
 	class, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
@@ -345,7 +345,7 @@
 	return s.writeResponse(nc, died, status, answer, id)
 }
 
-// callNextTier asks the next tier through the box's own sidecar. A box carries no time on: the class's whole deadline is told.
+// callNextTier asks the next tier through the server's own sidecar. A server carries no time on: the class's whole deadline is told.
 func (s *emulatedServer) callNextTier(q requestInfo, class, id, method string, body []byte, n int) bool {
 	m := &request{id: id + "." + s.name + "." + strconv.Itoa(n), method: method, target: "/" + class + "/" + strconv.Itoa(n), tenant: q.tenant,
 		patience: q.deadline, body: body}
@@ -437,7 +437,7 @@
 	}
 }
 
-// restart brings a crashed box back, cold.
+// restart brings a crashed server back, cold.
 func (s *emulatedServer) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -445,7 +445,7 @@
 	s.crashed = make(chan struct{})
 }
 
-// close ends the box for good.
+// close ends the server for good.
 func (s *emulatedServer) close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/experiment/testbed/testbed.go
+++ b/internal/experiment/testbed/testbed.go
@@ -1,4 +1,4 @@
-// Package testbed plays an experiment on real sockets: stand-in boxes, roster and clients on loopback addresses, and the
+// Package testbed plays an experiment on real sockets: emulated servers, endpoint list and clients on loopback addresses, and the
 // programs under test as child processes. It measures its own lateness: a play in which it was late says nothing.
 package testbed
 
@@ -48,12 +48,12 @@
 	count     int
 	addr      string
 	discovery *discoveryServer
-	conns     *connPool // of the clients; a box's own are the box's
+	conns     *connPool // of the clients; a server's own are the server's
 
 	discoverySpread float64
 	starts          int
-	up              atomic.Bool // the front uses it
-	killed          atomic.Bool // by the rig: what was open on it is excused
+	up              atomic.Bool // the front tier's load balancer uses it
+	killed          atomic.Bool // by the test bed: what was open on it is excused
 
 	mu         sync.Mutex
 	running    Instance
@@ -88,7 +88,7 @@
 	sidecarAddrs    int
 	discoverySilent bool
 	discoveryDelay  time.Duration
-	withheld        []notice // while the roster is silent
+	withheld        []notice // while the discovery service is silent
 	cost            report.Cost
 	faults          sync.WaitGroup
 }
@@ -192,7 +192,7 @@
 	}
 }
 
-// build starts boxes, rosters and programs, and waits until all are healthy.
+// build starts servers, rosters and programs, and waits until all are healthy.
 func (r *testRun) build() error {
 	site := r.e.Site
 	r.servers = make([][]*emulatedServer, len(site.Tiers))
@@ -232,7 +232,7 @@
 	return starts.Wait()
 }
 
-// newServerSidecar makes the sidecar through which a box calls the next tier, if it does.
+// newServerSidecar makes the sidecar through which a server calls the next tier, if it does.
 func (r *testRun) newServerSidecar(h *emulatedServer) (*sidecar, error) {
 	t := r.e.Site.Tiers[h.tier]
 	if h.tier+1 >= len(r.e.Site.Tiers) || t.Calls == 0 {
@@ -246,7 +246,7 @@
 	return s, nil
 }
 
-// newSidecar finds an address for a sidecar and gives it a roster of its own. Each has an IP address that no outgoing
+// newSidecar finds an address for a sidecar and returns it a discovery service of its own. Each has an IP address that no outgoing
 // connection uses, so that its port stays free while it is down.
 func (r *testRun) newSidecar(name string, tier, index, count int) (*sidecar, error) {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.80.%d.%d:0", r.sidecarAddrs/250, r.sidecarAddrs%250+1))
@@ -545,7 +545,7 @@
 	}
 }
 
-// replaceServer drains a box, ends it after the time for that, and starts a cold successor in its place.
+// replaceServer drains a server, ends it after the time for that, and starts a cold successor in its place.
 func (r *testRun) replaceServer(h *emulatedServer, drain time.Duration) {
 	h.mu.Lock()
 	h.model.Drain()
@@ -601,7 +601,7 @@
 	}
 }
 
-// fillResult gives what was measured.
+// fillResult returns what was measured.
 func (r *testRun) fillResult(out *report.Run) {
 	now := r.now()
 	out.Verdicts = r.checker.Close(now)
--- a/internal/experiment/traffic/faults.go
+++ b/internal/experiment/traffic/faults.go
@@ -15,13 +15,13 @@
 	At     time.Duration
 	Kind   experiment.FaultKind
 	Tier   int // -1: not a tier's
-	Server int // place in its tier; -1: not a box's
+	Server int // place in its tier; -1: not a server's
 	On     bool
 	Fault  *experiment.Fault
 }
 
-// Timeline lays out the faults of an experiment: which boxes are struck and when, in order of time. Deploy becomes
-// a Change with On for each box to be drained and replaced; the driver ends it Period later.
+// Timeline lays out the faults of an experiment: which servers are struck and when, in order of time. Deploy becomes
+// a Change with On for each server to be drained and replaced; the driver ends it Period later.
 func Timeline(e *experiment.Experiment, seed uint64) []FaultEvent {
 	var out []FaultEvent
 	for i := range e.Faults {
@@ -71,12 +71,12 @@
 	return out
 }
 
-// NumAffected is how many of n boxes a part is: one at least.
+// NumAffected is how many of n servers a part is: one at least.
 func NumAffected(part float64, n int) int {
 	return min(max(int(math.Round(part*float64(n))), 1), n)
 }
 
-// KindOf gives the kind of the box at a place in its tier. Shares are dealt out evenly, so that the first boxes of a tier
+// KindOf returns the kind of the server at a place in its tier. Shares are dealt out evenly, so that the first servers of a tier
 // are a fair mix of its kinds.
 func KindOf(t experiment.Tier, index int) experiment.Kind {
 	best, largestDeficit := 0, math.Inf(-1)
@@ -97,7 +97,7 @@
 	return t.Kinds[best]
 }
 
-// ServerName is the name of the box at a place in its tier; generation counts its successors.
+// ServerName is the name of the server at a place in its tier; generation counts its successors.
 func ServerName(t experiment.Tier, index, generation int) string {
 	if generation == 0 {
 		return fmt.Sprintf("%s-%d", t.Name, index)
--- a/internal/experiment/traffic/traffic.go
+++ b/internal/experiment/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic draws what clients ask for: the same list of requests for every arm of an experiment, whatever the
-// arm does. It is pure.
+// Package traffic draws what clients ask for: the same list of requests for every variant of an experiment, whatever the
+// variant does. It is pure.
 package traffic
 
 import (
@@ -17,13 +17,13 @@
 	At               time.Duration // intended time of sending, from which its latency counts
 	Class            int           // in Site.Classes
 	Tenant           int           // in Site.Tenants, -1 where there are none
-	Patience         time.Duration // of one try
+	Patience         time.Duration // of one attempt
 	Work             float64       // seconds on a core of speed 1, over all tiers, of a typical call
 	DisconnectsAfter time.Duration // the client leaves without a word after this; 0: it stays
 	Seed             uint64        // for all that is drawn for it later
 }
 
-// Draw gives the requests of an experiment in order of arrival.
+// Draw returns the requests of an experiment in order of arrival.
 func Draw(e *experiment.Experiment, seed uint64) []Request {
 	arrivals := experiment.Rand(seed, "arrivals")
 	rng := experiment.Rand(seed, "requests")
@@ -46,7 +46,7 @@
 }
 
 func arrivalTimes(e *experiment.Experiment, rng *rand.Rand) []time.Duration {
-	if e.Load.Process == "recorded" {
+	if e.Load.Process == experiment.Recorded {
 		out := slices.Clone(e.Load.Recorded)
 		slices.Sort(out)
 		return slices.DeleteFunc(out, func(at time.Duration) bool { return at >= e.Duration })
@@ -80,7 +80,7 @@
 }
 
 func drawGap(e *experiment.Experiment, rng *rand.Rand) float64 {
-	if e.Load.Process == "steady" {
+	if e.Load.Process == experiment.Steady {
 		return 1
 	}
 	return rng.ExpFloat64()
--- a/internal/experiment/virtual/client.go
+++ b/internal/experiment/virtual/client.go
@@ -18,7 +18,7 @@
 	sim      *simulation
 	index    int // place in the list
 	attempts int
-	current  *call  // the try that is on
+	current  *call  // the attempt that is on
 	timeout  *event // its end
 }
 
@@ -62,7 +62,7 @@
 			}
 		})
 	}
-	// The client's own clock ends the try. What the instance still owes it, the ledger watches.
+	// The client's own clock ends the attempt. What the instance still owes it, the checker watches.
 	v.timeout = s.scheduleCancelable(clients, deadline+s.e.Site.Rules.ResponseSlack, c, clientTimesOut)
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// attemptEnded takes the end of one try: the request's end, or a retry where the client may ask again.
+// attemptEnded takes the end of one attempt: the request's end, or a retry where the client may ask again.
 func (s *simulation) attemptEnded(now time.Duration, v *clientRequest, f invariant.Outcome, retryAfter time.Duration) {
 	class := &s.e.Site.Classes[v.Class]
 	took := now - v.At
--- a/internal/experiment/virtual/eventqueue.go
+++ b/internal/experiment/virtual/eventqueue.go
@@ -191,7 +191,7 @@
 	q.heap[i], e.heapIndex = e, i
 }
 
-// runNext runs the next event if it is due by end, and tells whether it was.
+// runNext runs the next event if it is due by end, and reports whether it was.
 func (q *eventQueue) runNext(end time.Duration) bool {
 	if q.fillHeap(); len(q.heap) == 0 || q.heap[0].at > end {
 		return false
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -28,7 +28,7 @@
 	retryAfter time.Duration
 }
 
-// callOrigin is who made a call: a client, or a box for the tier below.
+// callOrigin is who made a call: a client, or a server for the tier below.
 type callOrigin interface {
 	callEnded(now time.Duration, c *call)
 	callTimedOut(now time.Duration, c *call)
@@ -52,7 +52,7 @@
 	}
 }
 
-// end tells the caller, after a delay, how its call ended.
+// end tells the client, after a delay, how its call ended.
 func (c *call) end(at time.Duration, f invariant.Outcome, retryAfter time.Duration) {
 	c.outcome, c.retryAfter = f, retryAfter
 	c.instance.sim.schedule(&c.instance.eventSource, at, c, responseArrives)
@@ -65,7 +65,7 @@
 	call                *call
 	number              int
 	server              *serverNode
-	serverIncarnation   int // of the box, when the connection was made
+	serverIncarnation   int // of the server, when the connection was made
 	sentAt              time.Duration
 	newConn             bool // on a new connection
 	holdsConn           bool // holds a connection
@@ -85,7 +85,7 @@
 	count           int
 	server          *serverNode
 	policy          balancer.Events
-	discoverySpread float64 // its place in the roster's spread
+	discoverySpread float64 // its place in the discovery service's spread
 	notifiedAt      time.Duration
 	missedChanges   []balancer.Endpoint
 	down            bool
@@ -111,7 +111,7 @@
 	return in
 }
 
-// start begins with no knowledge but the roster's list.
+// start begins with no knowledge but the discovery service's list.
 func (in *instance) start(now time.Duration) {
 	w := in.sim
 	in.starts++
@@ -139,7 +139,7 @@
 	}
 }
 
-// kill ends the process: its connections break, callers see that at once, and what boxes have of it they go on with.
+// kill ends the process: its connections break, clients see that at once, and what servers have of it they go on with.
 func (in *instance) kill(now time.Duration) {
 	if in.down {
 		return
@@ -150,7 +150,7 @@
 	}
 	in.incarnation++
 	in.sim.checker.RecordKill(in.name)
-	for h, conns := range in.idleConns { // boxes forget them: the order does not matter
+	for h, conns := range in.idleConns { // servers forget them: the order does not matter
 		for _, c := range conns {
 			if c.serverIncarnation == h.incarnation {
 				h.model.Disconnect()
@@ -182,7 +182,7 @@
 // retryAfterUnreachable stands for advice where nobody was there to take the request.
 const retryAfterUnreachable = time.Duration(-1)
 
-// receive gives the instance a request.
+// receive returns the instance a request.
 func (in *instance) receive(now time.Duration, c *call) {
 	w := in.sim
 	if in.down {
@@ -212,7 +212,7 @@
 	}
 }
 
-// clientLeft reports that the caller has gone.
+// clientLeft reports that the client has gone.
 func (in *instance) clientLeft(now time.Duration, c *call) {
 	if in.down || c.ended || in.calls[c.id] != c {
 		return
@@ -223,7 +223,7 @@
 	in.removeIfDone(c)
 }
 
-// respond gives a request's final answer.
+// respond returns a request's final answer.
 func (in *instance) respond(now time.Duration, c *call, f invariant.Outcome, retryAfter time.Duration) {
 	if c == nil || c.ended {
 		return
@@ -271,7 +271,7 @@
 	in.removeIfDone(c)
 }
 
-// arrivesAtServer is what happens to an attempt at its box; all else that happens is its end, by its result.
+// arrivesAtServer is what happens to an attempt at its server; all else that happens is its end, by its result.
 const arrivesAtServer = -1
 
 func (a *attempt) act(now time.Duration, what int) {
@@ -292,7 +292,7 @@
 	a.instance.sim.schedule(&a.instance.eventSource, at, a, int(r))
 }
 
-// sendResult carries what the box sent, or the break of the connection, to the instance.
+// sendResult carries what the server sent, or the break of the connection, to the instance.
 func (a *attempt) sendResult(now time.Duration, r balancer.Result) {
 	if !a.ended {
 		a.scheduleEnd(now+a.instance.sim.networkDelay(), r)
@@ -422,7 +422,7 @@
 	in.respond(in.sim.now, in.calls[id], invariant.Failed, 0)
 }
 
-// Subscribe implements balancer.Host. The roster tells without being asked.
+// Subscribe implements balancer.Host. The endpoint list tells without being asked.
 func (p *policyHost) Subscribe() {}
 
 // Timer implements balancer.Host.
--- a/internal/experiment/virtual/server.go
+++ b/internal/experiment/virtual/server.go
@@ -13,7 +13,7 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// serverNode is a box in the world: the model, what strikes it, and the instance that makes its calls.
+// serverNode is a server in the world: the model, what strikes it, and the instance that makes its calls.
 type serverNode struct {
 	eventSource
 	sim                *simulation
@@ -28,7 +28,7 @@
 	addedAt, removedAt time.Duration
 	incarnation        int // crashes so far: connections of an earlier one are broken
 
-	nextWakeup   time.Duration // for which the box is scheduled
+	nextWakeup   time.Duration // for which the server is scheduled
 	tasks        []*task       // what it has in hand
 	finishedJobs []*server.Job
 
@@ -41,10 +41,10 @@
 	unresponsive      bool
 	acceptStalled     bool
 
-	arrivalsBySecond []int64 // by second, of a fresh box
+	arrivalsBySecond []int64 // by second, of a fresh server
 }
 
-// task is a request in a box.
+// task is a request in a server.
 type task struct {
 	server.Job
 	attempt        *attempt
@@ -104,7 +104,7 @@
 	}
 }
 
-// reschedule makes sure that the box is looked at when it wants to be. Wakes that came to be too early do no harm.
+// reschedule makes sure that the server is looked at when it wants to be. Wakes that came to be too early do no harm.
 func (n *serverNode) reschedule() {
 	next := n.model.NextEvent()
 	if next > n.sim.e.Duration+time.Hour || n.nextWakeup > n.sim.now && n.nextWakeup <= next {
@@ -138,10 +138,10 @@
 	}
 }
 
-// fullLoadFraction is the share of an even part from which a fresh box carries as much as the others.
+// fullLoadFraction is the share of an even part from which a fresh server carries as much as the others.
 const fullLoadFraction = 0.85
 
-// timeToFullLoad is how long after its coming a fresh box first had an even part of its tier's requests for a whole second.
+// timeToFullLoad is how long after its coming a fresh server first had an even part of its tier's requests for a whole second.
 func (n *serverNode) timeToFullLoad() time.Duration {
 	servers := float64(len(n.sim.servers[n.tier]))
 	for s := int(n.addedAt/time.Second) + 1; s < len(n.arrivalsBySecond); s++ {
@@ -231,7 +231,7 @@
 	}
 }
 
-// callNextTier asks the next tier, through the box's own instance. It carries no time: the class's whole deadline is told.
+// callNextTier asks the next tier, through the server's own instance. It carries no time: the class's whole deadline is told.
 func (n *serverNode) callNextTier(now time.Duration, e *task) {
 	e.callsLeft--
 	e.callsMade++
@@ -258,7 +258,7 @@
 	h.reschedule()
 }
 
-// callTimedOut implements callOrigin: a box waits for its sidecar's answer.
+// callTimedOut implements callOrigin: a server waits for its sidecar's answer.
 func (t *task) callTimedOut(time.Duration, *call) {}
 
 // finishTask answers a request and frees its slot.
--- a/internal/experiment/virtual/virtual.go
+++ b/internal/experiment/virtual/virtual.go
@@ -1,5 +1,5 @@
-// Package virtual plays an experiment in virtual time: a discrete-event run that hosts real Balancers, or rival
-// policies, before modelled boxes, network, roster and clients. The same experiment, arm and seed give the same result
+// Package virtual plays an experiment in virtual time: a discrete-event run that hosts real Balancers, or baseline
+// policies, before modelled servers, network, endpoint list and clients. The same experiment, variant and seed give the same result
 // to the byte on any machine.
 package virtual
 
@@ -37,7 +37,7 @@
 const (
 	balancerEpoch    = 24 * time.Hour         // instances read this at the start: 0 means long ago to them
 	dialTimeout      = 250 * time.Millisecond // for connections that do not come up
-	fastErrorDelay   = time.Millisecond       // a box that fails fast answers after this
+	fastErrorDelay   = time.Millisecond       // a server that fails fast answers after this
 	maxLogs          = 100
 	progressInterval = time.Second // of virtual time
 )
@@ -61,8 +61,8 @@
 	instances        []*instance // of all tiers
 	discoverySilent  bool
 	discoveryDelay   time.Duration
-	endpointLists    [][]balancer.Endpoint // by tier: what the roster knows
-	arrivalsBySecond [][]int64             // by tier and second: requests that reached boxes
+	endpointLists    [][]balancer.Endpoint // by tier: what the discovery service knows
+	arrivalsBySecond [][]int64             // by tier and second: requests that reached servers
 	events           int
 	logs             []string
 }
@@ -129,7 +129,7 @@
 	return &Result{Counters: s.counters, Verdicts: s.checker.Close(s.now), Played: s.now, Events: s.events, Logs: s.logs}
 }
 
-// build makes boxes and instances, in any order.
+// build makes servers and instances, in any order.
 func (s *simulation) build(shuffle *rand.Rand) {
 	site := s.e.Site
 	s.servers = make([][]*serverNode, len(site.Tiers))
@@ -179,7 +179,7 @@
 	return d
 }
 
-// publishEndpoint changes what the roster says of a box and tells every instance of that tier, each in its own time.
+// publishEndpoint changes what the discovery service says of a server and tells every instance of that tier, each in its own time.
 func (s *simulation) publishEndpoint(now time.Duration, tier int, e balancer.Endpoint) {
 	list := s.endpointLists[tier]
 	found := false
@@ -274,7 +274,7 @@
 	h.reschedule()
 }
 
-// replaceServer drains a box, ends it after the time for that, and starts a cold successor in its place.
+// replaceServer drains a server, ends it after the time for that, and starts a cold successor in its place.
 func (s *simulation) replaceServer(now time.Duration, p *eventSource, h *serverNode, drain time.Duration) {
 	h.model.Drain()
 	s.publishEndpoint(now, h.tier, balancer.Endpoint{ID: h.name, Kind: h.stats.Kind, State: balancer.Draining})
@@ -293,7 +293,7 @@
 	})
 }
 
-// newServer makes a box and, unless its tier is the last, the instance beside it.
+// newServer makes a server and, unless its tier is the last, the instance beside it.
 func (s *simulation) newServer(tier, place, generation int, started time.Duration) *serverNode {
 	t := s.e.Site.Tiers[tier]
 	kind := traffic.KindOf(t, place)
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -30,7 +30,7 @@
 			Tiers: []experiment.Tier{{Name: "front", Servers: 6, WorkFraction: 0.4, Calls: 1, Kinds: kinds, Server: spec}, {Name: "back", Servers: 8, WorkFraction: 0.6, Kinds: kinds, Server: spec}},
 			Rules: experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4, OverloadWindow: time.Second},
 		},
-		Load: experiment.Load{Rate: 100, Process: "poisson", Clients: experiment.Clients{MinPatience: 0.6, Retries: 1, RetryWait: 100 * time.Millisecond, DisconnectRate: 0.02}},
+		Load: experiment.Load{Rate: 100, Process: experiment.Poisson, Clients: experiment.Clients{MinPatience: 0.6, Retries: 1, RetryWait: 100 * time.Millisecond, DisconnectRate: 0.02}},
 	}
 }
 
@@ -118,8 +118,8 @@
 	}
 }
 
-// Under every fault the design and the rivals may serve fewer, but keep every rule that is theirs to keep. Rivals know
-// nothing of cold boxes: that rule is the design's alone.
+// Under every fault the design and the baselines may serve fewer, but keep every rule that is theirs to keep. Rivals know
+// nothing of cold servers: that rule is the design's alone.
 func TestRulesUnderFaults(t *testing.T) {
 	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
 		r := run(t, withAllFaults(), policy, 3, nil)
@@ -157,7 +157,7 @@
 	}
 }
 
-// A box that dies while a caller in the tier above holds a slot for it: the caller's request ends, the slot is freed.
+// A server that dies while a client in the tier above holds a slot for it: the client's request ends, the slot is freed.
 func TestDeathBelowFreesTheSlotAbove(t *testing.T) {
 	e := calm()
 	e.Load.Clients = experiment.Clients{}
