--- /dev/null
+++ b/internal/experiment/invariant/requests.go
@@ -0,0 +1,173 @@
+package invariant
+
+import (
+	"slices"
+	"time"
+
+	"rowancart/balancer"
+)
+
+// Outcome is a final response as its client saw it.
+type Outcome int
+
+// The outcomes.
+const (
+	Served Outcome = iota
+	Rejected
+	Failed
+	Truncated // begun and visibly cut short: a failure, but a response
+)
+
+// Request is a request as its client sent it.
+type Request struct {
+	ID          string
+	Instance    string // of the program under test that received it
+	Repeat      balancer.Repeatability
+	Deadline    time.Duration
+	Digest      uint64 // of all that must reach servers unchanged
+	MaxAttempts int    // allowed by the class's policy; 0: no limit
+	NeverRerun  bool   // the class's policy forbids a retry after an attempt that may have run, whatever Repeat is
+}
+
+// request is a Request and what became of it.
+type request struct {
+	Request
+	answered   bool // has its final response, or was judged for the lack of one
+	waived     bool // no response is due: its instance was killed, or its client left
+	outcome    Outcome
+	executions []execution
+}
+
+// execution is the arrival of a request at a server, which runs it unless it rejects it.
+type execution struct {
+	server         string
+	at             time.Duration
+	rejectedAt     time.Duration // 0: not rejected
+	responseDigest uint64        // of the response that the server made; 0: none
+}
+
+// mayHaveRunBy reports whether the execution was not yet rejected at an instant.
+func (e execution) mayHaveRunBy(at time.Duration) bool { return e.rejectedAt == 0 || e.rejectedAt > at }
+
+// mayHaveExecuted reports whether a server may have run the request.
+func (r *request) mayHaveExecuted() bool {
+	return slices.ContainsFunc(r.executions, func(e execution) bool { return e.rejectedAt == 0 })
+}
+
+// retention is how long a request is remembered after its deadline. Late duplicates arrive within
+// it.
+const retention = 5 * time.Second
+
+// RecordRequest records that an instance has received a request: its last byte was written to an
+// accepted connection. Requests whose retention is over are forgotten.
+func (c *Checker) RecordRequest(now time.Duration, r Request) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	req := &request{Request: r}
+	c.requests[r.ID] = req
+	c.byAge = append(c.byAge, req)
+	for len(c.byAge) > 0 && c.byAge[0].Deadline+retention < now {
+		c.expire(c.byAge[0])
+		delete(c.requests, c.byAge[0].ID)
+		c.byAge[0] = nil
+		c.byAge = c.byAge[1:]
+	}
+}
+
+// expire judges a request that no response can reach any more. mu is held.
+func (c *Checker) expire(r *request) {
+	if !r.answered && !r.waived {
+		r.answered = true
+		c.addViolation(RuleResponse, r.Deadline, "request %s at %s was never answered", r.ID, r.Instance)
+	}
+}
+
+// RecordResponse records a final response. Digest is that of the body, for Served.
+func (c *Checker) RecordResponse(now time.Duration, id string, outcome Outcome, digest uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[id]
+	if r == nil {
+		c.addViolation(RuleResponse, now, "an answer came for %s, which was not asked", id)
+		return
+	}
+	if r.answered {
+		c.addViolation(RuleResponse, now, "request %s at %s was answered twice", id, r.Instance)
+		return
+	}
+	r.answered, r.outcome = true, outcome
+	if latest := r.Deadline + c.rules.ResponseSlack + c.slack; now > latest && !r.waived {
+		c.addViolation(RuleResponse, now, "request %s at %s was answered %v after its deadline", id, r.Instance,
+			now-r.Deadline)
+	}
+	switch outcome {
+	case Served:
+		made := func(e execution) bool { return e.responseDigest == digest && e.responseDigest != 0 }
+		if !slices.ContainsFunc(r.executions, made) {
+			c.addViolation(RuleFabricatedResponse, now, "request %s at %s was served with what no box made for it",
+				id, r.Instance)
+		}
+	case Rejected:
+		if r.Repeat == balancer.NonIdempotent && r.mayHaveExecuted() {
+			c.addViolation(RuleFalseRejection, now, "request %s at %s was refused and may have run", id, r.Instance)
+		}
+	}
+}
+
+// RecordClosedConn records that the program closed a connection without a response to a request
+// written to it. It reports whether the request is lost by that, which it is only if the program
+// had read it: a server has received it. Otherwise the request and the close crossed, and the
+// client may send it again.
+func (c *Checker) RecordClosedConn(now time.Duration, id string) (lost bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[id]
+	if r == nil || r.answered || r.waived || len(r.executions) == 0 {
+		return false
+	}
+	r.answered, r.outcome = true, Failed
+	c.addViolation(RuleResponse, now, "request %s at %s was lost: its connection ended without an answer", id,
+		r.Instance)
+	return true
+}
+
+// RecordTimeout records that a client has waited for a response until the deadline and all slack
+// were over.
+func (c *Checker) RecordTimeout(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.requests[id]; r != nil {
+		c.expire(r)
+	}
+}
+
+// Waive records that no response to a request is due any more, because its client has left.
+func (c *Checker) Waive(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.requests[id]; r != nil {
+		r.waived = true
+	}
+}
+
+// RecordKill records that an instance was killed. It owes no responses to its requests, and its
+// successor has no notifications.
+func (c *Checker) RecordKill(instance string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range c.byAge {
+		if r.Instance == instance {
+			r.waived = true
+		}
+	}
+	for key := range c.drainingSince {
+		if key.instance == instance {
+			delete(c.drainingSince, key)
+		}
+	}
+	for key := range c.notifiedOfStart {
+		if key.instance == instance {
+			delete(c.notifiedOfStart, key)
+		}
+	}
+}
--- /dev/null
+++ b/internal/experiment/invariant/servers.go
@@ -0,0 +1,151 @@
+package invariant
+
+import (
+	"slices"
+	"time"
+
+	"rowancart/balancer"
+)
+
+// Arrival is a request of which a server has received the last byte.
+type Arrival struct {
+	ID        string
+	Server    string
+	FirstByte time.Duration
+	LastByte  time.Duration
+	Digest    uint64
+	WarmingUp bool    // the server was not at its full capacity
+	Work      float64 // seconds on a core of speed 1, for RuleWarmup
+}
+
+// instanceServer is what an instance knows of a server.
+type instanceServer struct{ instance, server string }
+
+// workArrival is work that arrived at a warming server.
+type workArrival struct {
+	at       time.Duration
+	work     float64
+	notified bool // its sender had been notified of the server's start
+}
+
+// RecordArrival records a request that a server has received. It may run from then on unless the
+// server rejects it.
+func (c *Checker) RecordArrival(a Arrival) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[a.ID]
+	if r == nil {
+		c.addViolation(RuleForeignRequest, a.FirstByte, "%s got a request %.40q that no client sent", a.Server, a.ID)
+		return
+	}
+	if r.Digest != a.Digest {
+		c.addViolation(RuleForeignRequest, a.FirstByte, "%s got request %s in another form than its client sent", a.Server,
+			a.ID)
+	}
+	key := instanceServer{r.Instance, a.Server}
+	if at, ok := c.drainingSince[key]; ok && a.FirstByte > at+c.rules.DrainGrace+c.slack {
+		c.addViolation(RuleDrain, a.FirstByte, "%s got request %s from %s %v after the telling", a.Server, a.ID, r.Instance,
+			a.FirstByte-at)
+	}
+	if a.WarmingUp {
+		c.recordWork(a, c.notifiedOfStart[key])
+	}
+	c.checkRetry(r, a)
+	r.executions = append(r.executions, execution{server: a.Server, at: a.LastByte})
+}
+
+// checkRetry checks that a request which arrives once more was allowed to be sent once more. mu is
+// held.
+func (c *Checker) checkRetry(r *request, a Arrival) {
+	if r.MaxAttempts > 0 && len(r.executions) >= r.MaxAttempts {
+		c.addViolation(RulePolicy, a.LastByte, "request %s reached a box %d times, and %d attempts are allowed", a.ID,
+			len(r.executions)+1, r.MaxAttempts)
+	}
+	earlier := slices.IndexFunc(r.executions, func(e execution) bool { return e.mayHaveRunBy(a.FirstByte) })
+	if r.NeverRerun && earlier >= 0 {
+		c.addViolation(RulePolicy, a.LastByte, "request %s reached %s after a run, which its policy forbids", a.ID,
+			a.Server)
+	}
+	if r.Repeat != balancer.NonIdempotent {
+		return
+	}
+	if earlier >= 0 {
+		c.addViolation(RuleDuplicate, a.LastByte, "request %s reached %s after %s, where it may have run", a.ID, a.Server,
+			r.executions[earlier].server)
+	}
+	if r.answered && r.outcome == Rejected {
+		c.addViolation(RuleFalseRejection, a.LastByte, "request %s reached %s though it had been refused", a.ID, a.Server)
+	}
+}
+
+// recordWork adds to the work that arrived at a warming server within the window. mu is held.
+func (c *Checker) recordWork(a Arrival, notified bool) {
+	recent := append(c.recentWork[a.Server], workArrival{a.LastByte, a.Work, notified})
+	for len(recent) > 0 && recent[0].at <= a.LastByte-c.rules.OverloadWindow {
+		recent = recent[1:]
+	}
+	c.recentWork[a.Server] = recent
+}
+
+// RecordRejection records that the server rejected the request that arrived last under this ID.
+func (c *Checker) RecordRejection(now time.Duration, server, id string) {
+	c.updateExecution(server, id, func(e *execution) { e.rejectedAt = max(now, 1) })
+}
+
+// RecordServerResponse records the digest of the response that a server made.
+func (c *Checker) RecordServerResponse(server, id string, digest uint64) {
+	c.updateExecution(server, id, func(e *execution) { e.responseDigest = digest })
+}
+
+// updateExecution calls update with the latest execution of a request at a server, if there is one.
+func (c *Checker) updateExecution(server, id string, update func(*execution)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[id]
+	if r == nil {
+		return
+	}
+	for i := len(r.executions) - 1; i >= 0; i-- {
+		if r.executions[i].server == server {
+			update(&r.executions[i])
+			return
+		}
+	}
+}
+
+// RecordNotification records that an instance has been notified of a server's state. Started says
+// that the notification is of a start.
+func (c *Checker) RecordNotification(now time.Duration, instance, server string, state balancer.State, started bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	key := instanceServer{instance, server}
+	if state == balancer.Ready {
+		delete(c.drainingSince, key)
+		c.notifiedOfStart[key] = c.notifiedOfStart[key] || started
+		return
+	}
+	if _, ok := c.drainingSince[key]; !ok { // the first notification counts
+		c.drainingSince[key] = now
+	}
+}
+
+// notifiedWorkFraction is the fraction of the work that must have come from instances that had been
+// notified of the server's start for an overload to be a violation of theirs.
+const notifiedWorkFraction = 2.0 / 3
+
+// RecordOverload records that a warming server has fallen over.
+func (c *Checker) RecordOverload(now time.Duration, server string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	notified, total := 0.0, 0.0
+	for _, w := range c.recentWork[server] {
+		total += w.work
+		if w.notified {
+			notified += w.work
+		}
+	}
+	if total > 0 && notified >= notifiedWorkFraction*total {
+		c.addViolation(RuleWarmup, now, "%s was sent %.2f s of work within %v while cold", server, total,
+			c.rules.OverloadWindow)
+	}
+}
--- a/internal/experiment/server/heap.go
+++ b/internal/experiment/server/heap.go
@@ -1,11 +1,12 @@
 package server
 
-// jobHeap is a binary heap of running jobs, the one that ends first on top. container/heap would box every job in an
-// interface on the lab's hottest path; each job knows its spot, so that one can leave early.
+// jobHeap is a binary heap of running jobs, the one that finishes first at index 0. container/heap
+// would convert each job to an interface on the hottest path of a play; each job has its index, so
+// that it can be removed early.
 type jobHeap []*Job
 
 func (h jobHeap) less(i, j int) bool {
-	return h[i].finishClock < h[j].finishClock || h[i].finishClock == h[j].finishClock && h[i].seq < h[j].seq
+	return h[i].finishClock < h[j].finishClock || h[i].finishClock == h[j].finishClock && h[i].number < h[j].number
 }
 
 func (h jobHeap) swap(i, j int) {
--- a/internal/experiment/server/server_test.go
+++ b/internal/experiment/server/server_test.go
@@ -9,55 +9,55 @@
 	"rowancart/internal/experiment"
 )
 
-// station plays one server by itself: requests arrive at random and compute once.
+// station plays one server alone: requests arrive at random and compute once.
 type station struct {
 	kind    experiment.Kind
 	rate    float64 // arrivals a second
 	work    func(*rand.Rand) float64
 	count   int
 	waits   float64 // mean time not spent computing, seconds
-	lost    float64 // share rejected
-	replies float64 // mean time to the end
+	lost    float64 // fraction rejected
+	latency float64 // mean time to the end, seconds
 }
 
 func (st *station) play(t *testing.T) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(7, 11))
-	b := New(st.kind, experiment.ServerSpec{}, experiment.Rules{}, -1, rng)
+	server := New(st.kind, experiment.ServerSpec{}, experiment.Rules{}, -1, rng)
 	type entry struct {
 		at   time.Duration
 		work float64
 	}
 	var now, arrival time.Duration
 	var done []*Job
-	admitted, declined := 0, 0
-	for admitted+declined < st.count || b.InFlight() > 0 {
-		next := b.NextEvent()
-		if admitted+declined < st.count && arrival < next {
+	admitted, rejected := 0, 0
+	for admitted+rejected < st.count || server.InFlight() > 0 {
+		next := server.NextEvent()
+		if admitted+rejected < st.count && arrival < next {
 			now = arrival
 			arrival += time.Duration(rng.ExpFloat64() / st.rate * 1e9)
-			done = b.Advance(now, done[:0])
+			done = server.Advance(now, done[:0])
 			w := st.work(rng)
 			j := &Job{Owner: entry{now, w}, Work: w}
-			if b.Admit(now, j, w) == Admitted {
+			if server.Admit(now, j, w) == Admitted {
 				admitted++
 			} else {
-				declined++
+				rejected++
 			}
 		} else {
 			now = next
-			done = b.Advance(now, done[:0])
+			done = server.Advance(now, done[:0])
 		}
 		for _, j := range done {
 			e := j.Owner.(entry)
-			st.replies += (now - e.at).Seconds()
+			st.latency += (now - e.at).Seconds()
 			st.waits += (now - e.at).Seconds() - e.work/st.kind.Speed
-			b.Finish(j)
+			server.Finish(j)
 		}
 	}
 	st.waits /= float64(admitted)
-	st.replies /= float64(admitted)
-	st.lost = float64(declined) / float64(st.count)
+	st.latency /= float64(admitted)
+	st.lost = float64(rejected) / float64(st.count)
 }
 
 func exponential(mean float64) func(*rand.Rand) float64 {
@@ -73,8 +73,9 @@
 
 const plenty = 1 << 30
 
-// The closed forms are those of Kleinrock, Queueing Systems I (1975): M/M/1 3.2, M/M/c 3.5, M/M/c/K 3.6, M/G/1 5.6
-// (Pollaczek and Khinchin) and, for processor sharing, II 4.4: the mean depends on the mean of the work alone.
+// TestAgainstClosedForms compares mean values with the closed forms, which are those of Kleinrock,
+// Queueing Systems I (1975): M/M/1 3.2, M/M/c 3.5, M/M/c/K 3.6, M/G/1 5.6 (Pollaczek and Khinchin)
+// and, for processor sharing, II 4.4: the mean depends on the mean of the work alone.
 func TestAgainstClosedForms(t *testing.T) {
 	const n = 600_000
 	t.Run("M/M/1", func(t *testing.T) {
@@ -128,140 +129,141 @@
 				return 0.05
 			}, count: n}
 		s.play(t)
-		within(t, "mean time", s.replies, 0.1/(1-0.6), 0.03)
+		within(t, "mean time", s.latency, 0.1/(1-0.6), 0.03)
 	})
 }
 
 func job(work float64) *Job { return &Job{Work: work} }
 
-// ends plays a server until an instant and returns when each job's work was through.
-func ends(b *Server, until time.Duration) []time.Duration {
+// ends plays a server until an instant and returns when each job's work was done.
+func ends(server *Server, until time.Duration) []time.Duration {
 	var at []time.Duration
-	for next := b.NextEvent(); next <= until; next = b.NextEvent() {
-		for _, j := range b.Advance(next, nil) {
+	for next := server.NextEvent(); next <= until; next = server.NextEvent() {
+		for _, j := range server.Advance(next, nil) {
 			at = append(at, next)
-			b.Finish(j)
+			server.Finish(j)
 		}
 	}
-	b.Advance(until, nil)
+	server.Advance(until, nil)
 	return at
 }
 
-func TestSlotIsKeptWhileWaiting(t *testing.T) {
-	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 1}, experiment.ServerSpec{}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+func TestSlotIsKeptWhileBlocked(t *testing.T) {
+	server := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 1}, experiment.ServerSpec{}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	first, second, third := job(0.1), job(0.2), job(0.1)
-	if b.Admit(0, first, 0.1) != Admitted || b.Admit(0, second, 0.2) != Admitted {
-		t.Fatal("the slot or the room was refused")
+	if server.Admit(0, first, 0.1) != Admitted || server.Admit(0, second, 0.2) != Admitted {
+		t.Fatal("the slot or the place in the queue was refused")
 	}
-	if got := b.Admit(0, third, 0.1); got != Rejected {
-		t.Fatalf("a third request is %v, want declined", got)
+	if got := server.Admit(0, third, 0.1); got != Rejected {
+		t.Fatalf("a third request is %v, want Rejected", got)
 	}
-	if done := b.Advance(100*time.Millisecond, nil); len(done) != 1 || done[0] != first {
-		t.Fatalf("through: %v", done)
+	if done := server.Advance(100*time.Millisecond, nil); len(done) != 1 || done[0] != first {
+		t.Fatalf("done: %v", done)
 	}
 	// first calls the next tier: its slot is not second's yet.
-	b.Advance(time.Second, nil)
-	if b.SlotsUsed() != 1 || b.InFlight() != 2 {
-		t.Fatalf("held %d, in slots %d", b.InFlight(), b.SlotsUsed())
+	server.Advance(time.Second, nil)
+	if server.SlotsUsed() != 1 || server.InFlight() != 2 {
+		t.Fatalf("in flight %d, in slots %d", server.InFlight(), server.SlotsUsed())
 	}
 	first.Work = 0.05
-	b.Resume(first)
-	if at := ends(b, 2*time.Second); len(at) != 2 || at[0] != 1050*time.Millisecond || at[1] != 1250*time.Millisecond {
+	server.Resume(first)
+	if at := ends(server, 2*time.Second); len(at) != 2 || at[0] != 1050*time.Millisecond || at[1] != 1250*time.Millisecond {
 		t.Fatalf("ends at %v", at)
 	}
 }
 
-func TestColdBoxWarmsAndFallsOver(t *testing.T) {
+func TestColdServerWarmsUpAndFallsOver(t *testing.T) {
 	spec := experiment.ServerSpec{InitialCapacity: 0.25, WarmupTime: 4 * time.Second}
 	rules := experiment.Rules{WarmupOverload: 4, OverloadWindow: time.Second}
 	kind := experiment.Kind{Cores: 1, Speed: 1, Slots: 10, QueueLimit: 100}
-	b := New(kind, spec, rules, 0, experiment.Rand(1, "b"))
-	b.Admit(0, job(0.25), 0.25)
-	// Attained work is the integral of 0.25 + 0.1875 t: 0.25 at t = 0.781 s, less what small steps leave.
-	if at := ends(b, 2*time.Second); len(at) != 1 || math.Abs(at[0].Seconds()-0.781) > 0.02 {
-		t.Fatalf("a cold box is through at %v", at)
+	server := New(kind, spec, rules, 0, experiment.Rand(1, "b"))
+	server.Admit(0, job(0.25), 0.25)
+	// Attained work is the integral of 0.25 + 0.1875 t: 0.25 at t = 0.781 s, less what small steps
+	// leave.
+	if at := ends(server, 2*time.Second); len(at) != 1 || math.Abs(at[0].Seconds()-0.781) > 0.02 {
+		t.Fatalf("a cold server is done at %v", at)
 	}
 	now := 2 * time.Second // capacity 0.625: a budget of 2.5 s of work a second
 	for i := range 3 {
-		if b.Admit(now, job(1), 1); b.FellOver() {
+		if server.Admit(now, job(1), 1); server.FellOver() {
 			t.Fatalf("fell over at request %d", i)
 		}
 	}
-	if got := b.Admit(now, job(1), 1); got != Unavailable || !b.FellOver() {
-		t.Fatalf("sent 4 s of work at once: %v, fell %v", got, b.FellOver())
+	if got := server.Admit(now, job(1), 1); got != Unavailable || !server.FellOver() {
+		t.Fatalf("sent 4 s of work at once: %v, fell %v", got, server.FellOver())
 	}
-	b.Crash()
-	b.Restart(10 * time.Second)
-	if b.Down() || b.FellOver() || b.CapacityFraction(10*time.Second) != 0.25 {
+	server.Crash()
+	server.Restart(10 * time.Second)
+	if server.Down() || server.FellOver() || server.CapacityFraction(10*time.Second) != 0.25 {
 		t.Fatal("not back cold")
 	}
-	b.Advance(20*time.Second, nil)
+	server.Advance(20*time.Second, nil)
 	for range 10 {
-		b.Admit(20*time.Second, job(1), 1)
+		server.Admit(20*time.Second, job(1), 1)
 	}
-	if b.FellOver() {
-		t.Fatal("a warm box fell over")
+	if server.FellOver() {
+		t.Fatal("a warm server fell over")
 	}
 }
 
-func TestChoke(t *testing.T) {
+func TestOverloadCollapse(t *testing.T) {
 	spec := experiment.ServerSpec{CollapseQueue: 2, CollapseAfter: 500 * time.Millisecond, CollapseSlowdown: 2, RecoveryLoad: 1, RecoveryAfter: time.Second}
-	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 100}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	server := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 100}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	for range 5 {
-		b.Admit(0, job(0.3), 0.3)
+		server.Admit(0, job(0.3), 0.3)
 	}
-	at := ends(b, 500*time.Millisecond)
-	if !b.Collapsed() || len(at) != 1 {
-		t.Fatalf("choked %v after %v", b.Collapsed(), at)
+	at := ends(server, 500*time.Millisecond)
+	if !server.Collapsed() || len(at) != 1 {
+		t.Fatalf("collapsed %v after %v", server.Collapsed(), at)
 	}
-	at = ends(b, 10*time.Second)
+	at = ends(server, 10*time.Second)
 	// 0.1 s of the second job is left, then three of 0.3 s, at half speed.
 	if len(at) != 4 || at[0] != 700*time.Millisecond || at[3] != 2500*time.Millisecond {
 		t.Fatalf("ends at %v", at)
 	}
-	if b.Collapsed() {
-		t.Fatal("choked after a rest")
+	if server.Collapsed() {
+		t.Fatal("collapsed after its recovery")
 	}
 }
 
 func TestCrashEndsAllJobs(t *testing.T) {
-	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 5}, experiment.ServerSpec{ConnLimit: 1}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	server := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 5}, experiment.ServerSpec{ConnLimit: 1}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	jobs := []*Job{job(1), job(1)}
 	for _, j := range jobs {
-		b.Admit(0, j, 1)
+		server.Admit(0, j, 1)
 	}
-	if !b.Connect() || b.Connect() {
+	if !server.Connect() || server.Connect() {
 		t.Fatal("the limit of connections does not hold")
 	}
-	b.Crash()
+	server.Crash()
 	for _, j := range jobs {
 		if !j.Finished() {
 			t.Error("a job outlived the crash")
 		}
-		b.Finish(j) // late: the driver may not have heard
+		server.Finish(j) // late: the driver may not know yet
 	}
-	if b.Admit(0, job(1), 1) != Unavailable || b.Connect() || b.InFlight() != 0 {
-		t.Error("a crashed box takes work")
+	if server.Admit(0, job(1), 1) != Unavailable || server.Connect() || server.InFlight() != 0 {
+		t.Error("a crashed server accepts work")
 	}
 }
 
-func TestReportsAreLateAndHeld(t *testing.T) {
+func TestLoadReportsAreDelayed(t *testing.T) {
 	spec := experiment.ServerSpec{ReportInterval: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond}
-	b := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 9}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	server := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 9}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
 	ms := time.Millisecond
-	look := func(at time.Duration, want float64) {
+	checkReport := func(at time.Duration, want float64) {
 		t.Helper()
-		b.Advance(at, nil)
-		if got, ok := b.LoadReport(at); !ok || got != want {
+		server.Advance(at, nil)
+		if got, ok := server.LoadReport(at); !ok || got != want {
 			t.Errorf("at %v: %v, want %v", at, got, want)
 		}
 	}
-	look(10*ms, 0)
-	b.Admit(10*ms, job(9), 9)
-	b.Admit(10*ms, job(9), 9)
-	look(120*ms, 0) // refreshed at 100 ms, not yet here
-	look(160*ms, 2)
-	b.Admit(160*ms, job(9), 9)
-	look(240*ms, 2)
-	look(900*ms, 3)
+	checkReport(10*ms, 0)
+	server.Admit(10*ms, job(9), 9)
+	server.Admit(10*ms, job(9), 9)
+	checkReport(120*ms, 0) // refreshed at 100 ms, not yet here
+	checkReport(160*ms, 2)
+	server.Admit(160*ms, job(9), 9)
+	checkReport(240*ms, 2)
+	checkReport(900*ms, 3)
 }
