--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -114,7 +114,7 @@
 	in := strings.NewReader(text)
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
-	tk := &conn{Server: &Server{}, reader: connReader{Conn: &trickle{text: in, size: 16 << 10}}}
+	tk := &conn{server: &Server{}, reader: connReader{Conn: &trickle{text: in, size: 16 << 10}}}
 	for b.Loop() {
 		in.Seek(0, io.SeekStart)
 		head, err := tk.reader.readHead()
@@ -122,10 +122,10 @@
 			b.Fatal(err)
 		}
 		r, _ := parseHead(head)
-		body, free, _, _ := tk.readBody(r)
-		if len(body) != 20000 {
-			b.Fatal(len(body))
+		body, _ := tk.readBody(r)
+		if len(body.data) != 20000 {
+			b.Fatal(len(body.data))
 		}
-		free()
+		body.release()
 	}
 }
--- /dev/null
+++ b/internal/httpserver/connreader.go
@@ -0,0 +1,109 @@
+package httpserver
+
+import (
+	"bytes"
+	"errors"
+	"net"
+
+	"rowancart/internal/proxy"
+)
+
+const (
+	initialBufferSize    = 4 << 10 // bytes: enough for most heads, and small enough for each connection to have
+	maxLeadingEmptyLines = 2       // before a request
+)
+
+// Errors of heads.
+var (
+	errHeadTooLong = errors.New("the head is too long") // longer than proxy.MaxHead
+	errBareLF      = errors.New("a line that does not end with CR LF")
+)
+
+var (
+	crlf      = []byte("\r\n")
+	endOfHead = []byte("\r\n\r\n")
+)
+
+// connReader reads heads and bodies from a connection. Its buffer grows up to the longest head allowed.
+type connReader struct {
+	net.Conn
+	buf        []byte
+	start, end int // of the data in buf that is not consumed
+}
+
+// buffered returns the data that has been read and not consumed. It is valid until the next read.
+func (r *connReader) buffered() []byte { return r.buf[r.start:r.end] }
+
+// hasData reports whether data has been read that is not consumed.
+func (r *connReader) hasData() bool { return r.start < r.end }
+
+// hasCompleteHead reports whether a complete head has been read.
+func (r *connReader) hasCompleteHead() bool { return bytes.Contains(r.buffered(), endOfHead) }
+
+// release frees the buffer. No data may be buffered.
+func (r *connReader) release() { r.buf, r.start, r.end = nil, 0, 0 }
+
+// readFirstByte waits for data without a buffer, makes one for it and reports whether data has arrived.
+func (r *connReader) readFirstByte() bool {
+	var first [1]byte
+	if n, _ := r.Conn.Read(first[:]); n == 0 {
+		return false
+	}
+	r.buf = append(make([]byte, 0, initialBufferSize), first[0])[:initialBufferSize]
+	r.end = 1
+	return true
+}
+
+// fill reads more data behind what is buffered.
+func (r *connReader) fill() error {
+	if !r.hasData() {
+		r.start, r.end = 0, 0
+	}
+	if r.end == len(r.buf) {
+		r.makeSpace()
+	}
+	n, err := r.Conn.Read(r.buf[r.end:])
+	r.end += n
+	if n > 0 {
+		return nil
+	}
+	return err
+}
+
+// makeSpace moves the data to the beginning of the buffer, or enlarges the buffer if it is there already.
+func (r *connReader) makeSpace() {
+	if r.start > 0 {
+		r.end = copy(r.buf, r.buffered())
+		r.start = 0
+		return
+	}
+	r.buf = append(r.buf, make([]byte, max(len(r.buf), initialBufferSize))...)
+}
+
+// readHead waits for a complete head and consumes it with its empty line. The head is valid until the next read.
+func (r *connReader) readHead() ([]byte, error) {
+	// scanned is how much of the data is known to contain no end of a head. An end may begin a few bytes before it.
+	for emptyLines, scanned := 0, 0; ; {
+		// Some clients send an empty line after a body (RFC 9112, 2.2).
+		if bytes.HasPrefix(r.buffered(), crlf) && emptyLines < maxLeadingEmptyLines {
+			emptyLines, scanned = emptyLines+1, 0
+			r.start += len(crlf)
+		}
+		data := r.buffered()
+		from := max(scanned-len(endOfHead)+1, 0)
+		if i := bytes.Index(data[from:], endOfHead); i >= 0 {
+			size := from + i + len(endOfHead)
+			r.start += size
+			return data[:size], nil
+		}
+		if bytes.Contains(data[max(scanned-1, 0):], []byte("\n\n")) { // other servers would end the head here
+			return nil, errBareLF
+		}
+		if scanned = len(data); scanned >= proxy.MaxHead {
+			return nil, errHeadTooLong
+		}
+		if err := r.fill(); err != nil {
+			return nil, err
+		}
+	}
+}
--- a/internal/httpserver/conns_test.go
+++ b/internal/httpserver/conns_test.go
@@ -73,7 +73,7 @@
 
 func TestASilentNewConnectionIsKeptForAWhile(t *testing.T) {
 	l, c, client := accepted(t)
-	c.idle, c.new = false, true
+	c.state = http.StateNew
 	c.since = time.Now().Add(time.Hour)
 	l.closeIdle(0)
 	io.WriteString(client, "r")
@@ -81,7 +81,7 @@
 		t.Errorf("its first byte: %d, %v", n, err)
 	}
 	l, c, _ = accepted(t)
-	c.idle, c.new = false, true
+	c.state = http.StateNew
 	c.since = time.Now().Add(-2 * newConnTimeout)
 	l.closeIdle(0)
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
--- a/internal/httpserver/disconnect.go
+++ b/internal/httpserver/disconnect.go
@@ -9,36 +9,38 @@
 	"time"
 )
 
-const disconnectPollInterval = 100 * time.Millisecond // between two looks whether a caller is still there
+// disconnectPollInterval is the time between two checks whether a client is still connected.
+const disconnectPollInterval = 100 * time.Millisecond
 
-// disconnectWatcher looks out for a caller that leaves before it has its answer. It serves one request after the other.
+// disconnectWatcher notices a client that disconnects before it has its response. It serves one request after the other.
 //
-// It asks the kernel how the connection stands and reads nothing. A read would see a caller leave sooner, but not behind bytes that
-// were sent ahead, nor while reading is paused for an endpoint that is slow to take a body: what is unread hides the end behind it.
+// It asks the kernel for the connection's state and reads nothing. A read would notice a disconnect sooner, but not
+// behind data that the client has sent ahead, nor while reading is paused because an endpoint is slow to accept a body:
+// the end of the stream is hidden behind unread data.
 type disconnectWatcher struct {
-	rawConn syscall.RawConn // nil: there is no way to look
+	rawConn syscall.RawConn // nil: the connection cannot be checked
 
-	mu           sync.Mutex // held while leave is called: on return from stop nobody is told of this caller any more
+	mu           sync.Mutex // held while onDisconnect is called, so that it is never called once stop has returned
 	timer        *time.Timer
 	onDisconnect func() // nil: no request waits
-	disconnected bool   // the caller has, of which leave was told
+	disconnected bool   // onDisconnect was called
 }
 
-// attach says whose caller is looked out for.
-func (w *disconnectWatcher) attach(c net.Conn) {
-	if s, ok := c.(syscall.Conn); ok {
+// attach sets the connection to watch. It must be called before all other methods.
+func (w *disconnectWatcher) attach(nc net.Conn) {
+	if s, ok := nc.(syscall.Conn); ok {
 		w.rawConn, _ = s.SyscallConn()
 	}
 }
 
-// start calls leave once when the caller leaves, until stop.
-func (w *disconnectWatcher) start(leave func()) {
+// start calls onDisconnect once if the client disconnects before stop.
+func (w *disconnectWatcher) start(onDisconnect func()) {
 	if w.rawConn == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.onDisconnect = leave
+	w.onDisconnect = onDisconnect
 	if w.timer == nil {
 		w.timer = time.AfterFunc(disconnectPollInterval, w.poll)
 		return
@@ -46,6 +48,7 @@
 	w.timer.Reset(disconnectPollInterval)
 }
 
+// poll checks the connection once, and again after disconnectPollInterval if the client is still connected.
 func (w *disconnectWatcher) poll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -60,8 +63,9 @@
 	}
 }
 
-// stop ends the look-out, and tells whether the caller was seen to leave: then nothing more is to be read off its connection.
-func (w *disconnectWatcher) stop() (left bool) {
+// stop ends the watch. It reports whether the client was seen to disconnect: then nothing more may be read from the
+// connection.
+func (w *disconnectWatcher) stop() (disconnected bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.onDisconnect = nil
@@ -71,36 +75,48 @@
 	return w.disconnected
 }
 
-// The states of a connection of which neither side has ended anything (TCP_ESTABLISHED and TCP_SYN_RECV in Linux's tcp_states.h): one
-// may be accepted a moment before it is established.
+// The states of a connection that neither side has begun to close (Linux's tcp_states.h). A connection may be accepted a
+// moment before it is established.
 const (
-	tcpEstablished = 1
-	tcpSynReceived = 3
+	tcpEstablished = 1 // TCP_ESTABLISHED
+	tcpSynReceived = 3 // TCP_SYN_RECV
 )
 
-// clientGone tells whether the caller has left: it has ended its side of the connection or broken it, or the connection was cut off here,
-// at the end of the process's time.
+// clientGone reports whether the client has closed its side of the connection or reset it, or the connection was closed
+// on this side, at the end of the process.
 func (w *disconnectWatcher) clientGone() bool {
 	if w.rawConn == nil {
 		return false
 	}
 	gone := false
-	err := w.rawConn.Control(func(fd uintptr) {
-		var first [4]byte
-		if info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO); err == nil {
-			binary.NativeEndian.PutUint32(first[:], uint32(info)) // struct tcp_info begins with the state, in a byte
-			gone = first[0] != tcpEstablished && first[0] != tcpSynReceived
-		}
-		switch n, err := peekByte(fd); { // where nothing is unread, the end shows here as well, whatever the connection is made of
-		case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
-		case err != nil || n == 0:
-			gone = true
-		}
-	})
+	err := w.rawConn.Control(func(fd uintptr) { gone = isTCPClosing(fd) || isAtEnd(fd) })
 	return gone || err != nil
 }
 
-// hasUnreadBytes tells whether bytes have come that nobody has read.
+// isTCPClosing reports whether either side has begun to close a TCP connection. It is false for any other connection.
+func isTCPClosing(fd uintptr) bool {
+	// GetsockoptInt returns the first four bytes of struct tcp_info. Its first byte is the state.
+	info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
+	if err != nil {
+		return false
+	}
+	var firstBytes [4]byte
+	binary.NativeEndian.PutUint32(firstBytes[:], uint32(info))
+	state := firstBytes[0]
+	return state != tcpEstablished && state != tcpSynReceived
+}
+
+// isAtEnd reports whether a read would return the end of the stream or an error. Unlike the TCP state, this works for
+// connections of any kind, but only where no data is unread.
+func isAtEnd(fd uintptr) bool {
+	n, err := peekByte(fd)
+	if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR) {
+		return false
+	}
+	return err != nil || n == 0
+}
+
+// hasUnreadBytes reports whether data has arrived that nobody has read.
 func (w *disconnectWatcher) hasUnreadBytes() bool {
 	if w.rawConn == nil {
 		return false
@@ -110,7 +126,7 @@
 	return err == nil && n > 0
 }
 
-// peekByte looks at the next byte and leaves it there.
+// peekByte reads a byte without consuming it. It does not wait.
 func peekByte(fd uintptr) (n int, err error) {
 	var b [1]byte
 	n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/httpserver/head_test.go
+++ b/internal/httpserver/head_test.go
@@ -82,7 +82,7 @@
 	f.Add("GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: +5\r\n\r\nhello", 9)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		read := func(size int) (heads, bodies []string) {
-			tk := &conn{Server: &Server{}, reader: connReader{Conn: &trickle{text: strings.NewReader(text), size: size}}}
+			tk := &conn{server: &Server{}, reader: connReader{Conn: &trickle{text: strings.NewReader(text), size: size}}}
 			in := &tk.reader
 			for {
 				head, err := in.readHead()
@@ -97,11 +97,11 @@
 					return heads, bodies
 				}
 				heads = append(heads, string(head))
-				body, _, more, f := tk.readBody(r)
-				if f != nil || more != nil {
+				body, f := tk.readBody(r)
+				if f != nil || body.streamed != nil {
 					return heads, bodies
 				}
-				bodies = append(bodies, string(body))
+				bodies = append(bodies, string(body.data))
 			}
 		}
 		heads, bodies := read(len(text) + 1)
--- /dev/null
+++ b/internal/httpserver/listener.go
@@ -0,0 +1,209 @@
+package httpserver
+
+import (
+	"errors"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+)
+
+// Listener accepts the connections of clients and limits their number: beyond the limit it closes the connection that
+// has been idle for longest, and Drain closes all as they become idle.
+//
+// It never closes a connection on which a request has just been read. The server may be about to read the next request
+// on a connection that it has called idle, so only that read itself may end the connection: see trackedConn.
+type Listener struct {
+	net.Listener
+
+	rejector  *connRejector // rejects connections beyond maxConns; nil: they are served
+	slots     chan struct{} // holds a value for each open connection; nil: there may be any number
+	closed    chan struct{} // closed with the listener
+	closeOnce sync.Once     // closes closed
+
+	mu       sync.Mutex // guards the fields below, and the state of each connection
+	maxConns int
+	conns    map[*trackedConn]bool
+	rejected int           // connections, in total
+	resumed  chan struct{} // closed by Resume; nil while the listener is not paused
+}
+
+// NewListener returns a Listener that closes idle connections while there are more than maxConns.
+func NewListener(l net.Listener, maxConns int) *Listener {
+	return &Listener{Listener: l, maxConns: maxConns, conns: map[*trackedConn]bool{}, closed: make(chan struct{})}
+}
+
+// NewWaitingListener is like NewListener, and has no more than slots connections open at once. Others wait in the
+// kernel's queue, which costs no file descriptor and loses nothing.
+func NewWaitingListener(l net.Listener, maxConns, slots int) *Listener {
+	waiting := NewListener(l, maxConns)
+	waiting.slots = make(chan struct{}, slots)
+	return waiting
+}
+
+// NewSheddingListener is like NewListener, and rejects a connection at once, with 503, if maxConns are open and none of
+// them is idle.
+func NewSheddingListener(l net.Listener, maxConns int) *Listener {
+	shedding := NewListener(l, maxConns)
+	shedding.rejector = newConnRejector()
+	return shedding
+}
+
+// SetMaxConns sets how many connections may be open before idle ones are closed.
+func (l *Listener) SetMaxConns(maxConns int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.maxConns = maxConns
+}
+
+// Counts returns how many connections are open, and how many have been rejected.
+func (l *Listener) Counts() (open, rejected int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.conns), l.rejected
+}
+
+// Pause stops accepting connections until Resume. They wait in the kernel's queue, from which another process may
+// accept them.
+func (l *Listener) Pause() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.resumed == nil {
+		l.resumed = make(chan struct{})
+		l.setAcceptDeadline(time.Unix(1, 0)) // ends the accept in progress
+	}
+}
+
+// Resume accepts connections again.
+func (l *Listener) Resume() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.resumed != nil {
+		l.setAcceptDeadline(time.Time{})
+		close(l.resumed)
+		l.resumed = nil
+	}
+}
+
+// setAcceptDeadline sets when the accept in progress ends. The caller must hold l.mu.
+func (l *Listener) setAcceptDeadline(deadline time.Time) {
+	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
+		_ = d.SetDeadline(deadline) // fails if the listener is closed, as accepting will
+	}
+}
+
+// waitWhilePaused returns once the listener is not paused, or net.ErrClosed once it is closed.
+func (l *Listener) waitWhilePaused() error {
+	l.mu.Lock()
+	resumed := l.resumed
+	l.mu.Unlock()
+	if resumed == nil {
+		return nil
+	}
+	select {
+	case <-resumed:
+		return nil
+	case <-l.closed:
+		return net.ErrClosed
+	}
+}
+
+// Accept implements net.Listener. The connections that it returns are of type *trackedConn.
+func (l *Listener) Accept() (net.Conn, error) {
+	for {
+		if err := l.acquireSlot(); err != nil {
+			return nil, err
+		}
+		nc, err := l.acceptUnpaused()
+		if err != nil {
+			l.releaseSlot()
+			return nil, err
+		}
+		if c := l.register(nc); c != nil {
+			return c, nil
+		}
+		l.rejector.reject(nc)
+	}
+}
+
+// acquireSlot waits for a slot, and returns net.ErrClosed if the listener is closed meanwhile.
+func (l *Listener) acquireSlot() error {
+	if l.slots == nil {
+		return nil
+	}
+	select {
+	case l.slots <- struct{}{}:
+		return nil
+	case <-l.closed:
+		return net.ErrClosed
+	}
+}
+
+// releaseSlot makes room for another connection.
+func (l *Listener) releaseSlot() {
+	if l.slots != nil {
+		<-l.slots
+	}
+}
+
+// acceptUnpaused accepts a connection while the listener is not paused.
+func (l *Listener) acceptUnpaused() (net.Conn, error) {
+	for {
+		if err := l.waitWhilePaused(); err != nil {
+			return nil, err
+		}
+		nc, err := l.Listener.Accept()
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // which Pause causes
+			return nc, err
+		}
+	}
+}
+
+// register adds a connection to those that are open, or returns nil if it must be rejected.
+func (l *Listener) register(nc net.Conn) *trackedConn {
+	c := &trackedConn{Conn: nc, listener: l, state: http.StateNew, since: time.Now()}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conns[c] = true
+	if !l.enforceMaxConns() && l.rejector != nil {
+		delete(l.conns, c)
+		l.rejected++
+		return nil
+	}
+	return c
+}
+
+// setState records that a connection is active, idle or closed. A closed one is forgotten.
+func (l *Listener) setState(c *trackedConn, state http.ConnState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c.state = state
+	switch state {
+	case http.StateIdle:
+		c.since = time.Now()
+		l.enforceMaxConns()
+	case http.StateClosed:
+		delete(l.conns, c)
+		l.releaseSlot()
+	}
+}
+
+// enforceMaxConns closes the connection that has been idle for longest if too many are open. It reports whether the
+// limit holds then. The caller must hold l.mu.
+func (l *Listener) enforceMaxConns() bool {
+	if len(l.conns) <= l.maxConns {
+		return true
+	}
+	var oldest *trackedConn
+	for c := range l.conns {
+		if c.state == http.StateIdle && c.awaitsRequest() && (oldest == nil || c.since.Before(oldest.since)) {
+			oldest = c
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	oldest.startClosing()
+	return true
+}
--- a/internal/httpserver/peers_test.go
+++ b/internal/httpserver/peers_test.go
@@ -12,6 +12,5 @@
 
 var (
 	newEndpoint = testpeer.New
-	says        = testpeer.Says
 	until       = testpeer.Until
 )
--- /dev/null
+++ b/internal/httpserver/requestbody.go
@@ -0,0 +1,195 @@
+package httpserver
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"sync"
+	"time"
+
+	"rowancart/internal/http1"
+	"rowancart/internal/proxy"
+)
+
+// Errors of bodies.
+var (
+	errBodyTooLong   = errors.New("the body is too long")
+	errBodyAbandoned = errors.New("the body is not read on")
+)
+
+// bodyMemory has memory for bodies that are longer than initialBufferSize: *[]byte of proxy.MaxBody bytes.
+var bodyMemory = sync.Pool{New: func() any { b := make([]byte, proxy.MaxBody); return &b }}
+
+// bodySource reads a body's bytes, framing included, from a connection, and sets the connection's read deadlines. It
+// implements http1.Source.
+type bodySource struct {
+	reader *connReader
+	pace   bodyPace
+}
+
+// Buffered implements http1.Source.
+func (s *bodySource) Buffered() []byte { return s.reader.buffered() }
+
+// Discard implements http1.Source.
+func (s *bodySource) Discard(n int) { s.reader.start += n }
+
+// Fill implements http1.Source.
+func (s *bodySource) Fill() error {
+	if err := s.reader.Conn.SetReadDeadline(s.pace.nextDeadline()); err != nil {
+		return err
+	}
+	err := s.reader.fill()
+	s.pace.lastRead = time.Now()
+	return err
+}
+
+// Read implements http1.Source. It reads into p without a copy if nothing is buffered.
+func (s *bodySource) Read(p []byte) (int, error) {
+	if n := copy(p, s.Buffered()); n > 0 {
+		s.Discard(n)
+		return n, nil
+	}
+	if err := s.reader.Conn.SetReadDeadline(s.pace.nextDeadline()); err != nil {
+		return 0, err
+	}
+	n, err := s.reader.Conn.Read(p)
+	s.pace.lastRead = time.Now()
+	if n > 0 {
+		return n, nil
+	}
+	return n, err
+}
+
+// requestBody is the body of the request that is being served, read from the connection as it arrives. It may be read
+// in another goroutine than the connection's, which ends that with abandon.
+type requestBody struct {
+	mu        sync.Mutex // held during a read; guards the fields below
+	source    bodySource
+	decoder   *http1.Body
+	abandoned bool
+	err       error // why the body cannot be read to its end: the client's fault
+}
+
+// newRequestBody returns a body of length bytes, or of the length http1.Chunked.
+func (c *conn) newRequestBody(length int64) *requestBody {
+	now := time.Now()
+	pace := bodyPace{allowance: c.server.bodyTimeout, requestStart: c.requestStart, bodyStart: now, lastRead: now}
+	b := &requestBody{source: bodySource{reader: &c.reader, pace: pace}}
+	b.decoder = http1.NewBody(&b.source, length)
+	return b
+}
+
+// ended reports whether the body was read to its end. No read may be in progress.
+func (b *requestBody) ended() bool { return b.decoder.Ended() }
+
+// Read implements io.Reader. It returns errBodyAbandoned once the body is abandoned.
+func (b *requestBody) Read(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.abandoned {
+		return 0, errBodyAbandoned
+	}
+	if b.err != nil {
+		return 0, b.err
+	}
+	n, err := b.decoder.Read(p)
+	b.source.pace.received += int64(n)
+	if b.source.pace.received > proxy.MaxStreamedBody {
+		err = errBodyTooLong
+	}
+	if err != nil && !errors.Is(err, io.EOF) {
+		b.err = err
+		return 0, err
+	}
+	return n, err
+}
+
+// readFull reads until p is full or the body has ended, and returns how much it has read.
+func (b *requestBody) readFull(p []byte) (n int, err error) {
+	for n < len(p) && !b.ended() {
+		read, err := b.Read(p[n:])
+		n += read
+		if err != nil && !errors.Is(err, io.EOF) {
+			return n, err
+		}
+	}
+	return n, nil
+}
+
+// abandon ends all reads, including one in progress. It reports whether the body was read to its end, and the error of
+// reading it.
+func (b *requestBody) abandon() (ended bool, err error) {
+	if !b.mu.TryLock() { // a read is in progress
+		_ = b.source.reader.Conn.SetReadDeadline(time.Unix(1, 0)) // the next read sets a deadline of its own
+		b.mu.Lock()
+	}
+	b.abandoned = true
+	b.mu.Unlock()
+	return b.ended(), b.err
+}
+
+// receivedBody is a request's body as far as readBody has read it.
+type receivedBody struct {
+	data        []byte
+	releaseData func()        // returns data to bodyMemory; nil if data is not from there
+	streamed    *streamedBody // nil if data is all of the body
+}
+
+// release returns the memory of the data. The data must not be used any more.
+func (b receivedBody) release() {
+	if b.releaseData != nil {
+		b.releaseData()
+	}
+}
+
+// newReceivedBody returns a body with memory for size bytes of data.
+func newReceivedBody(size int) receivedBody {
+	if size <= initialBufferSize {
+		return receivedBody{data: make([]byte, size)}
+	}
+	memory := bodyMemory.Get().(*[]byte)
+	return receivedBody{data: (*memory)[:size], releaseData: func() { bodyMemory.Put(memory) }}
+}
+
+// bodyRejection returns the rejection of a request whose body could not be read.
+func bodyRejection(err error) *Rejection {
+	if errors.Is(err, errBodyTooLong) {
+		return closingRejection(http.StatusRequestEntityTooLarge, err.Error())
+	}
+	return closingRejection(http.StatusBadRequest, "the body can't be read")
+}
+
+// readBody reads a request's body, or the first proxy.MaxBody bytes of a longer one.
+func (c *conn) readBody(r *http.Request) (receivedBody, *Rejection) {
+	length := r.ContentLength // -1 is http1.Chunked
+	expect := r.Header.Get("Expect")
+	switch {
+	case length > proxy.MaxStreamedBody:
+		return receivedBody{}, bodyRejection(errBodyTooLong)
+	case expect != "" && expect != "100-continue":
+		return receivedBody{}, closingRejection(http.StatusExpectationFailed, "Expect: 100-continue is all that is known")
+	case length == 0:
+		return receivedBody{}, nil
+	}
+	if expect != "" && !c.reader.hasData() { // a client that has sent some of the body does not wait
+		if _, err := io.WriteString(c.netConn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+			return receivedBody{}, bodyRejection(err)
+		}
+	}
+	size := proxy.MaxBody
+	if length > 0 {
+		size = int(min(length, proxy.MaxBody))
+	}
+	received := newReceivedBody(size)
+	body := c.newRequestBody(length)
+	n, err := body.readFull(received.data)
+	if err != nil {
+		received.release()
+		return receivedBody{}, bodyRejection(err)
+	}
+	received.data = received.data[:n]
+	if !body.ended() {
+		received.streamed = &streamedBody{requestBody: body, length: length, prefixLength: n, buffers: &c.server.bodyBuffers}
+	}
+	return received, nil
+}
--- /dev/null
+++ b/internal/httpserver/streamedbody.go
@@ -0,0 +1,72 @@
+package httpserver
+
+import (
+	"sync"
+	"time"
+
+	"rowancart/internal/proxy"
+)
+
+// streamedBody is a request's body that is longer than proxy.MaxBody. Its beginning has been read; the rest is buffered
+// as far as there is memory, and read from the connection while it is forwarded.
+type streamedBody struct {
+	*requestBody
+	length       int64 // bytes; below 0: unknown
+	prefixLength int   // bytes that readBody has read
+	buffers      *bodyBufferPool
+
+	releaseOnce sync.Once
+	buffered    [][]byte // from buffers; not changed after bufferAhead
+}
+
+// bufferAhead reads on as far as the body fits its share of the buffers, and returns what a pool is to forward: all of
+// the body buffered, or some of it and a reader of the rest. A body of known length that would not fit is not buffered
+// at all.
+func (b *streamedBody) bufferAhead() (*proxy.Upload, error) {
+	maxBuffers := b.buffers.maxPerBody()
+	total := int64(b.prefixLength)
+	if b.length < 0 || b.length-total <= int64(maxBuffers)*bodyBufferSize {
+		n, err := b.fillBuffers(maxBuffers)
+		if err != nil {
+			b.release()
+			return nil, err
+		}
+		total += n
+	}
+	if b.ended() {
+		return &proxy.Upload{Buffered: b.buffered, Length: total}, nil
+	}
+	return &proxy.Upload{Buffered: b.buffered, Length: b.length, Remaining: b.requestBody, Release: b.release}, nil
+}
+
+// fillBuffers reads into at most maxBuffers buffers and returns the number of bytes read.
+func (b *streamedBody) fillBuffers(maxBuffers int) (total int64, err error) {
+	for len(b.buffered) < maxBuffers && !b.ended() {
+		buffer := b.buffers.get()
+		if buffer == nil {
+			break
+		}
+		n, err := b.readFull(buffer)
+		b.buffered = append(b.buffered, buffer[:n])
+		if err != nil {
+			return total, err
+		}
+		total += int64(n)
+	}
+	return total, nil
+}
+
+// release returns the buffers to their pool. It may be called more than once.
+func (b *streamedBody) release() {
+	b.releaseOnce.Do(func() { b.buffers.put(b.buffered) })
+}
+
+// timeLimit returns how long the rest of the body may take.
+func (b *streamedBody) timeLimit() time.Duration {
+	length := int64(proxy.MaxStreamedBody)
+	if b.length >= 0 {
+		length = b.length
+	}
+	pace := &b.source.pace
+	return pace.allowance + maxBodyPause + time.Duration(length-pace.received)*time.Second/minBodyRate
+}
