--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -3,21 +3,21 @@
 import (
 	"bytes"
 	"io"
-	"log/slog"
 	"net"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
-
-	"rowancart/balancer"
-	"rowancart/internal/proxy"
 )
 
-// serveBenchmark starts a server in front of one endpoint that answers each request at once, and returns a client's connection.
-func serveBenchmark(b *testing.B) net.Conn {
+// listenBenchmark starts an endpoint that answers each request of one connection at once, and returns its address.
+func listenBenchmark(b *testing.B) string {
 	b.Helper()
-	endpoint := listenLoopback(b)
+	endpoint, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { endpoint.Close() })
 	go func() {
 		nc, err := endpoint.Accept()
 		if err != nil {
@@ -26,37 +26,7 @@
 		defer nc.Close()
 		answerEach(nc, []byte(served))
 	}()
-	log := slog.New(slog.DiscardHandler)
-	pool := proxy.New(balancer.Settings{CancelAllowed: true, Classes: []balancer.Class{{Name: "all"}}},
-		proxy.EndpointList{Complete: true, Endpoints: []proxy.Endpoint{{ID: "a", Addr: endpoint.Addr().String()}}},
-		proxy.Options{MaxConns: 9, PassThrough: true, Log: log, Subscribe: func() {}})
-	listener := NewListener(listenLoopback(b), 9)
-	s := New(echo{pool}, "front", "h", log)
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		s.Serve(listener)
-	}()
-	client, err := net.Dial("tcp", listener.Addr().String())
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(func() {
-		client.Close()
-		listener.Drain(0, time.Time{})
-		<-ended
-	})
-	return client
-}
-
-func listenLoopback(b *testing.B) net.Listener {
-	b.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(func() { l.Close() })
-	return l
+	return endpoint.Addr().String()
 }
 
 // answerEach writes response whenever the end of a request's head has come, until the connection ends.
@@ -84,7 +54,7 @@
 		{"not plain", "GET /_health HTTP/1.1\r\nHost: h\r\nPragma: no-cache\r\n\r\n", "\r\n\r\nok\n"},
 	} {
 		b.Run(row.name, func(b *testing.B) {
-			client := serveBenchmark(b)
+			client, _ := connectToServer(b, listenBenchmark(b))
 			request, last, answer := []byte(row.head), []byte(row.last), make([]byte, 4<<10)
 			b.ReportAllocs()
 			id := bytes.Index(request, []byte("00000000"))
@@ -114,15 +84,18 @@
 	in := strings.NewReader(text)
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
-	tk := &conn{server: &Server{}, reader: connReader{Conn: &trickle{text: in, size: 16 << 10}}}
+	c := &conn{server: &Server{}, reader: connReader{Conn: &trickleConn{text: in, size: 16 << 10}}}
 	for b.Loop() {
 		in.Seek(0, io.SeekStart)
-		head, err := tk.reader.readHead()
+		head, err := c.reader.readHead()
 		if err != nil {
 			b.Fatal(err)
 		}
-		r, _ := parseHead(head)
-		body, _ := tk.readBody(r)
+		r, rejection := parseHead(head)
+		if rejection != nil {
+			b.Fatal(rejection.Reason)
+		}
+		body, _ := c.readBody(r)
 		if len(body.data) != 20000 {
 			b.Fatal(len(body.data))
 		}
--- /dev/null
+++ b/internal/httpserver/bodypace_test.go
@@ -0,0 +1,58 @@
+package httpserver
+
+import (
+	"testing"
+	"time"
+)
+
+// secondsAfter returns the instant so many seconds after start.
+func secondsAfter(start time.Time, seconds float64) time.Time {
+	return start.Add(time.Duration(seconds * float64(time.Second)))
+}
+
+// A client may take 2 s for a head and send its body at 64 kB a second, in pieces; one that sends no complete request
+// must have its connection ended within 3 s.
+func TestBodyPace(t *testing.T) {
+	requestStart := time.Unix(1_800_000_000, 0)
+	for _, row := range []struct {
+		name      string
+		bodyStart float64 // seconds after the request's start
+		piece     float64 // bytes
+		gap       float64 // seconds between two pieces
+		pieces    int
+		allowed   bool
+	}{
+		{"at once", 0, 1 << 20, 0.001, 32, true},
+		{"at the minimum rate", 0, 6_400, 0.1, 300, true},
+		{"after a slow head", 2, 6_400, 0.1, 300, true},
+		{"in large pieces", 0, 64_000, 1, 30, true},
+		{"in larger pieces", 0, 128_000, 2, 30, true},
+		{"at half the rate", 0, 3_200, 0.1, 300, false},
+		{"with a long pause", 0, 1 << 20, 2.5, 3, false},
+	} {
+		now := secondsAfter(requestStart, row.bodyStart)
+		p := bodyPace{allowance: defaultBodyTimeout, requestStart: requestStart, bodyStart: now, lastRead: now}
+		allowed := true
+		for i := range row.pieces {
+			if i > 0 {
+				now = secondsAfter(now, row.gap)
+			}
+			if now.After(p.nextDeadline()) {
+				allowed = false
+				break
+			}
+			p.received, p.lastRead = p.received+int64(row.piece), now
+		}
+		if allowed != row.allowed {
+			t.Errorf("%s: allowed %v, after %d bytes", row.name, allowed, p.received)
+		}
+	}
+	for _, received := range []int64{0, 4, 30_000} {
+		bodyStart := secondsAfter(requestStart, 2)
+		p := bodyPace{allowance: defaultBodyTimeout, requestStart: requestStart, bodyStart: bodyStart, lastRead: bodyStart,
+			received: received}
+		if deadline := p.nextDeadline(); deadline.After(secondsAfter(requestStart, 3)) {
+			t.Errorf("a client that stops after %d bytes is ended after %v", received, deadline.Sub(requestStart))
+		}
+	}
+}
--- a/internal/httpserver/disconnect_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -8,49 +8,50 @@
 	"rowancart/internal/testpeer"
 )
 
-// looked gives a look-out for one end of a connection, that end, and the caller's.
-func looked(t *testing.T) (w *disconnectWatcher, here, client *net.TCPConn) {
+// watchConn returns a watcher of a connection, the connection's end that it watches, and the client's end.
+func watchConn(t *testing.T) (w *disconnectWatcher, server, client *net.TCPConn) {
 	t.Helper()
-	_, c, nc := accepted(t)
+	_, c, nc := acceptIdle(t)
 	w = &disconnectWatcher{}
 	w.attach(c.Conn)
 	return w, c.Conn.(*net.TCPConn), nc.(*net.TCPConn)
 }
 
-// However a caller leaves, it is seen to; one that stays is not taken for gone, whatever it sends.
-func TestACallerThatHasLeftIsSeen(t *testing.T) {
-	ahead := func(client *net.TCPConn) { io.WriteString(client, "bytes that nobody reads") }
-	half := func(client *net.TCPConn) { client.CloseWrite() }
-	fin := func(client *net.TCPConn) { client.Close() }
-	rst := func(client *net.TCPConn) { client.SetLinger(0); client.Close() }
-	read := func(client *net.TCPConn) { io.ReadFull(client, make([]byte, len("answer"))) } // else the close is a reset
+// However a client disconnects, it is noticed; one that stays connected is not taken for gone, whatever it sends.
+func TestDisconnectIsNoticed(t *testing.T) {
+	sendAhead := func(client *net.TCPConn) { io.WriteString(client, "bytes that nobody reads") }
+	closeWrite := func(client *net.TCPConn) { client.CloseWrite() }
+	closeConn := func(client *net.TCPConn) { client.Close() }
+	reset := func(client *net.TCPConn) { client.SetLinger(0); client.Close() }
+	// A close with the response unread would be a reset.
+	readResponse := func(client *net.TCPConn) { io.ReadFull(client, make([]byte, len("answer"))) }
 	for name, row := range map[string]struct {
-		does []func(*net.TCPConn)
-		gone bool
+		actions []func(*net.TCPConn)
+		gone    bool
 	}{
-		"stays":                         {nil, false},
-		"stays, bytes ahead":            {[]func(*net.TCPConn){ahead}, false},
-		"ends its sending":              {[]func(*net.TCPConn){half}, true},
-		"ends its sending, bytes ahead": {[]func(*net.TCPConn){ahead, half}, true},
-		"closes":                        {[]func(*net.TCPConn){read, fin}, true},
-		"closes, bytes ahead":           {[]func(*net.TCPConn){read, ahead, fin}, true},
-		"resets":                        {[]func(*net.TCPConn){rst}, true},
-		"resets, bytes ahead":           {[]func(*net.TCPConn){ahead, rst}, true},
+		"stays":                           {nil, false},
+		"stays, bytes ahead":              {[]func(*net.TCPConn){sendAhead}, false},
+		"closes its writing":              {[]func(*net.TCPConn){closeWrite}, true},
+		"closes its writing, bytes ahead": {[]func(*net.TCPConn){sendAhead, closeWrite}, true},
+		"closes":                          {[]func(*net.TCPConn){readResponse, closeConn}, true},
+		"closes, bytes ahead":             {[]func(*net.TCPConn){readResponse, sendAhead, closeConn}, true},
+		"resets":                          {[]func(*net.TCPConn){reset}, true},
+		"resets, bytes ahead":             {[]func(*net.TCPConn){sendAhead, reset}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, here, client := looked(t)
+			w, server, client := watchConn(t)
 			if w.clientGone() {
 				t.Fatal("gone before it has done anything")
 			}
-			for _, do := range row.does {
-				do(client)
+			for _, act := range row.actions {
+				act(client)
 			}
 			if row.gone {
-				until(t, "it is seen to have left", w.clientGone)
+				until(t, "the disconnect is noticed", w.clientGone)
 				return
 			}
-			if len(row.does) > 0 {
-				until(t, "the bytes come", func() bool { return testpeer.Pending(here) })
+			if len(row.actions) > 0 {
+				until(t, "the bytes arrive", func() bool { return testpeer.Pending(server) })
 			}
 			if w.clientGone() {
 				t.Error("it is taken for gone")
@@ -59,25 +60,25 @@
 	}
 }
 
-// Once a request is answered its caller's leaving is nobody's business: what is told then would hit another request's connection.
-func TestALookoutThatHasStoppedTellsNobody(t *testing.T) {
-	w, _, client := looked(t)
-	told := 0
-	w.start(func() { told++ })
+// Once a request is answered, its client's disconnect must not be notified: it would hit the next request's attempt.
+func TestNoDisconnectIsNotifiedAfterStop(t *testing.T) {
+	w, _, client := watchConn(t)
+	notified := 0
+	w.start(func() { notified++ })
 	client.SetLinger(0)
 	client.Close()
-	until(t, "it is seen to have left", w.clientGone)
+	until(t, "the disconnect is noticed", w.clientGone)
 	w.stop()
-	was := told
+	atStop := notified
 	w.poll() // as the timer of the request before may still do
-	if told != was {
-		t.Error("told after the stop")
+	if notified != atStop {
+		t.Error("notified after the stop")
 	}
-	w.start(func() { told++ })
+	w.start(func() { notified++ })
 	w.poll()
 	w.poll()
-	if told != was+1 {
-		t.Errorf("told %d times of one that has left", told-was)
+	if notified != atStop+1 {
+		t.Errorf("notified %d times of one disconnect", notified-atStop)
 	}
 	w.stop()
 }
--- a/internal/httpserver/peers_test.go
+++ b/internal/httpserver/helpers_test.go
@@ -1,10 +1,8 @@
 package httpserver
 
-import (
-	"rowancart/internal/testpeer"
-)
+import "rowancart/internal/testpeer"
 
-// What tests here use most.
+// The helpers of package testpeer that tests here use most.
 const (
 	patience = testpeer.Patience
 	served   = testpeer.Served
--- a/internal/httpserver/conns_test.go
+++ b/internal/httpserver/listener_test.go
@@ -4,19 +4,20 @@
 	"io"
 	"net"
 	"net/http"
-	"rowancart/internal/testpeer"
 	"testing"
 	"time"
+
+	"rowancart/internal/testpeer"
 )
 
-// accepted gives both ends of a caller's connection that the front holds for idle.
-func accepted(t *testing.T) (*Listener, *trackedConn, net.Conn) {
+// acceptIdle returns a listener, a connection of it that is idle after a response, and the client's end.
+func acceptIdle(t *testing.T) (*Listener, *trackedConn, net.Conn) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := NewListener(listener, 100)
+	l := NewListener(inner, 100)
 	t.Cleanup(func() { l.Close() })
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -37,10 +38,10 @@
 	return l, c, client
 }
 
-// Seen on an overloaded day with few descriptors: connections were closed between the read of a request and the
+// Seen on an overloaded day with few file descriptors: connections were closed between the read of a request and the
 // moment at which the server called them active.
-func TestAConnectionWithARequestReadIsNotRetired(t *testing.T) {
-	l, c, client := accepted(t)
+func TestConnectionWithRequestReadIsNotClosed(t *testing.T) {
+	l, c, client := acceptIdle(t)
 	io.WriteString(client, "re")
 	if n, err := c.Read(make([]byte, 2)); n != 2 || err != nil {
 		t.Fatal(n, err)
@@ -52,8 +53,8 @@
 	}
 }
 
-func TestARetiredConnectionEnds(t *testing.T) {
-	l, c, _ := accepted(t)
+func TestReadsOfClosingConnectionEnd(t *testing.T) {
+	l, c, _ := acceptIdle(t)
 	read := make(chan error)
 	go func() {
 		_, err := c.Read(make([]byte, 1))
@@ -61,9 +62,9 @@
 	}()
 	l.closeIdle(0)
 	if err := <-read; err != io.EOF {
-		t.Errorf("the read that waited: %v", err)
+		t.Errorf("the read in progress: %v", err)
 	}
-	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil { // as the front does before each read
+	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil { // as the server does before each read
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
@@ -71,8 +72,8 @@
 	}
 }
 
-func TestASilentNewConnectionIsKeptForAWhile(t *testing.T) {
-	l, c, client := accepted(t)
+func TestSilentNewConnectionIsKeptUntilTimeout(t *testing.T) {
+	l, c, client := acceptIdle(t)
 	c.state = http.StateNew
 	c.since = time.Now().Add(time.Hour)
 	l.closeIdle(0)
@@ -80,20 +81,20 @@
 	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
 		t.Errorf("its first byte: %d, %v", n, err)
 	}
-	l, c, _ = accepted(t)
+	l, c, _ = acceptIdle(t)
 	c.state = http.StateNew
 	c.since = time.Now().Add(-2 * newConnTimeout)
 	l.closeIdle(0)
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("silent for long: %v", err)
+		t.Errorf("after the timeout: %v", err)
 	}
 }
 
-// Seen on the same day, with half a core: a request that has come but was not read yet must not go under.
-func TestARequestThatHasComeIsReadBeforeTheEnd(t *testing.T) {
-	l, c, client := accepted(t)
+// Seen on the same day, with half a core: a request that has arrived but was not read yet must not be lost.
+func TestArrivedRequestIsReadBeforeClose(t *testing.T) {
+	l, c, client := acceptIdle(t)
 	io.WriteString(client, "request")
-	until(t, "the request comes", func() bool { return testpeer.Pending(c.Conn.(*net.TCPConn)) })
+	until(t, "the request arrives", func() bool { return testpeer.Pending(c.Conn.(*net.TCPConn)) })
 	l.closeIdle(0)
 	if n, err := c.Read(make([]byte, 7)); n == 0 || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -11,57 +11,57 @@
 	"time"
 )
 
-// improperEnd is how long after connecting a peer that sends no proper request is still owed an error or a close.
-const improperEnd = 3 * time.Second
+// incompleteRequestLimit is how long after connecting a client that sends no complete request may wait for an error or
+// a close.
+const incompleteRequestLimit = 3 * time.Second
 
-// piped is a listener whose connections live in memory, so that time in a synctest bubble covers them.
-type piped chan net.Conn
+// pipeListener is a listener whose connections live in memory, so that time in a synctest bubble covers them.
+type pipeListener chan net.Conn
 
-func (p piped) Accept() (net.Conn, error) {
-	nc, ok := <-p
+func (l pipeListener) Accept() (net.Conn, error) {
+	nc, ok := <-l
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return nc, nil
 }
 
-func (p piped) Close() error   { return nil }
-func (p piped) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (l pipeListener) Close() error   { return nil }
+func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// nobody serves.
-type nobody struct{}
+// rejectingRouter rejects all requests.
+type rejectingRouter struct{}
 
-func (nobody) Route(*http.Request) (Target, *Rejection) {
-	return Target{}, &Rejection{Status: http.StatusNotFound, Reason: "nobody serves"}
+func (rejectingRouter) Route(*http.Request) (Target, *Rejection) {
+	return Target{}, &Rejection{Status: http.StatusNotFound, Reason: "no pool serves it"}
 }
 
-// serveInMemory serves callers until the test ends and returns the way to connect.
+// serveInMemory starts a server that runs until the test ends, and returns a function that connects to it.
 func serveInMemory(t *testing.T) (connect func() net.Conn) {
 	t.Helper()
-	log := slog.New(slog.DiscardHandler)
-	listener := make(piped)
-	conns := NewListener(listener, 100)
-	s := New(nobody{}, "front", "", log)
-	ended := make(chan error)
-	go func() { ended <- s.Serve(conns) }()
+	pipes := make(pipeListener)
+	listener := NewListener(pipes, 100)
+	s := New(rejectingRouter{}, "front", "", slog.New(slog.DiscardHandler))
+	served := make(chan error)
+	go func() { served <- s.Serve(listener) }()
 	t.Cleanup(func() {
-		close(listener)
-		if err := <-ended; !errors.Is(err, net.ErrClosed) {
+		close(pipes)
+		if err := <-served; !errors.Is(err, net.ErrClosed) {
 			t.Errorf("the server ended with %v", err)
 		}
-		conns.Abort()
+		listener.Abort()
 	})
 	return func() net.Conn {
-		here, there := net.Pipe()
-		t.Cleanup(func() { here.Close() })
-		listener <- there
-		return here
+		client, server := net.Pipe()
+		t.Cleanup(func() { client.Close() })
+		pipes <- server
+		return client
 	}
 }
 
-// Seen on a day with many improper peers: those that sent nothing, or half of a request, held nearly every place for
-// callers, and clients waited seconds to be accepted.
-func TestAPeerThatSendsNoWholeRequestIsEndedInTime(t *testing.T) {
+// Seen on a day with many improper clients: those that sent nothing, or half of a request, held nearly all connections,
+// and other clients waited seconds to be accepted.
+func TestIncompleteRequestTimesOut(t *testing.T) {
 	for name, text := range map[string]string{
 		"nothing":     "",
 		"half a head": "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\n",
@@ -69,12 +69,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				nc := serveInMemory(t)()
+				client := serveInMemory(t)()
 				connected := time.Now()
-				go io.WriteString(nc, text)
-				nc.SetReadDeadline(connected.Add(time.Hour))
-				_, err := nc.Read(make([]byte, 1)) // an error that is answered, or the close
-				if took := time.Since(connected); took >= improperEnd {
+				go io.WriteString(client, text)
+				client.SetReadDeadline(connected.Add(time.Hour))
+				_, err := client.Read(make([]byte, 1)) // an error response, or the close
+				if took := time.Since(connected); took >= incompleteRequestLimit {
 					t.Errorf("neither an error nor a close for %v (%v)", took, err)
 				}
 			})
@@ -82,21 +82,21 @@
 	}
 }
 
-// The head may come late: both limits together must keep what a peer is owed.
-func TestASlowHeadAndASlowBodyTogetherAreEndedInTime(t *testing.T) {
+// The head may come late: both timeouts together must keep the limit.
+func TestSlowHeadAndSlowBodyTimeOutTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nc := serveInMemory(t)()
+		client := serveInMemory(t)()
 		connected := time.Now()
 		go func() {
 			time.Sleep(requestHeadTimeout - time.Millisecond)
-			io.WriteString(nc, "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf")
+			io.WriteString(client, "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf")
 		}()
-		nc.SetReadDeadline(connected.Add(time.Hour))
-		if _, err := nc.Read(make([]byte, 1)); err != nil {
-			t.Errorf("no error was answered: %v", err)
+		client.SetReadDeadline(connected.Add(time.Hour))
+		if _, err := client.Read(make([]byte, 1)); err != nil {
+			t.Errorf("no error response: %v", err)
 		}
-		if took := time.Since(connected); took >= improperEnd {
-			t.Errorf("no error for %v", took)
+		if took := time.Since(connected); took >= incompleteRequestLimit {
+			t.Errorf("no error response for %v", took)
 		}
 	})
 }
