--- /dev/null
+++ b/balancer/admission_test.go
@@ -0,0 +1,179 @@
+package balancer_test
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"rowancart/balancer"
+)
+
+// In tartu's overload (incident i35432f) servers choked within two seconds, before a caller with few calls out saw
+// its room used up. What is asked beyond all shares together shows at once: then over-share requests are refused.
+func TestOverQuotaIsRejectedWhenTheRateExceedsAllQuotas(t *testing.T) {
+	for perSecond, want := range map[int]bool{4: false, 16: true} {
+		s := testSettings()
+		s.Instances = 10
+		s.Tenants = []balancer.Tenant{{Name: "greedy", Quota: 20}, {Name: "quiet", Quota: 60}} // 8 a second here
+		h := newHarness(t, s, "a", "b", "c")
+		for range 10 * perSecond {
+			id := h.requestFor("read", "greedy")
+			if len(h.sentTo[id]) > 0 {
+				h.advance(10 * ms)
+				h.finish(id, balancer.OK)
+			}
+			h.advance(time.Second/time.Duration(perSecond) - 10*ms)
+		}
+		if n := h.countActions("reject "); n > 0 != want {
+			t.Errorf("%d of %d requests are refused, asked at %d a second", n, 10*perSecond, perSecond)
+		}
+	}
+}
+
+func TestOverQuotaIsRejectedOnlyWhenCapacityIsShort(t *testing.T) {
+	s := testSettings()
+	s.Tenants = []balancer.Tenant{{Name: "big", Quota: 10}, {Name: "small", Quota: 1000}}
+	h := newHarness(t, s, "a", "b")
+	ask := func(tenant string) string {
+		h.requestCount++
+		id := "r" + strconv.Itoa(h.requestCount)
+		h.b.Request(h.now, balancer.Request{ID: id, Class: "read", Tenant: tenant, Deadline: h.now + 5*time.Second})
+		return id
+	}
+	for range 9 {
+		ask("big")
+	}
+	if h.countActions("reject") > 0 {
+		t.Fatal("rejectd with room to spare")
+	}
+	ask("small")
+	ask("big")
+	for range 20 {
+		ask("big")
+		ask("small")
+	}
+	refused := map[string]bool{}
+	for _, d := range h.actions {
+		if id, ok := strings.CutPrefix(d, "reject "); ok {
+			refused[id] = true
+		}
+	}
+	if len(refused) == 0 {
+		t.Fatal("nothing beyond the share was refused")
+	}
+	for i := 12; i <= h.requestCount; i++ {
+		if small := i%2 == 1; small && refused["r"+strconv.Itoa(i)] {
+			t.Errorf("r%d is within its share and was refused", i)
+		}
+	}
+}
+
+// The small tenant sends at its whole quota, a caller's part of which chance passes now and then. While answers take what they always
+// do, ten calls out at one of thirteen callers is no shortage, and nobody is refused; once they stretch it is.
+func TestOverQuotaIsAcceptedWhileResponsesAreQuick(t *testing.T) {
+	s := testSettings()
+	s.Instances, s.Tenants = 13, []balancer.Tenant{{Name: "large", Quota: 400}, {Name: "small", Quota: 25}}
+	ids := endpointIDs(16)
+	for latency, fewest := range map[time.Duration]int{time.Second: 0, 4 * time.Second: 10} {
+		h := newHarness(t, s, ids...)
+		due := map[string]time.Duration{}
+		play := func(latency time.Duration, steps int) {
+			for range steps {
+				tenant := "large"
+				if h.requestCount%4 == 0 {
+					tenant = "small"
+				}
+				if id := h.requestFor("read", tenant); len(h.sentTo[id]) > 0 {
+					due[id] = h.now + latency
+				}
+				h.advance(100 * ms)
+				for _, id := range slices.Sorted(maps.Keys(due)) {
+					if h.now >= due[id] {
+						h.finish(id, balancer.OK)
+						delete(due, id)
+					}
+				}
+			}
+		}
+		play(time.Second, 100)
+		before := h.countActions("reject")
+		play(latency, 100)
+		if n := h.countActions("reject") - before; n < fewest || fewest == 0 && n > 0 {
+			t.Errorf("answers in %v: %d of 100 refused", latency, n)
+		}
+	}
+}
+
+// TestNoClassStarvesInTheQueue: the class with the shortest aim must not be the only one refused in overload.
+func TestNoClassStarvesInTheQueue(t *testing.T) {
+	s := testSettings()
+	s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective = 500*ms, 4*time.Second
+	h := newHarness(t, s, "a")
+	served, out := map[string]int{}, []string{}
+	class := map[string]string{}
+	for i := range 1500 { // some hundred calls a second, one answer every 40 ms
+		id, _ := h.request([]string{"read", "bill"}[i%2])
+		class[id] = []string{"read", "bill"}[i%2]
+		h.advance(10 * ms)
+		if i%4 == 0 {
+			for j := 1; j <= h.requestCount; j++ {
+				if id := "r" + strconv.Itoa(j); len(h.sentTo[id]) == 1 && !slices.Contains(out, id) && !slices.Contains(h.actions, "reject "+id) &&
+					!slices.Contains(h.actions, "fail "+id) {
+					out = append(out, id)
+					h.finish(id, balancer.OK)
+					served[class[id]]++
+					break
+				}
+			}
+		}
+	}
+	if served["read"] < served["bill"]/3 {
+		t.Errorf("served %v", served)
+	}
+}
+
+func TestRequestWithoutEndpointsWaitsAndIsRejected(t *testing.T) {
+	h := newHarness(t, testSettings())
+	id, _ := h.request("bill")
+	h.advance(100 * ms)
+	if len(h.actions) > 0 {
+		t.Fatalf("acted at once: %v", h.actions)
+	}
+	h.advance(5 * time.Second)
+	if !slices.Equal(h.actions, []string{"reject " + id}) {
+		t.Errorf("actions %v", h.actions)
+	}
+	id, _ = h.request("bill")
+	h.b.EndpointList(h.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new"}}})
+	if len(h.sentTo[id]) != 1 {
+		t.Error("a held request did not go to the first endpoint that came")
+	}
+}
+
+// While others wait, a call that cannot be answered in time is refused rather than sent to fail.
+func TestRequestWithoutTimeIsRejectedWhileOthersWait(t *testing.T) {
+	h := newHarness(t, testSettings(), "a")
+	h.serve(100, map[string]time.Duration{"a": 200 * ms})
+	for h.countActions("reject") == 0 {
+		if _, ep := h.request("read"); ep == "" {
+			break
+		}
+	}
+	h.b.Request(h.now, balancer.Request{ID: "late", Class: "read", Deadline: h.now + 60*ms})
+	if h.actions[len(h.actions)-1] != "reject late" {
+		t.Errorf("last action %q", h.actions[len(h.actions)-1])
+	}
+}
+
+// Where an answer is wanted within a long time, a wait is better than a refusal.
+func TestRequestWithTimeIsNotRejectedInAShortOverload(t *testing.T) {
+	h := newHarness(t, testSettingsWithObjective(20*time.Second), "a", "b")
+	h.overload(30*ms, 20*ms, 3*time.Second, "a", "b")
+	h.overload(6*ms, 20*ms, 4*time.Second, "a", "b") // two thirds more than the two can do
+	if n := h.countActions("reject"); n > 0 {
+		t.Errorf("%d were refused; the last of them would have waited for three seconds of 20", n)
+	}
+}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -8,23 +8,23 @@
 	"rowancart/balancer"
 )
 
-// mute is a host that only remembers where the latest send went.
-type mute struct{ endpoint string }
+// recordingHost is a host that only remembers where the latest send went.
+type recordingHost struct{ endpoint string }
 
-func (m *mute) Send(_, endpoint string, _ time.Duration)    { m.endpoint = endpoint }
-func (*mute) Cancel(string, int)                            {}
-func (*mute) Reject(string, balancer.Reason, time.Duration) {}
-func (*mute) Fail(string, balancer.Reason)                  {}
-func (*mute) Subscribe()                                    {}
-func (*mute) Timer(time.Duration)                           {}
-func (*mute) Log(string)                                    {}
+func (m *recordingHost) Send(_, endpoint string, _ time.Duration)    { m.endpoint = endpoint }
+func (*recordingHost) Cancel(string, int)                            {}
+func (*recordingHost) Reject(string, balancer.Reason, time.Duration) {}
+func (*recordingHost) Fail(string, balancer.Reason)                  {}
+func (*recordingHost) Subscribe()                                    {}
+func (*recordingHost) Timer(time.Duration)                           {}
+func (*recordingHost) Log(string)                                    {}
 
 // BenchmarkModule measures decisions by the number of endpoints: request is one with its outcome on a calm day, change is
 // one endpoint that drains or is back, and whole is a whole list in which nothing has changed.
 func BenchmarkModule(b *testing.B) {
 	settings := balancer.Settings{Instances: 1, Resolution: time.Millisecond, Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second}}}
 	for _, n := range []int{10, 1_000, 100_000} {
-		m := &mute{}
+		m := &recordingHost{}
 		e := balancer.New(time.Hour, settings, m)
 		l := balancer.EndpointList{Complete: true}
 		for i := range n {
--- /dev/null
+++ b/balancer/class_test.go
@@ -0,0 +1,185 @@
+package balancer_test
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"rowancart/balancer"
+)
+
+// newHarnessWithClass gives a rig whose class "read" is treated as told, warmed up on answers of 10 ms.
+func newHarnessWithClass(t *testing.T, change func(c *balancer.Class)) *harness {
+	t.Helper()
+	s := testSettings()
+	s.RetryBudget = balancer.RetryBudget{PerRequest: 1, Burst: 100}
+	change(&s.Classes[0])
+	h := newHarness(t, s, "a", "b", "c")
+	for range 60 {
+		id, _ := h.request("read")
+		h.advance(10 * ms)
+		h.finishAll(id)
+	}
+	h.actions = nil
+	return h
+}
+
+func TestClassSetsItsAttemptsAndQueue(t *testing.T) {
+	once := newHarnessWithClass(t, func(c *balancer.Class) { c.NeverRerun = true })
+	ran, _ := once.request("read")
+	once.finish(ran, balancer.Reset)
+	unrun, _ := once.request("read")
+	once.finish(unrun, balancer.ConnectFailed)
+	if len(once.sentTo[ran]) != 1 || once.countActions("reject "+ran) != 1 || len(once.sentTo[unrun]) != 2 {
+		t.Errorf("not to run again: sent to %v after a run, to %v after none: %v", once.sentTo[ran], once.sentTo[unrun], once.actions)
+	}
+	h := newHarnessWithClass(t, func(c *balancer.Class) { c.MaxAttempts = 2 })
+	id, _ := h.request("read")
+	h.finish(id, balancer.Reset)
+	h.finish(id, balancer.Reset)
+	if n := len(h.sentTo[id]); n != 2 || h.countActions("reject "+id) != 1 {
+		t.Errorf("%d attempts where 2 are allowed: %v", n, h.actions)
+	}
+	for queue, want := range map[int]int{-1: 20, 3: 17} {
+		s := testSettings()
+		s.Classes[0].QueueLimit = queue
+		h := newHarness(t, s, "a")
+		for range 26 { // room for 6 to begin with
+			h.request("read")
+		}
+		if n := h.countActions("reject"); n != want {
+			t.Errorf("with a queue of %d, %d of 20 refused at once", queue, n)
+		}
+	}
+}
+
+// timeoutHarness is a rig that also keeps how long attempts may take.
+type timeoutHarness struct {
+	harness
+	timeouts []time.Duration
+}
+
+func (h *timeoutHarness) Send(id, ep string, timeout time.Duration) {
+	h.timeouts = append(h.timeouts, timeout)
+	h.harness.Send(id, ep, timeout)
+}
+
+func TestAttemptTimeout(t *testing.T) {
+	h := &timeoutHarness{harness: harness{t: t, now: time.Hour, sentTo: map[string][]string{}, sentAt: map[string]time.Duration{}}}
+	s := testSettings()
+	s.Classes[0].AttemptTimeout = time.Second
+	h.b = balancer.New(h.now, s, h)
+	h.b.EndpointList(h.now, balancer.EndpointList{Complete: true, Entries: []balancer.Endpoint{{ID: "a"}, {ID: "b"}}})
+	h.request("read")
+	h.request("bill")
+	h.b.Request(h.now, balancer.Request{ID: "short", Class: "read", Deadline: h.now + 300*ms})
+	if want := []time.Duration{time.Second, 5 * time.Second, 300 * ms}; !slices.Equal(h.timeouts, want) {
+		t.Errorf("time-outs %v, want %v", h.timeouts, want)
+	}
+}
+
+// A request that waits between two attempts is treated as its class was when it came; the next one as it is now.
+func TestConfigureKeepsLearnedStateAndRequestsInFlight(t *testing.T) {
+	h := newHarnessWithClass(t, func(*balancer.Class) {})
+	h.serve(60, map[string]time.Duration{"a": 60 * ms, "b": 10 * ms, "c": 10 * ms})
+	h.b.Configure(h.now, testSettings())
+	if share := h.serve(12, map[string]time.Duration{"a": ms, "b": ms, "c": ms}); share["a"] > 1 { // a trial may be due
+		t.Errorf("of 12 calls right after, the slow endpoint gets %d", share["a"])
+	}
+	before, _ := h.request("read")
+	s := testSettings()
+	s.Classes[0].Repeat = balancer.NonIdempotent
+	h.b.Configure(h.now, s)
+	after, _ := h.request("read")
+	h.finish(before, balancer.Reset)
+	h.finish(after, balancer.Reset)
+	if len(h.sentTo[before]) != 2 || len(h.sentTo[after]) != 1 || h.countActions("fail "+after) != 1 {
+		t.Errorf("safe when it came: %v; unsafe when it came: %v", h.sentTo[before], h.sentTo[after])
+	}
+	h.finish(before, balancer.OK)
+	s.Classes = []balancer.Class{{Name: "other", Work: "read", Repeat: balancer.Idempotent, LatencyObjective: 2 * time.Second}}
+	h.b.Configure(h.now, s)
+	if id, to := h.request("other"); to == "" {
+		t.Errorf("%s was not sent", id)
+	}
+	if id, _ := h.request("bill"); h.countActions("send "+id) != 1 { // no longer listed: sent once, as what may do harm
+		t.Errorf("%v", h.actions)
+	}
+}
+
+// Whatever the policy, the outcomes and the reloads: what is unsafe runs at most once, attempts keep to their limit, and
+// every request gets one answer.
+func TestRulesHoldUnderEveryClassPolicy(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		draw := func() balancer.Settings {
+			s := testSettings()
+			for i := range s.Classes {
+				c := &s.Classes[i]
+				c.HedgeAfter = time.Duration(rapid.IntRange(0, 20).Draw(t, "copy")) * ms
+				c.HedgeQuantile = rapid.SampledFrom([]float64{0, 0.5, 0.99}).Draw(t, "share")
+				c.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "attempts")
+				c.QueueLimit = rapid.IntRange(-1, 3).Draw(t, "queue")
+			}
+			return s
+		}
+		s := draw()
+		h := newHarness(nil, s, "a", "b", "c")
+		type call struct {
+			class string
+			most  int
+			ran   int
+			ended []bool
+		}
+		calls := map[string]*call{}
+		var ids []string
+		for range rapid.IntRange(1, 80).Draw(t, "steps") {
+			switch rapid.IntRange(0, 5).Draw(t, "step") {
+			case 0, 1:
+				i := rapid.IntRange(0, 1).Draw(t, "class")
+				id, _ := h.request(s.Classes[i].Name)
+				calls[id] = &call{class: s.Classes[i].Name, most: s.Classes[i].MaxAttempts}
+				ids = append(ids, id)
+			case 2:
+				h.advance(time.Duration(rapid.IntRange(1, 40).Draw(t, "wait")) * ms)
+			case 3:
+				s = draw()
+				h.b.Configure(h.now, s)
+			default:
+				if len(ids) == 0 {
+					continue
+				}
+				id := rapid.SampledFrom(ids).Draw(t, "id")
+				c := calls[id]
+				for n := range h.sentTo[id] {
+					if n < len(c.ended) && c.ended[n] || rapid.Bool().Draw(t, "stays out") {
+						continue
+					}
+					for len(c.ended) <= n {
+						c.ended = append(c.ended, false)
+					}
+					c.ended[n] = true
+					result := rapid.SampledFrom([]balancer.Result{balancer.OK, balancer.Errored, balancer.Rejected, balancer.TimedOut,
+						balancer.ConnectFailed, balancer.Reset, balancer.NotSent}).Draw(t, "result")
+					if result != balancer.Rejected && result != balancer.ConnectFailed && result != balancer.NotSent {
+						c.ran++
+					}
+					h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: result, Latency: ms,
+						Final: result == balancer.OK})
+				}
+			}
+			for id, c := range calls {
+				if c.class == "bill" && (c.ran > 1 || c.ran == 1 && len(c.ended) < len(h.sentTo[id])) {
+					t.Fatalf("%s is unsafe, ran %d times and was sent to %v", id, c.ran, h.sentTo[id])
+				}
+				if len(h.sentTo[id]) > c.most {
+					t.Fatalf("%s: %d attempts where %d are allowed", id, len(h.sentTo[id]), c.most)
+				}
+				if n := slices.Compact(h.finalAnswers(id)); len(n) > 1 {
+					t.Fatalf("%s: more than one answer: %v", id, n)
+				}
+			}
+		}
+	})
+}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -15,7 +15,7 @@
 }
 func (printer) Cancel(id string, n int) { fmt.Println("cancel", id, n) }
 func (printer) Reject(id string, why balancer.Reason, retryAfter time.Duration) {
-	fmt.Println("refuse", id, why)
+	fmt.Println("reject", id, why)
 }
 func (printer) Fail(id string, why balancer.Reason) { fmt.Println("fail", id) }
 func (printer) Subscribe()                          { fmt.Println("subscribe") }
@@ -40,5 +40,5 @@
 	// Output:
 	// send r1 to 10.0.0.1:80
 	// full: no endpoint has room, 1 requests wait
-	// refuse r2 no_endpoint
+	// reject r2 no_endpoint
 }
--- /dev/null
+++ b/balancer/harness_test.go
@@ -0,0 +1,269 @@
+package balancer_test
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"rowancart/balancer"
+)
+
+const ms = time.Millisecond
+
+// harness drives a balancer by hand and keeps what it asks for.
+type harness struct {
+	t            *testing.T
+	now          time.Duration
+	b            *balancer.Balancer
+	actions      []string // all actions but timers, in order
+	sentTo       map[string][]string
+	sentAt       map[string]time.Duration
+	timers       []time.Duration
+	requestCount int
+}
+
+func (h *harness) Send(id, ep string, _ time.Duration) {
+	h.actions = append(h.actions, "send "+id+" "+ep)
+	h.sentTo[id] = append(h.sentTo[id], ep)
+	h.sentAt[id] = h.now
+}
+
+func (h *harness) Cancel(id string, n int) {
+	h.actions = append(h.actions, fmt.Sprint("cancel ", id, " ", n))
+}
+
+func (h *harness) Reject(id string, _ balancer.Reason, _ time.Duration) {
+	h.actions = append(h.actions, "reject "+id)
+}
+
+func (h *harness) Fail(id string, _ balancer.Reason) { h.actions = append(h.actions, "fail "+id) }
+
+func (h *harness) Subscribe() { h.actions = append(h.actions, "subscribe") }
+
+func (h *harness) Timer(at time.Duration) { h.timers = append(h.timers, at) }
+
+func (h *harness) Log(string) {}
+
+func testSettings() balancer.Settings {
+	return balancer.Settings{Instances: 1, MaxAttempts: 4, CancelAllowed: true, Resolution: ms,
+		SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second, Classes: []balancer.Class{
+			{Name: "read", Repeat: balancer.Idempotent, LatencyObjective: 2 * time.Second},
+			{Name: "bill", Repeat: balancer.NonIdempotent, LatencyObjective: 2 * time.Second}}}
+}
+
+// testSettingsWithObjective is basic with another aim: how far answers may stretch, and when an attempt is overdue, hang on it.
+func testSettingsWithObjective(within time.Duration) balancer.Settings {
+	s := testSettings()
+	for i := range s.Classes {
+		s.Classes[i].LatencyObjective = within
+	}
+	return s
+}
+
+func newHarness(t *testing.T, s balancer.Settings, endpoints ...string) *harness {
+	return newSeededHarness(t, s, 7, endpoints...)
+}
+
+func newSeededHarness(t *testing.T, s balancer.Settings, seed uint64, endpoints ...string) *harness {
+	h := &harness{t: t, now: 100 * time.Second, sentTo: map[string][]string{}, sentAt: map[string]time.Duration{}}
+	s.Seed = seed
+	h.b = balancer.New(h.now, s, h)
+	l := balancer.EndpointList{Complete: true}
+	for _, id := range endpoints {
+		l.Entries = append(l.Entries, balancer.Endpoint{ID: id})
+	}
+	h.b.EndpointList(h.now, l)
+	return h
+}
+
+// newHarnessOfInstance is one of many callers that share their endpoints and have little to send each.
+func newHarnessOfInstance(t *testing.T, callers, endpoints int) *harness {
+	s := testSettings()
+	s.Instances = callers
+	return newHarness(t, s, endpointIDs(endpoints)...)
+}
+
+// endpointIDs gives the names of so many endpoints.
+func endpointIDs(n int) []string {
+	ids := make([]string, n)
+	for i := range ids {
+		ids[i] = fmt.Sprintf("e%02d", i)
+	}
+	return ids
+}
+
+// advance lets time pass and fires the timers that fall due.
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += ms
+		due := 0
+		h.timers = slices.DeleteFunc(h.timers, func(at time.Duration) bool {
+			if at <= h.now {
+				due++
+			}
+			return at <= h.now
+		})
+		for range due {
+			h.b.Timer(h.now)
+		}
+	}
+}
+
+// request makes a request and returns its id and the endpoint it went to, if any.
+func (h *harness) request(class string) (id, ep string) {
+	id = h.requestFor(class, "")
+	if len(h.sentTo[id]) > 0 {
+		ep = h.sentTo[id][0]
+	}
+	return id, ep
+}
+
+// requestFor is a call for a tenant, which need not be sent on.
+func (h *harness) requestFor(class, tenant string) string {
+	h.requestCount++
+	id := "r" + strconv.Itoa(h.requestCount)
+	h.b.Request(h.now, balancer.Request{ID: id, Class: class, Tenant: tenant, Deadline: h.now + 5*time.Second})
+	return id
+}
+
+// requestStreamed asks for something with a long body.
+func (h *harness) requestStreamed(class string) string {
+	h.requestCount++
+	id := fmt.Sprint("long", h.requestCount)
+	h.b.Request(h.now, balancer.Request{ID: id, Class: class, Deadline: h.now + time.Minute, Streamed: true})
+	return id
+}
+
+// finish reports the outcome of the latest attempt of a request.
+func (h *harness) finish(id string, result balancer.Result) {
+	n := len(h.sentTo[id]) - 1
+	h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: result, Latency: h.now - h.sentAt[id],
+		Final: result == balancer.OK})
+}
+
+// finishAll ends all attempts of a request, the latest with success.
+func (h *harness) finishAll(id string) {
+	for n, ep := range h.sentTo[id] {
+		o := balancer.Outcome{ID: id, Attempt: n, Endpoint: ep, Result: balancer.Canceled, Latency: h.now - h.sentAt[id], Final: true}
+		if n == len(h.sentTo[id])-1 {
+			o.Result = balancer.OK
+		}
+		h.b.Outcome(h.now, o)
+	}
+}
+
+func (h *harness) countActions(prefix string) int {
+	n := 0
+	for _, d := range h.actions {
+		if strings.HasPrefix(d, prefix) {
+			n++
+		}
+	}
+	return n
+}
+
+// finalAnswers gives the final answers that a request got.
+func (h *harness) finalAnswers(id string) []string {
+	var out []string
+	for _, did := range h.actions {
+		if did == "reject "+id || did == "fail "+id {
+			out = append(out, fmt.Sprint(len(out), strings.Fields(did)[0]))
+		}
+	}
+	return out
+}
+
+// serve serves calls one after another, each endpoint taking its own time.
+func (h *harness) serve(calls int, latency map[string]time.Duration) map[string]int {
+	share := map[string]int{}
+	for range calls {
+		id, ep := h.request("read")
+		share[ep]++
+		h.advance(latency[ep])
+		h.finish(id, balancer.OK)
+	}
+	return share
+}
+
+// serveSteadily calls every so often for a while, and ends each call that was sent after the time its endpoint takes; sent hears
+// of each send as it is made.
+func (h *harness) serveSteadily(every, lasting time.Duration, latency func(ep string) time.Duration, sent func(ep string)) {
+	due, seen := map[string]time.Duration{}, len(h.actions)
+	for begun := h.now; h.now < begun+lasting; {
+		if h.now%every == 0 {
+			h.request("read")
+		}
+		h.advance(ms)
+		for _, id := range slices.Sorted(maps.Keys(due)) {
+			if h.now >= due[id] {
+				delete(due, id)
+				h.finish(id, balancer.OK)
+			}
+		}
+		for ; seen < len(h.actions); seen++ {
+			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
+				due[f[1]] = h.now + latency(f[2])
+				sent(f[2])
+			}
+		}
+	}
+}
+
+// overload offers a call every gap for a while. Each endpoint works on one call at a time, for work each. It returns
+// the most calls that an endpoint held in the second half of that time, and how many were answered.
+func (h *harness) overload(gap, work, long time.Duration, endpoints ...string) (most, answered int) {
+	queue, busy, begun := map[string][]string{}, map[string]time.Duration{}, h.now
+	for h.now < begun+long {
+		if id, ep := h.request("read"); ep != "" {
+			queue[ep] = append(queue[ep], id)
+		}
+		for next := h.now + gap; h.now < next; {
+			sent := len(h.actions)
+			h.advance(ms)
+			for _, ep := range endpoints {
+				if busy[ep] += ms; busy[ep] >= work || len(queue[ep]) == 0 {
+					busy[ep] = 0
+					if len(queue[ep]) > 0 {
+						id := queue[ep][0]
+						queue[ep] = queue[ep][1:]
+						h.finish(id, balancer.OK)
+						answered++
+					}
+				}
+			}
+			for _, d := range h.actions[sent:] { // held calls that went out since
+				if f := strings.Fields(d); f[0] == "send" && !slices.Contains(queue[f[2]], f[1]) {
+					queue[f[2]] = append(queue[f[2]], f[1])
+				}
+			}
+			for _, ep := range endpoints {
+				if h.now > begun+long/2 {
+					most = max(most, len(queue[ep]))
+				}
+			}
+		}
+	}
+	return most, answered
+}
+
+// measureCapacity tells how many calls may be out at once: more are held.
+func (h *harness) measureCapacity() int {
+	before := h.countActions("send ")
+	var ids []string
+	for {
+		id, ep := h.request("read")
+		if ep == "" {
+			break
+		}
+		ids = append(ids, id)
+	}
+	n := h.countActions("send ") - before
+	for _, id := range ids {
+		h.finish(id, balancer.OK)
+	}
+	return n
+}
--- /dev/null
+++ b/balancer/hedge_test.go
@@ -0,0 +1,86 @@
+package balancer_test
+
+import (
+	"testing"
+	"time"
+
+	"rowancart/balancer"
+)
+
+func TestHedgedRequestFollowsASlowFirstAttempt(t *testing.T) {
+	for name, change := range map[string]func(*balancer.Class){
+		"after a time":    func(c *balancer.Class) { c.HedgeAfter = 30 * ms },
+		"after a share":   func(c *balancer.Class) { c.HedgeAfter, c.HedgeQuantile = time.Second, 0.95 },
+		"two in all":      func(c *balancer.Class) { c.HedgeAfter, c.MaxAttempts = 30*ms, 2 },
+		"not for a queue": func(c *balancer.Class) { c.HedgeAfter, c.QueueLimit = 30*ms, -1 },
+	} {
+		h := newHarnessWithClass(t, change)
+		id, first := h.request("read")
+		h.advance(8 * ms)
+		if n := len(h.sentTo[id]); n != 1 {
+			t.Errorf("%s: %d sent before it was due", name, n)
+		}
+		h.advance(100 * ms)
+		if to := h.sentTo[id]; len(to) != 2 || to[1] == first {
+			t.Fatalf("%s: sent to %v", name, to)
+		}
+		// The copy fails: the first still counts, and is not given up.
+		h.finish(id, balancer.Reset)
+		if n := h.countActions("reject") + h.countActions("fail"); n != 0 {
+			t.Errorf("%s: given up with an attempt out: %v", name, h.actions)
+		}
+		h.b.Outcome(h.now, balancer.Outcome{ID: id, Endpoint: first, Result: balancer.OK, Latency: 100 * ms, Final: true})
+		if h.countActions("send") != 2 || h.countActions("cancel") != 0 {
+			t.Errorf("%s: %v", name, h.actions)
+		}
+	}
+}
+
+func TestSlowerOfTwoHedgedAttemptsIsCanceledAndLosesTurns(t *testing.T) {
+	h := newHarnessWithClass(t, func(c *balancer.Class) { c.HedgeAfter = 15 * ms })
+	turns := map[string]int{}
+	for range 200 {
+		id, first := h.request("read")
+		turns[first]++
+		h.advance(10 * ms)
+		if first == "a" {
+			h.advance(15 * ms)
+			last := len(h.sentTo[id]) - 1
+			h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: last, Endpoint: h.sentTo[id][last], Result: balancer.OK, Latency: 10 * ms})
+			if last != 1 || h.countActions("cancel "+id+" 0") != 1 {
+				t.Fatalf("the slow one is still out: %v", h.actions)
+			}
+			h.b.Outcome(h.now, balancer.Outcome{ID: id, Endpoint: "a", Result: balancer.Canceled, Latency: 25 * ms, Final: true})
+			continue
+		}
+		h.finishAll(id)
+	}
+	if 4*turns["a"] > 3*min(turns["b"], turns["c"]) {
+		t.Errorf("copies hide that a is slow: %v", turns)
+	}
+}
+
+func TestNoHedgingBeyondIdempotenceOrBudget(t *testing.T) {
+	s := testSettings()
+	for i := range s.Classes {
+		s.Classes[i].HedgeAfter = 5 * ms
+	}
+	s.Classes = append(s.Classes, balancer.Class{Name: "keyed", Repeat: balancer.IdempotencyKeyed, KeyWindow: time.Hour, LatencyObjective: time.Second, HedgeAfter: 5 * ms})
+	h := newHarness(t, s, "a", "b", "c")
+	for _, class := range []string{"bill", "keyed"} {
+		id, _ := h.request(class)
+		h.advance(100 * ms)
+		if n := len(h.sentTo[id]); n != 1 {
+			t.Errorf("%s: %d attempts", class, n)
+		}
+	}
+	s.RetryBudget = balancer.RetryBudget{PerRequest: 0.01, Burst: 2}
+	h = newHarness(t, s, "a", "b", "c", "d", "e", "f")
+	for range 10 {
+		h.request("read")
+		h.advance(50 * ms)
+	}
+	if n := h.countActions("send"); n != 11 {
+		t.Errorf("%d sends of 10 requests with a budget for one copy", n)
+	}
+}
--- a/balancer/retrybudget_test.go
+++ b/balancer/retrybudget_test.go
@@ -8,7 +8,7 @@
 )
 
 // Over any stretch of time, what is spent stays under what was earned and what may be saved up.
-func TestResendsStayWithinWhatWasEarned(t *testing.T) {
+func TestRetryBudgetStaysWithinWhatWasEarned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := retryBucket{RetryBudget: RetryBudget{PerRequest: rapid.Float64Range(0, 1).Draw(t, "share"), PerSecond: rapid.Float64Range(0, 20).Draw(t, "rate"),
 			Burst: rapid.Float64Range(1, 50).Draw(t, "most")}}
@@ -34,7 +34,7 @@
 	})
 }
 
-func TestTheBudgetWhereNoneIsGiven(t *testing.T) {
+func TestDefaultRetryBudget(t *testing.T) {
 	var r retryBucket
 	n := 0
 	for range 1000 {
--- /dev/null
+++ b/balancer/simulation_test.go
@@ -0,0 +1,339 @@
+package balancer_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"testing"
+	"time"
+
+	"rowancart/balancer"
+)
+
+// answerSlack is how long after the deadline a final answer may come.
+const answerSlack = 20 * ms
+
+// simulatedAttempt is one attempt as the world sees it.
+type simulatedAttempt struct {
+	endpoint       balancer.Endpoint
+	sentAt, endsAt time.Duration
+	result         balancer.Result
+	inFlight       bool
+	mayHaveRun     bool // ended, and nothing proves that it did not run
+	canceled       bool
+}
+
+// simulatedRequest is one request as the world sees it.
+type simulatedRequest struct {
+	balancer.Request
+	class    balancer.Class
+	attempts []*simulatedAttempt
+	ended    bool // has its answer, or its client left
+	notified bool // the balancer was told so, or did it itself, before the batch in hand
+}
+
+// simulation plays clients, discovery and endpoints against one balancer and watches the four rules.
+type simulation struct {
+	t            testing.TB
+	rng          *rand.Rand
+	settings     balancer.Settings
+	now          time.Duration
+	b            *balancer.Balancer
+	listed       map[string]balancer.Endpoint // as last told
+	drainedAt    map[string]time.Duration     // when told of a drain or removal
+	requests     map[string]*simulatedRequest
+	openIDs      []string
+	timers       []time.Duration
+	warmingSends map[string][]time.Duration // sends to cold endpoints
+	requestCount int
+	ending       bool // nothing new comes
+	sends        int
+	answers      [3]int // served, refused, failed
+	reasons      map[balancer.Reason]int
+	actions      []string
+}
+
+func (sim *simulation) Send(id, ep string, timeout time.Duration) {
+	sim.actions = append(sim.actions, fmt.Sprintf("%v send %s %s", sim.now, id, ep))
+	req, e := sim.requests[id], sim.listed[ep]
+	if req == nil || e.ID == "" {
+		sim.t.Fatalf("%v: Send of %s to %s, one of them unknown", sim.now, id, ep)
+	}
+	if req.notified {
+		sim.t.Fatalf("%v: Send of %s, which has ended", sim.now, id)
+	}
+	if at, ok := sim.drainedAt[ep]; ok && sim.now > at {
+		sim.t.Fatalf("%v: Send to %s, told to stop at %v", sim.now, ep, at)
+	}
+	if sim.settings.MaxAttempts > 0 && len(req.attempts) >= sim.settings.MaxAttempts {
+		sim.t.Fatalf("%v: attempt %d of %s", sim.now, len(req.attempts), id)
+	}
+	for _, a := range req.attempts {
+		if a.inFlight {
+			sim.t.Fatalf("%v: second copy of %s", sim.now, id)
+		}
+		if !a.inFlight && !a.mayHaveRun || req.class.Repeat == balancer.Idempotent {
+			continue
+		}
+		c := req.class
+		if c.Repeat == balancer.NonIdempotent || sim.now > a.sentAt+c.KeyWindow || c.KeyScope == balancer.KeyScopeZone && a.endpoint.Zone != e.Zone ||
+			c.KeyScope == balancer.KeyScopeCell && a.endpoint.Cell != e.Cell {
+			sim.t.Fatalf("%v: %s may take effect twice at %s", sim.now, id, ep)
+		}
+	}
+	if e.Started > 0 && sim.now-e.Started < sim.settings.SlowStartWindow {
+		sim.warmingSends[ep] = append(sim.warmingSends[ep], sim.now)
+	}
+	sim.sends++
+	a := &simulatedAttempt{endpoint: e, sentAt: sim.now, inFlight: true, endsAt: sim.now + time.Duration(1+sim.rng.IntN(300))*ms}
+	switch n := sim.rng.IntN(20); {
+	case n < 11:
+		a.result = balancer.OK
+	case n == 11: // hangs
+		a.result, a.endsAt = balancer.TimedOut, sim.now+timeout
+	default:
+		a.result = []balancer.Result{balancer.Errored, balancer.Rejected, balancer.ConnectFailed, balancer.Reset,
+			balancer.NotSent, balancer.OK, balancer.TimedOut, balancer.Errored}[n-12]
+	}
+	if a.endsAt > sim.now+timeout {
+		a.result, a.endsAt = balancer.TimedOut, sim.now+timeout
+	}
+	req.attempts = append(req.attempts, a)
+}
+
+func (sim *simulation) Cancel(id string, n int) {
+	if !sim.settings.CancelAllowed {
+		sim.t.Fatalf("%v: Cancel is not allowed", sim.now)
+	}
+	req := sim.requests[id]
+	if req == nil || n < 0 || n >= len(req.attempts) {
+		sim.t.Fatalf("%v: Cancel of %s/%d, which was never sent", sim.now, id, n)
+	}
+	if a := req.attempts[n]; a.inFlight && !a.canceled {
+		a.canceled = true
+		if sim.rng.IntN(4) > 0 || a.endsAt > sim.now+50*ms { // else another outcome is on its way
+			a.result, a.endsAt = balancer.Canceled, sim.now
+		}
+	}
+}
+
+func (sim *simulation) Reject(id string, why balancer.Reason, _ time.Duration) {
+	req := sim.recordAnswer(id)
+	sim.checkReason(req, why)
+	sim.answers[1]++
+	for _, a := range req.attempts {
+		if (a.inFlight || a.mayHaveRun) && (req.class.Repeat == balancer.NonIdempotent ||
+			req.class.Repeat == balancer.IdempotencyKeyed && req.class.KeyScope != balancer.KeyScopeAll) {
+			sim.t.Fatalf("%v: %s is refused though it may have run", sim.now, id)
+		}
+	}
+}
+
+func (sim *simulation) Fail(id string, why balancer.Reason) {
+	sim.checkReason(sim.recordAnswer(id), why)
+	sim.answers[2]++
+}
+
+// checkReason holds a reason to what the world has seen.
+func (sim *simulation) checkReason(req *simulatedRequest, why balancer.Reason) {
+	ready, failed, ran, out := false, false, false, false
+	for _, e := range sim.listed {
+		ready = ready || e.State == balancer.Ready
+	}
+	for _, a := range req.attempts {
+		failed, ran, out = failed || !a.inFlight, ran || a.mayHaveRun, out || a.inFlight
+	}
+	holds := map[balancer.Reason]bool{
+		balancer.NoEndpoint:        !ready,
+		balancer.NoCapacity:        ready && len(req.attempts) == 0,
+		balancer.OverQuota:         req.Tenant != "t2" && len(req.attempts) == 0,
+		balancer.DeadlineTooClose:  true, // how long an answer would take is the module's own estimate
+		balancer.RetryBudgetSpent:  failed && !out,
+		balancer.AttemptsExhausted: len(req.attempts) >= sim.settings.MaxAttempts && !out,
+		balancer.MayHaveRun:        ran && req.class.Repeat != balancer.Idempotent,
+	}
+	if !holds[why] {
+		sim.t.Fatalf("%v: %s is told %q after %d attempts, which is not so", sim.now, req.ID, why, len(req.attempts))
+	}
+	sim.reasons[why]++
+}
+
+func (sim *simulation) recordAnswer(id string) *simulatedRequest {
+	sim.actions = append(sim.actions, fmt.Sprintf("%v answer %s", sim.now, id))
+	req := sim.requests[id]
+	if req == nil || req.notified {
+		sim.t.Fatalf("%v: a second answer to %s", sim.now, id)
+	}
+	if !req.ended && sim.now > req.Deadline+answerSlack {
+		sim.t.Fatalf("%v: a late answer to %s, due at %v", sim.now, id, req.Deadline)
+	}
+	req.ended, req.notified = true, true
+	return req
+}
+
+func (sim *simulation) Subscribe() {}
+
+func (sim *simulation) Timer(at time.Duration) { sim.timers = append(sim.timers, at) }
+
+func (sim *simulation) Log(string) {}
+
+// startBalancer begins a life of the balancer; what an earlier one held is lost.
+func (sim *simulation) startBalancer(seed uint64) {
+	sim.requests, sim.openIDs, sim.timers = map[string]*simulatedRequest{}, nil, nil
+	sim.settings.Seed = seed
+	sim.b = balancer.New(sim.now, sim.settings, sim)
+	l := balancer.EndpointList{Complete: true}
+	for i := range 12 {
+		if e, ok := sim.listed["e"+strconv.Itoa(i)]; ok && e.State != balancer.Gone {
+			l.Entries = append(l.Entries, e)
+		}
+	}
+	sim.b.EndpointList(sim.now, l)
+}
+
+func (sim *simulation) changeEndpoint() {
+	if sim.rng.IntN(10) == 0 {
+		sim.b.EndpointList(sim.now, balancer.EndpointList{Failed: true})
+		return
+	}
+	id := sim.rng.IntN(12)
+	e := balancer.Endpoint{ID: "e" + strconv.Itoa(id), State: balancer.State(sim.rng.IntN(3)), Zone: "z" + strconv.Itoa(id%2),
+		Kind: "k" + strconv.Itoa(id%3), Cell: id % 4}
+	if sim.rng.IntN(3) > 0 {
+		e.State = balancer.Ready
+	}
+	old, known := sim.listed[e.ID]
+	if e.State == balancer.Ready && (!known || old.State == balancer.Gone || sim.rng.IntN(3) == 0) {
+		e.Started = sim.now
+	} else {
+		e.Started = old.Started
+	}
+	if e.State == balancer.Ready {
+		delete(sim.drainedAt, e.ID)
+	} else if _, ok := sim.drainedAt[e.ID]; !ok {
+		sim.drainedAt[e.ID] = sim.now
+	}
+	sim.listed[e.ID] = e
+	sim.b.EndpointList(sim.now, balancer.EndpointList{Entries: []balancer.Endpoint{e}})
+}
+
+func (sim *simulation) startRequest() {
+	sim.requestCount++
+	c := sim.settings.Classes[sim.rng.IntN(len(sim.settings.Classes))]
+	r := balancer.Request{ID: "r" + strconv.Itoa(sim.requestCount), Class: c.Name, Tenant: "t" + strconv.Itoa(sim.rng.IntN(3)),
+		Deadline: sim.now + time.Duration(sim.rng.IntN(1500))*ms, ClientRetry: sim.rng.IntN(5) == 0}
+	if sim.rng.IntN(30) == 0 {
+		r.Class, c = "never listed", balancer.Class{Repeat: balancer.NonIdempotent}
+	}
+	sim.requests[r.ID] = &simulatedRequest{Request: r, class: c}
+	sim.openIDs = append(sim.openIDs, r.ID)
+	sim.b.Request(sim.now, r)
+}
+
+// step plays one batch.
+func (sim *simulation) step() {
+	defer func() {
+		if err := sim.b.CheckIndex(); err != nil {
+			sim.t.Fatalf("%v: %v", sim.now, err)
+		}
+	}()
+	sim.now += max(sim.settings.Resolution, ms)
+	for range sim.rng.IntN(4) {
+		if !sim.ending {
+			sim.startRequest()
+		}
+	}
+	if !sim.ending && sim.rng.IntN(40) == 0 {
+		sim.changeEndpoint()
+	}
+	due := 0
+	for i := 0; i < len(sim.timers); i++ {
+		if sim.timers[i] <= sim.now {
+			sim.timers[i] = sim.timers[len(sim.timers)-1]
+			sim.timers = sim.timers[:len(sim.timers)-1]
+			i--
+			due++
+		}
+	}
+	for range due {
+		sim.b.Timer(sim.now)
+	}
+	kept := sim.openIDs[:0]
+	for _, id := range sim.openIDs {
+		req := sim.requests[id]
+		if !sim.ending && !req.ended && sim.rng.IntN(400) == 0 {
+			req.ended, req.notified = true, true
+			sim.b.ClientLeft(sim.now, id)
+		}
+		out := false
+		for n, a := range req.attempts {
+			if a.inFlight && a.endsAt <= sim.now {
+				a.inFlight, a.mayHaveRun = false, a.result != balancer.Rejected && a.result != balancer.ConnectFailed && a.result != balancer.NotSent
+				if a.result == balancer.OK && !req.ended {
+					req.ended = true
+					sim.answers[0]++
+				}
+				final := req.ended
+				req.notified = req.notified || final
+				sim.b.Outcome(sim.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.endpoint.ID, Result: a.result,
+					Latency: sim.now - a.sentAt, Final: final})
+				if sim.rng.IntN(30) == 0 { // a host that reports twice must do no harm
+					sim.b.Outcome(sim.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.endpoint.ID, Result: a.result, Final: final})
+				}
+			}
+			out = out || a.inFlight
+		}
+		if !req.ended && sim.now > req.Deadline+answerSlack {
+			sim.t.Fatalf("%v: no answer to %s by %v", sim.now, id, req.Deadline)
+		}
+		if !req.ended || out {
+			kept = append(kept, id)
+		}
+	}
+	sim.openIDs = kept
+}
+
+func newSimulation(t testing.TB, seed uint64) *simulation {
+	rng := rand.New(rand.NewPCG(seed, 2))
+	sim := &simulation{t: t, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second, listed: map[string]balancer.Endpoint{},
+		reasons: map[balancer.Reason]int{}, drainedAt: map[string]time.Duration{}, warmingSends: map[string][]time.Duration{}}
+	sim.settings = balancer.Settings{Instances: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
+		SubscribeRequired: rng.IntN(2) == 0, PollInterval: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
+		CancelAllowed:     rng.IntN(4) > 0,
+		Resolution:        time.Duration(1+rng.IntN(5)) * ms,
+		SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second,
+		Tenants: []balancer.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 5}}}
+	for i, effect := range []balancer.Repeatability{balancer.Idempotent, balancer.IdempotencyKeyed, balancer.IdempotencyKeyed, balancer.IdempotencyKeyed, balancer.NonIdempotent} {
+		sim.settings.Classes = append(sim.settings.Classes, balancer.Class{Name: "c" + strconv.Itoa(i), Repeat: effect,
+			KeyScope: balancer.KeyScope(max(i-1, 0) % 3), KeyWindow: time.Duration(100+rng.IntN(400)) * ms, LatencyObjective: 400 * ms,
+		})
+	}
+	for i := range 8 {
+		id := "e" + strconv.Itoa(i)
+		sim.listed[id] = balancer.Endpoint{ID: id, Zone: "z" + strconv.Itoa(i%2), Kind: "k" + strconv.Itoa(i%3), Cell: i % 4}
+	}
+	sim.startBalancer(seed)
+	return sim
+}
+
+// simulate runs a random day of legal events; any broken rule is fatal.
+func simulate(t testing.TB, seed uint64, steps int) *simulation {
+	sim := newSimulation(t, seed)
+	for i := range steps {
+		sim.step()
+		if i == steps/2 && seed%3 == 0 {
+			sim.startBalancer(seed + 1)
+		}
+	}
+	sim.ending = true
+	for range 3000 { // let everything end
+		if len(sim.openIDs) == 0 {
+			break
+		}
+		sim.step()
+	}
+	if len(sim.openIDs) > 0 {
+		t.Fatalf("%d requests never ended", len(sim.openIDs))
+	}
+	return sim
+}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -8,24 +8,24 @@
 	"pgregory.net/rapid"
 )
 
-// silent is a Host that keeps what is sent. Whatever these tests do not lead to, the empty Host panics at.
-type silent struct {
+// recordingHost is a Host that keeps what is sent. Whatever these tests do not lead to, the empty Host panics at.
+type recordingHost struct {
 	Host
 	sent map[string]string
 }
 
-func (s *silent) Send(id, endpoint string, _ time.Duration) { s.sent[id] = endpoint }
-func (s *silent) Timer(time.Duration)                       {}
+func (s *recordingHost) Send(id, endpoint string, _ time.Duration) { s.sent[id] = endpoint }
+func (s *recordingHost) Timer(time.Duration)                       {}
 
 var (
 	learnedSettings = Settings{Classes: []Class{{Name: "look", LatencyObjective: time.Second}}, SlowStartCapacity: 0.3, SlowStartWindow: 10 * time.Second}
 	learnedList     = EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 )
 
-// learnedFrom plays a Balancer before three endpoints, of which c is slow.
-func learnedFrom(t *testing.T) (LearnedState, time.Duration) {
+// learnState plays a Balancer before three endpoints, of which c is slow.
+func learnState(t *testing.T) (LearnedState, time.Duration) {
 	t.Helper()
-	h := &silent{sent: map[string]string{}}
+	h := &recordingHost{sent: map[string]string{}}
 	now := time.Hour
 	b := New(now, learnedSettings, h)
 	b.EndpointList(now, learnedList)
@@ -43,9 +43,9 @@
 	return b.LearnedState(now), now
 }
 
-func TestASuccessorKnowsWhatItsPredecessorKnew(t *testing.T) {
-	l, _ := learnedFrom(t)
-	h := &silent{sent: map[string]string{}}
+func TestRestoreTakesOverLearnedState(t *testing.T) {
+	l, _ := learnState(t)
+	h := &recordingHost{sent: map[string]string{}}
 	now := 3 * time.Hour // by another clock
 	b := New(now, learnedSettings, h)
 	b.EndpointList(now, learnedList)
@@ -64,10 +64,10 @@
 	}
 }
 
-func TestWhatIsColdOrKnownBetterIsNotRecalled(t *testing.T) {
-	l, _ := learnedFrom(t)
+func TestRestoreLeavesWarmingEndpointsAlone(t *testing.T) {
+	l, _ := learnState(t)
 	now := 3 * time.Hour
-	b := New(now, learnedSettings, &silent{sent: map[string]string{}})
+	b := New(now, learnedSettings, &recordingHost{sent: map[string]string{}})
 	b.EndpointList(now, EndpointList{Complete: true, Entries: []Endpoint{{ID: "a", Started: now - time.Second}, {ID: "c"}}})
 	b.Restore(now, l, time.Second)
 	if a := b.byID["a"]; a.sampleCount != 0 {
@@ -79,10 +79,10 @@
 }
 
 // Whatever a file says, the module's numbers stay such as it can have, and it goes on.
-func TestRecallTakesNoHarm(t *testing.T) {
+func TestRestoreWithstandsInvalidState(t *testing.T) {
 	number := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), -1, 0, 1e300}))
 	rapid.Check(t, func(t *rapid.T) {
-		h := &silent{sent: map[string]string{}}
+		h := &recordingHost{sent: map[string]string{}}
 		now := time.Hour
 		b := New(now, learnedSettings, h)
 		b.EndpointList(now, learnedList)
@@ -109,13 +109,13 @@
 
 // Seen on a day of upgrades during a release: endpoints that were new to a successor waited for their trial as though it were a caller
 // that asks every few seconds, and the old ones were crowded meanwhile.
-func TestASuccessorKnowsHowOftenRequestsCome(t *testing.T) {
-	l, now := learnedFrom(t)
+func TestRestoreTakesOverTheRequestRate(t *testing.T) {
+	l, now := learnState(t)
 	longest := func(recall bool) (wait time.Duration) {
 		for seed := range uint64(20) {
 			s := learnedSettings
 			s.Seed = seed
-			b := New(now, s, &silent{sent: map[string]string{}})
+			b := New(now, s, &recordingHost{sent: map[string]string{}})
 			b.EndpointList(now, learnedList)
 			if recall {
 				b.Restore(now, l, time.Second)
--- /dev/null
+++ b/balancer/subset_test.go
@@ -0,0 +1,133 @@
+package balancer_test
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"rowancart/balancer"
+)
+
+// measureSubsets returns how often each endpoint is met by callers that ask once a second each, and the most and the fewest
+// endpoints that one caller meets.
+func measureSubsets(t *testing.T, callers, endpoints int) (met map[string]int, fewest, most int) {
+	names := []string{}
+	for i := range endpoints {
+		names = append(names, "e"+strconv.Itoa(i))
+	}
+	met, fewest = map[string]int{}, endpoints
+	for c := range callers {
+		s := testSettings()
+		s.Instances, s.Index = callers, c
+		h := newHarness(t, s, names...)
+		own := map[string]bool{}
+		for range 40 {
+			id, ep := h.request("read")
+			own[ep] = true
+			h.advance(50 * ms)
+			h.finish(id, balancer.OK)
+			h.advance(950 * ms)
+		}
+		for ep := range own {
+			met[ep]++
+		}
+		fewest, most = min(fewest, len(own)), max(most, len(own))
+	}
+	return met, fewest, most
+}
+
+// On tartu's full-size days 420 callers with two calls a second each met each of 80 servers every 40 s: none saw a
+// server slow down, and nearly every call opened a connection.
+func TestManyQuietInstancesUseSubsets(t *testing.T) {
+	met, fewest, most := measureSubsets(t, 200, 60)
+	if fewest < 4 || most > 12 {
+		t.Errorf("callers meet %d to %d of 60 endpoints", fewest, most)
+	}
+	least, highest := 200, 0
+	for _, n := range met {
+		least, highest = min(least, n), max(highest, n)
+	}
+	if len(met) < 60 || float64(highest) > 1.3*float64(least) {
+		t.Errorf("%d endpoints are met, by %d to %d callers", len(met), least, highest)
+	}
+}
+
+// With few callers, one more or less in whose table an endpoint is would be an imbalance of its own.
+func TestFewInstancesUseAllEndpoints(t *testing.T) {
+	if met, fewest, _ := measureSubsets(t, 6, 12); len(met) != 12 || fewest != 12 {
+		t.Errorf("a caller among few meets %d of 12 endpoints, all together %d", fewest, len(met))
+	}
+}
+
+// Sixteen callers with one call a second each could spread over all of 32 endpoints, and meet each twice a minute. With twelve each they
+// know them, and every endpoint still has as many callers as the others, so that none hangs on one caller's luck.
+func TestQuietInstancesUseFewerEndpointsMoreOften(t *testing.T) {
+	met, fewest, most := measureSubsets(t, 16, 32)
+	if fewest < 10 || most > 13 {
+		t.Errorf("callers meet %d to %d of 32 endpoints", fewest, most)
+	}
+	for ep, n := range met {
+		if n < 4 || n > 8 {
+			t.Errorf("%d callers meet %s", n, ep)
+		}
+	}
+	if len(met) < 32 {
+		t.Errorf("only %d endpoints are met", len(met))
+	}
+}
+
+// What discovery may say of a large fleet: each list is followed by calls at one of thirteen callers, and every call that an endpoint
+// could serve is served.
+func TestUnusualListsOfALargeFleet(t *testing.T) {
+	list := func(state balancer.State, ids ...string) (l balancer.EndpointList) {
+		for _, id := range ids {
+			l.Entries = append(l.Entries, balancer.Endpoint{ID: id, State: state})
+		}
+		return l
+	}
+	many := endpointIDs(1000)
+	for name, odd := range map[string]struct {
+		lists  []balancer.EndpointList
+		listed []string // in the end
+	}{
+		"nobody, then all again":     {[]balancer.EndpointList{{Complete: true}, list(balancer.Ready, endpointIDs(16)...)}, endpointIDs(16)},
+		"a thousand":                 {[]balancer.EndpointList{list(balancer.Ready, many...)}, many},
+		"a thousand, then one":       {[]balancer.EndpointList{list(balancer.Ready, many...), {Complete: true, Entries: list(balancer.Ready, "e03").Entries}}, []string{"e03"}},
+		"all that are active drain":  {[]balancer.EndpointList{list(balancer.Draining, endpointIDs(16)...), list(balancer.Ready, "new")}, []string{"new"}},
+		"gone that were never known": {[]balancer.EndpointList{list(balancer.Gone, "x", "y")}, endpointIDs(16)},
+		"the same list once more":    {[]balancer.EndpointList{list(balancer.Ready, endpointIDs(16)...)}, endpointIDs(16)},
+	} {
+		for _, gap := range []time.Duration{100 * ms, 10 * time.Second} { // and a caller with one call in ten seconds
+			h := newHarnessOfInstance(t, 13, 16)
+			play := func(n int) {
+				for range n {
+					id, ep := h.request("read")
+					if h.advance(100 * ms); ep != "" {
+						h.finish(id, balancer.OK)
+					}
+					h.advance(gap)
+				}
+			}
+			play(20)
+			for _, l := range odd.lists {
+				h.b.EndpointList(h.now, l)
+			}
+			refused := h.countActions("reject")
+			before := h.requestCount
+			play(20)
+			for n := before + 1; n <= h.requestCount; n++ {
+				if to := h.sentTo[fmt.Sprint("r", n)]; len(to) == 0 || !slices.Contains(odd.listed, to[0]) {
+					t.Errorf("%s, a call each %v: call %d went to %v", name, gap, n-before, to)
+				}
+			}
+			if h.countActions("reject") > refused {
+				t.Errorf("%s, a call each %v: some were refused", name, gap)
+			}
+			if err := h.b.CheckIndex(); err != nil {
+				t.Errorf("%s: %v", name, err)
+			}
+		}
+	}
+}
