--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -11,8 +11,9 @@
 	"rowancart/balancer"
 )
 
-// In tartu's overload (incident i35432f) servers choked within two seconds, before a caller with few calls out saw
-// its room used up. What is asked beyond all shares together shows at once: then over-share requests are refused.
+// Incident i35432f: in an overload servers collapsed within two seconds, before an instance with
+// few attempts in flight had used up its concurrency limit. A rate beyond all quotas together
+// shows at once: then requests over quota are rejected.
 func TestOverQuotaIsRejectedWhenTheRateExceedsAllQuotas(t *testing.T) {
 	for perSecond, want := range map[int]bool{4: false, 16: true} {
 		s := testSettings()
@@ -28,7 +29,7 @@
 			h.advance(time.Second/time.Duration(perSecond) - 10*ms)
 		}
 		if n := h.countActions("reject "); n > 0 != want {
-			t.Errorf("%d of %d requests are refused, asked at %d a second", n, 10*perSecond, perSecond)
+			t.Errorf("%d of %d requests are rejected, made at %d a second", n, 10*perSecond, perSecond)
 		}
 	}
 }
@@ -47,7 +48,7 @@
 		ask("big")
 	}
 	if h.countActions("reject") > 0 {
-		t.Fatal("rejectd with room to spare")
+		t.Fatal("rejected with capacity to spare")
 	}
 	ask("small")
 	ask("big")
@@ -62,17 +63,18 @@
 		}
 	}
 	if len(refused) == 0 {
-		t.Fatal("nothing beyond the share was refused")
+		t.Fatal("nothing over the quota was rejected")
 	}
 	for i := 12; i <= h.requestCount; i++ {
 		if small := i%2 == 1; small && refused["r"+strconv.Itoa(i)] {
-			t.Errorf("r%d is within its share and was refused", i)
+			t.Errorf("r%d is within its quota and was rejected", i)
 		}
 	}
 }
 
-// The small tenant sends at its whole quota, a caller's part of which chance passes now and then. While answers take what they always
-// do, ten calls out at one of thirteen callers is no shortage, and nobody is refused; once they stretch it is.
+// The small tenant sends at its whole quota, and by chance sometimes beyond an instance's part
+// of it. While latencies are as always, ten attempts in flight at one of thirteen instances are
+// no shortage, and nothing is rejected; once latencies rise, something is.
 func TestOverQuotaIsAcceptedWhileResponsesAreQuick(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Tenants = 13, []balancer.Tenant{{Name: "large", Quota: 400}, {Name: "small", Quota: 25}}
@@ -102,25 +104,26 @@
 		before := h.countActions("reject")
 		play(latency, 100)
 		if n := h.countActions("reject") - before; n < fewest || fewest == 0 && n > 0 {
-			t.Errorf("answers in %v: %d of 100 refused", latency, n)
+			t.Errorf("latency %v: %d of 100 rejected", latency, n)
 		}
 	}
 }
 
-// TestNoClassStarvesInTheQueue: the class with the shortest aim must not be the only one refused in overload.
+// The class with the shortest latency objective must not be the only one rejected in overload.
 func TestNoClassStarvesInTheQueue(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective = 500*ms, 4*time.Second
 	h := newHarness(t, s, "a")
 	served, out := map[string]int{}, []string{}
 	class := map[string]string{}
-	for i := range 1500 { // some hundred calls a second, one answer every 40 ms
+	for i := range 1500 { // a hundred requests a second, one response every 40 ms
 		id, _ := h.request([]string{"read", "bill"}[i%2])
 		class[id] = []string{"read", "bill"}[i%2]
 		h.advance(10 * ms)
 		if i%4 == 0 {
 			for j := 1; j <= h.requestCount; j++ {
-				if id := "r" + strconv.Itoa(j); len(h.sentTo[id]) == 1 && !slices.Contains(out, id) && !slices.Contains(h.actions, "reject "+id) &&
+				if id := "r" + strconv.Itoa(j); len(h.sentTo[id]) == 1 && !slices.Contains(out, id) &&
+					!slices.Contains(h.actions, "reject "+id) &&
 					!slices.Contains(h.actions, "fail "+id) {
 					out = append(out, id)
 					h.finish(id, balancer.OK)
@@ -149,11 +152,12 @@
 	id, _ = h.request("bill")
 	h.b.EndpointList(h.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new"}}})
 	if len(h.sentTo[id]) != 1 {
-		t.Error("a held request did not go to the first endpoint that came")
+		t.Error("a queued request did not go to the first endpoint that came")
 	}
 }
 
-// While others wait, a call that cannot be answered in time is refused rather than sent to fail.
+// While others wait, a request that cannot be answered in time is rejected rather than sent to
+// fail.
 func TestRequestWithoutTimeIsRejectedWhileOthersWait(t *testing.T) {
 	h := newHarness(t, testSettings(), "a")
 	h.serve(100, map[string]time.Duration{"a": 200 * ms})
@@ -168,12 +172,12 @@
 	}
 }
 
-// Where an answer is wanted within a long time, a wait is better than a refusal.
+// With a long latency objective, a wait is better than a rejection.
 func TestRequestWithTimeIsNotRejectedInAShortOverload(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(20*time.Second), "a", "b")
 	h.overload(30*ms, 20*ms, 3*time.Second, "a", "b")
 	h.overload(6*ms, 20*ms, 4*time.Second, "a", "b") // two thirds more than the two can do
 	if n := h.countActions("reject"); n > 0 {
-		t.Errorf("%d were refused; the last of them would have waited for three seconds of 20", n)
+		t.Errorf("%d were rejected; the last of them would have waited for three seconds of 20", n)
 	}
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -14,7 +14,7 @@
 
 const logInterval = 10 * time.Second // least time between two log lines of one kind
 
-// Balancer decides for one client of the endpoints. New makes one.
+// Balancer decides for one instance of a service that calls the endpoints. New makes one.
 type Balancer struct {
 	settings Settings
 	host     Host
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -9,7 +9,7 @@
 	"rowancart/balancer"
 )
 
-// TestUnusualSettingsAreHarmless plays with settings that no site has.
+// Settings that no site has, such as negative ones, must leave every request with one answer.
 func TestUnusualSettingsAreHarmless(t *testing.T) {
 	for _, s := range []balancer.Settings{{}, {Instances: -1, MaxAttempts: -1,
 		Classes: []balancer.Class{{}}, Tenants: []balancer.Tenant{{}}}} {
@@ -35,8 +35,9 @@
 	}
 }
 
-// Where the host has to end, what would wait for longer has its answer by then: refused if nothing can have run, else failed; what
-// is out is called off, and what ends sooner by itself is left alone.
+// When the host has to end, what would wait for longer has its answer by then: rejected if
+// nothing can have run, else failed. Attempts in flight are canceled, and what ends sooner by
+// itself is left alone.
 func TestCapDeadlinesEndsWaits(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(20*time.Second), "a")
 	safe, _ := h.request("read")
@@ -48,9 +49,9 @@
 		}
 	}
 	if len(held) == 0 {
-		t.Fatal("nothing waits for room")
+		t.Fatal("nothing waits for capacity")
 	}
-	h.b.CapDeadlines(h.now, h.now+10*time.Second) // all of them wait for 5 s
+	h.b.CapDeadlines(h.now, h.now+10*time.Second) // all of them have 5 s
 	at := h.now + time.Second
 	h.b.CapDeadlines(h.now, at)
 	h.advance(at - 2*ms - h.now)
@@ -58,7 +59,8 @@
 		t.Fatalf("%d were given up before it was time: %q", n, h.actions)
 	}
 	h.advance(2 * ms)
-	for _, want := range append([]string{"reject " + safe, "cancel " + safe + " 0", "fail " + unsafe, "cancel " + unsafe + " 0"}, withPrefix("reject ", held)...) {
+	for _, want := range append([]string{"reject " + safe, "cancel " + safe + " 0", "fail " + unsafe,
+		"cancel " + unsafe + " 0"}, withPrefix("reject ", held)...) {
 		if !slices.Contains(h.actions, want) {
 			t.Errorf("no %q in %q", want, h.actions)
 		}
@@ -73,7 +75,8 @@
 	return out
 }
 
-// A body that takes seconds is no slowness of its endpoint, and no silence; what the endpoint takes from the last byte on is.
+// A body that takes seconds to send is no latency of its endpoint; what the endpoint takes from
+// the last byte on is.
 func TestLatencyBeginsWithTheLastByteWritten(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	h.serve(40, map[string]time.Duration{"a": 10 * ms, "b": 10 * ms})
@@ -103,6 +106,6 @@
 			t.Errorf("an endpoint that answers nothing to a body that is there passes for good: %+v", s)
 		}
 	}
-	h.b.RequestWritten(h.now, "nobody", 0) // of what is not known nothing follows
+	h.b.RequestWritten(h.now, "nobody", 0) // an unknown request has no effect
 	h.b.RequestWritten(h.now, id, 7)
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -8,7 +8,7 @@
 	"rowancart/balancer"
 )
 
-// recordingHost is a host that only remembers where the latest send went.
+// recordingHost is a host that only records sends.
 type recordingHost struct{ endpoint string }
 
 func (m *recordingHost) Send(_, endpoint string, _ time.Duration)    { m.endpoint = endpoint }
@@ -19,10 +19,12 @@
 func (*recordingHost) Timer(time.Duration)                           {}
 func (*recordingHost) Log(string)                                    {}
 
-// BenchmarkModule measures decisions by the number of endpoints: request is one with its outcome on a calm day, change is
-// one endpoint that drains or is back, and whole is a whole list in which nothing has changed.
+// BenchmarkModule measures decisions by the number of endpoints: request is one with its outcome
+// without load, change is one endpoint that drains or is back, and whole is a complete list in
+// which nothing has changed.
 func BenchmarkModule(b *testing.B) {
-	settings := balancer.Settings{Instances: 1, Resolution: time.Millisecond, Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second}}}
+	settings := balancer.Settings{Instances: 1, Resolution: time.Millisecond, Classes: []balancer.Class{{Name: "c",
+		LatencyObjective: time.Second}}}
 	for _, n := range []int{10, 1_000, 100_000} {
 		m := &recordingHost{}
 		e := balancer.New(time.Hour, settings, m)
--- a/balancer/class_test.go
+++ b/balancer/class_test.go
@@ -10,7 +10,8 @@
 	"rowancart/balancer"
 )
 
-// newHarnessWithClass gives a rig whose class "read" is treated as told, warmed up on answers of 10 ms.
+// newHarnessWithClass returns a harness whose class "read" is changed, warmed up with responses
+// of 10 ms.
 func newHarnessWithClass(t *testing.T, change func(c *balancer.Class)) *harness {
 	t.Helper()
 	s := testSettings()
@@ -33,7 +34,8 @@
 	unrun, _ := once.request("read")
 	once.finish(unrun, balancer.ConnectFailed)
 	if len(once.sentTo[ran]) != 1 || once.countActions("reject "+ran) != 1 || len(once.sentTo[unrun]) != 2 {
-		t.Errorf("not to run again: sent to %v after a run, to %v after none: %v", once.sentTo[ran], once.sentTo[unrun], once.actions)
+		t.Errorf("not to run again: sent to %v after a run, to %v after none: %v", once.sentTo[ran],
+			once.sentTo[unrun], once.actions)
 	}
 	h := newHarnessWithClass(t, func(c *balancer.Class) { c.MaxAttempts = 2 })
 	id, _ := h.request("read")
@@ -46,16 +48,16 @@
 		s := testSettings()
 		s.Classes[0].QueueLimit = queue
 		h := newHarness(t, s, "a")
-		for range 26 { // room for 6 to begin with
+		for range 26 { // the first limit is 6
 			h.request("read")
 		}
 		if n := h.countActions("reject"); n != want {
-			t.Errorf("with a queue of %d, %d of 20 refused at once", queue, n)
+			t.Errorf("with a queue of %d, %d of 20 rejected at once", queue, n)
 		}
 	}
 }
 
-// timeoutHarness is a rig that also keeps how long attempts may take.
+// timeoutHarness is a harness that also records the timeouts of attempts.
 type timeoutHarness struct {
 	harness
 	timeouts []time.Duration
@@ -67,7 +69,8 @@
 }
 
 func TestAttemptTimeout(t *testing.T) {
-	h := &timeoutHarness{harness: harness{t: t, now: time.Hour, sentTo: map[string][]string{}, sentAt: map[string]time.Duration{}}}
+	h := &timeoutHarness{harness: harness{t: t, now: time.Hour, sentTo: map[string][]string{},
+		sentAt: map[string]time.Duration{}}}
 	s := testSettings()
 	s.Classes[0].AttemptTimeout = time.Second
 	h.b = balancer.New(h.now, s, h)
@@ -80,7 +83,8 @@
 	}
 }
 
-// A request that waits between two attempts is treated as its class was when it came; the next one as it is now.
+// A request that waits between two attempts is treated as its class was when it came; the next
+// one as it is now.
 func TestConfigureKeepsLearnedStateAndRequestsInFlight(t *testing.T) {
 	h := newHarnessWithClass(t, func(*balancer.Class) {})
 	h.serve(60, map[string]time.Duration{"a": 60 * ms, "b": 10 * ms, "c": 10 * ms})
@@ -99,18 +103,19 @@
 		t.Errorf("safe when it came: %v; unsafe when it came: %v", h.sentTo[before], h.sentTo[after])
 	}
 	h.finish(before, balancer.OK)
-	s.Classes = []balancer.Class{{Name: "other", Work: "read", Repeat: balancer.Idempotent, LatencyObjective: 2 * time.Second}}
+	s.Classes = []balancer.Class{{Name: "other", Work: "read", Repeat: balancer.Idempotent,
+		LatencyObjective: 2 * time.Second}}
 	h.b.Configure(h.now, s)
 	if id, to := h.request("other"); to == "" {
 		t.Errorf("%s was not sent", id)
 	}
-	if id, _ := h.request("bill"); h.countActions("send "+id) != 1 { // no longer listed: sent once, as what may do harm
+	if id, _ := h.request("bill"); h.countActions("send "+id) != 1 { // its class is no longer in the settings: sent once
 		t.Errorf("%v", h.actions)
 	}
 }
 
-// Whatever the policy, the outcomes and the reloads: what is unsafe runs at most once, attempts keep to their limit, and
-// every request gets one answer.
+// Whatever the policy, the outcomes and the reloads: a request that is not idempotent runs at
+// most once, attempts keep to their limit, and every request gets one answer.
 func TestRulesHoldUnderEveryClassPolicy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() balancer.Settings {
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -11,8 +11,8 @@
 	"rowancart/balancer"
 )
 
-// In h36c04c a burst tipped the servers while callers with a few calls a second smoothed twenty answers before any of
-// them asked for less.
+// Incident h36c04c: a burst tipped the servers into collapse while instances with a few requests
+// a second smoothed twenty latencies before any of them lowered its limit.
 func TestQuietInstanceSoonSeesCongestion(t *testing.T) {
 	s := testSettingsWithObjective(700 * ms)
 	s.Instances = 10
@@ -43,26 +43,28 @@
 	}
 }
 
-// The servers of i2b2df6 and of many overloaded days tipped into a slow state while the room still grew.
+// Incident i2b2df6 and many overloaded days: servers collapsed while the concurrency limit still
+// grew.
 func TestOverloadDoesNotCongestEndpoints(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(80*ms), "a", "b")
 	h.overload(30*ms, 20*ms, 3*time.Second, "a", "b")
 	if h.countActions("reject") > 0 {
-		t.Fatal("rejectd at a third of what the endpoints can do")
+		t.Fatal("rejected at a third of what the endpoints can do")
 	}
 	most, answered := h.overload(5*ms, 20*ms, 6*time.Second, "a", "b")
 	if most > 5 {
-		t.Errorf("an endpoint that does one call at a time held %d", most)
+		t.Errorf("an endpoint that does one call at a time had %d", most)
 	}
 	if answered < 540 {
 		t.Errorf("%d calls answered of the 600 that could be", answered)
 	}
 	if h.countActions("reject") < 400 {
-		t.Errorf("only %d refused of twice the load", h.countActions("reject"))
+		t.Errorf("only %d rejected of twice the load", h.countActions("reject"))
 	}
 }
 
-// i72d39d and i2623e0: callers of the first tier that each let in what the endpoints can hold tip them in two seconds.
+// Incidents i72d39d and i2623e0: instances of the first tier that each admit what the endpoints
+// can take tip them into collapse in two seconds.
 func TestInstancesOfTheFirstTierShareTheConcurrencyLimit(t *testing.T) {
 	sends := func(balancers, tier int) int {
 		s := testSettings()
@@ -75,15 +77,16 @@
 	}
 	alone, four, below := sends(1, 0), sends(4, 0), sends(4, 1)
 	if four > alone/2 || four < alone/4 { // its part, and what chance needs beyond it
-		t.Errorf("alone a caller lets in %d calls at once, beside three others %d", alone, four)
+		t.Errorf("alone an instance sends %d requests at once, beside three others %d", alone, four)
 	}
 	if below != alone {
-		t.Errorf("behind the first tier a caller lets in %d calls at once, alone %d", below, alone)
+		t.Errorf("behind the first tier an instance sends %d requests at once, alone %d", below, alone)
 	}
 }
 
-// At the start of the standard days the first answers are those of the smallest calls. Taken for calm, they made
-// every later answer look late, and calls were refused with room to spare.
+// At the start of the standard days the first responses are those of the smallest requests. With
+// these as the baseline every later response looked slow, and requests were rejected with
+// capacity to spare.
 func TestQuickFirstResponsesAreNotTheBaseline(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
 	due := map[string]time.Duration{}
@@ -97,7 +100,7 @@
 		}
 		for asked := 0; len(due)+asked < 22; asked++ {
 			if _, ep := h.request("read"); ep == "" && h.now > begun+3*time.Second {
-				t.Fatalf("no room for call %d after %v", h.requestCount, h.now-begun)
+				t.Fatalf("no capacity for request %d after %v", h.requestCount, h.now-begun)
 			}
 		}
 		for ; seen < len(h.actions); seen++ {
@@ -109,19 +112,19 @@
 	}
 }
 
-// A lower tier that slows down must not leave a quiet caller with hardly any room.
+// A lower tier that slows down must not leave a quiet instance with hardly any limit.
 func TestFewSlowResponsesDoNotShrinkTheConcurrencyLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	h.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
 	h.serve(60, map[string]time.Duration{"a": 300 * ms, "b": 300 * ms})
 	for range 9 {
 		if _, ep := h.request("read"); ep == "" {
-			t.Fatal("a call found no room beside fewer than nine")
+			t.Fatal("a request found no capacity beside fewer than nine")
 		}
 	}
 }
 
-// i2b2df6: the room still grew while answers took half as long again as when all was calm.
+// Incident i2b2df6: the limit still grew while latencies were one and a half times the baseline.
 func TestConcurrencyLimitStopsGrowingWhileResponsesSlowDown(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(200*ms), "a", "b")
 	h.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
@@ -142,19 +145,20 @@
 		most = max(most, len(due))
 	}
 	if most < 8 || most > 24 {
-		t.Errorf("%d calls out at most; twelve are let in before anything is known", most)
+		t.Errorf("%d requests in flight at most; the first limit is twelve", most)
 	}
 }
 
-// Seen on the standard days and at the start of recorded ones: the load of an ordinary day stretches answers to nearly
-// twice what they take on an empty fleet. That is no crowd, and nobody must be refused for it.
+// Seen on the standard days and at the start of recorded ones: the load of an ordinary day
+// raises latencies to nearly twice the baseline. That is no congestion, and nothing must be
+// rejected for it.
 func TestOrdinaryLoadIsNoCongestion(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
 	calm := 100 * ms
 	h.serve(100, map[string]time.Duration{"a": calm, "b": calm, "c": calm, "d": calm})
 	for range 30 {
 		var out []string
-		for range 20 { // of room for 24
+		for range 20 { // of a limit of 24
 			id, _ := h.request("read")
 			out = append(out, id)
 		}
@@ -166,12 +170,12 @@
 		}
 	}
 	if n := h.countActions("reject"); n > 0 {
-		t.Errorf("%d of 600 calls were refused", n)
+		t.Errorf("%d of 600 requests were rejected", n)
 	}
 }
 
-// Seen on a day of upgrades during a release: of four endpoints two drained and one failed, the last one got the calls of all, and was
-// tipped into a slow state by them.
+// Seen on a day of upgrades during a release: of four endpoints two drained and one failed; the
+// last one got all requests and collapsed under them.
 func TestConcurrencyLimitFollowsTheReadyEndpoints(t *testing.T) {
 	list := func(h *harness, states ...balancer.State) {
 		l := balancer.EndpointList{}
@@ -202,7 +206,7 @@
 	}
 
 	h = start()
-	for failed := 0; failed < 4; { // one answers errors: it is out, with its part
+	for failed := 0; failed < 4; { // one answers errors: it is ejected, with its part of the limit
 		id, ep := h.request("read")
 		h.advance(10 * ms)
 		if ep == "e2" {
@@ -221,19 +225,20 @@
 	h.advance(time.Second)
 }
 
-// Seen on a day of upgrades with endpoints out by hand: calls that hung at two crowded endpoints held all the room, and a third, which
-// answered at once, stood idle while requests were refused.
+// Seen on a day of upgrades with endpoints disabled: attempts that hung at two overloaded
+// endpoints used the whole limit, and a third, which responded at once, stood idle while
+// requests were rejected.
 func TestHungAttemptsLeaveAHealthyEndpointItsPart(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(40*ms), "a", "b", "c")
 	h.serve(100, map[string]time.Duration{"a": 10 * ms, "b": 10 * ms, "c": 400 * ms})
 	trial, ep := h.request("read")
-	for ep != "c" { // which was dropped as slow, and gets its trial
+	for ep != "c" { // which was ejected as slow, and gets its trial
 		h.advance(10 * ms)
 		h.finish(trial, balancer.OK)
 		h.advance(10 * ms)
 		trial, ep = h.request("read")
 	}
-	for ep != "" { // meanwhile a and b are given all that there is room for, and answer nothing
+	for ep != "" { // meanwhile a and b get all that the limit allows, and do not respond
 		_, ep = h.request("read")
 	}
 	h.advance(5 * ms)
@@ -245,26 +250,28 @@
 	}
 }
 
-// A thirteenth of the room for sixteen endpoints is seven calls. A caller whose mean is five has more than that out at times by
-// chance alone, when the others have less: what it may hold grows by that, and not where it holds the whole room.
+// A thirteenth of the limit for sixteen endpoints is seven attempts. An instance with a mean of
+// five has more than that in flight at times by chance alone, when the others have less: its
+// limit allows for that, and not where it has the whole limit to itself.
 func TestConcurrencyLimitAllowsForChanceAtOneOfManyInstances(t *testing.T) {
-	for _, of := range []struct{ callers, endpoints, fits, over int }{{13, 16, 12, 16}, {1, 2, 12, 13}} {
-		h := newHarnessOfInstance(t, of.callers, of.endpoints)
+	for _, of := range []struct{ instances, endpoints, fits, over int }{{13, 16, 12, 16}, {1, 2, 12, 13}} {
+		h := newHarnessOfInstance(t, of.instances, of.endpoints)
 		for range of.over {
 			h.request("read")
 		}
 		if n := h.countActions("send "); n < of.fits || n >= of.over {
-			t.Errorf("%d callers of %d endpoints: one has %d calls out, want %d and fewer than %d", of.callers, of.endpoints, n, of.fits, of.over)
+			t.Errorf("%d instances of %d endpoints: one has %d requests in flight, want %d and fewer than %d",
+				of.instances, of.endpoints, n, of.fits, of.over)
 		}
 	}
 }
 
-// Seen on a day with long bodies: callers that read or sent slowly held the room for calls, and half of the others were refused with
-// endpoints idle.
+// Seen on a day with long bodies: clients that read or sent slowly used up the limit, and half
+// of the other requests were rejected with endpoints idle.
 func TestSlowClientsDoNotUseTheConcurrencyLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	h.serve(40, map[string]time.Duration{"a": 10 * ms, "b": 10 * ms})
-	for range 50 { // answers that are being read
+	for range 50 { // responses that are being read
 		id, _ := h.request("read")
 		if len(h.sentTo[id]) == 0 {
 			t.Fatalf("%s is not sent", id)
@@ -279,11 +286,11 @@
 	}
 	h.advance(10 * time.Second)
 	if id, _ := h.request("read"); len(h.sentTo[id]) == 0 {
-		t.Error("with nothing but slow callers, a call is not sent")
+		t.Error("with nothing but slow clients, a request is not sent")
 	}
 	for _, s := range h.b.EndpointStatuses(h.now) {
 		if s.Inactive != "" || s.InFlight < 40 {
-			t.Errorf("%+v: out, or not told to have its part of them", s)
+			t.Errorf("%+v: inactive, or without its part of them", s)
 		}
 	}
 }
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	alpha                = 0.95                   // share of the old weight that a sample leaves, at the end
+	alpha                = 0.95                   // share of the old weight that a sample leaves, with many
 	sampleMemory         = 10 * time.Second       // a sample this old counts 1/e: time counts as well
 	minSampleMemory      = time.Second            // memory of the weight at least, however many samples come
 	factor               = 2.0                    // active within this multiple of the smallest weight
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestHungEndpointLosesItsTurnsWithinAFewAnswerTimes: a hang must not keep its turns for a whole time-out.
+// A hung endpoint must not keep its turns for a whole timeout.
 func TestHungEndpointIsEjectedWithinAFewLatencies(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "hung")
 	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
@@ -65,14 +65,14 @@
 	if len(tries) < 4 || len(tries) > 12 {
 		t.Errorf("a dead endpoint was tried %d times in 20 s", len(tries))
 	}
-	for i := 3; i < len(tries); i++ { // the waits grow until they reach their limit
+	for i := 3; i < len(tries); i++ { // the backoff grows up to its limit
 		if wait := tries[i] - tries[i-1]; wait < 500*ms {
 			t.Errorf("trial %d came after %v", i, wait)
 		}
 	}
 }
 
-// TestQuietCallersDoNotCrowdADroppedEndpoint: trials must stay below the caller's own even share (big-1 of regina).
+// Trials must stay below the instance's own even share.
 func TestQuietInstancesDoNotOverloadAnEjectedEndpoint(t *testing.T) {
 	names := []string{"slow"}
 	latency := map[string]time.Duration{"slow": 900 * ms}
@@ -82,7 +82,7 @@
 	}
 	h := newHarness(t, testSettings(), names...)
 	slow := 0
-	for range 400 { // two calls a second, an even share is one call to each every 10 s
+	for range 400 { // two requests a second, an even share is one to each every 10 s
 		id, ep := h.request("read")
 		if ep == "slow" {
 			slow++
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestFastFailingEndpointDrawsNoTraffic guards against a middle-tier endpoint whose quick errors pass for the tier
-// below's fault and for speed (incident i40577d).
+// Incident i40577d: the quick errors of an endpoint in a middle tier must not pass for faults of
+// the tier below, nor for speed.
 func TestFastFailingEndpointDrawsNoTraffic(t *testing.T) {
 	s := testSettings()
 	s.TiersBelow, s.MaxAttempts = 1, 1
@@ -142,7 +142,8 @@
 	}
 }
 
-// A balancer that hears nothing from an endpoint must not wait for a time-out, nor for its weight to grow.
+// A balancer that gets no response from an endpoint must not wait for a timeout, nor for its
+// weight to grow.
 func TestUnresponsiveEndpointIsEjectedAtItsFirstStraggler(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(600*ms), "a", "b", "c", "d")
 	h.serve(200, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
@@ -155,17 +156,17 @@
 	}
 	h.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within twice the smallest
 	if share := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); share["d"] > 0 {
-		t.Error("a silent endpoint got a turn")
+		t.Error("an unresponsive endpoint got a turn")
 	}
 }
 
-// An attempt that was called off says nothing of its endpoint, good or bad.
+// A canceled attempt says nothing of its endpoint, good or bad.
 func TestCanceledAttemptIsNoSample(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
 	h.serve(100, latency)
 	off := 0
-	for range 40 { // calls to b alone are called off, early
+	for range 40 { // requests to b alone are canceled, early
 		id, ep := h.request("read")
 		if ep == "b" {
 			h.advance(ms)
@@ -181,12 +182,12 @@
 		t.Errorf("b got %d of 40 turns; called off early, it must not pass for fast, nor lose its turns", off)
 	}
 	if share := h.serve(60, latency); share["b"] < 20 {
-		t.Errorf("turns after calls were called off: %v", share)
+		t.Errorf("turns after attempts were canceled: %v", share)
 	}
 }
 
-// Seen on days on which a server quickly failed its requests: its own errors were part of what they were held against,
-// so that one of four had to fail six in a row before it lost its turns.
+// Seen on days on which a server quickly failed its requests: its own errors were part of what
+// they were compared with, so that one of four had to fail six in a row before it was ejected.
 func TestErrorsOfOneEndpointAreAttributedToIt(t *testing.T) {
 	s := testSettings()
 	s.TiersBelow = 1
@@ -196,7 +197,7 @@
 	failed := 0
 	for i := range 100 {
 		id, ep := h.request("bill")
-		if i >= 40 && ep == "d" { // until then it is learnt what bills take
+		if i >= 40 && ep == "d" { // until then the latency of bills is learned
 			failed++
 			h.advance(ms)
 			h.finish(id, balancer.Errored)
@@ -210,8 +211,9 @@
 	}
 }
 
-// A caller that meets an endpoint every few seconds cannot wait for three errors in fifteen answers. Where the others have shown none,
-// the second is the endpoint's own, after eight good answers; where all fail alike, no number of them is.
+// An instance that sends to an endpoint every few seconds cannot wait for three errors in
+// fifteen outcomes. Where the others have none, the second error is the endpoint's own, after
+// eight good outcomes; where all fail alike, no number of them is.
 func TestErrorsAreAttributedToAnEndpointByTheOdds(t *testing.T) {
 	for _, below := range []bool{false, true} {
 		s := testSettings()
@@ -242,7 +244,8 @@
 	}
 }
 
-// A class of quick and slow answers is no fault of the endpoint that gives a slow one, nor are three quick answers a promise.
+// In a class of quick and slow requests a slow response is no fault of its endpoint, and three
+// quick ones do not make the next slow one a straggler.
 func TestSlowResponseAmongQuickOnesIsNotUnresponsive(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newSeededHarness(t, testSettings(), seed, "a", "b")
@@ -255,7 +258,7 @@
 			}
 			for _, s := range h.b.EndpointStatuses(h.now) {
 				if s.Inactive == balancer.InactiveUnresponsive {
-					t.Fatalf("seed %d, call %d: %s passes for silent after %v at %s", seed, n, s.ID, 42*ms, ep)
+					t.Fatalf("seed %d, call %d: %s passes for unresponsive after %v at %s", seed, n, s.ID, 42*ms, ep)
 				}
 			}
 			h.finish(id, balancer.OK)
@@ -264,14 +267,15 @@
 	}
 }
 
-// A single endpoint of a few that fails must cost next to nothing: the others serve all that comes, whichever of them were
-// in favour before. Seeds, answer times and pauses vary, so that now the dead one was the only one active.
+// One of two endpoints that fails must cost next to nothing: the other serves all requests,
+// whichever had the lower deficit before. Seeds, latencies and pauses vary, so that at times the
+// failing one is the only one active.
 func TestOneFailingEndpointLosesNoRequests(t *testing.T) {
 	for _, way := range []struct {
 		name   string
 		result balancer.Result
 		after  time.Duration
-		lost   map[string]int // requests that each day may lose, by class
+		lost   map[string]int // requests that each run may lose, by class
 	}{
 		{"rejects connections", balancer.ConnectFailed, ms / 10, map[string]int{"read": 0, "bill": 0}},
 		{"takes no connections", balancer.ConnectFailed, 250 * ms, map[string]int{"read": 0, "bill": 0}},
@@ -313,7 +317,8 @@
 	}
 }
 
-// With all connections refused, a request is answered at once after few attempts, and the first to be there again is used.
+// With all connections refused, a request is answered at once after few attempts, and the first
+// endpoint to be there again is used.
 func TestOutageOfAllCostsFewAttemptsAndRecovers(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 0
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -9,21 +9,24 @@
 	"rowancart/balancer"
 )
 
-// Whatever the list says meanwhile, nothing new goes to what the operators have taken out: no first send, no trial, no resend.
+// Whatever the list says meanwhile, nothing new goes to a disabled endpoint: no first attempt,
+// no trial, no retry.
 func TestDisabledEndpointGetsNothingWhateverTheListSays(t *testing.T) {
 	ready := func(id string) balancer.Endpoint { return balancer.Endpoint{ID: id} }
 	for name, told := range map[string][]balancer.EndpointList{
-		"nothing":            nil,
-		"a full list":        {{Complete: true, Entries: []balancer.Endpoint{ready("a"), ready("b")}}},
-		"a restart":          {{Entries: []balancer.Endpoint{{ID: "a", Started: 101 * time.Second}}}},
-		"drained, then back": {{Entries: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}}, {Entries: []balancer.Endpoint{ready("a")}}},
-		"gone, then back":    {{Entries: []balancer.Endpoint{{ID: "a", State: balancer.Gone}}}, {Entries: []balancer.Endpoint{ready("a")}}},
-		"a failed ask":       {{Failed: true}},
+		"nothing":     nil,
+		"a full list": {{Complete: true, Entries: []balancer.Endpoint{ready("a"), ready("b")}}},
+		"a restart":   {{Entries: []balancer.Endpoint{{ID: "a", Started: 101 * time.Second}}}},
+		"drained, then back": {{Entries: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}},
+			{Entries: []balancer.Endpoint{ready("a")}}},
+		"gone, then back": {{Entries: []balancer.Endpoint{{ID: "a", State: balancer.Gone}}},
+			{Entries: []balancer.Endpoint{ready("a")}}},
+		"a failed ask": {{Failed: true}},
 	} {
 		h := newHarness(t, testSettings(), "a", "b")
 		h.serve(20, map[string]time.Duration{"a": 10 * ms, "b": 10 * ms})
 		h.b.Disable(h.now, "a")
-		h.b.Disable(h.now, "a") // said twice is said once
+		h.b.Disable(h.now, "a") // a repeat changes nothing
 		for _, l := range told {
 			h.advance(10 * ms)
 			h.b.EndpointList(h.now, l)
@@ -31,7 +34,7 @@
 		for i := range 20 {
 			id, _ := h.request("read")
 			h.advance(10 * ms)
-			if i%4 == 0 { // b fails: the resend and b's trial come later
+			if i%4 == 0 { // b fails: the retry and b's trial come later
 				h.finish(id, balancer.Reset)
 				h.advance(3 * time.Second)
 			}
@@ -48,14 +51,15 @@
 		}
 		h.actions = nil
 		h.b.Enable(h.now, "a")
-		h.request("read") // or one that waits is sent there
+		h.request("read") // or a queued one is sent there
 		if !slices.ContainsFunc(h.actions, func(did string) bool { return strings.HasSuffix(did, " a") }) {
-			t.Errorf("%s: put back, it is not tried at once: %v", name, h.actions)
+			t.Errorf("%s: enabled again, it is not tried at once: %v", name, h.actions)
 		}
 	}
 }
 
-// A quiet caller must not keep what was put back waiting for its turn of a minute, and must not crowd it: it may have restarted.
+// A quiet instance must not wait a minute with the trial of an endpoint that is enabled again,
+// and must not overload it: it may have restarted.
 func TestEnabledEndpointIsTriedAtOnceAndWarmsUp(t *testing.T) {
 	s := testSettings()
 	s.Instances = 8
@@ -74,9 +78,9 @@
 	}
 	h.advance(10 * ms)
 	h.finish(first, balancer.OK)
-	for range 10 { // a crowd, all at once
+	for range 10 { // all at once
 		if _, ep := h.request("read"); ep == "a" {
-			t.Error("a cold endpoint was sent a second call right behind its first")
+			t.Error("a warming endpoint was sent a second request right after its first")
 		}
 	}
 	for _, standing := range h.b.EndpointStatuses(h.now) {
@@ -95,7 +99,7 @@
 	if ep != "" || h.countActions("reject "+held) != 1 {
 		t.Errorf("a new request: sent to %q, %v", ep, h.actions)
 	}
-	h.finish(out, balancer.OK) // what was out goes on to its end
+	h.finish(out, balancer.OK) // what is in flight goes on
 	if n := h.countActions("cancel"); n != 0 {
 		t.Errorf("%d attempts called off", n)
 	}
@@ -104,9 +108,9 @@
 		t.Errorf("with one put back, a call goes to %q", ep)
 	}
 
-	empty := newHarness(t, testSettings()) // nobody listed is no ban: whoever comes may still answer in time
+	empty := newHarness(t, testSettings()) // nothing listed is not all disabled: an endpoint may still come
 	if id, _ := empty.request("read"); empty.countActions("reject "+id) != 0 {
-		t.Error("rejectd without a ban")
+		t.Error("rejected with none disabled")
 	}
 }
 
@@ -121,10 +125,11 @@
 	}
 }
 
-// What a successor is told of errors must count beyond its first answer.
+// Restored errors must count beyond the first response.
 func TestRestoreTakesOverErrors(t *testing.T) {
 	h := newHarnessOfInstance(t, 1, 2)
-	h.b.Restore(h.now, balancer.LearnedState{Endpoints: []balancer.LearnedEndpoint{{ID: "e00", Sum: 4, Samples: 4, Errors: 2, Outcomes: 4, Active: true}}}, 0)
+	h.b.Restore(h.now, balancer.LearnedState{Endpoints: []balancer.LearnedEndpoint{{ID: "e00", Sum: 4, Samples: 4,
+		Errors: 2, Outcomes: 4, Active: true}}}, 0)
 	for range 4 {
 		id, _ := h.request("read")
 		h.advance(10 * ms)
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -15,7 +15,8 @@
 	return out
 }
 
-// TestMergeEndpointList checks what a merge counts, and which endpoints it reports as changed and as started.
+// TestMergeEndpointList checks what a merge counts, and which endpoints it reports as changed and
+// as started.
 func TestMergeEndpointList(t *testing.T) {
 	s := newEndpointSet()
 	s.disabled["d"] = true
@@ -27,11 +28,14 @@
 	}{
 		{"the first list", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "d"}}},
 			[]string{"a", "b", "d"}, []string{"a", "b", "d"}, 3, 2},
-		{"the same again", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "d"}}}, []string{}, []string{}, 3, 2},
+		{"the same again", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "d"}}},
+			[]string{}, []string{}, 3, 2},
 		{"a drain", EndpointList{Entries: []Endpoint{{ID: "b", State: Draining}}}, []string{"b"}, []string{}, 3, 1},
 		{"a restart", EndpointList{Entries: []Endpoint{{ID: "b", Started: time.Second}}}, []string{"b"}, []string{"b"}, 3, 2},
-		{"another kind", EndpointList{Entries: []Endpoint{{ID: "b", Started: time.Second, Kind: "k"}}}, []string{"b"}, []string{}, 3, 2},
-		{"a complete list without two", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}}}, []string{"b", "d"}, []string{}, 1, 1},
+		{"another kind", EndpointList{Entries: []Endpoint{{ID: "b", Started: time.Second, Kind: "k"}}}, []string{"b"},
+			[]string{}, 3, 2},
+		{"a complete list without two", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}}}, []string{"b",
+			"d"}, []string{}, 1, 1},
 		{"one is back", EndpointList{Entries: []Endpoint{{ID: "b"}}}, []string{"b"}, []string{"b"}, 2, 2},
 	} {
 		touched, started := s.mergeEndpointList(step.list)
@@ -42,7 +46,8 @@
 			t.Errorf("%s: started %v, want %v", step.name, got, step.started)
 		}
 		if s.listedCount != step.listed || s.readyCount != step.ready {
-			t.Errorf("%s: %d listed and %d ready, want %d and %d", step.name, s.listedCount, s.readyCount, step.listed, step.ready)
+			t.Errorf("%s: %d listed and %d ready, want %d and %d", step.name, s.listedCount, s.readyCount, step.listed,
+				step.ready)
 		}
 	}
 }
@@ -61,8 +66,8 @@
 	}
 }
 
-// TestSubsetMembershipMovesCountsAndDeficits checks that an endpoint brings its outcomes, and keeps its deficit over
-// the zero of where it is.
+// TestSubsetMembershipMovesCountsAndDeficits checks that an endpoint brings its outcomes, and keeps
+// its deficit over the zero of where it is.
 func TestSubsetMembershipMovesCountsAndDeficits(t *testing.T) {
 	s := newEndpointSet()
 	touched, _ := s.mergeEndpointList(EndpointList{Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
@@ -71,13 +76,15 @@
 	s.deficitBase = 10
 	s.replaceSubset([]*endpoint{b, a})
 	if s.subsetSize != 2 || s.outcomes != a.outcomes || a.deficit != 12 || a.subsetIndex != 1 {
-		t.Errorf("in the subset: size %d, outcomes %+v, deficit %v, index %d", s.subsetSize, s.outcomes, a.deficit, a.subsetIndex)
+		t.Errorf("in the subset: size %d, outcomes %+v, deficit %v, index %d", s.subsetSize, s.outcomes, a.deficit,
+			a.subsetIndex)
 	}
 	if got := ids(s.activeHeap.endpoints); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("active: %v", got)
 	}
 	s.replaceSubset([]*endpoint{b})
-	if s.subsetSize != 1 || s.outcomes != (outcomeCounts{}) || a.deficit != 2 || a.inSubset || len(s.activeHeap.endpoints) != 0 {
+	if s.subsetSize != 1 || s.outcomes != (outcomeCounts{}) || a.deficit != 2 || a.inSubset ||
+		len(s.activeHeap.endpoints) != 0 {
 		t.Errorf("outside: size %d, outcomes %+v, deficit %v", s.subsetSize, s.outcomes, a.deficit)
 	}
 	s.useAllEndpoints(nil)
--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -10,14 +10,16 @@
 func near(got, want, share float64) bool { return math.Abs(got-want) <= share*math.Abs(want) }
 
 func TestDecayLeavesOneOverEAfterItsMemory(t *testing.T) {
-	for elapsed, want := range map[time.Duration]float64{0: 1, 10 * time.Second: 1 / math.E, 20 * time.Second: 1 / (math.E * math.E)} {
+	for elapsed, want := range map[time.Duration]float64{0: 1, 10 * time.Second: 1 / math.E,
+		20 * time.Second: 1 / (math.E * math.E)} {
 		if got := decay(elapsed, 10*time.Second); !near(got, want, 1e-12) {
 			t.Errorf("after %v: %v, want %v", elapsed, got, want)
 		}
 	}
 }
 
-// TestRateEstimatorFollowsTheRate checks both rates on requests that come evenly, and after they end.
+// TestRateEstimatorFollowsTheRate checks both rates on requests that come evenly, and after they
+// end.
 func TestRateEstimatorFollowsTheRate(t *testing.T) {
 	start := time.Hour
 	rate := rateEstimator{startedAt: start, updatedAt: start}
@@ -41,8 +43,8 @@
 	}
 }
 
-// TestLatencyBaselineRisesByTimeAlone checks that the baseline follows quicker responses soon, and slower ones only
-// over its rise time, however many come.
+// TestLatencyBaselineRisesByTimeAlone checks that the baseline follows quicker responses soon, and
+// slower ones only over its rise time, however many come.
 func TestLatencyBaselineRisesByTimeAlone(t *testing.T) {
 	var l latencyEstimator
 	now := time.Hour
@@ -70,7 +72,8 @@
 	}
 }
 
-// TestQuantileEstimatorFindsTheShare checks that the share asked for of the responses comes within the estimate.
+// TestQuantileEstimatorFindsTheShare checks that the share asked for of the responses comes within
+// the estimate.
 func TestQuantileEstimatorFindsTheShare(t *testing.T) {
 	for _, share := range []float64{0.75, 0.95} {
 		var q quantileEstimator
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Events that change what is known of a request and ask for no decision.
+// Events that only update a request and its attempts. No decision is made in this file.
 
 import "time"
 
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,8 @@
 	"rowancart/balancer"
 )
 
-// printer is a host that only says what it was asked to do. A real one would send, set timers and answer clients.
+// printer is a host that only prints what it is asked to do. A real one would send, set timers
+// and answer clients.
 type printer struct{}
 
 func (printer) Send(id, endpoint string, timeout time.Duration) {
@@ -34,7 +35,8 @@
 	b.Outcome(now+20*time.Millisecond, balancer.Outcome{ID: "r1", Endpoint: "10.0.0.1:80", Result: balancer.OK,
 		Latency: 20 * time.Millisecond, Final: true})
 
-	b.EndpointList(time.Second, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "10.0.0.1:80", State: balancer.Draining}}})
+	b.EndpointList(time.Second, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "10.0.0.1:80",
+		State: balancer.Draining}}})
 	b.Request(time.Second, balancer.Request{ID: "r2", Class: "lookup", Deadline: 3 * time.Second})
 	b.Timer(2990 * time.Millisecond)
 	// Output:
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -6,16 +6,40 @@
 	"slices"
 )
 
-// CheckIndex compares what the index finds with what a walk over all endpoints finds.
+// CheckIndex compares the counts and the heaps with what a walk over all endpoints finds.
 func (b *Balancer) CheckIndex() error {
-	members, known, ready, broken, errors, all := 0, 0, 0, 0, 0.0, 0.0
-	orders := map[*endpointHeap][]*endpoint{&b.activeHeap: nil, &b.trialHeap: nil}
+	if err := b.checkCounts(); err != nil {
+		return err
+	}
+	members := map[*endpointHeap][]*endpoint{&b.activeHeap: nil, &b.trialHeap: nil}
 	for _, k := range b.kinds {
-		orders[&k.activeByWeight] = nil
+		members[&k.activeByWeight] = nil
+	}
+	for _, e := range b.endpoints {
+		switch {
+		case !e.inSubset:
+		case e.active:
+			members[&b.activeHeap] = append(members[&b.activeHeap], e)
+			members[&e.kind.activeByWeight] = append(members[&e.kind.activeByWeight], e)
+		default:
+			members[&b.trialHeap] = append(members[&b.trialHeap], e)
+		}
 	}
+	for heap, want := range members {
+		if err := heap.check(want); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkCounts compares the counts of endpoints and outcomes with a walk.
+func (b *Balancer) checkCounts() error {
+	var size, listed, ready, failing int
+	var outcomes outcomeCounts
 	for _, e := range b.endpoints {
 		if e.State != Gone {
-			known++
+			listed++
 		}
 		if e.State == Ready {
 			ready++
@@ -23,35 +47,34 @@
 		if !e.inSubset {
 			continue
 		}
-		members, errors, all = members+1, errors+e.outcomes.errors, all+e.outcomes.total
+		size++
+		outcomes.errors += e.outcomes.errors
+		outcomes.total += e.outcomes.total
 		if !e.active && e.inactiveReason == InactiveFailing {
-			broken++
-		}
-		if e.active {
-			orders[&b.activeHeap] = append(orders[&b.activeHeap], e)
-			orders[&e.kind.activeByWeight] = append(orders[&e.kind.activeByWeight], e)
-		} else {
-			orders[&b.trialHeap] = append(orders[&b.trialHeap], e)
+			failing++
 		}
 	}
-	if members != b.subsetSize || known != b.listedCount || ready != b.readyCount || math.Abs(errors-b.outcomes.errors) > 1e-6 || math.Abs(all-b.outcomes.total) > 1e-6 {
-		return fmt.Errorf("%d members, %d known, %d ready, %v errors; counted are %d, %d, %d, %v", b.subsetSize, b.listedCount, b.readyCount,
-			b.outcomes.errors, members, known, ready, errors)
+	if size != b.subsetSize || listed != b.listedCount || ready != b.readyCount || failing != b.failingCount {
+		return fmt.Errorf("subset of %d, %d listed, %d ready, %d failing; a walk counts %d, %d, %d, %d",
+			b.subsetSize, b.listedCount, b.readyCount, b.failingCount, size, listed, ready, failing)
+	}
+	if math.Abs(outcomes.errors-b.outcomes.errors) > 1e-6 || math.Abs(outcomes.total-b.outcomes.total) > 1e-6 {
+		return fmt.Errorf("outcomes %+v; a walk counts %+v", b.outcomes, outcomes)
 	}
-	if broken != b.failingCount {
-		return fmt.Errorf("%d endpoints fail; counted are %d", broken, b.failingCount)
+	return nil
+}
+
+// check compares a heap with the endpoints that should be in it, and checks its order.
+func (h *endpointHeap) check(want []*endpoint) error {
+	if len(want) != len(h.endpoints) {
+		return fmt.Errorf("heap %d has %d endpoints, and a walk finds %d", h.slot, len(h.endpoints), len(want))
 	}
-	for o, walked := range orders {
-		if len(walked) != len(o.endpoints) {
-			return fmt.Errorf("order %d holds %d endpoints, and a walk finds %d", o.slot, len(o.endpoints), len(walked))
+	for i, e := range h.endpoints {
+		if e.heapIndexes[h.slot] != i+1 || !slices.Contains(want, e) {
+			return fmt.Errorf("heap %d has %s at %d, whose own index is %d", h.slot, e.ID, i+1, e.heapIndexes[h.slot])
 		}
-		for i, e := range o.endpoints {
-			if e.heapIndexes[o.slot] != i+1 || !slices.Contains(walked, e) {
-				return fmt.Errorf("order %d has %s at %d, which takes itself to be at %d", o.slot, e.ID, i+1, e.heapIndexes[o.slot])
-			}
-			if i > 0 && o.less(e, o.endpoints[(i-1)/2]) {
-				return fmt.Errorf("order %d has %s behind %s", o.slot, e.ID, o.endpoints[(i-1)/2].ID)
-			}
+		if i > 0 && h.less(e, h.endpoints[(i-1)/2]) {
+			return fmt.Errorf("heap %d has %s below %s", h.slot, e.ID, h.endpoints[(i-1)/2].ID)
 		}
 	}
 	return nil
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// harness drives a balancer by hand and keeps what it asks for.
+// harness drives a balancer by hand and records what it asks for.
 type harness struct {
 	t            *testing.T
 	now          time.Duration
@@ -55,7 +55,8 @@
 			{Name: "bill", Repeat: balancer.NonIdempotent, LatencyObjective: 2 * time.Second}}}
 }
 
-// testSettingsWithObjective is basic with another aim: how far answers may stretch, and when an attempt is overdue, hang on it.
+// testSettingsWithObjective returns testSettings with another latency objective, on which the
+// tolerated latency ratio and the straggling delay depend.
 func testSettingsWithObjective(within time.Duration) balancer.Settings {
 	s := testSettings()
 	for i := range s.Classes {
@@ -80,14 +81,15 @@
 	return h
 }
 
-// newHarnessOfInstance is one of many callers that share their endpoints and have little to send each.
-func newHarnessOfInstance(t *testing.T, callers, endpoints int) *harness {
+// newHarnessOfInstance returns the harness of one of many instances that share their endpoints
+// and have few requests each.
+func newHarnessOfInstance(t *testing.T, instances, endpoints int) *harness {
 	s := testSettings()
-	s.Instances = callers
+	s.Instances = instances
 	return newHarness(t, s, endpointIDs(endpoints)...)
 }
 
-// endpointIDs gives the names of so many endpoints.
+// endpointIDs returns so many endpoint IDs.
 func endpointIDs(n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
@@ -113,7 +115,7 @@
 	}
 }
 
-// request makes a request and returns its id and the endpoint it went to, if any.
+// request makes a request and returns its ID and the endpoint that it went to, if any.
 func (h *harness) request(class string) (id, ep string) {
 	id = h.requestFor(class, "")
 	if len(h.sentTo[id]) > 0 {
@@ -122,7 +124,7 @@
 	return id, ep
 }
 
-// requestFor is a call for a tenant, which need not be sent on.
+// requestFor makes a request for a tenant, which need not be sent, and returns its ID.
 func (h *harness) requestFor(class, tenant string) string {
 	h.requestCount++
 	id := "r" + strconv.Itoa(h.requestCount)
@@ -130,7 +132,7 @@
 	return id
 }
 
-// requestStreamed asks for something with a long body.
+// requestStreamed makes a request with a long body and returns its ID.
 func (h *harness) requestStreamed(class string) string {
 	h.requestCount++
 	id := fmt.Sprint("long", h.requestCount)
@@ -141,14 +143,16 @@
 // finish reports the outcome of the latest attempt of a request.
 func (h *harness) finish(id string, result balancer.Result) {
 	n := len(h.sentTo[id]) - 1
-	h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: result, Latency: h.now - h.sentAt[id],
-		Final: result == balancer.OK})
+	h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: result,
+		Latency: h.now - h.sentAt[id],
+		Final:   result == balancer.OK})
 }
 
-// finishAll ends all attempts of a request, the latest with success.
+// finishAll reports the outcomes of all attempts of a request, the latest with success.
 func (h *harness) finishAll(id string) {
 	for n, ep := range h.sentTo[id] {
-		o := balancer.Outcome{ID: id, Attempt: n, Endpoint: ep, Result: balancer.Canceled, Latency: h.now - h.sentAt[id], Final: true}
+		o := balancer.Outcome{ID: id, Attempt: n, Endpoint: ep, Result: balancer.Canceled,
+			Latency: h.now - h.sentAt[id], Final: true}
 		if n == len(h.sentTo[id])-1 {
 			o.Result = balancer.OK
 		}
@@ -166,7 +170,7 @@
 	return n
 }
 
-// finalAnswers gives the final answers that a request got.
+// finalAnswers returns the final answers that a request got.
 func (h *harness) finalAnswers(id string) []string {
 	var out []string
 	for _, did := range h.actions {
@@ -177,7 +181,8 @@
 	return out
 }
 
-// serve serves calls one after another, each endpoint taking its own time.
+// serve makes requests one after another, each endpoint with a latency of its own, and returns
+// how many went to each.
 func (h *harness) serve(calls int, latency map[string]time.Duration) map[string]int {
 	share := map[string]int{}
 	for range calls {
@@ -189,9 +194,10 @@
 	return share
 }
 
-// serveSteadily calls every so often for a while, and ends each call that was sent after the time its endpoint takes; sent hears
-// of each send as it is made.
-func (h *harness) serveSteadily(every, lasting time.Duration, latency func(ep string) time.Duration, sent func(ep string)) {
+// serveSteadily makes a request at even intervals for a while, and finishes each after the
+// latency of its endpoint. It calls sent for each send as it is made.
+func (h *harness) serveSteadily(every, lasting time.Duration, latency func(ep string) time.Duration,
+	sent func(ep string)) {
 	due, seen := map[string]time.Duration{}, len(h.actions)
 	for begun := h.now; h.now < begun+lasting; {
 		if h.now%every == 0 {
@@ -213,8 +219,9 @@
 	}
 }
 
-// overload offers a call every gap for a while. Each endpoint works on one call at a time, for work each. It returns
-// the most calls that an endpoint held in the second half of that time, and how many were answered.
+// overload makes a request at even intervals for a while. Each endpoint works on one request at
+// a time. It returns the most requests that an endpoint had in the second half of that time, and
+// how many were answered.
 func (h *harness) overload(gap, work, long time.Duration, endpoints ...string) (most, answered int) {
 	queue, busy, begun := map[string][]string{}, map[string]time.Duration{}, h.now
 	for h.now < begun+long {
@@ -235,7 +242,7 @@
 					}
 				}
 			}
-			for _, d := range h.actions[sent:] { // held calls that went out since
+			for _, d := range h.actions[sent:] { // queued requests that were sent since
 				if f := strings.Fields(d); f[0] == "send" && !slices.Contains(queue[f[2]], f[1]) {
 					queue[f[2]] = append(queue[f[2]], f[1])
 				}
@@ -250,7 +257,7 @@
 	return most, answered
 }
 
-// measureCapacity tells how many calls may be out at once: more are held.
+// measureCapacity returns how many requests may be in flight at once before one is queued.
 func (h *harness) measureCapacity() int {
 	before := h.countActions("send ")
 	var ids []string
--- a/balancer/heap_test.go
+++ b/balancer/heap_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestHeapKeepsTheLowestFirst checks the heap against a plain list under random changes of membership and order.
+// TestHeapKeepsTheLowestFirst checks the heap against a plain list under random changes of
+// membership and order.
 func TestHeapKeepsTheLowestFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heap := endpointHeap{slot: activeHeapSlot, less: hasLowerDeficit}
@@ -41,7 +42,8 @@
 	})
 }
 
-// TestHeapVisitLeavesOutWhatIsBelow checks that nothing below an endpoint is visited once visit is told so.
+// TestHeapVisitLeavesOutWhatIsBelow checks that nothing below an endpoint is visited once visit is
+// told so.
 func TestHeapVisitLeavesOutWhatIsBelow(t *testing.T) {
 	heap := endpointHeap{slot: trialHeapSlot, less: hasSoonerTrial}
 	for i := range 7 {
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -24,7 +24,7 @@
 		if to := h.sentTo[id]; len(to) != 2 || to[1] == first {
 			t.Fatalf("%s: sent to %v", name, to)
 		}
-		// The copy fails: the first still counts, and is not given up.
+		// The hedged attempt fails: the first one goes on.
 		h.finish(id, balancer.Reset)
 		if n := h.countActions("reject") + h.countActions("fail"); n != 0 {
 			t.Errorf("%s: given up with an attempt out: %v", name, h.actions)
@@ -46,7 +46,8 @@
 		if first == "a" {
 			h.advance(15 * ms)
 			last := len(h.sentTo[id]) - 1
-			h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: last, Endpoint: h.sentTo[id][last], Result: balancer.OK, Latency: 10 * ms})
+			h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: last, Endpoint: h.sentTo[id][last], Result: balancer.OK,
+				Latency: 10 * ms})
 			if last != 1 || h.countActions("cancel "+id+" 0") != 1 {
 				t.Fatalf("the slow one is still out: %v", h.actions)
 			}
@@ -56,7 +57,7 @@
 		h.finishAll(id)
 	}
 	if 4*turns["a"] > 3*min(turns["b"], turns["c"]) {
-		t.Errorf("copies hide that a is slow: %v", turns)
+		t.Errorf("hedging hides that a is slow: %v", turns)
 	}
 }
 
@@ -65,7 +66,8 @@
 	for i := range s.Classes {
 		s.Classes[i].HedgeAfter = 5 * ms
 	}
-	s.Classes = append(s.Classes, balancer.Class{Name: "keyed", Repeat: balancer.IdempotencyKeyed, KeyWindow: time.Hour, LatencyObjective: time.Second, HedgeAfter: 5 * ms})
+	s.Classes = append(s.Classes, balancer.Class{Name: "keyed", Repeat: balancer.IdempotencyKeyed,
+		KeyWindow: time.Hour, LatencyObjective: time.Second, HedgeAfter: 5 * ms})
 	h := newHarness(t, s, "a", "b", "c")
 	for _, class := range []string{"bill", "keyed"} {
 		id, _ := h.request(class)
@@ -81,6 +83,6 @@
 		h.advance(50 * ms)
 	}
 	if n := h.countActions("send"); n != 11 {
-		t.Errorf("%d sends of 10 requests with a budget for one copy", n)
+		t.Errorf("%d sends of 10 requests with a budget for one hedged request", n)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -29,15 +29,16 @@
 		id, ep := h.request("read")
 		for n := 0; ep != "" && n < len(h.sentTo[id]); n++ {
 			h.advance(10 * ms)
-			h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: balancer.Errored, Latency: 10 * ms})
+			h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: balancer.Errored,
+				Latency: 10 * ms})
 		}
 	}
 	if extra := h.countActions("send") - before - asked; extra > asked/10+10 || extra < 5 {
-		t.Errorf("%d resends for %d requests that all failed", extra, asked)
+		t.Errorf("%d retries for %d requests that all failed", extra, asked)
 	}
 }
 
-// The second attempt goes elsewhere, even where the first endpoint is next in turn again.
+// The second attempt goes elsewhere, even where the first endpoint has the lowest deficit again.
 func TestRetryGoesToAnotherEndpoint(t *testing.T) {
 	s := testSettings()
 	s.TiersBelow = 1
@@ -46,7 +47,7 @@
 	h.serve(200, latency)
 	again := 0
 	for range 30 {
-		h.serve(11, latency) // earns a resend, and moves the turns on
+		h.serve(11, latency) // earns a retry, and moves the deficits on
 		id, _ := h.request("read")
 		h.advance(10 * ms)
 		h.finish(id, balancer.Errored)
@@ -63,8 +64,8 @@
 	}
 }
 
-// An endpoint that could not be asked, since it was taken out while the connection came up, costs nobody anything: the next attempt
-// is beside the budget.
+// An attempt that was not sent, since its endpoint was disabled while the connection was
+// established, costs the endpoint nothing: the next one is exempt from the budget.
 func TestUnsentAttemptIsExemptFromTheBudget(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts, s.RetryBudget.PerRequest, s.RetryBudget.Burst = 0, 1e-9, 1e-9
--- a/balancer/retrybudget_test.go
+++ b/balancer/retrybudget_test.go
@@ -7,11 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// Over any stretch of time, what is spent stays under what was earned and what may be saved up.
+// Over any length of time, what is spent stays under what was earned and what may be saved up.
 func TestRetryBudgetStaysWithinWhatWasEarned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := retryBucket{RetryBudget: RetryBudget{PerRequest: rapid.Float64Range(0, 1).Draw(t, "share"), PerSecond: rapid.Float64Range(0, 20).Draw(t, "rate"),
-			Burst: rapid.Float64Range(1, 50).Draw(t, "most")}}
+		r := retryBucket{RetryBudget: RetryBudget{PerRequest: rapid.Float64Range(0, 1).Draw(t, "share"),
+			PerSecond: rapid.Float64Range(0, 20).Draw(t, "rate"),
+			Burst:     rapid.Float64Range(1, 50).Draw(t, "most")}}
 		var now, began time.Duration
 		requests, spent := 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -28,7 +29,8 @@
 				}
 			}
 		}
-		if most := r.Burst/2 + r.PerRequest*float64(requests) + r.PerSecond*(now-began).Seconds(); float64(spent) > most+1e-6 {
+		earned := r.PerRequest*float64(requests) + r.PerSecond*(now-began).Seconds()
+		if most := r.Burst/2 + earned; float64(spent) > most+1e-6 {
 			t.Fatalf("%d spent of %v", spent, most)
 		}
 	})
@@ -45,6 +47,6 @@
 		}
 	}
 	if n < 100 || n > 106 {
-		t.Errorf("%d resends of 1000 requests", n)
+		t.Errorf("%d retries of 1000 requests", n)
 	}
 }
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// In ha74963 machines of a third of the speed took half of the calls of fast ones, and choked: most of an answer's time
-// was spent in the tiers below, which is the same behind all. There the charge is what the endpoint itself adds.
+// Incident ha74963: machines of a third of the speed got half as many requests as fast ones, and
+// collapsed: most of a latency was spent in the tiers below, which is the same behind all. There
+// the charge is what the endpoint itself adds.
 func TestLatencyOfTiersBelowDoesNotEqualizeTurns(t *testing.T) {
 	for below, want := range map[int][2]float64{0: {1.2, 1.9}, 1: {2.2, 4.5}} {
 		s := testSettings()
@@ -53,7 +54,7 @@
 func TestSoonestTrialIsTakenWithNoneActive(t *testing.T) {
 	h := newHarness(t, testSettings(), "only")
 	id, _ := h.request("read")
-	h.finish(id, balancer.ConnectFailed) // dropped, and the resend is the none-active branch
+	h.finish(id, balancer.ConnectFailed) // ejected, so that the retry finds none active
 	if len(h.sentTo[id]) != 2 {
 		t.Fatalf("actions %v", h.actions)
 	}
@@ -64,7 +65,8 @@
 	}
 }
 
-// A quiet caller sees an endpoint every few seconds: what its kind takes counts until it knows better.
+// A quiet instance sends to an endpoint every few seconds: the weight of its kind counts until
+// there are samples.
 func TestKindWeightStandsInForFewSamples(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s)
@@ -93,7 +95,8 @@
 
 func TestOneFastEndpointDoesNotEjectTheOthers(t *testing.T) {
 	h := newHarness(t, testSettings(), "lucky", "b", "c", "d", "e", "f")
-	latency := map[string]time.Duration{"lucky": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms, "f": 50 * ms}
+	latency := map[string]time.Duration{"lucky": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms,
+		"f": 50 * ms}
 	h.serve(200, latency)
 	others := 0
 	for ep, n := range h.serve(600, latency) {
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -13,7 +13,7 @@
 // answerSlack is how long after the deadline a final answer may come.
 const answerSlack = 20 * ms
 
-// simulatedAttempt is one attempt as the world sees it.
+// simulatedAttempt is one attempt as the simulation sees it.
 type simulatedAttempt struct {
 	endpoint       balancer.Endpoint
 	sentAt, endsAt time.Duration
@@ -23,32 +23,32 @@
 	canceled       bool
 }
 
-// simulatedRequest is one request as the world sees it.
+// simulatedRequest is one request as the simulation sees it.
 type simulatedRequest struct {
 	balancer.Request
 	class    balancer.Class
 	attempts []*simulatedAttempt
 	ended    bool // has its answer, or its client left
-	notified bool // the balancer was told so, or did it itself, before the batch in hand
+	notified bool // the balancer knows, from before this step
 }
 
-// simulation plays clients, discovery and endpoints against one balancer and watches the four rules.
+// simulation plays clients, discovery and endpoints against one balancer and checks the rules.
 type simulation struct {
 	t            testing.TB
 	rng          *rand.Rand
 	settings     balancer.Settings
 	now          time.Duration
 	b            *balancer.Balancer
-	listed       map[string]balancer.Endpoint // as last told
-	drainedAt    map[string]time.Duration     // when told of a drain or removal
+	listed       map[string]balancer.Endpoint // as last reported
+	drainedAt    map[string]time.Duration     // when a drain or removal was reported
 	requests     map[string]*simulatedRequest
 	openIDs      []string
 	timers       []time.Duration
-	warmingSends map[string][]time.Duration // sends to cold endpoints
+	warmingSends map[string][]time.Duration // sends to warming endpoints
 	requestCount int
 	ending       bool // nothing new comes
 	sends        int
-	answers      [3]int // served, refused, failed
+	answers      [3]int // served, rejected, failed
 	reasons      map[balancer.Reason]int
 	actions      []string
 }
@@ -63,20 +63,21 @@
 		sim.t.Fatalf("%v: Send of %s, which has ended", sim.now, id)
 	}
 	if at, ok := sim.drainedAt[ep]; ok && sim.now > at {
-		sim.t.Fatalf("%v: Send to %s, told to stop at %v", sim.now, ep, at)
+		sim.t.Fatalf("%v: Send to %s, which drained at %v", sim.now, ep, at)
 	}
 	if sim.settings.MaxAttempts > 0 && len(req.attempts) >= sim.settings.MaxAttempts {
 		sim.t.Fatalf("%v: attempt %d of %s", sim.now, len(req.attempts), id)
 	}
 	for _, a := range req.attempts {
 		if a.inFlight {
-			sim.t.Fatalf("%v: second copy of %s", sim.now, id)
+			sim.t.Fatalf("%v: two attempts of %s in flight", sim.now, id)
 		}
 		if !a.inFlight && !a.mayHaveRun || req.class.Repeat == balancer.Idempotent {
 			continue
 		}
 		c := req.class
-		if c.Repeat == balancer.NonIdempotent || sim.now > a.sentAt+c.KeyWindow || c.KeyScope == balancer.KeyScopeZone && a.endpoint.Zone != e.Zone ||
+		if c.Repeat == balancer.NonIdempotent || sim.now > a.sentAt+c.KeyWindow ||
+			c.KeyScope == balancer.KeyScopeZone && a.endpoint.Zone != e.Zone ||
 			c.KeyScope == balancer.KeyScopeCell && a.endpoint.Cell != e.Cell {
 			sim.t.Fatalf("%v: %s may take effect twice at %s", sim.now, id, ep)
 		}
@@ -85,7 +86,8 @@
 		sim.warmingSends[ep] = append(sim.warmingSends[ep], sim.now)
 	}
 	sim.sends++
-	a := &simulatedAttempt{endpoint: e, sentAt: sim.now, inFlight: true, endsAt: sim.now + time.Duration(1+sim.rng.IntN(300))*ms}
+	a := &simulatedAttempt{endpoint: e, sentAt: sim.now, inFlight: true,
+		endsAt: sim.now + time.Duration(1+sim.rng.IntN(300))*ms}
 	switch n := sim.rng.IntN(20); {
 	case n < 11:
 		a.result = balancer.OK
@@ -124,7 +126,7 @@
 	for _, a := range req.attempts {
 		if (a.inFlight || a.mayHaveRun) && (req.class.Repeat == balancer.NonIdempotent ||
 			req.class.Repeat == balancer.IdempotencyKeyed && req.class.KeyScope != balancer.KeyScopeAll) {
-			sim.t.Fatalf("%v: %s is refused though it may have run", sim.now, id)
+			sim.t.Fatalf("%v: %s is rejected though it may have run", sim.now, id)
 		}
 	}
 }
@@ -134,7 +136,7 @@
 	sim.answers[2]++
 }
 
-// checkReason holds a reason to what the world has seen.
+// checkReason checks a reason against what the simulation has seen.
 func (sim *simulation) checkReason(req *simulatedRequest, why balancer.Reason) {
 	ready, failed, ran, out := false, false, false, false
 	for _, e := range sim.listed {
@@ -153,7 +155,7 @@
 		balancer.MayHaveRun:        ran && req.class.Repeat != balancer.Idempotent,
 	}
 	if !holds[why] {
-		sim.t.Fatalf("%v: %s is told %q after %d attempts, which is not so", sim.now, req.ID, why, len(req.attempts))
+		sim.t.Fatalf("%v: %s gets the reason %q after %d attempts, which is not so", sim.now, req.ID, why, len(req.attempts))
 	}
 	sim.reasons[why]++
 }
@@ -177,7 +179,8 @@
 
 func (sim *simulation) Log(string) {}
 
-// startBalancer begins a life of the balancer; what an earlier one held is lost.
+// startBalancer starts a new incarnation of the balancer; the requests of an earlier one are
+// lost.
 func (sim *simulation) startBalancer(seed uint64) {
 	sim.requests, sim.openIDs, sim.timers = map[string]*simulatedRequest{}, nil, nil
 	sim.settings.Seed = seed
@@ -197,7 +200,8 @@
 		return
 	}
 	id := sim.rng.IntN(12)
-	e := balancer.Endpoint{ID: "e" + strconv.Itoa(id), State: balancer.State(sim.rng.IntN(3)), Zone: "z" + strconv.Itoa(id%2),
+	e := balancer.Endpoint{ID: "e" + strconv.Itoa(id), State: balancer.State(sim.rng.IntN(3)),
+		Zone: "z" + strconv.Itoa(id%2),
 		Kind: "k" + strconv.Itoa(id%3), Cell: id % 4}
 	if sim.rng.IntN(3) > 0 {
 		e.State = balancer.Ready
@@ -220,17 +224,18 @@
 func (sim *simulation) startRequest() {
 	sim.requestCount++
 	c := sim.settings.Classes[sim.rng.IntN(len(sim.settings.Classes))]
-	r := balancer.Request{ID: "r" + strconv.Itoa(sim.requestCount), Class: c.Name, Tenant: "t" + strconv.Itoa(sim.rng.IntN(3)),
+	r := balancer.Request{ID: "r" + strconv.Itoa(sim.requestCount), Class: c.Name,
+		Tenant:   "t" + strconv.Itoa(sim.rng.IntN(3)),
 		Deadline: sim.now + time.Duration(sim.rng.IntN(1500))*ms, ClientRetry: sim.rng.IntN(5) == 0}
 	if sim.rng.IntN(30) == 0 {
-		r.Class, c = "never listed", balancer.Class{Repeat: balancer.NonIdempotent}
+		r.Class, c = "unlisted class", balancer.Class{Repeat: balancer.NonIdempotent}
 	}
 	sim.requests[r.ID] = &simulatedRequest{Request: r, class: c}
 	sim.openIDs = append(sim.openIDs, r.ID)
 	sim.b.Request(sim.now, r)
 }
 
-// step plays one batch.
+// step simulates one step of time.
 func (sim *simulation) step() {
 	defer func() {
 		if err := sim.b.CheckIndex(); err != nil {
@@ -268,7 +273,8 @@
 		out := false
 		for n, a := range req.attempts {
 			if a.inFlight && a.endsAt <= sim.now {
-				a.inFlight, a.mayHaveRun = false, a.result != balancer.Rejected && a.result != balancer.ConnectFailed && a.result != balancer.NotSent
+				a.inFlight, a.mayHaveRun = false, a.result != balancer.Rejected && a.result != balancer.ConnectFailed &&
+					a.result != balancer.NotSent
 				if a.result == balancer.OK && !req.ended {
 					req.ended = true
 					sim.answers[0]++
@@ -278,7 +284,8 @@
 				sim.b.Outcome(sim.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.endpoint.ID, Result: a.result,
 					Latency: sim.now - a.sentAt, Final: final})
 				if sim.rng.IntN(30) == 0 { // a host that reports twice must do no harm
-					sim.b.Outcome(sim.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.endpoint.ID, Result: a.result, Final: final})
+					sim.b.Outcome(sim.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.endpoint.ID, Result: a.result,
+						Final: final})
 				}
 			}
 			out = out || a.inFlight
@@ -295,7 +302,8 @@
 
 func newSimulation(t testing.TB, seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	sim := &simulation{t: t, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second, listed: map[string]balancer.Endpoint{},
+	sim := &simulation{t: t, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second,
+		listed:  map[string]balancer.Endpoint{},
 		reasons: map[balancer.Reason]int{}, drainedAt: map[string]time.Duration{}, warmingSends: map[string][]time.Duration{}}
 	sim.settings = balancer.Settings{Instances: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
 		SubscribeRequired: rng.IntN(2) == 0, PollInterval: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
@@ -303,9 +311,11 @@
 		Resolution:        time.Duration(1+rng.IntN(5)) * ms,
 		SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second,
 		Tenants: []balancer.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 5}}}
-	for i, effect := range []balancer.Repeatability{balancer.Idempotent, balancer.IdempotencyKeyed, balancer.IdempotencyKeyed, balancer.IdempotencyKeyed, balancer.NonIdempotent} {
+	for i, effect := range []balancer.Repeatability{balancer.Idempotent, balancer.IdempotencyKeyed,
+		balancer.IdempotencyKeyed, balancer.IdempotencyKeyed, balancer.NonIdempotent} {
 		sim.settings.Classes = append(sim.settings.Classes, balancer.Class{Name: "c" + strconv.Itoa(i), Repeat: effect,
-			KeyScope: balancer.KeyScope(max(i-1, 0) % 3), KeyWindow: time.Duration(100+rng.IntN(400)) * ms, LatencyObjective: 400 * ms,
+			KeyScope: balancer.KeyScope(max(i-1, 0) % 3), KeyWindow: time.Duration(100+rng.IntN(400)) * ms,
+			LatencyObjective: 400 * ms,
 		})
 	}
 	for i := range 8 {
@@ -316,7 +326,7 @@
 	return sim
 }
 
-// simulate runs a random day of legal events; any broken rule is fatal.
+// simulate runs random legal events; any broken rule is fatal.
 func simulate(t testing.TB, seed uint64, steps int) *simulation {
 	sim := newSimulation(t, seed)
 	for i := range steps {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,18 +8,19 @@
 	"rowancart/balancer"
 )
 
-// TestColdEndpointIsNotPushedOver: twenty callers hear of one start at the same time.
+// Twenty instances see the start of an endpoint at the same time.
 func TestSlowStartDoesNotOverloadAnEndpoint(t *testing.T) {
-	const callers, perSecond = 20, 5.0
+	const instances, perSecond = 20, 5.0
 	names := []string{}
 	for i := range 9 {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
 	got := [12]int{}
-	for c := range callers {
+	for c := range instances {
 		s := testSettings()
 		h := newHarness(t, s, names...)
-		h.b = balancer.New(h.now, balancer.Settings{Seed: uint64(c), Instances: callers, Index: c, MaxAttempts: 4, Resolution: ms,
+		h.b = balancer.New(h.now, balancer.Settings{Seed: uint64(c), Instances: instances, Index: c, MaxAttempts: 4,
+			Resolution:        ms,
 			SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second, Classes: s.Classes}, h)
 		l := balancer.EndpointList{Complete: true}
 		for _, id := range names {
@@ -44,19 +45,20 @@
 			}
 		}
 	}
-	even := callers * perSecond / 10 // calls a second to each endpoint
-	for at := range 11 {             // nor when it counts as warm at last (incident id93449)
+	even := instances * perSecond / 10 // calls a second to each endpoint
+	for at := range 11 {               // nor when it counts as warm at last (incident id93449)
 		warm := min(0.3+0.7*float64(at+1)/9, 1)
 		if n := float64(got[at]); n > even*warm*2+4 {
-			t.Errorf("second %d: a cold endpoint got %v calls, an even warm share is %v", at, n, even*warm)
+			t.Errorf("second %d: a warming endpoint got %v requests, an even share is %v", at, n, even*warm)
 		}
 	}
 	if got[0] == 0 && got[1] == 0 && got[2] == 0 || got[10] < int(even/2) {
-		t.Errorf("a cold endpoint did not come into use: %v", got)
+		t.Errorf("a warming endpoint did not come into use: %v", got)
 	}
 }
 
-// Rule 4: what a cold endpoint gets stays near its share, however much comes in.
+// The rate of sends to an endpoint that warms up stays near its share, however many requests
+// come.
 func TestSlowStartPacesSends(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c")
 	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
@@ -64,11 +66,12 @@
 	h.b.EndpointList(h.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new", Started: h.now}}})
 	share := h.serve(150, latency)
 	if share["new"] == 0 || share["new"] > 150/4*2/3 {
-		t.Errorf("a cold endpoint of four got %d of 150 calls", share["new"])
+		t.Errorf("a warming endpoint of four got %d of 150 requests", share["new"])
 	}
 }
 
-// callsAfterResets gives how many of 60 calls go to c, one of three alike, after some in a row were reset there.
+// callsAfterResets returns how many of 60 requests go to c, one of three alike, after some in a
+// row were reset there.
 func callsAfterResets(t *testing.T, resets int) int {
 	t.Helper()
 	h := newHarness(t, testSettings(), "a", "b", "c")
@@ -88,22 +91,25 @@
 	return h.serve(60, latency)["c"]
 }
 
-// An endpoint that resets again before it has answered went down: it is cold when it comes back, whatever the list says.
+// An endpoint that resets again before it has responded went down: it warms up when it is back,
+// whatever the list says.
 func TestSlowStartFollowsRepeatedResets(t *testing.T) {
 	if n := callsAfterResets(t, 2); n > 60/3*2/3 {
 		t.Errorf("an endpoint that went down got %d of 60 calls", n)
 	}
 }
 
-// Seen on a day on which the network broke one call in thirty: each reset made an endpoint pass for cold, calls found
-// no endpoint with room and were refused, and the load of those taken for cold fell on the others.
+// Seen on a day on which the network broke one connection in thirty: each reset put an endpoint
+// into slow start, requests found no endpoint with capacity and were rejected, and the load
+// moved to the other endpoints.
 func TestSlowStartDoesNotFollowOneReset(t *testing.T) {
 	if n := callsAfterResets(t, 1); n < 60/3*2/3 {
 		t.Errorf("an endpoint with one broken connection got %d of 60 calls", n)
 	}
 }
 
-// A cold endpoint that is alone and answers as one that is not busy gets what there is, and one that slows down does not.
+// An endpoint that warms up alone and responds as one that is not busy gets all requests, and
+// one that slows down does not.
 func TestSlowStartSpeedsUpWithoutWarmEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		took        time.Duration
@@ -130,31 +136,35 @@
 	}
 }
 
-// Seen at one instance at 90% load: the warm endpoints looked slow under the load and were dropped, the cold one was left the only
-// active, and it was quickened to ten times its part as if there were none but cold ones. Their load is what it would get.
+// Seen at one instance at 90% load: the warm endpoints looked slow under the load and were
+// ejected, the warming one was the only one active, and it got ten times its share as though
+// there were no warm ones. Their load is what it would get.
 func TestSlowStartDoesNotSpeedUpForEjectedEndpoints(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c")
 	h.serve(300, map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms})
 	h.b.EndpointList(h.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new", Started: h.now}}})
 	latency := map[string]time.Duration{"a": 400 * ms, "b": 400 * ms, "c": 400 * ms, "new": 5 * ms}
 	sent := map[string]int{}
-	h.serveSteadily(10*ms, 3*time.Second, func(ep string) time.Duration { return latency[ep] }, func(ep string) { sent[ep]++ })
-	// A quarter of 300 calls, times the share of 1.5 and a warmth that goes from 0.3 to 0.53: about 50.
+	h.serveSteadily(10*ms, 3*time.Second, func(ep string) time.Duration { return latency[ep] },
+		func(ep string) { sent[ep]++ })
+	// A quarter of 300 calls, times the share of 1.5 and a capacity that goes from 0.3 to 0.53: about
+	// 50.
 	if sent["new"] == 0 || sent["new"] > 60 {
-		t.Errorf("the cold endpoint was sent %d of 300 calls in 3 s: %v", sent["new"], sent)
+		t.Errorf("the warming endpoint was sent %d of 300 requests in 3 s: %v", sent["new"], sent)
 	}
 }
 
-// Many quiet callers that hear of one new endpoint must not all make their next call there.
+// Many quiet instances that are notified of one new endpoint must not all send their next
+// request there.
 func TestQuietInstancesDoNotAllTryANewEndpoint(t *testing.T) {
 	met := 0
-	for caller := range 100 {
+	for instance := range 100 {
 		s := testSettings()
-		s.Instances, s.Index = 100, caller
-		h := newSeededHarness(t, s, uint64(caller), "a", "b", "c")
+		s.Instances, s.Index = 100, instance
+		h := newSeededHarness(t, s, uint64(instance), "a", "b", "c")
 		quiet := func(n int) {
 			for range n {
-				h.advance(time.Duration(25+(caller+n)%10) * time.Second)
+				h.advance(time.Duration(25+(instance+n)%10) * time.Second)
 				id, ep := h.request("read")
 				if ep == "new" {
 					met++
@@ -168,18 +178,19 @@
 		quiet(1)
 	}
 	if met > 45 {
-		t.Errorf("%d of 100 callers made their next call to the endpoint that had just come; a quarter is its part", met)
+		t.Errorf("%d of 100 instances sent their next request to the new endpoint; a quarter is its part", met)
 	}
 }
 
-// A caller that sends to each endpoint every four seconds sends next to a cold one when it is half warm. By the warmth of its start
-// alone, that would be when it is warm. All together stay within one and a half times its warmth's part.
+// An instance that sends to each endpoint every four seconds sends next to a warming one when it
+// has half of its capacity. By the capacity of its start alone, that would be when it is warm.
+// All together stay within one and a half times the share of its capacity.
 func TestSlowStartShareGrowsBetweenTheSendsOfQuietInstances(t *testing.T) {
-	const callers, warmUp = 13, 9
+	const instances, warmUp = 13, 9
 	early, all := 0, 0
-	for seed := range uint64(callers) {
+	for seed := range uint64(instances) {
 		s := testSettings()
-		s.Instances, s.Index = callers, int(seed)
+		s.Instances, s.Index = instances, int(seed)
 		ids := append([]string{"fresh"}, endpointIDs(15)...)
 		h := newSeededHarness(t, s, seed, ids...)
 		call := func() bool {
@@ -202,7 +213,8 @@
 			}
 		}
 	}
-	// A turn comes every 4 s: 29 for all callers in nine seconds, and the area under the warmth is 0.65 of that, times 1.5.
+	// A turn comes every 4 s: 29 for all instances in nine seconds, and the area under the capacity is
+	// 0.65 of that, times 1.5.
 	if all < 20 || all > 32 {
 		t.Errorf("%d calls to an endpoint that warms up in 9 s, want about 28", all)
 	}
@@ -211,16 +223,17 @@
 	}
 }
 
-// Callers with one seed and the same traffic draw alike: where each drew its first call to a fresh endpoint at random alone, all
-// would call it in the same instant. By their numbers they spread over the turn; also where all begin at once, as after a mass
-// restart, and hear of it in their first list, before they know their own rate.
+// Instances with one seed and the same traffic draw alike: if each drew the time of its first
+// send to a new endpoint at random alone, all would send at the same instant. By their indexes
+// they spread over a turn; also where all start at once, as after a mass restart, and see the
+// endpoint in their first list, before they know their own rate.
 func TestInstancesOfOneSeedTryANewEndpointAtDifferentTimes(t *testing.T) {
-	const callers = 20
+	const instances = 20
 	for _, together := range []bool{false, true} {
-		first := map[time.Duration]int{} // callers by the tenth of a second of their first call to it
-		for i := range callers {
+		first := map[time.Duration]int{} // instances, by the tenth of a second of their first send to it
+		for i := range instances {
 			s := testSettings()
-			s.Instances, s.Index = callers, i
+			s.Instances, s.Index = instances, i
 			h := newSeededHarness(t, s, 7)
 			call := func() string {
 				id, ep := h.request("read")
@@ -253,9 +266,9 @@
 		for _, n := range first {
 			most, all = max(most, n), all+n
 		}
-		if all != callers || most > 3 {
-			t.Errorf("together %v: %d of %d callers called the fresh endpoint, at most %d in one tenth of a second: %v",
-				together, all, callers, most, first)
+		if all != instances || most > 3 {
+			t.Errorf("together %v: %d of %d instances sent to the new endpoint, at most %d in one tenth of a second: %v",
+				together, all, instances, most, first)
 		}
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// recordingHost is a Host that keeps what is sent. Whatever these tests do not lead to, the empty Host panics at.
+// recordingHost is a Host that only records sends. Other calls panic, since the embedded Host is
+// nil.
 type recordingHost struct {
 	Host
 	sent map[string]string
@@ -18,11 +19,13 @@
 func (s *recordingHost) Timer(time.Duration)                       {}
 
 var (
-	learnedSettings = Settings{Classes: []Class{{Name: "look", LatencyObjective: time.Second}}, SlowStartCapacity: 0.3, SlowStartWindow: 10 * time.Second}
-	learnedList     = EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
+	learnedSettings = Settings{Classes: []Class{{Name: "look", LatencyObjective: time.Second}},
+		SlowStartCapacity: 0.3, SlowStartWindow: 10 * time.Second}
+	learnedList = EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 )
 
-// learnState plays a Balancer before three endpoints, of which c is slow.
+// learnState returns what a Balancer learns from three endpoints, of which c is slow, and the
+// time by then.
 func learnState(t *testing.T) (LearnedState, time.Duration) {
 	t.Helper()
 	h := &recordingHost{sent: map[string]string{}}
@@ -50,8 +53,10 @@
 	b := New(now, learnedSettings, h)
 	b.EndpointList(now, learnedList)
 	b.Restore(now, l, time.Second)
-	if got := b.LearnedState(now); len(got.Works) != 1 || got.Works[0].BaselineLatency != l.Works[0].BaselineLatency || got.ConcurrencyLimit != l.ConcurrencyLimit {
-		t.Errorf("recalled %+v of %+v", got, l)
+	got := b.LearnedState(now)
+	if len(got.Works) != 1 || got.Works[0].BaselineLatency != l.Works[0].BaselineLatency ||
+		got.ConcurrencyLimit != l.ConcurrencyLimit {
+		t.Errorf("restored %+v of %+v", got, l)
 	}
 	if c := b.byID["c"]; c.active || !b.byID["a"].active || !b.byID["b"].active {
 		t.Errorf("active: a %v, b %v, c %v", b.byID["a"].active, b.byID["b"].active, c.active)
@@ -68,17 +73,18 @@
 	l, _ := learnState(t)
 	now := 3 * time.Hour
 	b := New(now, learnedSettings, &recordingHost{sent: map[string]string{}})
-	b.EndpointList(now, EndpointList{Complete: true, Entries: []Endpoint{{ID: "a", Started: now - time.Second}, {ID: "c"}}})
+	b.EndpointList(now, EndpointList{Complete: true, Entries: []Endpoint{{ID: "a", Started: now - time.Second},
+		{ID: "c"}}})
 	b.Restore(now, l, time.Second)
 	if a := b.byID["a"]; a.sampleCount != 0 {
 		t.Errorf("the restarted endpoint has %g samples", a.sampleCount)
 	}
 	if !b.byID["c"].active {
-		t.Error("the only warm endpoint is dropped")
+		t.Error("the only warm endpoint is ejected")
 	}
 }
 
-// Whatever a file says, the module's numbers stay such as it can have, and it goes on.
+// Whatever a file says, the weights stay valid and requests are sent.
 func TestRestoreWithstandsInvalidState(t *testing.T) {
 	number := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), -1, 0, 1e300}))
 	rapid.Check(t, func(t *rapid.T) {
@@ -87,11 +93,13 @@
 		b := New(now, learnedSettings, h)
 		b.EndpointList(now, learnedList)
 		l := LearnedState{ConcurrencyLimit: number.Draw(t, "room"),
-			Works: []LearnedWork{{Name: "look", BaselineLatency: number.Draw(t, "calm"), MeanLatency: number.Draw(t, "mean"), Samples: number.Draw(t, "n"),
+			Works: []LearnedWork{{Name: "look", BaselineLatency: number.Draw(t, "calm"), MeanLatency: number.Draw(t,
+				"mean"), Samples: number.Draw(t, "n"),
 				Age: time.Duration(rapid.Int64().Draw(t, "for"))}},
 			Kinds: []LearnedKind{{Weight: number.Draw(t, "w"), Samples: number.Draw(t, "of kind")}}}
 		for _, id := range []string{"a", "b", "b", "nobody"} {
-			l.Endpoints = append(l.Endpoints, LearnedEndpoint{ID: id, Sum: number.Draw(t, "sum"), Samples: number.Draw(t, "samples"),
+			l.Endpoints = append(l.Endpoints, LearnedEndpoint{ID: id, Sum: number.Draw(t, "sum"), Samples: number.Draw(t,
+				"samples"),
 				Errors: number.Draw(t, "errors"), Active: rapid.Bool().Draw(t, "active")})
 		}
 		b.Restore(now, l, time.Duration(rapid.Int64().Draw(t, "ago")))
@@ -107,8 +115,9 @@
 	})
 }
 
-// Seen on a day of upgrades during a release: endpoints that were new to a successor waited for their trial as though it were a caller
-// that asks every few seconds, and the old ones were crowded meanwhile.
+// Seen on a day of upgrades during a release: endpoints that were new to a successor waited for
+// their trial as though it were an instance with a request every few seconds, and the old ones
+// were overloaded meanwhile.
 func TestRestoreTakesOverTheRequestRate(t *testing.T) {
 	l, now := learnState(t)
 	longest := func(recall bool) (wait time.Duration) {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -10,17 +10,17 @@
 	"rowancart/balancer"
 )
 
-// measureSubsets returns how often each endpoint is met by callers that ask once a second each, and the most and the fewest
-// endpoints that one caller meets.
-func measureSubsets(t *testing.T, callers, endpoints int) (met map[string]int, fewest, most int) {
+// measureSubsets returns how many instances use each endpoint, with one request a second each,
+// and the fewest and the most endpoints that one instance uses.
+func measureSubsets(t *testing.T, instances, endpoints int) (met map[string]int, fewest, most int) {
 	names := []string{}
 	for i := range endpoints {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
 	met, fewest = map[string]int{}, endpoints
-	for c := range callers {
+	for c := range instances {
 		s := testSettings()
-		s.Instances, s.Index = callers, c
+		s.Instances, s.Index = instances, c
 		h := newHarness(t, s, names...)
 		own := map[string]bool{}
 		for range 40 {
@@ -38,39 +38,40 @@
 	return met, fewest, most
 }
 
-// On tartu's full-size days 420 callers with two calls a second each met each of 80 servers every 40 s: none saw a
-// server slow down, and nearly every call opened a connection.
+// On full-size days 420 instances with two requests a second each sent to each of 80 servers
+// every 40 s: none saw a server slow down, and nearly every request opened a connection.
 func TestManyQuietInstancesUseSubsets(t *testing.T) {
 	met, fewest, most := measureSubsets(t, 200, 60)
 	if fewest < 4 || most > 12 {
-		t.Errorf("callers meet %d to %d of 60 endpoints", fewest, most)
+		t.Errorf("instances use %d to %d of 60 endpoints", fewest, most)
 	}
 	least, highest := 200, 0
 	for _, n := range met {
 		least, highest = min(least, n), max(highest, n)
 	}
 	if len(met) < 60 || float64(highest) > 1.3*float64(least) {
-		t.Errorf("%d endpoints are met, by %d to %d callers", len(met), least, highest)
+		t.Errorf("%d endpoints are in use, by %d to %d instances", len(met), least, highest)
 	}
 }
 
-// With few callers, one more or less in whose table an endpoint is would be an imbalance of its own.
+// With few instances, one subset more or less with an endpoint would be an imbalance of its own.
 func TestFewInstancesUseAllEndpoints(t *testing.T) {
 	if met, fewest, _ := measureSubsets(t, 6, 12); len(met) != 12 || fewest != 12 {
-		t.Errorf("a caller among few meets %d of 12 endpoints, all together %d", fewest, len(met))
+		t.Errorf("an instance among few uses %d of 12 endpoints, all together %d", fewest, len(met))
 	}
 }
 
-// Sixteen callers with one call a second each could spread over all of 32 endpoints, and meet each twice a minute. With twelve each they
-// know them, and every endpoint still has as many callers as the others, so that none hangs on one caller's luck.
+// Sixteen instances with one request a second each could spread over all of 32 endpoints, and
+// send to each twice a minute. With twelve each they have enough samples, and every endpoint
+// still is in as many subsets as the others, so that none depends on one instance.
 func TestQuietInstancesUseFewerEndpointsMoreOften(t *testing.T) {
 	met, fewest, most := measureSubsets(t, 16, 32)
 	if fewest < 10 || most > 13 {
-		t.Errorf("callers meet %d to %d of 32 endpoints", fewest, most)
+		t.Errorf("instances use %d to %d of 32 endpoints", fewest, most)
 	}
 	for ep, n := range met {
 		if n < 4 || n > 8 {
-			t.Errorf("%d callers meet %s", n, ep)
+			t.Errorf("%d instances use %s", n, ep)
 		}
 	}
 	if len(met) < 32 {
@@ -78,8 +79,8 @@
 	}
 }
 
-// What discovery may say of a large fleet: each list is followed by calls at one of thirteen callers, and every call that an endpoint
-// could serve is served.
+// Each list is followed by requests at one of thirteen instances, and every request that an
+// endpoint could serve is served.
 func TestUnusualListsOfALargeFleet(t *testing.T) {
 	list := func(state balancer.State, ids ...string) (l balancer.EndpointList) {
 		for _, id := range ids {
@@ -92,14 +93,17 @@
 		lists  []balancer.EndpointList
 		listed []string // in the end
 	}{
-		"nobody, then all again":     {[]balancer.EndpointList{{Complete: true}, list(balancer.Ready, endpointIDs(16)...)}, endpointIDs(16)},
-		"a thousand":                 {[]balancer.EndpointList{list(balancer.Ready, many...)}, many},
-		"a thousand, then one":       {[]balancer.EndpointList{list(balancer.Ready, many...), {Complete: true, Entries: list(balancer.Ready, "e03").Entries}}, []string{"e03"}},
-		"all that are active drain":  {[]balancer.EndpointList{list(balancer.Draining, endpointIDs(16)...), list(balancer.Ready, "new")}, []string{"new"}},
+		"nobody, then all again": {[]balancer.EndpointList{{Complete: true}, list(balancer.Ready,
+			endpointIDs(16)...)}, endpointIDs(16)},
+		"a thousand": {[]balancer.EndpointList{list(balancer.Ready, many...)}, many},
+		"a thousand, then one": {[]balancer.EndpointList{list(balancer.Ready, many...), {Complete: true,
+			Entries: list(balancer.Ready, "e03").Entries}}, []string{"e03"}},
+		"all that are active drain": {[]balancer.EndpointList{list(balancer.Draining, endpointIDs(16)...),
+			list(balancer.Ready, "new")}, []string{"new"}},
 		"gone that were never known": {[]balancer.EndpointList{list(balancer.Gone, "x", "y")}, endpointIDs(16)},
 		"the same list once more":    {[]balancer.EndpointList{list(balancer.Ready, endpointIDs(16)...)}, endpointIDs(16)},
 	} {
-		for _, gap := range []time.Duration{100 * ms, 10 * time.Second} { // and a caller with one call in ten seconds
+		for _, gap := range []time.Duration{100 * ms, 10 * time.Second} { // and one request in ten seconds
 			h := newHarnessOfInstance(t, 13, 16)
 			play := func(n int) {
 				for range n {
@@ -119,11 +123,11 @@
 			play(20)
 			for n := before + 1; n <= h.requestCount; n++ {
 				if to := h.sentTo[fmt.Sprint("r", n)]; len(to) == 0 || !slices.Contains(odd.listed, to[0]) {
-					t.Errorf("%s, a call each %v: call %d went to %v", name, gap, n-before, to)
+					t.Errorf("%s, a request each %v: request %d went to %v", name, gap, n-before, to)
 				}
 			}
 			if h.countActions("reject") > refused {
-				t.Errorf("%s, a call each %v: some were refused", name, gap)
+				t.Errorf("%s, a request each %v: some were rejected", name, gap)
 			}
 			if err := h.b.CheckIndex(); err != nil {
 				t.Errorf("%s: %v", name, err)
