--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,8 @@
 	"rowancart/balancer"
 )
 
-// printer is a host that only says what it was asked to do. A real one would send, set timers and answer clients.
+// printer is a host that only prints what it is asked to do. A real one would send, set timers
+// and answer clients.
 type printer struct{}
 
 func (printer) Send(id, endpoint string, timeout time.Duration) {
@@ -15,7 +16,7 @@
 }
 func (printer) Cancel(id string, n int) { fmt.Println("cancel", id, n) }
 func (printer) Reject(id string, why balancer.Reason, retryAfter time.Duration) {
-	fmt.Println("refuse", id, why)
+	fmt.Println("reject", id, why)
 }
 func (printer) Fail(id string, why balancer.Reason) { fmt.Println("fail", id) }
 func (printer) Subscribe()                          { fmt.Println("subscribe") }
@@ -34,11 +35,12 @@
 	b.Outcome(now+20*time.Millisecond, balancer.Outcome{ID: "r1", Endpoint: "10.0.0.1:80", Result: balancer.OK,
 		Latency: 20 * time.Millisecond, Final: true})
 
-	b.EndpointList(time.Second, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "10.0.0.1:80", State: balancer.Draining}}})
+	b.EndpointList(time.Second, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "10.0.0.1:80",
+		State: balancer.Draining}}})
 	b.Request(time.Second, balancer.Request{ID: "r2", Class: "lookup", Deadline: 3 * time.Second})
 	b.Timer(2990 * time.Millisecond)
 	// Output:
 	// send r1 to 10.0.0.1:80
 	// full: no endpoint has room, 1 requests wait
-	// refuse r2 no_endpoint
+	// reject r2 no_endpoint
 }
