--- a/internal/connpool/exchange.go
+++ b/internal/connpool/exchange.go
@@ -109,7 +109,7 @@
 	if req.Upload != nil && a.OnRequestWritten != nil {
 		a.OnRequestWritten()
 	}
-	resp, last, err := p.readResponse(c, req.Method, a.Deadline)
+	resp, last, err := responseReader{pool: p, conn: c, deadline: a.Deadline}.read(req.Method)
 	if err != nil {
 		return Response{}, false, a.readFailure(err)
 	}
@@ -158,7 +158,8 @@
 	if c.SetReadDeadline(time.Now().Add(earlyResponseTimeout)) != nil {
 		return Response{}, a.failure(ConnectFailed, err)
 	}
-	resp, _, readErr := p.readResponse(c, req.Method, time.Now().Add(earlyResponseTimeout))
+	early := responseReader{pool: p, conn: c, deadline: time.Now().Add(earlyResponseTimeout)}
+	resp, _, readErr := early.read(req.Method)
 	switch {
 	case readErr != nil:
 		return Response{}, a.failure(ConnectFailed, err)
--- a/internal/connpool/stream.go
+++ b/internal/connpool/stream.go
@@ -22,10 +22,6 @@
 	closed     atomic.Bool
 }
 
-func (p *Pool) newStream(c *conn, body *http1.Body, lastOnConn bool) *Stream {
-	return &Stream{conn: c, pool: p, body: body, lastOnConn: lastOnConn, remaining: p.maxBodyLength()}
-}
-
 // NotifyClose sets the function that Close calls, once, with nil where the response was read to its
 // end and with an *Error of kind Reset or Canceled where it was not. It must be called before the
 // Stream is handed on.
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -63,10 +63,12 @@
 		return balancer.OK
 	}
 	var failure *connpool.Error
-	if !errors.As(err, &failure) {
-		return balancer.Reset // does not happen; this result promises nothing
+	if errors.As(err, &failure) {
+		if result, ok := resultByKind[failure.Kind]; ok {
+			return result
+		}
 	}
-	return resultByKind[failure.Kind]
+	return balancer.Reset // does not happen: the result that promises nothing
 }
 
 // startStream passes on a response that is still arriving. The attempt ends with it. p.mu must be
--- /dev/null
+++ b/internal/proxy/attempts_test.go
@@ -0,0 +1,32 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"rowancart/balancer"
+	"rowancart/internal/connpool"
+)
+
+// What the Balancer is told of a failed attempt decides whether the request may be retried.
+func TestAttemptErrorsBecomeResults(t *testing.T) {
+	cause := errors.New("cause")
+	for want, err := range map[balancer.Result]error{
+		balancer.OK:            nil,
+		balancer.NotSent:       &connpool.Error{Kind: connpool.NotSent, Err: cause},
+		balancer.ConnectFailed: &connpool.Error{Kind: connpool.ConnectFailed, Err: cause},
+		balancer.Rejected:      &connpool.Error{Kind: connpool.Declined, Err: cause},
+		balancer.Errored:       &connpool.Error{Kind: connpool.ErrorStatus, Err: cause},
+		balancer.TimedOut:      &connpool.Error{Kind: connpool.TimedOut, Err: cause},
+		balancer.Reset:         &connpool.Error{Kind: connpool.Reset, Err: cause},
+		balancer.Canceled:      fmt.Errorf("wrapped: %w", &connpool.Error{Kind: connpool.Canceled, Err: cause}),
+	} {
+		if got := attemptResult(err); got != want {
+			t.Errorf("%v: result %v, want %v", err, got, want)
+		}
+	}
+	if got := attemptResult(cause); got != balancer.Reset {
+		t.Errorf("an untyped error: result %v", got)
+	}
+}
