--- a/internal/connpool/exchange.go
+++ b/internal/connpool/exchange.go
@@ -87,7 +87,7 @@
 	case !current:
 		return errEndpointRemoved
 	case a.ClientGone != nil && a.ClientGone():
-		return errClientGone
+		return errClientDisconnected
 	case c.hasPendingInput():
 		return errStaleConn
 	}
--- a/internal/connpool/exchange_test.go
+++ b/internal/connpool/exchange_test.go
@@ -163,7 +163,7 @@
 }
 
 // CancelUnlessWritten ends an attempt whose request has not been written completely, and no other.
-func TestWrittenRequestIsNotWithdrawn(t *testing.T) {
+func TestWrittenRequestIsNotCanceled(t *testing.T) {
 	received, release := make(chan bool), make(chan bool)
 	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		received <- true
