--- a/internal/discovery/platform/drain_test.go
+++ b/internal/discovery/platform/drain_test.go
@@ -221,6 +221,7 @@
 	stalled   chan struct{} // closed: watches that are open deliver nothing any more
 	answering chan struct{} // capacity 1: a semaphore held by the call that is being answered
 	queued    atomic.Int32
+	rejected  atomic.Int32 // calls
 }
 
 const (
@@ -239,6 +240,7 @@
 	}
 	if s.queued.Add(1) > serviceQueueLimit {
 		s.queued.Add(-1)
+		s.rejected.Add(1)
 		time.Sleep(rejectionTime)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -296,3 +298,21 @@
 		})
 	}
 }
+
+// While a shared service rejects all calls, an instance makes few of them, and it still makes some.
+func TestBackoffBoundsCallsToARejectingSharedService(t *testing.T) {
+	const outage, minCalls, maxCalls = 30 * time.Second, 12, 45
+	for range 20 { // the jitter of backoffs is random
+		synctest.Test(t, func(t *testing.T) {
+			s := &sharedService{stalled: make(chan struct{}), answering: make(chan struct{}, 1)}
+			s.queued.Store(serviceQueueLimit)
+			close(s.stalled)
+			o := observeDrain(t, Options{WaitForSubscribe: true}, s, func() bool { return false })
+			time.Sleep(outage)
+			o.stop()
+			if n := s.rejected.Load(); n < minCalls || n > maxCalls {
+				t.Errorf("%d calls in %v, want between %d and %d", n, outage, minCalls, maxCalls)
+			}
+		})
+	}
+}
