--- /dev/null
+++ b/internal/daemon/admin_test.go
@@ -0,0 +1,38 @@
+package daemon
+
+import (
+	"net/http"
+	"strings"
+	"testing"
+
+	"rowancart/internal/testpeer"
+)
+
+func TestAdminInterface(t *testing.T) {
+	e := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
+	s.request(http.MethodGet, "/x")
+	for path, wants := range map[string][]string{
+		"/healthz": {"ok"},
+		"/status":  {`"generation": 1`, `"name": "one"`, `"ready": 1`, `"class": "look"`},
+		"/metrics": {
+			`rowancart_answers_total{kind="served",route="x"} 1`,
+			`rowancart_endpoints{pool="one",state="ready"} 1`,
+			"rowancart_generation 1",
+			`rowancart_answer_seconds_count{route="x"} 1`,
+			`rowancart_worth_total{kind="served",route="x"} 1`,
+		},
+	} {
+		status, body := s.requestAdmin(http.MethodGet, path)
+		for _, want := range wants {
+			if status != http.StatusOK || !strings.Contains(body, want) {
+				t.Errorf("%s has no %s: %d\n%s", path, want, status, body)
+			}
+		}
+	}
+	s.writeConfig("x")
+	status, body := s.requestAdmin(http.MethodPost, "/reload")
+	if status != http.StatusUnprocessableEntity || !strings.Contains(body, "rowancart.hcl:") {
+		t.Errorf("an invalid file: %d %q", status, body)
+	}
+}
--- /dev/null
+++ b/internal/daemon/harness_test.go
@@ -0,0 +1,226 @@
+package daemon
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+
+	"rowancart/internal/testpeer"
+)
+
+// testDaemon is a running daemon, its configuration file and its log.
+type testDaemon struct {
+	*Daemon
+	t          *testing.T
+	configPath string
+	stop       context.CancelFunc
+	runErr     chan error // receives the error of Run, and is closed then
+	log        *lockedBuffer
+}
+
+// lockedBuffer is a buffer for a log that is read while it is written.
+type lockedBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
+}
+
+func (b *lockedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.Write(p)
+}
+
+func (b *lockedBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.String()
+}
+
+// limitsBlock and configHead begin the configuration of each test daemon.
+const (
+	limitsBlock = `limits {
+  stop_within = "1s"
+}
+`
+	configHead = `listener "front" {
+  address = "127.0.0.1:0"
+}
+admin {
+  listen = "127.0.0.1:0"
+}
+` + limitsBlock + `class "look" {
+  effect = "safe"
+}
+class "pay" {
+  effect = "unsafe"
+}
+`
+)
+
+// startDaemon runs a daemon whose configuration is configHead and blocks until the test ends.
+func startDaemon(t *testing.T, blocks string) *testDaemon {
+	t.Helper()
+	return startDaemonWithConfig(t, configHead+blocks)
+}
+
+// startDaemonWithConfig runs a daemon with a whole configuration until the test ends.
+func startDaemonWithConfig(t *testing.T, config string) *testDaemon {
+	t.Helper()
+	s := &testDaemon{
+		t:          t,
+		configPath: filepath.Join(t.TempDir(), "rowancart.hcl"),
+		runErr:     make(chan error, 1),
+		log:        &lockedBuffer{},
+	}
+	s.writeFile(config)
+	var err error
+	s.Daemon, err = New(Options{
+		ConfigPath: s.configPath,
+		LookupEnv:  os.LookupEnv,
+		Log:        slog.New(slog.NewTextHandler(s.log, nil)),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	s.stop = stop
+	go func() { s.runErr <- s.Run(ctx, nil); close(s.runErr) }()
+	t.Cleanup(func() {
+		stop()
+		<-s.runErr
+	})
+	return s
+}
+
+// writeConfig replaces what follows configHead in the configuration file.
+func (s *testDaemon) writeConfig(blocks string) {
+	s.t.Helper()
+	s.writeFile(configHead + blocks)
+}
+
+func (s *testDaemon) writeFile(config string) {
+	s.t.Helper()
+	if err := os.WriteFile(s.configPath, []byte(config), 0o600); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// reload writes a configuration and puts it in force.
+func (s *testDaemon) reload(blocks string) {
+	s.t.Helper()
+	s.writeConfig(blocks)
+	if err := s.Reload(); err != nil {
+		s.t.Error(err)
+	}
+}
+
+// stopAndWait stops the daemon and waits for its end.
+func (s *testDaemon) stopAndWait() {
+	s.stop()
+	if err := <-s.runErr; err != nil {
+		s.t.Error(err)
+	}
+}
+
+// poolBlock returns a pool of static endpoints, which are called a, b, and so on.
+func poolBlock(name string, addrs ...string) string {
+	text := fmt.Sprintf("pool %q {\n  roster \"static\" {\n", name)
+	for i, addr := range addrs {
+		text += fmt.Sprintf("    endpoint %q {\n      address = %q\n    }\n", string(rune('a'+i)), addr)
+	}
+	return text + "  }\n}\n"
+}
+
+// filePoolBlock returns a pool whose endpoints are listed in a file.
+func filePoolBlock(name, path string) string {
+	return fmt.Sprintf("pool %q {\n  roster \"file\" {\n    path = %q\n  }\n}\n", name, path)
+}
+
+// routeBlock returns a route, with more attributes.
+func routeBlock(name, path, class, pool, more string) string {
+	return fmt.Sprintf("route %q {\n  path = %q\n  class = %q\n  pool = %q\n%s\n}\n", name, path, class, pool, more)
+}
+
+// stateBlock returns the block that sets the snapshot's file.
+func stateBlock(path string) string { return fmt.Sprintf("state {\n path = %q\n}\n", path) }
+
+// request sends a request on a new connection and returns the response's status, body and headers.
+// Header has names and values in turn.
+func (s *testDaemon) request(method, path string, header ...string) (int, string, http.Header) {
+	s.t.Helper()
+	r, err := http.NewRequest(method, "http://"+s.Addr("front").String()+path, nil)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	for i := 0; i+1 < len(header); i += 2 {
+		r.Header.Set(header[i], header[i+1])
+	}
+	return s.do(r)
+}
+
+// requestAdmin sends a request to the admin interface and returns the response's status and body.
+func (s *testDaemon) requestAdmin(method, path string) (int, string) {
+	s.t.Helper()
+	r, err := http.NewRequest(method, "http://"+s.AdminAddr().String()+path, nil)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	status, body, _ := s.do(r)
+	return status, body
+}
+
+func (s *testDaemon) do(r *http.Request) (int, string, http.Header) {
+	s.t.Helper()
+	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
+	if err != nil {
+		s.t.Error(err)
+		return 0, "", nil
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		s.t.Error(err)
+	}
+	return resp.StatusCode, string(body), resp.Header
+}
+
+// responds returns a function that reports whether a GET request is answered with a body.
+func (s *testDaemon) responds(path, want string) func() bool {
+	return func() bool {
+		_, body, _ := s.request(http.MethodGet, path)
+		return body == want
+	}
+}
+
+// respondWith returns an endpoint's handler that answers each request alike.
+func respondWith(status, header, body string) func(net.Conn, *http.Request, int) bool {
+	text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
+	return testpeer.Says(text, true)
+}
+
+// gatedEndpoint is an endpoint whose requests wait until they are released.
+type gatedEndpoint struct {
+	*testpeer.Endpoint
+	arrived chan bool // receives a value for each request
+	release chan bool // each value releases one request, closing it all
+}
+
+// newGatedEndpoint returns an endpoint that sends response for each request that it has released.
+func newGatedEndpoint(t *testing.T, response string) *gatedEndpoint {
+	e := &gatedEndpoint{arrived: make(chan bool, 100), release: make(chan bool)}
+	e.Endpoint = testpeer.New(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+		e.arrived <- true
+		<-e.release
+		io.WriteString(nc, response)
+		return true
+	})
+	return e
+}
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/outage_test.go
@@ -8,88 +8,102 @@
 	"time"
 )
 
-// What happens to a box.
+// failureMode is how a failingServer fails.
+type failureMode int32
+
 const (
-	answers = iota
-	resets
-	hangs
+	failNever failureMode = iota
+	failReset             // closes the connection without a response
+	failHang              // never responds
 )
 
-// box is an endpoint that can be killed, or told to fail in other ways.
-type box struct {
+// failingServer is an endpoint that can be killed, or made to fail in other ways.
+type failingServer struct {
 	*httptest.Server
-	mood atomic.Int32
-	ran  atomic.Int32
+	mode     atomic.Int32 // a failureMode
+	requests atomic.Int32
 }
 
-func newBox(t *testing.T) *box {
-	b := &box{}
-	b.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.ran.Add(1)
-		switch b.mood.Load() {
-		case resets:
+func newFailingServer(t *testing.T) *failingServer {
+	s := &failingServer{}
+	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s.requests.Add(1)
+		switch failureMode(s.mode.Load()) {
+		case failReset:
 			panic(http.ErrAbortHandler)
-		case hangs:
+		case failHang:
 			<-r.Context().Done()
 		default:
-			_, _ = w.Write([]byte("ok")) // the caller sees what did not come
+			_, _ = w.Write([]byte("ok")) // the client sees what did not arrive
 		}
 	}))
-	t.Cleanup(b.Close)
-	return b
+	t.Cleanup(s.Close)
+	return s
+}
+
+func (s *failingServer) kill() {
+	_ = s.Listener.Close() // it may be closed already
+	s.CloseClientConnections()
 }
 
-func (b *box) kill() {
-	_ = b.Listener.Close() // it is there until now
-	b.CloseClientConnections()
+func (s *failingServer) reset() { s.mode.Store(int32(failReset)) }
+func (s *failingServer) hang()  { s.mode.Store(int32(failHang)) }
+
+// outage is what happens to one of two endpoints while a client sends one request after the other.
+type outage struct {
+	name, method, class string
+	begin               func(s *failingServer)
+	maxLost             int // requests lost in a round at first, and then for each trial that there is time for
 }
 
-// Two boxes that answer at once, one caller that asks one request after the other. When something
-// befalls one of them, the other serves all that it can.
-func TestOneOfTwoBoxesIsEnough(t *testing.T) {
-	const rounds, asked = 6, 20
-	const trialsApart = 375 * time.Millisecond // a backoff at its shortest
-	for _, c := range []struct {
-		name, method, class string
-		befalls             func(b *box)
-		lost                int // in each round, at most: at first, and then once for each trial that there was time for
-	}{
-		{"killed, safe", http.MethodGet, "look", (*box).kill, 0},
-		{"killed, unsafe", http.MethodPost, "pay", (*box).kill, 0},
-		{"resets, safe", http.MethodGet, "look", func(b *box) { b.mood.Store(resets) }, 0},
-		{"resets, unsafe", http.MethodPost, "pay", func(b *box) { b.mood.Store(resets) }, 1},
-		{"hangs, safe", http.MethodGet, "look", func(b *box) { b.mood.Store(hangs) }, 1},
-		{"hangs, unsafe", http.MethodPost, "pay", func(b *box) { b.mood.Store(hangs) }, 1},
+// Whatever happens to one of two endpoints, the other serves all that it can.
+func TestOneOfTwoEndpointsIsEnough(t *testing.T) {
+	const rounds = 6
+	for _, o := range []outage{
+		{"killed, safe", http.MethodGet, "look", (*failingServer).kill, 0},
+		{"killed, unsafe", http.MethodPost, "pay", (*failingServer).kill, 0},
+		{"resets, safe", http.MethodGet, "look", (*failingServer).reset, 0},
+		{"resets, unsafe", http.MethodPost, "pay", (*failingServer).reset, 1},
+		{"hangs, safe", http.MethodGet, "look", (*failingServer).hang, 1},
+		{"hangs, unsafe", http.MethodPost, "pay", (*failingServer).hang, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(o.name, func(t *testing.T) {
 			t.Parallel()
 			for round := range rounds {
-				boxes := []*box{newBox(t), newBox(t)}
-				s := serve(t, aPool("two", boxes[0].Listener.Addr().String(), boxes[1].Listener.Addr().String())+
-					aRoute("x", "/x", c.class, "two", "policy {\n client_waits = \"400ms\"\n}"))
-				for range 6 {
-					if status, _, _ := s.ask(c.method, "/x"); status != http.StatusOK {
-						t.Fatalf("while all is well: %d", status)
-					}
-				}
-				before := boxes[0].ran.Load() + boxes[1].ran.Load()
-				c.befalls(boxes[round%2])
-				lost, served, begun := 0, 0, time.Now()
-				for range asked {
-					if status, _, h := s.ask(c.method, "/x"); status == http.StatusOK {
-						served++
-					} else {
-						t.Logf("round %d: %d, %s", round, status, h.Get("Proxy-Status"))
-						lost++
-					}
-				}
-				if most := c.lost * (1 + int(time.Since(begun)/trialsApart)); lost > most || served != asked-lost {
-					t.Errorf("round %d: %d of %d were lost, at most %d may be", round, lost, asked, most)
-				}
-				if ran := int(boxes[0].ran.Load() + boxes[1].ran.Load() - before); c.method == http.MethodPost && ran > asked {
-					t.Errorf("round %d: %d unsafe requests ran %d times", round, asked, ran)
-				}
+				checkOutage(t, o, round)
 			}
 		})
 	}
 }
+
+func checkOutage(t *testing.T, o outage, round int) {
+	const requests = 20
+	const minTrialInterval = 375 * time.Millisecond // a backoff at its shortest
+	endpoints := []*failingServer{newFailingServer(t), newFailingServer(t)}
+	pool := poolBlock("two", endpoints[0].Listener.Addr().String(), endpoints[1].Listener.Addr().String())
+	s := startDaemon(t, pool+routeBlock("x", "/x", o.class, "two", "policy {\n client_waits = \"400ms\"\n}"))
+	for range 6 {
+		if status, _, _ := s.request(o.method, "/x"); status != http.StatusOK {
+			t.Fatalf("before the outage: %d", status)
+		}
+	}
+	received := func() int { return int(endpoints[0].requests.Load() + endpoints[1].requests.Load()) }
+	before := received()
+	o.begin(endpoints[round%2])
+	lost, served, begun := 0, 0, time.Now()
+	for range requests {
+		if status, _, h := s.request(o.method, "/x"); status == http.StatusOK {
+			served++
+		} else {
+			t.Logf("round %d: %d, %s", round, status, h.Get("Proxy-Status"))
+			lost++
+		}
+	}
+	maxLost := o.maxLost * (1 + int(time.Since(begun)/minTrialInterval))
+	if lost > maxLost || served != requests-lost {
+		t.Errorf("round %d: %d of %d were lost, at most %d may be", round, lost, requests, maxLost)
+	}
+	if ran := received() - before; o.method == http.MethodPost && ran > requests {
+		t.Errorf("round %d: %d unsafe requests ran %d times", round, requests, ran)
+	}
+}
--- /dev/null
+++ b/internal/daemon/pools_test.go
@@ -0,0 +1,90 @@
+package daemon
+
+import (
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"rowancart/internal/testpeer"
+)
+
+func TestEndpointFileIsFollowed(t *testing.T) {
+	a := testpeer.New(t, respondWith("200 OK", "", "a"))
+	b := testpeer.New(t, respondWith("200 OK", "", "b"))
+	list := func(addr string) string {
+		return fmt.Sprintf(`{"endpoints": [{"id": "x", "address": %q}, `+
+			`{"id": "y", "address": "127.0.0.1:1", "state": "draining"}]}`, addr)
+	}
+	path := filepath.Join(t.TempDir(), "endpoints.json")
+	write := func(text string) {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	write(list(a.Addr))
+	s := startDaemon(t, filePoolBlock("one", path)+routeBlock("x", "/x", "look", "one", ""))
+	testpeer.Until(t, "a serves", s.responds("/x", "a"))
+	write(list(b.Addr)[:40]) // half written
+	testpeer.Until(t, "the status says so", func() bool {
+		return strings.Contains(s.Status(false).Pools[0].SourceError, "unexpected EOF")
+	})
+	if !s.responds("/x", "a")() {
+		t.Error("half a list removed a")
+	}
+	write(list(b.Addr))
+	testpeer.Until(t, "b serves", s.responds("/x", "b"))
+	if st := s.Status(false).Pools[0]; st.SourceError != "" || st.Ready != 1 || st.Draining != 1 {
+		t.Errorf("%+v", st)
+	}
+}
+
+func TestInstanceSendsToItsSubsetOnly(t *testing.T) {
+	var endpoints []*testpeer.Endpoint
+	var addrs []string
+	for range 9 {
+		e := testpeer.New(t, respondWith("200 OK", "", "x"))
+		endpoints = append(endpoints, e)
+		addrs = append(addrs, e.Addr)
+	}
+	config := func(index, size int) string {
+		pool := strings.Replace(poolBlock("one", addrs...), "{\n", fmt.Sprintf("{\n subset = %d\n", size), 1)
+		fleet := fmt.Sprintf("fleet {\n instances = 9\n index = %d\n}\n", index)
+		return fleet + routeBlock("x", "/x", "look", "one", "") + pool
+	}
+	seen := make([]int32, len(endpoints)) // requests that each endpoint had got
+	// used sends requests until count endpoints have got some, and then 50 more, which must go to the
+	// same.
+	used := func(s *testDaemon, count int) (indexes []int) {
+		for more, end := 0, time.Now().Add(testpeer.Patience); more < 50 && time.Now().Before(end); {
+			s.request(http.MethodGet, "/x")
+			for i, e := range endpoints {
+				if n := e.Requests.Load(); n > seen[i] {
+					if seen[i] = n; !slices.Contains(indexes, i) {
+						indexes = append(indexes, i)
+					}
+				}
+			}
+			if len(indexes) >= count {
+				more++
+			}
+		}
+		return indexes
+	}
+	s := startDaemon(t, config(0, 3))
+	first := used(s, 3)
+	s.reload(config(1, 3)) // half way round the ring
+	second := used(s, 3)
+	common := slices.ContainsFunc(first, func(i int) bool { return slices.Contains(second, i) })
+	if len(first) != 3 || len(second) != 3 || common {
+		t.Errorf("sent to %v, and at another place to %v", first, second)
+	}
+	s.reload(config(1, 5))
+	if third := used(s, 5); len(third) != 5 {
+		t.Errorf("with a subset of 5, sent to %v", third)
+	}
+}
--- /dev/null
+++ b/internal/daemon/reload_test.go
@@ -0,0 +1,261 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"go.uber.org/goleak"
+
+	"rowancart/internal/testpeer"
+)
+
+// A pool that a reload removes answers the requests in flight, and then ends with its connections.
+func TestRemovedPoolAnswersRequestsInFlight(t *testing.T) {
+	old := newGatedEndpoint(t, testpeer.Served)
+	next := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	s := startDaemon(t, poolBlock("old", old.Addr)+routeBlock("x", "/*", "look", "old", ""))
+	var requests sync.WaitGroup
+	requests.Go(func() {
+		if status, _, _ := s.request(http.MethodGet, "/slow"); status != http.StatusOK {
+			t.Errorf("%d", status)
+		}
+	})
+	<-old.arrived
+	s.reload(poolBlock("new", next.Addr) + routeBlock("x", "/*", "look", "new", ""))
+	if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK || next.Requests.Load() != 1 {
+		t.Errorf("%d, %d at the new pool", status, next.Requests.Load())
+	}
+	if st := s.Status(false); len(st.Pools) != 2 || st.DrainingGenerations != 1 {
+		t.Errorf("with a request in flight: %+v", st)
+	}
+	close(old.release)
+	requests.Wait()
+	testpeer.Until(t, "the old pool ends", func() bool {
+		st := s.Status(false)
+		return len(st.Pools) == 1 && st.DrainingGenerations == 0
+	})
+}
+
+func TestEndpointMovedToAnotherPoolGetsNothingFromTheOld(t *testing.T) {
+	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	b := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	routes := routeBlock("x", "/x", "look", "one", "") + routeBlock("y", "/y", "look", "two", "")
+	s := startDaemon(t, poolBlock("one", a.Addr, b.Addr)+poolBlock("two", a.Addr)+routes)
+	for range 4 {
+		s.request(http.MethodGet, "/x")
+	}
+	s.reload(poolBlock("one", a.Addr) + poolBlock("two", b.Addr) + routes)
+	before := b.Requests.Load()
+	for range 6 {
+		s.request(http.MethodGet, "/x")
+	}
+	if n := b.Requests.Load(); n != before {
+		t.Errorf("%d requests of the old pool", n-before)
+	}
+	if s.request(http.MethodGet, "/y"); b.Requests.Load() != before+1 {
+		t.Error("none of the new pool")
+	}
+}
+
+func TestInvalidFileChangesNothingAndIsReported(t *testing.T) {
+	e := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	valid := poolBlock("one", e.Addr) + routeBlock("x", "/x", "look", "one", "")
+	s := startDaemon(t, valid)
+	addressInUse := fmt.Sprintf("listener \"b\" {\n address = \"127.0.0.1:%d\"\n}\n", s.Addr("front").(*net.TCPAddr).Port)
+	for _, invalid := range []string{"route", valid + poolBlock("one", e.Addr), valid + addressInUse} {
+		s.writeConfig(invalid)
+		if err := s.Reload(); err == nil {
+			t.Errorf("accepted: %s", invalid)
+		}
+		if st := s.Status(false); st.Generation != 1 || st.Reloads.LastError == "" {
+			t.Errorf("%+v", st)
+		}
+		if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK {
+			t.Errorf("%d", status)
+		}
+	}
+	if !strings.Contains(s.log.String(), "the old configuration stays") {
+		t.Error("the log does not say so")
+	}
+	s.reload(valid)
+	// The file watcher may have put the mended file in force before the explicit reload did so once
+	// more. Either way each successful reload makes exactly one generation, and no failed one makes
+	// any.
+	mended := s.Status(false)
+	reloads := mended.Reloads.Succeeded
+	if reloads < 1 || reloads > 2 || mended.Generation != 1+reloads || mended.Reloads.LastError != "" {
+		t.Errorf("%+v", mended)
+	}
+	// The file in force is the file on disk now, so that the watcher has nothing left to reload.
+	if err := s.Reload(); err != nil {
+		t.Error(err)
+	}
+	st := s.Status(false)
+	if st.Generation != mended.Generation+1 || st.Reloads.Succeeded != reloads+1 || st.Reloads.LastError != "" {
+		t.Errorf("%+v after %+v", st, mended)
+	}
+}
+
+// The configuration file is followed when it is written in place, and when it is replaced by
+// rename.
+func TestConfigFileIsFollowed(t *testing.T) {
+	a := testpeer.New(t, respondWith("200 OK", "", "a"))
+	b := testpeer.New(t, respondWith("200 OK", "", "b"))
+	route := routeBlock("x", "/x", "look", "one", "")
+	s := startDaemon(t, poolBlock("one", a.Addr)+route)
+	s.writeConfig(poolBlock("one", b.Addr) + route)
+	testpeer.Until(t, "b serves", s.responds("/x", "b"))
+	next := s.configPath + "~"
+	if err := os.WriteFile(next, []byte(configHead+poolBlock("one", a.Addr)+route), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(next, s.configPath); err != nil {
+		t.Fatal(err)
+	}
+	testpeer.Until(t, "a serves", s.responds("/x", "a"))
+}
+
+func TestRemovedListenerAnswersRequestsInFlight(t *testing.T) {
+	e := newGatedEndpoint(t, testpeer.Served)
+	path := filepath.Join(t.TempDir(), "sock")
+	base := poolBlock("one", e.Addr) + routeBlock("x", "/x", "look", "one", "")
+	s := startDaemon(t, base+fmt.Sprintf("listener \"side\" {\n  address = \"unix:%s\"\n}\n", path))
+	dial := func(context.Context, string, string) (net.Conn, error) { return net.Dial("unix", path) }
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}}
+	var requests sync.WaitGroup
+	requests.Go(func() {
+		resp, err := client.Get("http://side/x")
+		if err != nil || resp.StatusCode != http.StatusOK {
+			t.Errorf("%v, %v", resp, err)
+			return
+		}
+		resp.Body.Close()
+	})
+	<-e.arrived
+	s.reload(base)
+	if s.Addr("side") != nil {
+		t.Error("the listener is still there")
+	}
+	close(e.release)
+	requests.Wait()
+	testpeer.Until(t, "the listener ends", func() bool {
+		st := s.Status(false)
+		return len(st.Listeners) == 1 && st.DrainingGenerations == 0
+	})
+}
+
+// A thousand reloads under load: no request is lost or served by a mixture of two files, and
+// nothing is left behind.
+func TestThousandReloadsUnderLoad(t *testing.T) {
+	reloads := 1000
+	if testing.Short() {
+		reloads = 100
+	}
+	a := testpeer.New(t, respondWith("200 OK", "", "a"))
+	b := testpeer.New(t, respondWith("200 OK", "", "b"))
+	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
+	// In either file path and pool belong together: /a to a, /b to b. Each file has one of the routes
+	// under another name and pool.
+	configs := []string{
+		poolBlock("p1", a.Addr) + poolBlock("p2", b.Addr) +
+			routeBlock("r1", "/a", "look", "p1", "policy {\n concurrency = 100\n}") +
+			routeBlock("r2", "/b", "look", "p2", ""),
+		poolBlock("p1", b.Addr) + poolBlock("p3", a.Addr) +
+			routeBlock("r1", "/b", "look", "p1", "policy {\n attempt_timeout = \"3s\"\n}") +
+			routeBlock("r3", "/a", "look", "p3", ""),
+	}
+	s := startDaemon(t, configs[0])
+	load := startLoad(t, "http://"+s.Addr("front").String())
+	for i := range reloads {
+		before := load.served.Load()
+		s.reload(configs[(i+1)%2])
+		if i%10 == 0 { // so that the load gets its share of the processor
+			testpeer.Until(t, "requests are served", func() bool { return load.served.Load() > before || t.Failed() })
+		}
+	}
+	load.stop()
+	testpeer.Until(t, "old generations end", func() bool { return s.Status(false).DrainingGenerations == 0 })
+	st := s.Status(false)
+	if st.Generation <= reloads || len(st.Pools) != 2 || len(st.Listeners) != 1 {
+		t.Errorf("%+v", st)
+	}
+	for _, r := range st.Routes {
+		if r.InFlight != 0 {
+			t.Errorf("%+v", r)
+		}
+	}
+	s.stopAndWait()
+	t.Logf("%d requests served", load.served.Load())
+}
+
+// alternatingLoad are clients that request /a and /b in turn, each of which must be answered with
+// its name.
+type alternatingLoad struct {
+	served atomic.Int64
+	stop   func() // ends the clients and waits for them
+}
+
+func startLoad(t *testing.T, url string) *alternatingLoad {
+	const clients = 8
+	load := &alternatingLoad{}
+	ctx, cancel := context.WithCancel(t.Context())
+	transport := &http.Transport{}
+	client := &http.Client{Transport: transport}
+	var running sync.WaitGroup
+	load.stop = func() {
+		cancel()
+		running.Wait()
+		transport.CloseIdleConnections()
+	}
+	for i := range clients {
+		running.Go(func() {
+			for n := 0; ctx.Err() == nil; n++ {
+				want := string("ab"[(n+i)%2])
+				resp, err := client.Get(url + "/" + want)
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				body, err := io.ReadAll(resp.Body)
+				resp.Body.Close()
+				if err != nil || resp.StatusCode != http.StatusOK || string(body) != want {
+					t.Errorf("/%s: %d %q %v", want, resp.StatusCode, body, err)
+					return
+				}
+				load.served.Add(1)
+			}
+		})
+	}
+	return load
+}
+
+// A reload keeps the learned state: a failing endpoint gets no more requests after it than before.
+func TestReloadKeepsLearnedState(t *testing.T) {
+	works := testpeer.New(t, respondWith("200 OK", "", "works"))
+	fails := testpeer.New(t, respondWith("500 Oh", "", ""))
+	config := func(queue int) string {
+		return poolBlock("one", works.Addr, fails.Addr) +
+			routeBlock("x", "/x", "look", "one", fmt.Sprintf("policy {\n queue = %d\n}", queue))
+	}
+	s := startDaemon(t, config(1))
+	for range 20 {
+		s.request(http.MethodGet, "/x")
+	}
+	before := fails.Requests.Load()
+	for n := range 10 {
+		s.reload(config(n + 2))
+		s.request(http.MethodGet, "/x")
+	}
+	if n := fails.Requests.Load() - before; n > 3 { // some trials are meant
+		t.Errorf("%d of 10 requests went to an endpoint known to fail", n)
+	}
+}
--- /dev/null
+++ b/internal/daemon/routing_test.go
@@ -0,0 +1,144 @@
+package daemon
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"rowancart/internal/testpeer"
+)
+
+func TestRoutingAndCompleteResponses(t *testing.T) {
+	var id atomic.Value
+	one := testpeer.New(t, func(nc net.Conn, r *http.Request, _ int) bool {
+		id.Store(r.Header.Get("Req-Id"))
+		io.WriteString(nc, "HTTP/1.1 201 Made\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nhere")
+		return true
+	})
+	two := testpeer.New(t, respondWith("404 Not Found", "", "there"))
+	s := startDaemon(t, poolBlock("one", one.Addr)+poolBlock("two", two.Addr)+
+		routeBlock("a", "/a/*", "look", "one", "")+
+		routeBlock("b", "/a/b", "look", "two", `methods = ["GET", "POST"]`)+
+		routeBlock("gold", "/a/*", "look", "two", "header \"X-Tier\" {\n  equals = \"gold\"\n}"))
+	status, body, h := s.request(http.MethodGet, "/a/x?y=1")
+	if status != http.StatusCreated || body != "here" || h.Get("X-Own") != "1" || h.Get("X-Hop") != "" {
+		t.Errorf("%d %q %v", status, body, h)
+	}
+	if first := id.Load(); first == "" {
+		t.Error("a request without an id was forwarded without one")
+	} else if s.request(http.MethodGet, "/a/x"); id.Load() == first {
+		t.Errorf("two requests have the id %v", first)
+	}
+	for _, row := range []struct {
+		method, path string
+		header       []string
+		status       int
+	}{
+		{http.MethodGet, "/a/b", nil, http.StatusNotFound},
+		{http.MethodGet, "/a/x", []string{"X-Tier", "gold"}, http.StatusNotFound},
+		{http.MethodGet, "/a/x", []string{"Req-Deadline-Ms", "soon"}, http.StatusBadRequest},
+		{http.MethodGet, "/a/../b", nil, http.StatusBadRequest},
+		{http.MethodGet, "/c", nil, http.StatusNotFound},
+	} {
+		if status, body, _ := s.request(row.method, row.path, row.header...); status != row.status {
+			t.Errorf("%s %s: %d %q", row.method, row.path, status, body)
+		}
+	}
+	s.reload(poolBlock("two", two.Addr) + routeBlock("b", "/b", "look", "two", `methods = ["GET", "POST"]`))
+	status, _, h = s.request(http.MethodPut, "/b")
+	if status != http.StatusMethodNotAllowed || h.Get("Allow") != "GET, POST" {
+		t.Errorf("%d %v", status, h)
+	}
+}
+
+func TestUnsafeRequestsAreSentOnceAndSafeOnesRetried(t *testing.T) {
+	disconnects := testpeer.New(t, testpeer.Says("", false))
+	fails := testpeer.New(t, respondWith("500 Oh", "", ""))
+	s := startDaemon(t, poolBlock("one", disconnects.Addr)+poolBlock("two", fails.Addr)+
+		routeBlock("pays", "/pay", "pay", "one", "")+
+		routeBlock("looks", "/look", "look", "two", "policy {\n attempts = 2\n}"))
+	status, _, _ := s.request(http.MethodPost, "/pay")
+	if attempts := disconnects.Requests.Load(); status != http.StatusBadGateway || attempts != 1 {
+		t.Errorf("unsafe: %d after %d attempts", status, attempts)
+	}
+	status, _, h := s.request(http.MethodGet, "/look")
+	attempts := fails.Requests.Load()
+	if status != http.StatusServiceUnavailable || attempts != 2 || h.Get("Retry-After") == "" {
+		t.Errorf("safe: %d after %d attempts", status, attempts)
+	}
+}
+
+func TestLimitsRejectAtOnce(t *testing.T) {
+	e := newGatedEndpoint(t, testpeer.Served)
+	s := startDaemon(t, poolBlock("one", e.Addr)+
+		routeBlock("all", "/all", "look", "one", "policy {\n concurrency = 2\n tenant_concurrency = 1\n}")+
+		routeBlock("some", "/some", "look", "one", "policy {\n rate = \"1/h\"\n}"))
+	var requests sync.WaitGroup
+	for _, owner := range []string{"a", "b"} {
+		requests.Go(func() {
+			if status, _, _ := s.request(http.MethodGet, "/all", "Req-Owner", owner); status != http.StatusOK {
+				t.Errorf("%s: %d", owner, status)
+			}
+		})
+		<-e.arrived
+		status, body, h := s.request(http.MethodGet, "/all", "Req-Owner", owner)
+		if status != http.StatusServiceUnavailable || !strings.Contains(body, "tenant concurrency") ||
+			h.Get("Retry-After") == "" {
+			t.Errorf("%s again: %d %q", owner, status, body)
+		}
+	}
+	status, body, _ := s.request(http.MethodGet, "/all", "Req-Owner", "c")
+	if status != http.StatusServiceUnavailable || !strings.Contains(body, "route concurrency") {
+		t.Errorf("a third: %d %q", status, body)
+	}
+	requests.Go(func() { s.request(http.MethodGet, "/some") })
+	<-e.arrived
+	status, _, h := s.request(http.MethodGet, "/some")
+	if status != http.StatusTooManyRequests || h.Get("Retry-After") != "3600" {
+		t.Errorf("over the rate: %d, retry after %q", status, h.Get("Retry-After"))
+	}
+	close(e.release)
+	requests.Wait()
+	if status, _, _ := s.request(http.MethodGet, "/all"); status != http.StatusOK {
+		t.Errorf("once all have ended: %d", status)
+	}
+}
+
+// A request that waits for its first attempt when a reload makes its class unsafe goes on as it
+// came; the next one does not.
+func TestRequestInFlightKeepsItsPolicy(t *testing.T) {
+	e := newGatedEndpoint(t, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
+	config := func(class string) string {
+		return poolBlock("one", e.Addr) + routeBlock("x", "/x", class, "one", "policy {\n attempts = 3\n}")
+	}
+	s := startDaemon(t, config("look"))
+	var requests sync.WaitGroup
+	requests.Go(func() {
+		if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusServiceUnavailable {
+			t.Errorf("safe when it came: %d", status)
+		}
+	})
+	<-e.arrived
+	s.reload(config("pay"))
+	e.release <- true
+	for range 2 { // retries
+		<-e.arrived
+		e.release <- true
+	}
+	requests.Wait()
+	requests.Go(func() {
+		if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusBadGateway {
+			t.Errorf("unsafe when it came: %d", status)
+		}
+	})
+	<-e.arrived
+	e.release <- true
+	requests.Wait()
+	if n := e.Requests.Load(); n != 4 {
+		t.Errorf("%d attempts", n)
+	}
+}
--- /dev/null
+++ b/internal/daemon/snapshot_test.go
@@ -0,0 +1,118 @@
+package daemon
+
+import (
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"rowancart/internal/testpeer"
+)
+
+func TestSuccessorRestoresLearnedState(t *testing.T) {
+	works := testpeer.New(t, respondWith("200 OK", "", "works"))
+	fails := testpeer.New(t, respondWith("500 Oh", "", ""))
+	state := filepath.Join(t.TempDir(), "state")
+	config := stateBlock(state) + poolBlock("one", works.Addr, fails.Addr) + routeBlock("x", "/x", "look", "one", "")
+	s := startDaemon(t, config)
+	for range 30 {
+		s.request(http.MethodGet, "/x")
+	}
+	s.stopAndWait()
+	before := fails.Requests.Load()
+	if before == 0 {
+		t.Fatal("the failing endpoint got no request")
+	}
+	s = startDaemon(t, config)
+	for range 5 {
+		s.request(http.MethodGet, "/x")
+	}
+	if n := fails.Requests.Load() - before; n > 1 { // a trial that was due
+		t.Errorf("%d of 5 requests went to an endpoint that was known to fail", n)
+	}
+	s.stopAndWait()
+
+	if err := os.WriteFile(state, []byte("not a snapshot\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s = startDaemon(t, config)
+	if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK {
+		t.Errorf("with a broken snapshot: %d", status)
+	}
+	if n := strings.Count(s.log.String(), "starting without what was learned"); n != 1 {
+		t.Errorf("logged %d times:\n%s", n, s.log)
+	}
+}
+
+func TestEndpointsAreRestoredUntilTheSourceAnswers(t *testing.T) {
+	old := testpeer.New(t, respondWith("200 OK", "", "old"))
+	next := testpeer.New(t, respondWith("200 OK", "", "new"))
+	dir := t.TempDir()
+	list := filepath.Join(dir, "endpoints.json")
+	writeList := func(id, addr string) {
+		text := fmt.Appendf(nil, `{"endpoints": [{"id": %q, "address": %q, "state": "ready"}]}`, id, addr)
+		if err := os.WriteFile(list, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	config := stateBlock(filepath.Join(dir, "state")) + filePoolBlock("one", list) +
+		routeBlock("x", "/x", "look", "one", "")
+	s := startDaemon(t, config)
+	writeList("a", old.Addr)
+	testpeer.Until(t, "the list is applied", s.responds("/x", "old"))
+	s.stopAndWait()
+	if err := os.Remove(list); err != nil {
+		t.Fatal(err)
+	}
+	s = startDaemon(t, config)
+	if status, body, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK || body != "old" {
+		t.Errorf("without a list: %d %q", status, body)
+	}
+	writeList("b", next.Addr)
+	testpeer.Until(t, "the list is applied", s.responds("/x", "new"))
+}
+
+func TestUnwritableSnapshotIsLoggedOnceAndHarmless(t *testing.T) {
+	const message = "the snapshot cannot be saved"
+	e := testpeer.New(t, respondWith("200 OK", "", "x"))
+	path := filepath.Join(t.TempDir(), "none", "state")
+	s := startDaemon(t, fmt.Sprintf("state {\n path = %q\n every = \"1s\"\n}\n", path)+
+		poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
+	testpeer.Until(t, "it is logged", func() bool { return strings.Contains(s.log.String(), message) })
+	if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK {
+		t.Errorf("status %d", status)
+	}
+	s.stopAndWait() // tries once more
+	if n := strings.Count(s.log.String(), message); n != 1 {
+		t.Errorf("logged %d times:\n%s", n, s.log)
+	}
+}
+
+// A snapshot of another instance, here one with another index, is not restored; the log says so
+// once. The snapshot of an instance whose fleet has grown is its own.
+func TestSnapshotOfAnotherInstanceIsNotUsed(t *testing.T) {
+	e := testpeer.New(t, respondWith("200 OK", "", "works"))
+	state := filepath.Join(t.TempDir(), "state")
+	config := func(index, instances int) string {
+		return stateBlock(state) + fmt.Sprintf("fleet {\n instances = %d\n index = %d\n}\n", instances, index) +
+			poolBlock("one", e.Addr) + routeBlock("x", "/x", "look", "one", "")
+	}
+	s := startDaemon(t, config(0, 2))
+	s.request(http.MethodGet, "/x")
+	s.stopAndWait()
+	s = startDaemon(t, config(0, 3)) // the same instance of a larger fleet
+	if !strings.Contains(s.log.String(), "starting with what was learned") {
+		t.Errorf("its own snapshot is not used:\n%s", s.log)
+	}
+	s.stopAndWait()
+	s = startDaemon(t, config(1, 2))
+	if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK {
+		t.Errorf("with another's snapshot: %d", status)
+	}
+	log := s.log.String()
+	if strings.Count(log, "starting without what was learned") != 1 || !strings.Contains(log, "index-0's") {
+		t.Errorf("the log does not say once whose it is:\n%s", log)
+	}
+}
