--- a/cmd/rowancart/config.go
+++ b/cmd/rowancart/config.go
@@ -61,8 +61,8 @@
 }
 
 func newConfigReload() *cobra.Command {
-	return newAdminCommand("reload", "Make a daemon that runs read its configuration again, and print what is wrong with it",
-		http.MethodPost)
+	const short = "Make a daemon that runs read its configuration again, and print what is wrong with it"
+	return newAdminCommand("reload", short, http.MethodPost)
 }
 
 // newAdminCommand returns a command that requests the path of its own name from a daemon's admin
@@ -77,7 +77,8 @@
 			return requestAdmin(cmd.Context(), cmd.OutOrStdout(), admin, method, "/"+name)
 		},
 	}
-	command.Flags().StringVar(&admin, "admin", defaultAdminAddr, "where its admin listener is: host:port, or unix: and a path")
+	command.Flags().StringVar(&admin, "admin", defaultAdminAddr,
+		"where its admin listener is: host:port, or unix: and a path")
 	return command
 }
 
--- /dev/null
+++ b/cmd/rowancart/harness_test.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"sync"
+	"testing"
+
+	"rowancart/internal/testpeer"
+)
+
+// logFollower collects the log lines of a process and of those that inherit its standard error.
+type logFollower struct {
+	mu    sync.Mutex
+	lines []string
+	ended chan struct{} // closed when all of the processes have ended
+}
+
+func followLog(r io.Reader) *logFollower {
+	f := &logFollower{ended: make(chan struct{})}
+	go func() {
+		defer close(f.ended)
+		for s := bufio.NewScanner(r); s.Scan(); {
+			f.mu.Lock()
+			f.lines = append(f.lines, s.Text())
+			f.mu.Unlock()
+		}
+	}()
+	return f
+}
+
+// all returns the lines so far.
+func (f *logFollower) all() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.lines[:len(f.lines):len(f.lines)]
+}
+
+// wait waits for the nth line, from 1, that matches a pattern with one group, and returns what the
+// group matched.
+func (f *logFollower) wait(t *testing.T, n int, pattern string) string {
+	t.Helper()
+	re, found := regexp.MustCompile(pattern), ""
+	testpeer.Until(t, pattern, func() bool {
+		seen := 0
+		for _, line := range f.all() {
+			if m := re.FindStringSubmatch(line); m != nil {
+				if seen++; seen == n {
+					found = m[len(m)-1]
+					return true
+				}
+			}
+		}
+		return false
+	})
+	return found
+}
+
+// waitSuccessor waits for the nth handover, from 1, and returns the process that serves since.
+func (f *logFollower) waitSuccessor(t *testing.T, n int) *os.Process {
+	t.Helper()
+	return findProcess(t, f.wait(t, n, `msg="handed over" pid=(\d+)`))
+}
+
+func findProcess(t *testing.T, pid string) *os.Process {
+	t.Helper()
+	id, err := strconv.Atoi(pid)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p, err := os.FindProcess(id)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+// linkProgram makes the test binary available in dir as rowancart, the name by which it serves, and
+// returns its path.
+func linkProgram(t *testing.T, dir string) string {
+	t.Helper()
+	program := filepath.Join(dir, "rowancart")
+	self, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Symlink(self, program); err != nil {
+		t.Fatal(err)
+	}
+	return program
+}
+
+// unixTransport returns a transport that connects to a unix socket.
+func unixTransport(path string) *http.Transport {
+	return &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+		return (&net.Dialer{}).DialContext(ctx, "unix", path)
+	}}
+}
+
+// writeFile writes a file that only the test's processes read.
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/cmd/rowancart/main_test.go
+++ b/cmd/rowancart/main_test.go
@@ -3,10 +3,11 @@
 import (
 	"net"
 	"os"
-	"rowancart/internal/testpeer"
 	"testing"
 
 	"github.com/rogpeppe/go-internal/testscript"
+
+	"rowancart/internal/testpeer"
 )
 
 func TestMain(m *testing.M) {
@@ -14,16 +15,18 @@
 }
 
 func TestScripts(t *testing.T) {
-	testscript.Run(t, testscript.Params{Dir: "testdata", Cmds: map[string]func(*testscript.TestScript, bool, []string){
-		// waitfor waits until a unix socket takes connections.
-		"waitfor": func(ts *testscript.TestScript, _ bool, args []string) {
-			testpeer.Until(t, args[0]+" takes connections", func() bool {
-				nc, err := net.Dial("unix", ts.MkAbs(args[0]))
-				if err == nil {
-					nc.Close()
-				}
-				return err == nil
-			})
-		},
-	}})
+	// waitfor SOCKET waits until a unix socket accepts connections.
+	waitFor := func(ts *testscript.TestScript, _ bool, args []string) {
+		testpeer.Until(t, args[0]+" accepts connections", func() bool {
+			nc, err := net.Dial("unix", ts.MkAbs(args[0]))
+			if err == nil {
+				nc.Close()
+			}
+			return err == nil
+		})
+	}
+	testscript.Run(t, testscript.Params{
+		Dir:  "testdata",
+		Cmds: map[string]func(*testscript.TestScript, bool, []string){"waitfor": waitFor},
+	})
 }
--- /dev/null
+++ b/cmd/rowancart/supervisor_test.go
@@ -0,0 +1,210 @@
+//go:build fleet
+
+package main
+
+import (
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"rowancart/internal/snapshot"
+	"rowancart/internal/testpeer"
+)
+
+var fleetKills = flag.Int("fleet.kills", 60, "kills of instances and of the supervisor in the supervisor's test")
+
+// supervisedInstanceConfig has the address of the endpoint.
+const supervisedInstanceConfig = `admin {
+  listen = env("ROWANCART_ADMIN")
+}
+listener "front" {
+  address = "unix:${env("ROWANCART_STATE")}.sock"
+}
+state {
+  path = env("ROWANCART_STATE")
+}
+fleet {
+  instances = env("ROWANCART_INSTANCES")
+  index = env("ROWANCART_INDEX")
+}
+class "look" {
+  effect = "safe"
+}
+pool "one" {
+  roster "static" {
+    endpoint "a" {
+      address = %q
+    }
+  }
+}
+route "all" {
+  path = "/*"
+  class = "look"
+  pool = "one"
+}
+`
+
+// supervisorConfig has the number of instances.
+const supervisorConfig = `fleet {
+  instances = %d
+  config = "instance.hcl"
+  folder = "run"
+  seed = 5
+  ready_within = "5s"
+  stop_within = "5s"
+  back_off {
+    first = "50ms"
+    most = "400ms"
+  }
+}
+`
+
+// supervisorProcess is a process of "rowancart fleet", and the folder with its state.
+type supervisorProcess struct {
+	cmd       *exec.Cmd
+	log       *logFollower
+	folder    string
+	instances int
+}
+
+// startSupervisor starts a supervisor of a fleet whose file is in the parent of folder.
+func startSupervisor(t *testing.T, program, folder string, instances int) *supervisorProcess {
+	t.Helper()
+	logReader, stderr, err := os.Pipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(filepath.Dir(folder), "fleet.hcl")
+	s := &supervisorProcess{cmd: exec.Command(program, "fleet", file), folder: folder, instances: instances}
+	s.cmd.Stderr = stderr
+	if err := s.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	stderr.Close()
+	s.log = followLog(logReader)
+	s.log.wait(t, instances, `msg="instance (?:taken up|started)"()`) // it handles SIGTERM by then
+	return s
+}
+
+// pids returns the instances' processes as the supervisor has saved them; 0 for one that does not
+// run.
+func (s *supervisorProcess) pids() []int {
+	var state struct{ Instances []struct{ Pid int } }
+	if _, err := snapshot.Read(filepath.Join(s.folder, "fleet.state"), time.Now(), time.Hour, &state); err != nil {
+		return nil
+	}
+	var pids []int
+	for _, in := range state.Instances {
+		pids = append(pids, in.Pid)
+	}
+	return pids
+}
+
+// allHealthy reports whether all instances run and answer their health checks.
+func (s *supervisorProcess) allHealthy() bool {
+	pids := s.pids()
+	if len(pids) != s.instances {
+		return false
+	}
+	for i, pid := range pids {
+		if pid == 0 || syscall.Kill(pid, 0) != nil || !s.isHealthy(i) {
+			return false
+		}
+	}
+	return true
+}
+
+func (s *supervisorProcess) isHealthy(i int) bool {
+	transport := unixTransport(filepath.Join(s.folder, fmt.Sprintf("admin-%d.sock", i)))
+	transport.DisableKeepAlives = true
+	client := &http.Client{Timeout: time.Second, Transport: transport}
+	resp, err := client.Get("http://admin/healthz")
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// checkSecondSupervisor checks that a second supervisor of the fleet refuses to start.
+func checkSecondSupervisor(t *testing.T, program, file string) {
+	t.Helper()
+	out, err := exec.Command(program, "fleet", file).CombinedOutput()
+	if err == nil || strings.Count(string(out), "\n") != 1 ||
+		!strings.Contains(string(out), "another supervisor runs this fleet") {
+		t.Errorf("a second supervisor of the fleet: %v, %q", err, out)
+	}
+}
+
+// countRunning returns how many of the processes run.
+func countRunning(pids map[int]bool) int {
+	running := 0
+	for pid := range pids {
+		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+		_, state, _ := strings.Cut(string(stat), ") ")
+		if err == nil && !strings.HasPrefix(state, "Z") { // zombies wait for init
+			running++
+		}
+	}
+	return running
+}
+
+// Seeded kills of instances and of the supervisor itself: after each, all eight serve again, and at
+// the end no process of any of them is left.
+func TestASupervisorBringsBackWhatIsKilledAndLeavesNothing(t *testing.T) {
+	const instances = 8
+	kills := *fleetKills
+	endpoint := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	dir := t.TempDir()
+	program := linkProgram(t, dir)
+	file, folder := filepath.Join(dir, "fleet.hcl"), filepath.Join(dir, "run")
+	writeFile(t, filepath.Join(dir, "instance.hcl"), fmt.Sprintf(supervisedInstanceConfig, endpoint.Addr))
+	writeFile(t, file, fmt.Sprintf(supervisorConfig, instances))
+	seen := map[int]bool{} // pids of instances
+	s := startSupervisor(t, program, folder, instances)
+	t.Cleanup(func() {
+		_ = s.cmd.Process.Kill()
+		for pid := range seen {
+			_ = syscall.Kill(pid, syscall.SIGKILL)
+		}
+	})
+	checkSecondSupervisor(t, program, file)
+	rng, supervisorKills := rand.New(rand.NewPCG(11, 0)), 0
+	for k := range kills {
+		testpeer.Until(t, fmt.Sprintf("all %d healthy before kill %d", instances, k+1), s.allHealthy)
+		pids := s.pids()
+		for _, pid := range pids {
+			seen[pid] = true
+		}
+		if rng.IntN(6) == 0 { // the supervisor: the next one adopts what runs
+			supervisorKills++
+			s.cmd.Process.Signal(syscall.SIGKILL)
+			s.cmd.Wait()
+			s = startSupervisor(t, program, folder, instances)
+			continue
+		}
+		syscall.Kill(pids[rng.IntN(instances)], syscall.SIGKILL)
+	}
+	testpeer.Until(t, "all healthy after the last kill", s.allHealthy)
+	for _, pid := range s.pids() {
+		seen[pid] = true
+	}
+	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.cmd.Wait(); err != nil {
+		t.Errorf("the supervisor ends with %v", err)
+	}
+	if left := countRunning(seen); left > 0 {
+		t.Errorf("%d of %d instances' processes are left", left, len(seen))
+	}
+	t.Logf("%d kills, %d of them of the supervisor; %d processes of instances in all", kills, supervisorKills, len(seen))
+}
