--- /dev/null
+++ b/internal/experiment/virtual/attempt.go
@@ -0,0 +1,111 @@
+package virtual
+
+import (
+	"time"
+
+	"rowancart/balancer"
+	"rowancart/internal/experiment/invariant"
+)
+
+// attempt is one Send of a policy.
+type attempt struct {
+	instance            *instance
+	instanceIncarnation int
+	call                *call
+	number              int // in call.attempts
+	server              *serverNode
+	serverIncarnation   int // when the connection was established
+	sentAt              time.Duration
+	newConn             bool
+	holdsConn           bool
+	connReusable        bool // the server keeps the connection open after its response
+	ended               bool
+	task                *task  // in the server, while it has one
+	timeout             *event // end of the attempt's time
+}
+
+// arrivesAtServer is the event of an attempt whose last byte reaches its server. All other events
+// are the attempt's end, by its result.
+const arrivesAtServer = -1
+
+// act implements actor.
+func (a *attempt) act(now time.Duration, action int) {
+	switch {
+	case action != arrivesAtServer:
+		if !a.instance.down && a.instance.incarnation == a.instanceIncarnation {
+			a.end(now, balancer.Result(action))
+		}
+	case a.ended && a.instance.down || a.server.incarnation != a.serverIncarnation:
+		a.sendResult(now, balancer.Reset) // the connection broke before the last byte arrived
+	default:
+		a.server.receive(now, a)
+	}
+}
+
+// scheduleEnd ends the attempt at an instant, unless it has ended by then.
+func (a *attempt) scheduleEnd(at time.Duration, r balancer.Result) {
+	a.instance.sim.schedule(&a.instance.eventSource, at, a, int(r))
+}
+
+// sendResult carries the server's response, or the break of the connection, to the instance.
+func (a *attempt) sendResult(now time.Duration, r balancer.Result) {
+	if !a.ended {
+		a.scheduleEnd(now+a.instance.sim.networkDelay(), r)
+	}
+}
+
+// end reports the attempt's outcome to the policy. A successful one is the call's final response.
+func (a *attempt) end(now time.Duration, r balancer.Result) {
+	if a.ended {
+		return
+	}
+	a.ended = true
+	in, c := a.instance, a.call
+	in.sim.cancel(a.timeout)
+	if r == balancer.OK || a.connReusable && (r == balancer.Errored || r == balancer.Rejected) {
+		a.releaseConn(now)
+	} else {
+		a.closeConn(now)
+	}
+	outcome := balancer.Outcome{ID: c.id, Attempt: a.number, Result: r, Latency: now - a.sentAt, Final: c.ended}
+	if a.server != nil {
+		outcome.Endpoint = a.server.name
+	}
+	if r == balancer.OK && !c.ended {
+		outcome.Final = true
+		in.respond(now, c, invariant.Served, 0)
+	}
+	in.policy.Outcome(balancerEpoch+now, outcome)
+	in.removeIfDone(c)
+}
+
+// closeConn closes the attempt's connection, which stops its work where servers notice that.
+func (a *attempt) closeConn(now time.Duration) {
+	if !a.holdsConn {
+		return
+	}
+	a.holdsConn = false
+	n := a.server
+	if n.incarnation == a.serverIncarnation {
+		n.model.Disconnect()
+	}
+	if t := a.task; t != nil && a.instance.sim.experiment.Site.Tiers[n.tier].Server.CancelStopsWork {
+		n.advance(now)
+		if !t.Finished() {
+			n.model.Finish(&t.Job)
+			n.removeTask(t)
+			n.reschedule()
+		}
+	}
+}
+
+// releaseConn keeps the attempt's connection for the next attempt.
+func (a *attempt) releaseConn(now time.Duration) {
+	if !a.holdsConn {
+		return
+	}
+	a.holdsConn = false
+	if n := a.server; n.incarnation == a.serverIncarnation {
+		a.instance.idleConns[n] = append(a.instance.idleConns[n], idleConn{now, a.serverIncarnation})
+	}
+}
--- a/internal/experiment/virtual/client.go
+++ b/internal/experiment/virtual/client.go
@@ -1,8 +1,6 @@
 package virtual
 
 import (
-	"cmp"
-	"slices"
 	"strconv"
 	"time"
 
@@ -12,27 +10,24 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// clientRequest is something that a client wants, with its retries.
+// clientRequest is a client's request with its retries.
 type clientRequest struct {
 	*traffic.Request
 	sim      *simulation
-	index    int // place in the list
+	index    int // in the list of requests
 	attempts int
-	current  *call  // the attempt that is on
-	timeout  *event // its end
+	current  *call  // the attempt in flight; nil: none
+	timeout  *event // of current
 }
 
-func sortCalls(calls []*call) {
-	slices.SortFunc(calls, func(a, b *call) int { return cmp.Compare(a.id, b.id) })
+// startClient sends a client's request for the first time.
+func (s *simulation) startClient(now time.Duration, index int, request *traffic.Request) {
+	s.sendAttempt(now, &clientRequest{Request: request, sim: s, index: index})
 }
 
-// startClient begins what a client wants. The front deals clients out among the instances that it knows to be up.
-func (s *simulation) startClient(now time.Duration, n int, r *traffic.Request) {
-	s.sendAttempt(now, &clientRequest{Request: r, sim: s, index: n})
-}
-
-func (s *simulation) pickInstance(v *clientRequest) *instance {
-	start := int((v.Seed + uint64(v.attempts)) % uint64(len(s.frontInstances)))
+// pickInstance returns the instance for the next attempt: of those that are up, if there are any.
+func (s *simulation) pickInstance(r *clientRequest) *instance {
+	start := int((r.Seed + uint64(r.attempts)) % uint64(len(s.frontInstances)))
 	for i := range s.frontInstances {
 		if in := s.frontInstances[(start+i)%len(s.frontInstances)]; !in.down {
 			return in
@@ -41,29 +36,36 @@
 	return s.frontInstances[start]
 }
 
-func (s *simulation) sendAttempt(now time.Duration, v *clientRequest) {
-	class := &s.e.Site.Classes[v.Class]
-	in := s.pickInstance(v)
-	v.attempts++
-	n := v.attempts
-	deadline := min(now+v.Patience, v.At+class.Deadline)
-	var id [24]byte
-	text := strconv.AppendInt(append(strconv.AppendInt(id[:0], int64(v.index), 10), '-'), int64(n), 10)
-	c := &call{id: string(text), class: v.Class, tenant: v.Tenant, work: v.Work, deadline: deadline, clientRetry: n > 1, instance: in, origin: v}
-	v.current = c
-	clients := &in.eventSource
-	s.schedule(clients, now+s.networkDelay(), c, callArrives)
-	if v.DisconnectsAfter > 0 && n == 1 {
-		s.scheduleFunc(clients, max(v.At+v.DisconnectsAfter, now+2*s.e.Site.NetworkDelay), func(now time.Duration) {
-			if v.current == c {
-				v.current = nil
-				s.cancel(v.timeout)
+// sendAttempt sends a client's request, or its retry.
+func (s *simulation) sendAttempt(now time.Duration, r *clientRequest) {
+	site := &s.experiment.Site
+	in := s.pickInstance(r)
+	r.attempts++
+	deadline := min(now+r.Patience, r.At+site.Classes[r.Class].Deadline)
+	c := &call{id: attemptID(r.index, r.attempts), class: r.Class, tenant: r.Tenant, work: r.Work, deadline: deadline,
+		clientRetry: r.attempts > 1, instance: in, origin: r}
+	r.current = c
+	source := &in.eventSource
+	s.schedule(source, now+s.networkDelay(), c, callArrives)
+	if r.DisconnectsAfter > 0 && r.attempts == 1 {
+		s.scheduleFunc(source, max(r.At+r.DisconnectsAfter, now+2*site.NetworkDelay), func(now time.Duration) {
+			if r.current == c {
+				r.current = nil
+				s.cancel(r.timeout)
 				in.clientLeft(now, c)
 			}
 		})
 	}
-	// The client's own clock ends the attempt. What the instance still owes it, the checker watches.
-	v.timeout = s.scheduleCancelable(clients, deadline+s.e.Site.Rules.ResponseSlack, c, clientTimesOut)
+	// The client's own clock ends the attempt. The checker judges what the instance then owes it.
+	r.timeout = s.scheduleCancelable(source, deadline+site.Rules.ResponseSlack, c, clientTimesOut)
+}
+
+// attemptID returns the request ID of a client's attempt, in one allocation.
+func attemptID(index, attempt int) string {
+	var buf [24]byte
+	id := strconv.AppendInt(buf[:0], int64(index), 10)
+	id = strconv.AppendInt(append(id, '-'), int64(attempt), 10)
+	return string(id)
 }
 
 // callEnded implements callOrigin.
@@ -81,31 +83,35 @@
 	}
 }
 
-// attemptEnded takes the end of one attempt: the request's end, or a retry where the client may ask again.
-func (s *simulation) attemptEnded(now time.Duration, v *clientRequest, f invariant.Outcome, retryAfter time.Duration) {
-	class := &s.e.Site.Classes[v.Class]
-	took := now - v.At
-	v.current = nil
-	if f == invariant.Served {
-		fate := counters.ServedInTime
-		if took > class.LatencyObjective {
-			fate = counters.ServedLate
+// attemptEnded sends a retry where the client may, and otherwise counts the request's outcome.
+func (s *simulation) attemptEnded(now time.Duration, r *clientRequest, outcome invariant.Outcome,
+	retryAfter time.Duration) {
+	class, clients := &s.experiment.Site.Classes[r.Class], &s.experiment.Load.Clients
+	r.current = nil
+	if outcome == invariant.Served {
+		result := counters.ServedInTime
+		if now-r.At > class.LatencyObjective {
+			result = counters.ServedLate
 		}
-		s.counters.Record(*class, v.Class, v.Tenant, v.At, took, fate)
+		s.recordOutcome(now, r, result)
 		return
 	}
-	harmless := class.Repeat == balancer.Idempotent || f == invariant.Rejected || retryAfter == retryAfterUnreachable
-	wait := s.e.Load.Clients.RetryWait << (v.attempts - 1)
-	if s.e.Load.Clients.HonorRetryAfter {
+	harmless := class.Repeat == balancer.Idempotent || outcome == invariant.Rejected || retryAfter == retryAfterUnreachable
+	wait := clients.RetryWait << (r.attempts - 1)
+	if clients.HonorRetryAfter {
 		wait = max(wait, retryAfter)
 	}
-	if harmless && v.attempts <= s.e.Load.Clients.Retries && now+wait < v.At+class.Deadline {
-		s.scheduleFunc(&s.eventSource, now+wait, func(now time.Duration) { s.sendAttempt(now, v) })
+	if harmless && r.attempts <= clients.Retries && now+wait < r.At+class.Deadline {
+		s.scheduleFunc(&s.eventSource, now+wait, func(now time.Duration) { s.sendAttempt(now, r) })
 		return
 	}
-	fate := counters.Failed
-	if f == invariant.Rejected {
-		fate = counters.Rejected
+	result := counters.Failed
+	if outcome == invariant.Rejected {
+		result = counters.Rejected
 	}
-	s.counters.Record(*class, v.Class, v.Tenant, v.At, took, fate)
+	s.recordOutcome(now, r, result)
+}
+
+func (s *simulation) recordOutcome(now time.Duration, r *clientRequest, outcome counters.Outcome) {
+	s.counters.Record(s.experiment.Site.Classes[r.Class], r.Class, r.Tenant, r.At, now-r.At, outcome)
 }
--- /dev/null
+++ b/internal/experiment/virtual/discovery.go
@@ -0,0 +1,78 @@
+package virtual
+
+import (
+	"time"
+
+	"rowancart/balancer"
+)
+
+// publishEndpoint changes the endpoint list of a tier and notifies every instance before it, each
+// after its own delay.
+func (s *simulation) publishEndpoint(now time.Duration, tier int, e balancer.Endpoint) {
+	s.updateEndpointList(tier, e)
+	for _, in := range s.instances {
+		if in.tier != tier || in.down {
+			continue
+		}
+		if s.discoverySilent {
+			in.missedChanges = append(in.missedChanges, e)
+			continue
+		}
+		s.notifyInstance(now, in, e)
+	}
+}
+
+// publishStarted publishes a server that has just started.
+func (s *simulation) publishStarted(now time.Duration, n *serverNode) {
+	e := n.endpoint(balancer.Ready)
+	e.Started = balancerEpoch + now
+	s.publishEndpoint(now, n.tier, e)
+}
+
+func (s *simulation) updateEndpointList(tier int, e balancer.Endpoint) {
+	list := s.endpointLists[tier]
+	for i := range list {
+		if list[i].ID != e.ID {
+			continue
+		}
+		if e.State == balancer.Gone {
+			s.endpointLists[tier] = append(list[:i:i], list[i+1:]...)
+		} else {
+			list[i] = e
+		}
+		return
+	}
+	if e.State != balancer.Gone {
+		s.endpointLists[tier] = append(list, e)
+	}
+}
+
+// notifyInstance notifies an instance of a change after its delay, in the order of the changes.
+func (s *simulation) notifyInstance(now time.Duration, in *instance, e balancer.Endpoint) {
+	discovery := s.experiment.Site.Discovery
+	at := now + discovery.Delay + s.discoveryDelay + time.Duration(in.discoverySpread*float64(discovery.Spread))
+	in.notifiedAt = max(in.notifiedAt, at)
+	incarnation := in.incarnation
+	s.scheduleFunc(&in.eventSource, in.notifiedAt, func(now time.Duration) {
+		if in.down || in.incarnation != incarnation {
+			return
+		}
+		s.checker.RecordNotification(now, in.name, e.ID, e.State, e.Started > 0)
+		in.policy.EndpointList(balancerEpoch+now, balancer.EndpointList{Entries: []balancer.Endpoint{e}})
+	})
+}
+
+// setDiscoverySilent begins or ends a time in which discovery notifies nobody. At its end the
+// missed changes follow.
+func (s *simulation) setDiscoverySilent(now time.Duration, silent bool) {
+	s.discoverySilent = silent
+	if silent {
+		return
+	}
+	for _, in := range s.instances {
+		for _, e := range in.missedChanges {
+			s.notifyInstance(now, in, e)
+		}
+		in.missedChanges = nil
+	}
+}
--- a/internal/experiment/virtual/eventqueue.go
+++ b/internal/experiment/virtual/eventqueue.go
@@ -2,58 +2,60 @@
 
 import "time"
 
-// eventSource is whoever schedules events. Events of one instant run in the order of their parties' ranks, which come from
-// names, and then in the order of scheduling: the order in which parties were made does not matter.
+// eventSource is a component that schedules events. Events of one instant run in the order of their
+// sources' ranks, which are derived from names, and then in the order of scheduling. So the order
+// in which components are created does not matter.
 type eventSource struct {
-	rank uint64
-	seq  uint64
+	rank     uint64
+	sequence uint64 // number of events scheduled so far
 }
 
-// actor is what most events happen to. An event names the actor and what happens: a closure for each would be most of
-// what a run allocates.
+// actor is a component that events happen to. An event names the actor and the action, because a
+// closure for each event would be most of what a play allocates.
 type actor interface {
-	act(now time.Duration, what int)
+	act(now time.Duration, action int)
 }
 
-// actorFunc is an actor that does one thing.
+// actorFunc is an actor with one action.
 type actorFunc func(now time.Duration)
 
 func (f actorFunc) act(now time.Duration, _ int) { f(now) }
 
 type event struct {
 	at         time.Duration
-	rank       uint64
-	seq        uint64
+	rank       uint64 // of its source
+	sequence   uint64 // within its source
 	actor      actor
 	action     int
-	heapIndex  int  // in the heap; far: in a slot; done: it has run or was withdrawn
-	cancelable bool // somebody may withdraw it
+	heapIndex  int  // or one of the constants below
+	cancelable bool // whoever scheduled it has a reference
 }
 
+// Values of event.heapIndex for events that are not in the heap.
 const (
-	notScheduled = -1 - iota
+	notScheduled = -1 - iota // it has run or was canceled
 	inTimeSlot
 )
 
-// slot is the time that one slot of far events covers, and horizon how many slots lie ready.
 const (
 	slotLength = time.Millisecond
 	numSlots   = 1 << 13
 )
 
-// eventQueue holds the events to come: those of the present slot of time in a four-ary heap, half the depth of a binary
-// one; later ones in slots, without order. Most of them are time limits that will be kept and withdrawn, and never see
-// the heap.
+// eventQueue holds the events to come. Those of the current time slot are in a heap with four
+// children a node, which has half the depth of a binary one. Later ones are in slots, in any order:
+// most of them are timeouts that are canceled before they ever reach the heap.
 type eventQueue struct {
 	now           time.Duration
-	nextSlot      int64 // slot that comes into the heap next
+	nextSlot      int64 // the slot that moves into the heap next
 	heap          []*event
-	slots         [numSlots][]*event
-	beyondSlots   map[int64][]*event // slots beyond the horizon
-	slottedEvents int                // far events, withdrawn ones included
+	slots         [numSlots][]*event // by slot number modulo numSlots
+	beyondSlots   map[int64][]*event // by slot number, from nextSlot+numSlots on
+	slottedEvents int                // events in slots and beyondSlots, with canceled ones
 	freeEvents    []*event           // to be used again
 }
 
+// firesBefore reports whether event a runs before event b.
 func firesBefore(a, b *event) bool {
 	if a.at != b.at {
 		return a.at < b.at
@@ -61,50 +63,50 @@
 	if a.rank != b.rank {
 		return a.rank < b.rank
 	}
-	return a.seq < b.seq
+	return a.sequence < b.sequence
 }
 
-// scheduleFunc schedules do for an instant, now at the earliest.
-func (q *eventQueue) scheduleFunc(p *eventSource, at time.Duration, do func(now time.Duration)) {
-	q.schedule(p, at, actorFunc(do), 0)
+// scheduleFunc schedules a call of f for an instant, now at the earliest.
+func (q *eventQueue) scheduleFunc(source *eventSource, at time.Duration, f func(now time.Duration)) {
+	q.schedule(source, at, actorFunc(f), 0)
 }
 
-// schedule schedules what happens to who.
-func (q *eventQueue) schedule(p *eventSource, at time.Duration, who actor, what int) {
+// schedule schedules an action of a for an instant, now at the earliest.
+func (q *eventQueue) schedule(source *eventSource, at time.Duration, a actor, action int) {
 	var e *event
 	if n := len(q.freeEvents); n > 0 {
 		e, q.freeEvents = q.freeEvents[n-1], q.freeEvents[:n-1]
 	} else {
 		e = &event{}
 	}
-	q.add(p, e, at, who, what)
+	q.add(source, e, at, a, action)
 }
 
-// scheduleCancelable schedules what withdraw may take back.
-func (q *eventQueue) scheduleCancelable(p *eventSource, at time.Duration, who actor, what int) *event {
+// scheduleCancelable is like schedule, and returns the event for cancel.
+func (q *eventQueue) scheduleCancelable(source *eventSource, at time.Duration, a actor, action int) *event {
 	e := &event{cancelable: true}
-	q.add(p, e, at, who, what)
+	q.add(source, e, at, a, action)
 	return e
 }
 
-func (q *eventQueue) add(p *eventSource, e *event, at time.Duration, who actor, what int) {
-	p.seq++
-	e.at, e.rank, e.seq, e.actor, e.action = max(at, q.now), p.rank, p.seq, who, what
-	n := int64(e.at / slotLength)
-	if n < q.nextSlot {
+func (q *eventQueue) add(source *eventSource, e *event, at time.Duration, a actor, action int) {
+	source.sequence++
+	e.at, e.rank, e.sequence, e.actor, e.action = max(at, q.now), source.rank, source.sequence, a, action
+	slot := int64(e.at / slotLength)
+	if slot < q.nextSlot {
 		q.push(e)
 		return
 	}
 	e.heapIndex = inTimeSlot
 	q.slottedEvents++
-	if n-q.nextSlot < numSlots {
-		q.slots[n%numSlots] = append(q.slots[n%numSlots], e)
+	if slot-q.nextSlot < numSlots {
+		q.slots[slot%numSlots] = append(q.slots[slot%numSlots], e)
 		return
 	}
 	if q.beyondSlots == nil {
 		q.beyondSlots = map[int64][]*event{}
 	}
-	q.beyondSlots[n] = append(q.beyondSlots[n], e)
+	q.beyondSlots[slot] = append(q.beyondSlots[slot], e)
 }
 
 func (q *eventQueue) push(e *event) {
@@ -112,12 +114,12 @@
 	q.siftUp(len(q.heap)-1, e)
 }
 
-// fillHeap brings the events of the next slot that has any into the heap, if the heap is empty.
+// fillHeap moves the events of the next slot that has any into the heap, if the heap is empty.
 func (q *eventQueue) fillHeap() {
 	for len(q.heap) == 0 && q.slottedEvents > 0 {
-		list := q.slots[q.nextSlot%numSlots]
-		q.slots[q.nextSlot%numSlots] = list[:0]
-		q.pushSlot(list)
+		events := q.slots[q.nextSlot%numSlots]
+		q.slots[q.nextSlot%numSlots] = events[:0]
+		q.pushSlot(events)
 		if beyond, ok := q.beyondSlots[q.nextSlot]; ok {
 			delete(q.beyondSlots, q.nextSlot)
 			q.pushSlot(beyond)
@@ -126,17 +128,18 @@
 	}
 }
 
-func (q *eventQueue) pushSlot(list []*event) {
-	q.slottedEvents -= len(list)
-	for i, e := range list {
+// pushSlot moves a slot's events into the heap, without canceled ones.
+func (q *eventQueue) pushSlot(events []*event) {
+	q.slottedEvents -= len(events)
+	for i, e := range events {
 		if e.heapIndex == inTimeSlot {
 			q.push(e)
 		}
-		list[i] = nil
+		events[i] = nil
 	}
 }
 
-// cancel takes back an event; nil and one that has run are left alone.
+// cancel cancels an event. It does nothing to nil or to an event that has run.
 func (q *eventQueue) cancel(e *event) {
 	switch {
 	case e == nil || e.heapIndex == notScheduled:
@@ -147,6 +150,7 @@
 	}
 }
 
+// remove takes an event out of the heap.
 func (q *eventQueue) remove(e *event) {
 	i, last := e.heapIndex, len(q.heap)-1
 	moved := q.heap[last]
@@ -159,7 +163,7 @@
 	}
 }
 
-// siftUp places e at i or nearer to the top.
+// siftUp places e at index i or nearer to the root.
 func (q *eventQueue) siftUp(i int, e *event) {
 	for i > 0 {
 		parent := q.heap[(i-1)/4]
@@ -172,13 +176,13 @@
 	q.heap[i], e.heapIndex = e, i
 }
 
-// siftDown places e at i or further from the top.
+// siftDown places e at index i or farther from the root.
 func (q *eventQueue) siftDown(i int, e *event) {
 	for {
 		first, least := 4*i+1, -1
-		for c := first; c < min(first+4, len(q.heap)); c++ {
-			if least < 0 || firesBefore(q.heap[c], q.heap[least]) {
-				least = c
+		for child := first; child < min(first+4, len(q.heap)); child++ {
+			if least < 0 || firesBefore(q.heap[child], q.heap[least]) {
+				least = child
 			}
 		}
 		if least < 0 || !firesBefore(q.heap[least], e) {
@@ -197,12 +201,12 @@
 		return false
 	}
 	e := q.heap[0]
-	who, what := e.actor, e.action
+	a, action := e.actor, e.action
 	q.remove(e)
 	q.now = e.at
 	if !e.cancelable {
 		q.freeEvents = append(q.freeEvents, e)
 	}
-	who.act(q.now, what)
+	a.act(q.now, action)
 	return true
 }
--- /dev/null
+++ b/internal/experiment/virtual/faults.go
@@ -0,0 +1,76 @@
+package virtual
+
+import (
+	"time"
+
+	"rowancart/balancer"
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/traffic"
+)
+
+// applyFault carries out one step of a fault. Further steps are scheduled under source.
+func (s *simulation) applyFault(now time.Duration, source *eventSource, event traffic.FaultEvent) {
+	switch event.Kind {
+	case experiment.DiscoveryDelay:
+		s.discoveryDelay = 0
+		if event.On {
+			s.discoveryDelay = event.Fault.Period
+		}
+	case experiment.DiscoverySilence:
+		s.setDiscoverySilent(now, event.On)
+	case experiment.KillSidecar:
+		in := s.frontInstances[event.Server%len(s.frontInstances)]
+		if !in.down {
+			in.kill(now)
+			s.scheduleFunc(source, now+event.Fault.Duration, func(now time.Duration) { in.start(now) })
+		}
+	default:
+		s.applyServerFault(now, source, event)
+	}
+}
+
+// applyServerFault carries out one step of a fault of a server.
+func (s *simulation) applyServerFault(now time.Duration, source *eventSource, event traffic.FaultEvent) {
+	n := s.servers[event.Tier][event.Server]
+	n.advance(now)
+	switch {
+	case event.Kind == experiment.RollingDeploy:
+		s.replaceServer(now, source, n, event.Fault.Period)
+	case event.Kind == experiment.Crash && event.On:
+		n.crash(now)
+		s.publishEndpoint(now, n.tier, n.endpoint(balancer.Gone))
+	case event.Kind == experiment.Crash:
+		if n.model.Down() {
+			n.model.Restart(now)
+			s.startSidecar(now, n)
+			s.publishStarted(now, n)
+		}
+	default:
+		n.applyFault(event)
+		n.reschedule()
+	}
+}
+
+// replaceServer drains a server, ends it after a time and starts a cold successor.
+func (s *simulation) replaceServer(now time.Duration, source *eventSource, n *serverNode, drain time.Duration) {
+	n.model.Drain()
+	s.publishEndpoint(now, n.tier, n.endpoint(balancer.Draining))
+	s.scheduleFunc(source, now+drain, func(now time.Duration) {
+		n.advance(now)
+		n.crash(now)
+		n.removedAt = now
+		s.publishEndpoint(now, n.tier, n.endpoint(balancer.Gone))
+		successor := s.newServer(n.tier, n.index, n.generation+1, now)
+		s.servers[n.tier][n.index] = successor
+		s.allServers = append(s.allServers, successor)
+		s.startSidecar(now, successor)
+		s.publishStarted(now, successor)
+	})
+}
+
+// startSidecar starts the instance through which a server calls the next tier, if it has one.
+func (s *simulation) startSidecar(now time.Duration, n *serverNode) {
+	if n.sidecar != nil {
+		n.sidecar.start(now)
+	}
+}
--- a/internal/experiment/virtual/server.go
+++ b/internal/experiment/virtual/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-	"strconv"
 	"time"
 
 	"rowancart/balancer"
@@ -13,57 +12,85 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// serverNode is a server in the world: the model, what strikes it, and the instance that makes its calls.
+// startedLongAgo is the start of servers that are warm when the play begins.
+const startedLongAgo = time.Duration(-1)
+
+// fastErrorDelay is how long a server takes to answer a request that fails at once.
+const fastErrorDelay = time.Millisecond
+
+// serverNode is a server of the simulation: the model, the faults in force, and the instance that
+// makes its calls.
 type serverNode struct {
 	eventSource
-	sim                *simulation
-	tier               int
-	index              int
-	generation         int
-	name               string
-	model              *server.Server
-	stats              counters.Server
-	rng                *rand.Rand
-	sidecar            *instance
-	addedAt, removedAt time.Duration
-	incarnation        int // crashes so far: connections of an earlier one are broken
+	sim        *simulation
+	tier       int
+	index      int // in the tier
+	generation int // number of predecessors
+	name       string
+	model      *server.Server
+	stats      counters.Server
+	rng        *rand.Rand // of the faults
+	sidecar    *instance  // through which it calls the next tier; nil: it makes no calls
+	addedAt    time.Duration
+	removedAt  time.Duration // 0: not removed
+	// incarnation is the number of crashes so far. Connections to an earlier incarnation are broken.
+	incarnation int
 
-	nextWakeup   time.Duration // for which the server is scheduled
-	tasks        []*task       // what it has in hand
-	finishedJobs []*server.Job
+	nextWakeup   time.Duration // latest instant for which reschedule has scheduled an event; 0: none
+	tasks        []*task       // in any order
+	finishedJobs []*server.Job // buffer of advance
 
 	slowdowns         map[experiment.FaultKind]float64
-	fastErrorRate     float64 // chance of a fast error
-	breakBeforeRate   float64 // of a break before the last byte
+	fastErrorRate     float64
+	breakBeforeRate   float64 // fraction of connections broken before a request's last byte
 	breakAfterRate    float64 // and after it
-	breakResponseRate float64 // and within the answer, or of one that is garbled
+	breakResponseRate float64 // and within the response, or with one that is not HTTP
 	responseDelay     time.Duration
 	unresponsive      bool
 	acceptStalled     bool
 
-	arrivalsBySecond []int64 // by second, of a fresh server
+	arrivalsBySecond []int64 // of a server added during the play
+}
+
+// newServer creates a server and, unless its tier makes no calls, the instance of its calls.
+func (s *simulation) newServer(tier, index, generation int, started time.Duration) *serverNode {
+	site := &s.experiment.Site
+	t := site.Tiers[tier]
+	kind := traffic.KindOf(t, index)
+	name := traffic.ServerName(t, index, generation)
+	n := &serverNode{
+		eventSource: eventSource{rank: experiment.Seed(s.seed, name)},
+		sim:         s,
+		tier:        tier,
+		index:       index,
+		generation:  generation,
+		name:        name,
+		rng:         experiment.Rand(s.seed, "faults of "+name),
+		addedAt:     max(started, 0),
+		slowdowns:   map[experiment.FaultKind]float64{},
+		stats:       counters.Server{Name: name, Kind: kind.Name, Cores: kind.Cores, AddedDuringRun: started >= 0},
+		model:       server.New(kind, t.Server, site.Rules, started, experiment.Rand(s.seed, "box "+name)),
+	}
+	s.serverByName[name] = n
+	if tier+1 < len(site.Tiers) && t.Calls > 0 {
+		n.sidecar = s.newInstance("beside "+name, tier+1, index, t.Servers)
+	}
+	return n
 }
 
-// task is a request in a server.
-type task struct {
-	server.Job
-	attempt        *attempt
-	class          int
-	workAfterCalls float64 // work left for after the calls
-	offCPUTime     time.Duration
-	callsLeft      int // left to make
-	totalWork      float64
-	index          int
-	callsMade      int // calls made
+// endpoint returns the server as discovery lists it. Its start is set only where it is published as
+// news.
+func (n *serverNode) endpoint(state balancer.State) balancer.Endpoint {
+	return balancer.Endpoint{ID: n.name, Kind: n.stats.Kind, State: state}
 }
 
 // applyFault begins or ends a fault.
-func (n *serverNode) applyFault(c traffic.FaultEvent) {
+func (n *serverNode) applyFault(event traffic.FaultEvent) {
 	size, period := 0.0, time.Duration(0)
-	if c.On {
-		size, period = c.Fault.Size, c.Fault.Period
+	if event.On {
+		size, period = event.Fault.Size, event.Fault.Period
 	}
-	switch c.Kind {
+	switch event.Kind {
 	case experiment.FastErrors:
 		n.fastErrorRate = size
 	case experiment.BreakBeforeRequest:
@@ -75,28 +102,31 @@
 	case experiment.SlowResponse:
 		n.responseDelay = period
 	case experiment.Unresponsive:
-		n.unresponsive = c.On
+		n.unresponsive = event.On
 	case experiment.StallAccept:
-		n.acceptStalled = c.On
+		n.acceptStalled = event.On
 	case experiment.NoisyNeighbour, experiment.SharedSlowdown:
-		factor := 1.0
-		if c.On {
-			factor = c.Fault.Size
-			if c.Kind == experiment.NoisyNeighbour {
-				factor = 1 / (1 - min(c.Fault.Size, 0.99))
-			}
+		n.slowdowns[event.Kind] = 1
+		if event.On {
+			n.slowdowns[event.Kind] = event.Fault.Slowdown()
 		}
-		n.slowdowns[c.Kind] = factor
-		all := 1.0
-		for _, kind := range []experiment.FaultKind{experiment.NoisyNeighbour, experiment.SharedSlowdown} {
-			if f := n.slowdowns[kind]; f > 0 {
-				all *= f
-			}
+		n.updateSlowdown()
+	}
+}
+
+// updateSlowdown applies all slowdowns in force, always in the same order: floating-point products
+// depend on it.
+func (n *serverNode) updateSlowdown() {
+	total := 1.0
+	for _, kind := range []experiment.FaultKind{experiment.NoisyNeighbour, experiment.SharedSlowdown} {
+		if factor := n.slowdowns[kind]; factor > 0 {
+			total *= factor
 		}
-		n.model.SetSlowdown(all)
 	}
+	n.model.SetSlowdown(total)
 }
 
+// advance moves the model to now and continues the tasks whose work is done.
 func (n *serverNode) advance(now time.Duration) {
 	n.finishedJobs = n.model.Advance(now, n.finishedJobs[:0])
 	for _, j := range n.finishedJobs {
@@ -104,16 +134,18 @@
 	}
 }
 
-// reschedule makes sure that the server is looked at when it wants to be. Wakes that came to be too early do no harm.
+// reschedule schedules an event for the model's next one. Events that come to be too early do no
+// harm.
 func (n *serverNode) reschedule() {
 	next := n.model.NextEvent()
-	if next > n.sim.e.Duration+time.Hour || n.nextWakeup > n.sim.now && n.nextWakeup <= next {
+	if next > n.sim.experiment.Duration+time.Hour || n.nextWakeup > n.sim.now && n.nextWakeup <= next {
 		return
 	}
 	n.nextWakeup = next
 	n.sim.schedule(&n.eventSource, next, n, 0)
 }
 
+// act implements actor: the model's next event is due.
 func (n *serverNode) act(now time.Duration, _ int) {
 	if n.nextWakeup == now {
 		n.nextWakeup = 0
@@ -122,37 +154,7 @@
 	n.reschedule()
 }
 
-// countArrival notes when requests come, for h.full.
-func (n *serverNode) countArrival(now time.Duration) {
-	add := func(list []int64, i int) []int64 {
-		for len(list) <= i {
-			list = append(list, 0)
-		}
-		list[i]++
-		return list
-	}
-	second := int(now / time.Second)
-	n.sim.arrivalsBySecond[n.tier] = add(n.sim.arrivalsBySecond[n.tier], second)
-	if n.stats.AddedDuringRun {
-		n.arrivalsBySecond = add(n.arrivalsBySecond, second)
-	}
-}
-
-// fullLoadFraction is the share of an even part from which a fresh server carries as much as the others.
-const fullLoadFraction = 0.85
-
-// timeToFullLoad is how long after its coming a fresh server first had an even part of its tier's requests for a whole second.
-func (n *serverNode) timeToFullLoad() time.Duration {
-	servers := float64(len(n.sim.servers[n.tier]))
-	for s := int(n.addedAt/time.Second) + 1; s < len(n.arrivalsBySecond); s++ {
-		if float64(n.arrivalsBySecond[s])*servers >= fullLoadFraction*float64(n.sim.arrivalsBySecond[n.tier][s]) {
-			return time.Duration(s)*time.Second - n.addedAt
-		}
-	}
-	return 0
-}
-
-// receive takes a request whose last byte has come.
+// receive handles a request whose last byte has arrived.
 func (n *serverNode) receive(now time.Duration, a *attempt) {
 	if n.unresponsive {
 		return
@@ -162,33 +164,31 @@
 		return
 	}
 	n.advance(now)
-	q := a.call
-	site := &n.sim.e.Site
-	t := site.Tiers[n.tier]
-	work := q.work * t.WorkFraction
+	tier := &n.sim.experiment.Site.Tiers[n.tier]
+	work := a.call.work * tier.WorkFraction
 	if a.newConn {
-		work += t.Server.ConnWork.Seconds()
+		work += tier.Server.ConnWork.Seconds()
 	}
-	n.stats.Arrivals++
 	n.countArrival(now)
-	n.sim.checker.RecordArrival(invariant.Arrival{ID: q.id, Server: n.name, FirstByte: now, LastByte: now, Digest: 1,
+	n.sim.checker.RecordArrival(invariant.Arrival{ID: a.call.id, Server: n.name, FirstByte: now, LastByte: now, Digest: 1,
 		WarmingUp: n.model.CapacityFraction(now) < 1, Work: work})
 	if n.fastErrorRate > 0 && n.rng.Float64() < n.fastErrorRate || n.model.DrawError() {
-		n.sim.scheduleFunc(&n.eventSource, now+fastErrorDelay, func(now time.Duration) { n.respond(now, a, balancer.Errored) })
+		n.sim.scheduleFunc(&n.eventSource, now+fastErrorDelay, func(now time.Duration) {
+			n.respond(now, a, balancer.Errored)
+		})
 		return
 	}
-	e := &task{attempt: a, class: q.class, totalWork: work}
-	e.Owner = e
-	if n.sidecar != nil {
-		e.callsLeft, e.workAfterCalls = t.Calls, work/2
-		e.Work = work - e.workAfterCalls
-	} else {
-		e.Work, e.offCPUTime = work, site.Classes[q.class].OffCPUTime
-	}
-	switch n.model.Admit(now, &e.Job, work) {
+	n.admit(now, a, work)
+	n.reschedule()
+}
+
+// admit offers a request to the model and sends the result of an attempt that it does not admit.
+func (n *serverNode) admit(now time.Duration, a *attempt, work float64) {
+	t := n.newTask(a, work)
+	switch n.model.Admit(now, &t.Job, work) {
 	case server.Rejected:
 		n.stats.Rejected++
-		n.sim.checker.RecordRejection(now, n.name, q.id)
+		n.sim.checker.RecordRejection(now, n.name, a.call.id)
 		a.connReusable = true
 		a.sendResult(now, balancer.Rejected)
 	case server.Unavailable:
@@ -198,87 +198,14 @@
 		}
 		a.sendResult(now, balancer.Reset)
 	case server.Admitted:
-		e.index = len(n.tasks)
-		n.tasks = append(n.tasks, e)
-		a.task = e
+		n.addTask(t)
 		if n.breakAfterRate > 0 && n.rng.Float64() < n.breakAfterRate {
 			a.sendResult(now, balancer.Reset) // the work goes on
 		}
 	}
-	n.reschedule()
-}
-
-// continueTask goes on with a request whose work is through for now: the next call, the rest of the work, the answer.
-func (n *serverNode) continueTask(now time.Duration, e *task) {
-	switch {
-	case e.callsLeft > 0:
-		n.callNextTier(now, e)
-	case e.workAfterCalls > 0:
-		e.Work, e.workAfterCalls = e.workAfterCalls, 0
-		n.model.Resume(&e.Job)
-		n.reschedule()
-	case e.offCPUTime > 0:
-		wait := e.offCPUTime
-		e.offCPUTime = 0
-		n.sim.scheduleFunc(&n.eventSource, now+wait, func(now time.Duration) {
-			if !e.Finished() {
-				n.advance(now)
-				n.continueTask(now, e)
-			}
-		})
-	default:
-		n.finishTask(now, e, balancer.OK)
-	}
-}
-
-// callNextTier asks the next tier, through the server's own instance. It carries no time: the class's whole deadline is told.
-func (n *serverNode) callNextTier(now time.Duration, e *task) {
-	e.callsLeft--
-	e.callsMade++
-	q := e.attempt.call
-	n.sidecar.receive(now, &call{id: q.id + "." + strconv.Itoa(e.attempt.number) + "." + strconv.Itoa(e.callsMade), class: q.class, tenant: q.tenant,
-		work: q.work, deadline: now + n.sim.e.Site.Classes[q.class].Deadline, instance: n.sidecar, origin: e})
-}
-
-// callEnded implements callOrigin.
-func (t *task) callEnded(now time.Duration, c *call) {
-	h := t.attempt.server
-	if t.Finished() {
-		return
-	}
-	h.advance(now)
-	if t.Finished() {
-		return
-	}
-	if c.outcome == invariant.Served {
-		h.continueTask(now, t)
-	} else {
-		h.finishTask(now, t, balancer.Errored)
-	}
-	h.reschedule()
-}
-
-// callTimedOut implements callOrigin: a server waits for its sidecar's answer.
-func (t *task) callTimedOut(time.Duration, *call) {}
-
-// finishTask answers a request and frees its slot.
-func (n *serverNode) finishTask(now time.Duration, e *task, r balancer.Result) {
-	n.model.Finish(&e.Job)
-	n.removeTask(e)
-	n.reschedule()
-	n.respond(now, e.attempt, r)
 }
 
-func (n *serverNode) removeTask(e *task) {
-	last := len(n.tasks) - 1
-	n.tasks[e.index] = n.tasks[last]
-	n.tasks[e.index].index = e.index
-	n.tasks[last] = nil
-	n.tasks = n.tasks[:last]
-	e.attempt.task = nil
-}
-
-// respond sends an answer on its way.
+// respond sends the response to an attempt.
 func (n *serverNode) respond(now time.Duration, a *attempt, r balancer.Result) {
 	if r == balancer.OK {
 		n.sim.checker.RecordServerResponse(n.name, a.call.id, a.call.digest)
@@ -294,15 +221,15 @@
 	a.sendResult(now+n.responseDelay, r)
 }
 
-// crash ends the process: what it had breaks, and the instance beside it goes too.
+// crash ends the process. Its connections break, and the instance beside it dies, too.
 func (n *serverNode) crash(now time.Duration) {
 	n.model.Crash()
-	work := n.tasks
+	tasks := n.tasks
 	n.tasks = nil
-	for _, e := range work {
-		e.attempt.task = nil
+	for _, t := range tasks {
+		t.attempt.task = nil
 		if !n.unresponsive {
-			e.attempt.sendResult(now, balancer.Reset)
+			t.attempt.sendResult(now, balancer.Reset)
 		}
 	}
 	n.incarnation++
@@ -310,3 +237,38 @@
 		n.sidecar.kill(now)
 	}
 }
+
+// countArrival counts a request, by second.
+func (n *serverNode) countArrival(now time.Duration) {
+	n.stats.Arrivals++
+	second := int(now / time.Second)
+	n.sim.arrivalsBySecond[n.tier] = increment(n.sim.arrivalsBySecond[n.tier], second)
+	if n.stats.AddedDuringRun {
+		n.arrivalsBySecond = increment(n.arrivalsBySecond, second)
+	}
+}
+
+// increment adds one to counts[i], and grows counts as needed.
+func increment(counts []int64, i int) []int64 {
+	for len(counts) <= i {
+		counts = append(counts, 0)
+	}
+	counts[i]++
+	return counts
+}
+
+// fullLoadFraction is the fraction of the tier's mean load from which a new server counts as fully
+// loaded.
+const fullLoadFraction = 0.85
+
+// timeToFullLoad returns the time from the server's start to the first second in which it received
+// its even part of the tier's requests, 0 if there was none.
+func (n *serverNode) timeToFullLoad() time.Duration {
+	servers := float64(len(n.sim.servers[n.tier]))
+	for s := int(n.addedAt/time.Second) + 1; s < len(n.arrivalsBySecond); s++ {
+		if float64(n.arrivalsBySecond[s])*servers >= fullLoadFraction*float64(n.sim.arrivalsBySecond[n.tier][s]) {
+			return time.Duration(s)*time.Second - n.addedAt
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/experiment/virtual/task.go
@@ -0,0 +1,121 @@
+package virtual
+
+import (
+	"strconv"
+	"time"
+
+	"rowancart/balancer"
+	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/experiment/server"
+)
+
+// task is a request in a server. Its work is split around the calls to the next tier: half, the
+// calls one after another, the other half, then the time off the CPU and the response.
+type task struct {
+	server.Job
+	attempt        *attempt
+	workAfterCalls float64 // seconds
+	offCPUTime     time.Duration
+	callsLeft      int
+	callsMade      int
+	index          int // in serverNode.tasks
+}
+
+// newTask returns the task of an attempt with this work, in seconds.
+func (n *serverNode) newTask(a *attempt, work float64) *task {
+	site := &n.sim.experiment.Site
+	t := &task{attempt: a}
+	t.Owner = t
+	if n.sidecar != nil {
+		t.callsLeft, t.workAfterCalls = site.Tiers[n.tier].Calls, work/2
+		t.Work = work - t.workAfterCalls
+	} else {
+		t.Work, t.offCPUTime = work, site.Classes[a.call.class].OffCPUTime
+	}
+	return t
+}
+
+func (n *serverNode) addTask(t *task) {
+	t.index = len(n.tasks)
+	n.tasks = append(n.tasks, t)
+	t.attempt.task = t
+}
+
+func (n *serverNode) removeTask(t *task) {
+	last := len(n.tasks) - 1
+	n.tasks[t.index] = n.tasks[last]
+	n.tasks[t.index].index = t.index
+	n.tasks[last] = nil
+	n.tasks = n.tasks[:last]
+	t.attempt.task = nil
+}
+
+// continueTask begins the next step of a task whose present step is done.
+func (n *serverNode) continueTask(now time.Duration, t *task) {
+	switch {
+	case t.callsLeft > 0:
+		n.callNextTier(now, t)
+	case t.workAfterCalls > 0:
+		t.Work, t.workAfterCalls = t.workAfterCalls, 0
+		n.model.Resume(&t.Job)
+		n.reschedule()
+	case t.offCPUTime > 0:
+		wait := t.offCPUTime
+		t.offCPUTime = 0
+		n.sim.scheduleFunc(&n.eventSource, now+wait, func(now time.Duration) {
+			if !t.Finished() {
+				n.advance(now)
+				n.continueTask(now, t)
+			}
+		})
+	default:
+		n.finishTask(now, t, balancer.OK)
+	}
+}
+
+// finishTask frees the task's slot and sends the response.
+func (n *serverNode) finishTask(now time.Duration, t *task, r balancer.Result) {
+	n.model.Finish(&t.Job)
+	n.removeTask(t)
+	n.reschedule()
+	n.respond(now, t.attempt, r)
+}
+
+// callNextTier calls the next tier through the server's own instance. Servers pass on no deadline:
+// a call has the class's whole time.
+func (n *serverNode) callNextTier(now time.Duration, t *task) {
+	t.callsLeft--
+	t.callsMade++
+	parent := t.attempt.call
+	n.sidecar.receive(now, &call{
+		id:       parent.id + "." + strconv.Itoa(t.attempt.number) + "." + strconv.Itoa(t.callsMade),
+		class:    parent.class,
+		tenant:   parent.tenant,
+		work:     parent.work,
+		deadline: now + n.sim.experiment.Site.Classes[parent.class].Deadline,
+		instance: n.sidecar,
+		origin:   t,
+	})
+}
+
+// callEnded implements callOrigin.
+func (t *task) callEnded(now time.Duration, c *call) {
+	n := t.attempt.server
+	if t.Finished() {
+		return
+	}
+	n.advance(now)
+	if t.Finished() {
+		return
+	}
+	if c.outcome == invariant.Served {
+		n.continueTask(now, t)
+	} else {
+		n.finishTask(now, t, balancer.Errored)
+	}
+	n.reschedule()
+}
+
+// callTimedOut implements callOrigin. A server waits for its instance's response however long it
+// takes.
+func (t *task) callTimedOut(time.Duration, *call) {}
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -15,7 +15,7 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// calm is a service of two tiers with load to spare.
+// calm is a service of two tiers with capacity to spare.
 func calm() *experiment.Experiment {
 	kinds := []experiment.Kind{{Name: "fast", Fraction: 1, Cores: 2, Speed: 1.4, Slots: 16, QueueLimit: 200}, {Name: "slow", Fraction: 1, Cores: 2, Speed: 0.8, Slots: 16, QueueLimit: 200}}
 	spec := experiment.ServerSpec{InitialCapacity: 0.3, WarmupTime: 5 * time.Second, ConnWork: time.Millisecond, ConnLimit: 500, ConnIdleTimeout: 10 * time.Second}
@@ -34,6 +34,7 @@
 	}
 }
 
+// run plays an experiment with a policy.
 func run(t *testing.T, e *experiment.Experiment, policy string, seed uint64, shuffle *rand.Rand) *Result {
 	t.Helper()
 	r, err := Run(context.Background(), e, experiment.Variant{Name: policy, Policy: policy}, seed, Options{Shuffle: shuffle})
@@ -43,6 +44,7 @@
 	return r
 }
 
+// violations returns the details of the violated rules.
 func violations(r *Result) map[invariant.Rule]string {
 	out := map[invariant.Rule]string{}
 	for _, v := range r.Verdicts {
@@ -70,7 +72,7 @@
 	}
 }
 
-// withAllFaults has every fault that virtual time knows.
+// withAllFaults is calm with every fault that can be played in virtual time.
 func withAllFaults() *experiment.Experiment {
 	e := calm()
 	e.Duration = 30 * time.Second
@@ -118,8 +120,9 @@
 	}
 }
 
-// Under every fault the design and the baselines may serve fewer, but keep every rule that is theirs to keep. Rivals know
-// nothing of cold servers: that rule is the design's alone.
+// TestRulesUnderFaults checks that under every fault the design and the baselines, which may serve
+// fewer requests, keep every rule that they must. Baselines have no slow start, so RuleWarmup is
+// the design's alone.
 func TestRulesUnderFaults(t *testing.T) {
 	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
 		r := run(t, withAllFaults(), policy, 3, nil)
@@ -157,7 +160,8 @@
 	}
 }
 
-// A server that dies while a client in the tier above holds a slot for it: the client's request ends, the slot is freed.
+// TestDeathBelowFreesTheSlotAbove lets the servers die that a server in the tier above holds a slot
+// for: its requests end, and the slots are freed.
 func TestDeathBelowFreesTheSlotAbove(t *testing.T) {
 	e := calm()
 	e.Load.Clients = experiment.Clients{}
