--- a/internal/experiment/testbed/breach_test.go
+++ b/internal/experiment/testbed/breach_test.go
@@ -77,7 +77,8 @@
 func (p *proxy) ExitReason() string    { return "told to" }
 func (p *proxy) Kill()                 { p.stop(); p.server.Close(); <-p.done }
 
-// Usage stands in for the kernel's figures: an instance within the test process has none of its own.
+// Usage stands in for the kernel's figures: an instance within the test process has none of its
+// own.
 func (p *proxy) Usage() (invariant.Usage, time.Duration, bool) {
 	if p.violation == "uses too much" {
 		return invariant.Usage{MemoryMB: 65}, 0, true
--- a/internal/experiment/testbed/clientconn.go
+++ b/internal/experiment/testbed/clientconn.go
@@ -25,9 +25,10 @@
 	loadHeader     = "Srv-Load"
 )
 
+// maxBody is the largest body of a request or response, in bytes.
 const maxBody = 64 << 10
 
-// digest sums up all of a request that must reach servers unchanged.
+// digest returns a hash of all of a request that must reach servers unchanged.
 func digest(method, target, id string, body []byte) uint64 {
 	h := xxhash.New()
 	fmt.Fprintf(h, "%s %s %s %d ", method, target, id, len(body))
@@ -41,13 +42,14 @@
 	method   string
 	target   string
 	tenant   string
-	patience time.Duration
+	patience time.Duration // sent as the deadline
 	retry    bool
 	body     []byte
 }
 
 func (m *request) digest() uint64 { return digest(m.method, m.target, m.id, m.body) }
 
+// bytes returns the request as HTTP/1.1.
 func (m *request) bytes() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: api.internal\r\n%s: %s\r\n%s: %d\r\n", m.method, m.target, idHeader, m.id,
@@ -66,28 +68,29 @@
 	return b.Bytes()
 }
 
-// response is what came back.
+// response is a sidecar's response.
 type response struct {
 	status     int
 	retryAfter time.Duration
 	body       []byte
-	truncated  bool // begun and not whole, or not to be read
+	truncated  bool // begun and incomplete, or not HTTP
 }
 
+// Errors of an exchange without a response.
 var (
-	errConnect = errors.New("nobody takes connections")
-	errTimeout = errors.New("no answer within the time")
-	errClosed  = errors.New("closed without an answer")
+	errConnect = errors.New("no connection")
+	errTimeout = errors.New("no response within the time")
+	errClosed  = errors.New("closed without a response")
 )
 
 // clientConn is a client's connection to a sidecar. It carries one request at a time.
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
-	used   bool
+	used   bool // has carried a request
 }
 
-// connPool are one client's connections to one sidecar.
+// connPool holds one client's connections to one sidecar.
 type connPool struct {
 	addr string
 
@@ -99,80 +102,84 @@
 // dialTimeout is for connections to programs on this machine.
 const dialTimeout = 2 * time.Second
 
-func (l *connPool) acquire(fresh bool) (*clientConn, error) {
-	l.mu.Lock()
-	if n := len(l.idle); n > 0 && !fresh {
-		c := l.idle[n-1]
-		l.idle = l.idle[:n-1]
-		l.mu.Unlock()
+// acquire returns an idle connection, or a new one if there is none or fresh is true. Its only
+// error is errConnect.
+func (p *connPool) acquire(fresh bool) (*clientConn, error) {
+	p.mu.Lock()
+	if n := len(p.idle); n > 0 && !fresh {
+		c := p.idle[n-1]
+		p.idle = p.idle[:n-1]
+		p.mu.Unlock()
 		return c, nil
 	}
-	l.mu.Unlock()
-	nc, err := net.DialTimeout("tcp", l.addr, dialTimeout)
+	p.mu.Unlock()
+	nc, err := net.DialTimeout("tcp", p.addr, dialTimeout)
 	if err != nil {
 		return nil, errConnect
 	}
 	c := &clientConn{Conn: nc, reader: bufio.NewReader(nc)}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.all == nil {
-		l.all = map[*clientConn]bool{}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.all == nil {
+		p.all = map[*clientConn]bool{}
 	}
-	l.all[c] = true
+	p.all[c] = true
 	return c, nil
 }
 
-func (l *connPool) release(c *clientConn) {
+// release makes a connection idle.
+func (p *connPool) release(c *clientConn) {
 	c.used = true
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.idle = append(l.idle, c)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idle = append(p.idle, c)
 }
 
-func (l *connPool) closeConn(c *clientConn) {
+// closeConn closes a connection that is not idle.
+func (p *connPool) closeConn(c *clientConn) {
 	c.Close()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.all, c)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.all, c)
 }
 
 // close closes all connections, also those in use.
-func (l *connPool) close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for c := range l.all {
+func (p *connPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.all {
 		c.Close()
 	}
-	l.all, l.idle = nil, nil
+	p.all, p.idle = nil, nil
 }
 
-// exchange sends a request on one connection and reads its answer until the deadline. reusable says that the connection
-// may carry another.
-func (c *clientConn) exchange(text []byte, method string, deadline time.Time) (r response, reusable bool, err error) {
+// exchange sends a request and reads its response until the deadline. Reusable says that the
+// connection may carry another. Without a response the error is errTimeout or errClosed.
+func (c *clientConn) exchange(m *request, deadline time.Time) (resp response, reusable bool, err error) {
 	if err := c.SetDeadline(deadline); err != nil {
-		return r, false, errClosed
+		return resp, false, errClosed
 	}
-	if _, err := c.Write(text); err != nil {
-		return r, false, errClosed
+	if _, err := c.Write(m.bytes()); err != nil {
+		return resp, false, errClosed
 	}
 	if _, err := c.reader.Peek(1); err != nil {
 		if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
-			return r, false, errTimeout
+			return resp, false, errTimeout
 		}
-		return r, false, errClosed
+		return resp, false, errClosed
 	}
-	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+	head, err := http.ReadResponse(c.reader, &http.Request{Method: m.method})
 	if err != nil {
 		return response{truncated: true}, false, nil
 	}
-	defer resp.Body.Close()
-	r.status = resp.StatusCode
-	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		r.retryAfter = time.Duration(s * float64(time.Second))
+	defer head.Body.Close()
+	resp.status = head.StatusCode
+	if seconds, err := strconv.ParseFloat(head.Header.Get("Retry-After"), 64); err == nil {
+		resp.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
-	if r.body, err = io.ReadAll(io.LimitReader(resp.Body, maxBody+1)); err != nil {
-		r.truncated = true
-		return r, false, nil
+	if resp.body, err = io.ReadAll(io.LimitReader(head.Body, maxBody+1)); err != nil {
+		resp.truncated = true
+		return resp, false, nil
 	}
-	return r, !resp.Close, nil
+	return resp, !head.Close, nil
 }
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -13,7 +13,7 @@
 	"rowancart/balancer"
 )
 
-// listEntry is a server as the discovery service lists it (PROTOCOL, Discovery).
+// listEntry is a server as discovery lists it (PROTOCOL, Discovery).
 type listEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -25,39 +25,46 @@
 	StartedMs int64   `json:"started_ms"`
 }
 
-// endpointList is one message of the discovery service.
+// endpointList is one message of discovery: the complete list, or changes.
 type endpointList struct {
 	Version int         `json:"version"`
 	Full    bool        `json:"full"`
 	Servers []listEntry `json:"servers"`
 }
 
+// States of a server in endpoint lists.
 const (
-	stateReady        = "Ready"
-	stateDraining     = "Terminating"
-	stateGone         = "Gone"
-	membersPath       = "/catalog/members"
-	keepaliveInterval = 2 * time.Second // an empty line comes this often while nothing changes
+	stateReady    = "Ready"
+	stateDraining = "Terminating"
+	stateGone     = "Gone"
 )
 
-var endpointStates = map[string]balancer.State{stateReady: balancer.Ready, stateDraining: balancer.Draining, stateGone: balancer.Gone}
+var endpointStates = map[string]balancer.State{
+	stateReady: balancer.Ready, stateDraining: balancer.Draining, stateGone: balancer.Gone,
+}
+
+const (
+	membersPath       = "/catalog/members"
+	keepaliveInterval = 2 * time.Second         // of empty lines while nothing changes
+	oldAddressTime    = 1500 * time.Millisecond // for which watches at an old address go on (TERMS)
+)
 
-// discoveryServer is the discovery service as one sidecar sees it, at an address of its own.
+// discoveryServer is discovery as one sidecar sees it, at an address of its own.
 type discoveryServer struct {
-	onDelivered func(listEntry) // is called when an entry has been written to the sidecar
+	onDelivered func(listEntry) // called when an entry has been written to the sidecar
 
 	mu      sync.Mutex
 	version int
 	current []listEntry
-	changes []listEntry // one a version, the first being version 1
-	changed chan struct{}
+	changes []listEntry   // changes[i] makes version i+1
+	changed chan struct{} // closed at the next change, which makes a new one
 	server  *http.Server
 	addr    string
 }
 
-func newDiscoveryServer(first []listEntry, told func(listEntry)) (*discoveryServer, error) {
-	f := &discoveryServer{onDelivered: told, current: slices.Clone(first), changed: make(chan struct{})}
-	return f, f.listen()
+func newDiscoveryServer(first []listEntry, onDelivered func(listEntry)) (*discoveryServer, error) {
+	d := &discoveryServer{onDelivered: onDelivered, current: slices.Clone(first), changed: make(chan struct{})}
+	return d, d.listen()
 }
 
 // listen serves at a new address.
@@ -68,15 +75,15 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+membersPath, d.serve)
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	d.mu.Lock()
-	d.server, d.addr = s, l.Addr().String()
+	d.server, d.addr = server, l.Addr().String()
 	d.mu.Unlock()
-	go func() { _ = s.Serve(l) }() // ends with close
+	go func() { _ = server.Serve(l) }() // ends with close
 	return nil
 }
 
-// moveAddress turns to a new address; the old one takes no new connections and closes the open ones after a while (TERMS).
+// moveAddress moves to a new address. Connections to the old one are closed after a while.
 func (d *discoveryServer) moveAddress() error {
 	d.mu.Lock()
 	old := d.server
@@ -84,7 +91,7 @@
 	if err := d.listen(); err != nil {
 		return err
 	}
-	time.AfterFunc(1500*time.Millisecond, func() { old.Close() })
+	time.AfterFunc(oldAddressTime, func() { old.Close() })
 	return nil
 }
 
@@ -100,13 +107,13 @@
 	return d.addr
 }
 
-// publish tells the sidecar of a change.
+// publish adds a change to the list.
 func (d *discoveryServer) publish(e listEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
 	d.changes = append(d.changes, e)
-	i := slices.IndexFunc(d.current, func(o listEntry) bool { return o.ID == e.ID })
+	i := slices.IndexFunc(d.current, func(other listEntry) bool { return other.ID == e.ID })
 	switch {
 	case e.State == stateGone && i >= 0:
 		d.current = slices.Delete(d.current, i, i+1)
@@ -120,20 +127,19 @@
 	d.changed = make(chan struct{})
 }
 
-// snapshot is the whole list as of now.
+// snapshot returns the complete list.
 func (d *discoveryServer) snapshot() endpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return endpointList{d.version, true, append([]listEntry{}, d.current...)}
 }
 
+// serve answers a poll with the complete list, or a watch with changes as they come.
 func (d *discoveryServer) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
-		l := d.snapshot()
-		_ = json.NewEncoder(w).Encode(l) // a sidecar that left needs no answer
-		for _, e := range l.Servers {
-			d.onDelivered(e)
-		}
+		list := d.snapshot()
+		_ = json.NewEncoder(w).Encode(list) // fails only if the sidecar has left
+		d.delivered(list.Servers)
 		return
 	}
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
@@ -141,36 +147,102 @@
 		http.Error(w, "after: a version is wanted", http.StatusBadRequest)
 		return
 	}
-	flush := http.NewResponseController(w)
-	tick := time.NewTicker(keepaliveInterval)
-	defer tick.Stop()
+	d.serveWatch(w, r, after)
+}
+
+// serveWatch sends the changes after a version, and those to come, until the sidecar leaves.
+func (d *discoveryServer) serveWatch(w http.ResponseWriter, r *http.Request, after int) {
+	flusher := http.NewResponseController(w)
+	keepalive := time.NewTicker(keepaliveInterval)
+	defer keepalive.Stop()
 	w.WriteHeader(http.StatusOK)
-	if err := flush.Flush(); err != nil {
+	if err := flusher.Flush(); err != nil {
 		return
 	}
 	for {
-		d.mu.Lock()
-		news, version := d.changed, d.version
-		after = min(after, version) // of an earlier life of ours
-		changed := append([]listEntry{}, d.changes[after:version]...)
-		d.mu.Unlock()
+		changes, version, changed := d.changesAfter(after)
 		line := []byte("\n")
-		if len(changed) > 0 {
-			line, _ = json.Marshal(endpointList{version, false, changed}) // plain values: it cannot fail
+		if len(changes) > 0 {
+			line, _ = json.Marshal(endpointList{version, false, changes}) // plain values: it cannot fail
 			line = append(line, '\n')
-			after = version
 		}
-		if _, err := w.Write(line); err != nil || flush.Flush() != nil {
+		after = version
+		if _, err := w.Write(line); err != nil || flusher.Flush() != nil {
 			return
 		}
-		for _, e := range changed {
-			d.onDelivered(e)
-		}
+		d.delivered(changes)
 		select {
 		case <-r.Context().Done():
 			return
-		case <-news:
-		case <-tick.C:
+		case <-changed:
+		case <-keepalive.C:
 		}
 	}
 }
+
+// changesAfter returns the changes after a version, the present version, and a channel that is
+// closed at the next change. A version from the future, which an earlier discovery server issued,
+// stands for the present one.
+func (d *discoveryServer) changesAfter(after int) (changes []listEntry, version int, changed <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	after = min(after, d.version)
+	return append([]listEntry{}, d.changes[after:d.version]...), d.version, d.changed
+}
+
+func (d *discoveryServer) delivered(entries []listEntry) {
+	for _, e := range entries {
+		d.onDelivered(e)
+	}
+}
+
+// notice is a change of a tier's endpoint list that discovery has not yet published.
+type notice struct {
+	tier  int
+	entry listEntry
+}
+
+// publish notifies every sidecar before a tier of a change, each after its own delay and in the
+// order of the changes.
+func (r *testRun) publish(tier int, e listEntry) {
+	r.mu.Lock()
+	if r.discoverySilent {
+		r.withheld = append(r.withheld, notice{tier, e})
+		r.mu.Unlock()
+		return
+	}
+	sidecars, delay := slices.Clone(r.sidecars), r.discoveryDelay
+	r.mu.Unlock()
+	for _, s := range sidecars {
+		if s.tier == tier {
+			s.scheduleNotice(e, delay)
+		}
+	}
+}
+
+// scheduleNotice publishes a change to the sidecar after its delay and an extra one.
+func (s *sidecar) scheduleNotice(e listEntry, extra time.Duration) {
+	discovery := s.run.experiment.Site.Discovery
+	delay := discovery.Delay + extra + time.Duration(s.discoverySpread*float64(discovery.Spread))
+	s.mu.Lock()
+	at := time.Now().Add(delay)
+	if !at.After(s.lastNotice) {
+		at = s.lastNotice.Add(time.Millisecond)
+	}
+	s.lastNotice = at
+	s.mu.Unlock()
+	time.AfterFunc(time.Until(at), func() { s.discovery.publish(e) })
+}
+
+// setDiscoverySilent begins or ends a time in which discovery publishes nothing. At its end what
+// was withheld follows.
+func (r *testRun) setDiscoverySilent(silent bool) {
+	r.mu.Lock()
+	r.discoverySilent = silent
+	withheld := r.withheld
+	r.withheld = nil
+	r.mu.Unlock()
+	for _, n := range withheld {
+		r.publish(n.tier, n.entry)
+	}
+}
--- /dev/null
+++ b/internal/experiment/testbed/exchange.go
@@ -0,0 +1,314 @@
+package testbed
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/experiment/server"
+)
+
+const (
+	requestReadTimeout   = 10 * time.Second // from the first byte of a request to its last
+	responseWriteTimeout = 5 * time.Second
+)
+
+// exchange is one request to a server, with its response.
+type exchange struct {
+	server    *emulatedServer
+	conn      net.Conn
+	crashed   <-chan struct{} // closed when the process dies
+	method    string
+	target    string
+	class     string
+	id        string
+	body      []byte
+	info      requestInfo
+	firstByte time.Duration
+	lastByte  time.Duration
+	work      float64 // seconds on a core of speed 1
+	faults    drawnFaults
+}
+
+// drawnFaults are the faults that strike one request.
+type drawnFaults struct {
+	unresponsive bool
+	fastError    bool
+	breakConn    bool // after the last byte
+	warmingUp    bool // no fault: the server is not at its full capacity
+}
+
+// serve handles the requests of one connection.
+func (s *emulatedServer) serve(nc net.Conn, crashed <-chan struct{}) {
+	defer s.removeConn(nc)
+	reader := bufio.NewReader(nc)
+	idleTimeout := s.run.experiment.Site.Tiers[s.tier].Server.ConnIdleTimeout
+	for newConn := true; ; newConn = false {
+		if idleTimeout > 0 {
+			_ = nc.SetReadDeadline(time.Now().Add(idleTimeout))
+		}
+		if _, err := reader.Peek(1); err != nil {
+			return
+		}
+		x := &exchange{server: s, conn: nc, crashed: crashed, firstByte: s.run.now()}
+		_ = nc.SetReadDeadline(time.Now().Add(requestReadTimeout))
+		req, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		if s.drawBreakBefore() {
+			resetConn(nc)
+			return
+		}
+		if x.body, err = io.ReadAll(io.LimitReader(req.Body, maxBody+1)); err != nil {
+			return
+		}
+		x.lastByte = s.run.now()
+		x.method, x.target, x.id = req.Method, req.URL.RequestURI(), req.Header.Get(idHeader)
+		x.class, _, _ = strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
+		x.setWork(newConn)
+		if !x.handle() {
+			resetConn(nc)
+			return
+		}
+		if req.Close {
+			return
+		}
+	}
+}
+
+// drawBreakBefore draws whether a connection breaks before a request's last byte.
+func (s *emulatedServer) drawBreakBefore() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	rate := s.faults.breakBeforeRate
+	return rate > 0 && s.rng.Float64() < rate
+}
+
+// setWork sets what the request needs.
+func (x *exchange) setWork(newConn bool) {
+	tier := &x.server.run.experiment.Site.Tiers[x.server.tier]
+	x.info = x.server.run.requestInfo(x.id)
+	x.work = x.info.work * tier.WorkFraction
+	if newConn {
+		x.work += tier.Server.ConnWork.Seconds()
+	}
+}
+
+// drawFaults draws the faults that strike a request.
+func (s *emulatedServer) drawFaults(lastByte time.Duration) drawnFaults {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f := &s.faults
+	return drawnFaults{
+		unresponsive: f.unresponsive,
+		fastError:    f.fastErrorRate > 0 && s.rng.Float64() < f.fastErrorRate || s.model.DrawError(),
+		breakConn:    f.breakAfterRate > 0 && s.rng.Float64() < f.breakAfterRate,
+		warmingUp:    s.model.CapacityFraction(lastByte) < 1,
+	}
+}
+
+// handle runs the request and sends the response. It reports whether the connection may carry
+// another request.
+func (x *exchange) handle() (reusable bool) {
+	s := x.server
+	if x.id == "" { // no client's request
+		return x.writeResponse(http.StatusNotFound, nil)
+	}
+	x.faults = s.drawFaults(x.lastByte)
+	if x.faults.unresponsive {
+		s.waitResponsive(x.crashed)
+		return false
+	}
+	s.run.checker.RecordArrival(invariant.Arrival{ID: x.id, Server: s.name, FirstByte: x.firstByte, LastByte: x.lastByte,
+		Digest: digest(x.method, x.target, x.id, x.body), WarmingUp: x.faults.warmingUp, Work: x.work})
+	if x.faults.fastError {
+		return x.writeResponse(http.StatusInternalServerError, nil)
+	}
+	done := make(chan struct{}, 1)
+	job := &server.Job{Owner: done, Work: x.work}
+	workAfterCalls := 0.0
+	if s.sidecar != nil {
+		workAfterCalls = x.work / 2
+		job.Work = x.work - workAfterCalls
+	}
+	switch x.admit(job) {
+	case server.Rejected:
+		return x.writeResponse(http.StatusServiceUnavailable, nil)
+	case server.Unavailable:
+		return false
+	}
+	if x.faults.breakConn {
+		resetConn(x.conn) // the work goes on
+	}
+	status, ok := x.execute(job, done, workAfterCalls)
+	if !ok || !x.finish(job) || x.faults.breakConn {
+		return false
+	}
+	var body []byte
+	if status == http.StatusOK {
+		body = []byte(s.name + " made this for " + x.id + "\n")
+		s.run.checker.RecordServerResponse(s.name, x.id, xxhash.Sum64(body))
+	}
+	return x.writeResponse(status, body)
+}
+
+// admit offers the job to the model. A server that falls over by it crashes.
+func (x *exchange) admit(job *server.Job) server.Admission {
+	s := x.server
+	s.mu.Lock()
+	now := s.advance()
+	admission := s.model.Admit(now, job, x.work)
+	s.stats.Arrivals++
+	if admission == server.Rejected {
+		s.stats.Rejected++
+	}
+	fellOver := admission == server.Unavailable && s.model.FellOver()
+	s.reschedule()
+	s.mu.Unlock()
+	switch {
+	case admission == server.Rejected:
+		s.run.checker.RecordRejection(now, s.name, x.id)
+	case fellOver:
+		s.run.checker.RecordOverload(now, s.name)
+		s.crash()
+	}
+	return admission
+}
+
+// execute waits for the job's work, the calls to the next tier, the work after them, and the time
+// off the CPU. It returns the status of the response, and false if the process died or the play
+// ended before.
+func (x *exchange) execute(job *server.Job, done <-chan struct{}, workAfterCalls float64) (status int, ok bool) {
+	s := x.server
+	if !x.wait(done) {
+		return 0, false
+	}
+	if s.sidecar != nil {
+		for n := range s.run.experiment.Site.Tiers[s.tier].Calls {
+			if !x.callNextTier(n) {
+				return http.StatusInternalServerError, true
+			}
+		}
+	}
+	if workAfterCalls > 0 {
+		s.mu.Lock()
+		s.advance()
+		job.Work = workAfterCalls
+		s.model.Resume(job)
+		s.reschedule()
+		s.mu.Unlock()
+		if !x.wait(done) {
+			return 0, false
+		}
+	}
+	if s.sidecar == nil {
+		if offCPU := s.run.experiment.Site.Classes[x.info.classIndex].OffCPUTime; offCPU > 0 && !x.sleep(offCPU) {
+			return 0, false
+		}
+	}
+	return http.StatusOK, true
+}
+
+// wait waits for done. It reports false if the process died or the play ended before.
+func (x *exchange) wait(done <-chan struct{}) bool {
+	select {
+	case <-done:
+		return true
+	case <-x.crashed:
+	case <-x.server.run.ctx.Done():
+	}
+	return false
+}
+
+// sleep waits for a time. It reports false if the process died or the play ended before.
+func (x *exchange) sleep(d time.Duration) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-x.crashed:
+	case <-x.server.run.ctx.Done():
+	}
+	return false
+}
+
+// finish frees the job's slot. It reports false if a crash had done so before.
+func (x *exchange) finish(job *server.Job) bool {
+	s := x.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.advance()
+	alive := !job.Finished()
+	s.model.Finish(job)
+	s.reschedule()
+	return alive
+}
+
+// callNextTier makes call n to the next tier through the server's own sidecar. Servers pass on no
+// deadline: a call has the class's whole time. It reports whether the call was served.
+func (x *exchange) callNextTier(n int) bool {
+	s := x.server
+	number := strconv.Itoa(n)
+	m := &request{id: x.id + "." + s.name + "." + number, method: x.method, target: "/" + x.class + "/" + number,
+		tenant: x.info.tenant, patience: x.info.deadline, body: x.body}
+	s.run.storeRequest(m.id, x.info)
+	return s.run.send(context.Background(), m, x.info, s.sidecar, s.sidecarConns).outcome == invariant.Served
+}
+
+// drawResponse returns the text of a response as the faults in force let it out, and whether it is
+// complete HTTP.
+func (x *exchange) drawResponse(status int, body []byte) (f activeFaults, truncated, corrupted bool, text string) {
+	s := x.server
+	s.mu.Lock()
+	f = s.faults
+	truncated = f.truncateRate > 0 && s.rng.Float64() < f.truncateRate
+	corrupted = f.corruptRate > 0 && s.rng.Float64() < f.corruptRate
+	inFlight, reports := s.model.LoadReport(s.run.now())
+	s.mu.Unlock()
+	var b strings.Builder
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
+	if status == http.StatusServiceUnavailable {
+		b.WriteString(rejectedHeader + ": 1\r\n")
+	}
+	if reports {
+		fmt.Fprintf(&b, "%s: inflight=%.0f\r\n", loadHeader, inFlight)
+	}
+	b.WriteString("\r\n")
+	b.Write(body)
+	text = b.String()
+	switch {
+	case corrupted:
+		text = "\x16\x03\x01 no HTTP at all\r\n\r\n"
+	case truncated:
+		text = text[:max(len(text)-max(len(body)/2, 1), 1)]
+	}
+	return f, truncated, corrupted, text
+}
+
+// writeResponse sends a response, as the faults in force let it. It reports whether the connection
+// may carry another request.
+func (x *exchange) writeResponse(status int, body []byte) (reusable bool) {
+	faults, truncated, corrupted, text := x.drawResponse(status, body)
+	if faults.unresponsive {
+		x.server.waitResponsive(x.crashed)
+		return false
+	}
+	if faults.responseDelay > 0 && !x.sleep(faults.responseDelay) {
+		return false
+	}
+	_ = x.conn.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
+	_, err := io.WriteString(x.conn, text)
+	if truncated { // closed in order, so that what was sent arrives
+		x.conn.Close()
+	}
+	return err == nil && !truncated && !corrupted
+}
--- /dev/null
+++ b/internal/experiment/testbed/faults.go
@@ -0,0 +1,147 @@
+package testbed
+
+import (
+	"time"
+
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/traffic"
+)
+
+// applyFault carries out one step of a fault. It blocks while the step lasts.
+func (r *testRun) applyFault(event traffic.FaultEvent) {
+	switch event.Kind {
+	case experiment.DiscoveryDelay:
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.discoveryDelay = 0
+		if event.On {
+			r.discoveryDelay = event.Fault.Period
+		}
+	case experiment.DiscoverySilence:
+		r.setDiscoverySilent(event.On)
+	case experiment.SilentPeer, experiment.PartialRequestPeer, experiment.OversizedPeer:
+		r.playImproperPeer(event.Kind, r.frontSidecars[event.Server%len(r.frontSidecars)])
+	case experiment.KillSidecar, experiment.TermSidecar, experiment.DiscoveryMove:
+		r.disruptSidecar(event, r.frontSidecars[event.Server%len(r.frontSidecars)])
+	default:
+		r.applyServerFault(event)
+	}
+}
+
+// applyServerFault carries out one step of a fault of a server.
+func (r *testRun) applyServerFault(event traffic.FaultEvent) {
+	r.mu.Lock()
+	s := r.servers[event.Tier][event.Server]
+	r.mu.Unlock()
+	switch {
+	case event.Kind == experiment.RollingDeploy:
+		r.replaceServer(s, event.Fault.Period)
+	case event.Kind == experiment.Crash && event.On:
+		s.crash()
+		if s.sidecar != nil {
+			s.sidecar.kill()
+		}
+		r.publish(s.tier, s.listEntry(stateGone))
+	case event.Kind == experiment.Crash:
+		s.restart()
+		if s.sidecar != nil {
+			if err := s.sidecar.start(r.ctx); err != nil {
+				r.fail(err)
+				return
+			}
+		}
+		r.publish(s.tier, s.listEntry(stateReady))
+	default:
+		s.applyFault(event)
+	}
+}
+
+// disruptSidecar kills, terminates or reloads a sidecar of the first tier. One that has ended is
+// started again after the fault's duration.
+func (r *testRun) disruptSidecar(event traffic.FaultEvent, s *sidecar) {
+	switch event.Kind {
+	case experiment.DiscoveryMove:
+		if err := s.moveDiscovery(); err != nil {
+			r.fail(err)
+		}
+		return
+	case experiment.KillSidecar:
+		s.kill()
+	case experiment.TermSidecar:
+		s.terminate()
+	}
+	s.conns.close()
+	if r.sleepUntil(r.now() + event.Fault.Duration) {
+		if err := s.start(r.ctx); err != nil {
+			r.fail(err)
+		}
+	}
+}
+
+// moveDiscovery moves the sidecar's discovery to a new address and reloads the program.
+func (s *sidecar) moveDiscovery() error {
+	s.mu.Lock()
+	p := s.running
+	s.mu.Unlock()
+	if p == nil {
+		return nil
+	}
+	if err := s.discovery.moveAddress(); err != nil {
+		return err
+	}
+	config, err := s.config()
+	if err != nil {
+		return err
+	}
+	return p.Reload(config)
+}
+
+// replaceServer drains a server, ends it after a time and starts a cold successor.
+func (r *testRun) replaceServer(s *emulatedServer, drain time.Duration) {
+	s.mu.Lock()
+	s.model.Drain()
+	s.mu.Unlock()
+	r.publish(s.tier, s.listEntry(stateDraining))
+	if !r.sleepUntil(r.now() + drain) {
+		return
+	}
+	s.removedAt = r.now()
+	if s.sidecar != nil {
+		s.sidecar.kill()
+	}
+	s.close()
+	r.publish(s.tier, s.listEntry(stateGone))
+	successor, err := r.addSuccessor(s)
+	if err != nil {
+		r.fail(err)
+		return
+	}
+	if successor.sidecar != nil {
+		if err := successor.sidecar.start(r.ctx); err != nil {
+			r.fail(err)
+			return
+		}
+	}
+	r.publish(successor.tier, successor.listEntry(stateReady))
+}
+
+// addSuccessor creates a server in the place of another, with a sidecar that is yet to be started
+// if it makes calls.
+func (r *testRun) addSuccessor(s *emulatedServer) (*emulatedServer, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	successor, err := r.newServer(s.tier, s.index, s.generation+1, r.now())
+	if err != nil {
+		return nil, err
+	}
+	sidecar, err := r.newServerSidecar(successor)
+	if err != nil {
+		return nil, err
+	}
+	r.servers[s.tier][s.index] = successor
+	r.allServers = append(r.allServers, successor)
+	if sidecar != nil {
+		r.sidecars = append(r.sidecars, sidecar)
+	}
+	return successor, nil
+}
--- a/internal/experiment/testbed/improperpeer.go
+++ b/internal/experiment/testbed/improperpeer.go
@@ -10,56 +10,68 @@
 	"rowancart/internal/experiment"
 )
 
-// oversizedBody is what a peer sends that sends too much (TERMS, Improper peers).
-const oversizedBody = 60 << 20
+const (
+	oversizedBody  = 60 << 20         // bytes that an OversizedPeer sends (TERMS, Improper peers)
+	oversizedChunk = 64 << 10         // bytes of one write
+	extraPeerWait  = time.Second      // beyond the limit, to measure how late a connection ends
+	oversizedLimit = time.Duration(2) // times the other peers' limit
+)
 
-// playImproperPeer plays one improper peer before a sidecar and reports how it ended.
+// playImproperPeer plays one improper peer before a sidecar and records how its connection ended.
 func (r *testRun) playImproperPeer(kind experiment.FaultKind, s *sidecar) {
 	nc, err := net.DialTimeout("tcp", s.addr, dialTimeout)
 	if err != nil {
-		return // a sidecar that is down owes nothing
+		return // a sidecar that is down owes no peer anything
 	}
 	defer nc.Close()
 	connected := r.now()
-	limit := r.e.Site.Rules.ImproperPeerTimeout
-	what := "sent nothing"
+	limit := r.experiment.Site.Rules.ImproperPeerTimeout
+	class := r.experiment.Site.Classes[0].Name
+	sent := "sent nothing"
 	switch kind {
 	case experiment.PartialRequestPeer:
-		what = "sent half a request"
-		_, _ = nc.Write([]byte("GET /" + r.e.Site.Classes[0].Name + "/x HTTP/1.1\r\nHost: x\r\nReq-Id: half"))
+		sent = "sent half a request"
+		_, _ = nc.Write([]byte("GET /" + class + "/x HTTP/1.1\r\nHost: x\r\nReq-Id: half"))
 	case experiment.OversizedPeer:
-		what = "sent 60 MB"
-		limit *= 2
-		go func() { // ends with the connection
-			head := "POST /" + r.e.Site.Classes[0].Name + " HTTP/1.1\r\nHost: x\r\nContent-Length: 62914560\r\n\r\n"
-			if _, err := nc.Write([]byte(head)); err != nil {
-				return
-			}
-			chunk := make([]byte, 64<<10)
-			for sent := 0; sent < oversizedBody; sent += len(chunk) {
-				if _, err := nc.Write(chunk); err != nil {
-					return
-				}
-			}
-		}()
+		sent = "sent 60 MB"
+		limit *= oversizedLimit
+		go writeOversized(nc, class) // ends with the connection
 	}
-	// Waits longer than the rule allows, to tell how late the end was.
-	_ = nc.SetReadDeadline(time.Now().Add(limit + time.Second))
-	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
+	_ = nc.SetReadDeadline(time.Now().Add(limit + extraPeerWait))
+	responded, served := readPeerEnd(nc)
 	if s.killed.Load() || r.ctx.Err() != nil {
 		return
 	}
-	served, got := false, true
-	switch ne := net.Error(nil); {
-	case err == nil:
-		served, got = resp.StatusCode < http.StatusBadRequest, true
-		resp.Body.Close()
-	case errors.As(err, &ne) && ne.Timeout():
-		got = false
-	}
 	ended := r.now()
-	if kind == experiment.OversizedPeer { // its limit is twice the others'
-		ended = connected + (ended-connected)/2
+	if kind == experiment.OversizedPeer { // the checker knows the other peers' limit only
+		ended = connected + (ended-connected)/oversizedLimit
+	}
+	r.checker.RecordImproperPeer(connected, ended, sent, responded, served)
+}
+
+// writeOversized writes a request with a body that is too large.
+func writeOversized(nc net.Conn, class string) {
+	head := "POST /" + class + " HTTP/1.1\r\nHost: x\r\nContent-Length: 62914560\r\n\r\n"
+	if _, err := nc.Write([]byte(head)); err != nil {
+		return
+	}
+	chunk := make([]byte, oversizedChunk)
+	for sent := 0; sent < oversizedBody; sent += len(chunk) {
+		if _, err := nc.Write(chunk); err != nil {
+			return
+		}
+	}
+}
+
+// readPeerEnd waits for a response or a close until the connection's deadline, and reports whether
+// one came, and whether it was the response of a served request.
+func readPeerEnd(nc net.Conn) (responded, served bool) {
+	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
+	if err == nil {
+		defer resp.Body.Close()
+		return true, resp.StatusCode < http.StatusBadRequest
 	}
-	r.checker.RecordImproperPeer(connected, ended, what, got, served)
+	ne := net.Error(nil)
+	timedOut := errors.As(err, &ne) && ne.Timeout()
+	return !timedOut, false
 }
--- /dev/null
+++ b/internal/experiment/testbed/process.go
@@ -0,0 +1,159 @@
+package testbed
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"rowancart/internal/experiment/invariant"
+)
+
+// Command is a Program that a command line starts, such as the run line of deploy/balancer.toml.
+type Command struct {
+	Line    string // for /bin/sh -c
+	Dir     string // its working directory
+	Scratch string // directory for configuration files and temporary files
+}
+
+// maxLogTail is in bytes.
+const maxLogTail = 4 << 10
+
+// tail keeps the last maxLogTail bytes that are written to it. It is safe for concurrent use.
+type tail struct {
+	mu   sync.Mutex
+	text []byte
+}
+
+// Write implements io.Writer.
+
+func (t *tail) Write(b []byte) (int, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.text = append(t.text, b...)
+	if over := len(t.text) - maxLogTail; over > 0 {
+		t.text = append(t.text[:0], t.text[over:]...)
+	}
+	return len(b), nil
+}
+
+// String returns the text without surrounding white space.
+func (t *tail) String() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return string(bytes.TrimSpace(t.text))
+}
+
+// process is an instance of a Command.
+type process struct {
+	cmd        *exec.Cmd
+	configPath string
+	log        tail          // of standard output and standard error
+	exited     chan struct{} // closed when it has exited
+	exitErr    error         // set before exited is closed
+}
+
+// Start implements Program.
+func (c Command) Start(config Config) (Instance, error) {
+	p := &process{configPath: filepath.Join(c.Scratch, config.Name+".json"), exited: make(chan struct{})}
+	if err := p.writeConfig(config); err != nil {
+		return nil, err
+	}
+	p.cmd = exec.Command("/bin/sh", "-c", c.Line)
+	p.cmd.Dir, p.cmd.Stdout, p.cmd.Stderr = c.Dir, &p.log, &p.log
+	p.cmd.Env = append(os.Environ(), "ROUTER_NAME="+config.Name, "ROUTER_LISTEN="+config.Listen,
+		"ROUTER_DISCOVERY="+config.Discovery, "ROUTER_CONFIG="+p.configPath, "TMPDIR="+c.Scratch)
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // so that Kill reaches its child processes
+	if err := p.cmd.Start(); err != nil {
+		return nil, fmt.Errorf("start %s: %w", config.Name, err)
+	}
+	go func() {
+		p.exitErr = p.cmd.Wait()
+		close(p.exited)
+	}()
+	return p, nil
+}
+
+// writeConfig replaces the configuration file atomically.
+func (p *process) writeConfig(c Config) error {
+	text, err := json.Marshal(c)
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(p.configPath+".new", text, 0o600); err != nil {
+		return err
+	}
+	return os.Rename(p.configPath+".new", p.configPath)
+}
+
+// Reload implements Instance.
+func (p *process) Reload(c Config) error {
+	if err := p.writeConfig(c); err != nil {
+		return err
+	}
+	return p.cmd.Process.Signal(syscall.SIGHUP)
+}
+
+// Terminate implements Instance. The error of a process that has exited is ignored.
+func (p *process) Terminate() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
+
+// Kill implements Instance.
+func (p *process) Kill() {
+	_ = syscall.Kill(-p.cmd.Process.Pid, syscall.SIGKILL) // its process group
+	<-p.exited
+}
+
+// Done implements Instance.
+func (p *process) Done() <-chan struct{} { return p.exited }
+
+// ExitReason implements Instance.
+func (p *process) ExitReason() string {
+	reason := "exit status 0"
+	if p.exitErr != nil {
+		reason = p.exitErr.Error()
+	}
+	if log := p.log.String(); log != "" {
+		reason += "; it wrote: " + log
+	}
+	return reason
+}
+
+// cpuClockTick is the kernel's unit of CPU time in /proc: USER_HZ, which is 100 on every platform
+// that Go runs on.
+const cpuClockTick = 10 * time.Millisecond
+
+// Fields of /proc/PID/stat, counted from behind the command's name (proc(5)).
+const (
+	statUserTime   = 11 // in ticks
+	statSystemTime = 12 // in ticks
+	statResident   = 21 // in pages
+)
+
+// Usage implements Instance.
+func (p *process) Usage() (u invariant.Usage, cpuTime time.Duration, ok bool) {
+	dir := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
+	stat, err := os.ReadFile(dir + "/stat")
+	if err != nil {
+		return u, 0, false
+	}
+	// The command's name, in parentheses, may contain spaces and parentheses.
+	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
+	if len(fields) <= statResident {
+		return u, 0, false
+	}
+	user, _ := strconv.ParseInt(fields[statUserTime], 10, 64)
+	system, _ := strconv.ParseInt(fields[statSystemTime], 10, 64)
+	pages, _ := strconv.ParseInt(fields[statResident], 10, 64)
+	u.MemoryMB = float64(pages) * float64(os.Getpagesize()) / (1 << 20)
+	if open, err := os.ReadDir(dir + "/fd"); err == nil {
+		u.Descriptors = len(open)
+	}
+	return u, time.Duration(user+system) * cpuClockTick, true
+}
--- a/internal/experiment/testbed/testbed_test.go
+++ b/internal/experiment/testbed/testbed_test.go
@@ -20,7 +20,8 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*persistConn).readLoop"), goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// A program that does not get healthy ends the play with a message that says so, and is not left running.
+// A program that does not get healthy ends the play with a message that says so, and is not left
+// running.
 func TestProgramsThatDoNotStart(t *testing.T) {
 	for _, c := range []struct{ name, line, want string }{
 		{"hangs", "echo $$ >pid; exec sleep 600", "balancer-0 was not healthy within 300ms"},
