--- a/internal/experiment/report/compare.go
+++ b/internal/experiment/report/compare.go
@@ -1,64 +1,77 @@
 package report
 
 import (
+	"errors"
 	"fmt"
 	"math"
 )
 
-// Difference is one figure of one variant in two reports.
+// Difference is one metric of one variant in two reports.
 type Difference struct {
 	Point, Variant, Metric string
 	A, B                   float64
 	Noise                  float64 // half width of the 95% interval of the difference; NaN with fewer than two repeats
 }
 
-// Significant reports whether the difference is more than the repeats' noise. Without repeats nothing can be told apart.
+// Significant reports whether the difference is more than the repeats' noise. Without repeats none
+// is.
 func (d Difference) Significant() bool { return !math.IsNaN(d.Noise) && math.Abs(d.B-d.A) > d.Noise }
 
-// student97 is the 97.5% quantile of Student's t distribution for 1 to 10 degrees of freedom, and for many.
-var student97 = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228}
+// studentQuantiles are the 97.5% quantiles of Student's t distribution for 1 to 10 degrees of
+// freedom.
+var studentQuantiles = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228}
 
-// StudentQuantile is the 97.5% quantile of Student's t distribution, for 95% intervals.
-func StudentQuantile(freedom float64) float64 {
-	if i := int(freedom) - 1; i >= 0 && i < len(student97) {
-		return student97[max(i, 0)]
+// studentQuantileMany is used for more degrees of freedom. It lies between the values for 11 and
+// for 30, and is 0.14 above the limit.
+const studentQuantileMany = 2.1
+
+// StudentQuantile returns the 97.5% quantile of Student's t distribution, for 95% intervals.
+func StudentQuantile(degreesOfFreedom float64) float64 {
+	if degreesOfFreedom < 1 {
+		return studentQuantiles[0]
 	}
-	if freedom < 1 {
-		return student97[0]
+	if i := int(degreesOfFreedom) - 1; i < len(studentQuantiles) {
+		return studentQuantiles[i]
 	}
-	return 2.1 // between the values for 11 and for 30, and 0.14 above that for very many
+	return studentQuantileMany
 }
 
-// Compare returns the differences between two runs of one experiment, variant by variant. Noise is taken from the spread of the
-// repeats (Welch's interval).
+// Compare returns the differences between two runs of one experiment, variant by variant. Noise is
+// taken from the variance of the repeats (Welch's interval).
 func Compare(a, b *Report) ([]Difference, error) {
 	if a.Experiment != b.Experiment {
 		return nil, fmt.Errorf("%q and %q are different experiments", a.Experiment, b.Experiment)
 	}
 	if a.Virtual != b.Virtual {
-		return nil, fmt.Errorf("one run is in virtual time and the other on sockets")
+		return nil, errors.New("one run is in virtual time and the other on sockets")
 	}
 	var out []Difference
 	for _, pa := range a.points() {
 		for _, pb := range b.points() {
-			if pa.Point != pb.Point {
-				continue
-			}
-			for _, x := range pa.Variants {
-				for _, y := range pb.Variants {
-					if x.Name == y.Name {
-						out = append(out, compareVariants(pa.Point, x, y)...)
-					}
-				}
+			if pa.Point == pb.Point {
+				out = append(out, comparePoints(pa, pb)...)
 			}
 		}
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("the runs have no arm in common")
+		return nil, errors.New("the runs have no arm in common")
 	}
 	return out, nil
 }
 
+func comparePoints(a, b Point) []Difference {
+	var out []Difference
+	for _, x := range a.Variants {
+		for _, y := range b.Variants {
+			if x.Name == y.Name {
+				out = append(out, compareVariants(a.Point, x, y)...)
+			}
+		}
+	}
+	return out
+}
+
+// points returns the points of a sweep, or the only one without a name.
 func (r *Report) points() []Point {
 	if len(r.Points) > 0 {
 		return r.Points
@@ -66,6 +79,7 @@
 	return []Point{{Variants: r.Variants}}
 }
 
+// metrics are what is compared, by their printed names.
 var metrics = []struct {
 	name string
 	of   func(Repeat) float64
@@ -82,19 +96,10 @@
 
 func compareVariants(point string, a, b Variant) []Difference {
 	var out []Difference
-	for _, f := range metrics {
-		ma, va, na := meanAndVariance(a.Repeats, f.of)
-		mb, vb, nb := meanAndVariance(b.Repeats, f.of)
-		d := Difference{Point: point, Variant: a.Name, Metric: f.name, A: ma, B: mb, Noise: math.NaN()}
-		if na >= 2 && nb >= 2 {
-			sa, sb := va/na, vb/nb
-			freedom := na + nb - 2
-			if sa+sb > 0 {
-				freedom = (sa + sb) * (sa + sb) / (sa*sa/(na-1) + sb*sb/(nb-1))
-			}
-			d.Noise = StudentQuantile(freedom) * math.Sqrt(sa+sb)
-		}
-		out = append(out, d)
+	for _, m := range metrics {
+		x, y := newSample(a.Repeats, m.of), newSample(b.Repeats, m.of)
+		out = append(out, Difference{Point: point, Variant: a.Name, Metric: m.name, A: x.mean, B: y.mean,
+			Noise: welchInterval(x, y)})
 	}
 	if x, y := a.Violations(), b.Violations(); x != y {
 		out = append(out, Difference{Point: point, Variant: a.Name, Metric: "rules broken", A: float64(x), B: float64(y)})
@@ -102,18 +107,37 @@
 	return out
 }
 
-// meanAndVariance returns mean, variance and number of the repeats that count.
-func meanAndVariance(repeats []Repeat, of func(Repeat) float64) (mean, variance, n float64) {
+// sample describes the values of one metric in the repeats that are not void.
+type sample struct{ mean, variance, n float64 }
+
+func newSample(repeats []Repeat, of func(Repeat) float64) sample {
+	var s sample
 	for _, r := range repeats {
 		if r.Void == "" {
-			n++
-			mean += (of(r) - mean) / n
+			s.n++
+			s.mean += (of(r) - s.mean) / s.n
 		}
 	}
+	squares := 0.0
 	for _, r := range repeats {
 		if r.Void == "" {
-			variance += (of(r) - mean) * (of(r) - mean)
+			squares += (of(r) - s.mean) * (of(r) - s.mean)
 		}
 	}
-	return mean, variance / max(n-1, 1), n
+	s.variance = squares / max(s.n-1, 1)
+	return s
+}
+
+// welchInterval returns the half width of the 95% interval of the difference of two means; NaN for
+// samples of one value.
+func welchInterval(a, b sample) float64 {
+	if a.n < 2 || b.n < 2 {
+		return math.NaN()
+	}
+	va, vb := a.variance/a.n, b.variance/b.n
+	degreesOfFreedom := a.n + b.n - 2
+	if va+vb > 0 {
+		degreesOfFreedom = (va + vb) * (va + vb) / (va*va/(a.n-1) + vb*vb/(b.n-1))
+	}
+	return StudentQuantile(degreesOfFreedom) * math.Sqrt(va+vb)
 }
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -13,30 +13,32 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// newTestReport is a report of two repeats of one variant: of each 90 in time, 10 failed, and a rule broken once.
+// newTestReport returns a report of two repeats of one variant: of 100 requests of the first,
+// served are in time and the others failed; of the second, one more is in time. Each violates a
+// rule once. A third repeat is void.
 func newTestReport(t *testing.T, served int) (*experiment.Experiment, *Report) {
 	t.Helper()
 	e := &experiment.Experiment{Name: "x", Question: "<why>?", Seeds: []uint64{1, 2}, Duration: 2 * time.Second,
 		Site: experiment.Site{Classes: []experiment.Class{{Name: "c", PriorityWeight: 1}}}, Variants: []experiment.Variant{{Name: "a", Policy: "random"}},
 		Faults: []experiment.Fault{{Kind: experiment.Crash, At: time.Second, Duration: time.Second}},
 		Expect: []experiment.Expectation{{NoViolations: true, Position: "x.hcl:1:1"}, {ServedInTimeAbove: 0.95, Position: "x.hcl:2:1"}, {P99Below: time.Second, Position: "x.hcl:3:1"}}}
-	var plays []Run
+	var runs []Run
 	for seed := range uint64(2) {
-		y := counters.New(e)
+		c := counters.New(e)
 		for i := range 100 {
 			f := counters.ServedInTime
 			if i >= served+int(seed) {
 				f = counters.Failed
 			}
-			y.Record(e.Site.Classes[0], 0, -1, time.Duration(i)*20*time.Millisecond, time.Duration(i+1)*time.Millisecond, f)
+			c.Record(e.Site.Classes[0], 0, -1, time.Duration(i)*20*time.Millisecond, time.Duration(i+1)*time.Millisecond, f)
 		}
-		y.Requests, y.Attempts = 100, 120
-		plays = append(plays, Run{Variant: e.Variants[0], Seed: seed + 1, Counters: y, Verdicts: []invariant.Verdict{
+		c.Requests, c.Attempts = 100, 120
+		runs = append(runs, Run{Variant: e.Variants[0], Seed: seed + 1, Counters: c, Verdicts: []invariant.Verdict{
 			{Rule: invariant.RuleResponse}, {Rule: invariant.RuleDrain, Violations: 1, FirstAt: time.Duration(2-seed) * time.Second, Detail: "late"}}})
 	}
-	plays = append(plays, Run{Variant: e.Variants[0], Seed: 3, Counters: counters.New(e), Void: "late"})
+	runs = append(runs, Run{Variant: e.Variants[0], Seed: 3, Counters: counters.New(e), Void: "late"})
 	r := New(e, true)
-	r.Variants = Summarise(e, plays)
+	r.Variants = Summarise(e, runs)
 	return e, r
 }
 
@@ -79,7 +81,7 @@
 	}
 	for _, outside := range []string{"http://", "https://", "<script", "<link"} {
 		for line := range strings.SplitSeq(page.String(), "\n") {
-			if strings.Contains(line, outside) && !strings.Contains(line, "www.w3.org") { // a name space is no address
+			if strings.Contains(line, outside) && !strings.Contains(line, "www.w3.org") { // a namespace is not an address
 				t.Errorf("the page has a part from outside: %.80s", line)
 			}
 		}
@@ -94,11 +96,11 @@
 	}
 }
 
-func TestCompareTellsNoiseApart(t *testing.T) {
+func TestCompareSeparatesNoise(t *testing.T) {
 	_, a := newTestReport(t, 90)
 	_, b := newTestReport(t, 90)
 	_, c := newTestReport(t, 40)
-	beyond := func(x, y *Report) []string {
+	significant := func(x, y *Report) []string {
 		differences, err := Compare(x, y)
 		if err != nil {
 			t.Fatal(err)
@@ -111,10 +113,10 @@
 		}
 		return out
 	}
-	if got := beyond(a, b); len(got) != 0 {
+	if got := significant(a, b); len(got) != 0 {
 		t.Errorf("two alike differ in %v", got)
 	}
-	if got := strings.Join(beyond(a, c), ", "); got != "served in time, failed, worth, p50 ms, p99 ms" {
+	if got := strings.Join(significant(a, c), ", "); got != "served in time, failed, worth, p50 ms, p99 ms" {
 		t.Errorf("half served differs in %s", got)
 	}
 	c.Virtual = false
