--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -1,5 +1,3 @@
-// Package route decides which route a request takes, and refuses paths that a server could read as another route's. It
-// has no I/O, no clock and no state but its table.
 package route
 
 import (
@@ -8,26 +6,29 @@
 	"strings"
 )
 
-// Check refuses a path, as it stands in the request, that servers read in different ways: the route that we choose by it
-// might not be the one that a server runs. RFC 3986 calls some of these forms equal (6.2.2), and servers disagree on all
-// of them: dot segments, doubled slashes, backslashes, encoded separators and encoded letters.
+// maxDecodings is how often servers are known to decode a path before they remove its dot segments.
+const maxDecodings = 2
+
+// Check returns an error for a path, as encoded in the request, that servers read in different
+// ways: the route chosen by it might not be the one that a server runs. RFC 3986 (6.2.2) calls some
+// of these forms equivalent, and servers disagree on all of them: dot segments, empty segments,
+// backslashes, encoded separators and encoded letters.
 func Check(escaped string) error {
-	if err := readable(escaped); err != nil {
+	if err := checkSegments(escaped); err != nil {
 		return err
 	}
 	if strings.Contains(escaped, "//") {
 		return errors.New("path: an empty segment")
 	}
-	for i := strings.IndexByte(escaped, '%'); i >= 0; {
-		c := unhex(escaped[i+1])<<4 | unhex(escaped[i+2])
-		if separates(c) || unreserved(c) {
-			return fmt.Errorf("path: %q must not be encoded as %s", string(rune(c)), escaped[i:i+3])
-		}
-		next := strings.IndexByte(escaped[i+3:], '%')
-		if next < 0 {
+	for rest := escaped; ; {
+		_, after, found := strings.Cut(rest, "%")
+		if !found {
 			break
 		}
-		i += 3 + next
+		if c := decodeHex(after); isSeparator(c) || isUnreserved(c) {
+			return fmt.Errorf("path: %q must not be encoded as %%%s", string(rune(c)), after[:2])
+		}
+		rest = after[2:]
 	}
 	if strings.ContainsRune(escaped, '\\') {
 		return errors.New("path: a backslash")
@@ -35,10 +36,11 @@
 	return nil
 }
 
-// FirstSegment gives the first segment of a path that is chosen by it alone. What follows goes on as it came, as long as
-// no server can find its way out of the first segment.
+// FirstSegment returns the first segment of a path whose route depends on that segment alone. The
+// other segments are forwarded unchanged; it returns an error if a server could read them as leading
+// out of the first one.
 func FirstSegment(escaped string) (string, error) {
-	if err := readable(escaped); err != nil {
+	if err := checkSegments(escaped); err != nil {
 		return "", err
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(escaped, "/"), "/")
@@ -48,23 +50,15 @@
 	return first, nil
 }
 
-// readable refuses what is no path, and dot segments in whatever writing: servers take them away, some after they have
-// decoded them, some twice, and some do not.
-func readable(escaped string) error {
-	if !strings.HasPrefix(escaped, "/") {
-		return errors.New("path: it must begin with a slash")
-	}
-	for i := 0; i < len(escaped); i++ {
-		switch c := escaped[i]; {
-		case c <= ' ' || c == 0x7f:
-			return errors.New("path: a control character")
-		case c == '%' && (i+2 >= len(escaped) || !hex(escaped[i+1]) || !hex(escaped[i+2])):
-			return errors.New("path: % without two hexadecimal digits")
-		}
+// checkSegments returns an error for what is no path, and for dot segments in any encoding: some
+// servers remove them, some after they have decoded the path once or twice, and some do not.
+func checkSegments(escaped string) error {
+	if err := checkEncoding(escaped); err != nil {
+		return err
 	}
 	text := escaped
-	for range 3 { // as it stands, decoded, and decoded twice
-		for segment := range strings.FieldsFuncSeq(text, func(c rune) bool { return c < 0x80 && separates(byte(c)) }) {
+	for range 1 + maxDecodings {
+		for segment := range strings.FieldsFuncSeq(text, isSeparatorRune) {
 			name, _, _ := strings.Cut(segment, ";")
 			if name == "." || name == ".." {
 				return errors.New("path: a dot segment")
@@ -73,20 +67,36 @@
 		if strings.ContainsAny(text, "\x00\r\n") {
 			return errors.New("path: an encoded control character")
 		}
-		text = decode(text)
+		text = percentDecode(text)
+	}
+	return nil
+}
+
+// checkEncoding returns an error for what is no absolute path, and for wrong percent-encoding.
+func checkEncoding(escaped string) error {
+	if !strings.HasPrefix(escaped, "/") {
+		return errors.New("path: it must begin with a slash")
+	}
+	for i := range len(escaped) {
+		switch c := escaped[i]; {
+		case c <= ' ' || c == 0x7f:
+			return errors.New("path: a control character")
+		case c == '%' && !startsWithHex(escaped[i+1:]):
+			return errors.New("path: % without two hexadecimal digits")
+		}
 	}
 	return nil
 }
 
-// decode replaces what is percent-encoded, and leaves what is not in that form.
-func decode(text string) string {
+// percentDecode decodes what is percent-encoded, and leaves other percent signs as they are.
+func percentDecode(text string) string {
 	if !strings.Contains(text, "%") {
 		return text
 	}
 	out := make([]byte, 0, len(text))
 	for i := 0; i < len(text); i++ {
-		if text[i] == '%' && i+2 < len(text) && hex(text[i+1]) && hex(text[i+2]) {
-			out = append(out, unhex(text[i+1])<<4|unhex(text[i+2]))
+		if text[i] == '%' && startsWithHex(text[i+1:]) {
+			out = append(out, decodeHex(text[i+1:]))
 			i += 2
 			continue
 		}
@@ -95,18 +105,31 @@
 	return string(out)
 }
 
-func separates(c byte) bool { return c == '/' || c == '\\' }
+// isSeparator reports whether some server separates segments at a character.
+func isSeparator(c byte) bool { return c == '/' || c == '\\' }
+
+func isSeparatorRune(c rune) bool { return c < 0x80 && isSeparator(byte(c)) }
 
-// unreserved are the characters that need no encoding anywhere (RFC 3986, 2.3).
-func unreserved(c byte) bool {
-	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("-._~", c) >= 0
+// isUnreserved reports whether a character needs no encoding anywhere (RFC 3986, 2.3).
+func isUnreserved(c byte) bool {
+	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
+		strings.IndexByte("-._~", c) >= 0
 }
 
-func hex(c byte) bool {
+// startsWithHex reports whether a text starts with two hexadecimal digits.
+func startsWithHex(text string) bool {
+	return len(text) >= 2 && isHexDigit(text[0]) && isHexDigit(text[1])
+}
+
+// decodeHex returns the byte that the first two hexadecimal digits of a text encode.
+func decodeHex(text string) byte { return hexValue(text[0])<<4 | hexValue(text[1]) }
+
+func isHexDigit(c byte) bool {
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-func unhex(c byte) byte {
+// hexValue returns the value of a hexadecimal digit.
+func hexValue(c byte) byte {
 	switch {
 	case c <= '9':
 		return c - '0'
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestTheMostSpecificRouteWins(t *testing.T) {
+func TestFind(t *testing.T) {
 	table := []Match{
 		0:  {},
 		1:  {Path: "/a/*"},
@@ -59,8 +59,8 @@
 	}
 }
 
-// drawn gives matches of few parts, so that many fit the same requests.
-func drawn(t *rapid.T) Match {
+// drawMatch draws a match of few possible values, so that many match the same requests.
+func drawMatch(t *rapid.T) Match {
 	return Match{
 		Host:    rapid.SampledFrom([]string{"", "a.b", "*.b", "*.a.b"}).Draw(t, "host"),
 		Path:    rapid.SampledFrom([]string{"", "/*", "/x", "/x/*", "/x/y", "/x/y/*"}).Draw(t, "path"),
@@ -69,13 +69,13 @@
 	}
 }
 
-// fits is Match in one sentence, and beats the order in another: what the table does by look-up.
-func fits(m Match, host, path, method string, header Header) bool {
+// matches reports whether a request meets the condition of a match: the table finds this by lookup.
+func matches(m Match, host, path, method string, header Header) bool {
 	below, star := strings.CutPrefix(m.Host, "*")
 	if m.Host != "" && m.Host != host && !(star && strings.HasSuffix(host, below)) {
 		return false
 	}
-	if p, star := strings.CutSuffix(m.path(), "*"); p != path && !(star && strings.HasPrefix(path, p)) || star && len(path) < len(p) {
+	if p, star := strings.CutSuffix(m.pathPattern(), "*"); p != path && !(star && strings.HasPrefix(path, p)) || star && len(path) < len(p) {
 		return false
 	}
 	for name, value := range m.Headers {
@@ -86,13 +86,14 @@
 	return len(m.Methods) == 0 || slices.Contains(m.Methods, method)
 }
 
-func beats(x, y Match) bool {
+// isMoreSpecific reports whether x is more specific than y, both of which match the same request.
+func isMoreSpecific(x, y Match) bool {
 	rank := func(m Match) []int {
-		host, path := 3*len(m.Host), 3*len(m.path())
+		host, path := 3*len(m.Host), 3*len(m.pathPattern())
 		if !strings.HasPrefix(m.Host, "*") {
 			host += 1000 * min(len(m.Host), 1)
 		}
-		if !strings.HasSuffix(m.path(), "*") {
+		if !strings.HasSuffix(m.pathPattern(), "*") {
 			path += 1000
 		}
 		return []int{host, path, min(len(m.Methods), 1), len(m.Headers)}
@@ -100,28 +101,29 @@
 	return slices.Compare(rank(x), rank(y)) > 0
 }
 
-// The table agrees with a walk through all matches, and where none overlap there is always one that beats the others.
-func TestTheTableAgreesWithAWalk(t *testing.T) {
+// A table finds the same route as a search through all matches. Where none overlap, one of those
+// that match is always more specific than the others.
+func TestTableFindsMostSpecificMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Match
-		for _, m := range rapid.SliceOfN(rapid.Custom(drawn), 1, 12).Draw(t, "matches") {
+		for _, m := range rapid.SliceOfN(rapid.Custom(drawMatch), 1, 12).Draw(t, "matches") {
 			if !slices.ContainsFunc(all, m.Overlaps) {
 				all = append(all, m)
 			}
 		}
-		host := rapid.SampledFrom([]string{"", "a.b", "c.b", "c.a.b", "z"}).Draw(t, "to")
-		path := rapid.SampledFrom([]string{"/", "/x", "/x/", "/x/y", "/x/y/z", "/q"}).Draw(t, "at")
-		method := rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "by")
-		values := rapid.SampledFrom([]map[string]string{{}, {"A": "1"}, {"A": "2", "B": "1"}, {"A": "1", "B": "1"}}).Draw(t, "with")
+		host := rapid.SampledFrom([]string{"", "a.b", "c.b", "c.a.b", "z"}).Draw(t, "request host")
+		path := rapid.SampledFrom([]string{"/", "/x", "/x/", "/x/y", "/x/y/z", "/q"}).Draw(t, "request path")
+		method := rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "request method")
+		values := rapid.SampledFrom([]map[string]string{{}, {"A": "1"}, {"A": "2", "B": "1"}, {"A": "1", "B": "1"}}).Draw(t, "request headers")
 		header := func(name string) string { return values[name] }
 		want := -1
 		for n, m := range all {
-			if fits(m, host, path, method, header) && (want < 0 || beats(m, all[want])) {
+			if matches(m, host, path, method, header) && (want < 0 || isMoreSpecific(m, all[want])) {
 				want = n
 			}
 		}
 		for n, m := range all {
-			if n != want && fits(m, host, path, method, header) && !beats(all[want], m) {
+			if n != want && matches(m, host, path, method, header) && !isMoreSpecific(all[want], m) {
 				t.Fatalf("%+v and %+v tie, and neither overlaps", all[want], m)
 			}
 		}
@@ -131,7 +133,7 @@
 	})
 }
 
-func TestBadMatchesAreRefused(t *testing.T) {
+func TestMatchCheck(t *testing.T) {
 	for _, m := range []Match{{Host: "A.example"}, {Host: "*"}, {Host: "*."}, {Host: "a.*.b"}, {Host: "a:80"}, {Path: "a"}, {Path: "/a*"},
 		{Path: "/*/b"}, {Path: "/a/../b"}, {Path: "/a//b"}, {Path: "/%61"}} {
 		if m.Check() == nil {
@@ -145,12 +147,16 @@
 	}
 }
 
-// ambiguous are paths that some server reads as another than we would.
-var ambiguous = []string{"", "x", "*", "/a/../b", "/a/./b", "/..", "/a/%2e%2e/b", "/a/.%2E/b", "/a/%252e%252e/b", "/a/..;x=1/b", "/a/..%2fb", "/a/..%5cb",
-	"/a/..\\b", "/a/%00b", "/a%0d%0ab", "/a/%zz", "/a/%2", "/a b"}
+// ambiguousPaths are paths that some server reads differently.
+var ambiguousPaths = []string{
+	"", "x", "*", "/a b",
+	"/a/../b", "/a/./b", "/..", "/a/..;x=1/b", "/a/..\\b",
+	"/a/%2e%2e/b", "/a/.%2E/b", "/a/%252e%252e/b", "/a/..%2fb", "/a/..%5cb",
+	"/a/%00b", "/a%0d%0ab", "/a/%zz", "/a/%2",
+}
 
-func TestPathsOfTwoMeaningsAreRefused(t *testing.T) {
-	for _, path := range append(ambiguous, "//a", "/a//b", "/a%2Fb", "/a%5Cb", "/a\\b", "/%61", "/a%2Db", "/a/%7E") {
+func TestAmbiguousPathsAreRejected(t *testing.T) {
+	for _, path := range append(ambiguousPaths, "//a", "/a//b", "/a%2Fb", "/a%5Cb", "/a\\b", "/%61", "/a%2Db", "/a/%7E") {
 		if Check(path) == nil {
 			t.Errorf("%q passes", path)
 		}
@@ -160,7 +166,7 @@
 			t.Errorf("%q: %v", path, err)
 		}
 	}
-	for _, path := range append(ambiguous, "/form%2Dlookup/x", "/form;x/y", "/form\\..\\x") {
+	for _, path := range append(ambiguousPaths, "/form%2Dlookup/x", "/form;x/y", "/form\\..\\x") {
 		if first, err := FirstSegment(path); err == nil {
 			t.Errorf("%q passes as %q", path, first)
 		}
@@ -172,9 +178,10 @@
 	}
 }
 
-// What passes is read the same by those who decode, by those who take dot segments away, and by those who do neither.
+// A path that passes is read in the same way by servers that decode it, by those that remove dot
+// segments, and by those that do neither.
 func FuzzCheck(f *testing.F) {
-	for _, path := range append(ambiguous, "/a/b", "/a;b/%20") {
+	for _, path := range append(ambiguousPaths, "/a/b", "/a;b/%20") {
 		f.Add(path)
 	}
 	f.Fuzz(func(t *testing.T, path string) {
