--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,5 +1,6 @@
-// Package ratelimit decides how much of a route's traffic is let in: so many requests a second and so many at once, for all and
-// for each tenant. It has no clock and no goroutine: instants are passed in, by any one clock.
+// Package ratelimit decides how much of a route's traffic is admitted: so many requests a second
+// and so many at once, for the route and for each of its tenants. It has no clock and no goroutine:
+// the caller passes instants, all from one clock.
 package ratelimit
 
 import (
@@ -9,169 +10,149 @@
 	"golang.org/x/time/rate"
 )
 
-// Rate is requests a second, and how many may come at once. Zero: no limit.
+// Rate is a number of requests a second, and how many of them may arrive at once. Zero: no limit.
 type Rate struct {
 	PerSecond float64
 	Burst     int // 0: a second's worth, and at least 1
 }
 
-// Limits are what a route's traffic is held to. Zero: no limit.
+// Limits are the limits of a route's traffic. Zero: no limit.
 type Limits struct {
 	Rate              Rate
 	Concurrency       int
 	TenantRate        Rate
 	TenantConcurrency int
-	Tenants           int // that are told apart at once; those beyond share one place. 0: DefaultTenants
+	Tenants           int // tracked separately; those beyond share one quota. 0: DefaultTenants
 }
 
-// DefaultTenants is how many tenants are told apart where the rules do not say.
+// hasTenantLimits reports whether tenants have limits of their own.
+func (l Limits) hasTenantLimits() bool {
+	return l.TenantRate.PerSecond > 0 || l.TenantConcurrency > 0
+}
+
+// DefaultTenants is how many tenants are tracked where the limits do not say.
 const DefaultTenants = 10000
 
-// Limit says which limit turned a request away.
+// Limit is the limit for which a request was rejected.
 type Limit string
 
 // The limits.
 const (
-	None              Limit = ""
+	None              Limit = "" // the request was admitted
 	RouteRate         Limit = "route rate"
 	RouteConcurrency  Limit = "route concurrency"
 	TenantRate        Limit = "tenant rate"
 	TenantConcurrency Limit = "tenant concurrency"
 )
 
-// Limiter holds the traffic of one route to its rules. It is not safe for concurrent use.
+// Limiter limits the traffic of one route. It is not safe for concurrent use.
 type Limiter struct {
-	rules   Limits
-	all     party
-	others  party // of tenants for whom there is no place
-	tenants map[string]*list.Element
-	used    *list.List // of *party: the one used last at the front
+	limits    Limits
+	route     flow
+	untracked flow // of all tenants beyond Limits.Tenants
+	tenants   map[string]*list.Element
+	recent    *list.List // of *flow: the tenants, the most recently used first
 }
 
-// party is one whose traffic is counted.
-type party struct {
-	name   string
-	bucket *rate.Limiter
-	out    int
-}
+// Permit is the admission of one request. It must be passed to Release when the request ends.
+type Permit struct{ tenant *flow }
 
-// Permit is what a request that was let in must bring back at its end.
-type Permit struct{ tenant *party }
-
-// New returns a limiter at rest.
-func New(r Limits) *Limiter {
-	l := &Limiter{tenants: map[string]*list.Element{}, used: list.New()}
-	l.Configure(time.Time{}, r)
+// New returns a limiter that has admitted nothing yet.
+func New(limits Limits) *Limiter {
+	l := &Limiter{tenants: map[string]*list.Element{}, recent: list.New()}
+	l.Configure(time.Time{}, limits)
 	return l
 }
 
-// Configure changes the rules. What is under way goes on counting, and what was saved up stays, within the new limits.
-func (l *Limiter) Configure(now time.Time, r Limits) {
-	if r.Tenants == 0 {
-		r.Tenants = DefaultTenants
-	}
-	l.rules = r
-	l.all.limit(now, r.Rate)
-	l.others.limit(now, r.TenantRate)
-	for e := l.used.Front(); e != nil; e = e.Next() {
-		e.Value.(*party).limit(now, r.TenantRate)
-	}
-}
-
-// limit sets a party's rate.
-func (p *party) limit(now time.Time, r Rate) {
-	limit, burst := rate.Limit(r.PerSecond), r.Burst
-	if r.PerSecond <= 0 {
-		p.bucket = nil
-		return
-	}
-	if burst <= 0 {
-		burst = max(int(r.PerSecond), 1)
+// Configure changes the limits. Requests in flight still count, and unused tokens are kept as far
+// as the new burst allows.
+func (l *Limiter) Configure(now time.Time, limits Limits) {
+	if limits.Tenants == 0 {
+		limits.Tenants = DefaultTenants
 	}
-	if p.bucket == nil {
-		p.bucket = rate.NewLimiter(limit, burst)
-		return
+	l.limits = limits
+	l.route.setRate(now, limits.Rate)
+	l.untracked.setRate(now, limits.TenantRate)
+	for e := l.recent.Front(); e != nil; e = e.Next() {
+		e.Value.(*flow).setRate(now, limits.TenantRate)
 	}
-	p.bucket.SetLimitAt(now, limit)
-	p.bucket.SetBurstAt(now, burst)
 }
 
-// Acquire lets a request in, or says which limit is reached and when trying again makes sense. What is turned away costs
-// nothing of any limit. A request without a tenant counts for the route alone.
+// Acquire admits a request, or returns the limit that it exceeds and, for a rate, the time after
+// which a retry makes sense. A rejected request uses up no limit. A request without a tenant counts
+// for the route alone.
 func (l *Limiter) Acquire(now time.Time, tenant string) (Permit, Limit, time.Duration) {
-	var t *party
-	if tenant != "" && (l.rules.TenantRate.PerSecond > 0 || l.rules.TenantConcurrency > 0) {
-		t = l.tenant(now, tenant)
+	var t *flow
+	if tenant != "" && l.limits.hasTenantLimits() {
+		t = l.tenantFlow(now, tenant)
 	}
-	switch {
-	case t != nil && l.rules.TenantConcurrency > 0 && t.out >= l.rules.TenantConcurrency:
+	if t != nil && t.isFull(l.limits.TenantConcurrency) {
 		return Permit{}, TenantConcurrency, 0
-	case l.rules.Concurrency > 0 && l.all.out >= l.rules.Concurrency:
-		return Permit{}, RouteConcurrency, 0
 	}
-	var paid *rate.Reservation
-	if t != nil {
-		var wait time.Duration
-		if paid, wait = t.pay(now); wait > 0 {
-			return Permit{}, TenantRate, wait
-		}
+	if l.route.isFull(l.limits.Concurrency) {
+		return Permit{}, RouteConcurrency, 0
 	}
-	if _, wait := l.all.pay(now); wait > 0 {
-		if paid != nil {
-			paid.CancelAt(now)
-		}
-		return Permit{}, RouteRate, wait
+	if exceeded, retryAfter := l.takeTokens(now, t); exceeded != None {
+		return Permit{}, exceeded, retryAfter
 	}
-	l.all.out++
+	l.route.inFlight++
 	if t != nil {
-		t.out++
+		t.inFlight++
 	}
 	return Permit{t}, None, 0
 }
 
-// pay takes a token, or says how long until there is one.
-func (p *party) pay(now time.Time) (*rate.Reservation, time.Duration) {
-	if p.bucket == nil {
-		return nil, 0
+// takeTokens takes a token of the tenant, unless nil, and of the route. If one of them has none, it
+// takes neither, and returns the rate that is exceeded and the time until there is a token.
+func (l *Limiter) takeTokens(now time.Time, tenant *flow) (exceeded Limit, wait time.Duration) {
+	var tenantToken *rate.Reservation
+	if tenant != nil {
+		if tenantToken, wait = tenant.takeToken(now); wait > 0 {
+			return TenantRate, wait
+		}
 	}
-	r := p.bucket.ReserveN(now, 1)
-	if wait := r.DelayFrom(now); wait > 0 {
-		r.CancelAt(now)
-		return nil, wait
+	if _, wait = l.route.takeToken(now); wait > 0 {
+		if tenantToken != nil {
+			tenantToken.CancelAt(now)
+		}
+		return RouteRate, wait
 	}
-	return r, 0
+	return None, 0
 }
 
-// Release reports the end of a request that was let in.
+// Release ends a request that was admitted.
 func (l *Limiter) Release(p Permit) {
-	l.all.out--
+	l.route.inFlight--
 	if p.tenant != nil {
-		p.tenant.out--
+		p.tenant.inFlight--
 	}
 }
 
-// tenant finds a tenant's place, or makes one. Where there is no more, the tenant that came longest ago gives way if
-// forgetting it changes nothing: nothing of it is under way, and all that it may save up is there. Else the newcomer shares
-// a place with all others who found none: names made up by the thousand get little, and cost no memory.
-func (l *Limiter) tenant(now time.Time, name string) *party {
-	if e := l.tenants[name]; e != nil {
-		l.used.MoveToFront(e)
-		return e.Value.(*party)
+// Usage returns how many requests are in flight, and how many tenants are tracked.
+func (l *Limiter) Usage() (inFlight, tenants int) { return l.route.inFlight, l.recent.Len() }
+
+// tenantFlow returns the flow of a tenant, and tracks the tenant from now on.
+//
+// If too many are tracked, the least recently used one is dropped, provided that this changes
+// nothing for it: it has no request in flight and all its tokens. Otherwise the new tenant shares a
+// flow with all others that are not tracked. So tenant names made up by the thousand are admitted
+// little, and cost no memory.
+func (l *Limiter) tenantFlow(now time.Time, tenant string) *flow {
+	if e := l.tenants[tenant]; e != nil {
+		l.recent.MoveToFront(e)
+		return e.Value.(*flow)
 	}
-	for l.used.Len() >= l.rules.Tenants {
-		last := l.used.Back()
-		p := last.Value.(*party)
-		if p.out > 0 || p.bucket != nil && p.bucket.TokensAt(now) < float64(p.bucket.Burst()) {
-			return &l.others
+	for l.recent.Len() >= l.limits.Tenants {
+		oldest := l.recent.Back()
+		f := oldest.Value.(*flow)
+		if !f.isUnused(now) {
+			return &l.untracked
 		}
-		l.used.Remove(last)
-		delete(l.tenants, p.name)
+		l.recent.Remove(oldest)
+		delete(l.tenants, f.tenant)
 	}
-	p := &party{name: name}
-	p.limit(now, l.rules.TenantRate)
-	l.tenants[name] = l.used.PushFront(p)
-	return p
+	f := &flow{tenant: tenant}
+	f.setRate(now, l.limits.TenantRate)
+	l.tenants[tenant] = l.recent.PushFront(f)
+	return f
 }
-
-// Usage tells how many requests are under way, and how many tenants have places.
-func (l *Limiter) Usage() (out, tenants int) { return l.all.out, l.used.Len() }
