--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -4,8 +4,8 @@
 // follow. Each decision has a file of its own beside this one; docs/design.md has the sources of
 // the policy.
 //
-// A weight is a latency ratio: latency over the baseline latency of calls like it. A deficit is
-// what an endpoint has been charged for its turns.
+// A weight is a latency ratio: latency over the baseline latency of requests like it. A deficit is
+// what an endpoint has been charged for the requests that it got.
 
 import (
 	"math/rand/v2"
@@ -113,7 +113,7 @@
 	b.enqueue(now, req)
 }
 
-// send starts an attempt of a request at an endpoint and charges the endpoint for its turn.
+// send starts an attempt of a request at an endpoint and charges the endpoint for it.
 func (b *Balancer) send(now time.Duration, req *request, e *endpoint) {
 	if b.capacityShare(now, e) < 1 {
 		e.nextSendAt = now + b.slowStartInterval(now, e, 1)
@@ -121,7 +121,7 @@
 	}
 	straggling := b.stragglingDelay(req, e)
 	if e.active {
-		b.chargeTurn(req, e)
+		b.chargeDeficit(req, e)
 	}
 	a := attempt{endpoint: e, sentAt: now, inFlight: true, trial: !e.active, stragglingAt: now + straggling}
 	if req.Streamed {
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -14,7 +14,7 @@
 	minSampleMemory      = time.Second            // memory of the weight at least, however many samples come
 	factor               = 2.0                    // active within this multiple of the smallest weight
 	utilizedFactorScale  = 2.0                    // times that, at high utilization
-	backoffMin           = 500 * time.Millisecond // until the first trial of an ejected endpoint, at least
+	backoffMin           = 500 * time.Millisecond // b_min: least time to the first trial after an ejection
 	maxBackoffMultiple   = 8                      // longest backoff, in first backoffs
 	ownFailureOdds       = 10.0                   // times as likely that it fails alone as that all do
 	ownFailureErrorShare = 0.3                    // share that an endpoint fails then, at least,
@@ -149,8 +149,8 @@
 }
 
 // isTooSlow reports whether an endpoint is beyond the factor. At high utilization twice the factor
-// is tolerated: fewer endpoints would be overloaded, slow in their turn, and ejected one after the
-// other.
+// is tolerated: fewer endpoints would be overloaded, slow down as well, and be ejected one after
+// the other.
 func (b *Balancer) isTooSlow(e *endpoint) bool {
 	most := factor
 	if b.isHighlyUtilized() {
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -23,7 +23,7 @@
 
 	active         bool
 	inactiveReason InactiveReason
-	deficit        float64       // charged turns
+	deficit        float64       // charges for the requests that it got
 	backoff        time.Duration // wait between trials
 	nextTrialAt    time.Duration // while not active
 	trialInFlight  bool          // its single trial is in flight
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -181,8 +181,8 @@
 	return failed && now < e.nextTrialAt+riskyTrialBackoffs*e.backoff
 }
 
-// chargeTurn adds the expected cost of a request to an active endpoint's deficit.
-func (b *Balancer) chargeTurn(req *request, e *endpoint) {
+// chargeDeficit adds the expected cost of a request to an active endpoint's deficit.
+func (b *Balancer) chargeDeficit(req *request, e *endpoint) {
 	weight, before := e.weight(), e.deficit
 	charge := weight
 	if b.settings.TiersBelow > 0 { // the time of the tiers below must not make slow machines look fast
@@ -190,7 +190,7 @@
 	}
 	e.deficit += charge * b.expectedLatency(req) / b.typicalLatency()
 	b.updateHeaps(e)
-	// An endpoint passed over for its load must not get all of its turns back at once.
+	// An endpoint passed over for its load must not catch up on all requests at once.
 	floor := before - b.zeroDeficit(e) + b.deficitBase - maxDeficitLag*weight
 	heap := &b.activeHeap
 	for len(heap.endpoints) > 0 && heap.endpoints[0].deficit < floor {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -18,17 +18,18 @@
 	goldenRatio           = 0.6180339887
 )
 
-// introduceEndpoint puts a new or restarted endpoint outside the active set, its trial at a moment
-// of this instance's turn. All instances see it at once, and at random alone some would meet: their
-// indexes spread them as the golden ratio spreads a range. An instance that does not know its index
-// (-1) draws from the whole turn. Endpoints of the first list that are warm are active.
+// introduceEndpoint puts a new or restarted endpoint outside the active set, its trial at an offset
+// within this instance's send interval. All instances see it at once, and with random offsets alone
+// some would meet: their indexes spread them as the golden ratio spreads a range. An instance that
+// does not know its index (-1) draws from the whole interval. Endpoints of the first list that are
+// warm are active.
 func (b *Balancer) introduceEndpoint(now time.Duration, e *endpoint, first bool) {
 	e.active, e.inactiveReason = first && b.capacityShare(now, e) == 1, InactiveNew
 	e.backoff = b.initialBackoff(now)
 	spread := float64(max(b.settings.Instances*min(b.settings.Index+1, 1), 1))
-	turn := math.Mod(float64(max(b.settings.Index, 0))*goldenRatio+b.rng.Float64()/spread, 1)
-	wait := seconds(turn * b.sendInterval(now).Seconds())
-	e.nextTrialAt = now + max(wait, b.slowStartInterval(now, e, turn))
+	offset := math.Mod(float64(max(b.settings.Index, 0))*goldenRatio+b.rng.Float64()/spread, 1)
+	wait := seconds(offset * b.sendInterval(now).Seconds())
+	e.nextTrialAt = now + max(wait, b.slowStartInterval(now, e, offset))
 	e.sampleSum, e.sampleCount, e.slowStartSpeedUp = 0, 0, 1
 	e.deficit = b.zeroDeficit(e) + b.rng.Float64()
 	if b.capacityShare(now, e) < 1 { // also where it is the only one: all instances have waited for it
@@ -60,13 +61,13 @@
 }
 
 // slowStartInterval returns the time until a warming endpoint's part of this instance's traffic,
-// little more than its share, comes to so many turns; between two sends, trials included, to one.
-// It guards against all instances together overloading the endpoint. The part is the area under the
+// little more than its share, comes to so many sends: one between two sends, trials included. It
+// guards against all instances together overloading the endpoint. The part is the area under the
 // capacity: by the capacity at the last send alone, quiet instances would leave the endpoint at
 // what it could do when it started.
-func (b *Balancer) slowStartInterval(now time.Duration, e *endpoint, turns float64) time.Duration {
+func (b *Balancer) slowStartInterval(now time.Duration, e *endpoint, sends float64) time.Duration {
 	share := cmp.Or(b.settings.SlowStartShare, defaultSlowStartShare)
-	due := turns * b.sendInterval(now).Seconds() / (share * max(e.slowStartSpeedUp, 1))
+	due := sends * b.sendInterval(now).Seconds() / (share * max(e.slowStartSpeedUp, 1))
 	capacity := b.capacityShare(now, e)
 	if capacity == 1 {
 		return seconds(due)
