--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -1,7 +1,6 @@
 package balancer_test
 
 import (
-	"maps"
 	"slices"
 	"strconv"
 	"strings"
@@ -92,12 +91,7 @@
 					due[id] = h.now + latency
 				}
 				h.advance(100 * ms)
-				for _, id := range slices.Sorted(maps.Keys(due)) {
-					if h.now >= due[id] {
-						h.finish(id, balancer.OK)
-						delete(due, id)
-					}
-				}
+				h.finishDue(due)
 			}
 		}
 		play(time.Second, 100)
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -79,7 +79,7 @@
 // the last byte on is.
 func TestLatencyBeginsWithTheLastByteWritten(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
-	h.serve(40, map[string]time.Duration{"a": 10 * ms, "b": 10 * ms})
+	h.serve(40, evenLatency(10*ms, "a", "b"))
 	weigh := func() (most float64) {
 		for _, s := range h.b.EndpointStatuses(h.now) {
 			most = max(most, s.Weight)
--- a/balancer/class_test.go
+++ b/balancer/class_test.go
@@ -89,7 +89,7 @@
 	h := newHarnessWithClass(t, func(*balancer.Class) {})
 	h.serve(60, map[string]time.Duration{"a": 60 * ms, "b": 10 * ms, "c": 10 * ms})
 	h.b.Configure(h.now, testSettings())
-	if share := h.serve(12, map[string]time.Duration{"a": ms, "b": ms, "c": ms}); share["a"] > 1 { // a trial may be due
+	if share := h.serve(12, evenLatency(ms, "a", "b", "c")); share["a"] > 1 { // a trial may be due
 		t.Errorf("of 12 calls right after, the slow endpoint gets %d", share["a"])
 	}
 	before, _ := h.request("read")
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -26,12 +24,7 @@
 				}
 			}
 			h.advance(10 * ms)
-			for _, id := range slices.Sorted(maps.Keys(due)) {
-				if h.now >= due[id] {
-					h.finish(id, balancer.OK)
-					delete(due, id)
-				}
-			}
+			h.finishDue(due)
 			out = max(out, len(due))
 		}
 		return out
@@ -92,12 +85,7 @@
 	due := map[string]time.Duration{}
 	seen, n, begun := 0, 0, h.now
 	for ; h.now < begun+6*time.Second; h.advance(ms) {
-		for _, id := range slices.Sorted(maps.Keys(due)) {
-			if h.now >= due[id] {
-				delete(due, id)
-				h.finish(id, balancer.OK)
-			}
-		}
+		h.finishDue(due)
 		for asked := 0; len(due)+asked < 22; asked++ {
 			if _, ep := h.request("read"); ep == "" && h.now > begun+3*time.Second {
 				t.Fatalf("no capacity for request %d after %v", h.requestCount, h.now-begun)
@@ -115,8 +103,8 @@
 // A lower tier that slows down must not leave a quiet instance with hardly any limit.
 func TestFewSlowResponsesDoNotShrinkTheConcurrencyLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
-	h.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
-	h.serve(60, map[string]time.Duration{"a": 300 * ms, "b": 300 * ms})
+	h.serve(60, evenLatency(50*ms, "a", "b"))
+	h.serve(60, evenLatency(300*ms, "a", "b"))
 	for range 9 {
 		if _, ep := h.request("read"); ep == "" {
 			t.Fatal("a request found no capacity beside fewer than nine")
@@ -127,15 +115,10 @@
 // Incident i2b2df6: the limit still grew while latencies were one and a half times the baseline.
 func TestConcurrencyLimitStopsGrowingWhileResponsesSlowDown(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(200*ms), "a", "b")
-	h.serve(60, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms})
+	h.serve(60, evenLatency(50*ms, "a", "b"))
 	due, most, seen := map[string]time.Duration{}, 0, len(h.actions)
 	for begun := h.now; h.now < begun+4*time.Second; h.advance(ms) {
-		for _, id := range slices.Sorted(maps.Keys(due)) {
-			if h.now >= due[id] {
-				delete(due, id)
-				h.finish(id, balancer.OK)
-			}
-		}
+		h.finishDue(due)
 		h.request("read")
 		for ; seen < len(h.actions); seen++ {
 			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
@@ -155,7 +138,7 @@
 func TestOrdinaryLoadIsNoCongestion(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
 	calm := 100 * ms
-	h.serve(100, map[string]time.Duration{"a": calm, "b": calm, "c": calm, "d": calm})
+	h.serve(100, evenLatency(calm, "a", "b", "c", "d"))
 	for range 30 {
 		var out []string
 		for range 20 { // of a limit of 24
@@ -270,7 +253,7 @@
 // of the other requests were rejected with endpoints idle.
 func TestSlowClientsDoNotUseTheConcurrencyLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
-	h.serve(40, map[string]time.Duration{"a": 10 * ms, "b": 10 * ms})
+	h.serve(40, evenLatency(10*ms, "a", "b"))
 	for range 50 { // responses that are being read
 		id, _ := h.request("read")
 		if len(h.sentTo[id]) == 0 {
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -11,7 +11,7 @@
 
 func TestSlowEndpointIsEjectedAndRecovers(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
-	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms}
+	latency := evenLatency(50*ms, "a", "b", "c", "d")
 	h.serve(100, latency)
 	latency["d"] = 400 * ms
 	h.serve(60, latency)
@@ -28,7 +28,7 @@
 // A hung endpoint must not keep its turns for a whole timeout.
 func TestHungEndpointIsEjectedWithinAFewLatencies(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "hung")
-	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
+	latency := evenLatency(50*ms, "a", "b", "c", "hung")
 	h.serve(100, latency)
 	caught, start := 0, h.now
 	for range 200 {
@@ -48,7 +48,7 @@
 
 func TestFailedConnectEjectsUntilATrial(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "down")
-	h.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "down": 50 * ms})
+	h.serve(100, evenLatency(50*ms, "a", "b", "c", "down"))
 	tries, start := []time.Duration{}, h.now
 	for h.now < start+20*time.Second {
 		id, ep := h.request("read")
@@ -100,7 +100,7 @@
 	s := testSettings()
 	s.TiersBelow, s.MaxAttempts = 1, 1
 	h := newHarness(t, s, "a", "b", "c", "d")
-	h.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	h.serve(100, evenLatency(50*ms, "a", "b", "c", "d"))
 	share := map[string]int{}
 	for range 80 { // every call ends in an error
 		id, ep := h.request("read")
@@ -146,7 +146,7 @@
 // weight to grow.
 func TestUnresponsiveEndpointIsEjectedAtItsFirstStraggler(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(600*ms), "a", "b", "c", "d")
-	h.serve(200, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	h.serve(200, evenLatency(50*ms, "a", "b", "c", "d"))
 	for ep := ""; ep != "d"; {
 		var id string
 		if id, ep = h.request("bill"); ep != "d" {
@@ -155,7 +155,7 @@
 		}
 	}
 	h.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within twice the smallest
-	if share := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); share["d"] > 0 {
+	if share := h.serve(6, evenLatency(50*ms, "a", "b", "c")); share["d"] > 0 {
 		t.Error("an unresponsive endpoint got a turn")
 	}
 }
@@ -163,7 +163,7 @@
 // A canceled attempt says nothing of its endpoint, good or bad.
 func TestCanceledAttemptIsNoSample(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
-	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
+	latency := evenLatency(50*ms, "a", "b")
 	h.serve(100, latency)
 	off := 0
 	for range 40 { // requests to b alone are canceled, early
@@ -192,7 +192,7 @@
 	s := testSettings()
 	s.TiersBelow = 1
 	h := newHarness(t, s, "a", "b", "c", "d")
-	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "d": 20 * ms}
+	latency := evenLatency(20*ms, "a", "b", "c", "d")
 	h.serve(200, latency)
 	failed := 0
 	for i := range 100 {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -24,7 +24,7 @@
 		"a failed ask": {{Failed: true}},
 	} {
 		h := newHarness(t, testSettings(), "a", "b")
-		h.serve(20, map[string]time.Duration{"a": 10 * ms, "b": 10 * ms})
+		h.serve(20, evenLatency(10*ms, "a", "b"))
 		h.b.Disable(h.now, "a")
 		h.b.Disable(h.now, "a") // a repeat changes nothing
 		for _, l := range told {
@@ -64,7 +64,7 @@
 	s := testSettings()
 	s.Instances = 8
 	h := newHarness(t, s, "a", "b", "c", "d")
-	quiet := map[string]time.Duration{"a": 10 * ms, "b": 10 * ms, "c": 10 * ms, "d": 10 * ms}
+	quiet := evenLatency(10*ms, "a", "b", "c", "d")
 	for range 30 {
 		h.serve(1, quiet)
 		h.advance(2 * time.Second)
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -148,6 +148,16 @@
 		Final:   result == balancer.OK})
 }
 
+// finishDue ends the requests whose instant has come with success, in order of their IDs.
+func (h *harness) finishDue(due map[string]time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(due)) {
+		if h.now >= due[id] {
+			delete(due, id)
+			h.finish(id, balancer.OK)
+		}
+	}
+}
+
 // finishAll reports the outcomes of all attempts of a request, the latest with success.
 func (h *harness) finishAll(id string) {
 	for n, ep := range h.sentTo[id] {
@@ -181,6 +191,15 @@
 	return out
 }
 
+// evenLatency returns one latency for all the endpoints, for serve.
+func evenLatency(latency time.Duration, endpoints ...string) map[string]time.Duration {
+	latencies := map[string]time.Duration{}
+	for _, ep := range endpoints {
+		latencies[ep] = latency
+	}
+	return latencies
+}
+
 // serve makes requests one after another, each endpoint with a latency of its own, and returns
 // how many went to each.
 func (h *harness) serve(calls int, latency map[string]time.Duration) map[string]int {
@@ -204,12 +223,7 @@
 			h.request("read")
 		}
 		h.advance(ms)
-		for _, id := range slices.Sorted(maps.Keys(due)) {
-			if h.now >= due[id] {
-				delete(due, id)
-				h.finish(id, balancer.OK)
-			}
-		}
+		h.finishDue(due)
 		for ; seen < len(h.actions); seen++ {
 			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
 				due[f[1]] = h.now + latency(f[2])
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -10,7 +10,7 @@
 func TestResetIsRetriedOnlyIfIdempotent(t *testing.T) {
 	for class, want := range map[string]int{"read": 2, "bill": 1} {
 		h := newHarness(t, testSettings(), "a", "b", "c")
-		h.serve(50, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms})
+		h.serve(50, evenLatency(50*ms, "a", "b", "c"))
 		id, _ := h.request(class)
 		h.advance(time.Second)
 		h.finish(id, balancer.Reset)
@@ -23,7 +23,7 @@
 // Retries of three tiers and of clients multiply: each balancer may add a tenth.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
-	h.serve(50, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	h.serve(50, evenLatency(50*ms, "a", "b", "c", "d"))
 	before, asked := h.countActions("send"), 200
 	for range asked {
 		id, ep := h.request("read")
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -20,7 +20,7 @@
 
 func TestEqualEndpointsGetEqualTurns(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
-	share := h.serve(400, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
+	share := h.serve(400, evenLatency(50*ms, "a", "b", "c", "d"))
 	for ep, n := range share {
 		if n < 90 || n > 110 {
 			t.Errorf("%s got %d of 400 turns", ep, n)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -61,7 +61,7 @@
 // come.
 func TestSlowStartPacesSends(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c")
-	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
+	latency := evenLatency(20*ms, "a", "b", "c", "new")
 	h.serve(300, latency)
 	h.b.EndpointList(h.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new", Started: h.now}}})
 	share := h.serve(150, latency)
@@ -75,7 +75,7 @@
 func callsAfterResets(t *testing.T, resets int) int {
 	t.Helper()
 	h := newHarness(t, testSettings(), "a", "b", "c")
-	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms}
+	latency := evenLatency(20*ms, "a", "b", "c")
 	h.serve(300, latency)
 	for resets > 0 {
 		id, ep := h.request("bill")
@@ -141,7 +141,7 @@
 // there were no warm ones. Their load is what it would get.
 func TestSlowStartDoesNotSpeedUpForEjectedEndpoints(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c")
-	h.serve(300, map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms})
+	h.serve(300, evenLatency(20*ms, "a", "b", "c"))
 	h.b.EndpointList(h.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new", Started: h.now}}})
 	latency := map[string]time.Duration{"a": 400 * ms, "b": 400 * ms, "c": 400 * ms, "new": 5 * ms}
 	sent := map[string]int{}
