--- /dev/null
+++ b/internal/compatibility/daemon_test.go
@@ -0,0 +1,249 @@
+package compatibility
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"rowancart/internal/daemon"
+	"rowancart/internal/proxy"
+	"rowancart/internal/snapshot"
+	"rowancart/internal/testpeer"
+)
+
+const (
+	daemonStatePath  = "testdata/daemon/state"
+	daemonConfigPath = "testdata/daemon/rowancart.hcl"
+	daemonPool       = "forms"
+	daemonInstance   = "one" // the instance's name in that configuration
+	storedOwner      = "host-1/" + daemonInstance
+)
+
+// daemonState is the form of the daemon's file, whose type is not exported. Its own names, Owner
+// and Pools among them, are checked by the daemon itself below.
+type daemonState struct {
+	Owner string
+	Pools map[string]struct {
+		Memory proxy.Snapshot
+		Roster []proxy.Endpoint
+	}
+}
+
+func TestDaemonStateIsReadAsStored(t *testing.T) {
+	var got daemonState
+	content := readSnapshot(t, daemonStatePath, &got)
+	stored := decode(t, content)
+	pool := got.Pools[daemonPool]
+	checkLearned(t, pool.Memory.Learned, object(t, stored, "Pools", daemonPool, "Memory", "Learned"), 0)
+	checkEndpoints(t, pool.Memory.Endpoints, object(t, stored, "Pools", daemonPool, "Memory"), "Members")
+	checkEndpoints(t, pool.Roster, object(t, stored, "Pools", daemonPool), "Roster")
+	checkEncodedAsStored(t, got, content)
+}
+
+// logBuffer collects log lines that several goroutines write.
+type logBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (b *logBuffer) Write(line []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(line)
+}
+
+func (b *logBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
+}
+
+// startDaemon runs a daemon with the stored configuration, but a listener and a state file of the
+// test's own, and with the endpoint list that is given in place of the stored one unless it is
+// empty. stop ends it in order.
+func startDaemon(t *testing.T, statePath, endpointList string) (d *daemon.Daemon, log *logBuffer, stop func()) {
+	t.Helper()
+	stored, err := os.ReadFile(daemonConfigPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := string(stored)
+	replace := func(from, to string) {
+		if strings.Count(text, from) != 1 {
+			t.Fatalf("%q is not once in the stored configuration", from)
+		}
+		text = strings.Replace(text, from, to, 1)
+	}
+	between := func(start, end string) string {
+		_, rest, _ := strings.Cut(text, start)
+		part, _, _ := strings.Cut(rest, end)
+		return start + part + end
+	}
+	replace(between("address = ", "\n}"), "address = \"127.0.0.1:0\"\n}")
+	replace(`path = "state"`, fmt.Sprintf("path = %q", statePath))
+	if endpointList != "" {
+		replace(between(`roster "static"`, "\n  }\n}"), endpointList+"\n}")
+	}
+	config := filepath.Join(t.TempDir(), "rowancart.hcl")
+	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	log = &logBuffer{}
+	d, err = daemon.New(daemon.Options{ConfigPath: config, LookupEnv: os.LookupEnv,
+		Log: slog.New(slog.NewTextHandler(log, nil))})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- d.Run(ctx, nil) }()
+	stop = sync.OnceFunc(func() {
+		cancel()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	t.Cleanup(stop)
+	return d, log, stop
+}
+
+// storeState writes a state file of this moment with the stored pools, byte by byte, and an owner.
+// The stored file itself would be refused for its age and its owner, as the test below shows.
+func storeState(t *testing.T, owner string) (path string, pools []byte) {
+	t.Helper()
+	var content map[string]json.RawMessage
+	readSnapshot(t, daemonStatePath, &content)
+	name, err := json.Marshal(owner)
+	if err != nil {
+		t.Fatal(err)
+	}
+	pools = content["Pools"]
+	content["Owner"] = name
+	path = filepath.Join(t.TempDir(), "state")
+	if err := snapshot.Write(path, time.Now(), content); err != nil {
+		t.Fatal(err)
+	}
+	return path, pools
+}
+
+// endpointStatuses returns what the admin listener tells of the only pool's endpoints.
+func endpointStatuses(t *testing.T, d *daemon.Daemon) (statuses []map[string]any) {
+	t.Helper()
+	text, err := json.Marshal(d.Status(true))
+	if err != nil {
+		t.Fatal(err)
+	}
+	pool := object(t, decode(t, text), "pools", 0)
+	for i := range pool["endpoints"].([]any) {
+		statuses = append(statuses, object(t, pool, "endpoints", i))
+	}
+	return statuses
+}
+
+func thisOwner(t *testing.T) string {
+	t.Helper()
+	host, err := os.Hostname()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return host + "/" + daemonInstance
+}
+
+func TestDaemonRestoresStoredState(t *testing.T) {
+	restored := time.Now()
+	path, pools := storeState(t, thisOwner(t))
+	d, log, stop := startDaemon(t, path, "")
+	if !strings.Contains(log.String(), "starting with what was learned") {
+		t.Fatalf("the state is not used:\n%s", log)
+	}
+	inactive := map[any]any{}
+	for _, endpoint := range endpointStatuses(t, d) {
+		inactive[endpoint["id"]] = endpoint["out"]
+	}
+	stored := object(t, decode(t, pools), daemonPool, "Memory", "Learned")
+	for i := range stored["Endpoints"].([]any) {
+		endpoint := object(t, stored, "Endpoints", i)
+		if why := inactive[endpoint["ID"]]; (why == nil) != endpoint["Active"] {
+			t.Errorf("endpoint %v: out %v, stored is active %v", endpoint["ID"], why, endpoint["Active"])
+		}
+	}
+	if err := os.Remove(path); err != nil {
+		t.Fatal(err)
+	}
+	stop() // it writes its state once more
+
+	var written daemonState
+	if _, err := snapshot.Read(path, time.Now(), time.Minute, &written); err != nil {
+		t.Fatal(err)
+	}
+	pool := written.Pools[daemonPool]
+	checkLearned(t, pool.Memory.Learned, stored, fadedSince(restored))
+	var content any
+	if _, err := snapshot.Read(path, time.Now(), time.Minute, &content); err != nil {
+		t.Fatal(err)
+	}
+	var before any
+	readSnapshot(t, daemonStatePath, &before)
+	checkSameNames(t, "state", content, before)
+	if owner := content.(map[string]any)["Owner"]; owner != thisOwner(t) {
+		t.Errorf("owner %q", owner)
+	}
+}
+
+// A roster that cannot be read at the start stands as the stored state lists it.
+func TestDaemonBeginsWithStoredRoster(t *testing.T) {
+	path, pools := storeState(t, thisOwner(t))
+	noFile := filepath.Join(t.TempDir(), "none.json")
+	d, log, _ := startDaemon(t, path, fmt.Sprintf("roster \"file\" {\n    path = %q\n  }", noFile))
+	statuses := endpointStatuses(t, d)
+	stored := object(t, decode(t, pools), daemonPool)
+	if len(statuses) != len(stored["Roster"].([]any)) {
+		t.Fatalf("%v\n%s", statuses, log)
+	}
+	for i, endpoint := range statuses {
+		want := object(t, stored, "Roster", i)
+		if endpoint["id"] != want["ID"] || endpoint["address"] != want["Addr"] || endpoint["state"] != "ready" {
+			t.Errorf("%v, stored is %v", endpoint, want)
+		}
+	}
+}
+
+// A state that the program refused before is refused now, and for the same reason.
+func TestDaemonRefusesStateAsBefore(t *testing.T) {
+	now := time.Now()
+	written, _ := writtenAt(t, daemonStatePath)
+	refusal := "it is too old"
+	if now.Before(written) { // by a clock that is behind the one that wrote it
+		refusal = "it was written in the future"
+	}
+	stored, err := os.ReadFile(daemonStatePath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	asStored := filepath.Join(t.TempDir(), "state")
+	if err := os.WriteFile(asStored, stored, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	ofOther, _ := storeState(t, storedOwner)
+	for name, row := range map[string]struct{ path, refusal string }{
+		"as stored":           {asStored, refusal},
+		"of another instance": {ofOther, "it is " + storedOwner + "'s, and this is " + thisOwner(t)},
+	} {
+		_, log, stop := startDaemon(t, row.path, "")
+		testpeer.Until(t, "listening", func() bool { return strings.Contains(log.String(), "listening") })
+		for _, want := range []string{"starting without what was learned", row.refusal} {
+			if !strings.Contains(log.String(), want) {
+				t.Errorf("%s: %q is not logged:\n%s", name, want, log)
+			}
+		}
+		stop()
+	}
+}
