--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,17 +1,15 @@
-// Package sidecar runs the platform's sidecar: it accepts clients' requests, has the balancer choose an
-// endpoint for each, and follows the endpoint list of the platform's discovery. It carries out what the
-// balancer decides and decides nothing itself.
+// Package sidecar runs the platform's sidecar: it accepts clients' requests, has the balancer
+// choose an endpoint for each, and follows the endpoint list of the platform's discovery. It
+// carries out what the balancer decides and decides nothing itself.
 //
 // Two processes of one sidecar may run while one takes over from the other; handover.go is their
 // protocol.
 package sidecar
 
 import (
-	"context"
 	"fmt"
 	"log/slog"
 	"net"
-	"sync"
 	"time"
 
 	"rowancart/internal/admin"
@@ -23,9 +21,6 @@
 )
 
 const (
-	// spareClientConns is how many of the reserved descriptors accept clients before an idle connection
-	// is closed in their place.
-	spareClientConns = 16
 	// responseQuarantine is for how long a connection to an endpoint rests after a response. A second
 	// response may come some milliseconds late, 6 at most so far, and so may a close.
 	responseQuarantine = 20 * time.Millisecond
@@ -77,8 +72,8 @@
 	return s, nil
 }
 
-// openListeners opens the listener for clients, and that for operators where the configuration names an
-// address for them; otherwise it is nil.
+// openListeners opens the listener for clients, and that for operators where the configuration
+// names an address for them; otherwise it is nil.
 func openListeners(c Config) (clients, operators net.Listener, err error) {
 	clients, err = openClientListener(c)
 	if err != nil {
@@ -154,7 +149,8 @@
 // Addr returns the address on which clients' connections are accepted.
 func (s *Sidecar) Addr() net.Addr { return s.listener.Addr() }
 
-// Reload applies what may change in a configuration while requests are served: the address of discovery.
+// Reload applies what may change in a configuration while requests are served: the address of
+// discovery.
 func (s *Sidecar) Reload(c Config) {
 	s.discovery.SetAddress(c.Discovery)
 	s.counters.Reloads.Add(1)
@@ -162,40 +158,3 @@
 
 // RecordFailedReload counts a new configuration that could not be loaded.
 func (s *Sidecar) RecordFailedReload() { s.counters.FailedReloads.Add(1) }
-
-// Serve serves requests until ctx ends, and then until every accepted request has been answered.
-func (s *Sidecar) Serve(ctx context.Context) error {
-	work, stop := context.WithCancel(context.Background())
-	var background sync.WaitGroup
-	for _, run := range s.backgroundTasks() {
-		background.Go(func() { run(work) })
-	}
-	defer background.Wait()
-	defer stop()
-
-	if s.handover.hasPeer() { // the process that serves goes on doing so until this one can do it as well
-		s.readiness.waitForList(ctx.Done())
-	}
-	s.handover.restoreSnapshot()
-	served := make(chan error, 1)
-	go func() { served <- s.server.Serve(s.listener) }()
-	// The predecessor is notified before this process is ready: the platform sends it SIGTERM once this
-	// process reports that it is, and it must be able to find its successor then.
-	s.handover.markServing()
-	s.readiness.accepting.Store(true)
-	select {
-	case err := <-served:
-		return fmt.Errorf("serve: %w", err)
-	case <-ctx.Done():
-	}
-	return s.drain(served)
-}
-
-// backgroundTasks returns what runs beside the server. Each task returns when its context ends.
-func (s *Sidecar) backgroundTasks() []func(context.Context) {
-	tasks := []func(context.Context){s.pool.Run, s.discovery.Run, s.handover.run}
-	if s.admin != nil {
-		tasks = append(tasks, s.admin.Run)
-	}
-	return tasks
-}
