--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -25,7 +25,8 @@
 	"balancer/timers.go",
 }
 
-// TestModuleFitsItsLimits reads the deploy file as the operators do and holds the module to its size.
+// TestModuleFitsItsLimits reads the deploy file as the operators do and holds the module to its
+// size.
 func TestModuleFitsItsLimits(t *testing.T) {
 	const mostLines, mostColumns, tab = 1200, 110, 4
 	text, err := os.ReadFile("balancer.toml")
@@ -59,7 +60,8 @@
 				t.Errorf("%s:%d has %d columns", file, i+1, n)
 			}
 		}
-		if head := strings.Join(strings.Split(string(module), "\n")[:6], "\n"); file == "balancer/balancer.go" && !strings.Contains(head, "api.go") {
+		head := strings.Join(strings.Split(string(module), "\n")[:6], "\n")
+		if file == "balancer/balancer.go" && !strings.Contains(head, "api.go") {
 			t.Error("the first lines of the module do not name api.go")
 		}
 	}
@@ -67,3 +69,21 @@
 		t.Errorf("the module has %d lines, at most %d are allowed", lines, mostLines)
 	}
 }
+
+// The folders of the real sidecar that the deploy file names exist, so that a package that moves
+// can't drop out of what the operators read.
+func TestNodeNamesExistingFolders(t *testing.T) {
+	text, err := os.ReadFile("balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	node := regexp.MustCompile(`(?m)^node = \["([^]]+)"\]$`).FindSubmatch(text)
+	if node == nil {
+		t.Fatal("deploy file has no node")
+	}
+	for _, folder := range strings.Split(string(node[1]), `", "`) {
+		if info, err := os.Stat(filepath.Join("..", folder)); err != nil || !info.IsDir() {
+			t.Errorf("%s is no folder (%v)", folder, err)
+		}
+	}
+}
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// What the page of crossings names has to exist: a test that was renamed or taken out must not pass for one that guards a crossing.
-func TestThePageOfCrossingsNamesWhatThereIs(t *testing.T) {
+// What the page of crossings names has to exist: a test that was renamed or removed must not pass
+// for one that guards a crossing.
+func TestCrossingsPageNamesExistingTestsAndFiles(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("design", "crossings.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -45,3 +46,20 @@
 		}
 	}
 }
+
+// The packages and files that the architecture page names exist.
+func TestArchitecturePageNamesExistingPackages(t *testing.T) {
+	page, err := os.ReadFile("architecture.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	paths := regexp.MustCompile("`((?:internal|cmd|deploy)/[a-z0-9_/.]*[a-z0-9])").FindAllSubmatch(page, -1)
+	if len(paths) == 0 {
+		t.Error("no package is named")
+	}
+	for _, m := range paths {
+		if _, err := os.Stat(filepath.Join("..", string(m[1]))); err != nil {
+			t.Error(err)
+		}
+	}
+}
--- a/internal/tools/linelength/main.go
+++ b/internal/tools/linelength/main.go
@@ -1,6 +1,6 @@
-// Command linelength checks that the lines of Go files are short enough to read side by side: at most
-// 100 characters for a line that is only a comment, and 120 for any other. A tab counts as one character.
-// CI runs it over the whole repository; generated files and test data are not looked at.
+// Command linelength checks that the lines of Go files are short enough to read side by side: at
+// most 100 characters for a line that is only a comment, and 120 for any other. A tab counts as one
+// character. CI runs it over the whole repository; test data is not looked at.
 //
 // Usage: linelength DIR
 package main
