--- a/balancer/class_test.go
+++ b/balancer/class_test.go
@@ -114,77 +114,103 @@
 	}
 }
 
+// policyRequest is a request of TestRulesHoldUnderEveryClassPolicy.
+type policyRequest struct {
+	class       string
+	maxAttempts int    // of its class when it came
+	runs        int    // attempts that may have run
+	finished    []bool // by attempt
+}
+
+// policyTest runs random events under random policies of the classes.
+type policyTest struct {
+	*rapid.T
+	h        *harness
+	settings balancer.Settings
+	requests map[string]*policyRequest
+	ids      []string // of the requests, in order
+}
+
+// drawSettings returns settings with random policies.
+func drawSettings(t *rapid.T) balancer.Settings {
+	s := testSettings()
+	for i := range s.Classes {
+		c := &s.Classes[i]
+		c.HedgeAfter = time.Duration(rapid.IntRange(0, 20).Draw(t, "hedge after")) * ms
+		c.HedgeQuantile = rapid.SampledFrom([]float64{0, 0.5, 0.99}).Draw(t, "hedge quantile")
+		c.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "max attempts")
+		c.QueueLimit = rapid.IntRange(-1, 3).Draw(t, "queue limit")
+	}
+	return s
+}
+
+// step plays one random event.
+func (p *policyTest) step() {
+	switch rapid.IntRange(0, 5).Draw(p.T, "step") {
+	case 0, 1:
+		c := p.settings.Classes[rapid.IntRange(0, 1).Draw(p.T, "class")]
+		id, _ := p.h.request(c.Name)
+		p.requests[id] = &policyRequest{class: c.Name, maxAttempts: c.MaxAttempts}
+		p.ids = append(p.ids, id)
+	case 2:
+		p.h.advance(time.Duration(rapid.IntRange(1, 40).Draw(p.T, "wait")) * ms)
+	case 3:
+		p.settings = drawSettings(p.T)
+		p.h.b.Configure(p.h.now, p.settings)
+	default:
+		if len(p.ids) > 0 {
+			p.finishAttempts(rapid.SampledFrom(p.ids).Draw(p.T, "id"))
+		}
+	}
+}
+
+// finishAttempts ends some of the attempts of a request that are in flight.
+func (p *policyTest) finishAttempts(id string) {
+	req := p.requests[id]
+	for n, ep := range p.h.sentTo[id] {
+		if n < len(req.finished) && req.finished[n] || rapid.Bool().Draw(p.T, "stays in flight") {
+			continue
+		}
+		for len(req.finished) <= n {
+			req.finished = append(req.finished, false)
+		}
+		req.finished[n] = true
+		result := rapid.SampledFrom([]balancer.Result{balancer.OK, balancer.Errored, balancer.Rejected,
+			balancer.TimedOut, balancer.ConnectFailed, balancer.Reset, balancer.NotSent}).Draw(p.T, "result")
+		if mayHaveRun(result) {
+			req.runs++
+		}
+		p.h.b.Outcome(p.h.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: ep, Result: result, Latency: ms,
+			Final: result == balancer.OK})
+	}
+}
+
+// check checks the rules on all requests.
+func (p *policyTest) check() {
+	for id, req := range p.requests {
+		sentTo := p.h.sentTo[id]
+		if req.class == "bill" && (req.runs > 1 || req.runs == 1 && len(req.finished) < len(sentTo)) {
+			p.Fatalf("%s is not idempotent, ran %d times and was sent to %v", id, req.runs, sentTo)
+		}
+		if len(sentTo) > req.maxAttempts {
+			p.Fatalf("%s: %d attempts where %d are allowed", id, len(sentTo), req.maxAttempts)
+		}
+		if n := slices.Compact(p.h.finalAnswers(id)); len(n) > 1 {
+			p.Fatalf("%s: more than one answer: %v", id, n)
+		}
+	}
+}
+
 // Whatever the policy, the outcomes and the reloads: a request that is not idempotent runs at
 // most once, attempts keep to their limit, and every request gets one answer.
 func TestRulesHoldUnderEveryClassPolicy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func() balancer.Settings {
-			s := testSettings()
-			for i := range s.Classes {
-				c := &s.Classes[i]
-				c.HedgeAfter = time.Duration(rapid.IntRange(0, 20).Draw(t, "copy")) * ms
-				c.HedgeQuantile = rapid.SampledFrom([]float64{0, 0.5, 0.99}).Draw(t, "share")
-				c.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "attempts")
-				c.QueueLimit = rapid.IntRange(-1, 3).Draw(t, "queue")
-			}
-			return s
-		}
-		s := draw()
-		h := newHarness(nil, s, "a", "b", "c")
-		type call struct {
-			class string
-			most  int
-			ran   int
-			ended []bool
-		}
-		calls := map[string]*call{}
-		var ids []string
+		s := drawSettings(t)
+		p := &policyTest{T: t, h: newHarness(nil, s, "a", "b", "c"), settings: s,
+			requests: map[string]*policyRequest{}}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			switch rapid.IntRange(0, 5).Draw(t, "step") {
-			case 0, 1:
-				i := rapid.IntRange(0, 1).Draw(t, "class")
-				id, _ := h.request(s.Classes[i].Name)
-				calls[id] = &call{class: s.Classes[i].Name, most: s.Classes[i].MaxAttempts}
-				ids = append(ids, id)
-			case 2:
-				h.advance(time.Duration(rapid.IntRange(1, 40).Draw(t, "wait")) * ms)
-			case 3:
-				s = draw()
-				h.b.Configure(h.now, s)
-			default:
-				if len(ids) == 0 {
-					continue
-				}
-				id := rapid.SampledFrom(ids).Draw(t, "id")
-				c := calls[id]
-				for n := range h.sentTo[id] {
-					if n < len(c.ended) && c.ended[n] || rapid.Bool().Draw(t, "stays out") {
-						continue
-					}
-					for len(c.ended) <= n {
-						c.ended = append(c.ended, false)
-					}
-					c.ended[n] = true
-					result := rapid.SampledFrom([]balancer.Result{balancer.OK, balancer.Errored, balancer.Rejected, balancer.TimedOut,
-						balancer.ConnectFailed, balancer.Reset, balancer.NotSent}).Draw(t, "result")
-					if result != balancer.Rejected && result != balancer.ConnectFailed && result != balancer.NotSent {
-						c.ran++
-					}
-					h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: result, Latency: ms,
-						Final: result == balancer.OK})
-				}
-			}
-			for id, c := range calls {
-				if c.class == "bill" && (c.ran > 1 || c.ran == 1 && len(c.ended) < len(h.sentTo[id])) {
-					t.Fatalf("%s is unsafe, ran %d times and was sent to %v", id, c.ran, h.sentTo[id])
-				}
-				if len(h.sentTo[id]) > c.most {
-					t.Fatalf("%s: %d attempts where %d are allowed", id, len(h.sentTo[id]), c.most)
-				}
-				if n := slices.Compact(h.finalAnswers(id)); len(n) > 1 {
-					t.Fatalf("%s: more than one answer: %v", id, n)
-				}
-			}
+			p.step()
+			p.check()
 		}
 	})
 }
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -59,33 +59,43 @@
 	if req == nil || e.ID == "" {
 		sim.t.Fatalf("%v: Send of %s to %s, one of them unknown", sim.now, id, ep)
 	}
+	sim.checkSend(req, e)
+	if e.Started > 0 && sim.now-e.Started < sim.settings.SlowStartWindow {
+		sim.warmingSends[ep] = append(sim.warmingSends[ep], sim.now)
+	}
+	sim.sends++
+	req.attempts = append(req.attempts, sim.drawAttempt(e, timeout))
+}
+
+// checkSend checks that a request may be sent to an endpoint.
+func (sim *simulation) checkSend(req *simulatedRequest, e balancer.Endpoint) {
 	if req.notified {
-		sim.t.Fatalf("%v: Send of %s, which has ended", sim.now, id)
+		sim.t.Fatalf("%v: Send of %s, which has ended", sim.now, req.ID)
 	}
-	if at, ok := sim.drainedAt[ep]; ok && sim.now > at {
-		sim.t.Fatalf("%v: Send to %s, which drained at %v", sim.now, ep, at)
+	if at, ok := sim.drainedAt[e.ID]; ok && sim.now > at {
+		sim.t.Fatalf("%v: Send to %s, which drained at %v", sim.now, e.ID, at)
 	}
 	if sim.settings.MaxAttempts > 0 && len(req.attempts) >= sim.settings.MaxAttempts {
-		sim.t.Fatalf("%v: attempt %d of %s", sim.now, len(req.attempts), id)
+		sim.t.Fatalf("%v: attempt %d of %s", sim.now, len(req.attempts), req.ID)
 	}
 	for _, a := range req.attempts {
 		if a.inFlight {
-			sim.t.Fatalf("%v: two attempts of %s in flight", sim.now, id)
+			sim.t.Fatalf("%v: two attempts of %s in flight", sim.now, req.ID)
 		}
-		if !a.inFlight && !a.mayHaveRun || req.class.Repeat == balancer.Idempotent {
+		if !a.mayHaveRun || req.class.Repeat == balancer.Idempotent {
 			continue
 		}
 		c := req.class
 		if c.Repeat == balancer.NonIdempotent || sim.now > a.sentAt+c.KeyWindow ||
 			c.KeyScope == balancer.KeyScopeZone && a.endpoint.Zone != e.Zone ||
 			c.KeyScope == balancer.KeyScopeCell && a.endpoint.Cell != e.Cell {
-			sim.t.Fatalf("%v: %s may take effect twice at %s", sim.now, id, ep)
+			sim.t.Fatalf("%v: %s may take effect twice at %s", sim.now, req.ID, e.ID)
 		}
 	}
-	if e.Started > 0 && sim.now-e.Started < sim.settings.SlowStartWindow {
-		sim.warmingSends[ep] = append(sim.warmingSends[ep], sim.now)
-	}
-	sim.sends++
+}
+
+// drawAttempt returns an attempt with a random end.
+func (sim *simulation) drawAttempt(e balancer.Endpoint, timeout time.Duration) *simulatedAttempt {
 	a := &simulatedAttempt{endpoint: e, sentAt: sim.now, inFlight: true,
 		endsAt: sim.now + time.Duration(1+sim.rng.IntN(300))*ms}
 	switch n := sim.rng.IntN(20); {
@@ -100,7 +110,7 @@
 	if a.endsAt > sim.now+timeout {
 		a.result, a.endsAt = balancer.TimedOut, sim.now+timeout
 	}
-	req.attempts = append(req.attempts, a)
+	return a
 }
 
 func (sim *simulation) Cancel(id string, n int) {
@@ -237,11 +247,6 @@
 
 // step simulates one step of time.
 func (sim *simulation) step() {
-	defer func() {
-		if err := sim.b.CheckIndex(); err != nil {
-			sim.t.Fatalf("%v: %v", sim.now, err)
-		}
-	}()
 	sim.now += max(sim.settings.Resolution, ms)
 	for range sim.rng.IntN(4) {
 		if !sim.ending {
@@ -251,6 +256,21 @@
 	if !sim.ending && sim.rng.IntN(40) == 0 {
 		sim.changeEndpoint()
 	}
+	sim.fireTimers()
+	kept := sim.openIDs[:0]
+	for _, id := range sim.openIDs {
+		if sim.stepRequest(sim.requests[id]) {
+			kept = append(kept, id)
+		}
+	}
+	sim.openIDs = kept
+	if err := sim.b.CheckIndex(); err != nil {
+		sim.t.Fatalf("%v: %v", sim.now, err)
+	}
+}
+
+// fireTimers reports the timers that are due.
+func (sim *simulation) fireTimers() {
 	due := 0
 	for i := 0; i < len(sim.timers); i++ {
 		if sim.timers[i] <= sim.now {
@@ -263,41 +283,49 @@
 	for range due {
 		sim.b.Timer(sim.now)
 	}
-	kept := sim.openIDs[:0]
-	for _, id := range sim.openIDs {
-		req := sim.requests[id]
-		if !sim.ending && !req.ended && sim.rng.IntN(400) == 0 {
-			req.ended, req.notified = true, true
-			sim.b.ClientLeft(sim.now, id)
-		}
-		out := false
-		for n, a := range req.attempts {
-			if a.inFlight && a.endsAt <= sim.now {
-				a.inFlight, a.mayHaveRun = false, a.result != balancer.Rejected && a.result != balancer.ConnectFailed &&
-					a.result != balancer.NotSent
-				if a.result == balancer.OK && !req.ended {
-					req.ended = true
-					sim.answers[0]++
-				}
-				final := req.ended
-				req.notified = req.notified || final
-				sim.b.Outcome(sim.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.endpoint.ID, Result: a.result,
-					Latency: sim.now - a.sentAt, Final: final})
-				if sim.rng.IntN(30) == 0 { // a host that reports twice must do no harm
-					sim.b.Outcome(sim.now, balancer.Outcome{ID: id, Attempt: n, Endpoint: a.endpoint.ID, Result: a.result,
-						Final: final})
-				}
-			}
-			out = out || a.inFlight
-		}
-		if !req.ended && sim.now > req.Deadline+answerSlack {
-			sim.t.Fatalf("%v: no answer to %s by %v", sim.now, id, req.Deadline)
-		}
-		if !req.ended || out {
-			kept = append(kept, id)
+}
+
+// stepRequest simulates one step of one request, and reports whether it is still open: without an
+// answer, or with an attempt in flight.
+func (sim *simulation) stepRequest(req *simulatedRequest) (open bool) {
+	if !sim.ending && !req.ended && sim.rng.IntN(400) == 0 {
+		req.ended, req.notified = true, true
+		sim.b.ClientLeft(sim.now, req.ID)
+	}
+	for n, a := range req.attempts {
+		if a.inFlight && a.endsAt <= sim.now {
+			sim.finishAttempt(req, n)
 		}
+		open = open || a.inFlight
 	}
-	sim.openIDs = kept
+	if !req.ended && sim.now > req.Deadline+answerSlack {
+		sim.t.Fatalf("%v: no answer to %s by %v", sim.now, req.ID, req.Deadline)
+	}
+	return open || !req.ended
+}
+
+// finishAttempt reports the outcome of an attempt, and at times reports it twice, which must do no
+// harm.
+func (sim *simulation) finishAttempt(req *simulatedRequest, n int) {
+	a := req.attempts[n]
+	a.inFlight, a.mayHaveRun = false, mayHaveRun(a.result)
+	if a.result == balancer.OK && !req.ended {
+		req.ended = true
+		sim.answers[0]++
+	}
+	req.notified = req.notified || req.ended
+	o := balancer.Outcome{ID: req.ID, Attempt: n, Endpoint: a.endpoint.ID, Result: a.result,
+		Latency: sim.now - a.sentAt, Final: req.ended}
+	sim.b.Outcome(sim.now, o)
+	if sim.rng.IntN(30) == 0 {
+		o.Latency = 0
+		sim.b.Outcome(sim.now, o)
+	}
+}
+
+// mayHaveRun reports whether a result leaves it open that the request has run.
+func mayHaveRun(r balancer.Result) bool {
+	return r != balancer.Rejected && r != balancer.ConnectFailed && r != balancer.NotSent
 }
 
 func newSimulation(t testing.TB, seed uint64) *simulation {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -79,29 +79,31 @@
 	}
 }
 
+// listOf returns a list of endpoints in one state.
+func listOf(state balancer.State, ids ...string) (l balancer.EndpointList) {
+	for _, id := range ids {
+		l.Entries = append(l.Entries, balancer.Endpoint{ID: id, State: state})
+	}
+	return l
+}
+
 // Each list is followed by requests at one of thirteen instances, and every request that an
 // endpoint could serve is served.
 func TestUnusualListsOfALargeFleet(t *testing.T) {
-	list := func(state balancer.State, ids ...string) (l balancer.EndpointList) {
-		for _, id := range ids {
-			l.Entries = append(l.Entries, balancer.Endpoint{ID: id, State: state})
-		}
-		return l
-	}
 	many := endpointIDs(1000)
 	for name, odd := range map[string]struct {
 		lists  []balancer.EndpointList
 		listed []string // in the end
 	}{
-		"nobody, then all again": {[]balancer.EndpointList{{Complete: true}, list(balancer.Ready,
+		"nobody, then all again": {[]balancer.EndpointList{{Complete: true}, listOf(balancer.Ready,
 			endpointIDs(16)...)}, endpointIDs(16)},
-		"a thousand": {[]balancer.EndpointList{list(balancer.Ready, many...)}, many},
-		"a thousand, then one": {[]balancer.EndpointList{list(balancer.Ready, many...), {Complete: true,
-			Entries: list(balancer.Ready, "e03").Entries}}, []string{"e03"}},
-		"all that are active drain": {[]balancer.EndpointList{list(balancer.Draining, endpointIDs(16)...),
-			list(balancer.Ready, "new")}, []string{"new"}},
-		"gone that were never known": {[]balancer.EndpointList{list(balancer.Gone, "x", "y")}, endpointIDs(16)},
-		"the same list once more":    {[]balancer.EndpointList{list(balancer.Ready, endpointIDs(16)...)}, endpointIDs(16)},
+		"a thousand": {[]balancer.EndpointList{listOf(balancer.Ready, many...)}, many},
+		"a thousand, then one": {[]balancer.EndpointList{listOf(balancer.Ready, many...), {Complete: true,
+			Entries: listOf(balancer.Ready, "e03").Entries}}, []string{"e03"}},
+		"all that are active drain": {[]balancer.EndpointList{listOf(balancer.Draining, endpointIDs(16)...),
+			listOf(balancer.Ready, "new")}, []string{"new"}},
+		"gone that were never known": {[]balancer.EndpointList{listOf(balancer.Gone, "x", "y")}, endpointIDs(16)},
+		"the same list once more":    {[]balancer.EndpointList{listOf(balancer.Ready, endpointIDs(16)...)}, endpointIDs(16)},
 	} {
 		for _, gap := range []time.Duration{100 * ms, 10 * time.Second} { // and one request in ten seconds
 			h := newHarnessOfInstance(t, 13, 16)
