--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -12,8 +12,6 @@
 	"time"
 )
 
-const logInterval = 10 * time.Second // least time between two log lines of one kind
-
 // Balancer decides for one instance of a service that calls the endpoints. New makes one.
 type Balancer struct {
 	settings Settings
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -111,11 +111,3 @@
 	}
 	a.countsToLimit = counts
 }
-
-// log writes at most one line of a kind every logInterval.
-func (b *Balancer) log(now time.Duration, kind, text string) {
-	if at, ok := b.loggedAt[kind]; !ok || now-at >= logInterval {
-		b.loggedAt[kind] = now
-		b.host.Log(kind + ": " + text)
-	}
-}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -15,7 +15,6 @@
 
 	subsetGrowth = 1.5 // the wanted size follows the rate beyond this multiple of itself
 	subsetShrink = 0.5 // and below this; otherwise it would change with each request
-
 )
 
 // recordRequest counts a request and adapts the wanted size of the subset to the rate.
