--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -90,7 +90,7 @@
 	n, err := b.source.Read(p[:min(int64(len(p)), b.chunks.remaining)])
 	b.chunks.consumeData(n)
 	// With the framing behind the data decoded, a body that has been received completely is known to
-	// have ended. An error in the framing is returned by the next read, which decodes it again.
+	// have ended. An error in the framing is left to the next read.
 	if n > 0 && !b.chunks.inData() && len(b.source.Buffered()) > 0 {
 		_ = b.decodeFraming()
 	}
--- a/internal/http1/body_test.go
+++ b/internal/http1/body_test.go
@@ -96,7 +96,7 @@
 		"bare LF behind size":    {"5\nhello\r\n0\r\n\r\n", Chunked, "", "", false},
 		"bare CR behind size":    {"5\rhello\r\n0\r\n\r\n", Chunked, "", "", false},
 		"bare LF behind data":    {"5\r\nhello\n0\r\n\r\n", Chunked, "hello", "", false},
-		"data longer than told":  {"5\r\nhello!\r\n0\r\n\r\n", Chunked, "hello", "", false},
+		"data longer than size":  {"5\r\nhello!\r\n0\r\n\r\n", Chunked, "hello", "", false},
 		"bare LF at the end":     {"0\r\n\n", Chunked, "", "", false},
 		"bare LF in extensions":  {"1;a\nx\r\n0\r\n\r\n", Chunked, "", "", false},
 		"control in extensions":  {"1;a\x00\r\nx\r\n0\r\n\r\n", Chunked, "", "", false},
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -20,7 +20,8 @@
 )
 
 // conn serves one connection of a client, one request after the other. Its goroutine owns all
-// fields; only the disconnectWatcher is called from elsewhere.
+// fields, with two exceptions: the disconnectWatcher is also called from a timer and by the pool,
+// and while a pool serves a request with a streamed body, the pool reads that body off the reader.
 type conn struct {
 	server       *Server
 	netConn      *trackedConn
