--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -56,9 +56,9 @@
 // difference.
 func routesByName(c *Config) map[string]any {
 	parts := map[string]any{}
-	for _, x := range c.Routes {
-		x.Origins = nil
-		parts[x.Name] = x
+	for _, r := range c.Routes {
+		r.Origins = nil
+		parts[r.Name] = r
 	}
 	return parts
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -201,7 +201,7 @@
 
 // mergePolicy sets a route's policy: each attribute comes from the first of the layers that sets
 // it, or else is the default.
-func (d *decoder) mergePolicy(x *Route, layers []*policyBlock, at hcl.Range) {
+func (d *decoder) mergePolicy(r *Route, layers []*policyBlock, at hcl.Range) {
 	if slices.ContainsFunc(layers, func(layer *policyBlock) bool { return !layer.valid }) {
 		return
 	}
@@ -212,17 +212,17 @@
 		Retry:         RetryAfterRun,
 		QueueLimit:    -1,
 	}
-	if x.Class.Repeatability == balancer.NonIdempotent {
+	if r.Class.Repeatability == balancer.NonIdempotent {
 		p.Retry = RetryIfNotRun
 	}
 	for _, a := range attributes {
-		x.Origins[a.name] = originDefault
+		r.Origins[a.name] = originDefault
 		p.places[a.name] = at
 		for _, layer := range layers {
 			if place, ok := layer.places[a.name]; ok {
 				a.copy(p, layer)
 				p.places[a.name] = place
-				x.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.Where(place), layer.title)
+				r.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.Where(place), layer.title)
 				break
 			}
 		}
@@ -231,10 +231,10 @@
 		p.RequestTimeout = p.ClientTimeout
 	}
 	p.Rate, p.TenantRate = newRate(p.rate, p.burst), newRate(p.tenantRate, p.tenantBurst)
-	d.checkBurst(x, "burst", p.rate, p.places)
-	d.checkBurst(x, "tenant_burst", p.tenantRate, p.places)
-	x.Policy = p.Policy
-	d.checkPolicy(x, p.places)
+	d.checkBurst(r, "burst", p.rate, p.places)
+	d.checkBurst(r, "tenant_burst", p.tenantRate, p.places)
+	r.Policy = p.Policy
+	d.checkPolicy(r, p.places)
 }
 
 // originDefault is the origin of an attribute that no block sets.
@@ -249,8 +249,8 @@
 }
 
 // checkBurst adds a fault for a burst without a rate.
-func (d *decoder) checkBurst(x *Route, name string, rate hcldecode.Rate, places map[string]hcl.Range) {
-	if x.Origins[name] != originDefault && rate == 0 {
-		d.Fault(places[name], "%s: route %q has no rate that it could belong to", name, x.Name)
+func (d *decoder) checkBurst(r *Route, name string, rate hcldecode.Rate, places map[string]hcl.Range) {
+	if r.Origins[name] != originDefault && rate == 0 {
+		d.Fault(places[name], "%s: route %q has no rate that it could belong to", name, r.Name)
 	}
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -19,42 +19,42 @@
 }
 
 func (d *decoder) route(b *hcl.Block) {
-	x := Route{Name: b.Labels[0], TenantHeader: defaultTenantHeader, Origins: map[string]string{}}
-	if !d.define(b, x.Name) {
+	r := Route{Name: b.Labels[0], TenantHeader: defaultTenantHeader, Origins: map[string]string{}}
+	if !d.define(b, r.Name) {
 		return
 	}
 	var class, policy string
 	var ownPolicy *policyBlock
-	m := &x.Match
+	m := &r.Match
 	ok := d.Body(b.Body, hcldecode.Fields{
 		"host":          &m.Host,
 		"path":          &m.Path,
 		"methods":       &m.Methods,
-		"listeners":     &x.Listeners,
+		"listeners":     &r.Listeners,
 		"class!":        &class,
-		"pool!":         &x.Pool,
+		"pool!":         &r.Pool,
 		"policy":        &policy,
-		"tenant_header": &x.TenantHeader,
+		"tenant_header": &r.TenantHeader,
 	}, hcldecode.Blocks{
 		"header name": func(b *hcl.Block) { d.header(b, m) },
 		"policy": func(b *hcl.Block) {
 			if ownPolicy != nil {
-				d.Fault(b.DefRange, "policy: route %q has one already", x.Name)
+				d.Fault(b.DefRange, "policy: route %q has one already", r.Name)
 			}
-			ownPolicy = d.policy(b, fmt.Sprintf("route %q", x.Name))
+			ownPolicy = d.policy(b, fmt.Sprintf("route %q", r.Name))
 		},
 	})
 	// A route with faults is kept as well: it may overlap others.
-	defer func() { d.Routes = append(d.Routes, x) }()
+	defer func() { d.Routes = append(d.Routes, r) }()
 	if !ok {
 		return
 	}
-	d.checkMatch(&x)
-	d.resolve(d.Places[&x.Pool], "pool", x.Pool)
+	d.checkMatch(&r)
+	d.resolve(d.Places[&r.Pool], "pool", r.Pool)
 	if !d.resolve(d.Places[&class], "class", class) {
 		return
 	}
-	x.Class = d.Classes[slices.IndexFunc(d.Classes, func(c Class) bool { return c.Name == class })]
+	r.Class = d.Classes[slices.IndexFunc(d.Classes, func(c Class) bool { return c.Name == class })]
 	var layers []*policyBlock
 	if ownPolicy != nil {
 		layers = append(layers, ownPolicy)
@@ -65,7 +65,7 @@
 	if p := d.policies[d.classPolicies[class].name]; p != nil {
 		layers = append(layers, p)
 	}
-	d.mergePolicy(&x, layers, b.DefRange)
+	d.mergePolicy(&r, layers, b.DefRange)
 }
 
 // header decodes a header that a request must have to match a route.
@@ -83,15 +83,15 @@
 }
 
 // checkMatch validates which requests a route matches, and at which listeners.
-func (d *decoder) checkMatch(x *Route) {
-	m := &x.Match
+func (d *decoder) checkMatch(r *Route) {
+	m := &r.Match
 	if err := m.Check(); err != nil {
 		d.Fault(cmp.Or(d.Places[&m.Path], d.Places[&m.Host]), "%v", err)
 	}
 	for _, name := range m.Methods {
 		hcldecode.OneOf(&d.Reader, d.Places[&m.Methods], "methods", name, routableMethods...)
 	}
-	for _, name := range x.Listeners {
-		d.resolve(d.Places[&x.Listeners], "listener", name)
+	for _, name := range r.Listeners {
+		d.resolve(d.Places[&r.Listeners], "listener", name)
 	}
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -44,80 +44,80 @@
 }
 
 // checkPolicy validates a route's policy as a whole. At says where each attribute is set.
-func (d *decoder) checkPolicy(x *Route, at map[string]hcl.Range) {
-	d.checkRepeats(x, at)
-	d.checkTimeouts(x, at)
-	p := x.Policy
+func (d *decoder) checkPolicy(r *Route, at map[string]hcl.Range) {
+	d.checkRepeats(r, at)
+	d.checkTimeouts(r, at)
+	p := r.Policy
 	if p.TenantConcurrency > p.Concurrency && p.Concurrency > 0 {
 		d.Fault(at["tenant_concurrency"], "tenant_concurrency: %d is more than all tenants of route %q have together: %d",
-			p.TenantConcurrency, x.Name, p.Concurrency)
+			p.TenantConcurrency, r.Name, p.Concurrency)
 	}
 	if p.TenantRate.PerSecond > p.Rate.PerSecond && p.Rate.PerSecond > 0 {
 		d.Fault(at["tenant_rate"], "tenant_rate: %g/s is more than all tenants of route %q have together: %g/s",
-			p.TenantRate.PerSecond, x.Name, p.Rate.PerSecond)
+			p.TenantRate.PerSecond, r.Name, p.Rate.PerSecond)
 	}
 }
 
 // checkRepeats rejects retries and hedged requests by which a request could have its effect twice.
-func (d *decoder) checkRepeats(x *Route, at map[string]hcl.Range) {
-	p, c := x.Policy, x.Class
+func (d *decoder) checkRepeats(r *Route, at map[string]hcl.Range) {
+	p, c := r.Policy, r.Class
 	if c.Repeatability == balancer.NonIdempotent && p.Retry == RetryAfterRun {
 		d.Fault(at["retry"], "retry: route %q is of class %q, which is unsafe: after a run, another could run it twice",
-			x.Name, c.Name)
+			r.Name, c.Name)
 	}
 	if p.HedgeAfter == 0 && p.HedgePercentile == 0 {
 		return
 	}
 	if c.Repeatability != balancer.Idempotent {
 		d.Fault(at["second_copy"], "second_copy: route %q is of class %q, which is %s: both copies could run",
-			x.Name, c.Name, effectName(c.Repeatability))
+			r.Name, c.Name, effectName(c.Repeatability))
 	}
 	if p.MaxAttempts < 2 {
-		d.Fault(at["second_copy"], "second_copy: it is a second attempt, and route %q has 1", x.Name)
+		d.Fault(at["second_copy"], "second_copy: it is a second attempt, and route %q has 1", r.Name)
 	}
 }
 
 // checkTimeouts rejects timeouts that cannot be reached.
-func (d *decoder) checkTimeouts(x *Route, at map[string]hcl.Range) {
-	p := x.Policy
+func (d *decoder) checkTimeouts(r *Route, at map[string]hcl.Range) {
+	p := r.Policy
 	if p.RequestTimeout > p.ClientTimeout {
 		d.Fault(at["request_timeout"], "request_timeout: %v is longer than clients of route %q wait: %v",
-			p.RequestTimeout, x.Name, p.ClientTimeout)
+			p.RequestTimeout, r.Name, p.ClientTimeout)
 	}
 	total := min(p.RequestTimeout, p.ClientTimeout)
 	allAttempts := time.Duration(p.MaxAttempts) * p.AttemptTimeout
 	switch {
 	case p.AttemptTimeout > total:
 		d.Fault(at["attempt_timeout"], "attempt_timeout: %v is longer than a request of route %q has: %v",
-			p.AttemptTimeout, x.Name, total)
+			p.AttemptTimeout, r.Name, total)
 	case p.AttemptTimeout > 0 && allAttempts > total:
 		d.Fault(at["attempt_timeout"], "attempt_timeout: %d attempts of %v add up to %v, and a request of route %q has %v",
-			p.MaxAttempts, p.AttemptTimeout, allAttempts, x.Name, total)
+			p.MaxAttempts, p.AttemptTimeout, allAttempts, r.Name, total)
 	case p.HedgeAfter > 0 && p.HedgeAfter >= cmp.Or(p.AttemptTimeout, total):
-		d.Fault(at["second_copy"], "second_copy: after %v the first attempt of route %q has ended", p.HedgeAfter, x.Name)
+		d.Fault(at["second_copy"], "second_copy: after %v the first attempt of route %q has ended", p.HedgeAfter, r.Name)
 	}
 }
 
 // checkOverlaps rejects routes of one listener of which neither is more specific for some requests.
 func (d *decoder) checkOverlaps() {
 	byPattern := map[string][]Route{}
-	for _, x := range d.Routes {
-		pattern := x.Match.Host + " " + cmp.Or(x.Match.Path, "/*")
+	for _, r := range d.Routes {
+		pattern := r.Match.Host + " " + cmp.Or(r.Match.Path, "/*")
 		for _, other := range byPattern[pattern] {
-			if shareListener(x, other) && x.Match.Overlaps(other.Match) {
-				d.Fault(d.defined[blockKey("route", x.Name)],
+			if shareListener(r, other) && r.Match.Overlaps(other.Match) {
+				d.Fault(d.defined[blockKey("route", r.Name)],
 					"route %q overlaps route %q, at %s: some requests fit both, and neither is more specific",
-					x.Name, other.Name, hcldecode.Where(d.defined[blockKey("route", other.Name)]))
+					r.Name, other.Name, hcldecode.Where(d.defined[blockKey("route", other.Name)]))
 			}
 		}
-		byPattern[pattern] = append(byPattern[pattern], x)
+		byPattern[pattern] = append(byPattern[pattern], r)
 	}
 }
 
 // shareListener reports whether two routes are served at a common listener.
-func shareListener(x, y Route) bool {
-	return len(x.Listeners) == 0 || len(y.Listeners) == 0 ||
-		slices.ContainsFunc(x.Listeners, func(name string) bool { return slices.Contains(y.Listeners, name) })
+func shareListener(a, b Route) bool {
+	return len(a.Listeners) == 0 || len(b.Listeners) == 0 ||
+		slices.ContainsFunc(a.Listeners, func(name string) bool { return slices.Contains(b.Listeners, name) })
 }
 
 // warnUnused warns of blocks to which nothing refers.
@@ -129,7 +129,7 @@
 		}
 	}
 	for _, l := range d.Listeners {
-		served := func(x Route) bool { return len(x.Listeners) == 0 || slices.Contains(x.Listeners, l.Name) }
+		served := func(r Route) bool { return len(r.Listeners) == 0 || slices.Contains(r.Listeners, l.Name) }
 		if !slices.ContainsFunc(d.Routes, served) {
 			d.warn(fmt.Sprintf("listener %q", l.Name), "no route is served there")
 		}
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -19,6 +19,13 @@
 	maxEndpointsListed = 1000            // endpoints of a pool in one status
 )
 
+// Values in the status and in labels of metrics.
+const (
+	endpointReady    = "ready"
+	endpointDraining = "draining"
+	trialInFlight    = "under way"
+)
+
 // Status is the daemon's state as the admin interface shows it.
 type Status struct {
 	File                string           `json:"file"`
@@ -54,9 +61,9 @@
 type EndpointStatus struct {
 	ID             string  `json:"id"`
 	Address        string  `json:"address"`
-	State          string  `json:"state"`              // ready or draining, as the endpoint list says
+	State          string  `json:"state"`              // endpointReady or endpointDraining, as listed
 	InactiveReason string  `json:"out,omitempty"`      // why it gets no ordinary requests
-	NextTrial      string  `json:"trial_in,omitempty"` // a duration, or "under way"
+	NextTrial      string  `json:"trial_in,omitempty"` // a duration, or trialInFlight
 	Weight         float64 `json:"weight"`             // its response time, in multiples of the baseline latency
 	ErrorRate      float64 `json:"errors"`             // share of recent outcomes, from 0 to 1
 	InFlight       int     `json:"in_flight"`
@@ -134,7 +141,7 @@
 	s := EndpointStatus{
 		ID:             e.ID,
 		Address:        e.Addr,
-		State:          "ready",
+		State:          endpointReady,
 		InactiveReason: string(e.Inactive),
 		Weight:         roundThousandths(e.Weight),
 		ErrorRate:      roundThousandths(e.Errors),
@@ -144,7 +151,7 @@
 		LastFailure:    e.LastFailure,
 	}
 	if e.State != balancer.Ready {
-		s.State = "draining"
+		s.State = endpointDraining
 	}
 	if e.SinceResponse >= 0 {
 		s.SinceResponse = e.SinceResponse.Round(time.Millisecond).String()
@@ -152,7 +159,7 @@
 	switch {
 	case e.Inactive == "" || e.Inactive == balancer.InactiveOutsideSubset:
 	case e.NextTrial < 0:
-		s.NextTrial = "under way"
+		s.NextTrial = trialInFlight
 	default:
 		s.NextTrial = e.NextTrial.Round(time.Millisecond).String()
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -37,7 +37,8 @@
 // opening them for a while.
 const acceptAfterStop = 600 * time.Millisecond
 
-// Daemon is one running installation. New creates it, Run serves.
+// Daemon is one installation. New opens its listeners; Run serves, then drains, and returns once
+// nothing of it is left running.
 type Daemon struct {
 	configPath string
 	lookupEnv  func(string) (string, bool)
@@ -67,7 +68,9 @@
 	pools    []*pool       // all that have not ended
 	retired  []*generation // no longer in force, with requests in flight
 
-	mu        sync.RWMutex // guards the fields below it: a request finds its route, limits and pool under one hold
+	// mu guards the fields below it. A request finds its route, limits and pool under one hold.
+	// Current and reloads are written under reloadMu as well, and may be read under either.
+	mu        sync.RWMutex
 	current   *generation
 	limiters  map[string]*routeLimiter // by route
 	listeners []*listener
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -163,8 +163,8 @@
 		if p.Removed {
 			continue
 		}
-		gauge(endpointsDesc, p.Ready, p.Name, "ready")
-		gauge(endpointsDesc, p.Draining, p.Name, "draining")
+		gauge(endpointsDesc, p.Ready, p.Name, endpointReady)
+		gauge(endpointsDesc, p.Draining, p.Name, endpointDraining)
 		gauge(requestsDesc, p.Calls, p.Name)
 		gauge(poolConnsDesc, p.Connections, p.Name)
 	}
