--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -348,12 +348,18 @@
 	t.Logf("sent %d: %d answered, %d failed, %d not accepted, %d cut by the kill; "+
 		"back to service after %v (median) and %v (most)",
 		sent, o.answered.Load(), o.failed.Load(), o.unsent.Load(), o.cut.Load(), recovery[len(recovery)/2], longest)
-	if w := o.wrong.Load(); w > 0 {
-		t.Errorf("%d answers were not the request's own", w)
-	}
 	if longest > maxRecovery {
 		t.Errorf("the last instance served again %v after the kill, over %v", longest, maxRecovery)
 	}
+	o.check(t)
+}
+
+// check checks that no request ran twice or was answered with another's body.
+func (o *outcomes) check(t *testing.T) {
+	t.Helper()
+	if w := o.wrong.Load(); w > 0 {
+		t.Errorf("%d answers were not the request's own", w)
+	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, runs := range o.runs {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"math"
 	"testing"
 
@@ -61,20 +62,10 @@
 		size := rapid.IntRange(1, 6).Draw(t, "size")
 		p := Part{Place: Place(rapid.Uint64().Draw(t, "place")), Size: size}
 		f := NewFilter(p)
-		truth, known := map[string]proxy.Endpoint{}, map[string]proxy.Endpoint{}
+		listed, known := endpointMap{}, endpointMap{}
 		for range rapid.IntRange(1, 20).Draw(t, "updates") {
-			update := proxy.EndpointList{Complete: rapid.Bool().Draw(t, "complete")}
-			if update.Complete {
-				clear(truth)
-			}
-			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 11), 0, 8, rapid.ID[int]).Draw(t, "ids") {
-				e := proxy.Endpoint{ID: fmt.Sprint(i), Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, "address")),
-					State: rapid.SampledFrom([]balancer.State{balancer.Ready, balancer.Draining, balancer.Gone}).Draw(t, "state")}
-				update.Endpoints = append(update.Endpoints, e)
-				if truth[e.ID] = e; e.State == balancer.Gone {
-					delete(truth, e.ID)
-				}
-			}
+			update := drawUpdate(t)
+			listed = listed.apply(update)
 			if rapid.Bool().Draw(t, "resized") {
 				size = rapid.IntRange(0, 6).Draw(t, "to")
 				p.Size = size
@@ -82,47 +73,76 @@
 			}
 			before := known
 			out := f.Apply(update)
-			if known = map[string]proxy.Endpoint{}; !out.Complete {
-				for id, e := range before {
-					known[id] = e
-				}
-			}
-			for _, e := range out.Endpoints {
-				if known[e.ID] = e; e.State == balancer.Gone {
-					delete(known, e.ID)
-				}
-			}
-			ready := 0
-			for _, e := range truth {
-				if e.State == balancer.Ready {
-					ready++
-				}
-			}
-			got := 0
-			for id, e := range known {
-				if truth[id] != e {
-					t.Fatalf("%s is known as %v and is %v", id, e, truth[id])
-				}
-				if e.State == balancer.Ready {
-					got++
-				} else if _, old := before[id]; !old && size > 0 {
-					t.Fatalf("%s drains and was never in the subset", id)
-				}
-			}
+			known = before.apply(out)
+			checkKnown(t, listed, before, known, size)
+			ready := listed.count(balancer.Ready)
+			got := known.count(balancer.Ready)
 			if want := min(cmp.Or(size, ready), ready); got != want || out.Unlisted != ready-got {
 				t.Fatalf("%d ready endpoints of %d are known, %d are wanted; others %d", got, ready, want, out.Unlisted)
 			}
-			for id, e := range before { // no draining endpoint is forgotten that was in the subset
-				if now, there := truth[id]; there && now.State == balancer.Draining {
-					if _, still := known[id]; !still {
-						t.Fatalf("%s, known as %v, drains and is forgotten", id, e)
-					}
-				}
-			}
 		}
 	})
 }
 
+// endpointMap is a list of endpoints, by id.
+type endpointMap map[string]proxy.Endpoint
+
+// apply returns the list after an update.
+func (m endpointMap) apply(update proxy.EndpointList) endpointMap {
+	next := endpointMap{}
+	if !update.Complete {
+		maps.Copy(next, m)
+	}
+	for _, e := range update.Endpoints {
+		if next[e.ID] = e; e.State == balancer.Gone {
+			delete(next, e.ID)
+		}
+	}
+	return next
+}
+
+func (m endpointMap) count(state balancer.State) int {
+	n := 0
+	for _, e := range m {
+		if e.State == state {
+			n++
+		}
+	}
+	return n
+}
+
+// drawUpdate draws an update of up to 8 of 12 endpoints.
+func drawUpdate(t *rapid.T) proxy.EndpointList {
+	update := proxy.EndpointList{Complete: rapid.Bool().Draw(t, "complete")}
+	states := []balancer.State{balancer.Ready, balancer.Draining, balancer.Gone}
+	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 11), 0, 8, rapid.ID[int]).Draw(t, "ids") {
+		update.Endpoints = append(update.Endpoints, proxy.Endpoint{
+			ID:    fmt.Sprint(i),
+			Addr:  fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, "address")),
+			State: rapid.SampledFrom(states).Draw(t, "state"),
+		})
+	}
+	return update
+}
+
+// checkKnown checks that an instance knows endpoints as they are listed, and the draining ones that
+// it knew before but no others.
+func checkKnown(t *rapid.T, listed, before, known endpointMap, size int) {
+	for id, e := range known {
+		if listed[id] != e {
+			t.Fatalf("%s is known as %v and is %v", id, e, listed[id])
+		}
+		if _, wasKnown := before[id]; e.State != balancer.Ready && !wasKnown && size > 0 {
+			t.Fatalf("%s drains and was never in the subset", id)
+		}
+	}
+	for id, e := range before {
+		if _, isKnown := known[id]; !isKnown && listed[id].ID == id && listed[id].State == balancer.Draining {
+			t.Fatalf("%s, known as %v, drains and is forgotten", id, e)
+		}
+	}
+}
+
 // With three instances and 60 endpoints, subsets of 5 would leave most endpoints without an
 // instance.
 func TestSubsetsOfFewInstancesAreLarger(t *testing.T) {
