--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -1,11 +1,11 @@
-// Package baseline has textbook balancing policies to compare the project's own with. Each speaks the module's interface,
-// balancer.Events and balancer.Host, keeps the rule against double effects, and repeats what may be repeated. They
-// differ only in how they choose.
+// Package baseline implements textbook load-balancing policies to compare the project's own with.
+// Each has the interface of the decision module, balancer.Events and balancer.Host, never retries a
+// non-idempotent request that may have run, and retries what may be retried. They differ only in
+// how they choose an endpoint.
 package baseline
 
 import (
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -16,104 +16,65 @@
 // Names lists the policies.
 var Names = []string{"random", "round_robin", "least_outstanding", "two_choices", "peak_ewma"}
 
-// costDecay is the time over which peak_ewma forgets a peak (Finagle's default).
-const costDecay = 10 * time.Second
-
+// endpoint is a listed endpoint.
 type endpoint struct {
 	balancer.Endpoint
 	outstanding int
-	cost        float64 // peak-sensitive average of answer times, seconds
+	cost        float64 // peak-sensitive moving average of latency, in seconds
 	costUpdated time.Duration
 }
 
+// request is a request that has not ended.
 type request struct {
 	balancer.Request
 	repeat     balancer.Repeatability
-	tried      []*endpoint
+	tried      []*endpoint // by attempt
 	mayHaveRun bool
 }
 
-// Policy is one instance. It is not safe for concurrent use.
+// Policy is one instance of a policy. It is not safe for concurrent use.
 type Policy struct {
 	settings      balancer.Settings
 	host          balancer.Host
 	rng           *rand.Rand
-	choose        func(now time.Duration, among []*endpoint) *endpoint
-	repeatability map[string]balancer.Repeatability
+	choose        chooser
+	repeatability map[string]balancer.Repeatability // by class
 	endpoints     []*endpoint
 	ready         []*endpoint
 	byName        map[string]*endpoint
 	requests      map[string]*request
-	next          int
+	next          int // of round_robin
 }
 
 var _ balancer.Events = (*Policy)(nil)
 
-// New returns an instance of the policy named, or an error that lists the names.
+// New returns an instance of the policy called name. For an unknown name the error lists the names.
 func New(name string, s balancer.Settings, h balancer.Host) (*Policy, error) {
-	p := &Policy{settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 2)), repeatability: map[string]balancer.Repeatability{},
-		byName: map[string]*endpoint{}, requests: map[string]*request{}}
+	p := &Policy{settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 2)),
+		repeatability: map[string]balancer.Repeatability{}, byName: map[string]*endpoint{}, requests: map[string]*request{}}
 	for _, c := range s.Classes {
 		p.repeatability[c.Name] = c.Repeat
 	}
 	switch name {
 	case "random":
-		p.choose = func(_ time.Duration, candidates []*endpoint) *endpoint {
-			return candidates[p.rng.IntN(len(candidates))]
-		}
+		p.choose = p.chooseRandom
 	case "round_robin":
-		p.next = p.rng.IntN(1 << 20) // instances must not go round in step
-		p.choose = func(_ time.Duration, candidates []*endpoint) *endpoint {
-			p.next++
-			return candidates[p.next%len(candidates)]
-		}
+		p.next = p.rng.IntN(1 << 20) // so that instances do not send to the same endpoint at a time
+		p.choose = p.chooseRoundRobin
 	case "least_outstanding":
-		p.choose = func(_ time.Duration, candidates []*endpoint) *endpoint {
-			start := p.rng.IntN(len(candidates)) // ties go to no one in particular
-			best := candidates[start]
-			for i := range candidates {
-				if e := candidates[(start+i)%len(candidates)]; e.outstanding < best.outstanding {
-					best = e
-				}
-			}
-			return best
-		}
+		p.choose = p.chooseLeastOutstanding
 	case "two_choices":
 		p.choose = p.powerOfTwo(func(_ time.Duration, e *endpoint) float64 { return float64(e.outstanding) })
 	case "peak_ewma":
-		p.choose = p.powerOfTwo(func(now time.Duration, e *endpoint) float64 {
-			cost := e.cost * math.Exp(-float64(now-e.costUpdated)/float64(costDecay))
-			if cost == 0 && e.outstanding > 0 { // nothing known yet: one at a time
-				return math.MaxFloat64 / 2
-			}
-			return cost * float64(e.outstanding+1)
-		})
+		p.choose = p.powerOfTwo(peakEWMA)
 	default:
 		return nil, fmt.Errorf("policy %q is none of %v", name, Names)
 	}
 	return p, nil
 }
 
-// powerOfTwo draws two and takes the one of lower cost.
-func (p *Policy) powerOfTwo(cost func(time.Duration, *endpoint) float64) func(time.Duration, []*endpoint) *endpoint {
-	return func(now time.Duration, candidates []*endpoint) *endpoint {
-		a := candidates[p.rng.IntN(len(candidates))]
-		if len(candidates) == 1 {
-			return a
-		}
-		b := candidates[p.rng.IntN(len(candidates))]
-		for b == a {
-			b = candidates[p.rng.IntN(len(candidates))]
-		}
-		if cost(now, b) < cost(now, a) {
-			return b
-		}
-		return a
-	}
-}
-
 // EndpointList implements balancer.Events.
-func (p *Policy) EndpointList(now time.Duration, l balancer.EndpointList) {
+func (p *Policy) EndpointList(_ time.Duration, l balancer.EndpointList) {
 	if l.Failed {
 		return
 	}
@@ -122,17 +83,17 @@
 			e.State = balancer.Gone
 		}
 	}
-	for _, in := range l.Entries {
-		e := p.byName[in.ID]
+	for _, entry := range l.Entries {
+		e := p.byName[entry.ID]
 		if e == nil {
 			e = &endpoint{}
-			p.byName[in.ID] = e
+			p.byName[entry.ID] = e
 			p.endpoints = append(p.endpoints, e)
 		}
-		if in.Started > e.Started {
+		if entry.Started > e.Started {
 			e.cost = 0
 		}
-		e.Endpoint = in
+		e.Endpoint = entry
 	}
 	p.endpoints = slices.DeleteFunc(p.endpoints, func(e *endpoint) bool {
 		if e.State == balancer.Gone {
@@ -148,79 +109,83 @@
 	}
 }
 
-// Request implements balancer.Events.
+// Request implements balancer.Events. A request of an unknown class is taken for non-idempotent.
 func (p *Policy) Request(now time.Duration, r balancer.Request) {
-	effect, ok := p.repeatability[r.Class]
+	repeat, ok := p.repeatability[r.Class]
 	if !ok {
-		effect = balancer.NonIdempotent
+		repeat = balancer.NonIdempotent
 	}
-	q := &request{Request: r, repeat: effect}
-	p.requests[r.ID] = q
-	p.attempt(now, q)
+	req := &request{Request: r, repeat: repeat}
+	p.requests[r.ID] = req
+	p.attempt(now, req)
 }
 
-// attempt sends a request to one that it has not met, if there is any, or else returns the final answer.
-func (p *Policy) attempt(now time.Duration, q *request) {
+// attempt sends a request to an endpoint that it has not been sent to, if there is one, or ends it
+// if it may not be sent.
+func (p *Policy) attempt(now time.Duration, r *request) {
 	candidates := p.ready
-	if len(q.tried) > 0 {
-		candidates = slices.DeleteFunc(slices.Clone(candidates), func(e *endpoint) bool { return slices.Contains(q.tried, e) })
+	if len(r.tried) > 0 {
+		tried := func(e *endpoint) bool { return slices.Contains(r.tried, e) }
+		candidates = slices.DeleteFunc(slices.Clone(candidates), tried)
 		if len(candidates) == 0 {
 			candidates = p.ready
 		}
 	}
-	may := len(q.tried) == 0 || (p.settings.MaxAttempts <= 0 || len(q.tried) < p.settings.MaxAttempts) && (q.repeat == balancer.Idempotent || !q.mayHaveRun)
-	if len(candidates) == 0 || !may || now >= q.Deadline-p.settings.Resolution {
-		p.finish(q)
+	if len(candidates) == 0 || !p.maySend(r) || now >= r.Deadline-p.settings.Resolution {
+		p.finish(r)
 		return
 	}
 	e := p.choose(now, candidates)
 	e.outstanding++
-	q.tried = append(q.tried, e)
-	p.host.Send(q.ID, e.ID, q.Deadline-now)
+	r.tried = append(r.tried, e)
+	p.host.Send(r.ID, e.ID, r.Deadline-now)
 }
 
-func (p *Policy) finish(q *request) {
-	delete(p.requests, q.ID)
+// maySend reports whether a request may be sent for the first time or once more.
+func (p *Policy) maySend(r *request) bool {
+	if len(r.tried) == 0 {
+		return true
+	}
+	attemptsLeft := p.settings.MaxAttempts <= 0 || len(r.tried) < p.settings.MaxAttempts
+	return attemptsLeft && (r.repeat == balancer.Idempotent || !r.mayHaveRun)
+}
+
+// finish gives a request that was not served its final response.
+func (p *Policy) finish(r *request) {
+	delete(p.requests, r.ID)
 	switch {
-	case q.repeat != balancer.Idempotent && q.mayHaveRun:
-		p.host.Fail(q.ID, balancer.MayHaveRun)
+	case r.repeat != balancer.Idempotent && r.mayHaveRun:
+		p.host.Fail(r.ID, balancer.MayHaveRun)
 	case len(p.ready) == 0:
-		p.host.Reject(q.ID, balancer.NoEndpoint, 0)
+		p.host.Reject(r.ID, balancer.NoEndpoint, 0)
 	default:
-		p.host.Reject(q.ID, balancer.AttemptsExhausted, 0)
+		p.host.Reject(r.ID, balancer.AttemptsExhausted, 0)
 	}
 }
 
 // Outcome implements balancer.Events.
 func (p *Policy) Outcome(now time.Duration, o balancer.Outcome) {
-	q := p.requests[o.ID]
-	if q == nil || o.Attempt >= len(q.tried) {
+	r := p.requests[o.ID]
+	if r == nil || o.Attempt >= len(r.tried) {
 		return
 	}
-	e := q.tried[o.Attempt]
+	e := r.tried[o.Attempt]
 	e.outstanding--
-	if took := o.Latency.Seconds(); o.Result != balancer.Canceled && o.Result != balancer.NotSent {
-		if o.Result != balancer.OK {
-			took = max(took, 1)
-		}
-		old := math.Exp(-float64(now-e.costUpdated) / float64(costDecay))
-		e.cost = max(took, e.cost*old+took*(1-old))
-		e.costUpdated = now
-	}
-	switch {
-	case o.Final || o.Result == balancer.OK:
+	e.updateCost(now, o)
+	if o.Final || o.Result == balancer.OK {
 		delete(p.requests, o.ID)
+		return
+	}
+	switch o.Result {
+	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
 	default:
-		switch o.Result {
-		case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
-		default:
-			q.mayHaveRun = true
-		}
-		p.attempt(now, q)
+		r.mayHaveRun = true
 	}
+	p.attempt(now, r)
 }
 
-// ClientLeft implements balancer.Events. The attempt that is out keeps its place until its outcome comes.
+// ClientLeft implements balancer.Events. The attempt in flight counts as outstanding until its
+// outcome.
 func (p *Policy) ClientLeft(time.Duration, string) {}
 
 // StreamStarted implements balancer.Events.
--- a/internal/experiment/traffic/faults.go
+++ b/internal/experiment/traffic/faults.go
@@ -4,24 +4,25 @@
 	"cmp"
 	"fmt"
 	"math"
+	"math/rand/v2"
 	"slices"
 	"time"
 
 	"rowancart/internal/experiment"
 )
 
-// FaultEvent is one step of a fault, at one place, as a driver carries it out.
+// FaultEvent is one step of a fault, as a driver carries it out.
 type FaultEvent struct {
 	At     time.Duration
 	Kind   experiment.FaultKind
-	Tier   int // -1: not a tier's
-	Server int // place in its tier; -1: not a server's
-	On     bool
+	Tier   int  // index in Site.Tiers; -1: the fault is not of a tier
+	Server int  // index in the tier, or number of the sidecar; -1: the fault is not of one server
+	On     bool // it begins; otherwise it ends
 	Fault  *experiment.Fault
 }
 
-// Timeline lays out the faults of an experiment: which servers are struck and when, in order of time. Deploy becomes
-// a Change with On for each server to be drained and replaced; the driver ends it Period later.
+// Timeline returns the steps of all faults in the order of time. A RollingDeploy is one step with
+// On for each server to be replaced, which the driver carries out over Fault.Period.
 func Timeline(e *experiment.Experiment, seed uint64) []FaultEvent {
 	var out []FaultEvent
 	for i := range e.Faults {
@@ -31,64 +32,95 @@
 		case experiment.DiscoveryDelay, experiment.DiscoverySilence:
 			out = append(out, FaultEvent{At: f.At, Kind: f.Kind, Tier: -1, Server: -1, On: true, Fault: f},
 				FaultEvent{At: f.End(), Kind: f.Kind, Tier: -1, Server: -1, Fault: f})
-			continue
-		case experiment.KillSidecar, experiment.TermSidecar, experiment.DiscoveryMove, experiment.SilentPeer, experiment.PartialRequestPeer, experiment.OversizedPeer:
+		case experiment.KillSidecar, experiment.TermSidecar, experiment.DiscoveryMove, experiment.SilentPeer,
+			experiment.PartialRequestPeer, experiment.OversizedPeer:
 			for n := range max(f.Count, 1) {
-				out = append(out, FaultEvent{At: f.At + time.Duration(n)*f.Period, Kind: f.Kind, Tier: 0, Server: n, On: true, Fault: f})
+				at := f.At + time.Duration(n)*f.Period
+				out = append(out, FaultEvent{At: at, Kind: f.Kind, Tier: 0, Server: n, On: true, Fault: f})
 			}
+		default:
+			out = append(out, serverFaultEvents(e, f, rng)...)
+		}
+	}
+	slices.SortStableFunc(out, func(a, b FaultEvent) int { return cmp.Compare(a.At, b.At) })
+	return out
+}
+
+// serverFaultEvents returns the steps of a fault of servers.
+func serverFaultEvents(e *experiment.Experiment, f *experiment.Fault, rng *rand.Rand) []FaultEvent {
+	var out []FaultEvent
+	for t, tier := range e.Site.Tiers {
+		if f.Tier != "" && f.Tier != tier.Name {
 			continue
 		}
-		for t, tier := range e.Site.Tiers {
-			if f.Tier != "" && f.Tier != tier.Name {
-				continue
-			}
-			struck := rng.Perm(tier.Servers)[:NumAffected(f.Fraction, tier.Servers)]
-			if f.Kind == experiment.RollingDeploy {
-				batch := max(int(math.Round(f.Size*float64(tier.Servers))), 1)
-				batches := (len(struck) + batch - 1) / batch
-				for n, b := range struck {
-					at := f.At + f.Duration*time.Duration(n/batch)/time.Duration(batches)
-					out = append(out, FaultEvent{At: at, Kind: f.Kind, Tier: t, Server: b, On: true, Fault: f})
-				}
-				continue
-			}
-			slices.Sort(struck)
-			for _, b := range struck {
-				on := true
-				for at := f.At; at < f.End(); {
-					out = append(out, FaultEvent{At: at, Kind: f.Kind, Tier: t, Server: b, On: on, Fault: f})
-					if f.Kind != experiment.NoisyNeighbour || f.Period <= 0 {
-						break
-					}
-					at += time.Duration(float64(f.Period) * (0.5 + rng.Float64()))
-					on = !on
-				}
-				out = append(out, FaultEvent{At: f.End(), Kind: f.Kind, Tier: t, Server: b, Fault: f})
-			}
+		affected := rng.Perm(tier.Servers)[:NumAffected(f.Fraction, tier.Servers)]
+		if f.Kind == experiment.RollingDeploy {
+			out = append(out, deployEvents(f, t, tier.Servers, affected)...)
+			continue
+		}
+		slices.Sort(affected)
+		for _, server := range affected {
+			on := FaultEvent{At: f.At, Kind: f.Kind, Tier: t, Server: server, On: true, Fault: f}
+			off := on
+			off.At, off.On = f.End(), false
+			out = append(out, alternate(on, rng)...)
+			out = append(out, off)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b FaultEvent) int { return cmp.Compare(a.At, b.At) })
 	return out
 }
 
-// NumAffected is how many of n servers a part is: one at least.
-func NumAffected(part float64, n int) int {
-	return min(max(int(math.Round(part*float64(n))), 1), n)
+// deployEvents returns the replacements of servers, in batches that are spread evenly over the
+// fault's duration.
+func deployEvents(f *experiment.Fault, tier, servers int, affected []int) []FaultEvent {
+	batch := max(int(math.Round(f.Size*float64(servers))), 1)
+	batches := (len(affected) + batch - 1) / batch
+	var out []FaultEvent
+	for n, server := range affected {
+		at := f.At + f.Duration*time.Duration(n/batch)/time.Duration(batches)
+		out = append(out, FaultEvent{At: at, Kind: f.Kind, Tier: tier, Server: server, On: true, Fault: f})
+	}
+	return out
 }
 
-// KindOf returns the kind of the server at a place in its tier. Shares are dealt out evenly, so that the first servers of a tier
-// are a fair mix of its kinds.
+// alternate returns the beginning of a fault, and for a NoisyNeighbour with a period the ends and
+// beginnings that follow at random intervals of that mean.
+func alternate(on FaultEvent, rng *rand.Rand) []FaultEvent {
+	var out []FaultEvent
+	f := on.Fault
+	for event := on; event.At < f.End(); event.On = !event.On {
+		out = append(out, event)
+		if f.Kind != experiment.NoisyNeighbour || f.Period <= 0 {
+			break
+		}
+		event.At += time.Duration(float64(f.Period) * (0.5 + rng.Float64()))
+	}
+	return out
+}
+
+// NumAffected returns how many of n servers a fraction is, one at least.
+func NumAffected(fraction float64, n int) int {
+	return min(max(int(math.Round(fraction*float64(n))), 1), n)
+}
+
+// fractionTolerance keeps rounding errors from deciding between kinds of the same deficit.
+const fractionTolerance = 1e-9
+
+// KindOf returns the kind of the server at an index of its tier. Kinds are assigned by largest
+// deficit, so that the first servers of a tier are a fair mix of its kinds.
 func KindOf(t experiment.Tier, index int) experiment.Kind {
-	best, largestDeficit := 0, math.Inf(-1)
 	assigned := make([]float64, len(t.Kinds))
 	sum := 0.0
 	for _, k := range t.Kinds {
 		sum += k.Fraction
 	}
+	best := 0
 	for i := range index + 1 {
-		best, largestDeficit = 0, math.Inf(-1)
+		largestDeficit := math.Inf(-1)
+		best = 0
 		for k := range t.Kinds {
-			if deficit := t.Kinds[k].Fraction/sum*float64(i+1) - assigned[k]; deficit > largestDeficit+1e-9 {
+			deficit := t.Kinds[k].Fraction/sum*float64(i+1) - assigned[k]
+			if deficit > largestDeficit+fractionTolerance {
 				best, largestDeficit = k, deficit
 			}
 		}
@@ -97,7 +129,8 @@
 	return t.Kinds[best]
 }
 
-// ServerName is the name of the server at a place in its tier; generation counts its successors.
+// ServerName returns the name of the server at an index of its tier. Generation is the number of
+// its predecessors.
 func ServerName(t experiment.Tier, index, generation int) string {
 	if generation == 0 {
 		return fmt.Sprintf("%s-%d", t.Name, index)
--- a/internal/experiment/traffic/traffic.go
+++ b/internal/experiment/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic draws what clients ask for: the same list of requests for every variant of an experiment, whatever the
-// variant does. It is pure.
+// Package traffic draws what happens to a service in an experiment: the clients' requests, and
+// which servers the faults strike. It is the same for every variant, whatever the variant does.
 package traffic
 
 import (
@@ -12,32 +12,34 @@
 	"rowancart/internal/experiment"
 )
 
-// Request is one thing that a client wants; retries belong to it.
+// Request is a client's request. Retries belong to it.
 type Request struct {
 	At               time.Duration // intended time of sending, from which its latency counts
-	Class            int           // in Site.Classes
-	Tenant           int           // in Site.Tenants, -1 where there are none
-	Patience         time.Duration // of one attempt
-	Work             float64       // seconds on a core of speed 1, over all tiers, of a typical call
-	DisconnectsAfter time.Duration // the client leaves without a word after this; 0: it stays
-	Seed             uint64        // for all that is drawn for it later
+	Class            int           // index in Site.Classes
+	Tenant           int           // index in Site.Tenants, -1 if there are none
+	Patience         time.Duration // for which the client waits for one attempt
+	Work             float64       // seconds on a core of speed 1, over all tiers
+	DisconnectsAfter time.Duration // the client closes its connection after this; 0: it does not
+	Seed             uint64        // of later draws for the request
 }
 
-// Draw returns the requests of an experiment in order of arrival.
+// Draw returns the requests of an experiment in the order of their arrival.
 func Draw(e *experiment.Experiment, seed uint64) []Request {
 	arrivals := experiment.Rand(seed, "arrivals")
 	rng := experiment.Rand(seed, "requests")
+	minPatience := e.Load.Clients.MinPatience
+	if minPatience <= 0 || minPatience > 1 {
+		minPatience = 1
+	}
 	var out []Request
-	for _, at := range arrivalTimes(e, arrivals) {
-		r := Request{At: at, Class: drawClass(e.Site.Classes, rng), Tenant: drawTenant(e.Site.Tenants, rng), Seed: rng.Uint64()}
-		c := e.Site.Classes[r.Class]
-		r.Work = DrawWork(c, rng)
-		least := e.Load.Clients.MinPatience
-		if least <= 0 || least > 1 {
-			least = 1
-		}
-		r.Patience = time.Duration(float64(c.Deadline) * (least + (1-least)*rng.Float64())).Truncate(time.Millisecond)
-		if leaves := rng.Float64() < e.Load.Clients.DisconnectRate; leaves {
+	for _, at := range drawArrivalTimes(e, arrivals) {
+		r := Request{At: at, Class: drawClass(e.Site.Classes, rng), Tenant: drawTenant(e.Site.Tenants, rng),
+			Seed: rng.Uint64()}
+		class := e.Site.Classes[r.Class]
+		r.Work = drawWork(class, rng)
+		patience := minPatience + (1-minPatience)*rng.Float64()
+		r.Patience = time.Duration(float64(class.Deadline) * patience).Truncate(time.Millisecond)
+		if rng.Float64() < e.Load.Clients.DisconnectRate {
 			r.DisconnectsAfter = time.Duration(rng.Float64() * float64(r.Patience))
 		}
 		out = append(out, r)
@@ -45,7 +47,8 @@
 	return out
 }
 
-func arrivalTimes(e *experiment.Experiment, rng *rand.Rand) []time.Duration {
+// drawArrivalTimes returns the instants of arrival, in order.
+func drawArrivalTimes(e *experiment.Experiment, rng *rand.Rand) []time.Duration {
 	if e.Load.Process == experiment.Recorded {
 		out := slices.Clone(e.Load.Recorded)
 		slices.Sort(out)
@@ -54,33 +57,35 @@
 	var out []time.Duration
 	steps := slices.Clone(e.Load.Steps)
 	slices.SortStableFunc(steps, func(a, b experiment.Step) int { return cmp.Compare(a.At, b.At) })
-	// Unit gaps are stretched by the rate of the moment (time change), so that a step takes hold at once.
-	left, factor, next := drawGap(e, rng), 1.0, 0
+	// Gaps of mean 1 are divided by the rate of the moment, so that a step takes effect within a gap,
+	// too. What is left of a gap at a step continues at the new rate.
+	gap, factor, nextStep := drawGap(e.Load.Process, rng), 1.0, 0
 	for now := 0.0; ; {
-		for next < len(steps) && steps[next].At.Seconds() <= now {
-			factor = steps[next].Factor
-			next++
+		for nextStep < len(steps) && steps[nextStep].At.Seconds() <= now {
+			factor = steps[nextStep].Factor
+			nextStep++
 		}
 		rate, end := e.Load.Rate*factor, e.Duration.Seconds()
-		if next < len(steps) {
-			end = min(end, steps[next].At.Seconds())
+		if nextStep < len(steps) {
+			end = min(end, steps[nextStep].At.Seconds())
 		}
-		if rate <= 0 || now+left/rate >= end {
-			left -= max(end-now, 0) * rate
+		if rate <= 0 || now+gap/rate >= end {
+			gap -= max(end-now, 0) * rate
 			now = end
 			if now >= e.Duration.Seconds() {
 				return out
 			}
 			continue
 		}
-		now += left / rate
+		now += gap / rate
 		out = append(out, time.Duration(now*float64(time.Second)))
-		left = drawGap(e, rng)
+		gap = drawGap(e.Load.Process, rng)
 	}
 }
 
-func drawGap(e *experiment.Experiment, rng *rand.Rand) float64 {
-	if e.Load.Process == experiment.Steady {
+// drawGap draws the time between two arrivals at a rate of 1.
+func drawGap(process experiment.ArrivalProcess, rng *rand.Rand) float64 {
+	if process == experiment.Steady {
 		return 1
 	}
 	return rng.ExpFloat64()
@@ -90,6 +95,7 @@
 	return drawWeighted(len(classes), func(i int) float64 { return classes[i].TrafficShare }, rng)
 }
 
+// drawTenant returns -1 if there are no tenants.
 func drawTenant(tenants []experiment.Tenant, rng *rand.Rand) int {
 	if len(tenants) == 0 {
 		return -1
@@ -97,6 +103,7 @@
 	return drawWeighted(len(tenants), func(i int) float64 { return tenants[i].TrafficShare }, rng)
 }
 
+// drawWeighted draws an index below n with a probability in proportion to its weight.
 func drawWeighted(n int, weight func(int) float64, rng *rand.Rand) int {
 	sum := 0.0
 	for i := range n {
@@ -111,8 +118,8 @@
 	return n - 1
 }
 
-// DrawWork draws the work of one request of a class, in seconds.
-func DrawWork(c experiment.Class, rng *rand.Rand) float64 {
+// drawWork draws the work of one request of a class, in seconds.
+func drawWork(c experiment.Class, rng *rand.Rand) float64 {
 	if c.CacheHitRatio > 0 && rng.Float64() < c.CacheHitRatio {
 		return c.CacheHitWork.Seconds()
 	}
