--- a/cmd/rowancart/lab.go
+++ b/cmd/rowancart/lab.go
@@ -24,7 +24,14 @@
 
 func newLab() *cobra.Command {
 	lab := &cobra.Command{Use: "lab", Short: "Play experiments with the balancer before stand-in boxes"}
-	lab.AddCommand(newLabRun(), newLabCheck(), newLabList(), newLabCompare(), newSpeed(), newSubsets(), newSearch(), newFast(), &cobra.Command{
+	lab.AddCommand(newLabRun(), newLabCheck(), newLabList(), newLabCompare(), newSpeed(), newSubsets(), newSearch(),
+		newFastHTTP(), newReverseProxy())
+	return lab
+}
+
+// newReverseProxy returns the command that serves as the baseline of experiments on sockets.
+func newReverseProxy() *cobra.Command {
+	return &cobra.Command{
 		Use:    "reverse-proxy",
 		Short:  "Serve as the rival on sockets, as ROUTER_CONFIG says",
 		Hidden: true,
@@ -32,18 +39,25 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return roundrobin.Serve(cmd.Context(), os.Getenv("ROUTER_CONFIG"), slog.Default())
 		},
-	})
-	return lab
+	}
 }
 
-// errMissed says that a run ended in order and did not bring what its file expects.
+// errMissed means that a run was complete and did not meet the expectations of its file.
 var errMissed = errors.New("the experiment did not bring what its file expects")
 
+// labRunFlags are the flags of lab run.
+type labRunFlags struct {
+	virtual   bool
+	seed      uint64
+	variant   string
+	set       []string
+	jsonFile  string
+	reportDir string
+	root      string
+}
+
 func newLabRun() *cobra.Command {
-	var virtual bool
-	var seed uint64
-	var arm, jsonFile, reportDir, root string
-	var set []string
+	var flags labRunFlags
 	cmd := &cobra.Command{
 		Use:   "run FILE",
 		Short: "Play an experiment and report on it",
@@ -52,71 +66,93 @@
 The exit status is 0 if all that the file expects came out, else 1. An interrupt ends every program that was started
 and still reports what had been measured.`,
 		Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			values, err := assignments(set)
-			if err != nil {
-				return err
-			}
-			plays, err := hclfile.Load(args[0], values)
-			if err != nil {
-				return err
-			}
-			o := runner.Options{Virtual: plays[0].Virtual, Variant: arm, Root: root}
-			if cmd.Flags().Changed("virtual") {
-				o.Virtual = virtual
-			}
-			if cmd.Flags().Changed("seed") {
-				o.Seeds = []uint64{seed}
-			}
-			if !o.Virtual {
-				if o.Self, err = os.Executable(); err != nil {
-					return err
-				}
-				if o.Root == "" {
-					if o.Root, err = repository(); err != nil {
-						return err
-					}
-				}
-			}
-			var finish func()
-			o.Progress, finish = progress(cmd.ErrOrStderr())
-			r, err := runner.Run(cmd.Context(), plays, o)
-			finish()
-			if err != nil {
-				return err
-			}
-			r.Text(cmd.OutOrStdout())
-			if jsonFile != "" {
-				if err := r.WriteJSON(jsonFile); err != nil {
-					return err
-				}
-			}
-			if reportDir != "" {
-				if err := r.Write(reportDir); err != nil {
-					return err
-				}
-				fmt.Fprintln(cmd.OutOrStdout(), "\nreport:", filepath.Join(reportDir, "index.html"))
-			}
-			switch {
-			case r.Stopped != "":
-				return errors.New(r.Stopped)
-			case len(r.Missed) > 0:
-				return errMissed
-			}
-			return nil
-		},
+		RunE: func(cmd *cobra.Command, args []string) error { return flags.run(cmd, args[0]) },
 	}
 	f := cmd.Flags()
-	f.BoolVar(&virtual, "virtual", false, "play in virtual time, or with =false on sockets, whatever the file says")
-	f.Uint64Var(&seed, "seed", 0, "play this seed only")
-	f.StringVar(&arm, "arm", "", "play this arm only")
-	f.StringArrayVar(&set, "set", nil, "give a variable of the file another value: KEY=VALUE")
-	f.StringVar(&jsonFile, "json", "", "write the figures to this file")
-	f.StringVar(&reportDir, "report", "", "write a page and the figures into this folder")
-	f.StringVar(&root, "root", "", "the repository whose deploy file starts the sidecar (default: the one around the working folder)")
+	f.BoolVar(&flags.virtual, "virtual", false, "play in virtual time, or with =false on sockets, whatever the file says")
+	f.Uint64Var(&flags.seed, "seed", 0, "play this seed only")
+	f.StringVar(&flags.variant, "arm", "", "play this arm only")
+	f.StringArrayVar(&flags.set, "set", nil, "give a variable of the file another value: KEY=VALUE")
+	f.StringVar(&flags.jsonFile, "json", "", "write the figures to this file")
+	f.StringVar(&flags.reportDir, "report", "", "write a page and the figures into this folder")
+	f.StringVar(&flags.root, "root", "",
+		"the repository whose deploy file starts the sidecar (default: the one around the working folder)")
 	return cmd
 }
 
+// run plays the experiment of a file and writes the reports.
+func (flags *labRunFlags) run(cmd *cobra.Command, path string) error {
+	values, err := assignments(flags.set)
+	if err != nil {
+		return err
+	}
+	plays, err := hclfile.Load(path, values)
+	if err != nil {
+		return err
+	}
+	options, err := flags.options(cmd, plays[0].Virtual)
+	if err != nil {
+		return err
+	}
+	var finish func()
+	options.Progress, finish = progress(cmd.ErrOrStderr())
+	r, err := runner.Run(cmd.Context(), plays, options)
+	finish()
+	if err != nil {
+		return err
+	}
+	if err := flags.write(cmd.OutOrStdout(), r); err != nil {
+		return err
+	}
+	switch {
+	case r.Stopped != "":
+		return errors.New(r.Stopped)
+	case len(r.Missed) > 0:
+		return errMissed
+	}
+	return nil
+}
+
+// options returns how to play; virtual is what the file says.
+func (flags *labRunFlags) options(cmd *cobra.Command, virtual bool) (runner.Options, error) {
+	o := runner.Options{Virtual: virtual, Variant: flags.variant, Root: flags.root}
+	if cmd.Flags().Changed("virtual") {
+		o.Virtual = flags.virtual
+	}
+	if cmd.Flags().Changed("seed") {
+		o.Seeds = []uint64{flags.seed}
+	}
+	if o.Virtual {
+		return o, nil
+	}
+	var err error
+	if o.Self, err = os.Executable(); err != nil {
+		return o, err
+	}
+	if o.Root == "" {
+		o.Root, err = repository()
+	}
+	return o, err
+}
+
+// write writes the report in all forms that were asked for.
+func (flags *labRunFlags) write(w io.Writer, r *report.Report) error {
+	r.Text(w)
+	if flags.jsonFile != "" {
+		if err := r.WriteJSON(flags.jsonFile); err != nil {
+			return err
+		}
+	}
+	if flags.reportDir != "" {
+		if err := r.Write(flags.reportDir); err != nil {
+			return err
+		}
+		fmt.Fprintln(w, "\nreport:", filepath.Join(flags.reportDir, "index.html"))
+	}
+	return nil
+}
+
+// assignments parses KEY=VALUE arguments.
 func assignments(set []string) (map[string]string, error) {
 	out := map[string]string{}
 	for _, s := range set {
@@ -129,7 +165,8 @@
 	return out, nil
 }
 
-// repository finds the folder around the working one that has a deploy file.
+// repository returns the nearest directory, from the working directory upwards, that has a deploy
+// file.
 func repository() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
@@ -147,9 +184,10 @@
 	}
 }
 
-// progress shows how far a run is: a bar on a terminal, a line now and then elsewhere.
+// progress returns functions that show the progress of a run: as a bar on a terminal, and elsewhere
+// as a line for each play. Finish removes the bar.
 func progress(w io.Writer) (show func(done, all int, part float64), finish func()) {
-	const steps = 1000
+	const steps = 1000 // of the bar
 	var mu sync.Mutex
 	if f, ok := w.(*os.File); ok && term.IsTerminal(int(f.Fd())) {
 		bar := progressbar.NewOptions(steps, progressbar.OptionSetWriter(w), progressbar.OptionSetWidth(40),
@@ -157,7 +195,7 @@
 		show = func(done, all int, part float64) {
 			mu.Lock()
 			defer mu.Unlock()
-			_ = bar.Set(int(steps * (float64(done) + part) / float64(all))) // a bar that can't be drawn is no matter
+			_ = bar.Set(int(steps * (float64(done) + part) / float64(all))) // the bar is not essential
 		}
 		return show, func() { _ = bar.Finish() }
 	}
@@ -227,7 +265,8 @@
 				if e.Virtual {
 					where = "virtual"
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%-24s %-8s %2d plays  %s\n", filepath.Base(path), where, len(plays)*len(e.Variants)*len(e.Seeds), e.Question)
+				count := len(plays) * len(e.Variants) * len(e.Seeds)
+				fmt.Fprintf(cmd.OutOrStdout(), "%-24s %-8s %2d plays  %s\n", filepath.Base(path), where, count, e.Question)
 			}
 			return errors.Join(errs...)
 		},
@@ -252,18 +291,25 @@
 			if err != nil {
 				return err
 			}
-			w := cmd.OutOrStdout()
-			beyond := 0
-			for _, d := range differences {
-				if math.IsNaN(d.Noise) {
-					fmt.Fprintf(w, "%-12s %-18s %-18s %12.4f -> %12.4f  (too few repeats to tell noise)\n", d.Point, d.Variant, d.Metric, d.A, d.B)
-				} else if d.Significant() {
-					beyond++
-					fmt.Fprintf(w, "%-12s %-18s %-18s %12.4f -> %12.4f  (noise %.4f)\n", d.Point, d.Variant, d.Metric, d.A, d.B, d.Noise)
-				}
-			}
-			fmt.Fprintf(w, "%d of %d figures differ by more than the repeats do\n", beyond, len(differences))
+			writeDifferences(cmd.OutOrStdout(), differences)
 			return nil
 		},
 	}
 }
+
+// writeDifferences writes the differences that are significant, and those of which that is not
+// known.
+func writeDifferences(w io.Writer, differences []report.Difference) {
+	significant := 0
+	for _, d := range differences {
+		if math.IsNaN(d.Noise) {
+			fmt.Fprintf(w, "%-12s %-18s %-18s %12.4f -> %12.4f  (too few repeats to tell noise)\n", d.Point, d.Variant,
+				d.Metric, d.A, d.B)
+		} else if d.Significant() {
+			significant++
+			fmt.Fprintf(w, "%-12s %-18s %-18s %12.4f -> %12.4f  (noise %.4f)\n", d.Point, d.Variant, d.Metric, d.A, d.B,
+				d.Noise)
+		}
+	}
+	fmt.Fprintf(w, "%d of %d figures differ by more than the repeats do\n", significant, len(differences))
+}
--- a/cmd/rowancart/speed.go
+++ b/cmd/rowancart/speed.go
@@ -30,14 +30,8 @@
 			}
 			defer os.RemoveAll(o.Dir)
 			if o.Sidecar == "" {
-				root, err := repository()
-				if err != nil {
-					return err
-				}
 				o.Sidecar = filepath.Join(o.Dir, "sidecar")
-				build := exec.CommandContext(cmd.Context(), "go", "build", "-o", o.Sidecar, "./cmd/sidecar")
-				build.Dir, build.Stderr = root, cmd.ErrOrStderr()
-				if err := build.Run(); err != nil {
+				if err := buildSidecar(cmd, o.Sidecar); err != nil {
 					return err
 				}
 			}
@@ -57,19 +51,31 @@
 	f.IntVar(&o.Rounds, "rounds", 5, "rounds in which each program has a turn, after one that warms up")
 	f.DurationVar(&o.SampleTime, "turn", time.Second, "time of a turn")
 	f.IntVar(&o.IdleConnections, "idle", 0, "further connections of clients that send nothing")
-	f.StringVar(&o.Sidecar, "sidecar", "", "the platform's program (default: built from the repository around the working folder)")
+	f.StringVar(&o.Sidecar, "sidecar", "",
+		"the platform's program (default: built from the repository around the working folder)")
 	return cmd
 }
 
-// newFast is the rival on fasthttp.
-func newFast() *cobra.Command {
+// buildSidecar builds the platform's program from the repository around the working directory.
+func buildSidecar(cmd *cobra.Command, path string) error {
+	root, err := repository()
+	if err != nil {
+		return err
+	}
+	build := exec.CommandContext(cmd.Context(), "go", "build", "-o", path, "./cmd/sidecar")
+	build.Dir, build.Stderr = root, cmd.ErrOrStderr()
+	return build.Run()
+}
+
+// newFastHTTP returns the command that serves as the baseline on fasthttp.
+func newFastHTTP() *cobra.Command {
 	return &cobra.Command{
 		Use:    "fasthttp LISTEN ENDPOINT...",
 		Short:  "Serve as the rival on fasthttp",
 		Hidden: true,
 		Args:   cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return speed.ServeFast(cmd.Context(), args[0], args[1:])
+			return speed.ServeFastHTTP(cmd.Context(), args[0], args[1:])
 		},
 	}
 }
--- a/internal/experiment/speed/endpoints.go
+++ b/internal/experiment/speed/endpoints.go
@@ -146,9 +146,9 @@
 	return t, nil
 }
 
-// ServeFast serves as the baseline on fasthttp: a server and its LBClient, which sends to the endpoint with the fewest requests
+// ServeFastHTTP serves as the baseline on fasthttp: a server and its LBClient, which sends to the endpoint with the fewest requests
 // out, until ctx ends.
-func ServeFast(ctx context.Context, listen string, endpoints []string) error {
+func ServeFastHTTP(ctx context.Context, listen string, endpoints []string) error {
 	var lb fasthttp.LBClient
 	for _, addr := range endpoints {
 		lb.Clients = append(lb.Clients, &fasthttp.HostClient{Addr: addr, MaxConns: 512, MaxIdleConnDuration: 27 * time.Second})
