--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -30,10 +30,11 @@
 // Body reads one body to its end and not a byte further. A read that fails with a timeout may be
 // repeated.
 type Body struct {
-	source    Source
-	remaining int64 // bytes; or Chunked, or UntilClose
-	chunks    chunkDecoder
-	ended     bool
+	source     Source
+	remaining  int64 // bytes; or Chunked, or UntilClose
+	chunks     chunkDecoder
+	framingErr error // of the chunked coding; the decoder cannot go on after it
+	ended      bool
 }
 
 // NewBody returns a body of length bytes, or of the lengths Chunked and UntilClose.
@@ -99,9 +100,13 @@
 
 // decodeFraming consumes the framing that is buffered.
 func (b *Body) decodeFraming() error {
+	if b.framingErr != nil {
+		return b.framingErr
+	}
 	n, err := b.chunks.decodeFraming(b.source.Buffered())
 	b.source.Discard(n)
 	b.ended = b.chunks.ended()
+	b.framingErr = err
 	return err
 }
 
--- a/internal/http1/body_test.go
+++ b/internal/http1/body_test.go
@@ -97,6 +97,7 @@
 		"bare CR behind size":    {"5\rhello\r\n0\r\n\r\n", Chunked, "", "", false},
 		"bare LF behind data":    {"5\r\nhello\n0\r\n\r\n", Chunked, "hello", "", false},
 		"data longer than size":  {"5\r\nhello!\r\n0\r\n\r\n", Chunked, "hello", "", false},
+		"no CRLF behind data":    {"1\r\naX0\r\n\r\n", Chunked, "a", "", false},
 		"bare LF at the end":     {"0\r\n\n", Chunked, "", "", false},
 		"bare LF in extensions":  {"1;a\nx\r\n0\r\n\r\n", Chunked, "", "", false},
 		"control in extensions":  {"1;a\x00\r\nx\r\n0\r\n\r\n", Chunked, "", "", false},
@@ -137,7 +138,8 @@
 // The standard library reads whatever is accepted here in the same way: no server behind can read
 // it differently.
 func FuzzChunks(f *testing.F) {
-	for _, seed := range []string{"5\r\nhello\r\n0\r\n\r\n", "1;a=b\r\nx\r\n0\r\nA: b\r\n\r\n", "a\r\n", "0\r\n\r\n"} {
+	for _, seed := range []string{"5\r\nhello\r\n0\r\n\r\n", "1;a=b\r\nx\r\n0\r\nA: b\r\n\r\n", "a\r\n", "0\r\n\r\n",
+		"1\r\naX0\r\n\r\n"} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
