--- a/internal/daemon/admin_test.go
+++ b/internal/daemon/admin_test.go
@@ -12,6 +12,10 @@
 	e := testpeer.New(t, testpeer.Says(testpeer.Served, true))
 	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
 	s.request(http.MethodGet, "/x")
+	testpeer.Until(t, "the request is counted, which happens after its response is written", func() bool {
+		_, metrics := s.requestAdmin(http.MethodGet, "/metrics")
+		return strings.Contains(metrics, `rowancart_answer_seconds_count{route="x"} 1`)
+	})
 	for path, wants := range map[string][]string{
 		"/healthz": {"ok"},
 		"/status":  {`"generation": 1`, `"name": "one"`, `"ready": 1`, `"class": "look"`},
--- a/internal/daemon/reason_test.go
+++ b/internal/daemon/reason_test.go
@@ -45,11 +45,12 @@
 		if _, _, h := s.request(c.method, c.path); h.Get("Proxy-Status") != c.status {
 			t.Errorf("%s: Proxy-Status is %q, %q is right", c.path, h.Get("Proxy-Status"), c.status)
 		}
-		_, metrics := s.requestAdmin(http.MethodGet, "/metrics")
+		// A request is counted after its response is written.
 		want := `rowancart_unserved_total{reason="` + c.reason + `",route="` + c.route + `"} 1`
-		if !strings.Contains(metrics, want) {
-			t.Errorf("%s: the metrics have no %s", c.path, want)
-		}
+		testpeer.Until(t, c.path+": the metrics have "+want, func() bool {
+			_, metrics := s.requestAdmin(http.MethodGet, "/metrics")
+			return strings.Contains(metrics, want)
+		})
 		if !strings.Contains(s.log.String(), "why="+c.reason) {
 			t.Errorf("%s: the log has no %s: %s", c.path, c.reason, s.log)
 		}
