--- /dev/null
+++ b/internal/experiment/speed/client.go
@@ -0,0 +1,89 @@
+package speed
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"net"
+	"strconv"
+	"sync/atomic"
+	"time"
+)
+
+// clientGrace is for a response to the last request.
+const clientGrace = 10 * time.Second
+
+// clientSerial makes request IDs unique over the measurements.
+var clientSerial atomic.Int64
+
+// runClient sends one request after the other over one connection until the end. The sample has no
+// rate and no CPU time.
+func runClient(ctx context.Context, addr string, bodySize int, end time.Time, index int) (sample, error) {
+	s := sample{latency: newLatencyHistogram()}
+	nc, err := net.Dial("tcp", addr)
+	if err != nil {
+		return s, err
+	}
+	defer nc.Close()
+	if err := nc.SetDeadline(end.Add(clientGrace)); err != nil {
+		return s, err
+	}
+	in := bufio.NewReaderSize(nc, readBuffer)
+	id := fmt.Sprintf("r%d-%d", clientSerial.Add(1), index)
+	body := bytes.Repeat([]byte("x"), bodySize)
+	for n := 0; ctx.Err() == nil && time.Now().Before(end); n++ {
+		head := requestHead(id, n, bodySize)
+		began := time.Now()
+		if _, err := nc.Write(append(head, body...)); err != nil {
+			return s, err
+		}
+		statusLine, err := skipMessage(in)
+		if err != nil {
+			return s, err
+		}
+		if statusLine != "HTTP/1.1 200 OK" {
+			s.failed++
+			continue
+		}
+		if err := s.latency.RecordValue(time.Since(began).Microseconds()); err != nil {
+			return s, err
+		}
+	}
+	return s, nil
+}
+
+// requestHead returns the head of a client's nth request.
+func requestHead(id string, n, bodySize int) []byte {
+	head := fmt.Appendf(nil, "GET /get/%d HTTP/1.1\r\n", n)
+	if bodySize > 0 {
+		head = fmt.Appendf(nil, "POST /post/%d HTTP/1.1\r\nContent-Length: %d\r\n", n, bodySize)
+	}
+	return fmt.Appendf(head, "Host: box\r\nReq-Id: %s-%d\r\nReq-Owner: speed\r\nReq-Deadline-Ms: 5000\r\n\r\n", id, n)
+}
+
+// skipMessage reads a message with its body, if it has a Content-Length, and returns its first
+// line.
+func skipMessage(in *bufio.Reader) (first string, err error) {
+	length := 0
+	for {
+		line, err := in.ReadSlice('\n')
+		if err != nil {
+			return "", err
+		}
+		line = bytes.TrimRight(line, "\r\n")
+		if first == "" {
+			first = string(line)
+		}
+		if len(line) == 0 {
+			break
+		}
+		if name, value, ok := bytes.Cut(line, []byte(":")); ok && bytes.EqualFold(name, []byte("Content-Length")) {
+			if length, err = strconv.Atoi(string(bytes.TrimSpace(value))); err != nil {
+				return "", err
+			}
+		}
+	}
+	_, err = in.Discard(length)
+	return first, err
+}
--- /dev/null
+++ b/internal/experiment/speed/servers.go
@@ -0,0 +1,80 @@
+package speed
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"sync"
+)
+
+const (
+	responseText = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 12\r\n\r\nhello, world"
+	readBuffer   = 16 << 10 // bytes, of servers and clients
+)
+
+// serverGroup is a number of servers that respond to every request at once with 12 bytes. They do
+// not validate requests: the programs between are what is measured, and servers and clients must
+// cost as little as they can.
+type serverGroup struct {
+	addrs     []string
+	listeners []net.Listener
+	serving   sync.WaitGroup // the goroutines of listeners and connections
+
+	mu   sync.Mutex
+	open map[net.Conn]bool
+}
+
+func newServerGroup(n int) (*serverGroup, error) {
+	g := &serverGroup{open: map[net.Conn]bool{}}
+	for range n {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			g.close()
+			return nil, err
+		}
+		g.addrs, g.listeners = append(g.addrs, l.Addr().String()), append(g.listeners, l)
+		g.serving.Go(func() { g.accept(l) })
+	}
+	return g, nil
+}
+
+// accept accepts connections until the listener is closed.
+func (g *serverGroup) accept(l net.Listener) {
+	for {
+		nc, err := l.Accept()
+		if err != nil {
+			return
+		}
+		g.mu.Lock()
+		g.open[nc] = true
+		g.mu.Unlock()
+		g.serving.Go(func() { g.serve(nc) })
+	}
+}
+
+// serve responds to the requests of a connection until it ends.
+func (g *serverGroup) serve(nc net.Conn) {
+	defer nc.Close()
+	in := bufio.NewReaderSize(nc, readBuffer)
+	for {
+		if _, err := skipMessage(in); err != nil {
+			return
+		}
+		if _, err := io.WriteString(nc, responseText); err != nil {
+			return
+		}
+	}
+}
+
+// close closes all listeners and connections and waits for their goroutines.
+func (g *serverGroup) close() {
+	for _, l := range g.listeners {
+		l.Close()
+	}
+	g.mu.Lock()
+	for nc := range g.open {
+		nc.Close()
+	}
+	g.mu.Unlock()
+	g.serving.Wait()
+}
