--- a/internal/compatibility/sidecar_test.go
+++ b/internal/compatibility/sidecar_test.go
@@ -6,9 +6,6 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strconv"
-	"strings"
-	"syscall"
 	"testing"
 	"time"
 
@@ -230,66 +227,3 @@
 		t.Errorf("%q, stored is %q", got, want)
 	}
 }
-
-// The earlier program shows that it runs by a locked file; this one must see it as a running
-// predecessor, and as gone when the lock is.
-func TestSidecarPresenceOfEarlierProgramIsSeen(t *testing.T) {
-	dir := copyTree(t, sidecarDir)
-	files, err := filepath.Glob(filepath.Join(dir, "rowancart-"+sidecarName, "serving-*"))
-	if err != nil || len(files) != 1 {
-		t.Fatalf("%q, %v", files, err)
-	}
-	predecessor, err := os.Open(files[0])
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer predecessor.Close()
-	if err := syscall.Flock(int(predecessor.Fd()), syscall.LOCK_EX); err != nil {
-		t.Fatal(err)
-	}
-	shared, err := hotrestart.OpenSharedDir(dir, sidecarName)
-	if err != nil {
-		t.Fatal(err)
-	}
-	started := startOf(t, filepath.Base(files[0]))
-	for name, row := range map[string]struct {
-		after time.Duration // the start of the predecessor
-		want  hotrestart.Peers
-	}{
-		"a later process":    {time.Second, hotrestart.Peers{Alive: true}},
-		"an earlier process": {-time.Second, hotrestart.Peers{Alive: true, Successor: true}},
-	} {
-		presence, err := shared.Register(started.Add(row.after))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got, err := presence.Peers(); err != nil || got != row.want {
-			t.Errorf("%s: %+v, %v", name, got, err)
-		}
-		presence.Unregister()
-	}
-	predecessor.Close()
-	presence, err := shared.Register(started.Add(time.Second))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer presence.Unregister()
-	if got, err := presence.Peers(); err != nil || got != (hotrestart.Peers{}) {
-		t.Errorf("after its end: %+v, %v", got, err)
-	}
-}
-
-// startOf returns the start of the process that a presence file stands for:
-// serving-NANOSECONDS-PID.
-func startOf(t *testing.T, name string) time.Time {
-	t.Helper()
-	stamp := strings.Split(name, "-")
-	if len(stamp) != 3 {
-		t.Fatal(name)
-	}
-	nanoseconds, err := strconv.ParseInt(stamp[1], 10, 64)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return time.Unix(0, nanoseconds)
-}
