--- a/cmd/rowancart/serve.go
+++ b/cmd/rowancart/serve.go
@@ -31,8 +31,8 @@
 The file is read again at each SIGHUP and whenever it changes. A good one is put in force at once, a bad one changes
 nothing: the log and "rowancart config status" say what is wrong with it.
 
-At SIGUSR2 it starts the program at its own path anew, hands it the open sockets, and ends once that serves and all that was
-taken here has been answered. One that does not get to serve is ended, and this process goes on.`,
+At SIGUSR2 it starts the program at its own path anew, hands it the open sockets, and ends once that serves and all
+that was taken here has been answered. One that does not get to serve is ended, and this process goes on.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return serve(cmd, args[0]) },
 	}
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -143,7 +143,8 @@
 	allowed := []string{
 		"rowancart/balancer", "rowancart/cmd/sidecar", "rowancart/internal/admin", "rowancart/internal/connpool",
 		"rowancart/internal/discovery/platform",
-		"rowancart/internal/hotrestart", "rowancart/internal/http1", "rowancart/internal/httpserver", "rowancart/internal/metrics",
+		"rowancart/internal/hotrestart", "rowancart/internal/http1", "rowancart/internal/httpserver",
+		"rowancart/internal/metrics",
 		"rowancart/internal/netaddr", "rowancart/internal/proxy", "rowancart/internal/route", "rowancart/internal/sidecar",
 		"rowancart/internal/snapshot", "rowancart/internal/wire", "github.com/cespare/xxhash/v2",
 	}
--- a/internal/config/faults_test.go
+++ b/internal/config/faults_test.go
@@ -26,8 +26,14 @@
 var faultCases = []struct{ name, text, want string }{
 	{"a second copy of what is unsafe", withPaysPolicy("second_copy {\n after = \"1s\"\n}"),
 		`x.hcl:44:5: second_copy: route "pays" is of class "pay", which is unsafe: both copies could run`},
-	{"a second copy of what is keyed", replaceInValid(`  class   = "book"`, "  class   = \"book\"\n  policy {\n    second_copy {\n      percentile = 95\n    }\n  }"),
-		`x.hcl:53:5: second_copy: route "books" is of class "book", which is keyed: both copies could run`},
+	{
+		"a second copy of what is keyed",
+		replaceInValid(
+			`  class   = "book"`,
+			"  class   = \"book\"\n  policy {\n    second_copy {\n      percentile = 95\n    }\n  }",
+		),
+		`x.hcl:53:5: second_copy: route "books" is of class "book", which is keyed: both copies could run`,
+	},
 	{"a retry after a run", withPaysPolicy(`retry = "after_run"`),
 		`x.hcl:44:5: retry: route "pays" is of class "pay", which is unsafe: after a run, another could run it twice`},
 	{"attempts that add up", withLooksPolicy("attempt_timeout = \"2s\""),
@@ -46,28 +52,44 @@
 		`x.hcl:39:2: percentile: 20 is not from 50 to under 100`},
 	{"zeros", withLooksPolicy("attempts = 0\n    rate = \"0/s\""), `x.hcl:38:5: attempts: 0 attempts serve nobody
 x.hcl:39:5: rate: at 0 a second nobody is served`},
-	{"a tenant over all", withLooksPolicy("concurrency = 5\n    tenant_concurrency = 6\n    rate = \"1/s\"\n    tenant_rate = \"2/s\""),
+	{
+		"a tenant over all",
+		withLooksPolicy("concurrency = 5\n    tenant_concurrency = 6\n    rate = \"1/s\"\n    tenant_rate = \"2/s\""),
 		`x.hcl:39:5: tenant_concurrency: 6 is more than all tenants of route "looks" have together: 5
-x.hcl:41:5: tenant_rate: 2/s is more than all tenants of route "looks" have together: 1/s`},
-	{"a burst of nothing", withLooksPolicy("burst = 5"), `x.hcl:38:5: burst: route "looks" has no rate that it could belong to`},
+x.hcl:41:5: tenant_rate: 2/s is more than all tenants of route "looks" have together: 1/s`,
+	},
+	{
+		"a burst of nothing",
+		withLooksPolicy("burst = 5"),
+		`x.hcl:38:5: burst: route "looks" has no rate that it could belong to`,
+	},
 	{"a bare number for a time", withLooksPolicy("request_timeout = 3"),
 		`x.hcl:38:23: request_timeout: a time with its unit, such as "250ms" is wanted`},
 	{"a bare number for a rate", withPaysPolicy("tenant_rate = 3"),
 		`x.hcl:44:19: tenant_rate: a rate with its unit, such as "50/s" is wanted`},
 	{"a bare number for a size", validConfig + "limits {\n  memory = 64\n}\n",
 		`x.hcl:55:12: memory: a size with its unit, such as "128MiB" is wanted`},
-	{"an unknown way to retry", withLooksPolicy(`retry = "always"`), `x.hcl:38:5: retry: "always" is none of not_run, after_run`},
+	{
+		"an unknown way to retry",
+		withLooksPolicy(`retry = "always"`),
+		`x.hcl:38:5: retry: "always" is none of not_run, after_run`,
+	},
 	{"no pool", replaceInValid(`  pool  = "boxes"`, ``),
 		`x.hcl:34:15: Missing required argument: The argument "pool" is required, but no definition was found.`},
 	{"an unknown pool", replaceInValid(`  pool  = "boxes"`, `  pool = "boxen"`), `x.hcl:37:3: there is no pool "boxen"`},
 	{"an unknown class", replaceInValid(`class = "look"`, `class = "watch"`), `x.hcl:36:3: there is no class "watch"`},
-	{"an unknown policy", replaceInValid(`policy = "quick"`, `policy = "quicker"`), `x.hcl:6:3: there is no policy "quicker"`},
+	{
+		"an unknown policy",
+		replaceInValid(`policy = "quick"`, `policy = "quicker"`),
+		`x.hcl:6:3: there is no policy "quicker"`,
+	},
 	{"an unknown listener", replaceInValid(`  class = "look"`, "  class = \"look\"\n  listeners = [\"back\"]"),
 		`x.hcl:37:3: there is no listener "back"`},
 	{"an unknown attribute", withLooksPolicy("retries = 3"),
 		`x.hcl:38:5: Unsupported argument: An argument named "retries" is not expected here.`},
 	{"routes that overlap", replaceInValid(`"/pay"`, `"/look/*"`),
-		`x.hcl:39:1: route "pays" overlaps route "looks", at x.hcl:34:1: some requests fit both, and neither is more specific`},
+		`x.hcl:39:1: route "pays" overlaps route "looks", at x.hcl:34:1: ` +
+			`some requests fit both, and neither is more specific`},
 	{"a path of two meanings", replaceInValid(`"/pay"`, `"/look/../pay"`), `x.hcl:40:3: path: a dot segment`},
 	{"a star in a path", replaceInValid(`"/pay"`, `"/*/pay"`),
 		`x.hcl:40:3: path: "/*/pay" has a star elsewhere than in a last "/*"`},
@@ -94,7 +116,11 @@
 		`x.hcl:8:1: class "book": keyed, and no window says for how long repeats are dropped`},
 	{"a window for what is safe", replaceInValid("  effect = \"safe\"\n", "  effect = \"safe\"\n  window = \"1s\"\n"),
 		`x.hcl:6:3: window: class "look" is safe; repeats are dropped of keyed classes only`},
-	{"an odd effect", replaceInValid(`"unsafe"`, `"harmful"`), `x.hcl:14:3: effect: "harmful" is none of safe, keyed, unsafe`},
+	{
+		"an odd effect",
+		replaceInValid(`"unsafe"`, `"harmful"`),
+		`x.hcl:14:3: effect: "harmful" is none of safe, keyed, unsafe`,
+	},
 	{"too little", validConfig + "limits {\n  memory = \"16MiB\"\n  connections = 3\n  stop_within = \"1ms\"\n}\n",
 		`x.hcl:55:3: memory: the process needs 32MiB at least
 x.hcl:56:3: connections: the process needs 16 at least
@@ -103,8 +129,11 @@
 		`x.hcl:54:1: limits: 10000 connections need 137MiB, and memory is 64MiB`},
 	{"too few connections of a pool", replaceInValid("pool \"boxes\" {\n", "pool \"boxes\" {\n  connections = 1\n"),
 		`x.hcl:25:3: connections: a pool needs 4 at least`},
-	{"a budget that lets nothing through", replaceInValid("pool \"boxes\" {\n", "pool \"boxes\" {\n  retry_budget {\n    share = 0.1\n    most = 0.5\n  }\n"),
-		`x.hcl:27:5: most: 0.5 never lets a retry through; 1 is the least`},
+	{
+		"a budget that lets nothing through",
+		replaceInValid("pool \"boxes\" {\n", "pool \"boxes\" {\n  retry_budget {\n    share = 0.1\n    most = 0.5\n  }\n"),
+		`x.hcl:27:5: most: 0.5 never lets a retry through; 1 is the least`,
+	},
 	{"an open admin listener", validConfig + "admin {\n  listen = \"0.0.0.0:9901\"\n}\n",
 		`x.hcl:55:3: listen: 0.0.0.0:9901 is not on loopback, and the admin listener asks nobody who they are`},
 	{"no such instance", validConfig + "fleet {\n  instances = 2\n  index = 2\n}\n",
@@ -113,17 +142,23 @@
 		`x.hcl:57:3: name: the index stands already; the name is for instances that know none`},
 	{"a small subset", replaceInValid("pool \"boxes\" {\n", "pool \"boxes\" {\n  subset = 2\n"),
 		`x.hcl:25:3: subset: 2 leaves too little to choose from; 3 is the least`},
-	{"too much for a fresh server", replaceInValid("pool \"boxes\" {\n", "pool \"boxes\" {\n  warm_up {\n    share = 5\n  }\n"),
-		`x.hcl:25:3: warm_up: share 5 is not over 0 and up to 4: it is how much of its warmth's part a fresh server gets`},
+	{
+		"too much for a fresh server",
+		replaceInValid("pool \"boxes\" {\n", "pool \"boxes\" {\n  warm_up {\n    share = 5\n  }\n"),
+		`x.hcl:25:3: warm_up: share 5 is not over 0 and up to 4: it is how much of its warmth's part a fresh server gets`,
+	},
 	{"an unset variable", replaceInValid(`"127.0.0.1:8080"`, `env("FRONT")`),
 		`x.hcl:2:18: Invalid function argument: Invalid value for "name" parameter: FRONT is not set.`},
 	{"nothing", "", "x.hcl:1:1: the file has no listener\nx.hcl:1:1: the file has no route"},
 	{"syntax", replaceInValid("route \"pays\" {", "route pays {{"),
 		`x.hcl:39:13: Argument or block definition required: An argument or block definition is required here.`},
-	{"all in one go", strings.NewReplacer(`"/pay"`, `"pay"`, `"10s"`, `10`, `effect = "safe"`, `effect = "sure"`).Replace(validConfig),
+	{
+		"all in one go",
+		strings.NewReplacer(`"/pay"`, `"pay"`, `"10s"`, `10`, `effect = "safe"`, `effect = "sure"`).Replace(validConfig),
 		`x.hcl:5:3: effect: "sure" is none of safe, keyed, unsafe
 x.hcl:10:12: window: a time with its unit, such as "250ms" is wanted
-x.hcl:40:3: path: it must begin with a slash`},
+x.hcl:40:3: path: it must begin with a slash`,
+	},
 }
 
 func TestParseReportsEveryFault(t *testing.T) {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -41,7 +41,12 @@
 	m := &metrics{
 		registry: prometheus.NewRegistry(),
 		results:  counter("rowancart_answers_total", "Final answers, by route and kind.", "route", "kind"),
-		limited:  counter("rowancart_limited_total", "Requests turned away by a limit, by route and limit.", "route", "limit"),
+		limited: counter(
+			"rowancart_limited_total",
+			"Requests turned away by a limit, by route and limit.",
+			"route",
+			"limit",
+		),
 		unserved: counter("rowancart_unserved_total", "Requests refused or failed, by route and reason.", "route", "reason"),
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "rowancart_answer_seconds",
--- a/internal/daemon/reason_test.go
+++ b/internal/daemon/reason_test.go
@@ -40,7 +40,8 @@
 	for _, c := range []struct{ method, path, status, reason, route string }{
 		{http.MethodGet, "/none", `rowancart; error=destination_unavailable; details="no_endpoint"`, "no_endpoint", "none"},
 		{http.MethodGet, "/dead", `rowancart; error=destination_unavailable; details="no_attempt"`, "no_attempt", "dead"},
-		{http.MethodPost, "/resets", `rowancart; error=connection_terminated; details="may_have_run"`, "may_have_run", "resets"},
+		{http.MethodPost, "/resets", `rowancart; error=connection_terminated; details="may_have_run"`,
+			"may_have_run", "resets"},
 	} {
 		if _, _, h := s.request(c.method, c.path); h.Get("Proxy-Status") != c.status {
 			t.Errorf("%s: Proxy-Status is %q, %q is right", c.path, h.Get("Proxy-Status"), c.status)
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -6,9 +6,9 @@
 	"io"
 	"net"
 	"net/http"
-	"slices"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -35,7 +35,8 @@
 	if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK || next.Requests.Load() != 1 {
 		t.Errorf("%d, %d at the new pool", status, next.Requests.Load())
 	}
-	// The file watcher may have reloaded too: its generation, without requests, is removed a moment later.
+	// The file watcher may have reloaded too: its generation, without requests, is removed a moment
+	// later.
 	testpeer.Until(t, "only the generation with a request in flight drains", func() bool {
 		st := s.Status(false)
 		return len(st.Pools) == 2 && st.DrainingGenerations == 1
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -67,7 +67,8 @@
 	for name, text := range map[string]string{
 		"nothing":     "",
 		"half a head": "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\n",
-		"half a body": "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline-Ms: 6000\r\nContent-Length: 9\r\n\r\nhalf",
+		"half a body": "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline-Ms: 6000\r\n" +
+			"Content-Length: 9\r\n\r\nhalf",
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -37,8 +37,8 @@
 }
 
 // FirstSegment returns the first segment of a path whose route depends on that segment alone. The
-// other segments are forwarded unchanged; it returns an error if a server could read them as leading
-// out of the first one.
+// other segments are forwarded unchanged; it returns an error if a server could read them as
+// leading out of the first one.
 func FirstSegment(escaped string) (string, error) {
 	if err := checkSegments(escaped); err != nil {
 		return "", err
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -51,7 +51,8 @@
 			t.Errorf("%s %s%s takes %d, want %d", row.method, row.host, row.path, got, row.want)
 		}
 	}
-	if n, allowed := New(table[8:]).Find("strict.test", "/x", "POST", plain); n != -1 || !slices.Equal(allowed, []string{"DELETE", "GET", "PUT"}) {
+	if n, allowed := New(table[8:]).Find("strict.test", "/x", "POST", plain); n != -1 ||
+		!slices.Equal(allowed, []string{"DELETE", "GET", "PUT"}) {
 		t.Errorf("%d, allowed %v", n, allowed)
 	}
 	if n, allowed := New(table[8:]).Find("strict.test", "/y", "POST", plain); n != -1 || len(allowed) != 0 {
@@ -65,7 +66,8 @@
 		Host:    rapid.SampledFrom([]string{"", "a.b", "*.b", "*.a.b"}).Draw(t, "host"),
 		Path:    rapid.SampledFrom([]string{"", "/*", "/x", "/x/*", "/x/y", "/x/y/*"}).Draw(t, "path"),
 		Methods: rapid.SampledFrom([][]string{nil, {"GET"}, {"POST"}, {"GET", "POST"}}).Draw(t, "methods"),
-		Headers: rapid.SampledFrom([]map[string]string{nil, {"A": "1"}, {"A": "2"}, {"B": "1"}, {"A": "1", "B": "1"}}).Draw(t, "headers"),
+		Headers: rapid.SampledFrom([]map[string]string{nil, {"A": "1"}, {"A": "2"}, {"B": "1"}, {"A": "1", "B": "1"}}).
+			Draw(t, "headers"),
 	}
 }
 
@@ -75,7 +77,8 @@
 	if m.Host != "" && m.Host != host && !(star && strings.HasSuffix(host, below)) {
 		return false
 	}
-	if p, star := strings.CutSuffix(m.pathPattern(), "*"); p != path && !(star && strings.HasPrefix(path, p)) || star && len(path) < len(p) {
+	if p, star := strings.CutSuffix(m.pathPattern(), "*"); p != path && !(star && strings.HasPrefix(path, p)) ||
+		star && len(path) < len(p) {
 		return false
 	}
 	for name, value := range m.Headers {
@@ -114,7 +117,8 @@
 		host := rapid.SampledFrom([]string{"", "a.b", "c.b", "c.a.b", "z"}).Draw(t, "request host")
 		path := rapid.SampledFrom([]string{"/", "/x", "/x/", "/x/y", "/x/y/z", "/q"}).Draw(t, "request path")
 		method := rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "request method")
-		values := rapid.SampledFrom([]map[string]string{{}, {"A": "1"}, {"A": "2", "B": "1"}, {"A": "1", "B": "1"}}).Draw(t, "request headers")
+		values := rapid.SampledFrom([]map[string]string{{}, {"A": "1"}, {"A": "2", "B": "1"}, {"A": "1", "B": "1"}}).
+			Draw(t, "request headers")
 		header := func(name string) string { return values[name] }
 		want := -1
 		for n, m := range all {
@@ -134,8 +138,10 @@
 }
 
 func TestMatchCheck(t *testing.T) {
-	for _, m := range []Match{{Host: "A.example"}, {Host: "*"}, {Host: "*."}, {Host: "a.*.b"}, {Host: "a:80"}, {Path: "a"}, {Path: "/a*"},
-		{Path: "/*/b"}, {Path: "/a/../b"}, {Path: "/a//b"}, {Path: "/%61"}} {
+	for _, m := range []Match{
+		{Host: "A.example"}, {Host: "*"}, {Host: "*."}, {Host: "a.*.b"}, {Host: "a:80"},
+		{Path: "a"}, {Path: "/a*"}, {Path: "/*/b"}, {Path: "/a/../b"}, {Path: "/a//b"}, {Path: "/%61"},
+	} {
 		if m.Check() == nil {
 			t.Errorf("%+v passes", m)
 		}
@@ -171,7 +177,9 @@
 			t.Errorf("%q passes as %q", path, first)
 		}
 	}
-	for path, want := range map[string]string{"/": "", "//a": "", "/a/b%2Fc//d": "a", "/a": "a", "/a/": "a", "/a/%7Eb": "a"} {
+	for path, want := range map[string]string{
+		"/": "", "//a": "", "/a/b%2Fc//d": "a", "/a": "a", "/a/": "a", "/a/%7Eb": "a",
+	} {
 		if first, err := FirstSegment(path); err != nil || first != want {
 			t.Errorf("%q: %q, %v", path, first, err)
 		}
@@ -192,7 +200,13 @@
 		if err != nil || strings.ContainsAny(path, "?#") {
 			t.Skip()
 		}
-		if cleaned := u.JoinPath("."); strings.TrimSuffix(cleaned.EscapedPath(), "/") != strings.TrimSuffix(u.EscapedPath(), "/") {
+		if cleaned := u.JoinPath("."); strings.TrimSuffix(
+			cleaned.EscapedPath(),
+			"/",
+		) != strings.TrimSuffix(
+			u.EscapedPath(),
+			"/",
+		) {
 			t.Errorf("%q is also read as %q", path, cleaned.EscapedPath())
 		}
 		if strings.Count(u.Path, "/") != strings.Count(path, "/") {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -44,7 +44,8 @@
 	return t
 }
 
-// sortEntries sorts the entries of each path: those with methods first, then by the number of headers.
+// sortEntries sorts the entries of each path: those with methods first, then by the number of
+// headers.
 func sortEntries(byPath map[string][]entry) {
 	for _, entries := range byPath {
 		slices.SortStableFunc(entries, func(x, y entry) int {
