--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -302,13 +303,14 @@
 			}
 			c.in = bufio.NewReader(c.conn)
 		}
+		c.conn.SetDeadline(time.Now().Add(testTimeout)) // a request that is never answered is lost, too
 		fmt.Fprintf(c.conn, "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: 10000\r\n\r\n", id)
 		resp, err := http.ReadResponse(c.in, nil)
 		if err == nil {
 			return resp, nil
 		}
 		c.close()
-		if !used {
+		if !used || errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
 	}
