--- a/cmd/rowancart/search.go
+++ b/cmd/rowancart/search.go
@@ -18,9 +18,17 @@
 	}
 	var seed uint64
 	cmd.PersistentFlags().Uint64Var(&seed, "seed", 1, "of the sites that are drawn")
+	cmd.AddCommand(newSearchRun(&seed), newSearchReport(&seed), newSearchShow(&seed))
+	return cmd
+}
+
+// progressEvery is how many sites are played between two reports of progress.
+const progressEvery = 100
+
+func newSearchRun(seed *uint64) *cobra.Command {
 	o := search.Options{}
 	sites := 1000
-	run := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "run BOUNDS",
 		Short: "Draw sites, play the design and its rivals on each, and add the results to a file",
 		Long: `Draw sites within the bounds of a file, play the design and its rivals on each in virtual time, and add the results to a file.
@@ -36,10 +44,10 @@
 			if o.Out == "" {
 				return errors.New("--out: a file for the results is wanted")
 			}
-			o.Seed, o.To = seed, o.From+sites
+			o.Seed, o.To = *seed, o.From+sites
 			show, finish := progress(cmd.ErrOrStderr())
 			o.Progress = func(done, all int) {
-				if done%100 == 0 || done == all {
+				if done%progressEvery == 0 || done == all {
 					show(done, all, 0)
 				}
 			}
@@ -48,12 +56,15 @@
 			return err
 		},
 	}
-	run.Flags().StringVar(&o.Out, "out", "", "file for the results")
-	run.Flags().IntVar(&sites, "sites", sites, "how many are played")
-	run.Flags().IntVar(&o.From, "from", 0, "the first of them")
+	cmd.Flags().StringVar(&o.Out, "out", "", "file for the results")
+	cmd.Flags().IntVar(&sites, "sites", sites, "how many are played")
+	cmd.Flags().IntVar(&o.From, "from", 0, "the first of them")
+	return cmd
+}
 
-	worst, picture := 10, ""
-	tell := &cobra.Command{
+func newSearchReport(seed *uint64) *cobra.Command {
+	worst, plotFile := 10, ""
+	cmd := &cobra.Command{
 		Use:   "report BOUNDS RESULTS...",
 		Short: "Tell on how many sites the design is behind, by how much, and describe the worst",
 		Args:  cobra.MinimumNArgs(2),
@@ -70,22 +81,26 @@
 				}
 				s := search.Summarise(b, sites)
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: ", path)
-				s.Text(cmd.OutOrStdout(), b, seed, worst)
+				s.Text(cmd.OutOrStdout(), b, *seed, worst)
 				all = append(all, s)
 			}
-			if picture == "" {
+			if plotFile == "" {
 				return nil
 			}
-			f, err := os.Create(picture)
+			f, err := os.Create(plotFile)
 			if err != nil {
 				return err
 			}
 			return errors.Join(search.Plot(f, args[1:], all), f.Close())
 		},
 	}
-	tell.Flags().IntVar(&worst, "worst", worst, "sites that are described")
-	tell.Flags().StringVar(&picture, "plot", "", "draw the distributions of regret into this file, as SVG")
-	show := &cobra.Command{
+	cmd.Flags().IntVar(&worst, "worst", worst, "sites that are described")
+	cmd.Flags().StringVar(&plotFile, "plot", "", "draw the distributions of regret into this file, as SVG")
+	return cmd
+}
+
+func newSearchShow(seed *uint64) *cobra.Command {
+	return &cobra.Command{
 		Use:   "show BOUNDS SITE",
 		Short: "Play one site and tell what each policy served, and what the design's instances logged",
 		Args:  cobra.ExactArgs(2),
@@ -98,9 +113,7 @@
 			if err != nil {
 				return fmt.Errorf("%q is no number of a site", args[1])
 			}
-			return search.Show(cmd.Context(), cmd.OutOrStdout(), b, seed, n)
+			return search.Show(cmd.Context(), cmd.OutOrStdout(), b, *seed, n)
 		},
 	}
-	cmd.AddCommand(run, tell, show)
-	return cmd
 }
--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -1,6 +1,7 @@
-// Package search looks for the sites on which the design loses: it draws services, loads and faults within bounds, plays the
-// design and the baseline policies on each in virtual time, ranks the sites by regret, and shrinks the worst to experiments that
-// play by themselves. Regret is what the best baseline serves in time, by worth, less what the design does.
+// Package search looks for sites on which the design loses: it draws services, loads and faults
+// within bounds, plays the design and the baseline policies on each in virtual time, and ranks the
+// sites by regret. Regret is what the best baseline serves in time, by priority weight, less what
+// the design does.
 package search
 
 import (
@@ -21,48 +22,53 @@
 // Design is the policy that is searched for its weaknesses.
 const Design = experiment.DesignPolicy
 
-// flap and silentCrash are drawn beside the faults that the lab has: a server that goes and comes, and one of which the discovery service
-// says nothing.
+// Kinds of faults that are drawn besides those of package experiment. Their texts are those of
+// files of bounds.
 const (
-	flapping    = "flap"
-	silentCrash = "silent_crash"
-	loadStep    = "step" // a step in the load
+	flapping    = "flap"         // a server that crashes and restarts several times
+	silentCrash = "silent_crash" // a crash that discovery says nothing of
+	loadStep    = "step"         // a step of the load
 )
 
-// Span is a range, both ends included.
+// Span is a range that includes both its ends.
 type Span[T int | float64 | time.Duration] struct{ Min, Max T }
 
 // Bounds say within what sites are drawn, and how each is played.
 type Bounds struct {
 	Name          string
-	Servers       Span[int]           // of the first tier
-	Instances     Span[int]           // before it
-	Tiers         Span[int]           //
-	Classes       Span[int]           //
-	Faults        Span[int]           // that strike during a play
+	Servers       Span[int] // of the first tier
+	Instances     Span[int] // before the first tier
+	Tiers         Span[int]
+	Classes       Span[int]
+	Faults        Span[int]           // during a play
 	Work          Span[time.Duration] // mean of a request over all tiers
 	Duration      Span[time.Duration]
-	Load          Span[float64] // in shares of what the service can do
+	Load          Span[float64] // as a fraction of the site's capacity
 	Rate          Span[float64] // requests a second
-	MaxRequests   int           // most in one play: the rate is lowered to it
-	MaxKnownPairs int           // most pairs of an instance and a server that it knows
-	QuietFraction float64       // share of sites whose clients ask less than once a second each
-	FaultKinds    []string      // of faults
+	MaxRequests   int           // in one play; the rate is lowered to it
+	MaxKnownPairs int           // of an instance and a server in its endpoint list
+	QuietFraction float64       // of sites on which each instance has less than one request a second
+	FaultKinds    []string
 	Baselines     []string
 	Repeats       int     // plays of every site and policy
-	MoreRepeats   int     // and of those where the design seems behind
-	SuspectRegret float64 // by more than this
+	MoreRepeats   int     // plays of sites where the design seems behind, those of Repeats included
+	SuspectRegret float64 // from which the design seems behind
 	Digest        uint64  // of the file
 }
 
-var faultKinds = append([]string{flapping, silentCrash, loadStep}, func() (names []string) {
+// faultKinds are the kinds that can be drawn.
+var faultKinds = append([]string{flapping, silentCrash, loadStep}, virtualFaultKinds()...)
+
+// virtualFaultKinds returns the kinds of package experiment that can be played in virtual time.
+func virtualFaultKinds() []string {
+	var names []string
 	for _, k := range slices.Sorted(maps.Keys(experiment.FaultKinds)) {
 		if experiment.FaultKinds[k] {
 			names = append(names, string(k))
 		}
 	}
 	return names
-}()...)
+}
 
 // Load reads a file of bounds.
 func Load(path string) (*Bounds, error) {
@@ -95,63 +101,87 @@
 	return b, hcldecode.Faults(r.Diags)
 }
 
+// maxCount is the largest number of a span of counts.
+const maxCount = 1e6
+
+// readSearch reads a search block.
 func readSearch(r *hcldecode.Reader, block *hcl.Block, b *Bounds) {
-	var integers [5][]uint64
+	var counts [5][]uint64
 	var times [2][]time.Duration
 	var load []float64
 	var rates struct{ least, most hcldecode.Rate }
-	var quiet, seems hcldecode.Share
-	ok := r.Body(block.Body, hcldecode.Fields{"boxes!": &integers[0], "instances!": &integers[1], "tiers!": &integers[2], "classes!": &integers[3],
-		"faults!": &integers[4], "work!": &times[0], "duration!": &times[1], "load!": &load, "rate_least!": &rates.least,
-		"rate_most!": &rates.most, "requests!": &b.MaxRequests, "known!": &b.MaxKnownPairs, "quiet!": &quiet, "fault_kinds!": &b.FaultKinds,
-		"rivals!": &b.Baselines, "repeats!": &b.Repeats, "more_repeats!": &b.MoreRepeats, "seems!": &seems}, nil)
+	var quiet, suspect hcldecode.Share
+	ok := r.Body(block.Body, hcldecode.Fields{"boxes!": &counts[0], "instances!": &counts[1], "tiers!": &counts[2],
+		"classes!": &counts[3], "faults!": &counts[4], "work!": &times[0], "duration!": &times[1], "load!": &load,
+		"rate_least!": &rates.least, "rate_most!": &rates.most, "requests!": &b.MaxRequests, "known!": &b.MaxKnownPairs,
+		"quiet!": &quiet, "fault_kinds!": &b.FaultKinds, "rivals!": &b.Baselines, "repeats!": &b.Repeats,
+		"more_repeats!": &b.MoreRepeats, "seems!": &suspect}, nil)
 	if !ok {
 		return
 	}
-	at := func(to any) hcl.Range { return r.Places[to] }
 	for i, to := range []*Span[int]{&b.Servers, &b.Instances, &b.Tiers, &b.Classes, &b.Faults} {
 		least := uint64(1)
 		if to == &b.Faults {
 			least = 0
 		}
-		if len(integers[i]) != 2 || integers[i][0] > integers[i][1] || integers[i][0] < least || integers[i][1] > 1e6 {
-			r.Fault(at(&integers[i]), "two whole numbers from %d up are wanted, the smaller one first", least)
-			continue
-		}
-		*to = Span[int]{int(integers[i][0]), int(integers[i][1])}
+		readCounts(r, &counts[i], least, to)
 	}
 	for i, to := range []*Span[time.Duration]{&b.Work, &b.Duration} {
-		if len(times[i]) != 2 || times[i][0] > times[i][1] || times[i][0] <= 0 {
-			r.Fault(at(&times[i]), "two times above 0 are wanted, the shorter one first")
-			continue
-		}
-		*to = Span[time.Duration]{times[i][0], times[i][1]}
+		readTimes(r, &times[i], to)
 	}
 	if len(load) != 2 || load[0] > load[1] || load[0] <= 0 {
-		r.Fault(at(&load), "load: two numbers above 0 are wanted, the smaller one first")
+		r.Fault(r.Places[&load], "load: two numbers above 0 are wanted, the smaller one first")
 	} else {
 		b.Load = Span[float64]{load[0], load[1]}
 	}
 	if rates.least <= 0 || rates.least > rates.most {
-		r.Fault(at(&rates.most), "rate_most: it is under rate_least, or that is 0")
+		r.Fault(r.Places[&rates.most], "rate_most: it is under rate_least, or that is 0")
+	}
+	b.Rate = Span[float64]{float64(rates.least), float64(rates.most)}
+	b.QuietFraction, b.SuspectRegret = float64(quiet), float64(suspect)
+	b.check(r, r.Places[&counts[2]])
+}
+
+func readCounts(r *hcldecode.Reader, numbers *[]uint64, least uint64, to *Span[int]) {
+	n := *numbers
+	if len(n) != 2 || n[0] > n[1] || n[0] < least || n[1] > maxCount {
+		r.Fault(r.Places[numbers], "two whole numbers from %d up are wanted, the smaller one first", least)
+		return
+	}
+	*to = Span[int]{int(n[0]), int(n[1])}
+}
+
+func readTimes(r *hcldecode.Reader, times *[]time.Duration, to *Span[time.Duration]) {
+	t := *times
+	if len(t) != 2 || t[0] > t[1] || t[0] <= 0 {
+		r.Fault(r.Places[times], "two times above 0 are wanted, the shorter one first")
+		return
 	}
+	*to = Span[time.Duration]{t[0], t[1]}
+}
+
+// maxTiers is the largest number of tiers that can be drawn.
+const maxTiers = 3
+
+// check reports values that cannot be played. The position is that of the numbers of tiers.
+func (b *Bounds) check(r *hcldecode.Reader, tiers hcl.Range) {
 	if b.MaxRequests < 100 || b.MaxKnownPairs < 1 {
-		r.Fault(at(&b.MaxRequests), "requests and known: at least 100 requests and one pair are wanted")
+		r.Fault(r.Places[&b.MaxRequests], "requests and known: at least 100 requests and one pair are wanted")
 	}
-	if b.Tiers.Max > 3 {
-		r.Fault(at(&integers[2]), "tiers: three at most")
+	if b.Tiers.Max > maxTiers {
+		r.Fault(tiers, "tiers: three at most")
 	}
 	if b.Repeats < 1 || b.MoreRepeats < b.Repeats+2 {
-		r.Fault(at(&b.MoreRepeats), "more_repeats: at least two more than repeats are wanted, to measure on plays that did not choose")
+		r.Fault(r.Places[&b.MoreRepeats],
+			"more_repeats: at least two more than repeats are wanted, to measure on plays that did not choose")
 	}
 	for _, k := range b.FaultKinds {
-		hcldecode.OneOf(r, at(&b.FaultKinds), "fault_kinds", k, faultKinds...)
+		hcldecode.OneOf(r, r.Places[&b.FaultKinds], "fault_kinds", k, faultKinds...)
 	}
 	for _, p := range b.Baselines {
-		hcldecode.OneOf(r, at(&b.Baselines), "rivals", p, baseline.Names...)
+		hcldecode.OneOf(r, r.Places[&b.Baselines], "rivals", p, baseline.Names...)
 	}
 	if len(b.Baselines) == 0 {
-		r.Fault(at(&b.Baselines), "rivals: at least one is wanted")
+		r.Fault(r.Places[&b.Baselines], "rivals: at least one is wanted")
 	}
-	b.Rate, b.QuietFraction, b.SuspectRegret = Span[float64]{float64(rates.least), float64(rates.most)}, float64(quiet), float64(seems)
 }
--- /dev/null
+++ b/internal/experiment/search/play.go
@@ -0,0 +1,171 @@
+package search
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"runtime"
+	"runtime/debug"
+	"slices"
+	"sync"
+
+	"golang.org/x/sync/errgroup"
+
+	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/counters"
+	"rowancart/internal/experiment/report"
+	"rowancart/internal/experiment/virtual"
+)
+
+// gcPercent trades memory, of which plays keep little, for fewer collections of their garbage.
+const gcPercent = 400
+
+// Options say which sites are played.
+type Options struct {
+	Seed     uint64
+	From, To int    // sites, without To
+	Out      string // the file of results
+	Progress func(done, all int)
+}
+
+// Run plays sites on all cores and appends each to the file of results. It does not play sites that
+// the file has, so that a run that was stopped can be continued.
+func Run(ctx context.Context, b *Bounds, o Options) error {
+	f, done, err := openResults(o.Out, header{b.Name, b.Digest, o.Seed})
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
+	group, groupCtx := errgroup.WithContext(ctx)
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	var mu sync.Mutex // of f and played
+	played := 0
+	for n := range done {
+		if n >= o.From && n < o.To {
+			played++
+		}
+	}
+	for n := o.From; n < o.To && groupCtx.Err() == nil; n++ {
+		if done[n] {
+			continue
+		}
+		group.Go(func() error {
+			s, err := Play(groupCtx, b, o.Seed, n)
+			if err != nil {
+				return fmt.Errorf("site %d: %w", n, err)
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			played++
+			if o.Progress != nil {
+				o.Progress(played, o.To-o.From)
+			}
+			return writeLine(f, s)
+		})
+	}
+	if err := group.Wait(); err != nil {
+		return err
+	}
+	return ctx.Err()
+}
+
+// Play plays one site: the design and the baselines with common random numbers, and more often
+// where the design seems behind.
+func Play(ctx context.Context, b *Bounds, seed uint64, n int) (Site, error) {
+	e := Draw(b, seed, n)
+	s := Site{N: n, ServedWeight: map[string][]float64{}, ViolatedRules: map[string][]string{}}
+	for repeat := range b.MoreRepeats {
+		if repeat >= b.Repeats && s.Regret(b.Repeats).selectionMean <= b.SuspectRegret {
+			break
+		}
+		for _, policy := range append([]string{Design}, b.Baselines...) {
+			result, err := play(ctx, e, policy, uint64(repeat)+1)
+			if err != nil {
+				return s, err
+			}
+			s.add(policy, repeat, result)
+		}
+	}
+	return s, nil
+}
+
+// add adds the result of one play.
+func (s *Site) add(policy string, repeat int, result playResult) {
+	s.ServedWeight[policy] = append(s.ServedWeight[policy], result.servedWeight)
+	if policy == Design {
+		s.Failed = append(s.Failed, result.failed)
+		if repeat == 0 {
+			s.Requests, s.Reasons = result.requests, result.reasons
+		}
+	}
+	for _, rule := range result.violatedRules {
+		if !slices.Contains(s.ViolatedRules[policy], rule) {
+			s.ViolatedRules[policy] = append(s.ViolatedRules[policy], rule)
+		}
+	}
+}
+
+// Show plays a site once with each policy and writes the results, with what the design's instances
+// logged.
+func Show(ctx context.Context, w io.Writer, b *Bounds, seed uint64, n int) error {
+	e := Draw(b, seed, n)
+	fmt.Fprintln(w, Describe(e))
+	for _, t := range e.Site.Tiers {
+		fmt.Fprintf(w, "%s: %d boxes, %g of the work, %d calls below, cold from %g for %v, choked at %g, kinds", t.Name,
+			t.Servers, t.WorkFraction, t.Calls, t.Server.InitialCapacity, t.Server.WarmupTime, t.Server.CollapseQueue)
+		for _, k := range t.Kinds {
+			fmt.Fprintf(w, " %g of %d cores at %g, %d slots, queue %d;", k.Fraction, k.Cores, k.Speed, k.Slots, k.QueueLimit)
+		}
+		fmt.Fprintln(w)
+	}
+	for _, policy := range append([]string{Design}, b.Baselines...) {
+		result, err := play(ctx, e, policy, 1)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(w, "%-18s %6.2f%% of the worth, refused or failed %.2f%%%s %v\n", policy, 100*result.servedWeight,
+			100*result.failed, formatReasons(result.reasons), result.violatedRules)
+		if policy == Design {
+			for _, line := range result.logs {
+				fmt.Fprintln(w, "   ", line)
+			}
+		}
+	}
+	return nil
+}
+
+// playResult is the result of one play of one policy.
+type playResult struct {
+	servedWeight  float64 // in time, as a fraction of the priority weight of all requests
+	failed        float64 // fraction of requests rejected or failed
+	requests      int64
+	violatedRules []string
+	reasons       report.Reasons
+	logs          []string
+}
+
+func play(ctx context.Context, e *experiment.Experiment, policy string, seed uint64) (playResult, error) {
+	variant := experiment.Variant{Name: policy, Policy: policy}
+	result, err := virtual.Run(ctx, e, variant, seed, virtual.Options{})
+	if err != nil {
+		return playResult{}, err
+	}
+	c := result.Counters
+	out := playResult{
+		servedWeight: 1,
+		failed:       c.Total.Fraction(counters.Rejected) + c.Total.Fraction(counters.Failed),
+		requests:     c.Total.Offered(),
+		reasons:      c.Reasons,
+		logs:         result.Logs,
+	}
+	if c.OfferedWeight > 0 {
+		out.servedWeight = c.ServedWeight / c.OfferedWeight
+	}
+	for _, v := range result.Verdicts {
+		if v.Violations > 0 {
+			out.violatedRules = append(out.violatedRules, string(v.Rule))
+		}
+	}
+	return out, nil
+}
--- /dev/null
+++ b/internal/experiment/search/results.go
@@ -0,0 +1,126 @@
+package search
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"slices"
+
+	"rowancart/internal/experiment/report"
+)
+
+// Site is the results of one site, which is one line of a file of results.
+type Site struct {
+	N             int                  `json:"site"`
+	ServedWeight  map[string][]float64 `json:"worth"`            // in time, as a fraction, by policy and repeat
+	Failed        []float64            `json:"failed"`           // fraction that the design did not serve, by repeat
+	Reasons       report.Reasons       `json:"why,omitempty"`    // for that, in the first repeat
+	ViolatedRules map[string][]string  `json:"broken,omitempty"` // by policy
+	Requests      int64                `json:"requests"`         // in the first repeat
+}
+
+// header is the first line of a file of results: what they depend on besides the program.
+type header struct {
+	Search string `json:"search"`
+	Digest uint64 `json:"bounds"`
+	Seed   uint64 `json:"seed"`
+}
+
+func writeLine(w io.Writer, v any) error {
+	text, err := json.Marshal(v)
+	if err != nil {
+		return err
+	}
+	_, err = w.Write(append(text, '\n'))
+	return err
+}
+
+// openResults opens the file of results for more, and returns the sites that it has. It creates the
+// file if needed. The header must be that of the file.
+func openResults(path string, h header) (f *os.File, done map[int]bool, err error) {
+	done = map[int]bool{}
+	checkHeader := func(found header) error {
+		if found != h {
+			return fmt.Errorf("%s holds results of other bounds or another seed (search %q, seed %d)", path, found.Search,
+				found.Seed)
+		}
+		return nil
+	}
+	complete, err := scanResults(path, checkHeader, func(s Site) { done[s.N] = true })
+	if err != nil && !errors.Is(err, os.ErrNotExist) {
+		return nil, nil, err
+	}
+	f, err = os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o644)
+	if err != nil {
+		return nil, nil, err
+	}
+	if err := prepareAppend(f, complete, h); err != nil {
+		f.Close()
+		return nil, nil, err
+	}
+	return f, done, nil
+}
+
+// prepareAppend removes a line that was not written completely, and writes the header of an empty
+// file.
+func prepareAppend(f *os.File, complete int64, h header) error {
+	if err := f.Truncate(complete); err != nil {
+		return err
+	}
+	if _, err := f.Seek(complete, io.SeekStart); err != nil {
+		return err
+	}
+	if complete == 0 {
+		return writeLine(f, h)
+	}
+	return nil
+}
+
+// Read returns the sites of a file of results, ordered by number.
+func Read(path string) ([]Site, error) {
+	var sites []Site
+	anyHeader := func(header) error { return nil }
+	if _, err := scanResults(path, anyHeader, func(s Site) { sites = append(sites, s) }); err != nil {
+		return nil, err
+	}
+	slices.SortFunc(sites, func(x, y Site) int { return x.N - y.N })
+	return slices.CompactFunc(sites, func(x, y Site) bool { return x.N == y.N }), nil
+}
+
+// scanResults reads a file of results. It returns the length of its complete lines, in bytes.
+func scanResults(path string, checkHeader func(header) error, addSite func(Site)) (complete int64, err error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return 0, err
+	}
+	defer f.Close()
+	r := bufio.NewReader(f)
+	for n := 1; ; n++ {
+		text, err := r.ReadBytes('\n')
+		if errors.Is(err, io.EOF) {
+			return complete, nil
+		}
+		if err != nil {
+			return complete, err
+		}
+		if n == 1 {
+			var h header
+			if err := json.Unmarshal(text, &h); err != nil || h.Search == "" {
+				return complete, fmt.Errorf("%s:1: no file of a search's results", path)
+			}
+			if err := checkHeader(h); err != nil {
+				return complete, err
+			}
+		} else {
+			var s Site
+			if err := json.Unmarshal(text, &s); err != nil {
+				return complete, fmt.Errorf("%s:%d: %w", path, n, err)
+			}
+			addSite(s)
+		}
+		complete += int64(len(text))
+	}
+}
--- /dev/null
+++ b/internal/experiment/search/sampler.go
@@ -0,0 +1,52 @@
+package search
+
+import (
+	"math"
+	"math/rand/v2"
+	"strconv"
+	"time"
+)
+
+// sampler draws the properties of a site.
+type sampler struct{ *rand.Rand }
+
+// bernoulli reports true with probability p.
+func (d sampler) bernoulli(p float64) bool { return d.Float64() < p }
+
+func (d sampler) uniform(least, most float64) float64 { return least + (most-least)*d.Float64() }
+
+// logUniform draws evenly over orders of magnitude.
+func (d sampler) logUniform(least, most float64) float64 {
+	return math.Exp(d.uniform(math.Log(least), math.Log(most)))
+}
+
+func (d sampler) integer(s Span[int]) int { return s.Min + d.IntN(s.Max-s.Min+1) }
+
+func (d sampler) logUniformInt(s Span[int]) int {
+	return min(max(int(math.Round(d.logUniform(float64(s.Min), float64(s.Max)))), s.Min), s.Max)
+}
+
+func (d sampler) logUniformTime(least, most time.Duration) time.Duration {
+	return roundTime(time.Duration(d.logUniform(float64(least), float64(most))))
+}
+
+// roundTime rounds to three digits, so that a drawn site is easy to write down. It returns 0 for
+// negative times.
+func roundTime(t time.Duration) time.Duration {
+	if t <= 0 {
+		return 0
+	}
+	unit := math.Pow(10, math.Floor(math.Log10(float64(t)))-2)
+	return time.Duration(math.Round(float64(t)/unit) * unit)
+}
+
+// roundSeconds is roundTime of a number of seconds.
+func roundSeconds(seconds float64) time.Duration {
+	return roundTime(time.Duration(seconds * float64(time.Second)))
+}
+
+// threeDigits rounds to three digits.
+func threeDigits(x float64) float64 {
+	y, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 3, 64), 64) // FormatFloat wrote it
+	return y
+}
