--- a/cmd/rowancart/subsets.go
+++ b/cmd/rowancart/subsets.go
@@ -9,7 +9,7 @@
 )
 
 func newSubsets() *cobra.Command {
-	instances, boxes, size := []int{10, 100, 1000}, []int{10, 100, 1000, 10000}, 20
+	instances, servers, size := []int{10, 100, 1000}, []int{10, 100, 1000, 10000}, 20
 	cmd := &cobra.Command{
 		Use:   "subsets",
 		Short: "Measure ways to choose which boxes each instance of a fleet sends to",
@@ -20,17 +20,17 @@
 and when an instance comes. Where instances are few, parts are larger than asked for, so that each box has three instances.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, n := range append(append([]int{size}, instances...), boxes...) {
+			for _, n := range append(append([]int{size}, instances...), servers...) {
 				if n < 1 {
 					return errors.New("instances, boxes and part are numbers from 1 on")
 				}
 			}
-			subsets.Report(cmd.OutOrStdout(), instances, boxes, size)
+			subsets.Report(cmd.OutOrStdout(), instances, servers, size)
 			return nil
 		},
 	}
 	cmd.Flags().IntSliceVar(&instances, "instances", instances, "sizes of fleets")
-	cmd.Flags().IntSliceVar(&boxes, "boxes", boxes, "sizes of pools")
+	cmd.Flags().IntSliceVar(&servers, "boxes", servers, "sizes of pools")
 	cmd.Flags().IntVar(&size, "part", size, "boxes that one instance sends to")
 	return cmd
 }
--- /dev/null
+++ b/internal/experiment/subsets/methods.go
@@ -0,0 +1,146 @@
+package subsets
+
+import (
+	"cmp"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+
+	"github.com/cespare/xxhash/v2"
+
+	"rowancart/balancer"
+	"rowancart/internal/proxy"
+	"rowancart/internal/subset"
+)
+
+// chooser returns the servers of each instance, after each change of the list of servers.
+type chooser func(servers []string) [][]string
+
+// method is a way to choose subsets, for a number of instances and a size of subsets.
+type method struct {
+	name       string
+	newChooser func(instances, size int) chooser
+}
+
+// methods are what is compared, the daemon's first.
+var methods = []method{
+	{"ring, numbered", func(instances, size int) chooser { return filtered(instances, size, subset.PlaceOf) }},
+	{"ring, named", func(instances, size int) chooser { return filtered(instances, size, namedPlace) }},
+	{"ring, forgetful", stateless(ringSubsets)},
+	{"rendezvous", stateless(rendezvousSubsets)},
+	{"rounds", stateless(roundSubsets)},
+}
+
+// stateless returns a newChooser whose choices depend on the present list only.
+func stateless(choose func(instances, size int, servers []string) [][]string) func(instances, size int) chooser {
+	return func(instances, size int) chooser {
+		return func(servers []string) [][]string { return choose(instances, size, servers) }
+	}
+}
+
+func namedPlace(i int) subset.Place { return subset.PlaceNamed(memberName("instance", i)) }
+
+func memberName(kind string, i int) string { return kind + "-" + strconv.Itoa(i) }
+
+// filtered is the daemon's method: each instance has a filter, which keeps servers that have not
+// moved far on the ring.
+func filtered(instances, size int, place func(int) subset.Place) chooser {
+	filters := make([]*subset.Filter, instances)
+	subsets := make([]map[string]bool, instances)
+	for i := range filters {
+		filters[i], subsets[i] = subset.NewFilter(subset.Part{Place: place(i), Size: size}), map[string]bool{}
+	}
+	known := map[string]bool{}
+	return func(servers []string) [][]string {
+		changes := listChanges(known, servers)
+		out := make([][]string, instances)
+		for i, f := range filters {
+			for _, e := range f.Apply(changes).Endpoints {
+				if e.State == balancer.Gone {
+					delete(subsets[i], e.ID)
+				} else {
+					subsets[i][e.ID] = true
+				}
+			}
+			out[i] = slices.Collect(maps.Keys(subsets[i]))
+		}
+		return out
+	}
+}
+
+// listChanges returns the changes from known to servers, and makes known the set of servers.
+func listChanges(known map[string]bool, servers []string) proxy.EndpointList {
+	var changes proxy.EndpointList
+	present := map[string]bool{}
+	for _, s := range servers {
+		present[s] = true
+		if !known[s] {
+			changes.Endpoints = append(changes.Endpoints, proxy.Endpoint{ID: s})
+		}
+	}
+	for s := range known { // the order does not matter to a filter
+		if !present[s] {
+			changes.Endpoints = append(changes.Endpoints, proxy.Endpoint{ID: s, State: balancer.Gone})
+		}
+	}
+	clear(known)
+	maps.Copy(known, present)
+	return changes
+}
+
+// ringSubsets is the daemon's method without its memory of earlier subsets.
+func ringSubsets(instances, size int, servers []string) [][]string {
+	var r subset.Ring
+	for _, s := range servers {
+		r.Add(s)
+	}
+	out := make([][]string, instances)
+	for i := range out {
+		out[i] = r.From(subset.PlaceOf(i), size)
+	}
+	return out
+}
+
+// rendezvousSubsets gives each instance the servers that score highest with its name (Thaler and
+// Ravishankar, 1996): a random subset that needs no number of the instance and changes as little as
+// possible.
+func rendezvousSubsets(instances, size int, servers []string) [][]string {
+	type scored struct {
+		score uint64
+		id    string
+	}
+	out := make([][]string, instances)
+	all := make([]scored, len(servers))
+	for i := range out {
+		salt := xxhash.Sum64String(memberName("instance", i))
+		for j, s := range servers {
+			// Mixed once more, because XOR with the salt alone orders the servers too much alike.
+			x := (xxhash.Sum64String(s) ^ salt) * 0x9e3779b97f4a7c15
+			all[j] = scored{(x ^ x>>29) * 0xbf58476d1ce4e5b9, s}
+		}
+		slices.SortFunc(all, func(x, y scored) int { return cmp.Compare(y.score, x.score) })
+		for _, s := range all[:min(size, len(all))] {
+			out[i] = append(out[i], s.id)
+		}
+	}
+	return out
+}
+
+// roundSubsets is deterministic subsetting as in "Site Reliability Engineering" (chapter 20):
+// instances go in rounds, each with a shuffled list of its own that is divided among its instances.
+func roundSubsets(instances, size int, servers []string) [][]string {
+	out := make([][]string, instances)
+	perRound := max(len(servers)/size, 1)
+	var list []string
+	for i := range out {
+		if i%perRound == 0 {
+			list = slices.Clone(servers)
+			rng := rand.New(rand.NewPCG(uint64(i/perRound), 20))
+			rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
+		}
+		from := i % perRound * size
+		out[i] = list[from:min(from+size, len(list))]
+	}
+	return out
+}
