--- a/internal/experiment/hclfile/hclfile_test.go
+++ b/internal/experiment/hclfile/hclfile_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// TestBadFiles checks that each bad file produces its faults and nothing else, with the position of each.
+// TestBadFiles checks that each bad file produces its faults and nothing else, with the position of
+// each.
 func TestBadFiles(t *testing.T) {
 	swap := func(old, with string) string { return strings.Replace(good, old, with, 1) }
 	for _, c := range []struct{ name, text, want string }{
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -19,22 +19,30 @@
 func newTestReport(t *testing.T, served int) (*experiment.Experiment, *Report) {
 	t.Helper()
 	e := &experiment.Experiment{Name: "x", Question: "<why>?", Seeds: []uint64{1, 2}, Duration: 2 * time.Second,
-		Site: experiment.Site{Classes: []experiment.Class{{Name: "c", PriorityWeight: 1}}}, Variants: []experiment.Variant{{Name: "a", Policy: "random"}},
-		Faults: []experiment.Fault{{Kind: experiment.Crash, At: time.Second, Duration: time.Second}},
-		Expect: []experiment.Expectation{{NoViolations: true, Position: "x.hcl:1:1"}, {ServedInTimeAbove: 0.95, Position: "x.hcl:2:1"}, {P99Below: time.Second, Position: "x.hcl:3:1"}}}
+		Site:     experiment.Site{Classes: []experiment.Class{{Name: "c", PriorityWeight: 1}}},
+		Variants: []experiment.Variant{{Name: "a", Policy: "random"}},
+		Faults:   []experiment.Fault{{Kind: experiment.Crash, At: time.Second, Duration: time.Second}},
+		Expect: []experiment.Expectation{
+			{NoViolations: true, Position: "x.hcl:1:1"},
+			{ServedInTimeAbove: 0.95, Position: "x.hcl:2:1"},
+			{P99Below: time.Second, Position: "x.hcl:3:1"},
+		}}
 	var runs []Run
 	for seed := range uint64(2) {
 		c := counters.New(e)
 		for i := range 100 {
-			f := counters.ServedInTime
+			outcome := counters.ServedInTime
 			if i >= served+int(seed) {
-				f = counters.Failed
+				outcome = counters.Failed
 			}
-			c.Record(e.Site.Classes[0], 0, -1, time.Duration(i)*20*time.Millisecond, time.Duration(i+1)*time.Millisecond, f)
+			at, latency := time.Duration(i)*20*time.Millisecond, time.Duration(i+1)*time.Millisecond
+			c.Record(e.Site.Classes[0], 0, -1, at, latency, outcome)
 		}
 		c.Requests, c.Attempts = 100, 120
-		runs = append(runs, Run{Variant: e.Variants[0], Seed: seed + 1, Counters: c, Verdicts: []invariant.Verdict{
-			{Rule: invariant.RuleResponse}, {Rule: invariant.RuleDrain, Violations: 1, FirstAt: time.Duration(2-seed) * time.Second, Detail: "late"}}})
+		drain := invariant.Verdict{Rule: invariant.RuleDrain, Violations: 1, FirstAt: time.Duration(2-seed) * time.Second,
+			Detail: "late"}
+		runs = append(runs, Run{Variant: e.Variants[0], Seed: seed + 1, Counters: c,
+			Verdicts: []invariant.Verdict{{Rule: invariant.RuleResponse}, drain}})
 	}
 	runs = append(runs, Run{Variant: e.Variants[0], Seed: 3, Counters: counters.New(e), Void: "late"})
 	r := New(e, true)
@@ -54,7 +62,10 @@
 	if d := a.Rules[1]; d.Violations != 2 || d.FirstS != 1 {
 		t.Errorf("rule: %+v", d)
 	}
-	want := []string{`x.hcl:1:1: arm a: rule "drain" is broken 2 times, first at 1.0 s: late`, "x.hcl:2:1: arm a: served in time: 0.9050, wanted over 0.95"}
+	want := []string{
+		`x.hcl:1:1: arm a: rule "drain" is broken 2 times, first at 1.0 s: late`,
+		"x.hcl:2:1: arm a: served in time: 0.9050, wanted over 0.95",
+	}
 	if got := CheckExpectations(e, r.Variants); strings.Join(got, "\n") != strings.Join(want, "\n") {
 		t.Errorf("judged:\n%s", strings.Join(got, "\n"))
 	}
--- a/internal/experiment/testbed/testbed_test.go
+++ b/internal/experiment/testbed/testbed_test.go
@@ -17,11 +17,12 @@
 )
 
 func TestMain(m *testing.M) {
-	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*persistConn).readLoop"), goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
+	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*persistConn).readLoop"),
+		goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// A program that does not get healthy ends the play with a message that says so, and is not left
-// running.
+// TestProgramsThatDoNotStart checks that a program that does not become healthy ends the play with
+// a message that says so, and is not left running.
 func TestProgramsThatDoNotStart(t *testing.T) {
 	for _, c := range []struct{ name, line, want string }{
 		{"hangs", "echo $$ >pid; exec sleep 600", "balancer-0 was not healthy within 300ms"},
@@ -32,7 +33,8 @@
 			t.Parallel()
 			dir := t.TempDir()
 			program := Command{Line: c.line, Dir: dir, Scratch: dir}
-			_, err := Run(t.Context(), smallExperiment(), experiment.Variant{Name: "x"}, 1, Options{Program: program, StartTimeout: 300 * time.Millisecond})
+			_, err := Run(t.Context(), smallExperiment(), experiment.Variant{Name: "x"}, 1,
+				Options{Program: program, StartTimeout: 300 * time.Millisecond})
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
@@ -45,35 +47,39 @@
 	}
 }
 
-// observedProgram is a planted program that the test looks into.
+// observedProgram is a violatingProgram that sends its proxy to the test.
 type observedProgram struct {
 	violatingProgram
 	proxy chan *proxy
 }
 
-func (k observedProgram) Start(c Config) (Instance, error) {
-	p, err := k.violatingProgram.startProxy(c)
+// Start implements Program.
+func (o observedProgram) Start(c Config) (Instance, error) {
+	p, err := o.violatingProgram.startProxy(c)
 	if err != nil {
 		return nil, err
 	}
-	k.proxy <- p
+	o.proxy <- p
 	return p, nil
 }
 
-// An interrupt ends all that was started, and what had been measured comes back.
+// TestInterrupt checks that an interrupt ends all that was started, and that what had been measured
+// is returned.
 func TestInterrupt(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	e := smallExperiment()
 	e.Duration = time.Hour
 	program := observedProgram{violatingProgram("none"), make(chan *proxy, 1)}
 	var once sync.Once
-	got, err := Run(ctx, e, experiment.Variant{Name: "x"}, 1, Options{Program: program, Progress: func(time.Duration) {
-		once.Do(func() { // a second's arrivals are on their way, about 80
+	stopAfterOneSecond := func(time.Duration) {
+		once.Do(func() { // a second's requests have been sent, about 80
 			p := <-program.proxy
-			testpeer.Until(t, "most of the first second's requests were answered", func() bool { return p.responses.Load() >= 50 })
+			testpeer.Until(t, "most of the first second's requests were answered",
+				func() bool { return p.responses.Load() >= 50 })
 			stop()
 		})
-	}})
+	}
+	got, err := Run(ctx, e, experiment.Variant{Name: "x"}, 1, Options{Program: program, Progress: stopAfterOneSecond})
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
--- a/internal/experiment/testbed/breach_test.go
+++ b/internal/experiment/testbed/violation_test.go
@@ -22,7 +22,7 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// proxy is a small sidecar that keeps every rule, but for the one breach that it is told to commit.
+// proxy is a small sidecar that keeps every rule but for one planted violation.
 type proxy struct {
 	violation string
 
@@ -30,37 +30,39 @@
 	endpoints []listEntry  // ready ones, the newest last
 	next      atomic.Int64 // of the servers
 	requests  atomic.Int64
-	responses atomic.Int64 // requests whose answer is written
+	responses atomic.Int64 // written
 	server    *http.Server
 	done      chan struct{}
+	ctx       context.Context // ends with the proxy
 	stop      context.CancelFunc
 }
 
-// violatingProgram starts proxies with a breach.
+// violatingProgram is a Program whose proxies have this violation, or "none".
 type violatingProgram string
 
-func (b violatingProgram) Start(c Config) (Instance, error) {
-	p, err := b.startProxy(c)
+// Start implements Program.
+func (v violatingProgram) Start(c Config) (Instance, error) {
+	p, err := v.startProxy(c)
 	if err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-func (b violatingProgram) startProxy(c Config) (*proxy, error) {
+func (v violatingProgram) startProxy(c Config) (*proxy, error) {
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	p := &proxy{violation: string(b), done: make(chan struct{}), stop: stop}
+	p := &proxy{violation: string(v), done: make(chan struct{}), ctx: ctx, stop: stop}
 	var known endpointList
 	if err := json.Unmarshal(c.Known, &known); err != nil {
 		return nil, err
 	}
 	p.endpoints = known.Servers
 	p.server = &http.Server{Handler: p, ReadHeaderTimeout: 500 * time.Millisecond}
-	if b == "holds improper peers" {
+	if v == "holds improper peers" {
 		p.server.ReadHeaderTimeout = 0
 	}
 	go func() {
@@ -77,8 +79,7 @@
 func (p *proxy) ExitReason() string    { return "told to" }
 func (p *proxy) Kill()                 { p.stop(); p.server.Close(); <-p.done }
 
-// Usage stands in for the kernel's figures: an instance within the test process has none of its
-// own.
+// Usage implements Instance. A proxy runs within the test process, so its usage is made up.
 func (p *proxy) Usage() (invariant.Usage, time.Duration, bool) {
 	if p.violation == "uses too much" {
 		return invariant.Usage{MemoryMB: 65}, 0, true
@@ -86,7 +87,7 @@
 	return invariant.Usage{MemoryMB: 1}, 0, true
 }
 
-// pollEndpoints asks for the list again and again.
+// pollEndpoints polls the endpoint list until ctx ends.
 func (p *proxy) pollEndpoints(ctx context.Context, addr string) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
@@ -96,7 +97,7 @@
 			if json.NewDecoder(resp.Body).Decode(&l) == nil {
 				l.Servers = slices.DeleteFunc(l.Servers, func(e listEntry) bool { return e.State != stateReady })
 				slices.SortStableFunc(l.Servers, func(a, b listEntry) int { return int(a.StartedMs - b.StartedMs) })
-				if p.violation != "heeds no roster" {
+				if p.violation != "ignores discovery" {
 					p.mu.Lock()
 					p.endpoints = l.Servers
 					p.mu.Unlock()
@@ -112,14 +113,15 @@
 	}
 }
 
+// pick returns the address for the nth attempt of a request.
 func (p *proxy) pick(n int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	newest := p.endpoints[len(p.endpoints)-1]
-	if p.violation == "buries a cold box" && newest.StartedMs > 0 {
+	if p.violation == "buries a cold server" && newest.StartedMs > 0 {
 		return newest.Addr
 	}
-	// A newcomer gets its share only once warm.
+	// A new server is sent requests only once it is warm.
 	i := (n + int(p.next.Add(1))) % len(p.endpoints)
 	if e := p.endpoints[i]; e.StartedMs > 0 && time.Now().UnixMilli()-e.StartedMs < 10_000 {
 		return p.endpoints[0].Addr
@@ -136,7 +138,8 @@
 	defer nc.Close()
 	_ = nc.SetDeadline(deadline)
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", method, target, idHeader, id, len(body), body)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", method, target,
+		idHeader, id, len(body), body)
 	if _, err := nc.Write(b.Bytes()); err != nil {
 		return 0, nil
 	}
@@ -152,6 +155,7 @@
 	return resp.StatusCode, answer
 }
 
+// ServeHTTP forwards a request, with the planted violation.
 func (p *proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer p.responses.Add(1)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
@@ -184,7 +188,10 @@
 		}
 	case "never answers":
 		if every(20) {
-			time.Sleep(time.Until(deadline) + time.Second)
+			select {
+			case <-time.After(time.Until(deadline) + time.Second):
+			case <-p.ctx.Done():
+			}
 		}
 	case "smuggles":
 		if every(5) {
@@ -221,46 +228,64 @@
 	}
 }
 
+// smallExperiment returns an experiment of 1.5 s with one sidecar and four servers.
 func smallExperiment() *experiment.Experiment {
-	class := experiment.Class{Name: "lookup", TrafficShare: 0.5, Work: 4 * time.Millisecond, Distribution: experiment.Fixed, LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}
-	submit := class
+	lookup := experiment.Class{Name: "lookup", TrafficShare: 0.5, Work: 4 * time.Millisecond,
+		Distribution: experiment.Fixed, LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}
+	submit := lookup
 	submit.Name, submit.Repeat = "submit", balancer.NonIdempotent
+	kind := experiment.Kind{Name: "std", Fraction: 1, Cores: 1, Speed: 1, Slots: 8, QueueLimit: 50}
+	tier := experiment.Tier{Name: "box", Servers: 4, WorkFraction: 1, Kinds: []experiment.Kind{kind},
+		Server: experiment.ServerSpec{InitialCapacity: 0.05, WarmupTime: 10 * time.Second}}
 	return &experiment.Experiment{Name: "small", Duration: 1500 * time.Millisecond,
-		Site: experiment.Site{Balancers: 1, MaxAttempts: 3, Classes: []experiment.Class{class, submit}, Limits: experiment.Limits{MemoryMB: 64},
-			Discovery: experiment.Discovery{Delay: 50 * time.Millisecond},
-			Tiers: []experiment.Tier{{Name: "box", Servers: 4, WorkFraction: 1, Kinds: []experiment.Kind{{Name: "std", Fraction: 1, Cores: 1, Speed: 1, Slots: 8, QueueLimit: 50}},
-				Server: experiment.ServerSpec{InitialCapacity: 0.05, WarmupTime: 10 * time.Second}}},
-			Rules: experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4, OverloadWindow: time.Second, ImproperPeerTimeout: 1500 * time.Millisecond}},
+		Site: experiment.Site{
+			Balancers:   1,
+			MaxAttempts: 3,
+			Classes:     []experiment.Class{lookup, submit},
+			Limits:      experiment.Limits{MemoryMB: 64},
+			Discovery:   experiment.Discovery{Delay: 50 * time.Millisecond},
+			Tiers:       []experiment.Tier{tier},
+			Rules: experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4,
+				OverloadWindow: time.Second, ImproperPeerTimeout: 1500 * time.Millisecond},
+		},
 		Load: experiment.Load{Rate: 80, Process: experiment.Poisson, Clients: experiment.Clients{MinPatience: 1}},
 	}
 }
 
-func TestLedgerNamesPlantedBreaches(t *testing.T) {
-	deploy := []experiment.Fault{{Kind: experiment.RollingDeploy, At: 100 * time.Millisecond, Duration: time.Millisecond, Fraction: 0.25, Size: 0.25, Period: 1900 * time.Millisecond}}
-	cold := []experiment.Fault{{Kind: experiment.RollingDeploy, At: 100 * time.Millisecond, Duration: time.Millisecond, Fraction: 0.25, Size: 0.25, Period: 300 * time.Millisecond}}
-	peers := []experiment.Fault{{Kind: experiment.SilentPeer, At: 100 * time.Millisecond, Count: 2, Period: 50 * time.Millisecond}, {Kind: experiment.PartialRequestPeer, At: 100 * time.Millisecond, Count: 1}}
+// rollingDeploy returns a replacement of one of four servers that takes a time.
+func rollingDeploy(drain time.Duration) []experiment.Fault {
+	return []experiment.Fault{{Kind: experiment.RollingDeploy, At: 100 * time.Millisecond, Duration: time.Millisecond,
+		Fraction: 0.25, Size: 0.25, Period: drain}}
+}
+
+func TestCheckerFindsPlantedViolations(t *testing.T) {
+	deploy, cold := rollingDeploy(1900*time.Millisecond), rollingDeploy(300*time.Millisecond)
+	peers := []experiment.Fault{
+		{Kind: experiment.SilentPeer, At: 100 * time.Millisecond, Count: 2, Period: 50 * time.Millisecond},
+		{Kind: experiment.PartialRequestPeer, At: 100 * time.Millisecond, Count: 1},
+	}
 	long := 2500 * time.Millisecond
 	for _, c := range []struct {
-		breach string
-		rule   invariant.Rule
-		faults []experiment.Fault
-		length time.Duration
+		violation string
+		rule      invariant.Rule
+		faults    []experiment.Fault
+		length    time.Duration
 	}{
-		{breach: "none", faults: append(slices.Clone(deploy), peers...), length: long},
-		{breach: "sends twice", rule: invariant.RuleDuplicate},
-		{breach: "answers by itself", rule: invariant.RuleFabricatedResponse},
-		{breach: "heeds no roster", rule: invariant.RuleDrain, faults: deploy, length: long},
-		{breach: "loses on close", rule: invariant.RuleResponse},
-		{breach: "never answers", rule: invariant.RuleResponse},
-		{breach: "smuggles", rule: invariant.RuleForeignRequest},
-		{breach: "changes what it carries", rule: invariant.RuleForeignRequest},
-		{breach: "buries a cold box", rule: invariant.RuleWarmup, faults: cold},
-		{breach: "refuses what has run", rule: invariant.RuleFalseRejection},
-		{breach: "holds improper peers", rule: invariant.RuleImproperPeer, faults: peers},
-		{breach: "uses too much", rule: invariant.RuleLimits},
-		{breach: "crashes", rule: invariant.RuleLimits},
+		{violation: "none", faults: append(slices.Clone(deploy), peers...), length: long},
+		{violation: "sends twice", rule: invariant.RuleDuplicate},
+		{violation: "answers by itself", rule: invariant.RuleFabricatedResponse},
+		{violation: "ignores discovery", rule: invariant.RuleDrain, faults: deploy, length: long},
+		{violation: "loses on close", rule: invariant.RuleResponse},
+		{violation: "never answers", rule: invariant.RuleResponse},
+		{violation: "smuggles", rule: invariant.RuleForeignRequest},
+		{violation: "changes what it carries", rule: invariant.RuleForeignRequest},
+		{violation: "buries a cold server", rule: invariant.RuleWarmup, faults: cold},
+		{violation: "refuses what has run", rule: invariant.RuleFalseRejection},
+		{violation: "holds improper peers", rule: invariant.RuleImproperPeer, faults: peers},
+		{violation: "uses too much", rule: invariant.RuleLimits},
+		{violation: "crashes", rule: invariant.RuleLimits},
 	} {
-		t.Run(c.breach, func(t *testing.T) {
+		t.Run(c.violation, func(t *testing.T) {
 			t.Parallel()
 			e := smallExperiment()
 			e.Faults = c.faults
@@ -272,7 +297,8 @@
 			if c.length > 0 {
 				e.Duration = c.length
 			}
-			got, err := Run(t.Context(), e, experiment.Variant{Name: c.breach}, 1, Options{Program: violatingProgram(c.breach)})
+			variant, options := experiment.Variant{Name: c.violation}, Options{Program: violatingProgram(c.violation)}
+			got, err := Run(t.Context(), e, variant, 1, options)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -17,27 +17,44 @@
 
 // calm is a service of two tiers with capacity to spare.
 func calm() *experiment.Experiment {
-	kinds := []experiment.Kind{{Name: "fast", Fraction: 1, Cores: 2, Speed: 1.4, Slots: 16, QueueLimit: 200}, {Name: "slow", Fraction: 1, Cores: 2, Speed: 0.8, Slots: 16, QueueLimit: 200}}
-	spec := experiment.ServerSpec{InitialCapacity: 0.3, WarmupTime: 5 * time.Second, ConnWork: time.Millisecond, ConnLimit: 500, ConnIdleTimeout: 10 * time.Second}
+	kinds := []experiment.Kind{
+		{Name: "fast", Fraction: 1, Cores: 2, Speed: 1.4, Slots: 16, QueueLimit: 200},
+		{Name: "slow", Fraction: 1, Cores: 2, Speed: 0.8, Slots: 16, QueueLimit: 200},
+	}
+	spec := experiment.ServerSpec{InitialCapacity: 0.3, WarmupTime: 5 * time.Second, ConnWork: time.Millisecond,
+		ConnLimit: 500, ConnIdleTimeout: 10 * time.Second}
+	lookup := experiment.Class{Name: "lookup", Repeat: balancer.Idempotent, TrafficShare: 0.7,
+		Work: 40 * time.Millisecond, OffCPUTime: 10 * time.Millisecond, Distribution: experiment.Exponential,
+		LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}
+	submit := experiment.Class{Name: "submit", Repeat: balancer.NonIdempotent, TrafficShare: 0.3,
+		Work: 50 * time.Millisecond, Distribution: experiment.LogNormal, VariationCoefficient: 0.5,
+		LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 10}
 	return &experiment.Experiment{
 		Name: "calm", Duration: 20 * time.Second, Warmup: 2 * time.Second,
-		Site: experiment.Site{Balancers: 2, NetworkDelay: 200 * time.Microsecond, NetworkJitter: 0.3, MaxAttempts: 5,
-			Discovery: experiment.Discovery{Delay: time.Second, Spread: 300 * time.Millisecond},
-			Classes: []experiment.Class{
-				{Name: "lookup", Repeat: balancer.Idempotent, TrafficShare: 0.7, Work: 40 * time.Millisecond, OffCPUTime: 10 * time.Millisecond, Distribution: experiment.Exponential, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
-				{Name: "submit", Repeat: balancer.NonIdempotent, TrafficShare: 0.3, Work: 50 * time.Millisecond, Distribution: experiment.LogNormal, VariationCoefficient: 0.5, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 10},
+		Site: experiment.Site{
+			Balancers:     2,
+			NetworkDelay:  200 * time.Microsecond,
+			NetworkJitter: 0.3,
+			MaxAttempts:   5,
+			Discovery:     experiment.Discovery{Delay: time.Second, Spread: 300 * time.Millisecond},
+			Classes:       []experiment.Class{lookup, submit},
+			Tiers: []experiment.Tier{
+				{Name: "front", Servers: 6, WorkFraction: 0.4, Calls: 1, Kinds: kinds, Server: spec},
+				{Name: "back", Servers: 8, WorkFraction: 0.6, Kinds: kinds, Server: spec},
 			},
-			Tiers: []experiment.Tier{{Name: "front", Servers: 6, WorkFraction: 0.4, Calls: 1, Kinds: kinds, Server: spec}, {Name: "back", Servers: 8, WorkFraction: 0.6, Kinds: kinds, Server: spec}},
-			Rules: experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4, OverloadWindow: time.Second},
+			Rules: experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4,
+				OverloadWindow: time.Second},
 		},
-		Load: experiment.Load{Rate: 100, Process: experiment.Poisson, Clients: experiment.Clients{MinPatience: 0.6, Retries: 1, RetryWait: 100 * time.Millisecond, DisconnectRate: 0.02}},
+		Load: experiment.Load{Rate: 100, Process: experiment.Poisson, Clients: experiment.Clients{MinPatience: 0.6,
+			Retries: 1, RetryWait: 100 * time.Millisecond, DisconnectRate: 0.02}},
 	}
 }
 
 // run plays an experiment with a policy.
 func run(t *testing.T, e *experiment.Experiment, policy string, seed uint64, shuffle *rand.Rand) *Result {
 	t.Helper()
-	r, err := Run(context.Background(), e, experiment.Variant{Name: policy, Policy: policy}, seed, Options{Shuffle: shuffle})
+	variant := experiment.Variant{Name: policy, Policy: policy}
+	r, err := Run(context.Background(), e, variant, seed, Options{Shuffle: shuffle})
 	if err != nil {
 		t.Fatal(err)
 	}
