--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -10,7 +10,7 @@
 	FastErrors         FaultKind = "fast_errors"   // servers answer 500 at once, with probability Size
 	NoisyNeighbour     FaultKind = "neighbour"     // another program takes Size of a machine, on and off every Period
 	SharedSlowdown     FaultKind = "shared_slow"   // all servers are Size times slower
-	RollingDeploy      FaultKind = "deploy"        // servers are replaced in batches of Size of the tier, drained for Period
+	RollingDeploy      FaultKind = "deploy"        // servers are drained for Period and replaced, in batches of Size
 	Crash              FaultKind = "crash"         // the process dies and restarts cold
 	Unresponsive       FaultKind = "vanish"        // the machine sends nothing for a while
 	BreakBeforeRequest FaultKind = "break_before"  // connections break before a request's last byte, with probability Size
--- a/internal/experiment/invariant/invariant.go
+++ b/internal/experiment/invariant/invariant.go
@@ -20,7 +20,7 @@
 const (
 	RuleResponse           Rule = "answer"    // each request has one final response, before its client gives up
 	RuleDuplicate          Rule = "duplicate" // a non-idempotent request is retried only if no attempt can have run
-	RulePolicy             Rule = "policy"    // no more attempts, and no retry after a run, than the class's policy allows
+	RulePolicy             Rule = "policy"    // no more attempts or runs than the class's policy allows
 	RuleDrain              Rule = "drain"     // nothing is sent to a draining or gone server, a grace after the notification
 	RuleWarmup             Rule = "cold"      // no warming server is sent so much that it falls over
 	RuleForeignRequest     Rule = "foreign"   // servers receive only requests that a client sent, unchanged
@@ -70,7 +70,7 @@
 	}
 }
 
-// addViolation counts a violation. mu is held.
+// addViolation counts a violation. mu must be held.
 func (c *Checker) addViolation(rule Rule, at time.Duration, format string, args ...any) {
 	v := c.verdicts[rule]
 	if v == nil {
--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -10,7 +10,8 @@
 
 const ms = time.Millisecond
 
-var rules = experiment.Rules{ResponseSlack: 20 * ms, DrainGrace: time.Second, WarmupOverload: 4, OverloadWindow: time.Second, ImproperPeerTimeout: 3 * time.Second}
+var rules = experiment.Rules{ResponseSlack: 20 * ms, DrainGrace: time.Second, WarmupOverload: 4,
+	OverloadWindow: time.Second, ImproperPeerTimeout: 3 * time.Second}
 
 // recordRequest records a request at instance s with a deadline of one second.
 func recordRequest(checker *Checker, id string, e balancer.Repeatability) {
@@ -125,7 +126,7 @@
 		{"after it", RuleDrain, func(checker *Checker) {
 			recordRequest(checker, "r", balancer.Idempotent)
 			checker.RecordNotification(0, "s", "a", balancer.Draining, false)
-			checker.RecordNotification(500*ms, "s", "a", balancer.Draining, false) // told again: the first counts
+			checker.RecordNotification(500*ms, "s", "a", balancer.Draining, false) // notified again: the first notification counts
 			recordArrival(checker, "r", "a", 1001*ms)
 			checker.RecordResponse(1001*ms, "r", Failed, 0)
 		}},
@@ -138,18 +139,24 @@
 		{"pushed over by those who knew", RuleWarmup, func(checker *Checker) {
 			recordRequest(checker, "r", balancer.Idempotent)
 			checker.RecordNotification(0, "s", "a", balancer.Ready, true)
-			checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true, Work: 3})
+			checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true,
+				Work: 3})
 			checker.RecordOverload(ms, "a")
 			checker.RecordResponse(5*ms, "r", Failed, 0)
 		}},
 		{"pushed over by those who did not", "", func(checker *Checker) {
 			recordRequest(checker, "r", balancer.Idempotent)
-			checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true, Work: 3})
+			checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true,
+				Work: 3})
 			checker.RecordOverload(ms, "a")
 			checker.RecordResponse(5*ms, "r", Failed, 0)
 		}},
-		{"an improper peer served", RuleImproperPeer, func(checker *Checker) { checker.RecordImproperPeer(0, ms, "sent nothing", true, true) }},
-		{"an improper peer ended in time", "", func(checker *Checker) { checker.RecordImproperPeer(0, 2*time.Second, "sent nothing", true, false) }},
+		{"an improper peer served", RuleImproperPeer, func(checker *Checker) {
+			checker.RecordImproperPeer(0, ms, "sent nothing", true, true)
+		}},
+		{"an improper peer ended in time", "", func(checker *Checker) {
+			checker.RecordImproperPeer(0, 2*time.Second, "sent nothing", true, false)
+		}},
 		{"too many descriptors", RuleLimits, func(checker *Checker) {
 			checker.CheckUsage(0, Usage{Instance: "s", Descriptors: 11}, experiment.Limits{Descriptors: 10})
 		}},
--- a/internal/experiment/invariant/requests.go
+++ b/internal/experiment/invariant/requests.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// expire judges a request that no response can reach any more. mu is held.
+// expire judges a request that no response can reach any more. mu must be held.
 func (c *Checker) expire(r *request) {
 	if !r.answered && !r.waived {
 		r.answered = true
--- a/internal/experiment/invariant/servers.go
+++ b/internal/experiment/invariant/servers.go
@@ -54,8 +54,8 @@
 	r.executions = append(r.executions, execution{server: a.Server, at: a.LastByte})
 }
 
-// checkRetry checks that a request which arrives once more was allowed to be sent once more. mu is
-// held.
+// checkRetry checks that a request which arrives once more was allowed to be sent once more. mu
+// must be held.
 func (c *Checker) checkRetry(r *request, a Arrival) {
 	if r.MaxAttempts > 0 && len(r.executions) >= r.MaxAttempts {
 		c.addViolation(RulePolicy, a.LastByte, "request %s reached a box %d times, and %d attempts are allowed", a.ID,
@@ -78,7 +78,7 @@
 	}
 }
 
-// recordWork adds to the work that arrived at a warming server within the window. mu is held.
+// recordWork adds to the work that arrived at a warming server within the window. mu must be held.
 func (c *Checker) recordWork(a Arrival, notified bool) {
 	recent := append(c.recentWork[a.Server], workArrival{a.LastByte, a.Work, notified})
 	for len(recent) > 0 && recent[0].at <= a.LastByte-c.rules.OverloadWindow {
--- a/internal/experiment/search/regret.go
+++ b/internal/experiment/search/regret.go
@@ -11,13 +11,13 @@
 // minRegret is the difference of served weight from which the design counts as behind or ahead.
 const minRegret = 0.01
 
-// Regret is what the best baseline serves, by worth, less what the design serves, below 0 where the
-// design is ahead.
+// Regret is the served weight of the best baseline less that of the design. It is negative where
+// the design is ahead.
 type Regret struct {
 	Baseline      string
-	Mean          float64 // over the plays that did not choose the baseline, where there are any
-	Bound         float64 // half of the 95% interval of Mean; infinite where there are too few plays to tell
-	selectionMean float64 // mean over the plays that did
+	Mean          float64 // over the plays that did not select the baseline, if there are any
+	Bound         float64 // half of the 95% interval of Mean; infinite if there are too few plays
+	selectionMean float64 // over the plays that selected the baseline
 }
 
 // Significant reports whether the design is behind by more than noise and by more than minRegret.
@@ -49,8 +49,9 @@
 	return mean
 }
 
-// difference is the mean of a baseline's worth less the design's over some of the repeats, paired,
-// and half of its 95% interval.
+// difference returns the mean over some of the repeats of a baseline's served weight less the
+// design's, half of its 95% interval, and the number of repeats. Both had the same requests in
+// each.
 func (s Site) difference(policy string, from, to int) (mean, bound float64, n int) {
 	to = min(to, len(s.ServedWeight[Design]), len(s.ServedWeight[policy]))
 	sum, squares := 0.0, 0.0
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -50,7 +50,8 @@
 			t.Fatalf("site %d is drawn differently the second time", n)
 		}
 		s := e.Site
-		if s.Balancers < 1 || s.Balancers > 4 || s.Tiers[0].Servers < 1 || s.Tiers[0].Servers > 6 || len(s.Tiers) > 2 || len(s.Classes) > 2 {
+		if s.Balancers < 1 || s.Balancers > 4 || s.Tiers[0].Servers < 1 || s.Tiers[0].Servers > 6 ||
+			len(s.Tiers) > 2 || len(s.Classes) > 2 {
 			t.Fatalf("site %d is out of bounds: %s", n, Describe(e))
 		}
 		if s.Tiers[0].Servers > 1 && s.Tiers[0].Servers*s.Balancers > 20 {
@@ -61,7 +62,9 @@
 		}
 		for _, f := range e.Faults {
 			struck[f.Kind] = true
-			if _, known := experiment.FaultKinds[f.Kind]; !known || f.At <= 0 && f.Kind != experiment.DiscoverySilence || f.Fraction <= 0 || f.Fraction > 1 {
+			_, known := experiment.FaultKinds[f.Kind]
+			atStart := f.At <= 0 && f.Kind != experiment.DiscoverySilence
+			if !known || atStart || f.Fraction <= 0 || f.Fraction > 1 {
 				t.Fatalf("site %d: %+v", n, f)
 			}
 		}
@@ -103,7 +106,8 @@
 	if len(want) != 6 || !reflect.DeepEqual(got, want) {
 		t.Errorf("gone on: %v\nat once: %v", got, want)
 	}
-	if err := Run(t.Context(), b, Options{Seed: 4, To: 6, Out: cut}); err == nil || !strings.Contains(err.Error(), "another seed") {
+	err = Run(t.Context(), b, Options{Seed: 4, To: 6, Out: cut})
+	if err == nil || !strings.Contains(err.Error(), "another seed") {
 		t.Errorf("results of another seed are added to: %v", err)
 	}
 	var out strings.Builder
--- a/internal/experiment/server/server_test.go
+++ b/internal/experiment/server/server_test.go
@@ -80,7 +80,8 @@
 	const n = 600_000
 	t.Run("M/M/1", func(t *testing.T) {
 		t.Parallel()
-		s := station{kind: experiment.Kind{Cores: 1, Speed: 2, Slots: 1, QueueLimit: plenty}, rate: 14, work: exponential(0.1), count: n}
+		s := station{kind: experiment.Kind{Cores: 1, Speed: 2, Slots: 1, QueueLimit: plenty}, rate: 14,
+			work: exponential(0.1), count: n}
 		s.play(t)
 		rho, mu := 0.7, 20.0
 		within(t, "mean wait", s.waits, rho/(mu*(1-rho)), 0.03)
@@ -96,7 +97,8 @@
 	t.Run("M/M/c", func(t *testing.T) {
 		t.Parallel()
 		const c, lambda, mu = 4, 30.0, 10.0
-		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, QueueLimit: plenty}, rate: lambda, work: exponential(1 / mu), count: n}
+		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, QueueLimit: plenty}, rate: lambda,
+			work: exponential(1 / mu), count: n}
 		s.play(t)
 		a := lambda / mu
 		sum, term := 0.0, 1.0
@@ -110,7 +112,8 @@
 	t.Run("M/M/c/K", func(t *testing.T) {
 		t.Parallel()
 		const c, k, lambda, mu = 3, 8, 36.0, 10.0
-		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, QueueLimit: k - c}, rate: lambda, work: exponential(1 / mu), count: n}
+		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, QueueLimit: k - c}, rate: lambda,
+			work: exponential(1 / mu), count: n}
 		s.play(t)
 		p, sum := 1.0, 1.0
 		for i := 1; i <= k; i++ {
@@ -133,6 +136,12 @@
 	})
 }
 
+// newTestServer returns a warm server of one core.
+func newTestServer(slots, queueLimit int, spec experiment.ServerSpec) *Server {
+	kind := experiment.Kind{Cores: 1, Speed: 1, Slots: slots, QueueLimit: queueLimit}
+	return New(kind, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+}
+
 func job(work float64) *Job { return &Job{Work: work} }
 
 // ends plays a server until an instant and returns when each job's work was done.
@@ -149,7 +158,7 @@
 }
 
 func TestSlotIsKeptWhileBlocked(t *testing.T) {
-	server := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 1}, experiment.ServerSpec{}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	server := newTestServer(1, 1, experiment.ServerSpec{})
 	first, second, third := job(0.1), job(0.2), job(0.1)
 	if server.Admit(0, first, 0.1) != Admitted || server.Admit(0, second, 0.2) != Admitted {
 		t.Fatal("the slot or the place in the queue was refused")
@@ -167,7 +176,8 @@
 	}
 	first.Work = 0.05
 	server.Resume(first)
-	if at := ends(server, 2*time.Second); len(at) != 2 || at[0] != 1050*time.Millisecond || at[1] != 1250*time.Millisecond {
+	at := ends(server, 2*time.Second)
+	if len(at) != 2 || at[0] != 1050*time.Millisecond || at[1] != 1250*time.Millisecond {
 		t.Fatalf("ends at %v", at)
 	}
 }
@@ -207,8 +217,9 @@
 }
 
 func TestOverloadCollapse(t *testing.T) {
-	spec := experiment.ServerSpec{CollapseQueue: 2, CollapseAfter: 500 * time.Millisecond, CollapseSlowdown: 2, RecoveryLoad: 1, RecoveryAfter: time.Second}
-	server := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 100}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	spec := experiment.ServerSpec{CollapseQueue: 2, CollapseAfter: 500 * time.Millisecond, CollapseSlowdown: 2,
+		RecoveryLoad: 1, RecoveryAfter: time.Second}
+	server := newTestServer(1, 100, spec)
 	for range 5 {
 		server.Admit(0, job(0.3), 0.3)
 	}
@@ -227,7 +238,7 @@
 }
 
 func TestCrashEndsAllJobs(t *testing.T) {
-	server := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 5}, experiment.ServerSpec{ConnLimit: 1}, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	server := newTestServer(1, 5, experiment.ServerSpec{ConnLimit: 1})
 	jobs := []*Job{job(1), job(1)}
 	for _, j := range jobs {
 		server.Admit(0, j, 1)
@@ -249,7 +260,7 @@
 
 func TestLoadReportsAreDelayed(t *testing.T) {
 	spec := experiment.ServerSpec{ReportInterval: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond}
-	server := New(experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 9}, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
+	server := newTestServer(1, 9, spec)
 	ms := time.Millisecond
 	checkReport := func(at time.Duration, want float64) {
 		t.Helper()
--- a/internal/experiment/testbed/server.go
+++ b/internal/experiment/testbed/server.go
@@ -112,7 +112,7 @@
 }
 
 // advance moves the model to now, which it returns. The model must be advanced at each of its
-// events, so the events since the last call are caught up one by one. mu is held.
+// events, so the events since the last call are caught up one by one. mu must be held.
 func (s *emulatedServer) advance() time.Duration {
 	now := s.run.now()
 	for next := s.model.NextEvent(); next < now; next = s.model.NextEvent() {
@@ -122,7 +122,8 @@
 	return now
 }
 
-// advanceTo moves the model to an instant and wakes the goroutines whose jobs are done. mu is held.
+// advanceTo moves the model to an instant and wakes the goroutines whose jobs are done. mu must be
+// held.
 func (s *emulatedServer) advanceTo(at time.Duration) {
 	s.finishedJobs = s.model.Advance(at, s.finishedJobs[:0])
 	for _, j := range s.finishedJobs {
@@ -130,7 +131,7 @@
 	}
 }
 
-// reschedule sets the timer for the model's next event. mu is held.
+// reschedule sets the timer for the model's next event. mu must be held.
 func (s *emulatedServer) reschedule() {
 	if next := s.model.NextEvent() - s.run.now(); next < time.Hour {
 		s.timer.Reset(max(next, 0))
@@ -308,7 +309,7 @@
 	s.reschedule()
 }
 
-// updateSlowdown applies all slowdowns in force. mu is held.
+// updateSlowdown applies all slowdowns in force. mu must be held.
 func (s *emulatedServer) updateSlowdown() {
 	total := 1.0
 	for _, factor := range s.faults.slowdowns {
--- a/internal/experiment/testbed/settings.go
+++ b/internal/experiment/testbed/settings.go
@@ -16,7 +16,8 @@
 
 // platformSettings returns a site's settings in the platform's form (WIRE, Read your settings), for
 // a sidecar before a tier.
-func platformSettings(site experiment.Site, variant experiment.Variant, tier, index, count int) (json.RawMessage, error) {
+func platformSettings(site experiment.Site, variant experiment.Variant,
+	tier, index, count int) (json.RawMessage, error) {
 	index, count = site.AssignedIndex(tier, index, count)
 	var lanes []map[string]any
 	for _, c := range site.Classes {
--- a/internal/experiment/testbed/violation_test.go
+++ b/internal/experiment/testbed/violation_test.go
@@ -138,8 +138,8 @@
 	defer nc.Close()
 	_ = nc.SetDeadline(deadline)
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", method, target,
-		idHeader, id, len(body), body)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
+		method, target, idHeader, id, len(body), body)
 	if _, err := nc.Write(b.Bytes()); err != nil {
 		return 0, nil
 	}
--- a/internal/experiment/virtual/server.go
+++ b/internal/experiment/virtual/server.go
@@ -221,7 +221,7 @@
 	a.sendResult(now+n.responseDelay, r)
 }
 
-// crash ends the process. Its connections break, and the instance beside it dies, too.
+// crash ends the process. Its connections break, and its sidecar dies, too.
 func (n *serverNode) crash(now time.Duration) {
 	n.model.Crash()
 	tasks := n.tasks
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -97,7 +97,8 @@
 		if !has {
 			continue
 		}
-		f := experiment.Fault{Kind: kind, At: 5 * time.Second, Duration: 10 * time.Second, Fraction: 0.2, Size: 0.3, Period: time.Second}
+		f := experiment.Fault{Kind: kind, At: 5 * time.Second, Duration: 10 * time.Second, Fraction: 0.2, Size: 0.3,
+			Period: time.Second}
 		if kind == experiment.SharedSlowdown {
 			f.Size, f.Duration, f.Fraction = 1.5, 3*time.Second, 1
 		}
@@ -164,14 +165,17 @@
 		}
 		e := calm()
 		e.Load.Clients.Retries = 0
-		f := experiment.Fault{Kind: kind, At: 4 * time.Second, Duration: 12 * time.Second, Fraction: 0.6, Size: 0.9, Period: 400 * time.Millisecond}
+		f := experiment.Fault{Kind: kind, At: 4 * time.Second, Duration: 12 * time.Second, Fraction: 0.6, Size: 0.9,
+			Period: 400 * time.Millisecond}
 		if kind == experiment.SharedSlowdown {
 			f.Size = 6
 		}
 		e.Faults = []experiment.Fault{f}
 		r := run(t, e, "random", 2, nil)
-		if r.Counters.Quantile(0.99) <= base.Counters.Quantile(0.99) && r.Counters.Total.Fraction(counters.ServedInTime) >= base.Counters.Total.Fraction(counters.ServedInTime) &&
-			r.Counters.Attempts <= base.Counters.Attempts {
+		got, calm := r.Counters, base.Counters
+		if got.Quantile(0.99) <= calm.Quantile(0.99) &&
+			got.Total.Fraction(counters.ServedInTime) >= calm.Total.Fraction(counters.ServedInTime) &&
+			got.Attempts <= calm.Attempts {
 			t.Errorf("%s: nothing is worse than on a calm day", kind)
 		}
 	}
@@ -182,7 +186,8 @@
 func TestDeathBelowFreesTheSlotAbove(t *testing.T) {
 	e := calm()
 	e.Load.Clients = experiment.Clients{}
-	e.Faults = []experiment.Fault{{Kind: experiment.Crash, At: 8 * time.Second, Duration: time.Minute, Tier: "back", Fraction: 1}}
+	e.Faults = []experiment.Fault{{Kind: experiment.Crash, At: 8 * time.Second, Duration: time.Minute, Tier: "back",
+		Fraction: 1}}
 	r := run(t, e, "round_robin", 4, nil)
 	if b := violations(r); len(b) > 0 {
 		t.Errorf("rules broken: %v", b)
@@ -193,7 +198,8 @@
 }
 
 func TestUnknownPolicy(t *testing.T) {
-	if _, err := Run(context.Background(), calm(), experiment.Variant{Name: "x", Policy: "best"}, 1, Options{}); err == nil {
+	variant := experiment.Variant{Name: "x", Policy: "best"}
+	if _, err := Run(context.Background(), calm(), variant, 1, Options{}); err == nil {
 		t.Error("a policy of no known name was played")
 	}
 }
