--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -14,6 +14,10 @@
 // experiment files.
 const DesignPolicy = "tuliprock"
 
+// ReverseProxyPolicy is the name of the baseline of package roundrobin, which can be played on
+// sockets only.
+const ReverseProxyPolicy = "reverse_proxy"
+
 // Experiment is one question and what is played to answer it.
 type Experiment struct {
 	Name     string
@@ -33,7 +37,7 @@
 // Variant is one of the programs or policies compared.
 type Variant struct {
 	Name    string
-	Policy  string // in virtual time: DesignPolicy or one of baseline.Names
+	Policy  string // DesignPolicy, ReverseProxyPolicy or one of baseline.Names
 	Command string // on sockets: a shell command that starts the program; empty: the policy's own program
 
 	// The rest applies to the design only; all but SlowStartShare in virtual time only.
--- a/internal/experiment/hclfile/variant.go
+++ b/internal/experiment/hclfile/variant.go
@@ -10,9 +10,6 @@
 	"rowancart/internal/hcldecode"
 )
 
-// reverseProxyPolicy is the baseline that can be played on sockets only.
-const reverseProxyPolicy = "reverse_proxy"
-
 // What a class policy says of retries.
 const (
 	retryNotRun   = "not_run"   // none after an attempt that may have run
@@ -27,7 +24,7 @@
 		"retry_budget": func(b *hcl.Block) { d.RetryBudget(b, &v.RetryBudget) },
 		"class name":   func(b *hcl.Block) { v.Classes = append(v.Classes, d.readClassPolicy(b)) },
 	})
-	policies := append([]string{experiment.DesignPolicy, reverseProxyPolicy}, baseline.Names...)
+	policies := append([]string{experiment.DesignPolicy, experiment.ReverseProxyPolicy}, baseline.Names...)
 	hcldecode.OneOf(&d.Reader, b.DefRange, "policy", v.Policy, policies...)
 	if d.hasVariant(v.Name) {
 		d.Fault(b.DefRange, "arm: there are two called %q", v.Name)
--- a/internal/experiment/runner/play.go
+++ b/internal/experiment/runner/play.go
@@ -13,6 +13,7 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"rowancart/internal/experiment"
 	"rowancart/internal/experiment/report"
 	"rowancart/internal/experiment/testbed"
 	"rowancart/internal/experiment/virtual"
@@ -125,7 +126,7 @@
 	switch {
 	case j.variant.Command != "":
 		return j.variant.Command, nil
-	case j.variant.Policy == reverseProxyPolicy:
+	case j.variant.Policy == experiment.ReverseProxyPolicy:
 		return "exec '" + c.options.Self + "' lab reverse-proxy", nil
 	case c.deployed == "":
 		line, err := testbed.Build(ctx, c.options.Root)
--- a/internal/experiment/runner/select.go
+++ b/internal/experiment/runner/select.go
@@ -7,9 +7,6 @@
 	"rowancart/internal/experiment"
 )
 
-// reverseProxyPolicy is the baseline that can be played on sockets only.
-const reverseProxyPolicy = "reverse_proxy"
-
 // selectPlayable removes the variants that are not to be played, and the expectations of those
 // only. It is an error if none is left, or if a fault cannot be played.
 func selectPlayable(e *experiment.Experiment, o Options) error {
@@ -48,7 +45,7 @@
 
 // playable reports whether a variant can be played in virtual time, or else on sockets.
 func playable(v experiment.Variant, virtual bool) bool {
-	socketsOnly := v.Policy == reverseProxyPolicy || v.Command != ""
+	socketsOnly := v.Policy == experiment.ReverseProxyPolicy || v.Command != ""
 	if virtual {
 		return !socketsOnly
 	}
