--- a/internal/experiment/subsets/subsets.go
+++ b/internal/experiment/subsets/subsets.go
@@ -102,8 +102,8 @@
 
 // Report measures fleets of all these sizes and writes a table.
 func Report(w io.Writer, instances, servers []int, size int) {
-	fmt.Fprintf(w, "%9s %6s %5s  %-15s %7s %7s %9s %9s\n", "instances", "boxes", "part", "way", "least", "most", "replaced",
-		"instance")
+	fmt.Fprintf(w, "%9s %6s %5s  %-15s %7s %7s %9s %9s\n", "instances", "boxes", "part", "way", "least", "most",
+		"replaced", "instance")
 	for _, n := range instances {
 		for _, count := range servers {
 			results := Measure(n, count, size)
