--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -17,27 +17,44 @@
 
 // calm is a service of two tiers with capacity to spare.
 func calm() *experiment.Experiment {
-	kinds := []experiment.Kind{{Name: "fast", Fraction: 1, Cores: 2, Speed: 1.4, Slots: 16, QueueLimit: 200}, {Name: "slow", Fraction: 1, Cores: 2, Speed: 0.8, Slots: 16, QueueLimit: 200}}
-	spec := experiment.ServerSpec{InitialCapacity: 0.3, WarmupTime: 5 * time.Second, ConnWork: time.Millisecond, ConnLimit: 500, ConnIdleTimeout: 10 * time.Second}
+	kinds := []experiment.Kind{
+		{Name: "fast", Fraction: 1, Cores: 2, Speed: 1.4, Slots: 16, QueueLimit: 200},
+		{Name: "slow", Fraction: 1, Cores: 2, Speed: 0.8, Slots: 16, QueueLimit: 200},
+	}
+	spec := experiment.ServerSpec{InitialCapacity: 0.3, WarmupTime: 5 * time.Second, ConnWork: time.Millisecond,
+		ConnLimit: 500, ConnIdleTimeout: 10 * time.Second}
+	lookup := experiment.Class{Name: "lookup", Repeat: balancer.Idempotent, TrafficShare: 0.7,
+		Work: 40 * time.Millisecond, OffCPUTime: 10 * time.Millisecond, Distribution: experiment.Exponential,
+		LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}
+	submit := experiment.Class{Name: "submit", Repeat: balancer.NonIdempotent, TrafficShare: 0.3,
+		Work: 50 * time.Millisecond, Distribution: experiment.LogNormal, VariationCoefficient: 0.5,
+		LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 10}
 	return &experiment.Experiment{
 		Name: "calm", Duration: 20 * time.Second, Warmup: 2 * time.Second,
-		Site: experiment.Site{Balancers: 2, NetworkDelay: 200 * time.Microsecond, NetworkJitter: 0.3, MaxAttempts: 5,
-			Discovery: experiment.Discovery{Delay: time.Second, Spread: 300 * time.Millisecond},
-			Classes: []experiment.Class{
-				{Name: "lookup", Repeat: balancer.Idempotent, TrafficShare: 0.7, Work: 40 * time.Millisecond, OffCPUTime: 10 * time.Millisecond, Distribution: experiment.Exponential, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
-				{Name: "submit", Repeat: balancer.NonIdempotent, TrafficShare: 0.3, Work: 50 * time.Millisecond, Distribution: experiment.LogNormal, VariationCoefficient: 0.5, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 10},
+		Site: experiment.Site{
+			Balancers:     2,
+			NetworkDelay:  200 * time.Microsecond,
+			NetworkJitter: 0.3,
+			MaxAttempts:   5,
+			Discovery:     experiment.Discovery{Delay: time.Second, Spread: 300 * time.Millisecond},
+			Classes:       []experiment.Class{lookup, submit},
+			Tiers: []experiment.Tier{
+				{Name: "front", Servers: 6, WorkFraction: 0.4, Calls: 1, Kinds: kinds, Server: spec},
+				{Name: "back", Servers: 8, WorkFraction: 0.6, Kinds: kinds, Server: spec},
 			},
-			Tiers: []experiment.Tier{{Name: "front", Servers: 6, WorkFraction: 0.4, Calls: 1, Kinds: kinds, Server: spec}, {Name: "back", Servers: 8, WorkFraction: 0.6, Kinds: kinds, Server: spec}},
-			Rules: experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4, OverloadWindow: time.Second},
+			Rules: experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4,
+				OverloadWindow: time.Second},
 		},
-		Load: experiment.Load{Rate: 100, Process: experiment.Poisson, Clients: experiment.Clients{MinPatience: 0.6, Retries: 1, RetryWait: 100 * time.Millisecond, DisconnectRate: 0.02}},
+		Load: experiment.Load{Rate: 100, Process: experiment.Poisson, Clients: experiment.Clients{MinPatience: 0.6,
+			Retries: 1, RetryWait: 100 * time.Millisecond, DisconnectRate: 0.02}},
 	}
 }
 
 // run plays an experiment with a policy.
 func run(t *testing.T, e *experiment.Experiment, policy string, seed uint64, shuffle *rand.Rand) *Result {
 	t.Helper()
-	r, err := Run(context.Background(), e, experiment.Variant{Name: policy, Policy: policy}, seed, Options{Shuffle: shuffle})
+	variant := experiment.Variant{Name: policy, Policy: policy}
+	r, err := Run(context.Background(), e, variant, seed, Options{Shuffle: shuffle})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +97,8 @@
 		if !has {
 			continue
 		}
-		f := experiment.Fault{Kind: kind, At: 5 * time.Second, Duration: 10 * time.Second, Fraction: 0.2, Size: 0.3, Period: time.Second}
+		f := experiment.Fault{Kind: kind, At: 5 * time.Second, Duration: 10 * time.Second, Fraction: 0.2, Size: 0.3,
+			Period: time.Second}
 		if kind == experiment.SharedSlowdown {
 			f.Size, f.Duration, f.Fraction = 1.5, 3*time.Second, 1
 		}
@@ -147,14 +165,17 @@
 		}
 		e := calm()
 		e.Load.Clients.Retries = 0
-		f := experiment.Fault{Kind: kind, At: 4 * time.Second, Duration: 12 * time.Second, Fraction: 0.6, Size: 0.9, Period: 400 * time.Millisecond}
+		f := experiment.Fault{Kind: kind, At: 4 * time.Second, Duration: 12 * time.Second, Fraction: 0.6, Size: 0.9,
+			Period: 400 * time.Millisecond}
 		if kind == experiment.SharedSlowdown {
 			f.Size = 6
 		}
 		e.Faults = []experiment.Fault{f}
 		r := run(t, e, "random", 2, nil)
-		if r.Counters.Quantile(0.99) <= base.Counters.Quantile(0.99) && r.Counters.Total.Fraction(counters.ServedInTime) >= base.Counters.Total.Fraction(counters.ServedInTime) &&
-			r.Counters.Attempts <= base.Counters.Attempts {
+		got, calm := r.Counters, base.Counters
+		if got.Quantile(0.99) <= calm.Quantile(0.99) &&
+			got.Total.Fraction(counters.ServedInTime) >= calm.Total.Fraction(counters.ServedInTime) &&
+			got.Attempts <= calm.Attempts {
 			t.Errorf("%s: nothing is worse than on a calm day", kind)
 		}
 	}
@@ -165,7 +186,8 @@
 func TestDeathBelowFreesTheSlotAbove(t *testing.T) {
 	e := calm()
 	e.Load.Clients = experiment.Clients{}
-	e.Faults = []experiment.Fault{{Kind: experiment.Crash, At: 8 * time.Second, Duration: time.Minute, Tier: "back", Fraction: 1}}
+	e.Faults = []experiment.Fault{{Kind: experiment.Crash, At: 8 * time.Second, Duration: time.Minute, Tier: "back",
+		Fraction: 1}}
 	r := run(t, e, "round_robin", 4, nil)
 	if b := violations(r); len(b) > 0 {
 		t.Errorf("rules broken: %v", b)
@@ -176,7 +198,8 @@
 }
 
 func TestUnknownPolicy(t *testing.T) {
-	if _, err := Run(context.Background(), calm(), experiment.Variant{Name: "x", Policy: "best"}, 1, Options{}); err == nil {
+	variant := experiment.Variant{Name: "x", Policy: "best"}
+	if _, err := Run(context.Background(), calm(), variant, 1, Options{}); err == nil {
 		t.Error("a policy of no known name was played")
 	}
 }
