--- a/cmd/rowancart/search.go
+++ b/cmd/rowancart/search.go
@@ -31,10 +31,12 @@
 	cmd := &cobra.Command{
 		Use:   "run BOUNDS",
 		Short: "Draw sites, play the design and its rivals on each, and add the results to a file",
-		Long: `Draw sites within the bounds of a file, play the design and its rivals on each in virtual time, and add the results to a file.
+		Long: `Draw sites within the bounds of a file, play the design and its rivals on each in virtual time,
+and add the results to a file.
 
-A run that was stopped goes on where it was when it is called again with the same bounds, seed and file. The file says nothing of
-the program: results of another build want a file of their own.`,
+A run that was stopped goes on where it was when it is called again with the same bounds, seed
+and file. The file says nothing of the program: results of another build want a file of their
+own.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			b, err := search.Load(args[0])
--- a/cmd/rowancart/speed.go
+++ b/cmd/rowancart/speed.go
@@ -16,9 +16,10 @@
 	cmd := &cobra.Command{
 		Use:   "speed",
 		Short: "Measure how fast the programs pass requests on, beside rivals in the same run",
-		Long: `Measure how fast the programs pass requests on, beside rivals in the same run: the platform's sidecar, the daemon,
-net/http/httputil's ReverseProxy in turns, and fasthttp's LBClient. Each is a process of its own before boxes that answer
-at once. Figures are medians over rounds; on a machine that others use, only their ratios mean something.`,
+		Long: `Measure how fast the programs pass requests on, beside rivals in the same run: the platform's
+sidecar, the daemon, net/http/httputil's ReverseProxy in turns, and fasthttp's LBClient. Each is
+a process of its own before boxes that answer at once. Figures are medians over rounds; on a
+machine that others use, only their ratios mean something.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
--- a/cmd/rowancart/subsets.go
+++ b/cmd/rowancart/subsets.go
@@ -15,9 +15,10 @@
 		Short: "Measure ways to choose which boxes each instance of a fleet sends to",
 		Long: `Measure ways to choose which boxes each instance of a fleet sends to.
 
-Least and most are the instances on the box that has fewest and most, in multiples of the mean, after five boxes have been
-replaced one after another. The other columns are how many boxes change for an instance, in the mean, when one box is replaced,
-and when an instance comes. Where instances are few, parts are larger than asked for, so that each box has three instances.`,
+Least and most are the instances on the box that has fewest and most, in multiples of the mean,
+after five boxes have been replaced one after another. The other columns are how many boxes
+change for an instance, in the mean, when one box is replaced, and when an instance comes. Where
+instances are few, parts are larger than asked for, so that each box has three instances.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, n := range append(append([]int{size}, instances...), servers...) {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -13,7 +13,10 @@
 
 func TestABatchIsAnswered(t *testing.T) {
 	var out bytes.Buffer
-	err := run(strings.NewReader(start+"CALL\tRid=r1\tBand=c\tValidUntilUs=2000000\nGO\n\nCLOCK\tAtTimeUs=1000\nGO\n"), &out)
+	err := run(
+		strings.NewReader(start+"CALL\tRid=r1\tBand=c\tValidUntilUs=2000000\nGO\n\nCLOCK\tAtTimeUs=1000\nGO\n"),
+		&out,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/hclfile/include_test.go
+++ b/internal/experiment/hclfile/include_test.go
@@ -31,16 +31,36 @@
 		want  string // the error; empty: it is a good file
 		n     int    // balancers
 	}{
-		{"the including file's variables count", map[string]string{"x.hcl": head + "vars {\n  n = 7\n}\ninclude \"sites/s.hcl\" {}\n",
+		{"the including file's variables count", map[string]string{
+			"x.hcl":       head + "vars {\n  n = 7\n}\ninclude \"sites/s.hcl\" {}\n",
 			"sites/s.hcl": "vars {\n  n = 3\n}\n" + siteAndLoad}, "", 7},
 		{"paths are relative to the file that names them", map[string]string{"x.hcl": head + "include \"sites/a.hcl\" {}\n",
 			"sites/a.hcl": "include \"b.hcl\" {}\n", "sites/b.hcl": "vars {\n  n = 3\n}\n" + siteAndLoad}, "", 3},
-		{"a fault is placed in its file", map[string]string{"x.hcl": head + "include \"s.hcl\" {}\n", "s.hcl": "vars {\n  n = 3\n}\n" + siteAndLoad + "fault \"crush\" {\n  at = \"1s\"\n}\n"},
+		{
+			"a fault is placed in its file",
+			map[string]string{"x.hcl": head + "include \"s.hcl\" {}\n", "s.hcl": "vars {\n  n = 3\n}\n" + siteAndLoad +
+				"fault \"crush\" {\n  at = \"1s\"\n}\n",
+			},
 			`s.hcl:18:7: fault: "crush" is none of`, 0},
-		{"a cycle", map[string]string{"x.hcl": head + "include \"a.hcl\" {}\n", "a.hcl": "\ninclude \"b.hcl\" {}\n", "b.hcl": "include \"a.hcl\" {}\n"},
+		{
+			"a cycle",
+			map[string]string{"x.hcl": head +
+				"include \"a.hcl\" {}\n", "a.hcl": "\ninclude \"b.hcl\" {}\n", "b.hcl": "include \"a.hcl\" {}\n",
+			},
 			`b.hcl:1:1: include: a.hcl leads back to itself: x.hcl > a.hcl > b.hcl > a.hcl`, 0},
-		{"a file that is not there", map[string]string{"x.hcl": head + "include \"a.hcl\" {}\n"}, `x.hcl:5:1: include: open `, 0},
-		{"two sites", map[string]string{"x.hcl": head + "vars {\n  n = 7\n}\ninclude \"s.hcl\" {}\n" + siteAndLoad, "s.hcl": siteAndLoad}, `x.hcl:9:1: site: there is one already, at s.hcl:1:1`, 0},
+		{
+			"a file that is not there",
+			map[string]string{"x.hcl": head + "include \"a.hcl\" {}\n"},
+			`x.hcl:5:1: include: open `,
+			0,
+		},
+		{
+			"two sites",
+			map[string]string{"x.hcl": head + "vars {\n  n = 7\n}\ninclude \"s.hcl\" {}\n" +
+				siteAndLoad, "s.hcl": siteAndLoad},
+			`x.hcl:9:1: site: there is one already, at s.hcl:1:1`,
+			0,
+		},
 	} {
 		dir := t.TempDir()
 		for name, text := range c.files {
--- a/internal/experiment/invariant/invariant.go
+++ b/internal/experiment/invariant/invariant.go
@@ -21,7 +21,7 @@
 	RuleResponse           Rule = "answer"    // each request has one final response, before its client gives up
 	RuleDuplicate          Rule = "duplicate" // a non-idempotent request is retried only if no attempt can have run
 	RulePolicy             Rule = "policy"    // no more attempts or runs than the class's policy allows
-	RuleDrain              Rule = "drain"     // nothing is sent to a server that is known to drain or be gone, after a grace
+	RuleDrain              Rule = "drain"     // after a grace, nothing is sent to a server known to drain or be gone
 	RuleWarmup             Rule = "cold"      // no warming server is sent so much that it falls over
 	RuleForeignRequest     Rule = "foreign"   // servers receive only requests that a client sent, unchanged
 	RuleFabricatedResponse Rule = "invented"  // clients receive only responses that a server made for the request
--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -126,7 +126,8 @@
 		{"after it", RuleDrain, func(checker *Checker) {
 			recordRequest(checker, "r", balancer.Idempotent)
 			checker.RecordNotification(0, "s", "a", balancer.Draining, false)
-			checker.RecordNotification(500*ms, "s", "a", balancer.Draining, false) // notified again: the first notification counts
+			// notified again: the first notification counts
+			checker.RecordNotification(500*ms, "s", "a", balancer.Draining, false)
 			recordArrival(checker, "r", "a", 1001*ms)
 			checker.RecordResponse(1001*ms, "r", Failed, 0)
 		}},
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -117,7 +117,8 @@
 		t.Errorf("the report says %q", out.String())
 	}
 	var picture strings.Builder
-	if err := Plot(&picture, []string{"a", "b"}, []Summary{s, s}); err != nil || !strings.Contains(picture.String(), "<svg") {
+	if err := Plot(&picture, []string{"a", "b"}, []Summary{s, s}); err != nil ||
+		!strings.Contains(picture.String(), "<svg") {
 		t.Errorf("no plot: %v", err)
 	}
 }
@@ -144,15 +145,20 @@
 
 func TestBadBoundsAreNamed(t *testing.T) {
 	for change, want := range map[[2]string]string{
-		{"[1, 6]", "[6, 1]"}:                       `small.hcl:2:3: two whole numbers from 1 up are wanted, the smaller one first`,
-		{`["1ms", "20ms"]`, `["1ms"]`}:             `small.hcl:7:3: two times above 0 are wanted, the shorter one first`,
-		{"[0.1, 1.2]", "[0, 1.2]"}:                 `small.hcl:8:3: load: two numbers above 0 are wanted, the smaller one first`,
-		{`"1000/s"`, `"1/s"`}:                      `small.hcl:10:3: rate_most: it is under rate_least, or that is 0`,
-		{"requests     = 200", "requests     = 2"}: `small.hcl:13:3: requests and known: at least 100 requests and one pair are wanted`,
-		{`"random", `, `"best", `}:                 `small.hcl:16:3: rivals: "best" is none of random, round_robin, least_outstanding, two_choices, peak_ewma`,
-		{"= 4\n", "= 3\n"}:                         `small.hcl:18:3: more_repeats: at least two more than repeats are wanted, to measure on plays that did not choose`,
-		{`"flap"`, `"flop"`}:                       `small.hcl:15:3: fault_kinds: "flop" is none of `,
-		{`search "small"`, `serch "small"`}:        `small.hcl:1:1: `,
+		{"[1, 6]", "[6, 1]"}: `small.hcl:2:3: two whole numbers from 1 up are wanted, the smaller ` +
+			`one first`,
+		{`["1ms", "20ms"]`, `["1ms"]`}: `small.hcl:7:3: two times above 0 are wanted, the shorter one first`,
+		{"[0.1, 1.2]", "[0, 1.2]"}: `small.hcl:8:3: load: two numbers above 0 are wanted, the smaller one ` +
+			`first`,
+		{`"1000/s"`, `"1/s"`}: `small.hcl:10:3: rate_most: it is under rate_least, or that is 0`,
+		{"requests     = 200", "requests     = 2"}: `small.hcl:13:3: requests and known: at least 100 requests and one ` +
+			`pair are wanted`,
+		{`"random", `, `"best", `}: `small.hcl:16:3: rivals: "best" is none of random, round_robin, ` +
+			`least_outstanding, two_choices, peak_ewma`,
+		{"= 4\n", "= 3\n"}: `small.hcl:18:3: more_repeats: at least two more than repeats are ` +
+			`wanted, to measure on plays that did not choose`,
+		{`"flap"`, `"flop"`}:                `small.hcl:15:3: fault_kinds: "flop" is none of `,
+		{`search "small"`, `serch "small"`}: `small.hcl:1:1: `,
 	} {
 		text := strings.Replace(small, change[0], change[1], 1)
 		if text == small {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -83,7 +83,8 @@
 
 func TestSettingsAreRead(t *testing.T) {
 	r, err := read("CLOCK\tAtTimeUs=0\nSWITCH_TO\tSidecar=0\nSTART\tRandomSeed=18446744073709551615\tConfig=" +
-		`{"NInstances":2,"Me":1,"Tier":1,"Tiers":["a","b","c"],"Zone":"z","Lanes":[{"Name":"n","Semantics":"idempotency_key",` +
+		`{"NInstances":2,"Me":1,"Tier":1,"Tiers":["a","b","c"],"Zone":"z",` +
+		`"Lanes":[{"Name":"n","Semantics":"idempotency_key",` +
 		`"Group":"cell","OnTimeUs":1,"HardLimitUs":2,"WindowUs":3,"Credit":4,"LateValue":0.5,"AimStretch":2}],` +
 		`"Accounts":[{"Name":"t","QuotaPerS":6.5}],"Discovery":"subscribe","ResolutionUs":5000,"New":{"x":[1]},` +
 		`"Permissions":{"MayCancel":true,"MayProbe":true,"SecondCopies":true,"RetryAfter":true,` +
@@ -136,24 +137,25 @@
 		"START without a seed":          "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tConfig={}\n",
 		"START without Config":          "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tRandomSeed=1\n",
 		"a Config that is not JSON":     "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tRandomSeed=1\tConfig={\n",
-		"an unknown semantics":          "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tRandomSeed=1\tConfig={\"Lanes\":[{}]}\n",
-		"an unknown list":               head + "REGISTRY\tMode=F\tGen=1\tRef=3\n",
-		"a list number out of range":    head + "LEDGER\tRef=16\tHosts=0\n",
-		"an unknown mode":               head + "REGISTRY\tMode=Q\tGen=1\tRef=0\n",
-		"a list that is too short":      head + "LEDGER\tRef=0\tHosts=2\nENDPOINT\tPhase=ready\tEndpoint=h\nGO\n",
-		"an entry without a list":       head + "ENDPOINT\tPhase=ready\tEndpoint=h\n",
-		"an entry without a phase":      head + "LEDGER\tRef=0\tHosts=1\nENDPOINT\tEndpoint=h\n",
-		"a CALL without an id":          head + "CALL\tBand=c\tValidUntilUs=5\n",
-		"a CALL with an empty id":       head + "CALL\tRid=\tBand=c\tValidUntilUs=5\n",
-		"a CALL without a deadline":     head + "CALL\tRid=r\tBand=c\n",
-		"a negative number":             head + "CALL\tRid=r\tBand=c\tValidUntilUs=-5\n",
-		"a number that is too large":    head + "CALL\tRid=r\tBand=c\tValidUntilUs=99999999999999999999\n",
-		"a time that is too large":      head + "CALL\tRid=r\tBand=c\tValidUntilUs=9999999999999999999\n",
-		"an unknown outcome":            head + "ATTEMPT_END\tRid=r\tN=0\tEndpoint=h\tStateCode=Huh\tSpentUs=1\n",
-		"an outcome without a number":   head + "ATTEMPT_END\tRid=r\tEndpoint=h\tStateCode=Ok\tSpentUs=1\n",
-		"a load that is no pair":        head + "CHECKED\tEndpoint=h\tStateCode=Ok\tSpentUs=1\tLoad=active\n",
-		"input that ends in a batch":    head,
-		"a last line without its end":   head + "GO",
+		"an unknown semantics": "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\n" +
+			"START\tRandomSeed=1\tConfig={\"Lanes\":[{}]}\n",
+		"an unknown list":             head + "REGISTRY\tMode=F\tGen=1\tRef=3\n",
+		"a list number out of range":  head + "LEDGER\tRef=16\tHosts=0\n",
+		"an unknown mode":             head + "REGISTRY\tMode=Q\tGen=1\tRef=0\n",
+		"a list that is too short":    head + "LEDGER\tRef=0\tHosts=2\nENDPOINT\tPhase=ready\tEndpoint=h\nGO\n",
+		"an entry without a list":     head + "ENDPOINT\tPhase=ready\tEndpoint=h\n",
+		"an entry without a phase":    head + "LEDGER\tRef=0\tHosts=1\nENDPOINT\tEndpoint=h\n",
+		"a CALL without an id":        head + "CALL\tBand=c\tValidUntilUs=5\n",
+		"a CALL with an empty id":     head + "CALL\tRid=\tBand=c\tValidUntilUs=5\n",
+		"a CALL without a deadline":   head + "CALL\tRid=r\tBand=c\n",
+		"a negative number":           head + "CALL\tRid=r\tBand=c\tValidUntilUs=-5\n",
+		"a number that is too large":  head + "CALL\tRid=r\tBand=c\tValidUntilUs=99999999999999999999\n",
+		"a time that is too large":    head + "CALL\tRid=r\tBand=c\tValidUntilUs=9999999999999999999\n",
+		"an unknown outcome":          head + "ATTEMPT_END\tRid=r\tN=0\tEndpoint=h\tStateCode=Huh\tSpentUs=1\n",
+		"an outcome without a number": head + "ATTEMPT_END\tRid=r\tEndpoint=h\tStateCode=Ok\tSpentUs=1\n",
+		"a load that is no pair":      head + "CHECKED\tEndpoint=h\tStateCode=Ok\tSpentUs=1\tLoad=active\n",
+		"input that ends in a batch":  head,
+		"a last line without its end": head + "GO",
 	} {
 		if _, err := read(text); err == nil {
 			t.Errorf("%s is taken", name)
