--- a/internal/discovery/platform/list.go
+++ b/internal/discovery/platform/list.go
@@ -53,6 +53,7 @@
 	problem string
 }
 
+// Error implements error.
 func (e *fieldError) Error() string { return e.field + ": " + e.problem }
 
 // ParseEndpointList decodes and validates a message from discovery. One invalid entry makes the
--- a/internal/experiment/testbed/process.go
+++ b/internal/experiment/testbed/process.go
@@ -32,8 +32,7 @@
 	text []byte
 }
 
-// Write implements io.Writer.
-
+// Write implements io.Writer and keeps the end of what is written.
 func (t *tail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -70,7 +70,10 @@
 	err   error
 }
 
+// Error implements error.
 func (e *fieldError) Error() string { return e.field + ": " + e.err.Error() }
+
+// Unwrap returns what is wrong with the field.
 func (e *fieldError) Unwrap() error { return e.err }
 
 // ParseSettings decodes the settings object, which has the same form in the simulator and in the
