--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -143,11 +143,11 @@
 	allowed := []string{
 		"rowancart/balancer", "rowancart/cmd/sidecar", "rowancart/internal/admin", "rowancart/internal/asynclog",
 		"rowancart/internal/connpool",
-		"rowancart/internal/discovery/platform",
+		"rowancart/internal/discovery/watch",
 		"rowancart/internal/hotrestart", "rowancart/internal/http1", "rowancart/internal/httpserver",
 		"rowancart/internal/metrics",
 		"rowancart/internal/netaddr", "rowancart/internal/proxy", "rowancart/internal/route", "rowancart/internal/sidecar",
-		"rowancart/internal/snapshot", "rowancart/internal/wire", "github.com/cespare/xxhash/v2",
+		"rowancart/internal/snapshot", "rowancart/internal/platform", "github.com/cespare/xxhash/v2",
 	}
 	for dep := range strings.FieldsSeq(string(out)) {
 		if !slices.Contains(allowed, dep) {
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -18,7 +18,6 @@
 	defaultPriorityWeight    = 1
 	defaultClientTimeout     = 10 * time.Second
 	defaultMaxAttempts       = 3
-	defaultTenantHeader      = "Req-Owner"
 )
 
 // Bounds of what a file may set.
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -9,6 +9,7 @@
 	"github.com/hashicorp/hcl/v2"
 
 	"rowancart/internal/hcldecode"
+	"rowancart/internal/platform"
 	"rowancart/internal/route"
 )
 
@@ -19,7 +20,7 @@
 }
 
 func (d *decoder) route(b *hcl.Block) {
-	r := Route{Name: b.Labels[0], TenantHeader: defaultTenantHeader, Origins: map[string]string{}}
+	r := Route{Name: b.Labels[0], TenantHeader: platform.TenantHeader, Origins: map[string]string{}}
 	if !d.define(b, r.Name) {
 		return
 	}
--- a/internal/connpool/exchange.go
+++ b/internal/connpool/exchange.go
@@ -7,13 +7,11 @@
 	"net/http"
 	"os"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 const (
-	// declinedHeader on a response of status 503 or 504 says that the endpoint has not run the
-	// request.
-	declinedHeader = "Srv-Declined"
-
 	// earlyResponseTimeout is how long a response that arrived ahead of the request's end may take to
 	// be read.
 	earlyResponseTimeout = 200 * time.Millisecond
@@ -187,7 +185,7 @@
 // isDeclined reports whether a response says that the endpoint has not run the request.
 func isDeclined(resp Response) bool {
 	unavailable := resp.Status == http.StatusServiceUnavailable || resp.Status == http.StatusGatewayTimeout
-	return unavailable && resp.Header.Get(declinedHeader) == "1"
+	return unavailable && resp.Header.Get(platform.RejectedHeader) == platform.RejectedValue
 }
 
 // keepContentType deletes all headers but Content-Type.
--- a/internal/connpool/message.go
+++ b/internal/connpool/message.go
@@ -8,12 +8,11 @@
 	"time"
 )
 
-// The limits of messages, and the one header that both sides set.
+// The limits of messages.
 const (
-	MaxBody         = 64 << 10          // bytes of a request's or a response's body that is held in memory
-	MaxHead         = 16 << 10          // bytes of a head
-	MaxStreamedBody = 40 << 20          // bytes of a body that is streamed; the platform's have up to 32 MB
-	DeadlineHeader  = "Req-Deadline-Ms" // how long the client waits, in milliseconds
+	MaxBody         = 64 << 10 // bytes of a request's or a response's body that is held in memory
+	MaxHead         = 16 << 10 // bytes of a head
+	MaxStreamedBody = 40 << 20 // bytes of a body that is streamed; the platform's have up to 32 MB
 )
 
 // Request is a request as endpoints get it.
@@ -21,7 +20,7 @@
 	Method        string
 	URL           *url.URL
 	Host          string
-	Header        http.Header // end-to-end headers; DeadlineHeader is set for each attempt
+	Header        http.Header // end-to-end headers; the deadline is set for each attempt
 	Body          []byte      // the whole body, or its beginning
 	Upload        *Upload     // what follows Body; nil: nothing
 	ClientTimeout time.Duration
--- a/internal/connpool/write.go
+++ b/internal/connpool/write.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"rowancart/internal/http1"
+	"rowancart/internal/platform"
 )
 
 // maxCoalescedBody is the length up to which a body is copied behind its head, so that both go out
@@ -22,7 +23,7 @@
 
 // perAttemptHeaders are the headers that are written for each attempt, or never.
 var perAttemptHeaders = map[string]bool{
-	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true, DeadlineHeader: true,
+	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true, platform.DeadlineHeader: true,
 }
 
 // appendHead appends the request's head, with how long this side waits for the response.
@@ -49,7 +50,7 @@
 		b = strconv.AppendInt(b, length, 10)
 		text("\r\n")
 	}
-	text(DeadlineHeader, ": ")
+	text(platform.DeadlineHeader, ": ")
 	b = strconv.AppendInt(b, max(wait.Milliseconds(), 1), 10)
 	return append(b, "\r\n\r\n"...)
 }
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -12,7 +12,8 @@
 	"rowancart/balancer"
 	"rowancart/internal/config"
 	"rowancart/internal/discovery/file"
-	"rowancart/internal/discovery/platform"
+	"rowancart/internal/discovery/watch"
+	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 	"rowancart/internal/subset"
 )
@@ -229,14 +230,14 @@
 
 // watchEndpoints follows an endpoint source that is not static.
 func (p *pool) watchEndpoints() {
-	var watch func(ctx context.Context)
+	var follow func(ctx context.Context)
 	switch source := p.config.Source; {
 	case source.File != "":
-		watch = func(ctx context.Context) { file.Follow(ctx, source.File, p.updateEndpoints, p.setSourceError, p.log) }
+		follow = func(ctx context.Context) { file.Follow(ctx, source.File, p.updateEndpoints, p.setSourceError, p.log) }
 	case source.Platform != "":
-		watch = platform.New(platform.Options{
+		follow = watch.New(watch.Options{
 			Addr:     source.Platform,
-			OnUpdate: func(update platform.EndpointList) { p.updateEndpoints(update.ForPool()) },
+			OnUpdate: func(update platform.EndpointList) { p.updateEndpoints(watch.PoolList(update)) },
 			Log:      p.log,
 		}).Run
 	default:
@@ -247,7 +248,7 @@
 	p.watcher = w
 	go func() {
 		defer close(w.done)
-		watch(ctx)
+		follow(ctx)
 	}()
 }
 
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"rowancart/internal/httpserver"
+	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 	"rowancart/internal/ratelimit"
 	"rowancart/internal/route"
@@ -54,7 +55,7 @@
 			g.release()
 		},
 	}
-	if r.Header.Get("Req-Id") == "" {
+	if r.Header.Get(platform.RequestIDHeader) == "" {
 		target.DefaultID = fmt.Sprintf("%016x-%x", d.seed, d.requestSerial.Add(1))
 	}
 	return target, nil
--- a/internal/discovery/platform/client.go
+++ b/internal/discovery/watch/client.go
@@ -1,10 +1,10 @@
-// Package platform is a client of the platform's endpoint discovery: it fetches an endpoint list
+// Package watch is a client of the platform's endpoint discovery: it fetches an endpoint list
 // over HTTP, and then follows the changes of that list on a watch.
 //
 // The list is the answer to GET /catalog/members. A watch is GET
 // /catalog/members?watch=1&after=VERSION: a response without an end that carries one JSON message
 // for each change after that version, and an empty line at least every 2 s while nothing changes.
-package platform
+package watch
 
 import (
 	"context"
@@ -12,6 +12,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // warningInterval is the least time between two warnings about discovery. While it is down,
@@ -32,7 +34,7 @@
 	DrainGrace time.Duration
 
 	// OnUpdate is passed each message, by the goroutine of Run.
-	OnUpdate func(EndpointList)
+	OnUpdate func(platform.EndpointList)
 	// OnCurrent is called after each message or empty line of a watch, by the goroutine of Run: the
 	// endpoint list is up to date. It may be nil.
 	OnCurrent func()
@@ -48,7 +50,7 @@
 type Client struct {
 	httpClient *http.Client
 	timing     watchTiming
-	onUpdate   func(EndpointList)
+	onUpdate   func(platform.EndpointList)
 	onCurrent  func()
 	log        *slog.Logger
 
--- a/internal/discovery/platform/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -1,4 +1,4 @@
-package platform
+package watch
 
 import (
 	"context"
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -20,7 +21,7 @@
 // testClient is a running Client of a scripted discovery.
 type testClient struct {
 	*Client
-	updates chan EndpointList
+	updates chan platform.EndpointList
 	calls   chan string // queries that discovery was called with
 }
 
@@ -29,8 +30,8 @@
 func startClient(t *testing.T, version int64, configure func(*Client), steps ...string) *testClient {
 	t.Helper()
 	addr, calls := startDiscovery(t, steps...)
-	c := &testClient{updates: make(chan EndpointList, 100), calls: calls}
-	c.Client = New(Options{Addr: addr, Version: &version, OnUpdate: func(l EndpointList) { c.updates <- l },
+	c := &testClient{updates: make(chan platform.EndpointList, 100), calls: calls}
+	c.Client = New(Options{Addr: addr, Version: &version, OnUpdate: func(l platform.EndpointList) { c.updates <- l },
 		Log: slog.New(slog.DiscardHandler)})
 	c.timing.idleTimeout, c.timing.responseTimeout = patience, patience
 	if configure != nil {
--- a/internal/discovery/platform/drain_test.go
+++ b/internal/discovery/watch/drain_test.go
@@ -1,4 +1,4 @@
-package platform
+package watch
 
 import (
 	"context"
@@ -10,6 +10,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // The tests of this file measure, in synctest bubbles, how long it takes until a client is notified
@@ -34,7 +36,7 @@
 	observer := &drainObserver{}
 	version := int64(41)
 	options.Addr, options.Version, options.Log = "127.0.0.1:1", &version, slog.New(slog.DiscardHandler)
-	options.OnUpdate = func(list EndpointList) {
+	options.OnUpdate = func(list platform.EndpointList) {
 		if *list.Version == 42 {
 			observer.notified.CompareAndSwap(0, time.Now().UnixNano())
 		}
--- /dev/null
+++ b/internal/discovery/watch/poollist.go
@@ -0,0 +1,24 @@
+package watch
+
+import (
+	"rowancart/internal/platform"
+	"rowancart/internal/proxy"
+)
+
+// PoolList returns a valid message in the form that a pool is updated with.
+func PoolList(message platform.EndpointList) proxy.EndpointList {
+	list := proxy.EndpointList{Complete: message.Complete}
+	for _, e := range message.Endpoints {
+		state, _ := e.State.EndpointState() // known: the message is valid
+		list.Endpoints = append(list.Endpoints, proxy.Endpoint{
+			ID:        e.ID,
+			Addr:      e.Addr,
+			Zone:      e.Zone,
+			Kind:      e.Kind,
+			Cell:      e.Cell,
+			State:     state,
+			StartedMs: e.StartedMs,
+		})
+	}
+	return list
+}
--- a/internal/discovery/platform/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -1,4 +1,4 @@
-package platform
+package watch
 
 import (
 	"context"
@@ -7,6 +7,8 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // One watch, of which a watchdog bounds each phase. When the watchdog expires it cancels the watch,
@@ -21,8 +23,6 @@
 // Where the watchdog expires just as something arrives, the next watch starts after the latest
 // version that was applied: nothing is missed, at the cost of a call.
 
-const membersPath = "/catalog/members"
-
 // startWatch returns the context of a new watch, its cancel function, and the address to watch. A
 // SetAddress that follows cancels that context: one critical section both reads the address and
 // registers the cancel function.
@@ -51,7 +51,7 @@
 		}
 		watchdog.Reset(c.timing.responseTimeout)
 	}
-	body, err := c.get(ctx, addr, "?watch=1&after="+strconv.FormatInt(*c.version, 10))
+	body, err := c.get(ctx, addr, watchQuery(*c.version))
 	if err != nil {
 		return false, err
 	}
@@ -75,6 +75,12 @@
 	}
 }
 
+// watchQuery returns the query of a watch for the changes after a version.
+func watchQuery(version int64) string {
+	return "?" + platform.WatchParameter + "=" + platform.WatchValue + "&" + platform.VersionParameter + "=" +
+		strconv.FormatInt(version, 10)
+}
+
 // fetchList fetches and applies the complete list.
 func (c *Client) fetchList(ctx context.Context, addr string) error {
 	body, err := c.get(ctx, addr, "")
@@ -91,7 +97,7 @@
 
 // get calls discovery and returns the body of a 200 response, which the caller must close.
 func (c *Client) get(ctx context.Context, addr, query string) (io.ReadCloser, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+membersPath+query, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+platform.EndpointListPath+query, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +107,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		return nil, fmt.Errorf("%s%s: %s", membersPath, query, resp.Status)
+		return nil, fmt.Errorf("%s%s: %s", platform.EndpointListPath, query, resp.Status)
 	}
 	return resp.Body, nil
 }
@@ -111,7 +117,7 @@
 // is fetched before the next watch. The version changes only where the message is passed on, by the
 // same goroutine.
 func (c *Client) applyMessage(text []byte) error {
-	list, err := ParseEndpointList(text)
+	list, err := platform.ParseEndpointList(text)
 	if err == nil {
 		err = c.checkVersion(list)
 	}
@@ -126,9 +132,9 @@
 
 // checkVersion returns an error if the list consists of changes that don't follow the known
 // version.
-func (c *Client) checkVersion(list EndpointList) error {
-	if list.Full || c.version != nil && *list.Version >= *c.version {
+func (c *Client) checkVersion(list platform.EndpointList) error {
+	if list.Complete || c.version != nil && *list.Version >= *c.version {
 		return nil
 	}
-	return &fieldError{"version", fmt.Sprintf("%d does not follow", *list.Version)}
+	return &platform.FieldError{Field: "version", Err: fmt.Errorf("%d does not follow", *list.Version)}
 }
--- a/internal/discovery/platform/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -1,4 +1,4 @@
-package platform
+package watch
 
 import (
 	"bytes"
--- /dev/null
+++ b/internal/experiment/runner/golden_test.go
@@ -0,0 +1,85 @@
+package runner
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"rowancart/internal/experiment/hclfile"
+)
+
+var update = flag.Bool("update", false, "write the golden files from what this program does")
+
+// Files that are not played here: the first can be played on sockets only, the others take long
+// under the race detector.
+var notPlayed = []string{"hostile.hcl", "scale.hcl", "overload.hcl", "rig-limit.hcl", "fleet-storm.hcl"}
+
+// shippedExperiments returns the paths of the experiments that can be played in virtual time.
+func shippedExperiments(t *testing.T) []string {
+	t.Helper()
+	var paths []string
+	for _, pattern := range []string{"*.hcl", "regret/*.hcl", "growth/*.hcl"} {
+		found, err := filepath.Glob(filepath.Join("../../../experiments", pattern))
+		if err != nil || len(found) == 0 {
+			t.Fatalf("%s: %d files, %v", pattern, len(found), err)
+		}
+		paths = append(paths, found...)
+	}
+	return slices.DeleteFunc(paths, func(path string) bool { return slices.Contains(notPlayed, filepath.Base(path)) })
+}
+
+// playVirtualTime plays the experiment of a file with seed 1, and returns the report as text with
+// the checksum of its JSON form, which has all digits.
+func playVirtualTime(t *testing.T, path string) []byte {
+	t.Helper()
+	plays, err := hclfile.Load(path, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := Run(t.Context(), plays, Options{Virtual: true, Seeds: []uint64{1}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	jsonPath := filepath.Join(t.TempDir(), "report.json")
+	if err := r.WriteJSON(jsonPath); err != nil {
+		t.Fatal(err)
+	}
+	content, err := os.ReadFile(jsonPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text bytes.Buffer
+	r.Text(&text)
+	fmt.Fprintf(&text, "\nSHA-256 of the JSON report: %x\n", sha256.Sum256(content))
+	return text.Bytes()
+}
+
+// The same experiment, seed and program give the same bytes in virtual time. The golden files were
+// recorded before the code was renamed: what they hold changes only with a decision.
+func TestVirtualTimeResultsAreAsRecorded(t *testing.T) {
+	for _, path := range shippedExperiments(t) {
+		relative := strings.TrimPrefix(filepath.ToSlash(path), "../../../experiments/")
+		t.Run(relative, func(t *testing.T) {
+			got := playVirtualTime(t, path)
+			golden := filepath.Join("testdata", "virtual", strings.ReplaceAll(relative, "/", "-")+".golden")
+			if *update {
+				if err := os.WriteFile(golden, got, 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			want, err := os.ReadFile(golden)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(got, want) {
+				t.Errorf("got\n%s\nrecorded is\n%s", got, want)
+			}
+		})
+	}
+}
--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -9,6 +9,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // failingListener fails to accept with each of its errors, in order, and accepts from then on.
@@ -57,7 +59,7 @@
 	go func() { served <- New(nil, "test", "h", slog.New(slog.DiscardHandler)).Serve(l) }()
 	began := time.Now()
 	client := http.Client{Timeout: patience}
-	resp, err := client.Get("http://" + inner.Addr().String() + healthPath)
+	resp, err := client.Get("http://" + inner.Addr().String() + platform.HealthPath)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -8,12 +8,11 @@
 	"runtime/debug"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 )
 
 const (
-	healthPath = "/_health"
-
 	bufferIdleTimeout = time.Second            // an idle connection frees its buffers after this time
 	lingerTimeout     = 500 * time.Millisecond // for the client to read an error before its connection is closed
 	maxLingerBytes    = 256 << 10              // read and dropped meanwhile, of what a rejected client still sends
@@ -120,7 +119,7 @@
 	if rejection != nil {
 		return c.reject(r, rejection)
 	}
-	if r.URL.Path == healthPath {
+	if r.URL.Path == platform.HealthPath {
 		return c.serveHealthCheck(r, body)
 	}
 	target, rejection := c.server.router.Route(r)
--- a/internal/httpserver/drain_test.go
+++ b/internal/httpserver/drain_test.go
@@ -8,9 +8,11 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
-const healthRequest = "GET " + healthPath + " HTTP/1.1\r\nHost: h\r\n\r\n"
+const healthRequest = "GET " + platform.HealthPath + " HTTP/1.1\r\nHost: h\r\n\r\n"
 
 // startServer serves a listener's connections until the test ends.
 func startServer(t *testing.T, l *Listener, router Router) *Server {
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -13,14 +13,11 @@
 
 	"rowancart/balancer"
 	"rowancart/internal/http1"
+	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 )
 
 const (
-	requestIDHeader      = "Req-Id"
-	clientRetryHeader    = "Req-Retry"
-	idempotencyKeyHeader = "Idempotency-Key"
-
 	maxRequestIDLength = 256 // bytes
 	maxClientTimeout   = time.Hour
 
@@ -154,21 +151,21 @@
 		return nil, closingRejection(http.StatusMethodNotAllowed, err.Error())
 	}
 	// These fields are forwarded unchanged even if Connection names them.
-	header := proxy.EndToEnd(r.Header, requestIDHeader, idempotencyKeyHeader)
+	header := proxy.EndToEnd(r.Header, platform.RequestIDHeader, platform.IdempotencyKeyHeader)
 	id, err := requestID(r.Header, target.DefaultID)
 	if err != nil {
 		return nil, closingRejection(http.StatusBadRequest, err.Error())
 	}
-	if len(r.Header[requestIDHeader]) == 0 {
-		header.Set(requestIDHeader, id)
+	if len(r.Header[platform.RequestIDHeader]) == 0 {
+		header.Set(platform.RequestIDHeader, id)
 	}
 	timeout, err := clientTimeout(r.Header, target)
 	if err != nil {
 		return nil, closingRejection(http.StatusBadRequest, err.Error())
 	}
-	if target.Effect == balancer.IdempotencyKeyed && r.Header.Get(idempotencyKeyHeader) == "" {
+	if target.Effect == balancer.IdempotencyKeyed && r.Header.Get(platform.IdempotencyKeyHeader) == "" {
 		// Without a key the endpoints could not recognize a retry.
-		return nil, closingRejection(http.StatusBadRequest, "Idempotency-Key: missing")
+		return nil, closingRejection(http.StatusBadRequest, platform.IdempotencyKeyHeader+": missing")
 	}
 	message.ClientTimeout = timeout
 	message.Method, message.URL, message.Header = r.Method, r.URL, header
@@ -178,7 +175,7 @@
 		Class:       target.Class,
 		Tenant:      target.Tenant,
 		Deadline:    target.Pool.Now() - time.Since(received) + timeout,
-		ClientRetry: r.Header.Get(clientRetryHeader) == "1",
+		ClientRetry: r.Header.Get(platform.ClientRetryHeader) == platform.ClientRetryValue,
 	}, message), nil
 }
 
@@ -196,13 +193,13 @@
 
 // requestID returns a request's id, or defaultID if the request has none and there is a default.
 func requestID(h http.Header, defaultID string) (string, error) {
-	values := h.Values(requestIDHeader)
+	values := h.Values(platform.RequestIDHeader)
 	if len(values) == 0 && defaultID != "" {
 		return defaultID, nil
 	}
-	id, err := singleValue(values, requestIDHeader)
+	id, err := singleValue(values, platform.RequestIDHeader)
 	if err != nil || len(id) > maxRequestIDLength {
-		return "", errors.New("Req-Id: one of moderate length is wanted")
+		return "", fmt.Errorf("%s: one of moderate length is wanted", platform.RequestIDHeader)
 	}
 	return id, nil
 }
@@ -212,14 +209,14 @@
 // maximum.
 func clientTimeout(h http.Header, target *Target) (time.Duration, error) {
 	timeout := target.DefaultTimeout
-	if values := h.Values(proxy.DeadlineHeader); len(values) > 0 || timeout == 0 {
-		text, err := singleValue(values, proxy.DeadlineHeader)
+	if values := h.Values(platform.DeadlineHeader); len(values) > 0 || timeout == 0 {
+		text, err := singleValue(values, platform.DeadlineHeader)
 		if err != nil {
 			return 0, err
 		}
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms < 1 || ms > maxClientTimeout.Milliseconds() {
-			return 0, fmt.Errorf("%s: %.40q is no usable time", proxy.DeadlineHeader, text)
+			return 0, fmt.Errorf("%s: %.40q is no usable time", platform.DeadlineHeader, text)
 		}
 		timeout = time.Duration(ms) * time.Millisecond
 	}
--- /dev/null
+++ b/internal/platform/endpointlist.go
@@ -0,0 +1,85 @@
+package platform
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"rowancart/balancer"
+	"rowancart/internal/netaddr"
+)
+
+// State is the name that an endpoint's state has on the wire.
+type State string
+
+// The states of endpoints.
+const (
+	StateReady    State = "Ready"
+	StateDraining State = "Terminating"
+	StateRemoved  State = "Gone"
+)
+
+// EndpointState returns the state that the name stands for, and whether it is known.
+func (s State) EndpointState() (state balancer.State, ok bool) {
+	switch s {
+	case StateReady:
+		return balancer.Ready, true
+	case StateDraining:
+		return balancer.Draining, true
+	case StateRemoved:
+		return balancer.Gone, true
+	}
+	return 0, false
+}
+
+// Endpoint is one entry of a message from discovery.
+type Endpoint struct {
+	ID        string `json:"id"`
+	Addr      string `json:"addr"` // host:port; may be missing for an endpoint that is removed
+	Zone      string `json:"zone"`
+	Kind      string `json:"kind"`
+	Cell      int    `json:"cell"`
+	State     State  `json:"state"`
+	StartedMs int64  `json:"started_ms"` // Unix time of the process's start, in ms; 0: long ago
+}
+
+// EndpointList is a message from discovery: the complete list, or the entries that have changed.
+type EndpointList struct {
+	Version   *int64     `json:"version"` // never nil in a valid message
+	Complete  bool       `json:"full"`
+	Endpoints []Endpoint `json:"servers"`
+}
+
+// ParseEndpointList decodes and validates a message from discovery. One invalid entry makes the
+// entire message invalid.
+func ParseEndpointList(text []byte) (EndpointList, error) {
+	var list EndpointList
+	if err := json.Unmarshal(text, &list); err != nil {
+		return EndpointList{}, err
+	}
+	if list.Version == nil {
+		return EndpointList{}, &FieldError{Field: "version", Err: errMissing}
+	}
+	if list.Endpoints == nil { // must not be taken for a list without any endpoint
+		return EndpointList{}, &FieldError{Field: "servers", Err: errMissing}
+	}
+	for _, endpoint := range list.Endpoints {
+		if err := endpoint.validate(); err != nil {
+			return EndpointList{}, err
+		}
+	}
+	return list, nil
+}
+
+// validate returns an error that names the first invalid field.
+func (e Endpoint) validate() error {
+	if _, ok := e.State.EndpointState(); !ok {
+		return &FieldError{Field: "state", Err: fmt.Errorf("%q of %q is unknown", string(e.State), e.ID)}
+	}
+	if e.ID == "" {
+		return &FieldError{Field: "id", Err: errMissing}
+	}
+	if e.State == StateRemoved {
+		return nil
+	}
+	return netaddr.Check("addr", e.Addr)
+}
--- a/internal/wire/settings.go
+++ b/internal/platform/settings.go
@@ -1,4 +1,4 @@
-package wire
+package platform
 
 import (
 	"encoding/json"
@@ -64,24 +64,15 @@
 	SlowStartShare    float64 `json:"ColdShare"` // our own field: the platform does not send it
 }
 
-// fieldError is a fault in a field of the wire, which it names as the wire does.
-type fieldError struct {
-	field string
-	err   error
-}
-
-// Error implements error.
-func (e *fieldError) Error() string { return e.field + ": " + e.err.Error() }
-
-// Unwrap returns what is wrong with the field.
-func (e *fieldError) Unwrap() error { return e.err }
+// SettingsField names the settings object where it is a field of another message.
+const SettingsField = "Config"
 
 // ParseSettings decodes the settings object, which has the same form in the simulator and in the
 // deployment.
 func ParseSettings(text []byte) (Settings, error) {
 	s, err := parseSettings(text)
 	if err != nil {
-		return Settings{}, &fieldError{configField, err}
+		return Settings{}, &FieldError{Field: SettingsField, Err: err}
 	}
 	return s, nil
 }
@@ -192,17 +183,17 @@
 	}
 	for _, a := range amounts {
 		if a.value < 0 {
-			return &fieldError{a.field, fmt.Errorf("%v is negative", a.value)}
+			return &FieldError{Field: a.field, Err: fmt.Errorf("%v is negative", a.value)}
 		}
 	}
 	for _, class := range c.Classes {
 		if class.LatencyObjectiveUs < 0 || class.MaxDeadlineUs < 0 || class.KeyWindowUs < 0 {
-			return &fieldError{"Lanes", fmt.Errorf("class %q has a negative time", class.Name)}
+			return &FieldError{Field: "Lanes", Err: fmt.Errorf("class %q has a negative time", class.Name)}
 		}
 	}
 	for _, tenant := range c.Tenants {
 		if tenant.Quota < 0 {
-			return &fieldError{"Accounts", fmt.Errorf("tenant %q has a quota of %v/s", tenant.Name, tenant.Quota)}
+			return &FieldError{Field: "Accounts", Err: fmt.Errorf("tenant %q has a quota of %v/s", tenant.Name, tenant.Quota)}
 		}
 	}
 	return nil
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -14,7 +14,6 @@
 	MaxBody         = connpool.MaxBody
 	MaxHead         = connpool.MaxHead
 	MaxStreamedBody = connpool.MaxStreamedBody
-	DeadlineHeader  = connpool.DeadlineHeader
 )
 
 type (
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -9,20 +9,8 @@
 	"strconv"
 	"strings"
 
-	"rowancart/internal/discovery/platform"
 	"rowancart/internal/netaddr"
-	"rowancart/internal/wire"
-)
-
-// Environment variables that the platform sets.
-const (
-	envConfig    = "ROUTER_CONFIG"    // path of the configuration file
-	envName      = "ROUTER_NAME"      // where the file has no "name"
-	envListen    = "ROUTER_LISTEN"    // where the file has no "listen"
-	envDiscovery = "ROUTER_DISCOVERY" // where the file has no "discovery"
-	envConsole   = "ROUTER_CONSOLE"   // instead of the file's "console"
-	envAcceptFD  = "ROUTER_ACCEPT_FD" // descriptor of the inherited listening socket
-	envSharedDir = "TMPDIR"           // directory that all processes of this sidecar share
+	"rowancart/internal/platform"
 )
 
 // anyPort ends an address whose port the kernel chooses: two such addresses are not the same.
@@ -38,19 +26,19 @@
 	SharedDir      string // directory that all processes of this sidecar share; empty: none
 	Limits         Limits
 	KnownEndpoints platform.EndpointList // the latest list that the platform had
-	Settings       wire.Settings
+	Settings       platform.Settings
 }
 
 // LoadConfig reads the configuration file that ROUTER_CONFIG names. Environment variables fill in
 // what the file lacks. An error begins with the name of the field or variable at fault.
 func LoadConfig(getenv func(string) string) (Config, error) {
-	path := getenv(envConfig)
+	path := getenv(platform.EnvConfig)
 	if path == "" {
-		return Config{}, fmt.Errorf("%s: not set", envConfig)
+		return Config{}, fmt.Errorf("%s: not set", platform.EnvConfig)
 	}
 	text, err := retryTransient(func() ([]byte, error) { return os.ReadFile(path) })
 	if err != nil {
-		return Config{}, fmt.Errorf("%s: %w", envConfig, err)
+		return Config{}, fmt.Errorf("%s: %w", platform.EnvConfig, err)
 	}
 	return parseConfig(text, getenv)
 }
@@ -72,14 +60,14 @@
 		return value
 	}
 	c := Config{
-		Name:      orEnv(file.Name, envName),
-		Listen:    orEnv(file.Listen, envListen),
-		Discovery: orEnv(file.Discovery, envDiscovery),
+		Name:      orEnv(file.Name, platform.EnvName),
+		Listen:    orEnv(file.Listen, platform.EnvListen),
+		Discovery: orEnv(file.Discovery, platform.EnvDiscovery),
 		// Two processes of one sidecar may read the same file: what this one was started with comes
 		// first.
-		AdminAddr: cmp.Or(getenv(envConsole), file.Console),
-		AcceptFD:  getenv(envAcceptFD),
-		SharedDir: getenv(envSharedDir),
+		AdminAddr: cmp.Or(getenv(platform.EnvAdminAddr), file.Console),
+		AcceptFD:  getenv(platform.EnvAcceptFD),
+		SharedDir: getenv(platform.EnvSharedDir),
 		Limits:    file.Limits.withDefaults(),
 	}
 	if err := c.validateAddresses(); err != nil {
@@ -101,16 +89,16 @@
 }
 
 // parseSettings parses the balancer's settings and their seed, which is hexadecimal.
-func parseSettings(text json.RawMessage, seed string) (wire.Settings, error) {
+func parseSettings(text json.RawMessage, seed string) (platform.Settings, error) {
 	if len(text) == 0 {
-		return wire.Settings{}, errors.New("settings: missing")
+		return platform.Settings{}, errors.New("settings: missing")
 	}
-	settings, err := wire.ParseSettings(text)
+	settings, err := platform.ParseSettings(text)
 	if err != nil {
-		return wire.Settings{}, fmt.Errorf("settings: %w", err)
+		return platform.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	if settings.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
-		return wire.Settings{}, fmt.Errorf("seed: %w", err)
+		return platform.Settings{}, fmt.Errorf("seed: %w", err)
 	}
 	return settings, nil
 }
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"rowancart/internal/connpool"
+	"rowancart/internal/platform"
 )
 
 // toldDeadline is what an endpoint was told of how long a client waits, and when.
@@ -27,7 +27,7 @@
 	t.Helper()
 	requests := make(chan toldDeadline, 10)
 	e := newEndpoint(t, func(conn net.Conn, r *http.Request, _ int) bool {
-		ms, err := strconv.Atoi(r.Header.Get(connpool.DeadlineHeader))
+		ms, err := strconv.Atoi(r.Header.Get(platform.DeadlineHeader))
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/sidecar/router.go
+++ b/internal/sidecar/router.go
@@ -7,13 +7,11 @@
 	"rowancart/balancer"
 	"rowancart/internal/httpserver"
 	"rowancart/internal/metrics"
+	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 	"rowancart/internal/route"
 )
 
-// tenantHeader is the request header that names the tenant.
-const tenantHeader = "Req-Owner"
-
 // requestRouter finds a request's class in the first segment of its path. One pool serves all
 // classes that the settings list. It implements httpserver.Router.
 type requestRouter struct {
@@ -57,7 +55,7 @@
 		Pool:   r.pool,
 		Class:  class,
 		Effect: repeatability,
-		Tenant: req.Header.Get(tenantHeader),
+		Tenant: req.Header.Get(platform.TenantHeader),
 		Done:   func(accepted bool, result proxy.Result) { r.countOutcome(class, accepted, result.Kind) },
 	}, nil
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -13,10 +13,11 @@
 	"time"
 
 	"rowancart/internal/admin"
-	"rowancart/internal/discovery/platform"
+	"rowancart/internal/discovery/watch"
 	"rowancart/internal/hotrestart"
 	"rowancart/internal/httpserver"
 	"rowancart/internal/metrics"
+	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 )
 
@@ -33,7 +34,7 @@
 	server    *httpserver.Server
 	listener  *httpserver.Listener
 	pool      *proxy.Pool
-	discovery *platform.Client
+	discovery *watch.Client
 	admin     *admin.Server // nil: there is no admin interface
 	counters  *metrics.Counters
 	readiness *readiness
@@ -96,7 +97,7 @@
 	if c.AcceptFD != "" {
 		l, err := hotrestart.InheritedListener(c.AcceptFD)
 		if err != nil {
-			return nil, fmt.Errorf("ROUTER_ACCEPT_FD: %w", err)
+			return nil, fmt.Errorf("%s: %w", platform.EnvAcceptFD, err)
 		}
 		return l, nil
 	}
@@ -114,12 +115,12 @@
 
 // connectDiscovery creates the pool and the discovery client, which refer to each other.
 func (s *Sidecar) connectDiscovery(c Config, log *slog.Logger) {
-	s.discovery = platform.New(platform.Options{
+	s.discovery = watch.New(watch.Options{
 		Addr:             c.Discovery,
 		WaitForSubscribe: c.Settings.SubscribeRequired,
 		Version:          c.KnownEndpoints.Version,
 		DrainGrace:       c.Settings.DrainGrace,
-		OnUpdate:         func(list platform.EndpointList) { s.pool.UpdateEndpoints(list.ForPool()) },
+		OnUpdate:         func(list platform.EndpointList) { s.pool.UpdateEndpoints(watch.PoolList(list)) },
 		OnCurrent: func() {
 			s.pool.MarkListCurrent()
 			s.readiness.markListReceived()
@@ -127,8 +128,8 @@
 		Log: log,
 	})
 	known := c.KnownEndpoints
-	known.Full = true // the latest list that the platform had, and the first that the pool receives
-	s.pool = proxy.New(c.Settings.Settings, known.ForPool(), proxy.Options{
+	known.Complete = true // the latest list that the platform had, and the first that the pool receives
+	s.pool = proxy.New(c.Settings.Settings, watch.PoolList(known), proxy.Options{
 		ConnIdle:    c.Settings.ConnIdle,
 		DialTimeout: c.Settings.DialTimeout,
 		MaxConns:    c.Limits.maxConns(processesAlone),
--- a/internal/sidecar/testsidecar_test.go
+++ b/internal/sidecar/testsidecar_test.go
@@ -14,7 +14,8 @@
 	"testing"
 	"time"
 
-	"rowancart/internal/discovery/platform"
+	"rowancart/internal/discovery/watch"
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -100,7 +101,7 @@
 	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","console":"127.0.0.1:0","discovery":%q,"seed":"7",
 		"limits":%s,"known":%s,"settings":%s}`, discovery, cmp.Or(o.limits, "{}"),
 		endpointListJSON(1, true, o.endpoints...), cmp.Or(o.settings, testSettings))
-	c, err := parseConfig([]byte(text), getenvFrom(map[string]string{envSharedDir: o.sharedDir}))
+	c, err := parseConfig([]byte(text), getenvFrom(map[string]string{platform.EnvSharedDir: o.sharedDir}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +161,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.pool.UpdateEndpoints(list.ForPool())
+	s.pool.UpdateEndpoints(watch.PoolList(list))
 }
 
 // waitForInFlight waits until exactly so many requests are in flight in the balancer. The metric
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -4,15 +4,13 @@
 	"bytes"
 	"fmt"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // field is one name=value of a line.
 type field struct{ key, value []byte }
 
-// configField is the field of msgStart that holds the settings object. Its value runs to the end of
-// the line.
-const configField = "Config"
-
 // splitFields parses the fields of a line, which is rest, of the message called name.
 func (r *Reader) splitFields(rest []byte, name string) error {
 	r.fields = r.fields[:0]
@@ -22,7 +20,7 @@
 			return fmt.Errorf("%s has a part that is not name=value", name)
 		}
 		value := after
-		if name == msgStart && string(key) == configField {
+		if name == msgStart && string(key) == platform.SettingsField {
 			rest = nil
 		} else {
 			value, rest, _ = bytes.Cut(after, []byte("\t"))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"rowancart/balancer"
+	"rowancart/internal/platform"
 )
 
 // Messages that the Reader accepts. Messages of any other name belong to a later protocol and are
@@ -199,11 +200,11 @@
 	if err != nil {
 		return err
 	}
-	config, ok := r.field(configField)
+	config, ok := r.field(platform.SettingsField)
 	if !ok {
 		return errors.New("START without Config")
 	}
-	s, err := ParseSettings(config)
+	s, err := platform.ParseSettings(config)
 	if err != nil {
 		return err
 	}
