--- a/experiments/cold-joiner.hcl
+++ b/experiments/cold-joiner.hcl
@@ -63,27 +63,7 @@
   size   = 0.05
   period = "2s"
 }
-arm "design" {
-  policy = "tuliprock"
-}
-arm "random" {
-  policy = "random"
-}
-arm "round_robin" {
-  policy = "round_robin"
-}
-arm "least_outstanding" {
-  policy = "least_outstanding"
-}
-arm "two_choices" {
-  policy = "two_choices"
-}
-arm "peak_ewma" {
-  policy = "peak_ewma"
-}
-arm "reverse_proxy" {
-  policy = "reverse_proxy"
-}
+include "variants/policies.hcl" {}
 expect {
   arm        = "design"
   rules_kept = true
