--- a/cmd/rowancart/lab.go
+++ b/cmd/rowancart/lab.go
@@ -86,17 +86,17 @@
 	if err != nil {
 		return err
 	}
-	plays, err := hclfile.Load(path, values)
+	points, err := hclfile.Load(path, values)
 	if err != nil {
 		return err
 	}
-	options, err := flags.options(cmd, plays[0].Virtual)
+	options, err := flags.options(cmd, points[0].Virtual)
 	if err != nil {
 		return err
 	}
 	var finish func()
 	options.Progress, finish = progress(cmd.ErrOrStderr())
-	r, err := runner.Run(cmd.Context(), plays, options)
+	r, err := runner.Run(cmd.Context(), points, options)
 	finish()
 	if err != nil {
 		return err
@@ -255,17 +255,17 @@
 			}
 			var errs []error
 			for _, path := range paths {
-				plays, err := hclfile.Load(path, nil)
+				points, err := hclfile.Load(path, nil)
 				if err != nil {
 					errs = append(errs, err)
 					continue
 				}
-				e := plays[0]
+				e := points[0]
 				where := "sockets"
 				if e.Virtual {
 					where = "virtual"
 				}
-				count := len(plays) * len(e.Variants) * len(e.Seeds)
+				count := len(points) * len(e.Variants) * len(e.Seeds)
 				fmt.Fprintf(cmd.OutOrStdout(), "%-24s %-8s %2d plays  %s\n", filepath.Base(path), where, count, e.Question)
 			}
 			return errors.Join(errs...)
--- a/internal/experiment/hclfile/play.go
+++ b/internal/experiment/hclfile/decode.go
@@ -1,7 +1,6 @@
 package hclfile
 
 import (
-	"slices"
 	"strings"
 	"time"
 
@@ -20,12 +19,6 @@
 	expect     []expectation
 }
 
-// expectation is checked after all variants have been read.
-type expectation struct {
-	experiment.Expectation
-	position hcl.Range
-}
-
 // once returns a reader of a block that may stand only once. The reader reports a second one by
 // what seen has.
 func (d *decoder) once(seen map[string]hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
@@ -39,9 +32,9 @@
 	}
 }
 
-// decodePlay reads the experiment of the file called name, with these values of its variables.
-func decodePlay(body hcl.Body, name string, vars map[string]cty.Value) (Play, error) {
-	p := Play{Experiment: defaultExperiment(name)}
+// decodePoint reads the experiment of the file called name, with these values of its variables.
+func decodePoint(body hcl.Body, name string, vars map[string]cty.Value) (Point, error) {
+	p := Point{Experiment: defaultExperiment(name)}
 	e := &p.Experiment
 	e.Settings = printableValues(vars)
 	object := cty.EmptyObjectVal
@@ -73,12 +66,20 @@
 		e.Variants = []experiment.Variant{{Name: "design", Policy: experiment.DesignPolicy}}
 	}
 	d.checkExpectations()
-	for _, f := range e.Faults {
-		if virtual, known := experiment.FaultKinds[f.Kind]; e.Virtual && known && !virtual {
+	d.checkFaultKinds()
+	return p, hcldecode.Faults(d.Diags)
+}
+
+// checkFaultKinds reports faults that an experiment in virtual time cannot have.
+func (d *decoder) checkFaultKinds() {
+	if !d.experiment.Virtual {
+		return
+	}
+	for _, f := range d.experiment.Faults {
+		if virtual, known := experiment.FaultKinds[f.Kind]; known && !virtual {
 			d.Fault(d.seen["experiment"], "experiment: the fault %s needs sockets, and this says virtual", f.Kind)
 		}
 	}
-	return p, hcldecode.Faults(d.Diags)
 }
 
 // defaultExperiment returns what holds where a file says nothing else.
@@ -141,31 +142,3 @@
 		d.Fault(b.DefRange, "experiment: the duration must be longer than the warmup")
 	}
 }
-
-func (d *decoder) readExpectation(b *hcl.Block) {
-	x := expectation{position: b.DefRange}
-	var served, failed hcldecode.Share
-	d.Body(b.Body, hcldecode.Fields{"arm": &x.Variant, "rules_kept": &x.NoViolations, "served_in_time_over": &served,
-		"refused_or_failed_under": &failed, "attempts_under": &x.AttemptsBelow, "p99_under": &x.P99Below,
-		"fresh_peak_under": &x.WarmupPeakBelow, "resends_under": &x.RetriesBelow}, nil)
-	x.ServedInTimeAbove, x.FailedBelow, x.Position = float64(served), float64(failed), hcldecode.Where(b.DefRange)
-	d.expect = append(d.expect, x)
-}
-
-// checkExpectations adds the expectations to the experiment. Those of no variant and those of
-// nothing are faults.
-func (d *decoder) checkExpectations() {
-	for _, x := range d.expect {
-		if x.Variant != "" && !d.hasVariant(x.Variant) {
-			d.Fault(x.position, "expect: there is no arm %q", x.Variant)
-		}
-		if (x.Expectation == experiment.Expectation{Variant: x.Variant, Position: x.Position}) {
-			d.Fault(x.position, "expect: it asks for nothing")
-		}
-		d.experiment.Expect = append(d.experiment.Expect, x.Expectation)
-	}
-}
-
-func (d *decoder) hasVariant(name string) bool {
-	return slices.ContainsFunc(d.experiment.Variants, func(v experiment.Variant) bool { return v.Name == name })
-}
--- a/internal/experiment/hclfile/hclfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -1,4 +1,4 @@
-// Package hclfile reads experiment files: HCL that says what to play and what results are required.
+// Package hclfile reads experiment files: HCL that says what to run and what results are required.
 // docs/lab.md describes the language. The error for a bad file has one line for each fault, with
 // file, line, column and reason.
 package hclfile
@@ -18,14 +18,15 @@
 	"rowancart/internal/hcldecode"
 )
 
-// Play is one of the experiments of a file: a sweep makes several, other files one.
-type Play struct {
+// Point is one of the experiments of a file: a file with a sweep has one for each value, others
+// have one.
+type Point struct {
 	experiment.Experiment
-	Point string // the sweep's variable and its value here, such as rate=50; empty without a sweep
+	Value string // the sweep's variable and its value here, such as rate=50; empty without a sweep
 }
 
 // Load reads a file. Set holds values of variables that replace those of the file.
-func Load(path string, set map[string]string) ([]Play, error) {
+func Load(path string, set map[string]string) ([]Point, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -35,11 +36,11 @@
 
 // Parse reads the text of a file that is called name in messages. Paths of included files are
 // relative to the working directory.
-func Parse(text []byte, name string, set map[string]string) ([]Play, error) {
+func Parse(text []byte, name string, set map[string]string) ([]Point, error) {
 	return parse(text, name, name, set)
 }
 
-func parse(text []byte, name, path string, set map[string]string) ([]Play, error) {
+func parse(text []byte, name, path string, set map[string]string) ([]Point, error) {
 	own, err := hcldecode.Parse(text, name)
 	if err != nil {
 		return nil, err
@@ -55,20 +56,20 @@
 		return nil, err
 	}
 	if _, fixed := set[vars.sweep]; vars.sweep == "" || fixed {
-		p, err := decodePlay(body, name, vars.values)
+		p, err := decodePoint(body, name, vars.values)
 		if err != nil {
 			return nil, err
 		}
-		return []Play{p}, nil
+		return []Point{p}, nil
 	}
-	var out []Play
+	var out []Point
 	for _, v := range vars.sweepValues {
 		vars.values[vars.sweep] = cty.StringVal(v)
-		p, err := decodePlay(body, name, vars.values)
+		p, err := decodePoint(body, name, vars.values)
 		if err != nil {
 			return nil, fmt.Errorf("with %s = %s: %w", vars.sweep, v, err)
 		}
-		p.Point = vars.sweep + "=" + v
+		p.Value = vars.sweep + "=" + v
 		out = append(out, p)
 	}
 	return out, nil
--- a/internal/experiment/hclfile/hclfile_test.go
+++ b/internal/experiment/hclfile/hclfile_test.go
@@ -33,13 +33,13 @@
 		t.Fatalf("%d experiments: %v", len(paths), err)
 	}
 	for _, path := range paths {
-		plays, err := Load(path, nil)
+		points, err := Load(path, nil)
 		if err != nil {
 			t.Error(err)
 			continue
 		}
-		if want := strings.TrimSuffix(filepath.Base(path), ".hcl"); plays[0].Name != want {
-			t.Errorf("%s is called %q", path, plays[0].Name)
+		if want := strings.TrimSuffix(filepath.Base(path), ".hcl"); points[0].Name != want {
+			t.Errorf("%s is called %q", path, points[0].Name)
 		}
 	}
 }
@@ -155,13 +155,13 @@
 		"var.rate",
 		1,
 	) + "vars {\n  rate = \"7/s\"\n}\nsweep \"rate\" {\n  values = [\"8/s\", \"9/s\"]\n}\n"
-	plays, err := Parse([]byte(text), "x.hcl", nil)
-	if err != nil || len(plays) != 2 || plays[0].Load.Rate != 8 || plays[1].Point != "rate=9/s" {
-		t.Errorf("swept: %+v, %v", plays, err)
+	points, err := Parse([]byte(text), "x.hcl", nil)
+	if err != nil || len(points) != 2 || points[0].Load.Rate != 8 || points[1].Value != "rate=9/s" {
+		t.Errorf("swept: %+v, %v", points, err)
 	}
-	plays, err = Parse([]byte(text), "x.hcl", map[string]string{"rate": "60/min"})
-	if err != nil || len(plays) != 1 || plays[0].Load.Rate != 1 || plays[0].Duration != 10*time.Second {
-		t.Errorf("set: %+v, %v", plays, err)
+	points, err = Parse([]byte(text), "x.hcl", map[string]string{"rate": "60/min"})
+	if err != nil || len(points) != 1 || points[0].Load.Rate != 1 || points[0].Duration != 10*time.Second {
+		t.Errorf("set: %+v, %v", points, err)
 	}
 	_, err = Parse([]byte(text), "x.hcl", map[string]string{"speed": "1"})
 	if want := "x.hcl: --set speed: the file has no such variable; it has rate"; err == nil || err.Error() != want {
@@ -173,9 +173,9 @@
 	f.Add(good)
 	f.Add(`experiment "x" { question = var.a }` + "\nvars { a = 1 }")
 	f.Fuzz(func(t *testing.T, text string) {
-		plays, err := Parse([]byte(text), "x.hcl", nil)
-		if err == nil && len(plays) > 0 && (len(plays[0].Site.Tiers) == 0 || plays[0].Duration <= 0) {
-			t.Error("a file that cannot be played was accepted")
+		points, err := Parse([]byte(text), "x.hcl", nil)
+		if err == nil && len(points) > 0 && (len(points[0].Site.Tiers) == 0 || points[0].Duration <= 0) {
+			t.Error("a file that cannot be run was accepted")
 		}
 	})
 }
--- a/internal/experiment/hclfile/include_test.go
+++ b/internal/experiment/hclfile/include_test.go
@@ -72,7 +72,7 @@
 				t.Fatal(err)
 			}
 		}
-		plays, err := Load(filepath.Join(dir, "x.hcl"), nil)
+		points, err := Load(filepath.Join(dir, "x.hcl"), nil)
 		switch {
 		case c.want != "":
 			if err == nil || len(err.Error()) < len(c.want) || err.Error()[:len(c.want)] != c.want {
@@ -80,8 +80,8 @@
 			}
 		case err != nil:
 			t.Errorf("%s: %v", c.name, err)
-		case plays[0].Site.Balancers != c.n:
-			t.Errorf("%s: %d balancers, %d are right", c.name, plays[0].Site.Balancers, c.n)
+		case points[0].Site.Balancers != c.n:
+			t.Errorf("%s: %d balancers, %d are right", c.name, points[0].Site.Balancers, c.n)
 		}
 	}
 }
--- a/internal/experiment/report/expectations.go
+++ b/internal/experiment/report/expectations.go
@@ -24,42 +24,85 @@
 	return out
 }
 
-// unmet says which requirements of an expectation the variant does not meet.
+// unmet returns a message for each requirement of an expectation that the variant does not meet.
 func (v *Variant) unmet(x experiment.Expectation) []string {
 	if v.Offered == 0 {
 		return []string{"nothing was measured"}
 	}
 	var out []string
-	miss := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	if x.NoViolations {
-		for _, r := range v.Rules {
-			if r.Violations > 0 {
-				miss("rule %q is broken %d times, first at %.1f s: %s", r.Rule, r.Violations, r.FirstS, r.Detail)
-			}
-		}
-	}
-	if got := v.Fraction(v.ServedInTime); x.ServedInTimeAbove > 0 && got <= x.ServedInTimeAbove {
-		miss("served in time: %.4f, wanted over %g", got, x.ServedInTimeAbove)
-	}
-	if got := v.Fraction(v.Rejected + v.Failed); x.FailedBelow > 0 && got >= x.FailedBelow {
-		miss("refused or failed: %.4f, wanted under %g", got, x.FailedBelow)
-	}
-	if x.AttemptsBelow > 0 && v.AttemptsPerRequest >= x.AttemptsBelow {
-		miss("attempts for each request: %.3f, wanted under %g", v.AttemptsPerRequest, x.AttemptsBelow)
+		out = v.violationMessages()
 	}
-	if x.RetriesBelow > 0 && v.RetriesPerRequest >= x.RetriesBelow {
-		miss("attempts beyond the first for each request: %.3f, wanted under %g", v.RetriesPerRequest, x.RetriesBelow)
-	}
-	if x.WarmupPeakBelow > 0 {
-		switch added := v.AddedServers; {
-		case added == nil:
-			miss("no fresh box came")
-		case added.WarmupPeak >= x.WarmupPeakBelow:
-			miss("a fresh box was sent %.2f of its capacity, wanted under %g", added.WarmupPeak, x.WarmupPeakBelow)
+	for _, r := range v.requirements(x) {
+		if r.isSet && !r.isMet {
+			out = append(out, r.message)
 		}
 	}
-	if x.P99Below > 0 && v.LatencyMs.P99 >= milliseconds(x.P99Below) {
-		miss("p99: %.1f ms, wanted under %v", v.LatencyMs.P99, x.P99Below)
+	return out
+}
+
+// violationMessages returns a message for each rule that was violated.
+func (v *Variant) violationMessages() []string {
+	var out []string
+	for _, r := range v.Rules {
+		if r.Violations == 0 {
+			continue
+		}
+		message := fmt.Sprintf("rule %q is broken %d times, first at %.1f s: %s", r.Rule, r.Violations, r.FirstS, r.Detail)
+		out = append(out, message)
 	}
 	return out
 }
+
+// requirement is one bound of an expectation, checked for a variant.
+type requirement struct {
+	isSet   bool
+	isMet   bool
+	message string // says what was measured, and what is required
+}
+
+// requirements returns the bounds that an expectation may have, checked.
+func (v *Variant) requirements(x experiment.Expectation) []requirement {
+	servedInTime := v.Fraction(v.ServedInTime)
+	failed := v.Fraction(v.Rejected + v.Failed)
+	return []requirement{
+		{
+			isSet:   x.ServedInTimeAbove > 0,
+			isMet:   servedInTime > x.ServedInTimeAbove,
+			message: fmt.Sprintf("served in time: %.4f, wanted over %g", servedInTime, x.ServedInTimeAbove),
+		}, {
+			isSet:   x.FailedBelow > 0,
+			isMet:   failed < x.FailedBelow,
+			message: fmt.Sprintf("refused or failed: %.4f, wanted under %g", failed, x.FailedBelow),
+		}, {
+			isSet:   x.AttemptsBelow > 0,
+			isMet:   v.AttemptsPerRequest < x.AttemptsBelow,
+			message: fmt.Sprintf("attempts for each request: %.3f, wanted under %g", v.AttemptsPerRequest, x.AttemptsBelow),
+		}, {
+			isSet: x.RetriesBelow > 0,
+			isMet: v.RetriesPerRequest < x.RetriesBelow,
+			message: fmt.Sprintf("attempts beyond the first for each request: %.3f, wanted under %g", v.RetriesPerRequest,
+				x.RetriesBelow),
+		},
+		v.warmupRequirement(x.WarmupPeakBelow),
+		{
+			isSet:   x.P99Below > 0,
+			isMet:   v.LatencyMs.P99 < milliseconds(x.P99Below),
+			message: fmt.Sprintf("p99: %.1f ms, wanted under %v", v.LatencyMs.P99, x.P99Below),
+		},
+	}
+}
+
+// warmupRequirement returns the bound on what servers in slow start are sent, checked. It cannot be
+// met by a run to which no server was added.
+func (v *Variant) warmupRequirement(bound float64) requirement {
+	r := requirement{isSet: bound > 0}
+	if v.AddedServers == nil {
+		r.message = "no fresh box came"
+		return r
+	}
+	peak := v.AddedServers.WarmupPeak
+	r.isMet = peak < bound
+	r.message = fmt.Sprintf("a fresh box was sent %.2f of its capacity, wanted under %g", peak, bound)
+	return r
+}
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -1,5 +1,5 @@
-// Package report summarises plays and writes the results: as JSON, as text for a terminal and as
-// one HTML page without parts from outside.
+// Package report summarises runs and writes the results: as JSON, as text for a terminal and as one
+// HTML page without external resources.
 //
 // The names of JSON fields are those of stored reports and must not change. All but the counts by
 // second leave out the requests of the warm-up.
@@ -13,8 +13,6 @@
 	"strings"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"rowancart/balancer"
 	"rowancart/internal/experiment"
 	"rowancart/internal/experiment/counters"
@@ -25,7 +23,7 @@
 // meaning.
 const Version = 1
 
-// Report is the result of one run of an experiment.
+// Report is the result of an experiment.
 type Report struct {
 	Version    int               `json:"version"`
 	Experiment string            `json:"experiment"`
@@ -73,7 +71,7 @@
 	Detail     string  `json:"detail"` // of the first violation
 }
 
-// Repeat is one play of a variant. Outcomes are fractions of Offered.
+// Repeat is one run of a variant. Outcomes are fractions of Offered.
 type Repeat struct {
 	Seed               uint64  `json:"seed"`
 	Offered            int64   `json:"offered"`
@@ -149,18 +147,10 @@
 	LatenessMs         float64       `json:"lateness_ms,omitempty"` // of the test bed's sending, p99 of the worst repeat
 	Log                []string      `json:"log,omitempty"`         // of the first repeat
 
-	latency          *hdrhistogram.Histogram // over all repeats; nil: none so far
-	timesToFullLoad  []float64               // of added servers, in seconds, sorted
-	requests         int64                   // received by the instances before the first tier, over all repeats
-	attempts         int64
-	requestsSent     int64
-	offeredWeight    float64
-	servedWeightSum  float64
-	total            counters.Counts
-	classes, tenants []counters.Counts
+	totals totals
 }
 
-// AddedServers is what became of servers that started cold during the play, over all repeats.
+// AddedServers is what became of servers that were added during the runs, over all repeats.
 type AddedServers struct {
 	Servers int `json:"boxes"`
 	// WarmupPeak is the most that any one was sent within Rules.OverloadWindow, in multiples of its
@@ -185,7 +175,7 @@
 	return strings.Join(out, ", ")
 }
 
-// Run is one play as a driver returns it.
+// Run is the result of one run, as a driver returns it.
 type Run struct {
 	Variant  experiment.Variant
 	Seed     uint64
@@ -193,11 +183,11 @@
 	Verdicts []invariant.Verdict
 	Cost     *Cost
 	Lateness time.Duration // of the driver's sending (p99)
-	Void     string        // why the play counts for nothing; empty if it counts
+	Void     string        // why the run does not count; empty if it does
 	Log      []string
 }
 
-// minFaultSpan is how long a fault is shown at least.
+// minFaultSpan is the shortest time for which a fault is shown.
 const minFaultSpan = 100 * time.Millisecond
 
 // New returns a report without results.
--- a/internal/experiment/runner/play.go
+++ b/internal/experiment/runner/drivers.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	// gcPercent is for plays in virtual time, which produce much garbage and keep little. Collecting
-	// it less often makes them half as fast again.
+	// gcPercent is for runs in virtual time, which produce much garbage and retain little. Collecting
+	// it less often makes them faster by half.
 	gcPercent = 400
 
-	// maxVoidRuns is how often a play on sockets is repeated in which the test bed was late.
+	// maxVoidRuns is how often a run on sockets is made in which the test bed was late.
 	maxVoidRuns = 3
 )
 
-// part returns how much of the play is done at an instant, from 0 to 1.
-func (j *job) part(now time.Duration) float64 {
+// progress returns how much of the run is done at an instant, from 0 to 1.
+func (j *job) progress(now time.Duration) float64 {
 	return min(now.Seconds()/j.experiment.Duration.Seconds(), 1)
 }
 
-// playVirtual plays on all cores. Plays share nothing, so their order does not matter.
-func playVirtual(ctx context.Context, jobs []*job, o Options) error {
+// runInVirtualTime runs jobs on all cores. They share nothing, so their order does not matter.
+func runInVirtualTime(ctx context.Context, jobs []*job, o Options) error {
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
@@ -45,7 +45,7 @@
 			progress := func(now time.Duration) {
 				mu.Lock()
 				defer mu.Unlock()
-				o.reportProgress(done, len(jobs), j.part(now))
+				o.reportProgress(done, len(jobs), j.progress(now))
 			}
 			result, err := virtual.Run(ctx, j.experiment, j.variant, j.seed, virtual.Options{Progress: progress})
 			if err != nil {
@@ -64,8 +64,8 @@
 	return group.Wait()
 }
 
-// playSockets plays one job after another, because two at a time would disturb each other.
-func playSockets(ctx context.Context, jobs []*job, o Options) error {
+// runOnSockets runs one job after another, because two at a time would disturb each other.
+func runOnSockets(ctx context.Context, jobs []*job, o Options) error {
 	scratch, err := os.MkdirTemp("", "rowancart-lab-")
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 	defer os.RemoveAll(scratch)
 	commands := &commands{options: o}
 	for n, j := range jobs {
-		line, err := commands.of(ctx, j)
+		line, err := commands.commandLine(ctx, j)
 		if err != nil {
 			return err
 		}
@@ -82,8 +82,8 @@
 			return err
 		}
 		program := testbed.Command{Line: line, Dir: o.Root, Scratch: dir}
-		progress := func(part float64) { o.reportProgress(n, len(jobs), part) }
-		if err := j.playOnSockets(ctx, program, progress); err != nil {
+		progress := func(fraction float64) { o.reportProgress(n, len(jobs), fraction) }
+		if err := j.runOnSockets(ctx, program, progress); err != nil {
 			return err
 		}
 		o.reportProgress(n+1, len(jobs), 0)
@@ -91,14 +91,14 @@
 	return nil
 }
 
-// playOnSockets plays a job, and repeats it while it is void. One that ctx interrupts is complete
-// if it has any results.
-func (j *job) playOnSockets(ctx context.Context, program testbed.Program, progress func(part float64)) error {
+// runOnSockets runs a job, and repeats it while it is void. One that ctx interrupts is complete if
+// it has any results.
+func (j *job) runOnSockets(ctx context.Context, program testbed.Program, progress func(fraction float64)) error {
 	for range maxVoidRuns {
 		progress(0)
 		var err error
 		j.run, err = testbed.Run(ctx, j.experiment, j.variant, j.seed, testbed.Options{Program: program,
-			Progress: func(now time.Duration) { progress(j.part(now)) }})
+			Progress: func(now time.Duration) { progress(j.progress(now)) }})
 		if errors.Is(err, context.Canceled) && ctx.Err() != nil {
 			j.complete = j.run.Counters.Total.Offered() > 0
 			return err
@@ -120,9 +120,9 @@
 	deployed string // run line of the deploy file, once it has been built
 }
 
-// of returns the command line that starts a job's program. The deploy file's program is built when
-// it is first needed.
-func (c *commands) of(ctx context.Context, j *job) (string, error) {
+// commandLine returns the command line that starts a job's program. The deploy file's program is
+// built when it is first needed.
+func (c *commands) commandLine(ctx context.Context, j *job) (string, error) {
 	switch {
 	case j.variant.Command != "":
 		return j.variant.Command, nil
--- a/internal/experiment/runner/golden_test.go
+++ b/internal/experiment/runner/golden_test.go
@@ -16,11 +16,11 @@
 
 var update = flag.Bool("update", false, "write the golden files from what this program does")
 
-// Files that are not played here: the first can be played on sockets only, the others take long
+// Files that are not run here: the first can be run on sockets only, the others take long
 // under the race detector.
-var notPlayed = []string{"hostile.hcl", "scale.hcl", "overload.hcl", "rig-limit.hcl", "fleet-storm.hcl"}
+var notRun = []string{"hostile.hcl", "scale.hcl", "overload.hcl", "rig-limit.hcl", "fleet-storm.hcl"}
 
-// shippedExperiments returns the paths of the experiments that can be played in virtual time.
+// shippedExperiments returns the paths of the experiments that can be run in virtual time.
 func shippedExperiments(t *testing.T) []string {
 	t.Helper()
 	var paths []string
@@ -31,18 +31,18 @@
 		}
 		paths = append(paths, found...)
 	}
-	return slices.DeleteFunc(paths, func(path string) bool { return slices.Contains(notPlayed, filepath.Base(path)) })
+	return slices.DeleteFunc(paths, func(path string) bool { return slices.Contains(notRun, filepath.Base(path)) })
 }
 
-// playVirtualTime plays the experiment of a file with seed 1, and returns the report as text with
+// virtualTimeReport runs the experiment of a file with seed 1, and returns the report as text with
 // the checksum of its JSON form, which has all digits.
-func playVirtualTime(t *testing.T, path string) []byte {
+func virtualTimeReport(t *testing.T, path string) []byte {
 	t.Helper()
-	plays, err := hclfile.Load(path, nil)
+	points, err := hclfile.Load(path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(t.Context(), plays, Options{Virtual: true, Seeds: []uint64{1}})
+	r, err := Run(t.Context(), points, Options{Virtual: true, Seeds: []uint64{1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 	for _, path := range shippedExperiments(t) {
 		relative := strings.TrimPrefix(filepath.ToSlash(path), "../../../experiments/")
 		t.Run(relative, func(t *testing.T) {
-			got := playVirtualTime(t, path)
+			got := virtualTimeReport(t, path)
 			golden := filepath.Join("testdata", "virtual", strings.ReplaceAll(relative, "/", "-")+".golden")
 			if *update {
 				if err := os.WriteFile(golden, got, 0o644); err != nil {
--- a/internal/experiment/runner/select.go
+++ b/internal/experiment/runner/select.go
@@ -7,44 +7,60 @@
 	"rowancart/internal/experiment"
 )
 
-// selectPlayable removes the variants that are not to be played, and the expectations of those
-// only. It is an error if none is left, or if a fault cannot be played.
-func selectPlayable(e *experiment.Experiment, o Options) error {
-	var selected []experiment.Variant
-	var names []string
-	for _, v := range e.Variants {
-		names = append(names, v.Name)
-		if (o.Variant == "" || o.Variant == v.Name) && playable(v, o.Virtual) {
-			selected = append(selected, v)
-		}
-	}
+// selectVariants removes the variants that are not to be run, and the expectations of only those.
+// It is an error if no variant is left, or if a fault cannot be injected.
+func selectVariants(e *experiment.Experiment, o Options) error {
+	selected := slices.DeleteFunc(slices.Clone(e.Variants), func(v experiment.Variant) bool { return !o.selects(v) })
 	if len(selected) == 0 {
-		if o.Variant != "" {
-			return fmt.Errorf("%s: no arm %q can be played so; there are %v", e.Name, o.Variant, names)
-		}
-		return fmt.Errorf("%s: none of the arms %v can be played so", e.Name, names)
+		return noVariantError(e, o)
 	}
 	if o.Virtual {
-		for _, f := range e.Faults {
-			if !experiment.FaultKinds[f.Kind] {
-				return fmt.Errorf("%s: the fault %s needs sockets", e.Name, f.Kind)
-			}
+		if err := checkVirtualFaults(e); err != nil {
+			return err
 		}
 	}
 	e.Variants = selected
-	var expect []experiment.Expectation
-	for _, x := range e.Expect {
-		concerns := func(v experiment.Variant) bool { return x.Variant == "" || x.Variant == v.Name }
-		if slices.ContainsFunc(selected, concerns) {
-			expect = append(expect, x)
+	e.Expect = slices.DeleteFunc(slices.Clone(e.Expect), func(x experiment.Expectation) bool {
+		return !slices.ContainsFunc(selected, func(v experiment.Variant) bool { return concerns(x, v) })
+	})
+	return nil
+}
+
+// selects reports whether a variant is to be run.
+func (o Options) selects(v experiment.Variant) bool {
+	isWanted := o.Variant == "" || o.Variant == v.Name
+	return isWanted && canRun(v, o.Virtual)
+}
+
+// concerns reports whether an expectation is about a variant.
+func concerns(x experiment.Expectation, v experiment.Variant) bool {
+	return x.Variant == "" || x.Variant == v.Name
+}
+
+// noVariantError says that none of an experiment's variants can be run.
+func noVariantError(e *experiment.Experiment, o Options) error {
+	var names []string
+	for _, v := range e.Variants {
+		names = append(names, v.Name)
+	}
+	if o.Variant != "" {
+		return fmt.Errorf("%s: no arm %q can be played so; there are %v", e.Name, o.Variant, names)
+	}
+	return fmt.Errorf("%s: none of the arms %v can be played so", e.Name, names)
+}
+
+// checkVirtualFaults returns an error if a fault cannot be injected in virtual time.
+func checkVirtualFaults(e *experiment.Experiment) error {
+	for _, f := range e.Faults {
+		if !experiment.FaultKinds[f.Kind] {
+			return fmt.Errorf("%s: the fault %s needs sockets", e.Name, f.Kind)
 		}
 	}
-	e.Expect = expect
 	return nil
 }
 
-// playable reports whether a variant can be played in virtual time, or else on sockets.
-func playable(v experiment.Variant, virtual bool) bool {
+// canRun reports whether a variant can be run in virtual time, or else on sockets.
+func canRun(v experiment.Variant, virtual bool) bool {
 	socketsOnly := v.Policy == experiment.ReverseProxyPolicy || v.Command != ""
 	if virtual {
 		return !socketsOnly
