--- a/balancer/api.go
+++ b/balancer/api.go
@@ -130,7 +130,7 @@
 const (
 	Ready State = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Endpoint is an entry of discovery's list.
@@ -146,7 +146,7 @@
 // EndpointList is a message from discovery.
 type EndpointList struct {
 	Failed   bool // a poll failed or a subscription broke: it says nothing of endpoints
-	Complete bool // endpoints not listed are gone; otherwise only the listed ones have changed
+	Complete bool // endpoints not listed are removed; otherwise only the listed ones have changed
 	Entries  []Endpoint
 	Unlisted int // ready endpoints that other balancers send to, and that this one is not notified of
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -87,6 +87,6 @@
 // them.
 func (b *Balancer) allDisabled() bool {
 	return b.readyCount == 0 && slices.ContainsFunc(b.endpoints, func(e *endpoint) bool {
-		return e.State != Gone && e.listedState == Ready
+		return e.State != Removed && e.listedState == Ready
 	})
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -19,7 +19,7 @@
 		"a restart":   {{Entries: []balancer.Endpoint{{ID: "a", Started: 101 * time.Second}}}},
 		"drained, then back": {{Entries: []balancer.Endpoint{{ID: "a", State: balancer.Draining}}},
 			{Entries: []balancer.Endpoint{ready("a")}}},
-		"gone, then back": {{Entries: []balancer.Endpoint{{ID: "a", State: balancer.Gone}}},
+		"removed, then back": {{Entries: []balancer.Endpoint{{ID: "a", State: balancer.Removed}}},
 			{Entries: []balancer.Endpoint{ready("a")}}},
 		"a failed ask": {{Failed: true}},
 	} {
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	minGoneEndpoints = 16 // endpoints that may be gone before they are removed, beside as many as are listed
-	maxSortedInserts = 64 // changes from which sorting all ready endpoints costs less than inserting each
+	maxRemovedEndpoints = 16 // removed endpoints that are retained at most, besides as many as are listed
+	maxSortedInserts    = 64 // changes from which sorting all ready endpoints costs less than inserting each
 )
 
 // endpoint is all that is known of one endpoint.
@@ -51,13 +51,13 @@
 // endpointSet is the endpoints known, the subset of them that this instance sends to, and the heaps
 // in which the subset is searched.
 type endpointSet struct {
-	endpoints   []*endpoint // in order of insertion; gone ones are removed now and then
+	endpoints   []*endpoint // in order of insertion; removed ones are dropped now and then
 	byID        map[string]*endpoint
 	kindByName  map[string]*endpointKind
 	kinds       []*endpointKind
 	disabled    map[string]bool // IDs that the operators have taken out, listed or not
-	listedCount int             // endpoints that are not gone
-	readyCount  int             // endpoints that are neither draining nor gone
+	listedCount int             // endpoints that are not removed
+	readyCount  int             // endpoints that are neither draining nor removed
 	listVersion int             // counts the endpoint lists applied
 
 	subset       []*endpoint   // endpoints that this instance sends to, unless all are
@@ -98,9 +98,9 @@
 		}
 	}
 	if l.Complete {
-		touched = append(touched, s.markUnlistedGone()...)
+		touched = append(touched, s.markUnlistedRemoved()...)
 	}
-	s.removeGone(touched)
+	s.forgetRemoved(touched)
 	return touched, started
 }
 
@@ -112,7 +112,7 @@
 		if n := len(s.endpoints); n > 0 {
 			e.insertionIndex = s.endpoints[n-1].insertionIndex + 1
 		}
-		e.State = Gone
+		e.State = Removed
 		s.byID[id], s.endpoints = e, append(s.endpoints, e)
 	}
 	return e
@@ -148,35 +148,35 @@
 	return k
 }
 
-// markUnlistedGone marks the endpoints that a complete list did not name, and returns them.
-func (s *endpointSet) markUnlistedGone() []*endpoint {
-	var gone []*endpoint
+// markUnlistedRemoved marks the endpoints that a complete list did not name, and returns them.
+func (s *endpointSet) markUnlistedRemoved() []*endpoint {
+	var removed []*endpoint
 	for _, e := range s.endpoints {
-		if e.namedInVersion != s.listVersion && e.State != Gone {
-			s.countState(e.State, Gone)
-			e.State, e.changedInVersion = Gone, s.listVersion
-			gone = append(gone, e)
+		if e.namedInVersion != s.listVersion && e.State != Removed {
+			s.countState(e.State, Removed)
+			e.State, e.changedInVersion = Removed, s.listVersion
+			removed = append(removed, e)
 		}
 	}
-	return gone
+	return removed
 }
 
-// removeGone forgets the endpoints that are gone.
-func (s *endpointSet) removeGone(touched []*endpoint) {
+// forgetRemoved drops removed endpoints: from the index at once, from the slice now and then.
+func (s *endpointSet) forgetRemoved(touched []*endpoint) {
 	for _, e := range touched {
-		if e.State == Gone {
+		if e.State == Removed {
 			delete(s.byID, e.ID)
 		}
 	}
-	if len(s.endpoints) > 2*s.listedCount+minGoneEndpoints {
-		s.endpoints = slices.DeleteFunc(s.endpoints, func(e *endpoint) bool { return e.State == Gone })
+	if len(s.endpoints) > 2*s.listedCount+maxRemovedEndpoints {
+		s.endpoints = slices.DeleteFunc(s.endpoints, func(e *endpoint) bool { return e.State == Removed })
 	}
 }
 
 // countState updates the counts of listed and ready endpoints for a change of one endpoint's state.
 func (s *endpointSet) countState(before, after State) {
 	count := func(state State, n int) {
-		if state != Gone {
+		if state != Removed {
 			s.listedCount += n
 		}
 		if state == Ready {
@@ -282,7 +282,7 @@
 // useAllEndpoints makes the subset all ready endpoints.
 func (s *endpointSet) useAllEndpoints(touched []*endpoint) {
 	if !s.subsetIsAll {
-		for _, e := range s.subset { // endpoints that are gone may no longer be in s.endpoints
+		for _, e := range s.subset { // endpoints that are removed may no longer be in s.endpoints
 			s.setSubsetMembership(e, e.State == Ready, e.insertionIndex)
 		}
 		s.subsetIsAll, s.subset, s.readyByKind, touched = true, nil, nil, s.endpoints
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -52,13 +52,13 @@
 	}
 }
 
-// TestGoneEndpointsAreRemoved checks that the set does not grow with endpoints that come and go.
-func TestGoneEndpointsAreRemoved(t *testing.T) {
+// TestRemovedEndpointsAreDropped checks that the set does not grow with endpoints that come and go.
+func TestRemovedEndpointsAreDropped(t *testing.T) {
 	s := newEndpointSet()
 	for i := range 1000 {
 		s.mergeEndpointList(EndpointList{Complete: true, Entries: []Endpoint{{ID: strconv.Itoa(i)}}})
 	}
-	if n := len(s.endpoints); n > 2+minGoneEndpoints {
+	if n := len(s.endpoints); n > 2+maxRemovedEndpoints {
 		t.Errorf("%d endpoints are kept where one is listed", n)
 	}
 	if e := s.byID["999"]; len(s.byID) != 1 || e == nil || e.insertionIndex != 999 {
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -38,7 +38,7 @@
 	var size, listed, ready, failing int
 	var outcomes outcomeCounts
 	for _, e := range b.endpoints {
-		if e.State != Gone {
+		if e.State != Removed {
 			listed++
 		}
 		if e.State == Ready {
--- a/balancer/heap.go
+++ b/balancer/heap.go
@@ -91,7 +91,7 @@
 		c.heap.visit(0, descend)
 	}
 	for _, e := range c.endpoints {
-		if e.State != Gone && e.active == c.active {
+		if e.State != Removed && e.active == c.active {
 			descend(e)
 		}
 	}
--- a/balancer/heap_test.go
+++ b/balancer/heap_test.go
@@ -61,12 +61,12 @@
 
 // TestCandidatesOfAListAreThoseOfOneState checks the search outside heaps.
 func TestCandidatesOfAListAreThoseOfOneState(t *testing.T) {
-	gone := &endpoint{active: true}
-	gone.State = Gone
+	removed := &endpoint{active: true}
+	removed.State = Removed
 	active, inactive := &endpoint{active: true}, &endpoint{}
 	for _, want := range []*endpoint{active, inactive} {
 		var got []*endpoint
-		c := candidates{endpoints: []*endpoint{gone, active, inactive}, active: want.active}
+		c := candidates{endpoints: []*endpoint{removed, active, inactive}, active: want.active}
 		c.visit(func(e *endpoint) bool {
 			got = append(got, e)
 			return false
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -197,7 +197,7 @@
 	sim.b = balancer.New(sim.now, sim.settings, sim)
 	l := balancer.EndpointList{Complete: true}
 	for i := range 12 {
-		if e, ok := sim.listed["e"+strconv.Itoa(i)]; ok && e.State != balancer.Gone {
+		if e, ok := sim.listed["e"+strconv.Itoa(i)]; ok && e.State != balancer.Removed {
 			l.Entries = append(l.Entries, e)
 		}
 	}
@@ -217,7 +217,7 @@
 		e.State = balancer.Ready
 	}
 	old, known := sim.listed[e.ID]
-	if e.State == balancer.Ready && (!known || old.State == balancer.Gone || sim.rng.IntN(3) == 0) {
+	if e.State == balancer.Ready && (!known || old.State == balancer.Removed || sim.rng.IntN(3) == 0) {
 		e.Started = sim.now
 	} else {
 		e.Started = old.Started
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -102,7 +102,7 @@
 // scheduleWarming wakes the Balancer when an endpoint that warms up may get its next send.
 func (b *Balancer) scheduleWarming(now time.Duration) {
 	b.warming = slices.DeleteFunc(b.warming, func(e *endpoint) bool {
-		return e.nextSendAt <= now || e.State == Gone
+		return e.nextSendAt <= now || e.State == Removed
 	})
 	for _, e := range b.warming {
 		b.scheduleWakeUp(e.nextSendAt)
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -35,7 +35,7 @@
 func (b *Balancer) EndpointStatuses(now time.Duration) []EndpointStatus {
 	var statuses []EndpointStatus
 	for _, e := range b.endpoints {
-		if e.State != Gone {
+		if e.State != Removed {
 			statuses = append(statuses, b.endpointStatus(now, e))
 		}
 	}
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -80,7 +80,7 @@
 	}
 	if l.Complete {
 		for _, e := range p.endpoints {
-			e.State = balancer.Gone
+			e.State = balancer.Removed
 		}
 	}
 	for _, entry := range l.Entries {
@@ -96,10 +96,10 @@
 		e.Endpoint = entry
 	}
 	p.endpoints = slices.DeleteFunc(p.endpoints, func(e *endpoint) bool {
-		if e.State == balancer.Gone {
+		if e.State == balancer.Removed {
 			delete(p.byName, e.ID)
 		}
-		return e.State == balancer.Gone
+		return e.State == balancer.Removed
 	})
 	p.ready = p.ready[:0]
 	for _, e := range p.endpoints {
--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -133,7 +133,7 @@
 		}},
 		{"after another instance was told", "", func(checker *Checker) {
 			recordRequest(checker, "r", balancer.Idempotent)
-			checker.RecordNotification(0, "other", "a", balancer.Gone, false)
+			checker.RecordNotification(0, "other", "a", balancer.Removed, false)
 			recordArrival(checker, "r", "a", 1001*ms)
 			checker.RecordResponse(1001*ms, "r", Failed, 0)
 		}},
--- a/internal/experiment/subsets/methods.go
+++ b/internal/experiment/subsets/methods.go
@@ -57,7 +57,7 @@
 		out := make([][]string, instances)
 		for i, f := range filters {
 			for _, e := range f.Apply(changes).Endpoints {
-				if e.State == balancer.Gone {
+				if e.State == balancer.Removed {
 					delete(subsets[i], e.ID)
 				} else {
 					subsets[i][e.ID] = true
@@ -81,7 +81,7 @@
 	}
 	for s := range known { // the order does not matter to a filter
 		if !present[s] {
-			changes.Endpoints = append(changes.Endpoints, proxy.Endpoint{ID: s, State: balancer.Gone})
+			changes.Endpoints = append(changes.Endpoints, proxy.Endpoint{ID: s, State: balancer.Removed})
 		}
 	}
 	clear(known)
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -40,7 +40,7 @@
 )
 
 var endpointStates = map[string]balancer.State{
-	stateReady: balancer.Ready, stateDraining: balancer.Draining, stateGone: balancer.Gone,
+	stateReady: balancer.Ready, stateDraining: balancer.Draining, stateGone: balancer.Removed,
 }
 
 const (
--- a/internal/experiment/virtual/discovery.go
+++ b/internal/experiment/virtual/discovery.go
@@ -35,14 +35,14 @@
 		if list[i].ID != e.ID {
 			continue
 		}
-		if e.State == balancer.Gone {
+		if e.State == balancer.Removed {
 			s.endpointLists[tier] = append(list[:i:i], list[i+1:]...)
 		} else {
 			list[i] = e
 		}
 		return
 	}
-	if e.State != balancer.Gone {
+	if e.State != balancer.Removed {
 		s.endpointLists[tier] = append(list, e)
 	}
 }
--- a/internal/experiment/virtual/faults.go
+++ b/internal/experiment/virtual/faults.go
@@ -38,7 +38,7 @@
 		s.replaceServer(now, source, n, event.Fault.Period)
 	case event.Kind == experiment.Crash && event.On:
 		n.crash(now)
-		s.publishEndpoint(now, n.tier, n.endpoint(balancer.Gone))
+		s.publishEndpoint(now, n.tier, n.endpoint(balancer.Removed))
 	case event.Kind == experiment.Crash:
 		if n.model.Down() {
 			n.model.Restart(now)
@@ -59,7 +59,7 @@
 		n.advance(now)
 		n.crash(now)
 		n.removedAt = now
-		s.publishEndpoint(now, n.tier, n.endpoint(balancer.Gone))
+		s.publishEndpoint(now, n.tier, n.endpoint(balancer.Removed))
 		successor := s.newServer(n.tier, n.index, n.generation+1, now)
 		s.servers[n.tier][n.index] = successor
 		s.allServers = append(s.allServers, successor)
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -26,7 +26,7 @@
 	case StateDraining:
 		return balancer.Draining, true
 	case StateRemoved:
-		return balancer.Gone, true
+		return balancer.Removed, true
 	}
 	return 0, false
 }
--- a/internal/proxy/calls_test.go
+++ b/internal/proxy/calls_test.go
@@ -18,7 +18,7 @@
 			p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Addr: addr, State: balancer.Draining}}})
 		},
 		"gone": func(p *Pool, id, addr string) {
-			p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Addr: addr, State: balancer.Gone}}})
+			p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Addr: addr, State: balancer.Removed}}})
 		},
 	} {
 		for _, class := range []string{"safe", "unsafe"} {
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -46,7 +46,7 @@
 			Started: p.starts.instant(now, e.ID, e.StartedMs),
 		})
 		listed[e.ID] = true
-		if e.State == balancer.Gone {
+		if e.State == balancer.Removed {
 			p.removeEndpoint(e.ID)
 			continue
 		}
--- a/internal/subset/filter.go
+++ b/internal/subset/filter.go
@@ -12,7 +12,7 @@
 // Filter turns the updates of an endpoint list into updates for one instance, with its subset of
 // the endpoints only.
 //
-// An endpoint that leaves the subset while it is ready is Gone to the instance: it gets nothing
+// An endpoint that leaves the subset while it is ready is balancer.Removed to the instance: it gets nothing
 // new, and requests in flight end there. A draining endpoint of the subset stays known until the
 // list removes it, and another replaces it at once.
 //
@@ -78,7 +78,7 @@
 	out.Endpoints = f.updateDelivered(selected, update.Complete)
 	out.Endpoints = append(out.Endpoints, f.deliverNew(selected)...)
 	if update.Complete { // which lists no endpoint that is gone
-		out.Endpoints = slices.DeleteFunc(out.Endpoints, func(e proxy.Endpoint) bool { return e.State == balancer.Gone })
+		out.Endpoints = slices.DeleteFunc(out.Endpoints, func(e proxy.Endpoint) bool { return e.State == balancer.Removed })
 	}
 	return out
 }
@@ -100,7 +100,7 @@
 	}
 	for id := range f.all {
 		if !listed[id] {
-			f.recordEndpoint(proxy.Endpoint{ID: id, State: balancer.Gone})
+			f.recordEndpoint(proxy.Endpoint{ID: id, State: balancer.Removed})
 		}
 	}
 }
@@ -114,7 +114,7 @@
 		f.ring.Remove(e.ID)
 		delete(f.added, e.ID)
 	}
-	if e.State == balancer.Gone {
+	if e.State == balancer.Removed {
 		delete(f.all, e.ID)
 		return
 	}
@@ -129,7 +129,7 @@
 		return
 	}
 	for _, e := range update.Endpoints {
-		if f.delivered[e.ID] = e; e.State == balancer.Gone {
+		if f.delivered[e.ID] = e; e.State == balancer.Removed {
 			delete(f.delivered, e.ID)
 		}
 	}
@@ -165,7 +165,7 @@
 		leftSubset := current.State == balancer.Ready && !selected[id]
 		switch {
 		case !listed || leftSubset:
-			known.State = balancer.Gone
+			known.State = balancer.Removed
 			updates = append(updates, known)
 			delete(f.delivered, id)
 		case current != known || complete:
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -94,7 +94,7 @@
 		maps.Copy(next, m)
 	}
 	for _, e := range update.Endpoints {
-		if next[e.ID] = e; e.State == balancer.Gone {
+		if next[e.ID] = e; e.State == balancer.Removed {
 			delete(next, e.ID)
 		}
 	}
@@ -114,7 +114,7 @@
 // drawUpdate draws an update of up to 8 of 12 endpoints.
 func drawUpdate(t *rapid.T) proxy.EndpointList {
 	update := proxy.EndpointList{Complete: rapid.Bool().Draw(t, "complete")}
-	states := []balancer.State{balancer.Ready, balancer.Draining, balancer.Gone}
+	states := []balancer.State{balancer.Ready, balancer.Draining, balancer.Removed}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 11), 0, 8, rapid.ID[int]).Draw(t, "ids") {
 		update.Endpoints = append(update.Endpoints, proxy.Endpoint{
 			ID:    fmt.Sprint(i),
@@ -168,7 +168,7 @@
 				if e.State == balancer.Ready && !subsets[i][e.ID] {
 					subsets[i][e.ID] = true
 					moves++
-				} else if e.State == balancer.Gone {
+				} else if e.State == balancer.Removed {
 					delete(subsets[i], e.ID)
 				}
 			}
@@ -184,7 +184,7 @@
 	apply(all)
 	moves = 0
 	for i := range n / 2 {
-		apply(proxy.EndpointList{Endpoints: []proxy.Endpoint{{ID: fmt.Sprintf("endpoint-%d", i), State: balancer.Gone}}})
+		apply(proxy.EndpointList{Endpoints: []proxy.Endpoint{{ID: fmt.Sprintf("endpoint-%d", i), State: balancer.Removed}}})
 		apply(proxy.EndpointList{Endpoints: []proxy.Endpoint{{ID: fmt.Sprintf("new-%d", i)}}})
 	}
 	// Each replacement takes an endpoint from size of n instances and gives one to as many: two moves
--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -55,7 +55,7 @@
 	case "draining":
 		e.State = balancer.Draining
 	case "gone":
-		e.State = balancer.Gone
+		e.State = balancer.Removed
 	default:
 		v.fail("ENDPOINT has an unknown Phase %q", phase)
 	}
