--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -44,7 +44,7 @@
 func (b *Balancer) classOf(now time.Duration, r Request) *class {
 	c := b.classes[r.Class]
 	if c == nil {
-		unlisted := Class{Repeat: NonIdempotent, LatencyObjective: max(r.Deadline-now, 0)}
+		unlisted := Class{Idempotency: NonIdempotent, LatencyObjective: max(r.Deadline-now, 0)}
 		c = &class{Class: unlisted, latency: &latencyEstimator{}}
 		b.classes[r.Class] = c
 	}
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -26,8 +26,8 @@
 	StreamStarted(now time.Duration, id string, n int)
 	// Outcome reports the end of an attempt; every Send gets exactly one.
 	Outcome(now time.Duration, o Outcome)
-	// ClientLeft reports that the client no longer waits: it is owed no answer any more.
-	ClientLeft(now time.Duration, id string)
+	// ClientDisconnected reports that the client no longer waits: it is owed no answer any more.
+	ClientDisconnected(now time.Duration, id string)
 	// Timer reports that an instant asked for with Host.Timer has come.
 	Timer(now time.Duration)
 }
@@ -52,14 +52,14 @@
 	Log(line string)
 }
 
-// Repeatability says what repeating a request of a class may do.
-type Repeatability int
+// Idempotency says what repeating a request of a class may do.
+type Idempotency int
 
-// Repeatability, from harmless to harmful.
+// Idempotency, from harmless to harmful.
 const (
-	Idempotent       Repeatability = iota // may run any number of times
-	IdempotencyKeyed                      // repeats are dropped inside a group of endpoints, for a while
-	NonIdempotent                         // must never run twice
+	Idempotent       Idempotency = iota // may run any number of times
+	IdempotencyKeyed                    // repeats are dropped inside a group of endpoints, for a while
+	NonIdempotent                       // must never run twice
 )
 
 // KeyScope says which endpoints together drop repeats of a request with an idempotency key.
@@ -75,7 +75,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name             string
-	Repeat           Repeatability
+	Idempotency      Idempotency
 	KeyScope         KeyScope      // for IdempotencyKeyed
 	KeyWindow        time.Duration // for IdempotencyKeyed: how long a repeat is recognised, from the first send
 	LatencyObjective time.Duration // a response is wanted within this time
--- a/balancer/class_test.go
+++ b/balancer/class_test.go
@@ -94,7 +94,7 @@
 	}
 	before, _ := h.request("read")
 	s := testSettings()
-	s.Classes[0].Repeat = balancer.NonIdempotent
+	s.Classes[0].Idempotency = balancer.NonIdempotent
 	h.b.Configure(h.now, s)
 	after, _ := h.request("read")
 	h.finish(before, balancer.Reset)
@@ -103,7 +103,7 @@
 		t.Errorf("safe when it came: %v; unsafe when it came: %v", h.sentTo[before], h.sentTo[after])
 	}
 	h.finish(before, balancer.OK)
-	s.Classes = []balancer.Class{{Name: "other", Work: "read", Repeat: balancer.Idempotent,
+	s.Classes = []balancer.Class{{Name: "other", Work: "read", Idempotency: balancer.Idempotent,
 		LatencyObjective: 2 * time.Second}}
 	h.b.Configure(h.now, s)
 	if id, to := h.request("other"); to == "" {
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -170,7 +170,7 @@
 		id, ep := h.request("read")
 		if ep == "b" {
 			h.advance(ms)
-			h.b.ClientLeft(h.now, id)
+			h.b.ClientDisconnected(h.now, id)
 			h.finish(id, balancer.Canceled)
 			off++
 			continue
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -84,7 +84,7 @@
 		}
 	}
 	for _, standing := range h.b.EndpointStatuses(h.now) {
-		if standing.ID == "a" && standing.Warmth > 0.5 {
+		if standing.ID == "a" && standing.CapacityShare > 0.5 {
 			t.Errorf("it passes for warm: %+v", standing)
 		}
 	}
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// ClientLeft implements Events.
-func (b *Balancer) ClientLeft(now time.Duration, id string) {
+// ClientDisconnected implements Events.
+func (b *Balancer) ClientDisconnected(now time.Duration, id string) {
 	if req := b.requests[id]; req != nil && !req.answered {
 		b.closeRequest(req)
 		b.dispatchQueue(now)
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -26,7 +26,7 @@
 func Example() {
 	b := balancer.New(0, balancer.Settings{
 		Instances: 1, MaxAttempts: 3, CancelAllowed: true, Resolution: time.Millisecond,
-		Classes: []balancer.Class{{Name: "lookup", Repeat: balancer.Idempotent, LatencyObjective: time.Second}},
+		Classes: []balancer.Class{{Name: "lookup", Idempotency: balancer.Idempotent, LatencyObjective: time.Second}},
 	}, printer{})
 	b.EndpointList(0, balancer.EndpointList{Complete: true, Entries: []balancer.Endpoint{{ID: "10.0.0.1:80"}}})
 
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -51,8 +51,8 @@
 func testSettings() balancer.Settings {
 	return balancer.Settings{Instances: 1, MaxAttempts: 4, CancelAllowed: true, Resolution: ms,
 		SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second, Classes: []balancer.Class{
-			{Name: "read", Repeat: balancer.Idempotent, LatencyObjective: 2 * time.Second},
-			{Name: "bill", Repeat: balancer.NonIdempotent, LatencyObjective: 2 * time.Second}}}
+			{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 2 * time.Second},
+			{Name: "bill", Idempotency: balancer.NonIdempotent, LatencyObjective: 2 * time.Second}}}
 }
 
 // testSettingsWithObjective returns testSettings with another latency objective, on which the
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -10,7 +10,7 @@
 // none is.
 func (c *class) hedgeDelay() time.Duration {
 	switch {
-	case c.Repeat != Idempotent:
+	case c.Idempotency != Idempotent:
 		return 0
 	case c.HedgeQuantile > 0 && c.latency.samples >= minHedgeSamples && c.quantile.latency > 0:
 		return seconds(max(c.quantile.latency, c.latency.baseline))
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -66,7 +66,7 @@
 	for i := range s.Classes {
 		s.Classes[i].HedgeAfter = 5 * ms
 	}
-	s.Classes = append(s.Classes, balancer.Class{Name: "keyed", Repeat: balancer.IdempotencyKeyed,
+	s.Classes = append(s.Classes, balancer.Class{Name: "keyed", Idempotency: balancer.IdempotencyKeyed,
 		KeyWindow: time.Hour, LatencyObjective: time.Second, HedgeAfter: 5 * ms})
 	h := newHarness(t, s, "a", "b", "c")
 	for _, class := range []string{"bill", "keyed"} {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -69,7 +69,7 @@
 	if i < 0 || may(b.endpoints[i]) {
 		return i >= 0
 	}
-	if req.class.Repeat != IdempotencyKeyed || req.class.KeyScope == KeyScopeAll {
+	if req.class.Idempotency != IdempotencyKeyed || req.class.KeyScope == KeyScopeAll {
 		return false
 	}
 	return slices.ContainsFunc(b.endpoints, may)
@@ -82,10 +82,10 @@
 		if a.inFlight && !req.hedging {
 			return false
 		}
-		if !a.mayHaveRun || c.Repeat == Idempotent && !c.NeverRerun {
+		if !a.mayHaveRun || c.Idempotency == Idempotent && !c.NeverRerun {
 			continue
 		}
-		if c.Repeat == NonIdempotent || c.NeverRerun || now+b.keyWindowMargin() >= a.startedAt+c.KeyWindow ||
+		if c.Idempotency == NonIdempotent || c.NeverRerun || now+b.keyWindowMargin() >= a.startedAt+c.KeyWindow ||
 			c.KeyScope == KeyScopeZone && a.endpoint.Zone != e.Zone ||
 			c.KeyScope == KeyScopeCell && a.endpoint.Cell != e.Cell {
 			return false
@@ -104,7 +104,7 @@
 // is 0 where there is no such instant.
 func (b *Balancer) RetryDeadline(id string) time.Duration {
 	req := b.requests[id]
-	if req == nil || req.class.Repeat != IdempotencyKeyed {
+	if req == nil || req.class.Idempotency != IdempotencyKeyed {
 		return 0
 	}
 	for i := range req.attempts {
@@ -117,7 +117,7 @@
 
 // mayReject reports whether the client can be told truthfully that a repeat is harmless.
 func (r *request) mayReject() bool {
-	keyedEverywhere := r.class.Repeat == IdempotencyKeyed && r.class.KeyScope == KeyScopeAll
-	return r.class.Repeat == Idempotent || keyedEverywhere ||
+	keyedEverywhere := r.class.Idempotency == IdempotencyKeyed && r.class.KeyScope == KeyScopeAll
+	return r.class.Idempotency == Idempotent || keyedEverywhere ||
 		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight || a.mayHaveRun })
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -88,7 +88,7 @@
 // The window of a key counts from the first attempt that may have run, from when it was sent and
 // not from when the last byte of a long body went out. A retry is written well before its end.
 func TestRetryDeadlineCountsFromTheFirstSend(t *testing.T) {
-	keyed := balancer.Class{Name: "keyed", Repeat: balancer.IdempotencyKeyed, KeyWindow: time.Second,
+	keyed := balancer.Class{Name: "keyed", Idempotency: balancer.IdempotencyKeyed, KeyWindow: time.Second,
 		LatencyObjective: 10 * time.Second}
 	s := balancer.Settings{CancelAllowed: true, Classes: []balancer.Class{keyed}}
 	h := &sendRecorder{}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -172,7 +172,9 @@
 
 // isUnrepeatable reports whether a request that fails at a trial is lost, since it may not be sent
 // again.
-func (r *request) isUnrepeatable() bool { return r.class.Repeat != Idempotent || r.class.NeverRerun }
+func (r *request) isUnrepeatable() bool {
+	return r.class.Idempotency != Idempotent || r.class.NeverRerun
+}
 
 // isRiskyTrial reports whether a trial is likely to cost what may not be sent again: the endpoint
 // failed with what it had taken. Other requests are to try it first, if there are any.
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -82,11 +82,11 @@
 		if a.inFlight {
 			sim.t.Fatalf("%v: two attempts of %s in flight", sim.now, req.ID)
 		}
-		if !a.mayHaveRun || req.class.Repeat == balancer.Idempotent {
+		if !a.mayHaveRun || req.class.Idempotency == balancer.Idempotent {
 			continue
 		}
 		c := req.class
-		if c.Repeat == balancer.NonIdempotent || sim.now > a.sentAt+c.KeyWindow ||
+		if c.Idempotency == balancer.NonIdempotent || sim.now > a.sentAt+c.KeyWindow ||
 			c.KeyScope == balancer.KeyScopeZone && a.endpoint.Zone != e.Zone ||
 			c.KeyScope == balancer.KeyScopeCell && a.endpoint.Cell != e.Cell {
 			sim.t.Fatalf("%v: %s may take effect twice at %s", sim.now, req.ID, e.ID)
@@ -134,8 +134,8 @@
 	sim.checkReason(req, why)
 	sim.answers[1]++
 	for _, a := range req.attempts {
-		if (a.inFlight || a.mayHaveRun) && (req.class.Repeat == balancer.NonIdempotent ||
-			req.class.Repeat == balancer.IdempotencyKeyed && req.class.KeyScope != balancer.KeyScopeAll) {
+		if (a.inFlight || a.mayHaveRun) && (req.class.Idempotency == balancer.NonIdempotent ||
+			req.class.Idempotency == balancer.IdempotencyKeyed && req.class.KeyScope != balancer.KeyScopeAll) {
 			sim.t.Fatalf("%v: %s is rejected though it may have run", sim.now, id)
 		}
 	}
@@ -162,7 +162,7 @@
 		balancer.DeadlineTooClose:  true, // how long an answer would take is the module's own estimate
 		balancer.RetryBudgetSpent:  failed && !out,
 		balancer.AttemptsExhausted: len(req.attempts) >= sim.settings.MaxAttempts && !out,
-		balancer.MayHaveRun:        ran && req.class.Repeat != balancer.Idempotent,
+		balancer.MayHaveRun:        ran && req.class.Idempotency != balancer.Idempotent,
 	}
 	if !holds[why] {
 		sim.t.Fatalf("%v: %s gets the reason %q after %d attempts, which is not so", sim.now, req.ID, why, len(req.attempts))
@@ -238,7 +238,7 @@
 		Tenant:   "t" + strconv.Itoa(sim.rng.IntN(3)),
 		Deadline: sim.now + time.Duration(sim.rng.IntN(1500))*ms, ClientRetry: sim.rng.IntN(5) == 0}
 	if sim.rng.IntN(30) == 0 {
-		r.Class, c = "unlisted class", balancer.Class{Repeat: balancer.NonIdempotent}
+		r.Class, c = "unlisted class", balancer.Class{Idempotency: balancer.NonIdempotent}
 	}
 	sim.requests[r.ID] = &simulatedRequest{Request: r, class: c}
 	sim.openIDs = append(sim.openIDs, r.ID)
@@ -290,7 +290,7 @@
 func (sim *simulation) stepRequest(req *simulatedRequest) (open bool) {
 	if !sim.ending && !req.ended && sim.rng.IntN(400) == 0 {
 		req.ended, req.notified = true, true
-		sim.b.ClientLeft(sim.now, req.ID)
+		sim.b.ClientDisconnected(sim.now, req.ID)
 	}
 	for n, a := range req.attempts {
 		if a.inFlight && a.endsAt <= sim.now {
@@ -339,9 +339,9 @@
 		Resolution:        time.Duration(1+rng.IntN(5)) * ms,
 		SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second,
 		Tenants: []balancer.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 5}}}
-	for i, effect := range []balancer.Repeatability{balancer.Idempotent, balancer.IdempotencyKeyed,
+	for i, effect := range []balancer.Idempotency{balancer.Idempotent, balancer.IdempotencyKeyed,
 		balancer.IdempotencyKeyed, balancer.IdempotencyKeyed, balancer.NonIdempotent} {
-		sim.settings.Classes = append(sim.settings.Classes, balancer.Class{Name: "c" + strconv.Itoa(i), Repeat: effect,
+		sim.settings.Classes = append(sim.settings.Classes, balancer.Class{Name: "c" + strconv.Itoa(i), Idempotency: effect,
 			KeyScope: balancer.KeyScope(max(i-1, 0) % 3), KeyWindow: time.Duration(100+rng.IntN(400)) * ms,
 			LatencyObjective: 400 * ms,
 		})
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -26,7 +26,7 @@
 	Weight        float64        // its latency ratio: latency over the baseline latency
 	Errors        float64        // share of recent outcomes that were errors
 	InFlight      int            // attempts in flight
-	Warmth        float64        // least share of its capacity that it has
+	CapacityShare float64        // least share of its capacity that it has
 	SinceResponse time.Duration  // since its latest response; below 0: none has come
 	NextTrial     time.Duration  // until its trial, while inactive; below 0: its trial is in flight
 }
@@ -45,7 +45,7 @@
 // endpointStatus returns how one endpoint stands.
 func (b *Balancer) endpointStatus(now time.Duration, e *endpoint) EndpointStatus {
 	s := EndpointStatus{
-		ID: e.ID, State: e.State, Weight: e.weight(), InFlight: e.inFlight, Warmth: b.capacityShare(now, e),
+		ID: e.ID, State: e.State, Weight: e.weight(), InFlight: e.inFlight, CapacityShare: b.capacityShare(now, e),
 		Errors:        e.outcomes.errors / max(e.outcomes.total, 1),
 		SinceResponse: -1,
 	}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -103,7 +103,8 @@
 		"all that are active drain": {[]balancer.EndpointList{listOf(balancer.Draining, endpointIDs(16)...),
 			listOf(balancer.Ready, "new")}, []string{"new"}},
 		"removed that were never known": {[]balancer.EndpointList{listOf(balancer.Removed, "x", "y")}, endpointIDs(16)},
-		"the same list once more":       {[]balancer.EndpointList{listOf(balancer.Ready, endpointIDs(16)...)}, endpointIDs(16)},
+		"the same list once more": {[]balancer.EndpointList{listOf(balancer.Ready, endpointIDs(16)...)},
+			endpointIDs(16)},
 	} {
 		for _, gap := range []time.Duration{100 * ms, 10 * time.Second} { // and one request in ten seconds
 			h := newHarnessOfInstance(t, 13, 16)
--- a/internal/compatibility/sidecar_test.go
+++ b/internal/compatibility/sidecar_test.go
@@ -122,8 +122,8 @@
 func newPool(t *testing.T, endpoints []proxy.Endpoint) *proxy.Pool {
 	t.Helper()
 	settings := balancer.Settings{MaxAttempts: 4, CancelAllowed: true, Classes: []balancer.Class{
-		{Name: "look", Repeat: balancer.Idempotent, LatencyObjective: 2 * time.Second},
-		{Name: "pay", Repeat: balancer.NonIdempotent, LatencyObjective: 2 * time.Second},
+		{Name: "look", Idempotency: balancer.Idempotent, LatencyObjective: 2 * time.Second},
+		{Name: "pay", Idempotency: balancer.NonIdempotent, LatencyObjective: 2 * time.Second},
 	}}
 	list := proxy.EndpointList{Complete: true, Endpoints: endpoints}
 	pool := proxy.New(settings, list, proxy.Options{MaxConns: 8, Log: slog.New(slog.DiscardHandler)})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,7 +57,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name             string
-	Repeatability    balancer.Repeatability
+	Repeatability    balancer.Idempotency
 	KeyScope         balancer.KeyScope // within which an endpoint drops repeats of an idempotency key
 	KeyWindow        time.Duration     // for how long it drops them
 	LatencyObjective time.Duration
@@ -145,7 +145,7 @@
 	return balancer.Class{
 		Name:             name,
 		Work:             c.Name,
-		Repeat:           c.Repeatability,
+		Idempotency:      c.Repeatability,
 		KeyScope:         c.KeyScope,
 		KeyWindow:        c.KeyWindow,
 		LatencyObjective: c.LatencyObjective,
@@ -177,14 +177,14 @@
 	effectUnsafe = "unsafe"
 )
 
-var effects = map[string]balancer.Repeatability{
+var effects = map[string]balancer.Idempotency{
 	effectSafe:   balancer.Idempotent,
 	effectKeyed:  balancer.IdempotencyKeyed,
 	effectUnsafe: balancer.NonIdempotent,
 }
 
 // effectName returns the name of a repeatability in the file.
-func effectName(r balancer.Repeatability) string {
+func effectName(r balancer.Idempotency) string {
 	for name, effect := range effects {
 		if effect == r {
 			return name
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -103,11 +103,11 @@
 	}
 	class := pays.BalancerClass("m")
 	if class.Name != "m" || class.Work != "pay" || class.QueueLimit != -1 || !class.NeverRerun ||
-		class.Repeat != balancer.NonIdempotent {
+		class.Idempotency != balancer.NonIdempotent {
 		t.Errorf("the class of pays: %+v", class)
 	}
 	class = books.BalancerClass("m")
-	if class.Repeat != balancer.IdempotencyKeyed || class.KeyScope != balancer.KeyScopeZone ||
+	if class.Idempotency != balancer.IdempotencyKeyed || class.KeyScope != balancer.KeyScopeZone ||
 		class.KeyWindow != 10*time.Second || class.NeverRerun || class.QueueLimit != 0 {
 		t.Errorf("the class of books: %+v", class)
 	}
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -148,7 +148,7 @@
 		ErrorRate:      roundThousandths(e.Errors),
 		InFlight:       e.InFlight,
 		IdleConns:      e.IdleConns,
-		Warmth:         roundThousandths(e.Warmth),
+		Warmth:         roundThousandths(e.CapacityShare),
 		LastFailure:    e.LastFailure,
 	}
 	if e.State != balancer.Ready {
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -27,7 +27,7 @@
 // request is a request that has not ended.
 type request struct {
 	balancer.Request
-	repeat     balancer.Repeatability
+	repeat     balancer.Idempotency
 	tried      []*endpoint // by attempt
 	mayHaveRun bool
 }
@@ -38,7 +38,7 @@
 	host          balancer.Host
 	rng           *rand.Rand
 	choose        chooser
-	repeatability map[string]balancer.Repeatability // by class
+	repeatability map[string]balancer.Idempotency // by class
 	endpoints     []*endpoint
 	ready         []*endpoint
 	byName        map[string]*endpoint
@@ -51,9 +51,9 @@
 // New returns an instance of the policy called name. For an unknown name the error lists the names.
 func New(name string, s balancer.Settings, h balancer.Host) (*Policy, error) {
 	p := &Policy{settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 2)),
-		repeatability: map[string]balancer.Repeatability{}, byName: map[string]*endpoint{}, requests: map[string]*request{}}
+		repeatability: map[string]balancer.Idempotency{}, byName: map[string]*endpoint{}, requests: map[string]*request{}}
 	for _, c := range s.Classes {
-		p.repeatability[c.Name] = c.Repeat
+		p.repeatability[c.Name] = c.Idempotency
 	}
 	switch name {
 	case "random":
@@ -184,9 +184,9 @@
 	p.attempt(now, r)
 }
 
-// ClientLeft implements balancer.Events. The attempt in flight counts as outstanding until its
-// outcome.
-func (p *Policy) ClientLeft(time.Duration, string) {}
+// ClientDisconnected implements balancer.Events. The attempt in flight counts as outstanding until
+// its outcome.
+func (p *Policy) ClientDisconnected(time.Duration, string) {}
 
 // StreamStarted implements balancer.Events.
 func (p *Policy) StreamStarted(time.Duration, string, int) {}
--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -14,7 +14,7 @@
 	OverloadWindow: time.Second, ImproperPeerTimeout: 3 * time.Second}
 
 // recordRequest records a request at instance s with a deadline of one second.
-func recordRequest(checker *Checker, id string, e balancer.Repeatability) {
+func recordRequest(checker *Checker, id string, e balancer.Idempotency) {
 	checker.RecordRequest(0, Request{ID: id, Instance: "s", Repeat: e, Deadline: time.Second, Digest: 1})
 }
 
--- a/internal/experiment/invariant/requests.go
+++ b/internal/experiment/invariant/requests.go
@@ -22,7 +22,7 @@
 type Request struct {
 	ID          string
 	Instance    string // of the program under test that received it
-	Repeat      balancer.Repeatability
+	Repeat      balancer.Idempotency
 	Deadline    time.Duration
 	Digest      uint64 // of all that must reach servers unchanged
 	MaxAttempts int    // allowed by the class's policy; 0: no limit
--- a/internal/experiment/testbed/client.go
+++ b/internal/experiment/testbed/client.go
@@ -20,7 +20,7 @@
 type requestInfo struct {
 	classIndex int
 	work       float64 // seconds, over all tiers
-	repeat     balancer.Repeatability
+	repeat     balancer.Idempotency
 	tenant     string
 	deadline   time.Duration // the class's whole time
 }
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -162,7 +162,7 @@
 	}
 	c.ended = true
 	in.sim.checker.Waive(c.id)
-	in.policy.ClientLeft(balancerEpoch+now, c.id)
+	in.policy.ClientDisconnected(balancerEpoch+now, c.id)
 	in.removeIfDone(c)
 }
 
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -181,7 +181,7 @@
 
 // checkMethod returns an error if a request does not have the form that its class requires: GET
 // without a body for idempotent requests, POST for all others.
-func checkMethod(method string, effect balancer.Repeatability, hasBody bool) error {
+func checkMethod(method string, effect balancer.Idempotency, hasBody bool) error {
 	switch {
 	case effect == balancer.Idempotent && (method != http.MethodGet || hasBody):
 		return errors.New("the class takes GET with no body")
--- a/internal/httpserver/router.go
+++ b/internal/httpserver/router.go
@@ -19,7 +19,7 @@
 type Target struct {
 	Pool   *proxy.Pool
 	Class  string // as the pool's settings name it
-	Effect balancer.Repeatability
+	Effect balancer.Idempotency
 	Tenant string
 
 	DefaultTimeout time.Duration // for a client that sends no deadline; 0: it must send one
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -139,11 +139,11 @@
 		LatencyObjective: microseconds(c.LatencyObjectiveUs)}
 	switch c.Repeatability {
 	case "read_like":
-		class.Repeat = balancer.Idempotent
+		class.Idempotency = balancer.Idempotent
 	case "idempotency_key":
-		class.Repeat = balancer.IdempotencyKeyed
+		class.Idempotency = balancer.IdempotencyKeyed
 	case "non_idempotent":
-		class.Repeat = balancer.NonIdempotent
+		class.Idempotency = balancer.NonIdempotent
 	default:
 		return class, fmt.Errorf("class %q has unknown Semantics %q", c.Name, c.Repeatability)
 	}
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -102,7 +102,7 @@
 func (p *Pool) handleClientLeft(now time.Duration, c *Call) {
 	if p.calls[c.ID] == c && !c.finished {
 		p.setResult(c, Result{Kind: Failed})
-		p.events.ClientLeft(now, c.ID)
+		p.events.ClientDisconnected(now, c.ID)
 		p.removeIfDone(c)
 	}
 }
--- a/internal/proxy/clock_test.go
+++ b/internal/proxy/clock_test.go
@@ -19,7 +19,7 @@
 	warmth := func(p testPool, id string) float64 {
 		for _, e := range p.Endpoints() {
 			if e.ID == id {
-				return e.Warmth
+				return e.CapacityShare
 			}
 		}
 		return -1
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -30,7 +30,7 @@
 // testClasses are the classes of test calls.
 var testClasses = []balancer.Class{
 	{Name: "safe", LatencyObjective: time.Minute},
-	{Name: "unsafe", Repeat: balancer.NonIdempotent, LatencyObjective: time.Minute},
+	{Name: "unsafe", Idempotency: balancer.NonIdempotent, LatencyObjective: time.Minute},
 	{Name: "hedged", LatencyObjective: time.Minute, HedgeAfter: time.Millisecond},
 }
 
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -35,7 +35,7 @@
 		close(held)
 	}
 	p.Configure(balancer.Settings{CancelAllowed: true, Classes: []balancer.Class{{Name: "keyed",
-		Repeat: balancer.IdempotencyKeyed, KeyWindow: window, LatencyObjective: time.Minute}}},
+		Idempotency: balancer.IdempotencyKeyed, KeyWindow: window, LatencyObjective: time.Minute}}},
 		Options{ConnIdle: time.Minute, DialTimeout: patience, MaxConns: 100})
 	began := time.Now()
 	result := p.doAsync(p.newTestCall("r", "keyed", patience))
--- a/internal/sidecar/router.go
+++ b/internal/sidecar/router.go
@@ -16,16 +16,16 @@
 // classes that the settings list. It implements httpserver.Router.
 type requestRouter struct {
 	pool          *proxy.Pool
-	repeatability map[string]balancer.Repeatability // by class
+	repeatability map[string]balancer.Idempotency // by class
 	counters      *metrics.Counters
 }
 
 // newRequestRouter returns a router for the classes given.
 func newRequestRouter(pool *proxy.Pool, classes []balancer.Class) *requestRouter {
-	r := &requestRouter{pool: pool, repeatability: map[string]balancer.Repeatability{}}
+	r := &requestRouter{pool: pool, repeatability: map[string]balancer.Idempotency{}}
 	var names []string
 	for _, class := range classes {
-		r.repeatability[class.Name] = class.Repeat
+		r.repeatability[class.Name] = class.Idempotency
 		names = append(names, class.Name)
 	}
 	r.counters = metrics.New(names)
--- a/internal/subset/filter.go
+++ b/internal/subset/filter.go
@@ -12,9 +12,9 @@
 // Filter turns the updates of an endpoint list into updates for one instance, with its subset of
 // the endpoints only.
 //
-// An endpoint that leaves the subset while it is ready is balancer.Removed to the instance: it gets nothing
-// new, and requests in flight end there. A draining endpoint of the subset stays known until the
-// list removes it, and another replaces it at once.
+// An endpoint that leaves the subset while it is ready is balancer.Removed to the instance: it gets
+// nothing new, and requests in flight end there. A draining endpoint of the subset stays known
+// until the list removes it, and another replaces it at once.
 //
 // A Filter is not safe for concurrent use.
 type Filter struct {
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -37,7 +37,7 @@
 		}
 	case msgClientLeft:
 		if id := v.id(); v.err == nil {
-			events.ClientLeft(r.now, id)
+			events.ClientDisconnected(r.now, id)
 		}
 	case msgTimer:
 		v.integer("Mark", true)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -39,9 +39,9 @@
 func (r *recorder) StreamStarted(now time.Duration, id string, n int) {
 	r.add("%v stream %s %d", now, id, n)
 }
-func (r *recorder) Outcome(now time.Duration, o balancer.Outcome) { r.add("%v outcome %+v", now, o) }
-func (r *recorder) ClientLeft(now time.Duration, id string)       { r.add("%v left %s", now, id) }
-func (r *recorder) Timer(now time.Duration)                       { r.add("%v timer", now) }
+func (r *recorder) Outcome(now time.Duration, o balancer.Outcome)   { r.add("%v outcome %+v", now, o) }
+func (r *recorder) ClientDisconnected(now time.Duration, id string) { r.add("%v left %s", now, id) }
+func (r *recorder) Timer(now time.Duration)                         { r.add("%v timer", now) }
 
 // read handles the batches of text.
 func read(text string) (*recorder, error) {
@@ -96,7 +96,7 @@
 	}
 	us := time.Microsecond
 	want := balancer.Settings{Seed: 1<<64 - 1, Instances: 2, Index: 1, Tier: 1, TiersBelow: 1,
-		Classes: []balancer.Class{{Name: "n", Repeat: balancer.IdempotencyKeyed, KeyScope: balancer.KeyScopeCell,
+		Classes: []balancer.Class{{Name: "n", Idempotency: balancer.IdempotencyKeyed, KeyScope: balancer.KeyScopeCell,
 			KeyWindow: 3 * us, LatencyObjective: us}},
 		Tenants: []balancer.Tenant{{Name: "t", Quota: 6.5}}, SubscribeRequired: true, PollInterval: 9 * us, MaxAttempts: 4,
 		CancelAllowed: true, MaxRetryAfter: 7 * us,
