--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -8,6 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"rowancart/balancer"
+	"rowancart/internal/httpserver"
 	"rowancart/internal/proxy"
 	"rowancart/internal/ratelimit"
 )
@@ -104,13 +105,14 @@
 	m.value.DeletePartialMatch(labels)
 }
 
-// observe counts a request that has been answered. Accepted says whether a pool took it, which
-// alone makes a result.
-func (r *routeMetrics) observe(accepted bool, result proxy.Result, latency time.Duration) {
-	if !accepted {
+// observe counts a request that has been answered. Only a request that was forwarded to a pool has a
+// result.
+func (r *routeMetrics) observe(outcome httpserver.Outcome, latency time.Duration) {
+	if !outcome.Forwarded {
 		r.invalid.Inc()
 		return
 	}
+	result := outcome.Result
 	r.results[result.Kind].Inc()
 	r.value[result.Kind].Add(r.weight)
 	if counter := r.unserved[result.Reason]; counter != nil {
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -8,7 +8,6 @@
 
 	"rowancart/internal/httpserver"
 	"rowancart/internal/platform"
-	"rowancart/internal/proxy"
 	"rowancart/internal/ratelimit"
 	"rowancart/internal/route"
 )
@@ -21,7 +20,7 @@
 // a request, and stays in use until the request has been answered.
 func (l *listener) Route(r *http.Request) (httpserver.Target, *httpserver.Rejection) {
 	if err := route.Check(r.URL.EscapedPath()); err != nil {
-		rejection := &httpserver.Rejection{Status: http.StatusBadRequest, Reason: err.Error(), Close: true}
+		rejection := &httpserver.Rejection{Status: http.StatusBadRequest, Message: err.Error(), Close: true}
 		return httpserver.Target{}, rejection
 	}
 	d, arrived := l.daemon, time.Now()
@@ -44,13 +43,13 @@
 	target := httpserver.Target{
 		Pool:           entry.pool.proxy,
 		Class:          entry.class,
-		Effect:         entry.Class.Repeatability,
+		Idempotency:    entry.Class.Repeatability,
 		Tenant:         tenant,
 		DefaultTimeout: entry.Policy.ClientTimeout,
 		MaxTimeout:     entry.Policy.RequestTimeout,
 		AnyMethod:      true,
-		Done: func(taken bool, result proxy.Result) {
-			entry.metrics.observe(taken, result, time.Since(arrived))
+		Done: func(outcome httpserver.Outcome) {
+			entry.metrics.observe(outcome, time.Since(arrived))
 			entry.limiter.release(permit)
 			g.release()
 		},
@@ -69,12 +68,12 @@
 		return t.entries[index], nil
 	case len(allowed) > 0:
 		return nil, &httpserver.Rejection{
-			Status: http.StatusMethodNotAllowed,
-			Reason: "methods here: " + strings.Join(allowed, ", "),
-			Allow:  allowed,
+			Status:  http.StatusMethodNotAllowed,
+			Message: "methods here: " + strings.Join(allowed, ", "),
+			Allow:   allowed,
 		}
 	}
-	return nil, &httpserver.Rejection{Status: http.StatusNotFound, Reason: "no route"}
+	return nil, &httpserver.Rejection{Status: http.StatusNotFound, Message: "no route"}
 }
 
 // acquire admits a request under the route's limits, or returns the rejection that names the limit
@@ -91,7 +90,7 @@
 	}
 	return permit, &httpserver.Rejection{
 		Status:     status,
-		Reason:     "over the limit: " + string(exceeded),
+		Message:    "over the limit: " + string(exceeded),
 		Limit:      string(exceeded),
 		RetryAfter: max(wait, concurrencyRetryAfter),
 	}
--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -96,7 +96,7 @@
 		}
 		r, rejection := parseHead(head)
 		if rejection != nil {
-			b.Fatal(rejection.Reason)
+			b.Fatal(rejection.Message)
 		}
 		body, _ := c.readBody(r)
 		if len(body.data) != 20000 {
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -146,17 +146,11 @@
 	return c.reject(r, rejection)
 }
 
-// forwarding is what Target.Done is called with.
-type forwarding struct {
-	started bool // the pool has the request
-	result  proxy.Result
-}
-
 // forward passes a request to its pool and writes the pool's response.
 func (c *conn) forward(r *http.Request, target *Target, body receivedBody) bool {
-	f := forwarding{result: proxy.Result{Kind: proxy.Failed}}
+	outcome := Outcome{Result: proxy.Result{Kind: proxy.Failed}}
 	if target.Done != nil {
-		defer func() { target.Done(f.started, f.result) }()
+		defer func() { target.Done(outcome) }()
 	}
 	message := &proxy.RequestMessage{Body: body.data, Release: body.releaseData}
 	call, rejection := c.server.newCall(r, target, message, body.streamed != nil, c.reader.arrivedAt)
@@ -167,19 +161,19 @@
 	// may be gone already.
 	call.ClientGone = c.disconnect.clientGone
 	if body.streamed != nil {
-		return c.forwardStreamed(r, target.Pool, call, message, body, &f)
+		return c.forwardStreamed(r, target.Pool, call, message, body, &outcome)
 	}
-	f.started = true
+	outcome.Forwarded = true
 	var disconnected bool
-	f.result, disconnected = c.do(target.Pool, call)
+	outcome.Result, disconnected = c.do(target.Pool, call)
 	// A client that has closed only its sending side may still read the response.
-	return c.writeResult(r, f.result, disconnected)
+	return c.writeResult(r, outcome.Result, disconnected)
 }
 
 // forwardStreamed is forward for a request with a long body, which the pool reads on from the
 // connection.
 func (c *conn) forwardStreamed(r *http.Request, pool *proxy.Pool, call *proxy.Call, message *proxy.RequestMessage,
-	body receivedBody, f *forwarding) bool {
+	body receivedBody, outcome *Outcome) bool {
 	streamed := body.streamed
 	upload, err := streamed.bufferAhead()
 	if err != nil {
@@ -196,22 +190,22 @@
 	if upload.Remaining != nil {
 		call.Deadline = pool.Now() + message.ClientTimeout + streamed.timeLimit()
 	}
-	f.started = true
+	outcome.Forwarded = true
 	var disconnected bool
-	f.result, disconnected = c.do(pool, call)
+	outcome.Result, disconnected = c.do(pool, call)
 	ended, err := streamed.abandon()
 	if err == nil && !ended && c.disconnect.clientGone() { // the rest will never arrive
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil && !errors.Is(err, errBodyAbandoned) {
-		f.result.Kind = proxy.Failed
+		outcome.Result.Kind = proxy.Failed
 		return c.reject(r, bodyRejection(err))
 	}
 	if !ended { // the rest of the body must not be read as the next request
-		c.writeResult(r, f.result, true)
+		c.writeResult(r, outcome.Result, true)
 		return c.lingeringClose()
 	}
-	return c.writeResult(r, f.result, disconnected)
+	return c.writeResult(r, outcome.Result, disconnected)
 }
 
 // do passes a call to its pool and waits for the result, while it watches whether the client
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -147,7 +147,7 @@
 // is to come. The time of a call without a streamed body counts from received.
 func (s *Server) newCall(r *http.Request, target *Target, message *proxy.RequestMessage, streamed bool,
 	received time.Time) (*proxy.Call, *Rejection) {
-	if err := checkMethod(r.Method, target.Effect, len(message.Body) > 0 || streamed); err != nil && !target.AnyMethod {
+	if err := checkMethod(r.Method, target.Idempotency, len(message.Body) > 0 || streamed); err != nil && !target.AnyMethod {
 		return nil, closingRejection(http.StatusMethodNotAllowed, err.Error())
 	}
 	// These fields are forwarded unchanged even if Connection names them.
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, closingRejection(http.StatusBadRequest, err.Error())
 	}
-	if target.Effect == balancer.IdempotencyKeyed && r.Header.Get(platform.IdempotencyKeyHeader) == "" {
+	if target.Idempotency == balancer.IdempotencyKeyed && r.Header.Get(platform.IdempotencyKeyHeader) == "" {
 		// Without a key the endpoints could not recognize a retry.
 		return nil, closingRejection(http.StatusBadRequest, platform.IdempotencyKeyHeader+": missing")
 	}
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -60,7 +60,7 @@
 	if len(rejection.Allow) > 0 {
 		h["Allow"] = []string{strings.Join(rejection.Allow, ", ")}
 	}
-	if c.writeResponse(r, rejection.Status, h, []byte(rejection.Reason+"\n"), rejection.Close) {
+	if c.writeResponse(r, rejection.Status, h, []byte(rejection.Message+"\n"), rejection.Close) {
 		return true
 	}
 	return c.lingeringClose()
--- a/internal/httpserver/response_test.go
+++ b/internal/httpserver/response_test.go
@@ -20,7 +20,7 @@
 type poolRouter struct{ pool *proxy.Pool }
 
 func (r poolRouter) Route(*http.Request) (Target, *Rejection) {
-	return Target{Pool: r.pool, Class: "all", Effect: balancer.Idempotent, DefaultTimeout: patience, AnyMethod: true,
+	return Target{Pool: r.pool, Class: "all", Idempotency: balancer.Idempotent, DefaultTimeout: patience, AnyMethod: true,
 		DefaultID: "x"}, nil
 }
 
--- a/internal/httpserver/router.go
+++ b/internal/httpserver/router.go
@@ -17,34 +17,43 @@
 
 // Target is the pool that a request was routed to, and what that pool must know of it.
 type Target struct {
-	Pool   *proxy.Pool
-	Class  string // as the pool's settings name it
-	Effect balancer.Repeatability
-	Tenant string
+	Pool        *proxy.Pool
+	Class       string // as the pool's settings name it
+	Idempotency balancer.Repeatability
+	Tenant      string
 
 	DefaultTimeout time.Duration // for a client that sends no deadline; 0: it must send one
-	MaxTimeout     time.Duration // upper bound of the time to serve the request; 0: the client's deadline alone counts
+	MaxTimeout     time.Duration // upper bound of the time to serve the request; 0: only the client's deadline applies
 
 	AnyMethod bool   // the router has checked method and body; otherwise the class decides which are allowed
 	DefaultID string // for a request without an id; empty: it must have one
 
-	// Done, unless nil, is called once after the response: with whether the request was passed to the
-	// pool, and the pool's result.
-	Done func(forwarded bool, result proxy.Result)
+	// Done, unless nil, is called once, after the response has been written.
+	Done func(Outcome)
 }
 
-// Rejection is the response to a request that no pool serves.
+// Outcome is how a routed request ended.
+type Outcome struct {
+	Forwarded bool         // the request was passed to the pool
+	Result    proxy.Result // the pool's result; of kind Failed unless Forwarded
+}
+
+// Rejection is the response to a request that no pool serves. It is also the error of reading such a
+// request.
 type Rejection struct {
 	Status     int
-	Reason     string
-	Limit      string        // the configured limit that the request exceeds; empty: it is rejected for another reason
+	Message    string        // the body of the response
+	Limit      string        // the configured limit that the request exceeds; empty: it exceeds none
 	RetryAfter time.Duration // 0: no Retry-After
 	Allow      []string      // the methods allowed, for 405
 	Close      bool          // closes the connection
 }
 
-// closingRejection returns a rejection that closes the connection: for a request that cannot be
-// read safely, whose successor on the connection might begin anywhere.
-func closingRejection(status int, reason string) *Rejection {
-	return &Rejection{Status: status, Reason: reason, Close: true}
+// Error implements error.
+func (r *Rejection) Error() string { return r.Message }
+
+// closingRejection returns a rejection that closes the connection: for a request whose end is not
+// known for certain, so that the next request might begin anywhere.
+func closingRejection(status int, message string) *Rejection {
+	return &Rejection{Status: status, Message: message, Close: true}
 }
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -34,7 +34,7 @@
 type rejectingRouter struct{}
 
 func (rejectingRouter) Route(*http.Request) (Target, *Rejection) {
-	return Target{}, &Rejection{Status: http.StatusNotFound, Reason: "no pool serves it"}
+	return Target{}, &Rejection{Status: http.StatusNotFound, Message: "no pool serves it"}
 }
 
 // serveInMemory starts a server that runs until the test ends, and returns a function that connects
--- a/internal/sidecar/router.go
+++ b/internal/sidecar/router.go
@@ -37,37 +37,37 @@
 	class, err := route.FirstSegment(req.URL.EscapedPath())
 	if err != nil { // an endpoint might read another class than this process does
 		return httpserver.Target{}, &httpserver.Rejection{
-			Status: http.StatusBadRequest,
-			Reason: err.Error(),
-			Close:  true,
+			Status:  http.StatusBadRequest,
+			Message: err.Error(),
+			Close:   true,
 		}
 	}
 	repeatability, listed := r.repeatability[class]
 	if !listed {
 		return httpserver.Target{}, &httpserver.Rejection{
-			Status: http.StatusNotFound,
-			Reason: fmt.Sprintf("class %.40q is not served", class),
-			Close:  true,
+			Status:  http.StatusNotFound,
+			Message: fmt.Sprintf("class %.40q is not served", class),
+			Close:   true,
 		}
 	}
 	r.counters.RequestStarted()
 	return httpserver.Target{
-		Pool:   r.pool,
-		Class:  class,
-		Effect: repeatability,
-		Tenant: req.Header.Get(platform.TenantHeader),
-		Done:   func(accepted bool, result proxy.Result) { r.countOutcome(class, accepted, result.Kind) },
+		Pool:        r.pool,
+		Class:       class,
+		Idempotency: repeatability,
+		Tenant:      req.Header.Get(platform.TenantHeader),
+		Done:        func(o httpserver.Outcome) { r.countOutcome(class, o) },
 	}, nil
 }
 
-// countOutcome counts a request whose response has been written. One that the pool has not accepted
-// is no request of the class, and a duplicate has been counted the first time.
-func (r *requestRouter) countOutcome(class string, accepted bool, kind proxy.ResultKind) {
-	if !accepted || kind == proxy.Duplicate {
+// countOutcome counts a request whose response has been written. One that was not forwarded to the
+// pool is no request of the class, and a duplicate has been counted the first time.
+func (r *requestRouter) countOutcome(class string, outcome httpserver.Outcome) {
+	if !outcome.Forwarded || outcome.Result.Kind == proxy.Duplicate {
 		r.counters.RequestDropped()
 		return
 	}
-	r.counters.RequestFinished(class, outcomeOf(kind))
+	r.counters.RequestFinished(class, outcomeOf(outcome.Result.Kind))
 }
 
 // outcomeOf returns what a result counts as.
