--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -15,6 +15,7 @@
 //	Ready                  ready
 //	Terminating            draining
 //	Gone                   removed
+//	weight                 weight (not used)
 //	Lanes                  classes
 //	Semantics              repeatability
 //	  read_like              idempotent
@@ -24,17 +25,29 @@
 //	OnTimeUs               latency objective
 //	HardLimitUs            maximum deadline
 //	WindowUs               key window
+//	Credit                 priority weight (not used)
 //	Accounts               tenants
 //	QuotaPerS              quota
+//	Share                  traffic share (not used)
 //	NInstances, Me         instances, index
-//	MayCancel              cancel allowed
-//	TryLimit               maximum attempts
-//	AskWithinUs            poll interval
-//	ColdUs                 slow-start window
-//	ColdFrom               slow-start capacity
-//	ColdShare              slow-start share
+//	Discovery              discovery mode
+//	Permissions            permissions
+//	  MayCancel              cancel allowed
+//	  MayProbe               health checks allowed (not used)
+//	  TryLimit               maximum attempts
+//	  ConnIdleUs             connection idle timeout
+//	Rules                  endpoint behaviour
+//	  AskWithinUs            poll interval
+//	  ColdUs                 slow-start window
+//	  ColdFrom               slow-start capacity
+//	  ColdShare              slow-start share
 //	known                  known endpoints
 //	console                admin address
+//	sockets                descriptors
+//
+// The types of JSON messages serve both directions: sidecars decode them, and stand-ins for the
+// platform, in tests and experiments, write them. Fields that only stand-ins need are WriteOnly.
+// Golden tests hold every form to literal text.
 //
 // The simulator's line protocol, which uses other names for the same events, is package wire.
 package platform
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -33,13 +33,14 @@
 
 // Endpoint is one entry of a message from discovery.
 type Endpoint struct {
-	ID        string `json:"id"`
-	Addr      string `json:"addr"` // host:port; may be missing for an endpoint that is removed
-	Zone      string `json:"zone"`
-	Kind      string `json:"kind"`
-	Cell      int    `json:"cell"`
-	State     State  `json:"state"`
-	StartedMs int64  `json:"started_ms"` // Unix time of the process's start, in ms; 0: long ago
+	ID        string             `json:"id"`
+	Addr      string             `json:"addr"` // host:port; may be missing for an endpoint that is removed
+	Zone      string             `json:"zone"`
+	Kind      string             `json:"kind"`
+	Cell      int                `json:"cell"`
+	State     State              `json:"state"`
+	Weight    WriteOnly[float64] `json:"weight"`
+	StartedMs int64              `json:"started_ms"` // Unix time of the process's start, in ms; 0: long ago
 }
 
 // EndpointList is a message from discovery: the complete list, or the entries that have changed.
@@ -49,6 +50,21 @@
 	Endpoints []Endpoint `json:"servers"`
 }
 
+// NewEndpointList returns a message that stands for no endpoints, and not for an invalid message, if
+// there are none.
+func NewEndpointList(version int64, complete bool, endpoints ...Endpoint) EndpointList {
+	return EndpointList{Version: &version, Complete: complete, Endpoints: append([]Endpoint{}, endpoints...)}
+}
+
+// Text returns the message as discovery sends it.
+func (l EndpointList) Text() []byte {
+	text, err := json.Marshal(l)
+	if err != nil { // a weight that is no number: the other fields have no values without a JSON form
+		panic(err)
+	}
+	return text
+}
+
 // ParseEndpointList decodes and validates a message from discovery. One invalid entry makes the
 // entire message invalid.
 func ParseEndpointList(text []byte) (EndpointList, error) {
--- /dev/null
+++ b/internal/platform/golden_test.go
@@ -0,0 +1,214 @@
+package platform
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"rowancart/balancer"
+)
+
+// The golden tests hold every name of the platform to literal text. Programs under test and their
+// stand-ins share this package: a wrong name would pass on both sides of any other test.
+
+const goldenList = `{"version":7,"full":true,"servers":[` +
+	`{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"Ready","weight":1,"started_ms":1800000000000},` +
+	`{"id":"b","addr":"127.0.0.1:2","zone":"","kind":"","cell":0,"state":"Terminating","weight":0.5,"started_ms":0}]}`
+
+const goldenChange = `{"version":8,"full":false,"servers":[` +
+	`{"id":"b","addr":"","zone":"","kind":"","cell":0,"state":"Gone","weight":0,"started_ms":0}]}`
+
+const goldenEmptyList = `{"version":0,"full":true,"servers":[]}`
+
+func TestGoldenEndpointList(t *testing.T) {
+	ready := Endpoint{ID: "a", Addr: "127.0.0.1:1", Zone: "z", Kind: "k", Cell: 3, State: StateReady,
+		StartedMs: 1800000000000}
+	draining := Endpoint{ID: "b", Addr: "127.0.0.1:2", State: StateDraining}
+	removed := Endpoint{ID: "b", State: StateRemoved}
+	weighted := func(e Endpoint, weight float64) Endpoint {
+		e.Weight.Value = weight
+		return e
+	}
+	for name, test := range map[string]struct {
+		text    string
+		written EndpointList
+		read    EndpointList // without what is only written
+	}{
+		"list": {goldenList,
+			NewEndpointList(7, true, weighted(ready, 1), weighted(draining, 0.5)), NewEndpointList(7, true, ready, draining)},
+		"change":     {goldenChange, NewEndpointList(8, false, removed), NewEndpointList(8, false, removed)},
+		"empty list": {goldenEmptyList, NewEndpointList(0, true), NewEndpointList(0, true)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := string(test.written.Text()); got != test.text {
+				t.Errorf("written:\n%s, want\n%s", got, test.text)
+			}
+			read, err := ParseEndpointList([]byte(test.text))
+			if err != nil || !reflect.DeepEqual(read, test.read) {
+				t.Errorf("read: %+v, %v, want %+v", read, err, test.read)
+			}
+		})
+	}
+}
+
+func TestGoldenStates(t *testing.T) {
+	for name, want := range map[State]balancer.State{
+		"Ready":       balancer.Ready,
+		"Terminating": balancer.Draining,
+		"Gone":        balancer.Gone,
+	} {
+		if state, ok := name.EndpointState(); !ok || state != want {
+			t.Errorf("%s stands for state %v, %v, want %v", name, state, ok, want)
+		}
+	}
+}
+
+const goldenSettings = `{"NInstances":4,"Me":2,"Tier":1,"Tiers":["front","middle","back"],"Lanes":[` +
+	`{"Name":"look","Semantics":"read_like","Group":"all","OnTimeUs":1,"HardLimitUs":2,"WindowUs":0,"Credit":5},` +
+	`{"Name":"pay","Semantics":"idempotency_key","Group":"zone","OnTimeUs":3,"HardLimitUs":4,"WindowUs":6,"Credit":0},` +
+	`{"Name":"book","Semantics":"non_idempotent","Group":"cell","OnTimeUs":7,"HardLimitUs":8,"WindowUs":0,"Credit":0}],` +
+	`"Accounts":[{"Name":"erie","QuotaPerS":2.5,"Share":0.25}],"Discovery":"subscribe","ResolutionUs":9,` +
+	`"Permissions":{"MayCancel":true,"MayProbe":true,"RetryAfter":true,"TryLimit":3,"MaxRetryAfterUs":10,` +
+	`"ConnIdleUs":11,"DialTimeoutUs":12},` +
+	`"Rules":{"AskWithinUs":13,"ColdUs":14,"DrainGraceUs":15,"ColdFrom":0.5,"ColdShare":0.75}}`
+
+func TestGoldenSettings(t *testing.T) {
+	written := SettingsObject{
+		Instances: 4,
+		Index:     2,
+		Tier:      1,
+		Tiers:     []string{"front", "middle", "back"},
+		Classes: []ClassSettings{
+			{Name: "look", Repeatability: RepeatabilityIdempotent, KeyScope: KeyScopeAll, LatencyObjectiveUs: 1,
+				MaxDeadlineUs: 2, PriorityWeight: WriteOnly[float64]{5}},
+			{Name: "pay", Repeatability: RepeatabilityKeyed, KeyScope: KeyScopeZone, LatencyObjectiveUs: 3,
+				MaxDeadlineUs: 4, KeyWindowUs: 6},
+			{Name: "book", Repeatability: RepeatabilityNonIdempotent, KeyScope: KeyScopeCell, LatencyObjectiveUs: 7,
+				MaxDeadlineUs: 8},
+		},
+		Tenants:      []TenantSettings{{Name: "erie", Quota: 2.5, TrafficShare: WriteOnly[float64]{0.25}}},
+		Discovery:    DiscoverySubscribe,
+		ResolutionUs: 9,
+		Permissions: Permissions{
+			CancelAllowed:      true,
+			HealthCheckAllowed: WriteOnly[bool]{true},
+			RetryAfterAllowed:  true,
+			MaxAttempts:        3,
+			MaxRetryAfterUs:    10,
+			ConnIdleUs:         11,
+			DialTimeoutUs:      12,
+		},
+		Rules: EndpointBehaviour{
+			PollIntervalUs:    13,
+			SlowStartWindowUs: 14,
+			DrainGraceUs:      15,
+			SlowStartCapacity: 0.5,
+			SlowStartShare:    0.75,
+		},
+	}
+	text, err := json.Marshal(written)
+	if err != nil || string(text) != goldenSettings {
+		t.Errorf("written: %v\n%s, want\n%s", err, text, goldenSettings)
+	}
+	const us = time.Microsecond
+	want := Settings{
+		Settings: balancer.Settings{
+			Instances: 4,
+			Index:     2,
+			Classes: []balancer.Class{
+				{Name: "look", Repeat: balancer.Idempotent, KeyScope: balancer.KeyScopeAll, LatencyObjective: 1 * us},
+				{Name: "pay", Repeat: balancer.IdempotencyKeyed, KeyScope: balancer.KeyScopeZone, LatencyObjective: 3 * us,
+					KeyWindow: 6 * us},
+				{Name: "book", Repeat: balancer.NonIdempotent, KeyScope: balancer.KeyScopeCell, LatencyObjective: 7 * us},
+			},
+			Tenants:           []balancer.Tenant{{Name: "erie", Quota: 2.5}},
+			Tier:              1,
+			TiersBelow:        1,
+			PollInterval:      13 * us,
+			SubscribeRequired: true,
+			MaxAttempts:       3,
+			CancelAllowed:     true,
+			MaxRetryAfter:     10 * us,
+			Resolution:        9 * us,
+			SlowStartCapacity: 0.5,
+			SlowStartShare:    0.75,
+			SlowStartWindow:   14 * us,
+		},
+		ConnIdle:    11 * us,
+		DialTimeout: 12 * us,
+		MaxDeadline: 8 * us,
+		DrainGrace:  15 * us,
+	}
+	read, err := ParseSettings([]byte(goldenSettings))
+	if err != nil || !reflect.DeepEqual(read, want) {
+		t.Errorf("read: %v\n%+v, want\n%+v", err, read, want)
+	}
+}
+
+func TestGoldenConfigFile(t *testing.T) {
+	const golden = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","console":"127.0.0.1:3","seed":"1f",` +
+		`"limits":{"cores":0.5,"memory_mb":64,"sockets":128},"known":{"version":1},"settings":{"Me":2}}`
+	file := ConfigFile{
+		Name:      "n",
+		Listen:    "127.0.0.1:1",
+		Discovery: "127.0.0.1:2",
+		AdminAddr: "127.0.0.1:3",
+		Seed:      "1f",
+		Limits:    ConfigLimits{Cores: 0.5, MemoryMB: 64, Sockets: 128},
+		Known:     json.RawMessage(`{"version":1}`),
+		Settings:  json.RawMessage(`{"Me":2}`),
+	}
+	text, err := json.Marshal(file)
+	if err != nil || string(text) != golden {
+		t.Errorf("written: %v\n%s, want\n%s", err, text, golden)
+	}
+	var read ConfigFile
+	if err := json.Unmarshal([]byte(golden), &read); err != nil || !reflect.DeepEqual(read, file) {
+		t.Errorf("read: %+v, %v, want %+v", read, err, file)
+	}
+}
+
+func TestGoldenNames(t *testing.T) {
+	for _, test := range []struct{ name, want string }{
+		{RequestIDHeader, "Req-Id"},
+		{TenantHeader, "Req-Owner"},
+		{DeadlineHeader, "Req-Deadline-Ms"},
+		{ClientRetryHeader, "Req-Retry"},
+		{ClientRetryValue, "1"},
+		{IdempotencyKeyHeader, "Idempotency-Key"},
+		{RejectedHeader, "Srv-Declined"},
+		{RejectedValue, "1"},
+		{LoadReportHeader, "Srv-Load"},
+		{HealthPath, "/_health"},
+		{EndpointListPath, "/catalog/members"},
+		{WatchQuery(42), "watch=1&after=42"},
+		{SettingsField, "Config"},
+		{EnvConfig, "ROUTER_CONFIG"},
+		{EnvName, "ROUTER_NAME"},
+		{EnvListen, "ROUTER_LISTEN"},
+		{EnvDiscovery, "ROUTER_DISCOVERY"},
+		{EnvAdminAddr, "ROUTER_CONSOLE"},
+		{EnvAcceptFD, "ROUTER_ACCEPT_FD"},
+		{EnvSharedDir, "TMPDIR"},
+	} {
+		if test.name != test.want {
+			t.Errorf("%q, want %q", test.name, test.want)
+		}
+	}
+}
+
+// Fields that no sidecar uses may hold anything, as unknown ones may.
+func TestUnusedFieldsAreNotDecoded(t *testing.T) {
+	for _, value := range []string{`null`, `1e999`, `"heavy"`, `true`, `[1]`, `{"a":[]}`} {
+		list := `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"Ready","weight":` + value + `}]}`
+		if _, err := ParseEndpointList([]byte(list)); err != nil {
+			t.Errorf("%s: %v", list, err)
+		}
+		settings := `{"Lanes":[{"Name":"look","Semantics":"read_like","Credit":` + value + `}],"Accounts":[{"Share":` +
+			value + `}],"Permissions":{"MayProbe":` + value + `}}`
+		if _, err := ParseSettings([]byte(settings)); err != nil {
+			t.Errorf("%s: %v", settings, err)
+		}
+	}
+}
--- a/internal/platform/headers.go
+++ b/internal/platform/headers.go
@@ -1,5 +1,7 @@
 package platform
 
+import "strconv"
+
 // Header fields of requests and responses, in canonical form.
 const (
 	RequestIDHeader      = "Req-Id"
@@ -27,3 +29,8 @@
 	WatchValue       = "1"
 	VersionParameter = "after" // the version after which changes are wanted
 )
+
+// WatchQuery returns the query of a watch for the changes after a version.
+func WatchQuery(version int64) string {
+	return WatchParameter + "=" + WatchValue + "&" + VersionParameter + "=" + strconv.FormatInt(version, 10)
+}
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -18,52 +18,6 @@
 	DrainGrace  time.Duration // draining endpoints may still be sent requests for this long; 0: unknown
 }
 
-// settings is the JSON form of the settings object: the fields that are used, under the platform's
-// names. Times are in microseconds.
-type settings struct {
-	Instances    int               `json:"NInstances"`
-	Index        int               `json:"Me"`
-	Tier         int               `json:"Tier"`
-	Tiers        []string          `json:"Tiers"`
-	Classes      []classSettings   `json:"Lanes"`
-	Tenants      []tenantSettings  `json:"Accounts"`
-	Discovery    string            `json:"Discovery"`
-	ResolutionUs int64             `json:"ResolutionUs"`
-	Permissions  permissions       `json:"Permissions"`
-	Rules        endpointBehaviour `json:"Rules"`
-}
-
-type classSettings struct {
-	Name               string `json:"Name"`
-	Repeatability      string `json:"Semantics"`
-	KeyScope           string `json:"Group"`
-	LatencyObjectiveUs int64  `json:"OnTimeUs"`
-	MaxDeadlineUs      int64  `json:"HardLimitUs"`
-	KeyWindowUs        int64  `json:"WindowUs"`
-}
-
-type tenantSettings struct {
-	Name  string  `json:"Name"`
-	Quota float64 `json:"QuotaPerS"` // requests a second
-}
-
-type permissions struct {
-	CancelAllowed     bool  `json:"MayCancel"`
-	RetryAfterAllowed bool  `json:"RetryAfter"`
-	MaxAttempts       int   `json:"TryLimit"`
-	MaxRetryAfterUs   int64 `json:"MaxRetryAfterUs"`
-	ConnIdleUs        int64 `json:"ConnIdleUs"`
-	DialTimeoutUs     int64 `json:"DialTimeoutUs"`
-}
-
-type endpointBehaviour struct {
-	PollIntervalUs    int64   `json:"AskWithinUs"`
-	SlowStartWindowUs int64   `json:"ColdUs"`
-	DrainGraceUs      int64   `json:"DrainGraceUs"`
-	SlowStartCapacity float64 `json:"ColdFrom"`
-	SlowStartShare    float64 `json:"ColdShare"` // our own field: the platform does not send it
-}
-
 // SettingsField names the settings object where it is a field of another message.
 const SettingsField = "Config"
 
@@ -78,27 +32,27 @@
 }
 
 func parseSettings(text []byte) (Settings, error) {
-	var c settings
-	if err := json.Unmarshal(text, &c); err != nil {
+	var object SettingsObject
+	if err := json.Unmarshal(text, &object); err != nil {
 		return Settings{}, err
 	}
-	if err := c.validate(); err != nil {
+	if err := object.validate(); err != nil {
 		return Settings{}, err
 	}
 	s := Settings{
-		Settings:    c.balancerSettings(),
-		ConnIdle:    microseconds(c.Permissions.ConnIdleUs),
-		DialTimeout: microseconds(c.Permissions.DialTimeoutUs),
-		DrainGrace:  microseconds(c.Rules.DrainGraceUs),
+		Settings:    object.balancerSettings(),
+		ConnIdle:    microseconds(object.Permissions.ConnIdleUs),
+		DialTimeout: microseconds(object.Permissions.DialTimeoutUs),
+		DrainGrace:  microseconds(object.Rules.DrainGraceUs),
 	}
-	switch c.Discovery {
-	case "automatic", "":
-	case "subscribe":
+	switch object.Discovery {
+	case DiscoveryAutomatic, "":
+	case DiscoverySubscribe:
 		s.SubscribeRequired = true
 	default:
-		return Settings{}, fmt.Errorf("unknown Discovery %q", c.Discovery)
+		return Settings{}, fmt.Errorf("unknown Discovery %q", object.Discovery)
 	}
-	for _, class := range c.Classes {
+	for _, class := range object.Classes {
 		s.MaxDeadline = max(s.MaxDeadline, microseconds(class.MaxDeadlineUs))
 		parsed, err := class.parse()
 		if err != nil {
@@ -106,14 +60,14 @@
 		}
 		s.Classes = append(s.Classes, parsed)
 	}
-	for _, tenant := range c.Tenants {
+	for _, tenant := range object.Tenants {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: tenant.Name, Quota: tenant.Quota})
 	}
 	return s, nil
 }
 
 // balancerSettings returns the balancer's settings except discovery, classes and tenants.
-func (c *settings) balancerSettings() balancer.Settings {
+func (c *SettingsObject) balancerSettings() balancer.Settings {
 	s := balancer.Settings{
 		Instances:         c.Instances,
 		Index:             c.Index,
@@ -134,25 +88,25 @@
 }
 
 // parse returns the balancer's form of a class.
-func (c classSettings) parse() (balancer.Class, error) {
+func (c ClassSettings) parse() (balancer.Class, error) {
 	class := balancer.Class{Name: c.Name, KeyWindow: microseconds(c.KeyWindowUs),
 		LatencyObjective: microseconds(c.LatencyObjectiveUs)}
 	switch c.Repeatability {
-	case "read_like":
+	case RepeatabilityIdempotent:
 		class.Repeat = balancer.Idempotent
-	case "idempotency_key":
+	case RepeatabilityKeyed:
 		class.Repeat = balancer.IdempotencyKeyed
-	case "non_idempotent":
+	case RepeatabilityNonIdempotent:
 		class.Repeat = balancer.NonIdempotent
 	default:
 		return class, fmt.Errorf("class %q has unknown Semantics %q", c.Name, c.Repeatability)
 	}
 	switch c.KeyScope {
-	case "all", "":
+	case KeyScopeAll, "":
 		class.KeyScope = balancer.KeyScopeAll
-	case "zone":
+	case KeyScopeZone:
 		class.KeyScope = balancer.KeyScopeZone
-	case "cell":
+	case KeyScopeCell:
 		class.KeyScope = balancer.KeyScopeCell
 	default:
 		return class, fmt.Errorf("class %q has unknown Group %q", c.Name, c.KeyScope)
@@ -162,7 +116,7 @@
 
 // validate rejects negative amounts. The balancer would take a negative time, count or share for an
 // absent one, or apply the reverse of a rule.
-func (c *settings) validate() error {
+func (c *SettingsObject) validate() error {
 	amounts := []struct {
 		field string
 		value float64
--- /dev/null
+++ b/internal/platform/settingsobject.go
@@ -0,0 +1,74 @@
+package platform
+
+// SettingsObject is the JSON form of the settings, under the platform's names. Times are in
+// microseconds.
+type SettingsObject struct {
+	Instances    int               `json:"NInstances"`
+	Index        int               `json:"Me"`
+	Tier         int               `json:"Tier"`
+	Tiers        []string          `json:"Tiers"`
+	Classes      []ClassSettings   `json:"Lanes"`
+	Tenants      []TenantSettings  `json:"Accounts"`
+	Discovery    string            `json:"Discovery"` // a discovery mode
+	ResolutionUs int64             `json:"ResolutionUs"`
+	Permissions  Permissions       `json:"Permissions"`
+	Rules        EndpointBehaviour `json:"Rules"`
+}
+
+// Discovery modes.
+const (
+	DiscoveryAutomatic = "automatic" // the default
+	DiscoverySubscribe = "subscribe" // lists come only to those that subscribe
+)
+
+// ClassSettings are the settings of one class of requests.
+type ClassSettings struct {
+	Name               string             `json:"Name"`
+	Repeatability      string             `json:"Semantics"`
+	KeyScope           string             `json:"Group"`
+	LatencyObjectiveUs int64              `json:"OnTimeUs"`
+	MaxDeadlineUs      int64              `json:"HardLimitUs"`
+	KeyWindowUs        int64              `json:"WindowUs"`
+	PriorityWeight     WriteOnly[float64] `json:"Credit"`
+}
+
+// Values of ClassSettings.Repeatability.
+const (
+	RepeatabilityIdempotent    = "read_like"
+	RepeatabilityKeyed         = "idempotency_key"
+	RepeatabilityNonIdempotent = "non_idempotent"
+)
+
+// Values of ClassSettings.KeyScope: among which endpoints an idempotency key is known.
+const (
+	KeyScopeAll  = "all" // the default
+	KeyScopeZone = "zone"
+	KeyScopeCell = "cell"
+)
+
+// TenantSettings are the settings of one tenant.
+type TenantSettings struct {
+	Name         string             `json:"Name"`
+	Quota        float64            `json:"QuotaPerS"` // requests a second
+	TrafficShare WriteOnly[float64] `json:"Share"`
+}
+
+// Permissions are what a sidecar may do, and how long its connections live.
+type Permissions struct {
+	CancelAllowed      bool            `json:"MayCancel"`
+	HealthCheckAllowed WriteOnly[bool] `json:"MayProbe"`
+	RetryAfterAllowed  bool            `json:"RetryAfter"`
+	MaxAttempts        int             `json:"TryLimit"`
+	MaxRetryAfterUs    int64           `json:"MaxRetryAfterUs"`
+	ConnIdleUs         int64           `json:"ConnIdleUs"`
+	DialTimeoutUs      int64           `json:"DialTimeoutUs"`
+}
+
+// EndpointBehaviour is what a sidecar can rely on in endpoints and discovery.
+type EndpointBehaviour struct {
+	PollIntervalUs    int64   `json:"AskWithinUs"`
+	SlowStartWindowUs int64   `json:"ColdUs"`
+	DrainGraceUs      int64   `json:"DrainGraceUs"`
+	SlowStartCapacity float64 `json:"ColdFrom"`
+	SlowStartShare    float64 `json:"ColdShare"` // our own field: the platform does not send it
+}
