--- a/internal/connpool/acquire_test.go
+++ b/internal/connpool/acquire_test.go
@@ -77,14 +77,14 @@
 			p.SetEndpoint("a", e.Addr, true)
 		}, NotSent},
 		"the client disconnects": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) {
-			a.ClientGone = func() bool { return true }
+			a.ClientDisconnected = func() bool { return true }
 		}, NotSent},
 		"the attempt is canceled": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) { a.Cancel() }, Canceled},
 		"the attempt is canceled unless written": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) {
 			a.CancelUnlessWritten()
 		}, Canceled},
 		"the client is still there": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) {
-			a.ClientGone = func() bool { return false }
+			a.ClientDisconnected = func() bool { return false }
 		}, succeeded},
 		"the list says ready again": {func(p *Pool, _ *Attempt, e *testpeer.Endpoint) {
 			p.SetEndpoint("a", e.Addr, true)
@@ -157,7 +157,7 @@
 		c := p.endpoints["a"].idle[0]
 		a := attemptWithin(patience)
 		var once sync.Once
-		a.ClientGone = func() bool { // between the choice of the connection and the first byte
+		a.ClientDisconnected = func() bool { // between the choice of the connection and the first byte
 			once.Do(func() {
 				close(closeNow)
 				until(t, "the close arrives", c.hasPendingInput)
--- a/internal/connpool/cancel.go
+++ b/internal/connpool/cancel.go
@@ -16,10 +16,10 @@
 // setInProgress under mu. So there is no moment at which a cancellation finds nothing to close and
 // the attempt goes on.
 type Attempt struct {
-	Deadline         time.Time
-	WriteBy          time.Time   // by when the request must have been written completely; zero: by Deadline
-	OnRequestWritten func()      // called when a request with an Upload has been written completely; nil: nothing
-	ClientGone       func() bool // reports whether the client has disconnected; nil: unknown. It must not block
+	Deadline           time.Time
+	WriteBy            time.Time   // by when the request must have been written completely; zero: by Deadline
+	OnRequestWritten   func()      // called when a request with an Upload has been written completely; nil: nothing
+	ClientDisconnected func() bool // reports whether the client has disconnected; nil: unknown. It must not block
 
 	mu             sync.Mutex // held for the transitions below and for Close, which doesn't block
 	canceled       bool
--- a/internal/connpool/exchange.go
+++ b/internal/connpool/exchange.go
@@ -76,11 +76,10 @@
 // last check before the first byte: while the connection came up, or its quarantine passed, the
 // endpoint list or the operators may have taken the endpoint out, the endpoint may have closed the
 // connection or begun to write, the time for a retry may be over, and the client may have
-// disconnected. What is sent from here on was
-// right when it was sent.
+// disconnected. What is sent from here on was right when it was sent.
 //
-// Only the look at the endpoint takes mu. ClientGone and the look at the socket come after, without
-// it.
+// Only the look at the endpoint takes mu. ClientDisconnected and the look at the socket come after,
+// without it.
 func (p *Pool) checkBeforeWrite(c *conn, a *Attempt) error {
 	p.mu.Lock()
 	current := c.endpoint.isCurrent(c)
@@ -90,7 +89,7 @@
 		return errEndpointRemoved
 	case !a.WriteBy.IsZero() && (time.Now().After(a.WriteBy) || c.SetWriteDeadline(a.WriteBy) != nil):
 		return errTooLateToWrite
-	case a.ClientGone != nil && a.ClientGone():
+	case a.ClientDisconnected != nil && a.ClientDisconnected():
 		return errClientDisconnected
 	case c.hasPendingInput():
 		return errStaleConn
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -52,9 +52,9 @@
 	requestsWritten atomic.Int64
 
 	// mu guards the fields below, those of every endpointConns, and the idleSince of connections. It
-	// is held for bookkeeping and for the calls that don't block (the close of a connection, the check
-	// for pending input), never while a connection is dialed, read or written, nor while an attempt
-	// waits. No other lock of this package is taken while it is held.
+	// is held for bookkeeping and for the calls that don't block (the close of a connection, the
+	// check for pending input), never while a connection is dialed, read or written, nor while an
+	// attempt waits. No other lock of this package is taken while it is held.
 	mu                  sync.Mutex
 	dialTimeout         time.Duration
 	maxConns            int
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -173,7 +173,7 @@
 
 func (p *pool) options() proxy.Options {
 	return proxy.Options{
-		ConnIdle:    p.config.ConnIdleTimeout,
+		IdleTimeout: p.config.ConnIdleTimeout,
 		DialTimeout: p.config.DialTimeout,
 		MaxConns:    p.config.MaxConns,
 		PassThrough: true,
--- a/internal/daemon/reason_test.go
+++ b/internal/daemon/reason_test.go
@@ -52,7 +52,7 @@
 			_, metrics := s.requestAdmin(http.MethodGet, "/metrics")
 			return strings.Contains(metrics, want)
 		})
-		if !strings.Contains(s.log.String(), "why="+c.reason) {
+		if !strings.Contains(s.log.String(), " reason="+c.reason+" ") {
 			t.Errorf("%s: the log has no %s: %s", c.path, c.reason, s.log)
 		}
 	}
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -165,7 +165,7 @@
 	}
 	// A request that has just been read may have stood in the kernel's queues for long, so its client
 	// may be gone already.
-	call.ClientGone = c.disconnect.clientGone
+	call.ClientDisconnected = c.disconnect.clientGone
 	if body.streamed != nil {
 		return c.forwardStreamed(r, target.Pool, call, message, body, &f)
 	}
@@ -217,7 +217,7 @@
 // do passes a call to its pool and waits for the result, while it watches whether the client
 // disconnects.
 func (c *conn) do(pool *proxy.Pool, call *proxy.Call) (result proxy.Result, disconnected bool) {
-	c.disconnect.start(func() { pool.ClientLeft(call) })
+	c.disconnect.start(func() { pool.ClientDisconnected(call) })
 	result = pool.Do(call)
 	return result, c.disconnect.stop()
 }
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempt_test.go
@@ -9,7 +9,7 @@
 	"rowancart/internal/connpool"
 )
 
-// What the Balancer is told of a failed attempt decides whether the request may be retried.
+// The result that the Balancer is notified of decides whether a failed attempt may be retried.
 func TestAttemptErrorsBecomeResults(t *testing.T) {
 	cause := errors.New("cause")
 	for want, err := range map[balancer.Result]error{
--- a/internal/proxy/calls_test.go
+++ b/internal/proxy/call_test.go
@@ -9,78 +9,79 @@
 	"rowancart/balancer"
 )
 
-// An endpoint is taken out, in whatever way, between the Balancer's choice and the first byte: not
-// a byte goes there, and the request, idempotent or not, is served by another endpoint.
+// An endpoint is disabled, drains or is removed between the Balancer's choice and the first byte:
+// not a byte is sent there, and the request, idempotent or not, is served by another endpoint.
 func TestRemovedEndpointGetsNoPendingAttempt(t *testing.T) {
-	for name, happens := range map[string]func(p *Pool, id, addr string){
+	for name, change := range map[string]func(p *Pool, id, addr string){
 		"disabled": func(p *Pool, id, _ string) { p.Disable(id) },
 		"draining": func(p *Pool, id, addr string) {
 			p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Addr: addr, State: balancer.Draining}}})
 		},
-		"gone": func(p *Pool, id, addr string) {
+		"removed": func(p *Pool, id, addr string) {
 			p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Addr: addr, State: balancer.Gone}}})
 		},
 	} {
-		for _, class := range []string{"safe", "unsafe"} {
+		for _, class := range []string{"idempotent", "non-idempotent"} {
 			t.Run(name+" "+class, func(t *testing.T) {
 				f := newTestEndpoints(t, 2, writeServed)
 				p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
-				dialed, release := p.dialer.holdNext()
+				dialed, release := p.dialer.blockNext()
 				result := p.doAsync(p.newTestCall("r1", class, patience))
 				addr := (<-dialed).RemoteAddr().String()
-				happens(p.Pool, f.nameOf(addr), addr)
+				change(p.Pool, f.nameOf(addr), addr)
 				close(release)
 				if r := <-result; r.Kind != Served {
 					t.Errorf("result %+v", r)
 				}
 				if got := f.receivedBy(f.nameOf(addr)); len(got) > 0 {
-					t.Errorf("the endpoint got %v", got)
+					t.Errorf("the endpoint received %v", got)
 				}
 			})
 		}
 	}
 }
 
-// startMsAfterNow returns a start time, in Unix milliseconds, after all that has happened and
-// before all that is to come.
+// startMsAfterNow returns a start time, in Unix milliseconds, that is later than the time of its
+// call and earlier than the time of its return.
 func startMsAfterNow(t *testing.T) int64 {
 	t.Helper()
 	ms := time.Now().UnixMilli() + 1
-	until(t, "that moment has come", func() bool { return time.Now().UnixMilli() > ms })
+	until(t, "the start time has passed", func() bool { return time.Now().UnixMilli() > ms })
 	return ms
 }
 
-// An endpoint that has restarted has nobody at the other end of the connections from before. No
-// close need have been received, where its machine vanished: what is sent there is lost.
+// Connections from before an endpoint's restart have no process at the other end. If its machine
+// failed, no close was received, and what is sent on them is lost.
 func TestConnsFromBeforeRestartAreNotReused(t *testing.T) {
 	var restarted atomic.Bool
 	f := newTestEndpoints(t, 1, func(nc net.Conn, id string) bool {
 		if id == "new" && !restarted.Load() {
-			return true // it was the old process's connection
+			return true // the connection of the old process
 		}
 		return writeServed(nc, id)
 	})
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
-	if r := <-p.doAsync(p.newTestCall("old", "unsafe", patience)); r.Kind != Served {
+	if r := <-p.doAsync(p.newTestCall("old", "non-idempotent", patience)); r.Kind != Served {
 		t.Fatalf("result %+v", r)
 	}
 	listed := Endpoint{ID: "a", Addr: f.addrs[0]}
-	p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{listed}}) // nothing new
+	p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{listed}}) // unchanged
 	if s := p.Stats(); s.Connections != 1 {
-		t.Errorf("%d connections are left after a list that says nothing new", s.Connections)
+		t.Errorf("%d connections are open after an unchanged list", s.Connections)
 	}
 	listed.StartedMs = startMsAfterNow(t)
 	p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{listed}})
 	if s := p.Stats(); s.Connections != 0 {
-		t.Errorf("%d connections are left after the restart", s.Connections)
+		t.Errorf("%d connections are open after the restart", s.Connections)
 	}
 	restarted.Store(true)
-	if r := <-p.doAsync(p.newTestCall("new", "unsafe", patience)); r.Kind != Served || f.peers[0].Connections.Load() != 2 {
-		t.Errorf("result %+v on %d connections", r, f.peers[0].Connections.Load())
+	r := <-p.doAsync(p.newTestCall("new", "non-idempotent", patience))
+	if n := f.peers[0].Connections.Load(); r.Kind != Served || n != 2 {
+		t.Errorf("result %+v on %d connections", r, n)
 	}
-	p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{listed}}) // connections to the listed process stay
+	p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{listed}}) // connections to the listed process stay open
 	if s := p.Stats(); s.Connections != 1 {
-		t.Errorf("%d connections are left that came up after the start", s.Connections)
+		t.Errorf("%d connections are open that were established after the start", s.Connections)
 	}
 }
 
@@ -93,7 +94,7 @@
 	listed := EndpointList{Endpoints: []Endpoint{{ID: "a", Addr: f.addrs[0], StartedMs: inOneHour}}}
 	for _, id := range []string{"r1", "r2"} {
 		p.UpdateEndpoints(listed)
-		if r := <-p.doAsync(p.newTestCall(id, "unsafe", patience)); r.Kind != Served {
+		if r := <-p.doAsync(p.newTestCall(id, "non-idempotent", patience)); r.Kind != Served {
 			t.Errorf("result %+v", r)
 		}
 	}
@@ -102,7 +103,7 @@
 	}
 }
 
-// A connection that carries an attempt while its endpoint restarts is not kept for another one.
+// A connection that carries an attempt while its endpoint restarts is not reused for another one.
 func TestConnFromBeforeRestartIsNotReturnedToPool(t *testing.T) {
 	received, release := make(chan bool), make(chan bool)
 	f := newTestEndpoints(t, 1, func(nc net.Conn, id string) bool {
@@ -111,7 +112,7 @@
 		return writeServed(nc, id)
 	})
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
-	result := p.doAsync(p.newTestCall("r1", "safe", patience))
+	result := p.doAsync(p.newTestCall("r1", "idempotent", patience))
 	<-received
 	p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: "a", Addr: f.addrs[0], StartedMs: startMsAfterNow(t)}}})
 	close(release)
@@ -121,19 +122,19 @@
 	until(t, "the connection is closed", func() bool { return p.Stats().Connections == 0 })
 }
 
-// The deadline passes and the response arrives at the same time: whichever is handled first
-// decides, once, and the other one changes nothing.
+// The deadline passes and the response arrives at the same time: the first to be handled decides
+// the one result, and the other changes nothing.
 func TestDeadlineAndResponseAtSameTime(t *testing.T) {
 	for _, cancelAllowed := range []bool{true, false} {
 		for _, responseFirst := range []bool{true, false} {
-			for class, timedOut := range map[string]ResultKind{"safe": Rejected, "unsafe": Failed} {
+			for class, timedOut := range map[string]ResultKind{"idempotent": Rejected, "non-idempotent": Failed} {
 				received, release := make(chan bool, 1), make(chan bool)
 				f := newTestEndpoints(t, 1, func(nc net.Conn, id string) bool {
 					received <- true
 					<-release
 					return writeServed(nc, id)
 				})
-				// The Balancer gives up one resolution ahead of the deadline, the attempt at the deadline.
+				// The Balancer times out one resolution before the deadline, the attempt at the deadline.
 				p := newTestPool(t, balancer.Settings{CancelAllowed: cancelAllowed, Resolution: patience}, f.addrs...)
 				p.stopTimer()
 				due := p.Now() + 50*time.Millisecond
@@ -157,20 +158,20 @@
 				}
 				until(t, "nothing is in flight", func() bool { return p.Stats().Calls == 0 })
 				if n := f.peers[0].Requests.Load(); n != 1 {
-					t.Errorf("it was sent %d times", n)
+					t.Errorf("the request was received %d times", n)
 				}
 			}
 		}
 	}
 }
 
-// A hedged request is due when its client has disconnected, or its client disconnects while the
-// connection is dialed: none is sent. A client that stays gets it.
+// A hedged request becomes due after its client has disconnected, or its client disconnects while
+// the connection is dialed: it is not sent. With the client still connected, it is.
 func TestNoHedgedRequestForDisconnectedClient(t *testing.T) {
-	for name, row := range map[string]struct{ leftBefore, leftDuring bool }{
-		"stays":                                 {},
-		"leaves before it is due":               {leftBefore: true},
-		"leaves while its connection is dialed": {leftDuring: true},
+	for name, row := range map[string]struct{ disconnectsBefore, disconnectsDuring bool }{
+		"stays connected":                            {},
+		"disconnects before it is due":               {disconnectsBefore: true},
+		"disconnects while its connection is dialed": {disconnectsDuring: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			received, release := make(chan bool, 2), make(chan bool)
@@ -182,27 +183,27 @@
 			p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 			p.stopTimer()
 			c := p.newTestCall("r1", "hedged", time.Minute)
-			var left atomic.Bool
-			c.ClientGone = left.Load
+			var disconnected atomic.Bool
+			c.ClientDisconnected = disconnected.Load
 			result := p.doAsync(c)
 			<-received
-			dialed, releaseDial := p.dialer.holdNext()
-			if row.leftBefore {
-				left.Store(true)
-				p.ClientLeft(c)
+			dialed, releaseDial := p.dialer.blockNext()
+			if row.disconnectsBefore {
+				disconnected.Store(true)
+				p.ClientDisconnected(c)
 			}
 			due := p.Now() + 2*time.Millisecond
 			until(t, "the hedged request is due", func() bool { return p.Now() > due })
 			p.handleEvent(p.fireDueTimers)
-			if !row.leftBefore {
+			if !row.disconnectsBefore {
 				<-dialed
 			}
-			if row.leftDuring {
-				left.Store(true)
+			if row.disconnectsDuring {
+				disconnected.Store(true)
 			}
 			close(releaseDial)
 			want := int32(1)
-			if name == "stays" {
+			if name == "stays connected" {
 				<-received
 				want = 2
 			}
@@ -211,23 +212,23 @@
 			<-result
 			until(t, "nothing is in flight", func() bool { return p.Stats().Calls == 0 })
 			if n := f.peers[0].Requests.Load() + f.peers[1].Requests.Load(); n != want {
-				t.Errorf("%d attempts were received", n)
+				t.Errorf("%d requests were received", n)
 			}
 		})
 	}
 }
 
-// The client disconnects when its attempt has been handed to the goroutine in Do, which has not
-// taken it yet.
-func TestAttemptHandedOverToDisconnectedClientIsNotSent(t *testing.T) {
+// The client disconnects after its attempt was passed to the goroutine in Do and before that
+// goroutine has received it.
+func TestPendingAttemptOfDisconnectedClientIsNotSent(t *testing.T) {
 	f := newTestEndpoints(t, 1, writeServed)
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
-	c := p.newTestCall("r1", "unsafe", patience)
+	c := p.newTestCall("r1", "non-idempotent", patience)
 	p.handleEvent(func(now time.Duration) { p.startCall(now, c) })
 	if len(c.inlineAttempts) != 1 {
-		t.Fatal("no attempt was handed over")
+		t.Fatal("no attempt was passed to Do")
 	}
-	p.ClientLeft(c)
+	p.ClientDisconnected(c)
 	if r := <-c.results; r.Kind != Failed {
 		t.Errorf("result %+v", r)
 	}
--- a/internal/proxy/clock_test.go
+++ b/internal/proxy/clock_test.go
@@ -1,94 +1,24 @@
 package proxy
 
 import (
-	"fmt"
 	"testing"
 	"time"
-
-	"rowancart/balancer"
 )
 
-// The wall clock is wrong: an endpoint's start lies in the future, and one that has restarted seems
-// to have started long ago. The slow start takes its window from the moment at which the start was
-// heard of.
-func TestSlowStartIsASpanOfRealTime(t *testing.T) {
-	const window = 500 * time.Millisecond
-	settings := func(window time.Duration) balancer.Settings {
-		return balancer.Settings{SlowStartWindow: window, SlowStartCapacity: 0.3}
-	}
-	warmth := func(p testPool, id string) float64 {
-		for _, e := range p.Endpoints() {
-			if e.ID == id {
-				return e.Warmth
-			}
-		}
-		return -1
-	}
-	start := func(p testPool, started time.Time) {
-		p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: "a", Addr: "127.0.0.1:9", StartedMs: started.UnixMilli()}}})
-	}
-	now := time.Now()
-
-	ahead := newTestPool(t, settings(window))
-	start(ahead, now.Add(time.Hour))
-	if w := warmth(ahead, "a"); w >= 1 {
-		t.Errorf("told of a start in the future: warmth %v", w)
-	}
-	time.Sleep(2 * window) // its window passes
-	if w := warmth(ahead, "a"); w != 1 {
-		t.Errorf("after its window: warmth %v", w)
-	}
-
-	back := newTestPool(t, settings(time.Minute))
-	start(back, now)
-	start(back, now.Add(-time.Hour)) // restarted, after the clock was set back
-	if w := warmth(back, "a"); w >= 1 {
-		t.Errorf("told of a restart by a clock that was set back: warmth %v", w)
-	}
-}
-
-// The wall clock is stepped by an hour while this process runs, here alone or everywhere: an
-// endpoint that has just started never counts as one that started long ago.
-func TestStepOfTheWallClockMakesNoEndpointOld(t *testing.T) {
-	steps := map[string]time.Duration{"forward": time.Hour, "back": -time.Hour, "by seconds": 3 * time.Second}
-	for name, step := range steps {
-		for where, listedBy := range map[string]time.Duration{"here": 0, "everywhere": step} {
-			c := clock{started: time.Now(), wall: func() time.Time { return time.Now().Add(step) }}
-			starts := startTimes{clock: c, byID: map[string]listedStart{}}
-			now := c.now()
-			listed := time.Now().Add(listedBy).UnixMilli()
-			at := starts.instant(now, "a", listed)
-			if age := now - at; age < 0 || age > time.Second {
-				t.Errorf("%s, %s: it counts as %v old", name, where, age)
-			}
-			if again := starts.instant(now+time.Minute, "a", listed); again != at {
-				t.Errorf("%s, %s: the same start is another instant, %v later", name, where, again-at)
-			}
-		}
-	}
-}
-
-// The clock was wrong when this process began: what endpoint discovery had not listed a moment ago
-// has not started an hour ago. An endpoint of the first list may have.
-func TestUnlistedEndpointIsNotOld(t *testing.T) {
-	c := clock{started: time.Now().Add(-time.Minute)}
-	starts := startTimes{clock: c, byID: map[string]listedStart{}}
-	now := c.now()
-	hourAgo := time.Now().Add(-time.Hour).UnixMilli()
-	if age := now - starts.instant(now, "first", hourAgo); age < time.Minute {
-		t.Errorf("an endpoint of the first list counts as %v old", age)
-	}
-	starts.currentAt = now
-	if age := now - starts.instant(now, "new", hourAgo); age != 0 {
-		t.Errorf("a new endpoint counts as %v old", age)
+// The same start must always be the same instant, or an old start would be taken for a restart.
+func TestStartTimesBecomeInstants(t *testing.T) {
+	c := clock{started: time.Now()}
+	at := c.started.UnixMilli()
+	if c.instant(0) != 0 {
+		t.Errorf("long ago: %v", c.instant(0))
 	}
-	if age := now - starts.instant(now, "first", hourAgo); age < time.Minute {
-		t.Errorf("an endpoint that was listed before counts as %v old", age)
+	if got := c.instant(at - 2000); got != clockEpoch-2*time.Second {
+		t.Errorf("two seconds before the start: %v", got)
 	}
-	for i := range 500 {
-		starts.instant(now, fmt.Sprint(i), hourAgo)
+	if got := c.instant(1); got != 0 {
+		t.Errorf("years ago: %v", got)
 	}
-	if starts.prune(map[string]Endpoint{"first": {}}); len(starts.byID) != 1 {
-		t.Errorf("%d endpoints are remembered, and one is listed", len(starts.byID))
+	if now := c.now(); now < clockEpoch {
+		t.Errorf("now: %v", now)
 	}
 }
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -7,7 +7,7 @@
 	"rowancart/balancer"
 )
 
-// ErrUnknownEndpoint says that no endpoint of that name is listed, or was when it was disabled.
+// ErrUnknownEndpoint says that no endpoint of that id is listed, or was when it was disabled.
 var ErrUnknownEndpoint = errors.New("no such endpoint is listed")
 
 // Endpoint is an endpoint as endpoint discovery lists it.
@@ -27,7 +27,7 @@
 type EndpointList struct {
 	Complete  bool
 	Endpoints []Endpoint
-	Unlisted  int // ready endpoints beside those that are ever listed to this instance
+	Unlisted  int // ready endpoints that are never listed to this instance
 }
 
 // UpdateEndpoints applies an update from endpoint discovery.
@@ -35,72 +35,65 @@
 	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, l) })
 }
 
-// applyEndpointList passes an update on to the connections and the Balancer. The connections come
-// first: what the Balancer decides on the new list must find them up to date. p.mu must be held.
+// applyEndpointList passes an update to the connection pool and the Balancer. The connection pool
+// comes first: what the Balancer decides by the new list must find it up to date. p.mu must be
+// held.
 func (p *Pool) applyEndpointList(now time.Duration, l EndpointList) {
 	update := balancer.EndpointList{Complete: l.Complete, Unlisted: l.Unlisted}
-	listed := map[string]bool{}
 	for _, e := range l.Endpoints {
-		update.Entries = append(update.Entries, balancer.Endpoint{
-			ID: e.ID, State: e.State, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
-			Started: p.starts.instant(now, e.ID, e.StartedMs),
-		})
-		listed[e.ID] = true
+		update.Entries = append(update.Entries, p.endpoints.entry(now, e))
 		if e.State == balancer.Gone {
 			p.removeEndpoint(e.ID)
 			continue
 		}
-		p.endpoints[e.ID] = e
+		p.endpoints.set(e)
 		p.updateConns(e.ID)
 	}
 	if l.Complete {
-		for id := range p.endpoints {
-			if !listed[id] {
-				p.removeEndpoint(id)
-			}
+		for _, id := range p.endpoints.idsNotIn(l.Endpoints) {
+			p.removeEndpoint(id)
 		}
 	}
-	p.starts.prune(p.endpoints)
+	p.endpoints.starts.prune(p.endpoints.listed)
 	p.events.EndpointList(now, update)
 }
 
-// MarkListCurrent reports that endpoint discovery has just been heard of, and has no other news
-// than the list in force.
+// MarkListCurrent reports that endpoint discovery has just confirmed the list in force.
 func (p *Pool) MarkListCurrent() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.starts.currentAt = p.clock.now()
+	p.endpoints.starts.listCurrentAt = p.clock.now()
 }
 
-// removeEndpoint forgets an endpoint. p.mu must be held.
+// removeEndpoint removes an endpoint that is no longer listed. p.mu must be held.
 func (p *Pool) removeEndpoint(id string) {
-	delete(p.endpoints, id)
+	p.endpoints.remove(id)
 	p.conns.RemoveEndpoint(id)
 }
 
-// updateConns tells the connection pool where an endpoint is, if it is listed, and whether it takes
-// new requests. p.mu must be held.
+// updateConns sets the address and start of a listed endpoint in the connection pool, and whether
+// it takes new requests. p.mu must be held.
 func (p *Pool) updateConns(id string) {
-	if e, listed := p.endpoints[id]; listed {
-		p.conns.SetEndpoint(id, e.Addr, e.State == balancer.Ready && !p.disabled[id])
-		p.conns.SetStartTime(id, p.clock.time(p.starts.byID[id].at))
+	if e, isListed := p.endpoints.listed[id]; isListed {
+		p.conns.SetEndpoint(id, e.Addr, p.endpoints.acceptsRequests(id))
+		p.conns.SetStartTime(id, p.endpoints.startTime(id))
 	}
 }
 
-// Disable takes an endpoint out at the operators' request: once it has returned, no new attempt
-// goes there. An endpoint that is not listed may be disabled too; it stays out when it is listed.
+// Disable takes an endpoint out of service for operators: once it has returned, no new attempt goes
+// there. An endpoint that is not listed may be disabled too; it stays disabled when it is listed.
 func (p *Pool) Disable(id string) {
 	p.handleEvent(func(now time.Duration) {
-		p.disabled[id] = true
+		p.endpoints.disabled[id] = true
 		p.updateConns(id)
 		p.balancer.Disable(now, id)
 	})
 }
 
-// Enable puts an endpoint back.
+// Enable puts a disabled endpoint back into service.
 func (p *Pool) Enable(id string) {
 	p.handleEvent(func(now time.Duration) {
-		delete(p.disabled, id)
+		delete(p.endpoints.disabled, id)
 		p.updateConns(id)
 		p.balancer.Enable(now, id)
 	})
@@ -110,8 +103,8 @@
 func (p *Pool) HasEndpoint(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, listed := p.endpoints[id]
-	return listed
+	_, isListed := p.endpoints.listed[id]
+	return isListed
 }
 
 // EndpointStatus is the state of one endpoint.
@@ -134,15 +127,10 @@
 }
 
 // endpointStatuses returns what the Balancer knows of all endpoints, and their addresses by id. The
-// state of their connections is read after it, without p.mu: this is for people to read, and
-// requests need not wait for it.
+// state of their connections is read after it, without p.mu: operators read it, and requests need
+// not wait for it.
 func (p *Pool) endpointStatuses() (statuses []balancer.EndpointStatus, addrs map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	statuses = p.balancer.EndpointStatuses(p.clock.now())
-	addrs = make(map[string]string, len(p.endpoints))
-	for id, e := range p.endpoints {
-		addrs[id] = e.Addr
-	}
-	return statuses, addrs
+	return p.balancer.EndpointStatuses(p.clock.now()), p.endpoints.addrs()
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -29,15 +29,15 @@
 
 // testClasses are the classes of test calls.
 var testClasses = []balancer.Class{
-	{Name: "safe", LatencyObjective: time.Minute},
-	{Name: "unsafe", Repeat: balancer.NonIdempotent, LatencyObjective: time.Minute},
+	{Name: "idempotent", LatencyObjective: time.Minute},
+	{Name: "non-idempotent", Repeat: balancer.NonIdempotent, LatencyObjective: time.Minute},
 	{Name: "hedged", LatencyObjective: time.Minute, HedgeAfter: time.Millisecond},
 }
 
-// testPool is a Pool that runs, with a dialer that can be held.
+// testPool is a running Pool with a dialer that a test can block.
 type testPool struct {
 	*Pool
-	dialer *holdingDialer
+	dialer *blockingDialer
 }
 
 // newTestPool runs a Pool with endpoints at the addresses given, named a, b, ...
@@ -48,9 +48,9 @@
 	for i, addr := range addrs {
 		known.Endpoints = append(known.Endpoints, Endpoint{ID: string(rune('a' + i)), Addr: addr})
 	}
-	dialer := &holdingDialer{}
+	dialer := &blockingDialer{}
 	p := New(s, known, Options{
-		ConnIdle: time.Minute, DialTimeout: patience, MaxConns: 100, Log: slog.New(slog.DiscardHandler),
+		IdleTimeout: time.Minute, DialTimeout: patience, MaxConns: 100, Log: slog.New(slog.DiscardHandler),
 		dialContext: dialer.dial,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -64,11 +64,11 @@
 func (p testPool) stopTimer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.timer.Stop()
-	p.timer = time.AfterFunc(time.Hour, func() {})
+	p.timer.stop()
+	p.timer.timer = time.AfterFunc(time.Hour, func() {})
 }
 
-// newTestCall returns a call with a deadline after so long.
+// newTestCall returns a call with a deadline after wait.
 func (p testPool) newTestCall(id, class string, wait time.Duration) *Call {
 	m := &RequestMessage{
 		Method: http.MethodPost, URL: &url.URL{Path: "/c"}, Host: "api.internal", Header: http.Header{"Req-Id": {id}},
@@ -83,42 +83,42 @@
 	return result
 }
 
-// holdingDialer can hold the next dial once its connection is up.
-type holdingDialer struct {
+// blockingDialer can block the next dial once its connection is established.
+type blockingDialer struct {
 	mu   sync.Mutex
-	next *heldDial // nil: nothing is to be held
+	next *blockedDial // nil: none is to be blocked
 }
 
-// heldDial is a dial that sends its connection to connected and waits for release to be closed.
-type heldDial struct {
+// blockedDial is a dial that sends its connection to connected and waits for release to be closed.
+type blockedDial struct {
 	connected chan net.Conn
 	release   chan bool
 }
 
-// holdNext makes the next dial wait, even if it is canceled meanwhile.
-func (d *holdingDialer) holdNext() (connected <-chan net.Conn, release chan<- bool) {
+// blockNext makes the next dial wait until release is closed, even if it is canceled meanwhile.
+func (d *blockingDialer) blockNext() (connected <-chan net.Conn, release chan<- bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.next = &heldDial{make(chan net.Conn, 1), make(chan bool)}
+	d.next = &blockedDial{make(chan net.Conn, 1), make(chan bool)}
 	return d.next.connected, d.next.release
 }
 
-func (d *holdingDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (d *blockingDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	d.mu.Lock()
-	held := d.next
+	blocked := d.next
 	d.next = nil
 	d.mu.Unlock()
 	var dialer net.Dialer
-	if held == nil {
+	if blocked == nil {
 		return dialer.DialContext(ctx, network, addr)
 	}
 	nc, err := dialer.DialContext(context.WithoutCancel(ctx), network, addr)
-	held.connected <- nc
-	<-held.release
+	blocked.connected <- nc
+	<-blocked.release
 	return nc, err
 }
 
-// testEndpoints are endpoints that record which requests they get.
+// testEndpoints are fake endpoints that record which requests they receive.
 type testEndpoints struct {
 	addrs []string
 	peers []*testpeer.Endpoint
@@ -127,7 +127,8 @@
 	received map[string][]string // request ids by endpoint
 }
 
-// newTestEndpoints starts n endpoints that hand each connection with a request to serve.
+// newTestEndpoints starts n endpoints, named a, b, ..., that pass each connection with a request to
+// serve.
 func newTestEndpoints(t *testing.T, n int, serve func(nc net.Conn, id string) bool) *testEndpoints {
 	f := &testEndpoints{received: map[string][]string{}}
 	for i := range n {
@@ -139,12 +140,13 @@
 			f.mu.Unlock()
 			return serve(nc, id)
 		})
-		f.addrs, f.peers = append(f.addrs, e.Addr), append(f.peers, e)
+		f.addrs = append(f.addrs, e.Addr)
+		f.peers = append(f.peers, e)
 	}
 	return f
 }
 
-// receivedBy returns the ids of the requests that an endpoint got.
+// receivedBy returns the ids of the requests that an endpoint has received.
 func (f *testEndpoints) receivedBy(name string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/keywindow_test.go
@@ -11,16 +11,16 @@
 	"rowancart/balancer"
 )
 
-// A retry of an idempotency-keyed call waits for its connection until the window of the key is
-// over: not a byte of it may be sent, since the endpoints no longer recognize it.
+// The connection of a retry of an idempotency-keyed call is established after the window of the
+// key: not a byte of the retry may be sent, since endpoints no longer recognize the key.
 func TestNoRetryIsWrittenAfterTheKeyWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	var requests atomic.Int32
-	var hold func()
+	var blockNextDial func()
 	serve := func(conn net.Conn, _ *http.Request, _ int) bool {
 		if requests.Add(1) == 1 {
-			hold()
-			return false // it may have run
+			blockNextDial()
+			return false // the request may have run
 		}
 		io.WriteString(conn, served)
 		return true
@@ -29,19 +29,19 @@
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, a.Addr, b.Addr)
 	var connected <-chan net.Conn
 	var release chan<- bool
-	held := make(chan bool)
-	hold = func() {
-		connected, release = p.dialer.holdNext()
-		close(held)
+	blocked := make(chan bool)
+	blockNextDial = func() {
+		connected, release = p.dialer.blockNext()
+		close(blocked)
 	}
 	p.Configure(balancer.Settings{CancelAllowed: true, Classes: []balancer.Class{{Name: "keyed",
 		Repeat: balancer.IdempotencyKeyed, KeyWindow: window, LatencyObjective: time.Minute}}},
-		Options{ConnIdle: time.Minute, DialTimeout: patience, MaxConns: 100})
-	began := time.Now()
+		Options{IdleTimeout: time.Minute, DialTimeout: patience, MaxConns: 100})
+	start := time.Now()
 	result := p.doAsync(p.newTestCall("r", "keyed", patience))
-	<-held
+	<-blocked
 	<-connected
-	time.Sleep(time.Until(began.Add(2 * window))) // the connection comes up late
+	time.Sleep(time.Until(start.Add(2 * window))) // the connection is established late
 	close(release)
 	if r := <-result; r.Kind == Served || requests.Load() != 1 {
 		t.Errorf("%d requests, result %+v", requests.Load(), r)
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -15,23 +15,23 @@
 	"rowancart/internal/connpool"
 )
 
-// Options are what a Pool needs beside the Balancer's settings.
+// Options are what a Pool needs besides the Balancer's settings.
 type Options struct {
-	ConnIdle    time.Duration // endpoints close a connection that has been idle for this long; 0: unknown
+	IdleTimeout time.Duration // after which endpoints close an idle connection; 0: unknown
 	DialTimeout time.Duration // after which a dial has failed; 0: the connection pool's default
 	MaxConns    int           // connections open at once
-	Quarantine  time.Duration // for which a connection is not reused after a response: a late second one shows meanwhile
+	Quarantine  time.Duration // between a response and the reuse of its connection, in which a second response shows
 	PassThrough bool          // responses below 500 are passed on as they are; else only 200 is, with its type
-	Subscribe   func()        // asks endpoint discovery for all changes from now on, for good; it must not block
+	Subscribe   func()        // subscribes to all changes of the endpoint list, for good; it must not block
 	Log         *slog.Logger
 
 	dialContext connpool.DialFunc // of tests; nil: a net.Dialer
 }
 
-// connOptions returns the part of the options that is about connections.
+// connOptions returns the options of the connection pool.
 func (o Options) connOptions() connpool.Options {
 	return connpool.Options{
-		IdleTimeout: o.ConnIdle,
+		IdleTimeout: o.IdleTimeout,
 		DialTimeout: o.DialTimeout,
 		MaxConns:    o.MaxConns,
 		Quarantine:  o.Quarantine,
@@ -49,29 +49,32 @@
 	subscribe func()
 	log       *slog.Logger
 
-	// mu makes events one sequence: handleEvent holds it for the whole of an event, with all that the
-	// Balancer asks for meanwhile, so that nothing comes between the Balancer's choice of an endpoint
-	// and its Send. It is also held to read a consistent state. It is never held over I/O or any wait.
-	// connpool's locks may be taken while it is held, not the other way round.
-	mu             sync.Mutex
-	events         balancer.Events    // the Balancer as a receiver of events; tests replace it
-	balancer       *balancer.Balancer // the same Balancer, for all else
-	disabled       map[string]bool    // ids of endpoints, listed or not
-	cancelAllowed  bool               // attempts may be canceled, see canRunInline of Call
-	closed         bool
-	finalDeadline  time.Duration // by which all calls have to have their results; 0: their own deadlines hold
-	calls          map[string]*Call
-	recentIDs      recentIDs // of calls, finished ones included
-	endpoints      map[string]Endpoint
-	timer          *time.Timer
-	timerDeadline  time.Duration             // the instant that timer is set to
-	timerInstants  []time.Duration           // asked for by the Balancer; sorted
-	deferredEvents []func(now time.Duration) // arose while an event was handled
-	failureLogs    map[balancer.Reason]*failureLog
-	starts         startTimes // of endpoints
-
-	// Written under mu at the end of each event, read without it.
-	listedCount, avoidedCount atomic.Int64 // endpoints
+	// mu makes events one sequence: handleEvent holds it for the whole of an event, with all actions
+	// that the Balancer takes meanwhile, so that nothing comes between the Balancer's choice of an
+	// endpoint and its Send. It is also held to read a consistent state. It is never held over I/O or
+	// any wait. connpool's locks may be taken while it is held, not the other way round.
+	mu            sync.Mutex
+	events        balancer.Events    // the Balancer as a receiver of events; tests replace it
+	balancer      *balancer.Balancer // the same Balancer, for all else
+	cancelAllowed bool               // attempts may be canceled, see canRunInline of Call
+	closed        bool
+	finalDeadline time.Duration // by which all calls have to have their results; 0: their own deadlines hold
+	calls         callSet
+	endpoints     endpointSet
+	timer         eventTimer
+	deferred      eventQueue
+	unserved      unservedLog
+
+	counts endpointCounts // written under mu at the end of each event, read without it
+}
+
+// endpointCounts are numbers of endpoints that are read without a lock.
+type endpointCounts struct{ listed, avoided atomic.Int64 }
+
+// set replaces the numbers.
+func (c *endpointCounts) set(listed, avoided int) {
+	c.listed.Store(int64(listed))
+	c.avoided.Store(int64(avoided))
 }
 
 // New returns a Pool with the endpoints given as the first list of its Balancer. Its calls are
@@ -80,21 +83,18 @@
 	c := clock{started: time.Now()}
 	p := &Pool{
 		clock:         c,
-		starts:        startTimes{clock: c, byID: map[string]listedStart{}},
 		done:          make(chan struct{}),
 		conns:         connpool.New(o.connOptions()),
 		subscribe:     o.Subscribe,
 		log:           o.Log,
-		disabled:      map[string]bool{},
 		cancelAllowed: s.CancelAllowed,
-		calls:         map[string]*Call{},
-		endpoints:     map[string]Endpoint{},
-		failureLogs:   map[balancer.Reason]*failureLog{},
+		calls:         callSet{byID: map[string]*Call{}},
+		endpoints:     newEndpointSet(c),
+		unserved:      unservedLog{log: o.Log, byReason: map[balancer.Reason]*unservedCount{}},
 	}
-	b := balancer.New(p.clock.now(), s, host{p})
-	p.events, p.balancer = b, b
-	p.timer = time.AfterFunc(farFuture, func() { p.handleEvent(p.fireDueTimers) })
-	p.timerDeadline = p.clock.now() + farFuture
+	p.balancer = balancer.New(p.clock.now(), s, host{p})
+	p.events = p.balancer
+	p.timer = newEventTimer(p.clock.now(), func() { p.handleEvent(p.fireDueTimers) })
 	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, known) })
 	return p
 }
@@ -106,7 +106,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	p.timer.Stop()
+	p.timer.stop()
 	close(p.done)
 }
 
@@ -120,29 +120,28 @@
 	}
 	now := p.clock.now()
 	event(now)
-	for len(p.deferredEvents) > 0 {
-		next := p.deferredEvents[0]
-		p.deferredEvents = p.deferredEvents[1:]
+	for next := p.deferred.pop(); next != nil; next = p.deferred.pop() {
 		now = p.clock.now()
 		next(now)
 	}
 	listed, avoided := p.balancer.Counts()
-	p.listedCount.Store(int64(listed))
-	p.avoidedCount.Store(int64(avoided))
-	p.resetTimer(now)
+	p.counts.set(listed, avoided)
+	p.timer.reset(now)
 }
 
-// deferEvent has an event handled right after the present one and those deferred before. p.mu must
-// be held.
-func (p *Pool) deferEvent(event func(now time.Duration)) {
-	p.deferredEvents = append(p.deferredEvents, event)
+// fireDueTimers reports the instants of the timer that have come. One that is requested meanwhile
+// waits for the next event, so that timers can't keep other events out. p.mu must be held.
+func (p *Pool) fireDueTimers(now time.Duration) {
+	for range p.timer.takeDue(now) {
+		p.events.Timer(now)
+	}
 }
 
 // Now returns the present instant by the clock of all instants that the Balancer sees.
 func (p *Pool) Now() time.Duration { return p.clock.now() }
 
-// SetFinalDeadline sets an instant by which all calls, those still to come included, have to have
-// their results: the process has to end.
+// SetFinalDeadline sets the instant by which all calls, those still to come included, have to have
+// their results: the process ends then.
 func (p *Pool) SetFinalDeadline(at time.Duration) {
 	p.handleEvent(func(now time.Duration) {
 		p.finalDeadline = at
@@ -150,9 +149,9 @@
 	})
 }
 
-// Configure replaces the settings and those of the options that are about connections, but for
-// PassThrough; Subscribe and Log stay too. All learned state is kept, and calls that were started
-// before keep the classes that they came with (see balancer.Balancer.Configure).
+// Configure replaces the settings and the options of connections, except PassThrough; Subscribe and
+// Log stay too. All learned state is kept, and calls that were started before keep the classes that
+// they came with (see balancer.Balancer.Configure).
 func (p *Pool) Configure(s balancer.Settings, o Options) {
 	p.conns.Configure(o.connOptions())
 	p.handleEvent(func(now time.Duration) {
@@ -163,21 +162,21 @@
 
 // SetMaxConns sets how many connections to endpoints may be open at once. Idle ones beyond that are
 // closed.
-func (p *Pool) SetMaxConns(most int) { p.conns.SetMaxConns(most) }
+func (p *Pool) SetMaxConns(n int) { p.conns.SetMaxConns(n) }
 
-// Gauges are the numbers that can be read at any time without a wait.
+// Gauges are the numbers of a Pool that can be read at any time without waiting for its lock.
 type Gauges struct {
 	Dispatches int64 // requests written completely, so far
 	Listed     int   // endpoints
 	Avoided    int   // of them, disabled or not chosen by the Balancer at present
 }
 
-// Gauges returns them as of the latest event. It takes no lock that requests take.
+// Gauges returns the numbers as of the latest event. It takes no lock that requests take.
 func (p *Pool) Gauges() Gauges {
 	return Gauges{
 		Dispatches: p.conns.RequestsWritten(),
-		Listed:     int(p.listedCount.Load()),
-		Avoided:    int(p.avoidedCount.Load()),
+		Listed:     int(p.counts.listed.Load()),
+		Avoided:    int(p.counts.avoided.Load()),
 	}
 }
 
@@ -189,11 +188,11 @@
 	Connections int `json:"connections"` // open to endpoints, idle ones included
 }
 
-// Stats returns them.
+// Stats returns the present numbers.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := Stats{Calls: len(p.calls)}
+	s := Stats{Calls: p.calls.size()}
 	s.Ready, s.Draining, s.Connections = p.conns.Counts()
 	return s
 }
--- a/internal/proxy/request_ids.go
+++ b/internal/proxy/recentids.go
@@ -1,7 +1,7 @@
 package proxy
 
-// idsPerGeneration is how many ids one generation of recentIDs holds: at the site's busiest some
-// minutes' worth.
+// idsPerGeneration is how many ids one generation of recentIDs has: those of some minutes at the
+// highest request rate.
 const idsPerGeneration = 4096
 
 // recentIDs is a set of the latest ids in bounded memory: at least idsPerGeneration of them, at
@@ -14,7 +14,8 @@
 		return false
 	}
 	if r.current == nil || len(r.current) >= idsPerGeneration {
-		r.current, r.previous = make(map[string]bool, len(r.current)), r.current
+		r.previous = r.current
+		r.current = make(map[string]bool, len(r.previous))
 	}
 	r.current[id] = true
 	return true
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -9,7 +9,7 @@
 	"rowancart/balancer"
 )
 
-// Snapshot is what a Pool knows that a successor can begin with.
+// Snapshot is what a Pool passes to its successor.
 //
 // The tags are the names in stored snapshots.
 type Snapshot struct {
@@ -17,33 +17,32 @@
 	Endpoints []Endpoint            `json:"Members"`
 }
 
-// Snapshot returns what is known now, endpoints in the order of their ids.
+// Snapshot returns the present state, endpoints in the order of their ids.
 func (p *Pool) Snapshot() Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Snapshot{
 		Learned: p.balancer.LearnedState(p.clock.now()),
-		Endpoints: slices.SortedFunc(maps.Values(p.endpoints), func(x, y Endpoint) int {
+		Endpoints: slices.SortedFunc(maps.Values(p.endpoints.listed), func(x, y Endpoint) int {
 			return cmp.Compare(x.ID, y.ID)
 		}),
 	}
 }
 
-// Restore takes over what an earlier Pool had learned that long ago. Only the endpoint list says
-// which endpoints there are: an endpoint that has another address now, or has started since, is
-// another one of which nothing is known.
-func (p *Pool) Restore(s Snapshot, ago time.Duration) {
+// Restore takes over the learned state of an earlier Pool, from a snapshot of this age. The
+// endpoint list alone says which endpoints there are: what was learned of an endpoint is dropped if
+// it is not listed any more, has another address now, or has restarted since.
+func (p *Pool) Restore(s Snapshot, age time.Duration) {
 	p.handleEvent(func(now time.Duration) {
-		previous := map[string]Endpoint{}
+		earlier := map[string]Endpoint{}
 		for _, e := range s.Endpoints {
-			previous[e.ID] = e
+			earlier[e.ID] = e
 		}
 		learned := s.Learned
 		learned.Endpoints = slices.DeleteFunc(slices.Clone(s.Learned.Endpoints), func(e balancer.LearnedEndpoint) bool {
-			before, known := previous[e.ID]
-			current, listed := p.endpoints[e.ID]
-			return !known || !listed || before.Addr != current.Addr || before.StartedMs != current.StartedMs
+			endpoint, inSnapshot := earlier[e.ID]
+			return !inSnapshot || !p.endpoints.isSameProcess(endpoint)
 		})
-		p.balancer.Restore(now, learned, ago)
+		p.balancer.Restore(now, learned, age)
 	})
 }
--- a/internal/proxy/starttimes.go
+++ b/internal/proxy/starttimes.go
@@ -2,24 +2,31 @@
 
 import "time"
 
-// maxNewsDelay is how long after its start an endpoint may be listed at the latest, while endpoint
-// discovery works.
-const maxNewsDelay = 10 * time.Second
+const (
+	// maxListingDelay is how long after its start an endpoint is listed at the latest, while endpoint
+	// discovery works.
+	maxListingDelay = 10 * time.Second
+
+	// minPrunedStarts is by how many startTimes may exceed twice the listed endpoints before it is
+	// pruned.
+	minPrunedStarts = 100
+)
 
 // startTimes converts the starts of endpoints from wall time, as they are listed, to instants. The
-// wall clock may be stepped at any time, here or where the start was read, and a slow start is a
-// span of real time: where the clocks disagree, an endpoint counts as started when that was heard
-// of. An endpoint that is taken for warm too soon could be overloaded by all instances together.
+// wall clock may be stepped at any time, here or where the start was read, and slow start lasts a
+// span of real time: where the clocks disagree, an endpoint counts as started when its start was
+// first listed. An endpoint that is taken for warmed up too soon could be overloaded by all
+// instances together.
 //
 // Pool.mu guards it.
 type startTimes struct {
-	clock     clock
-	byID      map[string]listedStart
-	currentAt time.Duration // when the list was last known to be up to date; 0: never
+	clock         clock
+	byID          map[string]listedStart
+	listCurrentAt time.Duration // when the list was last known to be up to date; 0: never
 }
 
 // listedStart is a start as it was listed, and the instant that it was given then. The same start
-// must always become the same instant, or an old one would pass for a restart.
+// must always become the same instant, or an old start would be taken for a restart.
 type listedStart struct {
 	unixMs int64
 	at     time.Duration
@@ -36,9 +43,10 @@
 		return known.at
 	}
 	at := max(s.clock.instant(unixMs), known.at)
-	unlistedTill := s.currentAt - maxNewsDelay
+	inFuture := at > now
 	setBack := isKnown && unixMs < known.unixMs
-	if at > now || setBack || at < unlistedTill {
+	listedTooLate := at < s.listCurrentAt-maxListingDelay
+	if inFuture || setBack || listedTooLate {
 		at = now
 	}
 	s.byID[id] = listedStart{unixMs, at}
@@ -47,12 +55,11 @@
 
 // prune forgets the endpoints that are not listed, once most are not.
 func (s *startTimes) prune(listed map[string]Endpoint) {
-	const spare = 100
-	if len(s.byID) <= 2*len(listed)+spare {
+	if len(s.byID) <= 2*len(listed)+minPrunedStarts {
 		return
 	}
 	for id := range s.byID {
-		if _, ok := listed[id]; !ok {
+		if _, isListed := listed[id]; !isListed {
 			delete(s.byID, id)
 		}
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -130,7 +130,7 @@
 	known := c.KnownEndpoints
 	known.Complete = true // the latest list that the platform had, and the first that the pool receives
 	s.pool = proxy.New(c.Settings.Settings, watch.PoolList(known), proxy.Options{
-		ConnIdle:    c.Settings.ConnIdle,
+		IdleTimeout: c.Settings.ConnIdle,
 		DialTimeout: c.Settings.DialTimeout,
 		MaxConns:    c.Limits.maxConns(processesAlone),
 		Quarantine:  responseQuarantine,
