--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -106,7 +106,7 @@
 		return
 	}
 	p.setResult(c, Result{Kind: Failed})
-	p.events.ClientLeft(now, c.ID)
+	p.events.ClientDisconnected(now, c.ID)
 	p.removeIfDone(c)
 }
 
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -42,7 +42,7 @@
 	update := balancer.EndpointList{Complete: l.Complete, Unlisted: l.Unlisted}
 	for _, e := range l.Endpoints {
 		update.Entries = append(update.Entries, p.endpoints.entry(now, e))
-		if e.State == balancer.Gone {
+		if e.State == balancer.Removed {
 			p.removeEndpoint(e.ID)
 			continue
 		}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -30,7 +30,7 @@
 // testClasses are the classes of test calls.
 var testClasses = []balancer.Class{
 	{Name: "idempotent", LatencyObjective: time.Minute},
-	{Name: "non-idempotent", Repeat: balancer.NonIdempotent, LatencyObjective: time.Minute},
+	{Name: "non-idempotent", Idempotency: balancer.NonIdempotent, LatencyObjective: time.Minute},
 	{Name: "hedged", LatencyObjective: time.Minute, HedgeAfter: time.Millisecond},
 }
 
--- a/internal/proxy/starttimes_test.go
+++ b/internal/proxy/starttimes_test.go
@@ -15,10 +15,10 @@
 	settings := func(window time.Duration) balancer.Settings {
 		return balancer.Settings{SlowStartWindow: window, SlowStartCapacity: 0.3}
 	}
-	warmth := func(p testPool, id string) float64 {
+	capacityShare := func(p testPool, id string) float64 {
 		for _, e := range p.Endpoints() {
 			if e.ID == id {
-				return e.Warmth
+				return e.CapacityShare
 			}
 		}
 		return -1
@@ -30,19 +30,19 @@
 
 	ahead := newTestPool(t, settings(window))
 	start(ahead, now.Add(time.Hour))
-	if w := warmth(ahead, "a"); w >= 1 {
-		t.Errorf("a start in the future was listed: warmth %v", w)
+	if w := capacityShare(ahead, "a"); w >= 1 {
+		t.Errorf("a start in the future was listed: capacity share %v", w)
 	}
 	time.Sleep(2 * window) // its window passes
-	if w := warmth(ahead, "a"); w != 1 {
-		t.Errorf("after its window: warmth %v", w)
+	if w := capacityShare(ahead, "a"); w != 1 {
+		t.Errorf("after its window: capacity share %v", w)
 	}
 
 	back := newTestPool(t, settings(time.Minute))
 	start(back, now)
 	start(back, now.Add(-time.Hour)) // restarted, after the clock was set back
-	if w := warmth(back, "a"); w >= 1 {
-		t.Errorf("a restart was listed by a clock that was set back: warmth %v", w)
+	if w := capacityShare(back, "a"); w >= 1 {
+		t.Errorf("a restart was listed by a clock that was set back: capacity share %v", w)
 	}
 }
 
