--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -85,7 +85,8 @@
 		if !a.mayHaveRun || c.Idempotency == Idempotent && !c.NeverRerun {
 			continue
 		}
-		if c.Idempotency == NonIdempotent || c.NeverRerun || now+b.keyWindowMargin() >= a.startedAt+c.KeyWindow ||
+		if c.Idempotency == NonIdempotent || c.NeverRerun ||
+			now+b.keyWindowMargin() >= a.startedAt+c.KeyWindow ||
 			c.KeyScope == KeyScopeZone && a.endpoint.Zone != e.Zone ||
 			c.KeyScope == KeyScopeCell && a.endpoint.Cell != e.Cell {
 			return false
