--- a/cmd/rowancart/lab.go
+++ b/cmd/rowancart/lab.go
@@ -20,6 +20,7 @@
 	"rowancart/internal/experiment/report"
 	"rowancart/internal/experiment/roundrobin"
 	"rowancart/internal/experiment/runner"
+	"rowancart/internal/platform"
 )
 
 func newLab() *cobra.Command {
@@ -33,11 +34,11 @@
 func newReverseProxy() *cobra.Command {
 	return &cobra.Command{
 		Use:    "reverse-proxy",
-		Short:  "Serve as the rival on sockets, as ROUTER_CONFIG says",
+		Short:  "Serve as the rival on sockets, as " + platform.EnvConfig + " says",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return roundrobin.Serve(cmd.Context(), os.Getenv("ROUTER_CONFIG"), slog.Default())
+			return roundrobin.Serve(cmd.Context(), os.Getenv(platform.EnvConfig), slog.Default())
 		},
 	}
 }
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"net/http"
-	"strconv"
 	"time"
 
 	"rowancart/internal/platform"
@@ -51,7 +50,7 @@
 		}
 		watchdog.Reset(c.timing.responseTimeout)
 	}
-	body, err := c.get(ctx, addr, watchQuery(*c.version))
+	body, err := c.get(ctx, addr, "?"+platform.WatchQuery(*c.version))
 	if err != nil {
 		return false, err
 	}
@@ -75,12 +74,6 @@
 	}
 }
 
-// watchQuery returns the query of a watch for the changes after a version.
-func watchQuery(version int64) string {
-	return "?" + platform.WatchParameter + "=" + platform.WatchValue + "&" + platform.VersionParameter + "=" +
-		strconv.FormatInt(version, 10)
-}
-
 // fetchList fetches and applies the complete list.
 func (c *Client) fetchList(ctx context.Context, addr string) error {
 	body, err := c.get(ctx, addr, "")
--- a/internal/experiment/roundrobin/roundrobin.go
+++ b/internal/experiment/roundrobin/roundrobin.go
@@ -20,6 +20,8 @@
 	"slices"
 	"sync"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 const (
@@ -28,46 +30,32 @@
 	readHeaderTimeout = 2 * time.Second
 	watchRetryWait    = 200 * time.Millisecond
 	maxListSize       = 4 << 20 // bytes of one message of discovery
-
-	stateReady = "Ready" // in endpoint lists
 )
 
-// endpoint is an entry of an endpoint list.
-type endpoint struct {
-	ID    string `json:"id"`
-	Addr  string `json:"addr"`
-	State string `json:"state"`
-}
-
-// endpointList is one message of discovery: the complete list, or changes.
-type endpointList struct {
-	Version int64      `json:"version"`
-	Full    bool       `json:"full"`
-	Servers []endpoint `json:"servers"`
-}
-
 // endpoints holds the endpoints that are ready, and whose turn it is.
 type endpoints struct {
 	mu      sync.Mutex
-	ready   []endpoint
+	ready   []platform.Endpoint
 	last    int   // number of requests so far
 	version int64 // of the last message; used by the watch's goroutine only
 }
 
 // apply applies a message of discovery.
-func (e *endpoints) apply(list endpointList) {
+func (e *endpoints) apply(list platform.EndpointList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if list.Full {
+	if list.Complete {
 		e.ready = nil
 	}
-	for _, s := range list.Servers {
-		e.ready = slices.DeleteFunc(e.ready, func(other endpoint) bool { return other.ID == s.ID })
-		if s.State == stateReady {
-			e.ready = append(e.ready, s)
+	for _, listed := range list.Endpoints {
+		e.ready = slices.DeleteFunc(e.ready, func(other platform.Endpoint) bool { return other.ID == listed.ID })
+		if listed.State == platform.StateReady {
+			e.ready = append(e.ready, listed)
 		}
 	}
-	e.version = list.Version
+	if list.Version != nil {
+		e.version = *list.Version
+	}
 }
 
 // next returns the address of the endpoint whose turn it is, empty if there is none.
@@ -81,28 +69,16 @@
 	return e.ready[e.last%len(e.ready)].Addr
 }
 
-// config is what is used of the configuration file.
-type config struct {
-	Listen    string       `json:"listen"`
-	Discovery string       `json:"discovery"`
-	Known     endpointList `json:"known"`
-	Settings  struct {
-		Permissions struct {
-			ConnIdleUs int64 `json:"ConnIdleUs"`
-		} `json:"Permissions"`
-	} `json:"settings"`
-}
-
-func readConfig(path string) (config, error) {
-	var c config
+func readConfig(path string) (platform.ConfigFile, error) {
+	var c platform.ConfigFile
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return c, fmt.Errorf("ROUTER_CONFIG: %w", err)
+		return c, fmt.Errorf("%s: %w", platform.EnvConfig, err)
 	}
 	if err := json.Unmarshal(text, &c); err != nil {
 		return c, fmt.Errorf("%s: %w", path, err)
 	}
-	c.Known.Full = true
+	c.Known.Complete = true
 	return c, nil
 }
 
@@ -115,7 +91,7 @@
 	e := &endpoints{}
 	e.apply(config.Known)
 	mux := http.NewServeMux()
-	mux.HandleFunc("/_health", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
+	mux.HandleFunc(platform.HealthPath, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	mux.Handle("/", newProxy(e, time.Duration(config.Settings.Permissions.ConnIdleUs)*time.Microsecond))
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
@@ -166,7 +142,7 @@
 
 // watch applies the changes after the present version until the watch ends.
 func (e *endpoints) watch(ctx context.Context, addr string) error {
-	target := fmt.Sprintf("http://%s/catalog/members?watch=1&after=%d", addr, e.version)
+	target := "http://" + addr + platform.EndpointListPath + "?" + platform.WatchQuery(e.version)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return err
@@ -182,7 +158,7 @@
 		if len(lines.Bytes()) == 0 { // keepalive
 			continue
 		}
-		var list endpointList
+		var list platform.EndpointList
 		if err := json.Unmarshal(lines.Bytes(), &list); err != nil {
 			return err
 		}
--- /dev/null
+++ b/internal/experiment/roundrobin/roundrobin_test.go
@@ -0,0 +1,40 @@
+package roundrobin
+
+import (
+	"testing"
+
+	"rowancart/internal/platform"
+)
+
+func TestEndpointsTakeTurns(t *testing.T) {
+	endpoint := func(id string, state platform.State) platform.Endpoint {
+		return platform.Endpoint{ID: id, Addr: "addr-" + id, State: state}
+	}
+	var e endpoints
+	expect := func(step string, want ...string) {
+		t.Helper()
+		got := map[string]int{}
+		for range 2 * len(want) {
+			got[e.next()]++
+		}
+		for _, addr := range want {
+			if got[addr] != 2 {
+				t.Errorf("%s: sends %v, want 2 to %s", step, got, addr)
+			}
+		}
+	}
+	if addr := e.next(); addr != "" {
+		t.Errorf("without endpoints: %q", addr)
+	}
+	e.apply(platform.NewEndpointList(1, true, endpoint("a", platform.StateReady), endpoint("b", platform.StateReady),
+		endpoint("c", platform.StateDraining)))
+	expect("complete list", "addr-a", "addr-b")
+	e.apply(platform.NewEndpointList(2, false, endpoint("a", platform.StateDraining), endpoint("c", platform.StateReady),
+		endpoint("d", platform.StateReady)))
+	expect("changes", "addr-b", "addr-c", "addr-d")
+	e.apply(platform.NewEndpointList(3, true, endpoint("d", platform.StateReady)))
+	expect("second complete list", "addr-d")
+	if e.version != 3 {
+		t.Errorf("version %d, want 3", e.version)
+	}
+}
--- a/internal/experiment/speed/client.go
+++ b/internal/experiment/speed/client.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"sync/atomic"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // clientGrace is for a response to the last request.
@@ -53,13 +55,19 @@
 	return s, nil
 }
 
+// requestFields is the format of the fields of each request. It takes a client's ID and a number.
+const requestFields = "Host: box\r\n" +
+	platform.RequestIDHeader + ": %s-%d\r\n" +
+	platform.TenantHeader + ": speed\r\n" +
+	platform.DeadlineHeader + ": 5000\r\n\r\n"
+
 // requestHead returns the head of a client's nth request.
 func requestHead(id string, n, bodySize int) []byte {
 	head := fmt.Appendf(nil, "GET /get/%d HTTP/1.1\r\n", n)
 	if bodySize > 0 {
 		head = fmt.Appendf(nil, "POST /post/%d HTTP/1.1\r\nContent-Length: %d\r\n", n, bodySize)
 	}
-	return fmt.Appendf(head, "Host: box\r\nReq-Id: %s-%d\r\nReq-Owner: speed\r\nReq-Deadline-Ms: 5000\r\n\r\n", id, n)
+	return fmt.Appendf(head, requestFields, id, n)
 }
 
 // skipMessage reads a message with its body, if it has a Content-Length, and returns its first
--- a/internal/experiment/speed/config.go
+++ b/internal/experiment/speed/config.go
@@ -5,31 +5,60 @@
 	"encoding/json"
 	"fmt"
 	"strconv"
+	"time"
+
+	"rowancart/internal/platform"
 )
 
 // sidecarConfig returns the configuration of a program that serves as DEPLOY describes.
-func sidecarConfig(o Options, addr, discoveryAddr string, servers []string) []byte {
-	type endpoint struct {
-		ID    string `json:"id"`
-		Addr  string `json:"addr"`
-		Kind  string `json:"kind"`
-		State string `json:"state"`
-	}
-	var endpoints []endpoint
+func sidecarConfig(o Options, addr, discoveryAddr string, servers []string) ([]byte, error) {
+	return json.Marshal(platform.ConfigFile{
+		Name:      "speed",
+		Listen:    addr,
+		Discovery: discoveryAddr,
+		Seed:      "1",
+		Limits: platform.ConfigLimits{
+			Cores:    float64(o.Cores),
+			MemoryMB: sidecarMemoryMB,
+			Sockets:  sidecarSockets + 2*o.IdleConnections,
+		},
+		Known:    platform.NewEndpointList(1, true, listedEndpoints(servers)...),
+		Settings: sidecarSettings(),
+	})
+}
+
+// Limits of a sidecar. Its sockets are without those for idle connections.
+const (
+	sidecarMemoryMB = 192
+	sidecarSockets  = 4096
+)
+
+// listedEndpoints returns the servers as discovery lists them.
+func listedEndpoints(servers []string) []platform.Endpoint {
+	var endpoints []platform.Endpoint
 	for i, server := range servers {
-		endpoints = append(endpoints, endpoint{ID: "box-" + strconv.Itoa(i), Addr: server, Kind: "box", State: "Ready"})
+		endpoints = append(endpoints, platform.Endpoint{
+			ID:     "box-" + strconv.Itoa(i),
+			Addr:   server,
+			Kind:   "box",
+			State:  platform.StateReady,
+			Weight: platform.WriteOnly[float64]{Value: 1},
+		})
+	}
+	return endpoints
+}
+
+func sidecarSettings() platform.SettingsObject {
+	const latencyObjective, connIdle = time.Second, 30 * time.Second
+	return platform.SettingsObject{
+		Classes: []platform.ClassSettings{
+			{Name: "get", Repeatability: platform.RepeatabilityIdempotent,
+				LatencyObjectiveUs: latencyObjective.Microseconds()},
+			{Name: "post", Repeatability: platform.RepeatabilityNonIdempotent,
+				LatencyObjectiveUs: latencyObjective.Microseconds()},
+		},
+		Permissions: platform.Permissions{ConnIdleUs: connIdle.Microseconds(), MaxAttempts: 3, CancelAllowed: true},
 	}
-	text, _ := json.Marshal(map[string]any{ // plain values: it cannot fail
-		"name": "speed", "listen": addr, "discovery": discoveryAddr, "seed": "1",
-		"limits": map[string]any{"cores": o.Cores, "memory_mb": 192, "sockets": 4096 + 2*o.IdleConnections},
-		"known":  map[string]any{"version": 1, "full": true, "servers": endpoints},
-		"settings": map[string]any{
-			"Lanes": []map[string]any{
-				{"Name": "get", "Semantics": "read_like", "OnTimeUs": 1000000},
-				{"Name": "post", "Semantics": "non_idempotent", "OnTimeUs": 1000000}},
-			"Permissions": map[string]any{"ConnIdleUs": 30000000, "TryLimit": 3, "MayCancel": true}},
-	})
-	return text
 }
 
 // daemonConfig returns the configuration of the daemon.
--- a/internal/experiment/speed/fasthttp.go
+++ b/internal/experiment/speed/fasthttp.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"github.com/valyala/fasthttp"
+
+	"rowancart/internal/platform"
 )
 
 const (
@@ -25,7 +27,7 @@
 			MaxIdleConnDuration: fastHTTPIdleTimeout})
 	}
 	forward := func(c *fasthttp.RequestCtx) {
-		if string(c.Path()) == "/_health" {
+		if string(c.Path()) == platform.HealthPath {
 			c.SetBodyString("ok\n")
 			return
 		}
--- a/internal/experiment/speed/program.go
+++ b/internal/experiment/speed/program.go
@@ -16,6 +16,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
+
+	"rowancart/internal/platform"
 )
 
 const (
@@ -61,19 +63,27 @@
 	env := append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(o.Cores))
 	switch name {
 	case sidecarProgram:
-		file, config = file+".json", sidecarConfig(o, addr, discoveryAddr, servers)
-		args, env = []string{o.Sidecar}, append(env, "ROUTER_CONFIG="+file)
+		file += ".json"
+		config, err = sidecarConfig(o, addr, discoveryAddr, servers)
+		args = []string{o.Sidecar}
+		env = append(env, platform.EnvConfig+"="+file)
 	case reverseProxyProgram:
-		file, config = file+".json", sidecarConfig(o, addr, discoveryAddr, servers)
-		args, env = []string{o.Self, "lab", "reverse-proxy"}, append(env, "ROUTER_CONFIG="+file)
+		file += ".json"
+		config, err = sidecarConfig(o, addr, discoveryAddr, servers)
+		args = []string{o.Self, "lab", "reverse-proxy"}
+		env = append(env, platform.EnvConfig+"="+file)
 	case daemonProgram:
-		file, config = file+".hcl", daemonConfig(o, addr, servers)
+		file += ".hcl"
+		config = daemonConfig(o, addr, servers)
 		args = []string{o.Self, "serve", file}
 	case fastHTTPProgram:
 		args = append([]string{o.Self, "lab", "fasthttp", addr}, servers...)
 	default:
 		return nil, fmt.Errorf("program %q is none of %s", name, strings.Join(Programs, ", "))
 	}
+	if err != nil {
+		return nil, err
+	}
 	if config != nil {
 		if err := os.WriteFile(file, config, 0o600); err != nil {
 			return nil, err
@@ -122,7 +132,7 @@
 // waitReady waits until the program responds to a health check, whatever its response is.
 func (p *program) waitReady(ctx context.Context) error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(healthCheckInterval) {
-		resp, err := http.Get("http://" + p.addr + "/_health")
+		resp, err := http.Get("http://" + p.addr + platform.HealthPath)
 		if err == nil {
 			resp.Body.Close()
 			return nil
--- a/internal/experiment/speed/speed.go
+++ b/internal/experiment/speed/speed.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"rowancart/internal/platform"
 )
 
 // Options say what is measured.
@@ -131,7 +133,7 @@
 				return idle, fmt.Errorf("%s: %w", p.name, err)
 			}
 			idle = append(idle, nc)
-			if _, err := fmt.Fprintf(nc, "GET /_health HTTP/1.1\r\nHost: box\r\n\r\n"); err != nil {
+			if _, err := fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: box\r\n\r\n", platform.HealthPath); err != nil {
 				return idle, err
 			}
 		}
--- a/internal/experiment/testbed/clientconn.go
+++ b/internal/experiment/testbed/clientconn.go
@@ -13,16 +13,8 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-)
 
-// Header names of PROTOCOL.
-const (
-	idHeader       = "Req-Id"
-	tenantHeader   = "Req-Owner"
-	deadlineHeader = "Req-Deadline-Ms"
-	retryHeader    = "Req-Retry"
-	rejectedHeader = "Srv-Declined"
-	loadHeader     = "Srv-Load"
+	"rowancart/internal/platform"
 )
 
 // maxBody is the largest body of a request or response, in bytes.
@@ -52,13 +44,14 @@
 // bytes returns the request as HTTP/1.1.
 func (m *request) bytes() []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: api.internal\r\n%s: %s\r\n%s: %d\r\n", m.method, m.target, idHeader, m.id,
-		deadlineHeader, max(m.patience.Milliseconds(), 1))
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: api.internal\r\n", m.method, m.target)
+	fmt.Fprintf(&b, "%s: %s\r\n", platform.RequestIDHeader, m.id)
+	fmt.Fprintf(&b, "%s: %d\r\n", platform.DeadlineHeader, max(m.patience.Milliseconds(), 1))
 	if m.tenant != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", tenantHeader, m.tenant)
+		fmt.Fprintf(&b, "%s: %s\r\n", platform.TenantHeader, m.tenant)
 	}
 	if m.retry {
-		fmt.Fprintf(&b, "%s: 1\r\n", retryHeader)
+		fmt.Fprintf(&b, "%s: %s\r\n", platform.ClientRetryHeader, platform.ClientRetryValue)
 	}
 	if m.method == http.MethodPost {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(m.body))
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -1,7 +1,6 @@
 package testbed
 
 import (
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
@@ -10,59 +9,28 @@
 	"sync"
 	"time"
 
-	"rowancart/balancer"
+	"rowancart/internal/platform"
 )
 
-// listEntry is a server as discovery lists it (PROTOCOL, Discovery).
-type listEntry struct {
-	ID        string  `json:"id"`
-	Addr      string  `json:"addr"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"kind"`
-	Cell      int     `json:"cell"`
-	State     string  `json:"state"`
-	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"started_ms"`
-}
-
-// endpointList is one message of discovery: the complete list, or changes.
-type endpointList struct {
-	Version int         `json:"version"`
-	Full    bool        `json:"full"`
-	Servers []listEntry `json:"servers"`
-}
-
-// States of a server in endpoint lists.
-const (
-	stateReady    = "Ready"
-	stateDraining = "Terminating"
-	stateGone     = "Gone"
-)
-
-var endpointStates = map[string]balancer.State{
-	stateReady: balancer.Ready, stateDraining: balancer.Draining, stateGone: balancer.Gone,
-}
-
 const (
-	membersPath       = "/catalog/members"
 	keepaliveInterval = 2 * time.Second         // of empty lines while nothing changes
 	oldAddressTime    = 1500 * time.Millisecond // for which watches at an old address go on (TERMS)
 )
 
 // discoveryServer is discovery as one sidecar sees it, at an address of its own.
 type discoveryServer struct {
-	onDelivered func(listEntry) // called when an entry has been written to the sidecar
+	onDelivered func(platform.Endpoint) // called when an entry has been written to the sidecar
 
 	mu      sync.Mutex
 	version int
-	current []listEntry
-	changes []listEntry   // changes[i] makes version i+1
-	changed chan struct{} // closed at the next change, which makes a new one
+	current []platform.Endpoint
+	changes []platform.Endpoint // changes[i] makes version i+1
+	changed chan struct{}       // closed at the next change, which makes a new one
 	server  *http.Server
 	addr    string
 }
 
-func newDiscoveryServer(first []listEntry, onDelivered func(listEntry)) (*discoveryServer, error) {
+func newDiscoveryServer(first []platform.Endpoint, onDelivered func(platform.Endpoint)) (*discoveryServer, error) {
 	d := &discoveryServer{onDelivered: onDelivered, current: slices.Clone(first), changed: make(chan struct{})}
 	return d, d.listen()
 }
@@ -71,10 +39,10 @@
 func (d *discoveryServer) listen() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("roster: %w", err)
+		return fmt.Errorf("discovery: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+membersPath, d.serve)
+	mux.HandleFunc("GET "+platform.EndpointListPath, d.serve)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	d.mu.Lock()
 	d.server, d.addr = server, l.Addr().String()
@@ -108,16 +76,16 @@
 }
 
 // publish adds a change to the list.
-func (d *discoveryServer) publish(e listEntry) {
+func (d *discoveryServer) publish(e platform.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
 	d.changes = append(d.changes, e)
-	i := slices.IndexFunc(d.current, func(other listEntry) bool { return other.ID == e.ID })
+	i := slices.IndexFunc(d.current, func(other platform.Endpoint) bool { return other.ID == e.ID })
 	switch {
-	case e.State == stateGone && i >= 0:
+	case e.State == platform.StateRemoved && i >= 0:
 		d.current = slices.Delete(d.current, i, i+1)
-	case e.State == stateGone:
+	case e.State == platform.StateRemoved:
 	case i >= 0:
 		d.current[i] = e
 	default:
@@ -128,23 +96,23 @@
 }
 
 // snapshot returns the complete list.
-func (d *discoveryServer) snapshot() endpointList {
+func (d *discoveryServer) snapshot() platform.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return endpointList{d.version, true, append([]listEntry{}, d.current...)}
+	return platform.NewEndpointList(int64(d.version), true, d.current...)
 }
 
 // serve answers a poll with the complete list, or a watch with changes as they come.
 func (d *discoveryServer) serve(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Query().Get("watch") == "" {
+	if r.URL.Query().Get(platform.WatchParameter) == "" {
 		list := d.snapshot()
-		_ = json.NewEncoder(w).Encode(list) // fails only if the sidecar has left
-		d.delivered(list.Servers)
+		_, _ = w.Write(append(list.Text(), '\n')) // fails only if the sidecar has left
+		d.delivered(list.Endpoints)
 		return
 	}
-	after, err := strconv.Atoi(r.URL.Query().Get("after"))
+	after, err := strconv.Atoi(r.URL.Query().Get(platform.VersionParameter))
 	if err != nil || after < 0 {
-		http.Error(w, "after: a version is wanted", http.StatusBadRequest)
+		http.Error(w, platform.VersionParameter+": a version is wanted", http.StatusBadRequest)
 		return
 	}
 	d.serveWatch(w, r, after)
@@ -163,8 +131,7 @@
 		changes, version, changed := d.changesAfter(after)
 		line := []byte("\n")
 		if len(changes) > 0 {
-			line, _ = json.Marshal(endpointList{version, false, changes}) // plain values: it cannot fail
-			line = append(line, '\n')
+			line = append(platform.NewEndpointList(int64(version), false, changes...).Text(), '\n')
 		}
 		after = version
 		if _, err := w.Write(line); err != nil || flusher.Flush() != nil {
@@ -183,14 +150,14 @@
 // changesAfter returns the changes after a version, the present version, and a channel that is
 // closed at the next change. A version from the future, which an earlier discovery server issued,
 // stands for the present one.
-func (d *discoveryServer) changesAfter(after int) (changes []listEntry, version int, changed <-chan struct{}) {
+func (d *discoveryServer) changesAfter(after int) (changes []platform.Endpoint, version int, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	after = min(after, d.version)
-	return append([]listEntry{}, d.changes[after:d.version]...), d.version, d.changed
+	return append([]platform.Endpoint{}, d.changes[after:d.version]...), d.version, d.changed
 }
 
-func (d *discoveryServer) delivered(entries []listEntry) {
+func (d *discoveryServer) delivered(entries []platform.Endpoint) {
 	for _, e := range entries {
 		d.onDelivered(e)
 	}
@@ -199,12 +166,12 @@
 // notice is a change of a tier's endpoint list that discovery has not yet published.
 type notice struct {
 	tier  int
-	entry listEntry
+	entry platform.Endpoint
 }
 
 // publish notifies every sidecar before a tier of a change, each after its own delay and in the
 // order of the changes.
-func (r *testRun) publish(tier int, e listEntry) {
+func (r *testRun) publish(tier int, e platform.Endpoint) {
 	r.mu.Lock()
 	if r.discoverySilent {
 		r.withheld = append(r.withheld, notice{tier, e})
@@ -221,7 +188,7 @@
 }
 
 // scheduleNotice publishes a change to the sidecar after its delay and an extra one.
-func (s *sidecar) scheduleNotice(e listEntry, extra time.Duration) {
+func (s *sidecar) scheduleNotice(e platform.Endpoint, extra time.Duration) {
 	discovery := s.run.experiment.Site.Discovery
 	delay := discovery.Delay + extra + time.Duration(s.discoverySpread*float64(discovery.Spread))
 	s.mu.Lock()
--- a/internal/experiment/testbed/exchange.go
+++ b/internal/experiment/testbed/exchange.go
@@ -15,6 +15,7 @@
 
 	"rowancart/internal/experiment/invariant"
 	"rowancart/internal/experiment/server"
+	"rowancart/internal/platform"
 )
 
 const (
@@ -73,7 +74,7 @@
 			return
 		}
 		x.lastByte = s.run.now()
-		x.method, x.target, x.id = req.Method, req.URL.RequestURI(), req.Header.Get(idHeader)
+		x.method, x.target, x.id = req.Method, req.URL.RequestURI(), req.Header.Get(platform.RequestIDHeader)
 		x.class, _, _ = strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 		x.setWork(newConn)
 		if !x.handle() {
@@ -277,10 +278,10 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
 	if status == http.StatusServiceUnavailable {
-		b.WriteString(rejectedHeader + ": 1\r\n")
+		b.WriteString(platform.RejectedHeader + ": " + platform.RejectedValue + "\r\n")
 	}
 	if reports {
-		fmt.Fprintf(&b, "%s: inflight=%.0f\r\n", loadHeader, inFlight)
+		fmt.Fprintf(&b, "%s: inflight=%.0f\r\n", platform.LoadReportHeader, inFlight)
 	}
 	b.WriteString("\r\n")
 	b.Write(body)
--- a/internal/experiment/testbed/faults.go
+++ b/internal/experiment/testbed/faults.go
@@ -5,6 +5,7 @@
 
 	"rowancart/internal/experiment"
 	"rowancart/internal/experiment/traffic"
+	"rowancart/internal/platform"
 )
 
 // applyFault carries out one step of a fault. It blocks while the step lasts.
@@ -41,7 +42,7 @@
 		if s.sidecar != nil {
 			s.sidecar.kill()
 		}
-		r.publish(s.tier, s.listEntry(stateGone))
+		r.publish(s.tier, s.listedEndpoint(platform.StateRemoved))
 	case event.Kind == experiment.Crash:
 		s.restart()
 		if s.sidecar != nil {
@@ -50,7 +51,7 @@
 				return
 			}
 		}
-		r.publish(s.tier, s.listEntry(stateReady))
+		r.publish(s.tier, s.listedEndpoint(platform.StateReady))
 	default:
 		s.applyFault(event)
 	}
@@ -89,11 +90,7 @@
 	if err := s.discovery.moveAddress(); err != nil {
 		return err
 	}
-	config, err := s.config()
-	if err != nil {
-		return err
-	}
-	return p.Reload(config)
+	return p.Reload(s.config())
 }
 
 // replaceServer drains a server, ends it after a time and starts a cold successor.
@@ -101,7 +98,7 @@
 	s.mu.Lock()
 	s.model.Drain()
 	s.mu.Unlock()
-	r.publish(s.tier, s.listEntry(stateDraining))
+	r.publish(s.tier, s.listedEndpoint(platform.StateDraining))
 	if !r.sleepUntil(r.now() + drain) {
 		return
 	}
@@ -110,7 +107,7 @@
 		s.sidecar.kill()
 	}
 	s.close()
-	r.publish(s.tier, s.listEntry(stateGone))
+	r.publish(s.tier, s.listedEndpoint(platform.StateRemoved))
 	successor, err := r.addSuccessor(s)
 	if err != nil {
 		r.fail(err)
@@ -122,7 +119,7 @@
 			return
 		}
 	}
-	r.publish(successor.tier, successor.listEntry(stateReady))
+	r.publish(successor.tier, successor.listedEndpoint(platform.StateReady))
 }
 
 // addSuccessor creates a server in the place of another, with a sidecar that is yet to be started
--- a/internal/experiment/testbed/improperpeer.go
+++ b/internal/experiment/testbed/improperpeer.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"rowancart/internal/experiment"
+	"rowancart/internal/platform"
 )
 
 const (
@@ -31,7 +32,7 @@
 	switch kind {
 	case experiment.PartialRequestPeer:
 		sent = "sent half a request"
-		_, _ = nc.Write([]byte("GET /" + class + "/x HTTP/1.1\r\nHost: x\r\nReq-Id: half"))
+		_, _ = nc.Write([]byte("GET /" + class + "/x HTTP/1.1\r\nHost: x\r\n" + platform.RequestIDHeader + ": half"))
 	case experiment.OversizedPeer:
 		sent = "sent 60 MB"
 		limit *= oversizedLimit
--- a/internal/experiment/testbed/process.go
+++ b/internal/experiment/testbed/process.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/platform"
 )
 
 // Command is a Program that a command line starts, such as the run line of deploy/balancer.toml.
@@ -60,15 +61,21 @@
 }
 
 // Start implements Program.
-func (c Command) Start(config Config) (Instance, error) {
+func (c Command) Start(config platform.ConfigFile) (Instance, error) {
 	p := &process{configPath: filepath.Join(c.Scratch, config.Name+".json"), exited: make(chan struct{})}
 	if err := p.writeConfig(config); err != nil {
 		return nil, err
 	}
 	p.cmd = exec.Command("/bin/sh", "-c", c.Line)
-	p.cmd.Dir, p.cmd.Stdout, p.cmd.Stderr = c.Dir, &p.log, &p.log
-	p.cmd.Env = append(os.Environ(), "ROUTER_NAME="+config.Name, "ROUTER_LISTEN="+config.Listen,
-		"ROUTER_DISCOVERY="+config.Discovery, "ROUTER_CONFIG="+p.configPath, "TMPDIR="+c.Scratch)
+	p.cmd.Dir = c.Dir
+	p.cmd.Stdout = &p.log
+	p.cmd.Stderr = &p.log
+	p.cmd.Env = append(os.Environ(),
+		platform.EnvName+"="+config.Name,
+		platform.EnvListen+"="+config.Listen,
+		platform.EnvDiscovery+"="+config.Discovery,
+		platform.EnvConfig+"="+p.configPath,
+		platform.EnvSharedDir+"="+c.Scratch)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // so that Kill reaches its child processes
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start %s: %w", config.Name, err)
@@ -81,7 +88,7 @@
 }
 
 // writeConfig replaces the configuration file atomically.
-func (p *process) writeConfig(c Config) error {
+func (p *process) writeConfig(c platform.ConfigFile) error {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -93,7 +100,7 @@
 }
 
 // Reload implements Instance.
-func (p *process) Reload(c Config) error {
+func (p *process) Reload(c platform.ConfigFile) error {
 	if err := p.writeConfig(c); err != nil {
 		return err
 	}
--- a/internal/experiment/testbed/program.go
+++ b/internal/experiment/testbed/program.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
@@ -15,36 +14,19 @@
 	"time"
 
 	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/platform"
 )
 
-// Config is the configuration file of a program under test (DEPLOY).
-type Config struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
-}
-
-// Limits are the limits in a Config; 0 stands for no limit.
-type Limits struct {
-	Cores    float64 `json:"cores,omitempty"`
-	MemoryMB int     `json:"memory_mb,omitempty"`
-	Sockets  int     `json:"sockets,omitempty"`
-}
-
 // Program starts instances of a program under test.
 type Program interface {
 	// Start starts an instance. It need not be healthy when Start returns.
-	Start(c Config) (Instance, error)
+	Start(c platform.ConfigFile) (Instance, error)
 }
 
 // Instance is an instance of a program under test.
 type Instance interface {
 	// Reload replaces the configuration file and sends SIGHUP.
-	Reload(c Config) error
+	Reload(c platform.ConfigFile) error
 	// Terminate sends SIGTERM.
 	Terminate()
 	// Kill sends SIGKILL and waits for the exit.
@@ -85,7 +67,6 @@
 }
 
 const (
-	healthPath          = "/_health"
 	healthCheckTimeout  = time.Second
 	healthCheckInterval = 20 * time.Millisecond
 )
@@ -117,7 +98,7 @@
 }
 
 func checkHealth(client *http.Client, addr string) error {
-	resp, err := client.Get("http://" + addr + healthPath)
+	resp, err := client.Get("http://" + addr + platform.HealthPath)
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/testbed/server.go
+++ b/internal/experiment/testbed/server.go
@@ -12,6 +12,7 @@
 	"rowancart/internal/experiment/counters"
 	"rowancart/internal/experiment/server"
 	"rowancart/internal/experiment/traffic"
+	"rowancart/internal/platform"
 )
 
 const (
@@ -94,9 +95,16 @@
 	return s, nil
 }
 
-// listEntry returns the server as discovery lists it now.
-func (s *emulatedServer) listEntry(state string) listEntry {
-	e := listEntry{ID: s.name, Addr: s.listener.Addr().String(), Zone: "here", Kind: s.stats.Kind, State: state, Weight: 1}
+// listedEndpoint returns the server as discovery lists it now.
+func (s *emulatedServer) listedEndpoint(state platform.State) platform.Endpoint {
+	e := platform.Endpoint{
+		ID:     s.name,
+		Addr:   s.listener.Addr().String(),
+		Zone:   "here",
+		Kind:   s.stats.Kind,
+		State:  state,
+		Weight: platform.WriteOnly[float64]{Value: 1},
+	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if started := s.model.Started(); started >= 0 {
--- a/internal/experiment/testbed/settings.go
+++ b/internal/experiment/testbed/settings.go
@@ -1,11 +1,11 @@
 package testbed
 
 import (
-	"encoding/json"
 	"time"
 
 	"rowancart/balancer"
 	"rowancart/internal/experiment"
+	"rowancart/internal/platform"
 )
 
 const (
@@ -17,48 +17,59 @@
 // platformSettings returns a site's settings in the platform's form (WIRE, Read your settings), for
 // a sidecar before a tier.
 func platformSettings(site experiment.Site, variant experiment.Variant,
-	tier, index, count int) (json.RawMessage, error) {
+	tier, index, count int) platform.SettingsObject {
 	index, count = site.AssignedIndex(tier, index, count)
-	var lanes []map[string]any
-	for _, c := range site.Classes {
-		semantics := "read_like"
-		if c.Repeat == balancer.NonIdempotent {
-			semantics = "non_idempotent"
-		}
-		lanes = append(lanes, map[string]any{"Name": c.Name, "Semantics": semantics, "Group": "all",
-			"OnTimeUs": c.LatencyObjective.Microseconds(), "HardLimitUs": c.Deadline.Microseconds(),
-			"Credit": c.PriorityWeight})
+	server := site.Tiers[tier].Server
+	settings := platform.SettingsObject{
+		Instances:    count,
+		Index:        index,
+		Tier:         tier,
+		Classes:      classSettings(site.Classes),
+		Discovery:    platform.DiscoveryAutomatic,
+		ResolutionUs: resolution.Microseconds(),
+		Permissions: platform.Permissions{
+			CancelAllowed:     true,
+			RetryAfterAllowed: true,
+			MaxAttempts:       site.MaxAttempts,
+			MaxRetryAfterUs:   maxRetryAfter.Microseconds(),
+			ConnIdleUs:        server.ConnIdleTimeout.Microseconds(),
+			DialTimeoutUs:     sidecarDialTime.Microseconds(),
+		},
+		Rules: platform.EndpointBehaviour{
+			SlowStartCapacity: server.InitialCapacity,
+			SlowStartWindowUs: server.WarmupTime.Microseconds(),
+			SlowStartShare:    variant.SlowStartShare,
+		},
 	}
-	var accounts, tiers []any
 	for _, t := range site.Tenants {
-		accounts = append(accounts, map[string]any{"Name": t.Name, "QuotaPerS": t.Quota, "Share": t.TrafficShare})
+		settings.Tenants = append(settings.Tenants, platform.TenantSettings{
+			Name:         t.Name,
+			Quota:        t.Quota,
+			TrafficShare: platform.WriteOnly[float64]{Value: t.TrafficShare},
+		})
 	}
 	for _, t := range site.Tiers {
-		tiers = append(tiers, t.Name)
+		settings.Tiers = append(settings.Tiers, t.Name)
 	}
-	server := site.Tiers[tier].Server
-	return json.Marshal(map[string]any{
-		"NInstances":   count,
-		"Me":           index,
-		"Tier":         tier,
-		"Tiers":        tiers,
-		"Lanes":        lanes,
-		"Accounts":     accounts,
-		"Discovery":    "automatic",
-		"ResolutionUs": resolution.Microseconds(),
-		"Permissions": map[string]any{
-			"MayCancel":       true,
-			"MayProbe":        false,
-			"RetryAfter":      true,
-			"TryLimit":        site.MaxAttempts,
-			"MaxRetryAfterUs": maxRetryAfter.Microseconds(),
-			"ConnIdleUs":      server.ConnIdleTimeout.Microseconds(),
-			"DialTimeoutUs":   sidecarDialTime.Microseconds(),
-		},
-		"Rules": map[string]any{
-			"ColdFrom":  server.InitialCapacity,
-			"ColdUs":    server.WarmupTime.Microseconds(),
-			"ColdShare": variant.SlowStartShare,
-		},
-	})
+	return settings
+}
+
+// classSettings returns the platform's form of a site's classes.
+func classSettings(classes []experiment.Class) []platform.ClassSettings {
+	var settings []platform.ClassSettings
+	for _, c := range classes {
+		repeatability := platform.RepeatabilityIdempotent
+		if c.Repeat == balancer.NonIdempotent {
+			repeatability = platform.RepeatabilityNonIdempotent
+		}
+		settings = append(settings, platform.ClassSettings{
+			Name:               c.Name,
+			Repeatability:      repeatability,
+			KeyScope:           platform.KeyScopeAll,
+			LatencyObjectiveUs: c.LatencyObjective.Microseconds(),
+			MaxDeadlineUs:      c.Deadline.Microseconds(),
+			PriorityWeight:     platform.WriteOnly[float64]{Value: c.PriorityWeight},
+		})
+	}
+	return settings
 }
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"net"
 	"strconv"
@@ -12,6 +11,7 @@
 
 	"rowancart/internal/experiment"
 	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/platform"
 )
 
 const (
@@ -59,14 +59,15 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	s.conns = &connPool{addr: s.addr}
-	var first []listEntry
+	var first []platform.Endpoint
 	for _, server := range r.servers[tier] {
 		if !server.draining() {
-			first = append(first, server.listEntry(stateReady))
+			first = append(first, server.listedEndpoint(platform.StateReady))
 		}
 	}
-	s.discovery, err = newDiscoveryServer(first, func(e listEntry) {
-		r.checker.RecordNotification(r.now(), name, e.ID, endpointStates[e.State], e.StartedMs > 0)
+	s.discovery, err = newDiscoveryServer(first, func(e platform.Endpoint) {
+		state, _ := e.State.EndpointState() // known: this program has made the entry
+		r.checker.RecordNotification(r.now(), name, e.ID, state, e.StartedMs > 0)
 	})
 	return s, err
 }
@@ -87,34 +88,27 @@
 }
 
 // config returns the program's configuration as of now.
-func (s *sidecar) config() (Config, error) {
-	settings, err := platformSettings(s.run.experiment.Site, s.run.variant, s.tier, s.index, s.count)
-	if err != nil {
-		return Config{}, err
-	}
-	known, err := json.Marshal(s.discovery.snapshot())
-	if err != nil {
-		return Config{}, err
-	}
+func (s *sidecar) config() platform.ConfigFile {
 	limits := s.run.experiment.Site.Limits
 	seed := experiment.Seed(s.run.seed, s.name+" start "+strconv.Itoa(s.starts))
-	return Config{
+	return platform.ConfigFile{
 		Name:      s.name,
 		Listen:    s.addr,
 		Discovery: s.discovery.address(),
 		Seed:      strconv.FormatUint(seed, 16),
-		Limits:    Limits{limits.Cores, limits.MemoryMB, limits.Descriptors},
-		Known:     known,
-		Settings:  settings,
-	}, nil
+		Limits: platform.ConfigLimits{
+			Cores:    limits.Cores,
+			MemoryMB: limits.MemoryMB,
+			Sockets:  limits.Descriptors,
+		},
+		Known:    s.discovery.snapshot(),
+		Settings: platformSettings(s.run.experiment.Site, s.run.variant, s.tier, s.index, s.count),
+	}
 }
 
 // start starts the program and waits until it is healthy.
 func (s *sidecar) start(ctx context.Context) error {
-	config, err := s.config()
-	if err != nil {
-		return err
-	}
+	config := s.config()
 	s.starts++
 	p, err := s.run.program.Start(config)
 	if err != nil {
--- a/internal/experiment/testbed/testbed_test.go
+++ b/internal/experiment/testbed/testbed_test.go
@@ -13,6 +13,7 @@
 	"go.uber.org/goleak"
 
 	"rowancart/internal/experiment"
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -54,7 +55,7 @@
 }
 
 // Start implements Program.
-func (o observedProgram) Start(c Config) (Instance, error) {
+func (o observedProgram) Start(c platform.ConfigFile) (Instance, error) {
 	p, err := o.violatingProgram.startProxy(c)
 	if err != nil {
 		return nil, err
--- a/internal/experiment/testbed/violation_test.go
+++ b/internal/experiment/testbed/violation_test.go
@@ -20,6 +20,7 @@
 	"rowancart/internal/experiment"
 	"rowancart/internal/experiment/counters"
 	"rowancart/internal/experiment/invariant"
+	"rowancart/internal/platform"
 )
 
 // proxy is a small sidecar that keeps every rule but for one planted violation.
@@ -27,8 +28,8 @@
 	violation string
 
 	mu        sync.Mutex
-	endpoints []listEntry  // ready ones, the newest last
-	next      atomic.Int64 // of the servers
+	endpoints []platform.Endpoint // ready ones, the newest last
+	next      atomic.Int64        // of the servers
 	requests  atomic.Int64
 	responses atomic.Int64 // written
 	server    *http.Server
@@ -41,7 +42,7 @@
 type violatingProgram string
 
 // Start implements Program.
-func (v violatingProgram) Start(c Config) (Instance, error) {
+func (v violatingProgram) Start(c platform.ConfigFile) (Instance, error) {
 	p, err := v.startProxy(c)
 	if err != nil {
 		return nil, err
@@ -49,18 +50,14 @@
 	return p, nil
 }
 
-func (v violatingProgram) startProxy(c Config) (*proxy, error) {
+func (v violatingProgram) startProxy(c platform.ConfigFile) (*proxy, error) {
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p := &proxy{violation: string(v), done: make(chan struct{}), ctx: ctx, stop: stop}
-	var known endpointList
-	if err := json.Unmarshal(c.Known, &known); err != nil {
-		return nil, err
-	}
-	p.endpoints = known.Servers
+	p.endpoints = c.Known.Endpoints
 	p.server = &http.Server{Handler: p, ReadHeaderTimeout: 500 * time.Millisecond}
 	if v == "holds improper peers" {
 		p.server.ReadHeaderTimeout = 0
@@ -73,11 +70,11 @@
 	return p, nil
 }
 
-func (p *proxy) Reload(Config) error   { return nil }
-func (p *proxy) Terminate()            { p.Kill() }
-func (p *proxy) Done() <-chan struct{} { return p.done }
-func (p *proxy) ExitReason() string    { return "told to" }
-func (p *proxy) Kill()                 { p.stop(); p.server.Close(); <-p.done }
+func (p *proxy) Reload(platform.ConfigFile) error { return nil }
+func (p *proxy) Terminate()                       { p.Kill() }
+func (p *proxy) Done() <-chan struct{}            { return p.done }
+func (p *proxy) ExitReason() string               { return "told to" }
+func (p *proxy) Kill()                            { p.stop(); p.server.Close(); <-p.done }
 
 // Usage implements Instance. A proxy runs within the test process, so its usage is made up.
 func (p *proxy) Usage() (invariant.Usage, time.Duration, bool) {
@@ -87,19 +84,21 @@
 	return invariant.Usage{MemoryMB: 1}, 0, true
 }
 
+func isNotReady(e platform.Endpoint) bool { return e.State != platform.StateReady }
+
 // pollEndpoints polls the endpoint list until ctx ends.
 func (p *proxy) pollEndpoints(ctx context.Context, addr string) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		if resp, err := http.Get("http://" + addr + membersPath); err == nil {
-			var l endpointList
+		if resp, err := http.Get("http://" + addr + platform.EndpointListPath); err == nil {
+			var l platform.EndpointList
 			if json.NewDecoder(resp.Body).Decode(&l) == nil {
-				l.Servers = slices.DeleteFunc(l.Servers, func(e listEntry) bool { return e.State != stateReady })
-				slices.SortStableFunc(l.Servers, func(a, b listEntry) int { return int(a.StartedMs - b.StartedMs) })
+				l.Endpoints = slices.DeleteFunc(l.Endpoints, isNotReady)
+				slices.SortStableFunc(l.Endpoints, func(a, b platform.Endpoint) int { return int(a.StartedMs - b.StartedMs) })
 				if p.violation != "ignores discovery" {
 					p.mu.Lock()
-					p.endpoints = l.Servers
+					p.endpoints = l.Endpoints
 					p.mu.Unlock()
 				}
 			}
@@ -139,7 +138,7 @@
 	_ = nc.SetDeadline(deadline)
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
-		method, target, idHeader, id, len(body), body)
+		method, target, platform.RequestIDHeader, id, len(body), body)
 	if _, err := nc.Write(b.Bytes()); err != nil {
 		return 0, nil
 	}
@@ -166,12 +165,12 @@
 	if r.URL.Path == "/_health" {
 		return
 	}
-	ms, err := strconv.Atoi(r.Header.Get(deadlineHeader))
+	ms, err := strconv.Atoi(r.Header.Get(platform.DeadlineHeader))
 	if err != nil {
 		http.Error(w, "no deadline", http.StatusBadRequest)
 		return
 	}
-	id, target, method := r.Header.Get(idHeader), r.URL.RequestURI(), r.Method
+	id, target, method := r.Header.Get(platform.RequestIDHeader), r.URL.RequestURI(), r.Method
 	deadline := time.Now().Add(time.Duration(ms)*time.Millisecond - 50*time.Millisecond)
 	n := p.requests.Add(1)
 	every := func(k int64) bool { return n%k == 0 }
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -50,8 +50,7 @@
 	Endpoints []Endpoint `json:"servers"`
 }
 
-// NewEndpointList returns a message that stands for no endpoints, and not for an invalid message, if
-// there are none.
+// NewEndpointList returns a message that is valid without endpoints, too, if the endpoints are.
 func NewEndpointList(version int64, complete bool, endpoints ...Endpoint) EndpointList {
 	return EndpointList{Version: &version, Complete: complete, Endpoints: append([]Endpoint{}, endpoints...)}
 }
@@ -59,7 +58,7 @@
 // Text returns the message as discovery sends it.
 func (l EndpointList) Text() []byte {
 	text, err := json.Marshal(l)
-	if err != nil { // a weight that is no number: the other fields have no values without a JSON form
+	if err != nil { // a weight that is not a number; all other fields have a JSON form
 		panic(err)
 	}
 	return text
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -13,7 +13,8 @@
 // stand-ins share this package: a wrong name would pass on both sides of any other test.
 
 const goldenList = `{"version":7,"full":true,"servers":[` +
-	`{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"Ready","weight":1,"started_ms":1800000000000},` +
+	`{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"Ready","weight":1,` +
+	`"started_ms":1800000000000},` +
 	`{"id":"b","addr":"127.0.0.1:2","zone":"","kind":"","cell":0,"state":"Terminating","weight":0.5,"started_ms":0}]}`
 
 const goldenChange = `{"version":8,"full":false,"servers":[` +
@@ -73,8 +74,9 @@
 	`"ConnIdleUs":11,"DialTimeoutUs":12},` +
 	`"Rules":{"AskWithinUs":13,"ColdUs":14,"DrainGraceUs":15,"ColdFrom":0.5,"ColdShare":0.75}}`
 
-func TestGoldenSettings(t *testing.T) {
-	written := SettingsObject{
+// goldenSettingsObject returns what goldenSettings is written from.
+func goldenSettingsObject() SettingsObject {
+	return SettingsObject{
 		Instances: 4,
 		Index:     2,
 		Tier:      1,
@@ -107,7 +109,10 @@
 			SlowStartShare:    0.75,
 		},
 	}
-	text, err := json.Marshal(written)
+}
+
+func TestGoldenSettings(t *testing.T) {
+	text, err := json.Marshal(goldenSettingsObject())
 	if err != nil || string(text) != goldenSettings {
 		t.Errorf("written: %v\n%s, want\n%s", err, text, goldenSettings)
 	}
@@ -148,7 +153,8 @@
 
 func TestGoldenConfigFile(t *testing.T) {
 	const golden = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","console":"127.0.0.1:3","seed":"1f",` +
-		`"limits":{"cores":0.5,"memory_mb":64,"sockets":128},"known":{"version":1},"settings":{"Me":2}}`
+		`"limits":{"cores":0.5,"memory_mb":64,"sockets":128},` +
+		`"known":` + goldenEmptyList + `,"settings":` + goldenSettings + `}`
 	file := ConfigFile{
 		Name:      "n",
 		Listen:    "127.0.0.1:1",
@@ -156,16 +162,22 @@
 		AdminAddr: "127.0.0.1:3",
 		Seed:      "1f",
 		Limits:    ConfigLimits{Cores: 0.5, MemoryMB: 64, Sockets: 128},
-		Known:     json.RawMessage(`{"version":1}`),
-		Settings:  json.RawMessage(`{"Me":2}`),
+		Known:     NewEndpointList(0, true),
+		Settings:  goldenSettingsObject(),
 	}
 	text, err := json.Marshal(file)
 	if err != nil || string(text) != golden {
 		t.Errorf("written: %v\n%s, want\n%s", err, text, golden)
 	}
 	var read ConfigFile
-	if err := json.Unmarshal([]byte(golden), &read); err != nil || !reflect.DeepEqual(read, file) {
-		t.Errorf("read: %+v, %v, want %+v", read, err, file)
+	if err := json.Unmarshal([]byte(golden), &read); err != nil {
+		t.Fatal(err)
+	}
+	file.Settings.Classes[0].PriorityWeight.Value = 0 // what is only written
+	file.Settings.Tenants[0].TrafficShare.Value = 0
+	file.Settings.Permissions.HealthCheckAllowed.Value = false
+	if !reflect.DeepEqual(read, file) {
+		t.Errorf("read: %+v, want %+v", read, file)
 	}
 }
 
@@ -201,7 +213,8 @@
 // Fields that no sidecar uses may hold anything, as unknown ones may.
 func TestUnusedFieldsAreNotDecoded(t *testing.T) {
 	for _, value := range []string{`null`, `1e999`, `"heavy"`, `true`, `[1]`, `{"a":[]}`} {
-		list := `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"Ready","weight":` + value + `}]}`
+		list := `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"Ready","weight":` + value +
+			`}]}`
 		if _, err := ParseEndpointList([]byte(list)); err != nil {
 			t.Errorf("%s: %v", list, err)
 		}
