--- a/internal/experiment/testbed/exchange.go
+++ b/internal/experiment/testbed/exchange.go
@@ -91,8 +91,7 @@
 func (s *emulatedServer) drawBreakBefore() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rate := s.faults.breakBeforeRate
-	return rate > 0 && s.rng.Float64() < rate
+	return s.draws(s.faults.BreakBeforeRate)
 }
 
 // setWork sets what the request needs.
@@ -109,11 +108,10 @@
 func (s *emulatedServer) drawFaults(lastByte time.Duration) drawnFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := &s.faults
 	return drawnFaults{
-		unresponsive: f.unresponsive,
-		fastError:    f.fastErrorRate > 0 && s.rng.Float64() < f.fastErrorRate || s.model.DrawError(),
-		breakConn:    f.breakAfterRate > 0 && s.rng.Float64() < f.breakAfterRate,
+		unresponsive: s.faults.Unresponsive,
+		fastError:    s.draws(s.faults.FastErrorRate) || s.model.DrawError(),
+		breakConn:    s.draws(s.faults.BreakAfterRate),
 		warmingUp:    s.model.CapacityFraction(lastByte) < 1,
 	}
 }
@@ -265,14 +263,28 @@
 	return s.run.send(context.Background(), m, x.info, s.sidecar, s.sidecarConns).outcome == invariant.Served
 }
 
-// drawResponse returns the text of a response as the faults in force let it out, and whether it is
-// complete HTTP.
-func (x *exchange) drawResponse(status int, body []byte) (f activeFaults, truncated, corrupted bool, text string) {
+// drawnResponse is a response as the faults in force let it out.
+type drawnResponse struct {
+	text         string
+	truncated    bool // the text breaks off
+	corrupted    bool // the text is not HTTP
+	unresponsive bool // the machine sends nothing
+	delay        time.Duration
+}
+
+// isComplete reports whether the text is a complete response.
+func (r *drawnResponse) isComplete() bool { return !r.truncated && !r.corrupted }
+
+// drawResponse draws what the faults in force make of a response.
+func (x *exchange) drawResponse(status int, body []byte) drawnResponse {
 	s := x.server
 	s.mu.Lock()
-	f = s.faults
-	truncated = f.truncateRate > 0 && s.rng.Float64() < f.truncateRate
-	corrupted = f.corruptRate > 0 && s.rng.Float64() < f.corruptRate
+	r := drawnResponse{
+		truncated:    s.draws(s.faults.TruncateRate),
+		corrupted:    s.draws(s.faults.CorruptRate),
+		unresponsive: s.faults.Unresponsive,
+		delay:        s.faults.ResponseDelay,
+	}
 	inFlight, reports := s.model.LoadReport(s.run.now())
 	s.mu.Unlock()
 	var b strings.Builder
@@ -285,31 +297,31 @@
 	}
 	b.WriteString("\r\n")
 	b.Write(body)
-	text = b.String()
+	r.text = b.String()
 	switch {
-	case corrupted:
-		text = "\x16\x03\x01 no HTTP at all\r\n\r\n"
-	case truncated:
-		text = text[:max(len(text)-max(len(body)/2, 1), 1)]
+	case r.corrupted:
+		r.text = "\x16\x03\x01 no HTTP at all\r\n\r\n"
+	case r.truncated:
+		r.text = r.text[:max(len(r.text)-max(len(body)/2, 1), 1)]
 	}
-	return f, truncated, corrupted, text
+	return r
 }
 
 // writeResponse sends a response, as the faults in force let it. It reports whether the connection
 // may carry another request.
 func (x *exchange) writeResponse(status int, body []byte) (reusable bool) {
-	faults, truncated, corrupted, text := x.drawResponse(status, body)
-	if faults.unresponsive {
+	r := x.drawResponse(status, body)
+	if r.unresponsive {
 		x.server.waitResponsive(x.crashed)
 		return false
 	}
-	if faults.responseDelay > 0 && !x.sleep(faults.responseDelay) {
+	if r.delay > 0 && !x.sleep(r.delay) {
 		return false
 	}
 	_ = x.conn.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
-	_, err := io.WriteString(x.conn, text)
-	if truncated { // closed in order, so that what was sent arrives
+	_, err := io.WriteString(x.conn, r.text)
+	if r.truncated { // closed in order, so that what was sent arrives
 		x.conn.Close()
 	}
-	return err == nil && !truncated && !corrupted
+	return err == nil && r.isComplete()
 }
--- a/internal/experiment/testbed/server.go
+++ b/internal/experiment/testbed/server.go
@@ -44,25 +44,12 @@
 	stats        counters.Server
 	rng          *rand.Rand // of the faults
 	conns        map[net.Conn]bool
-	crashed      chan struct{} // closed at a crash; a restart makes a new one
-	faults       activeFaults
-	recovered    chan struct{} // closed when a fault ends, which makes a new one
+	crashed      chan struct{}        // closed at a crash; a restart makes a new one
+	faults       traffic.ServerFaults // in force
+	recovered    chan struct{}        // closed when a fault ends, which makes a new one
 	closed       bool
 }
 
-// activeFaults are the faults in force at a server. Rates are fractions of the requests.
-type activeFaults struct {
-	fastErrorRate   float64
-	breakBeforeRate float64
-	breakAfterRate  float64
-	truncateRate    float64
-	corruptRate     float64
-	responseDelay   time.Duration
-	unresponsive    bool
-	acceptStalled   bool
-	slowdowns       map[experiment.FaultKind]float64
-}
-
 // newServer creates a server that accepts connections at once. The play's mu is held, or no other
 // goroutine uses the play.
 func (r *testRun) newServer(tier, index, generation int, started time.Duration) (*emulatedServer, error) {
@@ -88,7 +75,6 @@
 		conns:      map[net.Conn]bool{},
 		crashed:    make(chan struct{}),
 		recovered:  make(chan struct{}),
-		faults:     activeFaults{slowdowns: map[experiment.FaultKind]float64{}},
 	}
 	s.timer = time.AfterFunc(time.Hour, s.onTimer)
 	r.group.Go(s.accept)
@@ -164,7 +150,7 @@
 			time.Sleep(acceptRetryWait)
 			continue
 		}
-		accepting := s.waitWhile(func(f *activeFaults) bool { return f.unresponsive || f.acceptStalled }, nil)
+		accepting := s.waitWhile(func(f *traffic.ServerFaults) bool { return f.Unresponsive || f.AcceptStalled }, nil)
 		if !accepting {
 			nc.Close()
 			return nil
@@ -206,7 +192,7 @@
 
 // waitWhile waits while a condition of the faults holds. It reports false if crashed was closed or
 // the play ended before. A nil channel is never closed.
-func (s *emulatedServer) waitWhile(holds func(*activeFaults) bool, crashed <-chan struct{}) bool {
+func (s *emulatedServer) waitWhile(holds func(*traffic.ServerFaults) bool, crashed <-chan struct{}) bool {
 	for {
 		s.mu.Lock()
 		waiting, recovered := holds(&s.faults), s.recovered
@@ -226,7 +212,7 @@
 
 // waitResponsive waits while the machine sends nothing, or until the process dies or the play ends.
 func (s *emulatedServer) waitResponsive(crashed <-chan struct{}) {
-	s.waitWhile(func(f *activeFaults) bool { return f.unresponsive }, crashed)
+	s.waitWhile(func(f *traffic.ServerFaults) bool { return f.Unresponsive }, crashed)
 }
 
 // resetConn closes a connection so that the peer sees a reset.
@@ -281,35 +267,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance()
-	size, period := 0.0, time.Duration(0)
-	if event.On {
-		size, period = event.Fault.Size, event.Fault.Period
-	}
-	f := &s.faults
-	switch event.Kind {
-	case experiment.FastErrors:
-		f.fastErrorRate = size
-	case experiment.BreakBeforeRequest:
-		f.breakBeforeRate = size
-	case experiment.BreakAfterRequest:
-		f.breakAfterRate = size
-	case experiment.TruncateResponse:
-		f.truncateRate = size
-	case experiment.CorruptResponse:
-		f.corruptRate = size
-	case experiment.SlowResponse:
-		f.responseDelay = period
-	case experiment.Unresponsive:
-		f.unresponsive = event.On
-	case experiment.StallAccept:
-		f.acceptStalled = event.On
-	case experiment.NoisyNeighbour, experiment.SharedSlowdown:
-		f.slowdowns[event.Kind] = 1
-		if event.On {
-			f.slowdowns[event.Kind] = event.Fault.Slowdown()
-		}
-		s.updateSlowdown()
-	}
+	s.faults.Apply(event)
+	s.model.SetSlowdown(s.faults.Slowdown())
 	if !event.On {
 		close(s.recovered)
 		s.recovered = make(chan struct{})
@@ -317,11 +276,5 @@
 	s.reschedule()
 }
 
-// updateSlowdown applies all slowdowns in force. mu must be held.
-func (s *emulatedServer) updateSlowdown() {
-	total := 1.0
-	for _, factor := range s.faults.slowdowns {
-		total *= factor
-	}
-	s.model.SetSlowdown(total)
-}
+// draws reports whether a fault of a rate strikes a request. mu must be held.
+func (s *emulatedServer) draws(rate float64) bool { return rate > 0 && s.rng.Float64() < rate }
--- /dev/null
+++ b/internal/experiment/traffic/serverfaults.go
@@ -0,0 +1,68 @@
+package traffic
+
+import (
+	"time"
+
+	"rowancart/internal/experiment"
+)
+
+// ServerFaults are the faults in force at one server. Rates are fractions of its requests. The zero
+// value is a server without faults.
+type ServerFaults struct {
+	FastErrorRate   float64 // answered 500 at once
+	BreakBeforeRate float64 // whose connection breaks before the request's last byte
+	BreakAfterRate  float64 // and after it
+	TruncateRate    float64 // whose response breaks off
+	CorruptRate     float64 // whose response is not HTTP
+	ResponseDelay   time.Duration
+	Unresponsive    bool // the machine sends nothing
+	AcceptStalled   bool // new connections are not accepted
+
+	neighbourSlowdown float64 // how many times slower; 0: not in force
+	sharedSlowdown    float64 // the same
+}
+
+// Apply begins or ends a fault of a server. It ignores the kinds that end the server's process.
+func (f *ServerFaults) Apply(event FaultEvent) {
+	size := 0.0
+	delay := time.Duration(0)
+	slowdown := 0.0
+	if event.On {
+		size = event.Fault.Size
+		delay = event.Fault.Period
+		slowdown = event.Fault.Slowdown()
+	}
+	switch event.Kind {
+	case experiment.FastErrors:
+		f.FastErrorRate = size
+	case experiment.BreakBeforeRequest:
+		f.BreakBeforeRate = size
+	case experiment.BreakAfterRequest:
+		f.BreakAfterRate = size
+	case experiment.TruncateResponse:
+		f.TruncateRate = size
+	case experiment.CorruptResponse:
+		f.CorruptRate = size
+	case experiment.SlowResponse:
+		f.ResponseDelay = delay
+	case experiment.Unresponsive:
+		f.Unresponsive = event.On
+	case experiment.StallAccept:
+		f.AcceptStalled = event.On
+	case experiment.NoisyNeighbour:
+		f.neighbourSlowdown = slowdown
+	case experiment.SharedSlowdown:
+		f.sharedSlowdown = slowdown
+	}
+}
+
+// Slowdown returns how many times slower the server is by all faults in force.
+func (f *ServerFaults) Slowdown() float64 {
+	total := 1.0
+	for _, factor := range [...]float64{f.neighbourSlowdown, f.sharedSlowdown} {
+		if factor > 0 {
+			total *= factor
+		}
+	}
+	return total
+}
--- a/internal/experiment/virtual/policyhost.go
+++ b/internal/experiment/virtual/policyhost.go
@@ -46,7 +46,7 @@
 	a.serverIncarnation = n.incarnation
 	if !in.takeIdleConn(now, n) {
 		switch {
-		case n.unresponsive || n.acceptStalled:
+		case n.faults.Unresponsive || n.faults.AcceptStalled:
 			a.scheduleEnd(now+dialTimeout, balancer.ConnectFailed)
 			return
 		case !n.model.Connect():
@@ -57,7 +57,7 @@
 		delay *= 3 // a round trip for the connection comes first
 	}
 	a.holdsConn = true
-	if n.breakBeforeRate > 0 && n.rng.Float64() < n.breakBeforeRate {
+	if n.draws(n.faults.BreakBeforeRate) {
 		a.scheduleEnd(now+delay, balancer.ConnectFailed)
 		return
 	}
--- a/internal/experiment/virtual/server.go
+++ b/internal/experiment/virtual/server.go
@@ -12,7 +12,7 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// startedLongAgo is the start of servers that are warm when the play begins.
+// startedLongAgo is the start of servers that are warm when the run begins.
 const startedLongAgo = time.Duration(-1)
 
 // fastErrorDelay is how long a server takes to answer a request that fails at once.
@@ -40,16 +40,9 @@
 	tasks        []*task       // in any order
 	finishedJobs []*server.Job // buffer of advance
 
-	slowdowns         map[experiment.FaultKind]float64
-	fastErrorRate     float64
-	breakBeforeRate   float64 // fraction of connections broken before a request's last byte
-	breakAfterRate    float64 // and after it
-	breakResponseRate float64 // and within the response, or with one that is not HTTP
-	responseDelay     time.Duration
-	unresponsive      bool
-	acceptStalled     bool
+	faults traffic.ServerFaults // in force
 
-	arrivalsBySecond []int64 // of a server added during the play
+	arrivalsBySecond []int64 // of a server added during the run
 }
 
 // newServer creates a server and, unless its tier makes no calls, the instance of its calls.
@@ -67,7 +60,6 @@
 		name:        name,
 		rng:         experiment.Rand(s.seed, "faults of "+name),
 		addedAt:     max(started, 0),
-		slowdowns:   map[experiment.FaultKind]float64{},
 		stats:       counters.Server{Name: name, Kind: kind.Name, Cores: kind.Cores, AddedDuringRun: started >= 0},
 		model:       server.New(kind, t.Server, site.Rules, started, experiment.Rand(s.seed, "box "+name)),
 	}
@@ -78,53 +70,20 @@
 	return n
 }
 
-// endpoint returns the server as discovery lists it. Its start is set only where it is published as
-// news.
+// endpoint returns the server as discovery lists it. Its start is set only where the start itself
+// is published.
 func (n *serverNode) endpoint(state balancer.State) balancer.Endpoint {
 	return balancer.Endpoint{ID: n.name, Kind: n.stats.Kind, State: state}
 }
 
 // applyFault begins or ends a fault.
 func (n *serverNode) applyFault(event traffic.FaultEvent) {
-	size, period := 0.0, time.Duration(0)
-	if event.On {
-		size, period = event.Fault.Size, event.Fault.Period
-	}
-	switch event.Kind {
-	case experiment.FastErrors:
-		n.fastErrorRate = size
-	case experiment.BreakBeforeRequest:
-		n.breakBeforeRate = size
-	case experiment.BreakAfterRequest:
-		n.breakAfterRate = size
-	case experiment.TruncateResponse, experiment.CorruptResponse:
-		n.breakResponseRate = size
-	case experiment.SlowResponse:
-		n.responseDelay = period
-	case experiment.Unresponsive:
-		n.unresponsive = event.On
-	case experiment.StallAccept:
-		n.acceptStalled = event.On
-	case experiment.NoisyNeighbour, experiment.SharedSlowdown:
-		n.slowdowns[event.Kind] = 1
-		if event.On {
-			n.slowdowns[event.Kind] = event.Fault.Slowdown()
-		}
-		n.updateSlowdown()
-	}
+	n.faults.Apply(event)
+	n.model.SetSlowdown(n.faults.Slowdown())
 }
 
-// updateSlowdown applies all slowdowns in force, always in the same order: floating-point products
-// depend on it.
-func (n *serverNode) updateSlowdown() {
-	total := 1.0
-	for _, kind := range []experiment.FaultKind{experiment.NoisyNeighbour, experiment.SharedSlowdown} {
-		if factor := n.slowdowns[kind]; factor > 0 {
-			total *= factor
-		}
-	}
-	n.model.SetSlowdown(total)
-}
+// draws reports whether a fault of a rate strikes a request.
+func (n *serverNode) draws(rate float64) bool { return rate > 0 && n.rng.Float64() < rate }
 
 // advance moves the model to now and continues the tasks whose work is done.
 func (n *serverNode) advance(now time.Duration) {
@@ -156,7 +115,7 @@
 
 // receive handles a request whose last byte has arrived.
 func (n *serverNode) receive(now time.Duration, a *attempt) {
-	if n.unresponsive {
+	if n.faults.Unresponsive {
 		return
 	}
 	if n.model.Down() {
@@ -172,7 +131,7 @@
 	n.countArrival(now)
 	n.sim.checker.RecordArrival(invariant.Arrival{ID: a.call.id, Server: n.name, FirstByte: now, LastByte: now, Digest: 1,
 		WarmingUp: n.model.CapacityFraction(now) < 1, Work: work})
-	if n.fastErrorRate > 0 && n.rng.Float64() < n.fastErrorRate || n.model.DrawError() {
+	if n.draws(n.faults.FastErrorRate) || n.model.DrawError() {
 		n.sim.scheduleFunc(&n.eventSource, now+fastErrorDelay, func(now time.Duration) {
 			n.respond(now, a, balancer.Errored)
 		})
@@ -199,7 +158,7 @@
 		a.sendResult(now, balancer.Reset)
 	case server.Admitted:
 		n.addTask(t)
-		if n.breakAfterRate > 0 && n.rng.Float64() < n.breakAfterRate {
+		if n.draws(n.faults.BreakAfterRate) {
 			a.sendResult(now, balancer.Reset) // the work goes on
 		}
 	}
@@ -210,15 +169,15 @@
 	if r == balancer.OK {
 		n.sim.checker.RecordServerResponse(n.name, a.call.id, a.call.digest)
 	}
-	if n.unresponsive {
+	if n.faults.Unresponsive {
 		return
 	}
-	if n.breakResponseRate > 0 && n.rng.Float64() < n.breakResponseRate {
+	if n.draws(n.faults.TruncateRate) || n.draws(n.faults.CorruptRate) {
 		a.sendResult(now, balancer.Reset)
 		return
 	}
 	a.connReusable = true
-	a.sendResult(now+n.responseDelay, r)
+	a.sendResult(now+n.faults.ResponseDelay, r)
 }
 
 // crash ends the process. Its connections break, and its sidecar dies, too.
@@ -228,7 +187,7 @@
 	n.tasks = nil
 	for _, t := range tasks {
 		t.attempt.task = nil
-		if !n.unresponsive {
+		if !n.faults.Unresponsive {
 			t.attempt.sendResult(now, balancer.Reset)
 		}
 	}
