--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Retries: whether and where a request may be sent again, and whether its client may repeat it.
+// Retries: whether and where a request may be sent again, and whether its client may retry it.
 
 import (
 	"cmp"
@@ -35,7 +35,7 @@
 	switch {
 	case b.readyCount == 0:
 		return NoEndpoint
-	case !b.anyEndpointMayRepeat(now, req):
+	case !b.mayAttemptAnywhere(now, req):
 		return MayHaveRun
 	case most > 0 && len(req.attempts) >= most:
 		return AttemptsExhausted
@@ -61,39 +61,70 @@
 	return now+seconds(b.expectedLatency(req)*b.smallestActiveWeight()*share) <= req.giveUpAt
 }
 
-// anyEndpointMayRepeat reports whether some endpoint may get the request again. One is as good as
-// another, unless repeats are dropped in groups: then all have to be looked at.
-func (b *Balancer) anyEndpointMayRepeat(now time.Duration, req *request) bool {
-	may := func(e *endpoint) bool { return e.State == Ready && b.mayRepeatAt(now, req, e) }
-	i := slices.IndexFunc(b.endpoints, func(e *endpoint) bool { return e.State == Ready })
-	if i < 0 || may(b.endpoints[i]) {
-		return i >= 0
-	}
-	if req.class.Idempotency != IdempotencyKeyed || req.class.KeyScope == KeyScopeAll {
+// mayAttemptAnywhere reports whether some ready endpoint may get the request once more. One is as
+// good as another, unless duplicates are dropped within a group of endpoints: then all are checked.
+func (b *Balancer) mayAttemptAnywhere(now time.Duration, req *request) bool {
+	isReady := func(e *endpoint) bool { return e.State == Ready }
+	mayAttempt := func(e *endpoint) bool { return isReady(e) && b.mayAttemptAt(now, req, e) }
+	first := slices.IndexFunc(b.endpoints, isReady)
+	switch {
+	case first < 0:
 		return false
+	case mayAttempt(b.endpoints[first]):
+		return true
+	case req.class.hasLimitedKeyScope():
+		return slices.ContainsFunc(b.endpoints, mayAttempt)
 	}
-	return slices.ContainsFunc(b.endpoints, may)
+	return false
 }
 
-// mayRepeatAt reports whether a request sent to an endpoint now cannot take effect twice.
-func (b *Balancer) mayRepeatAt(now time.Duration, req *request, e *endpoint) bool {
+// hasLimitedKeyScope reports whether duplicates are dropped only within a group of endpoints.
+func (c *class) hasLimitedKeyScope() bool {
+	return c.Idempotency == IdempotencyKeyed && c.KeyScope != KeyScopeAll
+}
+
+// mayAttemptAt reports whether a request that is sent to an endpoint now cannot take effect twice.
+// Only a hedged request is sent while another attempt is in flight.
+func (b *Balancer) mayAttemptAt(now time.Duration, req *request, e *endpoint) bool {
 	for i := range req.attempts {
-		a, c := &req.attempts[i], req.class
+		a := &req.attempts[i]
 		if a.inFlight && !req.hedging {
 			return false
 		}
-		if !a.mayHaveRun || c.Idempotency == Idempotent && !c.NeverRerun {
-			continue
-		}
-		if c.Idempotency == NonIdempotent || c.NeverRerun || now+b.keyWindowMargin() >= a.startedAt+c.KeyWindow ||
-			c.KeyScope == KeyScopeZone && a.endpoint.Zone != e.Zone ||
-			c.KeyScope == KeyScopeCell && a.endpoint.Cell != e.Cell {
+		if a.mayHaveRun && !b.mayRunAgainAt(now, req.class, a, e) {
 			return false
 		}
 	}
 	return true
 }
 
+// mayRunAgainAt reports whether a request may run at an endpoint after an attempt that may have run:
+// it is idempotent, or the endpoint would drop it by its idempotency key.
+func (b *Balancer) mayRunAgainAt(now time.Duration, c *class, earlier *attempt, e *endpoint) bool {
+	if c.NeverRerun {
+		return false
+	}
+	switch c.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotencyKeyed:
+		inWindow := now+b.keyWindowMargin() < earlier.startedAt+c.KeyWindow
+		return inWindow && c.KeyScope.covers(earlier.endpoint, e)
+	}
+	return false
+}
+
+// covers reports whether one endpoint drops the duplicates of what another has seen.
+func (s KeyScope) covers(seenBy, e *endpoint) bool {
+	switch s {
+	case KeyScopeZone:
+		return seenBy.Zone == e.Zone
+	case KeyScopeCell:
+		return seenBy.Cell == e.Cell
+	}
+	return true
+}
+
 // keyWindowMargin returns how long before the end of a key's window the last retry may be decided.
 func (b *Balancer) keyWindowMargin() time.Duration {
 	return max(2*b.settings.Resolution, keyWindowMargin)
@@ -115,9 +146,17 @@
 	return 0
 }
 
-// mayReject reports whether the client can be told truthfully that a repeat is harmless.
+// mayReject reports whether a rejection, which promises the client that a retry of its own is
+// harmless, would be true.
 func (r *request) mayReject() bool {
-	keyedEverywhere := r.class.Idempotency == IdempotencyKeyed && r.class.KeyScope == KeyScopeAll
-	return r.class.Idempotency == Idempotent || keyedEverywhere ||
-		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight || a.mayHaveRun })
+	return r.class.mayBeRetriedByClient() || !slices.ContainsFunc(r.attempts, attempt.runsOrMayHaveRun)
+}
+
+// runsOrMayHaveRun reports whether the endpoint may have run the request, or may do so yet.
+func (a attempt) runsOrMayHaveRun() bool { return a.inFlight || a.mayHaveRun }
+
+// mayBeRetriedByClient reports whether a client may retry whatever has run: at any endpoint a
+// duplicate is harmless or dropped.
+func (c *class) mayBeRetriedByClient() bool {
+	return c.Idempotency == Idempotent || c.Idempotency == IdempotencyKeyed && c.KeyScope == KeyScopeAll
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -50,7 +50,7 @@
 // further send, and the request cannot take effect twice.
 func (b *Balancer) mayReceive(now time.Duration, req *request, e *endpoint) bool {
 	return e.State == Ready &&
-		(now >= e.nextSendAt || b.capacityShare(now, e) == 1) && b.mayRepeatAt(now, req, e)
+		(now >= e.nextSendAt || b.capacityShare(now, e) == 1) && b.mayAttemptAt(now, req, e)
 }
 
 // selectForDispatch returns the endpoint for the next attempt, nil if there is none with capacity.
@@ -167,12 +167,12 @@
 
 // mayBeTrial reports whether a request may be an endpoint's trial.
 func (b *Balancer) mayBeTrial(now time.Duration, req *request, e *endpoint) bool {
-	return !req.wasSentTo(e) && b.mayReceive(now, req, e) && !(req.isUnrepeatable() && e.isRiskyTrial(now))
+	return !req.wasSentTo(e) && b.mayReceive(now, req, e) && !(req.isLostByFailure() && e.isRiskyTrial(now))
 }
 
-// isUnrepeatable reports whether a request that fails at a trial is lost, since it may not be sent
-// again.
-func (r *request) isUnrepeatable() bool {
+// isLostByFailure reports whether a request whose attempt fails is lost, since it may not be sent
+// again once it may have run.
+func (r *request) isLostByFailure() bool {
 	return r.class.Idempotency != Idempotent || r.class.NeverRerun
 }
 
