--- a/balancer/api.go
+++ b/balancer/api.go
@@ -48,8 +48,8 @@
 	Subscribe()
 	// Timer asks for a Timer event at the given instant or soon after. Timers are not withdrawn.
 	Timer(at time.Duration)
-	// Log records a line for the people on call.
-	Log(line string)
+	// Log records an event for the people on call.
+	Log(e LogEvent)
 }
 
 // Idempotency says what repeating a request of a class may do.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -17,7 +17,7 @@
 	settings Settings
 	host     Host
 	rng      *rand.Rand // each draw counts: a further one changes all decisions that follow
-	loggedAt map[string]time.Duration
+	loggedAt map[LogKind]time.Duration
 
 	classSet
 	tenants     map[string]*tenant
@@ -48,7 +48,7 @@
 // New returns a Balancer that starts at now with no knowledge but its settings.
 func New(now time.Duration, s Settings, h Host) *Balancer {
 	b := &Balancer{
-		settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 1)), loggedAt: map[string]time.Duration{},
+		settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 1)), loggedAt: map[LogKind]time.Duration{},
 		endpointSet: newEndpointSet(), requestSet: newRequestSet(),
 		rate: rateEstimator{startedAt: now, updatedAt: now}, recentLatencyRatio: 1,
 	}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -17,7 +17,7 @@
 func (*recordingHost) Fail(string, balancer.Reason)                  {}
 func (*recordingHost) Subscribe()                                    {}
 func (*recordingHost) Timer(time.Duration)                           {}
-func (*recordingHost) Log(string)                                    {}
+func (*recordingHost) Log(balancer.LogEvent)                         {}
 
 // BenchmarkModule measures decisions by the number of endpoints: request is one with its outcome
 // without load, change is one endpoint that drains or is back, and whole is a complete list in
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -221,7 +221,7 @@
 	}
 	b.addSample(now, e, min(age.Seconds()/b.expectedLatency(req), maxLatencyRatio))
 	if e.active && unresponsive {
-		b.log(now, "silent", e.ID+" answers nothing and gets trials only")
+		b.log(now, LogEvent{Kind: EndpointUnresponsive, Endpoint: e.ID})
 		b.eject(now, e, InactiveUnresponsive)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -21,7 +21,7 @@
 func (printer) Fail(id string, why balancer.Reason) { fmt.Println("fail", id) }
 func (printer) Subscribe()                          { fmt.Println("subscribe") }
 func (printer) Timer(at time.Duration)              {}
-func (printer) Log(line string)                     { fmt.Println(line) }
+func (printer) Log(e balancer.LogEvent)             { fmt.Println(e) }
 
 func Example() {
 	b := balancer.New(0, balancer.Settings{
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -46,7 +46,7 @@
 
 func (h *harness) Timer(at time.Duration) { h.timers = append(h.timers, at) }
 
-func (h *harness) Log(string) {}
+func (h *harness) Log(balancer.LogEvent) {}
 
 func testSettings() balancer.Settings {
 	return balancer.Settings{Instances: 1, MaxAttempts: 4, CancelAllowed: true, Resolution: ms,
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -121,4 +121,4 @@
 func (h *sendRecorder) Fail(string, balancer.Reason)                  {}
 func (h *sendRecorder) Subscribe()                                    {}
 func (h *sendRecorder) Timer(time.Duration)                           {}
-func (h *sendRecorder) Log(string)                                    {}
+func (h *sendRecorder) Log(balancer.LogEvent)                         {}
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -187,7 +187,7 @@
 
 func (sim *simulation) Timer(at time.Duration) { sim.timers = append(sim.timers, at) }
 
-func (sim *simulation) Log(string) {}
+func (sim *simulation) Log(balancer.LogEvent) {}
 
 // startBalancer starts a new incarnation of the balancer; the requests of an earlier one are
 // lost.
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -1,11 +1,9 @@
 package balancer
 
-// What a Balancer reports of its endpoints, and its log. No decision is made in this file.
+// What a Balancer reports of its endpoints. No decision is made in this file.
 
 import "time"
 
-const logInterval = 10 * time.Second // least time between two log lines of one kind
-
 // Counts returns how many endpoints are listed, and how many of them are not in the ordinary
 // selection, by the operators or by decision. Its cost does not grow with the list.
 func (b *Balancer) Counts() (listed, avoided int) {
@@ -65,11 +63,3 @@
 	}
 	return s
 }
-
-// log writes at most one line of a kind every logInterval.
-func (b *Balancer) log(now time.Duration, kind, text string) {
-	if at, ok := b.loggedAt[kind]; !ok || now-at >= logInterval {
-		b.loggedAt[kind] = now
-		b.host.Log(kind + ": " + text)
-	}
-}
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -3,7 +3,6 @@
 // Timers: when the Balancer has to look again at what time alone changes, and what it does then.
 
 import (
-	"fmt"
 	"slices"
 	"time"
 )
@@ -75,7 +74,7 @@
 // giveUp answers a request that can no longer be in time, or has waited for capacity too long.
 func (b *Balancer) giveUp(now time.Duration, req *request) {
 	if len(req.attempts) == 0 {
-		b.log(now, "full", fmt.Sprintf("no endpoint has room, %d requests wait", len(b.queue)))
+		b.log(now, LogEvent{Kind: CapacityExhausted, QueuedRequests: len(b.queue)})
 	}
 	b.rejectOrFail(req, b.queueTimeoutReason(req))
 }
--- a/internal/experiment/virtual/policyhost.go
+++ b/internal/experiment/virtual/policyhost.go
@@ -96,7 +96,7 @@
 }
 
 // Log implements balancer.Host.
-func (p *policyHost) Log(line string) {
+func (p *policyHost) Log(e balancer.LogEvent) {
 	in := (*instance)(p)
-	in.sim.log(in.sim.now, in.name, line)
+	in.sim.log(in.sim.now, in.name, e.String())
 }
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -18,6 +18,7 @@
 	Timeout    = "timeout"    // within which something has to end
 	RetryDelay = "retry_in"   // time until the next try
 	Generation = "generation" // number of a configuration in force
+	Queued     = "queued"     // number of requests in a queue
 	RequestID  = "request_id" // id of a request
 	Count      = "count"      // number of occurrences that the line stands for
 )
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"rowancart/balancer"
+	"rowancart/internal/logkey"
 )
 
 // host carries out what the Balancer asks for. The Balancer calls it while it handles an event, so
@@ -74,4 +75,13 @@
 func (h host) Timer(at time.Duration) { h.requestTimer(at) }
 
 // Log implements balancer.Host.
-func (h host) Log(line string) { h.log.Info(line) }
+func (h host) Log(e balancer.LogEvent) {
+	switch e.Kind {
+	case balancer.EndpointUnresponsive:
+		h.log.Info("endpoint unresponsive", logkey.Endpoint, e.Endpoint)
+	case balancer.CapacityExhausted:
+		h.log.Info("capacity exhausted", logkey.Queued, e.QueuedRequests)
+	default:
+		h.log.Info(e.String())
+	}
+}
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -120,8 +120,8 @@
 // singleLine replaces what would end a line or a field.
 var singleLine = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
-// Log writes a DEBUG.
-func (h *Host) Log(line string) {
+// Log writes a DEBUG with the text of the event.
+func (h *Host) Log(e balancer.LogEvent) {
 	h.begin("DEBUG")
-	h.text("Words", singleLine.Replace(line)).end()
+	h.text("Words", singleLine.Replace(e.String())).end()
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -160,11 +160,13 @@
 	b.Fail("r4", balancer.MayHaveRun)
 	b.Subscribe()
 	b.Timer(5 * time.Microsecond)
-	b.Log("two\nlines")
+	b.Log(balancer.LogEvent{Kind: balancer.EndpointUnresponsive, Endpoint: "two\nlines"})
+	b.Log(balancer.LogEvent{Kind: balancer.CapacityExhausted, QueuedRequests: 4})
 	want := "ON_BEHALF\tSidecar=3\nDISPATCH\tRid=r1\tEndpoint=h:1\tPatienceUs=2\nSTOP_ATTEMPT\tRid=r1\tN=2\n" +
 		"ON_BEHALF\tSidecar=5\nSAY_NO\tRid=r2\nSAY_NO\tRid=r3\tRetryInUs=1000\nFINISH_ERROR\tRid=r4\n" +
 		"LISTEN\tActive=1\nSET_TIMER\tInstantUs=5\tMark=0\n" +
-		"DEBUG\tWords=two lines\nFINISHED\n"
+		"DEBUG\tWords=silent: two lines answers nothing and gets trials only\n" +
+		"DEBUG\tWords=full: no endpoint has room, 4 requests wait\nFINISHED\n"
 	got := string(r.Bytes())
 	if got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
