--- a/internal/connpool/exchange.go
+++ b/internal/connpool/exchange.go
@@ -8,6 +8,7 @@
 	"os"
 	"time"
 
+	"rowancart/internal/http1"
 	"rowancart/internal/platform"
 )
 
@@ -120,7 +121,7 @@
 	switch {
 	case p.isSuccess(resp.Status):
 		if p.passThrough {
-			resp.Header = EndToEnd(resp.Header)
+			resp.Header = http1.RemoveHopByHop(resp.Header)
 		} else {
 			keepContentType(resp.Header)
 		}
--- a/internal/connpool/headers.go
+++ b/internal/http1/hopbyhop.go
@@ -1,4 +1,4 @@
-package connpool
+package http1
 
 import (
 	"net/http"
@@ -11,12 +11,14 @@
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// EndToEnd deletes from h the headers that concern one connection only, those that Connection names
-// included, and returns h. A name in except is left even if Connection names it.
-func EndToEnd(h http.Header, except ...string) http.Header {
+// RemoveHopByHop deletes from h the headers that concern one connection only, including those that
+// Connection names, and returns h. The names in except, in canonical form, are kept even if
+// Connection names them.
+func RemoveHopByHop(h http.Header, except ...string) http.Header {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
-			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !slices.Contains(except, name) {
+			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
+			if !slices.Contains(except, name) {
 				delete(h, name)
 			}
 		}
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -151,7 +151,7 @@
 		return nil, closingRejection(http.StatusMethodNotAllowed, err.Error())
 	}
 	// These fields are forwarded unchanged even if Connection names them.
-	header := proxy.EndToEnd(r.Header, platform.RequestIDHeader, platform.IdempotencyKeyHeader)
+	header := http1.RemoveHopByHop(r.Header, platform.RequestIDHeader, platform.IdempotencyKeyHeader)
 	id, err := requestID(r.Header, target.DefaultID)
 	if err != nil {
 		return nil, closingRejection(http.StatusBadRequest, err.Error())
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -1,15 +1,11 @@
 package proxy
 
-import (
-	"net/http"
+import "rowancart/internal/connpool"
 
-	"rowancart/internal/connpool"
-)
-
-// What users of a Pool exchange with it is what package connpool writes to endpoints and reads from
-// them. The names here spare them that import.
+// Users of a Pool exchange with it what package connpool writes to endpoints and reads from them.
+// With these names they need not import that package.
 
-// The limits of messages, and the one header that both sides set.
+// The limits of messages.
 const (
 	MaxBody         = connpool.MaxBody
 	MaxHead         = connpool.MaxHead
@@ -26,9 +22,3 @@
 	// Stream is the rest of a response that is passed on while it arrives.
 	Stream = connpool.Stream
 )
-
-// EndToEnd deletes from h the headers that concern one connection only, but for those in except,
-// and returns h.
-func EndToEnd(h http.Header, except ...string) http.Header {
-	return connpool.EndToEnd(h, except...)
-}
