--- a/cmd/sidecar/handover_test.go
+++ b/cmd/sidecar/handover_test.go
@@ -18,7 +18,8 @@
 )
 
 // Three processes follow one another under load. No request is lost. An endpoint stays disabled
-// whichever process got the command, and also where that process is killed right after its response.
+// whichever process got the command, and also where that process is killed right after its
+// response.
 func TestHandoverUnderLoadLosesNoRequest(t *testing.T) {
 	const inFlight = 8 // requests that may reach an endpoint after it was disabled
 	slow := func(conn net.Conn, _ *http.Request, _ int) bool {
@@ -116,8 +117,8 @@
 	}
 }
 
-// SIGHUP and SIGTERM come while the successor still waits for its list, and it is killed before it is
-// ready: the predecessor goes on, and requests that come after SIGTERM are answered.
+// SIGHUP and SIGTERM come while the successor still waits for its list, and it is killed before it
+// is ready: the predecessor goes on, and requests that come after SIGTERM are answered.
 func TestSignalsDuringHandoverLoseNoRequest(t *testing.T) {
 	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
 	p := newTestPlatform(t, a.Addr)
@@ -171,8 +172,8 @@
 		io.WriteString(conn, text[:sent])
 		partial = append(partial, partialRequest{conn, text[sent:]})
 	}
-	// A client that connected after them has been served. Connections are accepted in their order, so
-	// that the first process has accepted all of them.
+	// A client that connected after them has been served. Connections are accepted in their order,
+	// so that the first process has accepted all of them.
 	clients := p.startClients(t, 1)
 	clients.waitForMore(t, 10)
 	p.startReady(t)
--- a/internal/compatibility/presence_test.go
+++ b/internal/compatibility/presence_test.go
@@ -43,22 +43,25 @@
 }
 
 // The earlier program registers by a locked file. This one must see it as a peer process, as its
-// successor where it serves and has registered later, and as exited once the lock is released. Where
-// its stamp is later though it registered before, the clock was set back.
+// successor where it serves and has registered later, and as exited once the lock is released.
+// Where its stamp is later though it registered before, the clock was set back.
 func TestPresenceOfEarlierProgramIsSeen(t *testing.T) {
+	none := hotrestart.PeerProcesses{}
+	running := hotrestart.PeerProcesses{Running: true}
+	successorServes := hotrestart.PeerProcesses{Running: true, SuccessorServes: true}
 	for name, row := range map[string]struct {
 		prefix    string
 		stampedBy time.Duration // of the earlier program's process, after this one
 		isLater   bool          // it registers after this one
 		want      hotrestart.PeerProcesses
 	}{
-		"serving, started before":      {"serving-", -time.Second, false, hotrestart.PeerProcesses{Running: true}},
-		"serving, started later":       {"serving-", time.Second, true, hotrestart.PeerProcesses{Running: true, SuccessorServes: true}},
-		"starting, started before":     {"starting-", -time.Second, false, hotrestart.PeerProcesses{Running: true}},
-		"starting, started later":      {"starting-", time.Second, true, hotrestart.PeerProcesses{Running: true}},
-		"serving, before a step back":  {"serving-", time.Hour, false, hotrestart.PeerProcesses{Running: true}},
-		"starting, before a step back": {"starting-", time.Hour, false, hotrestart.PeerProcesses{Running: true}},
-		"not locked yet":               {"entering-", -time.Second, false, hotrestart.PeerProcesses{}},
+		"serving, started before":      {"serving-", -time.Second, false, running},
+		"serving, started later":       {"serving-", time.Second, true, successorServes},
+		"starting, started before":     {"starting-", -time.Second, false, running},
+		"starting, started later":      {"starting-", time.Second, true, running},
+		"serving, before a step back":  {"serving-", time.Hour, false, running},
+		"starting, before a step back": {"starting-", time.Hour, false, running},
+		"not locked yet":               {"entering-", -time.Second, false, none},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir, apart := copyTree(t, sidecarDir), copyTree(t, sidecarDir)
@@ -84,7 +87,7 @@
 				t.Errorf("%+v, want %+v; %v", got, row.want, err)
 			}
 			earlier.Close()
-			if got, err := presence.PeerProcesses(); err != nil || got != (hotrestart.PeerProcesses{}) {
+			if got, err := presence.PeerProcesses(); err != nil || got != none {
 				t.Errorf("after its exit: %+v, %v", got, err)
 			}
 		})
--- a/internal/hotrestart/inheritedlistener.go
+++ b/internal/hotrestart/inheritedlistener.go
@@ -25,8 +25,8 @@
 )
 
 // InheritedListener returns a listener on the socket that this process has inherited at a file
-// descriptor, given as decimal text. It closes that descriptor. An error is one line; it wraps one of
-// the errors above unless the system failed.
+// descriptor, given as decimal text. It closes that descriptor. An error is one line; it wraps one
+// of the errors above unless the system failed.
 func InheritedListener(descriptor string) (net.Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 0 {
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -18,9 +18,10 @@
 //	registering --locked--> starting --MarkServing--> serving
 //
 // The owner holds an exclusive flock on the file until it exits: the kernel releases the lock then,
-// even after a SIGKILL, and no child process inherits the descriptor. A file that another process can
-// lock therefore belongs to a process that has exited. In the status registering the lock may not be
-// held yet, so peer processes ignore such a file, except that the order of processes counts it.
+// even after a SIGKILL, and no child process inherits the descriptor. A file that another process
+// can lock therefore belongs to a process that has exited. In the status registering the lock may
+// not be held yet, so peer processes ignore such a file, except that the order of processes counts
+// it.
 //
 // The owner removes its file in Unregister. The file of a process that was killed is removed by the
 // first peer process that finds it unlocked.
@@ -50,8 +51,8 @@
 	return fmt.Sprintf("%0*d-%d", startDigits, started, os.Getpid())
 }
 
-// parseStamp returns the start time of a stamp. It reports false for a text that newStamp can't have
-// returned: a foreign file must not count as a process.
+// parseStamp returns the start time of a stamp. It reports false for a text that newStamp can't
+// have returned: a foreign file must not count as a process.
 func parseStamp(text string) (started uint64, ok bool) {
 	digits, pid, ok := strings.Cut(text, "-")
 	started, startedErr := strconv.ParseUint(digits, 10, 64)
@@ -166,8 +167,9 @@
 	SuccessorServes bool // at least one is running, is a successor of this process, and serves
 }
 
-// PeerProcesses reads the shared directory, and removes the files of processes that have exited. With
-// an error nothing is known: a failure of this machine must not pass for the exit of a process.
+// PeerProcesses reads the shared directory, and removes the files of processes that have exited.
+// With an error nothing is known: a failure of this machine must not pass for the exit of a
+// process.
 func (p *Presence) PeerProcesses() (PeerProcesses, error) {
 	files, err := os.ReadDir(p.dir.path)
 	if err != nil {
--- a/internal/hotrestart/shareddir.go
+++ b/internal/hotrestart/shareddir.go
@@ -11,8 +11,8 @@
 	"syscall"
 )
 
-// The files of a shared directory. Processes of different versions share it, so these names must not
-// change.
+// The files of a shared directory. Processes of different versions share it, so these names must
+// not change.
 const (
 	sharedDirPrefix = "rowancart-" // then the escaped name of the sidecar
 	disabledDir     = "bans"       // a directory: one empty file for each disabled endpoint
@@ -26,8 +26,8 @@
 // ErrIDTooLong is returned for an endpoint whose ID does not fit a file name: it can't be disabled.
 var ErrIDTooLong = fmt.Errorf("an id of more than %d bytes", maxDisabledID)
 
-// SharedDir is the directory that the processes of one sidecar share. Any of its methods may fail for
-// a while, as on a full disk, and can be called again.
+// SharedDir is the directory that the processes of one sidecar share. Any of its methods may fail
+// for a while, as on a full disk, and can be called again.
 type SharedDir struct {
 	path  string
 	files fileCalls
@@ -122,6 +122,6 @@
 	return disabled, nil
 }
 
-// wrapError adds the prefix of this package's errors. Responses of the admin interface contain it, so
-// it must not change.
+// wrapError adds the prefix of this package's errors. Responses of the admin interface contain it,
+// so it must not change.
 func wrapError(err error) error { return fmt.Errorf("upgrade: %w", err) }
--- a/internal/hotrestart/successor/predecessor.go
+++ b/internal/hotrestart/successor/predecessor.go
@@ -9,15 +9,15 @@
 	"syscall"
 )
 
-// Predecessor is what a process inherits from the one before it: listening sockets, and the pipe on
+// Predecessor is what a process inherits from its predecessor: listening sockets, and the pipe on
 // which to report readiness. Its methods must not be called concurrently.
 type Predecessor struct {
 	sockets map[string]*os.File // by address; those that Listener has not returned yet
-	ready   *os.File            // nil: there is nobody to notify, or it is done
+	ready   *os.File            // nil: no predecessor waits for readiness, or it has been notified
 }
 
-// Inherit takes over what a predecessor passes on; without a predecessor the result is empty. It
-// must be called once, before the process starts others, which would inherit the descriptors too.
+// Inherit returns what this process inherits; without a predecessor that is nothing. It must be
+// called once, before this process starts others, which would inherit the descriptors too.
 func Inherit() (*Predecessor, error) {
 	p := &Predecessor{sockets: map[string]*os.File{}}
 	text, ok := os.LookupEnv(inheritVariable)
@@ -38,14 +38,15 @@
 	return p, nil
 }
 
-// openInherited returns a file of an inherited descriptor, which no child inherits in turn.
+// openInherited returns a file of an inherited descriptor, which child processes do not inherit in
+// turn.
 func openInherited(fd int, name string) *os.File {
 	syscall.CloseOnExec(fd)
 	return os.NewFile(uintptr(fd), name)
 }
 
-// Listener returns a listener of the predecessor's socket for an address, nil if it had none. It
-// can be called once for each address.
+// Listener returns a listener on the predecessor's socket for an address, or nil if there is none.
+// It must be called at most once for each address.
 func (p *Predecessor) Listener(address string) (net.Listener, error) {
 	f := p.sockets[address]
 	if f == nil {
@@ -61,7 +62,7 @@
 }
 
 // Ready notifies the predecessor that this process serves, and closes the sockets for which
-// Listener was not called. It does nothing more when called again.
+// Listener was not called. Further calls do nothing.
 func (p *Predecessor) Ready() error {
 	for address, f := range p.sockets {
 		f.Close()
@@ -74,7 +75,7 @@
 	err = errors.Join(err, p.ready.Close())
 	p.ready = nil
 	if errors.Is(err, syscall.EPIPE) {
-		return nil // the predecessor has ended: there is nobody to notify
+		return nil // the predecessor has exited
 	}
 	return err
 }
--- a/internal/hotrestart/successor/successor_test.go
+++ b/internal/hotrestart/successor/successor_test.go
@@ -17,16 +17,16 @@
 const behaviorVariable = "SUCCESSOR_TEST_BEHAVIOR"
 
 const (
-	behaviorServe   = "serve"   // gets ready and answers one connection
-	behaviorHang    = "hang"    // never gets ready
-	behaviorExit    = "exit"    // ends before it is ready
-	behaviorMisread = "misread" // reports something else than readiness
+	behaviorServe    = "serve"     // becomes ready and answers one connection
+	behaviorHang     = "hang"      // never becomes ready
+	behaviorExit     = "exit"      // exits before it is ready
+	behaviorNotReady = "not ready" // sends another message than readiness
 )
 
 const servedBySuccessor = "served by the successor"
 
-// patience is a time that no test should come near.
-const patience = 20 * time.Second
+// testTimeout is a time that no test should come near.
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
 	behavior, ok := os.LookupEnv(behaviorVariable)
@@ -47,10 +47,10 @@
 	case behaviorServe:
 		return serveOnce(p)
 	case behaviorHang:
-		time.Sleep(patience)
-	case behaviorMisread:
+		time.Sleep(testTimeout)
+	case behaviorNotReady:
 		_, err := p.ready.WriteString("hello\n")
-		time.Sleep(patience)
+		time.Sleep(testTimeout)
 		return err
 	}
 	return nil
@@ -99,7 +99,7 @@
 			}
 			defer l.Close()
 			s := startSuccessor(t, behaviorServe, l)
-			if err := s.Wait(t.Context(), patience); err != nil {
+			if err := s.Wait(t.Context(), testTimeout); err != nil {
 				t.Fatal(err)
 			}
 			l.Close() // the successor still listens, also at a path
@@ -108,7 +108,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(patience))
+			conn.SetDeadline(time.Now().Add(testTimeout))
 			if got, err := io.ReadAll(conn); err != nil || string(got) != servedBySuccessor {
 				t.Errorf("%q, %v", got, err)
 			}
@@ -116,20 +116,20 @@
 	}
 }
 
-func TestWaitEndsASuccessorThatIsNotReady(t *testing.T) {
+func TestWaitTerminatesSuccessorThatIsNotReady(t *testing.T) {
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for name, test := range map[string]struct {
 		behavior string
 		ctx      context.Context
 		timeout  time.Duration
-		want     error  // nil: any
+		want     error
 		text     string // part of the error
 	}{
 		"not ready in time":      {behaviorHang, t.Context(), 100 * time.Millisecond, ErrNotReady, "100ms"},
-		"context ended":          {behaviorHang, cancelled, patience, context.Canceled, ""},
-		"exits before readiness": {behaviorExit, t.Context(), patience, nil, "ended before it served"},
-		"reports something else": {behaviorMisread, t.Context(), patience, nil, "ended before it served"},
+		"context ended":          {behaviorHang, cancelled, testTimeout, context.Canceled, ""},
+		"exits before readiness": {behaviorExit, t.Context(), testTimeout, ErrExited, "exited before it was ready"},
+		"reports something else": {behaviorNotReady, t.Context(), testTimeout, ErrExited, "exited before it was ready"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -139,7 +139,7 @@
 			defer l.Close()
 			s := startSuccessor(t, test.behavior, l)
 			err = s.Wait(test.ctx, test.timeout)
-			if err == nil || test.want != nil && !errors.Is(err, test.want) || !strings.Contains(err.Error(), test.text) {
+			if !errors.Is(err, test.want) || !strings.Contains(err.Error(), test.text) {
 				t.Errorf("%v, want %v, %q", err, test.want, test.text)
 			}
 			if s.command.ProcessState == nil {
@@ -147,7 +147,7 @@
 			}
 			go net.Dial("tcp", l.Addr().String())
 			if conn, err := l.Accept(); err != nil {
-				t.Errorf("this process doesn't accept any more: %v", err)
+				t.Errorf("this process no longer accepts: %v", err)
 			} else {
 				conn.Close()
 			}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -45,9 +45,9 @@
 	warnedAt        time.Time // when a failure of the shared directory was last logged
 }
 
-// join registers this process in the shared directory of the sidecar of that name, below tempDir, and
-// applies the limits and the disabled endpoints. What fails is logged, and retried by run. It must be
-// called before any other method.
+// join registers this process in the shared directory of the sidecar of that name, below tempDir,
+// and applies the limits and the disabled endpoints. What fails is logged, and retried by run. It
+// must be called before any other method.
 func (h *handover) join(tempDir, name string) {
 	h.limits.apply(processesAlone)
 	if tempDir == "" {
@@ -145,7 +145,8 @@
 	}
 }
 
-// run checks the shared directory and writes snapshots until ctx ends, then unregisters this process.
+// run checks the shared directory and writes snapshots until ctx ends, then unregisters this
+// process.
 func (h *handover) run(ctx context.Context) {
 	if !h.hasSharedDir() {
 		return
@@ -181,8 +182,8 @@
 }
 
 // writeSnapshotIfDue writes a snapshot at each interval. It writes none before this process serves,
-// since the predecessor's may not have been restored yet, and none while this process is superseded,
-// since the successor writes its own.
+// since the predecessor's may not have been restored yet, and none while this process is
+// superseded, since the successor writes its own.
 func (h *handover) writeSnapshotIfDue() error {
 	if h.isSuperseded() || !h.snapshots.isDue() || !h.readiness.accepting.Load() {
 		return nil
--- a/internal/sidecar/operations.go
+++ b/internal/sidecar/operations.go
@@ -45,8 +45,8 @@
 // within a second.
 const commandListTimeout = 700 * time.Millisecond
 
-// waitUntilKnown returns once an endpoint is known, or the first endpoint list can't make it known any
-// more.
+// waitUntilKnown returns once an endpoint is known, or the first endpoint list can't make it known
+// any more.
 func (o *operations) waitUntilKnown(id string) {
 	if o.readiness.listSettled() || o.isKnown(id) {
 		return
@@ -84,8 +84,8 @@
 	return err
 }
 
-// storeDisabledLocked stores that an endpoint is disabled, if there is a shared directory. The caller
-// must hold o.mu.
+// storeDisabledLocked stores that an endpoint is disabled, if there is a shared directory. The
+// caller must hold o.mu.
 func (o *operations) storeDisabledLocked(id string) error {
 	if o.sharedDir == nil {
 		return nil
@@ -142,8 +142,8 @@
 }
 
 // syncDisabled stores the disabled endpoints that could not be stored before, and applies what has
-// been disabled and enabled through peer processes. With an error nothing is applied. It must only be
-// called where there is a shared directory.
+// been disabled and enabled through peer processes. With an error nothing is applied. It must only
+// be called where there is a shared directory.
 func (o *operations) syncDisabled() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// storeUnstoredLocked stores the disabled endpoints that could not be stored before. The caller must
-// hold o.mu.
+// storeUnstoredLocked stores the disabled endpoints that could not be stored before. The caller
+// must hold o.mu.
 func (o *operations) storeUnstoredLocked() error {
 	for id := range o.unstored {
 		if err := o.sharedDir.Disable(id); err != nil {
--- a/internal/sidecar/operations_test.go
+++ b/internal/sidecar/operations_test.go
@@ -200,9 +200,9 @@
 // Enabled implements slog.Handler.
 func (h hookHandler) Enabled(context.Context, slog.Level) bool { return true }
 
-// Once a process is ready the platform sends SIGTERM to its predecessor, which must know by then that
-// it has a successor. So the predecessor is notified first. Here that fails, and the process is not
-// ready yet when the failure is logged.
+// Once a process is ready the platform sends SIGTERM to its predecessor, which must know by then
+// that it has a successor. So the predecessor is notified first. Here that fails, and the process
+// is not ready yet when the failure is logged.
 func TestPredecessorIsNotifiedBeforeReady(t *testing.T) {
 	c := testOptions{settings: "{}", sharedDir: t.TempDir()}.config(t, "127.0.0.1:9")
 	readyAtNotification := make(chan error, 1)
--- a/internal/sidecar/shareddir_test.go
+++ b/internal/sidecar/shareddir_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// The shared directory fails while an operator disables an endpoint: it is disabled at once, and that
-// is stored as soon as the directory works.
+// The shared directory fails while an operator disables an endpoint: it is disabled at once, and
+// that is stored as soon as the directory works.
 func TestDisabledEndpointIsStoredOnceSharedDirWorks(t *testing.T) {
 	a, b := newEndpoint(t, respondWith(okResponse, true)), newEndpoint(t, respondWith(okResponse, true))
 	sharedDir := t.TempDir()
@@ -118,8 +118,8 @@
 	})
 }
 
-// The shared directory fails during the write of a snapshot: the incomplete file is removed once the
-// directory works again.
+// The shared directory fails during the write of a snapshot: the incomplete file is removed once
+// the directory works again.
 func TestIncompleteSnapshotOfFailedWriteIsRemoved(t *testing.T) {
 	sharedDir := t.TempDir()
 	s := testOptions{sharedDir: sharedDir}.start(t)
--- a/internal/sidecar/shareddircheck.go
+++ b/internal/sidecar/shareddircheck.go
@@ -8,7 +8,8 @@
 	"rowancart/internal/logkey"
 )
 
-// sharedDirWarnInterval is the least time between two warnings that the shared directory has failed.
+// sharedDirWarnInterval is the least time between two warnings that the shared directory has
+// failed.
 const sharedDirWarnInterval = 10 * time.Second
 
 // checkSharedDir writes what has not been written to the shared directory yet, and applies what has
@@ -34,7 +35,8 @@
 	return nil
 }
 
-// checkPeerProcessesLocked applies which peer processes this process has. The caller must hold h.mu.
+// checkPeerProcessesLocked applies which peer processes this process has. The caller must hold
+// h.mu.
 func (h *handover) checkPeerProcessesLocked() error {
 	if h.registration.presence == nil {
 		return nil
@@ -72,8 +74,8 @@
 	}
 }
 
-// applyPhaseLocked pauses accepting once this process is superseded, and resumes it if its successor
-// exits. The caller must hold h.mu.
+// applyPhaseLocked pauses accepting once this process is superseded, and resumes it if its
+// successor exits. The caller must hold h.mu.
 func (h *handover) applyPhaseLocked() {
 	if h.phase.isSuperseded() {
 		h.log.Info("superseded")
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -2,7 +2,8 @@
 // choose an endpoint for each, and follows the endpoint list of the platform's discovery. It
 // carries out what the balancer decides and decides nothing itself.
 //
-// Two processes of one sidecar run during a process handover; handover.go is the part of each in it.
+// Two processes of one sidecar run during a process handover; handover.go is the part of each in
+// it.
 package sidecar
 
 import (
@@ -21,8 +22,8 @@
 )
 
 const (
-	// responseQuarantine is for how long a connection to an endpoint rests after a response. A second
-	// response may come some milliseconds late, 6 at most so far, and so may a close.
+	// responseQuarantine is for how long a connection to an endpoint rests after a response. A
+	// second response may come some milliseconds late, 6 at most so far, and so may a close.
 	responseQuarantine = 20 * time.Millisecond
 	// serverName names the sidecar in Proxy-Status headers. It is on the wire and keeps its form.
 	serverName = "tuliprock"
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -16,8 +16,8 @@
 	snapshotMaxAge   = time.Minute // a snapshot older than this is not restored
 )
 
-// snapshotStore passes the pool's learned state from one process of the sidecar to its successor, in
-// one file.
+// snapshotStore passes the pool's learned state from one process of the sidecar to its successor,
+// in one file.
 type snapshotStore struct {
 	path string
 	pool *proxy.Pool
