--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -105,8 +105,8 @@
 	m.value.DeletePartialMatch(labels)
 }
 
-// observe counts a request that has been answered. Only a request that was forwarded to a pool has a
-// result.
+// observe counts a request that has been answered. Only a request that was forwarded to a pool has
+// a result.
 func (r *routeMetrics) observe(outcome httpserver.Outcome, latency time.Duration) {
 	if !outcome.Forwarded {
 		r.invalid.Inc()
--- a/internal/httpserver/accept.go
+++ b/internal/httpserver/accept.go
@@ -5,33 +5,34 @@
 	"log/slog"
 	"net"
 	"os"
+	"slices"
 	"syscall"
 	"time"
+
+	"rowancart/internal/logkey"
 )
 
 const (
-	// Backoff between two failures to accept a connection. A client's deadline may be a few tenths
-	// of a second, so the longest is a small part of that.
+	// Backoff after a failure to accept a connection. A client's deadline may be a few tenths of a
+	// second, so the longest backoff is a small part of that.
 	minAcceptBackoff = 2 * time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
 
-	// acceptLogInterval is the least time between two log lines about failures to accept.
+	// acceptLogInterval is the minimum time between two log lines about failures to accept.
 	acceptLogInterval = time.Second
 )
 
-// isFinalAcceptError reports whether a listener can never accept again after an error: it is
-// closed, or its descriptor is no listening socket. All other errors may pass: a lack of
-// descriptors or memory, a firewall's rule, and errors of the connection's network, which accept(2)
-// says to treat like EAGAIN. A deadline is not an error of accepting.
+// finalAcceptErrors are the errors after which a listener can never accept again: it is closed, its
+// deadline has passed, or its descriptor is not a listening socket. All other errors are transient:
+// a lack of descriptors or memory, a firewall's rule, and errors of the connection's network, which
+// accept(2) says to treat like EAGAIN.
+var finalAcceptErrors = []error{
+	net.ErrClosed, os.ErrDeadlineExceeded, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT,
+}
+
+// isFinalAcceptError reports whether an error is one of finalAcceptErrors.
 func isFinalAcceptError(err error) bool {
-	for _, final := range []error{
-		net.ErrClosed, os.ErrDeadlineExceeded, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT,
-	} {
-		if errors.Is(err, final) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(finalAcceptErrors, func(final error) bool { return errors.Is(err, final) })
 }
 
 // acceptBackoff is the backoff between failures to accept. It is used by one goroutine.
@@ -41,7 +42,7 @@
 	loggedAt time.Time // zero: never
 }
 
-// reset starts anew: a connection was accepted.
+// reset ends a series of failures: a connection was accepted.
 func (b *acceptBackoff) reset() { b.next = 0 }
 
 // wait waits before the next attempt and returns true, or returns false at once after a final
@@ -53,20 +54,20 @@
 	b.next = min(max(2*b.next, minAcceptBackoff), maxAcceptBackoff)
 	if now := time.Now(); b.loggedAt.IsZero() || now.Sub(b.loggedAt) >= acceptLogInterval {
 		b.loggedAt = now
-		b.log.Warn("accept failed", "err", err, "retry_in", b.next)
+		b.log.Warn("accept failed", logkey.Err, err, logkey.RetryDelay, b.next)
 	}
 	time.Sleep(b.next)
 	return true
 }
 
-// retryingListener accepts again after errors that may pass.
+// retryingListener retries accepting after transient errors.
 type retryingListener struct {
 	net.Listener
 	backoff acceptBackoff
 }
 
-// NewRetryingListener returns a listener whose Accept fails only where l can never accept again. It
-// is for servers that end at the first error. Accept must be called by one goroutine.
+// NewRetryingListener returns a listener whose Accept fails only if l can never accept again. It is
+// for servers that end at the first error. Accept must not be called concurrently.
 func NewRetryingListener(l net.Listener, log *slog.Logger) net.Listener {
 	return &retryingListener{Listener: l, backoff: acceptBackoff{log: log}}
 }
--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -43,16 +43,16 @@
 	return &failingListener{Listener: l, failures: failures}
 }
 
-// transientAcceptErrors are the errors of accept(2) that may pass: of the process, of the machine,
-// and pending errors of a connection's network, which it says to treat like EAGAIN.
+// transientAcceptErrors are the transient errors of accept(2): of the process, of the machine, and
+// pending errors of a connection's network, which it says to treat like EAGAIN.
 var transientAcceptErrors = []error{
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
 	syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.EOPNOTSUPP, syscall.ENETUNREACH,
 }
 
-// A failed accept must not end the server, whatever the error, nor keep a client waiting for long.
-func TestServeOutlivesFailedAccepts(t *testing.T) {
+// A failed accept must not end the server, whatever the error, nor delay a client for long.
+func TestServeRetriesFailedAccepts(t *testing.T) {
 	inner := listenFailing(t, transientAcceptErrors...)
 	l := NewListener(inner, 10)
 	served := make(chan error, 1)
@@ -65,16 +65,17 @@
 	}
 	resp.Body.Close()
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("%d failures in a row delayed a request by %v", len(transientAcceptErrors), took)
+		t.Errorf("%d consecutive failures delayed a request by %v", len(transientAcceptErrors), took)
 	}
 	l.Close()
 	if err := <-served; err == nil {
-		t.Error("a closed listener ends the server without an error")
+		t.Error("no error from the server of a closed listener")
 	}
 }
 
-// Servers that end at the first error of a listener, as net/http's does, go on as well.
-func TestRetryingListenerFailsOnlyForGood(t *testing.T) {
+// Servers that end at the first error of a listener, as net/http's does, survive transient errors
+// as well.
+func TestRetryingListenerReturnsOnlyFinalErrors(t *testing.T) {
 	inner := listenFailing(t, transientAcceptErrors...)
 	l := NewRetryingListener(inner, slog.New(slog.DiscardHandler))
 	client, err := net.Dial("tcp", inner.Addr().String())
@@ -89,6 +90,6 @@
 	nc.Close()
 	l.Close()
 	if _, err := l.Accept(); !isFinalAcceptError(err) {
-		t.Errorf("a closed listener: %v", err)
+		t.Errorf("closed listener: %v", err)
 	}
 }
--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// listenBenchmark starts an endpoint that answers each request of one connection at once, and
+// listenBenchmark starts an endpoint that responds at once to each request of one connection, and
 // returns its address.
 func listenBenchmark(b *testing.B) string {
 	b.Helper()
@@ -25,14 +25,14 @@
 			return
 		}
 		defer nc.Close()
-		answerEach(nc, []byte(served))
+		respondToEach(nc, []byte(served))
 	}()
 	return endpoint.Addr().String()
 }
 
-// answerEach writes response whenever the end of a request's head has come, until the connection
-// ends.
-func answerEach(nc net.Conn, response []byte) {
+// respondToEach writes response whenever the end of a request's head has been read, until the
+// connection ends.
+func respondToEach(nc net.Conn, response []byte) {
 	buf, n := make([]byte, 4<<10), 0
 	for {
 		got, err := nc.Read(buf[n:])
@@ -58,7 +58,9 @@
 	} {
 		b.Run(row.name, func(b *testing.B) {
 			client, _ := connectToServer(b, listenBenchmark(b))
-			request, last, answer := []byte(row.head), []byte(row.last), make([]byte, 4<<10)
+			request := []byte(row.head)
+			last := []byte(row.last)
+			response := make([]byte, 4<<10)
 			b.ReportAllocs()
 			id := bytes.Index(request, []byte("00000000"))
 			for n := 0; b.Loop(); n++ {
@@ -69,8 +71,8 @@
 				if _, err := client.Write(request); err != nil {
 					b.Fatal(err)
 				}
-				for n := 0; !bytes.HasSuffix(answer[:n], last); {
-					got, err := client.Read(answer[n:])
+				for n := 0; !bytes.HasSuffix(response[:n], last); {
+					got, err := client.Read(response[n:])
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/httpserver/bodybuffers.go
+++ b/internal/httpserver/bodybuffers.go
@@ -5,13 +5,13 @@
 const (
 	bodyBufferSize    = 64 << 10 // bytes
 	minBodyBuffers    = 16       // in the pool, however small its limit
-	maxBodyShare      = 4        // one body may hold a quarter of all buffers
-	maxFreeBuffers    = 16       // kept for reuse
+	bodyQuotaDivisor  = 4        // one body may use a quarter of all buffers
+	maxFreeBuffers    = 16       // cached for reuse
 	defaultBodyMemory = 8 << 20  // bytes
 )
 
-// bodyBufferPool has the buffers of long bodies, for all connections together, and limits their
-// number.
+// bodyBufferPool provides the buffers of long bodies, for all connections together, and limits how
+// many are in use.
 type bodyBufferPool struct {
 	mu    sync.Mutex // guards the fields below
 	limit int        // of inUse
@@ -27,11 +27,11 @@
 	p.limit = max(bytes/bodyBufferSize, minBodyBuffers)
 }
 
-// maxPerBody returns how many buffers one body may hold.
+// maxPerBody returns how many buffers one body may use.
 func (p *bodyBufferPool) maxPerBody() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limit / maxBodyShare
+	return p.limit / bodyQuotaDivisor
 }
 
 // get returns a buffer, or nil if the limit is reached.
@@ -50,7 +50,7 @@
 	return make([]byte, bodyBufferSize)
 }
 
-// put takes back buffers that get has returned, of whatever length they are now.
+// put returns buffers from get to the pool. They may have been resliced to any length.
 func (p *bodyBufferPool) put(buffers [][]byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/httpserver/bodypace_test.go
+++ b/internal/httpserver/bodypace_test.go
@@ -10,8 +10,8 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// A client may take 2 s for a head and send its body at 64 kB a second, in pieces; one that sends
-// no complete request must have its connection ended within 3 s.
+// A client may take 2 s for a head and send its body at 64 kB a second, in pieces; the connection
+// of one that sends no complete request must be closed within 3 s.
 func TestBodyPace(t *testing.T) {
 	requestStart := time.Unix(1_800_000_000, 0)
 	for _, row := range []struct {
@@ -41,7 +41,8 @@
 				allowed = false
 				break
 			}
-			p.received, p.lastRead = p.received+int64(row.piece), now
+			p.received += int64(row.piece)
+			p.lastRead = now
 		}
 		if allowed != row.allowed {
 			t.Errorf("%s: allowed %v, after %d bytes", row.name, allowed, p.received)
@@ -52,7 +53,7 @@
 		p := bodyPace{allowance: defaultBodyTimeout, requestStart: requestStart, bodyStart: bodyStart, lastRead: bodyStart,
 			received: received}
 		if deadline := p.nextDeadline(); deadline.After(secondsAfter(requestStart, 3)) {
-			t.Errorf("a client that stops after %d bytes is ended after %v", received, deadline.Sub(requestStart))
+			t.Errorf("a client that stops after %d bytes times out after %v", received, deadline.Sub(requestStart))
 		}
 	}
 }
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -15,37 +15,51 @@
 const (
 	bufferIdleTimeout = time.Second            // an idle connection frees its buffers after this time
 	lingerTimeout     = 500 * time.Millisecond // for the client to read an error before its connection is closed
-	maxLingerBytes    = 256 << 10              // read and dropped meanwhile, of what a rejected client still sends
+	maxLingerBytes    = 256 << 10              // read and discarded meanwhile, of what a rejected client still sends
 )
 
 // conn serves one connection of a client, one request after the other. Its goroutine owns all
-// fields, with two exceptions: the disconnectWatcher is also called from a timer and by the pool,
-// and while a pool serves a request with a streamed body, the pool reads that body off the reader.
+// fields, with two exceptions: the disconnectWatcher is also called from a timer, and while a pool
+// serves a request, the pool queries the socket and reads a streamed body from the reader.
 type conn struct {
-	server       *Server
-	netConn      *trackedConn
-	reader       connReader
-	output       []byte // the response being written
-	disconnect   disconnectWatcher
-	requestStart time.Time // the connection's, or the first byte of its current request
+	server      *Server
+	netConn     *trackedConn
+	socket      socket
+	reader      connReader
+	output      []byte // the response being written
+	disconnect  disconnectWatcher
+	lastRequest bool // the current request is the last: its response closes the connection
+
+	requestStart time.Time // when the connection was accepted, or the first byte of its current request was read
 	requestRead  bool      // the head of its current request has been read
 
 	writeDeadlineSet time.Time // when the write deadline was set last
 }
 
+// newConn returns a conn for an accepted connection.
+func newConn(s *Server, nc *trackedConn) *conn {
+	socket := socketOf(nc.Conn)
+	return &conn{
+		server:       s,
+		netConn:      nc,
+		socket:       socket,
+		reader:       connReader{Conn: nc, socket: socket},
+		disconnect:   disconnectWatcher{socket: socket},
+		requestStart: nc.since,
+	}
+}
+
 // serveConn serves a connection until it ends, and closes it.
 func (s *Server) serveConn(l *Listener, nc *trackedConn) {
 	defer l.setState(nc, http.StateClosed)
 	defer nc.Close()
-	c := &conn{server: s, netConn: nc, requestStart: nc.since}
+	c := newConn(s, nc)
 	defer func() {
-		if cause := recover(); cause != nil { // a fault in one request must not end the process
-			s.log.Error("a request failed", "cause", cause, "stack", string(debug.Stack()))
-			c.answerPanic()
+		if value := recover(); value != nil { // a fault in one request must not end the process
+			s.log.Error("request panicked", "panic", value, "stack", string(debug.Stack()))
+			c.respondAfterPanic()
 		}
 	}()
-	c.disconnect.attach(nc.Conn)
-	c.reader = connReader{Conn: nc, kernel: &c.disconnect}
 	if nc.SetReadDeadline(deadlineAfter(requestHeadTimeout)) != nil || c.reader.fill() != nil {
 		return
 	}
@@ -63,9 +77,9 @@
 	}
 }
 
-// answerPanic answers the request whose handling has panicked, unless its response has begun. The
-// request may have run, so nothing is promised.
-func (c *conn) answerPanic() {
+// respondAfterPanic responds to the request whose handling has panicked, unless its response has
+// begun. The request may have been run by an endpoint, so the status must not invite a retry.
+func (c *conn) respondAfterPanic() {
 	_ = c.disconnect.stop()
 	if !c.requestRead || c.netConn.hasWrittenSinceRead() {
 		return
@@ -73,16 +87,16 @@
 	c.reject(nil, closingRejection(http.StatusBadGateway, http.StatusText(http.StatusBadGateway)))
 }
 
-// startRequest starts the time of a request whose first byte has arrived. It reports whether the
-// connection can be read from.
+// startRequest records the start of a request whose first byte has been read, and sets the deadline
+// for its head. It reports whether the connection can be read from.
 func (c *conn) startRequest() bool {
 	c.requestStart = time.Now()
 	return c.reader.hasCompleteHead() || c.netConn.SetReadDeadline(deadlineAfter(requestHeadTimeout)) == nil
 }
 
-// waitForData waits for the first byte of the next request and reports whether it has arrived. A
-// connection that is idle for longer than bufferIdleTimeout frees its buffers meanwhile, because
-// there are many of them.
+// waitForData waits for the first byte of the next request and reports whether it has been read. A
+// connection that is idle for longer than bufferIdleTimeout frees its buffers: there may be
+// thousands of idle connections.
 func (c *conn) waitForData() bool {
 	c.reader.startRequest()
 	if c.reader.hasData() {
@@ -107,8 +121,9 @@
 // carry another request.
 func (c *conn) serveRequest() bool {
 	c.requestRead = false
-	r, rejection, err := c.readRequestHead()
-	if err != nil {
+	r, err := c.readRequestHead()
+	var rejection *Rejection
+	if err != nil && !errors.As(err, &rejection) {
 		return false
 	}
 	c.requestRead = true
@@ -129,17 +144,18 @@
 	return c.forward(r, &target, body)
 }
 
-// serveHealthCheck answers a health check of this process. Its body, if any, is dropped.
+// serveHealthCheck responds to a health check of this process. The request's body, if any, is
+// discarded.
 func (c *conn) serveHealthCheck(r *http.Request, body receivedBody) bool {
 	body.release()
 	if body.streamed != nil {
 		return c.reject(r, bodyRejection(errBodyTooLong))
 	}
-	return c.writeResponse(r, http.StatusOK, plainTextHeader(), []byte("ok\n"), false)
+	return c.writeResponse(r, responseHead{http.StatusOK, plainTextHeader()}, []byte("ok\n"))
 }
 
 // rejectUnread rejects a request whose body may not have been read to its end: then the connection
-// cannot go on.
+// is closed.
 func (c *conn) rejectUnread(r *http.Request, body receivedBody, rejection *Rejection) bool {
 	body.release()
 	rejection.Close = rejection.Close || body.streamed != nil
@@ -153,24 +169,25 @@
 		defer func() { target.Done(outcome) }()
 	}
 	message := &proxy.RequestMessage{Body: body.data, Release: body.releaseData}
-	call, rejection := c.server.newCall(r, target, message, body.streamed != nil, c.reader.arrivedAt)
-	if rejection != nil {
+	if rejection := c.server.completeMessage(message, r, target, body); rejection != nil {
 		return c.rejectUnread(r, body, rejection)
 	}
-	// A request that has just been read may have stood in the kernel's queues for long, so its client
-	// may be gone already.
-	call.ClientGone = c.disconnect.clientGone
+	call := newCall(r, target, message, c.reader.arrivedAt)
+	// A request that has just been read may have waited in the kernel's queues, so its client may
+	// have disconnected already.
+	call.ClientGone = c.isDisconnected
 	if body.streamed != nil {
 		return c.forwardStreamed(r, target.Pool, call, message, body, &outcome)
 	}
 	outcome.Forwarded = true
-	var disconnected bool
-	outcome.Result, disconnected = c.do(target.Pool, call)
-	// A client that has closed only its sending side may still read the response.
-	return c.writeResult(r, outcome.Result, disconnected)
+	outcome.Result = c.do(target.Pool, call)
+	return c.writeResult(r, outcome.Result)
 }
 
-// forwardStreamed is forward for a request with a long body, which the pool reads on from the
+// isDisconnected reports whether the client has disconnected.
+func (c *conn) isDisconnected() bool { return c.socket.isDisconnected() }
+
+// forwardStreamed is forward for a request with a long body: the pool reads the rest of it from the
 // connection.
 func (c *conn) forwardStreamed(r *http.Request, pool *proxy.Pool, call *proxy.Call, message *proxy.RequestMessage,
 	body receivedBody, outcome *Outcome) bool {
@@ -191,10 +208,9 @@
 		call.Deadline = pool.Now() + message.ClientTimeout + streamed.timeLimit()
 	}
 	outcome.Forwarded = true
-	var disconnected bool
-	outcome.Result, disconnected = c.do(pool, call)
+	outcome.Result = c.do(pool, call)
 	ended, err := streamed.abandon()
-	if err == nil && !ended && c.disconnect.clientGone() { // the rest will never arrive
+	if err == nil && !ended && c.isDisconnected() { // the rest will never arrive
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil && !errors.Is(err, errBodyAbandoned) {
@@ -202,18 +218,23 @@
 		return c.reject(r, bodyRejection(err))
 	}
 	if !ended { // the rest of the body must not be read as the next request
-		c.writeResult(r, outcome.Result, true)
+		c.lastRequest = true
+		c.writeResult(r, outcome.Result)
 		return c.lingeringClose()
 	}
-	return c.writeResult(r, outcome.Result, disconnected)
+	return c.writeResult(r, outcome.Result)
 }
 
 // do passes a call to its pool and waits for the result, while it watches whether the client
-// disconnects.
-func (c *conn) do(pool *proxy.Pool, call *proxy.Call) (result proxy.Result, disconnected bool) {
+// disconnects. The response is written even to a client that has: one that has closed only its
+// sending side may still read it.
+func (c *conn) do(pool *proxy.Pool, call *proxy.Call) proxy.Result {
 	c.disconnect.start(func() { pool.ClientLeft(call) })
-	result = pool.Do(call)
-	return result, c.disconnect.stop()
+	result := pool.Do(call)
+	if c.disconnect.stop() {
+		c.lastRequest = true
+	}
+	return result
 }
 
 // lingeringClose gives the client time to read its response before the connection is closed, and
--- a/internal/httpserver/connection_test.go
+++ b/internal/httpserver/connection_test.go
@@ -5,19 +5,20 @@
 	"testing"
 )
 
-// panickingRouter has a fault in it.
+// panickingRouter is a faulty router.
 type panickingRouter struct{}
 
 // Route implements Router.
-func (panickingRouter) Route(*http.Request) (Target, *Rejection) { panic("a fault of a test's router") }
+func (panickingRouter) Route(*http.Request) (Target, *Rejection) { panic("planted by a test") }
 
-// A request that was read gets its one answer, whatever goes wrong in this process.
-func TestRequestIsAnsweredThoughItsHandlingPanics(t *testing.T) {
+// A request that was read gets its one response, also if its handling panics, and the process goes
+// on.
+func TestPanicIsAnsweredWithBadGateway(t *testing.T) {
 	inner := listen(t)
 	startServer(t, NewListener(inner, 10), panickingRouter{})
 	nc := connect(t, inner, "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Deadline-Ms: 1000\r\n\r\n")
 	requireStatus(t, nc, http.StatusBadGateway)
-	requireStatus(t, connect(t, inner, healthRequest), http.StatusOK) // the process goes on
+	requireStatus(t, connect(t, inner, healthRequest), http.StatusOK)
 }
 
 // Up to two empty lines before a request are skipped, however they arrive.
--- a/internal/httpserver/connreader.go
+++ b/internal/httpserver/connreader.go
@@ -10,11 +10,17 @@
 )
 
 const (
-	initialBufferSize    = 4 << 10 // bytes: enough for most heads, and small enough for each connection to have
+	initialBufferSize    = 4 << 10 // bytes: enough for most heads, and affordable for each connection
 	maxLeadingEmptyLines = 2       // before a request
+
+	// Data that was unread for minUnreadWait may be followed by data that was sent with it, and has
+	// waited in the client's own buffers. A read that blocks for longer than maxBurstGap waits for
+	// the client to send, not for those buffers.
+	minUnreadWait = 20 * time.Millisecond
+	maxBurstGap   = 5 * time.Millisecond
 )
 
-// Errors of heads.
+// Errors of reading heads.
 var (
 	errHeadTooLong = errors.New("the head is too long") // longer than proxy.MaxHead
 	errBareLF      = errors.New("a line that does not end with CR LF")
@@ -29,47 +35,46 @@
 // allowed.
 type connReader struct {
 	net.Conn
-	kernel     *disconnectWatcher // knows what of the connection is unread; nil: unknown
-	buf        []byte
-	start, end int // of the data in buf that is not consumed
+	socket socket // of Conn
+
+	buf   []byte
+	start int // of the data in buf that is not consumed
+	end   int // of the data in buf
 
 	latestAt  time.Time // when the latest data that was read had arrived
 	arrivedAt time.Time // when the request's latest data can have been sent at the earliest; zero: none was read
-	waited    bool      // the request's data has stood unread for a while
+	delayed   bool      // the request's data was unread for minUnreadWait or longer
 }
 
-// Data that has stood unread for minUnreadWait may be followed by data that was sent with it, and
-// has stood in the client's own buffers. A read that takes longer than maxFlowPause waits for the
-// client, and not for these.
-const (
-	minUnreadWait = 20 * time.Millisecond
-	maxFlowPause  = 5 * time.Millisecond
-)
-
-// startRequest forgets when data has arrived, but for that of a request that is buffered already.
+// startRequest resets the arrival times, unless the beginning of the next request is buffered
+// already.
 func (r *connReader) startRequest() {
 	if r.hasData() {
-		r.waited = time.Since(r.arrivedAt) >= minUnreadWait
+		r.delayed = time.Since(r.arrivedAt) >= minUnreadWait
 		return
 	}
-	r.arrivedAt, r.waited = time.Time{}, false
+	r.arrivedAt = time.Time{}
+	r.delayed = false
 }
 
-// Read implements net.Conn and notes when the data has arrived: it may have waited to be read, for
-// this process to accept the connection or to serve the request before it.
+// Read implements net.Conn and records when the data arrived: it may have been unread while the
+// connection waited to be accepted or the previous request was served.
 func (r *connReader) Read(p []byte) (int, error) {
 	began := time.Now()
 	n, err := r.Conn.Read(p)
 	if n == 0 {
 		return n, err
 	}
-	now, age := time.Now(), r.kernel.unreadAge()
+	now, age := time.Now(), r.socket.unreadAge()
 	r.latestAt = now.Add(-age)
+	sentLater := now.Sub(began) > maxBurstGap
 	switch {
 	case r.arrivedAt.IsZero():
-		r.arrivedAt, r.waited = r.latestAt, age >= minUnreadWait
-	case !r.waited || now.Sub(began) > maxFlowPause:
-		r.arrivedAt, r.waited = r.latestAt, false
+		r.arrivedAt = r.latestAt
+		r.delayed = age >= minUnreadWait
+	case !r.delayed || sentLater:
+		r.arrivedAt = r.latestAt
+		r.delayed = false
 	}
 	return n, err
 }
@@ -84,10 +89,14 @@
 func (r *connReader) hasCompleteHead() bool { return bytes.Contains(r.buffered(), endOfHead) }
 
 // release frees the buffer. No data may be buffered.
-func (r *connReader) release() { r.buf, r.start, r.end = nil, 0, 0 }
+func (r *connReader) release() {
+	r.buf = nil
+	r.start = 0
+	r.end = 0
+}
 
-// readFirstByte waits for data without a buffer, makes one for it and reports whether data has
-// arrived.
+// readFirstByte waits for data without a buffer, so that an idle connection needs none, and
+// allocates one once data has arrived. It reports whether it has.
 func (r *connReader) readFirstByte() bool {
 	var first [1]byte
 	if n, _ := r.Read(first[:]); n == 0 {
@@ -128,8 +137,8 @@
 // readHead waits for a complete head and consumes it with its empty line. The head is valid until
 // the next read.
 func (r *connReader) readHead() ([]byte, error) {
-	// scanned is how much of the data is known to contain no end of a head. An end may begin a few
-	// bytes before it.
+	// scanned is how much of the data has been searched for the end of the head. That end may begin
+	// a few bytes before it.
 	for emptyLines, scanned := 0, 0; ; {
 		// Some clients send an empty line after a body (RFC 9112, 2.2).
 		for bytes.HasPrefix(r.buffered(), crlf) && emptyLines < maxLeadingEmptyLines {
@@ -143,7 +152,7 @@
 			r.start += size
 			return data[:size], nil
 		}
-		if bytes.Contains(data[max(scanned-1, 0):], []byte("\n\n")) { // other servers would end the head here
+		if bytes.Contains(data[max(scanned-1, 0):], []byte("\n\n")) { // some servers end the head here
 			return nil, errBareLF
 		}
 		if scanned = len(data); scanned >= proxy.MaxHead {
--- a/internal/httpserver/connrejector.go
+++ b/internal/httpserver/connrejector.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	maxConcurrentRejections = 64                     // answered at once; other connections are closed without a response
-	rejectionTimeout        = 200 * time.Millisecond // for the request to be read and the response to be written
+	maxConcurrentRejections = 64                     // other connections are closed without a response
+	rejectionTimeout        = 200 * time.Millisecond // for reading the request and writing the response
 	maxRejectedBytes        = 64 << 10               // read of what the client has sent
 
 	overloadResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\n" +
 		"Content-Type: text/plain; charset=utf-8\r\nContent-Length: 21\r\n\r\ntoo many connections\n"
 )
 
-// connRejector answers connections beyond the limit with 503, so that their clients can go to
-// another server at once. A wait in the kernel's queue would use up their time.
+// connRejector responds with 503 to connections beyond the limit, so that their clients can retry
+// elsewhere at once. Waiting in the kernel's queue would use up their deadlines.
 type connRejector struct {
 	slots   chan struct{}  // holds a value for each rejection in progress
 	running sync.WaitGroup // rejections in progress
@@ -27,7 +27,7 @@
 	return &connRejector{slots: make(chan struct{}, maxConcurrentRejections)}
 }
 
-// reject answers a connection and closes it, in a goroutine of its own.
+// reject responds to a connection's request and closes the connection, in a goroutine of its own.
 func (r *connRejector) reject(nc net.Conn) {
 	select {
 	case r.slots <- struct{}{}:
@@ -42,10 +42,11 @@
 	})
 }
 
-// writeRejection waits for the first byte of a request and answers it.
+// writeRejection waits for the first byte of a request and writes the response.
 func writeRejection(nc net.Conn) {
 	_ = nc.SetDeadline(time.Now().Add(rejectionTimeout))
-	// Clients close a connection on which a response arrives before their request, without reading it.
+	// Clients close a connection on which a response arrives before their request, without reading
+	// it.
 	if _, err := nc.Read(make([]byte, 1)); err != nil {
 		return
 	}
--- a/internal/httpserver/disconnect_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -8,80 +8,92 @@
 	"rowancart/internal/testpeer"
 )
 
-// watchConn returns a watcher of a connection, the connection's end that it watches, and the
-// client's end.
-func watchConn(t *testing.T) (w *disconnectWatcher, server, client *net.TCPConn) {
+// watchedConn is a connection, both ends of it, and the watcher of the server's end.
+type watchedConn struct {
+	watcher *disconnectWatcher
+	server  *net.TCPConn
+	client  *net.TCPConn
+}
+
+// newWatchedConn returns an idle connection that no request is in progress on.
+func newWatchedConn(t *testing.T) watchedConn {
 	t.Helper()
-	_, c, nc := acceptIdle(t)
-	w = &disconnectWatcher{}
-	w.attach(c.Conn)
-	return w, c.Conn.(*net.TCPConn), nc.(*net.TCPConn)
+	idle := acceptIdle(t)
+	return watchedConn{
+		watcher: &disconnectWatcher{socket: socketOf(idle.server.Conn)},
+		server:  idle.server.Conn.(*net.TCPConn),
+		client:  idle.client.(*net.TCPConn),
+	}
 }
 
-// However a client disconnects, it is noticed; one that stays connected is not taken for gone,
-// whatever it sends.
-func TestDisconnectIsNoticed(t *testing.T) {
-	sendAhead := func(client *net.TCPConn) { io.WriteString(client, "bytes that nobody reads") }
+// However a client disconnects, it is detected; one that stays connected is not taken for
+// disconnected, whatever it sends.
+func TestDisconnectIsDetected(t *testing.T) {
+	sendAhead := func(client *net.TCPConn) { io.WriteString(client, "unread bytes") }
 	closeWrite := func(client *net.TCPConn) { client.CloseWrite() }
 	closeConn := func(client *net.TCPConn) { client.Close() }
-	reset := func(client *net.TCPConn) { client.SetLinger(0); client.Close() }
+	reset := func(client *net.TCPConn) {
+		client.SetLinger(0)
+		client.Close()
+	}
 	// A close with the response unread would be a reset.
-	readResponse := func(client *net.TCPConn) { io.ReadFull(client, make([]byte, len("answer"))) }
+	readResponse := func(client *net.TCPConn) { io.ReadFull(client, make([]byte, len(idleResponse))) }
 	for name, row := range map[string]struct {
-		actions []func(*net.TCPConn)
-		gone    bool
+		actions      []func(*net.TCPConn)
+		disconnected bool
 	}{
-		"stays":                           {nil, false},
-		"stays, bytes ahead":              {[]func(*net.TCPConn){sendAhead}, false},
-		"closes its writing":              {[]func(*net.TCPConn){closeWrite}, true},
-		"closes its writing, bytes ahead": {[]func(*net.TCPConn){sendAhead, closeWrite}, true},
-		"closes":                          {[]func(*net.TCPConn){readResponse, closeConn}, true},
-		"closes, bytes ahead":             {[]func(*net.TCPConn){readResponse, sendAhead, closeConn}, true},
-		"resets":                          {[]func(*net.TCPConn){reset}, true},
-		"resets, bytes ahead":             {[]func(*net.TCPConn){sendAhead, reset}, true},
+		"stays":                                 {nil, false},
+		"stays, unread bytes":                   {[]func(*net.TCPConn){sendAhead}, false},
+		"closes its sending side":               {[]func(*net.TCPConn){closeWrite}, true},
+		"closes its sending side, unread bytes": {[]func(*net.TCPConn){sendAhead, closeWrite}, true},
+		"closes":                                {[]func(*net.TCPConn){readResponse, closeConn}, true},
+		"closes, unread bytes":                  {[]func(*net.TCPConn){readResponse, sendAhead, closeConn}, true},
+		"resets":                                {[]func(*net.TCPConn){reset}, true},
+		"resets, unread bytes":                  {[]func(*net.TCPConn){sendAhead, reset}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, server, client := watchConn(t)
-			if w.clientGone() {
-				t.Fatal("gone before it has done anything")
+			conn := newWatchedConn(t)
+			if conn.watcher.socket.isDisconnected() {
+				t.Fatal("disconnected before any action")
 			}
 			for _, act := range row.actions {
-				act(client)
+				act(conn.client)
 			}
-			if row.gone {
-				until(t, "the disconnect is noticed", w.clientGone)
+			if row.disconnected {
+				until(t, "the disconnect is detected", conn.watcher.socket.isDisconnected)
 				return
 			}
 			if len(row.actions) > 0 {
-				until(t, "the bytes arrive", func() bool { return testpeer.Pending(server) })
+				until(t, "the bytes arrive", func() bool { return testpeer.Pending(conn.server) })
 			}
-			if w.clientGone() {
-				t.Error("it is taken for gone")
+			if conn.watcher.socket.isDisconnected() {
+				t.Error("taken for disconnected")
 			}
 		})
 	}
 }
 
-// Once a request is answered, its client's disconnect must not be notified: it would hit the next
-// request's attempt.
+// Once a response has been written, the client's disconnect must not be notified: it would cancel
+// the next request's attempt.
 func TestNoDisconnectIsNotifiedAfterStop(t *testing.T) {
-	w, _, client := watchConn(t)
+	conn := newWatchedConn(t)
+	w := conn.watcher
 	notified := 0
 	w.start(func() { notified++ })
-	client.SetLinger(0)
-	client.Close()
-	until(t, "the disconnect is noticed", w.clientGone)
+	conn.client.SetLinger(0)
+	conn.client.Close()
+	until(t, "the disconnect is detected", w.socket.isDisconnected)
 	w.stop()
 	atStop := notified
-	w.poll() // as the timer of the request before may still do
+	w.poll() // as the previous request's timer may still do
 	if notified != atStop {
-		t.Error("notified after the stop")
+		t.Error("notified after stop")
 	}
 	w.start(func() { notified++ })
 	w.poll()
 	w.poll()
 	if notified != atStop+1 {
-		t.Errorf("notified %d times of one disconnect", notified-atStop)
+		t.Errorf("%d notifications of one disconnect", notified-atStop)
 	}
 	w.stop()
 }
--- a/internal/httpserver/drain.go
+++ b/internal/httpserver/drain.go
@@ -9,28 +9,28 @@
 	newConnTimeout    = 2 * time.Second // for the first byte on a new connection, while draining
 	drainPollInterval = 10 * time.Millisecond
 
-	// acceptAfterCloses is for how long connections are accepted once Drain has begun to close idle
-	// ones: a client whose request crosses such a close sends it once more on a new connection.
-	acceptAfterCloses = 150 * time.Millisecond
-	// maxAcceptAfterCloses is for how long they are where more keep coming.
-	maxAcceptAfterCloses = 3 * acceptAfterCloses
-	// emptyQueueAfter is how long an accept must have waited to show that no connection is queued.
+	// minDrainAccept is how long connections are accepted at least once Drain has begun to close
+	// idle ones: a client whose request crosses such a close retries it on a new connection.
+	minDrainAccept = 150 * time.Millisecond
+	// maxDrainAccept is how long connections are accepted at most, if clients keep connecting.
+	maxDrainAccept = 3 * minDrainAccept
+	// emptyQueueAfter is how long an accept must have blocked to show that no connection is queued.
 	emptyQueueAfter = 20 * time.Millisecond
-	// lastAcceptMargin is how long before its deadline Drain ends accepting.
+	// lastAcceptMargin is how long before its deadline Drain stops accepting.
 	lastAcceptMargin = 50 * time.Millisecond
 
-	// drainKeepAliveFactor bounds how long connections are kept for another request while draining:
+	// drainIdleFactor bounds how long connections stay open for another request while draining:
 	// this many times as long as they may be idle.
-	drainKeepAliveFactor = 3
+	drainIdleFactor = 3
 )
 
-// Close closes the listener. Open connections stay.
+// Close closes the listener. Open connections stay open.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// Abort closes all connections, whatever they are doing.
+// Abort closes all connections, also those with a request in progress.
 func (l *Listener) Abort() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,28 +40,28 @@
 }
 
 // Drain closes all idle connections and then the listener, and returns once all connections have
-// ended, each with its last request answered. What the kernel has accepted is taken: unless the
-// listener is paused, it is closed only once no connection waits in its queue for a place.
+// ended, each with the response to its last request. Connections in the kernel's queue are served
+// too: unless the listener is paused, it is closed only once its queue is empty.
 //
-// A connection that has been active within keepAlive is kept for its next request, whose response
-// closes it: no request can cross that close. This ends after drainKeepAliveFactor times keepAlive,
-// when idle connections are closed at once. After deadline, unless it is zero, all connections are
-// closed whatever they are doing.
-func (l *Listener) Drain(keepAlive time.Duration, deadline time.Time) error {
+// A connection that was active within maxIdle stays open for its next request, whose response
+// closes it: no request can cross that close. This ends after drainIdleFactor times maxIdle, when
+// idle connections are closed at once. After deadline, unless it is zero, all connections are
+// aborted.
+func (l *Listener) Drain(maxIdle time.Duration, deadline time.Time) error {
 	var err error
 	start := time.Now()
 	for listening := true; ; {
-		if time.Since(start) > drainKeepAliveFactor*keepAlive {
-			keepAlive = 0
+		if time.Since(start) > drainIdleFactor*maxIdle {
+			maxIdle = 0
 		}
 		if !deadline.IsZero() && time.Now().After(deadline) {
 			l.Abort()
 		}
-		open := l.closeIdle(keepAlive)
+		open := l.closeIdle(maxIdle)
 		if listening && l.mayStopAccepting(start, deadline) {
 			listening = false
 			err = l.Close()
-			continue // a connection may have been accepted since the look at those that are open
+			continue // a connection may have been accepted since the open ones were counted
 		}
 		if !listening && open == 0 {
 			break
@@ -79,20 +79,33 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
+	elapsed := now.Sub(start)
 	switch {
-	case l.resumed != nil: // paused: another process accepts
+	case l.isPaused(): // another process accepts
 		return true
 	case !deadline.IsZero() && now.After(deadline.Add(-lastAcceptMargin)):
 		return true
-	}
-	if l.slots != nil && len(l.slots) == cap(l.slots) && l.acceptingSince.IsZero() {
-		return false // there is no place for a connection that may be queued
-	}
-	if now.Sub(start) >= maxAcceptAfterCloses { // clients that go on connecting must not hold up the end
+	case l.waitsForSlot(): // a connection may be queued
+		return false
+	case elapsed >= maxDrainAccept: // clients that keep connecting must not delay the end
 		return true
 	}
-	queueIsEmpty := !l.acceptingSince.IsZero() && now.Sub(l.acceptingSince) >= emptyQueueAfter
-	return queueIsEmpty && now.Sub(start) >= acceptAfterCloses
+	return elapsed >= minDrainAccept && l.isQueueEmpty(now)
+}
+
+// isPaused reports whether Pause is in force. The caller must hold l.mu.
+func (l *Listener) isPaused() bool { return l.resumed != nil }
+
+// waitsForSlot reports whether nothing is accepted because all slots are in use. The caller must
+// hold l.mu.
+func (l *Listener) waitsForSlot() bool {
+	return l.slots != nil && len(l.slots) == cap(l.slots) && l.acceptingSince.IsZero()
+}
+
+// isQueueEmpty reports whether an accept has blocked for so long that no connection can be queued.
+// The caller must hold l.mu.
+func (l *Listener) isQueueEmpty(now time.Time) bool {
+	return !l.acceptingSince.IsZero() && now.Sub(l.acceptingSince) >= emptyQueueAfter
 }
 
 // closeIdle closes the connections that have been idle for at least minIdle, and those that have
--- a/internal/httpserver/drain_test.go
+++ b/internal/httpserver/drain_test.go
@@ -66,36 +66,39 @@
 	}
 }
 
-// A request that the kernel has accepted has been taken, though this process had no place for its
-// connection when the shutdown began.
-func TestDrainAnswersWhatWaitsToBeAccepted(t *testing.T) {
-	const places = 2
+// A connection in the kernel's queue is served, though all slots were in use when the shutdown
+// began.
+func TestDrainServesQueuedConnection(t *testing.T) {
+	const slots = 2
 	inner := listen(t)
-	l := NewWaitingListener(inner, places, places)
+	l := NewWaitingListener(inner, slots, slots)
 	s := startServer(t, l, nil)
-	for range places { // they send nothing
+	for range slots { // they send nothing
 		connect(t, inner, "")
 	}
-	until(t, "all places are taken", func() bool { open, _ := l.Counts(); return open == places })
-	waiting := connect(t, inner, healthRequest)
+	until(t, "all slots are in use", func() bool {
+		open, _ := l.Counts()
+		return open == slots
+	})
+	queued := connect(t, inner, healthRequest)
 	s.StartDraining()
 	go l.Drain(0, time.Now().Add(patience/2))
-	requireStatus(t, waiting, http.StatusOK)
+	requireStatus(t, queued, http.StatusOK)
 }
 
-// A client whose request crosses the close of its connection sends it once more on a new one, which
-// is still accepted.
-func TestDrainAcceptsWhatCrossesItsCloses(t *testing.T) {
+// A client whose request crosses the close of its connection retries it on a new one, which is
+// still accepted.
+func TestDrainAcceptsRetryAfterClose(t *testing.T) {
 	inner := listen(t)
 	l := NewListener(inner, 10)
 	s := startServer(t, l, nil)
-	resting := connect(t, inner, healthRequest)
-	requireStatus(t, resting, http.StatusOK)
+	idle := connect(t, inner, healthRequest)
+	requireStatus(t, idle, http.StatusOK)
 	s.StartDraining()
 	drained := make(chan error, 1)
 	go func() { drained <- l.Drain(0, time.Now().Add(patience/2)) }()
-	if _, err := resting.Read(make([]byte, 1)); err == nil {
-		t.Error("the resting connection is not closed")
+	if _, err := idle.Read(make([]byte, 1)); err == nil {
+		t.Error("the idle connection is not closed")
 	}
 	requireStatus(t, connect(t, inner, healthRequest), http.StatusOK)
 	if err := <-drained; err != nil {
@@ -103,8 +106,8 @@
 	}
 }
 
-// Nobody accepts on the listener any more: its drain ends all the same.
-func TestDrainEndsThoughNobodyAccepts(t *testing.T) {
+// A drain ends also if Accept is no longer called.
+func TestDrainEndsWithoutAcceptLoop(t *testing.T) {
 	l := NewListener(listen(t), 10)
 	drained := make(chan error, 1)
 	go func() { drained <- l.Drain(0, time.Time{}) }()
@@ -114,7 +117,7 @@
 			t.Error(err)
 		}
 	case <-time.After(patience):
-		t.Error("it never ends")
+		t.Error("the drain does not end")
 		l.Close()
 	}
 }
--- a/internal/httpserver/listener.go
+++ b/internal/httpserver/listener.go
@@ -13,8 +13,8 @@
 // the connection that has been idle for longest, and Drain closes all as they become idle.
 //
 // It never closes a connection on which a request has just been read. The server may be about to
-// read the next request on a connection that it has called idle, so only that read itself may end
-// the connection: see trackedConn.
+// read the next request on a connection that is marked idle, so only that read itself may end the
+// connection: see trackedConn.
 type Listener struct {
 	net.Listener
 
@@ -37,7 +37,7 @@
 }
 
 // NewWaitingListener is like NewListener, and has no more than slots connections open at once.
-// Others wait in the kernel's queue, which costs no file descriptor and loses nothing.
+// Others wait in the kernel's queue, where they need no file descriptor and are not lost.
 func NewWaitingListener(l net.Listener, maxConns, slots int) *Listener {
 	waiting := NewListener(l, maxConns)
 	waiting.slots = make(chan struct{}, slots)
@@ -71,7 +71,7 @@
 func (l *Listener) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.resumed == nil {
+	if !l.isPaused() {
 		l.resumed = make(chan struct{})
 		l.setAcceptDeadline(time.Unix(1, 0)) // ends the accept in progress
 	}
@@ -81,7 +81,7 @@
 func (l *Listener) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.resumed != nil {
+	if l.isPaused() {
 		l.setAcceptDeadline(time.Time{})
 		close(l.resumed)
 		l.resumed = nil
@@ -142,7 +142,7 @@
 	}
 }
 
-// releaseSlot makes room for another connection.
+// releaseSlot releases a connection's slot.
 func (l *Listener) releaseSlot() {
 	if l.slots != nil {
 		<-l.slots
@@ -164,7 +164,7 @@
 	}
 }
 
-// setAccepting notes when the accept in progress began, zero for none.
+// setAccepting records when the accept in progress began, zero for none.
 func (l *Listener) setAccepting(since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -185,7 +185,7 @@
 	return c
 }
 
-// setState records that a connection is active, idle or closed. A closed one is forgotten.
+// setState records that a connection is active, idle or closed. A closed one is removed.
 func (l *Listener) setState(c *trackedConn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,7 +208,8 @@
 	}
 	var oldest *trackedConn
 	for c := range l.conns {
-		if c.state == http.StateIdle && c.awaitsRequest() && (oldest == nil || c.since.Before(oldest.since)) {
+		isIdle := c.state == http.StateIdle && c.awaitsRequest()
+		if isIdle && (oldest == nil || c.since.Before(oldest.since)) {
 			oldest = c
 		}
 	}
--- a/internal/httpserver/proxystatus.go
+++ b/internal/httpserver/proxystatus.go
@@ -7,7 +7,7 @@
 	"rowancart/balancer"
 )
 
-// proxyStatusHeader tells clients why a proxy has generated a response itself (RFC 9209).
+// proxyStatusHeader names the error for which a proxy has generated a response itself (RFC 9209).
 const proxyStatusHeader = "Proxy-Status"
 
 // proxyErrorTypes are RFC 9209's error types (2.3) for the reasons of package balancer. The reason
@@ -23,7 +23,7 @@
 	balancer.MayHaveRun:        "connection_terminated",
 }
 
-// limitErrorType is the error type of a request that exceeds a configured limit.
+// limitErrorType is RFC 9209's error type of a request that exceeds a configured limit.
 const limitErrorType = "http_request_denied"
 
 // setProxyStatus sets Proxy-Status, unless there is no error type. Apart from spaces, the details
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -21,41 +21,40 @@
 	maxRequestIDLength = 256 // bytes
 	maxClientTimeout   = time.Hour
 
-	// networkAllowance is the part of a client's deadline that is left for the way here and back: 0.4
-	// ms of this process (p99), and the network's.
+	// networkAllowance is the part of a client's deadline that is reserved for transfer: 0.4 ms in
+	// this process (p99), and the round trip on the network.
 	networkAllowance = 10 * time.Millisecond
 )
 
-// readRequestHead reads and checks the head of a request. It returns an error if the connection has
-// ended or timed out, and a rejection if the head is not acceptable; the request is nil then if it
-// could not be parsed.
-func (c *conn) readRequestHead() (*http.Request, *Rejection, error) {
+// readRequestHead reads and validates the head of a request. The error is a *Rejection if the head
+// is not acceptable; the request is nil then if it could not be parsed. Any other error means that
+// the connection was closed or timed out.
+func (c *conn) readRequestHead() (*http.Request, error) {
 	head, err := c.reader.readHead()
 	switch {
 	case errors.Is(err, errHeadTooLong):
-		return nil, closingRejection(http.StatusRequestHeaderFieldsTooLarge, err.Error()), nil
+		return nil, closingRejection(http.StatusRequestHeaderFieldsTooLarge, err.Error())
 	case errors.Is(err, errBareLF):
-		return nil, closingRejection(http.StatusBadRequest, err.Error()), nil
+		return nil, closingRejection(http.StatusBadRequest, err.Error())
 	case err != nil:
-		return nil, nil, err
+		return nil, err
 	}
 	r, rejection := parseHead(head)
 	if rejection != nil {
-		return nil, rejection, nil
+		return nil, rejection
 	}
 	if rejection := validateHost(r.Host); rejection != nil {
-		return r, rejection, nil
+		return r, rejection
 	}
 	if r.ContentLength != 0 && !r.ProtoAtLeast(1, 1) {
-		return r, closingRejection(http.StatusHTTPVersionNotSupported, "a body is not taken in this version"), nil
+		return r, closingRejection(http.StatusHTTPVersionNotSupported, "a body is not taken in this version")
 	}
-	return r, nil, nil
+	return r, nil
 }
 
-// parseHead parses the head of a request, and rejects one that servers could read in different
-// ways.
+// parseHead parses the head of a request, and rejects one that servers could interpret differently.
 func parseHead(head []byte) (*http.Request, *Rejection) {
-	if r := http1.ParseRequest(head); r != nil { // a simple head, which has one reading only
+	if r := http1.ParseRequest(head); r != nil { // a simple head, which is unambiguous
 		return r, nil
 	}
 	if rejection := validateHead(head); rejection != nil {
@@ -68,13 +67,15 @@
 	return r, nil
 }
 
-// framingFields is what the fields of a head say about the request's framing.
+// framingFields counts the fields of a head that decide the request's framing and host.
 type framingFields struct {
-	hosts, contentLengths, transferEncodings int  // how many there are
-	chunked                                  bool // the last Transfer-Encoding is "chunked" alone
+	hosts             int
+	contentLengths    int
+	transferEncodings int
+	chunked           bool // the last Transfer-Encoding is "chunked" alone
 }
 
-// count counts a field if it concerns framing.
+// count counts a field if it decides the framing or the host.
 func (f *framingFields) count(name, value []byte) {
 	switch {
 	case bytes.EqualFold(name, []byte("Host")):
@@ -87,9 +88,9 @@
 	}
 }
 
-// validateHead rejects a head whose lines or framing have more than one reading (RFC 9112, 2.2,
-// 3.2, 5 and 6.3). net/http's parser corrects or accepts some of these, and a server behind this
-// one might read them differently.
+// validateHead rejects a head whose lines or framing are ambiguous (RFC 9112, 2.2, 3.2, 5 and 6.3).
+// net/http's parser corrects or accepts some of these, and an endpoint might interpret them
+// differently.
 func validateHead(head []byte) *Rejection {
 	lines := bytes.Split(head[:len(head)-len(endOfHead)], crlf)
 	var fields framingFields
@@ -113,17 +114,33 @@
 // isControl reports whether a character is a control character other than a tab.
 func isControl(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
-// validate rejects fields that leave the end of the body, or the host, open to more than one
-// reading.
+// hasAmbiguousHost reports whether the host is missing or named more than once. HTTP/1.0 requires
+// none.
+func (f *framingFields) hasAmbiguousHost(version string) bool {
+	isMissing := f.hosts == 0 && version != "HTTP/1.0"
+	return isMissing || f.hosts > 1
+}
+
+// hasAmbiguousLength reports whether the body's length is given more than once.
+func (f *framingFields) hasAmbiguousLength() bool {
+	return f.contentLengths > 1 || f.contentLengths > 0 && f.transferEncodings > 0
+}
+
+// hasUnknownEncoding reports whether there is a transfer coding other than "chunked".
+func (f *framingFields) hasUnknownEncoding() bool {
+	return f.transferEncodings > 1 || f.transferEncodings > 0 && !f.chunked
+}
+
+// validate rejects fields that leave the end of the body, or the host, ambiguous.
 func (f *framingFields) validate(version string) *Rejection {
 	switch {
 	case !strings.HasPrefix(version, "HTTP/1."):
 		return closingRejection(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is wanted")
-	case f.hosts > 1 || f.hosts == 0 && version != "HTTP/1.0":
+	case f.hasAmbiguousHost(version):
 		return closingRejection(http.StatusBadRequest, "Host: exactly one is wanted")
-	case f.contentLengths > 1 || f.contentLengths > 0 && f.transferEncodings > 0:
+	case f.hasAmbiguousLength():
 		return closingRejection(http.StatusBadRequest, "Content-Length: one is wanted, and no Transfer-Encoding")
-	case f.transferEncodings > 1 || f.transferEncodings > 0 && !f.chunked:
+	case f.hasUnknownEncoding():
 		return closingRejection(http.StatusNotImplemented, "Transfer-Encoding: chunked is all that is known")
 	case f.transferEncodings > 0 && version != "HTTP/1.1":
 		return closingRejection(http.StatusBadRequest, "Transfer-Encoding: not in this version")
@@ -131,64 +148,96 @@
 	return nil
 }
 
+// invalidHostChars are the printable ASCII characters that no host and port contains.
+const invalidHostChars = `"#/<>?@\^` + "`{|}"
+
+// isHostChar reports whether a byte may be in a host and port.
+func isHostChar(c byte) bool {
+	return c > ' ' && c < 0x7f && strings.IndexByte(invalidHostChars, c) < 0
+}
+
 // validateHost rejects what cannot be a host and port.
 func validateHost(host string) *Rejection {
 	for i := range len(host) {
-		c := host[i]
-		if c <= ' ' || c >= 0x7f || bytes.IndexByte([]byte(`"#/<>?@\^`+"`{|}"), c) >= 0 {
+		if !isHostChar(host[i]) {
 			return closingRejection(http.StatusBadRequest, "Host: no host")
 		}
 	}
 	return nil
 }
 
-// newCall makes the call that a pool is to serve, and completes its message, or rejects a request
-// whose headers are not acceptable. The message has the body already; streamed says that more of it
-// is to come. The time of a call without a streamed body counts from received.
-func (s *Server) newCall(r *http.Request, target *Target, message *proxy.RequestMessage, streamed bool,
-	received time.Time) (*proxy.Call, *Rejection) {
-	if err := checkMethod(r.Method, target.Idempotency, len(message.Body) > 0 || streamed); err != nil && !target.AnyMethod {
-		return nil, closingRejection(http.StatusMethodNotAllowed, err.Error())
+// Errors of requests whose method or body their class does not allow.
+var (
+	errNotPlainGet = errors.New("the class takes GET with no body")
+	errNotPost     = errors.New("the class takes POST")
+)
+
+// headerError is the error of a header whose value is missing, repeated or invalid.
+type headerError struct {
+	header  string
+	problem string
+}
+
+// Error implements error.
+func (e *headerError) Error() string { return e.header + ": " + e.problem }
+
+// checkMethod returns an error if a request does not have the form that its class requires: GET
+// without a body for idempotent requests, POST for all others.
+func (t *Target) checkMethod(method string, body receivedBody) error {
+	isPlainGet := method == http.MethodGet && body.isEmpty()
+	switch {
+	case t.AnyMethod:
+		return nil
+	case t.Idempotency == balancer.Idempotent && !isPlainGet:
+		return errNotPlainGet
+	case t.Idempotency != balancer.Idempotent && method != http.MethodPost:
+		return errNotPost
+	}
+	return nil
+}
+
+// completeMessage completes the message that endpoints get, which has the body already, or rejects
+// a request whose method or headers are not acceptable.
+func (s *Server) completeMessage(m *proxy.RequestMessage, r *http.Request, target *Target,
+	body receivedBody) *Rejection {
+	if err := target.checkMethod(r.Method, body); err != nil {
+		return closingRejection(http.StatusMethodNotAllowed, err.Error())
 	}
-	// These fields are forwarded unchanged even if Connection names them.
-	header := proxy.EndToEnd(r.Header, platform.RequestIDHeader, platform.IdempotencyKeyHeader)
 	id, err := requestID(r.Header, target.DefaultID)
 	if err != nil {
-		return nil, closingRejection(http.StatusBadRequest, err.Error())
-	}
-	if len(r.Header[platform.RequestIDHeader]) == 0 {
-		header.Set(platform.RequestIDHeader, id)
+		return closingRejection(http.StatusBadRequest, err.Error())
 	}
 	timeout, err := clientTimeout(r.Header, target)
 	if err != nil {
-		return nil, closingRejection(http.StatusBadRequest, err.Error())
+		return closingRejection(http.StatusBadRequest, err.Error())
 	}
 	if target.Idempotency == balancer.IdempotencyKeyed && r.Header.Get(platform.IdempotencyKeyHeader) == "" {
 		// Without a key the endpoints could not recognize a retry.
-		return nil, closingRejection(http.StatusBadRequest, platform.IdempotencyKeyHeader+": missing")
+		err := &headerError{platform.IdempotencyKeyHeader, "missing"}
+		return closingRejection(http.StatusBadRequest, err.Error())
+	}
+	// These fields are forwarded unchanged even if Connection names them.
+	m.Header = proxy.EndToEnd(r.Header, platform.RequestIDHeader, platform.IdempotencyKeyHeader)
+	if len(r.Header[platform.RequestIDHeader]) == 0 {
+		m.Header.Set(platform.RequestIDHeader, id)
 	}
-	message.ClientTimeout = timeout
-	message.Method, message.URL, message.Header = r.Method, r.URL, header
-	message.Host = cmp.Or(r.Host, s.defaultHost)
+	m.Method = r.Method
+	m.URL = r.URL
+	m.Host = cmp.Or(r.Host, s.defaultHost)
+	m.ClientTimeout = timeout
+	return nil
+}
+
+// newCall returns the call that a pool is to serve, for a complete message. The time of a call
+// without a streamed body counts from the instant at which the request was received.
+func newCall(r *http.Request, target *Target, m *proxy.RequestMessage, received time.Time) *proxy.Call {
 	return proxy.NewCall(balancer.Request{
-		ID:          id,
+		ID:          m.Header.Get(platform.RequestIDHeader),
 		Class:       target.Class,
 		Tenant:      target.Tenant,
-		Deadline:    target.Pool.Now() - time.Since(received) + timeout,
+		Deadline:    target.Pool.Now() - time.Since(received) + m.ClientTimeout,
 		ClientRetry: r.Header.Get(platform.ClientRetryHeader) == platform.ClientRetryValue,
-	}, message), nil
-}
-
-// checkMethod returns an error if a request does not have the form that its class requires: GET
-// without a body for idempotent requests, POST for all others.
-func checkMethod(method string, effect balancer.Repeatability, hasBody bool) error {
-	switch {
-	case effect == balancer.Idempotent && (method != http.MethodGet || hasBody):
-		return errors.New("the class takes GET with no body")
-	case effect != balancer.Idempotent && method != http.MethodPost:
-		return errors.New("the class takes POST")
-	}
-	return nil
+	}, m)
 }
 
 // requestID returns a request's id, or defaultID if the request has none and there is a default.
@@ -199,7 +248,7 @@
 	}
 	id, err := singleValue(values, platform.RequestIDHeader)
 	if err != nil || len(id) > maxRequestIDLength {
-		return "", fmt.Errorf("%s: one of moderate length is wanted", platform.RequestIDHeader)
+		return "", &headerError{platform.RequestIDHeader, "one of moderate length is wanted"}
 	}
 	return id, nil
 }
@@ -209,14 +258,15 @@
 // maximum.
 func clientTimeout(h http.Header, target *Target) (time.Duration, error) {
 	timeout := target.DefaultTimeout
-	if values := h.Values(platform.DeadlineHeader); len(values) > 0 || timeout == 0 {
+	values := h.Values(platform.DeadlineHeader)
+	if len(values) > 0 || timeout == 0 {
 		text, err := singleValue(values, platform.DeadlineHeader)
 		if err != nil {
 			return 0, err
 		}
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms < 1 || ms > maxClientTimeout.Milliseconds() {
-			return 0, fmt.Errorf("%s: %.40q is no usable time", platform.DeadlineHeader, text)
+			return 0, &headerError{platform.DeadlineHeader, fmt.Sprintf("%.40q is no usable time", text)}
 		}
 		timeout = time.Duration(ms) * time.Millisecond
 	}
@@ -227,10 +277,10 @@
 	return timeout, nil
 }
 
-// singleValue returns the value of a field that must be there exactly once and not be empty.
+// singleValue returns the value of a header that must be there exactly once and not be empty.
 func singleValue(values []string, name string) (string, error) {
 	if len(values) != 1 || values[0] == "" {
-		return "", fmt.Errorf("%s: exactly one is wanted", name)
+		return "", &headerError{name, "exactly one is wanted"}
 	}
 	return values[0], nil
 }
--- a/internal/httpserver/request_test.go
+++ b/internal/httpserver/request_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -9,6 +10,7 @@
 	"testing"
 	"time"
 
+	"rowancart/balancer"
 	"rowancart/internal/proxy"
 )
 
@@ -18,27 +20,27 @@
 		head string
 		want int // status; 0: it is not rejected
 	}{
-		"good":                   {get + host + "X:  a\tb \r\n\r\n", 0},
-		"good, without a host":   {"GET /a HTTP/1.0\r\n\r\n", 0},
-		"no host":                {get + "\r\n", 400},
-		"two hosts":              {get + host + "host: g\r\n\r\n", 400},
-		"a folded line":          {get + host + "X: a\r\n b\r\n\r\n", 400},
-		"a space in a name":      {get + host + "X : a\r\n\r\n", 400},
-		"no name":                {get + host + ": a\r\n\r\n", 400},
-		"no colon":               {get + host + "X\r\n\r\n", 400},
-		"a bare CR":              {get + host + "X: a\rY: b\r\n\r\n", 400},
-		"a bare LF":              {get + host + "X: a\nY: b\r\n\r\n", 400},
-		"a NUL":                  {get + host + "X: \x00\r\n\r\n", 400},
-		"two lengths":            {get + host + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400},
-		"a length and a coding":  {get + host + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
-		"chunks":                 {get + host + "Transfer-Encoding: Chunked \r\n\r\n", 0},
-		"two codings":            {get + host + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
-		"chunks twice":           {get + host + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 501},
-		"another coding":         {get + host + "Transfer-Encoding: xchunked\r\n\r\n", 501},
-		"chunks of old":          {"GET /a HTTP/1.0\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n", 400},
-		"another version":        {"GET /a HTTP/2.0\r\n" + host + "\r\n", 505},
-		"no version":             {"GET /a\r\n" + host + "\r\n", 505},
-		"an empty line at first": {"\r\n\r\n", 505},
+		"good":                  {get + host + "X:  a\tb \r\n\r\n", 0},
+		"good, without a host":  {"GET /a HTTP/1.0\r\n\r\n", 0},
+		"no host":               {get + "\r\n", 400},
+		"two hosts":             {get + host + "host: g\r\n\r\n", 400},
+		"a folded line":         {get + host + "X: a\r\n b\r\n\r\n", 400},
+		"a space in a name":     {get + host + "X : a\r\n\r\n", 400},
+		"no name":               {get + host + ": a\r\n\r\n", 400},
+		"no colon":              {get + host + "X\r\n\r\n", 400},
+		"a bare CR":             {get + host + "X: a\rY: b\r\n\r\n", 400},
+		"a bare LF":             {get + host + "X: a\nY: b\r\n\r\n", 400},
+		"a NUL":                 {get + host + "X: \x00\r\n\r\n", 400},
+		"two lengths":           {get + host + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400},
+		"a length and a coding": {get + host + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
+		"chunks":                {get + host + "Transfer-Encoding: Chunked \r\n\r\n", 0},
+		"two codings":           {get + host + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
+		"chunks twice":          {get + host + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 501},
+		"another coding":        {get + host + "Transfer-Encoding: xchunked\r\n\r\n", 501},
+		"chunks in HTTP/1.0":    {"GET /a HTTP/1.0\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n", 400},
+		"another version":       {"GET /a HTTP/2.0\r\n" + host + "\r\n", 505},
+		"no version":            {"GET /a\r\n" + host + "\r\n", 505},
+		"an empty first line":   {"\r\n\r\n", 505},
 	} {
 		rejection := validateHead([]byte(row.head))
 		if (rejection == nil) != (row.want == 0) || rejection != nil && (rejection.Status != row.want || !rejection.Close) {
@@ -47,6 +49,31 @@
 	}
 }
 
+// A class decides which methods and bodies are allowed, unless the router has done so.
+func TestMethodFitsClass(t *testing.T) {
+	empty, data, streamed := receivedBody{}, receivedBody{data: []byte("x")}, receivedBody{streamed: &streamedBody{}}
+	for _, row := range []struct {
+		name   string
+		target Target
+		method string
+		body   receivedBody
+		want   error
+	}{
+		{"GET of an idempotent class", Target{Idempotency: balancer.Idempotent}, http.MethodGet, empty, nil},
+		{"GET with a body", Target{Idempotency: balancer.Idempotent}, http.MethodGet, data, errNotPlainGet},
+		{"GET with a long body", Target{Idempotency: balancer.Idempotent}, http.MethodGet, streamed, errNotPlainGet},
+		{"POST of an idempotent class", Target{Idempotency: balancer.Idempotent}, http.MethodPost, empty, errNotPlainGet},
+		{"POST of a keyed class", Target{Idempotency: balancer.IdempotencyKeyed}, http.MethodPost, data, nil},
+		{"GET of a keyed class", Target{Idempotency: balancer.IdempotencyKeyed}, http.MethodGet, empty, errNotPost},
+		{"GET of a non-idempotent class", Target{Idempotency: balancer.NonIdempotent}, http.MethodGet, empty, errNotPost},
+		{"any method", Target{Idempotency: balancer.Idempotent, AnyMethod: true}, http.MethodPut, data, nil},
+	} {
+		if err := row.target.checkMethod(row.method, row.body); !errors.Is(err, row.want) {
+			t.Errorf("%s: %v, want %v", row.name, err, row.want)
+		}
+	}
+}
+
 func TestHostIsValidated(t *testing.T) {
 	for _, host := range []string{"h", "h:80", "[::1]:80", "a-b.c_d", ""} {
 		if rejection := validateHost(host); rejection != nil {
@@ -55,7 +82,7 @@
 	}
 	for _, host := range []string{"a b", "a/b", "u@h", "a\"b", "ä"} {
 		if validateHost(host) == nil {
-			t.Errorf("%q passes", host)
+			t.Errorf("%q is accepted", host)
 		}
 	}
 }
@@ -123,8 +150,7 @@
 	}
 }
 
-// In whatever pieces a text arrives, the same heads and bodies are read, one behind the other, and
-// net/http reads the same ones.
+// In whatever pieces a text arrives, the same requests are read, and net/http reads the same ones.
 func FuzzFraming(f *testing.F) {
 	f.Add("GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n", 3)
 	f.Add("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhelloGET /b HTTP/1.1\r\nHost: h\r\n\r\n", 1)
--- a/internal/httpserver/requestbody.go
+++ b/internal/httpserver/requestbody.go
@@ -11,13 +11,13 @@
 	"rowancart/internal/proxy"
 )
 
-// Errors of bodies.
+// Errors of reading bodies.
 var (
 	errBodyTooLong   = errors.New("the body is too long")
-	errBodyAbandoned = errors.New("the body is not read on")
+	errBodyAbandoned = errors.New("the body was abandoned")
 )
 
-// bodyMemory has memory for bodies that are longer than initialBufferSize: *[]byte of proxy.MaxBody
+// bodyMemory is a pool of memory for bodies longer than initialBufferSize: *[]byte of proxy.MaxBody
 // bytes.
 var bodyMemory = sync.Pool{New: func() any { b := make([]byte, proxy.MaxBody); return &b }}
 
@@ -68,7 +68,7 @@
 	source    bodySource
 	decoder   *http1.Body
 	abandoned bool
-	err       error // why the body cannot be read to its end: the client's fault
+	err       error // of the read that failed; the client's fault
 }
 
 // newRequestBody returns a body of length bytes, or of the length http1.Chunked.
@@ -136,6 +136,9 @@
 	streamed    *streamedBody // nil if data is all of the body
 }
 
+// isEmpty reports whether the body has no bytes.
+func (b receivedBody) isEmpty() bool { return len(b.data) == 0 && b.streamed == nil }
+
 // release returns the memory of the data. The data must not be used any more.
 func (b receivedBody) release() {
 	if b.releaseData != nil {
@@ -172,7 +175,7 @@
 	case length == 0:
 		return receivedBody{}, nil
 	}
-	if expect != "" && !c.reader.hasData() { // a client that has sent some of the body does not wait
+	if expect != "" && !c.reader.hasData() { // a client that has sent some of the body does not wait for it
 		if _, err := io.WriteString(c.netConn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return receivedBody{}, bodyRejection(err)
 		}
@@ -191,7 +194,7 @@
 	received.data = received.data[:n]
 	if !body.ended() {
 		received.streamed = &streamedBody{
-			requestBody: body, length: length, prefixLength: n, buffers: &c.server.bodyBuffers, watcher: &c.disconnect,
+			requestBody: body, length: length, prefixLength: n, buffers: &c.server.bodyBuffers, socket: c.socket,
 		}
 	}
 	return received, nil
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -24,7 +24,13 @@
 	proxy.Duplicate: http.StatusConflict,
 }
 
-// connectionHeaders are the headers that appendHead and the framing write, whatever a response has.
+// responseHead is what the head of a response says, but for its framing.
+type responseHead struct {
+	status int
+	header http.Header
+}
+
+// connectionHeaders are the headers that this package writes itself: a response's own are dropped.
 var connectionHeaders = map[string]bool{
 	"Content-Length":    true,
 	"Connection":        true,
@@ -49,8 +55,8 @@
 }
 
 // reject writes a rejection and reports whether the connection can carry another request. r is nil
-// if the request could not be parsed. An improper request ends its connection: what follows, which
-// may be the rest of a body or a request smuggled in one, is never read as a request.
+// if the request could not be parsed. A malformed request closes its connection: what follows,
+// which may be the rest of a body or a request smuggled in one, is never read as a request.
 func (c *conn) reject(r *http.Request, rejection *Rejection) bool {
 	h := plainTextHeader()
 	c.server.setRetryAfter(h, rejection.RetryAfter)
@@ -60,60 +66,70 @@
 	if len(rejection.Allow) > 0 {
 		h["Allow"] = []string{strings.Join(rejection.Allow, ", ")}
 	}
-	if c.writeResponse(r, rejection.Status, h, []byte(rejection.Message+"\n"), rejection.Close) {
+	c.lastRequest = c.lastRequest || rejection.Close
+	if c.writeResponse(r, responseHead{rejection.Status, h}, []byte(rejection.Message+"\n")) {
 		return true
 	}
 	return c.lingeringClose()
 }
 
 // writeResult writes a pool's result and reports whether the connection can carry another request.
-// With closeAfter it cannot.
-func (c *conn) writeResult(r *http.Request, result proxy.Result, closeAfter bool) bool {
+func (c *conn) writeResult(r *http.Request, result proxy.Result) bool {
 	if result.Kind == proxy.Served {
 		response := &result.Response
 		if response.Stream != nil {
-			return c.streamResponse(r, response, closeAfter)
+			return c.streamResponse(r, response)
 		}
-		return c.writeResponse(r, response.Status, response.Header, response.Body, closeAfter)
+		return c.writeResponse(r, responseHead{response.Status, response.Header}, response.Body)
 	}
 	status := resultStatuses[result.Kind]
 	h := plainTextHeader()
 	c.server.setRetryAfter(h, result.RetryAfter)
 	c.server.setProxyStatus(h, proxyErrorTypes[result.Reason], string(result.Reason))
-	return c.writeResponse(r, status, h, []byte(http.StatusText(status)+"\n"), closeAfter)
+	return c.writeResponse(r, responseHead{status, h}, []byte(http.StatusText(status)+"\n"))
 }
 
-// isLastResponse reports whether the response to a request must close its connection; r is nil if
-// the request could not be parsed. A draining server closes it, unless the next request has been
-// sent already: that one has been accepted too.
-func (c *conn) isLastResponse(r *http.Request) bool {
-	return r == nil || r.Close || c.server.draining.Load() && !c.reader.hasData() && !c.disconnect.hasUnreadBytes()
+// decideLastRequest sets lastRequest if the response to a request must close its connection; r is
+// nil if the request could not be parsed.
+func (c *conn) decideLastRequest(r *http.Request) {
+	clientCloses := r == nil || r.Close
+	c.lastRequest = c.lastRequest || clientCloses || c.server.Draining() && !c.hasPipelinedRequest()
+}
+
+// hasPipelinedRequest reports whether the client has sent data behind the current request. A
+// draining server answers that too: it has been accepted.
+func (c *conn) hasPipelinedRequest() bool { return c.reader.hasData() || c.socket.hasUnreadBytes() }
+
+// statusAllowsBody reports whether a response of a status may have a body (RFC 9110, 6.4.1).
+func statusAllowsBody(status int) bool {
+	return status >= 200 && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
 // writeResponse writes a complete response and reports whether the connection can carry another
 // request. r is nil if the request could not be parsed.
-func (c *conn) writeResponse(r *http.Request, status int, h http.Header, body []byte, closeAfter bool) bool {
+func (c *conn) writeResponse(r *http.Request, head responseHead, body []byte) bool {
 	now := time.Now()
-	closeAfter = closeAfter || c.isLastResponse(r)
-	c.appendHead(r, status, h, closeAfter)
-	toHead := r != nil && r.Method == http.MethodHead
-	switch {
-	case status < 200 || status == http.StatusNoContent || status == http.StatusNotModified:
-		body = nil
-	case toHead && h.Get("Content-Length") != "": // of the body that GET would have
-		c.output = append(append(append(c.output, "Content-Length: "...), h.Get("Content-Length")...), "\r\n"...)
-	default:
-		c.output = append(strconv.AppendInt(append(c.output, "Content-Length: "...), int64(len(body)), 10), "\r\n"...)
+	c.decideLastRequest(r)
+	c.appendHead(r, head)
+	answersHead := r != nil && r.Method == http.MethodHead
+	if statusAllowsBody(head.status) {
+		c.output = append(c.output, "Content-Length: "...)
+		if length := head.header.Get("Content-Length"); answersHead && length != "" { // of the body that GET would have
+			c.output = append(c.output, length...)
+		} else {
+			c.output = strconv.AppendInt(c.output, int64(len(body)), 10)
+		}
+		c.output = append(c.output, "\r\n"...)
 	}
 	c.output = append(c.output, "\r\n"...)
-	if toHead {
+	if answersHead || !statusAllowsBody(head.status) {
 		body = nil
 	}
-	return c.setWriteDeadline(now) && c.writeOutput(body) && !closeAfter
+	return c.setWriteDeadline(now) && c.writeOutput(body) && !c.lastRequest
 }
 
-// setWriteDeadline bounds the next write, so that a client that does not read cannot hold a
-// connection for good. It reports whether the connection can be written to.
+// setWriteDeadline bounds the next write, so that a client that does not read cannot occupy a
+// connection forever. It reports whether the connection can be written to.
 func (c *conn) setWriteDeadline(now time.Time) bool {
 	if now.Sub(c.writeDeadlineSet) <= writeDeadlineReuse {
 		return true
@@ -141,19 +157,21 @@
 
 // appendHead begins the output with a response's head, up to the fields of its framing. r is nil if
 // the request could not be parsed.
-func (c *conn) appendHead(r *http.Request, status int, h http.Header, closeAfter bool) {
+func (c *conn) appendHead(r *http.Request, head responseHead) {
 	c.output = append(c.output[:0], "HTTP/1.1 "...)
-	c.output = strconv.AppendInt(c.output, int64(status), 10)
-	c.output = append(append(append(c.output, ' '), http.StatusText(status)...), "\r\nDate: "...)
-	if date := h["Date"]; len(date) == 1 { // the endpoint's own
+	c.output = strconv.AppendInt(c.output, int64(head.status), 10)
+	c.output = append(c.output, ' ')
+	c.output = append(c.output, http.StatusText(head.status)...)
+	c.output = append(c.output, "\r\nDate: "...)
+	if date := head.header["Date"]; len(date) == 1 { // the endpoint's own
 		c.output = append(c.output, date[0]...)
 	} else {
 		c.output = append(c.output, formattedDate.at(time.Now())...)
 	}
 	c.output = append(c.output, "\r\n"...)
-	_ = h.WriteSubset(sliceWriter{&c.output}, connectionHeaders)
+	_ = head.header.WriteSubset(sliceWriter{&c.output}, connectionHeaders)
 	switch {
-	case closeAfter:
+	case c.lastRequest:
 		c.output = append(c.output, "Connection: close\r\n"...)
 	case r != nil && !r.ProtoAtLeast(1, 1):
 		c.output = append(c.output, "Connection: keep-alive\r\n"...)
@@ -164,7 +182,10 @@
 type sliceWriter struct{ b *[]byte }
 
 // Write implements io.Writer.
-func (w sliceWriter) Write(p []byte) (int, error) { *w.b = append(*w.b, p...); return len(p), nil }
+func (w sliceWriter) Write(p []byte) (int, error) {
+	*w.b = append(*w.b, p...)
+	return len(p), nil
+}
 
 // WriteString implements io.StringWriter.
 func (w sliceWriter) WriteString(s string) (int, error) {
--- a/internal/httpserver/response_test.go
+++ b/internal/httpserver/response_test.go
@@ -41,7 +41,7 @@
 		tb.Fatal(err)
 	}
 	listener := NewListener(inner, 9)
-	s := New(poolRouter{newPool(endpointAddr)}, "front", "h", slog.New(slog.DiscardHandler))
+	s := New(poolRouter{newPool(endpointAddr)}, "test", "h", slog.New(slog.DiscardHandler))
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(listener) }()
 	tb.Cleanup(func() {
@@ -76,7 +76,7 @@
 	return true
 }
 
-// expectContinue reads an interim response.
+// expectContinue reads the interim response 100.
 func expectContinue(t *testing.T, in *bufio.Reader) {
 	t.Helper()
 	if line, err := in.ReadString('\n'); err != nil || line != "HTTP/1.1 100 Continue\r\n" {
@@ -118,5 +118,8 @@
 				resp.Close, err)
 		}
 	}
-	testpeer.Until(t, "the connection is closed", func() bool { open, _ := listener.Counts(); return open == 0 })
+	testpeer.Until(t, "the connection is closed", func() bool {
+		open, _ := listener.Counts()
+		return open == 0
+	})
 }
--- a/internal/httpserver/responsestream.go
+++ b/internal/httpserver/responsestream.go
@@ -34,18 +34,19 @@
 
 // streamResponse forwards a response as it arrives: what is read from the endpoint is written at
 // once, and only then more is read. It reports whether the connection can carry another request. A
-// response that breaks off ends its connection before the end that its framing promises, so that
-// the client can tell.
-func (c *conn) streamResponse(r *http.Request, response *proxy.Response, closeAfter bool) bool {
+// truncated response closes its connection before the end that its framing announces, so that the
+// client can detect it.
+func (c *conn) streamResponse(r *http.Request, response *proxy.Response) bool {
 	defer response.Stream.Close()
 	framing := responseFraming(r, response.Length)
-	closeAfter = closeAfter || c.isLastResponse(r) || framing == framedByClose
+	c.decideLastRequest(r)
 	if framing == framedByClose {
-		// Only a reset shows that such a response broke off, whoever ends it: an endpoint, this process
-		// or a signal.
-		c.setLinger(0)
+		c.lastRequest = true
+		// Only a reset shows the client that such a response was truncated, by an endpoint, this
+		// process or a signal to it.
+		c.resetOnClose()
 	}
-	c.appendHead(r, response.Status, response.Header, closeAfter)
+	c.appendHead(r, responseHead{response.Status, response.Header})
 	switch framing {
 	case framedByLength:
 		c.output = strconv.AppendInt(append(c.output, "Content-Length: "...), response.Length, 10)
@@ -61,9 +62,9 @@
 		return false
 	}
 	if framing == framedByClose {
-		c.setLinger(-1)
+		c.closeNormally()
 	}
-	return !closeAfter
+	return !c.lastRequest
 }
 
 // copyStream writes the output and then a response's body, to its end. It reports whether all of it
@@ -75,7 +76,11 @@
 	n := copy(data, response.Body)
 	unsent := response.Body[n:] // what of the body was read with its head
 	for ended := false; ; {
-		if !c.writeStreamPart(*buffer, n, framing, ended) {
+		tail := ""
+		if ended && framing == framedByChunks {
+			tail = http1.LastChunk
+		}
+		if !c.writeStreamPart(*buffer, n, framing, tail) {
 			return false
 		}
 		if ended {
@@ -94,10 +99,9 @@
 	}
 }
 
-// writeStreamPart writes the output and the next n bytes of a body, which stand in the buffer from
-// http1.ChunkHead on, and then the end of the body if it has ended. It reports whether all was
-// written.
-func (c *conn) writeStreamPart(buffer []byte, n int, framing bodyFraming, ended bool) bool {
+// writeStreamPart writes the output, the next n bytes of a body, which start at http1.ChunkHead in
+// the buffer, and the tail. It reports whether all was written.
+func (c *conn) writeStreamPart(buffer []byte, n int, framing bodyFraming, tail string) bool {
 	data := buffer[http1.ChunkHead : http1.ChunkHead+n]
 	switch {
 	case n > 0 && framing == framedByChunks:
@@ -105,9 +109,7 @@
 	case len(c.output) > 0:
 		c.output = append(c.output, data...)
 	}
-	if ended && framing == framedByChunks {
-		c.output = append(c.output, http1.LastChunk...)
-	}
+	c.output = append(c.output, tail...)
 	if len(c.output) == 0 {
 		return c.writePart(data)
 	}
@@ -131,7 +133,13 @@
 	return err == nil
 }
 
-// setLinger makes a close of the connection a reset (0), or an ordinary one (-1).
+// resetOnClose makes the close of the connection a reset, until closeNormally.
+func (c *conn) resetOnClose() { c.setLinger(0) }
+
+// closeNormally undoes resetOnClose.
+func (c *conn) closeNormally() { c.setLinger(-1) }
+
+// setLinger sets the connection's SO_LINGER, as net.TCPConn.SetLinger does.
 func (c *conn) setLinger(seconds int) {
 	if tcp, ok := c.netConn.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(seconds) // fails if the connection is closed, as the next write will
--- a/internal/httpserver/router.go
+++ b/internal/httpserver/router.go
@@ -10,8 +10,8 @@
 
 // Router decides which pool serves a request.
 type Router interface {
-	// Route returns the target of a request, or a rejection if no pool serves it. The request's body
-	// has been read, or the beginning of a long one.
+	// Route returns the target of a request, or a rejection if no pool serves it. The request's
+	// body has been read, or the beginning of a long one.
 	Route(r *http.Request) (Target, *Rejection)
 }
 
@@ -38,8 +38,8 @@
 	Result    proxy.Result // the pool's result; of kind Failed unless Forwarded
 }
 
-// Rejection is the response to a request that no pool serves. It is also the error of reading such a
-// request.
+// Rejection is the response to a request that no pool serves. It is also the error of reading such
+// a request.
 type Rejection struct {
 	Status     int
 	Message    string        // the body of the response
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,5 +1,9 @@
-// Package httpserver serves clients that speak HTTP/1.1. It reads a request, asks the Router which
-// pool is to serve it, passes it to that pool and writes the one response.
+// Package httpserver serves clients that speak HTTP/1.1. It reads a request, routes it to a pool by
+// the Router, passes it to that pool and writes the one response.
+//
+// Each connection has one goroutine, which reads a request, waits for the pool's result, writes the
+// response and reads the next request. A Listener tracks the connections and closes idle ones; it
+// never closes a connection on which the server has begun to read a request.
 package httpserver
 
 import (
@@ -10,8 +14,8 @@
 
 // Time limits on a client's connection.
 const (
-	// requestHeadTimeout leaves a client the 2 s that it may take for a head, and ends a connection
-	// without a complete request within the 3 s that it is allowed.
+	// requestHeadTimeout is more than the 2 s that a client may take for a head, and leaves time to
+	// respond within the 3 s that it may take for a complete request.
 	requestHeadTimeout = 2500 * time.Millisecond
 
 	// defaultBodyTimeout is how far a long body may be behind the minimum rate.
@@ -47,8 +51,8 @@
 // platform's clients also read fractions. It must be called before Serve.
 func (s *Server) RoundRetryAfter() { s.roundRetryAfter = true }
 
-// SetBodyMemory sets how many bytes of long bodies are buffered at once, over all connections. What
-// does not fit is passed on as it arrives.
+// SetBodyMemory sets how many bytes of long bodies are buffered at once, over all connections. The
+// rest is streamed to the endpoint as it arrives.
 func (s *Server) SetBodyMemory(bytes int) { s.bodyBuffers.setLimit(bytes) }
 
 // SetBodyTimeout sets how far a long body may be behind the minimum rate. It must be called before
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 	pipes := make(pipeListener)
 	listener := NewListener(pipes, 100)
-	s := New(rejectingRouter{}, "front", "", slog.New(slog.DiscardHandler))
+	s := New(rejectingRouter{}, "test", "", slog.New(slog.DiscardHandler))
 	served := make(chan error)
 	go func() { served <- s.Serve(listener) }()
 	t.Cleanup(func() {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Seen on a day with many improper clients: those that sent nothing, or half of a request, held
+// Seen with many misbehaving clients: those that sent nothing, or half of a request, occupied
 // nearly all connections, and other clients waited seconds to be accepted.
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	for name, text := range map[string]string{
@@ -78,14 +78,14 @@
 				client.SetReadDeadline(connected.Add(time.Hour))
 				_, err := client.Read(make([]byte, 1)) // an error response, or the close
 				if took := time.Since(connected); took >= incompleteRequestLimit {
-					t.Errorf("neither an error nor a close for %v (%v)", took, err)
+					t.Errorf("neither an error response nor a close within %v (%v)", took, err)
 				}
 			})
 		})
 	}
 }
 
-// The head may come late: both timeouts together must keep the limit.
+// After a slow head, both timeouts together must not exceed the limit.
 func TestSlowHeadAndSlowBodyTimeOutTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := serveInMemory(t)()
@@ -99,7 +99,7 @@
 			t.Errorf("no error response: %v", err)
 		}
 		if took := time.Since(connected); took >= incompleteRequestLimit {
-			t.Errorf("no error response for %v", took)
+			t.Errorf("no error response within %v", took)
 		}
 	})
 }
--- a/internal/httpserver/streamedbody.go
+++ b/internal/httpserver/streamedbody.go
@@ -15,17 +15,17 @@
 	length        int64 // bytes; below 0: unknown
 	prefixLength  int   // bytes that readBody has read
 	buffers       *bodyBufferPool
-	watcher       *disconnectWatcher // of the connection
-	receivedAhead int64              // bytes, before the rest is streamed
-	sentAt        time.Time          // when the last byte arrived, once it is known to have; zero before
+	socket        socket    // of the connection
+	receivedAhead int64     // bytes, before the rest is streamed
+	sentAt        time.Time // when the last byte arrived; zero: not known to have
 
 	releaseOnce sync.Once
 	buffered    [][]byte // from buffers; not changed after bufferAhead
 }
 
-// bufferAhead reads on as far as the body fits its share of the buffers, and returns what a pool is
-// to forward: all of the body buffered, or some of it and a reader of the rest. A body of known
-// length that would not fit is not buffered at all.
+// bufferAhead reads the body as far as its quota of the buffers allows, and returns what a pool is
+// to forward: the complete body buffered, or some of it and a reader of the rest. A body of known
+// length that exceeds the quota is not buffered at all.
 func (b *streamedBody) bufferAhead() (*proxy.Upload, error) {
 	maxBuffers := b.buffers.maxPerBody()
 	total := int64(b.prefixLength)
@@ -46,19 +46,19 @@
 	}, nil
 }
 
-// lastByteSentAt returns the earliest moment at which the client can have sent the last byte of the
-// body, now if it can't have. While data waits to be read, the rest may have been sent right after
+// lastByteSentAt returns the earliest time at which the client can have sent the last byte of the
+// body, now if it can't have. While there is unread data, the rest may have been sent right after
 // the latest read: some of it may still be in the client's own buffers.
 func (b *streamedBody) lastByteSentAt() time.Time {
 	reader := b.source.reader
-	unread := b.watcher.unreadBytes()
+	unread := b.socket.unreadBytes()
 	isStreaming := b.source.pace.received > b.receivedAhead
 	switch {
 	case !b.sentAt.IsZero():
 	case b.ended():
 		b.sentAt = reader.latestAt
-	case b.length >= 0 && b.length-b.source.pace.received-int64(len(reader.buffered())) <= unread:
-		b.sentAt = time.Now().Add(-b.watcher.unreadAge())
+	case b.hasArrived(unread):
+		b.sentAt = time.Now().Add(-b.socket.unreadAge())
 	case unread > 0 && isStreaming:
 		return reader.latestAt
 	case unread > 0:
@@ -69,6 +69,13 @@
 	return b.sentAt
 }
 
+// hasArrived reports whether the last byte of a body of known length has been received, with this
+// many bytes unread.
+func (b *streamedBody) hasArrived(unread int64) bool {
+	missing := b.length - b.source.pace.received - int64(len(b.source.reader.buffered()))
+	return b.length >= 0 && missing <= unread
+}
+
 // fillBuffers reads into at most maxBuffers buffers and returns the number of bytes read.
 func (b *streamedBody) fillBuffers(maxBuffers int) (total int64, err error) {
 	for len(b.buffered) < maxBuffers && !b.ended() {
--- a/internal/httpserver/trackedconn.go
+++ b/internal/httpserver/trackedconn.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// finalReadTimeout is how long a connection that is about to be closed is read for a request that
-// has arrived already.
+// finalReadTimeout is the timeout of the last read from a connection that is about to be closed:
+// for a request that has arrived already.
 const finalReadTimeout = 20 * time.Millisecond
 
 // trackedConn is a client's connection that its Listener can close without losing a request.
 //
 // startClosing only interrupts the read that waits for the next request. If that read has returned
-// data, or returns data at its last attempt, the request is served and the connection stays open;
+// data, or returns data when repeated, the request is served and the connection stays open;
 // otherwise the read returns io.EOF, and the server closes the connection.
 type trackedConn struct {
 	net.Conn
@@ -46,8 +46,7 @@
 	return c.closing
 }
 
-// hasWrittenSinceRead reports whether the latest data on the connection was written by this side: a
-// response has begun.
+// hasWrittenSinceRead reports whether data was written after the latest read: a response has begun.
 func (c *trackedConn) hasWrittenSinceRead() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -58,8 +57,8 @@
 func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.isClosing() {
-		// The runtime reports an exceeded deadline even if data has arrived: try once more, so that none
-		// is lost.
+		// The runtime reports an exceeded deadline even if data has arrived. Read again, so that
+		// none is lost.
 		_ = c.Conn.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		n, err = c.Conn.Read(b)
 	}
@@ -78,7 +77,7 @@
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. The server sets a deadline right after it has called a
+// SetReadDeadline implements net.Conn. The server sets a deadline right after it has marked a
 // connection idle. That must not undo startClosing.
 func (c *trackedConn) SetReadDeadline(t time.Time) error {
 	c.listener.mu.Lock()
--- a/internal/soak/sidecars_test.go
+++ b/internal/soak/sidecars_test.go
@@ -259,7 +259,7 @@
 		if p.exitErr != nil && !(p.terminated && killed) {
 			s.ledger.breach(ruleRemains, "process %d ended with %v:\n%s", p.Process.Pid, p.exitErr, p.logText())
 		}
-		if strings.Contains(p.logText(), "a request failed") {
+		if strings.Contains(p.logText(), "request panicked") {
 			s.ledger.breach(ruleRemains, "process %d: %s", p.Process.Pid, p.logText())
 		}
 	}
