--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -175,7 +175,7 @@
 	call := newCall(r, target, message, c.reader.arrivedAt)
 	// A request that has just been read may have waited in the kernel's queues, so its client may
 	// have disconnected already.
-	call.ClientGone = c.isDisconnected
+	call.ClientDisconnected = c.isDisconnected
 	if body.streamed != nil {
 		return c.forwardStreamed(r, target.Pool, call, message, body, &outcome)
 	}
@@ -229,7 +229,7 @@
 // disconnects. The response is written even to a client that has: one that has closed only its
 // sending side may still read it.
 func (c *conn) do(pool *proxy.Pool, call *proxy.Call) proxy.Result {
-	c.disconnect.start(func() { pool.ClientLeft(call) })
+	c.disconnect.start(func() { pool.ClientDisconnected(call) })
 	result := pool.Do(call)
 	if c.disconnect.stop() {
 		c.lastRequest = true
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -217,7 +217,7 @@
 		return closingRejection(http.StatusBadRequest, err.Error())
 	}
 	// These fields are forwarded unchanged even if Connection names them.
-	m.Header = proxy.EndToEnd(r.Header, platform.RequestIDHeader, platform.IdempotencyKeyHeader)
+	m.Header = http1.RemoveHopByHop(r.Header, platform.RequestIDHeader, platform.IdempotencyKeyHeader)
 	if len(r.Header[platform.RequestIDHeader]) == 0 {
 		m.Header.Set(platform.RequestIDHeader, id)
 	}
