--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -147,7 +147,7 @@
 // is to come. The time of a call without a streamed body counts from received.
 func (s *Server) newCall(r *http.Request, target *Target, message *proxy.RequestMessage, streamed bool,
 	received time.Time) (*proxy.Call, *Rejection) {
-	if err := checkMethod(r.Method, target.Effect, len(message.Body) > 0 || streamed); err != nil && !target.AnyMethod {
+	if err := checkMethod(r.Method, target.Idempotency, len(message.Body) > 0 || streamed); err != nil && !target.AnyMethod {
 		return nil, closingRejection(http.StatusMethodNotAllowed, err.Error())
 	}
 	// These fields are forwarded unchanged even if Connection names them.
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, closingRejection(http.StatusBadRequest, err.Error())
 	}
-	if target.Effect == balancer.IdempotencyKeyed && r.Header.Get(platform.IdempotencyKeyHeader) == "" {
+	if target.Idempotency == balancer.IdempotencyKeyed && r.Header.Get(platform.IdempotencyKeyHeader) == "" {
 		// Without a key the endpoints could not recognize a retry.
 		return nil, closingRejection(http.StatusBadRequest, platform.IdempotencyKeyHeader+": missing")
 	}
@@ -181,7 +181,7 @@
 
 // checkMethod returns an error if a request does not have the form that its class requires: GET
 // without a body for idempotent requests, POST for all others.
-func checkMethod(method string, effect balancer.Repeatability, hasBody bool) error {
+func checkMethod(method string, effect balancer.Idempotency, hasBody bool) error {
 	switch {
 	case effect == balancer.Idempotent && (method != http.MethodGet || hasBody):
 		return errors.New("the class takes GET with no body")
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -57,7 +57,7 @@
 	for name, want := range map[State]balancer.State{
 		"Ready":       balancer.Ready,
 		"Terminating": balancer.Draining,
-		"Gone":        balancer.Gone,
+		"Gone":        balancer.Removed,
 	} {
 		if state, ok := name.EndpointState(); !ok || state != want {
 			t.Errorf("%s stands for state %v, %v, want %v", name, state, ok, want)
@@ -122,10 +122,10 @@
 			Instances: 4,
 			Index:     2,
 			Classes: []balancer.Class{
-				{Name: "look", Repeat: balancer.Idempotent, KeyScope: balancer.KeyScopeAll, LatencyObjective: 1 * us},
-				{Name: "pay", Repeat: balancer.IdempotencyKeyed, KeyScope: balancer.KeyScopeZone, LatencyObjective: 3 * us,
+				{Name: "look", Idempotency: balancer.Idempotent, KeyScope: balancer.KeyScopeAll, LatencyObjective: 1 * us},
+				{Name: "pay", Idempotency: balancer.IdempotencyKeyed, KeyScope: balancer.KeyScopeZone, LatencyObjective: 3 * us,
 					KeyWindow: 6 * us},
-				{Name: "book", Repeat: balancer.NonIdempotent, KeyScope: balancer.KeyScopeCell, LatencyObjective: 7 * us},
+				{Name: "book", Idempotency: balancer.NonIdempotent, KeyScope: balancer.KeyScopeCell, LatencyObjective: 7 * us},
 			},
 			Tenants:           []balancer.Tenant{{Name: "erie", Quota: 2.5}},
 			Tier:              1,
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -93,11 +93,11 @@
 		LatencyObjective: microseconds(c.LatencyObjectiveUs)}
 	switch c.Repeatability {
 	case RepeatabilityIdempotent:
-		class.Repeat = balancer.Idempotent
+		class.Idempotency = balancer.Idempotent
 	case RepeatabilityKeyed:
-		class.Repeat = balancer.IdempotencyKeyed
+		class.Idempotency = balancer.IdempotencyKeyed
 	case RepeatabilityNonIdempotent:
-		class.Repeat = balancer.NonIdempotent
+		class.Idempotency = balancer.NonIdempotent
 	default:
 		return class, fmt.Errorf("class %q has unknown Semantics %q", c.Name, c.Repeatability)
 	}
