--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -155,7 +155,7 @@
 		return nc, err
 	}
 	client := &http.Client{
-		Timeout:   testpeer.Patience,
+		Timeout:   testpeer.WaitTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial},
 	}
 	r, _ := http.NewRequest(http.MethodPost, "http://front/x", http.NoBody)
@@ -187,7 +187,7 @@
 func (o *outcomes) waitAnswered(t *testing.T, what string, count int64) {
 	t.Helper()
 	before := o.answered.Load()
-	testpeer.Until(t, what, func() bool { return o.answered.Load() >= before+count })
+	testpeer.WaitUntil(t, what, func() bool { return o.answered.Load() >= before+count })
 }
 
 // restartAll kills all instances at once, calls spoil for each if it is not nil, and starts them
@@ -212,7 +212,7 @@
 	var recovery []time.Duration
 	for i, in := range f.instances {
 		in.log.wait(t, 1, "listening()")
-		testpeer.Until(t, "a first answer of "+in.socket, func() bool {
+		testpeer.WaitUntil(t, "a first answer of "+in.socket, func() bool {
 			return o.send(in, fmt.Sprint("probe-", in.socket, "-", time.Now().UnixNano()))
 		})
 		recovery = append(recovery, time.Since(killedAt))
@@ -314,7 +314,7 @@
 	o := &outcomes{runs: map[string]int{}}
 	var endpoints []string
 	for range 3 {
-		endpoints = append(endpoints, testpeer.New(t, o.handle).Addr)
+		endpoints = append(endpoints, testpeer.StartEndpoint(t, o.handle).Addr)
 	}
 	f := startFleet(t, instances, endpoints...)
 	stop := startFleetLoad(f, o)
@@ -324,17 +324,17 @@
 	o.waitAnswered(t, "answers during the partition", 200)
 	// An attempt held by the partition ends at its timeout: it may have run, and is answered as
 	// failed.
-	testpeer.Until(t, "an attempt held until its timeout", func() bool { return o.failed.Load() > 0 })
+	testpeer.WaitUntil(t, "an attempt held until its timeout", func() bool { return o.failed.Load() > 0 })
 	f.proxies[0].Heal()
 	o.waitAnswered(t, "answers after the heal", 200)
 	for _, in := range f.instances {
-		testpeer.Until(t, "a snapshot of "+in.socket, func() bool { _, err := os.Stat(in.snapshot); return err == nil })
+		testpeer.WaitUntil(t, "a snapshot of "+in.socket, func() bool { _, err := os.Stat(in.snapshot); return err == nil })
 	}
 
 	recovery := f.restartAll(t, o, nil)
 	o.waitAnswered(t, "answers after the restart", 400)
 	for _, in := range f.instances { // written by the processes that run now
-		testpeer.Until(t, "a new snapshot of "+in.socket, func() bool {
+		testpeer.WaitUntil(t, "a new snapshot of "+in.socket, func() bool {
 			info, err := os.Stat(in.snapshot)
 			return err == nil && info.ModTime().After(in.startedAt)
 		})
--- a/cmd/rowancart/handover_test.go
+++ b/cmd/rowancart/handover_test.go
@@ -107,7 +107,7 @@
 	d.signal(t, syscall.SIGTERM)
 	select {
 	case <-d.log.ended:
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.WaitTimeout):
 		t.Error("a process is left")
 	}
 }
@@ -131,7 +131,7 @@
 		running.Go(func() {
 			transport := unixTransport(socket)
 			transport.DisableKeepAlives = c%2 == 0
-			client := &http.Client{Timeout: testpeer.Patience, Transport: transport}
+			client := &http.Client{Timeout: testpeer.WaitTimeout, Transport: transport}
 			for n := 0; ; n++ {
 				select {
 				case <-stopped:
@@ -171,7 +171,7 @@
 // A daemon is replaced three times under load, then by programs that do not get to serve, and no
 // request is lost.
 func TestHandoverLosesNothing(t *testing.T) {
-	endpoint := testpeer.New(t, func(nc net.Conn, r *http.Request, _ int) bool {
+	endpoint := testpeer.StartEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		body := r.Header.Get("Req-Id")
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		return true
@@ -187,7 +187,7 @@
 			}
 		}
 		before := load.sent.Load()
-		testpeer.Until(t, "more requests", func() bool { return load.sent.Load() > before+100 })
+		testpeer.WaitUntil(t, "more requests", func() bool { return load.sent.Load() > before+100 })
 	}
 	for n, script := range []string{"#!/bin/sh\nexit 1\n", "#!/bin/sh\nexec sleep 60\n"} {
 		d.replace(t, script)
@@ -208,7 +208,8 @@
 // A daemon that is killed while it hands over leaves the sockets, with the clients that wait at
 // them, to its successor.
 func TestSuccessorServesThoughThePredecessorIsKilled(t *testing.T) {
-	endpoint := testpeer.New(t, testpeer.Says("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true))
+	const response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	endpoint := testpeer.StartEndpoint(t, testpeer.RespondWith(response, testpeer.KeepConn))
 	d := startReplaceable(t, endpoint.Addr)
 	target, err := os.Readlink(d.program)
 	if err != nil {
--- a/cmd/rowancart/harness_test.go
+++ b/cmd/rowancart/harness_test.go
@@ -48,7 +48,7 @@
 func (f *logFollower) wait(t *testing.T, n int, pattern string) string {
 	t.Helper()
 	re, found := regexp.MustCompile(pattern), ""
-	testpeer.Until(t, pattern, func() bool {
+	testpeer.WaitUntil(t, pattern, func() bool {
 		seen := 0
 		for _, line := range f.all() {
 			if m := re.FindStringSubmatch(line); m != nil {
--- a/cmd/rowancart/main_test.go
+++ b/cmd/rowancart/main_test.go
@@ -17,7 +17,7 @@
 func TestScripts(t *testing.T) {
 	// waitfor SOCKET waits until a unix socket accepts connections.
 	waitFor := func(ts *testscript.TestScript, _ bool, args []string) {
-		testpeer.Until(t, args[0]+" accepts connections", func() bool {
+		testpeer.WaitUntil(t, args[0]+" accepts connections", func() bool {
 			nc, err := net.Dial("unix", ts.MkAbs(args[0]))
 			if err == nil {
 				nc.Close()
--- a/cmd/rowancart/supervisor_test.go
+++ b/cmd/rowancart/supervisor_test.go
@@ -162,7 +162,7 @@
 func TestASupervisorBringsBackWhatIsKilledAndLeavesNothing(t *testing.T) {
 	const instances = 8
 	kills := *fleetKills
-	endpoint := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	endpoint := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	dir := t.TempDir()
 	program := linkProgram(t, dir)
 	file, folder := filepath.Join(dir, "fleet.hcl"), filepath.Join(dir, "run")
@@ -179,7 +179,7 @@
 	checkSecondSupervisor(t, program, file)
 	rng, supervisorKills := rand.New(rand.NewPCG(11, 0)), 0
 	for k := range kills {
-		testpeer.Until(t, fmt.Sprintf("all %d healthy before kill %d", instances, k+1), s.allHealthy)
+		testpeer.WaitUntil(t, fmt.Sprintf("all %d healthy before kill %d", instances, k+1), s.allHealthy)
 		pids := s.pids()
 		for _, pid := range pids {
 			seen[pid] = true
@@ -193,7 +193,7 @@
 		}
 		syscall.Kill(pids[rng.IntN(instances)], syscall.SIGKILL)
 	}
-	testpeer.Until(t, "all healthy after the last kill", s.allHealthy)
+	testpeer.WaitUntil(t, "all healthy after the last kill", s.allHealthy)
 	for _, pid := range s.pids() {
 		seen[pid] = true
 	}
--- a/cmd/sidecar/handover_test.go
+++ b/cmd/sidecar/handover_test.go
@@ -23,10 +23,10 @@
 	const inFlight = 8 // requests that may reach an endpoint after its ban
 	slow := func(conn net.Conn, _ *http.Request, _ int) bool {
 		time.Sleep(5 * time.Millisecond) // requests are in flight at any moment; nothing depends on how long
-		_, err := io.WriteString(conn, testpeer.Served)
+		_, err := io.WriteString(conn, testpeer.OKResponse)
 		return err == nil
 	}
-	a, b, c := testpeer.New(t, slow), testpeer.New(t, slow), testpeer.New(t, slow)
+	a, b, c := testpeer.StartEndpoint(t, slow), testpeer.StartEndpoint(t, slow), testpeer.StartEndpoint(t, slow)
 	p := newTestPlatform(t, a.Addr, b.Addr, c.Addr)
 	first := p.startReady(t)
 	clients := p.startClients(t, 8)
@@ -61,7 +61,7 @@
 
 // A successor that dies right after it has become ready leaves the first process serving.
 func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
-	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
 	second := p.startReady(t)
@@ -76,7 +76,7 @@
 
 // Whatever files are in the shared directory, a process starts.
 func TestForeignFilesInSharedDirDoNotPreventStart(t *testing.T) {
-	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	dir := filepath.Join(p.sharedDir, "rowancart-t")
 	if err := os.MkdirAll(filepath.Join(dir, "bans"), 0o700); err != nil {
@@ -117,7 +117,7 @@
 // SIGHUP and SIGTERM come while the new process still waits for its list, and it dies before it is
 // ready: the first goes on, and what comes after SIGTERM is answered.
 func TestSignalsDuringHandoverLoseNoRequest(t *testing.T) {
-	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
 	discovery := p.discovery
@@ -148,7 +148,7 @@
 // A request has been received partially, in its head or in its body, when a successor becomes ready
 // and SIGTERM comes: the process that began to read it answers it.
 func TestHandoverWithPartiallyReadRequest(t *testing.T) {
-	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
 	const request = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 10000\r\n" +
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -56,7 +56,7 @@
 func waitUntilHealthy(t *testing.T, addr string) {
 	t.Helper()
 	client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	testpeer.Until(t, "the sidecar is healthy", func() bool {
+	testpeer.WaitUntil(t, "the sidecar is healthy", func() bool {
 		resp, err := client.Get("http://" + addr + "/_health")
 		if err != nil {
 			return false
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -186,20 +186,20 @@
 
 func (s *sidecarProcess) waitUntilReady(t *testing.T) {
 	t.Helper()
-	testpeer.Until(t, "ready", func() bool { return strings.HasPrefix(s.adminCommand(t, "ready"), "SUCCESS") })
+	testpeer.WaitUntil(t, "ready", func() bool { return strings.HasPrefix(s.adminCommand(t, "ready"), "SUCCESS") })
 }
 
 // waitForMetric waits until a metric has a value.
 func (s *sidecarProcess) waitForMetric(t *testing.T, name string, value int) {
 	t.Helper()
 	line := fmt.Sprintf("%s %d\n", name, value)
-	testpeer.Until(t, line, func() bool { return strings.Contains(s.adminCommand(t, "show-stat"), line) })
+	testpeer.WaitUntil(t, line, func() bool { return strings.Contains(s.adminCommand(t, "show-stat"), line) })
 }
 
 // waitUntilSuperseded waits until the process has found that a successor serves.
 func (s *sidecarProcess) waitUntilSuperseded(t *testing.T) {
 	t.Helper()
-	testpeer.Until(t, "superseded", func() bool { return strings.Contains(s.log.String(), "is_so=true") })
+	testpeer.WaitUntil(t, "superseded", func() bool { return strings.Contains(s.log.String(), "is_so=true") })
 }
 
 // kill ends the process with SIGKILL and waits until it has exited.
@@ -253,7 +253,7 @@
 func (c *testClients) waitForMore(t *testing.T, n int32) {
 	t.Helper()
 	before := c.served.Load()
-	testpeer.Until(t, "more is served", func() bool { return c.served.Load() > before+n })
+	testpeer.WaitUntil(t, "more is served", func() bool { return c.served.Load() > before+n })
 }
 
 // run is one client. A request whose connection had been used before and is closed without a
--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -238,7 +238,7 @@
 		"of another instance": {ofOther, "it is " + storedOwner + "'s, and this is " + thisOwner(t)},
 	} {
 		_, log, stop := startDaemon(t, row.path, "")
-		testpeer.Until(t, "listening", func() bool { return strings.Contains(log.String(), "listening") })
+		testpeer.WaitUntil(t, "listening", func() bool { return strings.Contains(log.String(), "listening") })
 		for _, want := range []string{"starting without what was learned", row.refusal} {
 			if !strings.Contains(log.String(), want) {
 				t.Errorf("%s: %q is not logged:\n%s", name, want, log)
--- a/internal/compatibility/supervisor_test.go
+++ b/internal/compatibility/supervisor_test.go
@@ -132,7 +132,7 @@
 	}
 	stop := runSupervisor(t, folder, len(standIns))
 	var written json.RawMessage
-	testpeer.Until(t, "the supervisor has written its state", func() bool {
+	testpeer.WaitUntil(t, "the supervisor has written its state", func() bool {
 		_, err := snapshot.Read(path, time.Now(), age/2, &written)
 		return err == nil
 	})
--- a/internal/connpool/acquire_test.go
+++ b/internal/connpool/acquire_test.go
@@ -61,32 +61,32 @@
 // right only when it was decided.
 func TestNothingSentOnConnEstablishedTooLate(t *testing.T) {
 	for name, row := range map[string]struct {
-		happens func(p *Pool, a *Attempt, e *testpeer.Endpoint)
+		happens func(p *Pool, a *Attempt, e *testpeer.FakeEndpoint)
 		want    FailureKind
 	}{
-		"nothing": {func(*Pool, *Attempt, *testpeer.Endpoint) {}, succeeded},
-		"the endpoint drains": {func(p *Pool, _ *Attempt, e *testpeer.Endpoint) {
+		"nothing": {func(*Pool, *Attempt, *testpeer.FakeEndpoint) {}, succeeded},
+		"the endpoint drains": {func(p *Pool, _ *Attempt, e *testpeer.FakeEndpoint) {
 			p.SetEndpoint("a", e.Addr, false)
 		}, NotSent},
-		"the endpoint is gone": {func(p *Pool, _ *Attempt, _ *testpeer.Endpoint) { p.RemoveEndpoint("a") }, NotSent},
-		"the endpoint has moved": {func(p *Pool, _ *Attempt, _ *testpeer.Endpoint) {
+		"the endpoint is gone": {func(p *Pool, _ *Attempt, _ *testpeer.FakeEndpoint) { p.RemoveEndpoint("a") }, NotSent},
+		"the endpoint has moved": {func(p *Pool, _ *Attempt, _ *testpeer.FakeEndpoint) {
 			p.SetEndpoint("a", "127.0.0.1:1", true)
 		}, NotSent},
-		"the endpoint is another one of that name": {func(p *Pool, _ *Attempt, e *testpeer.Endpoint) {
+		"the endpoint is another one of that name": {func(p *Pool, _ *Attempt, e *testpeer.FakeEndpoint) {
 			p.RemoveEndpoint("a")
 			p.SetEndpoint("a", e.Addr, true)
 		}, NotSent},
-		"the client disconnects": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) {
+		"the client disconnects": {func(_ *Pool, a *Attempt, _ *testpeer.FakeEndpoint) {
 			a.ClientDisconnected = func() bool { return true }
 		}, NotSent},
-		"the attempt is canceled": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) { a.Cancel() }, Canceled},
-		"the attempt is canceled unless written": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) {
+		"the attempt is canceled": {func(_ *Pool, a *Attempt, _ *testpeer.FakeEndpoint) { a.Cancel() }, Canceled},
+		"the attempt is canceled unless written": {func(_ *Pool, a *Attempt, _ *testpeer.FakeEndpoint) {
 			a.CancelUnlessWritten()
 		}, Canceled},
-		"the client is still there": {func(_ *Pool, a *Attempt, _ *testpeer.Endpoint) {
+		"the client is still there": {func(_ *Pool, a *Attempt, _ *testpeer.FakeEndpoint) {
 			a.ClientDisconnected = func() bool { return false }
 		}, succeeded},
-		"the list says ready again": {func(p *Pool, _ *Attempt, e *testpeer.Endpoint) {
+		"the list says ready again": {func(p *Pool, _ *Attempt, e *testpeer.FakeEndpoint) {
 			p.SetEndpoint("a", e.Addr, true)
 		}, succeeded},
 	} {
@@ -128,7 +128,7 @@
 	}
 	accepted.(*net.TCPConn).SetLinger(0)
 	accepted.Close()
-	until(t, "the reset arrives", func() bool { return testpeer.Pending(nc) })
+	until(t, "the reset arrives", func() bool { return testpeer.HasUnreadData(nc) })
 	close(release)
 	if r := <-ended; r != ConnectFailed {
 		t.Errorf("outcome %v", r)
--- a/internal/connpool/exchange_test.go
+++ b/internal/connpool/exchange_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"rowancart/internal/testpeer"
 )
 
 func TestResponseDeterminesOutcome(t *testing.T) {
@@ -17,7 +19,7 @@
 	for name, row := range map[string]struct {
 		says string
 		want FailureKind
-		stay bool
+		stay testpeer.AfterResponse
 	}{
 		"200":                         {served, succeeded, true},
 		"200 in chunks":               {chunked + "2\r\nhi\r\n0\r\n\r\n", succeeded, true},
--- a/internal/connpool/helpers_test.go
+++ b/internal/connpool/helpers_test.go
@@ -15,14 +15,14 @@
 
 // What tests here use most.
 const (
-	patience = testpeer.Patience
-	served   = testpeer.Served
+	patience = testpeer.WaitTimeout
+	served   = testpeer.OKResponse
 )
 
 var (
-	newEndpoint = testpeer.New
-	says        = testpeer.Says
-	until       = testpeer.Until
+	newEndpoint = testpeer.StartEndpoint
+	says        = testpeer.RespondWith
+	until       = testpeer.WaitUntil
 )
 
 // newTestPool returns a Pool with endpoints at the addresses given, named a, b, ...
--- a/internal/daemon/admin_test.go
+++ b/internal/daemon/admin_test.go
@@ -9,10 +9,10 @@
 )
 
 func TestAdminInterface(t *testing.T) {
-	e := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
 	s.request(http.MethodGet, "/x")
-	testpeer.Until(t, "the request is counted, which happens after its response is written", func() bool {
+	testpeer.WaitUntil(t, "the request is counted, which happens after its response is written", func() bool {
 		_, metrics := s.requestAdmin(http.MethodGet, "/metrics")
 		return strings.Contains(metrics, `rowancart_answer_seconds_count{route="x"} 1`)
 	})
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -203,12 +203,12 @@
 // respondWith returns an endpoint's handler that answers each request alike.
 func respondWith(status, header, body string) func(net.Conn, *http.Request, int) bool {
 	text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
-	return testpeer.Says(text, true)
+	return testpeer.RespondWith(text, testpeer.KeepConn)
 }
 
 // gatedEndpoint is an endpoint whose requests wait until they are released.
 type gatedEndpoint struct {
-	*testpeer.Endpoint
+	*testpeer.FakeEndpoint
 	arrived chan bool // receives a value for each request
 	release chan bool // each value releases one request, closing it all
 }
@@ -216,7 +216,7 @@
 // newGatedEndpoint returns an endpoint that sends response for each request that it has released.
 func newGatedEndpoint(t *testing.T, response string) *gatedEndpoint {
 	e := &gatedEndpoint{arrived: make(chan bool, 100), release: make(chan bool)}
-	e.Endpoint = testpeer.New(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+	e.FakeEndpoint = testpeer.StartEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		e.arrived <- true
 		<-e.release
 		io.WriteString(nc, response)
--- a/internal/daemon/listeners_test.go
+++ b/internal/daemon/listeners_test.go
@@ -14,7 +14,7 @@
 
 // All accepted requests are answered before the daemon ends.
 func TestStopAnswersAcceptedRequests(t *testing.T) {
-	e := newGatedEndpoint(t, testpeer.Served)
+	e := newGatedEndpoint(t, testpeer.OKResponse)
 	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
 	var requests sync.WaitGroup
 	requests.Go(func() {
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.WaitTimeout):
 		t.Error("never ended")
 	}
 }
@@ -39,7 +39,7 @@
 // A request that does not end is aborted when the time for draining is over.
 func TestStopAbortsRequestsThatHang(t *testing.T) {
 	arrived := make(chan bool, 10)
-	hangs := testpeer.New(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+	hangs := testpeer.StartEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		arrived <- true
 		nc.Read(make([]byte, 1))
 		return false
@@ -55,7 +55,7 @@
 	s.stop()
 	select {
 	case <-s.runErr:
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.WaitTimeout):
 		t.Error("a request that never ends keeps the daemon from ending")
 	}
 	if !strings.Contains(s.log.String(), "the time for it is over") {
@@ -69,7 +69,7 @@
 // Connections over the limit are rejected at once.
 func TestConnectionsOverTheLimitAreRejectedAtOnce(t *testing.T) {
 	const maxConns, active = 16, 6 // the balancer's concurrency limit begins with 6
-	e := newGatedEndpoint(t, testpeer.Served)
+	e := newGatedEndpoint(t, testpeer.OKResponse)
 	head := strings.Replace(configHead, limitsBlock, "limits {\n  connections = 16\n  stop_within = \"1s\"\n}\n", 1)
 	s := startDaemonWithConfig(t, head+poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
 	var requests sync.WaitGroup
@@ -85,7 +85,7 @@
 		}
 		silent = append(silent, nc)
 	}
-	testpeer.Until(t, "all connections are open", func() bool {
+	testpeer.WaitUntil(t, "all connections are open", func() bool {
 		return s.Status(false).Listeners[0].Connections == maxConns
 	})
 	status, body, h := s.request(http.MethodGet, "/x")
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -14,8 +14,8 @@
 )
 
 func TestEndpointFileIsFollowed(t *testing.T) {
-	a := testpeer.New(t, respondWith("200 OK", "", "a"))
-	b := testpeer.New(t, respondWith("200 OK", "", "b"))
+	a := testpeer.StartEndpoint(t, respondWith("200 OK", "", "a"))
+	b := testpeer.StartEndpoint(t, respondWith("200 OK", "", "b"))
 	list := func(addr string) string {
 		return fmt.Sprintf(`{"endpoints": [{"id": "x", "address": %q}, `+
 			`{"id": "y", "address": "127.0.0.1:1", "state": "draining"}]}`, addr)
@@ -28,26 +28,26 @@
 	}
 	write(list(a.Addr))
 	s := startDaemon(t, filePoolBlock("one", path)+routeBlock("x", "/x", "look", "one", ""))
-	testpeer.Until(t, "a serves", s.responds("/x", "a"))
+	testpeer.WaitUntil(t, "a serves", s.responds("/x", "a"))
 	write(list(b.Addr)[:40]) // half written
-	testpeer.Until(t, "the status says so", func() bool {
+	testpeer.WaitUntil(t, "the status says so", func() bool {
 		return strings.Contains(s.Status(false).Pools[0].SourceError, "unexpected EOF")
 	})
 	if !s.responds("/x", "a")() {
 		t.Error("half a list removed a")
 	}
 	write(list(b.Addr))
-	testpeer.Until(t, "b serves", s.responds("/x", "b"))
+	testpeer.WaitUntil(t, "b serves", s.responds("/x", "b"))
 	if st := s.Status(false).Pools[0]; st.SourceError != "" || st.Ready != 1 || st.Draining != 1 {
 		t.Errorf("%+v", st)
 	}
 }
 
 func TestInstanceSendsToItsSubsetOnly(t *testing.T) {
-	var endpoints []*testpeer.Endpoint
+	var endpoints []*testpeer.FakeEndpoint
 	var addrs []string
 	for range 9 {
-		e := testpeer.New(t, respondWith("200 OK", "", "x"))
+		e := testpeer.StartEndpoint(t, respondWith("200 OK", "", "x"))
 		endpoints = append(endpoints, e)
 		addrs = append(addrs, e.Addr)
 	}
@@ -60,7 +60,7 @@
 	// used sends requests until count endpoints have got some, and then 50 more, which must go to the
 	// same.
 	used := func(s *testDaemon, count int) (indexes []int) {
-		for more, end := 0, time.Now().Add(testpeer.Patience); more < 50 && time.Now().Before(end); {
+		for more, end := 0, time.Now().Add(testpeer.WaitTimeout); more < 50 && time.Now().Before(end); {
 			s.request(http.MethodGet, "/x")
 			for i, e := range endpoints {
 				if n := e.Requests.Load(); n > seen[i] {
--- a/internal/daemon/reason_test.go
+++ b/internal/daemon/reason_test.go
@@ -25,7 +25,7 @@
 // Each response that no endpoint made says why, in its header, the metrics, the log and the status
 // of the endpoint.
 func TestUnservedRequestsSayWhy(t *testing.T) {
-	disconnects := testpeer.New(t, func(net.Conn, *http.Request, int) bool { return false })
+	disconnects := testpeer.StartEndpoint(t, func(net.Conn, *http.Request, int) bool { return false })
 	empty := filepath.Join(t.TempDir(), "endpoints.json")
 	if err := os.WriteFile(empty, []byte(`{"endpoints": []}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 		}
 		// A request is counted after its response is written.
 		want := `rowancart_unserved_total{reason="` + c.reason + `",route="` + c.route + `"} 1`
-		testpeer.Until(t, c.path+": the metrics have "+want, func() bool {
+		testpeer.WaitUntil(t, c.path+": the metrics have "+want, func() bool {
 			_, metrics := s.requestAdmin(http.MethodGet, "/metrics")
 			return strings.Contains(metrics, want)
 		})
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -21,8 +21,8 @@
 
 // A pool that a reload removes answers the requests in flight, and then ends with its connections.
 func TestRemovedPoolAnswersRequestsInFlight(t *testing.T) {
-	old := newGatedEndpoint(t, testpeer.Served)
-	next := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	old := newGatedEndpoint(t, testpeer.OKResponse)
+	next := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	s := startDaemon(t, poolBlock("old", old.Addr)+routeBlock("x", "/*", "look", "old", ""))
 	var requests sync.WaitGroup
 	requests.Go(func() {
@@ -37,21 +37,21 @@
 	}
 	// The file watcher may have reloaded too: its generation, without requests, is removed a moment
 	// later.
-	testpeer.Until(t, "only the generation with a request in flight drains", func() bool {
+	testpeer.WaitUntil(t, "only the generation with a request in flight drains", func() bool {
 		st := s.Status(false)
 		return len(st.Pools) == 2 && st.DrainingGenerations == 1
 	})
 	close(old.release)
 	requests.Wait()
-	testpeer.Until(t, "the old pool ends", func() bool {
+	testpeer.WaitUntil(t, "the old pool ends", func() bool {
 		st := s.Status(false)
 		return len(st.Pools) == 1 && st.DrainingGenerations == 0
 	})
 }
 
 func TestEndpointMovedToAnotherPoolGetsNothingFromTheOld(t *testing.T) {
-	a := testpeer.New(t, testpeer.Says(testpeer.Served, true))
-	b := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
+	b := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	routes := routeBlock("x", "/x", "look", "one", "") + routeBlock("y", "/y", "look", "two", "")
 	s := startDaemon(t, poolBlock("one", a.Addr, b.Addr)+poolBlock("two", a.Addr)+routes)
 	for range 4 {
@@ -71,7 +71,7 @@
 }
 
 func TestInvalidFileChangesNothingAndIsReported(t *testing.T) {
-	e := testpeer.New(t, testpeer.Says(testpeer.Served, true))
+	e := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	valid := poolBlock("one", e.Addr) + routeBlock("x", "/x", "look", "one", "")
 	s := startDaemon(t, valid)
 	addressInUse := fmt.Sprintf("listener \"b\" {\n address = \"127.0.0.1:%d\"\n}\n", s.Addr("front").(*net.TCPAddr).Port)
@@ -112,12 +112,12 @@
 // The configuration file is followed when it is written in place, and when it is replaced by
 // rename.
 func TestConfigFileIsFollowed(t *testing.T) {
-	a := testpeer.New(t, respondWith("200 OK", "", "a"))
-	b := testpeer.New(t, respondWith("200 OK", "", "b"))
+	a := testpeer.StartEndpoint(t, respondWith("200 OK", "", "a"))
+	b := testpeer.StartEndpoint(t, respondWith("200 OK", "", "b"))
 	route := routeBlock("x", "/x", "look", "one", "")
 	s := startDaemon(t, poolBlock("one", a.Addr)+route)
 	s.writeConfig(poolBlock("one", b.Addr) + route)
-	testpeer.Until(t, "b serves", s.responds("/x", "b"))
+	testpeer.WaitUntil(t, "b serves", s.responds("/x", "b"))
 	next := s.configPath + "~"
 	if err := os.WriteFile(next, []byte(configHead+poolBlock("one", a.Addr)+route), 0o600); err != nil {
 		t.Fatal(err)
@@ -125,11 +125,11 @@
 	if err := os.Rename(next, s.configPath); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "a serves", s.responds("/x", "a"))
+	testpeer.WaitUntil(t, "a serves", s.responds("/x", "a"))
 }
 
 func TestRemovedListenerAnswersRequestsInFlight(t *testing.T) {
-	e := newGatedEndpoint(t, testpeer.Served)
+	e := newGatedEndpoint(t, testpeer.OKResponse)
 	path := filepath.Join(t.TempDir(), "sock")
 	base := poolBlock("one", e.Addr) + routeBlock("x", "/x", "look", "one", "")
 	s := startDaemon(t, base+fmt.Sprintf("listener \"side\" {\n  address = \"unix:%s\"\n}\n", path))
@@ -151,7 +151,7 @@
 	}
 	close(e.release)
 	requests.Wait()
-	testpeer.Until(t, "the listener ends", func() bool {
+	testpeer.WaitUntil(t, "the listener ends", func() bool {
 		st := s.Status(false)
 		return len(st.Listeners) == 1 && st.DrainingGenerations == 0
 	})
@@ -164,8 +164,8 @@
 	if testing.Short() {
 		reloads = 100
 	}
-	a := testpeer.New(t, respondWith("200 OK", "", "a"))
-	b := testpeer.New(t, respondWith("200 OK", "", "b"))
+	a := testpeer.StartEndpoint(t, respondWith("200 OK", "", "a"))
+	b := testpeer.StartEndpoint(t, respondWith("200 OK", "", "b"))
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	// In either file path and pool belong together: /a to a, /b to b. Each file has one of the routes
 	// under another name and pool.
@@ -183,17 +183,17 @@
 		before := load.served.Load()
 		s.reload(configs[(i+1)%2])
 		if i%10 == 0 { // so that the load gets its share of the processor
-			testpeer.Until(t, "requests are served", func() bool { return load.served.Load() > before || t.Failed() })
+			testpeer.WaitUntil(t, "requests are served", func() bool { return load.served.Load() > before || t.Failed() })
 		}
 	}
 	load.stop()
-	testpeer.Until(t, "old generations end", func() bool { return s.Status(false).DrainingGenerations == 0 })
+	testpeer.WaitUntil(t, "old generations end", func() bool { return s.Status(false).DrainingGenerations == 0 })
 	st := s.Status(false)
 	if st.Generation <= reloads || len(st.Pools) != 2 || len(st.Listeners) != 1 {
 		t.Errorf("%+v", st)
 	}
 	// A request leaves its route after its response is written.
-	testpeer.Until(t, "no route has requests in flight", func() bool {
+	testpeer.WaitUntil(t, "no route has requests in flight", func() bool {
 		return !slices.ContainsFunc(s.Status(false).Routes, func(r RouteStatus) bool { return r.InFlight != 0 })
 	})
 	s.stopAndWait()
@@ -243,8 +243,8 @@
 
 // A reload keeps the learned state: a failing endpoint gets no more requests after it than before.
 func TestReloadKeepsLearnedState(t *testing.T) {
-	works := testpeer.New(t, respondWith("200 OK", "", "works"))
-	fails := testpeer.New(t, respondWith("500 Oh", "", ""))
+	works := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
+	fails := testpeer.StartEndpoint(t, respondWith("500 Oh", "", ""))
 	config := func(queue int) string {
 		return poolBlock("one", works.Addr, fails.Addr) +
 			routeBlock("x", "/x", "look", "one", fmt.Sprintf("policy {\n queue = %d\n}", queue))
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -14,12 +14,12 @@
 
 func TestRoutingAndCompleteResponses(t *testing.T) {
 	var id atomic.Value
-	one := testpeer.New(t, func(nc net.Conn, r *http.Request, _ int) bool {
+	one := testpeer.StartEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		id.Store(r.Header.Get("Req-Id"))
 		io.WriteString(nc, "HTTP/1.1 201 Made\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nhere")
 		return true
 	})
-	two := testpeer.New(t, respondWith("404 Not Found", "", "there"))
+	two := testpeer.StartEndpoint(t, respondWith("404 Not Found", "", "there"))
 	s := startDaemon(t, poolBlock("one", one.Addr)+poolBlock("two", two.Addr)+
 		routeBlock("a", "/a/*", "look", "one", "")+
 		routeBlock("b", "/a/b", "look", "two", `methods = ["GET", "POST"]`)+
@@ -56,8 +56,8 @@
 }
 
 func TestUnsafeRequestsAreSentOnceAndSafeOnesRetried(t *testing.T) {
-	disconnects := testpeer.New(t, testpeer.Says("", false))
-	fails := testpeer.New(t, respondWith("500 Oh", "", ""))
+	disconnects := testpeer.StartEndpoint(t, testpeer.RespondWith("", testpeer.CloseConn))
+	fails := testpeer.StartEndpoint(t, respondWith("500 Oh", "", ""))
 	s := startDaemon(t, poolBlock("one", disconnects.Addr)+poolBlock("two", fails.Addr)+
 		routeBlock("pays", "/pay", "pay", "one", "")+
 		routeBlock("looks", "/look", "look", "two", "policy {\n attempts = 2\n}"))
@@ -73,7 +73,7 @@
 }
 
 func TestLimitsRejectAtOnce(t *testing.T) {
-	e := newGatedEndpoint(t, testpeer.Served)
+	e := newGatedEndpoint(t, testpeer.OKResponse)
 	s := startDaemon(t, poolBlock("one", e.Addr)+
 		routeBlock("all", "/all", "look", "one", "policy {\n concurrency = 2\n tenant_concurrency = 1\n}")+
 		routeBlock("some", "/some", "look", "one", "policy {\n rate = \"1/h\"\n}"))
--- a/internal/daemon/snapshot_test.go
+++ b/internal/daemon/snapshot_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestSuccessorRestoresLearnedState(t *testing.T) {
-	works := testpeer.New(t, respondWith("200 OK", "", "works"))
-	fails := testpeer.New(t, respondWith("500 Oh", "", ""))
+	works := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
+	fails := testpeer.StartEndpoint(t, respondWith("500 Oh", "", ""))
 	state := filepath.Join(t.TempDir(), "state")
 	config := stateBlock(state) + poolBlock("one", works.Addr, fails.Addr) + routeBlock("x", "/x", "look", "one", "")
 	s := startDaemon(t, config)
@@ -47,8 +47,8 @@
 }
 
 func TestEndpointsAreRestoredUntilTheSourceAnswers(t *testing.T) {
-	old := testpeer.New(t, respondWith("200 OK", "", "old"))
-	next := testpeer.New(t, respondWith("200 OK", "", "new"))
+	old := testpeer.StartEndpoint(t, respondWith("200 OK", "", "old"))
+	next := testpeer.StartEndpoint(t, respondWith("200 OK", "", "new"))
 	dir := t.TempDir()
 	list := filepath.Join(dir, "endpoints.json")
 	writeList := func(id, addr string) {
@@ -61,7 +61,7 @@
 		routeBlock("x", "/x", "look", "one", "")
 	s := startDaemon(t, config)
 	writeList("a", old.Addr)
-	testpeer.Until(t, "the list is applied", s.responds("/x", "old"))
+	testpeer.WaitUntil(t, "the list is applied", s.responds("/x", "old"))
 	s.stopAndWait()
 	if err := os.Remove(list); err != nil {
 		t.Fatal(err)
@@ -71,16 +71,16 @@
 		t.Errorf("without a list: %d %q", status, body)
 	}
 	writeList("b", next.Addr)
-	testpeer.Until(t, "the list is applied", s.responds("/x", "new"))
+	testpeer.WaitUntil(t, "the list is applied", s.responds("/x", "new"))
 }
 
 func TestUnwritableSnapshotIsLoggedOnceAndHarmless(t *testing.T) {
 	const message = "the snapshot cannot be saved"
-	e := testpeer.New(t, respondWith("200 OK", "", "x"))
+	e := testpeer.StartEndpoint(t, respondWith("200 OK", "", "x"))
 	path := filepath.Join(t.TempDir(), "none", "state")
 	s := startDaemon(t, fmt.Sprintf("state {\n path = %q\n every = \"1s\"\n}\n", path)+
 		poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
-	testpeer.Until(t, "it is logged", func() bool { return strings.Contains(s.log.String(), message) })
+	testpeer.WaitUntil(t, "it is logged", func() bool { return strings.Contains(s.log.String(), message) })
 	if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
@@ -93,7 +93,7 @@
 // A snapshot of another instance, here one with another index, is not restored; the log says so
 // once. The snapshot of an instance whose fleet has grown is its own.
 func TestSnapshotOfAnotherInstanceIsNotUsed(t *testing.T) {
-	e := testpeer.New(t, respondWith("200 OK", "", "works"))
+	e := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
 	state := filepath.Join(t.TempDir(), "state")
 	config := func(index, instances int) string {
 		return stateBlock(state) + fmt.Sprintf("fleet {\n instances = %d\n index = %d\n}\n", instances, index) +
--- a/internal/discovery/file/follow_test.go
+++ b/internal/discovery/file/follow_test.go
@@ -34,7 +34,7 @@
 // expectStatus waits for the next status, which must be an error or nil.
 func (f *followed) expectStatus(t *testing.T, when string, isError bool) {
 	t.Helper()
-	testpeer.Until(t, "a status "+when, func() bool { return len(f.statuses) > 0 })
+	testpeer.WaitUntil(t, "a status "+when, func() bool { return len(f.statuses) > 0 })
 	if err := <-f.statuses; (err != nil) != isError {
 		t.Errorf("%s: status %v", when, err)
 	}
@@ -42,7 +42,7 @@
 
 func (f *followed) expectEndpoint(t *testing.T, when, id string) {
 	t.Helper()
-	testpeer.Until(t, "a list "+when, func() bool { return len(f.lists) > 0 })
+	testpeer.WaitUntil(t, "a list "+when, func() bool { return len(f.lists) > 0 })
 	if l := <-f.lists; len(l.Endpoints) != 1 || l.Endpoints[0].ID != id {
 		t.Errorf("%s: %+v, want endpoint %s", when, l, id)
 	}
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -11,7 +11,7 @@
 	"rowancart/internal/testpeer"
 )
 
-const patience = testpeer.Patience
+const patience = testpeer.WaitTimeout
 
 var (
 	members = testpeer.Members
--- a/internal/experiment/testbed/testbed_test.go
+++ b/internal/experiment/testbed/testbed_test.go
@@ -75,7 +75,7 @@
 	stopAfterOneSecond := func(time.Duration) {
 		once.Do(func() { // a second's requests have been sent, about 80
 			p := <-program.proxy
-			testpeer.Until(t, "most of the first second's requests were answered",
+			testpeer.WaitUntil(t, "most of the first second's requests were answered",
 				func() bool { return p.responses.Load() >= 50 })
 			stop()
 		})
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -106,7 +106,7 @@
 	c.roundTrip(t, "before")
 	r.Set(Fault{Hold: true})
 	c.send("during")
-	testpeer.Until(t, "the chunk sent during the partition held", func() bool { return r.Stats().HeldChunks > 0 })
+	testpeer.WaitUntil(t, "the chunk sent during the partition held", func() bool { return r.Stats().HeldChunks > 0 })
 	r.Heal()
 	c.expectLine(t, "during")
 	if s := r.Stats(); s.HeldChunks != 0 || s.Accepted != 1 {
@@ -145,7 +145,7 @@
 	r.Set(Fault{HalfOpen: true, Direction: FromTarget})
 	c.send("two")
 	const want = int64(len("one\n")*2 + len("two\n"))
-	testpeer.Until(t, "what the client sent passed", func() bool { return r.Stats().Bytes >= want })
+	testpeer.WaitUntil(t, "what the client sent passed", func() bool { return r.Stats().Bytes >= want })
 	if s := r.Stats(); s.Bytes != want {
 		t.Errorf("the response passed a half-open connection: %+v", s)
 	}
@@ -166,7 +166,7 @@
 	t.Run("bytes", func(t *testing.T) {
 		r, c := startRelay(t, Options{MaxBytes: int64(len("one\n"))})
 		c.send("one") // passes, and its echo doesn't
-		testpeer.Until(t, "the line passed", func() bool { return r.Stats().Bytes > 0 })
+		testpeer.WaitUntil(t, "the line passed", func() bool { return r.Stats().Bytes > 0 })
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if line, err := c.reader.ReadString('\n'); err == nil {
 			t.Errorf("%q over the bound", line)
--- a/internal/filewatch/filewatch_test.go
+++ b/internal/filewatch/filewatch_test.go
@@ -32,7 +32,7 @@
 		if got != want {
 			t.Errorf("content %q, want %q", got, want)
 		}
-	case <-time.After(testpeer.Patience):
+	case <-time.After(testpeer.WaitTimeout):
 		t.Fatalf("no change to %q", want)
 	}
 }
@@ -100,7 +100,7 @@
 	changes := startWatch(t, path)
 	write(t, path, "new")
 	last := ""
-	testpeer.Until(t, "the new content", func() bool {
+	testpeer.WaitUntil(t, "the new content", func() bool {
 		select {
 		case last = <-changes:
 		default:
--- a/internal/httpserver/disconnect_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -53,7 +53,7 @@
 				return
 			}
 			if len(row.actions) > 0 {
-				until(t, "the bytes arrive", func() bool { return testpeer.Pending(server) })
+				until(t, "the bytes arrive", func() bool { return testpeer.HasUnreadData(server) })
 			}
 			if w.clientGone() {
 				t.Error("it is taken for gone")
--- a/internal/httpserver/helpers_test.go
+++ b/internal/httpserver/helpers_test.go
@@ -4,11 +4,11 @@
 
 // The helpers of package testpeer that tests here use most.
 const (
-	patience = testpeer.Patience
-	served   = testpeer.Served
+	patience = testpeer.WaitTimeout
+	served   = testpeer.OKResponse
 )
 
 var (
-	newEndpoint = testpeer.New
-	until       = testpeer.Until
+	newEndpoint = testpeer.StartEndpoint
+	until       = testpeer.WaitUntil
 )
--- a/internal/httpserver/listener_test.go
+++ b/internal/httpserver/listener_test.go
@@ -96,7 +96,7 @@
 func TestArrivedRequestIsReadBeforeClose(t *testing.T) {
 	l, c, client := acceptIdle(t)
 	io.WriteString(client, "request")
-	until(t, "the request arrives", func() bool { return testpeer.Pending(c.Conn.(*net.TCPConn)) })
+	until(t, "the request arrives", func() bool { return testpeer.HasUnreadData(c.Conn.(*net.TCPConn)) })
 	l.closeIdle(0)
 	if n, err := c.Read(make([]byte, 7)); n == 0 || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -58,7 +58,7 @@
 		default:
 		}
 		text := string(c.Append(nil, Gauges{}))
-		if n := testpeer.Figure(t, text, "sidecar_concurrent"); n < 0 || last && n != 0 {
+		if n := testpeer.MetricValue(t, text, "sidecar_concurrent"); n < 0 || last && n != 0 {
 			t.Fatalf("in flight: %d, last %v", n, last)
 		}
 		if last && countedOutcomes(t, text) != clients*requestsEach {
@@ -71,7 +71,7 @@
 func countedOutcomes(t *testing.T, text string) (sum int) {
 	t.Helper()
 	for _, name := range []string{"sidecar_success", "sidecar_overload", "sidecar_error"} {
-		sum += testpeer.Figure(t, text, name+`{type="a"}`)
+		sum += testpeer.MetricValue(t, text, name+`{type="a"}`)
 	}
 	return sum
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -18,13 +18,13 @@
 
 // What tests here use most.
 const (
-	patience = testpeer.Patience
-	served   = testpeer.Served
+	patience = testpeer.WaitTimeout
+	served   = testpeer.OKResponse
 )
 
 var (
-	newEndpoint = testpeer.New
-	until       = testpeer.Until
+	newEndpoint = testpeer.StartEndpoint
+	until       = testpeer.WaitUntil
 )
 
 // testClasses are the classes of test calls.
@@ -121,7 +121,7 @@
 // testEndpoints are fake endpoints that record which requests they receive.
 type testEndpoints struct {
 	addrs []string
-	peers []*testpeer.Endpoint
+	peers []*testpeer.FakeEndpoint
 
 	mu       sync.Mutex
 	received map[string][]string // request ids by endpoint
--- a/internal/sidecar/shareddir_test.go
+++ b/internal/sidecar/shareddir_test.go
@@ -9,7 +9,6 @@
 	"path/filepath"
 	"testing"
 
-	"rowancart/internal/testpeer"
 )
 
 // breakSharedDir makes the shared directory of a test sidecar fail, as a file system in trouble
@@ -49,7 +48,7 @@
 	second := testOptions{sharedDir: sharedDir, endpoints: endpoints}.start(t)
 	answered := make(chan int)
 	go func() { answered <- second.get(t, "/look", "early", 60000) }()
-	testpeer.Until(t, "the process answers its operators", func() bool { return second.adminCommand(t, "ready") != "" })
+	waitUntil(t, "the process answers its operators", func() bool { return second.adminCommand(t, "ready") != "" })
 	mend()
 	if status := <-answered; status != http.StatusOK {
 		t.Errorf("a request from before the directory's return gets status %d", status)
--- a/internal/sidecar/testsidecar_test.go
+++ b/internal/sidecar/testsidecar_test.go
@@ -21,14 +21,14 @@
 
 // Short names for what the tests of this package use most.
 const (
-	testTimeout = testpeer.Patience
-	okResponse  = testpeer.Served
+	testTimeout = testpeer.WaitTimeout
+	okResponse  = testpeer.OKResponse
 )
 
 var (
-	newEndpoint      = testpeer.New
-	respondWith      = testpeer.Says
-	waitUntil        = testpeer.Until
+	newEndpoint      = testpeer.StartEndpoint
+	respondWith      = testpeer.RespondWith
+	waitUntil        = testpeer.WaitUntil
 	endpointListJSON = testpeer.Members
 	endpointJSON     = testpeer.Member
 )
@@ -295,5 +295,5 @@
 	if !strings.HasSuffix(text, "\nEOT\n") {
 		t.Fatalf("the metrics do not end with EOT: %q", text)
 	}
-	return testpeer.Figure(t, text, name)
+	return testpeer.MetricValue(t, text, name)
 }
--- a/internal/sidecar/wiregolden_test.go
+++ b/internal/sidecar/wiregolden_test.go
@@ -235,7 +235,7 @@
 		select {
 		case text := <-discovery.requests:
 			w.add(name, text)
-		case <-time.After(testpeer.Patience):
+		case <-time.After(testpeer.WaitTimeout):
 			t.Fatalf("%s never comes", name)
 		}
 	}
--- a/internal/soak/endpoints_test.go
+++ b/internal/soak/endpoints_test.go
@@ -168,10 +168,10 @@
 	}
 	switch what {
 	case serve:
-		return reply(testpeer.Served)
+		return reply(testpeer.OKResponse)
 	case serveSlowly:
 		e.pause(time.Duration(len(id)*20) * time.Millisecond)
-		return reply(testpeer.Served)
+		return reply(testpeer.OKResponse)
 	case serveWithoutLength:
 		reply("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi")
 	case fail:
--- a/internal/testpeer/endpoint.go
+++ b/internal/testpeer/endpoint.go
@@ -1,5 +1,5 @@
-// Package testpeer has what tests of several packages need on the other side of a connection: HTTP
-// endpoints, a scripted endpoint discovery, and waits.
+// Package testpeer has what tests of several packages need on the other side of a connection: fake
+// endpoints, fake discoveries, clients, and waits.
 package testpeer
 
 import (
@@ -11,28 +11,42 @@
 	"testing"
 )
 
-// Served is a complete response of an endpoint.
-const Served = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+// OKResponse is a complete response of an endpoint.
+const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// Endpoint is an HTTP/1.1 server whose responses are written by a test, byte by byte if need be.
-type Endpoint struct {
+// FakeEndpoint is an HTTP/1.1 server whose responses are written by a test, byte by byte if need
+// be.
+type FakeEndpoint struct {
 	Addr        string
 	Listener    net.Listener
 	Connections atomic.Int32 // accepted
 	Requests    atomic.Int32 // received completely
 }
 
-// New starts an endpoint, which is closed at the end of the test. It calls serve for each request
-// that was received completely, with the request's number from 1. Then it closes the connection
-// unless serve returns true. Requests on different connections are served concurrently.
-func New(t *testing.T, serve func(nc net.Conn, r *http.Request, n int) bool) *Endpoint {
+// AfterResponse says what a fake endpoint does with a connection after it has responded.
+type AfterResponse bool
+
+// What a fake endpoint does after a response.
+const (
+	KeepConn  AfterResponse = true
+	CloseConn AfterResponse = false
+)
+
+// Responder writes the response to the nth request of a fake endpoint, counted from 1, and returns
+// whether the connection stays open.
+type Responder = func(conn net.Conn, r *http.Request, n int) (keepConn bool)
+
+// StartEndpoint starts a fake endpoint, which is closed at the end of the test. It calls respond
+// for each request that was received completely. Requests on different connections are responded to
+// concurrently.
+func StartEndpoint(t *testing.T, respond Responder) *FakeEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	e := &Endpoint{Addr: l.Addr().String(), Listener: l}
+	e := &FakeEndpoint{Addr: l.Addr().String(), Listener: l}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -40,13 +54,13 @@
 				return
 			}
 			e.Connections.Add(1)
-			go e.serveConn(conn, serve)
+			go e.serveConn(conn, respond)
 		}
 	}()
 	return e
 }
 
-func (e *Endpoint) serveConn(conn net.Conn, serve func(net.Conn, *http.Request, int) bool) {
+func (e *FakeEndpoint) serveConn(conn net.Conn, respond Responder) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -57,17 +71,16 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		if !serve(conn, r, int(e.Requests.Add(1))) {
+		if !respond(conn, r, int(e.Requests.Add(1))) {
 			return
 		}
 	}
 }
 
-// Says returns a function for New that responds to every request with the same text, and then keeps
-// the connection open or closes it.
-func Says(text string, keepOpen bool) func(net.Conn, *http.Request, int) bool {
+// RespondWith returns a Responder that responds to every request with the same text.
+func RespondWith(text string, then AfterResponse) Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(conn, text) // where that fails, the client reports what is missing
-		return keepOpen
+		return then == KeepConn
 	}
 }
--- a/internal/testpeer/metrics.go
+++ b/internal/testpeer/metrics.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Figure returns the value of a metric of which the admin interface's answer has a line "NAME
-// VALUE". It ends the test if there is none.
-func Figure(t *testing.T, text, name string) int {
+// MetricValue returns the value of a metric in a response of the admin interface, which has a line
+// "NAME VALUE" for it. It ends the test if there is none.
+func MetricValue(t *testing.T, text, name string) int {
 	t.Helper()
 	for line := range strings.Lines(text) {
 		value, ok := strings.CutPrefix(line, name+" ")
