--- a/cmd/sidecar/handover_test.go
+++ b/cmd/sidecar/handover_test.go
@@ -27,7 +27,9 @@
 		_, err := io.WriteString(conn, testpeer.OKResponse)
 		return err == nil
 	}
-	a, b, c := testpeer.StartEndpoint(t, slow), testpeer.StartEndpoint(t, slow), testpeer.StartEndpoint(t, slow)
+	a := testpeer.StartEndpoint(t, slow)
+	b := testpeer.StartEndpoint(t, slow)
+	c := testpeer.StartEndpoint(t, slow)
 	p := newTestPlatform(t, a.Addr, b.Addr, c.Addr)
 	first := p.startReady(t)
 	clients := p.startClients(t, 8)
@@ -60,9 +62,9 @@
 	}
 }
 
-// A successor that dies right after it has become ready leaves the first process serving.
-func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
-	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
+// A successor is killed right after it has become ready: its predecessor accepts connections again.
+func TestPredecessorResumesWhenSuccessorIsKilled(t *testing.T) {
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, true))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
 	second := p.startReady(t)
@@ -77,7 +79,7 @@
 
 // A process starts whatever foreign files are in the shared directory.
 func TestForeignFilesInSharedDirDoNotPreventStart(t *testing.T) {
-	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, true))
 	p := newTestPlatform(t, a.Addr)
 	dir := filepath.Join(p.sharedDir, "rowancart-t")
 	if err := os.MkdirAll(filepath.Join(dir, "bans"), 0o700); err != nil {
@@ -118,7 +120,7 @@
 // SIGHUP and SIGTERM come while the successor still waits for its list, and it is killed before it
 // is ready: the predecessor goes on, and requests that come after SIGTERM are answered.
 func TestSignalsDuringHandoverLoseNoRequest(t *testing.T) {
-	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, true))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
 	discovery := p.discovery
@@ -149,7 +151,7 @@
 // A request has been received partially, in its head or in its body, when a successor becomes ready
 // and SIGTERM comes: the process that began to read it answers it.
 func TestHandoverWithPartiallyReadRequest(t *testing.T) {
-	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, true))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
 	const request = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 10000\r\n" +
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -199,7 +199,7 @@
 // waitUntilSuperseded waits until the process has found that a successor serves.
 func (s *sidecarProcess) waitUntilSuperseded(t *testing.T) {
 	t.Helper()
-	testpeer.WaitUntil(t, "superseded", func() bool { return strings.Contains(s.log.String(), "is_so=true") })
+	testpeer.WaitUntil(t, "superseded", func() bool { return strings.Contains(s.log.String(), "msg=superseded ") })
 }
 
 // kill ends the process with SIGKILL and waits until it has exited.
--- a/internal/httpserver/response_test.go
+++ b/internal/httpserver/response_test.go
@@ -118,5 +118,8 @@
 				resp.Close, err)
 		}
 	}
-	testpeer.WaitUntil(t, "the connection is closed", func() bool { open, _ := listener.Counts(); return open == 0 })
+	testpeer.WaitUntil(t, "the connection is closed", func() bool {
+		open, _ := listener.Counts()
+		return open == 0
+	})
 }
--- a/internal/sidecar/shareddir_test.go
+++ b/internal/sidecar/shareddir_test.go
@@ -9,6 +9,7 @@
 	"path/filepath"
 	"testing"
 
+	"rowancart/internal/testpeer"
 )
 
 // movedSharedDir is the name of the real directory while a shared directory fails.
@@ -51,8 +52,8 @@
 	second := testOptions{sharedDir: sharedDir, endpoints: endpoints}.start(t)
 	answered := make(chan int)
 	go func() { answered <- second.get(t, "/look", "early", 60000) }()
-	waitUntil(t, "the process answers its operators", func() bool { return second.adminCommand(t, "ready") != "" })
-	mend()
+	testpeer.WaitUntil(t, "the admin interface responds", func() bool { return second.adminCommand(t, "ready") != "" })
+	restore()
 	if status := <-answered; status != http.StatusOK {
 		t.Errorf("a request from before the directory works again gets status %d", status)
 	}
