--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -9,13 +9,15 @@
 )
 
 const (
-	highUtilization   = 0.6                    // share of the limit from which capacity may be short
-	shortCapacity     = 1.5                    // recent latency ratio from which it is, in tolerated ratios
-	highRateMultiple  = 1.3                    // multiple of all quotas from which the rate is high
-	maxQueueWaitShare = 0.05                   // share of the mean objective that a request waits at most
-	minTimeLeftShare  = 0.6                    // share of the expected latency that must be left to wait
-	quotaBurst        = 1.0                    // seconds of a tenant's quota that may come at once
-	rejectRetryAfter  = 300 * time.Millisecond // how long a rejected client is asked to stay away
+	highUtilization    = 0.6 // share of the concurrency limit from which capacity may be short
+	shortCapacityRatio = 1.5 // recent latency ratio from which it is, in tolerated ratios
+	highRateMultiple   = 1.3 // multiple of all quotas from which the rate of requests is high
+
+	maxQueueWaitShare = 0.05 // share of the mean latency objective that a request waits at most
+	minTimeLeftShare  = 0.6  // share of its expected latency that a request must have left to wait
+
+	quotaBurst       = 1.0                    // seconds of a tenant's quota that may come at once
+	rejectRetryAfter = 300 * time.Millisecond // Retry-After of a rejection
 )
 
 // Request implements Events. A request is rejected at once if it cannot be in time, or is over its
@@ -78,7 +80,8 @@
 // isCapacityShort reports whether requests wait, or the concurrency limit is in use and responses
 // are slow.
 func (b *Balancer) isCapacityShort() bool {
-	return len(b.queue) > 0 || b.isHighlyUtilized() && b.recentLatencyRatio > shortCapacity*b.toleratedRatio()
+	responsesAreSlow := b.recentLatencyRatio > shortCapacityRatio*b.toleratedRatio()
+	return len(b.queue) > 0 || b.isHighlyUtilized() && responsesAreSlow
 }
 
 // enqueue has a request wait for capacity, or rejects it if its class allows no more to wait.
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -41,9 +41,9 @@
 	Cancel(id string, n int)
 	// Reject answers a request for good and tells the client that a retry is harmless, best not before
 	// retryAfter has passed (0: no advice).
-	Reject(id string, why Reason, retryAfter time.Duration)
+	Reject(id string, reason Reason, retryAfter time.Duration)
 	// Fail answers a request for good and promises nothing about its effect.
-	Fail(id string, why Reason)
+	Fail(id string, reason Reason)
 	// Subscribe asks discovery for all changes from now on; an EndpointList answers.
 	Subscribe()
 	// Timer asks for a Timer event at the given instant or soon after. Timers are not withdrawn.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -147,11 +147,11 @@
 
 // rejectOrFail gives the final answer: a rejection where a repeat by the client is harmless, else a
 // failure.
-func (b *Balancer) rejectOrFail(req *request, why Reason) {
+func (b *Balancer) rejectOrFail(req *request, reason Reason) {
 	if req.mayReject() {
-		b.host.Reject(req.ID, why, min(b.jitter(rejectRetryAfter), b.settings.MaxRetryAfter))
+		b.host.Reject(req.ID, reason, min(b.jitter(rejectRetryAfter), b.settings.MaxRetryAfter))
 	} else {
-		b.host.Fail(req.ID, why)
+		b.host.Fail(req.ID, reason)
 	}
 	b.closeRequest(req)
 }
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -8,16 +8,31 @@
 )
 
 const (
-	initialLimitPerEndpoint = 6.0             // attempts in flight for each endpoint before anything is known
-	limitDeviations         = 3.0             // and deviations of chance that the instance must bear alone
-	congestionThreshold     = 2.0             // latency ratio from which the limit shrinks: 1.8 is usual
-	minLimitCutShare        = 0.5             // share that a cut leaves at least, every half latency
-	limitGrowthGain         = 0.2             // the limit grows by this with each response at the limit,
-	limitGrowthThreshold    = 1.5             // times what the recent latency ratio is short of this
-	ratioMemory             = 2 * time.Second // a latency ratio this old counts 1/e,
-	minRatioGain            = 0.05            // but each response counts this much at least
-	maxRatioSample          = 4.0             // latency ratio that one response can show here
-	objectiveShare          = 0.5             // share of the latency objective that responses may take
+	// Before anything is known, the limit is initialLimitPerEndpoint attempts for each endpoint of
+	// this instance, and limitHeadroomDeviations standard deviations of what chance adds at one of
+	// many.
+	initialLimitPerEndpoint = 6.0
+	limitHeadroomDeviations = 3.0
+
+	// The limit is cut while the recent latency ratio is beyond congestionThreshold (1.8 is usual
+	// under load) times the tolerated one. A cut leaves at least minLimitCutShare of it and is
+	// followed by another after half a latency at the earliest.
+	congestionThreshold = 2.0
+	minLimitCutShare    = 0.5
+
+	// With each response at the limit it grows by limitGrowthGain times what the recent latency ratio
+	// is short of limitGrowthThreshold.
+	limitGrowthGain      = 0.2
+	limitGrowthThreshold = 1.5
+
+	// The recent latency ratio decays to 1/e in latencyRatioMemory, and each response counts with
+	// minLatencyRatioGain at least. One response shows no more than maxLimitSampleRatio.
+	latencyRatioMemory  = 2 * time.Second
+	minLatencyRatioGain = 0.05
+	maxLimitSampleRatio = 4.0
+
+	// responseObjectiveShare is the share of the latency objective that responses may take.
+	responseObjectiveShare = 0.5
 )
 
 // updateConcurrencyLimit adapts the limit to a response: down while it is in use and recent
@@ -25,17 +40,17 @@
 // collapse under overload. A quiet instance has few responses to go by, and seldom an attempt in
 // flight: the latest response counts most, and the attempt that it ended counts as well.
 func (b *Balancer) updateConcurrencyLimit(now time.Duration, latencyRatio float64) {
-	gain := 1 - decay(now-b.limitUpdatedAt, ratioMemory)
+	gain := 1 - decay(now-b.limitUpdatedAt, latencyRatioMemory)
 	b.limitUpdatedAt = now
 	tolerated := b.toleratedRatio()
-	sample := min(latencyRatio, maxRatioSample*tolerated)
-	b.recentLatencyRatio += (sample - b.recentLatencyRatio) * max(gain, minRatioGain)
+	sample := min(latencyRatio, maxLimitSampleRatio*tolerated)
+	b.recentLatencyRatio += (sample - b.recentLatencyRatio) * max(gain, minLatencyRatioGain)
 	threshold, used := congestionThreshold*tolerated, float64(b.concurrency+1)
 	limit := b.effectiveConcurrencyLimit()
 	switch {
 	case b.recentLatencyRatio > threshold && used > highUtilization*limit && now >= b.nextLimitCutAt:
 		cut := max(minLimitCutShare, threshold/b.recentLatencyRatio)
-		least := b.instanceShare(b.listedCount + b.unlistedCount)
+		least := b.endpointsPerInstance(b.listedCount + b.unlistedCount)
 		b.concurrencyLimit = max(min(b.concurrencyLimit, used)*cut, least)
 		b.nextLimitCutAt = now + seconds(b.recentLatencyRatio*b.typicalLatency()/2)
 	case float64(b.concurrency+2) > limit:
@@ -55,14 +70,14 @@
 // chance needs beyond it: of calls that come at random, one instance has more than its part in
 // flight far sooner than all together have more than theirs.
 func (b *Balancer) concurrencyLimitFor(endpoints int) float64 {
-	part := initialLimitPerEndpoint * b.instanceShare(endpoints)
+	part := initialLimitPerEndpoint * b.endpointsPerInstance(endpoints)
 	all := initialLimitPerEndpoint * float64(max(endpoints, 1))
-	return part + limitDeviations*(math.Sqrt(part)-part/math.Sqrt(all))
+	return part + limitHeadroomDeviations*(math.Sqrt(part)-part/math.Sqrt(all))
 }
 
-// instanceShare returns how many of the endpoints there are for this instance alone. Behind the
-// first tier instances are many and each has little to send: there it is all of them.
-func (b *Balancer) instanceShare(endpoints int) float64 {
+// endpointsPerInstance returns how many of the endpoints there are for this instance alone. Behind
+// the first tier instances are many and each has little to send: there it is all of them.
+func (b *Balancer) endpointsPerInstance(endpoints int) float64 {
 	n := float64(endpoints)
 	if b.settings.Tier == 0 {
 		n /= float64(max(b.settings.Instances, 1))
@@ -75,7 +90,7 @@
 // better than a rejection.
 func (b *Balancer) toleratedRatio() float64 {
 	tiers := float64(1 + b.settings.Tier + b.settings.TiersBelow)
-	return max(objectiveShare*b.meanObjective/b.typicalLatency()/tiers/congestionThreshold, 1)
+	return max(responseObjectiveShare*b.meanObjective/b.typicalLatency()/tiers/congestionThreshold, 1)
 }
 
 // isHighlyUtilized reports whether much of the concurrency limit is in use.
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Outlier ejection: what the end of an attempt says of its endpoint, when an endpoint leaves the
-// active set, and when a trial may bring it back.
+// Outlier ejection: what the end of an attempt says of its endpoint, and when an endpoint leaves
+// the active set. Its way back is in trials.go.
 
 import (
 	"math"
@@ -9,71 +9,116 @@
 )
 
 const (
-	alpha                = 0.95                   // share of the old weight that a sample leaves, with many
-	sampleMemory         = 10 * time.Second       // a sample this old counts 1/e: time counts as well
-	minSampleMemory      = time.Second            // memory of the weight at least, however many samples come
-	factor               = 2.0                    // active within this multiple of the smallest weight
-	utilizedFactorScale  = 2.0                    // times that, at high utilization
-	backoffMin           = 500 * time.Millisecond // b_min: least time to the first trial after an ejection
-	maxBackoffMultiple   = 8                      // longest backoff, in first backoffs
-	ownFailureOdds       = 10.0                   // times as likely that it fails alone as that all do
-	ownFailureErrorShare = 0.3                    // share that an endpoint fails then, at least,
-	ownFailureMultiple   = 2                      // and this multiple of what the others do,
-	maxFailureErrorShare = 0.9                    // up to this
-	outcomeMemory        = 20 * time.Second       // an outcome this old counts 1/e
+	// Smoothing of a weight. With many samples, each leaves weightSmoothing (the paper's alpha) of the
+	// weight before it: maxSampleRetention of the samples before it, beside the prior ones. With time,
+	// samples decay to 1/e in sampleMemory, and no faster than in minSampleMemory, however many come.
+	weightSmoothing    = 0.95
+	maxSampleRetention = 1 - 1/(1/(1-weightSmoothing)-priorSamples)
+	sampleMemory       = 10 * time.Second
+	minSampleMemory    = time.Second
+
+	// An endpoint is ejected as slow beyond maxActiveWeightRatio (the paper's factor) times the
+	// smallest active weight, and beyond highUtilizationTolerance times that at high utilization.
+	maxActiveWeightRatio     = 2.0
+	highUtilizationTolerance = 2.0
+
+	// An endpoint is ejected for errors of its own once these are ejectionOdds times as likely to come
+	// from an endpoint that fails as from one that does what the others do. One that fails has a share
+	// of errors of minFailingErrorShare and failingErrorMultiple times that of the others, but of no
+	// more than maxFailingErrorShare. Outcomes decay to 1/e in outcomeMemory.
+	ejectionOdds         = 10.0
+	minFailingErrorShare = 0.3
+	failingErrorMultiple = 2
+	maxFailingErrorShare = 0.9
+	outcomeMemory        = 20 * time.Second
 )
 
-const (
-	stragglingRatio         = 3.0  // an attempt straggles after this multiple of its expected latency,
-	stragglingDeviations    = 6.0  // but not before this multiple of the usual deviation from it
-	minStragglingShare      = 0.05 // or this share of the latency objective,
-	firstMinStragglingShare = 0.25 // and this, until
-	stragglingKnownSamples  = 10.0 // responses of the class have come
-	stragglingResolutions   = 3    // nor before this multiple of the clock's resolution
-)
-
-// evaluateAttempt turns the end of an attempt into a sample of its endpoint.
+// evaluateAttempt turns the end of an attempt into a sample of its endpoint, and ejects the
+// endpoint if the attempt shows it to be an outlier.
 func (b *Balancer) evaluateAttempt(
 	now time.Duration, req *request, a *attempt, r Result, latency time.Duration,
 ) {
-	e := a.endpoint
 	latencyRatio := min(latency.Seconds()/b.expectedLatency(req), maxLatencyRatio)
-	failed, ownError := r != OK, false
 	switch r {
 	case OK:
-		b.recordSuccess(now, req, e, latency, latencyRatio)
+		b.recordSuccess(now, req, a.endpoint, latency, latencyRatio)
+		b.sampleSuccess(now, a, latencyRatio)
 	case Errored:
-		b.recordOutcome(now, e, 1)
-		ownError = b.failsMoreThanOthers(e)
-		if failed = b.settings.TiersBelow == 0 || ownError; !failed {
-			r = NotSent // the tier below fails for all alike: it says nothing of this endpoint
-		}
+		b.evaluateError(now, req, a, latencyRatio)
 	case Reset, ConnectFailed:
-		b.recordBrokenConnection(now, e, r)
-	}
-	if r == Canceled && req.hedged && !a.trial && latencyRatio > e.weight() {
-		b.addSample(now, e, latencyRatio) // the hedged request was quicker, which must count
-	}
-	if r == Canceled || r == NotSent { // no sample, but a trial canceled because it straggled has failed
-		if a.trial {
-			e.trialInFlight = false
-			b.scheduleTrial(now, e, a.straggling)
+		b.recordBrokenConnection(now, a.endpoint, r)
+		b.sampleFailure(now, req, a, failure{result: r, latencyRatio: latencyRatio, isOwn: true})
+	case Rejected, TimedOut:
+		b.sampleFailure(now, req, a, failure{result: r, latencyRatio: latencyRatio})
+	case Canceled:
+		if req.hedged && !a.trial && latencyRatio > a.endpoint.weight() {
+			b.addSample(now, a.endpoint, latencyRatio) // the hedged request was quicker, which must count
 		}
+		b.abandonTrial(now, a)
+	case NotSent:
+		b.abandonTrial(now, a)
+	}
+}
+
+// failure is what an attempt without success says of its endpoint.
+type failure struct {
+	result       Result
+	latencyRatio float64
+	isOwn        bool // the endpoint fails by itself: it is ejected at once
+}
+
+// evaluateError evaluates an attempt that its endpoint answered with an error. Where the endpoints
+// depend on a tier below and fail no more than each other, an error says nothing of this one.
+func (b *Balancer) evaluateError(now time.Duration, req *request, a *attempt, latencyRatio float64) {
+	b.recordOutcome(now, a.endpoint, 1)
+	isOwn := b.failsMoreThanOthers(a.endpoint)
+	if b.settings.TiersBelow > 0 && !isOwn {
+		b.abandonTrial(now, a)
 		return
 	}
-	if failed {
-		untilDeadline := (req.Deadline - a.sentAt).Seconds() / b.expectedLatency(req)
-		latencyRatio = min(max(latencyRatio, untilDeadline), maxLatencyRatio)
+	b.sampleFailure(now, req, a, failure{result: Errored, latencyRatio: latencyRatio, isOwn: isOwn})
+}
+
+// sampleSuccess takes the latency of a good response as a sample of its endpoint.
+func (b *Balancer) sampleSuccess(now time.Duration, a *attempt, latencyRatio float64) {
+	if a.isPendingTrial() {
+		b.finishTrial(now, a.endpoint, latencyRatio)
+	} else {
+		b.addSample(now, a.endpoint, latencyRatio)
 	}
-	if a.trial && !e.active {
-		b.finishTrial(now, e, latencyRatio, failed)
+}
+
+// sampleFailure takes a failure as a sample of at least the time that was left until the deadline:
+// a fast error must not look like a fast response. It ejects the endpoint if the failure is its
+// own, or if no other endpoint is active that it could be compared with.
+func (b *Balancer) sampleFailure(now time.Duration, req *request, a *attempt, f failure) {
+	e := a.endpoint
+	untilDeadline := (req.Deadline - a.sentAt).Seconds() / b.expectedLatency(req)
+	latencyRatio := min(max(f.latencyRatio, untilDeadline), maxLatencyRatio)
+	if a.isPendingTrial() {
+		b.failTrial(now, e, latencyRatio)
 	} else {
 		b.addSample(now, e, latencyRatio)
-		if failed && e.active && (r == ConnectFailed || r == Reset || ownError || b.isLastActive()) {
+		if e.active && (f.isOwn || b.isLastActive()) {
 			b.eject(now, e, InactiveFailing)
 		}
 	}
-	b.setFailureReason(e, r, failed)
+	if !e.active {
+		e.inactiveReason = inactiveReasonAfter(f.result, e.inactiveReason)
+		b.updateHeaps(e)
+	}
+}
+
+// inactiveReasonAfter returns the reason for which an endpoint is inactive once an attempt has
+// failed. A rejection leaves it as it was.
+func inactiveReasonAfter(r Result, before InactiveReason) InactiveReason {
+	switch r {
+	case ConnectFailed:
+		return InactiveUnreachable
+	case Rejected:
+		return before
+	}
+	return InactiveFailing
 }
 
 // recordSuccess updates all that a good response says something of.
@@ -88,28 +133,16 @@
 	e.kind.observe(latencyRatio)
 }
 
-// isLastActive reports whether one endpoint is active and others wait for their trials: what fails
-// there must not pass for the best.
+// isLastActive reports whether a single endpoint is active while others wait for their trials. It
+// has no other to be compared with, so one that fails would pass for the best.
 func (b *Balancer) isLastActive() bool {
 	return len(b.activeHeap.endpoints) == 1 && len(b.trialHeap.endpoints) > 0
 }
 
-// setFailureReason records why an endpoint that has just failed is inactive.
-func (b *Balancer) setFailureReason(e *endpoint, r Result, failed bool) {
-	switch {
-	case e.active || !failed:
-	case r == ConnectFailed:
-		e.inactiveReason = InactiveUnreachable
-	case r != Rejected:
-		e.inactiveReason = InactiveFailing
-	}
-	b.updateHeaps(e)
-}
-
-// failsMoreThanOthers weighs an endpoint's errors against those of the others: is it likelier that
-// it fails by itself, or that it shows by chance what all show, since a tier below fails? A quiet
-// instance meets an endpoint too seldom to wait for a share of errors: where the others have none,
-// one or two are enough.
+// failsMoreThanOthers weighs an endpoint's errors against those of the others: it reports whether
+// the odds are that the endpoint fails by itself, rather than that it shows by chance what all show
+// while a tier below fails. A quiet instance sends to an endpoint too seldom to wait for a share of
+// errors: where the others have none, one or two errors are enough.
 func (b *Balancer) failsMoreThanOthers(e *endpoint) bool {
 	others := b.outcomes
 	if e.inSubset {
@@ -117,16 +150,16 @@
 		others.total = max(others.total-e.outcomes.total, 0)
 	}
 	usual := (others.errors + 0.5) / (others.total + 1)
-	own := min(max(ownFailureErrorShare, ownFailureMultiple*usual), maxFailureErrorShare)
+	own := min(max(minFailingErrorShare, failingErrorMultiple*usual), maxFailingErrorShare)
 	errors, successes := e.outcomes.errors, e.outcomes.total-e.outcomes.errors
 	odds := errors*math.Log(own/usual) + successes*math.Log((1-own)/(1-usual))
-	return own > usual && odds > math.Log(ownFailureOdds)
+	return own > usual && odds > math.Log(ejectionOdds)
 }
 
 // recordBrokenConnection records a reset or failed connection. One reset may be the network's and
-// says nothing of the process. Only if no response comes between it and the next has the endpoint
-// gone down, and warms up when it is back. Otherwise a warm endpoint would get a warming one's
-// share, and the others its calls.
+// says nothing of the endpoint. Two without a response in between show that it went down, so that
+// it warms up when it is back. If one were enough, a warm endpoint would get a warming one's
+// traffic, and the others the rest of its own.
 func (b *Balancer) recordBrokenConnection(now time.Duration, e *endpoint, r Result) {
 	if e.resetAt > e.respondedAt {
 		e.Started, e.slowStartSpeedUp = max(e.Started, now), 1
@@ -136,92 +169,34 @@
 	}
 }
 
-// addSample smooths the weight and ejects the endpoint if it left the factor.
+// addSample smooths the weight and ejects the endpoint if it has become too slow.
 func (b *Balancer) addSample(now time.Duration, e *endpoint, latencyRatio float64) {
 	gap := now - e.sampledAt
-	old := max(min(decay(gap, sampleMemory), 1-1/(1/(1-alpha)-priorSamples)), decay(gap, minSampleMemory))
-	e.sampleSum = e.sampleSum*old + latencyRatio/e.kind.weight
-	e.sampleCount, e.sampledAt = e.sampleCount*old+1, now
+	retained := max(min(decay(gap, sampleMemory), maxSampleRetention), decay(gap, minSampleMemory))
+	e.sampleSum = e.sampleSum*retained + latencyRatio/e.kind.weight
+	e.sampleCount = e.sampleCount*retained + 1
+	e.sampledAt = now
 	b.updateHeaps(e)
 	if e.active && b.isTooSlow(e) {
 		b.eject(now, e, InactiveSlow)
 	}
 }
 
-// isTooSlow reports whether an endpoint is beyond the factor. At high utilization twice the factor
-// is tolerated: fewer endpoints would be overloaded, slow down as well, and be ejected one after
-// the other.
+// isTooSlow reports whether an endpoint's weight is too far beyond the smallest active one. More is
+// tolerated at high utilization: each endpoint ejected then loads the others, which slow down as
+// well and are ejected in their turn.
 func (b *Balancer) isTooSlow(e *endpoint) bool {
-	most := factor
+	most := maxActiveWeightRatio
 	if b.isHighlyUtilized() {
-		most *= utilizedFactorScale
+		most *= highUtilizationTolerance
 	}
 	return e.weight() > most*b.smallestActiveWeight()
 }
 
 // eject takes an endpoint out of the active set until a trial succeeds.
 func (b *Balancer) eject(now time.Duration, e *endpoint, reason InactiveReason) {
-	e.active, e.inactiveReason, e.backoff = false, reason, b.initialBackoff(now)
-	b.scheduleTrial(now, e, false)
-}
-
-// initialBackoff returns the first backoff of an ejected endpoint. It guards against quiet
-// instances that load the endpoint with nothing but trials.
-func (b *Balancer) initialBackoff(now time.Duration) time.Duration {
-	return max(backoffMin, b.sendInterval(now))
-}
-
-// scheduleTrial sets the next trial, after twice the backoff if the last one failed.
-func (b *Balancer) scheduleTrial(now time.Duration, e *endpoint, failed bool) {
-	if failed {
-		e.backoff = min(2*e.backoff, maxBackoffMultiple*b.initialBackoff(now))
-	}
-	e.nextTrialAt = now + b.jitter(e.backoff)
-	b.updateHeaps(e)
-}
-
-// finishTrial ends a trial: the endpoint is active again, or waits twice as long for the next one.
-func (b *Balancer) finishTrial(now time.Duration, e *endpoint, latencyRatio float64, failed bool) {
-	e.trialInFlight = false
-	e.sampleSum, e.sampleCount, e.sampledAt = latencyRatio/e.kind.weight, 1, now
-	if failed || len(b.activeHeap.endpoints) > 0 && b.isTooSlow(e) {
-		b.scheduleTrial(now, e, true)
-		return
-	}
-	if len(b.activeHeap.endpoints) > 0 { // all deficits drop by the lowest
-		b.deficitBase = b.activeHeap.endpoints[0].deficit
-	}
-	e.active, e.deficit = true, b.zeroDeficit(e)+e.weight()
-	b.updateHeaps(e)
-}
-
-// stragglingDelay returns how long an attempt may be in flight before it counts as straggling. What
-// a class takes may be a mixture of quick and slow, and the first responses may all be quick:
-// neither must make an endpoint look unresponsive.
-func (b *Balancer) stragglingDelay(req *request, e *endpoint) time.Duration {
-	c, expected, weight := req.class, b.expectedLatency(req), max(e.weight(), 1)
-	least := minStragglingShare
-	if c.latency.samples < stragglingKnownSamples {
-		least = firstMinStragglingShare
-	}
-	delay := max(stragglingRatio*weight*expected, weight*expected+stragglingDeviations*c.latency.deviation,
-		least*c.LatencyObjective.Seconds())
-	return max(seconds(delay), stragglingResolutions*b.settings.Resolution)
-}
-
-// handleStraggler takes a straggling attempt as a sample of at least its age. An endpoint that has
-// not responded since it was sent is ejected: a hang shows after a few latencies, not after a
-// timeout.
-func (b *Balancer) handleStraggler(now time.Duration, req *request, a *attempt) {
-	e, unresponsive := a.endpoint, a.endpoint.respondedAt < a.sentAt
-	age := now - a.sentAt
-	a.straggling, a.stragglingAt = true, now+age
-	if !e.active {
-		return
-	}
-	b.addSample(now, e, min(age.Seconds()/b.expectedLatency(req), maxLatencyRatio))
-	if e.active && unresponsive {
-		b.log(now, LogEvent{Kind: EndpointUnresponsive, Endpoint: e.ID})
-		b.eject(now, e, InactiveUnresponsive)
-	}
+	e.active = false
+	e.inactiveReason = reason
+	e.backoff = b.initialBackoff(now)
+	b.scheduleTrial(now, e)
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -8,6 +8,9 @@
 	"time"
 )
 
+// minSubscribeBackoff is the least wait before Host.Subscribe is called again after a failure.
+const minSubscribeBackoff = 500 * time.Millisecond
+
 // EndpointList implements Events. Nothing new goes to an endpoint from the event on that says it
 // drains.
 func (b *Balancer) EndpointList(now time.Duration, l EndpointList) {
@@ -25,8 +28,8 @@
 	if !b.settings.SubscribeRequired {
 		return
 	}
-	longest := max(b.settings.PollInterval/2, backoffMin)
-	b.subscribeBackoff = min(max(2*b.subscribeBackoff, backoffMin), longest)
+	longest := max(b.settings.PollInterval/2, minSubscribeBackoff)
+	b.subscribeBackoff = min(max(2*b.subscribeBackoff, minSubscribeBackoff), longest)
 	b.subscribeAt = now + b.jitter(b.subscribeBackoff)
 	b.scheduleWakeUp(b.subscribeAt)
 }
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -320,9 +320,12 @@
 	return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.ID, y.ID))
 }
 
+// hasActiveEndpoint reports whether an endpoint of the subset is active.
+func (s *endpointSet) hasActiveEndpoint() bool { return len(s.activeHeap.endpoints) > 0 }
+
 // smallestActiveWeight returns the smallest weight of an active endpoint, 1 if there is none.
 func (s *endpointSet) smallestActiveWeight() float64 {
-	if len(s.activeHeap.endpoints) == 0 {
+	if !s.hasActiveEndpoint() {
 		return 1
 	}
 	least := math.Inf(1)
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -15,13 +15,13 @@
 	fmt.Println("send", id, "to", endpoint)
 }
 func (printer) Cancel(id string, n int) { fmt.Println("cancel", id, n) }
-func (printer) Reject(id string, why balancer.Reason, retryAfter time.Duration) {
-	fmt.Println("reject", id, why)
+func (printer) Reject(id string, reason balancer.Reason, retryAfter time.Duration) {
+	fmt.Println("reject", id, reason)
 }
-func (printer) Fail(id string, why balancer.Reason) { fmt.Println("fail", id) }
-func (printer) Subscribe()                          { fmt.Println("subscribe") }
-func (printer) Timer(at time.Duration)              {}
-func (printer) Log(e balancer.LogEvent)             { fmt.Println(e) }
+func (printer) Fail(id string, reason balancer.Reason) { fmt.Println("fail", id) }
+func (printer) Subscribe()                             { fmt.Println("subscribe") }
+func (printer) Timer(at time.Duration)                 {}
+func (printer) Log(e balancer.LogEvent)                { fmt.Println(e) }
 
 func Example() {
 	b := balancer.New(0, balancer.Settings{
--- a/balancer/reason.go
+++ b/balancer/reason.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Reason says why a request got a final answer that is not an endpoint's. No decision is made in
+// Reason is the cause of a final answer that is not an endpoint's. No decision is made in
 // this file.
 type Reason string
 
@@ -21,13 +21,13 @@
 	NoEndpoint, NoCapacity, QueueFull, OverQuota, DeadlineTooClose, RetryBudgetSpent, AttemptsExhausted, MayHaveRun,
 }
 
-// InactiveReason says why an endpoint is not in the ordinary selection.
+// InactiveReason is the cause for which an endpoint is not in the ordinary selection.
 type InactiveReason string
 
-// The reasons why an endpoint is inactive. Their values are in answers and logs.
+// The reasons for which an endpoint is inactive. Their values are in answers and logs.
 const (
 	InactiveNew           InactiveReason = "new"       // its first trial has yet to succeed
-	InactiveSlow          InactiveReason = "slow"      // its weight is beyond the factor
+	InactiveSlow          InactiveReason = "slow"      // its weight is too far beyond the smallest
 	InactiveUnresponsive  InactiveReason = "silent"    // it does not respond
 	InactiveUnreachable   InactiveReason = "unreached" // connections to it fail
 	InactiveFailing       InactiveReason = "failing"   // attempts at it fail
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -21,6 +21,9 @@
 	countsToLimit bool          // its endpoint has all of the request, and has not begun to respond
 }
 
+// isPendingTrial reports whether the attempt is a trial whose endpoint is still inactive.
+func (a *attempt) isPendingTrial() bool { return a.trial && !a.endpoint.active }
+
 // request is a request with its attempts.
 type request struct {
 	Request
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -18,8 +18,8 @@
 
 // retry sends a request again whose last attempt has ended without success, or answers it.
 func (b *Balancer) retry(now time.Duration, req *request, exempt bool) {
-	if why := b.reasonAgainstRetry(now, req, exempt); why != "" {
-		b.rejectOrFail(req, why)
+	if reason := b.reasonAgainstRetry(now, req, exempt); reason != "" {
+		b.rejectOrFail(req, reason)
 		return
 	}
 	if !exempt {
@@ -28,8 +28,9 @@
 	b.dispatch(now, req)
 }
 
-// reasonAgainstRetry returns what rules one more attempt out, empty if nothing does: effects, the
-// number of attempts, the budget or the time. Otherwise retries would multiply from tier to tier.
+// reasonAgainstRetry returns the reason for which a request may not be sent once more, empty if it
+// may: its effect, the number of attempts, the budget or the time. Without these limits retries
+// would multiply from tier to tier.
 func (b *Balancer) reasonAgainstRetry(now time.Duration, req *request, exempt bool) Reason {
 	most := cmp.Or(req.class.MaxAttempts, b.settings.MaxAttempts)
 	switch {
@@ -51,7 +52,7 @@
 // which is against sending ever more to endpoints that fail: what was not sent cost them nothing,
 // trials are this Balancer's.
 func (b *Balancer) isBudgetExempt(req *request, a *attempt, r Result) bool {
-	trial := a.trial && len(b.activeHeap.endpoints) > 0
+	trial := a.trial && b.hasActiveEndpoint()
 	return len(req.attempts) <= maxBudgetExemptAttempts && (trial || r == ConnectFailed || r == NotSent)
 }
 
@@ -98,8 +99,8 @@
 	return true
 }
 
-// mayRunAgainAt reports whether a request may run at an endpoint after an attempt that may have run:
-// it is idempotent, or the endpoint would drop it by its idempotency key.
+// mayRunAgainAt reports whether a request may run at an endpoint after an attempt that may have
+// run: it is idempotent, or the endpoint would drop it by its idempotency key.
 func (b *Balancer) mayRunAgainAt(now time.Duration, c *class, earlier *attempt, e *endpoint) bool {
 	if c.NeverRerun {
 		return false
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,24 +8,24 @@
 
 func TestRulesHoldInRandomSimulations(t *testing.T) {
 	var answers [3]int
-	whys := map[balancer.Reason]int{}
+	reasons := map[balancer.Reason]int{}
 	for seed := range uint64(60) {
 		sim := simulate(t, seed, 1500)
 		for i, n := range sim.answers {
 			answers[i] += n
 		}
-		for why, n := range sim.reasons {
-			whys[why] += n
+		for reason, n := range sim.reasons {
+			reasons[reason] += n
 		}
 	}
 	for i, n := range answers {
 		if n < 1000 {
-			t.Errorf("only %d answers of kind %d: the days test too little", n, i)
+			t.Errorf("only %d answers of kind %d: the simulations test too little", n, i)
 		}
 	}
-	for _, why := range balancer.Reasons {
-		if why != balancer.QueueFull && why != balancer.NoEndpoint && whys[why] < 20 {
-			t.Errorf("only %d answers say %s: the days test too little", whys[why], why)
+	for _, reason := range balancer.Reasons {
+		if reason != balancer.QueueFull && reason != balancer.NoEndpoint && reasons[reason] < 20 {
+			t.Errorf("only %d answers say %s: the simulations test too little", reasons[reason], reason)
 		}
 	}
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	priorSamples          = 3.0  // samples that its kind's weight counts as, beside an endpoint's own
+	priorSamples          = 3.0  // samples that its kind's weight counts as, besides an endpoint's own
 	inFlightCharge        = 1.0  // charge for each attempt in flight, in weights, on top of the deficit
 	tiersBelowWeightShare = 0.7  // share of the smallest weight that tiers below cause, not the endpoint
 	maxDeficitLag         = 2.0  // weights that an endpoint passed over for its load may fall behind
 	maxLatencyRatio       = 20.0 // largest latency ratio that one sample can show
-	riskyTrialBackoffs    = 2    // backoffs that unrepeatable requests avoid for longer what has failed
+	riskyTrialBackoffs    = 2    // backoffs for which a risky trial waits for an idempotent request
 )
 
 // weight returns the endpoint's weight: that of its kind, moved by the endpoint's own samples.
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -129,9 +129,9 @@
 	}
 }
 
-func (sim *simulation) Reject(id string, why balancer.Reason, _ time.Duration) {
+func (sim *simulation) Reject(id string, reason balancer.Reason, _ time.Duration) {
 	req := sim.recordAnswer(id)
-	sim.checkReason(req, why)
+	sim.checkReason(req, reason)
 	sim.answers[1]++
 	for _, a := range req.attempts {
 		if (a.inFlight || a.mayHaveRun) && (req.class.Idempotency == balancer.NonIdempotent ||
@@ -141,13 +141,13 @@
 	}
 }
 
-func (sim *simulation) Fail(id string, why balancer.Reason) {
-	sim.checkReason(sim.recordAnswer(id), why)
+func (sim *simulation) Fail(id string, reason balancer.Reason) {
+	sim.checkReason(sim.recordAnswer(id), reason)
 	sim.answers[2]++
 }
 
 // checkReason checks a reason against what the simulation has seen.
-func (sim *simulation) checkReason(req *simulatedRequest, why balancer.Reason) {
+func (sim *simulation) checkReason(req *simulatedRequest, reason balancer.Reason) {
 	ready, failed, ran, out := false, false, false, false
 	for _, e := range sim.listed {
 		ready = ready || e.State == balancer.Ready
@@ -164,10 +164,11 @@
 		balancer.AttemptsExhausted: len(req.attempts) >= sim.settings.MaxAttempts && !out,
 		balancer.MayHaveRun:        ran && req.class.Idempotency != balancer.Idempotent,
 	}
-	if !holds[why] {
-		sim.t.Fatalf("%v: %s gets the reason %q after %d attempts, which is not so", sim.now, req.ID, why, len(req.attempts))
+	if !holds[reason] {
+		sim.t.Fatalf("%v: %s gets the reason %q after %d attempts, which does not hold", sim.now, req.ID, reason,
+			len(req.attempts))
 	}
-	sim.reasons[why]++
+	sim.reasons[reason]++
 }
 
 func (sim *simulation) recordAnswer(id string) *simulatedRequest {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -10,12 +10,17 @@
 )
 
 const (
-	defaultSlowStartShare = 1.5  // sends to an endpoint that warms up, in shares of its capacity,
-	slowStartSpeedUpStep  = 1.25 // times more with each good response, where no endpoint is warm,
-	maxSlowStartSpeedUp   = 10.0 // up to this
-	minCapacityShare      = 0.05 // capacity that an endpoint has at least, whatever the settings say
-	minFollowedRate       = 0.2  // requests a second from which the rate is followed closely
-	goldenRatio           = 0.6180339887
+	// A warming endpoint is sent defaultSlowStartShare times its share of the traffic, by its
+	// capacity. Where no endpoint is warm, each good response raises that by slowStartSpeedUpStep, up
+	// to maxSlowStartSpeedUp times.
+	defaultSlowStartShare = 1.5
+	slowStartSpeedUpStep  = 1.25
+	maxSlowStartSpeedUp   = 10.0
+
+	minCapacityShare = 0.05 // capacity that an endpoint has at least, whatever the settings say
+	minFollowedRate  = 0.2  // requests a second from which the recent rate is followed
+
+	goldenRatio = 0.6180339887 // its multiples spread evenly over a range, however many there are
 )
 
 // introduceEndpoint puts a new or restarted endpoint outside the active set, its trial at an offset
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -113,7 +113,7 @@
 	b.rescheduleFirstTrials(now)
 	b.restoreEndpoints(now, l.Endpoints, ago)
 	if l.ConcurrencyLimit > 0 && areValid(l.ConcurrencyLimit) && b.concurrency == 0 {
-		b.concurrencyLimit = max(l.ConcurrencyLimit, b.instanceShare(b.listedCount+b.unlistedCount))
+		b.concurrencyLimit = max(l.ConcurrencyLimit, b.endpointsPerInstance(b.listedCount+b.unlistedCount))
 	}
 }
 
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -20,7 +20,7 @@
 type EndpointStatus struct {
 	ID            string
 	State         State
-	Inactive      InactiveReason // why it is not in the ordinary selection; empty where it is
+	Inactive      InactiveReason // empty for an endpoint in the ordinary selection
 	Weight        float64        // its latency ratio: latency over the baseline latency
 	Errors        float64        // share of recent outcomes that were errors
 	InFlight      int            // attempts in flight
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -9,12 +9,17 @@
 )
 
 const (
-	subsetSendInterval = time.Second // a subset is so large that each endpoint in it is called this often,
-	subsetsPerEndpoint = 6.0         // that each endpoint is in the subsets of this many instances,
-	minSubsetSize      = 4.0         // and no smaller than this
+	// A subset is so large that this instance sends to each of its endpoints every subsetSendInterval,
+	// that each endpoint is in the subsets of minSubsetsPerEndpoint instances, and that it has
+	// minSubsetSize endpoints.
+	subsetSendInterval    = time.Second
+	minSubsetsPerEndpoint = 6.0
+	minSubsetSize         = 4.0
 
-	subsetGrowth = 1.5 // the wanted size follows the rate beyond this multiple of itself
-	subsetShrink = 0.5 // and below this; otherwise it would change with each request
+	// The wanted size follows the rate of requests once that asks for more than subsetGrowth times the
+	// size, or for less than subsetShrink times. Otherwise it would change with each request.
+	subsetGrowth = 1.5
+	subsetShrink = 0.5
 )
 
 // recordRequest counts a request and adapts the wanted size of the subset to the rate.
@@ -36,7 +41,7 @@
 // same mix of kinds. The work depends on the number of endpoints touched.
 func (b *Balancer) updateSubset(touched []*endpoint) {
 	ready, instances := float64(b.readyCount), float64(max(b.settings.Instances, 1))
-	even := subsetsPerEndpoint * (ready + float64(b.unlistedCount)) / instances
+	even := minSubsetsPerEndpoint * (ready + float64(b.unlistedCount)) / instances
 	size := math.Floor(max(b.wantedSubsetSize, minSubsetSize, even))
 	if 2*size >= ready {
 		b.useAllEndpoints(touched)
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -18,6 +18,8 @@
 	"balancer/selection.go",
 	"balancer/slowstart.go",
 	"balancer/ejection.go",
+	"balancer/straggling.go",
+	"balancer/trials.go",
 	"balancer/admission.go",
 	"balancer/concurrency.go",
 	"balancer/retry.go",
