--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -2,15 +2,13 @@
 
 import (
 	"context"
-	"net"
-	"slices"
 	"time"
 )
 
 // reservation is what reserveConn grants: an idle connection, or the right to dial one.
 type reservation struct {
 	conn       *conn         // nil: dial
-	quarantine time.Duration // of conn, from its idleSince on
+	quarantine time.Duration // of conn, counted from its idleSince
 
 	endpoint    *endpointConns
 	addr        string
@@ -18,7 +16,7 @@
 }
 
 // acquireConn returns an idle connection to the endpoint, once its quarantine is over, or else
-// dials one. The error is errNoConnection where none could be tried, else that of the dial.
+// dials one. The error is an errNoConnection if none could be tried, else that of the dial.
 func (p *Pool) acquireConn(a *Attempt, id string) (*conn, error) {
 	r, err := p.reserveConn(id)
 	if err != nil {
@@ -31,56 +29,62 @@
 	return p.dialConn(a, r)
 }
 
-// reserveConn takes the most recently used idle connection past its quarantine, or else the one
-// whose quarantine ends first: a short wait costs less than a new connection. With none idle it
-// counts a new connection as open, which the caller has to dial.
+// reserveConn takes an idle connection. One in quarantine is taken if there is no other: a short
+// wait costs less than a new connection. With none idle it counts a new connection as open, which
+// its caller has to dial.
 func (p *Pool) reserveConn(id string) (reservation, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := p.endpoints[id]
 	if e == nil || !e.accepting {
-		return reservation{}, errNoConnection
+		return reservation{}, errNotAccepting
 	}
 	now := time.Now()
 	for len(e.idle) > 0 {
-		i := max(len(e.idle)-1-e.countQuarantined(now, p.quarantine), 0)
-		c := e.idle[i]
-		e.idle = slices.Delete(e.idle, i, i+1)
+		c := e.idle.takeBest(now, p.idlePolicy.quarantine)
 		if p.usableLocked(c, now) {
-			return reservation{conn: c, quarantine: p.quarantine}, nil
+			return reservation{conn: c, quarantine: p.idlePolicy.quarantine}, nil
 		}
 		p.closeLocked(c)
 	}
 	if p.openConns >= p.maxConns && !p.evictOldestIdleLocked() {
-		return reservation{}, errNoConnection
+		return reservation{}, errConnLimit
 	}
 	p.openConns++
 	return reservation{endpoint: e, addr: e.addr, dialTimeout: p.dialTimeout}, nil
 }
 
-// dialConn dials the connection that a reservation counts as open, until the dial timeout, the
-// attempt's deadline or its cancellation. No lock is held meanwhile: what changes during the dial
-// is seen by checkBeforeWrite.
+// dialConn dials the connection that a reservation counts as open.
 func (p *Pool) dialConn(a *Attempt, r reservation) (*conn, error) {
+	c, err := p.dialReserved(a, r)
+	if err != nil {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.openConns--
+	}
+	return c, err
+}
+
+// dialReserved dials until the dial timeout, the attempt's deadline or its cancellation. No lock is
+// held meanwhile: checkBeforeWrite finds what changes during the dial.
+func (p *Pool) dialReserved(a *Attempt, r reservation) (*conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
 	defer cancel()
 	ctx, cancelDial := context.WithTimeout(ctx, r.dialTimeout)
 	defer cancelDial()
-	err := context.Canceled
-	if a.setInProgress(cancelableWait{cancelDial}) {
-		var nc net.Conn
-		if nc, err = p.dialUntilMade(ctx, r.addr); err == nil {
-			var c *conn
-			if c, err = newConn(nc, r.endpoint, r.addr); err == nil {
-				return c, nil
-			}
-			nc.Close()
-		}
+	if !a.setInProgress(cancelableWait{cancelDial}) {
+		return nil, context.Canceled
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.openConns--
-	return nil, err
+	nc, err := p.dialWithRetry(ctx, r.addr)
+	if err != nil {
+		return nil, err
+	}
+	c, err := newConn(nc, r.endpoint, r.addr)
+	if err != nil {
+		nc.Close()
+		return nil, err
+	}
+	return c, nil
 }
 
 // waitForQuarantine returns when the quarantine of an idle connection is over or the attempt is
--- a/internal/connpool/acquire_test.go
+++ b/internal/connpool/acquire_test.go
@@ -15,64 +15,64 @@
 )
 
 func TestFailedDialIsConnectFailed(t *testing.T) {
-	e := newEndpoint(t, says(served, true))
+	e := startEndpoint(t, respondWith(okResponse, keepConn))
 	p := newTestPool(t, e.Addr)
 	p.dialTimeout = time.Nanosecond
 	if r := getOnce(t, p); r != ConnectFailed {
 		t.Errorf("dial timed out: %v", r)
 	}
 	e.Listener.Close()
-	p.dialTimeout = patience
+	p.dialTimeout = waitTimeout
 	if r := getOnce(t, p); r != ConnectFailed {
 		t.Errorf("refused: %v", r)
 	}
 	if p.openConns != 0 {
-		t.Errorf("%d connections are still counted", p.openConns)
+		t.Errorf("%d connections are counted as open", p.openConns)
 	}
 }
 
-// What the process itself lacks is no failure of the endpoint's: reported as one, it would count
-// against its weight.
+// That this process has no connection left is not a failure of the endpoint: reported as one, it
+// would count against the endpoint's weight.
 func TestNoConnectionAvailableIsNotSent(t *testing.T) {
 	received, release := make(chan bool), make(chan bool)
-	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+	e := startEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		received <- true
 		<-release
-		io.WriteString(nc, served)
+		io.WriteString(nc, okResponse)
 		return true
 	})
 	p := newTestPool(t, e.Addr)
 	p.maxConns = 1
-	first := getAsync(t, p, attemptWithin(patience))
+	first := getAsync(t, p, attemptWithin(waitTimeout))
 	<-received
 	if r := getOnce(t, p); r != NotSent {
 		t.Errorf("all connections in use: %v", r)
 	}
 	close(release)
 	if r := <-first; r != succeeded {
-		t.Errorf("the one that had the connection: %v", r)
+		t.Errorf("the attempt that had the connection: %v", r)
 	}
-	if r, _ := roundTrip(t, p, attemptWithin(patience), "unlisted", newRequest("/c")); r != NotSent {
+	if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "unlisted", newRequest("/c")); r != NotSent {
 		t.Errorf("not listed: %v", r)
 	}
 }
 
-// What happens while a connection is dialed must count when it is up: nothing may be sent that was
-// right only when it was decided.
+// What changes while a connection is dialed must be checked once it is established: the Balancer's
+// choice may be out of date.
 func TestNothingSentOnConnEstablishedTooLate(t *testing.T) {
 	for name, row := range map[string]struct {
-		happens func(p *Pool, a *Attempt, e *testpeer.FakeEndpoint)
-		want    FailureKind
+		change func(p *Pool, a *Attempt, e *testpeer.FakeEndpoint)
+		want   FailureKind
 	}{
-		"nothing": {func(*Pool, *Attempt, *testpeer.FakeEndpoint) {}, succeeded},
+		"nothing changes": {func(*Pool, *Attempt, *testpeer.FakeEndpoint) {}, succeeded},
 		"the endpoint drains": {func(p *Pool, _ *Attempt, e *testpeer.FakeEndpoint) {
 			p.SetEndpoint("a", e.Addr, false)
 		}, NotSent},
-		"the endpoint is gone": {func(p *Pool, _ *Attempt, _ *testpeer.FakeEndpoint) { p.RemoveEndpoint("a") }, NotSent},
+		"the endpoint is removed": {func(p *Pool, _ *Attempt, _ *testpeer.FakeEndpoint) { p.RemoveEndpoint("a") }, NotSent},
 		"the endpoint has moved": {func(p *Pool, _ *Attempt, _ *testpeer.FakeEndpoint) {
 			p.SetEndpoint("a", "127.0.0.1:1", true)
 		}, NotSent},
-		"the endpoint is another one of that name": {func(p *Pool, _ *Attempt, e *testpeer.FakeEndpoint) {
+		"the endpoint is replaced by one of the same name": {func(p *Pool, _ *Attempt, e *testpeer.FakeEndpoint) {
 			p.RemoveEndpoint("a")
 			p.SetEndpoint("a", e.Addr, true)
 		}, NotSent},
@@ -83,35 +83,38 @@
 		"the attempt is canceled unless written": {func(_ *Pool, a *Attempt, _ *testpeer.FakeEndpoint) {
 			a.CancelUnlessWritten()
 		}, Canceled},
-		"the client is still there": {func(_ *Pool, a *Attempt, _ *testpeer.FakeEndpoint) {
+		"the client stays connected": {func(_ *Pool, a *Attempt, _ *testpeer.FakeEndpoint) {
 			a.ClientDisconnected = func() bool { return false }
 		}, succeeded},
-		"the list says ready again": {func(p *Pool, _ *Attempt, e *testpeer.FakeEndpoint) {
+		"the endpoint is listed as ready again": {func(p *Pool, _ *Attempt, e *testpeer.FakeEndpoint) {
 			p.SetEndpoint("a", e.Addr, true)
 		}, succeeded},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, says(served, true))
+			e := startEndpoint(t, respondWith(okResponse, keepConn))
 			p := newTestPool(t, e.Addr)
-			connected, release := holdNextDial(p)
-			a := attemptWithin(patience)
+			connected, release := blockNextDial(p)
+			a := attemptWithin(waitTimeout)
 			ended := getAsync(t, p, a)
 			<-connected
-			row.happens(p, a, e)
+			row.change(p, a, e)
 			close(release)
 			if r := <-ended; r != row.want {
 				t.Errorf("outcome %v, want %v", r, row.want)
 			}
-			_, _, open := p.Counts()
-			if want := map[bool]int32{true: 1}[row.want == succeeded]; e.Requests.Load() != want || open != int(want) {
-				t.Errorf("%d requests were received, %d connections are open, want %d", e.Requests.Load(), open, want)
+			want := 0
+			if row.want == succeeded {
+				want = 1
+			}
+			if n, open := int(e.Requests.Load()), p.Counts().Open; n != want || open != want {
+				t.Errorf("%d requests were received, %d connections are open, want %d", n, open, want)
 			}
 		})
 	}
 }
 
-// A new connection that its endpoint breaks before a byte was sent has carried nothing, and a
-// request that must not run twice may go elsewhere.
+// A new connection that its endpoint resets before a byte was sent has carried nothing, and a
+// non-idempotent request may be sent to another endpoint.
 func TestNewConnBrokenAtOnceIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -119,8 +122,8 @@
 	}
 	defer l.Close()
 	p := newTestPool(t, l.Addr().String())
-	connected, release := holdNextDial(p)
-	ended := getAsync(t, p, attemptWithin(patience))
+	connected, release := blockNextDial(p)
+	ended := getAsync(t, p, attemptWithin(waitTimeout))
 	nc := (<-connected).(*net.TCPConn)
 	accepted, err := l.Accept()
 	if err != nil {
@@ -128,21 +131,21 @@
 	}
 	accepted.(*net.TCPConn).SetLinger(0)
 	accepted.Close()
-	until(t, "the reset arrives", func() bool { return testpeer.HasUnreadData(nc) })
+	waitUntil(t, "the reset arrives", func() bool { return testpeer.HasUnreadData(nc) })
 	close(release)
 	if r := <-ended; r != ConnectFailed {
 		t.Errorf("outcome %v", r)
 	}
 }
 
-// The endpoint closes an idle connection when a request is about to be written there: nothing was
-// written, and any request, also one that must not run twice, is sent on another connection within
-// the same attempt.
+// The endpoint closes an idle connection when a request is about to be written to it: nothing was
+// written, and any request, idempotent or not, is sent on another connection within the same
+// attempt.
 func TestIdleConnClosedBeforeFirstByteIsReplaced(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		closeNow := make(chan bool)
-		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
-			io.WriteString(nc, served)
+		e := startEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
+			io.WriteString(nc, okResponse)
 			if n == 1 {
 				<-closeNow
 			}
@@ -151,16 +154,16 @@
 		p := newTestPool(t, e.Addr)
 		req := newRequest("/c")
 		req.Method = method
-		if r, _ := roundTrip(t, p, attemptWithin(patience), "a", req); r != succeeded {
+		if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != succeeded {
 			t.Fatalf("first: %v", r)
 		}
 		c := p.endpoints["a"].idle[0]
-		a := attemptWithin(patience)
+		a := attemptWithin(waitTimeout)
 		var once sync.Once
 		a.ClientDisconnected = func() bool { // between the choice of the connection and the first byte
 			once.Do(func() {
 				close(closeNow)
-				until(t, "the close arrives", c.hasPendingInput)
+				waitUntil(t, "the close arrives", c.hasPendingInput)
 			})
 			return false
 		}
@@ -174,13 +177,12 @@
 }
 
 // A late second response must not be taken for the response to the next request: a connection is in
-// quarantine before it is reused, and one on which something has arrived meanwhile is not used at
-// all. One on which nothing has arrived is.
+// quarantine before it is reused, and is not reused if anything has arrived meanwhile.
 func TestLateSecondResponseIsDropped(t *testing.T) {
 	for name, second := range map[string]bool{"a second response arrives": true, "nothing arrives": false} {
 		t.Run(name, func(t *testing.T) {
 			sendSecond := make(chan bool)
-			e := newEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
+			e := startEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 				body := r.URL.Path[1:]
 				response := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + body
 				io.WriteString(nc, response)
@@ -194,23 +196,23 @@
 				return true
 			})
 			p := newTestPool(t, e.Addr)
-			p.quarantine = patience
+			p.idlePolicy.quarantine = waitTimeout
 			waiting, endWait := make(chan bool), make(chan bool)
 			p.waitUntilDone = func(ctx context.Context) {
-				if end, _ := ctx.Deadline(); time.Until(end) < patience/2 {
+				if end, _ := ctx.Deadline(); time.Until(end) < waitTimeout/2 {
 					t.Error("the quarantine ends too soon")
 				}
 				waiting <- true
 				<-endWait
 			}
-			kind, resp := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/x"))
+			kind, resp := roundTrip(t, p, attemptWithin(waitTimeout), "a", newRequest("/x"))
 			if kind != succeeded || string(resp.Body) != "x" {
 				t.Fatalf("x: outcome %v, body %q", kind, resp.Body)
 			}
 			c := p.endpoints["a"].idle[0]
 			ended := make(chan bool)
 			go func() {
-				kind, resp := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/y"))
+				kind, resp := roundTrip(t, p, attemptWithin(waitTimeout), "a", newRequest("/y"))
 				if kind != succeeded || string(resp.Body) != "y" {
 					t.Errorf("y: outcome %v, body %q", kind, resp.Body)
 				}
@@ -221,12 +223,16 @@
 				t.Errorf("%d requests were received before the end of the quarantine", n)
 			}
 			if sendSecond <- second; second {
-				until(t, "the second response arrives", c.hasPendingInput)
+				waitUntil(t, "the second response arrives", c.hasPendingInput)
 			}
 			close(endWait)
 			<-ended
-			if _, _, open := p.Counts(); open != 1 || e.Connections.Load() != map[bool]int32{true: 2, false: 1}[second] {
-				t.Errorf("%d of %d connections are open", open, e.Connections.Load())
+			want := int32(1)
+			if second {
+				want = 2
+			}
+			if n, open := e.Connections.Load(), p.Counts().Open; open != 1 || n != want {
+				t.Errorf("%d of %d connections are open, want 1 of %d", open, n, want)
 			}
 		})
 	}
@@ -259,7 +265,7 @@
 			c.idleSince = now.Add(-age * time.Hour)
 			e.idle = append(e.idle, c)
 		}
-		p.maxIdleAge = 100 * time.Hour
+		p.idlePolicy.maxIdle = 100 * time.Hour
 		want := e.idle[row.want]
 		if r, err := p.reserveConn("a"); r.conn != want || err != nil {
 			t.Errorf("%v: another connection was taken, %v", row.ages, err)
@@ -270,24 +276,24 @@
 // An attempt that is canceled while its connection is in quarantine ends at once, and nothing is
 // sent.
 func TestAttemptCanceledDuringQuarantine(t *testing.T) {
-	e := newEndpoint(t, says(served, true))
+	e := startEndpoint(t, respondWith(okResponse, keepConn))
 	p := newTestPool(t, e.Addr)
-	p.quarantine = patience
+	p.idlePolicy.quarantine = waitTimeout
 	if r := getOnce(t, p); r != succeeded {
 		t.Fatal(r)
 	}
 	for name, cancel := range map[string]func(a *Attempt){
 		"canceled": (*Attempt).Cancel, "canceled unless written": (*Attempt).CancelUnlessWritten,
 	} {
-		a := attemptWithin(patience)
+		a := attemptWithin(waitTimeout)
 		wait := p.waitUntilDone
 		p.waitUntilDone = func(ctx context.Context) { cancel(a); wait(ctx) }
 		if r, _ := roundTrip(t, p, a, "a", newRequest("/c")); r != Canceled {
 			t.Errorf("%s: outcome %v", name, r)
 		}
 		p.waitUntilDone = wait
-		if _, _, open := p.Counts(); open != 0 || e.Requests.Load() != 1 {
-			t.Errorf("%s: %d connections are open, %d requests were received", name, open, e.Requests.Load())
+		if n, open := e.Requests.Load(), p.Counts().Open; open != 0 || n != 1 {
+			t.Errorf("%s: %d connections are open, %d requests were received", name, open, n)
 		}
 		if r := getOnce(t, p); r != succeeded {
 			t.Fatal(r)
@@ -296,14 +302,14 @@
 	}
 }
 
-// A dial that fails for a lack of this machine's says nothing of the endpoint: it is tried again,
-// and does not count as a failure of the endpoint's where it keeps failing.
-func TestLocalDialErrorsAreNotTheEndpoints(t *testing.T) {
+// A dial that fails for a reason of this machine says nothing about the endpoint: it is retried,
+// and is not counted as a failure of the endpoint if it keeps failing.
+func TestLocalDialErrorsAreNotEndpointFailures(t *testing.T) {
 	for _, failure := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 		syscall.ENETDOWN, syscall.EAGAIN,
 	} {
-		e := newEndpoint(t, says(served, true))
+		e := startEndpoint(t, respondWith(okResponse, keepConn))
 		p := newTestPool(t, e.Addr)
 		dial, dials, failing := p.dial, 0, 3
 		p.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -315,13 +321,13 @@
 		if kind := getOnce(t, p); kind != succeeded {
 			t.Errorf("%v, three times: %v", failure, kind)
 		}
-		p.sweepIdle(func(*conn) bool { return false })
+		p.closeAllIdle()
 		failing = 1 << 30
 		kind, _ := roundTrip(t, p, attemptWithin(100*time.Millisecond), "a", newRequest("/c"))
 		if _, lastFailure := p.EndpointStatus("a"); kind != NotSent || lastFailure != "" {
-			t.Errorf("%v for good: %v, endpoint status %q", failure, kind, lastFailure)
+			t.Errorf("%v at each dial: %v, endpoint status %q", failure, kind, lastFailure)
 		}
-		if _, _, open := p.Counts(); open != 0 {
+		if open := p.Counts().Open; open != 0 {
 			t.Errorf("%v: %d connections are counted as open", failure, open)
 		}
 	}
--- a/internal/connpool/cancel.go
+++ b/internal/connpool/attempt.go
@@ -8,23 +8,23 @@
 )
 
 // Attempt is the control of one attempt: its deadline, its callbacks and its cancellation. The
-// caller of RoundTrip fills in the exported fields before and may cancel the attempt from any
-// goroutine at any time.
+// caller of RoundTrip sets the exported fields before and may cancel the attempt from any goroutine
+// at any time.
 //
 // An attempt is canceled once and for good. Whatever is in progress then (a dial, the wait for a
-// quarantine, an exchange) is closed under mu, and whatever would follow is refused by
+// quarantine, an exchange) is closed under mu, and whatever would follow is prevented by
 // setInProgress under mu. So there is no moment at which a cancellation finds nothing to close and
-// the attempt goes on.
+// the attempt continues.
 type Attempt struct {
 	Deadline           time.Time
 	WriteBy            time.Time   // by when the request must have been written completely; zero: by Deadline
-	OnRequestWritten   func()      // called when a request with an Upload has been written completely; nil: nothing
+	OnRequestWritten   func()      // called when a request with an Upload has been written completely; may be nil
 	ClientDisconnected func() bool // reports whether the client has disconnected; nil: unknown. It must not block
 
 	mu             sync.Mutex // held for the transitions below and for Close, which doesn't block
 	canceled       bool
 	requestWritten bool      // the request has been written completely: from now on it may run
-	inProgress     io.Closer // nil: nothing that could be ended
+	inProgress     io.Closer // nil: nothing that could be canceled
 }
 
 // Cancel cancels the attempt. What is in progress ends at once.
@@ -34,9 +34,9 @@
 	a.cancelLocked()
 }
 
-// CancelUnlessWritten cancels the attempt if its request has not been written completely: nobody
-// waits for a response any more, and what has not been requested need not be, whether running
-// requests may be canceled or not.
+// CancelUnlessWritten cancels the attempt if its request has not been written completely. Nobody
+// waits for the response any more, and a request that the endpoint has not received may be
+// abandoned whether or not running requests may be canceled.
 func (a *Attempt) CancelUnlessWritten() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,9 +60,8 @@
 	a.requestWritten = true
 }
 
-// setInProgress sets what a cancellation closes, nil for nothing any more, and reports whether the
-// attempt goes on. Where it returns false the attempt was canceled before, and c has not been
-// closed.
+// setInProgress sets what a cancellation closes, or nil, and reports whether the attempt continues.
+// If it returns false the attempt was canceled before, and c has not been closed.
 func (a *Attempt) setInProgress(c io.Closer) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,8 +75,26 @@
 	return a.canceled
 }
 
-// failure returns the error of an attempt that failed in some way, or of a canceled one: what
-// happens to an exchange whose connection a cancellation has closed says nothing of the endpoint.
+// clientDisconnected reports whether the client is known to have disconnected.
+func (a *Attempt) clientDisconnected() bool {
+	return a.ClientDisconnected != nil && a.ClientDisconnected()
+}
+
+// limitWrites makes writes to the connection fail from WriteBy on. It returns errTooLateToWrite if
+// WriteBy has passed.
+func (a *Attempt) limitWrites(c *conn) error {
+	if a.WriteBy.IsZero() {
+		return nil
+	}
+	if time.Now().After(a.WriteBy) || c.SetWriteDeadline(a.WriteBy) != nil {
+		return errTooLateToWrite
+	}
+	return nil
+}
+
+// failure returns the error of an attempt that failed in this way, or of a canceled one: the
+// failure of an exchange whose connection was closed by a cancellation says nothing about the
+// endpoint.
 func (a *Attempt) failure(kind FailureKind, cause error) error {
 	if a.isCanceled() {
 		kind = Canceled
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -3,22 +3,21 @@
 import (
 	"bufio"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"syscall"
 	"time"
 )
 
-// conn is one connection to an endpoint. It carries one exchange at a time and belongs to whoever
-// runs it: the attempt that acquired it, then its Stream if the response is streamed. While it is
-// idle it belongs to the Pool, under its mu.
+// conn is one connection to an endpoint. It carries one exchange at a time and belongs to the
+// attempt that acquired it, then to its Stream if the response is streamed. While it is idle it
+// belongs to the Pool, under its mu.
 type conn struct {
 	net.Conn
 	rawConn     syscall.RawConn
 	readLimit   *io.LimitedReader // bounds the bytes that reader may still take
 	reader      *bufio.Reader
-	writeBuffer []byte // kept from one request to the next
+	writeBuffer []byte // reused from one request to the next
 
 	endpoint    *endpointConns
 	dialedAddr  string
@@ -38,28 +37,23 @@
 	}, nil
 }
 
+// isReused reports whether the connection has carried an exchange before the present one.
+func (c *conn) isReused() bool { return !c.idleSince.IsZero() }
+
 // hasPendingInput reports whether anything has arrived on a connection on which nothing is
-// expected: an end of stream, a reset, or bytes that nobody asked for. It guards against writing to
-// a connection that the endpoint has closed, which would end as a reset. It does not block.
+// expected: an end of stream, a reset, or bytes without a request. It prevents writes to a
+// connection that the endpoint has closed, which would end as a reset. It does not block.
 func (c *conn) hasPendingInput() bool {
-	nothing := false
+	isEmpty := false
 	err := c.rawConn.Control(func(fd uintptr) {
 		var b [1]byte
 		err := error(syscall.EINTR)
 		for errors.Is(err, syscall.EINTR) {
 			_, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		}
-		nothing = errors.Is(err, syscall.EAGAIN)
+		isEmpty = errors.Is(err, syscall.EAGAIN)
 	})
-	return err != nil || !nothing
-}
-
-// writeAll writes all of b. Its error is errWriteFailed.
-func (c *conn) writeAll(b []byte) error {
-	if n, err := c.Write(b); n != len(b) {
-		return fmt.Errorf("%w: %w", errWriteFailed, err)
-	}
-	return nil
+	return err != nil || !isEmpty
 }
 
 // bodySource is a connection as http1 reads bodies from it.
@@ -67,7 +61,7 @@
 
 // Buffered implements http1.Source.
 func (s bodySource) Buffered() []byte {
-	b, _ := s.reader.Peek(s.reader.Buffered()) // does not read, so it can't fail
+	b, _ := s.reader.Peek(s.reader.Buffered()) // does not read from the connection, so it can't fail
 	return b
 }
 
--- a/internal/connpool/dialerrors.go
+++ b/internal/connpool/dial.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// Backoff between two dials that this machine could not make.
+// The backoff between two dials that failed for a reason of this machine.
 const (
 	minDialBackoff = 2 * time.Millisecond
 	maxDialBackoff = 20 * time.Millisecond
 )
 
-// localDialErrors are the errors of socket(2) and connect(2) that are of this machine: a lack of
-// descriptors, memory, addresses or ports, or no route from here. They say nothing of the endpoint.
-// EHOSTUNREACH and ETIMEDOUT are not among them: the endpoint's machine does not answer.
+// localDialErrors are the errors of socket(2) and connect(2) that are caused by this machine: no
+// file descriptor, memory, address or port is available, or there is no route from here. They say
+// nothing about the endpoint. EHOSTUNREACH and ETIMEDOUT are not among them: the endpoint's machine
+// does not answer.
 var localDialErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EPERM, syscall.EACCES,
 }
 
-// isLocalDialError reports whether a dial failed for a reason of this machine's.
+// isLocalDialError reports whether a dial failed for a reason of this machine.
 func isLocalDialError(err error) bool {
 	for _, local := range localDialErrors {
 		if errors.Is(err, local) {
@@ -32,9 +33,9 @@
 	return false
 }
 
-// dialUntilMade dials, again where this machine could not make the dial, until ctx ends. The last
-// error is returned.
-func (p *Pool) dialUntilMade(ctx context.Context, addr string) (net.Conn, error) {
+// dialWithRetry dials, and dials again after a backoff if this machine was the reason of the
+// failure, until ctx is done. It returns the last error.
+func (p *Pool) dialWithRetry(ctx context.Context, addr string) (net.Conn, error) {
 	for backoff := minDialBackoff; ; backoff = min(2*backoff, maxDialBackoff) {
 		nc, err := p.dial(ctx, "tcp", addr)
 		if err == nil || !isLocalDialError(err) {
--- a/internal/connpool/endpoints.go
+++ b/internal/connpool/endpoints.go
@@ -1,43 +1,30 @@
 package connpool
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 // endpointConns is what a Pool knows of one endpoint. The Pool's mu guards it.
 //
 // An endpoint that is removed and listed again gets a new endpointConns. Connections of the old one
-// belong to nothing any more, since its accepting is false from then on.
+// are closed after their exchange, since its accepting is false from then on.
 type endpointConns struct {
 	addr        string
 	accepting   bool      // whether the endpoint takes new requests, so that connections are worth keeping
 	listedStart time.Time // the endpoint's start as it was listed
 	startedAt   time.Time // the same, or the time of the listing if that was earlier
 	lastFailure string    // how the latest attempt that failed did so; empty once one has succeeded
-	idle        []*conn   // in the order in which they became idle, the most recent last
+	idle        idleConns
 }
 
 // isCurrent reports whether a connection leads to the endpoint as it is now, at its present address
-// and since its latest start, and whether the endpoint takes new requests. Nobody is at the other
-// end of a connection from before a restart, even if no close was received: the machine may have
-// vanished. The Pool's mu must be held.
+// and since its latest start, and whether the endpoint takes new requests. A connection from before
+// a restart has no process at the other end, even if no close was received: the machine may have
+// failed. The Pool's mu must be held.
 func (e *endpointConns) isCurrent(c *conn) bool {
 	return e.accepting && e.addr == c.dialedAddr && !c.connectedAt.Before(e.startedAt)
 }
 
-// countQuarantined returns how many idle connections are still in quarantine. They are the last
-// ones of idle. The Pool's mu must be held.
-func (e *endpointConns) countQuarantined(now time.Time, quarantine time.Duration) int {
-	n := 0
-	for n < len(e.idle) && now.Sub(e.idle[len(e.idle)-1-n].idleSince) < quarantine {
-		n++
-	}
-	return n
-}
-
 // SetEndpoint sets an endpoint's address and whether it takes new requests. Idle connections to an
-// old address, or to an endpoint that takes nothing new, are closed.
+// old address, or to an endpoint that takes no new requests, are closed.
 func (p *Pool) SetEndpoint(id, addr string, accepting bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,12 +36,13 @@
 	if e.addr != addr || !accepting {
 		p.closeIdleLocked(e)
 	}
-	e.addr, e.accepting = addr, accepting
+	e.addr = addr
+	e.accepting = accepting
 }
 
 // SetStartTime sets when an endpoint started. Idle connections from before that are closed. A start
-// in the future counts as one at this moment: else a clock that is ahead would keep all connections
-// from being used.
+// in the future counts as one at this moment: otherwise a clock that is ahead would prevent the use
+// of all connections.
 func (p *Pool) SetStartTime(id string, start time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,20 +50,15 @@
 	if e == nil || !start.After(e.listedStart) {
 		return
 	}
-	e.listedStart, e.startedAt = start, start
+	e.listedStart = start
+	e.startedAt = start
 	if now := time.Now(); start.After(now) {
 		e.startedAt = now
 	}
-	e.idle = slices.DeleteFunc(e.idle, func(c *conn) bool {
-		if e.isCurrent(c) {
-			return false
-		}
-		p.closeLocked(c)
-		return true
-	})
+	p.closeIdleUnlessLocked(e, e.isCurrent)
 }
 
-// RemoveEndpoint forgets an endpoint and closes its idle connections. Connections in use are closed
+// RemoveEndpoint removes an endpoint and closes its idle connections. Connections in use are closed
 // when their exchange ends.
 func (p *Pool) RemoveEndpoint(id string) {
 	p.mu.Lock()
@@ -86,3 +69,45 @@
 		delete(p.endpoints, id)
 	}
 }
+
+// Counts are the numbers of a Pool at one moment.
+type Counts struct {
+	Accepting int // endpoints that take new requests
+	Draining  int // endpoints that do not
+	Open      int // connections that are open or being dialed, idle ones included
+}
+
+// Counts returns the present numbers.
+func (p *Pool) Counts() Counts {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	counts := Counts{Open: p.openConns}
+	for _, e := range p.endpoints {
+		if e.accepting {
+			counts.Accepting++
+		} else {
+			counts.Draining++
+		}
+	}
+	return counts
+}
+
+// EndpointStatus returns how many connections to an endpoint are idle, and how the latest failed
+// attempt there failed. The failure is empty if no attempt has failed since the latest success.
+func (p *Pool) EndpointStatus(id string) (idle int, lastFailure string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if e := p.endpoints[id]; e != nil {
+		return len(e.idle), e.lastFailure
+	}
+	return 0, ""
+}
+
+// recordFailure notes how an attempt at an endpoint failed.
+func (p *Pool) recordFailure(id string, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if e := p.endpoints[id]; e != nil {
+		e.lastFailure = err.Error()
+	}
+}
--- a/internal/connpool/errors.go
+++ b/internal/connpool/errors.go
@@ -10,19 +10,21 @@
 
 // The kinds of failure. NotSent, ConnectFailed and Declined prove that the request has not run.
 const (
-	// NotSent: no byte was sent, or the client's body ended early. The endpoint is not to blame.
+	// NotSent: no byte was sent, or the client's body ended early. It is not a failure of the
+	// endpoint.
 	NotSent FailureKind = iota + 1
-	// ConnectFailed: no connection came about, or it broke before the request was written completely.
+	// ConnectFailed: no connection was established, or it broke before the request was written
+	// completely.
 	ConnectFailed
 	// Declined: the endpoint responded that it has not run the request, or responded before the
 	// request's last byte was written and so can't have run it.
 	Declined
-	// ErrorStatus: the endpoint responded with a status that is no success.
+	// ErrorStatus: the endpoint responded with a status that is not a success.
 	ErrorStatus
 	// TimedOut: the deadline passed before the response was complete.
 	TimedOut
-	// Reset: the connection broke, or what came is no response, after the request was written
-	// completely.
+	// Reset: after the request was written completely, the connection broke or something other than
+	// a response arrived.
 	Reset
 	// Canceled: the attempt was canceled, whatever else happened to it.
 	Canceled
@@ -41,7 +43,7 @@
 	return fmt.Sprintf("FailureKind(%d)", int(k))
 }
 
-// Error is how an attempt failed. Its text is that of Err.
+// Error says how an attempt failed. Its text is that of Err.
 type Error struct {
 	Kind FailureKind
 	Err  error // the cause
@@ -53,7 +55,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// isEndpointFailure reports whether an attempt's error is a failure of the endpoint's.
+// isEndpointFailure reports whether an attempt's error counts as a failure of the endpoint.
 func isEndpointFailure(err error) bool {
 	if err == nil {
 		return false // errors.As would allocate for each success
@@ -62,16 +64,36 @@
 	return errors.As(err, &failure) && failure.Kind != Canceled && failure.Kind != NotSent
 }
 
-// errNoConnection says that nothing was asked of the endpoint: it takes no new requests any more,
-// or all connections that may be open are in use. That is no failure of the endpoint's.
-var errNoConnection = errors.New("no connection could be tried")
+// StatusError is the cause of an Error for a response whose status is not a success.
+type StatusError struct {
+	Status int
+	Early  bool // the response arrived before the request was written completely
+}
+
+// Error implements error.
+func (e *StatusError) Error() string {
+	if e.Early {
+		return fmt.Sprintf("response status %d before the request was written completely", e.Status)
+	}
+	return fmt.Sprintf("response status %d", e.Status)
+}
+
+// errNoConnection says that no connection to the endpoint was tried. That is not a failure of the
+// endpoint.
+var errNoConnection = errors.New("no connection was tried")
+
+// The kinds of errNoConnection.
+var (
+	errNotAccepting = fmt.Errorf("%w: endpoint accepts no new requests", errNoConnection)
+	errConnLimit    = fmt.Errorf("%w: maximum number of connections is open", errNoConnection)
+)
 
 // The causes of failed attempts.
 var (
 	errEndpointRemoved    = errors.New("endpoint was removed or drained before anything was sent")
-	errTooLateToWrite     = errors.New("the time to send it again was over before anything was sent")
+	errTooLateToWrite     = errors.New("retry deadline passed before anything was sent")
 	errClientDisconnected = errors.New("client disconnected before anything was sent")
-	errStaleConn          = errors.New("connection was closed or written to before anything was sent")
+	errStaleConn          = errors.New("connection was closed, or received input, before anything was sent")
 	errWriteFailed        = errors.New("connection broke before the request was written completely")
 	errEarlyResponse      = errors.New("input arrived before the request was written completely")
 	errUploadFailed       = errors.New("client's request body ended early")
--- a/internal/connpool/exchange.go
+++ b/internal/connpool/exchange.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"maps"
 	"net/http"
 	"os"
@@ -12,18 +11,23 @@
 	"rowancart/internal/platform"
 )
 
-const (
-	// earlyResponseTimeout is how long a response that arrived ahead of the request's end may take to
-	// be read.
-	earlyResponseTimeout = 200 * time.Millisecond
-)
+// earlyResponseTimeout is how long the reading of a response may take that arrived before the
+// request was written completely.
+const earlyResponseTimeout = 200 * time.Millisecond
+
+// exchangeResult is how an exchange ended.
+type exchangeResult struct {
+	response Response
+	err      error // an *Error
+	reusable bool  // the connection can carry another exchange
+}
 
 // RoundTrip sends a request to an endpoint once and returns its response, or an *Error that says
 // how the attempt failed.
 //
-// When the attempt was canceled or its deadline has passed, its connection is closed before
-// RoundTrip returns, so that no second attempt can be in flight beside this one. A Response with a
-// Stream owns the connection from then on.
+// If the attempt was canceled or its deadline has passed, its connection is closed before RoundTrip
+// returns, so that a retry is never in flight at the same time. A Response with a Stream owns the
+// connection from then on.
 func (p *Pool) RoundTrip(a *Attempt, endpoint string, req *Request) (Response, error) {
 	for {
 		c, err := p.acquireConn(a, endpoint)
@@ -34,31 +38,38 @@
 			p.closeConn(c)
 			return Response{}, a.failure(ConnectFailed, errConnClosed)
 		}
-		reused := !c.idleSince.IsZero()
-		resp, reusable, err := p.exchange(c, a, req)
-		if errors.Is(err, errStaleConn) && reused && a.setInProgress(nil) {
-			p.closeConn(c) // nothing was sent on it, so another connection will do
+		result := p.exchange(c, a, req)
+		wasClosedWhileIdle := c.isReused() && errors.Is(result.err, errStaleConn)
+		if wasClosedWhileIdle && a.setInProgress(nil) {
+			p.closeConn(c) // nothing was sent on it: the attempt continues on another connection
 			continue
 		}
-		if isEndpointFailure(err) {
-			p.recordFailure(endpoint, err)
-		}
-		wanted := a.setInProgress(nil)
-		switch {
-		case wanted && resp.Stream != nil: // the connection is the stream's
-			return resp, nil
-		case wanted && reusable:
-			p.releaseConn(c)
-		default:
-			p.closeConn(c)
-		}
-		if resp.Stream != nil {
-			return Response{}, &Error{Kind: Canceled, Err: errAttemptCanceled}
-		}
-		return resp, err
+		return p.endExchange(c, a, endpoint, result)
 	}
 }
 
+// endExchange releases or closes the connection of an exchange, unless a Stream owns it, and
+// returns the result of the attempt.
+func (p *Pool) endExchange(c *conn, a *Attempt, endpoint string, result exchangeResult) (Response, error) {
+	if isEndpointFailure(result.err) {
+		p.recordFailure(endpoint, result.err)
+	}
+	isStreamed := result.response.Stream != nil
+	wasCanceled := !a.setInProgress(nil)
+	switch {
+	case wasCanceled && isStreamed:
+		p.closeConn(c)
+		return Response{}, &Error{Kind: Canceled, Err: errAttemptCanceled}
+	case isStreamed:
+		return result.response, nil
+	case wasCanceled || !result.reusable:
+		p.closeConn(c)
+	default:
+		p.releaseConn(c)
+	}
+	return result.response, result.err
+}
+
 // acquireFailure returns the error of an attempt that got no connection.
 func (p *Pool) acquireFailure(a *Attempt, endpoint string, err error) error {
 	if errors.Is(err, errNoConnection) {
@@ -73,75 +84,86 @@
 	return a.failure(ConnectFailed, err)
 }
 
-// checkBeforeWrite returns why a request may not be written to a connection now, or nil. It is the
-// last check before the first byte: while the connection came up, or its quarantine passed, the
-// endpoint list or the operators may have taken the endpoint out, the endpoint may have closed the
-// connection or begun to write, the time for a retry may be over, and the client may have
-// disconnected. What is sent from here on was right when it was sent.
+// isCurrent reports whether a connection may carry a new request to its endpoint.
+func (p *Pool) isCurrent(c *conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return c.endpoint.isCurrent(c)
+}
+
+// checkBeforeWrite returns an error if a request may not be written to a connection now. It is the
+// last check before the first byte: while the connection was dialed, or its quarantine passed, the
+// endpoint may have been removed, drained or disabled, it may have closed the connection or begun
+// to write, the time for a retry may have passed, and the client may have disconnected. What
+// changes after this check counts as a change after the request was sent.
 //
-// Only the look at the endpoint takes mu. ClientDisconnected and the look at the socket come after,
+// Only the check of the endpoint takes mu. ClientDisconnected and the check of the socket follow
 // without it.
 func (p *Pool) checkBeforeWrite(c *conn, a *Attempt) error {
-	p.mu.Lock()
-	current := c.endpoint.isCurrent(c)
-	p.mu.Unlock()
-	switch {
-	case !current:
+	if !p.isCurrent(c) {
 		return errEndpointRemoved
-	case !a.WriteBy.IsZero() && (time.Now().After(a.WriteBy) || c.SetWriteDeadline(a.WriteBy) != nil):
-		return errTooLateToWrite
-	case a.ClientDisconnected != nil && a.ClientDisconnected():
+	}
+	if err := a.limitWrites(c); err != nil {
+		return err
+	}
+	if a.clientDisconnected() {
 		return errClientDisconnected
-	case c.hasPendingInput():
+	}
+	if c.hasPendingInput() {
 		return errStaleConn
 	}
 	return nil
 }
 
-// exchange writes the request and reads the response, completely or, where it is long, its
-// beginning. It reports whether the connection can carry another exchange. Its error is an *Error.
-func (p *Pool) exchange(c *conn, a *Attempt, req *Request) (resp Response, reusable bool, err error) {
+// exchange writes the request and reads the response, completely or, if it is long, its beginning.
+func (p *Pool) exchange(c *conn, a *Attempt, req *Request) exchangeResult {
 	if err := p.checkBeforeWrite(c, a); err != nil {
-		return Response{}, false, a.unsentFailure(err)
+		return exchangeResult{err: a.unsentFailure(err)}
 	}
 	if err := c.writeRequest(a, req); err != nil {
-		resp, err = p.resolvePartialWrite(c, a, req, err)
-		return resp, false, err
+		response, err := p.resolvePartialWrite(c, a, req, err)
+		return exchangeResult{response: response, err: err}
 	}
 	a.markRequestWritten()
 	p.requestsWritten.Add(1)
 	if req.Upload != nil && a.OnRequestWritten != nil {
 		a.OnRequestWritten()
 	}
-	resp, last, err := responseReader{pool: p, conn: c, deadline: a.Deadline}.read(req.Method)
+	received, err := responseReader{pool: p, conn: c, deadline: a.Deadline}.read(req.Method)
 	if err != nil {
-		return Response{}, false, a.readFailure(err)
+		return exchangeResult{err: a.readFailure(err)}
 	}
-	reusable = !last && resp.Stream == nil && c.reader.Buffered() == 0
+	isStreamed := received.response.Stream != nil
+	result := exchangeResult{reusable: !received.isLast && !isStreamed && c.reader.Buffered() == 0}
+	result.response, result.err = p.evaluateResponse(received.response)
+	return result
+}
+
+// evaluateResponse returns a response as the client gets it, or the *Error that it stands for.
+func (p *Pool) evaluateResponse(r Response) (Response, error) {
 	switch {
-	case p.isSuccess(resp.Status):
-		if p.passThrough {
-			resp.Header = http1.RemoveHopByHop(resp.Header)
-		} else {
-			keepContentType(resp.Header)
-		}
-		return resp, reusable, nil
-	case isDeclined(resp):
-		return Response{}, reusable, &Error{Kind: Declined, Err: errDeclined}
-	}
-	return Response{}, reusable, &Error{Kind: ErrorStatus, Err: fmt.Errorf("response status %d", resp.Status)}
+	case isDeclined(r):
+		return Response{}, &Error{Kind: Declined, Err: errDeclined}
+	case !p.isSuccess(r.Status):
+		return Response{}, &Error{Kind: ErrorStatus, Err: &StatusError{Status: r.Status}}
+	case p.passThrough:
+		r.Header = http1.RemoveHopByHop(r.Header)
+	default:
+		retainContentType(r.Header)
+	}
+	return r, nil
 }
 
 // unsentFailure returns the error of an attempt of which no byte was sent.
 func (a *Attempt) unsentFailure(err error) error {
-	if errors.Is(err, errStaleConn) { // a new connection that broke at once, or that the endpoint wrote to unasked
+	if errors.Is(err, errStaleConn) { // a new connection that broke at once, or on which input came without a request
 		return a.failure(ConnectFailed, err)
 	}
 	return a.failure(NotSent, err)
 }
 
-// readFailure returns the error of an attempt whose request was written completely and whose
-// complete response has not come.
+// readFailure returns the error of an attempt whose request was written completely and of which no
+// complete response was read.
 func (a *Attempt) readFailure(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return a.failure(TimedOut, err)
@@ -149,32 +171,38 @@
 	return a.failure(Reset, err)
 }
 
-// resolvePartialWrite returns the outcome of an attempt whose request was not written completely.
-// An endpoint begins a request when its last byte has come, so it has not run, unless the endpoint
-// says otherwise in a response that arrived ahead of the request's end.
-func (p *Pool) resolvePartialWrite(c *conn, a *Attempt, req *Request, err error) (Response, error) {
-	if errors.Is(err, errUploadFailed) {
-		return Response{}, &Error{Kind: NotSent, Err: err} // says nothing of the endpoint
+// resolvePartialWrite returns the result of an attempt whose request was not written completely. An
+// endpoint runs a request once its last byte has arrived, so the request has not run, unless the
+// endpoint says otherwise in an early response.
+func (p *Pool) resolvePartialWrite(c *conn, a *Attempt, req *Request, writeErr error) (Response, error) {
+	if errors.Is(writeErr, errUploadFailed) {
+		return Response{}, &Error{Kind: NotSent, Err: writeErr} // says nothing about the endpoint
 	}
 	if req.Upload == nil || a.isCanceled() {
-		return Response{}, a.failure(ConnectFailed, err)
+		return Response{}, a.failure(ConnectFailed, writeErr)
 	}
-	if c.SetReadDeadline(time.Now().Add(earlyResponseTimeout)) != nil {
-		return Response{}, a.failure(ConnectFailed, err)
-	}
-	early := responseReader{pool: p, conn: c, deadline: time.Now().Add(earlyResponseTimeout)}
-	resp, _, readErr := early.read(req.Method)
+	early, err := p.readEarlyResponse(c, req.Method)
 	switch {
-	case readErr != nil:
-		return Response{}, a.failure(ConnectFailed, err)
-	case resp.Status == http.StatusOK && resp.Stream == nil:
-		keepContentType(resp.Header)
-		return resp, nil
-	case isDeclined(resp):
+	case err != nil:
+		return Response{}, a.failure(ConnectFailed, writeErr)
+	case early.Status == http.StatusOK && early.Stream == nil:
+		retainContentType(early.Header)
+		return early, nil
+	case isDeclined(early):
 		return Response{}, &Error{Kind: Declined, Err: errDeclined}
 	}
-	err = fmt.Errorf("response status %d ahead of the request's end", resp.Status)
-	return Response{}, &Error{Kind: Declined, Err: err}
+	return Response{}, &Error{Kind: Declined, Err: &StatusError{Status: early.Status, Early: true}}
+}
+
+// readEarlyResponse reads a response that may have arrived before the request was written
+// completely.
+func (p *Pool) readEarlyResponse(c *conn, method string) (Response, error) {
+	deadline := time.Now().Add(earlyResponseTimeout)
+	if err := c.SetReadDeadline(deadline); err != nil {
+		return Response{}, err
+	}
+	received, err := responseReader{pool: p, conn: c, deadline: deadline}.read(method)
+	return received.response, err
 }
 
 // isSuccess reports whether a response of this status is passed on to the client.
@@ -183,12 +211,12 @@
 }
 
 // isDeclined reports whether a response says that the endpoint has not run the request.
-func isDeclined(resp Response) bool {
-	unavailable := resp.Status == http.StatusServiceUnavailable || resp.Status == http.StatusGatewayTimeout
-	return unavailable && resp.Header.Get(platform.RejectedHeader) == platform.RejectedValue
+func isDeclined(r Response) bool {
+	isUnavailable := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout
+	return isUnavailable && r.Header.Get(platform.RejectedHeader) == platform.RejectedValue
 }
 
-// keepContentType deletes all headers but Content-Type.
-func keepContentType(h http.Header) {
+// retainContentType deletes all headers but Content-Type.
+func retainContentType(h http.Header) {
 	maps.DeleteFunc(h, func(name string, _ []string) bool { return name != "Content-Type" })
 }
--- a/internal/connpool/exchange_test.go
+++ b/internal/connpool/exchange_test.go
@@ -9,44 +9,50 @@
 	"testing"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
 func TestResponseDeterminesOutcome(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: "
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	longBody := strings.Repeat("x", 70000)
+	long := strings.Repeat("x", 70000)
+	declined := platform.RejectedHeader + ": " + platform.RejectedValue + "\r\nContent-Length: 0\r\n\r\n"
 	for name, row := range map[string]struct {
-		says string
-		want FailureKind
-		stay testpeer.AfterResponse
+		response string
+		want     FailureKind
+		then     testpeer.AfterResponse
 	}{
-		"200":                         {served, succeeded, true},
-		"200 in chunks":               {chunked + "2\r\nhi\r\n0\r\n\r\n", succeeded, true},
-		"200 after interim":           {"HTTP/1.1 103 Early Hints\r\n\r\n" + served, succeeded, true},
-		"500":                         {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", ErrorStatus, true},
-		"503 declined":                {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", Declined, true},
-		"504 declined":                {"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", Declined, true},
-		"503 that may have run":       {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", ErrorStatus, true},
-		"500 that claims declined":    {"HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", ErrorStatus, true},
-		"nothing, then a close":       {"", Reset, false},
-		"half a head":                 {head, Reset, false},
-		"half a body":                 {head + "9\r\n\r\nhi", Reset, false},
-		"half of the chunks":          {chunked + "2\r\nhi\r\n", Reset, false},
-		"no length":                   {"HTTP/1.1 200 OK\r\n\r\nhi", succeeded, false},
-		"a long body of an error":     {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + longBody, ErrorStatus, true},
-		"a length beyond the maximum": {head + "3000000000\r\n\r\nhi", Reset, true},
-		"a head without end":          {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200000), Reset, true},
-		"noise":                       {"\x00\x01\r\n\r\n", Reset, true},
+		"200":                          {okResponse, succeeded, keepConn},
+		"200 in chunks":                {chunked + "2\r\nhi\r\n0\r\n\r\n", succeeded, keepConn},
+		"200 after interim":            {"HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, succeeded, keepConn},
+		"500":                          {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", ErrorStatus, keepConn},
+		"503 declined":                 {"HTTP/1.1 503 No\r\n" + declined, Declined, keepConn},
+		"504 declined":                 {"HTTP/1.1 504 No\r\n" + declined, Declined, keepConn},
+		"503 that may have run":        {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", ErrorStatus, keepConn},
+		"500 with the declined header": {"HTTP/1.1 500 No\r\n" + declined, ErrorStatus, keepConn},
+		"close without a response":     {"", Reset, closeConn},
+		"incomplete head":              {head, Reset, closeConn},
+		"incomplete body":              {head + "9\r\n\r\nhi", Reset, closeConn},
+		"incomplete chunks":            {chunked + "2\r\nhi\r\n", Reset, closeConn},
+		"no length":                    {"HTTP/1.1 200 OK\r\n\r\nhi", succeeded, closeConn},
+		"error with a long body":       {"HTTP/1.1 500 No\r\nContent-Length: 70000\r\n\r\n" + long, ErrorStatus, keepConn},
+		"length beyond the maximum":    {head + "3000000000\r\n\r\nhi", Reset, keepConn},
+		"endless head":                 {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200000), Reset, keepConn},
+		"not HTTP":                     {"\x00\x01\r\n\r\n", Reset, keepConn},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, says(row.says, row.stay))
-			kind, resp := roundTrip(t, newTestPool(t, e.Addr), attemptWithin(patience), "a", newRequest("/c"))
+			e := startEndpoint(t, respondWith(row.response, row.then))
+			kind, resp := roundTrip(t, newTestPool(t, e.Addr), attemptWithin(waitTimeout), "a", newRequest("/c"))
 			if kind != row.want {
 				t.Errorf("outcome %v, want %v", kind, row.want)
 			}
-			if want := map[bool]string{true: "hi"}[row.want == succeeded]; string(resp.Body) != want {
-				t.Errorf("body %q, want %q", resp.Body, want)
+			wantBody := ""
+			if row.want == succeeded {
+				wantBody = "hi"
+			}
+			if string(resp.Body) != wantBody {
+				t.Errorf("body %q, want %q", resp.Body, wantBody)
 			}
 			if n := e.Requests.Load(); n != 1 {
 				t.Errorf("the request was received %d times", n)
@@ -55,11 +61,11 @@
 	}
 }
 
-// A response of unknown length may never end. It is streamed up to the maximum length and cut off
-// there; a pool that passes responses through has no maximum.
+// A response of unknown length may never end. It is streamed up to the maximum length and then
+// fails; a pool that passes responses through has no maximum.
 func TestEndlessResponseIsCutOff(t *testing.T) {
 	for _, passThrough := range []bool{false, true} {
-		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+		e := startEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			chunk := []byte("100000\r\n" + strings.Repeat("x", 1<<20) + "\r\n")
 			for {
@@ -70,15 +76,19 @@
 		})
 		p := newTestPool(t, e.Addr)
 		p.passThrough = passThrough
-		kind, resp := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c"))
+		kind, resp := roundTrip(t, p, attemptWithin(waitTimeout), "a", newRequest("/c"))
 		if kind != succeeded || resp.Stream == nil {
 			t.Fatalf("outcome %v, %d bytes and no stream", kind, len(resp.Body))
 		}
 		var ended FailureKind
 		resp.Stream.NotifyClose(func(err error) { ended = kindOf(t, err) })
 		n, err := io.CopyN(io.Discard, resp.Stream, MaxStreamedBody+1<<20)
-		if want := map[bool]error{false: errResponseTooLong}[passThrough]; !errors.Is(err, want) {
-			t.Errorf("pass through %v: after %d bytes %v", passThrough, n, err)
+		want := errResponseTooLong
+		if passThrough {
+			want = nil
+		}
+		if !errors.Is(err, want) {
+			t.Errorf("pass through %v: after %d bytes %v, want %v", passThrough, n, err, want)
 		}
 		if resp.Stream.Close(); !passThrough && (n > MaxStreamedBody || ended != Reset) {
 			t.Errorf("%d bytes passed, ended %v", n, ended)
@@ -102,24 +112,24 @@
 	}()
 	req := newRequest("/c")
 	req.Method, req.Body = http.MethodPost, make([]byte, 64<<20) // more than socket buffers hold
-	if r, _ := roundTrip(t, newTestPool(t, l.Addr().String()), attemptWithin(patience), "a", req); r != ConnectFailed {
+	if r, _ := roundTrip(t, newTestPool(t, l.Addr().String()), attemptWithin(waitTimeout), "a", req); r != ConnectFailed {
 		t.Errorf("outcome %v", r)
 	}
 }
 
-// The connection must be closed before RoundTrip returns: the next attempt would be a second one in
-// flight.
+// The connection must be closed before RoundTrip returns: the next attempt would be in flight at
+// the same time.
 func TestTimeoutAndCancelCloseTheConn(t *testing.T) {
 	for _, want := range []FailureKind{TimedOut, Canceled} {
 		received, closed := make(chan bool, 1), make(chan error, 1)
-		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+		e := startEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 			received <- true
 			_, err := nc.Read(make([]byte, 1))
 			closed <- err
 			return false
 		})
 		p := newTestPool(t, e.Addr)
-		a := attemptWithin(patience)
+		a := attemptWithin(waitTimeout)
 		if want == TimedOut {
 			a = attemptWithin(300 * time.Millisecond)
 		} else {
@@ -133,30 +143,30 @@
 			t.Errorf("%v: the connection is still open", want)
 		}
 		if err := <-closed; err == nil {
-			t.Errorf("%v: the endpoint read on", want)
+			t.Errorf("%v: the endpoint could read more", want)
 		}
 	}
 }
 
-// net/http's Transport would resend these by itself.
+// net/http's Transport would resend such requests by itself.
 func TestRequestOnBrokenReusedConnIsNotResent(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
+		e := startEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
 			if n > 1 {
 				return false
 			}
-			io.WriteString(nc, served)
+			io.WriteString(nc, okResponse)
 			return true
 		})
 		p := newTestPool(t, e.Addr)
 		req := newRequest("/c")
 		req.Method = method
 		req.Header.Set("Idempotency-Key", "k")
-		if r, _ := roundTrip(t, p, attemptWithin(patience), "a", req); r != succeeded {
+		if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != succeeded {
 			t.Fatalf("first: %v", r)
 		}
-		if r, _ := roundTrip(t, p, attemptWithin(patience), "a", req); r != Reset {
-			t.Errorf("%s on a connection that broke: %v", method, r)
+		if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != Reset {
+			t.Errorf("%s on a broken connection: %v", method, r)
 		}
 		if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
 			t.Errorf("%s: %d requests on %d connections", method, n, c)
@@ -164,20 +174,20 @@
 	}
 }
 
-// CancelUnlessWritten ends an attempt whose request has not been written completely, and no other.
+// CancelUnlessWritten does not cancel an attempt whose request has been written completely.
 func TestWrittenRequestIsNotCanceled(t *testing.T) {
 	received, release := make(chan bool), make(chan bool)
-	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+	e := startEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		received <- true
 		<-release
-		io.WriteString(nc, served)
+		io.WriteString(nc, okResponse)
 		return true
 	})
 	p := newTestPool(t, e.Addr)
-	a := attemptWithin(patience)
+	a := attemptWithin(waitTimeout)
 	ended := getAsync(t, p, a)
 	<-received
-	until(t, "the request is marked as written", func() bool {
+	waitUntil(t, "the request is marked as written", func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		return a.requestWritten
--- a/internal/connpool/helpers_test.go
+++ b/internal/connpool/helpers_test.go
@@ -10,36 +10,40 @@
 	"testing"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
 // What tests here use most.
 const (
-	patience = testpeer.WaitTimeout
-	served   = testpeer.OKResponse
+	waitTimeout = testpeer.WaitTimeout
+	okResponse  = testpeer.OKResponse
+	keepConn    = testpeer.KeepConn
+	closeConn   = testpeer.CloseConn
 )
 
 var (
-	newEndpoint = testpeer.StartEndpoint
-	says        = testpeer.RespondWith
-	until       = testpeer.WaitUntil
+	startEndpoint = testpeer.StartEndpoint
+	respondWith   = testpeer.RespondWith
+	waitUntil     = testpeer.WaitUntil
 )
 
 // newTestPool returns a Pool with endpoints at the addresses given, named a, b, ...
 func newTestPool(t *testing.T, addrs ...string) *Pool {
 	t.Helper()
-	p := New(Options{IdleTimeout: time.Minute, DialTimeout: patience, MaxConns: 100})
+	p := New(Options{IdleTimeout: time.Minute, DialTimeout: waitTimeout, MaxConns: 100})
 	for i, addr := range addrs {
 		p.SetEndpoint(string(rune('a'+i)), addr, true)
 	}
-	t.Cleanup(func() { p.sweepIdle(func(*conn) bool { return false }) })
+	t.Cleanup(p.closeAllIdle)
 	return p
 }
 
 // newRequest returns a GET request without a body.
 func newRequest(path string) *Request {
 	return &Request{
-		Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "api.internal", Header: http.Header{"Req-Id": {"r1"}},
+		Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "api.internal",
+		Header: http.Header{platform.RequestIDHeader: {"r1"}},
 	}
 }
 
@@ -69,11 +73,12 @@
 // getOnce makes an attempt at endpoint a with a request without a body.
 func getOnce(t *testing.T, p *Pool) FailureKind {
 	t.Helper()
-	kind, _ := roundTrip(t, p, attemptWithin(patience), "a", newRequest("/c"))
+	kind, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", newRequest("/c"))
 	return kind
 }
 
-// getAsync does so with an attempt of the caller's, and sends how it ended.
+// getAsync makes the given attempt at endpoint a with a request without a body, and sends how it
+// ended.
 func getAsync(t *testing.T, p *Pool, a *Attempt) <-chan FailureKind {
 	ended := make(chan FailureKind, 1)
 	go func() {
@@ -83,28 +88,29 @@
 	return ended
 }
 
-// attemptWithin returns an attempt with a deadline after so long.
-func attemptWithin(d time.Duration) *Attempt {
-	return &Attempt{Deadline: time.Now().Add(d)}
+// attemptWithin returns an attempt whose deadline is after timeout.
+func attemptWithin(timeout time.Duration) *Attempt {
+	return &Attempt{Deadline: time.Now().Add(timeout)}
 }
 
-// holdNextDial makes the next dial wait once its connection is up, until release is closed.
-func holdNextDial(p *Pool) (connected <-chan net.Conn, release chan<- bool) {
-	up, held := make(chan net.Conn, 1), make(chan bool)
+// blockNextDial makes the next dial wait once its connection is established, until release is
+// closed, even if it is canceled meanwhile.
+func blockNextDial(p *Pool) (connected <-chan net.Conn, release chan<- bool) {
+	established, blocked := make(chan net.Conn, 1), make(chan bool)
 	dial := p.dial
 	var once sync.Once
 	p.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := dial(context.WithoutCancel(ctx), network, addr)
 		once.Do(func() {
-			up <- nc
-			<-held
+			established <- nc
+			<-blocked
 		})
 		return nc, err
 	}
-	return up, held
+	return established, blocked
 }
 
-// loopbackConns returns both ends of a connection.
+// loopbackConns returns both ends of a TCP connection.
 func loopbackConns(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -5,67 +5,57 @@
 	"time"
 )
 
-const (
-	sweepInterval = 100 * time.Millisecond // between two checks of all idle connections
-	minIdleAge    = 100 * time.Millisecond // idle connections this young are reused whatever closes were seen
-)
+// sweepInterval is the time between two checks of all idle connections.
+const sweepInterval = 100 * time.Millisecond
 
-// Run closes idle connections that have died or have been idle for too long, until ctx is done.
-// Then it closes all idle connections and returns.
+// Run closes idle connections that are closed at the other end or have been idle for too long,
+// until ctx is done. Then it closes all idle connections and returns.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			p.sweepIdle(func(*conn) bool { return false })
+			p.closeAllIdle()
 			return
 		case now := <-ticker.C:
-			p.sweepIdle(func(c *conn) bool { return p.usableLocked(c, now) })
+			p.closeUnusableIdle(now)
 		}
 	}
 }
 
-// sweepIdle closes the idle connections for which keep returns false. It calls keep with mu held.
-func (p *Pool) sweepIdle(keep func(*conn) bool) {
+// closeUnusableIdle closes the idle connections that may not be reused.
+func (p *Pool) closeUnusableIdle(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.endpoints {
-		remaining := e.idle[:0]
-		for _, c := range e.idle {
-			if keep(c) {
-				remaining = append(remaining, c)
-			} else {
-				p.closeLocked(c)
-			}
-		}
-		clear(e.idle[len(remaining):])
-		e.idle = remaining
+		p.closeIdleUnlessLocked(e, func(c *conn) bool { return p.usableLocked(c, now) })
 	}
 }
 
-// usableLocked reports whether an idle connection may carry another request, and learns from one
-// that its endpoint has closed.
-//
-// Endpoints may close sooner than the options say, and a request that crosses the close ends as a
-// reset, which may not be retried if the request must not run twice. So from the first close seen
-// on, connections are reused for half of the shortest idle time that ended in a close. A close
-// right behind a response says nothing of how long endpoints keep idle connections. mu must be
-// held.
+// closeAllIdle closes all idle connections.
+func (p *Pool) closeAllIdle() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, e := range p.endpoints {
+		p.closeIdleLocked(e)
+	}
+}
+
+// usableLocked reports whether an idle connection may carry another request. The policy learns from
+// one that the endpoint has closed. mu must be held.
 func (p *Pool) usableLocked(c *conn, now time.Time) bool {
 	idleFor := now.Sub(c.idleSince)
 	if c.hasPendingInput() {
-		if idleFor > p.quarantine+sweepInterval { // else it may have come during the quarantine
-			p.maxIdleAge = min(p.maxIdleAge, max(idleFor/2, minIdleAge))
-		}
+		p.idlePolicy.observeClose(idleFor)
 		return false
 	}
-	return idleFor < p.maxIdleAge
+	return p.idlePolicy.allowsReuse(idleFor)
 }
 
-// releaseConn keeps a connection for the next attempt, unless its endpoint has changed meanwhile or
-// too many are open. A response has been read from it completely, so the endpoint's latest failure
-// is forgotten.
+// releaseConn makes a connection idle, for the next attempt, unless its endpoint has changed
+// meanwhile or too many are open. A response has been read from it completely, so the endpoint's
+// latest failure is forgotten.
 func (p *Pool) releaseConn(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,8 +63,9 @@
 		p.closeLocked(c)
 		return
 	}
-	c.idleSince, c.endpoint.lastFailure = time.Now(), ""
-	c.endpoint.idle = append(c.endpoint.idle, c)
+	c.idleSince = time.Now()
+	c.endpoint.lastFailure = ""
+	c.endpoint.idle.add(c)
 }
 
 // closeConn closes a connection that is in use.
@@ -84,8 +75,8 @@
 	p.closeLocked(c)
 }
 
-// closeLocked closes a connection. The caller takes it out of the idle ones where it is one of
-// them. mu must be held: the close and the count change together.
+// closeLocked closes a connection. An idle one has to be removed from its idleConns by the caller.
+// mu must be held: the close and the count change together.
 func (p *Pool) closeLocked(c *conn) {
 	c.Close()
 	p.openConns--
@@ -93,13 +84,22 @@
 
 // closeIdleLocked closes an endpoint's idle connections. mu must be held.
 func (p *Pool) closeIdleLocked(e *endpointConns) {
-	for _, c := range e.idle {
+	p.closeIdleUnlessLocked(e, func(*conn) bool { return false })
+}
+
+// closeIdleUnlessLocked closes an endpoint's idle connections but for those that isUsable reports
+// as usable. mu must be held.
+func (p *Pool) closeIdleUnlessLocked(e *endpointConns, isUsable func(*conn) bool) {
+	e.idle.removeIf(func(c *conn) bool {
+		if isUsable(c) {
+			return false
+		}
 		p.closeLocked(c)
-	}
-	e.idle = nil
+		return true
+	})
 }
 
-// evictOldestIdleLocked closes the connection that has been idle longest, at whatever endpoint, and
+// evictOldestIdleLocked closes the connection that has been idle longest, of all endpoints, and
 // reports whether there was one. mu must be held.
 func (p *Pool) evictOldestIdleLocked() bool {
 	var oldest *endpointConns
@@ -111,7 +111,6 @@
 	if oldest == nil {
 		return false
 	}
-	p.closeLocked(oldest.idle[0])
-	oldest.idle = append(oldest.idle[:0], oldest.idle[1:]...)
+	p.closeLocked(oldest.idle.takeOldest())
 	return true
 }
--- a/internal/connpool/idle_test.go
+++ b/internal/connpool/idle_test.go
@@ -9,10 +9,10 @@
 )
 
 func TestDeadIdleConnIsNotReused(t *testing.T) {
-	for name, extra := range map[string]string{"closed": "", "bytes that nobody asked for": "x"} {
+	for name, extra := range map[string]string{"closed": "", "bytes without a request": "x"} {
 		responseRead := make(chan bool, 1)
-		e := newEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
-			io.WriteString(nc, served)
+		e := startEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
+			io.WriteString(nc, okResponse)
 			if n == 1 {
 				<-responseRead
 				io.WriteString(nc, extra)
@@ -24,7 +24,7 @@
 			t.Fatalf("%s: first: %v", name, r)
 		}
 		responseRead <- true
-		until(t, name, func() bool { idle := p.endpoints["a"].idle; return len(idle) == 0 || idle[0].hasPendingInput() })
+		waitUntil(t, name, func() bool { idle := p.endpoints["a"].idle; return len(idle) == 0 || idle[0].hasPendingInput() })
 		if r := getOnce(t, p); r != succeeded {
 			t.Errorf("%s: second: %v", name, r)
 		}
@@ -35,8 +35,8 @@
 }
 
 func TestConnsAreReusedAndRetired(t *testing.T) {
-	e := newEndpoint(t, says(served, true))
-	other := newEndpoint(t, says(served, true))
+	e := startEndpoint(t, respondWith(okResponse, keepConn))
+	other := startEndpoint(t, respondWith(okResponse, keepConn))
 	p := newTestPool(t, e.Addr)
 	getOn := func(want int32) {
 		t.Helper()
@@ -49,7 +49,7 @@
 	}
 	getOn(1)
 	getOn(1)
-	p.endpoints["a"].idle[0].idleSince = time.Now().Add(-p.maxIdleAge) // the endpoint may close it at any moment
+	p.endpoints["a"].idle[0].idleSince = time.Now().Add(-p.idlePolicy.maxIdle) // the endpoint may close it at any moment
 	getOn(2)
 	p.SetEndpoint("a", other.Addr, true) // moved: the old connection leads elsewhere
 	getOn(2)
@@ -62,12 +62,13 @@
 	}
 }
 
-// Seen where endpoints closed idle connections after 0.25 to 0.6 s, with a configured timeout of 30
-// s: of the requests sent on connections nearly that old, one in ten crossed the close.
-func TestEarlyCloseShortensMaxIdleAge(t *testing.T) {
+// Endpoints with a configured timeout of 30 s have been seen to close idle connections after 0.25
+// to 0.6 s: one in ten of the requests sent on connections that were idle for nearly that long
+// crossed the close.
+func TestEarlyCloseShortensIdleMaximum(t *testing.T) {
 	closeNow := make(chan bool)
-	e := newEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
-		io.WriteString(nc, served)
+	e := startEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
+		io.WriteString(nc, okResponse)
 		if n == 1 {
 			<-closeNow
 		}
@@ -83,27 +84,27 @@
 	idle := func() *conn { return p.endpoints["a"].idle[0] }
 	send()
 	close(closeNow)
-	until(t, "the close arrives", func() bool { return idle().hasPendingInput() })
+	waitUntil(t, "the close arrives", func() bool { return idle().hasPendingInput() })
 	idle().idleSince = time.Now().Add(-time.Second)
-	p.sweepIdle(func(c *conn) bool { return p.usableLocked(c, time.Now()) })
+	p.closeUnusableIdle(time.Now())
 	if p.openConns != 0 {
 		t.Errorf("%d connections are open after the close", p.openConns)
 	}
 	send()
-	for age, want := range map[time.Duration]bool{400 * time.Millisecond: true, 700 * time.Millisecond: false} {
-		now := idle().idleSince.Add(age)
+	for idleFor, want := range map[time.Duration]bool{400 * time.Millisecond: true, 700 * time.Millisecond: false} {
+		now := idle().idleSince.Add(idleFor)
 		if got := p.usableLocked(idle(), now); got != want {
-			t.Errorf("idle for %v, after a close at 1 s: usable %v", age, got)
+			t.Errorf("idle for %v, after a close at 1 s: usable %v", idleFor, got)
 		}
 	}
 }
 
 func TestOldestIdleConnIsEvictedForNewConn(t *testing.T) {
-	e, f := newEndpoint(t, says(served, true)), newEndpoint(t, says(served, true))
+	e, f := startEndpoint(t, respondWith(okResponse, keepConn)), startEndpoint(t, respondWith(okResponse, keepConn))
 	p := newTestPool(t, e.Addr, f.Addr)
 	p.maxConns = 1
 	for _, id := range []string{"a", "b", "a"} {
-		if r, _ := roundTrip(t, p, attemptWithin(patience), id, newRequest("/c")); r != succeeded {
+		if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), id, newRequest("/c")); r != succeeded {
 			t.Errorf("%s: %v", id, r)
 		}
 		if p.openConns != 1 {
@@ -112,13 +113,13 @@
 	}
 }
 
-// While two processes share the limit, each closes idle connections beyond its part.
+// Two processes of a handover divide the limit: each closes idle connections beyond its part.
 func TestSetMaxConnsClosesIdleConns(t *testing.T) {
-	e := newEndpoint(t, says(served, true))
+	e := startEndpoint(t, respondWith(okResponse, keepConn))
 	p := newTestPool(t, e.Addr)
 	inUse := make([]*conn, 0, 6)
 	for range 6 {
-		c, err := p.acquireConn(attemptWithin(patience), "a")
+		c, err := p.acquireConn(attemptWithin(waitTimeout), "a")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +129,7 @@
 		p.releaseConn(c)
 	}
 	p.SetMaxConns(3)
-	if _, _, open := p.Counts(); open != 3 {
+	if open := p.Counts().Open; open != 3 {
 		t.Errorf("%d are open", open)
 	}
 	p.SetMaxConns(1)
@@ -140,17 +141,17 @@
 	}
 }
 
-// A close right behind a response says nothing of how long endpoints keep idle connections.
-func TestCloseRightAfterResponseKeepsMaxIdleAge(t *testing.T) {
-	e := newEndpoint(t, says(served, false))
+// A close right after a response says nothing about how long endpoints keep idle connections open.
+func TestCloseRightAfterResponseKeepsIdleMaximum(t *testing.T) {
+	e := startEndpoint(t, respondWith(okResponse, closeConn))
 	p := newTestPool(t, e.Addr)
 	if r := getOnce(t, p); r != succeeded {
 		t.Fatal(r)
 	}
 	c := p.endpoints["a"].idle[0]
-	until(t, "the close arrives", c.hasPendingInput)
-	before := p.maxIdleAge
-	if p.usableLocked(c, c.idleSince.Add(sweepInterval)) || p.maxIdleAge != before {
-		t.Errorf("the maximum idle age is %v now", p.maxIdleAge)
+	waitUntil(t, "the close arrives", c.hasPendingInput)
+	before := p.idlePolicy.maxIdle
+	if p.usableLocked(c, c.idleSince.Add(sweepInterval)) || p.idlePolicy.maxIdle != before {
+		t.Errorf("connections are reused for %v, want %v", p.idlePolicy.maxIdle, before)
 	}
 }
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,12 +1,12 @@
-// Package connpool keeps the connections to a pool's endpoints and carries out one HTTP/1.1
-// exchange at a time on each: it dials, writes a request, reads the response and keeps the
+// Package connpool manages the connections to a pool's endpoints and carries out one HTTP/1.1
+// exchange at a time on each: it dials, writes a request, reads the response and reuses the
 // connection for the next request.
 //
-// It sends nothing again by itself. A request of which a single byte has been written ends as a
-// response or as an *Error, whose kind says what is known: whether the request can have run, and
-// who ended it. Whether to retry is the caller's decision. net/http's Transport is not used because
-// it resends some requests by itself when a reused connection breaks, which would be a second
-// attempt that nobody decided on, and because it dials spare connections.
+// It never retries. A request of which a single byte has been written ends as a response or as an
+// *Error, whose kind says what is known: whether the request can have run, and what ended it. The
+// Balancer decides whether to retry. net/http's Transport is not used because it resends some
+// requests by itself when a reused connection breaks, which would be a second attempt that the
+// Balancer did not decide on, and because it dials spare connections.
 package connpool
 
 import (
@@ -20,10 +20,6 @@
 const (
 	defaultIdleTimeout = 15 * time.Second
 	defaultDialTimeout = 250 * time.Millisecond
-
-	// idleTimeoutFraction is the part of an endpoint's idle timeout after which a connection is no
-	// longer reused: a request that crosses the endpoint's close would be lost.
-	idleTimeoutFraction = 0.9
 )
 
 // Options configure a Pool.
@@ -31,7 +27,7 @@
 	IdleTimeout time.Duration // after which endpoints close an idle connection; 0: 15 s
 	DialTimeout time.Duration // after which a dial has failed; 0: 250 ms
 	MaxConns    int           // connections open at once, idle ones and dials included
-	Quarantine  time.Duration // for which a connection is not reused after a response, see Pool
+	Quarantine  time.Duration // between a response and the reuse of its connection, see Pool
 	PassThrough bool          // whether all responses with a status below 500 are successes; else only 200 is
 	DialContext DialFunc      // opens connections; nil: a net.Dialer
 }
@@ -39,9 +35,9 @@
 // DialFunc opens a TCP connection to an address. Its signature is that of net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Pool keeps connections to the endpoints it was given with SetEndpoint.
+// Pool has the connections to the endpoints that were set with SetEndpoint.
 //
-// A connection that has carried a complete response becomes idle and is in quarantine first: an
+// A connection that has carried a complete response becomes idle and is in quarantine at first: an
 // endpoint that sends a second response sends it soon after the first, and it must not be taken for
 // the response to the next request. The most recently used connection past its quarantine is reused
 // first.
@@ -55,14 +51,12 @@
 	// is held for bookkeeping and for the calls that don't block (the close of a connection, the
 	// check for pending input), never while a connection is dialed, read or written, nor while an
 	// attempt waits. No other lock of this package is taken while it is held.
-	mu                  sync.Mutex
-	dialTimeout         time.Duration
-	maxConns            int
-	quarantine          time.Duration
-	endpointIdleTimeout time.Duration // as configured
-	maxIdleAge          time.Duration // idle connections older than this are not reused
-	openConns           int           // connections that are open or being dialed
-	endpoints           map[string]*endpointConns
+	mu          sync.Mutex
+	dialTimeout time.Duration
+	maxConns    int
+	openConns   int // connections that are open or being dialed
+	idlePolicy  idlePolicy
+	endpoints   map[string]*endpointConns
 }
 
 // New returns a Pool without endpoints.
@@ -81,7 +75,7 @@
 }
 
 // Configure replaces the timeouts and limits; PassThrough and DialContext stay as they were in New.
-// The maximum idle age that was learned from early closes stands until IdleTimeout changes.
+// What was learned from the endpoints' closes is kept until IdleTimeout changes.
 func (p *Pool) Configure(o Options) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,11 +85,9 @@
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = defaultDialTimeout
 	}
-	if p.endpointIdleTimeout != o.IdleTimeout {
-		p.endpointIdleTimeout = o.IdleTimeout
-		p.maxIdleAge = time.Duration(float64(o.IdleTimeout) * idleTimeoutFraction)
-	}
-	p.dialTimeout, p.maxConns, p.quarantine = o.DialTimeout, o.MaxConns, o.Quarantine
+	p.dialTimeout = o.DialTimeout
+	p.maxConns = o.MaxConns
+	p.idlePolicy.configure(o.IdleTimeout, o.Quarantine)
 }
 
 // SetMaxConns sets how many connections may be open at once. Idle connections beyond that are
@@ -111,38 +103,3 @@
 
 // RequestsWritten returns how many requests have been written completely so far. It takes no lock.
 func (p *Pool) RequestsWritten() int64 { return p.requestsWritten.Load() }
-
-// Counts returns how many endpoints accept new requests, how many do not, and how many connections
-// are open or being dialed, idle ones included.
-func (p *Pool) Counts() (accepting, draining, open int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, e := range p.endpoints {
-		if e.accepting {
-			accepting++
-		} else {
-			draining++
-		}
-	}
-	return accepting, draining, p.openConns
-}
-
-// EndpointStatus returns how many connections to an endpoint are idle, and how the latest failed
-// attempt there failed. The failure is empty where no attempt has failed since the latest success.
-func (p *Pool) EndpointStatus(id string) (idle int, lastFailure string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if e := p.endpoints[id]; e != nil {
-		return len(e.idle), e.lastFailure
-	}
-	return 0, ""
-}
-
-// recordFailure notes how an attempt at an endpoint failed.
-func (p *Pool) recordFailure(id string, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if e := p.endpoints[id]; e != nil {
-		e.lastFailure = err.Error()
-	}
-}
--- a/internal/connpool/response.go
+++ b/internal/connpool/response.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	maxInterimResponses = 8                     // 1xx responses ahead of the final one
-	minBodyGrowth       = 4 << 10               // bytes by which the buffer for a body of unknown length grows at least
-	streamAfter         = 50 * time.Millisecond // a body of unknown length that has not ended by then is streamed
+	maxInterimResponses = 8                     // 1xx responses before the final one
+	minBodyGrowth       = 4 << 10               // bytes by which the buffer of a body of unknown length grows at least
+	streamAfter         = 50 * time.Millisecond // after which a body of unknown length that has not ended is streamed
 )
 
 // The requests by which net/http knows whether a response is one to HEAD, which has no body.
@@ -29,34 +29,39 @@
 type responseReader struct {
 	pool     *Pool
 	conn     *conn
-	deadline time.Time // of the response's end, as far as it is not streamed
+	deadline time.Time // of the response's end, unless it is streamed
+}
+
+// receivedResponse is a response that was read, completely or up to its Stream.
+type receivedResponse struct {
+	response Response
+	isLast   bool // no other response can be read from the connection
 }
 
 // bodyFraming says where the body of a response ends.
 type bodyFraming struct {
-	length     int64 // in bytes, or http1.Chunked or http1.UntilClose
-	lastOnConn bool  // the endpoint closes the connection behind the response
+	length int64 // in bytes, or http1.Chunked or http1.UntilClose
+	isLast bool  // the endpoint closes the connection after the response
 }
 
-// read reads a response completely, or the beginning of one that is long or slow to arrive, and
-// reports whether it is the connection's last. A response that is not passed on to the client is
-// read completely or not at all.
-func (r responseReader) read(method string) (resp Response, last bool, err error) {
+// read reads a response completely, or the beginning of one that is long or slow to arrive. A
+// response that is not passed on to the client is read completely or not at all.
+func (r responseReader) read(method string) (receivedResponse, error) {
 	c := r.conn
 	c.readLimit.N = MaxHead
 	if method != http.MethodHead {
 		if _, err := c.reader.Peek(1); err != nil {
-			return Response{}, true, err
+			return receivedResponse{}, err
 		}
 		buffered, _ := c.reader.Peek(c.reader.Buffered())
-		if status, h, size, length, ok := http1.ParseResponse(buffered); ok {
-			_, _ = c.reader.Discard(size) // is buffered, so it can't fail
-			return r.readBody(Response{Status: status, Header: h}, bodyFraming{length: int64(length)})
+		if head, ok := http1.ParseResponse(buffered); ok {
+			_, _ = c.reader.Discard(head.Size) // is buffered, so it can't fail
+			return r.readBody(Response{Status: head.Status, Header: head.Header}, bodyFraming{length: int64(head.BodyLength)})
 		}
 	}
 	head, err := c.readResponseHead(method)
 	if err != nil {
-		return Response{}, true, err
+		return receivedResponse{}, err
 	}
 	return r.readBody(Response{Status: head.StatusCode, Header: head.Header}, framingOf(head, method))
 }
@@ -79,48 +84,47 @@
 
 // framingOf returns the framing of a response's body (RFC 9112, section 6.3).
 func framingOf(head *http.Response, method string) bodyFraming {
-	f := bodyFraming{length: head.ContentLength, lastOnConn: head.Close}
 	switch {
 	case method == http.MethodHead, head.StatusCode == http.StatusNoContent,
 		head.StatusCode == http.StatusNotModified:
-		f.length = 0
+		return bodyFraming{length: 0, isLast: head.Close}
 	case len(head.TransferEncoding) > 0:
-		f.length = http1.Chunked
-	case f.length < 0:
-		f.length, f.lastOnConn = http1.UntilClose, true
+		return bodyFraming{length: http1.Chunked, isLast: head.Close}
+	case head.ContentLength < 0:
+		return bodyFraming{length: http1.UntilClose, isLast: true}
 	}
-	return f
+	return bodyFraming{length: head.ContentLength, isLast: head.Close}
 }
 
-// readBody reads the body of a response of known length if it is short, and streams a long one.
-func (r responseReader) readBody(resp Response, f bodyFraming) (Response, bool, error) {
+// readBody reads a body of known length if it is short, and streams a long one.
+func (r responseReader) readBody(resp Response, f bodyFraming) (receivedResponse, error) {
 	r.conn.readLimit.N = math.MaxInt64
 	body := http1.NewBody(bodySource{r.conn}, f.length)
+	mayBeLong := f.length > MaxBody || f.length < 0
 	switch {
-	case !r.pool.isSuccess(resp.Status) && (f.length > MaxBody || f.length < 0):
-		return resp, true, nil
+	case mayBeLong && !r.pool.isSuccess(resp.Status):
+		return receivedResponse{response: resp, isLast: true}, nil // its body is not read
 	case f.length > r.pool.maxBodyLength():
-		return resp, true, errResponseTooLong
+		return receivedResponse{}, errResponseTooLong
 	case f.length > MaxBody:
-		return r.stream(resp, body, f), f.lastOnConn, nil
-	case f.length >= 0:
-		resp.Body = make([]byte, f.length)
-		_, err := io.ReadFull(body, resp.Body)
-		if f.length == 0 {
-			err = nil
-		}
-		return resp, f.lastOnConn, err
+		return r.stream(resp, body, f), nil
+	case f.length < 0:
+		return r.readBodyOfUnknownLength(resp, body, f)
+	}
+	resp.Body = make([]byte, f.length)
+	if _, err := io.ReadFull(body, resp.Body); err != nil {
+		return receivedResponse{}, err
 	}
-	return r.readBodyOfUnknownLength(resp, body, f)
+	return receivedResponse{response: resp, isLast: f.isLast}, nil
 }
 
 // readBodyOfUnknownLength reads a body that ends soon, and streams any other: it may be long.
 func (r responseReader) readBodyOfUnknownLength(
 	resp Response, body *http1.Body, f bodyFraming,
-) (Response, bool, error) {
-	soon := time.Now().Add(streamAfter)
-	if soon.Before(r.deadline) && r.conn.SetReadDeadline(soon) != nil {
-		return resp, true, errConnClosed
+) (receivedResponse, error) {
+	streamAt := time.Now().Add(streamAfter)
+	if streamAt.Before(r.deadline) && r.conn.SetReadDeadline(streamAt) != nil {
+		return receivedResponse{}, errConnClosed
 	}
 	resp.Body = make([]byte, 0, minBodyGrowth)
 	for !body.Ended() && len(resp.Body) < MaxBody {
@@ -131,29 +135,29 @@
 			break
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(r.deadline) {
-			return r.stream(resp, body, f), f.lastOnConn, nil
+			return r.stream(resp, body, f), nil
 		}
 		if err != nil {
-			return resp, true, err
+			return receivedResponse{}, err
 		}
 	}
 	if !body.Ended() {
-		resp = r.stream(resp, body, f)
+		return r.stream(resp, body, f), nil
 	}
-	return resp, f.lastOnConn, nil
+	return receivedResponse{response: resp, isLast: f.isLast}, nil
 }
 
-// stream returns the response with what follows of its body as a Stream.
-func (r responseReader) stream(resp Response, body *http1.Body, f bodyFraming) Response {
+// stream returns the response with the remaining body as a Stream.
+func (r responseReader) stream(resp Response, body *http1.Body, f bodyFraming) receivedResponse {
 	resp.Length = f.length
 	resp.Stream = &Stream{
-		conn: r.conn, pool: r.pool, body: body, lastOnConn: f.lastOnConn, remaining: r.pool.maxBodyLength(),
+		conn: r.conn, pool: r.pool, body: body, lastOnConn: f.isLast, remaining: r.pool.maxBodyLength(),
 	}
-	return resp
+	return receivedResponse{response: resp, isLast: f.isLast}
 }
 
-// maxBodyLength returns how many bytes a response's body may have. What is passed through has no
-// bound known here.
+// maxBodyLength returns how many bytes a response's body may have. A pool that passes responses
+// through has no maximum.
 func (p *Pool) maxBodyLength() int64 {
 	if p.passThrough {
 		return math.MaxInt64
--- a/internal/connpool/stream.go
+++ b/internal/connpool/stream.go
@@ -9,22 +9,22 @@
 	"rowancart/internal/http1"
 )
 
-// Stream is the rest of a response that is passed on while it arrives. It owns its connection until
-// Close or Discard.
+// Stream is the remaining body of a response that is passed on while it arrives. It owns its
+// connection until Close or Discard.
 type Stream struct {
 	conn       *conn
 	pool       *Pool
 	body       *http1.Body
-	lastOnConn bool            // the endpoint closes the connection behind this response
-	remaining  int64           // bytes that it may still bring
+	lastOnConn bool            // the endpoint closes the connection after this response
+	remaining  int64           // bytes that may still arrive
 	onClose    func(err error) // see NotifyClose
-	readErr    error           // why it could not be read on
+	readErr    error           // of the latest failed Read; nil: none
 	closed     atomic.Bool
 }
 
-// NotifyClose sets the function that Close calls, once, with nil where the response was read to its
-// end and with an *Error of kind Reset or Canceled where it was not. It must be called before the
-// Stream is handed on.
+// NotifyClose sets the function that Close calls, once, with nil if the response was read to its
+// end and with an *Error of kind Reset or Canceled if it was not. NotifyClose must be called before
+// the Stream is passed to its reader.
 func (s *Stream) NotifyClose(onClose func(err error)) { s.onClose = onClose }
 
 // Ended reports whether the response was read to its end.
@@ -46,18 +46,18 @@
 	return n, err
 }
 
-// Cancel ends a Read in progress and makes all later ones fail: the client has gone. It may be
-// called from any goroutine.
+// Cancel ends a Read in progress and makes all later ones fail, since the client has disconnected.
+// It may be called from any goroutine.
 func (s *Stream) Cancel() { s.conn.Close() }
 
-// Close ends the stream. Its connection is kept for the next request if the response was read to
+// Close ends the stream. Its connection is reused for the next request if the response was read to
 // its end.
 func (s *Stream) Close() error {
 	if s.closed.Swap(true) {
 		return nil
 	}
 	err := s.outcome()
-	if err == nil && !s.lastOnConn && s.conn.reader.Buffered() == 0 && s.conn.SetDeadline(time.Time{}) == nil {
+	if err == nil && s.makeReusable() {
 		s.pool.releaseConn(s.conn)
 	} else {
 		s.pool.closeConn(s.conn)
@@ -68,6 +68,11 @@
 	return nil
 }
 
+// makeReusable prepares the connection for another exchange and reports whether it can carry one.
+func (s *Stream) makeReusable() bool {
+	return !s.lastOnConn && s.conn.reader.Buffered() == 0 && s.conn.SetDeadline(time.Time{}) == nil
+}
+
 // outcome returns nil for a response that was read to its end, else an *Error.
 func (s *Stream) outcome() error {
 	switch {
--- /dev/null
+++ b/internal/connpool/upload.go
@@ -0,0 +1,166 @@
+package connpool
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"time"
+
+	"rowancart/internal/http1"
+)
+
+// uploadCheckInterval is the time between two checks of the client's deadline while an endpoint
+// reads nothing.
+const uploadCheckInterval = 100 * time.Millisecond
+
+// writeUploadRequest writes a request with a long body. What is read from the client is written at
+// once, so that a slow endpoint slows its client down and nothing accumulates here.
+func (c *conn) writeUploadRequest(a *Attempt, req *Request) error {
+	upload := req.Upload
+	if upload.Remaining != nil && upload.consumed.Load() {
+		return errUploadFailed // another attempt has read it
+	}
+	timeout := time.Until(a.Deadline)
+	if upload.Remaining != nil {
+		timeout = time.Until(req.clientDeadline())
+	}
+	c.writeBuffer = req.appendHead(c.writeBuffer[:0], timeout)
+	if err := c.writeAll(c.writeBuffer); err != nil {
+		return err
+	}
+	if err := c.writeUpload(req); err != nil {
+		return err
+	}
+	if upload.Remaining != nil {
+		a.Deadline = req.clientDeadline()
+		// An error means that the attempt was canceled, which the read of the response finds. The
+		// request has been written and may run, so this is not a failed write.
+		_ = c.SetDeadline(a.Deadline)
+	}
+	return nil
+}
+
+// writeUpload writes the body of a request with an Upload.
+func (c *conn) writeUpload(req *Request) error {
+	buffer := http1.Buffers.Get().(*[]byte)
+	defer http1.Buffers.Put(buffer)
+	w := uploadWriter{conn: c, request: req, upload: req.Upload, buffer: *buffer}
+	if err := w.writeBuffered(req.Body); err != nil {
+		return err
+	}
+	for _, b := range w.upload.Buffered {
+		if err := w.writeBuffered(b); err != nil {
+			return err
+		}
+	}
+	if w.upload.Remaining == nil {
+		return nil
+	}
+	return w.writeRemaining()
+}
+
+// uploadWriter writes the pieces of a long body to a connection.
+type uploadWriter struct {
+	conn    *conn
+	request *Request
+	upload  *Upload
+	buffer  []byte // one of http1.Buffers: a piece of the body, with space for its chunk framing
+}
+
+// piece returns the part of the buffer that a piece of the body is read into.
+func (w *uploadWriter) piece() []byte {
+	return w.buffer[http1.ChunkHead : http1.ChunkHead+http1.BufferSize]
+}
+
+// framedPiece returns the first n bytes of piece as they are written: as a chunk if the length of
+// the body is unknown.
+func (w *uploadWriter) framedPiece(n int) []byte {
+	if w.upload.Length < 0 {
+		return http1.AppendChunkFraming(w.buffer, n)
+	}
+	return w.piece()[:n]
+}
+
+// writeBuffered writes a buffered part of the body.
+func (w *uploadWriter) writeBuffered(body []byte) error {
+	for len(body) > 0 {
+		n := copy(w.piece(), body)
+		body = body[n:]
+		if err := w.conn.writeAll(w.framedPiece(n)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// writeRemaining reads the rest of the body from the client and writes it. From its first read on,
+// the request can't be sent again.
+func (w *uploadWriter) writeRemaining() error {
+	if w.conn.hasPendingInput() {
+		return errEarlyResponse
+	}
+	w.upload.consumed.Store(true)
+	if w.upload.Release != nil {
+		w.upload.Release()
+	}
+	for {
+		n, err := w.upload.Remaining.Read(w.piece())
+		if n > 0 {
+			if err := w.writePiece(n); err != nil {
+				return err
+			}
+		}
+		if errors.Is(err, io.EOF) {
+			return w.writeEnd()
+		}
+		if err != nil {
+			return fmt.Errorf("%w: %w", errUploadFailed, err)
+		}
+	}
+}
+
+// writeEnd writes what follows the last piece.
+func (w *uploadWriter) writeEnd() error {
+	if w.upload.Length >= 0 {
+		return nil
+	}
+	return w.conn.writeAll([]byte(http1.LastChunk))
+}
+
+// writePiece writes the first n bytes of piece, which were just read from the client, unless the
+// endpoint has responded or closed meanwhile.
+func (w *uploadWriter) writePiece(n int) error {
+	if w.conn.hasPendingInput() {
+		return errEarlyResponse
+	}
+	start := time.Now()
+	for data := w.framedPiece(n); len(data) > 0; {
+		stallDeadline := w.stallDeadline(start)
+		if w.conn.SetWriteDeadline(earlier(time.Now().Add(uploadCheckInterval), stallDeadline)) != nil {
+			return errWriteFailed
+		}
+		written, err := w.conn.Write(data)
+		data = data[written:]
+		mayContinue := errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(stallDeadline)
+		if len(data) > 0 && !mayContinue {
+			return fmt.Errorf("%w: %w", errWriteFailed, err)
+		}
+	}
+	return nil
+}
+
+// stallDeadline returns until when the endpoint has to read a piece whose write began at start. It
+// has to be computed again during the write, since the client's deadline is not fixed before the
+// client has sent all of its body.
+func (w *uploadWriter) stallDeadline(start time.Time) time.Time {
+	return earlier(start.Add(http1.MaxReadIdle), w.request.clientDeadline())
+}
+
+// earlier returns the earlier of two times.
+func earlier(s, t time.Time) time.Time {
+	if t.Before(s) {
+		return t
+	}
+	return s
+}
--- a/internal/http1/heads_test.go
+++ b/internal/http1/heads_test.go
@@ -72,20 +72,19 @@
 			t.Fatalf("%q: net/http parses it differently:\n%s", text, d)
 		}
 	}
-	status, h, headSize, bodyLength, ok := ParseResponse([]byte(text))
-	if ok {
+	if head, ok := ParseResponse([]byte(text)); ok {
 		isResponse = true
 		want, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 		if err != nil {
 			t.Fatalf("%q is parsed; net/http: %v", text, err)
 		}
-		d := cmp.Diff(want.Header, h)
-		if d != "" || want.StatusCode != status || want.ContentLength != int64(bodyLength) || want.Close {
-			t.Fatalf("%q: %d with %d bytes, net/http: %d with %d, close %v; %s", text, status, bodyLength, want.StatusCode,
-				want.ContentLength, want.Close, d)
+		d := cmp.Diff(want.Header, head.Header)
+		if d != "" || want.StatusCode != head.Status || want.ContentLength != int64(head.BodyLength) || want.Close {
+			t.Fatalf("%q: %d with %d bytes, net/http: %d with %d, close %v; %s", text, head.Status, head.BodyLength,
+				want.StatusCode, want.ContentLength, want.Close, d)
 		}
-		if !strings.HasSuffix(text[:headSize], "\r\n\r\n") {
-			t.Fatalf("%q: a head of %d bytes", text, headSize)
+		if !strings.HasSuffix(text[:head.Size], "\r\n\r\n") {
+			t.Fatalf("%q: a head of %d bytes", text, head.Size)
 		}
 	}
 	return isRequest, isResponse
--- a/internal/http1/responsehead.go
+++ b/internal/http1/responsehead.go
@@ -6,32 +6,43 @@
 	"strings"
 )
 
-// ParseResponse parses the head of a response at the beginning of data. headSize is the size of the
-// head in bytes, including its empty line, and bodyLength the length of the body behind it.
+// ResponseHead is the parsed head of a response whose body is framed by Content-Length.
+type ResponseHead struct {
+	Status     int
+	Header     http.Header
+	Size       int // of the head in bytes, including its empty line
+	BodyLength int // in bytes
+}
+
+// ParseResponse parses the head of a response at the beginning of data.
 //
 // It is not ok if the head is incomplete or does not have the simplest form, or if the body's
-// length does not follow from Content-Length alone (RFC 9112, 6.3).
-func ParseResponse(data []byte) (status int, h http.Header, headSize, bodyLength int, ok bool) {
+// length does not follow from Content-Length alone (RFC 9112, section 6.3).
+func ParseResponse(data []byte) (head ResponseHead, ok bool) {
 	end := bytes.Index(data, []byte("\r\n\r\n"))
 	if end < 0 {
-		return 0, nil, 0, 0, false
+		return ResponseHead{}, false
 	}
-	headSize = end + len("\r\n\r\n")
-	line, fieldLines, _ := strings.Cut(string(data[:headSize]), "\r\n")
-	status, ok = parseStatusLine(line)
-	if !ok || status < http.StatusOK || status == http.StatusNoContent || status == http.StatusNotModified {
-		return 0, nil, 0, 0, false
+	head.Size = end + len("\r\n\r\n")
+	line, fieldLines, _ := strings.Cut(string(data[:head.Size]), "\r\n")
+	if head.Status, ok = parseStatusLine(line); !ok || !allowsBody(head.Status) {
+		return ResponseHead{}, false
 	}
-	if h, bodyLength = parseFields(fieldLines); h == nil || bodyLength < 0 {
-		return 0, nil, 0, 0, false
+	if head.Header, head.BodyLength = parseFields(fieldLines); head.Header == nil || head.BodyLength < 0 {
+		return ResponseHead{}, false
 	}
-	return status, h, headSize, bodyLength, true
+	return head, true
+}
+
+// allowsBody reports whether a final response of this status may have a body.
+func allowsBody(status int) bool {
+	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// parseStatusLine returns the status code of a status line (RFC 9112, 4).
+// parseStatusLine returns the status code of a status line (RFC 9112, section 4).
 func parseStatusLine(line string) (status int, ok bool) {
 	line, ok = strings.CutPrefix(line, version+" ")
-	if !ok || len(line) < 4 || line[3] != ' ' || !isText(line) {
+	if !ok || len(line) < len("200 ") || line[3] != ' ' || !isText(line) {
 		return 0, false
 	}
 	return parseDigits(line[:3])
--- a/internal/proxy/call_test.go
+++ b/internal/proxy/call_test.go
@@ -26,7 +26,7 @@
 				f := newTestEndpoints(t, 2, writeServed)
 				p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 				dialed, release := p.dialer.blockNext()
-				result := p.doAsync(p.newTestCall("r1", class, patience))
+				result := p.doAsync(p.newTestCall("r1", class, waitTimeout))
 				addr := (<-dialed).RemoteAddr().String()
 				change(p.Pool, f.nameOf(addr), addr)
 				close(release)
@@ -46,7 +46,7 @@
 func startMsAfterNow(t *testing.T) int64 {
 	t.Helper()
 	ms := time.Now().UnixMilli() + 1
-	until(t, "the start time has passed", func() bool { return time.Now().UnixMilli() > ms })
+	waitUntil(t, "the start time has passed", func() bool { return time.Now().UnixMilli() > ms })
 	return ms
 }
 
@@ -61,7 +61,7 @@
 		return writeServed(nc, id)
 	})
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
-	if r := <-p.doAsync(p.newTestCall("old", "non-idempotent", patience)); r.Kind != Served {
+	if r := <-p.doAsync(p.newTestCall("old", "non-idempotent", waitTimeout)); r.Kind != Served {
 		t.Fatalf("result %+v", r)
 	}
 	listed := Endpoint{ID: "a", Addr: f.addrs[0]}
@@ -75,7 +75,7 @@
 		t.Errorf("%d connections are open after the restart", s.Connections)
 	}
 	restarted.Store(true)
-	r := <-p.doAsync(p.newTestCall("new", "non-idempotent", patience))
+	r := <-p.doAsync(p.newTestCall("new", "non-idempotent", waitTimeout))
 	if n := f.peers[0].Connections.Load(); r.Kind != Served || n != 2 {
 		t.Errorf("result %+v on %d connections", r, n)
 	}
@@ -94,7 +94,7 @@
 	listed := EndpointList{Endpoints: []Endpoint{{ID: "a", Addr: f.addrs[0], StartedMs: inOneHour}}}
 	for _, id := range []string{"r1", "r2"} {
 		p.UpdateEndpoints(listed)
-		if r := <-p.doAsync(p.newTestCall(id, "non-idempotent", patience)); r.Kind != Served {
+		if r := <-p.doAsync(p.newTestCall(id, "non-idempotent", waitTimeout)); r.Kind != Served {
 			t.Errorf("result %+v", r)
 		}
 	}
@@ -112,14 +112,14 @@
 		return writeServed(nc, id)
 	})
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
-	result := p.doAsync(p.newTestCall("r1", "idempotent", patience))
+	result := p.doAsync(p.newTestCall("r1", "idempotent", waitTimeout))
 	<-received
 	p.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: "a", Addr: f.addrs[0], StartedMs: startMsAfterNow(t)}}})
 	close(release)
 	if r := <-result; r.Kind != Served {
 		t.Errorf("result %+v", r)
 	}
-	until(t, "the connection is closed", func() bool { return p.Stats().Connections == 0 })
+	waitUntil(t, "the connection is closed", func() bool { return p.Stats().Connections == 0 })
 }
 
 // The deadline passes and the response arrives at the same time: the first to be handled decides
@@ -135,12 +135,12 @@
 					return writeServed(nc, id)
 				})
 				// The Balancer times out one resolution before the deadline, the attempt at the deadline.
-				p := newTestPool(t, balancer.Settings{CancelAllowed: cancelAllowed, Resolution: patience}, f.addrs...)
+				p := newTestPool(t, balancer.Settings{CancelAllowed: cancelAllowed, Resolution: waitTimeout}, f.addrs...)
 				p.stopTimer()
 				due := p.Now() + 50*time.Millisecond
-				result := p.doAsync(p.newTestCall("r1", class, due+patience-p.Now()))
+				result := p.doAsync(p.newTestCall("r1", class, due+waitTimeout-p.Now()))
 				<-received
-				until(t, "the deadline has passed", func() bool { return p.Now() > due })
+				waitUntil(t, "the deadline has passed", func() bool { return p.Now() > due })
 				want := timedOut
 				if responseFirst {
 					want = Served
@@ -156,7 +156,7 @@
 				} else {
 					close(release)
 				}
-				until(t, "nothing is in flight", func() bool { return p.Stats().Calls == 0 })
+				waitUntil(t, "nothing is in flight", func() bool { return p.Stats().Calls == 0 })
 				if n := f.peers[0].Requests.Load(); n != 1 {
 					t.Errorf("the request was received %d times", n)
 				}
@@ -193,7 +193,7 @@
 				p.ClientDisconnected(c)
 			}
 			due := p.Now() + 2*time.Millisecond
-			until(t, "the hedged request is due", func() bool { return p.Now() > due })
+			waitUntil(t, "the hedged request is due", func() bool { return p.Now() > due })
 			p.handleEvent(p.fireDueTimers)
 			if !row.disconnectsBefore {
 				<-dialed
@@ -207,10 +207,10 @@
 				<-received
 				want = 2
 			}
-			until(t, "no dial is in progress", func() bool { return p.Stats().Connections <= int(want) })
+			waitUntil(t, "no dial is in progress", func() bool { return p.Stats().Connections <= int(want) })
 			close(release)
 			<-result
-			until(t, "nothing is in flight", func() bool { return p.Stats().Calls == 0 })
+			waitUntil(t, "nothing is in flight", func() bool { return p.Stats().Calls == 0 })
 			if n := f.peers[0].Requests.Load() + f.peers[1].Requests.Load(); n != want {
 				t.Errorf("%d requests were received", n)
 			}
@@ -223,7 +223,7 @@
 func TestPendingAttemptOfDisconnectedClientIsNotSent(t *testing.T) {
 	f := newTestEndpoints(t, 1, writeServed)
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
-	c := p.newTestCall("r1", "non-idempotent", patience)
+	c := p.newTestCall("r1", "non-idempotent", waitTimeout)
 	p.handleEvent(func(now time.Duration) { p.startCall(now, c) })
 	if len(c.inlineAttempts) != 1 {
 		t.Fatal("no attempt was passed to Do")
@@ -233,7 +233,7 @@
 		t.Errorf("result %+v", r)
 	}
 	p.runAbandonedAttempt(c)
-	until(t, "nothing is in flight", func() bool { return p.Stats().Calls == 0 })
+	waitUntil(t, "nothing is in flight", func() bool { return p.Stats().Calls == 0 })
 	if n, open := f.peers[0].Requests.Load(), p.Stats().Connections; n != 0 || open != 0 {
 		t.Errorf("%d requests were received, %d connections are open", n, open)
 	}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -13,18 +13,19 @@
 	"time"
 
 	"rowancart/balancer"
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
 // What tests here use most.
 const (
-	patience = testpeer.WaitTimeout
-	served   = testpeer.OKResponse
+	waitTimeout = testpeer.WaitTimeout
+	okResponse  = testpeer.OKResponse
 )
 
 var (
-	newEndpoint = testpeer.StartEndpoint
-	until       = testpeer.WaitUntil
+	startEndpoint = testpeer.StartEndpoint
+	waitUntil     = testpeer.WaitUntil
 )
 
 // testClasses are the classes of test calls.
@@ -50,7 +51,7 @@
 	}
 	dialer := &blockingDialer{}
 	p := New(s, known, Options{
-		IdleTimeout: time.Minute, DialTimeout: patience, MaxConns: 100, Log: slog.New(slog.DiscardHandler),
+		IdleTimeout: time.Minute, DialTimeout: waitTimeout, MaxConns: 100, Log: slog.New(slog.DiscardHandler),
 		dialContext: dialer.dial,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,7 +72,8 @@
 // newTestCall returns a call with a deadline after wait.
 func (p testPool) newTestCall(id, class string, wait time.Duration) *Call {
 	m := &RequestMessage{
-		Method: http.MethodPost, URL: &url.URL{Path: "/c"}, Host: "api.internal", Header: http.Header{"Req-Id": {id}},
+		Method: http.MethodPost, URL: &url.URL{Path: "/c"}, Host: "api.internal",
+		Header: http.Header{platform.RequestIDHeader: {id}},
 	}
 	return NewCall(balancer.Request{ID: id, Class: class, Deadline: p.Now() + wait}, m)
 }
@@ -133,8 +135,8 @@
 	f := &testEndpoints{received: map[string][]string{}}
 	for i := range n {
 		name := string(rune('a' + i))
-		e := newEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
-			id := r.Header.Get("Req-Id")
+		e := startEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
+			id := r.Header.Get(platform.RequestIDHeader)
 			f.mu.Lock()
 			f.received[name] = append(f.received[name], id)
 			f.mu.Unlock()
@@ -160,6 +162,6 @@
 
 // writeServed writes a complete response.
 func writeServed(nc net.Conn, _ string) bool {
-	_, err := io.WriteString(nc, served)
+	_, err := io.WriteString(nc, okResponse)
 	return err == nil
 }
--- a/internal/proxy/keywindow_test.go
+++ b/internal/proxy/keywindow_test.go
@@ -22,10 +22,10 @@
 			blockNextDial()
 			return false // the request may have run
 		}
-		io.WriteString(conn, served)
+		io.WriteString(conn, okResponse)
 		return true
 	}
-	a, b := newEndpoint(t, serve), newEndpoint(t, serve)
+	a, b := startEndpoint(t, serve), startEndpoint(t, serve)
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, a.Addr, b.Addr)
 	var connected <-chan net.Conn
 	var release chan<- bool
@@ -36,9 +36,9 @@
 	}
 	p.Configure(balancer.Settings{CancelAllowed: true, Classes: []balancer.Class{{Name: "keyed",
 		Idempotency: balancer.IdempotencyKeyed, KeyWindow: window, LatencyObjective: time.Minute}}},
-		Options{IdleTimeout: time.Minute, DialTimeout: patience, MaxConns: 100})
+		Options{IdleTimeout: time.Minute, DialTimeout: waitTimeout, MaxConns: 100})
 	start := time.Now()
-	result := p.doAsync(p.newTestCall("r", "keyed", patience))
+	result := p.doAsync(p.newTestCall("r", "keyed", waitTimeout))
 	<-blocked
 	<-connected
 	time.Sleep(time.Until(start.Add(2 * window))) // the connection is established late
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -192,7 +192,8 @@
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := Stats{Calls: p.calls.size()}
-	s.Ready, s.Draining, s.Connections = p.conns.Counts()
-	return s
+	conns := p.conns.Counts()
+	return Stats{
+		Calls: p.calls.size(), Ready: conns.Accepting, Draining: conns.Draining, Connections: conns.Open,
+	}
 }
