--- a/internal/sidecar/router.go
+++ b/internal/sidecar/router.go
@@ -16,16 +16,16 @@
 // classes that the settings list. It implements httpserver.Router.
 type requestRouter struct {
 	pool          *proxy.Pool
-	repeatability map[string]balancer.Repeatability // by class
+	repeatability map[string]balancer.Idempotency // by class
 	counters      *metrics.Counters
 }
 
 // newRequestRouter returns a router for the classes given.
 func newRequestRouter(pool *proxy.Pool, classes []balancer.Class) *requestRouter {
-	r := &requestRouter{pool: pool, repeatability: map[string]balancer.Repeatability{}}
+	r := &requestRouter{pool: pool, repeatability: map[string]balancer.Idempotency{}}
 	var names []string
 	for _, class := range classes {
-		r.repeatability[class.Name] = class.Repeat
+		r.repeatability[class.Name] = class.Idempotency
 		names = append(names, class.Name)
 	}
 	r.counters = metrics.New(names)
@@ -37,37 +37,37 @@
 	class, err := route.FirstSegment(req.URL.EscapedPath())
 	if err != nil { // an endpoint might read another class than this process does
 		return httpserver.Target{}, &httpserver.Rejection{
-			Status: http.StatusBadRequest,
-			Reason: err.Error(),
-			Close:  true,
+			Status:  http.StatusBadRequest,
+			Message: err.Error(),
+			Close:   true,
 		}
 	}
 	repeatability, listed := r.repeatability[class]
 	if !listed {
 		return httpserver.Target{}, &httpserver.Rejection{
-			Status: http.StatusNotFound,
-			Reason: fmt.Sprintf("class %.40q is not served", class),
-			Close:  true,
+			Status:  http.StatusNotFound,
+			Message: fmt.Sprintf("class %.40q is not served", class),
+			Close:   true,
 		}
 	}
 	r.counters.RequestStarted()
 	return httpserver.Target{
-		Pool:   r.pool,
-		Class:  class,
-		Effect: repeatability,
-		Tenant: req.Header.Get(platform.TenantHeader),
-		Done:   func(accepted bool, result proxy.Result) { r.countOutcome(class, accepted, result.Kind) },
+		Pool:        r.pool,
+		Class:       class,
+		Idempotency: repeatability,
+		Tenant:      req.Header.Get(platform.TenantHeader),
+		Done:        func(o httpserver.Outcome) { r.countOutcome(class, o) },
 	}, nil
 }
 
-// countOutcome counts a request whose response has been written. One that the pool has not accepted
-// is no request of the class, and a duplicate has been counted the first time.
-func (r *requestRouter) countOutcome(class string, accepted bool, kind proxy.ResultKind) {
-	if !accepted || kind == proxy.Duplicate {
+// countOutcome counts a request whose response has been written. One that was not forwarded to the
+// pool is no request of the class, and a duplicate has been counted the first time.
+func (r *requestRouter) countOutcome(class string, outcome httpserver.Outcome) {
+	if !outcome.Forwarded || outcome.Result.Kind == proxy.Duplicate {
 		r.counters.RequestDropped()
 		return
 	}
-	r.counters.RequestFinished(class, outcomeOf(kind))
+	r.counters.RequestFinished(class, outcomeOf(outcome.Result.Kind))
 }
 
 // outcomeOf returns what a result counts as.
