--- a/cmd/sidecar/handover_test.go
+++ b/cmd/sidecar/handover_test.go
@@ -64,7 +64,7 @@
 
 // A successor is killed right after it has become ready: its predecessor accepts connections again.
 func TestPredecessorResumesWhenSuccessorIsKilled(t *testing.T) {
-	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, true))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
 	second := p.startReady(t)
@@ -79,7 +79,7 @@
 
 // A process starts whatever foreign files are in the shared directory.
 func TestForeignFilesInSharedDirDoNotPreventStart(t *testing.T) {
-	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, true))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	dir := filepath.Join(p.sharedDir, "rowancart-t")
 	if err := os.MkdirAll(filepath.Join(dir, "bans"), 0o700); err != nil {
@@ -120,7 +120,7 @@
 // SIGHUP and SIGTERM come while the successor still waits for its list, and it is killed before it
 // is ready: the predecessor goes on, and requests that come after SIGTERM are answered.
 func TestSignalsDuringHandoverLoseNoRequest(t *testing.T) {
-	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, true))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
 	discovery := p.discovery
@@ -151,7 +151,7 @@
 // A request has been received partially, in its head or in its body, when a successor becomes ready
 // and SIGTERM comes: the process that began to read it answers it.
 func TestHandoverWithPartiallyReadRequest(t *testing.T) {
-	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, true))
+	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
 	const request = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 10000\r\n" +
