--- a/cmd/rowancart/lab.go
+++ b/cmd/rowancart/lab.go
@@ -81,7 +81,7 @@
 	return cmd
 }
 
-// run plays the experiment of a file and writes the reports.
+// run runs the experiment of a file and writes the reports.
 func (flags *labRunFlags) run(cmd *cobra.Command, path string) error {
 	values, err := assignments(flags.set)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// options returns how to play; virtual is what the file says.
+// options returns how to run; virtual is what the file says.
 func (flags *labRunFlags) options(cmd *cobra.Command, virtual bool) (runner.Options, error) {
 	o := runner.Options{Virtual: virtual, Variant: flags.variant, Root: flags.root}
 	if cmd.Flags().Changed("virtual") {
@@ -186,7 +186,7 @@
 }
 
 // progress returns functions that show the progress of a run: as a bar on a terminal, and elsewhere
-// as a line for each play. Finish removes the bar.
+// as a line for each run. Finish removes the bar.
 func progress(w io.Writer) (show func(done, all int, part float64), finish func()) {
 	const steps = 1000 // of the bar
 	var mu sync.Mutex
--- a/cmd/rowancart/search.go
+++ b/cmd/rowancart/search.go
@@ -22,7 +22,7 @@
 	return cmd
 }
 
-// progressEvery is how many sites are played between two reports of progress.
+// progressEvery is how many sites are run between two reports of progress.
 const progressEvery = 100
 
 func newSearchRun(seed *uint64) *cobra.Command {
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -30,7 +30,7 @@
 	`"Permissions":{"MayCancel":true,"RetryAfter":true,"TryLimit":4,"MaxRetryAfterUs":2000000},` +
 	`"Rules":{"AskWithinUs":1000000,"ColdFrom":0.3,"ColdUs":4000000,"DrainGraceUs":1000000}}`
 
-// conversation plays the simulator's side of the protocol: it draws requests, and answers the
+// conversation is the simulator's side of the protocol: it draws requests, and answers the
 // actions of one reply with events of later batches.
 type conversation struct {
 	random  *rand.Rand
@@ -161,8 +161,8 @@
 		id, delay, done, endpoint, code, number)
 }
 
-// play runs the conversation with a simhost and returns all bytes of both sides.
-func (c *conversation) play(t *testing.T) []byte {
+// run runs the conversation with a simhost and returns all bytes of both sides.
+func (c *conversation) run(t *testing.T) []byte {
 	t.Helper()
 	in, toHost := io.Pipe()
 	fromHost, out := io.Pipe()
@@ -201,7 +201,7 @@
 func TestConversationIsAsRecorded(t *testing.T) {
 	const path = "testdata/conversation.golden"
 	c := conversation{random: rand.New(rand.NewPCG(1, 2)), out: &bytes.Buffer{}}
-	got := c.play(t)
+	got := c.run(t)
 	if *update {
 		if err := os.WriteFile(path, got, 0o644); err != nil {
 			t.Fatal(err)
--- a/internal/experiment/counters/counters.go
+++ b/internal/experiment/counters/counters.go
@@ -1,4 +1,4 @@
-// Package counters counts the outcomes of clients' requests: over a whole play, by second, class
+// Package counters counts the outcomes of clients' requests: over a whole run, by second, class
 // and tenant, and what each server did.
 package counters
 
@@ -63,9 +63,9 @@
 	Rejected   int64
 	Busy       float64 // core seconds
 	Cores      int
-	Lifetime   time.Duration // from its start, or that of the play, to its end
+	Lifetime   time.Duration // from its start, or that of the run, to its end
 
-	// AddedDuringRun is true for a server that started cold during the play.
+	// AddedDuringRun is true for a server that started cold during the run.
 	AddedDuringRun bool
 	// WarmupPeak is the most work that it was sent within Rules.OverloadWindow while it warmed up, in
 	// multiples of its capacity at the time.
@@ -75,7 +75,7 @@
 	TimeToFullLoad time.Duration
 }
 
-// Counters counts one play. It is not safe for concurrent use. Requests that arrive during the
+// Counters counts one run. It is not safe for concurrent use. Requests that arrive during the
 // warm-up are in Seconds only.
 type Counters struct {
 	warmup          time.Duration
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,7 @@
 // Package experiment describes experiments: a service of emulated servers in tiers, the load on it,
 // the faults that strike it and the variants that are compared. It holds values only. Package
-// server models one server, packages virtual and testbed play an experiment, package invariant
-// judges a play and package report prints the results.
+// server models one server, packages virtual and testbed run an experiment, package invariant
+// judges a run and package report prints the results.
 package experiment
 
 import (
@@ -14,16 +14,16 @@
 // experiment files.
 const DesignPolicy = "tuliprock"
 
-// ReverseProxyPolicy is the name of the baseline of package roundrobin, which can be played on
+// ReverseProxyPolicy is the name of the baseline of package roundrobin, which can be run on
 // sockets only.
 const ReverseProxyPolicy = "reverse_proxy"
 
-// Experiment is one question and what is played to answer it.
+// Experiment is one question and what is run to answer it.
 type Experiment struct {
 	Name     string
 	Question string
-	Duration time.Duration // requests arrive for this long; the play ends when all have ended
-	Warmup   time.Duration // requests that arrive in it are played and judged, but not counted
+	Duration time.Duration // requests arrive for this long; the run ends when all have ended
+	Warmup   time.Duration // requests that arrive in it are run and judged, but not counted
 	Seeds    []uint64      // one repeat for each
 	Virtual  bool          // in virtual time unless asked otherwise
 	Site     Site
@@ -85,7 +85,7 @@
 	return s
 }
 
-// Expectation is a result that an experiment requires; a play that misses it fails. A zero value
+// Expectation is a result that an experiment requires; a run that misses it fails. A zero value
 // requires nothing.
 type Expectation struct {
 	Variant           string  // empty: every variant
@@ -95,6 +95,6 @@
 	AttemptsBelow     float64 // attempts per request
 	P99Below          time.Duration
 	RetriesBelow      float64 // attempts beyond the first per request, in virtual time
-	WarmupPeakBelow   float64 // peak load of servers added during the play (counters.Server.WarmupPeak)
+	WarmupPeakBelow   float64 // peak load of servers added during the run (counters.Server.WarmupPeak)
 	Position          string  // in the file, for messages
 }
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -30,7 +30,7 @@
 	OversizedPeer      FaultKind = "huge_peer"    // a peer sends 60 MB
 )
 
-// FaultKinds holds all kinds, and whether they can be played in virtual time.
+// FaultKinds holds all kinds, and whether they can be run in virtual time.
 var FaultKinds = map[FaultKind]bool{
 	FastErrors: true, NoisyNeighbour: true, SharedSlowdown: true, RollingDeploy: true, Crash: true, Unresponsive: true,
 	BreakBeforeRequest: true, BreakAfterRequest: true, TruncateResponse: true, CorruptResponse: true,
--- a/internal/experiment/invariant/invariant.go
+++ b/internal/experiment/invariant/invariant.go
@@ -1,4 +1,4 @@
-// Package invariant judges a play from outside. Drivers report what clients, servers and discovery
+// Package invariant judges a run from outside. Drivers report what clients, servers and discovery
 // saw; nothing that the program under test says of itself is used. Instants are passed in: the
 // package has no clock of its own.
 //
@@ -82,7 +82,7 @@
 	v.Violations++
 }
 
-// Close ends the play and returns a verdict for every rule. A request that is still within its time
+// Close ends the run and returns a verdict for every rule. A request that is still within its time
 // is not judged.
 func (c *Checker) Close(now time.Duration) []Verdict {
 	c.mu.Lock()
--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -23,12 +23,12 @@
 	checker.RecordArrival(Arrival{ID: id, Server: server, FirstByte: at, LastByte: at, Digest: 1})
 }
 
-// TestHistories plays histories that violate one rule, or none.
+// TestHistories runs histories that violate one rule, or none.
 func TestHistories(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		rule Rule
-		play func(checker *Checker)
+		run  func(checker *Checker)
 	}{
 		{"served", "", func(checker *Checker) {
 			recordRequest(checker, "r", balancer.NonIdempotent)
@@ -168,7 +168,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			checker := New(rules, 0)
-			c.play(checker)
+			c.run(checker)
 			for _, v := range checker.Close(5 * time.Second) {
 				if (v.Violations > 0) != (v.Rule == c.rule) {
 					t.Errorf("rule %q: broken %d times: %s", v.Rule, v.Violations, v.Detail)
--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -1,5 +1,5 @@
 // Package search looks for sites on which the design loses: it draws services, loads and faults
-// within bounds, plays the design and the baseline policies on each in virtual time, and ranks the
+// within bounds, runs the design and the baseline policies on each in virtual time, and ranks the
 // sites by regret. Regret is what the best baseline serves in time, by priority weight, less what
 // the design does.
 package search
@@ -33,25 +33,25 @@
 // Span is a range that includes both its ends.
 type Span[T int | float64 | time.Duration] struct{ Min, Max T }
 
-// Bounds say within what sites are drawn, and how each is played.
+// Bounds say within what sites are drawn, and how each is run.
 type Bounds struct {
 	Name          string
 	Servers       Span[int] // of the first tier
 	Instances     Span[int] // before the first tier
 	Tiers         Span[int]
 	Classes       Span[int]
-	Faults        Span[int]           // during a play
+	Faults        Span[int]           // during a run
 	Work          Span[time.Duration] // mean of a request over all tiers
 	Duration      Span[time.Duration]
 	Load          Span[float64] // as a fraction of the site's capacity
 	Rate          Span[float64] // requests a second
-	MaxRequests   int           // in one play; the rate is lowered to it
+	MaxRequests   int           // in one run; the rate is lowered to it
 	MaxKnownPairs int           // of an instance and a server in its endpoint list
 	QuietFraction float64       // of sites on which each instance has less than one request a second
 	FaultKinds    []string
 	Baselines     []string
-	Repeats       int     // plays of every site and policy
-	MoreRepeats   int     // plays of sites where the design seems behind, those of Repeats included
+	Repeats       int     // runs of every site and policy
+	MoreRepeats   int     // runs of sites where the design seems behind, those of Repeats included
 	SuspectRegret float64 // from which the design seems behind
 	Digest        uint64  // of the file
 }
@@ -59,7 +59,7 @@
 // faultKinds are the kinds that can be drawn.
 var faultKinds = append([]string{flapping, silentCrash, loadStep}, virtualFaultKinds()...)
 
-// virtualFaultKinds returns the kinds of package experiment that can be played in virtual time.
+// virtualFaultKinds returns the kinds of package experiment that can be run in virtual time.
 func virtualFaultKinds() []string {
 	var names []string
 	for _, k := range slices.Sorted(maps.Keys(experiment.FaultKinds)) {
@@ -163,7 +163,7 @@
 // maxTiers is the largest number of tiers that can be drawn.
 const maxTiers = 3
 
-// check reports values that cannot be played. The position is that of the numbers of tiers.
+// check reports values that cannot be run. The position is that of the numbers of tiers.
 func (b *Bounds) check(r *hcldecode.Reader, tiers hcl.Range) {
 	if b.MaxRequests < 100 || b.MaxKnownPairs < 1 {
 		r.Fault(r.Places[&b.MaxRequests], "requests and known: at least 100 requests and one pair are wanted")
--- a/internal/experiment/search/regret.go
+++ b/internal/experiment/search/regret.go
@@ -15,16 +15,16 @@
 // the design is ahead.
 type Regret struct {
 	Baseline      string
-	Mean          float64 // over the plays that did not select the baseline, if there are any
-	Bound         float64 // half of the 95% interval of Mean; infinite if there are too few plays
-	selectionMean float64 // over the plays that selected the baseline
+	Mean          float64 // over the runs that did not select the baseline, if there are any
+	Bound         float64 // half of the 95% interval of Mean; infinite if there are too few runs
+	selectionMean float64 // over the runs that selected the baseline
 }
 
 // Significant reports whether the design is behind by more than noise and by more than minRegret.
 func (r Regret) Significant() bool { return r.Mean-r.Bound > 0 && r.Mean > minRegret }
 
 // Regret judges a site. The baseline that is best on the first repeats, so many as selecting says,
-// is compared with the design on the other repeats. On the same plays the best of several would
+// is compared with the design on the other repeats. On the same runs the best of several would
 // seem better than it is.
 func (s Site) Regret(selecting int) Regret {
 	r := Regret{selectionMean: math.Inf(-1)}
@@ -43,7 +43,7 @@
 	return r
 }
 
-// BaselineLead returns a baseline's served weight less the design's, over all plays.
+// BaselineLead returns a baseline's served weight less the design's, over all runs.
 func (s Site) BaselineLead(policy string) float64 {
 	mean, _, _ := s.difference(policy, 0, len(s.ServedWeight[Design]))
 	return mean
--- a/internal/experiment/search/play.go
+++ b/internal/experiment/search/run.go
@@ -17,10 +17,10 @@
 	"rowancart/internal/experiment/virtual"
 )
 
-// gcPercent trades memory, of which plays keep little, for fewer collections of their garbage.
+// gcPercent trades memory, of which runs keep little, for fewer collections of their garbage.
 const gcPercent = 400
 
-// Options say which sites are played.
+// Options say which sites are run.
 type Options struct {
 	Seed     uint64
 	From, To int    // sites, without To
@@ -28,10 +28,10 @@
 	Progress func(done, all int)
 }
 
-// Run plays sites on all cores and appends each to the file of results. It does not play sites that
+// Run runs sites on all cores and appends each to the file of results. It does not run sites that
 // the file has, so that a run that was stopped can be continued.
 func Run(ctx context.Context, b *Bounds, o Options) error {
-	f, done, err := openResults(o.Out, header{b.Name, b.Digest, o.Seed})
+	f, stored, err := openResults(o.Out, header{b.Name, b.Digest, o.Seed})
 	if err != nil {
 		return err
 	}
@@ -39,27 +39,27 @@
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	group, groupCtx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
-	var mu sync.Mutex // of f and played
-	played := 0
-	for n := range done {
+	var mu sync.Mutex // of f and done
+	done := 0
+	for n := range stored {
 		if n >= o.From && n < o.To {
-			played++
+			done++
 		}
 	}
 	for n := o.From; n < o.To && groupCtx.Err() == nil; n++ {
-		if done[n] {
+		if stored[n] {
 			continue
 		}
 		group.Go(func() error {
-			s, err := Play(groupCtx, b, o.Seed, n)
+			s, err := RunSite(groupCtx, b, o.Seed, n)
 			if err != nil {
 				return fmt.Errorf("site %d: %w", n, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			played++
+			done++
 			if o.Progress != nil {
-				o.Progress(played, o.To-o.From)
+				o.Progress(done, o.To-o.From)
 			}
 			return writeLine(f, s)
 		})
@@ -70,9 +70,9 @@
 	return ctx.Err()
 }
 
-// Play plays one site: the design and the baselines with common random numbers, and more often
+// RunSite runs one site: the design and the baselines with common random numbers, and more often
 // where the design seems behind.
-func Play(ctx context.Context, b *Bounds, seed uint64, n int) (Site, error) {
+func RunSite(ctx context.Context, b *Bounds, seed uint64, n int) (Site, error) {
 	e := Draw(b, seed, n)
 	s := Site{N: n, ServedWeight: map[string][]float64{}, ViolatedRules: map[string][]string{}}
 	for repeat := range b.MoreRepeats {
@@ -80,7 +80,7 @@
 			break
 		}
 		for _, policy := range append([]string{Design}, b.Baselines...) {
-			result, err := play(ctx, e, policy, uint64(repeat)+1)
+			result, err := runOnce(ctx, e, policy, uint64(repeat)+1)
 			if err != nil {
 				return s, err
 			}
@@ -90,8 +90,8 @@
 	return s, nil
 }
 
-// add adds the result of one play.
-func (s *Site) add(policy string, repeat int, result playResult) {
+// add adds the result of one run.
+func (s *Site) add(policy string, repeat int, result runResult) {
 	s.ServedWeight[policy] = append(s.ServedWeight[policy], result.servedWeight)
 	if policy == Design {
 		s.Failed = append(s.Failed, result.failed)
@@ -106,7 +106,7 @@
 	}
 }
 
-// Show plays a site once with each policy and writes the results, with what the design's instances
+// Show runs a site once with each policy and writes the results, with what the design's instances
 // logged.
 func Show(ctx context.Context, w io.Writer, b *Bounds, seed uint64, n int) error {
 	e := Draw(b, seed, n)
@@ -120,7 +120,7 @@
 		fmt.Fprintln(w)
 	}
 	for _, policy := range append([]string{Design}, b.Baselines...) {
-		result, err := play(ctx, e, policy, 1)
+		result, err := runOnce(ctx, e, policy, 1)
 		if err != nil {
 			return err
 		}
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// playResult is the result of one play of one policy.
-type playResult struct {
+// runResult is the result of one run of one policy.
+type runResult struct {
 	servedWeight  float64 // in time, as a fraction of the priority weight of all requests
 	failed        float64 // fraction of requests rejected or failed
 	requests      int64
@@ -145,14 +145,14 @@
 	logs          []string
 }
 
-func play(ctx context.Context, e *experiment.Experiment, policy string, seed uint64) (playResult, error) {
+func runOnce(ctx context.Context, e *experiment.Experiment, policy string, seed uint64) (runResult, error) {
 	variant := experiment.Variant{Name: policy, Policy: policy}
 	result, err := virtual.Run(ctx, e, variant, seed, virtual.Options{})
 	if err != nil {
-		return playResult{}, err
+		return runResult{}, err
 	}
 	c := result.Counters
-	out := playResult{
+	out := runResult{
 		servedWeight: 1,
 		failed:       c.Total.Fraction(counters.Rejected) + c.Total.Fraction(counters.Failed),
 		requests:     c.Total.Offered(),
--- a/internal/experiment/search/site.go
+++ b/internal/experiment/search/site.go
@@ -13,8 +13,8 @@
 // Limits of sites besides the bounds. The ranges within the functions below are those of known
 // installations, and wider.
 const (
-	minRequests              = 300              // in one play, where the longest duration allows that many
-	maxDuration              = 10 * time.Minute // of plays with a low rate
+	minRequests              = 300              // in one run, where the longest duration allows that many
+	maxDuration              = 10 * time.Minute // of runs with a low rate
 	maxServersOfSeveralTiers = 60               // in a tier, if there are several: each server then has an instance
 	maxLowLoad               = 0.9              // load that three of four sites do not exceed
 )
@@ -178,7 +178,7 @@
 	return c
 }
 
-// drawLoad draws the rate, the clients and the duration of the play. Capacity is in requests a
+// drawLoad draws the rate, the clients and the duration of the run. Capacity is in requests a
 // second.
 func (d sampler) drawLoad(b *Bounds, e *experiment.Experiment, capacity, work float64) {
 	l := &e.Load
--- a/internal/experiment/seed.go
+++ b/internal/experiment/seed.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Seed derives a seed from the seed of a play and the name of a component. A component's random
+// Seed derives a seed from the seed of a run and the name of a component. A component's random
 // draws depend on neither the other components nor the order in which they are created.
 func Seed(seed uint64, name string) uint64 {
 	var b [8]byte
--- a/internal/experiment/server/heap.go
+++ b/internal/experiment/server/heap.go
@@ -1,7 +1,7 @@
 package server
 
 // jobHeap is a binary heap of running jobs, the one that finishes first at index 0. container/heap
-// would convert each job to an interface on the hottest path of a play; each job has its index, so
+// would convert each job to an interface on the hottest path of a run; each job has its index, so
 // that it can be removed early.
 type jobHeap []*Job
 
--- a/internal/experiment/server/server.go
+++ b/internal/experiment/server/server.go
@@ -24,7 +24,7 @@
 	rng   *rand.Rand
 
 	now         time.Duration
-	started     time.Duration // latest start; negative: long before the play
+	started     time.Duration // latest start; negative: long before the run
 	slowdown    float64       // by which the machine's speed is divided
 	draining    bool
 	down        bool
@@ -48,7 +48,7 @@
 const never = time.Duration(math.MaxInt64)
 
 // New returns a server that started at an instant; a negative one stands for a start long before
-// the play.
+// the run.
 func New(kind experiment.Kind, spec experiment.ServerSpec, rules experiment.Rules, started time.Duration,
 	rng *rand.Rand) *Server {
 	return &Server{kind: kind, spec: spec, rules: rules, rng: rng, started: started, slowdown: 1,
@@ -56,7 +56,7 @@
 }
 
 // Started returns the instant of the latest start, which is negative if that was long before the
-// play.
+// run.
 func (s *Server) Started() time.Duration { return s.started }
 
 // InFlight returns the number of requests that the server has, with those that wait for a slot.
--- a/internal/experiment/server/server_test.go
+++ b/internal/experiment/server/server_test.go
@@ -9,7 +9,7 @@
 	"rowancart/internal/experiment"
 )
 
-// station plays one server alone: requests arrive at random and compute once.
+// station runs one server alone: requests arrive at random and compute once.
 type station struct {
 	kind    experiment.Kind
 	rate    float64 // arrivals a second
@@ -20,7 +20,7 @@
 	latency float64 // mean time to the end, seconds
 }
 
-func (st *station) play(t *testing.T) {
+func (st *station) run(t *testing.T) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(7, 11))
 	server := New(st.kind, experiment.ServerSpec{}, experiment.Rules{}, -1, rng)
@@ -82,7 +82,7 @@
 		t.Parallel()
 		s := station{kind: experiment.Kind{Cores: 1, Speed: 2, Slots: 1, QueueLimit: plenty}, rate: 14,
 			work: exponential(0.1), count: n}
-		s.play(t)
+		s.run(t)
 		rho, mu := 0.7, 20.0
 		within(t, "mean wait", s.waits, rho/(mu*(1-rho)), 0.03)
 	})
@@ -90,7 +90,7 @@
 		t.Parallel()
 		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: plenty}, rate: 8,
 			work: func(*rand.Rand) float64 { return 0.1 }, count: n}
-		s.play(t)
+		s.run(t)
 		rho, mu := 0.8, 10.0
 		within(t, "mean wait", s.waits, rho/(2*mu*(1-rho)), 0.03)
 	})
@@ -99,7 +99,7 @@
 		const c, lambda, mu = 4, 30.0, 10.0
 		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, QueueLimit: plenty}, rate: lambda,
 			work: exponential(1 / mu), count: n}
-		s.play(t)
+		s.run(t)
 		a := lambda / mu
 		sum, term := 0.0, 1.0
 		for k := range c {
@@ -114,7 +114,7 @@
 		const c, k, lambda, mu = 3, 8, 36.0, 10.0
 		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, QueueLimit: k - c}, rate: lambda,
 			work: exponential(1 / mu), count: n}
-		s.play(t)
+		s.run(t)
 		p, sum := 1.0, 1.0
 		for i := 1; i <= k; i++ {
 			p *= lambda / (float64(min(i, c)) * mu)
@@ -131,7 +131,7 @@
 				}
 				return 0.05
 			}, count: n}
-		s.play(t)
+		s.run(t)
 		within(t, "mean time", s.latency, 0.1/(1-0.6), 0.03)
 	})
 }
@@ -144,7 +144,7 @@
 
 func job(work float64) *Job { return &Job{Work: work} }
 
-// ends plays a server until an instant and returns when each job's work was done.
+// ends runs a server until an instant and returns when each job's work was done.
 func ends(server *Server, until time.Duration) []time.Duration {
 	var at []time.Duration
 	for next := server.NextEvent(); next <= until; next = server.NextEvent() {
--- a/internal/experiment/testbed/client.go
+++ b/internal/experiment/testbed/client.go
@@ -108,8 +108,8 @@
 	return out
 }
 
-// playClient plays client n: its request at the intended time, and its retries.
-func (r *testRun) playClient(n int, c *traffic.Request) {
+// runClient runs client n: its request at the intended time, and its retries.
+func (r *testRun) runClient(n int, c *traffic.Request) {
 	class := r.experiment.Site.Classes[c.Class]
 	info := requestInfo{classIndex: c.Class, work: c.Work, repeat: class.Repeat, deadline: class.Deadline}
 	if c.Tenant >= 0 {
--- a/internal/experiment/testbed/exchange.go
+++ b/internal/experiment/testbed/exchange.go
@@ -185,7 +185,7 @@
 }
 
 // execute waits for the job's work, the calls to the next tier, the work after them, and the time
-// off the CPU. It returns the status of the response, and false if the process died or the play
+// off the CPU. It returns the status of the response, and false if the process died or the run
 // ended before.
 func (x *exchange) execute(job *server.Job, done <-chan struct{}, workAfterCalls float64) (status int, ok bool) {
 	s := x.server
@@ -218,7 +218,7 @@
 	return http.StatusOK, true
 }
 
-// wait waits for done. It reports false if the process died or the play ended before.
+// wait waits for done. It reports false if the process died or the run ended before.
 func (x *exchange) wait(done <-chan struct{}) bool {
 	select {
 	case <-done:
@@ -229,7 +229,7 @@
 	return false
 }
 
-// sleep waits for a time. It reports false if the process died or the play ended before.
+// sleep waits for a time. It reports false if the process died or the run ended before.
 func (x *exchange) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/experiment/testbed/faults.go
+++ b/internal/experiment/testbed/faults.go
@@ -21,7 +21,7 @@
 	case experiment.DiscoverySilence:
 		r.setDiscoverySilent(event.On)
 	case experiment.SilentPeer, experiment.PartialRequestPeer, experiment.OversizedPeer:
-		r.playImproperPeer(event.Kind, r.frontSidecars[event.Server%len(r.frontSidecars)])
+		r.runImproperPeer(event.Kind, r.frontSidecars[event.Server%len(r.frontSidecars)])
 	case experiment.KillSidecar, experiment.TermSidecar, experiment.DiscoveryMove:
 		r.disruptSidecar(event, r.frontSidecars[event.Server%len(r.frontSidecars)])
 	default:
--- a/internal/experiment/testbed/improperpeer.go
+++ b/internal/experiment/testbed/improperpeer.go
@@ -18,8 +18,8 @@
 	oversizedLimit = time.Duration(2) // times the other peers' limit
 )
 
-// playImproperPeer plays one improper peer before a sidecar and records how its connection ended.
-func (r *testRun) playImproperPeer(kind experiment.FaultKind, s *sidecar) {
+// runImproperPeer runs one improper peer before a sidecar and records how its connection ended.
+func (r *testRun) runImproperPeer(kind experiment.FaultKind, s *sidecar) {
 	nc, err := net.DialTimeout("tcp", s.addr, dialTimeout)
 	if err != nil {
 		return // a sidecar that is down owes no peer anything
--- a/internal/experiment/testbed/server.go
+++ b/internal/experiment/testbed/server.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// startedLongAgo is the start of servers that are warm when the play begins.
+	// startedLongAgo is the start of servers that are warm when the run begins.
 	startedLongAgo = time.Duration(-1)
 
 	acceptRetryWait = 10 * time.Millisecond // after an accept that failed, as for want of descriptors
@@ -50,8 +50,8 @@
 	closed       bool
 }
 
-// newServer creates a server that accepts connections at once. The play's mu is held, or no other
-// goroutine uses the play.
+// newServer creates a server that accepts connections at once. The run's mu is held, or no other
+// goroutine uses the run.
 func (r *testRun) newServer(tier, index, generation int, started time.Duration) (*emulatedServer, error) {
 	t := r.experiment.Site.Tiers[tier]
 	kind := traffic.KindOf(t, index)
@@ -139,7 +139,7 @@
 	s.reschedule()
 }
 
-// accept accepts connections until the server is closed or the play ends.
+// accept accepts connections until the server is closed or the run ends.
 func (s *emulatedServer) accept() error {
 	for {
 		nc, err := s.listener.Accept()
@@ -191,7 +191,7 @@
 }
 
 // waitWhile waits while a condition of the faults holds. It reports false if crashed was closed or
-// the play ended before. A nil channel is never closed.
+// the run ended before. A nil channel is never closed.
 func (s *emulatedServer) waitWhile(holds func(*traffic.ServerFaults) bool, crashed <-chan struct{}) bool {
 	for {
 		s.mu.Lock()
@@ -210,7 +210,7 @@
 	}
 }
 
-// waitResponsive waits while the machine sends nothing, or until the process dies or the play ends.
+// waitResponsive waits while the machine sends nothing, or until the process dies or the run ends.
 func (s *emulatedServer) waitResponsive(crashed <-chan struct{}) {
 	s.waitWhile(func(f *traffic.ServerFaults) bool { return f.Unresponsive }, crashed)
 }
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -199,7 +199,7 @@
 	r.cost.Descriptors = max(r.cost.Descriptors, usage.Descriptors)
 }
 
-// monitorUsage measures and judges what programs use, until the play ends.
+// monitorUsage measures and judges what programs use, until the run ends.
 func (r *testRun) monitorUsage() {
 	t := time.NewTicker(usageInterval)
 	defer t.Stop()
--- a/internal/experiment/testbed/testbed.go
+++ b/internal/experiment/testbed/testbed.go
@@ -1,6 +1,6 @@
-// Package testbed plays an experiment on real sockets: emulated servers, discovery and clients on
+// Package testbed runs an experiment on real sockets: emulated servers, discovery and clients on
 // loopback addresses, and the programs under test as child processes. It measures its own delays: a
-// play in which it was late is void.
+// run in which it was late is void.
 package testbed
 
 import (
@@ -27,21 +27,21 @@
 	defaultStartTimeout = 15 * time.Second
 	maxParallelStarts   = 8                      // of programs at the beginning
 	settleTime          = 300 * time.Millisecond // between the last health check and the first request
-	maxLateness         = 25 * time.Millisecond  // of the requests' sending (p99), beyond which a play is void
+	maxLateness         = 25 * time.Millisecond  // of the requests' sending (p99), beyond which a run is void
 
 	// timingSlack is added to each limit of time by which programs are judged, for the test bed's own
 	// delays.
 	timingSlack = 50 * time.Millisecond
 )
 
-// Options say with what to play.
+// Options say with what to run.
 type Options struct {
 	Program      Program
 	Progress     func(now time.Duration)
 	StartTimeout time.Duration // until a program must be healthy; 0: 15 s
 }
 
-// testRun is one play.
+// testRun is one run.
 type testRun struct {
 	variant      experiment.Variant
 	experiment   *experiment.Experiment
@@ -51,7 +51,7 @@
 	checker      *invariant.Checker
 
 	group     *errgroup.Group // the goroutines that serve
-	ctx       context.Context // of the play
+	ctx       context.Context // of the run
 	cancel    context.CancelCauseFunc
 	startedAt atomic.Int64 // Unix time in ns
 
@@ -78,7 +78,7 @@
 	return time.Duration(time.Now().UnixNano() - r.startedAt.Load())
 }
 
-// Run plays an experiment once. All that it started has ended when it returns. If ctx ends, it
+// Run runs an experiment once. All that it started has ended when it returns. If ctx ends, it
 // returns what was measured up to then and the context's error.
 func Run(ctx context.Context, e *experiment.Experiment, variant experiment.Variant, seed uint64,
 	o Options) (report.Run, error) {
@@ -112,7 +112,7 @@
 	}
 	r.startedAt.Store(time.Now().UnixNano())
 	group.Go(func() error { r.monitorUsage(); return nil })
-	out.Lateness = r.play(o.Progress)
+	out.Lateness = r.runLoad(o.Progress)
 	err := context.Cause(runCtx)
 	if out.Lateness > maxLateness {
 		out.Void = fmt.Sprintf("the rig itself was late: its sendings by %v (p99)",
@@ -123,7 +123,7 @@
 	return out, err
 }
 
-// shutDown ends the play, for a reason or nil, and waits until all that it started has ended. It
+// shutDown ends the run, for a reason or nil, and waits until all that it started has ended. It
 // may be called twice.
 func (r *testRun) shutDown(reason error) {
 	r.cancel(reason)
@@ -131,16 +131,16 @@
 	_ = r.group.Wait() // its functions return no errors
 }
 
-// fail ends the play for a reason that is not the program's.
+// fail ends the run for a reason that is not the program's.
 func (r *testRun) fail(err error) {
 	if r.ctx.Err() == nil {
 		r.cancel(err)
 	}
 }
 
-// play sends the clients' requests and applies the faults, and waits for the end of both. It
+// runLoad sends the clients' requests and applies the faults, and waits for the end of both. It
 // returns by how much requests were sent late (p99).
-func (r *testRun) play(progress func(time.Duration)) time.Duration {
+func (r *testRun) runLoad(progress func(time.Duration)) time.Duration {
 	for _, event := range traffic.Timeline(r.experiment, r.seed) {
 		r.faults.Go(func() {
 			if r.sleepUntil(event.At) {
@@ -160,7 +160,7 @@
 			r.mu.Lock()
 			lateness = append(lateness, late)
 			r.mu.Unlock()
-			r.playClient(n, &request)
+			r.runClient(n, &request)
 		})
 		if progress != nil && request.At-reported > time.Second {
 			reported = request.At
@@ -176,7 +176,7 @@
 	return lateness[len(lateness)*99/100]
 }
 
-// sleepUntil waits until an instant. It reports false if the play ended before.
+// sleepUntil waits until an instant. It reports false if the run ended before.
 func (r *testRun) sleepUntil(at time.Duration) bool {
 	t := time.NewTimer(at - r.now())
 	defer t.Stop()
--- a/internal/experiment/testbed/testbed_test.go
+++ b/internal/experiment/testbed/testbed_test.go
@@ -22,7 +22,7 @@
 		goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// TestProgramsThatDoNotStart checks that a program that does not become healthy ends the play with
+// TestProgramsThatDoNotStart checks that a program that does not become healthy ends the run with
 // a message that says so, and is not left running.
 func TestProgramsThatDoNotStart(t *testing.T) {
 	for _, c := range []struct{ name, line, want string }{
--- a/internal/experiment/virtual/eventqueue.go
+++ b/internal/experiment/virtual/eventqueue.go
@@ -11,7 +11,7 @@
 }
 
 // actor is a component that events happen to. An event names the actor and the action, because a
-// closure for each event would be most of what a play allocates.
+// closure for each event would be most of what a run allocates.
 type actor interface {
 	act(now time.Duration, action int)
 }
--- a/internal/experiment/virtual/virtual.go
+++ b/internal/experiment/virtual/virtual.go
@@ -1,4 +1,4 @@
-// Package virtual plays an experiment in virtual time: a discrete-event simulation of servers,
+// Package virtual runs an experiment in virtual time: a discrete-event simulation of servers,
 // network, discovery and clients around real Balancers or baseline policies. The same experiment,
 // variant and seed give the same result, to the byte, on any machine.
 package virtual
@@ -18,11 +18,11 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// Result is the result of one play.
+// Result is the result of one run.
 type Result struct {
 	Counters *counters.Counters
 	Verdicts []invariant.Verdict
-	Played   time.Duration // of virtual time
+	Elapsed  time.Duration // of virtual time
 	Events   int
 	Logs     []string // the first lines that instances logged
 }
@@ -34,7 +34,7 @@
 }
 
 const (
-	// balancerEpoch is the balancers' time at the start of the play. It is not 0 because to a balancer
+	// balancerEpoch is the balancers' time at the start of the run. It is not 0 because to a balancer
 	// an endpoint that started at 0 started long ago.
 	balancerEpoch = 24 * time.Hour
 
@@ -44,7 +44,7 @@
 	eventsBetweenPoll = 4096        // between two looks at the context and the progress
 )
 
-// simulation is one play. Everything in it runs on one goroutine.
+// simulation is one run. Everything in it runs on one goroutine.
 type simulation struct {
 	eventQueue
 	eventSource // of events that belong to no other source
@@ -72,7 +72,7 @@
 	logs   []string
 }
 
-// Run plays an experiment once. If ctx ends, it returns the result up to then and the context's
+// Run runs an experiment once. If ctx ends, it returns the result up to then and the context's
 // error.
 func Run(ctx context.Context, e *experiment.Experiment, variant experiment.Variant, seed uint64,
 	o Options) (*Result, error) {
@@ -165,7 +165,7 @@
 		stats.WarmupPeak, stats.TimeToFullLoad = n.model.WarmupPeak(), n.timeToFullLoad()
 		s.counters.Servers = append(s.counters.Servers, stats)
 	}
-	return &Result{Counters: s.counters, Verdicts: s.checker.Close(s.now), Played: s.now, Events: s.events, Logs: s.logs}
+	return &Result{Counters: s.counters, Verdicts: s.checker.Close(s.now), Elapsed: s.now, Events: s.events, Logs: s.logs}
 }
 
 // build creates the servers and instances and starts the instances.
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// run plays an experiment with a policy.
+// run runs an experiment with a policy.
 func run(t *testing.T, e *experiment.Experiment, policy string, seed uint64, shuffle *rand.Rand) *Result {
 	t.Helper()
 	variant := experiment.Variant{Name: policy, Policy: policy}
@@ -89,7 +89,7 @@
 	}
 }
 
-// withAllFaults is calm with every fault that can be played in virtual time.
+// withAllFaults is calm with every fault that can be run in virtual time.
 func withAllFaults() *experiment.Experiment {
 	e := calm()
 	e.Duration = 30 * time.Second
