--- a/internal/experiment/testbed/client.go
+++ b/internal/experiment/testbed/client.go
@@ -44,53 +44,63 @@
 	clientLeft    bool
 }
 
+// failed is the outcome of an attempt without a response.
+var failed = attemptOutcome{outcome: invariant.Failed}
+
 // send sends a request to a sidecar and waits for its end. A connection that closes without a
 // response before the sidecar had read the request is replaced once (PROTOCOL, Callers to
 // sidecars). When ctx ends, the client disconnects.
 func (r *testRun) send(ctx context.Context, m *request, info requestInfo, s *sidecar, pool *connPool) attemptOutcome {
-	for try := range 2 {
-		c, err := pool.acquire(try > 0)
-		if err != nil {
-			if try > 0 {
-				r.checker.Waive(m.id)
-			}
-			return attemptOutcome{outcome: invariant.Failed, connectFailed: true}
-		}
-		deadline := time.Now().Add(m.patience)
-		if try == 0 {
-			r.checker.RecordRequest(r.now(), invariant.Request{ID: m.id, Instance: s.name, Repeat: info.repeat,
-				Deadline: r.now() + m.patience, Digest: m.digest()})
-		}
-		stop := context.AfterFunc(ctx, func() {
-			r.checker.Waive(m.id) // before the close, so that the close is no violation
-			c.Close()
-		})
-		resp, reusable, err := c.exchange(m, deadline.Add(r.experiment.Site.Rules.ResponseSlack+timingSlack))
-		used := c.used
-		if !stop() {
-			pool.closeConn(c)
-			return attemptOutcome{outcome: invariant.Failed, clientLeft: true}
-		}
-		if err == nil && reusable {
-			pool.release(c)
-		} else {
-			pool.closeConn(c)
-		}
-		switch {
-		case err == nil:
-			return r.recordResponse(m, resp)
-		case errors.Is(err, errTimeout):
-			r.checker.RecordTimeout(m.id)
-			return attemptOutcome{outcome: invariant.Failed}
-		case !used || s.killed.Load():
-			r.checker.Waive(m.id) // TERMS, Failed and lost requests
-			return attemptOutcome{outcome: invariant.Failed}
-		case r.checker.RecordClosedConn(r.now(), m.id):
-			return attemptOutcome{outcome: invariant.Failed}
-		}
+	c, err := pool.acquire()
+	if err != nil {
+		return attemptOutcome{outcome: invariant.Failed, connectFailed: true}
+	}
+	r.checker.RecordRequest(r.now(), invariant.Request{ID: m.id, Instance: s.name, Repeat: info.repeat,
+		Deadline: r.now() + m.patience, Digest: m.digest()})
+	outcome, replace := r.sendOn(ctx, c, m, s, pool)
+	if !replace {
+		return outcome
+	}
+	if c, err = pool.dial(); err != nil {
+		r.checker.Waive(m.id)
+		return attemptOutcome{outcome: invariant.Failed, connectFailed: true}
+	}
+	outcome, _ = r.sendOn(ctx, c, m, s, pool) // a new connection is not replaced
+	return outcome
+}
+
+// sendOn sends a request on a connection and waits for its end. It reports whether the request is
+// to be sent again because the sidecar closed the connection without having read it.
+func (r *testRun) sendOn(ctx context.Context, c *clientConn, m *request, s *sidecar,
+	pool *connPool) (out attemptOutcome, replace bool) {
+	wasUsed := c.used
+	deadline := time.Now().Add(m.patience + r.experiment.Site.Rules.ResponseSlack + timingSlack)
+	stop := context.AfterFunc(ctx, func() {
+		r.checker.Waive(m.id) // before the close, so that the close is no violation
+		c.Close()
+	})
+	resp, err := c.exchange(m, deadline)
+	if !stop() {
+		pool.closeConn(c)
+		return attemptOutcome{outcome: invariant.Failed, clientLeft: true}, false
+	}
+	if err == nil && resp.keepsConn {
+		pool.release(c)
+	} else {
+		pool.closeConn(c)
+	}
+	switch {
+	case err == nil:
+		return r.recordResponse(m, resp), false
+	case errors.Is(err, errTimeout):
+		r.checker.RecordTimeout(m.id)
+		return failed, false
+	case !wasUsed || s.killed.Load():
+		r.checker.Waive(m.id) // TERMS, Failed and lost requests
+		return failed, false
 	}
-	r.checker.Waive(m.id)
-	return attemptOutcome{outcome: invariant.Failed}
+	isViolation := r.checker.RecordClosedConn(r.now(), m.id)
+	return failed, !isViolation
 }
 
 // recordResponse records a response and returns the outcome that it stands for.
--- a/internal/experiment/testbed/clientconn.go
+++ b/internal/experiment/testbed/clientconn.go
@@ -67,6 +67,7 @@
 	retryAfter time.Duration
 	body       []byte
 	truncated  bool // begun and incomplete, or not HTTP
+	keepsConn  bool // the connection may carry another request
 }
 
 // Errors of an exchange without a response.
@@ -95,17 +96,29 @@
 // dialTimeout is for connections to programs on this machine.
 const dialTimeout = 2 * time.Second
 
-// acquire returns an idle connection, or a new one if there is none or fresh is true. Its only
-// error is errConnect.
-func (p *connPool) acquire(fresh bool) (*clientConn, error) {
-	p.mu.Lock()
-	if n := len(p.idle); n > 0 && !fresh {
-		c := p.idle[n-1]
-		p.idle = p.idle[:n-1]
-		p.mu.Unlock()
+// acquire returns an idle connection, or a new one if there is none. Its only error is errConnect.
+func (p *connPool) acquire() (*clientConn, error) {
+	if c := p.takeIdle(); c != nil {
 		return c, nil
 	}
-	p.mu.Unlock()
+	return p.dial()
+}
+
+// takeIdle returns the connection that became idle last; nil: there is none.
+func (p *connPool) takeIdle() *clientConn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	n := len(p.idle)
+	if n == 0 {
+		return nil
+	}
+	c := p.idle[n-1]
+	p.idle = p.idle[:n-1]
+	return c
+}
+
+// dial returns a new connection. Its only error is errConnect.
+func (p *connPool) dial() (*clientConn, error) {
 	nc, err := net.DialTimeout("tcp", p.addr, dialTimeout)
 	if err != nil {
 		return nil, errConnect
@@ -146,33 +159,34 @@
 	p.all, p.idle = nil, nil
 }
 
-// exchange sends a request and reads its response until the deadline. Reusable says that the
-// connection may carry another. Without a response the error is errTimeout or errClosed.
-func (c *clientConn) exchange(m *request, deadline time.Time) (resp response, reusable bool, err error) {
+// exchange sends a request and reads its response until the deadline. Without a response the error
+// is errTimeout or errClosed.
+func (c *clientConn) exchange(m *request, deadline time.Time) (response, error) {
 	if err := c.SetDeadline(deadline); err != nil {
-		return resp, false, errClosed
+		return response{}, errClosed
 	}
 	if _, err := c.Write(m.bytes()); err != nil {
-		return resp, false, errClosed
+		return response{}, errClosed
 	}
 	if _, err := c.reader.Peek(1); err != nil {
 		if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
-			return resp, false, errTimeout
+			return response{}, errTimeout
 		}
-		return resp, false, errClosed
+		return response{}, errClosed
 	}
 	head, err := http.ReadResponse(c.reader, &http.Request{Method: m.method})
 	if err != nil {
-		return response{truncated: true}, false, nil
+		return response{truncated: true}, nil
 	}
 	defer head.Body.Close()
-	resp.status = head.StatusCode
+	resp := response{status: head.StatusCode}
 	if seconds, err := strconv.ParseFloat(head.Header.Get("Retry-After"), 64); err == nil {
 		resp.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	if resp.body, err = io.ReadAll(io.LimitReader(head.Body, maxBody+1)); err != nil {
 		resp.truncated = true
-		return resp, false, nil
+		return resp, nil
 	}
-	return resp, !head.Close, nil
+	resp.keepsConn = !head.Close
+	return resp, nil
 }
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -163,22 +163,15 @@
 	}
 }
 
-// notice is a change of a tier's endpoint list that discovery has not yet published.
-type notice struct {
-	tier  int
-	entry platform.Endpoint
-}
-
 // publish notifies every sidecar before a tier of a change, each after its own delay and in the
 // order of the changes.
 func (r *testRun) publish(tier int, e platform.Endpoint) {
-	r.mu.Lock()
-	if r.discoverySilent {
-		r.withheld = append(r.withheld, notice{tier, e})
-		r.mu.Unlock()
+	delay, withheld := r.discoveryFaults.intercept(notice{tier, e})
+	if withheld {
 		return
 	}
-	sidecars, delay := slices.Clone(r.sidecars), r.discoveryDelay
+	r.mu.Lock()
+	sidecars := slices.Clone(r.sidecars)
 	r.mu.Unlock()
 	for _, s := range sidecars {
 		if s.tier == tier {
@@ -200,16 +193,3 @@
 	s.mu.Unlock()
 	time.AfterFunc(time.Until(at), func() { s.discovery.publish(e) })
 }
-
-// setDiscoverySilent begins or ends a time in which discovery publishes nothing. At its end what
-// was withheld follows.
-func (r *testRun) setDiscoverySilent(silent bool) {
-	r.mu.Lock()
-	r.discoverySilent = silent
-	withheld := r.withheld
-	r.withheld = nil
-	r.mu.Unlock()
-	for _, n := range withheld {
-		r.publish(n.tier, n.entry)
-	}
-}
--- a/internal/experiment/testbed/faults.go
+++ b/internal/experiment/testbed/faults.go
@@ -12,14 +12,15 @@
 func (r *testRun) applyFault(event traffic.FaultEvent) {
 	switch event.Kind {
 	case experiment.DiscoveryDelay:
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.discoveryDelay = 0
+		delay := time.Duration(0)
 		if event.On {
-			r.discoveryDelay = event.Fault.Period
+			delay = event.Fault.Period
 		}
+		r.discoveryFaults.setDelay(delay)
 	case experiment.DiscoverySilence:
-		r.setDiscoverySilent(event.On)
+		for _, n := range r.discoveryFaults.setSilent(event.On) {
+			r.publish(n.tier, n.entry)
+		}
 	case experiment.SilentPeer, experiment.PartialRequestPeer, experiment.OversizedPeer:
 		r.runImproperPeer(event.Kind, r.frontSidecars[event.Server%len(r.frontSidecars)])
 	case experiment.KillSidecar, experiment.TermSidecar, experiment.DiscoveryMove:
--- a/internal/experiment/testbed/server.go
+++ b/internal/experiment/testbed/server.go
@@ -56,11 +56,10 @@
 	t := r.experiment.Site.Tiers[tier]
 	kind := traffic.KindOf(t, index)
 	name := traffic.ServerName(t, index, generation)
-	l, err := net.Listen("tcp", fmt.Sprintf("127.81.%d.%d:0", r.serverAddrs/250, r.serverAddrs%250+1))
+	l, err := net.Listen("tcp", r.serverAddrs.next())
 	if err != nil {
 		return nil, fmt.Errorf("box %s: %w", name, err)
 	}
-	r.serverAddrs++
 	s := &emulatedServer{
 		run:        r,
 		tier:       tier,
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -48,11 +48,10 @@
 // newSidecar reserves an address for a sidecar and starts its discovery server. Its IP address is
 // used for no outgoing connections, so that its port stays free while it is down.
 func (r *testRun) newSidecar(name string, tier, index, count int) (*sidecar, error) {
-	l, err := net.Listen("tcp", fmt.Sprintf("127.80.%d.%d:0", r.sidecarAddrs/250, r.sidecarAddrs%250+1))
+	l, err := net.Listen("tcp", r.sidecarAddrs.next())
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	r.sidecarAddrs++
 	s := &sidecar{run: r, name: name, tier: tier, index: index, count: count, addr: l.Addr().String(),
 		discoverySpread: experiment.Rand(r.seed, "spread "+name).Float64()}
 	if err := l.Close(); err != nil {
--- a/internal/experiment/testbed/testbed.go
+++ b/internal/experiment/testbed/testbed.go
@@ -29,6 +29,10 @@
 	settleTime          = 300 * time.Millisecond // between the last health check and the first request
 	maxLateness         = 25 * time.Millisecond  // of the requests' sending (p99), beyond which a run is void
 
+	// Second bytes of the loopback addresses of sidecars and servers.
+	sidecarSubnet = 80
+	serverSubnet  = 81
+
 	// timingSlack is added to each limit of time by which programs are judged, for the test bed's own
 	// delays.
 	timingSlack = 50 * time.Millisecond
@@ -49,33 +53,26 @@
 	program      Program
 	startTimeout time.Duration
 	checker      *invariant.Checker
+	clock
 
-	group     *errgroup.Group // the goroutines that serve
-	ctx       context.Context // of the run
-	cancel    context.CancelCauseFunc
-	startedAt atomic.Int64 // Unix time in ns
-
+	group        *errgroup.Group // the goroutines that serve
+	ctx          context.Context // of the run
+	cancel       context.CancelCauseFunc
 	requests     sync.Map // of requestInfo, by request ID
 	requestsSent atomic.Int64
 	faults       sync.WaitGroup // the goroutines that apply them
 
-	mu              sync.Mutex
-	counters        *counters.Counters
-	servers         [][]*emulatedServer // by tier and index: the present generation
-	allServers      []*emulatedServer
-	frontSidecars   []*sidecar
-	sidecars        []*sidecar // of all tiers
-	serverAddrs     int        // number of addresses used
-	sidecarAddrs    int
-	discoverySilent bool
-	discoveryDelay  time.Duration // by a fault, beyond the site's
-	withheld        []notice      // while discovery is silent
-	cost            report.Cost
-}
+	mu            sync.Mutex
+	counters      *counters.Counters
+	servers       [][]*emulatedServer // by tier and index: the present generation
+	allServers    []*emulatedServer
+	frontSidecars []*sidecar
+	sidecars      []*sidecar // of all tiers
+	serverAddrs   loopbackRange
+	sidecarAddrs  loopbackRange
+	cost          report.Cost
 
-func (r *testRun) startTime() time.Time { return time.Unix(0, r.startedAt.Load()) }
-func (r *testRun) now() time.Duration {
-	return time.Duration(time.Now().UnixNano() - r.startedAt.Load())
+	discoveryFaults discoveryFaults
 }
 
 // Run runs an experiment once. All that it started has ended when it returns. If ctx ends, it
@@ -96,8 +93,10 @@
 		ctx:          groupCtx,
 		cancel:       cancel,
 		counters:     out.Counters,
+		sidecarAddrs: loopbackRange{second: sidecarSubnet},
+		serverAddrs:  loopbackRange{second: serverSubnet},
 	}
-	r.startedAt.Store(time.Now().UnixNano())
+	r.clock.restart()
 	defer r.shutDown(nil)
 	stopFollowing := context.AfterFunc(ctx, func() { cancel(ctx.Err()) })
 	defer stopFollowing()
@@ -110,7 +109,7 @@
 	case <-runCtx.Done():
 		return out, context.Cause(runCtx)
 	}
-	r.startedAt.Store(time.Now().UnixNano())
+	r.clock.restart()
 	group.Go(func() error { r.monitorUsage(); return nil })
 	out.Lateness = r.runLoad(o.Progress)
 	err := context.Cause(runCtx)
