--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -24,7 +24,6 @@
 	tenantQuota float64 // requests a second, of all tenants, for this instance alone
 
 	endpointSet
-	unlistedCount    int           // ready endpoints that only other instances send to
 	wantedSubsetSize float64       // by the rate of requests
 	subscribeAt      time.Duration // next Host.Subscribe; 0: none due
 	subscribeBackoff time.Duration
@@ -113,8 +112,8 @@
 
 // send starts an attempt of a request at an endpoint and charges the endpoint for it.
 func (b *Balancer) send(now time.Duration, req *request, e *endpoint) {
-	if b.capacityShare(now, e) < 1 {
-		e.nextSendAt = now + b.slowStartInterval(now, e, 1)
+	if !b.isWarm(now, e) {
+		e.slowStart.nextSendAt = now + b.slowStartInterval(now, e, 1)
 		b.trackWarming(e)
 	}
 	straggling := b.stragglingDelay(req, e)
@@ -128,7 +127,7 @@
 	if req.Streamed {
 		a.stragglingAt = req.Deadline // its endpoint does not have all of it yet
 	}
-	e.trialInFlight = a.trial
+	e.trial.inFlight = a.trial
 	e.inFlight++
 	b.updateHeaps(e)
 	req.attempts, req.queued, req.hedgeAt = append(req.attempts, a), false, 0
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -50,7 +50,7 @@
 	switch {
 	case b.recentLatencyRatio > threshold && used > highUtilization*limit && now >= b.nextLimitCutAt:
 		cut := max(minLimitCutShare, threshold/b.recentLatencyRatio)
-		least := b.endpointsPerInstance(b.listedCount + b.unlistedCount)
+		least := b.endpointsPerInstance(b.fleetCount())
 		b.concurrencyLimit = max(min(b.concurrencyLimit, used)*cut, least)
 		b.nextLimitCutAt = now + seconds(b.recentLatencyRatio*b.typicalLatency()/2)
 	case float64(b.concurrency+2) > limit:
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -70,7 +70,7 @@
 // evaluateError evaluates an attempt that its endpoint answered with an error. Where the endpoints
 // depend on a tier below and fail no more than each other, an error says nothing of this one.
 func (b *Balancer) evaluateError(now time.Duration, req *request, a *attempt, latencyRatio float64) {
-	b.recordOutcome(now, a.endpoint, 1)
+	b.recordOutcome(now, a.endpoint, errorOutcome)
 	isOwn := b.failsMoreThanOthers(a.endpoint)
 	if b.settings.TiersBelow > 0 && !isOwn {
 		b.abandonTrial(now, a)
@@ -125,8 +125,8 @@
 func (b *Balancer) recordSuccess(
 	now time.Duration, req *request, e *endpoint, latency time.Duration, latencyRatio float64,
 ) {
-	b.recordOutcome(now, e, 0)
-	e.respondedAt = now
+	b.recordOutcome(now, e, successOutcome)
+	e.connection.respondedAt = now
 	req.class.observe(now, latency.Seconds())
 	b.updateConcurrencyLimit(now, latencyRatio)
 	b.speedUpSlowStart(now, e, latencyRatio)
@@ -146,8 +146,7 @@
 func (b *Balancer) failsMoreThanOthers(e *endpoint) bool {
 	others := b.outcomes
 	if e.inSubset {
-		others.errors = max(others.errors-e.outcomes.errors, 0)
-		others.total = max(others.total-e.outcomes.total, 0)
+		others = others.minus(e.outcomes.outcomeCounts).atLeastZero()
 	}
 	usual := (others.errors + 0.5) / (others.total + 1)
 	own := min(max(minFailingErrorShare, failingErrorMultiple*usual), maxFailingErrorShare)
@@ -161,21 +160,18 @@
 // it warms up when it is back. If one were enough, a warm endpoint would get a warming one's
 // traffic, and the others the rest of its own.
 func (b *Balancer) recordBrokenConnection(now time.Duration, e *endpoint, r Result) {
-	if e.resetAt > e.respondedAt {
-		e.Started, e.slowStartSpeedUp = max(e.Started, now), 1
+	if e.connection.isDown() {
+		e.Started = max(e.Started, now)
+		e.slowStart.speedUp = 1
 	}
 	if r == Reset {
-		e.resetAt = now
+		e.connection.resetAt = now
 	}
 }
 
 // addSample smooths the weight and ejects the endpoint if it has become too slow.
 func (b *Balancer) addSample(now time.Duration, e *endpoint, latencyRatio float64) {
-	gap := now - e.sampledAt
-	retained := max(min(decay(gap, sampleMemory), maxSampleRetention), decay(gap, minSampleMemory))
-	e.sampleSum = e.sampleSum*retained + latencyRatio/e.kind.weight
-	e.sampleCount = e.sampleCount*retained + 1
-	e.sampledAt = now
+	e.samples.add(now, latencyRatio/e.kind.weight)
 	b.updateHeaps(e)
 	if e.active && b.isTooSlow(e) {
 		b.eject(now, e, InactiveSlow)
@@ -197,6 +193,6 @@
 func (b *Balancer) eject(now time.Duration, e *endpoint, reason InactiveReason) {
 	e.active = false
 	e.inactiveReason = reason
-	e.backoff = b.initialBackoff(now)
+	e.trial.backoff = b.initialBackoff(now)
 	b.scheduleTrial(now, e)
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -37,14 +37,18 @@
 // applyEndpointList merges a list and adapts the subset, the slow start of what has started, and
 // the concurrency limit.
 func (b *Balancer) applyEndpointList(now time.Duration, l EndpointList) {
-	first := b.listedCount == 0
+	isFirst := b.listedCount == 0
 	touched, started := b.mergeEndpointList(l)
 	b.updateSubset(touched) // before the trials are timed: with an empty subset all would be due
+	introduce := b.introduceEndpoint
+	if isFirst {
+		introduce = b.introduceFirstEndpoint
+	}
 	for _, e := range started {
-		b.introduceEndpoint(now, e, first)
+		introduce(now, e)
 	}
-	if first {
-		b.concurrencyLimit = b.concurrencyLimitFor(b.listedCount + b.unlistedCount)
+	if isFirst {
+		b.concurrencyLimit = b.concurrencyLimitFor(b.fleetCount())
 	}
 	if b.readyCount > 0 { // the endpoints that take new work must not get the part of those that do not
 		before := cmp.Or(b.limitReadyCount, b.readyCount)
@@ -69,9 +73,10 @@
 	}
 	delete(b.disabled, id)
 	if e := b.byID[id]; e != nil {
-		e.enabledAt = now
-		b.introduceEndpoint(now, e, false)
-		e.nextTrialAt, e.nextSendAt = now, now
+		e.slowStart.enabledAt = now
+		b.introduceEndpoint(now, e)
+		e.trial.nextAt = now
+		e.slowStart.nextSendAt = now
 	}
 	b.reapplyListedState(now, id)
 }
@@ -81,7 +86,7 @@
 func (b *Balancer) reapplyListedState(now time.Duration, id string) {
 	if e := b.byID[id]; e != nil {
 		entry := e.Endpoint
-		entry.State = e.listedState
+		entry.State = e.listing.state
 		b.applyEndpointList(now, EndpointList{Entries: []Endpoint{entry}})
 	}
 }
@@ -90,6 +95,6 @@
 // them.
 func (b *Balancer) allDisabled() bool {
 	return b.readyCount == 0 && slices.ContainsFunc(b.endpoints, func(e *endpoint) bool {
-		return e.State != Removed && e.listedState == Ready
+		return e.State != Removed && e.listing.state == Ready
 	})
 }
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -11,59 +11,26 @@
 
 const (
 	maxRemovedEndpoints = 16 // removed endpoints that are retained at most, besides as many as are listed
-	maxSortedInserts    = 64 // changes from which sorting all ready endpoints costs less than inserting each
+	maxSortedInserts    = 64 // beyond so many changes, sorting all endpoints costs less than inserting each
 )
 
-// endpoint is all that is known of one endpoint.
-type endpoint struct {
-	Endpoint
-	kind        *endpointKind
-	listedState State         // what the list says, whatever the operators do
-	enabledAt   time.Duration // latest Enable
-
-	active         bool
-	inactiveReason InactiveReason
-	deficit        float64       // charges for the requests that it got
-	backoff        time.Duration // wait between trials
-	nextTrialAt    time.Duration // while not active
-	trialInFlight  bool          // its single trial is in flight
-	inFlight       int           // attempts in flight
-
-	sampleSum        float64       // decayed latency ratios, over the kind's weight
-	sampleCount      float64       // how many samples these are worth
-	sampledAt        time.Duration // latest sample
-	respondedAt      time.Duration // latest response
-	resetAt          time.Duration // latest connection reset
-	outcomes         outcomeCounts
-	outcomesAt       time.Duration // latest of the outcomes
-	nextSendAt       time.Duration // next send, while it warms up
-	slowStartSpeedUp float64       // times as often as its capacity alone would allow
-
-	insertionIndex   int            // among all endpoints that were ever listed
-	namedInVersion   int            // latest list version that named it
-	changedInVersion int            // latest list version that changed it
-	inSubset         bool           // this instance sends to it
-	subsetIndex      int            // of two alike, the first is selected
-	countedFailing   bool           // counted in Balancer.failingCount
-	heapIndexes      [heapSlots]int // in the heaps that it is in, from 1
-}
-
 // endpointSet is the endpoints known, the subset of them that this instance sends to, and the heaps
 // in which the subset is searched.
 type endpointSet struct {
-	endpoints   []*endpoint // in order of insertion; removed ones are dropped now and then
-	byID        map[string]*endpoint
-	kindByName  map[string]*endpointKind
-	kinds       []*endpointKind
-	disabled    map[string]bool // IDs that the operators have taken out, listed or not
-	listedCount int             // endpoints that are not removed
-	readyCount  int             // endpoints that are neither draining nor removed
-	listVersion int             // counts the endpoint lists applied
+	endpoints     []*endpoint // in order of insertion; removed ones are dropped now and then
+	byID          map[string]*endpoint
+	kindByName    map[string]*endpointKind
+	kinds         []*endpointKind
+	disabled      map[string]bool // IDs that the operators have disabled, listed or not
+	listedCount   int             // endpoints that are not removed
+	readyCount    int             // endpoints that are neither draining nor removed
+	unlistedCount int             // ready endpoints that only other instances send to
+	listVersion   int             // counts the endpoint lists applied
 
 	subset       []*endpoint   // endpoints that this instance sends to, unless all are
 	subsetIsAll  bool          // the subset is all ready endpoints
 	subsetSize   int           // endpoints in the subset
-	readyByKind  []*endpoint   // all ready endpoints, sorted; kept while the subset is a part of them
+	readyByKind  []*endpoint   // all ready endpoints, sorted, while the subset is a part of them
 	activeHeap   endpointHeap  // active endpoints of the subset, by deficit
 	trialHeap    endpointHeap  // the others of the subset, by the time of their trial
 	deficitBase  float64       // deficit that counts as 0 in the subset
@@ -83,8 +50,8 @@
 	}
 }
 
-// mergeEndpointList applies a list to the endpoints. It returns those that were changed or have
-// left, and of them those that are new or have restarted.
+// mergeEndpointList applies a list to the endpoints. It returns those that were changed or removed,
+// and of them those that are new or have restarted.
 func (s *endpointSet) mergeEndpointList(l EndpointList) (touched, started []*endpoint) {
 	s.listVersion++
 	for _, entry := range l.Entries {
@@ -108,12 +75,13 @@
 func (s *endpointSet) endpointFor(id string) *endpoint {
 	e := s.byID[id]
 	if e == nil {
-		e = &endpoint{insertionIndex: len(s.endpoints)}
+		e = &endpoint{}
 		if n := len(s.endpoints); n > 0 {
-			e.insertionIndex = s.endpoints[n-1].insertionIndex + 1
+			e.listing.index = s.endpoints[n-1].listing.index + 1
 		}
 		e.State = Removed
-		s.byID[id], s.endpoints = e, append(s.endpoints, e)
+		s.byID[id] = e
+		s.endpoints = append(s.endpoints, e)
 	}
 	return e
 }
@@ -121,7 +89,8 @@
 // mergeEntry applies an entry of a list to its endpoint. It reports whether the entry says anything
 // new, and whether the endpoint is new or has restarted.
 func (s *endpointSet) mergeEntry(e *endpoint, entry Endpoint) (changed, restarted bool) {
-	e.namedInVersion, e.listedState = s.listVersion, entry.State
+	e.listing.namedIn = s.listVersion
+	e.listing.state = entry.State
 	if s.disabled[entry.ID] && entry.State == Ready {
 		entry.State = Draining
 	}
@@ -130,11 +99,12 @@
 	}
 	restarted = e.kind == nil || entry.Started > e.Started
 	if e.kind != nil && e.Kind != entry.Kind {
-		e.kind.activeByWeight.setMember(e, false)
+		e.kind.activeByWeight.remove(e)
 	}
 	e.kind = s.kindFor(entry.Kind)
 	s.countState(e.State, entry.State)
-	e.Endpoint, e.changedInVersion = entry, s.listVersion
+	e.Endpoint = entry
+	e.listing.changedIn = s.listVersion
 	return true, restarted
 }
 
@@ -143,7 +113,8 @@
 	k := s.kindByName[name]
 	if k == nil {
 		k = &endpointKind{weight: 1, activeByWeight: endpointHeap{slot: weightHeapSlot, less: hasLowerWeight}}
-		s.kindByName[name], s.kinds = k, append(s.kinds, k)
+		s.kindByName[name] = k
+		s.kinds = append(s.kinds, k)
 	}
 	return k
 }
@@ -152,9 +123,10 @@
 func (s *endpointSet) markUnlistedRemoved() []*endpoint {
 	var removed []*endpoint
 	for _, e := range s.endpoints {
-		if e.namedInVersion != s.listVersion && e.State != Removed {
+		if e.listing.namedIn != s.listVersion && e.State != Removed {
 			s.countState(e.State, Removed)
-			e.State, e.changedInVersion = Removed, s.listVersion
+			e.State = Removed
+			e.listing.changedIn = s.listVersion
 			removed = append(removed, e)
 		}
 	}
@@ -175,45 +147,66 @@
 
 // countState updates the counts of listed and ready endpoints for a change of one endpoint's state.
 func (s *endpointSet) countState(before, after State) {
-	count := func(state State, n int) {
-		if state != Removed {
-			s.listedCount += n
-		}
-		if state == Ready {
-			s.readyCount += n
-		}
+	s.addToCounts(before, -1)
+	s.addToCounts(after, 1)
+}
+
+// addToCounts adds a number of endpoints in a state to the counts.
+func (s *endpointSet) addToCounts(state State, n int) {
+	if state != Removed {
+		s.listedCount += n
+	}
+	if state == Ready {
+		s.readyCount += n
 	}
-	count(before, -1)
-	count(after, 1)
 }
 
-// setSubsetMembership puts an endpoint into the subset or takes it out, with all that is counted
-// there.
-func (s *endpointSet) setSubsetMembership(e *endpoint, member bool, index int) {
-	if member != e.inSubset {
+// fleetCount returns how many endpoints there are for all instances together.
+func (s *endpointSet) fleetCount() int { return s.listedCount + s.unlistedCount }
+
+// addToSubset puts an endpoint into the subset at an index, with all that is counted there. It may
+// be in the subset already, at another index.
+func (s *endpointSet) addToSubset(e *endpoint, index int) {
+	if !e.inSubset {
 		deficit := e.deficit - s.zeroDeficit(e)
-		e.inSubset = member
+		e.inSubset = true
 		e.deficit = deficit + s.zeroDeficit(e)
-		if member {
-			s.subsetSize++
-			s.outcomes.errors += e.outcomes.errors
-			s.outcomes.total += e.outcomes.total
-		} else {
-			s.subsetSize--
-			s.outcomes.errors -= e.outcomes.errors
-			s.outcomes.total -= e.outcomes.total
-		}
+		s.subsetSize++
+		s.outcomes = s.outcomes.plus(e.outcomes.outcomeCounts)
 	}
 	e.subsetIndex = index
 	s.updateHeaps(e)
 }
 
+// removeFromSubset takes an endpoint out of the subset, with all that is counted there. It need not
+// be in it.
+func (s *endpointSet) removeFromSubset(e *endpoint) {
+	if e.inSubset {
+		deficit := e.deficit - s.zeroDeficit(e)
+		e.inSubset = false
+		e.deficit = deficit + s.zeroDeficit(e)
+		s.subsetSize--
+		s.outcomes = s.outcomes.minus(e.outcomes.outcomeCounts)
+	}
+	e.subsetIndex = 0
+	s.updateHeaps(e)
+}
+
+// updateMembership puts a ready endpoint into the subset of all, and takes another out.
+func (s *endpointSet) updateMembership(e *endpoint) {
+	if e.State == Ready {
+		s.addToSubset(e, e.listing.index)
+	} else {
+		s.removeFromSubset(e)
+	}
+}
+
 // replaceSubset makes a part of the endpoints the subset.
 func (s *endpointSet) replaceSubset(subset []*endpoint) {
 	const notInSubset = -1
 	for _, e := range s.subsetCandidates() { // the heaps go by indexes that are about to change
-		s.activeHeap.setMember(e, false)
-		s.trialHeap.setMember(e, false)
+		s.activeHeap.remove(e)
+		s.trialHeap.remove(e)
 		e.subsetIndex = notInSubset
 	}
 	for i, e := range subset {
@@ -221,12 +214,13 @@
 	}
 	for _, e := range s.subsetCandidates() {
 		if e.subsetIndex == notInSubset {
-			s.setSubsetMembership(e, false, 0)
+			s.removeFromSubset(e)
 		}
 	}
-	s.subsetIsAll, s.subset = false, subset
+	s.subsetIsAll = false
+	s.subset = subset
 	for i, e := range subset {
-		s.setSubsetMembership(e, true, i)
+		s.addToSubset(e, i)
 	}
 }
 
@@ -250,45 +244,51 @@
 // updateHeaps moves an endpoint to where it belongs in all heaps. It must be called after any
 // change of what they are ordered by.
 func (s *endpointSet) updateHeaps(e *endpoint) {
-	s.activeHeap.setMember(e, e.inSubset && e.active)
-	s.trialHeap.setMember(e, e.inSubset && !e.active)
-	e.kind.activeByWeight.setMember(e, e.inSubset && e.active)
-	failing := e.inSubset && !e.active && e.inactiveReason == InactiveFailing
+	isActive, isInactive := e.inSubset && e.active, e.inSubset && !e.active
+	s.activeHeap.setMember(e, isActive)
+	s.trialHeap.setMember(e, isInactive)
+	e.kind.activeByWeight.setMember(e, isActive)
+	s.setCountedFailing(e, isInactive && e.inactiveReason == InactiveFailing)
+}
+
+// setCountedFailing sets whether an endpoint is counted among those ejected for failures.
+func (s *endpointSet) setCountedFailing(e *endpoint, isFailing bool) {
 	switch {
-	case failing && !e.countedFailing:
+	case isFailing && !e.countedFailing:
 		s.failingCount++
-	case !failing && e.countedFailing:
+	case !isFailing && e.countedFailing:
 		s.failingCount--
 	}
-	e.countedFailing = failing
+	e.countedFailing = isFailing
 }
 
-// recordOutcome counts a response of an endpoint, with 1 error or none.
-func (s *endpointSet) recordOutcome(now time.Duration, e *endpoint, errors float64) {
-	left := decay(now-e.outcomesAt, outcomeMemory)
-	e.outcomesAt = now
-	s.setOutcomes(e, e.outcomes.add(left, errors))
+// recordOutcome counts a response of an endpoint.
+func (s *endpointSet) recordOutcome(now time.Duration, e *endpoint, outcome outcomeCounts) {
+	retained := decay(now-e.outcomes.updatedAt, outcomeMemory)
+	s.setOutcomes(now, e, e.outcomes.times(retained).plus(outcome))
 }
 
-// setOutcomes sets an endpoint's outcomes, and the sum over the subset with them.
-func (s *endpointSet) setOutcomes(e *endpoint, o outcomeCounts) {
+// setOutcomes sets an endpoint's outcomes as of now, and the sum over the subset with them.
+func (s *endpointSet) setOutcomes(now time.Duration, e *endpoint, o outcomeCounts) {
 	if e.inSubset {
-		s.outcomes.errors = s.outcomes.errors + o.errors - e.outcomes.errors
-		s.outcomes.total = s.outcomes.total + o.total - e.outcomes.total
+		s.outcomes = s.outcomes.plus(o).minus(e.outcomes.outcomeCounts)
 	}
-	e.outcomes = o
+	e.outcomes = outcomeHistory{outcomeCounts: o, updatedAt: now}
 }
 
 // useAllEndpoints makes the subset all ready endpoints.
 func (s *endpointSet) useAllEndpoints(touched []*endpoint) {
 	if !s.subsetIsAll {
 		for _, e := range s.subset { // endpoints that are removed may no longer be in s.endpoints
-			s.setSubsetMembership(e, e.State == Ready, e.insertionIndex)
+			s.updateMembership(e)
 		}
-		s.subsetIsAll, s.subset, s.readyByKind, touched = true, nil, nil, s.endpoints
+		s.subsetIsAll = true
+		s.subset = nil
+		s.readyByKind = nil
+		touched = s.endpoints
 	}
 	for _, e := range touched {
-		s.setSubsetMembership(e, e.State == Ready, e.insertionIndex)
+		s.updateMembership(e)
 	}
 }
 
@@ -299,7 +299,7 @@
 	}
 	notReady := func(e *endpoint) bool { return e.State != Ready }
 	s.readyByKind = slices.DeleteFunc(s.readyByKind, func(e *endpoint) bool {
-		return notReady(e) || len(touched) > 0 && e.changedInVersion == s.listVersion
+		return notReady(e) || len(touched) > 0 && e.listing.changedIn == s.listVersion
 	})
 	if len(touched) > maxSortedInserts {
 		s.readyByKind = append(s.readyByKind, touched...)
@@ -343,7 +343,7 @@
 	if !slices.Contains(s.warming, e) {
 		s.warming = append(s.warming, e)
 		slices.SortFunc(s.warming, func(x, y *endpoint) int {
-			return cmp.Compare(x.insertionIndex, y.insertionIndex)
+			return cmp.Compare(x.listing.index, y.listing.index)
 		})
 	}
 }
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -61,7 +61,7 @@
 	if n := len(s.endpoints); n > 2+maxRemovedEndpoints {
 		t.Errorf("%d endpoints are kept where one is listed", n)
 	}
-	if e := s.byID["999"]; len(s.byID) != 1 || e == nil || e.insertionIndex != 999 {
+	if e := s.byID["999"]; len(s.byID) != 1 || e == nil || e.listing.index != 999 {
 		t.Errorf("by ID: %v", s.byID)
 	}
 }
@@ -72,10 +72,12 @@
 	s := newEndpointSet()
 	touched, _ := s.mergeEndpointList(EndpointList{Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
 	a, b := touched[0], touched[1]
-	a.outcomes, a.deficit, a.active = outcomeCounts{errors: 1, total: 4}, 2, true
+	a.outcomes.outcomeCounts = outcomeCounts{errors: 1, total: 4}
+	a.deficit = 2
+	a.active = true
 	s.deficitBase = 10
 	s.replaceSubset([]*endpoint{b, a})
-	if s.subsetSize != 2 || s.outcomes != a.outcomes || a.deficit != 12 || a.subsetIndex != 1 {
+	if s.subsetSize != 2 || s.outcomes != a.outcomes.outcomeCounts || a.deficit != 12 || a.subsetIndex != 1 {
 		t.Errorf("in the subset: size %d, outcomes %+v, deficit %v, index %d", s.subsetSize, s.outcomes, a.deficit,
 			a.subsetIndex)
 	}
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -101,14 +101,39 @@
 	}
 }
 
-// outcomeCounts are responses and the errors among them, decayed.
+// outcomeCounts are decayed counts of responses and of the errors among them.
 type outcomeCounts struct{ errors, total float64 }
 
-// add returns the counts after an outcome, with the share of the old ones that is left.
-func (o outcomeCounts) add(left, errors float64) outcomeCounts {
-	return outcomeCounts{errors: o.errors*left + errors, total: o.total*left + 1}
+// The outcomes of single attempts.
+var (
+	errorOutcome   = outcomeCounts{errors: 1, total: 1}
+	successOutcome = outcomeCounts{total: 1}
+)
+
+// plus returns the sum of the counts.
+func (o outcomeCounts) plus(other outcomeCounts) outcomeCounts {
+	return outcomeCounts{errors: o.errors + other.errors, total: o.total + other.total}
 }
 
+// minus returns the difference of the counts.
+func (o outcomeCounts) minus(other outcomeCounts) outcomeCounts {
+	return outcomeCounts{errors: o.errors - other.errors, total: o.total - other.total}
+}
+
+// times returns the counts times a share that is retained of them.
+func (o outcomeCounts) times(retained float64) outcomeCounts {
+	return outcomeCounts{errors: o.errors * retained, total: o.total * retained}
+}
+
+// atLeastZero returns the counts with 0 for those below it. Differences of sums may be, by
+// rounding.
+func (o outcomeCounts) atLeastZero() outcomeCounts {
+	return outcomeCounts{errors: max(o.errors, 0), total: max(o.total, 0)}
+}
+
+// errorShare returns the share of errors, 0 while there is less than one outcome.
+func (o outcomeCounts) errorShare() float64 { return o.errors / max(o.total, 1) }
+
 // endpointKind pools what the endpoints of one kind show.
 type endpointKind struct {
 	weight         float64 // latency ratio, mean over its endpoints
--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -101,10 +101,21 @@
 }
 
 func TestOutcomeCountsAddAndDecay(t *testing.T) {
-	o := outcomeCounts{}.add(1, 1).add(0.5, 0)
+	o := outcomeCounts{}.times(1).plus(errorOutcome).times(0.5).plus(successOutcome)
 	if o != (outcomeCounts{errors: 0.5, total: 1.5}) {
 		t.Errorf("counts %+v", o)
 	}
+	if d := o.minus(errorOutcome); d != (outcomeCounts{errors: -0.5, total: 0.5}) {
+		t.Errorf("difference %+v", d)
+	} else if d.atLeastZero() != (outcomeCounts{total: 0.5}) {
+		t.Errorf("difference %+v of at least 0", d.atLeastZero())
+	}
+	if got := o.errorShare(); got != 0.5/1.5 {
+		t.Errorf("share of errors %v", got)
+	}
+	if got := (outcomeCounts{errors: 0.5, total: 0.5}).errorShare(); got != 0.5 {
+		t.Errorf("share of errors %v of less than one outcome", got)
+	}
 }
 
 func TestKindWeightIsTheMeanOfItsSamples(t *testing.T) {
--- a/balancer/heap.go
+++ b/balancer/heap.go
@@ -19,30 +19,46 @@
 }
 
 // setMember puts an endpoint where it belongs in the heap, or takes it out.
-func (h *endpointHeap) setMember(e *endpoint, member bool) {
+func (h *endpointHeap) setMember(e *endpoint, isMember bool) {
+	if isMember {
+		h.put(e)
+	} else {
+		h.remove(e)
+	}
+}
+
+// put adds an endpoint, or moves one that is in the heap to where it belongs now.
+func (h *endpointHeap) put(e *endpoint) {
 	i := e.heapIndexes[h.slot] - 1
-	switch {
-	case member && i >= 0:
-		h.fix(i)
-	case member:
+	if i < 0 {
+		i = len(h.endpoints)
 		h.endpoints = append(h.endpoints, e)
-		e.heapIndexes[h.slot] = len(h.endpoints)
-		h.fix(len(h.endpoints) - 1)
-	case i >= 0:
-		last := len(h.endpoints) - 1
-		h.swap(i, last)
-		h.endpoints[last] = nil
-		h.endpoints = h.endpoints[:last]
-		e.heapIndexes[h.slot] = 0
-		if i < last {
-			h.fix(i)
-		}
+		e.heapIndexes[h.slot] = i + 1
+	}
+	h.fix(i)
+}
+
+// remove takes an endpoint out if it is in the heap.
+func (h *endpointHeap) remove(e *endpoint) {
+	i := e.heapIndexes[h.slot] - 1
+	if i < 0 {
+		return
+	}
+	last := len(h.endpoints) - 1
+	h.swap(i, last)
+	h.endpoints[last] = nil
+	h.endpoints = h.endpoints[:last]
+	e.heapIndexes[h.slot] = 0
+	if i < last {
+		h.fix(i)
 	}
 }
 
+// swap swaps the endpoints at two indexes.
 func (h *endpointHeap) swap(i, j int) {
 	h.endpoints[i], h.endpoints[j] = h.endpoints[j], h.endpoints[i]
-	h.endpoints[i].heapIndexes[h.slot], h.endpoints[j].heapIndexes[h.slot] = i+1, j+1
+	h.endpoints[i].heapIndexes[h.slot] = i + 1
+	h.endpoints[j].heapIndexes[h.slot] = j + 1
 }
 
 // fix restores the heap after the endpoint at i has changed.
--- a/balancer/heap_test.go
+++ b/balancer/heap_test.go
@@ -47,12 +47,12 @@
 func TestHeapVisitLeavesOutWhatIsBelow(t *testing.T) {
 	heap := endpointHeap{slot: trialHeapSlot, less: hasSoonerTrial}
 	for i := range 7 {
-		heap.setMember(&endpoint{nextTrialAt: time.Duration(i), subsetIndex: i}, true)
+		heap.setMember(&endpoint{trial: trialSchedule{nextAt: time.Duration(i)}, subsetIndex: i}, true)
 	}
 	visited := 0
 	heap.visit(0, func(e *endpoint) bool {
 		visited++
-		return e.nextTrialAt < 1
+		return e.trial.nextAt < 1
 	})
 	if visited != 3 {
 		t.Errorf("%d endpoints visited; the first and the two below it are right", visited)
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -17,12 +17,6 @@
 	riskyTrialBackoffs    = 2    // backoffs for which a risky trial waits for an idempotent request
 )
 
-// weight returns the endpoint's weight: that of its kind, moved by the endpoint's own samples.
-// Alone, a quiet client's few samples could not tell a slow machine from a heavy call.
-func (e *endpoint) weight() float64 {
-	return e.kind.weight * (priorSamples + e.sampleSum) / (priorSamples + e.sampleCount)
-}
-
 // hasLowerDeficit orders the active heap.
 func hasLowerDeficit(x, y *endpoint) bool {
 	return x.deficit < y.deficit || x.deficit == y.deficit && x.subsetIndex < y.subsetIndex
@@ -32,25 +26,26 @@
 // the ones with the fewest attempts in flight first.
 func hasSoonerTrial(x, y *endpoint) bool {
 	switch {
-	case x.trialInFlight != y.trialInFlight:
-		return y.trialInFlight
-	case x.trialInFlight && x.inFlight != y.inFlight:
+	case x.trial.inFlight != y.trial.inFlight:
+		return y.trial.inFlight
+	case x.trial.inFlight && x.inFlight != y.inFlight:
 		return x.inFlight < y.inFlight
+	case x.trial.nextAt != y.trial.nextAt:
+		return x.trial.nextAt < y.trial.nextAt
 	}
-	return x.nextTrialAt < y.nextTrialAt || x.nextTrialAt == y.nextTrialAt && x.subsetIndex < y.subsetIndex
+	return x.subsetIndex < y.subsetIndex
 }
 
 // hasLowerWeight orders endpoints of one kind.
 func hasLowerWeight(x, y *endpoint) bool {
-	return (priorSamples+x.sampleSum)/(priorSamples+x.sampleCount) <
-		(priorSamples+y.sampleSum)/(priorSamples+y.sampleCount)
+	return x.samples.weight(1) < y.samples.weight(1)
 }
 
 // mayReceive reports whether an endpoint may get a request: it is ready, its slow start allows a
 // further send, and the request cannot take effect twice.
 func (b *Balancer) mayReceive(now time.Duration, req *request, e *endpoint) bool {
 	return e.State == Ready &&
-		(now >= e.nextSendAt || b.capacityShare(now, e) == 1) && b.mayAttemptAt(now, req, e)
+		(now >= e.slowStart.nextSendAt || b.isWarm(now, e)) && b.mayAttemptAt(now, req, e)
 }
 
 // selectForDispatch returns the endpoint for the next attempt, nil if there is none with capacity.
@@ -99,7 +94,7 @@
 func (b *Balancer) selectDueTrial(now time.Duration, req *request, inactive candidates) *endpoint {
 	var due *endpoint
 	inactive.visit(func(e *endpoint) bool {
-		if e.trialInFlight || now < e.nextTrialAt || due != nil && !hasSoonerTrial(e, due) {
+		if !e.trial.isDue(now) || due != nil && !hasSoonerTrial(e, due) {
 			return false
 		}
 		if b.mayBeTrial(now, req, e) {
@@ -180,7 +175,7 @@
 // failed with what it had taken. Other requests are to try it first, if there are any.
 func (e *endpoint) isRiskyTrial(now time.Duration) bool {
 	failed := e.inactiveReason == InactiveFailing || e.inactiveReason == InactiveUnresponsive
-	return failed && now < e.nextTrialAt+riskyTrialBackoffs*e.backoff
+	return failed && now < e.trial.nextAt+riskyTrialBackoffs*e.trial.backoff
 }
 
 // chargeDeficit adds the expected cost of a request to an active endpoint's deficit.
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -88,32 +88,42 @@
 		}
 	}
 	for _, e := range b.endpoints {
-		if e.State == Ready && b.capacityShare(now, e) == 1 {
-			left := sampleDecay(now - e.sampledAt)
-			l.Endpoints = append(l.Endpoints, LearnedEndpoint{ID: e.ID, Active: e.active,
-				Sum: e.sampleSum * left, Samples: e.sampleCount * left,
-				Errors: e.outcomes.errors * left, Outcomes: e.outcomes.total * left})
+		if e.State == Ready && b.isWarm(now, e) {
+			l.Endpoints = append(l.Endpoints, e.learned(now))
 		}
 	}
 	return l
 }
 
-// Restore takes over what another Balancer had learned by some time ago, as far as this one has
-// learned nothing of it. It is meant to follow the first EndpointList. What warms up or has been
-// used stays as it is; endpoints that were ejected wait for a trial, unless that would leave none
-// active.
-func (b *Balancer) Restore(now time.Duration, l LearnedState, ago time.Duration) {
+// learned returns what has been learned of the endpoint by now.
+func (e *endpoint) learned(now time.Duration) LearnedEndpoint {
+	retained := sampleDecay(now - e.samples.updatedAt)
+	return LearnedEndpoint{
+		ID:       e.ID,
+		Sum:      e.samples.sum * retained,
+		Samples:  e.samples.count * retained,
+		Errors:   e.outcomes.errors * retained,
+		Outcomes: e.outcomes.total * retained,
+		Active:   e.active,
+	}
+}
+
+// Restore takes over the learned state of another Balancer as it was before the given age, as far
+// as this one has learned nothing itself. It is meant to follow the first EndpointList. Endpoints
+// that warm up or have been used are left alone. Endpoints that were ejected wait for a trial,
+// unless that would leave none active.
+func (b *Balancer) Restore(now time.Duration, l LearnedState, age time.Duration) {
 	for _, work := range l.Works {
 		b.restoreLatency(now, work)
 	}
 	for _, kind := range l.Kinds {
 		b.restoreKind(kind)
 	}
-	b.restoreRate(now, l, ago)
+	b.restoreRate(now, l, age)
 	b.rescheduleFirstTrials(now)
-	b.restoreEndpoints(now, l.Endpoints, ago)
+	b.restoreEndpoints(now, l.Endpoints, age)
 	if l.ConcurrencyLimit > 0 && areValid(l.ConcurrencyLimit) && b.concurrency == 0 {
-		b.concurrencyLimit = max(l.ConcurrencyLimit, b.endpointsPerInstance(b.listedCount+b.unlistedCount))
+		b.concurrencyLimit = max(l.ConcurrencyLimit, b.endpointsPerInstance(b.fleetCount()))
 	}
 }
 
@@ -142,28 +152,35 @@
 
 // restoreRate takes over how often requests came. A successor without it would take itself for the
 // quietest of instances, and put the trials of new endpoints off for as long as one would.
-func (b *Balancer) restoreRate(now time.Duration, l LearnedState, ago time.Duration) {
+func (b *Balancer) restoreRate(now time.Duration, l LearnedState, age time.Duration) {
 	if l.Age <= 0 || !areValid(l.RecentRequests, l.SlowRecentRequests) || now-b.rate.startedAt > l.Age {
 		return
 	}
-	b.rate.recent += l.RecentRequests * sampleDecay(ago)
-	b.rate.slow += l.SlowRecentRequests * decay(ago, slowRateMemory)
+	b.rate.recent += l.RecentRequests * sampleDecay(age)
+	b.rate.slow += l.SlowRecentRequests * decay(age, slowRateMemory)
 	b.rate.startedAt = now - l.Age
 }
 
+// isValid reports whether a Balancer can have learned such numbers.
+func (l LearnedEndpoint) isValid() bool { return areValid(l.Sum, l.Samples, l.Errors, l.Outcomes) }
+
+// mayRestore reports whether learned state applies to an endpoint: it is warm and was not used yet.
+func (b *Balancer) mayRestore(now time.Duration, e *endpoint) bool {
+	return e.State == Ready && e.samples.count == 0 && b.isWarm(now, e)
+}
+
 // restoreEndpoints takes over how endpoints compare with their kinds, and which were ejected.
-func (b *Balancer) restoreEndpoints(now time.Duration, learned []LearnedEndpoint, ago time.Duration) {
-	left, active := sampleDecay(ago), len(b.activeHeap.endpoints)
+func (b *Balancer) restoreEndpoints(now time.Duration, learned []LearnedEndpoint, age time.Duration) {
+	retained := sampleDecay(age)
+	active := len(b.activeHeap.endpoints)
 	for _, l := range learned {
 		e := b.byID[l.ID]
-		if e == nil || e.State != Ready || e.sampleCount > 0 || b.capacityShare(now, e) < 1 ||
-			!areValid(l.Sum, l.Samples, l.Errors, l.Outcomes) {
+		if e == nil || !l.isValid() || !b.mayRestore(now, e) {
 			continue
 		}
-		e.sampleSum, e.sampleCount, e.sampledAt = l.Sum*left, l.Samples*left, now
+		e.samples = sampleMean{sum: l.Sum * retained, count: l.Samples * retained, updatedAt: now}
 		errors := min(l.Errors, l.Outcomes) // older snapshots have no outcomes
-		b.setOutcomes(e, outcomeCounts{errors: errors * left, total: l.Outcomes * left})
-		e.outcomesAt = now
+		b.setOutcomes(now, e, outcomeCounts{errors: errors, total: l.Outcomes}.times(retained))
 		b.updateHeaps(e)
 		if !l.Active && e.active && e.inSubset && active > 1 {
 			active--
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -76,8 +76,8 @@
 	b.EndpointList(now, EndpointList{Complete: true, Entries: []Endpoint{{ID: "a", Started: now - time.Second},
 		{ID: "c"}}})
 	b.Restore(now, l, time.Second)
-	if a := b.byID["a"]; a.sampleCount != 0 {
-		t.Errorf("the restarted endpoint has %g samples", a.sampleCount)
+	if a := b.byID["a"]; a.samples.count != 0 {
+		t.Errorf("the restarted endpoint has %g samples", a.samples.count)
 	}
 	if !b.byID["c"].active {
 		t.Error("the only warm endpoint is ejected")
@@ -104,7 +104,7 @@
 		}
 		b.Restore(now, l, time.Duration(rapid.Int64().Draw(t, "ago")))
 		for _, e := range b.endpoints {
-			if w := e.weight(); math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !areValid(e.outcomes.errors, e.sampleCount) {
+			if w := e.weight(); math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !areValid(e.outcomes.errors, e.samples.count) {
 				t.Fatalf("%s has weight %g of %+v", e.ID, w, l)
 			}
 		}
@@ -130,7 +130,7 @@
 				b.Restore(now, l, time.Second)
 			}
 			b.EndpointList(now, EndpointList{Entries: []Endpoint{{ID: "fresh"}}})
-			wait = max(wait, b.byID["fresh"].nextTrialAt-now)
+			wait = max(wait, b.byID["fresh"].trial.nextAt-now)
 		}
 		return wait
 	}
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -9,7 +9,7 @@
 func (b *Balancer) Counts() (listed, avoided int) {
 	avoided = b.readyCount - len(b.activeHeap.endpoints)
 	for id := range b.disabled {
-		if e := b.byID[id]; e != nil && e.listedState == Ready {
+		if e := b.byID[id]; e != nil && e.listing.state == Ready {
 			avoided++
 		}
 	}
@@ -44,20 +44,18 @@
 func (b *Balancer) endpointStatus(now time.Duration, e *endpoint) EndpointStatus {
 	s := EndpointStatus{
 		ID: e.ID, State: e.State, Weight: e.weight(), InFlight: e.inFlight, CapacityShare: b.capacityShare(now, e),
-		Errors:        e.outcomes.errors / max(e.outcomes.total, 1),
+		Errors:        e.outcomes.errorShare(),
 		SinceResponse: -1,
 	}
-	if e.respondedAt > 0 {
-		s.SinceResponse = now - e.respondedAt
+	if e.connection.respondedAt > 0 {
+		s.SinceResponse = now - e.connection.respondedAt
 	}
 	switch {
 	case b.disabled[e.ID]:
 		s.Inactive = InactiveDisabled
 	case !e.active:
-		s.Inactive, s.NextTrial = e.inactiveReason, max(e.nextTrialAt-now, 0)
-		if e.trialInFlight {
-			s.NextTrial = -1
-		}
+		s.Inactive = e.inactiveReason
+		s.NextTrial = e.trial.remaining(now)
 	case !e.inSubset && e.State == Ready:
 		s.Inactive = InactiveOutsideSubset
 	}
--- a/balancer/straggling.go
+++ b/balancer/straggling.go
@@ -47,7 +47,7 @@
 // timeout.
 func (b *Balancer) handleStraggler(now time.Duration, req *request, a *attempt) {
 	e := a.endpoint
-	isUnresponsive := e.respondedAt < a.sentAt
+	isUnresponsive := e.connection.respondedAt < a.sentAt
 	age := now - a.sentAt
 	a.straggling = true
 	a.stragglingAt = now + age
--- a/balancer/trials.go
+++ b/balancer/trials.go
@@ -19,13 +19,13 @@
 
 // scheduleTrial sets the next trial of an inactive endpoint.
 func (b *Balancer) scheduleTrial(now time.Duration, e *endpoint) {
-	e.nextTrialAt = now + b.jitter(e.backoff)
+	e.trial.nextAt = now + b.jitter(e.trial.backoff)
 	b.updateHeaps(e)
 }
 
 // backOffTrial doubles the backoff after a trial that failed, and sets the next trial.
 func (b *Balancer) backOffTrial(now time.Duration, e *endpoint) {
-	e.backoff = min(2*e.backoff, maxTrialBackoffMultiple*b.initialBackoff(now))
+	e.trial.backoff = min(2*e.trial.backoff, maxTrialBackoffMultiple*b.initialBackoff(now))
 	b.scheduleTrial(now, e)
 }
 
@@ -52,7 +52,7 @@
 	if !a.trial {
 		return
 	}
-	a.endpoint.trialInFlight = false
+	a.endpoint.trial.inFlight = false
 	if a.straggling {
 		b.backOffTrial(now, a.endpoint)
 	} else {
@@ -62,10 +62,8 @@
 
 // restartSamples replaces the samples of an endpoint by that of its trial, which has ended.
 func (b *Balancer) restartSamples(now time.Duration, e *endpoint, latencyRatio float64) {
-	e.trialInFlight = false
-	e.sampleSum = latencyRatio / e.kind.weight
-	e.sampleCount = 1
-	e.sampledAt = now
+	e.trial.inFlight = false
+	e.samples.restart(now, latencyRatio/e.kind.weight)
 }
 
 // activate puts an endpoint into the active set. The lowest deficit becomes the zero of all, and
