--- a/internal/experiment/testbed/exchange.go
+++ b/internal/experiment/testbed/exchange.go
@@ -15,6 +15,7 @@
 
 	"rowancart/internal/experiment/invariant"
 	"rowancart/internal/experiment/server"
+	"rowancart/internal/platform"
 )
 
 const (
@@ -73,7 +74,7 @@
 			return
 		}
 		x.lastByte = s.run.now()
-		x.method, x.target, x.id = req.Method, req.URL.RequestURI(), req.Header.Get(idHeader)
+		x.method, x.target, x.id = req.Method, req.URL.RequestURI(), req.Header.Get(platform.RequestIDHeader)
 		x.class, _, _ = strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 		x.setWork(newConn)
 		if !x.handle() {
@@ -90,8 +91,7 @@
 func (s *emulatedServer) drawBreakBefore() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rate := s.faults.breakBeforeRate
-	return rate > 0 && s.rng.Float64() < rate
+	return s.draws(s.faults.BreakBeforeRate)
 }
 
 // setWork sets what the request needs.
@@ -108,11 +108,10 @@
 func (s *emulatedServer) drawFaults(lastByte time.Duration) drawnFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := &s.faults
 	return drawnFaults{
-		unresponsive: f.unresponsive,
-		fastError:    f.fastErrorRate > 0 && s.rng.Float64() < f.fastErrorRate || s.model.DrawError(),
-		breakConn:    f.breakAfterRate > 0 && s.rng.Float64() < f.breakAfterRate,
+		unresponsive: s.faults.Unresponsive,
+		fastError:    s.draws(s.faults.FastErrorRate) || s.model.DrawError(),
+		breakConn:    s.draws(s.faults.BreakAfterRate),
 		warmingUp:    s.model.CapacityFraction(lastByte) < 1,
 	}
 }
@@ -186,7 +185,7 @@
 }
 
 // execute waits for the job's work, the calls to the next tier, the work after them, and the time
-// off the CPU. It returns the status of the response, and false if the process died or the play
+// off the CPU. It returns the status of the response, and false if the process died or the run
 // ended before.
 func (x *exchange) execute(job *server.Job, done <-chan struct{}, workAfterCalls float64) (status int, ok bool) {
 	s := x.server
@@ -219,7 +218,7 @@
 	return http.StatusOK, true
 }
 
-// wait waits for done. It reports false if the process died or the play ended before.
+// wait waits for done. It reports false if the process died or the run ended before.
 func (x *exchange) wait(done <-chan struct{}) bool {
 	select {
 	case <-done:
@@ -230,7 +229,7 @@
 	return false
 }
 
-// sleep waits for a time. It reports false if the process died or the play ended before.
+// sleep waits for a time. It reports false if the process died or the run ended before.
 func (x *exchange) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -264,51 +263,65 @@
 	return s.run.send(context.Background(), m, x.info, s.sidecar, s.sidecarConns).outcome == invariant.Served
 }
 
-// drawResponse returns the text of a response as the faults in force let it out, and whether it is
-// complete HTTP.
-func (x *exchange) drawResponse(status int, body []byte) (f activeFaults, truncated, corrupted bool, text string) {
+// drawnResponse is a response as the faults in force let it out.
+type drawnResponse struct {
+	text         string
+	truncated    bool // the text breaks off
+	corrupted    bool // the text is not HTTP
+	unresponsive bool // the machine sends nothing
+	delay        time.Duration
+}
+
+// isComplete reports whether the text is a complete response.
+func (r *drawnResponse) isComplete() bool { return !r.truncated && !r.corrupted }
+
+// drawResponse draws what the faults in force make of a response.
+func (x *exchange) drawResponse(status int, body []byte) drawnResponse {
 	s := x.server
 	s.mu.Lock()
-	f = s.faults
-	truncated = f.truncateRate > 0 && s.rng.Float64() < f.truncateRate
-	corrupted = f.corruptRate > 0 && s.rng.Float64() < f.corruptRate
+	r := drawnResponse{
+		truncated:    s.draws(s.faults.TruncateRate),
+		corrupted:    s.draws(s.faults.CorruptRate),
+		unresponsive: s.faults.Unresponsive,
+		delay:        s.faults.ResponseDelay,
+	}
 	inFlight, reports := s.model.LoadReport(s.run.now())
 	s.mu.Unlock()
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
 	if status == http.StatusServiceUnavailable {
-		b.WriteString(rejectedHeader + ": 1\r\n")
+		b.WriteString(platform.RejectedHeader + ": " + platform.RejectedValue + "\r\n")
 	}
 	if reports {
-		fmt.Fprintf(&b, "%s: inflight=%.0f\r\n", loadHeader, inFlight)
+		fmt.Fprintf(&b, "%s: inflight=%.0f\r\n", platform.LoadReportHeader, inFlight)
 	}
 	b.WriteString("\r\n")
 	b.Write(body)
-	text = b.String()
+	r.text = b.String()
 	switch {
-	case corrupted:
-		text = "\x16\x03\x01 no HTTP at all\r\n\r\n"
-	case truncated:
-		text = text[:max(len(text)-max(len(body)/2, 1), 1)]
+	case r.corrupted:
+		r.text = "\x16\x03\x01 no HTTP at all\r\n\r\n"
+	case r.truncated:
+		r.text = r.text[:max(len(r.text)-max(len(body)/2, 1), 1)]
 	}
-	return f, truncated, corrupted, text
+	return r
 }
 
 // writeResponse sends a response, as the faults in force let it. It reports whether the connection
 // may carry another request.
 func (x *exchange) writeResponse(status int, body []byte) (reusable bool) {
-	faults, truncated, corrupted, text := x.drawResponse(status, body)
-	if faults.unresponsive {
+	r := x.drawResponse(status, body)
+	if r.unresponsive {
 		x.server.waitResponsive(x.crashed)
 		return false
 	}
-	if faults.responseDelay > 0 && !x.sleep(faults.responseDelay) {
+	if r.delay > 0 && !x.sleep(r.delay) {
 		return false
 	}
 	_ = x.conn.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
-	_, err := io.WriteString(x.conn, text)
-	if truncated { // closed in order, so that what was sent arrives
+	_, err := io.WriteString(x.conn, r.text)
+	if r.truncated { // closed in order, so that what was sent arrives
 		x.conn.Close()
 	}
-	return err == nil && !truncated && !corrupted
+	return err == nil && r.isComplete()
 }
--- a/internal/experiment/testbed/improperpeer.go
+++ b/internal/experiment/testbed/improperpeer.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"rowancart/internal/experiment"
+	"rowancart/internal/platform"
 )
 
 const (
@@ -17,8 +18,8 @@
 	oversizedLimit = time.Duration(2) // times the other peers' limit
 )
 
-// playImproperPeer plays one improper peer before a sidecar and records how its connection ended.
-func (r *testRun) playImproperPeer(kind experiment.FaultKind, s *sidecar) {
+// runImproperPeer runs one improper peer before a sidecar and records how its connection ended.
+func (r *testRun) runImproperPeer(kind experiment.FaultKind, s *sidecar) {
 	nc, err := net.DialTimeout("tcp", s.addr, dialTimeout)
 	if err != nil {
 		return // a sidecar that is down owes no peer anything
@@ -31,7 +32,7 @@
 	switch kind {
 	case experiment.PartialRequestPeer:
 		sent = "sent half a request"
-		_, _ = nc.Write([]byte("GET /" + class + "/x HTTP/1.1\r\nHost: x\r\nReq-Id: half"))
+		_, _ = nc.Write([]byte("GET /" + class + "/x HTTP/1.1\r\nHost: x\r\n" + platform.RequestIDHeader + ": half"))
 	case experiment.OversizedPeer:
 		sent = "sent 60 MB"
 		limit *= oversizedLimit
