--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -5,13 +5,13 @@
 	"io"
 )
 
-// Source is a connection from which a body is read, with the data that has been read from it
-// already.
+// Source is a buffered connection from which a body is read.
 type Source interface {
-	// Buffered returns the data that has been read and not consumed. It is valid until the next call.
+	// Buffered returns the data that has been read from the connection and not consumed. It is valid
+	// until the next call.
 	Buffered() []byte
 
-	// Discard consumes n bytes of it.
+	// Discard consumes n bytes of the buffered data.
 	Discard(n int)
 
 	// Fill waits for more data. It is called only when none is buffered.
@@ -21,19 +21,19 @@
 	Read(p []byte) (int, error)
 }
 
-// The lengths of bodies that are not framed by their length.
+// The lengths of bodies without Content-Length.
 const (
 	Chunked    = -1 // the chunked transfer coding
 	UntilClose = -2 // the body ends with the connection
 )
 
-// Body reads one body to its end and not a byte further. A read that fails with a timeout may be
-// repeated.
+// Body reads one body to its end and not a byte further. A Read that fails with a timeout may be
+// called again.
 type Body struct {
 	source     Source
 	remaining  int64 // bytes; or Chunked, or UntilClose
 	chunks     chunkDecoder
-	framingErr error // of the chunked coding; the decoder cannot go on after it
+	framingErr error // an ErrFraming, after which the decoder can't continue
 	ended      bool
 }
 
@@ -45,8 +45,8 @@
 // Ended reports whether the body was read to its end.
 func (b *Body) Ended() bool { return b.ended }
 
-// Read implements io.Reader. It returns io.ErrUnexpectedEOF if the connection ends before the body
-// does.
+// Read implements io.Reader. It returns io.ErrUnexpectedEOF if the connection ends before the body,
+// and an ErrFraming if the body violates the chunked coding.
 func (b *Body) Read(p []byte) (int, error) {
 	switch {
 	case b.ended:
@@ -90,8 +90,8 @@
 	}
 	n, err := b.source.Read(p[:min(int64(len(p)), b.chunks.remaining)])
 	b.chunks.consumeData(n)
-	// With the framing behind the data decoded, a body that has been received completely is known to
-	// have ended. An error in the framing is left to the next read.
+	// Decoding the framing after the data now reports the end of a body that has been received
+	// completely. An error in the framing is returned by the next read.
 	if n > 0 && !b.chunks.inData() && len(b.source.Buffered()) > 0 {
 		_ = b.decodeFraming()
 	}
@@ -118,7 +118,8 @@
 	return err
 }
 
-// unexpectedEOF turns the end of the connection into the error that it is before the end of a body.
+// unexpectedEOF returns io.ErrUnexpectedEOF for an io.EOF before the end of a body, and any other
+// error unchanged.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/body_test.go
+++ b/internal/http1/body_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"net/http/httputil"
 	"os"
@@ -12,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// pieceSource is a connection on which a text arrives in pieces, with a timeout before each.
+// pieceSource is a Source on which a text arrives in pieces, with a timeout before each.
 type pieceSource struct {
-	text     string // that has not arrived
+	text     string // what has not arrived
 	nextSize func() int
 	buf      []byte
 	timedOut bool
@@ -46,7 +47,8 @@
 	return n, nil
 }
 
-// readBody reads a body that arrives in pieces, and returns it and the text behind it.
+// readBody reads a body that arrives in pieces, and returns it and the text after it. The text is
+// empty if the body could not be read.
 func readBody(text string, length int64, nextSize func() int) (body, rest string, err error) {
 	s := &pieceSource{text: text, nextSize: nextSize}
 	b := NewBody(s, length)
@@ -66,58 +68,63 @@
 }
 
 func TestBody(t *testing.T) {
+	endlessExtensions := "1;" + strings.Repeat("x", maxChunkLine) + "\r\nx\r\n0\r\n\r\n"
+	endlessTrailers := "0\r\n" + strings.Repeat("a: b\r\n", maxTrailers) + "\r\n"
 	for name, row := range map[string]struct {
-		text       string
-		length     int64
-		body, rest string // rest: behind the body
-		ok         bool
+		text    string
+		length  int64
+		body    string
+		rest    string // what follows the body; "" for an error
+		wantErr error
 	}{
-		"a length":               {"hello, next", 5, "hello", ", next", true},
-		"no length":              {"next", 0, "", "next", true},
-		"a length, cut":          {"hell", 5, "hell", "", false},
-		"to the close":           {"hello", UntilClose, "hello", "", true},
-		"nothing, to the close":  {"", UntilClose, "", "", true},
-		"chunks":                 {"5\r\nhello\r\n2\r\n!!\r\n0\r\n\r\nnext", Chunked, "hello!!", "next", true},
-		"hex":                    {"00000A\r\n0123456789\r\n0\r\n\r\n", Chunked, "0123456789", "", true},
-		"no chunk":               {"0\r\n\r\nnext", Chunked, "", "next", true},
-		"extensions":             {"5;a=b;c=\"d e\"\r\nhello\r\n0 ;x\r\n\r\n", Chunked, "hello", "", true},
-		"trailers":               {"1\r\nx\r\n0\r\nA: b\r\nC:\r\n\r\nnext", Chunked, "x", "next", true},
-		"cut in a chunk":         {"5\r\nhel", Chunked, "hel", "", false},
-		"cut behind a chunk":     {"5\r\nhello\r\n", Chunked, "hello", "", false},
-		"cut in the last line":   {"5\r\nhello\r\n0\r\n", Chunked, "hello", "", false},
-		"no size":                {"\r\nhello", Chunked, "", "", false},
-		"a sign":                 {"+5\r\nhello\r\n0\r\n\r\n", Chunked, "", "", false},
-		"a prefix":               {"0x5\r\nhello\r\n0\r\n\r\n", Chunked, "", "", false},
-		"a blank before":         {" 5\r\nhello\r\n0\r\n\r\n", Chunked, "", "", false},
-		"a blank behind":         {"5 \r\nhello\r\n0\r\n\r\n", Chunked, "", "", false},
-		"leading zeros":          {"0000000000000005\r\nhello\r\n0\r\n\r\n", Chunked, "hello", "", true},
-		"too long a size":        {"00000000000000005\r\nhello\r\n0\r\n\r\n", Chunked, "", "", false},
-		"too large a size":       {"fffffffffffffff5\r\nhello\r\n0\r\n\r\n", Chunked, "", "", false},
-		"bare LF behind size":    {"5\nhello\r\n0\r\n\r\n", Chunked, "", "", false},
-		"bare CR behind size":    {"5\rhello\r\n0\r\n\r\n", Chunked, "", "", false},
-		"bare LF behind data":    {"5\r\nhello\n0\r\n\r\n", Chunked, "hello", "", false},
-		"data longer than size":  {"5\r\nhello!\r\n0\r\n\r\n", Chunked, "hello", "", false},
-		"no CRLF behind data":    {"1\r\naX0\r\n\r\n", Chunked, "a", "", false},
-		"bare LF at the end":     {"0\r\n\n", Chunked, "", "", false},
-		"bare LF in extensions":  {"1;a\nx\r\n0\r\n\r\n", Chunked, "", "", false},
-		"control in extensions":  {"1;a\x00\r\nx\r\n0\r\n\r\n", Chunked, "", "", false},
-		"a trailer without name": {"0\r\n: b\r\n\r\n", Chunked, "", "", false},
-		"a folded trailer":       {"0\r\nA: b\r\n c\r\n\r\n", Chunked, "", "", false},
-		"a trailer of no form":   {"0\r\nAb\r\n\r\n", Chunked, "", "", false},
-		"endless extensions":     {"1;" + strings.Repeat("x", maxChunkLine) + "\r\nx\r\n0\r\n\r\n", Chunked, "", "", false},
-		"endless trailers":       {"0\r\n" + strings.Repeat("a: b\r\n", maxTrailers) + "\r\n", Chunked, "", "", false},
+		"length":                          {"hello, next", 5, "hello", ", next", nil},
+		"length 0":                        {"next", 0, "", "next", nil},
+		"length, incomplete":              {"hell", 5, "hell", "", io.ErrUnexpectedEOF},
+		"until close":                     {"hello", UntilClose, "hello", "", nil},
+		"until close, empty":              {"", UntilClose, "", "", nil},
+		"chunks":                          {"5\r\nhello\r\n2\r\n!!\r\n0\r\n\r\nnext", Chunked, "hello!!", "next", nil},
+		"hexadecimal size":                {"00000A\r\n0123456789\r\n0\r\n\r\n", Chunked, "0123456789", "", nil},
+		"last chunk only":                 {"0\r\n\r\nnext", Chunked, "", "next", nil},
+		"chunk extensions":                {"5;a=b;c=\"d e\"\r\nhello\r\n0 ;x\r\n\r\n", Chunked, "hello", "", nil},
+		"trailer fields":                  {"1\r\nx\r\n0\r\nA: b\r\nC:\r\n\r\nnext", Chunked, "x", "next", nil},
+		"incomplete chunk":                {"5\r\nhel", Chunked, "hel", "", io.ErrUnexpectedEOF},
+		"no last chunk":                   {"5\r\nhello\r\n", Chunked, "hello", "", io.ErrUnexpectedEOF},
+		"incomplete trailer section":      {"5\r\nhello\r\n0\r\n", Chunked, "hello", "", io.ErrUnexpectedEOF},
+		"no size":                         {"\r\nhello", Chunked, "", "", ErrFraming},
+		"sign before size":                {"+5\r\nhello\r\n0\r\n\r\n", Chunked, "", "", ErrFraming},
+		"prefix before size":              {"0x5\r\nhello\r\n0\r\n\r\n", Chunked, "", "", ErrFraming},
+		"space before size":               {" 5\r\nhello\r\n0\r\n\r\n", Chunked, "", "", ErrFraming},
+		"space after size":                {"5 \r\nhello\r\n0\r\n\r\n", Chunked, "", "", ErrFraming},
+		"leading zeros":                   {"0000000000000005\r\nhello\r\n0\r\n\r\n", Chunked, "hello", "", nil},
+		"too many digits":                 {"00000000000000005\r\nhello\r\n0\r\n\r\n", Chunked, "", "", ErrFraming},
+		"too large a size":                {"fffffffffffffff5\r\nhello\r\n0\r\n\r\n", Chunked, "", "", ErrFraming},
+		"bare LF after size":              {"5\nhello\r\n0\r\n\r\n", Chunked, "", "", ErrFraming},
+		"bare CR after size":              {"5\rhello\r\n0\r\n\r\n", Chunked, "", "", ErrFraming},
+		"bare LF after data":              {"5\r\nhello\n0\r\n\r\n", Chunked, "hello", "", ErrFraming},
+		"data longer than size":           {"5\r\nhello!\r\n0\r\n\r\n", Chunked, "hello", "", ErrFraming},
+		"no CRLF after data":              {"1\r\naX0\r\n\r\n", Chunked, "a", "", ErrFraming},
+		"bare LF at the end":              {"0\r\n\n", Chunked, "", "", ErrFraming},
+		"bare LF in extensions":           {"1;a\nx\r\n0\r\n\r\n", Chunked, "", "", ErrFraming},
+		"control character in extensions": {"1;a\x00\r\nx\r\n0\r\n\r\n", Chunked, "", "", ErrFraming},
+		"trailer field without name":      {"0\r\n: b\r\n\r\n", Chunked, "", "", ErrFraming},
+		"folded trailer field":            {"0\r\nA: b\r\n c\r\n\r\n", Chunked, "", "", ErrFraming},
+		"trailer line without colon":      {"0\r\nAb\r\n\r\n", Chunked, "", "", ErrFraming},
+		"endless extensions":              {endlessExtensions, Chunked, "", "", ErrFraming},
+		"endless trailer fields":          {endlessTrailers, Chunked, "", "", ErrFraming},
 	} {
 		for _, size := range []int{1, 3, 1 << 20} {
-			body, rest, err := readBody(row.text, row.length, func() int { return size })
-			if body != row.body || (err == nil) != row.ok || row.ok && rest != row.rest {
-				t.Errorf("%s, in pieces of %d: %q, then %q, %v", name, size, body, rest, err)
-			}
+			t.Run(fmt.Sprintf("%s in pieces of %d bytes", name, size), func(t *testing.T) {
+				body, rest, err := readBody(row.text, row.length, func() int { return size })
+				if body != row.body || rest != row.rest || !errors.Is(err, row.wantErr) {
+					t.Errorf("%q, then %q, %v; want %q, then %q, %v", body, rest, err, row.body, row.rest, row.wantErr)
+				}
+			})
 		}
 	}
 }
 
-// Data that is encoded in chunks is decoded to the same data, in whatever pieces it arrives, and
-// nothing behind it is read.
+// Data that is encoded in chunks is decoded to the same data, in whatever pieces it arrives, and no
+// byte after the body is read.
 func TestChunkedRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text, want bytes.Buffer
@@ -135,7 +142,7 @@
 	})
 }
 
-// The standard library reads whatever is accepted here in the same way: no server behind can read
+// The standard library interprets what is accepted here in the same way: no endpoint can interpret
 // it differently.
 func FuzzChunks(f *testing.F) {
 	for _, seed := range []string{"5\r\nhello\r\n0\r\n\r\n", "1;a=b\r\nx\r\n0\r\nA: b\r\n\r\n", "a\r\n", "0\r\n\r\n",
@@ -149,11 +156,12 @@
 		}
 		want, err := io.ReadAll(httputil.NewChunkedReader(strings.NewReader(text)))
 		if err != nil || string(want) != body {
-			t.Errorf("%q: %q, to net/http %q, %v", text, body, want, err)
+			t.Errorf("%q: %q, by net/http %q, %v", text, body, want, err)
 		}
 	})
 }
 
+// A body that has been received completely has ended as soon as its data is read.
 func TestCompleteBodyEndsWithItsData(t *testing.T) {
 	s := &pieceSource{buf: []byte("2\r\nhi\r\n0\r\n\r\n")}
 	b := NewBody(s, Chunked)
--- a/internal/http1/chunkdecoder.go
+++ b/internal/http1/chunkdecoder.go
@@ -1,20 +1,27 @@
 package http1
 
-import "errors"
+import (
+	"errors"
+	"fmt"
+)
 
+// Limits of the chunked transfer coding.
 const (
 	maxChunkLine   = 4 << 10 // bytes of a chunk's size and its extensions
-	maxTrailers    = 8 << 10 // bytes of all trailers
+	maxTrailers    = 8 << 10 // bytes of all trailer fields
 	maxChunkDigits = 16      // of a chunk's size
 	maxChunkSize   = 1 << 40 // bytes
 )
 
-// Errors of the chunked transfer coding.
+// ErrFraming says that a body violates the chunked transfer coding. The errors that wrap it say in
+// what way.
+var ErrFraming = errors.New("invalid chunked coding")
+
 var (
-	errChunkSize   = errors.New("a chunk's size is no number")
-	errChunkEnd    = errors.New("a chunk does not end where its size says")
-	errChunkLine   = errors.New("a line of the chunked coding is bad")
-	errTooMuchText = errors.New("too many chunk extensions or trailers")
+	errChunkSize    = fmt.Errorf("%w: chunk size is not a hexadecimal number", ErrFraming)
+	errChunkEnd     = fmt.Errorf("%w: chunk does not end where its size says", ErrFraming)
+	errChunkLine    = fmt.Errorf("%w: malformed line", ErrFraming)
+	errLongOverhead = fmt.Errorf("%w: chunk extensions or trailer fields are too long", ErrFraming)
 )
 
 // chunkState is what the decoder expects next.
@@ -30,15 +37,15 @@
 	afterBody                           // nothing: the body has ended
 )
 
-// chunkDecoder decodes the framing of the chunked transfer coding (RFC 9112, 7.1), byte by byte. It
-// is strict: whatever servers might read in different ways is an error. It decodes the framing
-// only; its caller reads the data in between.
+// chunkDecoder decodes the framing of the chunked transfer coding (RFC 9112, section 7.1), byte by
+// byte. It is strict: whatever servers might interpret in different ways is an error. It decodes
+// the framing only; its caller reads the data in between.
 type chunkDecoder struct {
 	state     chunkState
 	size      int64  // of the chunk whose line is being decoded, in bytes
 	remaining int64  // bytes of data before the next framing
-	seen      int    // bytes of the current line, or of all trailers
-	previous  byte   // the byte before, within a line
+	length    int    // bytes decoded of the current line, or of all trailer fields
+	previous  byte   // the previous byte of the line; 0: none
 	trailer   []byte // the current trailer line
 }
 
@@ -48,15 +55,22 @@
 // inData reports whether data comes next.
 func (d *chunkDecoder) inData() bool { return d.state == inChunkData }
 
+// enter changes to a state that begins with a new line.
+func (d *chunkDecoder) enter(state chunkState) {
+	d.state = state
+	d.length = 0
+	d.previous = 0
+}
+
 // consumeData records that n bytes of data were read.
 func (d *chunkDecoder) consumeData(n int) {
 	if d.remaining -= int64(n); d.remaining == 0 {
-		d.state, d.seen, d.previous = afterChunkData, 0, 0
+		d.enter(afterChunkData)
 	}
 }
 
 // decodeFraming decodes the framing at the beginning of buf, up to data, the end of the body or the
-// end of buf. It returns the number of bytes consumed; the byte that is in error is not.
+// end of buf. It returns the number of bytes consumed, without a byte that is in error.
 func (d *chunkDecoder) decodeFraming(buf []byte) (n int, err error) {
 	for n < len(buf) && !d.inData() && !d.ended() {
 		if err := d.decodeByte(buf[n]); err != nil {
@@ -69,12 +83,13 @@
 
 // decodeByte decodes one byte of framing.
 func (d *chunkDecoder) decodeByte(b byte) error {
-	if d.seen++; d.seen > maxChunkLine && d.state != inTrailers || d.seen > maxTrailers {
-		return errTooMuchText
+	d.length++
+	if d.length > d.maxLength() {
+		return errLongOverhead
 	}
 	previous := d.previous
 	d.previous = b
-	if (previous == '\r') != (b == '\n') { // a line ends with both
+	if (previous == '\r') != (b == '\n') { // CR and LF occur only together, at the end of a line
 		return errChunkLine
 	}
 	switch d.state {
@@ -92,15 +107,23 @@
 	return nil
 }
 
-// decodeSize decodes a byte of a chunk's size, or the first one behind it.
+// maxLength returns the maximum of length in the present state.
+func (d *chunkDecoder) maxLength() int {
+	if d.state == inTrailers {
+		return maxTrailers
+	}
+	return maxChunkLine
+}
+
+// decodeSize decodes a byte of a chunk's size, or the first one after it.
 func (d *chunkDecoder) decodeSize(b byte) error {
-	digit := hexDigit(b)
-	switch first := d.seen == 1; {
-	case first && digit < 0:
+	digit, isDigit := hexDigit(b)
+	switch isFirst := d.length == 1; {
+	case isFirst && !isDigit:
 		return errChunkSize
-	case first:
+	case isFirst:
 		d.size = digit
-	case digit >= 0 && d.seen <= maxChunkDigits && d.size < maxChunkSize>>4:
+	case isDigit && d.length <= maxChunkDigits && d.size < maxChunkSize>>4:
 		d.size = d.size<<4 | digit
 	case b == ' ' || b == '\t':
 		d.state = inChunkSizePad
@@ -114,20 +137,20 @@
 	return nil
 }
 
-// hexDigit returns the value of a hexadecimal digit, or -1 if it is none.
-func hexDigit(b byte) int64 {
+// hexDigit returns the value of a hexadecimal digit, or false if it is not one.
+func hexDigit(b byte) (value int64, ok bool) {
 	switch {
 	case '0' <= b && b <= '9':
-		return int64(b - '0')
+		return int64(b - '0'), true
 	case 'a' <= b && b <= 'f':
-		return int64(b-'a') + 10
+		return int64(b-'a') + 10, true
 	case 'A' <= b && b <= 'F':
-		return int64(b-'A') + 10
+		return int64(b-'A') + 10, true
 	}
-	return -1
+	return 0, false
 }
 
-// decodeSizePad decodes a byte behind white space that follows a size: only an extension may come.
+// decodeSizePad decodes a byte after white space that follows a size: only an extension may come.
 func (d *chunkDecoder) decodeSizePad(b byte) error {
 	switch b {
 	case ' ', '\t':
@@ -139,7 +162,7 @@
 	return nil
 }
 
-// decodeExtensions decodes a byte of a chunk's extensions, which are dropped.
+// decodeExtensions decodes a byte of a chunk's extensions, which are ignored.
 func (d *chunkDecoder) decodeExtensions(b byte) error {
 	if b == '\n' {
 		d.endSizeLine()
@@ -151,31 +174,32 @@
 	return nil
 }
 
-// endSizeLine ends the line of a size: data follows, or the trailers after the last chunk, whose
-// size is 0.
+// endSizeLine ends the line of a size: data follows, or the trailer fields after the last chunk,
+// whose size is 0.
 func (d *chunkDecoder) endSizeLine() {
-	d.seen, d.previous, d.trailer = 0, 0, d.trailer[:0]
-	if d.remaining = d.size; d.remaining > 0 {
-		d.state = inChunkData
-	} else {
-		d.state = inTrailers
+	d.remaining = d.size
+	if d.remaining > 0 {
+		d.enter(inChunkData)
+		return
 	}
+	d.trailer = d.trailer[:0]
+	d.enter(inTrailers)
 }
 
-// decodeDataEnd decodes a byte of the CR LF behind a chunk's data.
+// decodeDataEnd decodes a byte of the CR LF after a chunk's data.
 func (d *chunkDecoder) decodeDataEnd(b byte) error {
 	switch {
-	case d.seen == 1 && b == '\r':
-	case d.seen == 2:
-		d.state, d.seen, d.previous, d.size = inChunkSize, 0, 0, -1
+	case d.length == 1 && b == '\r':
+	case d.length == 2: // LF: decodeByte has checked it
+		d.enter(inChunkSize)
 	default:
 		return errChunkEnd
 	}
 	return nil
 }
 
-// decodeTrailers decodes a byte of the trailers, whose lines must have the form of fields. They are
-// dropped.
+// decodeTrailers decodes a byte of the trailer fields, whose lines must have the form of fields.
+// They are ignored.
 func (d *chunkDecoder) decodeTrailers(b byte) error {
 	switch {
 	case b == '\n':
@@ -189,22 +213,31 @@
 	return nil
 }
 
-// endTrailerLine ends a line of the trailers, or the body if the line is empty.
+// endTrailerLine ends a line of the trailer fields, or the body if the line is empty.
 func (d *chunkDecoder) endTrailerLine() error {
 	if len(d.trailer) == 0 {
 		d.state = afterBody
 		return nil
 	}
-	for i, b := range d.trailer {
+	if !isFieldLine(d.trailer) {
+		return errChunkLine
+	}
+	d.trailer = d.trailer[:0]
+	d.previous = 0
+	return nil
+}
+
+// isFieldLine reports whether a line has a colon after its first byte, with no white space before.
+func isFieldLine(line []byte) bool {
+	for i, b := range line {
 		if b == ':' && i > 0 {
-			d.trailer, d.previous = d.trailer[:0], 0
-			return nil
+			return true
 		}
 		if b == ' ' || b == '\t' {
-			break
+			return false
 		}
 	}
-	return errChunkLine
+	return false
 }
 
 // isTextByte reports whether a byte is not a control character, or is a tab.
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -8,58 +8,78 @@
 
 const version = "HTTP/1.1"
 
-// specialFields are the fields that net/http interprets or changes, apart from Host and
-// Content-Length.
+// specialFields are the fields that net/http interprets or changes, except Host and Content-Length.
 var specialFields = map[string]bool{"Connection": true, "Transfer-Encoding": true, "Trailer": true, "Pragma": true}
 
-// maxDigits bounds the numbers that parseDigits accepts, so that they fit an int: Content-Length
-// may have so many digits.
+// maxDigits is the maximum number of digits that parseDigits accepts, so that numbers fit an int.
 const maxDigits = 9
 
-// parseFields parses the field lines of a head (RFC 9112, 5), up to and including its empty line.
-// The header is nil if one of them does not have the simplest form. contentLength is below 0 if
-// there is no Content-Length.
-func parseFields(lines string) (h http.Header, contentLength int) {
+// fields is the parsed fields of a head.
+type fields struct {
+	header        http.Header
+	contentLength int // below 0: there is no Content-Length
+
+	values []string // space for the values that are still to be parsed
+}
+
+// parseFields parses the field lines of a head (RFC 9112, section 5), up to and including its empty
+// line. It is not ok if one of them does not have the simplest form.
+func parseFields(lines string) (f fields, ok bool) {
 	if lines != "\r\n" && !strings.HasSuffix(lines, "\r\n\r\n") {
-		return nil, 0
+		return fields{}, false
 	}
 	n := strings.Count(lines, "\r\n") - 1
-	h, contentLength = make(http.Header, n), -1
-	values := make([]string, n) // one allocation for the values of all fields
+	f = fields{
+		header:        make(http.Header, n),
+		contentLength: -1,
+		values:        make([]string, n), // one allocation for the values of all fields
+	}
 	for {
-		line, rest, ok := strings.Cut(lines, "\r\n")
-		if !ok {
-			return nil, 0
+		line, rest, found := strings.Cut(lines, "\r\n")
+		if !found {
+			return fields{}, false
 		}
-		if lines = rest; line == "" {
-			break
+		if line == "" {
+			return f, rest == "" // nothing may follow the empty line
 		}
-		name, value, ok := parseField(line)
-		if !ok {
-			return nil, 0
+		if !f.addLine(line) {
+			return fields{}, false
 		}
-		if name == "Content-Length" {
-			if contentLength >= 0 {
-				return nil, 0
-			}
-			if contentLength, ok = parseDigits(value); !ok {
-				return nil, 0
-			}
-		}
-		if earlier := h[name]; earlier != nil {
-			h[name] = append(earlier, value)
-			continue
-		}
-		values[0] = value
-		h[name], values = values[:1:1], values[1:]
+		lines = rest
+	}
+}
+
+// addLine adds a field line. It reports false if the line does not have the simplest form.
+func (f *fields) addLine(line string) bool {
+	name, value, ok := parseField(line)
+	if !ok {
+		return false
+	}
+	if name == "Content-Length" && !f.setContentLength(value) {
+		return false
+	}
+	if earlier := f.header[name]; earlier != nil {
+		f.header[name] = append(earlier, value)
+		return true
 	}
-	if lines != "" {
-		return nil, 0
+	f.values[0] = value
+	f.header[name] = f.values[:1:1]
+	f.values = f.values[1:]
+	return true
+}
+
+// setContentLength sets the value of Content-Length. It reports false if the value is not a number,
+// or not the first one.
+func (f *fields) setContentLength(value string) bool {
+	if f.contentLength >= 0 {
+		return false
 	}
-	return h, contentLength
+	length, ok := parseDigits(value)
+	f.contentLength = length
+	return ok
 }
 
-// parseField parses a field line that net/http would not interpret. The name is in canonical form.
+// parseField parses a field line that is not one of specialFields. The name is in canonical form.
 func parseField(line string) (name, value string, ok bool) {
 	name, value, ok = strings.Cut(line, ":")
 	if !ok || !isToken(name) || !isText(value) {
@@ -96,7 +116,7 @@
 	return true
 }
 
-// tokenBytes are the characters of names and methods (RFC 9110, 5.6.2).
+// tokenBytes are the characters of names and methods (RFC 9110, section 5.6.2).
 var tokenBytes = func() (table [256]bool) {
 	for _, c := range "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ" {
 		table[c] = true
@@ -104,7 +124,7 @@
 	return table
 }()
 
-// isToken reports whether a string is a token (RFC 9110, 5.6.2).
+// isToken reports whether a string is a token (RFC 9110, section 5.6.2).
 func isToken(s string) bool {
 	for i := range len(s) {
 		if !tokenBytes[s[i]] {
--- a/internal/http1/heads_test.go
+++ b/internal/http1/heads_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// requests are complete heads of requests, and whether they have the simplest form.
+// requests are complete heads of requests. Those of the simplest form are marked.
 var requests = []struct {
 	text   string
 	simple bool
@@ -36,7 +36,7 @@
 	{"GET /  HTTP/1.1\r\nHost: h\r\n\r\n", false},
 }
 
-// responses are responses, and whether they have a complete head of the simplest form.
+// responses are responses. Those with a complete head of the simplest form are marked.
 var responses = []struct {
 	text   string
 	simple bool
@@ -57,48 +57,64 @@
 
 var ignoreUnexported = cmpopts.IgnoreUnexported(http.Request{}, http.Response{})
 
-// compareWithNetHTTP checks that net/http parses a text in the same way. It reports whether the
-// text was parsed as a request, and as a response.
-func compareWithNetHTTP(t *testing.T, text string) (isRequest, isResponse bool) {
+// parsesRequest reports whether a text is parsed as a request, and checks that net/http parses it
+// in the same way.
+func parsesRequest(t *testing.T, text string) bool {
 	t.Helper()
-	if r := ParseRequest([]byte(text)); r != nil {
-		isRequest = true
-		want, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
-		if err != nil {
-			t.Fatalf("%q is parsed; net/http: %v", text, err)
-		}
-		want.Body, r.Body = nil, nil
-		if d := cmp.Diff(want, r, ignoreUnexported); d != "" {
-			t.Fatalf("%q: net/http parses it differently:\n%s", text, d)
-		}
+	r := ParseRequest([]byte(text))
+	if r == nil {
+		return false
 	}
-	if head, ok := ParseResponse([]byte(text)); ok {
-		isResponse = true
-		want, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
-		if err != nil {
-			t.Fatalf("%q is parsed; net/http: %v", text, err)
-		}
-		d := cmp.Diff(want.Header, head.Header)
-		if d != "" || want.StatusCode != head.Status || want.ContentLength != int64(head.BodyLength) || want.Close {
-			t.Fatalf("%q: %d with %d bytes, net/http: %d with %d, close %v; %s", text, head.Status, head.BodyLength,
-				want.StatusCode, want.ContentLength, want.Close, d)
-		}
-		if !strings.HasSuffix(text[:head.Size], "\r\n\r\n") {
-			t.Fatalf("%q: a head of %d bytes", text, head.Size)
-		}
+	want, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
+	if err != nil {
+		t.Fatalf("%q is parsed; net/http: %v", text, err)
+	}
+	want.Body = nil
+	r.Body = nil
+	if d := cmp.Diff(want, r, ignoreUnexported); d != "" {
+		t.Fatalf("%q: net/http parses it differently:\n%s", text, d)
 	}
-	return isRequest, isResponse
+	return true
+}
+
+// parsesResponse reports whether a text is parsed as a response, and checks that net/http parses it
+// in the same way.
+func parsesResponse(t *testing.T, text string) bool {
+	t.Helper()
+	head, ok := ParseResponse([]byte(text))
+	if !ok {
+		return false
+	}
+	want, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
+	if err != nil {
+		t.Fatalf("%q is parsed; net/http: %v", text, err)
+	}
+	d := cmp.Diff(want.Header, head.Header)
+	if d != "" || want.StatusCode != head.Status || want.ContentLength != int64(head.BodyLength) || want.Close {
+		t.Fatalf("%q: %d with %d bytes, net/http: %d with %d, close %v; %s", text, head.Status, head.BodyLength,
+			want.StatusCode, want.ContentLength, want.Close, d)
+	}
+	if !strings.HasSuffix(text[:head.Size], "\r\n\r\n") {
+		t.Fatalf("%q: a head of %d bytes", text, head.Size)
+	}
+	return true
 }
 
 func TestSimpleHeadsParseAsInNetHTTP(t *testing.T) {
 	for _, row := range requests {
-		if got, _ := compareWithNetHTTP(t, row.text); got != row.simple {
-			t.Errorf("%q: parsed %v", row.text, got)
+		if got := parsesRequest(t, row.text); got != row.simple {
+			t.Errorf("%q: parsed %v, want %v", row.text, got, row.simple)
+		}
+		if parsesResponse(t, row.text) {
+			t.Errorf("%q: parsed as a response", row.text)
 		}
 	}
 	for _, row := range responses {
-		if _, got := compareWithNetHTTP(t, row.text); got != row.simple {
-			t.Errorf("%q: parsed %v", row.text, got)
+		if parsesRequest(t, row.text) {
+			t.Errorf("%q: parsed as a request", row.text)
+		}
+		if got := parsesResponse(t, row.text); got != row.simple {
+			t.Errorf("%q: parsed %v, want %v", row.text, got, row.simple)
 		}
 	}
 }
@@ -110,5 +126,8 @@
 	for _, row := range responses {
 		f.Add(row.text)
 	}
-	f.Fuzz(func(t *testing.T, text string) { compareWithNetHTTP(t, text) })
+	f.Fuzz(func(t *testing.T, text string) {
+		parsesRequest(t, text)
+		parsesResponse(t, text)
+	})
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -2,6 +2,6 @@
 // framing of bodies. It does no I/O of its own: bodies are read through a Source.
 //
 // ParseRequest and ParseResponse parse only the simplest form of a head, which nearly all messages
-// have. They read it as net/http would, and leave every other form to net/http. They exist because
-// parsing heads is a tenth of what a request costs.
+// have. They interpret it as net/http would, and leave every other form to net/http. They exist
+// because parsing heads is a tenth of the cost of a request.
 package http1
--- a/internal/http1/requesthead.go
+++ b/internal/http1/requesthead.go
@@ -8,7 +8,7 @@
 
 // ParseRequest parses the complete head of a request, including its empty line, as http.ReadRequest
 // would. The request has no body. ParseRequest returns nil if the head does not have the simplest
-// form; it may be valid all the same.
+// form; it may still be valid.
 func ParseRequest(head []byte) *http.Request {
 	line, fieldLines, ok := strings.Cut(string(head), "\r\n")
 	if !ok {
@@ -18,37 +18,37 @@
 	if !ok {
 		return nil
 	}
-	h, contentLength := parseFields(fieldLines)
-	if h == nil || len(h["Host"]) != 1 {
+	f, ok := parseFields(fieldLines)
+	if !ok || len(f.header["Host"]) != 1 {
 		return nil
 	}
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
 		return nil
 	}
-	host := h["Host"][0]
-	delete(h, "Host")
+	host := f.header["Host"][0]
+	delete(f.header, "Host")
 	return &http.Request{
 		Method:        method,
 		URL:           u,
 		Proto:         version,
 		ProtoMajor:    1,
 		ProtoMinor:    1,
-		Header:        h,
+		Header:        f.header,
 		Body:          http.NoBody,
-		ContentLength: int64(max(contentLength, 0)),
+		ContentLength: int64(max(f.contentLength, 0)),
 		Host:          host,
 		RequestURI:    target,
 	}
 }
 
-// parseRequestLine parses a request line (RFC 9112, 3) whose target is in origin form.
+// parseRequestLine parses a request line (RFC 9112, section 3) whose target is in origin form.
 func parseRequestLine(line string) (method, target string, ok bool) {
-	method, rest, found := strings.Cut(line, " ")
+	method, targetAndProto, found := strings.Cut(line, " ")
 	if !found {
 		return "", "", false
 	}
-	target, proto, found := strings.Cut(rest, " ")
+	target, proto, found := strings.Cut(targetAndProto, " ")
 	if !found || proto != version || !isToken(method) || !strings.HasPrefix(target, "/") {
 		return "", "", false
 	}
--- a/internal/http1/responsehead.go
+++ b/internal/http1/responsehead.go
@@ -28,9 +28,12 @@
 	if head.Status, ok = parseStatusLine(line); !ok || !allowsBody(head.Status) {
 		return ResponseHead{}, false
 	}
-	if head.Header, head.BodyLength = parseFields(fieldLines); head.Header == nil || head.BodyLength < 0 {
+	f, ok := parseFields(fieldLines)
+	if !ok || f.contentLength < 0 {
 		return ResponseHead{}, false
 	}
+	head.Header = f.header
+	head.BodyLength = f.contentLength
 	return head, true
 }
 
