--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -17,8 +17,8 @@
 
 // checkHostPort returns an error for an address that is not host:port.
 func checkHostPort(address string) error {
-	if err := netaddr.Check("", address); err != nil {
-		return fmt.Errorf("%q is no host:port: %s", address, strings.TrimPrefix(err.Error(), ": "))
+	if err := netaddr.Check(address); err != nil {
+		return fmt.Errorf("%q is no host:port: %w", address, err)
 	}
 	return nil
 }
--- a/internal/discovery/file/list.go
+++ b/internal/discovery/file/list.go
@@ -89,7 +89,7 @@
 	case !ok:
 		return proxy.Endpoint{}, fmt.Errorf("%s.state: %q is neither ready nor draining", path, e.State)
 	}
-	if err := netaddr.Check(path+".address", e.Address); err != nil {
+	if err := netaddr.CheckField(path+".address", e.Address); err != nil {
 		return proxy.Endpoint{}, err
 	}
 	return proxy.Endpoint{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: state,
--- a/internal/netaddr/netaddr.go
+++ b/internal/netaddr/netaddr.go
@@ -2,26 +2,47 @@
 package netaddr
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"strconv"
 )
 
+// ErrMissing says that an address is empty.
+var ErrMissing = errors.New("missing")
+
+// PortError says that the port of an address is not a number from 0 to 65535.
+type PortError struct{ Port string }
+
+// Error implements error.
+func (e *PortError) Error() string {
+	return fmt.Sprintf("port %q is not a number up to 65535", e.Port)
+}
+
 // portBits is the size of a port number.
 const portBits = 16
 
-// Check returns nil if an address is host:port with a number for the port. An error begins with the
-// name of the field.
-func Check(field, addr string) error {
+// Check returns nil if an address is host:port with a number for the port. Otherwise its error is
+// ErrMissing, a *net.AddrError or a *PortError.
+func Check(addr string) error {
 	if addr == "" {
-		return fmt.Errorf("%s: missing", field)
+		return ErrMissing
 	}
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fmt.Errorf("%s: %w", field, err)
+		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, portBits); err != nil {
-		return fmt.Errorf("%s: port %q is not a number up to 65535", field, port)
+		return &PortError{port}
+	}
+	return nil
+}
+
+// CheckField checks the address in a field. An error begins with the name of the field and wraps
+// that of Check.
+func CheckField(field, addr string) error {
+	if err := Check(addr); err != nil {
+		return fmt.Errorf("%s: %w", field, err)
 	}
 	return nil
 }
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -96,5 +96,5 @@
 	if e.State == StateRemoved {
 		return nil
 	}
-	return netaddr.Check("addr", e.Addr)
+	return netaddr.CheckField("addr", e.Addr)
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -105,16 +105,16 @@
 
 // validateAddresses returns an error that names the first address at fault.
 func (c *Config) validateAddresses() error {
-	if err := netaddr.Check("listen", c.Listen); err != nil {
+	if err := netaddr.CheckField("listen", c.Listen); err != nil {
 		return err
 	}
-	if err := netaddr.Check("discovery", c.Discovery); err != nil {
+	if err := netaddr.CheckField("discovery", c.Discovery); err != nil {
 		return err
 	}
 	if c.AdminAddr == "" {
 		return nil
 	}
-	if err := netaddr.Check("console", c.AdminAddr); err != nil {
+	if err := netaddr.CheckField("console", c.AdminAddr); err != nil {
 		return err
 	}
 	if c.AdminAddr == c.Listen && !strings.HasSuffix(c.AdminAddr, anyPort) {
