--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -53,7 +53,7 @@
 	limiter *ratelimit.Limiter
 }
 
-func (l *routeLimiter) acquire(now time.Time, tenant string) (ratelimit.Permit, ratelimit.Limit, time.Duration) {
+func (l *routeLimiter) acquire(now time.Time, tenant string) (ratelimit.Permit, ratelimit.Exceeded) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limiter.Acquire(now, tenant)
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -77,21 +77,21 @@
 }
 
 // acquire admits a request under the route's limits, or returns the rejection that names the limit
-// it is over. Rejections that a rate causes are 429, those that concurrency causes 503.
+// which it exceeds. The status is 429 for a rate and 503 for concurrency.
 func (e *routeEntry) acquire(arrived time.Time, tenant string) (ratelimit.Permit, *httpserver.Rejection) {
-	permit, exceeded, wait := e.limiter.acquire(arrived, tenant)
-	if exceeded == ratelimit.None {
+	permit, exceeded := e.limiter.acquire(arrived, tenant)
+	if exceeded.Limit == ratelimit.None {
 		return permit, nil
 	}
-	e.metrics.countLimited(exceeded)
+	e.metrics.countLimited(exceeded.Limit)
 	status := http.StatusServiceUnavailable
-	if wait > 0 {
+	if exceeded.RetryAfter > 0 {
 		status = http.StatusTooManyRequests
 	}
 	return permit, &httpserver.Rejection{
 		Status:     status,
-		Message:    "over the limit: " + string(exceeded),
-		Limit:      string(exceeded),
-		RetryAfter: max(wait, concurrencyRetryAfter),
+		Message:    "over the limit: " + string(exceeded.Limit),
+		Limit:      string(exceeded.Limit),
+		RetryAfter: max(exceeded.RetryAfter, concurrencyRetryAfter),
 	}
 }
--- a/internal/httpserver/disconnect_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -64,7 +64,7 @@
 				return
 			}
 			if len(row.actions) > 0 {
-				until(t, "the bytes arrive", func() bool { return testpeer.HasUnreadData(server) })
+				until(t, "the bytes arrive", func() bool { return testpeer.HasUnreadData(conn.server) })
 			}
 			if conn.watcher.socket.isDisconnected() {
 				t.Error("taken for disconnected")
--- a/internal/httpserver/listener_test.go
+++ b/internal/httpserver/listener_test.go
@@ -100,11 +100,11 @@
 // Seen in the same overload, with half a core: a request that has arrived but was not read yet must
 // not be lost.
 func TestArrivedRequestIsReadBeforeClose(t *testing.T) {
-	l, c, client := acceptIdle(t)
-	io.WriteString(client, "request")
-	until(t, "the request arrives", func() bool { return testpeer.HasUnreadData(c.Conn.(*net.TCPConn)) })
-	l.closeIdle(0)
-	if n, err := c.Read(make([]byte, 7)); n == 0 || err != nil {
+	conn := acceptIdle(t)
+	io.WriteString(conn.client, "request")
+	until(t, "the request arrives", func() bool { return testpeer.HasUnreadData(conn.server.Conn.(*net.TCPConn)) })
+	conn.listener.closeIdle(0)
+	if n, err := conn.server.Read(make([]byte, 7)); n == 0 || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 }
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,6 +1,6 @@
-// Package ratelimit decides how much of a route's traffic is admitted: so many requests a second
-// and so many at once, for the route and for each of its tenants. It has no clock and no goroutine:
-// the caller passes instants, all from one clock.
+// Package ratelimit admits or rejects the requests of a route by their rate and their concurrency,
+// for the route and for each of its tenants. It has no clock and no goroutine: the time is passed
+// in, always from the same clock.
 package ratelimit
 
 import (
@@ -10,10 +10,10 @@
 	"golang.org/x/time/rate"
 )
 
-// Rate is a number of requests a second, and how many of them may arrive at once. Zero: no limit.
+// Rate is the rate and the burst of a token bucket. Zero: no limit.
 type Rate struct {
 	PerSecond float64
-	Burst     int // 0: a second's worth, and at least 1
+	Burst     int // 0: the requests of one second, and at least 1
 }
 
 // Limits are the limits of a route's traffic. Zero: no limit.
@@ -22,7 +22,7 @@
 	Concurrency       int
 	TenantRate        Rate
 	TenantConcurrency int
-	Tenants           int // tracked separately; those beyond share one quota. 0: DefaultTenants
+	Tenants           int // tracked separately; all others have one common quota. 0: DefaultTenants
 }
 
 // hasTenantLimits reports whether tenants have limits of their own.
@@ -30,21 +30,28 @@
 	return l.TenantRate.PerSecond > 0 || l.TenantConcurrency > 0
 }
 
-// DefaultTenants is how many tenants are tracked where the limits do not say.
+// DefaultTenants is how many tenants are tracked if Limits.Tenants is 0.
 const DefaultTenants = 10000
 
-// Limit is the limit for which a request was rejected.
+// Limit names a limit of a route's traffic.
 type Limit string
 
 // The limits.
 const (
-	None              Limit = "" // the request was admitted
+	None              Limit = ""
 	RouteRate         Limit = "route rate"
 	RouteConcurrency  Limit = "route concurrency"
 	TenantRate        Limit = "tenant rate"
 	TenantConcurrency Limit = "tenant concurrency"
 )
 
+// Exceeded is the limit for which a request was rejected. It is zero, with the limit None, for a
+// request that was admitted.
+type Exceeded struct {
+	Limit      Limit
+	RetryAfter time.Duration // until the rate admits a request again; 0 if the limit is not a rate
+}
+
 // Limiter limits the traffic of one route. It is not safe for concurrent use.
 type Limiter struct {
 	limits    Limits
@@ -64,8 +71,8 @@
 	return l
 }
 
-// Configure changes the limits. Requests in flight still count, and unused tokens are kept as far
-// as the new burst allows.
+// Configure changes the limits. Requests in flight still count, and unused tokens remain up to the
+// new burst.
 func (l *Limiter) Configure(now time.Time, limits Limits) {
 	if limits.Tenants == 0 {
 		limits.Tenants = DefaultTenants
@@ -78,46 +85,46 @@
 	}
 }
 
-// Acquire admits a request, or returns the limit that it exceeds and, for a rate, the time after
-// which a retry makes sense. A rejected request uses up no limit. A request without a tenant counts
-// for the route alone.
-func (l *Limiter) Acquire(now time.Time, tenant string) (Permit, Limit, time.Duration) {
+// Acquire admits a request, or returns the limit that it exceeds. A rejected request counts for no
+// limit. A request without a tenant counts for the route alone.
+func (l *Limiter) Acquire(now time.Time, tenant string) (Permit, Exceeded) {
 	var t *flow
 	if tenant != "" && l.limits.hasTenantLimits() {
 		t = l.tenantFlow(now, tenant)
 	}
 	if t != nil && t.isFull(l.limits.TenantConcurrency) {
-		return Permit{}, TenantConcurrency, 0
+		return Permit{}, Exceeded{Limit: TenantConcurrency}
 	}
 	if l.route.isFull(l.limits.Concurrency) {
-		return Permit{}, RouteConcurrency, 0
+		return Permit{}, Exceeded{Limit: RouteConcurrency}
 	}
-	if exceeded, retryAfter := l.takeTokens(now, t); exceeded != None {
-		return Permit{}, exceeded, retryAfter
+	if exceeded := l.takeTokens(now, t); exceeded.Limit != None {
+		return Permit{}, exceeded
 	}
 	l.route.inFlight++
 	if t != nil {
 		t.inFlight++
 	}
-	return Permit{t}, None, 0
+	return Permit{t}, Exceeded{}
 }
 
 // takeTokens takes a token of the tenant, unless nil, and of the route. If one of them has none, it
-// takes neither, and returns the rate that is exceeded and the time until there is a token.
-func (l *Limiter) takeTokens(now time.Time, tenant *flow) (exceeded Limit, wait time.Duration) {
+// takes neither and returns the rate that is exceeded.
+func (l *Limiter) takeTokens(now time.Time, tenant *flow) Exceeded {
 	var tenantToken *rate.Reservation
 	if tenant != nil {
-		if tenantToken, wait = tenant.takeToken(now); wait > 0 {
-			return TenantRate, wait
+		var delay time.Duration
+		if tenantToken, delay = tenant.takeToken(now); delay > 0 {
+			return Exceeded{TenantRate, delay}
 		}
 	}
-	if _, wait = l.route.takeToken(now); wait > 0 {
+	if _, delay := l.route.takeToken(now); delay > 0 {
 		if tenantToken != nil {
 			tenantToken.CancelAt(now)
 		}
-		return RouteRate, wait
+		return Exceeded{RouteRate, delay}
 	}
-	return None, 0
+	return Exceeded{}
 }
 
 // Release ends a request that was admitted.
@@ -134,9 +141,9 @@
 // tenantFlow returns the flow of a tenant, and tracks the tenant from now on.
 //
 // If too many are tracked, the least recently used one is dropped, provided that this changes
-// nothing for it: it has no request in flight and all its tokens. Otherwise the new tenant shares a
-// flow with all others that are not tracked. So tenant names made up by the thousand are admitted
-// little, and cost no memory.
+// nothing for it: it has no request in flight and all its tokens. Otherwise the new tenant uses one
+// flow with all others that are not tracked. So a client that invents tenant names gets one quota
+// for all of them, and uses no memory.
 func (l *Limiter) tenantFlow(now time.Time, tenant string) *flow {
 	if e := l.tenants[tenant]; e != nil {
 		l.recent.MoveToFront(e)
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -10,7 +10,8 @@
 
 var start = time.Unix(1000, 0)
 
-// A request over a limit is rejected, and one that comes when the limit says so is admitted.
+// A request over a limit is rejected, and one that arrives after RetryAfter or a release is
+// admitted.
 func TestEachLimitRejects(t *testing.T) {
 	for limit, limits := range map[Limit]Limits{
 		RouteRate:         {Rate: Rate{PerSecond: 10, Burst: 2}},
@@ -21,52 +22,51 @@
 		l := New(limits)
 		var permit Permit
 		for i := range 2 {
-			p, got, _ := l.Acquire(start, "a")
-			if got != None {
-				t.Fatalf("%s: request %d is rejected for the %s", limit, i, got)
+			p, exceeded := l.Acquire(start, "a")
+			if exceeded.Limit != None {
+				t.Fatalf("%s: request %d is rejected for the %s", limit, i, exceeded.Limit)
 			}
 			permit = p
 		}
-		_, got, wait := l.Acquire(start, "a")
-		if got != limit || (wait > 0) != (limit == RouteRate || limit == TenantRate) {
-			t.Errorf("%s: rejected for %q, retry after %v", limit, got, wait)
+		isRate := limit == RouteRate || limit == TenantRate
+		isOfRoute := limit == RouteRate || limit == RouteConcurrency
+		_, exceeded := l.Acquire(start, "a")
+		if exceeded.Limit != limit || (exceeded.RetryAfter > 0) != isRate {
+			t.Errorf("%s: rejected for %+v", limit, exceeded)
 		}
-		if _, got, _ := l.Acquire(start, "b"); (got != None) != (limit == RouteRate || limit == RouteConcurrency) {
-			t.Errorf("%s: another tenant is rejected for %q", limit, got)
+		if _, other := l.Acquire(start, "b"); (other.Limit != None) != isOfRoute {
+			t.Errorf("%s: another tenant is rejected for %q", limit, other.Limit)
 		}
-		if wait > 0 {
-			_, got, _ = l.Acquire(start.Add(wait), "a")
-		} else {
+		if exceeded.RetryAfter == 0 {
 			l.Release(permit)
-			_, got, _ = l.Acquire(start, "a")
 		}
-		if got != None {
-			t.Errorf("%s: still rejected for %q after the wait or a release", limit, got)
+		if _, exceeded := l.Acquire(start.Add(exceeded.RetryAfter), "a"); exceeded.Limit != None {
+			t.Errorf("%s: still rejected for %q after the delay or a release", limit, exceeded.Limit)
 		}
 	}
 }
 
-// What is rejected by the route's limit must not use up the tenant's.
+// A request that the route's limit rejects must not take a token of the tenant.
 func TestRejectedRequestUsesNoToken(t *testing.T) {
 	l := New(Limits{Rate: Rate{PerSecond: 1, Burst: 1}, TenantRate: Rate{PerSecond: 0.001, Burst: 2}})
 	l.Acquire(start, "a")
 	for range 5 {
-		if _, limit, _ := l.Acquire(start, "a"); limit != RouteRate {
-			t.Fatalf("rejected for the %s", limit)
+		if _, exceeded := l.Acquire(start, "a"); exceeded.Limit != RouteRate {
+			t.Fatalf("rejected for the %s", exceeded.Limit)
 		}
 	}
-	if _, limit, _ := l.Acquire(start.Add(time.Second), "a"); limit != None {
-		t.Errorf("rejected for the %s", limit)
+	if _, exceeded := l.Acquire(start.Add(time.Second), "a"); exceeded.Limit != None {
+		t.Errorf("rejected for the %s", exceeded.Limit)
 	}
 }
 
-func TestTenantsSeenOnceCostNoMemory(t *testing.T) {
+func TestUnusedTenantsAreDropped(t *testing.T) {
 	l := New(Limits{TenantRate: Rate{PerSecond: 100, Burst: 1}, TenantConcurrency: 5, Tenants: 50})
-	permit, _, _ := l.Acquire(start, "in flight")
+	permit, _ := l.Acquire(start, "in flight")
 	now := start
 	for i := range 10000 {
 		now = now.Add(time.Millisecond)
-		if p, limit, _ := l.Acquire(now, fmt.Sprint("t", i)); limit == None {
+		if p, exceeded := l.Acquire(now, fmt.Sprint("t", i)); exceeded.Limit == None {
 			l.Release(p)
 		}
 		if _, n := l.Usage(); n > 50 {
@@ -79,34 +79,34 @@
 	l.Release(permit)
 }
 
-// While the only tenant tracked has a request in flight, all other tenants share one flow.
-func TestUntrackedTenantsShareOneQuota(t *testing.T) {
+// While the only tracked tenant has a request in flight, all other tenants have one quota.
+func TestUntrackedTenantsHaveOneQuota(t *testing.T) {
 	l := New(Limits{TenantConcurrency: 1, Tenants: 1})
 	l.Acquire(start, "first")
-	_, second, _ := l.Acquire(start, "second")
-	_, third, _ := l.Acquire(start, "third")
-	if second != None || third != TenantConcurrency {
-		t.Errorf("second: %q, third: %q", second, third)
+	_, second := l.Acquire(start, "second")
+	_, third := l.Acquire(start, "third")
+	if second.Limit != None || third.Limit != TenantConcurrency {
+		t.Errorf("second: %q, third: %q", second.Limit, third.Limit)
 	}
 }
 
-func TestConfigureKeepsRequestsInFlight(t *testing.T) {
+func TestConfigureCountsRequestsInFlight(t *testing.T) {
 	l := New(Limits{Concurrency: 5, TenantRate: Rate{PerSecond: 10, Burst: 10}})
 	var permits []Permit
 	for range 3 {
-		p, _, _ := l.Acquire(start, "a")
+		p, _ := l.Acquire(start, "a")
 		permits = append(permits, p)
 	}
 	l.Configure(start, Limits{Concurrency: 3, TenantRate: Rate{PerSecond: 1, Burst: 4}})
-	if _, limit, _ := l.Acquire(start, "a"); limit != RouteConcurrency {
-		t.Errorf("three of three in flight: %q", limit)
+	if _, exceeded := l.Acquire(start, "a"); exceeded.Limit != RouteConcurrency {
+		t.Errorf("three of three in flight: %q", exceeded.Limit)
 	}
 	for _, p := range permits {
 		l.Release(p)
 	}
 	admitted := 0
 	for range 10 {
-		if p, limit, _ := l.Acquire(start, "a"); limit == None {
+		if p, exceeded := l.Acquire(start, "a"); exceeded.Limit == None {
 			l.Release(p)
 			admitted++
 		}
@@ -115,8 +115,8 @@
 		t.Errorf("%d admitted, with a burst of 4", admitted)
 	}
 	l.Configure(start, Limits{})
-	if _, limit, _ := l.Acquire(start, "a"); limit != None {
-		t.Errorf("without limits: %q", limit)
+	if _, exceeded := l.Acquire(start, "a"); exceeded.Limit != None {
+		t.Errorf("without limits: %q", exceeded.Limit)
 	}
 }
 
@@ -133,8 +133,8 @@
 	}
 }
 
-// However requests arrive and end: never more are in flight than allowed, and never more are
-// admitted in any time than rate and burst allow.
+// In any order of arrivals and ends, never more requests are in flight than allowed, and never more
+// are admitted in any time than rate and burst allow.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := drawLimits(t)
@@ -155,14 +155,14 @@
 				continue
 			}
 			tenant := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "tenant")
-			p, limit, _ := l.Acquire(now, tenant)
-			if limit != None {
+			p, exceeded := l.Acquire(now, tenant)
+			if exceeded.Limit != None {
 				continue
 			}
 			inFlight = append(inFlight, request{p, tenant})
 			tenantInFlight[tenant]++
 			admitted[tenant]++
-			// A tenant may have requests in a flow of its own and in the shared one: twice as many.
+			// A tenant may have requests in a flow of its own and in the common one: twice as many.
 			if len(inFlight) > limits.Concurrency || tenantInFlight[tenant] > 2*limits.TenantConcurrency {
 				t.Fatalf("%d in flight, %d of %s", len(inFlight), tenantInFlight[tenant], tenant)
 			}
