--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -62,15 +62,15 @@
 
 // find returns the route of a request, or the rejection for a request that has none.
 func (t *routeTable) find(r *http.Request) (*routeEntry, *httpserver.Rejection) {
-	index, allowed := t.Find(r.Host, r.URL.Path, r.Method, r.Header.Get)
+	found := t.Find(route.Request{Host: r.Host, Path: r.URL.Path, Method: r.Method, Header: r.Header.Get})
 	switch {
-	case index >= 0:
-		return t.entries[index], nil
-	case len(allowed) > 0:
+	case found.Index >= 0:
+		return t.entries[found.Index], nil
+	case len(found.Allowed) > 0:
 		return nil, &httpserver.Rejection{
 			Status:  http.StatusMethodNotAllowed,
-			Message: "methods here: " + strings.Join(allowed, ", "),
-			Allow:   allowed,
+			Message: "methods here: " + strings.Join(found.Allowed, ", "),
+			Allow:   found.Allowed,
 		}
 	}
 	return nil, &httpserver.Rejection{Status: http.StatusNotFound, Message: "no route"}
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -1,18 +1,18 @@
-// Package route decides which route a request takes, and rejects paths that a server could read as
-// another route's. It does no I/O, has no clock, and its tables are immutable.
+// Package route finds the route of a request, and rejects ambiguous paths: those that an endpoint
+// could interpret as the path of a different route. It does no I/O, has no clock, and its tables
+// are immutable.
 package route
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 	"strings"
 )
 
-// Match is the condition under which a request takes a route. Empty fields match all requests.
+// Match is the condition of a route. An empty field matches all requests.
 type Match struct {
 	Host    string            // "forms.example", or "*.example" for the names below it; lower case, without a port
-	Path    string            // "/a/b", or "/a/*" for all below /a/
+	Path    string            // "/a/b", or "/a/*" for all paths below /a/
 	Methods []string          // any of them
 	Headers map[string]string // all of them, with exactly these values; names in canonical form
 }
@@ -20,21 +20,27 @@
 // Header returns the value of a request's header by its canonical name, or "" if there is none.
 type Header func(name string) string
 
-// Check returns an error if a host or path pattern is invalid.
+// Check returns a *SyntaxError if a host or path pattern is invalid.
 func (m Match) Check() error {
-	host := strings.TrimPrefix(m.Host, "*.")
-	emptyWildcard := strings.HasPrefix(m.Host, "*.") && host == ""
-	switch {
-	case strings.ContainsAny(host, "*/: ") || host != strings.ToLower(host) || emptyWildcard:
-		return fmt.Errorf(`host: %q is neither a name in lower case nor such as "*.example"`, m.Host)
-	case m.Path == "":
+	if !isHostPattern(m.Host) {
+		return hostError(`%q is neither a name in lower case nor such as "*.example"`, m.Host)
+	}
+	if m.Path == "" {
 		return nil
-	case strings.Contains(strings.TrimSuffix(m.Path, "/*"), "*"):
-		return fmt.Errorf(`path: %q has a star elsewhere than in a last "/*"`, m.Path)
+	}
+	if strings.Contains(strings.TrimSuffix(m.Path, "/*"), "*") {
+		return pathError(`%q has a star elsewhere than in a last "/*"`, m.Path)
 	}
 	return Check(strings.TrimSuffix(m.Path, "*"))
 }
 
+// isHostPattern reports whether a pattern is empty, a name in lower case, or "*." and such a name.
+func isHostPattern(pattern string) bool {
+	name, isWildcard := strings.CutPrefix(pattern, "*.")
+	isEmptyWildcard := isWildcard && name == ""
+	return !isEmptyWildcard && !strings.ContainsAny(name, "*/: ") && name == strings.ToLower(name)
+}
+
 // Overlaps reports whether some request meets both conditions and neither is more specific.
 func (m Match) Overlaps(other Match) bool {
 	if m.Host != other.Host || m.pathPattern() != other.pathPattern() {
@@ -43,19 +49,27 @@
 	if m.hasMethods() != other.hasMethods() || len(m.Headers) != len(other.Headers) {
 		return false // one of them is more specific
 	}
-	sharesMethod := slices.ContainsFunc(m.Methods, func(name string) bool { return slices.Contains(other.Methods, name) })
-	if m.hasMethods() && !sharesMethod {
-		return false
-	}
+	return m.hasCommonMethod(other) && !m.hasContradictingHeader(other)
+}
+
+// hasCommonMethod reports whether some method meets both conditions, which both list methods or
+// both do not.
+func (m Match) hasCommonMethod(other Match) bool {
+	isInOther := func(method string) bool { return slices.Contains(other.Methods, method) }
+	return !m.hasMethods() || slices.ContainsFunc(m.Methods, isInOther)
+}
+
+// hasContradictingHeader reports whether the conditions require different values of one header.
+func (m Match) hasContradictingHeader(other Match) bool {
 	for name, value := range m.Headers {
 		if otherValue, ok := other.Headers[name]; ok && otherValue != value {
-			return false
+			return true
 		}
 	}
-	return true
+	return false
 }
 
-// pathPattern returns the path pattern, also if it is empty.
+// pathPattern returns the path pattern, which for an empty Path is that of all paths.
 func (m Match) pathPattern() string { return cmp.Or(m.Path, "/*") }
 
 func (m Match) hasMethods() bool { return len(m.Methods) > 0 }
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -1,16 +1,12 @@
 package route
 
-import (
-	"errors"
-	"fmt"
-	"strings"
-)
+import "strings"
 
-// maxDecodings is how often servers are known to decode a path before they remove its dot segments.
+// maxDecodings is how many times a server may decode a path before it removes the dot segments.
 const maxDecodings = 2
 
-// Check returns an error for a path, as encoded in the request, that servers read in different
-// ways: the route chosen by it might not be the one that a server runs. RFC 3986 (6.2.2) calls some
+// Check returns a *SyntaxError for an ambiguous path, as encoded in the request: an endpoint might
+// interpret it as the path of a route other than the one found for it. RFC 3986 (6.2.2) calls some
 // of these forms equivalent, and servers disagree on all of them: dot segments, empty segments,
 // backslashes, encoded separators and encoded letters.
 func Check(escaped string) error {
@@ -18,39 +14,45 @@
 		return err
 	}
 	if strings.Contains(escaped, "//") {
-		return errors.New("path: an empty segment")
+		return pathError("an empty segment")
 	}
-	for rest := escaped; ; {
-		_, after, found := strings.Cut(rest, "%")
-		if !found {
-			break
-		}
-		if c := decodeHex(after); isSeparator(c) || isUnreserved(c) {
-			return fmt.Errorf("path: %q must not be encoded as %%%s", string(rune(c)), after[:2])
-		}
-		rest = after[2:]
+	if err := checkEncodedCharacters(escaped); err != nil {
+		return err
 	}
 	if strings.ContainsRune(escaped, '\\') {
-		return errors.New("path: a backslash")
+		return pathError("a backslash")
+	}
+	return nil
+}
+
+// checkEncodedCharacters returns an error for an encoded separator, and for an encoded character
+// that needs no encoding. The percent-encoding must be valid.
+func checkEncodedCharacters(escaped string) error {
+	_, encoded, found := strings.Cut(escaped, "%")
+	for found {
+		if c := decodeHex(encoded); isSeparator(c) || isUnreserved(c) {
+			return pathError("%q must not be encoded as %%%s", string(rune(c)), encoded[:2])
+		}
+		_, encoded, found = strings.Cut(encoded[2:], "%")
 	}
 	return nil
 }
 
-// FirstSegment returns the first segment of a path whose route depends on that segment alone. The
-// other segments are forwarded unchanged; it returns an error if a server could read them as
-// leading out of the first one.
+// FirstSegment returns the first segment of a path, for routes that depend on that segment alone.
+// It returns a *SyntaxError if the segment is ambiguous, or if an endpoint could interpret the
+// other segments, which are forwarded unchanged, as leading out of it.
 func FirstSegment(escaped string) (string, error) {
 	if err := checkSegments(escaped); err != nil {
 		return "", err
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(escaped, "/"), "/")
 	if strings.ContainsAny(first, `%;\`) {
-		return "", fmt.Errorf("path: the first segment %.40q is not plain", first)
+		return "", pathError("the first segment %.40q is not plain", first)
 	}
 	return first, nil
 }
 
-// checkSegments returns an error for what is no path, and for dot segments in any encoding: some
+// checkSegments returns an error for an invalid path, and for dot segments in any encoding: some
 // servers remove them, some after they have decoded the path once or twice, and some do not.
 func checkSegments(escaped string) error {
 	if err := checkEncoding(escaped); err != nil {
@@ -58,37 +60,45 @@
 	}
 	text := escaped
 	for range 1 + maxDecodings {
-		for segment := range strings.FieldsFuncSeq(text, isSeparatorRune) {
-			name, _, _ := strings.Cut(segment, ";")
-			if name == "." || name == ".." {
-				return errors.New("path: a dot segment")
-			}
+		if hasDotSegment(text) {
+			return pathError("a dot segment")
 		}
 		if strings.ContainsAny(text, "\x00\r\n") {
-			return errors.New("path: an encoded control character")
+			return pathError("an encoded control character")
 		}
 		text = percentDecode(text)
 	}
 	return nil
 }
 
-// checkEncoding returns an error for what is no absolute path, and for wrong percent-encoding.
+// hasDotSegment reports whether a segment is "." or "..", with or without parameters.
+func hasDotSegment(path string) bool {
+	for segment := range strings.FieldsFuncSeq(path, isSeparatorRune) {
+		name, _, _ := strings.Cut(segment, ";")
+		if name == "." || name == ".." {
+			return true
+		}
+	}
+	return false
+}
+
+// checkEncoding returns an error for a path that is not absolute, and for invalid percent-encoding.
 func checkEncoding(escaped string) error {
 	if !strings.HasPrefix(escaped, "/") {
-		return errors.New("path: it must begin with a slash")
+		return pathError("it must begin with a slash")
 	}
 	for i := range len(escaped) {
 		switch c := escaped[i]; {
 		case c <= ' ' || c == 0x7f:
-			return errors.New("path: a control character")
+			return pathError("a control character")
 		case c == '%' && !startsWithHex(escaped[i+1:]):
-			return errors.New("path: % without two hexadecimal digits")
+			return pathError("%% without two hexadecimal digits")
 		}
 	}
 	return nil
 }
 
-// percentDecode decodes what is percent-encoded, and leaves other percent signs as they are.
+// percentDecode decodes percent-encoded characters, and leaves other percent signs unchanged.
 func percentDecode(text string) string {
 	if !strings.Contains(text, "%") {
 		return text
@@ -105,7 +115,7 @@
 	return string(out)
 }
 
-// isSeparator reports whether some server separates segments at a character.
+// isSeparator reports whether some servers separate segments at a character.
 func isSeparator(c byte) bool { return c == '/' || c == '\\' }
 
 func isSeparatorRune(c rune) bool { return c < 0x80 && isSeparator(byte(c)) }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -1,6 +1,7 @@
 package route
 
 import (
+	"errors"
 	"fmt"
 	"net/url"
 	"slices"
@@ -41,22 +42,24 @@
 		{"other", "/a/b", "POST", gold, 4},
 		{"other", "/a/b", "GET", gold, 5},
 		{"FORMS.example.:8080", "/only", "GET", plain, 8},
-		{"forms.example", "/a/b", "GET", plain, 6}, // its own routes do not fit, the pattern above does
+		{"forms.example", "/a/b", "GET", plain, 6}, // matches none of the host's own routes
 		{"x.forms.example", "/a/b", "GET", plain, 7},
 		{"y.x.forms.example", "/b", "GET", plain, 6},
 		{"example", "/b", "GET", plain, 0},
 		{"[::1]:80", "/b", "GET", plain, 0},
 	} {
-		if got, _ := New(table).Find(row.host, row.path, row.method, row.header); got != row.want {
-			t.Errorf("%s %s%s takes %d, want %d", row.method, row.host, row.path, got, row.want)
+		got := New(table).Find(Request{row.host, row.path, row.method, row.header})
+		if got.Index != row.want || got.Allowed != nil {
+			t.Errorf("%s %s%s: %+v, want index %d", row.method, row.host, row.path, got, row.want)
 		}
 	}
-	if n, allowed := New(table[8:]).Find("strict.test", "/x", "POST", plain); n != -1 ||
-		!slices.Equal(allowed, []string{"DELETE", "GET", "PUT"}) {
-		t.Errorf("%d, allowed %v", n, allowed)
+	other := New(table[8:]).Find(Request{"strict.test", "/x", "POST", plain})
+	if other.Index != noMatch || !slices.Equal(other.Allowed, []string{"DELETE", "GET", "PUT"}) {
+		t.Errorf("other method: %+v", other)
 	}
-	if n, allowed := New(table[8:]).Find("strict.test", "/y", "POST", plain); n != -1 || len(allowed) != 0 {
-		t.Errorf("%d, allowed %v", n, allowed)
+	unknown := New(table[8:]).Find(Request{"strict.test", "/y", "POST", plain})
+	if unknown.Index != noMatch || len(unknown.Allowed) != 0 {
+		t.Errorf("unknown path: %+v", unknown)
 	}
 }
 
@@ -72,21 +75,31 @@
 }
 
 // matches reports whether a request meets the condition of a match: the table finds this by lookup.
-func matches(m Match, host, path, method string, header Header) bool {
-	below, star := strings.CutPrefix(m.Host, "*")
-	if m.Host != "" && m.Host != host && !(star && strings.HasSuffix(host, below)) {
-		return false
-	}
-	if p, star := strings.CutSuffix(m.pathPattern(), "*"); p != path && !(star && strings.HasPrefix(path, p)) ||
-		star && len(path) < len(p) {
+func matches(m Match, r Request) bool {
+	if !matchesHost(m.Host, r.Host) || !matchesPath(m.pathPattern(), r.Path) {
 		return false
 	}
 	for name, value := range m.Headers {
-		if header(name) != value {
+		if r.Header(name) != value {
 			return false
 		}
 	}
-	return len(m.Methods) == 0 || slices.Contains(m.Methods, method)
+	return len(m.Methods) == 0 || slices.Contains(m.Methods, r.Method)
+}
+
+// matchesHost reports whether a host matches a pattern, which may be empty.
+func matchesHost(pattern, host string) bool {
+	suffix, isWildcard := strings.CutPrefix(pattern, "*")
+	return pattern == "" || pattern == host || isWildcard && strings.HasSuffix(host, suffix)
+}
+
+// matchesPath reports whether a path matches a pattern.
+func matchesPath(pattern, path string) bool {
+	prefix, isPrefix := strings.CutSuffix(pattern, "*")
+	if isPrefix {
+		return strings.HasPrefix(path, prefix)
+	}
+	return path == pattern
 }
 
 // isMoreSpecific reports whether x is more specific than y, both of which match the same request.
@@ -104,8 +117,8 @@
 	return slices.Compare(rank(x), rank(y)) > 0
 }
 
-// A table finds the same route as a search through all matches. Where none overlap, one of those
-// that match is always more specific than the others.
+// A table finds the same match as a search through all of them. If none overlap, one of those that
+// match a request is always more specific than the others.
 func TestTableFindsMostSpecificMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Match
@@ -119,20 +132,20 @@
 		method := rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "request method")
 		values := rapid.SampledFrom([]map[string]string{{}, {"A": "1"}, {"A": "2", "B": "1"}, {"A": "1", "B": "1"}}).
 			Draw(t, "request headers")
-		header := func(name string) string { return values[name] }
-		want := -1
+		request := Request{host, path, method, func(name string) string { return values[name] }}
+		want := noMatch
 		for n, m := range all {
-			if matches(m, host, path, method, header) && (want < 0 || isMoreSpecific(m, all[want])) {
+			if matches(m, request) && (want < 0 || isMoreSpecific(m, all[want])) {
 				want = n
 			}
 		}
 		for n, m := range all {
-			if n != want && matches(m, host, path, method, header) && !isMoreSpecific(all[want], m) {
-				t.Fatalf("%+v and %+v tie, and neither overlaps", all[want], m)
+			if n != want && matches(m, request) && !isMoreSpecific(all[want], m) {
+				t.Fatalf("%+v and %+v are equally specific, but do not overlap", all[want], m)
 			}
 		}
-		if got, _ := New(all).Find(host, path, method, header); got != want {
-			t.Fatalf("%s %s%s %v takes %d, want %d of %+v", method, host, path, values, got, want, all)
+		if got := New(all).Find(request); got.Index != want {
+			t.Fatalf("%s %s%s %v: index %d, want %d of %+v", method, host, path, values, got.Index, want, all)
 		}
 	})
 }
@@ -143,7 +156,7 @@
 		{Path: "a"}, {Path: "/a*"}, {Path: "/*/b"}, {Path: "/a/../b"}, {Path: "/a//b"}, {Path: "/%61"},
 	} {
 		if m.Check() == nil {
-			t.Errorf("%+v passes", m)
+			t.Errorf("%+v is accepted", m)
 		}
 	}
 	for _, m := range []Match{{}, {Host: "*.example", Path: "/*"}, {Host: "a", Path: "/a/%20b/*"}, {Path: "/a/"}} {
@@ -153,7 +166,7 @@
 	}
 }
 
-// ambiguousPaths are paths that some server reads differently.
+// ambiguousPaths are paths that servers interpret differently.
 var ambiguousPaths = []string{
 	"", "x", "*", "/a b",
 	"/a/../b", "/a/./b", "/..", "/a/..;x=1/b", "/a/..\\b",
@@ -163,8 +176,9 @@
 
 func TestAmbiguousPathsAreRejected(t *testing.T) {
 	for _, path := range append(ambiguousPaths, "//a", "/a//b", "/a%2Fb", "/a%5Cb", "/a\\b", "/%61", "/a%2Db", "/a/%7E") {
-		if Check(path) == nil {
-			t.Errorf("%q passes", path)
+		var syntax *SyntaxError
+		if err := Check(path); !errors.As(err, &syntax) || syntax.Field != FieldPath {
+			t.Errorf("%q: %v, want a SyntaxError of the path", path, err)
 		}
 	}
 	for _, path := range []string{"/", "/a", "/a/", "/a.b/c..d/...", "/a/%20%C3%A4", "/a;v=1/b", "/~a/-_"} {
@@ -174,7 +188,7 @@
 	}
 	for _, path := range append(ambiguousPaths, "/form%2Dlookup/x", "/form;x/y", "/form\\..\\x") {
 		if first, err := FirstSegment(path); err == nil {
-			t.Errorf("%q passes as %q", path, first)
+			t.Errorf("%q is accepted as %q", path, first)
 		}
 	}
 	for path, want := range map[string]string{
@@ -186,8 +200,8 @@
 	}
 }
 
-// A path that passes is read in the same way by servers that decode it, by those that remove dot
-// segments, and by those that do neither.
+// A path that is accepted means the same to servers that decode it, to those that remove dot
+// segments, and to those that do neither.
 func FuzzCheck(f *testing.F) {
 	for _, path := range append(ambiguousPaths, "/a/b", "/a;b/%20") {
 		f.Add(path)
@@ -200,17 +214,12 @@
 		if err != nil || strings.ContainsAny(path, "?#") {
 			t.Skip()
 		}
-		if cleaned := u.JoinPath("."); strings.TrimSuffix(
-			cleaned.EscapedPath(),
-			"/",
-		) != strings.TrimSuffix(
-			u.EscapedPath(),
-			"/",
-		) {
-			t.Errorf("%q is also read as %q", path, cleaned.EscapedPath())
+		cleaned := strings.TrimSuffix(u.JoinPath(".").EscapedPath(), "/")
+		if cleaned != strings.TrimSuffix(u.EscapedPath(), "/") {
+			t.Errorf("%q is also interpreted as %q", path, cleaned)
 		}
 		if strings.Count(u.Path, "/") != strings.Count(path, "/") {
-			t.Errorf("%q has other segments once decoded: %q", path, u.Path)
+			t.Errorf("%q has different segments when decoded: %q", path, u.Path)
 		}
 	})
 }
@@ -225,7 +234,7 @@
 		b.Run(fmt.Sprint(n, " routes"), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				table.Find(all[i%n].Host, "/p1/a/b", "GET", nil)
+				table.Find(Request{all[i%n].Host, "/p1/a/b", "GET", nil})
 			}
 		})
 	}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -15,27 +15,40 @@
 	prefix map[string][]entry // by the path up to and including the slash before the star
 }
 
-// entry is a route and its number. The entries of one path are in order, the most specific first.
+// entry is a match and its index. The entries of one path are in order, the most specific first.
 type entry struct {
 	Match
-	number int
+	index int
 }
 
+// Request is what the route of a request depends on.
+type Request struct {
+	Host   string // as the client names it, with or without a port
+	Path   string // decoded
+	Method string
+	Header Header
+}
+
+// Result is the outcome of a search.
+type Result struct {
+	Index   int      // of the match; below 0: there is none
+	Allowed []string // the methods with which the request would match, in order, if there is no match
+}
+
+// noMatch is the index of no match.
+const noMatch = -1
+
 // New returns a table of matches, which must have passed Check and must not overlap. Find returns
-// their indices.
+// indices of them.
 func New(matches []Match) *Table {
 	t := &Table{hosts: map[string]*hostRoutes{}}
-	for number, m := range matches {
+	for index, m := range matches {
 		routes := t.hosts[m.Host]
 		if routes == nil {
 			routes = &hostRoutes{exact: map[string][]entry{}, prefix: map[string][]entry{}}
 			t.hosts[m.Host] = routes
 		}
-		path, byPath := m.pathPattern(), routes.exact
-		if strings.HasSuffix(path, "/*") {
-			path, byPath = strings.TrimSuffix(path, "*"), routes.prefix
-		}
-		byPath[path] = append(byPath[path], entry{m, number})
+		routes.add(entry{m, index})
 	}
 	for _, routes := range t.hosts {
 		sortEntries(routes.exact)
@@ -44,48 +57,58 @@
 	return t
 }
 
-// sortEntries sorts the entries of each path: those with methods first, then by the number of
-// headers.
+// add adds an entry.
+func (r *hostRoutes) add(e entry) {
+	path := e.pathPattern()
+	if prefix, isPrefix := strings.CutSuffix(path, "*"); isPrefix {
+		r.prefix[prefix] = append(r.prefix[prefix], e)
+		return
+	}
+	r.exact[path] = append(r.exact[path], e)
+}
+
+// sortEntries sorts the entries of each path by compareEntries.
 func sortEntries(byPath map[string][]entry) {
 	for _, entries := range byPath {
-		slices.SortStableFunc(entries, func(x, y entry) int {
-			if x.hasMethods() != y.hasMethods() {
-				if x.hasMethods() {
-					return -1
-				}
-				return 1
-			}
-			return cmp.Compare(len(y.Headers), len(x.Headers))
-		})
+		slices.SortStableFunc(entries, compareEntries)
 	}
 }
 
-// Find returns the index of the most specific match: by host first, an exact one before the longest
-// pattern; then by path, an exact one before the longest prefix; then one with methods before one
-// without; then by the number of headers. It returns a number below 0 if there is none. If the
-// request would match with another method, allowed has the methods.
-func (t *Table) Find(host, path, method string, header Header) (number int, allowed []string) {
-	host = normalizeHost(host)
+// compareEntries orders entries of one path: those with methods first, then by the number of
+// headers, the most first.
+func compareEntries(x, y entry) int {
+	switch {
+	case x.hasMethods() && !y.hasMethods():
+		return -1
+	case y.hasMethods() && !x.hasMethods():
+		return 1
+	}
+	return cmp.Compare(len(y.Headers), len(x.Headers))
+}
+
+// Find returns the most specific match: by host first, an exact one before the longest pattern;
+// then by path, an exact one before the longest prefix; then one with methods before one without;
+// then by the number of headers.
+func (t *Table) Find(r Request) Result {
+	var allowed []string
+	host := normalizeHost(r.Host)
 	if host != "" {
-		if n := t.hosts[host].find(path, method, header, &allowed); n >= 0 {
-			return n, nil
+		if index := t.hosts[host].find(&r, &allowed); index != noMatch {
+			return Result{Index: index}
 		}
 	}
-	for parent := host; ; {
-		_, after, ok := strings.Cut(parent, ".")
-		if !ok {
-			break
-		}
-		parent = after
-		if n := t.hosts["*."+parent].find(path, method, header, &allowed); n >= 0 {
-			return n, nil
+	_, parent, found := strings.Cut(host, ".")
+	for found {
+		if index := t.hosts["*."+parent].find(&r, &allowed); index != noMatch {
+			return Result{Index: index}
 		}
+		_, parent, found = strings.Cut(parent, ".")
 	}
-	if n := t.hosts[""].find(path, method, header, &allowed); n >= 0 {
-		return n, nil
+	if index := t.hosts[""].find(&r, &allowed); index != noMatch {
+		return Result{Index: index}
 	}
 	slices.Sort(allowed)
-	return -1, slices.Compact(allowed)
+	return Result{Index: noMatch, Allowed: slices.Compact(allowed)}
 }
 
 // normalizeHost returns a Host without its port and trailing dot, in lower case.
@@ -97,36 +120,37 @@
 }
 
 // find is Table.Find among the routes of one host pattern, of which there may be none. It appends
-// the methods of entries that would match with another method to allowed.
-func (r *hostRoutes) find(path, method string, header Header, allowed *[]string) int {
+// the methods of entries that would match with a different method to allowed.
+func (r *hostRoutes) find(request *Request, allowed *[]string) (index int) {
 	if r == nil {
-		return -1
+		return noMatch
 	}
-	if n := firstMatch(r.exact[path], method, header, allowed); n >= 0 {
-		return n
+	path := request.Path
+	if index := firstMatch(r.exact[path], request, allowed); index != noMatch {
+		return index
 	}
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
-		if n := firstMatch(r.prefix[path[:end+1]], method, header, allowed); n >= 0 {
-			return n
+		if index := firstMatch(r.prefix[path[:end+1]], request, allowed); index != noMatch {
+			return index
 		}
 	}
-	return -1
+	return noMatch
 }
 
-// firstMatch returns the number of the first entry that matches method and headers, or -1. It
-// appends the methods of entries before it that do not match the method alone to allowed.
-func firstMatch(entries []entry, method string, header Header, allowed *[]string) int {
+// firstMatch returns the index of the first entry whose methods and headers match. It appends the
+// methods of entries before it of which only the method does not match to allowed.
+func firstMatch(entries []entry, request *Request, allowed *[]string) (index int) {
 	for i := range entries {
 		e := &entries[i]
 		switch {
-		case !e.matchesHeaders(header):
-		case !e.hasMethods() || slices.Contains(e.Methods, method):
-			return e.number
+		case !e.matchesHeaders(request.Header):
+		case !e.hasMethods() || slices.Contains(e.Methods, request.Method):
+			return e.index
 		default:
 			*allowed = append(*allowed, e.Methods...)
 		}
 	}
-	return -1
+	return noMatch
 }
 
 func (e *entry) matchesHeaders(header Header) bool {
