--- a/cmd/sidecar/handover_test.go
+++ b/cmd/sidecar/handover_test.go
@@ -27,7 +27,9 @@
 		_, err := io.WriteString(conn, testpeer.OKResponse)
 		return err == nil
 	}
-	a, b, c := testpeer.StartEndpoint(t, slow), testpeer.StartEndpoint(t, slow), testpeer.StartEndpoint(t, slow)
+	a := testpeer.StartEndpoint(t, slow)
+	b := testpeer.StartEndpoint(t, slow)
+	c := testpeer.StartEndpoint(t, slow)
 	p := newTestPlatform(t, a.Addr, b.Addr, c.Addr)
 	first := p.startReady(t)
 	clients := p.startClients(t, 8)
@@ -60,8 +62,8 @@
 	}
 }
 
-// A successor that dies right after it has become ready leaves the first process serving.
-func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
+// A successor is killed right after it has become ready: its predecessor accepts connections again.
+func TestPredecessorResumesWhenSuccessorIsKilled(t *testing.T) {
 	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
