--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -20,20 +20,20 @@
 	rejectRetryAfter = 300 * time.Millisecond // Retry-After of a rejection
 )
 
-// Request implements Events. A request is rejected at once if it cannot be in time, or is over its
-// tenant's quota while capacity is short or more is asked than all quotas together (quiet instances
-// see that before endpoints are full). Otherwise it is sent, or waits for capacity.
+// Request implements Events. A request is rejected at once if it cannot be answered in time, or if
+// it is over its tenant's quota while capacity is short or the rate of requests is high. Otherwise
+// it is sent, or waits for capacity.
 func (b *Balancer) Request(now time.Duration, r Request) {
 	c := b.classOf(now, r)
 	b.recordRequest(now)
 	req := &request{Request: r, class: c, arrivedAt: now, giveUpAt: b.giveUpBefore(r.Deadline)}
 	b.openRequest(req)
 	b.retryTokens.earn(now)
-	overQuota, short := b.isOverQuota(now, req), b.isCapacityShort()
+	isOverQuota := b.chargeQuota(now, req)
 	switch {
-	case now >= req.giveUpAt || len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftShare):
+	case b.isTooLate(now, req):
 		b.rejectOrFail(req, DeadlineTooClose)
-	case overQuota && (short || b.rate.perSecond(now) > highRateMultiple*b.tenantQuota):
+	case isOverQuota && (b.isCapacityShort() || b.isRateHigh(now)):
 		b.rejectOrFail(req, OverQuota)
 	default:
 		b.dispatch(now, req)
@@ -41,6 +41,18 @@
 	}
 }
 
+// isTooLate reports whether a new request cannot be answered in time. While others wait, it would
+// have to wait behind them.
+func (b *Balancer) isTooLate(now time.Duration, req *request) bool {
+	return now >= req.giveUpAt || len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftShare)
+}
+
+// isRateHigh reports whether requests come at a higher rate than the quotas of all tenants together
+// allow. Quiet instances see that before endpoints are at their capacity.
+func (b *Balancer) isRateHigh(now time.Duration) bool {
+	return b.rate.perSecond(now) > highRateMultiple*b.tenants.quota
+}
+
 // classOf returns the class of a request. In a class that is not in the settings nothing that may
 // have run is repeated.
 func (b *Balancer) classOf(now time.Duration, r Request) *class {
@@ -59,10 +71,10 @@
 	return deadline - max(b.settings.Resolution, time.Millisecond)
 }
 
-// isOverQuota charges a request to its tenant's quota and reports whether it is beyond it. Only the
-// first tier can know: further down one request becomes several calls.
-func (b *Balancer) isOverQuota(now time.Duration, req *request) bool {
-	t := b.tenants[req.Tenant]
+// chargeQuota charges a request to its tenant's quota and reports whether it is over it. Only the
+// first tier can know: further down one request of a client becomes several.
+func (b *Balancer) chargeQuota(now time.Duration, req *request) bool {
+	t := b.tenants.byName[req.Tenant]
 	if t == nil || t.Quota <= 0 || b.settings.Tier > 0 {
 		return false
 	}
@@ -71,7 +83,7 @@
 	if !t.hasToken() {
 		return true
 	}
-	if !req.ClientRetry { // the client's first attempt has paid
+	if !req.ClientRetry { // the client's first attempt was charged
 		t.takeToken()
 	}
 	return false
@@ -80,18 +92,20 @@
 // isCapacityShort reports whether requests wait, or the concurrency limit is in use and responses
 // are slow.
 func (b *Balancer) isCapacityShort() bool {
-	responsesAreSlow := b.recentLatencyRatio > shortCapacityRatio*b.toleratedRatio()
+	responsesAreSlow := b.limiter.recentLatencyRatio > shortCapacityRatio*b.toleratedRatio()
 	return len(b.queue) > 0 || b.isHighlyUtilized() && responsesAreSlow
 }
 
-// enqueue has a request wait for capacity, or rejects it if its class allows no more to wait.
+// enqueue puts a request into the queue for capacity, or rejects it if its class has as many there
+// as its queue limit allows.
 func (b *Balancer) enqueue(now time.Duration, req *request) {
 	if !req.queued {
-		if len(req.attempts) == 0 && b.isQueueFull(req.class) {
+		if !req.isRetry() && b.isQueueFull(req.class) {
 			b.rejectOrFail(req, cmp.Or(b.outageReason(), QueueFull))
 			return
 		}
-		req.queued, b.queue = true, append(b.queue, req)
+		req.queued = true
+		b.queue = append(b.queue, req)
 	}
 	b.scheduleWakeUp(b.nextCheckAt(req))
 	b.scheduleWarming(now)
@@ -111,14 +125,15 @@
 	return waiting >= c.QueueLimit
 }
 
-// dispatchQueue sends queued requests while there is capacity, oldest first. Retries do not wait
-// for others.
+// dispatchQueue sends queued requests while there is capacity, oldest first. Retries need none.
 func (b *Balancer) dispatchQueue(now time.Duration) {
-	full := false
+	capacityUsedUp := false
 	for _, req := range b.queue {
-		if req.queued && (!full || len(req.attempts) > 0) {
+		if req.queued && (req.isRetry() || !capacityUsedUp) {
 			b.dispatch(now, req)
-			full = full || req.queued && len(req.attempts) == 0
+			if req.queued && !req.isRetry() {
+				capacityUsedUp = true
+			}
 		}
 	}
 	b.queue = slices.DeleteFunc(b.queue, func(req *request) bool { return !req.queued })
@@ -128,12 +143,13 @@
 // otherwise those with the shortest latency objective would starve in overload.
 func (b *Balancer) queueDeadline(req *request) time.Duration {
 	switch {
-	case len(req.attempts) > 0:
+	case req.isRetry():
 		return req.giveUpAt
 	case b.readyCount == 0: // the first endpoint to come may still answer in time
 		return req.giveUpAt - seconds(b.expectedLatency(req))
 	}
-	return min(req.giveUpAt, req.arrivedAt+seconds(maxQueueWaitShare*b.toleratedRatio()*b.meanObjective))
+	maxWait := seconds(maxQueueWaitShare * b.toleratedRatio() * b.meanObjective)
+	return min(req.giveUpAt, req.arrivedAt+maxWait)
 }
 
 // queueTimeoutReason returns the reason for an answer to a request that has waited for too long.
@@ -141,7 +157,7 @@
 	switch {
 	case b.readyCount == 0:
 		return NoEndpoint
-	case req.queued && len(req.attempts) == 0:
+	case req.queued && !req.isRetry():
 		return NoCapacity
 	}
 	return DeadlineTooClose
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -176,6 +176,9 @@
 	NotSent              // the Send was not carried out
 )
 
+// mayHaveRun reports whether an attempt with this result leaves it open that the request has run.
+func (r Result) mayHaveRun() bool { return r != Rejected && r != ConnectFailed && r != NotSent }
+
 // Outcome is the end of an attempt.
 type Outcome struct {
 	ID       string // of the request
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -20,26 +20,19 @@
 	loggedAt map[LogKind]time.Duration
 
 	classSet
-	tenants     map[string]*tenant
-	tenantQuota float64 // requests a second, of all tenants, for this instance alone
+	tenants tenantSet
 
 	endpointSet
-	wantedSubsetSize float64       // by the rate of requests
-	subscribeAt      time.Duration // next Host.Subscribe; 0: none due
-	subscribeBackoff time.Duration
+	wantedSubsetSize float64 // by the rate of requests
+	subscription     subscription
 
 	requestSet
 	queue      []*request // waiting for capacity, in order of arrival
 	rate       rateEstimator
 	nextWakeUp time.Duration
 
-	concurrency        int     // attempts in flight that count against the limit
-	concurrencyLimit   float64 // how many may be
-	limitReadyCount    int     // ready endpoints when the limit was last scaled
-	recentLatencyRatio float64 // decayed mean over recent responses
-	limitUpdatedAt     time.Duration
-	nextLimitCutAt     time.Duration
-	retryTokens        retryBucket
+	limiter     concurrencyLimiter
+	retryTokens retryBucket
 }
 
 var _ Events = (*Balancer)(nil)
@@ -47,9 +40,14 @@
 // New returns a Balancer that starts at now with no knowledge but its settings.
 func New(now time.Duration, s Settings, h Host) *Balancer {
 	b := &Balancer{
-		settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 1)), loggedAt: map[LogKind]time.Duration{},
-		endpointSet: newEndpointSet(), requestSet: newRequestSet(),
-		rate: rateEstimator{startedAt: now, updatedAt: now}, recentLatencyRatio: 1,
+		settings:    s,
+		host:        h,
+		rng:         rand.New(rand.NewPCG(s.Seed, 1)),
+		loggedAt:    map[LogKind]time.Duration{},
+		endpointSet: newEndpointSet(),
+		requestSet:  newRequestSet(),
+		rate:        rateEstimator{startedAt: now, updatedAt: now},
+		limiter:     newConcurrencyLimiter(),
 	}
 	b.applySettings(now, s)
 	if s.SubscribeRequired {
@@ -62,7 +60,8 @@
 // A request that has come is treated to its end as its class was when it came. Seed and
 // SubscribeRequired stay.
 func (b *Balancer) Configure(now time.Duration, s Settings) {
-	s.Seed, s.SubscribeRequired = b.settings.Seed, b.settings.SubscribeRequired
+	s.Seed = b.settings.Seed
+	s.SubscribeRequired = b.settings.SubscribeRequired
 	b.applySettings(now, s)
 	b.updateSubset(nil)
 	b.dispatchQueue(now)
@@ -77,11 +76,11 @@
 		return
 	}
 	a.inFlight = false
-	a.mayHaveRun = o.Result != Rejected && o.Result != ConnectFailed && o.Result != NotSent
+	a.mayHaveRun = o.Result.mayHaveRun()
 	a.endpoint.inFlight--
 	b.updateHeaps(a.endpoint)
-	b.setCountsToLimit(a, false)
-	exempt := b.isBudgetExempt(req, a, o.Result)
+	b.limiter.end(a)
+	budget := b.retryBudgetUse(req, a, o.Result)
 	if !a.streaming {
 		b.evaluateAttempt(now, req, a, o.Result, o.Latency)
 	}
@@ -89,15 +88,14 @@
 	case req.answered || o.Final || o.Result == OK:
 		b.closeRequest(req)
 	case !req.queued && req.inFlight() == 0:
-		b.retry(now, req, exempt)
+		b.retry(now, req, budget)
 	}
 	b.dispatchQueue(now)
 }
 
-// dispatch sends a request to the endpoint selected, or queues it. Retries do not wait for
-// capacity.
+// dispatch sends a request to the endpoint selected, or queues it.
 func (b *Balancer) dispatch(now time.Duration, req *request) {
-	if len(req.attempts) > 0 || len(b.queue) == 0 || req.queued {
+	if !b.mustWaitForOthers(req) {
 		if e := b.selectForDispatch(now, req); e != nil {
 			b.send(now, req, e)
 			return
@@ -110,41 +108,54 @@
 	b.enqueue(now, req)
 }
 
+// mustWaitForOthers reports whether a request has to queue behind others. Retries do not.
+func (b *Balancer) mustWaitForOthers(req *request) bool {
+	return !req.isRetry() && !req.queued && len(b.queue) > 0
+}
+
 // send starts an attempt of a request at an endpoint and charges the endpoint for it.
 func (b *Balancer) send(now time.Duration, req *request, e *endpoint) {
 	if !b.isWarm(now, e) {
 		e.slowStart.nextSendAt = now + b.slowStartInterval(now, e, 1)
 		b.trackWarming(e)
 	}
-	straggling := b.stragglingDelay(req, e)
-	if e.active {
-		b.chargeDeficit(req, e)
-	}
 	a := attempt{
-		endpoint: e, startedAt: now, sentAt: now, inFlight: true, trial: !e.active,
-		stragglingAt: now + straggling,
+		endpoint:     e,
+		startedAt:    now,
+		sentAt:       now,
+		stragglingAt: now + b.stragglingDelay(req, e),
+		inFlight:     true,
+		trial:        !e.active,
 	}
 	if req.Streamed {
 		a.stragglingAt = req.Deadline // its endpoint does not have all of it yet
 	}
+	if e.active {
+		b.chargeDeficit(req, e)
+	}
 	e.trial.inFlight = a.trial
 	e.inFlight++
 	b.updateHeaps(e)
-	req.attempts, req.queued, req.hedgeAt = append(req.attempts, a), false, 0
-	b.setCountsToLimit(&req.attempts[len(req.attempts)-1], !req.Streamed)
+	b.recordAttempt(now, req, a)
+	b.host.Send(req.ID, e.ID, req.attemptTimeout(now))
+}
+
+// recordAttempt adds an attempt to its request, and times what may follow from it.
+func (b *Balancer) recordAttempt(now time.Duration, req *request, a attempt) {
+	req.attempts = append(req.attempts, a)
+	req.queued = false
+	req.hedgeAt = 0
+	if !req.Streamed {
+		b.limiter.start(&req.attempts[len(req.attempts)-1])
+	}
 	if delay := req.class.hedgeDelay(); delay > 0 && len(req.attempts) == 1 {
 		req.hedgeAt = now + delay
 		b.scheduleWakeUp(req.hedgeAt)
 	}
 	b.scheduleWakeUp(a.stragglingAt)
-	timeout := req.Deadline - now
-	if limit := req.class.AttemptTimeout; limit > 0 {
-		timeout = min(timeout, limit)
-	}
-	b.host.Send(req.ID, e.ID, max(timeout, time.Microsecond))
 }
 
-// rejectOrFail gives the final answer: a rejection where a repeat by the client is harmless, else a
+// rejectOrFail gives the final answer: a rejection where a retry by the client is harmless, else a
 // failure.
 func (b *Balancer) rejectOrFail(req *request, reason Reason) {
 	if req.mayReject() {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -3,7 +3,6 @@
 // The endpoint list: how service discovery and the operators change it, and what follows.
 
 import (
-	"cmp"
 	"slices"
 	"time"
 )
@@ -18,7 +17,8 @@
 		b.scheduleSubscribe(now)
 		return
 	}
-	b.subscribeBackoff, b.subscribeAt, b.unlistedCount = 0, 0, l.Unlisted
+	b.subscription = subscription{}
+	b.unlistedCount = l.Unlisted
 	b.applyEndpointList(now, l)
 }
 
@@ -28,12 +28,26 @@
 	if !b.settings.SubscribeRequired {
 		return
 	}
-	longest := max(b.settings.PollInterval/2, minSubscribeBackoff)
-	b.subscribeBackoff = min(max(2*b.subscribeBackoff, minSubscribeBackoff), longest)
-	b.subscribeAt = now + b.jitter(b.subscribeBackoff)
-	b.scheduleWakeUp(b.subscribeAt)
+	b.subscription.backOff(b.settings.PollInterval / 2)
+	b.subscription.dueAt = now + b.jitter(b.subscription.backoff)
+	b.scheduleWakeUp(b.subscription.dueAt)
 }
 
+// subscription is when discovery has to be asked for changes again.
+type subscription struct {
+	dueAt   time.Duration // next Host.Subscribe; 0: none is due
+	backoff time.Duration // wait before it
+}
+
+// backOff doubles the backoff, up to a longest one.
+func (s *subscription) backOff(longest time.Duration) {
+	longest = max(longest, minSubscribeBackoff)
+	s.backoff = min(max(2*s.backoff, minSubscribeBackoff), longest)
+}
+
+// isDue reports whether Host.Subscribe is to be called by now.
+func (s subscription) isDue(now time.Duration) bool { return s.dueAt > 0 && now >= s.dueAt }
+
 // applyEndpointList merges a list and adapts the subset, the slow start of what has started, and
 // the concurrency limit.
 func (b *Balancer) applyEndpointList(now time.Duration, l EndpointList) {
@@ -48,13 +62,9 @@
 		introduce(now, e)
 	}
 	if isFirst {
-		b.concurrencyLimit = b.concurrencyLimitFor(b.fleetCount())
-	}
-	if b.readyCount > 0 { // the endpoints that take new work must not get the part of those that do not
-		before := cmp.Or(b.limitReadyCount, b.readyCount)
-		b.concurrencyLimit *= b.concurrencyLimitFor(b.readyCount) / b.concurrencyLimitFor(before)
-		b.limitReadyCount = b.readyCount
+		b.limiter.limit = b.concurrencyLimitFor(b.fleetCount())
 	}
+	b.scaleConcurrencyLimit()
 	b.dispatchQueue(now)
 }
 
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -10,7 +10,7 @@
 	req := b.requests[id]
 	if a := req.attemptInFlight(n); a != nil {
 		a.streaming = true
-		b.setCountsToLimit(a, false)
+		b.limiter.end(a)
 		b.evaluateAttempt(now, req, a, OK, now-a.sentAt)
 		b.closeRequest(req)
 	}
@@ -34,7 +34,7 @@
 	}
 	a.sentAt = now
 	a.stragglingAt = now + b.stragglingDelay(req, a.endpoint)
-	b.setCountsToLimit(a, true)
+	b.limiter.start(a)
 	b.scheduleWakeUp(a.stragglingAt)
 }
 
@@ -43,7 +43,8 @@
 func (b *Balancer) CapDeadlines(now, latest time.Duration) {
 	for _, req := range b.unanswered {
 		if req.Deadline > latest {
-			req.Deadline, req.giveUpAt = latest, b.giveUpBefore(latest)
+			req.Deadline = latest
+			req.giveUpAt = b.giveUpBefore(latest)
 			b.scheduleWakeUp(max(b.nextCheckAt(req), now))
 		}
 	}
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -22,8 +22,8 @@
 // high utilization there is none: it would feed the overload that makes responses slow.
 func (b *Balancer) hedge(now time.Duration, req *request) {
 	req.hedgeAt, req.hedging = 0, true
-	unused := float64(b.concurrency) < highUtilization*b.effectiveConcurrencyLimit()
-	if req.inFlight() == 1 && unused && b.reasonAgainstRetry(now, req, false) == "" {
+	unused := float64(b.limiter.inFlight) < highUtilization*b.effectiveConcurrencyLimit()
+	if req.inFlight() == 1 && unused && b.reasonAgainstRetry(now, req, takesToken) == "" {
 		if e := b.selectInSubset(now, req); e != nil && !req.wasSentTo(e) {
 			req.hedged = true
 			b.retryTokens.takeToken()
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -39,6 +39,18 @@
 	unansweredIndex int           // in Balancer.unanswered
 }
 
+// isRetry reports whether the next attempt of the request is not its first.
+func (r *request) isRetry() bool { return len(r.attempts) > 0 }
+
+// attemptTimeout returns how long an attempt that is sent now may take.
+func (r *request) attemptTimeout(now time.Duration) time.Duration {
+	timeout := r.Deadline - now
+	if limit := r.class.AttemptTimeout; limit > 0 {
+		timeout = min(timeout, limit)
+	}
+	return max(timeout, time.Microsecond)
+}
+
 // attemptInFlight returns attempt n if it is in flight, else nil. The request may be nil.
 func (r *request) attemptInFlight(n int) *attempt {
 	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].inFlight {
@@ -75,7 +87,8 @@
 // openRequest records a request that has come.
 func (s *requestSet) openRequest(req *request) {
 	req.unansweredIndex = len(s.unanswered)
-	s.requests[req.ID], s.unanswered = req, append(s.unanswered, req)
+	s.requests[req.ID] = req
+	s.unanswered = append(s.unanswered, req)
 }
 
 // closeRequest marks a request as answered and cancels its attempts in flight, except for one that
@@ -103,15 +116,3 @@
 	s.unanswered[last] = nil
 	s.unanswered = s.unanswered[:last]
 }
-
-// setCountsToLimit sets whether an attempt counts against the concurrency limit. The limit is for
-// what makes endpoints slow: what a client takes to send or to read does not count.
-func (b *Balancer) setCountsToLimit(a *attempt, counts bool) {
-	switch {
-	case counts && !a.countsToLimit:
-		b.concurrency++
-	case !counts && a.countsToLimit:
-		b.concurrency--
-	}
-	a.countsToLimit = counts
-}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -16,13 +16,21 @@
 	keyWindowMargin = 150 * time.Millisecond
 )
 
+// budgetUse says whether an attempt after the first needs a token of the retry budget.
+type budgetUse int
+
+const (
+	takesToken budgetUse = iota
+	exemptFromBudget
+)
+
 // retry sends a request again whose last attempt has ended without success, or answers it.
-func (b *Balancer) retry(now time.Duration, req *request, exempt bool) {
-	if reason := b.reasonAgainstRetry(now, req, exempt); reason != "" {
+func (b *Balancer) retry(now time.Duration, req *request, budget budgetUse) {
+	if reason := b.reasonAgainstRetry(now, req, budget); reason != "" {
 		b.rejectOrFail(req, reason)
 		return
 	}
-	if !exempt {
+	if budget == takesToken {
 		b.retryTokens.takeToken()
 	}
 	b.dispatch(now, req)
@@ -31,7 +39,7 @@
 // reasonAgainstRetry returns the reason for which a request may not be sent once more, empty if it
 // may: its effect, the number of attempts, the budget or the time. Without these limits retries
 // would multiply from tier to tier.
-func (b *Balancer) reasonAgainstRetry(now time.Duration, req *request, exempt bool) Reason {
+func (b *Balancer) reasonAgainstRetry(now time.Duration, req *request, budget budgetUse) Reason {
 	most := cmp.Or(req.class.MaxAttempts, b.settings.MaxAttempts)
 	switch {
 	case b.readyCount == 0:
@@ -40,7 +48,7 @@
 		return MayHaveRun
 	case most > 0 && len(req.attempts) >= most:
 		return AttemptsExhausted
-	case !exempt && !b.retryTokens.hasToken():
+	case budget == takesToken && !b.retryTokens.hasToken():
 		return RetryBudgetSpent
 	case !b.canMeetDeadline(now, req, 1):
 		return DeadlineTooClose
@@ -48,12 +56,16 @@
 	return ""
 }
 
-// isBudgetExempt reports whether the attempt after one that has just ended is beside the budget,
-// which is against sending ever more to endpoints that fail: what was not sent cost them nothing,
-// trials are this Balancer's.
-func (b *Balancer) isBudgetExempt(req *request, a *attempt, r Result) bool {
-	trial := a.trial && b.hasActiveEndpoint()
-	return len(req.attempts) <= maxBudgetExemptAttempts && (trial || r == ConnectFailed || r == NotSent)
+// retryBudgetUse returns whether the retry after an attempt that has just ended needs a token. The
+// budget limits what endpoints that fail get on top of the requests. An attempt that was not sent
+// costs them nothing, and a trial is the Balancer's own choice: these are exempt, a few times.
+func (b *Balancer) retryBudgetUse(req *request, a *attempt, r Result) budgetUse {
+	wasNotSent := r == ConnectFailed || r == NotSent
+	wasOptionalTrial := a.trial && b.hasActiveEndpoint()
+	if len(req.attempts) <= maxBudgetExemptAttempts && (wasNotSent || wasOptionalTrial) {
+		return exemptFromBudget
+	}
+	return takesToken
 }
 
 // canMeetDeadline reports whether a response would come in time if it took a share of what is
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,6 +1,6 @@
 package balancer
 
-// What a Balancer keeps by the names in its settings. No decision is made in this file.
+// What a Balancer learns and counts by the names in its settings. No decision is made in this file.
 
 import (
 	"cmp"
@@ -31,50 +31,70 @@
 	meanObjective float64             // mean latency objective of the classes, in seconds
 }
 
+// tenantSet is the tenants in the settings.
+type tenantSet struct {
+	byName map[string]*tenant
+	quota  float64 // requests a second, of all tenants, for this instance alone
+}
+
 // tenant is a tenant with what it may still send within its quota.
 type tenant struct {
 	Tenant
 	tokenBucket
 }
 
+// apply replaces the tenants. A tenant that was there before keeps what it may still send, up to
+// its new quota for this instance alone.
+func (s *tenantSet) apply(now time.Duration, settings []Tenant, instances int) {
+	earlier := s.byName
+	s.byName = map[string]*tenant{}
+	s.quota = 0
+	for _, t := range settings {
+		quota := t.Quota / float64(max(instances, 1))
+		s.quota += quota
+		bucket := tokenBucket{tokens: quota, refilledAt: now}
+		if known := earlier[t.Name]; known != nil {
+			bucket = tokenBucket{tokens: min(known.tokens, quota), refilledAt: known.refilledAt}
+		}
+		s.byName[t.Name] = &tenant{Tenant: t, tokenBucket: bucket}
+	}
+}
+
 // applySettings replaces the settings and keeps what was learned of classes and tenants, by their
 // names.
 func (b *Balancer) applySettings(now time.Duration, s Settings) {
 	b.settings = s
 	b.retryTokens.RetryBudget = s.RetryBudget
 	b.applyClasses(s.Classes)
-	tenants := b.tenants
-	b.tenants, b.tenantQuota = map[string]*tenant{}, 0
-	for _, t := range s.Tenants {
-		quota := t.Quota / float64(max(s.Instances, 1))
-		b.tenantQuota += quota
-		bucket := tokenBucket{tokens: quota, refilledAt: now}
-		if old := tenants[t.Name]; old != nil {
-			bucket = tokenBucket{tokens: min(old.tokens, quota), refilledAt: old.refilledAt}
-		}
-		b.tenants[t.Name] = &tenant{Tenant: t, tokenBucket: bucket}
-	}
+	b.tenants.apply(now, s.Tenants, s.Instances)
 }
 
 // applyClasses replaces the classes and keeps what was learned of them and of their work.
 func (s *classSet) applyClasses(settings []Class) {
-	classes, latencies := s.classes, s.latencies
-	s.classes, s.latencies, s.meanObjective = map[string]*class{}, nil, 0
+	earlier := *s
+	*s = classSet{classes: map[string]*class{}}
 	for _, c := range settings {
 		s.meanObjective += c.LatencyObjective.Seconds() / float64(len(settings))
-		work := cmp.Or(c.Work, c.Name)
-		latency := findLatency(s.latencies, work)
-		if latency == nil {
-			if latency = findLatency(latencies, work); latency == nil {
-				latency = &latencyEstimator{work: work}
-			}
-			s.latencies = append(s.latencies, latency)
-		}
-		s.classes[c.Name] = &class{Class: c, latency: latency}
-		if old := classes[c.Name]; old != nil {
-			s.classes[c.Name].quantile = old.quantile
+		added := &class{Class: c, latency: s.latencyOf(cmp.Or(c.Work, c.Name), earlier.latencies)}
+		if known := earlier.classes[c.Name]; known != nil {
+			added.quantile = known.quantile
 		}
+		s.classes[c.Name] = added
+	}
+}
+
+// latencyOf returns the estimator for a kind of work: that of another class, or else the earlier
+// one, or else a new one.
+func (s *classSet) latencyOf(work string, earlier []*latencyEstimator) *latencyEstimator {
+	if shared := findLatency(s.latencies, work); shared != nil {
+		return shared
+	}
+	latency := findLatency(earlier, work)
+	if latency == nil {
+		latency = &latencyEstimator{work: work}
 	}
+	s.latencies = append(s.latencies, latency)
+	return latency
 }
 
 // findLatency returns the estimator for a kind of work, nil if there is none.
@@ -91,7 +111,8 @@
 func (s *classSet) typicalLatency() float64 {
 	sum, samples := 0.0, 0.0
 	for _, l := range s.latencies {
-		sum, samples = sum+l.baseline*l.samples, samples+l.samples
+		sum += l.baseline * l.samples
+		samples += l.samples
 	}
 	if sum <= 0 {
 		return 1
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -71,7 +71,7 @@
 // LearnedState returns what has been learned by now.
 func (b *Balancer) LearnedState(now time.Duration) LearnedState {
 	l := LearnedState{
-		ConcurrencyLimit:   b.concurrencyLimit,
+		ConcurrencyLimit:   b.limiter.limit,
 		RecentRequests:     b.rate.recent * sampleDecay(now-b.rate.updatedAt),
 		SlowRecentRequests: b.rate.slow * decay(now-b.rate.updatedAt, slowRateMemory),
 		Age:                now - b.rate.startedAt,
@@ -122,8 +122,8 @@
 	b.restoreRate(now, l, age)
 	b.rescheduleFirstTrials(now)
 	b.restoreEndpoints(now, l.Endpoints, age)
-	if l.ConcurrencyLimit > 0 && areValid(l.ConcurrencyLimit) && b.concurrency == 0 {
-		b.concurrencyLimit = max(l.ConcurrencyLimit, b.endpointsPerInstance(b.fleetCount()))
+	if l.ConcurrencyLimit > 0 && areValid(l.ConcurrencyLimit) && b.limiter.inFlight == 0 {
+		b.limiter.limit = max(l.ConcurrencyLimit, b.endpointsPerInstance(b.fleetCount()))
 	}
 }
 
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -14,8 +14,8 @@
 	}
 	b.nextWakeUp = 0
 	b.runDueTimers(now)
-	if b.subscribeAt > 0 {
-		b.scheduleWakeUp(b.subscribeAt)
+	if b.subscription.dueAt > 0 {
+		b.scheduleWakeUp(b.subscription.dueAt)
 	}
 	for _, req := range b.unanswered {
 		b.scheduleWakeUp(b.nextCheckAt(req))
@@ -50,8 +50,8 @@
 // runDueTimers does what is due: subscribe, give requests up, hedge them, and see to straggling
 // attempts.
 func (b *Balancer) runDueTimers(now time.Duration) {
-	if b.subscribeAt > 0 && now >= b.subscribeAt {
-		b.subscribeAt = 0
+	if b.subscription.isDue(now) {
+		b.subscription.dueAt = 0
 		b.host.Subscribe()
 	}
 	for _, req := range slices.Clone(b.unanswered) {
