--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -320,7 +320,7 @@
 	stop := startFleetLoad(f, o)
 
 	o.waitAnswered(t, "answers before the partition", 200)
-	f.proxies[0].Set(faultproxy.Fault{Hold: true})
+	f.proxies[0].Set(faultproxy.Fault{Partition: true})
 	o.waitAnswered(t, "answers during the partition", 200)
 	// An attempt held by the partition ends at its timeout: it may have run, and is answered as
 	// failed.
--- a/internal/faultproxy/conn.go
+++ b/internal/faultproxy/conn.go
@@ -25,18 +25,19 @@
 			resetConn(client)
 			continue
 		}
-		r.tasks.Add(1) // Close can't have stopped waiting: it waits for this goroutine too
-		go r.carry(client)
+		r.tasks.Add(1) // Close is still waiting, for this goroutine at least
+		go r.serveClient(client)
 	}
 }
 
-// admit registers a client connection. It reports false if that has to be reset instead.
+// admit registers a client connection. It returns false if the connection has to be reset instead.
 func (r *Relay) admit(client net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.currentFaultLocked()
 	r.stats.Accepted++
-	if r.closed || f.Reset || r.clients >= r.options.Conns || f.Loss > 0 && r.rng.Float64() < f.Loss {
+	isFull := r.clients >= r.options.Conns
+	if r.closed || f.Reset || isFull || r.isLost(f) {
 		r.stats.Rejected++
 		return false
 	}
@@ -45,9 +46,12 @@
 	return true
 }
 
-// carry dials the target for a client connection, and forwards in both directions until both have
-// ended.
-func (r *Relay) carry(client net.Conn) {
+// isLost decides at random whether a fault resets a new connection. The caller must hold mu.
+func (r *Relay) isLost(f Fault) bool { return f.Loss > 0 && r.rng.Float64() < f.Loss }
+
+// serveClient dials the target for a client connection, and forwards in both directions until both
+// have ended.
+func (r *Relay) serveClient(client net.Conn) {
 	defer r.tasks.Done()
 	defer r.releaseClient(client)
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -62,12 +66,12 @@
 	}
 	defer r.release(target)
 	var directions sync.WaitGroup
-	directions.Go(func() { r.pump(client, target, ToTarget) })
-	directions.Go(func() { r.pump(target, client, FromTarget) })
+	directions.Go(func() { r.forward(client, target, ToTarget) })
+	directions.Go(func() { r.forward(target, client, FromTarget) })
 	directions.Wait()
 }
 
-// addTarget registers a connection to the target. It reports false if the relay is closed.
+// addTarget registers a connection to the target. It returns false if the relay is closed.
 func (r *Relay) addTarget(target net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,14 +97,14 @@
 	conn.Close()
 }
 
-// pump forwards chunks in one direction, as the current fault lets it. An EOF is passed on as one,
-// and after any other read error the receiving side is closed, as by a broken middlebox. Where
-// forward ends the direction, pump leaves the connection to the fault: it may stay half-open.
-func (r *Relay) pump(from, to net.Conn, d Direction) {
+// forward copies what one side sends to the other, as the current fault permits. An EOF is passed
+// on as one, and after any other read error the receiving side is closed. If forwardChunk ends the
+// direction, the connection is left open: it may be half-open.
+func (r *Relay) forward(from, to net.Conn, d Direction) {
 	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !r.forward(buffer[:n], to, d) {
+		if n > 0 && !r.forwardChunk(buffer[:n], to, d) {
 			return
 		}
 		if err == nil {
@@ -115,10 +119,10 @@
 	}
 }
 
-// forward writes one chunk when the current fault lets it. It reports false if the connection is
-// over in this direction.
-func (r *Relay) forward(chunk []byte, to net.Conn, d Direction) bool {
-	f, ok := r.awaitPassage(d)
+// forwardChunk writes one chunk once the current fault permits it. It returns false if nothing more
+// can be forwarded in this direction.
+func (r *Relay) forwardChunk(chunk []byte, to net.Conn, d Direction) bool {
+	f, ok := r.waitForPassage(d)
 	if !ok || !r.sleep(f.Delay+r.jitter(f.Jitter)) || !r.countBytes(len(chunk)) {
 		return false
 	}
@@ -126,13 +130,14 @@
 	return err == nil
 }
 
-// awaitPassage returns the current fault once that lets a chunk pass, and false if none will. A
-// chunk is no longer counted as held when it returns, so that whoever reads the chunk sees that.
-func (r *Relay) awaitPassage(d Direction) (Fault, bool) {
-	held := false
+// waitForPassage returns the current fault once it permits a chunk to pass, and false if none will.
+// The chunk is not counted as waiting any more when it returns, so that a test that has read the
+// chunk does not see it counted.
+func (r *Relay) waitForPassage(d Direction) (Fault, bool) {
+	isWaiting := false
 	defer func() {
-		if held {
-			r.addHeld(-1)
+		if isWaiting {
+			r.addWaiting(-1)
 		}
 	}()
 	for {
@@ -146,12 +151,12 @@
 		case f.HalfOpen:
 			<-r.done // the connection stays open until the relay ends
 			return f, false
-		case !f.Hold:
+		case !f.Partition:
 			return f, true
 		}
-		if !held {
-			held = true
-			r.addHeld(1)
+		if !isWaiting {
+			isWaiting = true
+			r.addWaiting(1)
 		}
 		select {
 		case <-changed:
@@ -161,13 +166,13 @@
 	}
 }
 
-func (r *Relay) addHeld(chunks int) {
+func (r *Relay) addWaiting(chunks int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stats.HeldChunks += chunks
+	r.stats.WaitingChunks += chunks
 }
 
-// countBytes reports false if the relay must not carry that many bytes more.
+// countBytes counts bytes to be forwarded. It returns false if they would exceed the bound.
 func (r *Relay) countBytes(n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,7 +183,7 @@
 	return true
 }
 
-// sleep waits for d. It reports false if the relay ended meanwhile.
+// sleep waits for d. It returns false if the relay was closed meanwhile.
 func (r *Relay) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
--- a/internal/faultproxy/relay.go
+++ b/internal/faultproxy/relay.go
@@ -1,7 +1,7 @@
-// Package faultproxy injects faults between processes on one machine: a relay on loopback carries
-// TCP connections to one target and, as a script or a test says, delays, rejects, resets,
-// half-opens or partitions them. It is for tests and experiments. It reaches nothing but loopback,
-// and each relay is bounded in connections, bytes and time.
+// Package faultproxy injects faults between processes on one machine, for tests and experiments: a
+// relay on loopback forwards TCP connections to one target and delays, rejects, resets, half-opens
+// or partitions them by a script or at a test's request. Targets must be loopback addresses, and
+// each relay is bounded in connections, bytes and time.
 package faultproxy
 
 import (
@@ -15,7 +15,7 @@
 // Options configure a relay. A bound of zero means the default.
 type Options struct {
 	Seed        uint64        // of the random numbers for losses and jitter
-	Script      Script        // played from the start of the relay; Set overrides it
+	Script      Script        // run from the start of the relay; Set overrides it
 	Conns       int           // client connections at a time; more are rejected (default 64)
 	MaxBytes    int64         // in both directions together; then nothing passes (default 64 MiB)
 	MaxLifetime time.Duration // after which the relay closes itself (default 2 min)
@@ -42,13 +42,13 @@
 
 // Stats count what a relay has done so far.
 type Stats struct {
-	Accepted   int   // client connections, also those that were rejected
-	Rejected   int   // client connections that were reset at once: by a fault, or over the bound
-	Bytes      int64 // carried, in both directions
-	HeldChunks int   // waiting now for a partition to heal
+	Accepted      int   // client connections, including those that were rejected
+	Rejected      int   // client connections that were reset at once: by a fault, or over the bound
+	Bytes         int64 // forwarded, in both directions
+	WaitingChunks int   // waiting at present for the end of a partition
 }
 
-// Relay carries TCP connections from a loopback address of its own to one target.
+// Relay forwards TCP connections from a loopback address of its own to one target.
 type Relay struct {
 	listener net.Listener
 	target   string
@@ -91,7 +91,7 @@
 	}
 	r.tasks.Add(2)
 	go r.acceptConns()
-	go r.playScript()
+	go r.runScript()
 	return r, nil
 }
 
@@ -158,7 +158,7 @@
 }
 
 // currentFaultLocked returns the fault in force. The caller must hold mu, also while it acts on the
-// result: a connection that is accepted must be seen by the reset that follows.
+// result: a later reset must find the connections that were accepted before it.
 func (r *Relay) currentFaultLocked() Fault {
 	if r.override != nil {
 		return *r.override
@@ -166,8 +166,8 @@
 	return r.options.Script.At(time.Since(r.start))
 }
 
-// applyFaultChange wakes the goroutines that wait for another fault, and resets the connections if
-// the current one says so. The caller must hold mu.
+// applyFaultChange wakes the goroutines that wait for a change of the fault, and resets the
+// connections if the current fault does so. The caller must hold mu.
 func (r *Relay) applyFaultChange() {
 	close(r.faultChanged)
 	r.faultChanged = make(chan struct{})
@@ -176,15 +176,15 @@
 	}
 }
 
-// resetConns resets all connections. The caller must hold mu. Their own goroutines remove them.
+// resetConns resets all connections. Their own goroutines remove them. The caller must hold mu.
 func (r *Relay) resetConns() {
 	for conn := range r.conns {
 		resetConn(conn)
 	}
 }
 
-// playScript follows the script, and closes the relay at the end of its lifetime.
-func (r *Relay) playScript() {
+// runScript applies the steps of the script, and closes the relay at the end of its lifetime.
+func (r *Relay) runScript() {
 	defer r.tasks.Done()
 	lifetime := time.NewTimer(r.options.MaxLifetime)
 	defer lifetime.Stop()
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -13,16 +13,16 @@
 	"rowancart/internal/testpeer"
 )
 
-// patience bounds waits of a test. It is no expectation.
-const patience = 10 * time.Second
+// waitTimeout bounds the waits of a test.
+const waitTimeout = 10 * time.Second
 
 func TestRelayRejectsTargetsThatAreNotLoopback(t *testing.T) {
 	if _, err := Listen("192.0.2.1:80", Options{}); err == nil {
-		t.Fatal("a relay to another machine is started")
+		t.Fatal("a relay to another machine was started")
 	}
 }
 
-// startEcho starts a target that sends back what it receives.
+// startEcho starts a target that returns what it receives.
 func startEcho(t *testing.T) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,11 +55,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(waitTimeout))
 	return &testClient{conn, bufio.NewReader(conn)}
 }
 
-// startRelay starts a relay to an echo, with one connection.
+// startRelay starts a relay to an echo target, and a client connected through it.
 func startRelay(t *testing.T, options Options) (*Relay, *testClient) {
 	t.Helper()
 	r, err := Listen(startEcho(t), options)
@@ -85,9 +85,9 @@
 	c.expectLine(t, line)
 }
 
-// rejection opens one more connection and returns how it failed. The kernel completes a handshake
-// before the relay sees the connection, and the reset may come before or after the dial has
-// checked: either shows it.
+// rejection opens another connection and returns how it failed. The kernel completes the handshake
+// before the relay accepts the connection, so the reset may arrive during the dial or during the
+// read.
 func rejection(t *testing.T, r *Relay) error {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.Addr())
@@ -95,22 +95,22 @@
 		return err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(waitTimeout))
 	_, err = conn.Read(make([]byte, 1))
 	return err
 }
 
-// A partition keeps what was sent, and the heal delivers it, as TCP's retransmissions would.
-func TestHealDeliversWhatAPartitionHeld(t *testing.T) {
+// What was sent during a partition is delivered when it ends, as by TCP's retransmissions.
+func TestHealDeliversChunksSentDuringPartition(t *testing.T) {
 	r, c := startRelay(t, Options{})
 	c.roundTrip(t, "before")
-	r.Set(Fault{Hold: true})
+	r.Set(Fault{Partition: true})
 	c.send("during")
-	testpeer.WaitUntil(t, "the chunk sent during the partition held", func() bool { return r.Stats().HeldChunks > 0 })
+	testpeer.WaitUntil(t, "the chunk is waiting", func() bool { return r.Stats().WaitingChunks > 0 })
 	r.Heal()
 	c.expectLine(t, "during")
-	if s := r.Stats(); s.HeldChunks != 0 || s.Accepted != 1 {
-		t.Errorf("stats after the heal: %+v", s)
+	if s := r.Stats(); s.WaitingChunks != 0 || s.Accepted != 1 {
+		t.Errorf("stats after the partition: %+v", s)
 	}
 }
 
@@ -119,7 +119,7 @@
 	c.roundTrip(t, "one")
 	r.Set(Fault{Reset: true})
 	if _, err := c.reader.ReadString('\n'); err == nil {
-		t.Fatal("a connection survives a reset")
+		t.Fatal("a connection is open after a reset")
 	}
 	if err := rejection(t, r); err == nil {
 		t.Fatal("a new connection is accepted during a reset")
@@ -138,24 +138,24 @@
 	}
 }
 
-// What the target sends never arrives, while what the client sends still does.
+// What the target sends never arrives, while what the client sends does.
 func TestHalfOpenConnectionCarriesOneDirection(t *testing.T) {
 	r, c := startRelay(t, Options{})
 	c.roundTrip(t, "one")
 	r.Set(Fault{HalfOpen: true, Direction: FromTarget})
 	c.send("two")
 	const want = int64(len("one\n")*2 + len("two\n"))
-	testpeer.WaitUntil(t, "what the client sent passed", func() bool { return r.Stats().Bytes >= want })
+	testpeer.WaitUntil(t, "what the client sent is forwarded", func() bool { return r.Stats().Bytes >= want })
 	if s := r.Stats(); s.Bytes != want {
-		t.Errorf("the response passed a half-open connection: %+v", s)
+		t.Errorf("the response was forwarded on a half-open connection: %+v", s)
 	}
 }
 
-func TestARelayIsBoundedInStreams(t *testing.T) {
+func TestRelayIsBoundedInConnections(t *testing.T) {
 	r, c := startRelay(t, Options{Conns: 1})
 	c.roundTrip(t, "one")
 	if err := rejection(t, r); !errors.Is(err, syscall.ECONNRESET) {
-		t.Fatalf("a connection over the bound is not reset: %v", err)
+		t.Fatalf("a connection beyond the bound is not reset: %v", err)
 	}
 	if s := r.Stats(); s.Rejected != 1 {
 		t.Errorf("stats: %+v", s)
@@ -165,11 +165,11 @@
 func TestRelayIsBoundedInBytesAndTime(t *testing.T) {
 	t.Run("bytes", func(t *testing.T) {
 		r, c := startRelay(t, Options{MaxBytes: int64(len("one\n"))})
-		c.send("one") // passes, and its echo doesn't
-		testpeer.WaitUntil(t, "the line passed", func() bool { return r.Stats().Bytes > 0 })
+		c.send("one") // is forwarded, and its echo is not
+		testpeer.WaitUntil(t, "the line is forwarded", func() bool { return r.Stats().Bytes > 0 })
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if line, err := c.reader.ReadString('\n'); err == nil {
-			t.Errorf("%q over the bound", line)
+			t.Errorf("%q was forwarded beyond the bound", line)
 		}
 	})
 	t.Run("time", func(t *testing.T) {
--- a/internal/faultproxy/script.go
+++ b/internal/faultproxy/script.go
@@ -18,31 +18,32 @@
 	FromTarget               // what the target sends
 )
 
-// Fault is what a relay does to connections while it is in force. With the zero Fault everything
-// passes at once.
+// Fault is what a relay does to connections while the fault is in force. With the zero Fault
+// everything passes at once.
 type Fault struct {
-	Direction Direction     // for Delay, Jitter, Hold and HalfOpen; the other one is healthy
+	Direction Direction     // for Delay, Jitter, Partition and HalfOpen; the other direction has no fault
 	Delay     time.Duration // added to each chunk
-	Jitter    time.Duration // a random delay of less than this is added to each chunk as well
+	Jitter    time.Duration // upper bound of a random delay that is added to each chunk as well
 	Loss      float64       // probability that a new connection is reset at once
-	// Hold is a partition: nothing passes. What was sent is delivered at the heal, as by TCP's
+	// Partition lets nothing pass. What was sent is delivered when the partition ends, as by TCP's
 	// retransmissions.
-	Hold bool
-	// HalfOpen leaves connections open of which nothing passes in this direction, even after a heal.
+	Partition bool
+	// HalfOpen leaves connections open on which nothing passes in this direction, even after the
+	// fault has ended.
 	HalfOpen bool
-	// Reset resets the connections that are open, and new ones at once.
+	// Reset resets the open connections, and new ones at once.
 	Reset bool
 }
 
 func (f Fault) appliesTo(d Direction) bool { return f.Direction == BothDirections || f.Direction == d }
 
-// Step is a fault in force from At, after the relay's start, for For (0: to the end).
+// Step is a fault that comes into force at At after the relay's start, for For (0: to the end).
 type Step struct {
 	At, For time.Duration
 	Fault   Fault
 }
 
-// Script is a timeline of faults. Where steps overlap, the one that begins later is in force.
+// Script is a sequence of faults. If steps overlap, the one that begins later is in force.
 type Script []Step
 
 // Check returns an error about the first invalid step.
--- a/internal/faultproxy/script_test.go
+++ b/internal/faultproxy/script_test.go
@@ -7,7 +7,7 @@
 
 func TestScriptReturnsTheFaultInForce(t *testing.T) {
 	s := Script{
-		{At: time.Second, For: 2 * time.Second, Fault: Fault{Hold: true}},
+		{At: time.Second, For: 2 * time.Second, Fault: Fault{Partition: true}},
 		{At: 2 * time.Second, Fault: Fault{Loss: 0.3}},
 	}
 	for _, test := range []struct {
@@ -15,7 +15,7 @@
 		want Fault
 	}{
 		{0, Fault{}},
-		{time.Second, Fault{Hold: true}},
+		{time.Second, Fault{Partition: true}},
 		{2 * time.Second, Fault{Loss: 0.3}},
 		{time.Hour, Fault{Loss: 0.3}},
 	} {
@@ -33,14 +33,14 @@
 
 func TestScriptCheckRejectsInvalidSteps(t *testing.T) {
 	for name, step := range map[string]Step{
-		"a loss of 2":             {Fault: Fault{Loss: 2}},
-		"a time before the start": {At: -1},
-		"a negative length":       {For: -1},
-		"a negative delay":        {Fault: Fault{Delay: -1}},
-		"an unknown direction":    {Fault: Fault{Direction: FromTarget + 1}},
+		"loss above 1":             {Fault: Fault{Loss: 2}},
+		"start before the relay's": {At: -1},
+		"negative duration":        {For: -1},
+		"negative delay":           {Fault: Fault{Delay: -1}},
+		"unknown direction":        {Fault: Fault{Direction: FromTarget + 1}},
 	} {
 		if err := (Script{{}, step}).Check(); err == nil {
-			t.Errorf("%s is accepted", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	if err := (Script{{}, {Fault: Fault{Loss: 1, Direction: FromTarget}}}).Check(); err != nil {
