--- a/cmd/rowancart/supervisor_test.go
+++ b/cmd/rowancart/supervisor_test.go
@@ -90,7 +90,7 @@
 	}
 	stderr.Close()
 	s.log = followLog(logReader)
-	s.log.wait(t, instances, `msg="instance (?:taken up|started)"()`) // it handles SIGTERM by then
+	s.log.wait(t, instances, `msg="instance (?:adopted|started)"()`) // it handles SIGTERM by then
 	return s
 }
 
--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -20,14 +20,14 @@
 	defaultMaxBackoff     = 30 * time.Second
 )
 
-// Config is a fleet's configuration.
+// Config is a fleet's configuration. docs/recovery.md describes the file.
 type Config struct {
 	Instances      int
 	InstanceConfig string // path of the daemon's configuration, for every instance
 	Folder         string // the supervisor's own: its state, its lock, the instances' admin sockets and logs
 	Seed           uint64
 	ReadyTimeout   time.Duration // an instance that is not healthy by then is killed
-	StopTimeout    time.Duration // instances that have not ended by then are killed
+	StopTimeout    time.Duration // after SIGTERM, until instances that have not exited are killed
 	InitialBackoff time.Duration // after the first failure
 	MaxBackoff     time.Duration
 }
--- a/internal/supervisor/process.go
+++ b/internal/supervisor/process.go
@@ -16,30 +16,36 @@
 )
 
 const (
-	pollInterval       = 100 * time.Millisecond // between two health checks, and two checks of an adopted process
+	pollInterval       = 100 * time.Millisecond // of health checks, and of checks whether an adopted process runs
 	healthCheckTimeout = time.Second
 
-	statStartField = 19 // of /proc/PID/stat, counted from 0 behind the command's name: the start time in ticks after boot
+	// Environment variables of an instance, which its configuration reads.
+	envIndex     = "ROWANCART_INDEX"
+	envInstances = "ROWANCART_INSTANCES"
+	envAdmin     = "ROWANCART_ADMIN" // address of its admin interface
+	envState     = "ROWANCART_STATE" // path of its state file
+
+	statStartField = 19 // index of the start time in /proc/PID/stat, in the fields that follow the command's name
 )
 
-// process is one running instance: a child, or one adopted from the supervisor before this one.
+// process is one running instance: a child, or one adopted from the previous supervisor.
 type process struct {
 	pid       int
-	startTime uint64 // in ticks after boot: a pid used again is another process
+	startTime uint64 // in ticks after boot: it tells a process from a later one with the same pid
 }
 
-// startInstance runs one instance with its number, the fleet's size and its own admin socket in its
-// environment.
+// startInstance starts an instance, with its index, the fleet's size and its own admin socket in
+// its environment.
 func (s *supervisor) startInstance(i int) (*process, error) {
 	cmd := exec.Command(s.options.Program, "serve", s.config.InstanceConfig)
 	cmd.Env = append(os.Environ(),
-		"ROWANCART_INDEX="+strconv.Itoa(i),
-		"ROWANCART_INSTANCES="+strconv.Itoa(s.config.Instances),
-		"ROWANCART_ADMIN=unix:"+s.adminSocket(i),
-		"ROWANCART_STATE="+filepath.Join(s.config.Folder, fmt.Sprintf("instance-%d.state", i)))
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // the supervisor alone gets a terminal's signals
-	// The log goes to a file, not through this process: an instance adopted by a later supervisor
-	// would die of a broken pipe at its next line.
+		envIndex+"="+strconv.Itoa(i),
+		envInstances+"="+strconv.Itoa(s.config.Instances),
+		envAdmin+"=unix:"+s.adminSocket(i),
+		envState+"="+filepath.Join(s.config.Folder, fmt.Sprintf("instance-%d.state", i)))
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // only the supervisor receives a terminal's signals
+	// The log is written to a file, not to a pipe: an instance that outlives this supervisor would be
+	// killed by SIGPIPE at its next line.
 	logName := filepath.Join(s.config.Folder, fmt.Sprintf("instance-%d.log", i))
 	logFile, err := os.OpenFile(logName, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -60,7 +66,7 @@
 	return p, nil
 }
 
-// watchAdopted sends an event when a process has ended that is not a child of this one.
+// watchAdopted sends an event when a process has exited that is not a child of this one.
 func (s *supervisor) watchAdopted(i int, p *process) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -74,7 +80,7 @@
 	s.send(event{kind: eventExited, instance: i, process: p})
 }
 
-// awaitHealthy checks an instance's health until it is healthy, its process has ended, or the
+// awaitHealthy checks an instance's health until it is healthy, its process has exited, or the
 // supervisor stops.
 func (s *supervisor) awaitHealthy(i int, p *process) {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -103,8 +109,8 @@
 	}
 }
 
-// isHealthy reports whether the instance that the client connects to answers its health check with
-// 200.
+// isHealthy reports whether the instance that the client connects to responds to its health check
+// with 200.
 func isHealthy(client *http.Client) bool {
 	resp, err := client.Get("http://admin/healthz")
 	if err != nil {
@@ -120,10 +126,10 @@
 	return filepath.Join(s.config.Folder, fmt.Sprintf("admin-%d.sock", i))
 }
 
-// signal sends a signal. The process may have ended already, which its watcher reports.
+// signal sends a signal. The process may have exited already, which its watcher reports.
 func (p *process) signal(sig syscall.Signal) { _ = syscall.Kill(p.pid, sig) }
 
-// isRunning reports whether the process is still the one that began at startTime and has not ended.
+// isRunning reports whether the process that began at startTime has not exited.
 func (p *process) isRunning() bool {
 	if syscall.Kill(p.pid, 0) != nil {
 		return false
@@ -135,7 +141,7 @@
 	return !strings.HasPrefix(stat, "Z") && processStartTime(p.pid) == p.startTime
 }
 
-// processStartTime returns when a process began, in ticks after boot, or 0 if that cannot be read.
+// processStartTime returns when a process began, in ticks after boot; 0 if that cannot be read.
 func processStartTime(pid int) uint64 {
 	stat, err := readStat(pid)
 	if err != nil {
--- a/internal/supervisor/restart.go
+++ b/internal/supervisor/restart.go
@@ -8,17 +8,20 @@
 	"time"
 )
 
-// This file is pure: events come in with the time, actions go out, and Run starts processes and
-// reads clocks. Times are durations since any one origin.
+// This file is pure: it is given events with their time and returns actions; Run starts processes
+// and reads clocks. Times are durations since the same arbitrary origin.
 //
 // An instance is Down until its start is due, Starting once its process runs, and Healthy once it
-// has answered its health check. One that is not healthy in time is Killing until its process has
-// ended. From each phase, the end of the process leads to Down, with the next start after a
+// has passed its health check. One that is not healthy in time is Killing until its process has
+// exited. From each phase, the exit of the process leads to Down, with the next start after a
 // backoff.
 
 const (
 	defaultStableAfter = time.Minute
 	maxBackoffDoubling = 30 // more would overflow the shift before the cap is applied
+
+	// jitterFraction is by how much of itself a backoff is made longer or shorter at most.
+	jitterFraction = 0.25
 )
 
 // RestartSettings are the parameters of a RestartPolicy. Zero values stand for the defaults named.
@@ -38,8 +41,8 @@
 const (
 	Down     Phase = iota // not running; started when its backoff is over
 	Starting              // running, not yet healthy
-	Healthy               // running, and has answered its health check
-	Killing               // killed, its process has not ended yet
+	Healthy               // running, and has passed its health check
+	Killing               // killed, its process has not exited yet
 )
 
 // ActionKind is what the caller of a RestartPolicy is to do.
@@ -51,7 +54,7 @@
 	ActionKill
 )
 
-// Action is one thing to do to an instance.
+// Action is what is to be done to one instance.
 type Action struct {
 	Kind     ActionKind
 	Instance int
@@ -67,7 +70,13 @@
 	Starts   int           // in total
 }
 
-// RestartPolicy decides when each instance is started again after it ended, and when one that does
+// enter begins a phase.
+func (in *Instance) enter(now time.Duration, phase Phase) {
+	in.Phase = phase
+	in.Since = now
+}
+
+// RestartPolicy decides when each instance is started again after it exited, and when one that does
 // not become healthy is killed. It is not safe for concurrent use.
 type RestartPolicy struct {
 	settings  RestartSettings
@@ -100,37 +109,40 @@
 
 // OnStarted records that an instance's process runs.
 func (p *RestartPolicy) OnStarted(now time.Duration, i int) {
-	p.instances[i].Phase, p.instances[i].Since = Starting, now
-	p.instances[i].Starts++
+	in := &p.instances[i]
+	in.enter(now, Starting)
+	in.Starts++
 }
 
-// OnHealthy records that an instance answered its health check.
+// OnHealthy records that an instance passed its health check.
 func (p *RestartPolicy) OnHealthy(now time.Duration, i int) {
 	if in := &p.instances[i]; in.Phase == Starting {
-		in.Phase, in.Since = Healthy, now
+		in.enter(now, Healthy)
 	}
 }
 
-// OnExited records that an instance's process has ended. Unless it had been stable, that is a
-// failure more in a row, and its next start waits for the backoff.
+// OnExited records that an instance's process has exited. Unless it had been stable, that is one
+// more failure in a row, and its next start waits for the backoff.
 func (p *RestartPolicy) OnExited(now time.Duration, i int) {
 	in := &p.instances[i]
 	if in.Phase == Healthy && now-in.Since >= p.settings.StableAfter {
 		in.Failures = 0
 	}
 	in.Failures++
-	in.Phase, in.Since, in.StartAt = Down, now, now+p.backoff(i)
+	in.enter(now, Down)
+	in.StartAt = now + p.backoff(i)
 }
 
-// backoff returns the pause before an instance's next start: doubled with each failure in a row,
-// capped, and jittered by up to a quarter either way, so that instances that fail together do not
+// backoff returns the time until an instance's next start: doubled with each failure in a row,
+// capped, and jittered by jitterFraction either way, so that instances that fail together do not
 // start together.
 func (p *RestartPolicy) backoff(i int) time.Duration {
-	pause := p.settings.InitialBackoff << min(p.instances[i].Failures-1, maxBackoffDoubling)
-	if pause > p.settings.MaxBackoff || pause <= 0 {
-		pause = p.settings.MaxBackoff
+	backoff := p.settings.InitialBackoff << min(p.instances[i].Failures-1, maxBackoffDoubling)
+	if backoff > p.settings.MaxBackoff || backoff <= 0 {
+		backoff = p.settings.MaxBackoff
 	}
-	return time.Duration(float64(pause) * (0.75 + 0.5*p.jitter[i].Float64()))
+	jitter := 1 - jitterFraction + 2*jitterFraction*p.jitter[i].Float64()
+	return time.Duration(float64(backoff) * jitter)
 }
 
 // DueActions returns what is to be done now: starts whose backoff is over, and kills of instances
@@ -140,10 +152,12 @@
 	for i := range p.instances {
 		switch in := &p.instances[i]; {
 		case in.Phase == Down && now >= in.StartAt:
-			due = append(due, Action{ActionStart, i, fmt.Sprintf("start %d", in.Starts+1)})
+			reason := fmt.Sprintf("start %d", in.Starts+1)
+			due = append(due, Action{Kind: ActionStart, Instance: i, Reason: reason})
 		case in.Phase == Starting && now-in.Since >= p.settings.ReadyTimeout:
-			in.Phase, in.Since = Killing, now
-			due = append(due, Action{ActionKill, i, fmt.Sprintf("not healthy within %v", p.settings.ReadyTimeout)})
+			in.enter(now, Killing)
+			reason := fmt.Sprintf("not healthy within %v", p.settings.ReadyTimeout)
+			due = append(due, Action{Kind: ActionKill, Instance: i, Reason: reason})
 		}
 	}
 	return due
@@ -155,13 +169,22 @@
 	var next time.Duration
 	found := false
 	for _, in := range p.instances {
-		at, waits := in.StartAt, in.Phase == Down
-		if in.Phase == Starting {
-			at, waits = in.Since+p.settings.ReadyTimeout, true
-		}
+		at, waits := p.deadline(in)
 		if waits && (!found || at < next) {
-			next, found = at, true
+			next = at
+			found = true
 		}
 	}
 	return next, found
 }
+
+// deadline returns the time that an instance waits for in its phase, if there is one.
+func (p *RestartPolicy) deadline(in Instance) (at time.Duration, ok bool) {
+	switch in.Phase {
+	case Down:
+		return in.StartAt, true
+	case Starting:
+		return in.Since + p.settings.ReadyTimeout, true
+	}
+	return 0, false
+}
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -5,15 +5,16 @@
 	"syscall"
 	"time"
 
+	"rowancart/internal/logkey"
 	"rowancart/internal/snapshot"
 )
 
 const (
 	stateName   = "fleet.state"
-	stateMaxAge = 24 * time.Hour // an older state names processes that have long ended
+	stateMaxAge = 24 * time.Hour // an older state names processes that have exited long ago
 )
 
-// savedState is what the supervisor writes of its instances, for the supervisor after it.
+// savedState is what a supervisor stores of its instances for the next supervisor.
 type savedState struct {
 	Instances []savedInstance `json:"Instances"`
 }
@@ -24,13 +25,13 @@
 	StartTime uint64 `json:"Since"` // in ticks after boot
 }
 
-// adoptInstances takes over the instances that the supervisor before this one left running, and
-// ends those beyond the fleet's size.
+// adoptInstances adopts the instances that the previous supervisor left running, and terminates
+// those beyond the fleet's size.
 func (s *supervisor) adoptInstances(now time.Duration) {
 	var saved savedState
 	if _, err := snapshot.Read(s.statePath, time.Now(), stateMaxAge, &saved); err != nil {
 		if !errors.Is(err, snapshot.ErrNotFound) {
-			s.log.Warn("the state of a supervisor before is not used", "err", err)
+			s.log.Warn("supervisor state not restored", logkey.Err, err)
 		}
 		return
 	}
@@ -39,12 +40,12 @@
 		switch {
 		case p.pid <= 0 || !p.isRunning():
 		case i >= s.config.Instances:
-			s.log.Info("instance beyond the fleet's size ended", "instance", i, "pid", p.pid)
+			s.log.Info("surplus instance terminated", logkey.Instance, i, logkey.PID, p.pid)
 			p.signal(syscall.SIGTERM)
 		default:
 			s.processes[i] = p
 			s.policy.OnStarted(now, i)
-			s.log.Info("instance taken up", "instance", i, "pid", p.pid)
+			s.log.Info("instance adopted", logkey.Instance, i, logkey.PID, p.pid)
 			s.watchers.Go(func() { s.watchAdopted(i, p) })
 			s.watchers.Go(func() { s.awaitHealthy(i, p) })
 		}
@@ -52,7 +53,7 @@
 	s.saveState()
 }
 
-// saveState writes which processes are the instances, for the supervisor after this one.
+// saveState stores which processes are the instances, for the next supervisor.
 func (s *supervisor) saveState() {
 	saved := savedState{Instances: make([]savedInstance, len(s.processes))}
 	for i, p := range s.processes {
@@ -61,6 +62,6 @@
 		}
 	}
 	if err := snapshot.Write(s.statePath, time.Now(), saved); err != nil {
-		s.log.Warn("the supervisor's state cannot be saved", "err", err)
+		s.log.Warn("supervisor state not saved", logkey.Err, err)
 	}
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,9 +1,12 @@
 // Package supervisor runs the instances of a fleet on one machine. It starts them, checks the
-// health of each at its admin socket, restarts those that end, saves its own state on disk, adopts
-// the instances that a supervisor before it left running, and ends them all when it is stopped.
+// health of each at its admin socket, restarts those that exit, stores its own state on disk,
+// adopts the instances that the previous supervisor left running, and terminates them all when it
+// is stopped.
 //
-// RestartPolicy decides when an instance is started or killed; it is pure. Run does what it
-// decides. One goroutine owns all state; a goroutine for each process sends it events.
+// RestartPolicy decides when an instance is started or killed; it is pure. Run carries out its
+// decisions. The goroutine of Run owns all state. Two goroutines for each process, one that waits
+// for its exit and one that checks its health, send events to it; they end with the process or when
+// Run returns.
 package supervisor
 
 import (
@@ -16,6 +19,7 @@
 	"syscall"
 	"time"
 
+	"rowancart/internal/logkey"
 	"rowancart/internal/snapshot"
 )
 
@@ -24,7 +28,7 @@
 	minTimer          = time.Millisecond
 )
 
-// Options are what Run needs beside the configuration.
+// Options are what Run needs in addition to the configuration.
 type Options struct {
 	Program string       // is run as "PROGRAM serve CONFIG" for each instance
 	Log     *slog.Logger // nil: slog.Default()
@@ -55,11 +59,11 @@
 	processes []*process // by instance; nil: none runs
 
 	events   chan event
-	done     chan struct{} // closed when the watchers are to end
+	done     chan struct{} // closed when the watchers are to return
 	watchers sync.WaitGroup
 }
 
-// Run supervises the fleet until ctx ends, then ends every instance and returns. A second
+// Run supervises the fleet until ctx is done, then terminates every instance and returns. A second
 // supervisor of the same folder returns an error at once.
 func Run(ctx context.Context, c *Config, o Options) error {
 	if o.Log == nil {
@@ -98,7 +102,7 @@
 	return nil
 }
 
-// run handles events and deadlines until ctx ends, and then ends the instances.
+// run handles events and deadlines until ctx is done, and then terminates the instances.
 func (s *supervisor) run(ctx context.Context) {
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
@@ -130,7 +134,7 @@
 	s.watchers.Wait()
 }
 
-// send passes an event to the supervisor's goroutine. Once that has ended, the event is dropped.
+// send passes an event to the goroutine of Run. Once that has returned, the event is dropped.
 func (s *supervisor) send(e event) {
 	select {
 	case s.events <- e:
@@ -138,19 +142,19 @@
 	}
 }
 
-// perform does what the restart policy decided.
+// perform carries out an action of the restart policy.
 func (s *supervisor) perform(now time.Duration, a Action) {
 	switch a.Kind {
 	case ActionStart:
 		p, err := s.startInstance(a.Instance)
 		s.policy.OnStarted(now, a.Instance)
 		if err != nil {
-			s.log.Error("instance does not start", "instance", a.Instance, "err", err)
+			s.log.Error("instance not started", logkey.Instance, a.Instance, logkey.Err, err)
 			s.policy.OnExited(now, a.Instance)
 			return
 		}
 		s.processes[a.Instance] = p
-		s.log.Info("instance started", "instance", a.Instance, "pid", p.pid, "why", a.Reason)
+		s.log.Info("instance started", logkey.Instance, a.Instance, logkey.PID, p.pid, logkey.Reason, a.Reason)
 		s.saveState()
 	case ActionKill:
 		if p := s.processes[a.Instance]; p != nil {
@@ -160,7 +164,7 @@
 }
 
 func (s *supervisor) kill(i int, p *process, reason string) {
-	s.log.Warn("instance killed", "instance", i, "pid", p.pid, "why", reason)
+	s.log.Warn("instance killed", logkey.Instance, i, logkey.PID, p.pid, logkey.Reason, reason)
 	p.signal(syscall.SIGKILL)
 }
 
@@ -174,17 +178,17 @@
 		s.processes[e.instance] = nil
 		s.policy.OnExited(now, e.instance)
 		in := s.policy.Instances()[e.instance]
-		s.log.Warn("instance ended", "instance", e.instance, "pid", e.process.pid, "failures", in.Failures,
-			"again_in", (in.StartAt - now).Round(time.Millisecond))
+		s.log.Warn("instance exited", logkey.Instance, e.instance, logkey.PID, e.process.pid, "failures", in.Failures,
+			logkey.RetryDelay, (in.StartAt - now).Round(time.Millisecond))
 		s.saveState()
 	case eventHealthy:
 		s.policy.OnHealthy(now, e.instance)
-		s.log.Info("instance healthy", "instance", e.instance, "pid", e.process.pid)
+		s.log.Info("instance healthy", logkey.Instance, e.instance, logkey.PID, e.process.pid)
 	}
 }
 
-// stopInstances ends every instance with SIGTERM, and with SIGKILL those that have not ended within
-// the configured time. It returns once all have ended.
+// stopInstances sends SIGTERM to every instance, and SIGKILL to those that have not exited within
+// the configured time. It returns once all have exited.
 func (s *supervisor) stopInstances() {
 	running := 0
 	for _, p := range s.processes {
@@ -193,7 +197,7 @@
 			running++
 		}
 	}
-	s.log.Info("ending the fleet", "instances", running)
+	s.log.Info("terminating instances", "instances", running)
 	timeout := time.NewTimer(s.config.StopTimeout)
 	defer timeout.Stop()
 	for running > 0 {
@@ -206,7 +210,7 @@
 		case <-timeout.C:
 			for i, p := range s.processes {
 				if p != nil {
-					s.kill(i, p, "not ended within stop_within")
+					s.kill(i, p, fmt.Sprintf("not exited within %v", s.config.StopTimeout))
 				}
 			}
 			timeout.Reset(s.config.StopTimeout)
