--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -126,9 +126,9 @@
 	return out
 }
 
-// endpointStatuses returns what the Balancer knows of all endpoints, and their addresses by id. The
-// state of their connections is read after it, without p.mu: operators read it, and requests need
-// not wait for it.
+// endpointStatuses returns the Balancer's status of all endpoints, and their addresses by id. The
+// state of their connections is read after it, without p.mu, so that requests do not wait for the
+// reports of operators.
 func (p *Pool) endpointStatuses() (statuses []balancer.EndpointStatus, addrs map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -1,7 +1,7 @@
 // Package proxy hosts one Balancer for one pool of endpoints: the lock under which it handles one
 // event after the other, the calls and attempts in flight, and the connections over which attempts
-// are made. Servers hand it calls, endpoint discovery hands it lists. It carries out what the
-// Balancer decides and decides nothing itself.
+// are made. Servers pass calls to it, and endpoint discovery passes endpoint lists. It carries out
+// what the Balancer decides and decides nothing itself.
 package proxy
 
 import (
@@ -40,8 +40,8 @@
 	}
 }
 
-// Pool owns a Balancer. Everything that happens is an event, handled under the Pool's lock by the
-// goroutine to which it happens: no request waits for another goroutine to be scheduled.
+// Pool owns a Balancer. Every event is handled under the Pool's lock by the goroutine in which it
+// occurs: no request waits for another goroutine to be scheduled.
 type Pool struct {
 	clock     clock
 	done      chan struct{} // closed when Run ends
@@ -49,10 +49,10 @@
 	subscribe func()
 	log       *slog.Logger
 
-	// mu makes events one sequence: handleEvent holds it for the whole of an event, with all actions
-	// that the Balancer takes meanwhile, so that nothing comes between the Balancer's choice of an
-	// endpoint and its Send. It is also held to read a consistent state. It is never held over I/O or
-	// any wait. connpool's locks may be taken while it is held, not the other way round.
+	// mu serializes events: handleEvent holds it during an event, including all actions of the
+	// Balancer, so that nothing comes between the Balancer's choice of an endpoint and its Send. It is
+	// also held to read a consistent state. It is never held during I/O or any wait. connpool's locks
+	// may be taken while it is held, but not the other way round.
 	mu            sync.Mutex
 	events        balancer.Events    // the Balancer as a receiver of events; tests replace it
 	balancer      *balancer.Balancer // the same Balancer, for all else
@@ -92,9 +92,9 @@
 		endpoints:     newEndpointSet(c),
 		unserved:      unservedLog{log: o.Log, byReason: map[balancer.Reason]*unservedCount{}},
 	}
-	p.balancer = balancer.New(p.clock.now(), s, host{p})
-	p.events = p.balancer
 	p.timer = newEventTimer(p.clock.now(), func() { p.handleEvent(p.fireDueTimers) })
+	p.balancer = balancer.New(p.clock.now(), s, host{p}) // may request timers
+	p.events = p.balancer
 	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, known) })
 	return p
 }
