--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -125,9 +126,10 @@
 	defer hanging.Close()
 	agent := startListingDiscovery(t, []string{hanging.Addr().String()})
 	addr := freeAddr(t)
+	known := testpeer.CompleteList(1, testpeer.Listed("a", hanging.Addr().String(), platform.StateReady))
 	c := startBuilt(t, fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1","known":%s,
 		"settings":{"Lanes":[{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":900000,"HardLimitUs":1000000}]}}`,
-		addr, agent, testpeer.Members(1, true, testpeer.Member("a", hanging.Addr().String(), "Ready"))), io.Discard)
+		addr, agent, known), io.Discard)
 	waitUntilHealthy(t, addr)
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -16,6 +16,7 @@
 	"testing"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -49,29 +50,19 @@
 	return p
 }
 
-// startListingDiscovery starts a discovery agent that lists endpoints and never has news. It
-// returns its address.
+// startListingDiscovery starts a discovery agent that lists endpoints, named a, b, ..., and returns
+// its address.
 func startListingDiscovery(t *testing.T, endpoints []string) string {
 	t.Helper()
-	var entries []string
-	for i, addr := range endpoints {
-		entries = append(entries, testpeer.Member(string(rune('a'+i)), addr, "Ready"))
-	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	discovery, err := testpeer.StartDiscovery(testpeer.DiscoveryOptions{EmptyLineFirst: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	agent := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		fmt.Fprintln(w, testpeer.Members(1, true, entries...))
-		w.(http.Flusher).Flush()
-		if r.URL.RawQuery != "" { // a watch
-			<-r.Context().Done()
-		}
-	})}
-	go agent.Serve(l)
-	t.Cleanup(func() { agent.Close() })
-	return l.Addr().String()
+	t.Cleanup(discovery.Close)
+	for i, addr := range endpoints {
+		discovery.Publish(testpeer.Listed(string(rune('a'+i)), addr, platform.StateReady))
+	}
+	return discovery.Addr()
 }
 
 // sidecarProcess is one process of the sidecar.
@@ -114,10 +105,10 @@
 	}
 	s := &sidecarProcess{Cmd: exec.Command(p.program), exited: make(chan error, 1)}
 	s.Env = []string{
-		"ROUTER_CONFIG=" + config,
-		"ROUTER_CONSOLE=127.0.0.1:0",
-		"ROUTER_ACCEPT_FD=3",
-		"TMPDIR=" + p.sharedDir,
+		platform.EnvConfig + "=" + config,
+		platform.EnvAdminAddr + "=127.0.0.1:0",
+		platform.EnvAcceptFD + "=3",
+		platform.EnvSharedDir + "=" + p.sharedDir,
 	}
 	s.ExtraFiles = []*os.File{p.listener}
 	stderr, err := s.StderrPipe()
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -13,9 +13,16 @@
 
 const patience = testpeer.WaitTimeout
 
+// The helpers of package testpeer that tests here use most.
 var (
-	members = testpeer.Members
-	member  = testpeer.Member
+	completeList = testpeer.CompleteList
+	changes      = testpeer.Changes
+	listed       = testpeer.Listed
+
+	respond    = testpeer.Respond
+	stayOpen   = testpeer.StayOpen
+	resetAfter = testpeer.ResetAfter
+	noResponse = testpeer.NoResponse
 )
 
 // testClient is a running Client of a scripted discovery.
@@ -27,7 +34,7 @@
 
 // startClient runs a client that knows a version, after configure (nil: nothing) has changed it.
 // Discovery answers its calls with one step each.
-func startClient(t *testing.T, version int64, configure func(*Client), steps ...string) *testClient {
+func startClient(t *testing.T, version int64, configure func(*Client), steps ...testpeer.Step) *testClient {
 	t.Helper()
 	addr, calls := startDiscovery(t, steps...)
 	c := &testClient{updates: make(chan platform.EndpointList, 100), calls: calls}
@@ -43,14 +50,15 @@
 	return c
 }
 
-// startDiscovery serves a script. It returns its address and the queries of its calls.
-func startDiscovery(t *testing.T, steps ...string) (addr string, calls chan string) {
+// startDiscovery starts a discovery that answers its calls with one step each. It returns its
+// address and the queries of its calls.
+func startDiscovery(t *testing.T, steps ...testpeer.Step) (addr string, calls chan string) {
 	t.Helper()
-	script := &testpeer.Script{Steps: steps, Calls: make(chan string, 100)}
-	server := httptest.NewServer(script)
+	discovery := &testpeer.ScriptedDiscovery{Steps: steps, Calls: make(chan string, 100)}
+	server := httptest.NewServer(discovery)
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections) // a watch may still be open
-	return server.Listener.Addr().String(), script.Calls
+	return server.Listener.Addr().String(), discovery.Calls
 }
 
 func (c *testClient) expectCalls(t *testing.T, queries ...string) {
@@ -83,8 +91,8 @@
 
 func TestLostWatchIsResumed(t *testing.T) {
 	c := startClient(t, 41, nil,
-		"\n"+members(43, false, member("a", "127.0.0.1:1", "Terminating"))+"\n\n"+members(44, false)+"\n",
-		members(50, true, member("b", "127.0.0.1:2", "Ready"))+"\nSILENT")
+		respond("\n"+changes(43, listed("a", "127.0.0.1:1", platform.StateDraining))+"\n\n"+changes(44)+"\n"),
+		stayOpen(completeList(50, listed("b", "127.0.0.1:2", platform.StateReady))+"\n"))
 	c.expectVersions(t, 43, 44, 50)
 	c.expectCalls(t, "watch=1&after=41", "watch=1&after=44")
 }
@@ -93,7 +101,7 @@
 // Subscribe.
 func TestWatchesBeginWithSubscribe(t *testing.T) {
 	c := startClient(t, 41, func(c *Client) { c.subscribed = make(chan struct{}) },
-		members(42, false)+"\n", members(43, false)+"\n", members(44, false)+"\nSILENT")
+		respond(changes(42)+"\n"), respond(changes(43)+"\n"), stayOpen(changes(44)+"\n"))
 	select {
 	case query := <-c.calls:
 		t.Fatalf("called with %q before Subscribe", query)
@@ -108,9 +116,9 @@
 
 // Versions at the new address may have nothing to do with those of the old one.
 func TestSetAddressRefetchesList(t *testing.T) {
-	c := startClient(t, 41, nil, members(42, false)+"\nSILENT")
+	c := startClient(t, 41, nil, stayOpen(changes(42)+"\n"))
 	c.expectVersions(t, 42)
-	addr, calls := startDiscovery(t, members(7, true), members(8, false)+"\nSILENT")
+	addr, calls := startDiscovery(t, respond(completeList(7)), stayOpen(changes(8)+"\n"))
 	c.SetAddress(addr)
 	c.expectVersions(t, 7, 8)
 	c.calls = calls
@@ -119,16 +127,16 @@
 
 // A reload may change the address at any point of a watch. The old address is left at once.
 func TestSetAddressAtAnyPointOfAWatch(t *testing.T) {
-	for name, step := range map[string]string{
-		"before the headers": "MUTE",
-		"after the headers":  "SILENT",
-		"within a line":      drainMessage[:20] + "SILENT",
-		"between lines":      "\nSILENT",
+	for name, step := range map[string]testpeer.Step{
+		"before the headers": noResponse(),
+		"after the headers":  stayOpen(""),
+		"within a line":      stayOpen(drainMessage[:20]),
+		"between lines":      stayOpen("\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := startClient(t, 41, nil, step)
 			c.expectCalls(t, "watch=1&after=41")
-			addr, _ := startDiscovery(t, members(7, true), members(8, false)+"\nSILENT")
+			addr, _ := startDiscovery(t, respond(completeList(7)), stayOpen(changes(8)+"\n"))
 			c.SetAddress(addr)
 			c.expectVersions(t, 7, 8)
 		})
--- a/internal/discovery/watch/drain_test.go
+++ b/internal/discovery/watch/drain_test.go
@@ -179,7 +179,7 @@
 		}},
 		"stalled from its first byte":                  drainOnStalledWatch(""),
 		"stalled within its first line":                drainOnStalledWatch(drainMessage[:30]),
-		"stalled after a line":                         drainOnStalledWatch(members(41, false) + "\n"),
+		"stalled after a line":                         drainOnStalledWatch(changes(41) + "\n"),
 		"discovery down for long, calls hang":          drainAtOutage(hanging, 3*time.Second, 8*time.Second),
 		"discovery down for long, connections refused": drainAtOutage(refusing, 0, 9*time.Second),
 		// The outage begins right before a line is due.
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -6,40 +6,49 @@
 	"strings"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
+	"rowancart/internal/testpeer"
 )
 
 // drainMessage is the change that no interruption of a watch may hide.
-var drainMessage = members(42, false, member("a", "127.0.0.1:1", "Terminating"))
+var drainMessage = changes(42, listed("a", "127.0.0.1:1", platform.StateDraining))
 
 // However a watch stalls or breaks, it is reopened, and the next one delivers what it would have
 // delivered.
 func TestInterruptedWatchIsReopened(t *testing.T) {
-	type steps = []string
+	type steps = []testpeer.Step
 	type calls = []string
 	const unknown = -1 // no version is known at the start
 	const list, after40, after41 = "", "watch=1&after=40", "watch=1&after=41"
-	drained := drainMessage + "\nSILENT"
+	drained := stayOpen(drainMessage + "\n")
 	partOfLine := drainMessage[:20]
-	stalledLine, resetLine := partOfLine+"SILENT", partOfLine+"RESET"
-	list41, change41 := members(41, true), members(41, false)
-	tooLong := `{"version":"` + strings.Repeat("x", maxMessageBytes)
+	none := noResponse()
+	stalled := stayOpen("")
+	resets := resetAfter("")
+	stalledLine := stayOpen(partOfLine)
+	list41 := respond(completeList(41))
+	change41 := changes(41) + "\n"
+	stalledLater := stayOpen(change41 + "\n" + partOfLine)
+	malformed := respond("{nonsense")
+	tooLong := respond(`{"version":"` + strings.Repeat("x", maxMessageBytes))
 	for name, test := range map[string]struct {
 		version int64
 		steps   steps
 		calls   calls
 	}{
-		"stalled before the headers":      {41, steps{"MUTE", drained}, calls{after41, after41}},
-		"stalled after the headers":       {41, steps{"SILENT", drained}, calls{after41, after41}},
+		"stalled before the headers":      {41, steps{none, drained}, calls{after41, after41}},
+		"stalled after the headers":       {41, steps{stalled, drained}, calls{after41, after41}},
 		"stalled in the first line":       {41, steps{stalledLine, drained}, calls{after41, after41}},
-		"stalled in a later line":         {40, steps{change41 + "\n\n" + stalledLine, drained}, calls{after40, after41}},
-		"stalled before a line's end":     {41, steps{drainMessage + "SILENT", drained}, calls{after41, after41}},
-		"reset at once":                   {41, steps{"RESET", drained}, calls{after41, after41}},
-		"reset within a line":             {40, steps{change41 + "\n" + resetLine, drained}, calls{after40, after41}},
-		"a list without a response":       {unknown, steps{"MUTE", list41, drained}, calls{list, list, after41}},
+		"stalled in a later line":         {40, steps{stalledLater, drained}, calls{after40, after41}},
+		"stalled before a line's end":     {41, steps{stayOpen(drainMessage), drained}, calls{after41, after41}},
+		"reset at once":                   {41, steps{resets, drained}, calls{after41, after41}},
+		"reset within a line":             {40, steps{resetAfter(change41 + partOfLine), drained}, calls{after40, after41}},
+		"a list without a response":       {unknown, steps{none, list41, drained}, calls{list, list, after41}},
 		"a list that stalls":              {unknown, steps{stalledLine, list41, drained}, calls{list, list, after41}},
-		"a list, then a stalled watch":    {unknown, steps{list41, "MUTE", drained}, calls{list, after41, after41}},
-		"two in a row, then a reset":      {41, steps{"MUTE", "SILENT", "RESET", drained}, calls{after41, after41, after41}},
-		"a list that is malformed":        {unknown, steps{"{nonsense", list41, drained}, calls{list, list, after41}},
+		"a list, then a stalled watch":    {unknown, steps{list41, none, drained}, calls{list, after41, after41}},
+		"two in a row, then a reset":      {41, steps{none, stalled, resets, drained}, calls{after41, after41, after41}},
+		"a list that is malformed":        {unknown, steps{malformed, list41, drained}, calls{list, list, after41}},
 		"a line too long, never complete": {41, steps{tooLong, drained}, calls{after41, after41}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -61,7 +70,7 @@
 
 func TestIdleWatchIsReopened(t *testing.T) {
 	c := startClient(t, 7, func(c *Client) { c.timing.idleTimeout = 200 * time.Millisecond },
-		"\nSILENT", members(8, false)+"\nSILENT")
+		stayOpen("\n"), stayOpen(changes(8)+"\n"))
 	c.expectCalls(t, "watch=1&after=7", "watch=1&after=7")
 	c.expectVersions(t, 8)
 }
@@ -69,9 +78,9 @@
 // A watch that breaks off within an object leaves list and version as they were: only what is
 // missing is delivered again.
 func TestIncompleteLineIsDropped(t *testing.T) {
-	line := members(42, false, member("a", "127.0.0.1:1", "Terminating"))
+	line := changes(42, listed("a", "127.0.0.1:1", platform.StateDraining))
 	for _, cut := range []int{1, len(line) / 2, len(line) - 1, len(line)} {
-		c := startClient(t, 41, nil, "\n"+line[:cut], line+"\nSILENT")
+		c := startClient(t, 41, nil, respond("\n"+line[:cut]), stayOpen(line+"\n"))
 		c.expectVersions(t, 42)
 		c.expectCalls(t, "watch=1&after=41", "watch=1&after=41")
 	}
@@ -84,14 +93,14 @@
 		"no JSON":            "{nonsense",
 		"no entries":         `{"version":42,"full":true}`,
 		"no version":         `{"full":false,"servers":[]}`,
-		"an unknown state":   members(42, false, member("a", "127.0.0.1:1", "Asleep")),
-		"no address":         members(42, false, member("a", "", "Ready")),
-		"an invalid address": members(42, false, member("a", "127.0.0.1:http", "Ready")),
-		"no id":              members(42, false, member("", "127.0.0.1:1", "Ready")),
-		"an older version":   members(40, false),
+		"an unknown state":   changes(42, listed("a", "127.0.0.1:1", "Asleep")),
+		"no address":         changes(42, listed("a", "", platform.StateReady)),
+		"an invalid address": changes(42, listed("a", "127.0.0.1:http", platform.StateReady)),
+		"no id":              changes(42, listed("", "127.0.0.1:1", platform.StateReady)),
+		"an older version":   changes(40),
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := startClient(t, 41, nil, line+"\n", members(60, true), members(61, false)+"\nSILENT")
+			c := startClient(t, 41, nil, respond(line+"\n"), respond(completeList(60)), stayOpen(changes(61)+"\n"))
 			c.expectVersions(t, 60, 61)
 			c.expectCalls(t, "watch=1&after=41", "", "watch=1&after=60")
 		})
@@ -107,10 +116,11 @@
 		}
 		return strings.ReplaceAll(b.String(), "\n", "\r\n")
 	}
-	list := indent(members(41, true, member("{[\"\\", "127.0.0.1:1", "Ready"), member("b}", "127.0.0.1:2", "Ready")))
-	watch := "\n" + indent(members(42, false, member("}\\\"{", "127.0.0.1:1", "Ready"))) + "\n\n" +
-		members(43, false) + "\n" + indent(members(44, false)) + "\nSILENT"
-	c := startClient(t, 0, func(c *Client) { c.version = nil }, list, watch)
+	list := indent(completeList(41,
+		listed("{[\"\\", "127.0.0.1:1", platform.StateReady), listed("b}", "127.0.0.1:2", platform.StateReady)))
+	watch := "\n" + indent(changes(42, listed("}\\\"{", "127.0.0.1:1", platform.StateReady))) + "\n\n" +
+		changes(43) + "\n" + indent(changes(44)) + "\n"
+	c := startClient(t, 0, func(c *Client) { c.version = nil }, respond(list), stayOpen(watch))
 	c.expectVersions(t, 41, 42, 43, 44)
 	c.expectCalls(t, "", "watch=1&after=41")
 }
--- a/internal/platform/endpointlist_test.go
+++ b/internal/platform/endpointlist_test.go
@@ -3,13 +3,15 @@
 import (
 	"errors"
 	"testing"
-
-	"rowancart/internal/testpeer"
 )
 
+func listed(id, addr string, state State) Endpoint {
+	return Endpoint{ID: id, Addr: addr, Zone: "z", Kind: "k", Cell: 3, State: state}
+}
+
 func TestParseEndpointList(t *testing.T) {
-	text := testpeer.Members(3, true, testpeer.Member("a", "127.0.0.1:1", "Ready"), testpeer.Member("b", "", "Gone"))
-	list, err := ParseEndpointList([]byte(text))
+	text := NewEndpointList(3, true, listed("a", "127.0.0.1:1", StateReady), listed("b", "", StateRemoved)).Text()
+	list, err := ParseEndpointList(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,8 +26,8 @@
 	for field, text := range map[string]string{
 		"version": `{"full":false,"servers":[]}`,
 		"servers": `{"version":42,"full":true}`,
-		"state":   testpeer.Members(42, false, testpeer.Member("a", "127.0.0.1:1", "Asleep")),
-		"id":      testpeer.Members(42, false, testpeer.Member("", "127.0.0.1:1", "Ready")),
+		"state":   string(NewEndpointList(42, false, listed("a", "127.0.0.1:1", "Asleep")).Text()),
+		"id":      string(NewEndpointList(42, false, listed("", "127.0.0.1:1", StateReady)).Text()),
 	} {
 		_, err := ParseEndpointList([]byte(text))
 		var invalid *FieldError
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"rowancart/internal/hotrestart"
+	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 )
 
@@ -33,7 +34,7 @@
 // waitForCapacity is a wait for capacity at one endpoint.
 func waitForCapacity(t *testing.T, o testOptions, mayCancel bool) waitCase {
 	e := startBlockingEndpoint(t)
-	o.settings, o.endpoints = longWaitSettings(mayCancel), endpointsJSON(e)
+	o.settings, o.endpoints = longWaitSettings(mayCancel), listedAll(e)
 	s := o.start(t)
 	for i := range initialCapacity {
 		s.connectAndSend(t, fmt.Sprint("hang", i), lookRequest)
@@ -52,10 +53,10 @@
 	e := newFullBacklogEndpoint(t)
 	o := testOptions{
 		settings:  longWaitSettings(mayCancel),
-		endpoints: []string{endpointJSON("z", e.addr(), "Ready")},
+		endpoints: []platform.Endpoint{listed("z", e.addr(), platform.StateReady)},
 	}
 	for i, addr := range before {
-		o.endpoints = append(o.endpoints, endpointJSON(fmt.Sprint("a", i), addr, "Ready"))
+		o.endpoints = append(o.endpoints, listed(fmt.Sprint("a", i), addr, platform.StateReady))
 	}
 	return waitCase{testSidecar: o.start(t), endpoint: e, endWait: func(*testing.T) { e.startAccepting() }}
 }
@@ -80,7 +81,7 @@
 	e := startBlockingEndpoint(t)
 	s := startLongWaitSidecar(t)
 	return waitCase{testSidecar: s, endpoint: e, endWait: func(t *testing.T) {
-		s.updateEndpoints(t, endpointListJSON(2, true, endpointsJSON(e)...))
+		s.updateEndpoints(t, completeList(2, listedAll(e)...))
 	}}
 }
 
@@ -96,9 +97,9 @@
 		disconnects: []string{"fin", "rst", "fin behind bytes"}, // no more than the retry budget allows
 		whileWaiting: func(t *testing.T, waiting int) {
 			waitUntil(t, "all are at the first endpoint", func() bool { return len(first.startedIDs()) == waiting })
-			startedNow := fmt.Sprintf(`"started_ms":%d`, time.Now().UnixMilli())
-			cold := strings.Replace(endpointJSON("cold", second.addr(), "Ready"), `"started_ms":0`, startedNow, 1)
-			s.updateEndpoints(t, endpointListJSON(2, true, endpointJSON("a", first.addr(), "Terminating"), cold))
+			cold := listed("cold", second.addr(), platform.StateReady)
+			cold.StartedMs = time.Now().UnixMilli()
+			s.updateEndpoints(t, completeList(2, listed("a", first.addr(), platform.StateDraining), cold))
 			close(first.release)
 			waitUntil(t, "all have failed there", func() bool {
 				return !slices.ContainsFunc(s.pool.Endpoints(), func(e proxy.EndpointStatus) bool {
@@ -107,7 +108,7 @@
 			})
 		},
 		endWait: func(t *testing.T) {
-			s.updateEndpoints(t, endpointListJSON(3, false, endpointJSON("warm", second.addr(), "Ready")))
+			s.updateEndpoints(t, changes(3, listed("warm", second.addr(), platform.StateReady)))
 		},
 	}
 }
@@ -264,7 +265,7 @@
 	s = testOptions{
 		limits:    c.limits,
 		settings:  longWaitSettings(true),
-		endpoints: endpointsJSON(first, second),
+		endpoints: listedAll(first, second),
 	}.start(t)
 	client = s.connectAndSend(t, "hang", uploadHead(bodyDisconnectSize))
 	sent = make(chan bool)
--- a/internal/sidecar/forwarding_test.go
+++ b/internal/sidecar/forwarding_test.go
@@ -12,6 +12,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // hangUntilCanceled never responds, and closes its connection once the attempt is canceled.
@@ -177,11 +179,11 @@
 	if toA, toB := sendEight(); toA == 0 || toB == 0 {
 		t.Errorf("at first %d and %d", toA, toB)
 	}
-	s.updateEndpoints(t, endpointListJSON(2, false, endpointJSON("a", a.Addr, "Terminating")))
+	s.updateEndpoints(t, changes(2, listed("a", a.Addr, platform.StateDraining)))
 	if toA, toB := sendEight(); toA != 0 || toB != 8 {
 		t.Errorf("with a draining, %d and %d", toA, toB)
 	}
-	s.updateEndpoints(t, endpointListJSON(3, true, endpointJSON("b", a.Addr, "Ready"))) // a removed, b at its address
+	s.updateEndpoints(t, completeList(3, listed("b", a.Addr, platform.StateReady))) // a removed, b at its address
 	if toA, toB := sendEight(); toA != 8 || toB != 0 {
 		t.Errorf("with b at another address, %d to that and %d to the old one", toA, toB)
 	}
--- a/internal/sidecar/operations_test.go
+++ b/internal/sidecar/operations_test.go
@@ -12,6 +12,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // methodOf returns the method that a class of testSettings takes.
@@ -47,8 +49,9 @@
 	if n := s.metric(t, "sidecar_targets_disabled"); n != 1 {
 		t.Errorf("%d endpoints are reported as avoided", n)
 	}
-	s.updateEndpoints(t, endpointListJSON(2, true, endpointJSON("b", b.Addr, "Ready"))) // removed, and listed again
-	s.updateEndpoints(t, endpointListJSON(3, true, endpointJSON("a", a.Addr, "Ready"), endpointJSON("b", b.Addr, "Ready")))
+	s.updateEndpoints(t, completeList(2, listed("b", b.Addr, platform.StateReady))) // removed, and listed again
+	s.updateEndpoints(t, completeList(3,
+		listed("a", a.Addr, platform.StateReady), listed("b", b.Addr, platform.StateReady)))
 	if toA, toB := sendTwelve("look"); toA != 0 || toB != 12 {
 		t.Errorf("with a disabled and listed again, %d and %d", toA, toB)
 	}
@@ -252,7 +255,7 @@
 	answer := make(chan string, 1)
 	go func() { answer <- s.adminCommand(t, "disable-server a") }()
 	time.Sleep(100 * time.Millisecond) // that the call comes first is likely; the test holds either way
-	s.updateEndpoints(t, endpointListJSON(2, true, endpointJSON("a", e.Addr, "Ready")))
+	s.updateEndpoints(t, completeList(2, listed("a", e.Addr, platform.StateReady)))
 	s.readiness.markListReceived()
 	if got := <-answer; !strings.HasPrefix(got, "SUCCESS") {
 		t.Errorf("%q", got)
--- a/internal/sidecar/shareddir_test.go
+++ b/internal/sidecar/shareddir_test.go
@@ -9,6 +9,7 @@
 	"path/filepath"
 	"testing"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -42,7 +43,7 @@
 func TestEndpointStaysDisabledThoughSharedDirFailsAtStart(t *testing.T) {
 	a, b := newEndpoint(t, respondWith(okResponse, true)), newEndpoint(t, respondWith(okResponse, true))
 	sharedDir := t.TempDir()
-	endpoints := []string{endpointJSON("a", a.Addr, "Ready"), endpointJSON("b", b.Addr, "Ready")}
+	endpoints := []platform.Endpoint{listed("a", a.Addr, platform.StateReady), listed("b", b.Addr, platform.StateReady)}
 	first := testOptions{sharedDir: sharedDir, endpoints: endpoints}.start(t)
 	first.requireSuccess(t, "disable-server a")
 	first.terminate()
@@ -70,7 +71,7 @@
 func TestDisabledEndpointIsStoredOnceSharedDirWorks(t *testing.T) {
 	a, b := newEndpoint(t, respondWith(okResponse, true)), newEndpoint(t, respondWith(okResponse, true))
 	sharedDir := t.TempDir()
-	endpoints := []string{endpointJSON("a", a.Addr, "Ready"), endpointJSON("b", b.Addr, "Ready")}
+	endpoints := []platform.Endpoint{listed("a", a.Addr, platform.StateReady), listed("b", b.Addr, platform.StateReady)}
 	first := testOptions{sharedDir: sharedDir, endpoints: endpoints}.start(t)
 	waitUntil(t, "it serves", func() bool { return first.readiness.accepting.Load() })
 	restore := breakSharedDir(t, sharedDir)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -96,7 +96,7 @@
 	defer close(e.release)
 	s := testOptions{
 		settings:  longWaitSettings(true),
-		endpoints: endpointsJSON(e),
+		endpoints: listedAll(e),
 		killDelay: 2 * time.Second,
 	}.start(t)
 	accepted := []*testClient{s.connectAndSend(t, "safe", lookRequest), s.connectAndSend(t, "unsafe", payRequest)}
@@ -156,7 +156,7 @@
 	defer close(e.release)
 	s := testOptions{
 		settings:  longWaitSettings(true),
-		endpoints: endpointsJSON(e),
+		endpoints: listedAll(e),
 		killDelay: 2 * time.Second,
 	}.start(t)
 	c := s.connectAndSend(t, "old", strings.Replace(lookRequest, "HTTP/1.1", "HTTP/1.0", 1))
--- a/internal/sidecar/testendpoint_test.go
+++ b/internal/sidecar/testendpoint_test.go
@@ -13,6 +13,7 @@
 	"testing"
 
 	"rowancart/internal/hotrestart"
+	"rowancart/internal/platform"
 )
 
 // blockingEndpoint is an endpoint that records each request from its head on. Requests whose id
@@ -149,11 +150,11 @@
 	}
 }
 
-// endpointsJSON returns the entries of endpoints, named a, b, ..., in a list.
-func endpointsJSON(endpoints ...*blockingEndpoint) []string {
-	var entries []string
+// listedAll returns endpoints as discovery lists them, named a, b, ...
+func listedAll(endpoints ...*blockingEndpoint) []platform.Endpoint {
+	var entries []platform.Endpoint
 	for i, e := range endpoints {
-		entries = append(entries, endpointJSON(string(rune('a'+i)), e.addr(), "Ready"))
+		entries = append(entries, listed(string(rune('a'+i)), e.addr(), platform.StateReady))
 	}
 	return entries
 }
--- a/internal/sidecar/testsidecar_test.go
+++ b/internal/sidecar/testsidecar_test.go
@@ -26,11 +26,12 @@
 )
 
 var (
-	newEndpoint      = testpeer.StartEndpoint
-	respondWith      = testpeer.RespondWith
-	waitUntil        = testpeer.WaitUntil
-	endpointListJSON = testpeer.Members
-	endpointJSON     = testpeer.Member
+	newEndpoint  = testpeer.StartEndpoint
+	respondWith  = testpeer.RespondWith
+	waitUntil    = testpeer.WaitUntil
+	completeList = testpeer.CompleteList
+	changes      = testpeer.Changes
+	listed       = testpeer.Listed
 )
 
 // testSettings have one class for each kind of repeatability: look may be repeated, book with an
@@ -73,9 +74,9 @@
 // startSidecarWithLimits is startSidecar with limits, in JSON.
 func startSidecarWithLimits(t *testing.T, limits string, addrs ...string) *testSidecar {
 	t.Helper()
-	var endpoints []string
+	var endpoints []platform.Endpoint
 	for i, addr := range addrs {
-		endpoints = append(endpoints, endpointJSON(string(rune('a'+i)), addr, "Ready"))
+		endpoints = append(endpoints, listed(string(rune('a'+i)), addr, platform.StateReady))
 	}
 	return testOptions{limits: limits, endpoints: endpoints}.start(t)
 }
@@ -83,14 +84,14 @@
 // startLongWaitSidecar starts a sidecar whose requests wait for as long as a test takes.
 func startLongWaitSidecar(t *testing.T, endpoints ...*blockingEndpoint) *testSidecar {
 	t.Helper()
-	return testOptions{settings: longWaitSettings(true), endpoints: endpointsJSON(endpoints...)}.start(t)
+	return testOptions{settings: longWaitSettings(true), endpoints: listedAll(endpoints...)}.start(t)
 }
 
 // testOptions are the parts of a configuration that differ between tests. Each has a default.
 type testOptions struct {
-	limits    string        // in JSON
-	settings  string        // in JSON; empty: testSettings
-	endpoints []string      // in JSON
+	limits    string // in JSON
+	settings  string // in JSON; empty: testSettings
+	endpoints []platform.Endpoint
 	sharedDir string        // empty: none
 	killDelay time.Duration // after SIGTERM; 0: testTimeout
 }
@@ -100,7 +101,7 @@
 	t.Helper()
 	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","console":"127.0.0.1:0","discovery":%q,"seed":"7",
 		"limits":%s,"known":%s,"settings":%s}`, discovery, cmp.Or(o.limits, "{}"),
-		endpointListJSON(1, true, o.endpoints...), cmp.Or(o.settings, testSettings))
+		completeList(1, o.endpoints...), cmp.Or(o.settings, testSettings))
 	c, err := parseConfig([]byte(text), getenvFrom(map[string]string{platform.EnvSharedDir: o.sharedDir}))
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +112,7 @@
 // start starts a sidecar, and ends it with the test.
 func (o testOptions) start(t *testing.T) *testSidecar {
 	t.Helper()
-	discovery := httptest.NewServer(&testpeer.Script{Calls: make(chan string, 100)}) // sends nothing
+	discovery := httptest.NewServer(&testpeer.ScriptedDiscovery{Calls: make(chan string, 100)}) // sends nothing
 	s, err := Start(o.config(t, discovery.Listener.Addr().String()), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/wiregolden_test.go
+++ b/internal/sidecar/wiregolden_test.go
@@ -17,6 +17,7 @@
 	"testing"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -183,7 +184,7 @@
 func TestWireIsAsRecorded(t *testing.T) {
 	const path = "testdata/wire.golden"
 	endpoint := startRawEndpoint(t, rawResponses)
-	s := testOptions{endpoints: []string{endpointJSON("a", endpoint.addr, "Ready")}}.start(t)
+	s := testOptions{endpoints: []platform.Endpoint{listed("a", endpoint.addr, platform.StateReady)}}.start(t)
 	var w wireTranscript
 	for i, e := range wireExchanges {
 		w.exchange(t, s, endpoint, i, e.name, e.request)
@@ -192,7 +193,7 @@
 		"ready", "enable-server a", "enable-server a", "enable-server b", "show-stat x", "disable-server", "restart", ""} {
 		w.add("admin: "+line, s.adminCommand(t, line))
 	}
-	s.updateEndpoints(t, endpointListJSON(2, true))
+	s.updateEndpoints(t, completeList(2))
 	w.exchange(t, s, endpoint, len(wireExchanges), "no endpoint",
 		"GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 200\r\n\r\n")
 	w.addDiscovery(t)
--- a/internal/testpeer/discovery.go
+++ b/internal/testpeer/discovery.go
@@ -1,60 +1,95 @@
 package testpeer
 
 import (
-	"fmt"
 	"io"
 	"net/http"
-	"strings"
+
+	"rowancart/internal/platform"
 )
 
-// Members returns a message of the platform's endpoint discovery: the complete list if full is set,
-// else changes. The entries are made by Member.
-func Members(version int, full bool, entries ...string) string {
-	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(entries, ","))
+// Listed returns an endpoint as discovery lists it, long after its start.
+func Listed(id, addr string, state platform.State) platform.Endpoint {
+	return platform.Endpoint{
+		ID:     id,
+		Addr:   addr,
+		Zone:   "z",
+		Kind:   "k",
+		Cell:   3,
+		State:  state,
+		Weight: platform.WriteOnly[float64]{Value: 1},
+	}
+}
+
+// CompleteList returns the complete endpoint list as discovery sends it.
+func CompleteList(version int64, endpoints ...platform.Endpoint) string {
+	return string(platform.NewEndpointList(version, true, endpoints...).Text())
 }
 
-// Member returns one entry of a message of the platform's endpoint discovery.
-func Member(id, addr, state string) string {
-	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"z","kind":"k","cell":3,"state":%q,"weight":1.0,"started_ms":0}`,
-		id, addr, state)
+// Changes returns changes of the endpoint list as discovery sends them.
+func Changes(version int64, endpoints ...platform.Endpoint) string {
+	return string(platform.NewEndpointList(version, false, endpoints...).Text())
 }
 
-// Script is an endpoint discovery that answers each call with its next step. After the last one it
-// doesn't respond any more. It must be called by one client at a time.
-type Script struct {
-	// Steps are the bodies of responses. What follows the body is marked at a step's end: "SILENT"
-	// leaves the response open, and "RESET" breaks the connection. A step of "MUTE" is no response.
-	Steps []string
+// ScriptedDiscovery is a fake discovery that answers each call with its next step. After the last
+// one it doesn't respond any more. It must be called by one client at a time.
+type ScriptedDiscovery struct {
+	Steps []Step
 	// Calls is sent the query of each call. A call waits until it is received or buffered.
 	Calls chan string
 }
 
-// The marks of a step.
+// Step is the response of a ScriptedDiscovery to one call.
+type Step struct {
+	body string
+	end  stepEnd
+}
+
+// stepEnd says what follows the body of a step.
+type stepEnd int
+
 const (
-	markOpen       = "SILENT"
-	markReset      = "RESET"
-	stepNoResponse = "MUTE"
+	endOfResponse stepEnd = iota
+	stayOpen
+	reset
+	neverBegin // there is no response at all
 )
 
-// ServeHTTP implements http.Handler.
-func (s *Script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.Calls <- r.URL.RawQuery
-	step := stepNoResponse
-	if len(s.Steps) > 0 {
-		step, s.Steps = s.Steps[0], s.Steps[1:]
+// Respond returns a step that is a complete response.
+func Respond(body string) Step { return Step{body, endOfResponse} }
+
+// StayOpen returns a step that leaves the response open after its body, as a watch is.
+func StayOpen(body string) Step { return Step{body, stayOpen} }
+
+// ResetAfter returns a step that breaks the connection after its body.
+func ResetAfter(body string) Step { return Step{body, reset} }
+
+// NoResponse returns a step that doesn't respond.
+func NoResponse() Step { return Step{end: neverBegin} }
+
+// nextStep returns the step that answers the next call.
+func (d *ScriptedDiscovery) nextStep() Step {
+	if len(d.Steps) == 0 {
+		return NoResponse()
 	}
-	if step == stepNoResponse {
+	step := d.Steps[0]
+	d.Steps = d.Steps[1:]
+	return step
+}
+
+// ServeHTTP implements http.Handler.
+func (d *ScriptedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	d.Calls <- r.URL.RawQuery
+	step := d.nextStep()
+	if step.end == neverBegin {
 		<-r.Context().Done()
 		return
 	}
-	body, staysOpen := strings.CutSuffix(step, markOpen)
-	body, resets := strings.CutSuffix(body, markReset)
-	io.WriteString(w, body)
+	io.WriteString(w, step.body)
 	w.(http.Flusher).Flush()
-	switch {
-	case staysOpen:
+	switch step.end {
+	case stayOpen:
 		<-r.Context().Done()
-	case resets:
+	case reset:
 		panic(http.ErrAbortHandler)
 	}
 }
--- /dev/null
+++ b/internal/testpeer/fakediscovery_test.go
@@ -0,0 +1,119 @@
+package testpeer
+
+import (
+	"bufio"
+	"net/http"
+	"testing"
+
+	"rowancart/internal/platform"
+)
+
+func startDiscovery(t *testing.T) *FakeDiscovery {
+	t.Helper()
+	d, err := StartDiscovery(DiscoveryOptions{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(d.Close)
+	return d
+}
+
+// call calls discovery and returns the lines of its response.
+func call(t *testing.T, addr, query string) *bufio.Reader {
+	t.Helper()
+	resp, err := http.Get("http://" + addr + platform.EndpointListPath + "?" + query)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { resp.Body.Close() })
+	return bufio.NewReader(resp.Body)
+}
+
+func expectLine(t *testing.T, lines *bufio.Reader, want string) {
+	t.Helper()
+	if line, err := lines.ReadString('\n'); err != nil || line != want+"\n" {
+		t.Fatalf("line %q, %v, want %q", line, err, want)
+	}
+}
+
+func TestFakeDiscoveryListsAndWatches(t *testing.T) {
+	d := startDiscovery(t)
+	expectLine(t, call(t, d.Addr(), ""), CompleteList(0))
+	a := Listed("a", "127.0.0.1:1", platform.StateReady)
+	b := Listed("b", "127.0.0.1:2", platform.StateReady)
+	d.Publish(a)
+	d.Publish(b)
+	expectLine(t, call(t, d.Addr(), ""), CompleteList(2, a, b))
+	watch := call(t, d.Addr(), platform.WatchQuery(1))
+	expectLine(t, watch, Changes(2, b))
+	a.State = platform.StateDraining
+	d.Publish(a)
+	expectLine(t, watch, Changes(3, a))
+	expectLine(t, call(t, d.Addr(), ""), CompleteList(3, b, a))
+}
+
+func TestFakeDiscoveryBeginsWatchesWithAnEmptyLine(t *testing.T) {
+	d, err := StartDiscovery(DiscoveryOptions{EmptyLineFirst: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(d.Close)
+	watch := call(t, d.Addr(), platform.WatchQuery(0))
+	expectLine(t, watch, "")
+	a := Listed("a", "127.0.0.1:1", platform.StateReady)
+	d.Publish(a)
+	expectLine(t, watch, Changes(1, a))
+}
+
+func TestFakeDiscoveryBreaksWatches(t *testing.T) {
+	d := startDiscovery(t)
+	d.Publish(Listed("a", "127.0.0.1:1", platform.StateReady))
+	watch := call(t, d.Addr(), platform.WatchQuery(0))
+	if _, err := watch.ReadString('\n'); err != nil {
+		t.Fatal(err)
+	}
+	d.BreakWatches()
+	if line, err := watch.ReadString('\n'); err == nil {
+		t.Errorf("a broken watch delivers %q", line)
+	}
+}
+
+// A silent watch delivers neither changes nor empty lines; a new one delivers what it has missed.
+func TestFakeDiscoverySilencesWatches(t *testing.T) {
+	d := startDiscovery(t)
+	a := Listed("a", "127.0.0.1:1", platform.StateReady)
+	d.Publish(a)
+	silent := call(t, d.Addr(), platform.WatchQuery(0))
+	expectLine(t, silent, Changes(1, a))
+	d.SilenceWatches()
+	a.State = platform.StateDraining
+	d.Publish(a)
+	expectLine(t, call(t, d.Addr(), platform.WatchQuery(1)), Changes(2, a))
+	if silent.Buffered() > 0 {
+		t.Error("a silent watch delivers a change")
+	}
+	d.Close()
+	if line, err := silent.ReadString('\n'); err == nil {
+		t.Errorf("a silent watch delivers %q", line)
+	}
+}
+
+func TestFakeDiscoveryMoves(t *testing.T) {
+	d := startDiscovery(t)
+	old := d.Addr()
+	watch := call(t, old, platform.WatchQuery(0))
+	if err := d.Move(); err != nil {
+		t.Fatal(err)
+	}
+	if d.Addr() == old {
+		t.Fatal("the address has not changed")
+	}
+	a := Listed("a", "127.0.0.1:1", platform.StateReady)
+	d.Publish(a)
+	expectLine(t, watch, Changes(1, a)) // an open watch goes on for a while
+	expectLine(t, call(t, d.Addr(), ""), CompleteList(1, a))
+	if resp, err := http.Get("http://" + old + platform.EndpointListPath); err == nil {
+		resp.Body.Close()
+		t.Error("the old address accepts connections")
+	}
+}
