--- a/balancer/api.go
+++ b/balancer/api.go
@@ -41,9 +41,9 @@
 	Cancel(id string, n int)
 	// Reject answers a request for good and tells the client that a retry is harmless, best not before
 	// retryAfter has passed (0: no advice).
-	Reject(id string, why Reason, retryAfter time.Duration)
+	Reject(id string, reason Reason, retryAfter time.Duration)
 	// Fail answers a request for good and promises nothing about its effect.
-	Fail(id string, why Reason)
+	Fail(id string, reason Reason)
 	// Subscribe asks discovery for all changes from now on; an EndpointList answers.
 	Subscribe()
 	// Timer asks for a Timer event at the given instant or soon after. Timers are not withdrawn.
@@ -176,6 +176,9 @@
 	NotSent              // the Send was not carried out
 )
 
+// mayHaveRun reports whether an attempt with this result leaves it open that the request has run.
+func (r Result) mayHaveRun() bool { return r != Rejected && r != ConnectFailed && r != NotSent }
+
 // Outcome is the end of an attempt.
 type Outcome struct {
 	ID       string // of the request
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -3,11 +3,13 @@
 // The endpoint list: how service discovery and the operators change it, and what follows.
 
 import (
-	"cmp"
 	"slices"
 	"time"
 )
 
+// minSubscribeBackoff is the least wait before Host.Subscribe is called again after a failure.
+const minSubscribeBackoff = 500 * time.Millisecond
+
 // EndpointList implements Events. Nothing new goes to an endpoint from the event on that says it
 // drains.
 func (b *Balancer) EndpointList(now time.Duration, l EndpointList) {
@@ -15,7 +17,8 @@
 		b.scheduleSubscribe(now)
 		return
 	}
-	b.subscribeBackoff, b.subscribeAt, b.unlistedCount = 0, 0, l.Unlisted
+	b.subscription = subscription{}
+	b.unlistedCount = l.Unlisted
 	b.applyEndpointList(now, l)
 }
 
@@ -25,29 +28,43 @@
 	if !b.settings.SubscribeRequired {
 		return
 	}
-	longest := max(b.settings.PollInterval/2, backoffMin)
-	b.subscribeBackoff = min(max(2*b.subscribeBackoff, backoffMin), longest)
-	b.subscribeAt = now + b.jitter(b.subscribeBackoff)
-	b.scheduleWakeUp(b.subscribeAt)
+	b.subscription.backOff(b.settings.PollInterval / 2)
+	b.subscription.dueAt = now + b.jitter(b.subscription.backoff)
+	b.scheduleWakeUp(b.subscription.dueAt)
+}
+
+// subscription is when discovery has to be asked for changes again.
+type subscription struct {
+	dueAt   time.Duration // next Host.Subscribe; 0: none is due
+	backoff time.Duration // wait before it
+}
+
+// backOff doubles the backoff, up to a longest one.
+func (s *subscription) backOff(longest time.Duration) {
+	longest = max(longest, minSubscribeBackoff)
+	s.backoff = min(max(2*s.backoff, minSubscribeBackoff), longest)
 }
 
+// isDue reports whether Host.Subscribe is to be called by now.
+func (s subscription) isDue(now time.Duration) bool { return s.dueAt > 0 && now >= s.dueAt }
+
 // applyEndpointList merges a list and adapts the subset, the slow start of what has started, and
 // the concurrency limit.
 func (b *Balancer) applyEndpointList(now time.Duration, l EndpointList) {
-	first := b.listedCount == 0
+	isFirst := b.listedCount == 0
 	touched, started := b.mergeEndpointList(l)
 	b.updateSubset(touched) // before the trials are timed: with an empty subset all would be due
-	for _, e := range started {
-		b.introduceEndpoint(now, e, first)
+	introduce := b.introduceEndpoint
+	if isFirst {
+		introduce = b.introduceFirstEndpoint
 	}
-	if first {
-		b.concurrencyLimit = b.concurrencyLimitFor(b.listedCount + b.unlistedCount)
+	for _, e := range started {
+		introduce(now, e)
 	}
-	if b.readyCount > 0 { // the endpoints that take new work must not get the part of those that do not
-		before := cmp.Or(b.limitReadyCount, b.readyCount)
-		b.concurrencyLimit *= b.concurrencyLimitFor(b.readyCount) / b.concurrencyLimitFor(before)
-		b.limitReadyCount = b.readyCount
+	if isFirst {
+		b.limiter.limit = b.concurrencyLimitFor(b.fleetCount())
 	}
+	b.scaleConcurrencyLimit()
 	b.dispatchQueue(now)
 }
 
@@ -66,9 +83,10 @@
 	}
 	delete(b.disabled, id)
 	if e := b.byID[id]; e != nil {
-		e.enabledAt = now
-		b.introduceEndpoint(now, e, false)
-		e.nextTrialAt, e.nextSendAt = now, now
+		e.slowStart.enabledAt = now
+		b.introduceEndpoint(now, e)
+		e.trial.nextAt = now
+		e.slowStart.nextSendAt = now
 	}
 	b.reapplyListedState(now, id)
 }
@@ -78,7 +96,7 @@
 func (b *Balancer) reapplyListedState(now time.Duration, id string) {
 	if e := b.byID[id]; e != nil {
 		entry := e.Endpoint
-		entry.State = e.listedState
+		entry.State = e.listing.state
 		b.applyEndpointList(now, EndpointList{Entries: []Endpoint{entry}})
 	}
 }
@@ -87,6 +105,6 @@
 // them.
 func (b *Balancer) allDisabled() bool {
 	return b.readyCount == 0 && slices.ContainsFunc(b.endpoints, func(e *endpoint) bool {
-		return e.State != Removed && e.listedState == Ready
+		return e.State != Removed && e.listing.state == Ready
 	})
 }
