--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -13,9 +13,7 @@
 	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"sync"
 	"syscall"
-	"time"
 
 	"rowancart/internal/asynclog"
 	"rowancart/internal/sidecar"
@@ -34,8 +32,8 @@
 
 // run serves until SIGTERM or SIGINT has come and every accepted request has been answered.
 func run() error {
-	// SIGHUP is handled first of all, and until the process exits: by default it would end the
-	// process. So would SIGPIPE, at a log line that nobody reads any more.
+	// SIGHUP is handled first of all, and until the process exits: by default it terminates the
+	// process. So does SIGPIPE, at a write to the log after its reader has closed it.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
@@ -55,42 +53,7 @@
 	if err != nil {
 		return err
 	}
-	reloadCtx, stopReloads := context.WithCancel(context.Background())
-	var reloader sync.WaitGroup
-	reloader.Go(func() { reloadOnSignal(reloadCtx, hup, s, log) })
-	defer reloader.Wait()
-	defer stopReloads()
+	stopReloader := startReloader(s, log, hup)
+	defer stopReloader()
 	return s.Serve(ctx)
 }
-
-// reloadRetryInterval is the time between two attempts to load a configuration after a signal.
-const reloadRetryInterval = 100 * time.Millisecond
-
-// reloadOnSignal loads the configuration again at each signal until ctx ends. A configuration that
-// can't be loaded changes nothing, and is tried again until it can: the file may be replaced just
-// then, or a read may fail for a moment, and no other signal comes.
-func reloadOnSignal(ctx context.Context, hup <-chan os.Signal, s *sidecar.Sidecar, log *slog.Logger) {
-	var retry <-chan time.Time // nil: nothing is to be tried again
-	for {
-		isRetry := false
-		select {
-		case <-ctx.Done():
-			return
-		case <-hup:
-		case <-retry:
-			isRetry = true
-		}
-		c, err := sidecar.LoadConfig(os.Getenv)
-		if err == nil {
-			retry = nil
-			s.Reload(c)
-			log.Info("reloaded", "discovery", c.Discovery)
-			continue
-		}
-		if !isRetry { // one signal is one failure
-			log.Error("reload failed, keeping the current configuration", "err", err, "retry_every", reloadRetryInterval)
-			s.RecordFailedReload()
-		}
-		retry = time.After(reloadRetryInterval)
-	}
-}
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -20,8 +20,8 @@
 
 const testTimeout = 20 * time.Second // no test should come near it
 
-// startDiscovery starts a discovery agent that lists no endpoints and never has news. It returns
-// its address and reports each call.
+// startDiscovery starts a fake discovery that lists no endpoints and never sends a change. It
+// returns its address and reports each call.
 func startDiscovery(t *testing.T) (addr string, called <-chan string) {
 	t.Helper()
 	calls := make(chan string, 100)
@@ -48,7 +48,7 @@
 	}
 }
 
-// waitForCall waits until a discovery agent has been called.
+// waitForCall waits until a fake discovery has been called.
 func waitForCall(t *testing.T, what string, called <-chan string) {
 	t.Helper()
 	select {
@@ -58,8 +58,8 @@
 	}
 }
 
-// startProgram starts the program in this process, with the configuration at a path. Its result is
-// sent once it ends.
+// startProgram starts the program in this process, with the configuration at a path. The channel
+// gets its result.
 func startProgram(t *testing.T, config string) <-chan error {
 	t.Helper()
 	t.Setenv("ROUTER_CONFIG", config)
@@ -97,23 +97,25 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, first)
 	ended := startProgram(t, path)
-	waitForCall(t, "the first agent", firstCalled)
+	waitForCall(t, "the first discovery", firstCalled)
 
-	if err := os.WriteFile(path, []byte("{half of a"), 0o600); err != nil { // must not end it either
+	if err := os.WriteFile(path, []byte("{half of a"), 0o600); err != nil { // must not end the program either
 		t.Fatal(err)
 	}
 	signalSelf(t, syscall.SIGHUP)
 	writeConfig(t, path, second)
 	signalSelf(t, syscall.SIGHUP)
-	waitForCall(t, "the second agent", secondCalled)
+	waitForCall(t, "the second discovery", secondCalled)
 
 	signalSelf(t, syscall.SIGTERM)
 	requireCleanEnd(t, ended)
 }
 
-// SIGHUP may come at any time up to the very end: a sidecar that ends on it has crashed.
+// SIGHUP may come at any time until the process exits, and must not terminate it.
 func TestSIGHUPAfterShutdownIsHandled(t *testing.T) {
-	procs, gcPercent, memoryLimit := runtime.GOMAXPROCS(0), debug.SetGCPercent(100), debug.SetMemoryLimit(-1)
+	procs := runtime.GOMAXPROCS(0)
+	gcPercent := debug.SetGCPercent(100)
+	memoryLimit := debug.SetMemoryLimit(-1)
 	t.Cleanup(func() {
 		runtime.GOMAXPROCS(procs)
 		debug.SetGCPercent(gcPercent)
@@ -134,8 +136,9 @@
 	<-signalled
 }
 
-// The platform's program stays lean: whatever the rest of the repository uses, it links only this.
-func TestLinksNothingHeavy(t *testing.T) {
+// The platform's program stays small: whatever the rest of the repository imports, it links only
+// these packages.
+func TestLinksAllowedPackagesOnly(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", ".").Output()
 	if err != nil {
 		t.Fatal(err)
@@ -156,15 +159,15 @@
 	}
 }
 
-// The file can't be read in the moment of the signal. No other signal comes: it is read once that
+// The file can't be read at the moment of the signal. No other signal follows: it is read once that
 // is possible.
-func TestReloadIsTriedAgain(t *testing.T) {
+func TestReloadIsRetried(t *testing.T) {
 	first, firstCalled := startDiscovery(t)
 	second, secondCalled := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, first)
 	ended := startProgram(t, path)
-	waitForCall(t, "the first agent", firstCalled)
+	waitForCall(t, "the first discovery", firstCalled)
 
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
@@ -172,7 +175,7 @@
 	signalSelf(t, syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond) // that the signal is handled first is likely; the test holds either way
 	writeConfig(t, path, second)
-	waitForCall(t, "the second agent", secondCalled)
+	waitForCall(t, "the second discovery", secondCalled)
 	signalSelf(t, syscall.SIGTERM)
 	requireCleanEnd(t, ended)
 }
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -41,7 +41,7 @@
 	return c
 }
 
-// freeAddr returns an address on loopback at which nobody listens.
+// freeAddr returns an address on loopback at which no process listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,7 +52,7 @@
 	return l.Addr().String()
 }
 
-// waitUntilHealthy waits until a sidecar answers its health check.
+// waitUntilHealthy waits until a sidecar passes its health check.
 func waitUntilHealthy(t *testing.T, addr string) {
 	t.Helper()
 	client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -66,31 +66,31 @@
 	})
 }
 
-// Whoever reads the log has gone: the sidecar goes on without it.
-func TestBrokenLogPipeDoesNotEndTheProcess(t *testing.T) {
-	agent, _ := startDiscovery(t)
+// The reader of the log closes the pipe: the sidecar goes on without its log.
+func TestClosedLogPipeDoesNotTerminateTheProcess(t *testing.T) {
+	discovery, _ := startDiscovery(t)
 	addr := freeAddr(t)
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := startBuilt(t, fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1",
-		"known":{"version":1,"full":true,"servers":[]},"settings":{}}`, addr, agent), writer)
+		"known":{"version":1,"full":true,"servers":[]},"settings":{}}`, addr, discovery), writer)
 	writer.Close()
 	waitUntilHealthy(t, addr)
 	reader.Close()
-	for range 3 { // each is a line of the log
+	for range 3 { // each signal writes a line to the log
 		if err := c.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(50 * time.Millisecond) // signals that come at once are one
+		time.Sleep(50 * time.Millisecond) // signals that are pending together are delivered once
 	}
 	waitUntilHealthy(t, addr)
 }
 
-// Whoever reads the log has stopped reading, and its pipe is full: requests do not wait for it.
-func TestFullLogPipeHoldsNothingUp(t *testing.T) {
-	agent, _ := startDiscovery(t)
+// The reader of the log stops reading, and the pipe is full: requests do not wait for the log.
+func TestFullLogPipeBlocksNoRequest(t *testing.T) {
+	discovery, _ := startDiscovery(t)
 	addr := freeAddr(t)
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -106,28 +106,28 @@
 		t.Fatal(err)
 	}
 	startBuilt(t, fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1",
-		"known":{"version":1,"full":true,"servers":[]},"settings":{}}`, addr, agent), writer)
+		"known":{"version":1,"full":true,"servers":[]},"settings":{}}`, addr, discovery), writer)
 	waitUntilHealthy(t, addr)
 }
 
-// The process is held up for 0.15 s when the last responses before SIGKILL are due: they have been
-// written before.
-func TestLastResponsesAllowForAHoldUp(t *testing.T) {
+// The process is suspended for the last 0.15 s before SIGKILL: the last responses have been written
+// before.
+func TestLastResponsesPrecedeASuspension(t *testing.T) {
 	const (
 		deadline  = time.Second // of the settings
 		killDelay = deadline + 700*time.Millisecond
-		holdUp    = 150 * time.Millisecond
+		suspended = 150 * time.Millisecond
 	)
 	hanging, err := net.Listen("tcp", "127.0.0.1:0") // accepts in the kernel, and never responds
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer hanging.Close()
-	agent := startListingDiscovery(t, []string{hanging.Addr().String()})
+	discovery := startListingDiscovery(t, []string{hanging.Addr().String()})
 	addr := freeAddr(t)
 	c := startBuilt(t, fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1","known":%s,
 		"settings":{"Lanes":[{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":900000,"HardLimitUs":1000000}]}}`,
-		addr, agent, testpeer.Members(1, true, testpeer.Member("a", hanging.Addr().String(), "Ready"))), io.Discard)
+		addr, discovery, testpeer.Members(1, true, testpeer.Member("a", hanging.Addr().String(), "Ready"))), io.Discard)
 	waitUntilHealthy(t, addr)
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -139,8 +139,8 @@
 	}
 	defer conn.Close()
 	fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Deadline-Ms: 60000\r\nContent-Length: 0\r\n\r\n")
-	time.Sleep(time.Until(killAt.Add(-holdUp * 4 / 5)))
-	c.Process.Signal(syscall.SIGSTOP) // held up until SIGKILL comes
+	time.Sleep(time.Until(killAt.Add(-suspended * 4 / 5)))
+	c.Process.Signal(syscall.SIGSTOP) // suspended until SIGKILL
 	time.Sleep(time.Until(killAt))
 	c.Process.Kill()
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -22,9 +22,11 @@
 // testPlatform starts processes of one sidecar as the platform does: it holds the listening socket,
 // and all of them share one directory.
 type testPlatform struct {
-	program, sharedDir, discovery string
-	listener                      *os.File
-	addr                          string
+	program   string // path
+	sharedDir string
+	discovery string // address
+	listener  *os.File
+	addr      string // of listener
 }
 
 // newTestPlatform builds the program and lists the endpoints given, named a, b, ...
@@ -49,7 +51,7 @@
 	return p
 }
 
-// startListingDiscovery starts a discovery agent that lists endpoints and never has news. It
+// startListingDiscovery starts a fake discovery that lists endpoints and never sends a change. It
 // returns its address.
 func startListingDiscovery(t *testing.T, endpoints []string) string {
 	t.Helper()
@@ -62,15 +64,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	agent := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discovery := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, testpeer.Members(1, true, entries...))
 		w.(http.Flusher).Flush()
 		if r.URL.RawQuery != "" { // a watch
 			<-r.Context().Done()
 		}
 	})}
-	go agent.Serve(l)
-	t.Cleanup(func() { agent.Close() })
+	go discovery.Serve(l)
+	t.Cleanup(func() { discovery.Close() })
 	return l.Addr().String()
 }
 
@@ -145,7 +147,7 @@
 func (s *sidecarProcess) readLog(stderr io.Reader, adminAddr chan<- string) {
 	for lines := bufio.NewScanner(stderr); lines.Scan(); {
 		s.log.appendLine(lines.Text())
-		if _, addr, ok := strings.Cut(lines.Text(), "msg=console name=t addr="); ok {
+		if _, addr, ok := strings.Cut(lines.Text(), `msg="admin interface listening" name=t addr=`); ok {
 			adminAddr <- addr
 		}
 	}
@@ -253,11 +255,11 @@
 func (c *testClients) waitForMore(t *testing.T, n int32) {
 	t.Helper()
 	before := c.served.Load()
-	testpeer.Until(t, "more is served", func() bool { return c.served.Load() > before+n })
+	testpeer.Until(t, "more requests are served", func() bool { return c.served.Load() > before+n })
 }
 
-// run is one client. A request whose connection had been used before and is closed without a
-// response is sent again, on a new connection: any other that is not answered is lost.
+// run is one client. A request on a reused connection that is closed without a response is retried
+// on a new one. Any other request that is not answered is lost, and fails the test.
 func (c *testClients) run(t *testing.T, name string) {
 	client := keepAliveClient{addr: c.platform.addr}
 	defer client.close()
@@ -284,18 +286,18 @@
 	}
 }
 
-// keepAliveClient keeps one connection.
+// keepAliveClient reuses one connection.
 type keepAliveClient struct {
 	addr string
 	conn net.Conn // nil: there is none
 	in   *bufio.Reader
 }
 
-// get sends a request and returns its response, whose body must be read before the next one.
+// get sends a request and returns its response, whose body must be read before the next request.
 func (c *keepAliveClient) get(id string) (*http.Response, error) {
 	for {
-		used := c.conn != nil
-		if !used {
+		reused := c.conn != nil
+		if !reused {
 			var err error
 			if c.conn, err = net.Dial("tcp", c.addr); err != nil {
 				c.conn = nil
@@ -303,14 +305,14 @@
 			}
 			c.in = bufio.NewReader(c.conn)
 		}
-		c.conn.SetDeadline(time.Now().Add(testTimeout)) // a request that is never answered is lost, too
+		c.conn.SetDeadline(time.Now().Add(testTimeout)) // a request that is not answered by then is lost, too
 		fmt.Fprintf(c.conn, "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: 10000\r\n\r\n", id)
 		resp, err := http.ReadResponse(c.in, nil)
 		if err == nil {
 			return resp, nil
 		}
 		c.close()
-		if !used || errors.Is(err, os.ErrDeadlineExceeded) {
+		if !reused || errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
 	}
--- a/internal/platform/configfile.go
+++ b/internal/platform/configfile.go
@@ -1,5 +1,7 @@
 package platform
 
+import "encoding/json"
+
 // ConfigFile is the JSON form of a sidecar's configuration file, for those that write one.
 type ConfigFile struct {
 	Name      string         `json:"name"`
@@ -18,3 +20,24 @@
 	MemoryMB int     `json:"memory_mb,omitempty"`
 	Sockets  int     `json:"sockets,omitempty"`
 }
+
+// RawConfigFile is a ConfigFile as a sidecar reads it. Its endpoint list and its settings are
+// parsed by ParseEndpointList and ParseSettings, so that an error can name the field that it is in.
+type RawConfigFile struct {
+	ConfigFile
+	Known    json.RawMessage `json:"known"`
+	Settings json.RawMessage `json:"settings"`
+}
+
+// Names of the fields of a ConfigFile, for errors.
+const (
+	ListenField         = "listen"
+	DiscoveryField      = "discovery"
+	AdminAddrField      = "console"
+	SeedField           = "seed"
+	KnownField          = "known"
+	ConfigSettingsField = "settings"
+	CoresField          = "limits.cores"
+	MemoryMBField       = "limits.memory_mb"
+	SocketsField        = "limits.sockets"
+)
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -1,12 +1,15 @@
 package sidecar
 
 import (
+	"errors"
 	"maps"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -16,6 +19,12 @@
 
 func noEnv(string) string { return "" }
 
+// isFieldError reports whether an error is a *platform.FieldError for a field, and begins with it.
+func isFieldError(err error, field string) bool {
+	var fieldErr *platform.FieldError
+	return errors.As(err, &fieldErr) && fieldErr.Field == field && strings.HasPrefix(err.Error(), field+": ")
+}
+
 func TestParseConfig(t *testing.T) {
 	c, err := parseConfig([]byte(goodConfig), noEnv)
 	if err != nil {
@@ -28,7 +37,7 @@
 	}
 }
 
-func TestLoadConfigTakesMissingFieldsFromEnvironment(t *testing.T) {
+func TestLoadConfigReadsMissingFieldsFromEnvironment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"seed":"1","settings":{},"listen":"127.0.0.1:1"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -48,9 +57,9 @@
 		t.Errorf("%+v", c)
 	}
 	for variable, want := range map[string]string{"ROUTER_CONFIG": "ROUTER_CONFIG", "ROUTER_DISCOVERY": "discovery"} {
-		less := maps.Clone(env)
-		delete(less, variable)
-		if _, err := LoadConfig(getenvFrom(less)); err == nil || !strings.HasPrefix(err.Error(), want) {
+		incomplete := maps.Clone(env)
+		delete(incomplete, variable)
+		if _, err := LoadConfig(getenvFrom(incomplete)); !isFieldError(err, want) {
 			t.Errorf("without %s: %v", variable, err)
 		}
 	}
@@ -63,10 +72,10 @@
 	}
 }
 
-func TestAdminAddressMustNotBeTheClients(t *testing.T) {
+func TestAdminAddressMustDifferFromListenAddress(t *testing.T) {
 	const addr = "127.0.0.1:7000"
 	text := strings.NewReplacer("127.0.0.1:0", addr, "127.0.0.1:9100", addr).Replace(goodConfig)
-	if _, err := parseConfig([]byte(text), noEnv); err == nil || !strings.HasPrefix(err.Error(), "console: ") {
+	if _, err := parseConfig([]byte(text), noEnv); !isFieldError(err, "console") {
 		t.Errorf("%v", err)
 	}
 }
@@ -89,7 +98,7 @@
 			t.Fatalf("%s: nothing replaced", field)
 		}
 		_, err := parseConfig([]byte(text), noEnv)
-		if err == nil || !strings.HasPrefix(err.Error(), field+":") || strings.Contains(err.Error(), "\n") {
+		if !isFieldError(err, field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -6,10 +6,11 @@
 
 	"rowancart/internal/admin"
 	"rowancart/internal/httpserver"
+	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 )
 
-// Limits that hold where the configuration gives none, and the least that a sidecar can work with.
+// The defaults of limits that the configuration lacks, and the least that a sidecar can work with.
 const (
 	defaultCores    = 1
 	defaultMemoryMB = 192
@@ -23,7 +24,7 @@
 	// heapLimitFraction is the part of the memory limit that the heap may take before the garbage
 	// collector works harder.
 	heapLimitFraction = 0.7
-	// bodyMemoryDivisor is the part of the memory limit, one in so many, that buffers long bodies.
+	// bodyMemoryDivisor: one in so many bytes of the memory limit buffers long bodies.
 	bodyMemoryDivisor = 8
 	// reservedDescriptors are those of the socket limit that serve neither clients nor endpoints,
 	// except for spareClientConns.
@@ -31,7 +32,7 @@
 	// spareClientConns is how many of the reserved descriptors accept clients before an idle
 	// connection is closed in their place.
 	spareClientConns = 16
-	// connSides is how many sides share the remaining descriptors: clients and endpoints.
+	// connSides is how many sides divide the remaining descriptors: clients and endpoints.
 	connSides = 2
 	// minConns is the least number of connections on either side, whatever the limits.
 	minConns = 8
@@ -43,34 +44,34 @@
 // otherwise.
 const _ uint = reservedDescriptors - spareClientConns - admin.MaxDescriptors
 
-// How many processes of one sidecar share its limits.
+// Numbers of processes of one sidecar that share its limits.
 const (
 	processesAlone          = 1
 	processesDuringHandover = 2
 )
 
-// Limits is what the platform grants a sidecar. All processes of the sidecar share it.
+// Limits are the resource limits of a sidecar. All its processes share them.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Cores    float64
+	MemoryMB int
+	Sockets  int
 }
 
-// validate returns an error that names the first limit that no sidecar can work with. Zero means
-// that a limit is absent.
+// validate returns a *platform.FieldError for the first limit that no sidecar can work with. Zero
+// stands for a missing limit.
 func (l Limits) validate() error {
 	switch {
 	case l.Cores < 0:
-		return fmt.Errorf("limits.cores: %v is not a number of cores", l.Cores)
+		return &platform.FieldError{Field: platform.CoresField, Err: fmt.Errorf("%v is not a number of cores", l.Cores)}
 	case l.MemoryMB != 0 && l.MemoryMB < minMemoryMB:
-		return fmt.Errorf("limits.memory_mb: %d is under %d", l.MemoryMB, minMemoryMB)
+		return &platform.FieldError{Field: platform.MemoryMBField, Err: fmt.Errorf("%d is under %d", l.MemoryMB, minMemoryMB)}
 	case l.Sockets != 0 && l.Sockets < minSockets:
-		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, minSockets)
+		return &platform.FieldError{Field: platform.SocketsField, Err: fmt.Errorf("%d is under %d", l.Sockets, minSockets)}
 	}
 	return nil
 }
 
-// withDefaults returns the limits with those that are absent filled in.
+// withDefaults returns the limits with the defaults of those that are missing.
 func (l Limits) withDefaults() Limits {
 	if l.Cores == 0 {
 		l.Cores = defaultCores
@@ -84,7 +85,7 @@
 	return l
 }
 
-// maxConns returns how many connections one of so many processes may have on either side.
+// maxConns returns how many connections one of so many processes may have on each side.
 func (l Limits) maxConns(processes int) int {
 	return max((l.Sockets-reservedDescriptors)/connSides/processes, minConns)
 }
--- a/internal/sidecar/operations_test.go
+++ b/internal/sidecar/operations_test.go
@@ -240,7 +240,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Start(c, slog.New(slog.DiscardHandler)); err == nil || !strings.HasPrefix(err.Error(), "console: ") {
+	if _, err := Start(c, slog.New(slog.DiscardHandler)); !isFieldError(err, "console") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/sidecar/readiness.go
+++ b/internal/sidecar/readiness.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// firstListTimeout is how long a start waits for discovery's first endpoint list. After that the
-// list in the configuration has to do.
+// firstListTimeout is how long a start waits for discovery's first endpoint list. After that it
+// uses the list of the configuration.
 const firstListTimeout = 2 * time.Second
 
-// Why a sidecar is not ready. The admin interface returns these texts.
+// Reasons why a sidecar is not ready. The texts are on the wire of the admin interface.
 var (
 	errNoList       = errors.New("discovery has not told its list yet")
 	errNotAccepting = errors.New("connections are not taken yet")
 )
 
-// readiness knows whether requests can be served: the endpoint list has been received, or has been
-// waited for long enough, and connections are accepted.
+// readiness is whether requests can be served: the endpoint list has been received or its deadline
+// is over, and connections are accepted.
 type readiness struct {
 	listReceived chan struct{} // closed once the list has been received
 	closeOnce    sync.Once
-	listDeadline time.Time // after which the list is no longer waited for
+	listDeadline time.Time // after which no list is waited for
 	accepting    atomic.Bool
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// check returns nil once requests can be served, and otherwise what is still missing.
+// check returns nil once requests can be served, and until then the reason why they can't.
 func (r *readiness) check() error {
 	switch {
 	case !r.listSettled():
--- a/internal/sidecar/router.go
+++ b/internal/sidecar/router.go
@@ -15,17 +15,17 @@
 // requestRouter finds a request's class in the first segment of its path. One pool serves all
 // classes that the settings list. It implements httpserver.Router.
 type requestRouter struct {
-	pool          *proxy.Pool
-	repeatability map[string]balancer.Idempotency // by class
-	counters      *metrics.Counters
+	pool        *proxy.Pool
+	idempotency map[string]balancer.Idempotency // by class
+	counters    *metrics.Counters
 }
 
 // newRequestRouter returns a router for the classes given.
 func newRequestRouter(pool *proxy.Pool, classes []balancer.Class) *requestRouter {
-	r := &requestRouter{pool: pool, repeatability: map[string]balancer.Idempotency{}}
+	r := &requestRouter{pool: pool, idempotency: map[string]balancer.Idempotency{}}
 	var names []string
 	for _, class := range classes {
-		r.repeatability[class.Name] = class.Idempotency
+		r.idempotency[class.Name] = class.Idempotency
 		names = append(names, class.Name)
 	}
 	r.counters = metrics.New(names)
@@ -35,14 +35,14 @@
 // Route implements httpserver.Router.
 func (r *requestRouter) Route(req *http.Request) (httpserver.Target, *httpserver.Rejection) {
 	class, err := route.FirstSegment(req.URL.EscapedPath())
-	if err != nil { // an endpoint might read another class than this process does
+	if err != nil { // an endpoint might parse a different class from this path
 		return httpserver.Target{}, &httpserver.Rejection{
 			Status:  http.StatusBadRequest,
 			Message: err.Error(),
 			Close:   true,
 		}
 	}
-	repeatability, listed := r.repeatability[class]
+	idempotency, listed := r.idempotency[class]
 	if !listed {
 		return httpserver.Target{}, &httpserver.Rejection{
 			Status:  http.StatusNotFound,
@@ -54,14 +54,14 @@
 	return httpserver.Target{
 		Pool:        r.pool,
 		Class:       class,
-		Idempotency: repeatability,
+		Idempotency: idempotency,
 		Tenant:      req.Header.Get(platform.TenantHeader),
 		Done:        func(o httpserver.Outcome) { r.countOutcome(class, o) },
 	}, nil
 }
 
-// countOutcome counts a request whose response has been written. One that was not forwarded to the
-// pool is no request of the class, and a duplicate has been counted the first time.
+// countOutcome counts a request whose response has been written, unless it was not forwarded to the
+// pool, or is a duplicate, whose original has been counted.
 func (r *requestRouter) countOutcome(class string, outcome httpserver.Outcome) {
 	if !outcome.Forwarded || outcome.Result.Kind == proxy.Duplicate {
 		r.counters.RequestDropped()
@@ -70,7 +70,7 @@
 	r.counters.RequestFinished(class, outcomeOf(outcome.Result.Kind))
 }
 
-// outcomeOf returns what a result counts as.
+// outcomeOf returns the outcome that a result counts as.
 func outcomeOf(kind proxy.ResultKind) metrics.Outcome {
 	switch kind {
 	case proxy.Served:
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// acceptAfterSIGTERM is for how long connections are accepted after SIGTERM: clients learn of the
-	// shutdown with a delay.
+	// acceptAfterSIGTERM is for how long connections are accepted after SIGTERM: clients learn of
+	// the shutdown with a delay.
 	acceptAfterSIGTERM = 600 * time.Millisecond
 	// finalResponseMargin is how long before SIGKILL the last responses are due. The process may be
-	// held up for 0.15 s then.
+	// suspended for 0.15 s then.
 	finalResponseMargin = 250 * time.Millisecond
 	// finalCloseMargin is how long before SIGKILL the connections that are still open are closed.
 	finalCloseMargin = 50 * time.Millisecond
 	// recentUseWindow is the time since its latest request within which a connection is likely to
-	// bring another one at once.
+	// get another one soon.
 	recentUseWindow = 300 * time.Millisecond
 )
 
@@ -31,11 +31,11 @@
 	return min(cmp.Or(c.Settings.MaxDeadline, maxCountedDeadline), maxCountedDeadline) + minKillDelay
 }
 
-// drain shuts the clients' side down; served ends once the server has stopped. It must not lose
-// what the kernel has accepted: unless a successor accepts connections, they are accepted for a
-// while as before. Then responses carry Connection: close, and idle connections are closed. All of
-// it ends before SIGKILL can come: requests with later deadlines are given up, and connections that
-// bring no request by then are closed.
+// drain shuts the listener and the server down; served gets the server's result. No connection that
+// the kernel has accepted may be lost: unless this process is superseded, connections are accepted
+// for acceptAfterSIGTERM as before. Then responses carry Connection: close, and idle connections
+// are closed. All of it ends before SIGKILL can come: requests with later deadlines are rejected or
+// fail, and connections without a request are closed.
 func (s *Sidecar) drain(served <-chan error) error {
 	killAt := time.Now().Add(s.killDelay)
 	s.pool.SetFinalDeadline(s.pool.Now() + s.killDelay - finalResponseMargin)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -7,7 +7,6 @@
 package sidecar
 
 import (
-	"fmt"
 	"log/slog"
 	"net"
 	"time"
@@ -16,16 +15,18 @@
 	"rowancart/internal/discovery/watch"
 	"rowancart/internal/hotrestart"
 	"rowancart/internal/httpserver"
+	"rowancart/internal/logkey"
 	"rowancart/internal/metrics"
 	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 )
 
 const (
-	// responseQuarantine is for how long a connection to an endpoint rests after a response. A
-	// second response may come some milliseconds late, 6 at most so far, and so may a close.
+	// responseQuarantine is for how long a connection to an endpoint is not used after a response.
+	// A second response may follow some milliseconds later, 6 at most as seen so far, and so may a
+	// close.
 	responseQuarantine = 20 * time.Millisecond
-	// serverName names the sidecar in Proxy-Status headers. It is on the wire and keeps its form.
+	// serverName names the sidecar in Proxy-Status headers. It is on the wire and must not change.
 	serverName = "tuliprock"
 )
 
@@ -42,18 +43,19 @@
 	killDelay time.Duration // the platform sends SIGKILL no sooner after SIGTERM
 }
 
-// Start opens the listeners and connects the parts. Serve does the work.
+// Start opens the listeners and connects the parts. An error is a *platform.FieldError for the
+// field or variable that names what can't be opened. Serve does the work.
 func Start(c Config, log *slog.Logger) (*Sidecar, error) {
-	clients, operators, err := openListeners(c)
+	opened, err := openListeners(c)
 	if err != nil {
 		return nil, err
 	}
 	s := &Sidecar{readiness: newReadiness(), killDelay: killDelay(c)}
 	s.connectDiscovery(c, log)
 
-	log.Info("listening", "addr", clients.Addr().String())
+	log.Info("listening", logkey.Addr, opened.clients.Addr().String())
 	maxConns := c.Limits.maxConns(processesAlone)
-	s.listener = httpserver.NewWaitingListener(clients, maxConns, maxConns+spareClientConns)
+	s.listener = httpserver.NewWaitingListener(opened.clients, maxConns, maxConns+spareClientConns)
 	router := newRequestRouter(s.pool, c.Settings.Classes)
 	s.counters = router.counters
 	s.server = httpserver.New(router, serverName, c.Listen, log)
@@ -67,48 +69,53 @@
 		unstored:  map[string]bool{},
 	}
 	s.joinHandover(c, operations, log)
-	if operators != nil {
-		log.Info("console", "addr", operators.Addr().String())
-		s.admin = admin.New(operators, operations, log)
+	if opened.operators != nil {
+		log.Info("admin interface listening", logkey.Addr, opened.operators.Addr().String())
+		s.admin = admin.New(opened.operators, operations, log)
 	}
 	return s, nil
 }
 
-// openListeners opens the listener for clients, and that for operators where the configuration
-// names an address for them; otherwise it is nil.
-func openListeners(c Config) (clients, operators net.Listener, err error) {
-	clients, err = openClientListener(c)
+// listeners are the open listeners of a process.
+type listeners struct {
+	clients   net.Listener
+	operators net.Listener // nil: there is no admin interface
+}
+
+// openListeners opens the listeners of a configuration. An error is a *platform.FieldError.
+func openListeners(c Config) (listeners, error) {
+	clients, err := openClientListener(c)
 	if err != nil {
-		return nil, nil, err
+		return listeners{}, err
 	}
 	if c.AdminAddr == "" {
-		return clients, nil, nil
+		return listeners{clients: clients}, nil
 	}
-	operators, err = listenTCP(c.AdminAddr)
+	operators, err := listenTCP(c.AdminAddr)
 	if err != nil {
 		clients.Close()
-		return nil, nil, fmt.Errorf("console: %w", err)
+		return listeners{}, &platform.FieldError{Field: platform.AdminAddrField, Err: err}
 	}
-	return clients, operators, nil
+	return listeners{clients: clients, operators: operators}, nil
 }
 
-// openClientListener opens the listener for clients, or returns the one that the platform holds.
+// openClientListener opens the listener for clients, or returns that of the inherited socket.
 func openClientListener(c Config) (net.Listener, error) {
 	if c.AcceptFD != "" {
 		l, err := hotrestart.InheritedListener(c.AcceptFD)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", platform.EnvAcceptFD, err)
+			return nil, &platform.FieldError{Field: platform.EnvAcceptFD, Err: err}
 		}
 		return l, nil
 	}
 	l, err := listenTCP(c.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, &platform.FieldError{Field: platform.ListenField, Err: err}
 	}
 	return l, nil
 }
 
-// listenTCP opens a listener, for which it waits a moment where the address is still in use.
+// listenTCP opens a listener. It retries where the address is still in use.
 func listenTCP(addr string) (net.Listener, error) {
 	return retryTransient(func() (net.Listener, error) { return net.Listen("tcp", addr) })
 }
@@ -128,7 +135,7 @@
 		Log: log,
 	})
 	known := c.KnownEndpoints
-	known.Complete = true // the latest list that the platform had, and the first that the pool receives
+	known.Complete = true // a complete list: the latest that the platform had
 	s.pool = proxy.New(c.Settings.Settings, watch.PoolList(known), proxy.Options{
 		IdleTimeout: c.Settings.ConnIdle,
 		DialTimeout: c.Settings.DialTimeout,
--- a/internal/soak/sidecars_test.go
+++ b/internal/soak/sidecars_test.go
@@ -133,7 +133,7 @@
 		p.mu.Lock()
 		p.log.WriteString(lines.Text() + "\n")
 		p.mu.Unlock()
-		if _, text, ok := strings.Cut(lines.Text(), "msg=console "); ok {
+		if _, text, ok := strings.Cut(lines.Text(), `msg="admin interface listening" `); ok {
 			_, addr, _ := strings.Cut(text, "addr=")
 			adminAddr <- addr
 		}
