--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	priorSamples          = 3.0  // samples that its kind's weight counts as, beside an endpoint's own
+	priorSamples          = 3.0  // samples that its kind's weight counts as, besides an endpoint's own
 	inFlightCharge        = 1.0  // charge for each attempt in flight, in weights, on top of the deficit
 	tiersBelowWeightShare = 0.7  // share of the smallest weight that tiers below cause, not the endpoint
 	maxDeficitLag         = 2.0  // weights that an endpoint passed over for its load may fall behind
 	maxLatencyRatio       = 20.0 // largest latency ratio that one sample can show
-	riskyTrialBackoffs    = 2    // backoffs that unrepeatable requests avoid for longer what has failed
+	riskyTrialBackoffs    = 2    // backoffs for which a risky trial waits for an idempotent request
 )
 
 // weight returns the endpoint's weight: that of its kind, moved by the endpoint's own samples.
@@ -50,7 +50,7 @@
 // further send, and the request cannot take effect twice.
 func (b *Balancer) mayReceive(now time.Duration, req *request, e *endpoint) bool {
 	return e.State == Ready &&
-		(now >= e.nextSendAt || b.capacityShare(now, e) == 1) && b.mayRepeatAt(now, req, e)
+		(now >= e.nextSendAt || b.capacityShare(now, e) == 1) && b.mayAttemptAt(now, req, e)
 }
 
 // selectForDispatch returns the endpoint for the next attempt, nil if there is none with capacity.
@@ -167,12 +167,12 @@
 
 // mayBeTrial reports whether a request may be an endpoint's trial.
 func (b *Balancer) mayBeTrial(now time.Duration, req *request, e *endpoint) bool {
-	return !req.wasSentTo(e) && b.mayReceive(now, req, e) && !(req.isUnrepeatable() && e.isRiskyTrial(now))
+	return !req.wasSentTo(e) && b.mayReceive(now, req, e) && !(req.isLostByFailure() && e.isRiskyTrial(now))
 }
 
-// isUnrepeatable reports whether a request that fails at a trial is lost, since it may not be sent
-// again.
-func (r *request) isUnrepeatable() bool {
+// isLostByFailure reports whether a request whose attempt fails is lost, since it may not be sent
+// again once it may have run.
+func (r *request) isLostByFailure() bool {
 	return r.class.Idempotency != Idempotent || r.class.NeverRerun
 }
 
--- a/internal/experiment/testbed/testbed_test.go
+++ b/internal/experiment/testbed/testbed_test.go
@@ -22,7 +22,7 @@
 		goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// TestProgramsThatDoNotStart checks that a program that does not become healthy ends the play with
+// TestProgramsThatDoNotStart checks that a program that does not become healthy ends the run with
 // a message that says so, and is not left running.
 func TestProgramsThatDoNotStart(t *testing.T) {
 	for _, c := range []struct{ name, line, want string }{
@@ -75,7 +75,7 @@
 	stopAfterOneSecond := func(time.Duration) {
 		once.Do(func() { // a second's requests have been sent, about 80
 			p := <-program.proxy
-			testpeer.Until(t, "most of the first second's requests were answered",
+			testpeer.WaitUntil(t, "most of the first second's requests were answered",
 				func() bool { return p.responses.Load() >= 50 })
 			stop()
 		})
--- a/internal/experiment/virtual/policyhost.go
+++ b/internal/experiment/virtual/policyhost.go
@@ -46,7 +46,7 @@
 	a.serverIncarnation = n.incarnation
 	if !in.takeIdleConn(now, n) {
 		switch {
-		case n.unresponsive || n.acceptStalled:
+		case n.faults.Unresponsive || n.faults.AcceptStalled:
 			a.scheduleEnd(now+dialTimeout, balancer.ConnectFailed)
 			return
 		case !n.model.Connect():
@@ -57,7 +57,7 @@
 		delay *= 3 // a round trip for the connection comes first
 	}
 	a.holdsConn = true
-	if n.breakBeforeRate > 0 && n.rng.Float64() < n.breakBeforeRate {
+	if n.draws(n.faults.BreakBeforeRate) {
 		a.scheduleEnd(now+delay, balancer.ConnectFailed)
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // Log implements balancer.Host.
-func (p *policyHost) Log(line string) {
+func (p *policyHost) Log(e balancer.LogEvent) {
 	in := (*instance)(p)
-	in.sim.log(in.sim.now, in.name, line)
+	in.sim.log(in.sim.now, in.name, e.String())
 }
--- a/internal/sidecar/shareddir_test.go
+++ b/internal/sidecar/shareddir_test.go
@@ -52,7 +52,7 @@
 	second := testOptions{sharedDir: sharedDir, endpoints: endpoints}.start(t)
 	answered := make(chan int)
 	go func() { answered <- second.get(t, "/look", "early", 60000) }()
-	testpeer.Until(t, "the admin interface responds", func() bool { return second.adminCommand(t, "ready") != "" })
+	testpeer.WaitUntil(t, "the admin interface responds", func() bool { return second.adminCommand(t, "ready") != "" })
 	restore()
 	if status := <-answered; status != http.StatusOK {
 		t.Errorf("a request from before the directory works again gets status %d", status)
