--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -23,9 +23,11 @@
 // testPlatform starts processes of one sidecar as the platform does: it holds the listening socket,
 // and all of them share one directory.
 type testPlatform struct {
-	program, sharedDir, discovery string
-	listener                      *os.File
-	addr                          string
+	program   string // path
+	sharedDir string
+	discovery string // address
+	listener  *os.File
+	addr      string // of listener
 }
 
 // newTestPlatform builds the program and lists the endpoints given, named a, b, ...
@@ -50,8 +52,8 @@
 	return p
 }
 
-// startListingDiscovery starts a discovery agent that lists endpoints, named a, b, ..., and returns
-// its address.
+// startListingDiscovery starts a fake discovery that lists endpoints and never sends a change. It
+// returns its address.
 func startListingDiscovery(t *testing.T, endpoints []string) string {
 	t.Helper()
 	discovery, err := testpeer.StartDiscovery(testpeer.DiscoveryOptions{EmptyLineFirst: true})
@@ -136,7 +138,7 @@
 func (s *sidecarProcess) readLog(stderr io.Reader, adminAddr chan<- string) {
 	for lines := bufio.NewScanner(stderr); lines.Scan(); {
 		s.log.appendLine(lines.Text())
-		if _, addr, ok := strings.Cut(lines.Text(), "msg=console name=t addr="); ok {
+		if _, addr, ok := strings.Cut(lines.Text(), `msg="admin interface listening" name=t addr=`); ok {
 			adminAddr <- addr
 		}
 	}
@@ -244,11 +246,11 @@
 func (c *testClients) waitForMore(t *testing.T, n int32) {
 	t.Helper()
 	before := c.served.Load()
-	testpeer.WaitUntil(t, "more is served", func() bool { return c.served.Load() > before+n })
+	testpeer.WaitUntil(t, "more requests are served", func() bool { return c.served.Load() > before+n })
 }
 
-// run is one client. A request whose connection had been used before and is closed without a
-// response is sent again, on a new connection: any other that is not answered is lost.
+// run is one client. A request on a reused connection that is closed without a response is retried
+// on a new one. Any other request that is not answered is lost, and fails the test.
 func (c *testClients) run(t *testing.T, name string) {
 	client := keepAliveClient{addr: c.platform.addr}
 	defer client.close()
@@ -275,18 +277,18 @@
 	}
 }
 
-// keepAliveClient keeps one connection.
+// keepAliveClient reuses one connection.
 type keepAliveClient struct {
 	addr string
 	conn net.Conn // nil: there is none
 	in   *bufio.Reader
 }
 
-// get sends a request and returns its response, whose body must be read before the next one.
+// get sends a request and returns its response, whose body must be read before the next request.
 func (c *keepAliveClient) get(id string) (*http.Response, error) {
 	for {
-		used := c.conn != nil
-		if !used {
+		reused := c.conn != nil
+		if !reused {
 			var err error
 			if c.conn, err = net.Dial("tcp", c.addr); err != nil {
 				c.conn = nil
@@ -294,14 +296,14 @@
 			}
 			c.in = bufio.NewReader(c.conn)
 		}
-		c.conn.SetDeadline(time.Now().Add(testTimeout)) // a request that is never answered is lost, too
+		c.conn.SetDeadline(time.Now().Add(testTimeout)) // a request that is not answered by then is lost, too
 		fmt.Fprintf(c.conn, "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: 10000\r\n\r\n", id)
 		resp, err := http.ReadResponse(c.in, nil)
 		if err == nil {
 			return resp, nil
 		}
 		c.close()
-		if !used || errors.Is(err, os.ErrDeadlineExceeded) {
+		if !reused || errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
 	}
