--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -16,7 +16,7 @@
 	maxQueueWaitShare = 0.05 // share of the mean latency objective that a request waits at most
 	minTimeLeftShare  = 0.6  // share of its expected latency that a request must have left to wait
 
-	quotaBurst       = 1.0                    // seconds of a tenant's quota that may come at once
+	quotaBurst       = 1.0                    // seconds of a tenant's quota that may be used at once
 	rejectRetryAfter = 300 * time.Millisecond // Retry-After of a rejection
 )
 
@@ -53,8 +53,7 @@
 	return b.rate.perSecond(now) > highRateMultiple*b.tenants.quota
 }
 
-// classOf returns the class of a request. In a class that is not in the settings nothing that may
-// have run is repeated.
+// classOf returns the class of a request. One that is not in the settings is non-idempotent.
 func (b *Balancer) classOf(now time.Duration, r Request) *class {
 	c := b.classes[r.Class]
 	if c == nil {
@@ -72,7 +71,7 @@
 }
 
 // chargeQuota charges a request to its tenant's quota and reports whether it is over it. Only the
-// first tier can know: further down one request of a client becomes several.
+// first tier can know: in a tier below, one request of a client becomes several.
 func (b *Balancer) chargeQuota(now time.Duration, req *request) bool {
 	t := b.tenants.byName[req.Tenant]
 	if t == nil || t.Quota <= 0 || b.settings.Tier > 0 {
@@ -139,13 +138,13 @@
 	b.queue = slices.DeleteFunc(b.queue, func(req *request) bool { return !req.queued })
 }
 
-// queueDeadline returns when a request stops waiting for capacity. It is alike for all classes:
-// otherwise those with the shortest latency objective would starve in overload.
+// queueDeadline returns until when a request may wait for capacity. The wait is the same for all
+// classes: otherwise those with the shortest latency objective would starve in overload.
 func (b *Balancer) queueDeadline(req *request) time.Duration {
 	switch {
 	case req.isRetry():
 		return req.giveUpAt
-	case b.readyCount == 0: // the first endpoint to come may still answer in time
+	case b.readyCount == 0: // an endpoint that is listed by then can still respond in time
 		return req.giveUpAt - seconds(b.expectedLatency(req))
 	}
 	maxWait := seconds(maxQueueWaitShare * b.toleratedRatio() * b.meanObjective)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,8 +1,8 @@
 package balancer
 
 // The Balancer type: the events that a host reports (api.go has the interface) and the actions that
-// follow. Each decision has a file of its own beside this one; docs/design.md has the sources of
-// the policy.
+// follow. Each kind of decision has a file of its own; docs/design.md has the sources of the
+// policy.
 //
 // A weight is a latency ratio: latency over the baseline latency of requests like it. A deficit is
 // what an endpoint has been charged for the requests that it got.
@@ -12,11 +12,12 @@
 	"time"
 )
 
-// Balancer decides for one instance of a service that calls the endpoints. New makes one.
+// Balancer decides for one instance of a service that sends requests to the endpoints. New returns
+// one.
 type Balancer struct {
 	settings Settings
 	host     Host
-	rng      *rand.Rand // each draw counts: a further one changes all decisions that follow
+	rng      *rand.Rand // the number of draws is part of the decisions
 	loggedAt map[LogKind]time.Duration
 
 	classSet
@@ -37,7 +38,7 @@
 
 var _ Events = (*Balancer)(nil)
 
-// New returns a Balancer that starts at now with no knowledge but its settings.
+// New returns a Balancer that starts at now and has learned nothing.
 func New(now time.Duration, s Settings, h Host) *Balancer {
 	b := &Balancer{
 		settings:    s,
@@ -56,9 +57,9 @@
 	return b
 }
 
-// Configure replaces the settings. All that was learned stays, classes and tenants by their names.
-// A request that has come is treated to its end as its class was when it came. Seed and
-// SubscribeRequired stay.
+// Configure replaces the settings, but for Seed and SubscribeRequired. All learned state stays:
+// that of classes and tenants by their names. A request in flight keeps the class that it came
+// with.
 func (b *Balancer) Configure(now time.Duration, s Settings) {
 	s.Seed = b.settings.Seed
 	s.SubscribeRequired = b.settings.SubscribeRequired
@@ -155,8 +156,8 @@
 	b.scheduleWakeUp(a.stragglingAt)
 }
 
-// rejectOrFail gives the final answer: a rejection where a retry by the client is harmless, else a
-// failure.
+// rejectOrFail gives a request its final answer: a rejection if a retry by the client is harmless,
+// else a failure.
 func (b *Balancer) rejectOrFail(req *request, reason Reason) {
 	if req.mayReject() {
 		b.host.Reject(req.ID, reason, min(b.jitter(rejectRetryAfter), b.settings.MaxRetryAfter))
@@ -166,7 +167,7 @@
 	b.closeRequest(req)
 }
 
-// outageReason returns the reason for an answer while no endpoint takes new work, or else none.
+// outageReason returns NoEndpoint while no endpoint is ready, else no reason.
 func (b *Balancer) outageReason() Reason {
 	if b.readyCount == 0 {
 		return NoEndpoint
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// recordLatencyRatio adds the latency ratio of a response. A quiet instance has few responses to go
-// by: there the latest counts most.
+// recordLatencyRatio adds the latency ratio of a response. At a quiet instance, which has few, the
+// latest counts most.
 func (l *concurrencyLimiter) recordLatencyRatio(now time.Duration, latencyRatio float64) {
 	gain := 1 - decay(now-l.updatedAt, latencyRatioMemory)
 	l.updatedAt = now
@@ -158,8 +158,8 @@
 	return float64(b.limiter.inFlight) > highUtilization*b.effectiveConcurrencyLimit()
 }
 
-// hasCapacity reports whether one more attempt may go to an endpoint: within the limit, or within
-// the endpoint's own part of it while others use more than theirs.
+// hasCapacity reports whether one more attempt may go to an endpoint: the limit is not used up, or
+// others use more than their part of it and the endpoint has some of its own part left.
 func (b *Balancer) hasCapacity(e *endpoint) bool {
 	limit := b.effectiveConcurrencyLimit()
 	part := limit / float64(max(len(b.activeHeap.endpoints), 1))
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Outlier ejection: what the end of an attempt says of its endpoint, and when an endpoint leaves
-// the active set. Its way back is in trials.go.
+// Outlier ejection: what the end of an attempt shows of its endpoint, and when an endpoint is taken
+// out of the active set. The trials by which it returns are in trials.go.
 
 import (
 	"math"
@@ -10,8 +10,9 @@
 
 const (
 	// Smoothing of a weight. With many samples, each leaves weightSmoothing (the paper's alpha) of the
-	// weight before it: maxSampleRetention of the samples before it, beside the prior ones. With time,
-	// samples decay to 1/e in sampleMemory, and no faster than in minSampleMemory, however many come.
+	// weight before it: maxSampleRetention of the samples before it, and all of the prior ones. With
+	// time, samples decay to 1/e in sampleMemory, and no faster than in minSampleMemory, however many
+	// come.
 	weightSmoothing    = 0.95
 	maxSampleRetention = 1 - 1/(1/(1-weightSmoothing)-priorSamples)
 	sampleMemory       = 10 * time.Second
@@ -23,7 +24,7 @@
 	highUtilizationTolerance = 2.0
 
 	// An endpoint is ejected for errors of its own once these are ejectionOdds times as likely to come
-	// from an endpoint that fails as from one that does what the others do. One that fails has a share
+	// from an endpoint that fails as from one that is like the others. One that fails has a share
 	// of errors of minFailingErrorShare and failingErrorMultiple times that of the others, but of no
 	// more than maxFailingErrorShare. Outcomes decay to 1/e in outcomeMemory.
 	ejectionOdds         = 10.0
@@ -60,15 +61,15 @@
 	}
 }
 
-// failure is what an attempt without success says of its endpoint.
+// failure is an attempt that ended without success, as evidence against its endpoint.
 type failure struct {
 	result       Result
 	latencyRatio float64
-	isOwn        bool // the endpoint fails by itself: it is ejected at once
+	isOwn        bool // attributed to the endpoint itself, which is ejected at once
 }
 
 // evaluateError evaluates an attempt that its endpoint answered with an error. Where the endpoints
-// depend on a tier below and fail no more than each other, an error says nothing of this one.
+// depend on a tier below and fail no more than each other, an error says nothing about this one.
 func (b *Balancer) evaluateError(now time.Duration, req *request, a *attempt, latencyRatio float64) {
 	b.recordOutcome(now, a.endpoint, errorOutcome)
 	isOwn := b.failsMoreThanOthers(a.endpoint)
@@ -121,7 +122,7 @@
 	return InactiveFailing
 }
 
-// recordSuccess updates all that a good response says something of.
+// recordSuccess updates all estimates that a good response is a sample of.
 func (b *Balancer) recordSuccess(
 	now time.Duration, req *request, e *endpoint, latency time.Duration, latencyRatio float64,
 ) {
@@ -150,14 +151,15 @@
 	}
 	usual := (others.errors + 0.5) / (others.total + 1)
 	own := min(max(minFailingErrorShare, failingErrorMultiple*usual), maxFailingErrorShare)
-	errors, successes := e.outcomes.errors, e.outcomes.total-e.outcomes.errors
+	errors := e.outcomes.errors
+	successes := e.outcomes.total - errors
 	odds := errors*math.Log(own/usual) + successes*math.Log((1-own)/(1-usual))
 	return own > usual && odds > math.Log(ejectionOdds)
 }
 
 // recordBrokenConnection records a reset or failed connection. One reset may be the network's and
-// says nothing of the endpoint. Two without a response in between show that it went down, so that
-// it warms up when it is back. If one were enough, a warm endpoint would get a warming one's
+// says nothing about the endpoint. Two without a response in between show that it went down, so
+// that it warms up when it is back. If one were enough, a warm endpoint would get a warming one's
 // traffic, and the others the rest of its own.
 func (b *Balancer) recordBrokenConnection(now time.Duration, e *endpoint, r Result) {
 	if e.connection.isDown() {
@@ -180,7 +182,7 @@
 
 // isTooSlow reports whether an endpoint's weight is too far beyond the smallest active one. More is
 // tolerated at high utilization: each endpoint ejected then loads the others, which slow down as
-// well and are ejected in their turn.
+// well and are then ejected themselves.
 func (b *Balancer) isTooSlow(e *endpoint) bool {
 	most := maxActiveWeightRatio
 	if b.isHighlyUtilized() {
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -22,7 +22,7 @@
 	slowStart  slowStart
 
 	inSubset       bool           // this instance sends to it
-	subsetIndex    int            // of two alike, the first is selected
+	subsetIndex    int            // the lower one is selected first among equals
 	countedFailing bool           // counted in endpointSet.failingCount
 	heapIndexes    [heapSlots]int // in the heaps that it is in, from 1
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The endpoint list: how service discovery and the operators change it, and what follows.
+// The endpoint list: how service discovery and the operators change it, and what changes with it.
 
 import (
 	"slices"
@@ -10,8 +10,8 @@
 // minSubscribeBackoff is the least wait before Host.Subscribe is called again after a failure.
 const minSubscribeBackoff = 500 * time.Millisecond
 
-// EndpointList implements Events. Nothing new goes to an endpoint from the event on that says it
-// drains.
+// EndpointList implements Events. From the event that lists an endpoint as draining on, it gets no
+// new request.
 func (b *Balancer) EndpointList(now time.Duration, l EndpointList) {
 	if l.Failed {
 		b.scheduleSubscribe(now)
@@ -22,8 +22,8 @@
 	b.applyEndpointList(now, l)
 }
 
-// scheduleSubscribe sets the time of the next Host.Subscribe after a failure: each instance at a
-// moment of its own, and within the poll interval.
+// scheduleSubscribe sets the time of the next Host.Subscribe after a failure: with jitter, and
+// within the poll interval.
 func (b *Balancer) scheduleSubscribe(now time.Duration) {
 	if !b.settings.SubscribeRequired {
 		return
@@ -33,7 +33,7 @@
 	b.scheduleWakeUp(b.subscription.dueAt)
 }
 
-// subscription is when discovery has to be asked for changes again.
+// subscription is the state of the subscription to discovery.
 type subscription struct {
 	dueAt   time.Duration // next Host.Subscribe; 0: none is due
 	backoff time.Duration // wait before it
@@ -53,7 +53,7 @@
 func (b *Balancer) applyEndpointList(now time.Duration, l EndpointList) {
 	isFirst := b.listedCount == 0
 	touched, started := b.mergeEndpointList(l)
-	b.updateSubset(touched) // before the trials are timed: with an empty subset all would be due
+	b.updateSubset(touched) // the times of trials depend on the size of the subset
 	introduce := b.introduceEndpoint
 	if isFirst {
 		introduce = b.introduceFirstEndpoint
@@ -68,15 +68,15 @@
 	b.dispatchQueue(now)
 }
 
-// Disable takes an endpoint out for the operators, whatever the list says. Its attempts in flight
-// go on.
+// Disable takes an endpoint out of service for the operators, whatever the list says. Its attempts
+// in flight go on.
 func (b *Balancer) Disable(now time.Duration, id string) {
 	b.disabled[id] = true
 	b.reapplyListedState(now, id)
 }
 
-// Enable leaves an endpoint to the list again. It may have restarted meanwhile, so it goes through
-// slow start. Its trial is due at once, since the operators wait to see it work.
+// Enable ends Disable: the list applies to the endpoint again. It may have restarted meanwhile, so
+// it goes through slow start. Its trial is due at once, since the operators wait for its result.
 func (b *Balancer) Enable(now time.Duration, id string) {
 	if !b.disabled[id] {
 		return
@@ -91,8 +91,8 @@
 	b.reapplyListedState(now, id)
 }
 
-// reapplyListedState applies the state that the list has for an endpoint, after the operators'
-// changed.
+// reapplyListedState applies the listed state of an endpoint that the operators have disabled or
+// enabled.
 func (b *Balancer) reapplyListedState(now time.Duration, id string) {
 	if e := b.byID[id]; e != nil {
 		entry := e.Endpoint
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -178,8 +178,8 @@
 	s.updateHeaps(e)
 }
 
-// removeFromSubset takes an endpoint out of the subset, with all that is counted there. It need not
-// be in it.
+// removeFromSubset takes an endpoint out of the subset, with all that is counted there. One that is
+// not in it stays out.
 func (s *endpointSet) removeFromSubset(e *endpoint) {
 	if e.inSubset {
 		deficit := e.deficit - s.zeroDeficit(e)
@@ -244,7 +244,8 @@
 // updateHeaps moves an endpoint to where it belongs in all heaps. It must be called after any
 // change of what they are ordered by.
 func (s *endpointSet) updateHeaps(e *endpoint) {
-	isActive, isInactive := e.inSubset && e.active, e.inSubset && !e.active
+	isActive := e.inSubset && e.active
+	isInactive := e.inSubset && !e.active
 	s.activeHeap.setMember(e, isActive)
 	s.trialHeap.setMember(e, isInactive)
 	e.kind.activeByWeight.setMember(e, isActive)
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -9,17 +9,17 @@
 
 const (
 	slowRateMemory       = time.Minute      // memory of the slow rate of requests
-	minSlowRequests      = 0.5              // requests that the slow rate has seen at least
+	minSlowRequests      = 0.5              // requests that the slow rate counts at least
 	kindWeightGain       = 0.03             // gain of a kind's weight per response
 	meanGain             = 0.05             // gain of the mean latency per response
 	meanMemory           = 0.5              // seconds that the mean goes back at least
 	baselineFallGain     = 0.02             // gain of the baseline per response while the mean is below it
 	baselineRiseTime     = 60 * time.Second // over which the baseline follows a higher mean
-	baselineLearningTime = 1.5              // seconds until the baseline is known: the first responses are quick ones
+	baselineLearningTime = 1.5              // seconds until the baseline is known: the first responses are the quick ones
 	baselineSamples      = 10               // responses that it takes as well
 )
 
-// decay returns what is left of a sample after some time, where 1/e is left after the memory.
+// decay returns the share of a sample that is retained after some time: 1/e after the memory.
 func decay(elapsed, memory time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / memory.Seconds())
 }
@@ -39,17 +39,17 @@
 	r.updatedAt = now
 }
 
-// perSecond returns the recent rate. There were no requests before the start, which must not count.
+// perSecond returns the recent rate. The time before the start, without requests, does not count.
 func (r *rateEstimator) perSecond(now time.Duration) float64 {
-	seen := 1 - decay(now-r.startedAt+time.Second, sampleMemory)
-	return r.recent * decay(now-r.updatedAt, sampleMemory) / (seen * sampleMemory.Seconds())
+	covered := 1 - decay(now-r.startedAt+time.Second, sampleMemory)
+	return r.recent * decay(now-r.updatedAt, sampleMemory) / (covered * sampleMemory.Seconds())
 }
 
 // slowPerSecond returns the rate over a longer time. It is never 0.
 func (r *rateEstimator) slowPerSecond(now time.Duration) float64 {
-	seen := 1 - decay(now-r.startedAt+time.Second, slowRateMemory)
+	covered := 1 - decay(now-r.startedAt+time.Second, slowRateMemory)
 	requests := max(r.slow*decay(now-r.updatedAt, slowRateMemory), minSlowRequests)
-	return requests / (seen * slowRateMemory.Seconds())
+	return requests / (covered * slowRateMemory.Seconds())
 }
 
 // latencyEstimator estimates what requests of one kind of work take. Latencies are in seconds.
@@ -84,7 +84,7 @@
 	}
 }
 
-// quantileEstimator estimates the latency within which a share of the responses come, in seconds.
+// quantileEstimator estimates a quantile of the latencies of responses, in seconds.
 type quantileEstimator struct{ latency float64 }
 
 // observe adds the latency of a response. The estimate begins at twice the mean and is never below
@@ -120,7 +120,7 @@
 	return outcomeCounts{errors: o.errors - other.errors, total: o.total - other.total}
 }
 
-// times returns the counts times a share that is retained of them.
+// times returns the counts times the share of them that is retained.
 func (o outcomeCounts) times(retained float64) outcomeCounts {
 	return outcomeCounts{errors: o.errors * retained, total: o.total * retained}
 }
@@ -134,11 +134,11 @@
 // errorShare returns the share of errors, 0 while there is less than one outcome.
 func (o outcomeCounts) errorShare() float64 { return o.errors / max(o.total, 1) }
 
-// endpointKind pools what the endpoints of one kind show.
+// endpointKind pools the samples of the endpoints of one kind.
 type endpointKind struct {
 	weight         float64 // latency ratio, mean over its endpoints
 	samples        float64
-	activeByWeight endpointHeap // its active endpoints in the subset, by their weight beside the kind's
+	activeByWeight endpointHeap // its active endpoints in the subset, by weight
 }
 
 // observe adds the latency ratio of a response.
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// StreamStarted implements Events: the client has the response from here on, and no time limit runs
-// any more.
+// StreamStarted implements Events. The response goes to the client from here on, and the request
+// has no time limit any more.
 func (b *Balancer) StreamStarted(now time.Duration, id string, n int) {
 	req := b.requests[id]
 	if a := req.attemptInFlight(n); a != nil {
@@ -24,8 +24,8 @@
 	}
 }
 
-// RequestWritten reports that the last byte of an attempt of a streamed request has been sent. Only
-// now can its endpoint begin, and the time that the body took is not the endpoint's latency.
+// RequestWritten reports that the last byte of an attempt of a streamed request has been sent. The
+// endpoint's latency begins here: it does not include the time that sending the body took.
 func (b *Balancer) RequestWritten(now time.Duration, id string, n int) {
 	req := b.requests[id]
 	a := req.attemptInFlight(n)
@@ -38,7 +38,7 @@
 	b.scheduleWakeUp(a.stragglingAt)
 }
 
-// CapDeadlines reports that no answer will be of use after an instant: requests do not wait for
+// CapDeadlines reports the latest instant at which an answer is of use: no request waits for
 // longer.
 func (b *Balancer) CapDeadlines(now, latest time.Duration) {
 	for _, req := range b.unanswered {
--- a/balancer/heap.go
+++ b/balancer/heap.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Heaps in which endpoints are looked for. No decision is made in this file.
+// Heaps in which endpoints are searched. No decision is made in this file.
 
 // The slots of endpoint.heapIndexes.
 const (
@@ -10,8 +10,8 @@
 	heapSlots
 )
 
-// endpointHeap is a binary heap of endpoints. Each endpoint knows its index, so that it can be
-// moved at once.
+// endpointHeap is a binary heap of endpoints. Each endpoint has its own index in it, so that it can
+// be moved without a search.
 type endpointHeap struct {
 	slot      int // of endpoint.heapIndexes
 	less      func(x, y *endpoint) bool
@@ -82,8 +82,8 @@
 	}
 }
 
-// visit passes the endpoint at i and those below it to descend. Below one for which it returns
-// false none is visited.
+// visit passes the endpoint at i and those below it to descend. Where descend returns false, the
+// endpoints below are not visited.
 func (h *endpointHeap) visit(i int, descend func(e *endpoint) bool) {
 	if i < len(h.endpoints) && descend(h.endpoints[i]) {
 		h.visit(2*i+1, descend)
@@ -91,17 +91,17 @@
 	}
 }
 
-// candidates are endpoints to select from: those of a heap, or else those of a list that are
-// active, or are not. It is a struct, not a func or an interface, so that a selection allocates
-// nothing.
+// candidates are the endpoints that a selection chooses from: those of a heap, or else the active
+// or the inactive ones of a list. It is a struct, not a func or an interface, so that a selection
+// allocates nothing.
 type candidates struct {
 	heap      *endpointHeap
 	endpoints []*endpoint
 	active    bool
 }
 
-// visit passes the candidates to descend. If it returns false, those below that endpoint in a heap
-// are left out.
+// visit passes the candidates to descend. Where descend returns false, the endpoints below in a
+// heap are not visited.
 func (c candidates) visit(descend func(e *endpoint) bool) {
 	if c.heap != nil {
 		c.heap.visit(0, descend)
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -1,10 +1,10 @@
 package balancer
 
-// Hedged requests: a second attempt beside a first one that is slow.
+// Hedged requests: a second attempt while a first one is slow.
 
 import "time"
 
-const minHedgeSamples = 20.0 // responses of a class from which its latency quantile is known
+const minHedgeSamples = 20.0 // responses after which the latency quantile of a class is known
 
 // hedgeDelay returns how long the first attempt may be in flight before a hedged request is due; 0:
 // none is.
@@ -18,12 +18,14 @@
 	return c.HedgeAfter
 }
 
-// hedge sends a second attempt beside the first, to another endpoint, within the retry budget. At
-// high utilization there is none: it would feed the overload that makes responses slow.
+// hedge sends a second attempt while the first is in flight, to another endpoint and within the
+// retry budget. At high utilization it sends none: that would add to the overload that makes
+// responses slow.
 func (b *Balancer) hedge(now time.Duration, req *request) {
-	req.hedgeAt, req.hedging = 0, true
-	unused := float64(b.limiter.inFlight) < highUtilization*b.effectiveConcurrencyLimit()
-	if req.inFlight() == 1 && unused && b.reasonAgainstRetry(now, req, takesToken) == "" {
+	req.hedgeAt = 0
+	req.hedging = true
+	hasSpareCapacity := float64(b.limiter.inFlight) < highUtilization*b.effectiveConcurrencyLimit()
+	if req.inFlight() == 1 && hasSpareCapacity && b.reasonAgainstRetry(now, req, takesToken) == "" {
 		if e := b.selectInSubset(now, req); e != nil && !req.wasSentTo(e) {
 			req.hedged = true
 			b.retryTokens.takeToken()
--- a/balancer/logevent.go
+++ b/balancer/logevent.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Log events: what the people on call are to know of the decisions. No decision is made in this
+// Log events: what is logged of the decisions. No decision is made in this
 // file.
 
 import (
@@ -20,8 +20,8 @@
 	CapacityExhausted                   // requests time out in the queue for capacity: QueuedRequests
 )
 
-// LogEvent is something that the people on call are to know. Events of one kind come at most once
-// in 10 seconds.
+// LogEvent is an event for the people on call. Events of one kind are logged at most once in 10
+// seconds.
 type LogEvent struct {
 	Kind           LogKind
 	Endpoint       string // its ID
--- a/balancer/reason.go
+++ b/balancer/reason.go
@@ -6,9 +6,9 @@
 
 // The reasons. Their values are on the wire and in logs.
 const (
-	NoEndpoint        Reason = "no_endpoint"  // no endpoint is known that takes new work
-	NoCapacity        Reason = "no_room"      // all endpoints that may be used have as much to do as they can finish
-	QueueFull         Reason = "queue_full"   // as many requests wait for capacity as the class allows
+	NoEndpoint        Reason = "no_endpoint"  // no endpoint is ready
+	NoCapacity        Reason = "no_room"      // all endpoints that may be used are at their capacity
+	QueueFull         Reason = "queue_full"   // as many requests of the class wait as its queue limit allows
 	OverQuota         Reason = "over_quota"   // its tenant is over its quota while capacity is short
 	DeadlineTooClose  Reason = "too_late"     // no response would come before the deadline
 	RetryBudgetSpent  Reason = "no_budget"    // an attempt failed, and the retry budget is spent
@@ -26,11 +26,11 @@
 
 // The reasons for which an endpoint is inactive. Their values are in answers and logs.
 const (
-	InactiveNew           InactiveReason = "new"       // its first trial has yet to succeed
+	InactiveNew           InactiveReason = "new"       // its first trial has not succeeded yet
 	InactiveSlow          InactiveReason = "slow"      // its weight is too far beyond the smallest
 	InactiveUnresponsive  InactiveReason = "silent"    // it does not respond
 	InactiveUnreachable   InactiveReason = "unreached" // connections to it fail
 	InactiveFailing       InactiveReason = "failing"   // attempts at it fail
 	InactiveOutsideSubset InactiveReason = "aside"     // this instance sends to others
-	InactiveDisabled      InactiveReason = "banned"    // the operators have taken it out
+	InactiveDisabled      InactiveReason = "banned"    // the operators have disabled it
 )
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -11,13 +11,13 @@
 type attempt struct {
 	endpoint      *endpoint
 	startedAt     time.Duration // Host.Send
-	sentAt        time.Duration // the same, or the end of a long request's writing
+	sentAt        time.Duration // the same, or when a streamed request was written
 	stragglingAt  time.Duration // when it counts as straggling
 	inFlight      bool          // no outcome yet
-	mayHaveRun    bool          // it ended, and its endpoint may have run the request
+	mayHaveRun    bool          // it ended, and the request may have run
 	trial         bool          // its endpoint was not active
-	straggling    bool          // has taken longer than expected
-	streaming     bool          // its response goes to the client already
+	straggling    bool          // has been in flight for longer than expected
+	streaming     bool          // its response is being streamed to the client
 	countsToLimit bool          // its endpoint has all of the request, and has not begun to respond
 }
 
@@ -75,7 +75,7 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
 
-// requestSet is the requests that a final answer or an outcome is awaited for.
+// requestSet is the requests without a final answer, or with an attempt in flight.
 type requestSet struct {
 	requests   map[string]*request
 	unanswered []*request // without a final answer, in no order
@@ -84,7 +84,7 @@
 // newRequestSet returns an empty set.
 func newRequestSet() requestSet { return requestSet{requests: map[string]*request{}} }
 
-// openRequest records a request that has come.
+// openRequest records a new request.
 func (s *requestSet) openRequest(req *request) {
 	req.unansweredIndex = len(s.unanswered)
 	s.requests[req.ID] = req
@@ -92,10 +92,12 @@
 }
 
 // closeRequest marks a request as answered and cancels its attempts in flight, except for one that
-// streams. The request is removed once none is left.
+// streams. It forgets the request once none is in
+// flight.
 func (b *Balancer) closeRequest(req *request) {
 	if !req.answered {
-		req.answered, req.queued = true, false
+		req.answered = true
+		req.queued = false
 		b.removeUnanswered(req)
 		for i := range req.attempts {
 			if a := &req.attempts[i]; a.inFlight && !a.streaming && b.settings.CancelAllowed {
@@ -108,11 +110,12 @@
 	}
 }
 
-// removeUnanswered takes a request out of the unanswered ones. The last one gets its index.
+// removeUnanswered removes a request from the unanswered ones. The last one gets its index.
 func (s *requestSet) removeUnanswered(req *request) {
 	last := len(s.unanswered) - 1
 	moved := s.unanswered[last]
-	s.unanswered[req.unansweredIndex], moved.unansweredIndex = moved, req.unansweredIndex
+	s.unanswered[req.unansweredIndex] = moved
+	moved.unansweredIndex = req.unansweredIndex
 	s.unanswered[last] = nil
 	s.unanswered = s.unanswered[:last]
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	maxBudgetExemptAttempts = 3 // attempts beside the retry budget that one request may bring
+	maxBudgetExemptAttempts = 3 // attempts of one request that may be exempt from the retry budget
 
-	// keyWindowMargin is how long before the end of a key's window a request is sent again at the
-	// latest: the host may be held up for that long between reading its clock and writing.
+	// keyWindowMargin is the least time between a retry and the end of its key's window: the host may
+	// be delayed for that long between reading its clock and writing.
 	keyWindowMargin = 150 * time.Millisecond
 )
 
@@ -68,8 +68,8 @@
 	return takesToken
 }
 
-// canMeetDeadline reports whether a response would come in time if it took a share of what is
-// expected.
+// canMeetDeadline reports whether a response would be in time if it took the given share of the
+// expected latency.
 func (b *Balancer) canMeetDeadline(now time.Duration, req *request, share float64) bool {
 	return now+seconds(b.expectedLatency(req)*b.smallestActiveWeight()*share) <= req.giveUpAt
 }
@@ -127,13 +127,13 @@
 	return false
 }
 
-// covers reports whether one endpoint drops the duplicates of what another has seen.
-func (s KeyScope) covers(seenBy, e *endpoint) bool {
+// covers reports whether one endpoint drops the duplicates of requests that another has received.
+func (s KeyScope) covers(receiver, e *endpoint) bool {
 	switch s {
 	case KeyScopeZone:
-		return seenBy.Zone == e.Zone
+		return receiver.Zone == e.Zone
 	case KeyScopeCell:
-		return seenBy.Cell == e.Cell
+		return receiver.Cell == e.Cell
 	}
 	return true
 }
@@ -144,8 +144,8 @@
 }
 
 // RetryDeadline returns the instant by which a retry of a request has to have been written, however
-// late its connection comes up: what comes after the window of its key takes effect once more. It
-// is 0 where there is no such instant.
+// long its connection takes: a duplicate takes effect after the window of its key. It is 0 where
+// there is no such instant.
 func (b *Balancer) RetryDeadline(id string) time.Duration {
 	req := b.requests[id]
 	if req == nil || req.class.Idempotency != IdempotencyKeyed {
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -5,12 +5,12 @@
 import "time"
 
 // RetryBudget is a budget for attempts beyond the first, hedged requests included, over all
-// requests of a Balancer: failing endpoints must not get the same requests again from everybody at
-// once. The zero value allows a tenth of the requests, and at most 10 saved up.
+// requests of a Balancer: without one, retries would multiply the load of failing endpoints. The
+// zero value allows a tenth of the requests, and at most 10 saved up.
 type RetryBudget struct {
 	PerRequest float64 // earned by each request
 	PerSecond  float64 // earned each second, so that a quiet client has some
-	Burst      float64 // saved up at most
+	Burst      float64 // largest number saved up
 }
 
 // The budget where none is given.
@@ -19,21 +19,22 @@
 	defaultTokenBurst       = 10.0
 )
 
-// retryBucket is what is left of a RetryBudget. It starts half full with the first request.
+// retryBucket is the token bucket of a RetryBudget. It starts half full with the first request.
 type retryBucket struct {
 	RetryBudget
 	tokenBucket
 	started bool
 }
 
-// earn adds what a request brings, and the time since the last one.
+// earn adds the tokens of a request, and of the time since the last one.
 func (r *retryBucket) earn(now time.Duration) {
-	perRequest, burst := r.PerRequest, r.Burst
-	if r.RetryBudget == (RetryBudget{}) {
-		perRequest, burst = defaultTokensPerRequest, defaultTokenBurst
+	budget := r.RetryBudget
+	if budget == (RetryBudget{}) {
+		budget = RetryBudget{PerRequest: defaultTokensPerRequest, Burst: defaultTokenBurst}
 	}
 	if !r.started {
-		r.started, r.tokenBucket = true, tokenBucket{tokens: burst / 2, refilledAt: now}
+		r.started = true
+		r.tokenBucket = tokenBucket{tokens: budget.Burst / 2, refilledAt: now}
 	}
-	r.refill(now, perRequest, r.PerSecond, burst)
+	r.refill(now, budget.PerRequest, budget.PerSecond, budget.Burst)
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -44,20 +44,23 @@
 // mayReceive reports whether an endpoint may get a request: it is ready, its slow start allows a
 // further send, and the request cannot take effect twice.
 func (b *Balancer) mayReceive(now time.Duration, req *request, e *endpoint) bool {
-	return e.State == Ready &&
-		(now >= e.slowStart.nextSendAt || b.isWarm(now, e)) && b.mayAttemptAt(now, req, e)
+	if e.State != Ready {
+		return false
+	}
+	isPaced := now < e.slowStart.nextSendAt && !b.isWarm(now, e)
+	return !isPaced && b.mayAttemptAt(now, req, e)
 }
 
 // selectForDispatch returns the endpoint for the next attempt, nil if there is none with capacity.
 func (b *Balancer) selectForDispatch(now time.Duration, req *request) *endpoint {
 	e := b.selectInSubset(now, req)
-	if len(req.attempts) == 0 {
+	if !req.isRetry() {
 		if e != nil && !b.hasCapacity(e) {
 			return nil
 		}
 		return e
 	}
-	if e == nil && !b.subsetIsAll { // a repeat may be bound to endpoints outside the subset
+	if e == nil && !b.subsetIsAll { // the key scope of a retry may lie outside the subset
 		active := candidates{endpoints: b.endpoints, active: true}
 		return b.selectEndpoint(now, req, active, candidates{endpoints: b.endpoints})
 	}
@@ -70,14 +73,15 @@
 	return b.selectEndpoint(now, req, candidates{heap: &b.activeHeap}, candidates{heap: &b.trialHeap})
 }
 
-// selectEndpoint chooses: a due trial, else the lowest deficit. If the request has been at all that
-// are active, it chooses the soonest trial, even one whose trial is in flight already.
+// selectEndpoint chooses a due trial, else the lowest deficit. If the request was sent to all
+// active endpoints before, it chooses the soonest trial, even of an endpoint whose trial is in
+// flight.
 func (b *Balancer) selectEndpoint(now time.Duration, req *request, active, inactive candidates) *endpoint {
 	if due := b.selectDueTrial(now, req, inactive); due != nil {
 		return due
 	}
 	lowest, anyActive := b.selectLowestDeficit(now, req, active)
-	if anyActive && (len(req.attempts) == 0 || lowest != nil && !req.wasSentTo(lowest)) {
+	if anyActive && (!req.isRetry() || lowest != nil && !req.wasSentTo(lowest)) {
 		return lowest
 	}
 	if soonest := b.selectSoonestTrial(now, req, inactive); soonest != nil {
@@ -89,8 +93,9 @@
 	return b.selectAnyInactive(now, req, inactive)
 }
 
-// selectDueTrial returns the endpoint whose trial is due first, nil if none is. Candidates come in
-// heaps: behind one that is out of the question there can be no better one.
+// selectDueTrial returns the endpoint whose trial is due first, nil if none is. The search stops at
+// a candidate that is no better than the one found: those below it in the heap are no better
+// either.
 func (b *Balancer) selectDueTrial(now time.Duration, req *request, inactive candidates) *endpoint {
 	var due *endpoint
 	inactive.visit(func(e *endpoint) bool {
@@ -110,7 +115,8 @@
 // that overload or a hang is seen before its responses are.
 func (b *Balancer) selectLowestDeficit(now time.Duration, req *request, active candidates) (*endpoint, bool) {
 	var best *endpoint
-	lowest, anyActive := math.Inf(1), false
+	lowest := math.Inf(1)
+	anyActive := false
 	active.visit(func(e *endpoint) bool {
 		anyActive = true
 		deficit := e.deficit - b.zeroDeficit(e)
@@ -124,8 +130,10 @@
 		if req.wasSentTo(e) {
 			charge += maxLatencyRatio
 		}
-		if charge < lowest || charge == lowest && best != nil && e.subsetIndex < best.subsetIndex {
-			best, lowest = e, charge
+		isFirstOfEquals := charge == lowest && best != nil && e.subsetIndex < best.subsetIndex
+		if charge < lowest || isFirstOfEquals {
+			best = e
+			lowest = charge
 		}
 		return true
 	})
@@ -147,8 +155,8 @@
 	return soonest
 }
 
-// selectAnyInactive returns some endpoint that the request has been at or that is risky: better
-// than none.
+// selectAnyInactive returns some inactive endpoint, even one that the request was sent to before or
+// whose trial is risky: better than none.
 func (b *Balancer) selectAnyInactive(now time.Duration, req *request, inactive candidates) *endpoint {
 	var found *endpoint
 	inactive.visit(func(e *endpoint) bool {
@@ -162,7 +170,8 @@
 
 // mayBeTrial reports whether a request may be an endpoint's trial.
 func (b *Balancer) mayBeTrial(now time.Duration, req *request, e *endpoint) bool {
-	return !req.wasSentTo(e) && b.mayReceive(now, req, e) && !(req.isLostByFailure() && e.isRiskyTrial(now))
+	isTooRisky := req.isLostByFailure() && e.isRiskyTrial(now)
+	return !isTooRisky && !req.wasSentTo(e) && b.mayReceive(now, req, e)
 }
 
 // isLostByFailure reports whether a request whose attempt fails is lost, since it may not be sent
@@ -171,8 +180,9 @@
 	return r.class.Idempotency != Idempotent || r.class.NeverRerun
 }
 
-// isRiskyTrial reports whether a trial is likely to cost what may not be sent again: the endpoint
-// failed with what it had taken. Other requests are to try it first, if there are any.
+// isRiskyTrial reports whether a request that may not be sent again is likely to be lost at a
+// trial: the endpoint failed requests that it had accepted. Idempotent requests are its trial
+// first.
 func (e *endpoint) isRiskyTrial(now time.Duration) bool {
 	failed := e.inactiveReason == InactiveFailing || e.inactiveReason == InactiveUnresponsive
 	return failed && now < e.trial.nextAt+riskyTrialBackoffs*e.trial.backoff
@@ -180,15 +190,20 @@
 
 // chargeDeficit adds the expected cost of a request to an active endpoint's deficit.
 func (b *Balancer) chargeDeficit(req *request, e *endpoint) {
-	weight, before := e.weight(), e.deficit
+	weight := e.weight()
+	before := e.deficit
 	charge := weight
 	if b.settings.TiersBelow > 0 { // the time of the tiers below must not make slow machines look fast
 		charge -= tiersBelowWeightShare * min(b.smallestActiveWeight(), weight)
 	}
 	e.deficit += charge * b.expectedLatency(req) / b.typicalLatency()
 	b.updateHeaps(e)
-	// An endpoint passed over for its load must not catch up on all requests at once.
-	floor := before - b.zeroDeficit(e) + b.deficitBase - maxDeficitLag*weight
+	b.raiseLowestDeficits(before - b.zeroDeficit(e) + b.deficitBase - maxDeficitLag*weight)
+}
+
+// raiseLowestDeficits raises the deficits of active endpoints that are below a floor: an endpoint
+// that was passed over for its load must not get all requests until it has caught up.
+func (b *Balancer) raiseLowestDeficits(floor float64) {
 	heap := &b.activeHeap
 	for len(heap.endpoints) > 0 && heap.endpoints[0].deficit < floor {
 		heap.endpoints[0].deficit = floor
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// class is how requests of one class are treated, and what their latency is.
+// class is the policy of a class of requests, and the latency of its requests.
 type class struct {
 	Class
 	latency  *latencyEstimator // shared by the classes of one kind of work
-	quantile quantileEstimator // of the share HedgeQuantile
+	quantile quantileEstimator // of HedgeQuantile
 }
 
 // observe adds the latency of a response, in seconds.
@@ -37,14 +37,14 @@
 	quota  float64 // requests a second, of all tenants, for this instance alone
 }
 
-// tenant is a tenant with what it may still send within its quota.
+// tenant is a tenant with the requests that it may still send within its quota.
 type tenant struct {
 	Tenant
 	tokenBucket
 }
 
-// apply replaces the tenants. A tenant that was there before keeps what it may still send, up to
-// its new quota for this instance alone.
+// apply replaces the tenants. A tenant that stays keeps its tokens, up to its new quota for this
+// instance alone.
 func (s *tenantSet) apply(now time.Duration, settings []Tenant, instances int) {
 	earlier := s.byName
 	s.byName = map[string]*tenant{}
@@ -60,8 +60,8 @@
 	}
 }
 
-// applySettings replaces the settings and keeps what was learned of classes and tenants, by their
-// names.
+// applySettings replaces the settings and keeps what was learned of classes and tenants with the
+// same names.
 func (b *Balancer) applySettings(now time.Duration, s Settings) {
 	b.settings = s
 	b.retryTokens.RetryBudget = s.RetryBudget
@@ -106,8 +106,8 @@
 	return latencies[i]
 }
 
-// typicalLatency returns what a request takes without load, in seconds, over the work seen; 1
-// before any was.
+// typicalLatency returns the mean baseline latency over the responses so far, in seconds; 1 before
+// the first.
 func (s *classSet) typicalLatency() float64 {
 	sum, samples := 0.0, 0.0
 	for _, l := range s.latencies {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Learned state: what a Balancer hands on to a successor, which would otherwise begin with no
-// knowledge. No decision is made in this file.
+// Learned state: what a Balancer passes to that of a successor, which would otherwise have to learn
+// it again. No decision is made in this file.
 
 import (
 	"maps"
@@ -25,7 +25,7 @@
 	Age                time.Duration     `json:"For"`       // since the Balancer's start
 }
 
-// LearnedWork is what requests of one kind of work take.
+// LearnedWork is the latency of requests of one kind of work.
 type LearnedWork struct {
 	Name            string        `json:"Name"`
 	BaselineLatency float64       `json:"Calm"` // seconds, without load
@@ -34,7 +34,7 @@
 	Age             time.Duration `json:"For"` // since the first response
 }
 
-// LearnedKind is what the endpoints of one kind show.
+// LearnedKind is the weight of the endpoints of one kind.
 type LearnedKind struct {
 	Name    string  `json:"Name"`
 	Weight  float64 `json:"W"` // mean latency ratio
@@ -54,8 +54,8 @@
 // maxLearnedNumber is beyond anything that a Balancer can learn.
 const maxLearnedNumber = 1e12
 
-// areValid reports whether a Balancer can have learned such numbers. Others must not come in from a
-// file.
+// areValid reports whether a Balancer can have learned such numbers. Others, from a damaged file,
+// must not be restored.
 func areValid(numbers ...float64) bool {
 	for _, n := range numbers {
 		if math.IsNaN(n) || n < 0 || n > maxLearnedNumber {
@@ -65,7 +65,7 @@
 	return true
 }
 
-// sampleDecay returns what is left of a sample after some time.
+// sampleDecay returns the share of a sample that is retained after some time.
 func sampleDecay(elapsed time.Duration) float64 { return decay(max(elapsed, 0), sampleMemory) }
 
 // LearnedState returns what has been learned by now.
@@ -108,7 +108,7 @@
 	}
 }
 
-// Restore takes over the learned state of another Balancer as it was before the given age, as far
+// Restore restores the learned state of another Balancer as it was before the given age, as far
 // as this one has learned nothing itself. It is meant to follow the first EndpointList. Endpoints
 // that warm up or have been used are left alone. Endpoints that were ejected wait for a trial,
 // unless that would leave none active.
@@ -127,22 +127,32 @@
 	}
 }
 
-// restoreLatency takes over what requests of one kind of work take.
+// restoreLatency restores the latency of requests of one kind of work.
 func (b *Balancer) restoreLatency(now time.Duration, work LearnedWork) {
-	valid := areValid(work.BaselineLatency, work.MeanLatency, work.Samples) && work.BaselineLatency > 0 && work.Age >= 0
-	if e := findLatency(b.latencies, work.Name); valid && e != nil && e.samples == 0 {
-		e.baseline, e.mean, e.samples = work.BaselineLatency, work.MeanLatency, work.Samples
-		e.firstAt, e.updatedAt = max(now-work.Age, 0), now
+	e := findLatency(b.latencies, work.Name)
+	if e == nil || e.samples != 0 || !work.isValid() {
+		return
 	}
+	e.baseline = work.BaselineLatency
+	e.mean = work.MeanLatency
+	e.samples = work.Samples
+	e.firstAt = max(now-work.Age, 0)
+	e.updatedAt = now
+}
+
+// isValid reports whether a Balancer can have learned such numbers.
+func (w LearnedWork) isValid() bool {
+	return areValid(w.BaselineLatency, w.MeanLatency, w.Samples) && w.BaselineLatency > 0 && w.Age >= 0
 }
 
-// restoreKind takes over what the endpoints of one kind show.
+// restoreKind restores the weight of the endpoints of one kind.
 func (b *Balancer) restoreKind(kind LearnedKind) {
 	k := b.kindByName[kind.Name]
 	if k == nil || k.samples != 0 || kind.Weight <= 0 || !areValid(kind.Weight, kind.Samples) {
 		return
 	}
-	k.weight, k.samples = kind.Weight, kind.Samples
+	k.weight = kind.Weight
+	k.samples = kind.Samples
 	for _, e := range b.endpoints {
 		if e.kind == k {
 			b.updateHeaps(e)
@@ -150,8 +160,8 @@
 	}
 }
 
-// restoreRate takes over how often requests came. A successor without it would take itself for the
-// quietest of instances, and put the trials of new endpoints off for as long as one would.
+// restoreRate restores the rate of requests. Without it a successor would take itself for a very
+// quiet instance, and would delay the trials of new endpoints accordingly.
 func (b *Balancer) restoreRate(now time.Duration, l LearnedState, age time.Duration) {
 	if l.Age <= 0 || !areValid(l.RecentRequests, l.SlowRecentRequests) || now-b.rate.startedAt > l.Age {
 		return
@@ -169,7 +179,7 @@
 	return e.State == Ready && e.samples.count == 0 && b.isWarm(now, e)
 }
 
-// restoreEndpoints takes over how endpoints compare with their kinds, and which were ejected.
+// restoreEndpoints restores how endpoints compare with their kinds, and which were ejected.
 func (b *Balancer) restoreEndpoints(now time.Duration, learned []LearnedEndpoint, age time.Duration) {
 	retained := sampleDecay(age)
 	active := len(b.activeHeap.endpoints)
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -4,19 +4,19 @@
 
 import "time"
 
-// Counts returns how many endpoints are listed, and how many of them are not in the ordinary
-// selection, by the operators or by decision. Its cost does not grow with the list.
-func (b *Balancer) Counts() (listed, avoided int) {
-	avoided = b.readyCount - len(b.activeHeap.endpoints)
+// Counts returns how many endpoints are listed, and how many of the ready ones are not in the
+// ordinary selection: disabled by the operators, or inactive. Its cost does not grow with the list.
+func (b *Balancer) Counts() (listed, unselectable int) {
+	unselectable = b.readyCount - len(b.activeHeap.endpoints)
 	for id := range b.disabled {
 		if e := b.byID[id]; e != nil && e.listing.state == Ready {
-			avoided++
+			unselectable++
 		}
 	}
-	return b.listedCount, avoided
+	return b.listedCount, unselectable
 }
 
-// EndpointStatus is how an endpoint stands with a Balancer.
+// EndpointStatus is the status of an endpoint at a Balancer.
 type EndpointStatus struct {
 	ID            string
 	State         State
@@ -25,11 +25,11 @@
 	Errors        float64        // share of recent outcomes that were errors
 	InFlight      int            // attempts in flight
 	CapacityShare float64        // least share of its capacity that it has
-	SinceResponse time.Duration  // since its latest response; below 0: none has come
+	SinceResponse time.Duration  // since its latest response; below 0: no response yet
 	NextTrial     time.Duration  // until its trial, while inactive; below 0: its trial is in flight
 }
 
-// EndpointStatuses returns how all endpoints stand, in order of insertion.
+// EndpointStatuses returns the status of all endpoints, in order of insertion.
 func (b *Balancer) EndpointStatuses(now time.Duration) []EndpointStatus {
 	var statuses []EndpointStatus
 	for _, e := range b.endpoints {
@@ -40,7 +40,7 @@
 	return statuses
 }
 
-// endpointStatus returns how one endpoint stands.
+// endpointStatus returns the status of one endpoint.
 func (b *Balancer) endpointStatus(now time.Duration, e *endpoint) EndpointStatus {
 	s := EndpointStatus{
 		ID: e.ID, State: e.State, Weight: e.weight(), InFlight: e.inFlight, CapacityShare: b.capacityShare(now, e),
--- a/balancer/straggling.go
+++ b/balancer/straggling.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Stragglers: when an attempt has been in flight for too long, and what that says of its endpoint.
+// Stragglers: when an attempt has been in flight for too long, and what that shows of its endpoint.
 
 import "time"
 
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Subsetting: which endpoints this instance sends to. Many quiet instances would otherwise meet
-// each endpoint too seldom to know it, and open a connection for nearly every call.
+// Subsetting: which endpoints this instance sends to. Many quiet instances would otherwise send to
+// each endpoint too seldom to learn its latency, and open a connection for nearly every request.
 
 import (
 	"math"
@@ -16,7 +16,7 @@
 	minSubsetsPerEndpoint = 6.0
 	minSubsetSize         = 4.0
 
-	// The wanted size follows the rate of requests once that asks for more than subsetGrowth times the
+	// The wanted size follows the rate of requests once that needs more than subsetGrowth times the
 	// size, or for less than subsetShrink times. Otherwise it would change with each request.
 	subsetGrowth = 1.5
 	subsetShrink = 0.5
@@ -31,16 +31,17 @@
 		b.wantedSubsetSize = wanted
 		b.updateSubset(nil)
 	}
-	if first { // no endpoint list before this request could go by a rate
+	if first { // the lists before it could not time trials by the rate
 		b.rescheduleFirstTrials(now)
 	}
 }
 
 // updateSubset chooses the subset. Subsets are even steps through the list, sorted by kind and
-// begun at the instance's own place: all endpoints are in as many subsets, and all subsets have the
-// same mix of kinds. The work depends on the number of endpoints touched.
+// begun at an offset by the instance's index: all endpoints are in as many subsets, and all subsets
+// have the same mix of kinds. The work depends on the number of endpoints touched.
 func (b *Balancer) updateSubset(touched []*endpoint) {
-	ready, instances := float64(b.readyCount), float64(max(b.settings.Instances, 1))
+	ready := float64(b.readyCount)
+	instances := float64(max(b.settings.Instances, 1))
 	even := minSubsetsPerEndpoint * (ready + float64(b.unlistedCount)) / instances
 	size := math.Floor(max(b.wantedSubsetSize, minSubsetSize, even))
 	if 2*size >= ready {
@@ -48,10 +49,10 @@
 		return
 	}
 	b.updateReadyByKind(touched)
-	place := min(float64(max(b.settings.Index, 0))/instances, 1-1/instances)
+	offset := min(float64(max(b.settings.Index, 0))/instances, 1-1/instances)
 	subset := make([]*endpoint, int(size))
 	for i := range subset {
-		subset[i] = b.readyByKind[int((float64(i)+place)/size*ready)]
+		subset[i] = b.readyByKind[int((float64(i)+offset)/size*ready)]
 	}
 	b.replaceSubset(subset)
 }
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -1,13 +1,13 @@
 package balancer
 
-// Timers: when the Balancer has to look again at what time alone changes, and what it does then.
+// Timers: what is due by time alone, and when the Balancer has to check it.
 
 import (
 	"slices"
 	"time"
 )
 
-// Timer implements Events. Timers cannot be withdrawn: one that is not the next wake-up is stale.
+// Timer implements Events. Timers cannot be canceled: one before the next wake-up is stale.
 func (b *Balancer) Timer(now time.Duration) {
 	if b.nextWakeUp == 0 || now < b.nextWakeUp {
 		return
@@ -22,7 +22,7 @@
 	}
 }
 
-// scheduleWakeUp makes sure that the Balancer looks again at the instant given.
+// scheduleWakeUp makes sure that there is a Timer event by the given instant.
 func (b *Balancer) scheduleWakeUp(at time.Duration) {
 	if b.nextWakeUp == 0 || at < b.nextWakeUp {
 		b.nextWakeUp = at
@@ -30,7 +30,7 @@
 	}
 }
 
-// nextCheckAt returns when a request has to be looked at again.
+// nextCheckAt returns when a request has to be checked again.
 func (b *Balancer) nextCheckAt(req *request) time.Duration {
 	at := req.giveUpAt
 	if req.queued {
@@ -47,8 +47,8 @@
 	return at
 }
 
-// runDueTimers does what is due: subscribe, give requests up, hedge them, and see to straggling
-// attempts.
+// runDueTimers does what is due: it subscribes, gives requests up, hedges them and handles
+// straggling attempts.
 func (b *Balancer) runDueTimers(now time.Duration) {
 	if b.subscription.isDue(now) {
 		b.subscription.dueAt = 0
@@ -71,7 +71,7 @@
 	b.dispatchQueue(now)
 }
 
-// giveUp answers a request that can no longer be in time, or has waited for capacity too long.
+// giveUp answers a request that can no longer be in time, or has waited for capacity for too long.
 func (b *Balancer) giveUp(now time.Duration, req *request) {
 	if len(req.attempts) == 0 {
 		b.log(now, LogEvent{Kind: CapacityExhausted, QueuedRequests: len(b.queue)})
@@ -79,7 +79,7 @@
 	b.rejectOrFail(req, b.queueTimeoutReason(req))
 }
 
-// jitter keeps instances that see the same from acting at the same moment.
+// jitter spreads a time by a quarter both ways, so that instances do not act at the same time.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*b.rng.Float64()))
 }
--- a/balancer/tokenbucket.go
+++ b/balancer/tokenbucket.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// tokenBucket is an allowance that refills with time. No decision is made in this file.
+// tokenBucket is a token bucket that refills with time and by deposits. No decision is made in this
+// file.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// refill adds a deposit and what the time since the last refill brings, up to a number of tokens.
+// refill adds a deposit and the tokens of the time since the last refill, up to the burst.
 func (t *tokenBucket) refill(now time.Duration, deposit, perSecond, burst float64) {
 	t.tokens = min(t.tokens+deposit+perSecond*(now-t.refilledAt).Seconds(), burst)
 	t.refilledAt = now
