--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -62,36 +62,36 @@
 
 // find returns the route of a request, or the rejection for a request that has none.
 func (t *routeTable) find(r *http.Request) (*routeEntry, *httpserver.Rejection) {
-	index, allowed := t.Find(r.Host, r.URL.Path, r.Method, r.Header.Get)
+	found := t.Find(route.Request{Host: r.Host, Path: r.URL.Path, Method: r.Method, Header: r.Header.Get})
 	switch {
-	case index >= 0:
-		return t.entries[index], nil
-	case len(allowed) > 0:
+	case found.Index >= 0:
+		return t.entries[found.Index], nil
+	case len(found.Allowed) > 0:
 		return nil, &httpserver.Rejection{
 			Status:  http.StatusMethodNotAllowed,
-			Message: "methods here: " + strings.Join(allowed, ", "),
-			Allow:   allowed,
+			Message: "methods here: " + strings.Join(found.Allowed, ", "),
+			Allow:   found.Allowed,
 		}
 	}
 	return nil, &httpserver.Rejection{Status: http.StatusNotFound, Message: "no route"}
 }
 
 // acquire admits a request under the route's limits, or returns the rejection that names the limit
-// it is over. Rejections that a rate causes are 429, those that concurrency causes 503.
+// which it exceeds. The status is 429 for a rate and 503 for concurrency.
 func (e *routeEntry) acquire(arrived time.Time, tenant string) (ratelimit.Permit, *httpserver.Rejection) {
-	permit, exceeded, wait := e.limiter.acquire(arrived, tenant)
-	if exceeded == ratelimit.None {
+	permit, exceeded := e.limiter.acquire(arrived, tenant)
+	if exceeded.Limit == ratelimit.None {
 		return permit, nil
 	}
-	e.metrics.countLimited(exceeded)
+	e.metrics.countLimited(exceeded.Limit)
 	status := http.StatusServiceUnavailable
-	if wait > 0 {
+	if exceeded.RetryAfter > 0 {
 		status = http.StatusTooManyRequests
 	}
 	return permit, &httpserver.Rejection{
 		Status:     status,
-		Message:    "over the limit: " + string(exceeded),
-		Limit:      string(exceeded),
-		RetryAfter: max(wait, concurrencyRetryAfter),
+		Message:    "over the limit: " + string(exceeded.Limit),
+		Limit:      string(exceeded.Limit),
+		RetryAfter: max(exceeded.RetryAfter, concurrencyRetryAfter),
 	}
 }
