--- a/internal/connpool/exchange_test.go
+++ b/internal/connpool/exchange_test.go
@@ -121,30 +121,31 @@
 // the same time.
 func TestTimeoutAndCancelCloseTheConn(t *testing.T) {
 	for _, want := range []FailureKind{TimedOut, Canceled} {
-		received, closed := make(chan bool, 1), make(chan error, 1)
-		e := startEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
-			received <- true
-			_, err := nc.Read(make([]byte, 1))
-			closed <- err
-			return false
+		t.Run(want.String(), func(t *testing.T) {
+			received, closed := make(chan bool, 1), make(chan error, 1)
+			e := startEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+				received <- true
+				_, err := nc.Read(make([]byte, 1))
+				closed <- err
+				return false
+			})
+			p := newTestPool(t, e.Addr)
+			a := attemptWithin(waitTimeout)
+			if want == TimedOut {
+				a = attemptWithin(300 * time.Millisecond)
+			} else {
+				go func() { <-received; a.Cancel() }()
+			}
+			if r, _ := roundTrip(t, p, a, "a", newRequest("/c")); r != want {
+				t.Errorf("outcome %v, want %v", r, want)
+			}
+			if p.openConns != 0 {
+				t.Error("the connection is still open")
+			}
+			if err := <-closed; err == nil {
+				t.Error("the endpoint could read more")
+			}
 		})
-		p := newTestPool(t, e.Addr)
-		a := attemptWithin(waitTimeout)
-		if want == TimedOut {
-			a = attemptWithin(300 * time.Millisecond)
-		} else {
-			go func() { <-received; a.Cancel() }()
-		}
-		r, _ := roundTrip(t, p, a, "a", newRequest("/c"))
-		if r != want {
-			t.Errorf("outcome %v, want %v", r, want)
-		}
-		if p.openConns != 0 {
-			t.Errorf("%v: the connection is still open", want)
-		}
-		if err := <-closed; err == nil {
-			t.Errorf("%v: the endpoint could read more", want)
-		}
 	}
 }
 
--- a/internal/connpool/idle_test.go
+++ b/internal/connpool/idle_test.go
@@ -10,27 +10,32 @@
 
 func TestDeadIdleConnIsNotReused(t *testing.T) {
 	for name, extra := range map[string]string{"closed": "", "bytes without a request": "x"} {
-		responseRead := make(chan bool, 1)
-		e := startEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
-			io.WriteString(nc, okResponse)
-			if n == 1 {
-				<-responseRead
-				io.WriteString(nc, extra)
+		t.Run(name, func(t *testing.T) {
+			responseRead := make(chan bool, 1)
+			e := startEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
+				io.WriteString(nc, okResponse)
+				if n == 1 {
+					<-responseRead
+					io.WriteString(nc, extra)
+				}
+				return n > 1
+			})
+			p := newTestPool(t, e.Addr)
+			if r := getOnce(t, p); r != succeeded {
+				t.Fatalf("first: %v", r)
+			}
+			responseRead <- true
+			waitUntil(t, name, func() bool {
+				idle := p.endpoints["a"].idle
+				return len(idle) == 0 || idle[0].hasPendingInput()
+			})
+			if r := getOnce(t, p); r != succeeded {
+				t.Errorf("second: %v", r)
+			}
+			if c := e.Connections.Load(); c != 2 {
+				t.Errorf("%d connections, want 2", c)
 			}
-			return n > 1
 		})
-		p := newTestPool(t, e.Addr)
-		if r := getOnce(t, p); r != succeeded {
-			t.Fatalf("%s: first: %v", name, r)
-		}
-		responseRead <- true
-		waitUntil(t, name, func() bool { idle := p.endpoints["a"].idle; return len(idle) == 0 || idle[0].hasPendingInput() })
-		if r := getOnce(t, p); r != succeeded {
-			t.Errorf("%s: second: %v", name, r)
-		}
-		if c := e.Connections.Load(); c != 2 {
-			t.Errorf("%s: %d connections", name, c)
-		}
 	}
 }
 
@@ -100,8 +105,9 @@
 }
 
 func TestOldestIdleConnIsEvictedForNewConn(t *testing.T) {
-	e, f := startEndpoint(t, respondWith(okResponse, keepConn)), startEndpoint(t, respondWith(okResponse, keepConn))
-	p := newTestPool(t, e.Addr, f.Addr)
+	a := startEndpoint(t, respondWith(okResponse, keepConn))
+	b := startEndpoint(t, respondWith(okResponse, keepConn))
+	p := newTestPool(t, a.Addr, b.Addr)
 	p.maxConns = 1
 	for _, id := range []string{"a", "b", "a"} {
 		if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), id, newRequest("/c")); r != succeeded {
--- a/internal/proxy/call_test.go
+++ b/internal/proxy/call_test.go
@@ -1,12 +1,14 @@
 package proxy
 
 import (
+	"fmt"
 	"net"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	"rowancart/balancer"
+	"rowancart/internal/testpeer"
 )
 
 // An endpoint is disabled, drains or is removed between the Balancer's choice and the first byte:
@@ -23,7 +25,7 @@
 	} {
 		for _, class := range []string{"idempotent", "non-idempotent"} {
 			t.Run(name+" "+class, func(t *testing.T) {
-				f := newTestEndpoints(t, 2, writeServed)
+				f := newTestEndpoints(t, 2, respondOK)
 				p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 				dialed, release := p.dialer.blockNext()
 				result := p.doAsync(p.newTestCall("r1", class, waitTimeout))
@@ -58,7 +60,7 @@
 		if id == "new" && !restarted.Load() {
 			return true // the connection of the old process
 		}
-		return writeServed(nc, id)
+		return respondOK(nc, id)
 	})
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 	if r := <-p.doAsync(p.newTestCall("old", "non-idempotent", waitTimeout)); r.Kind != Served {
@@ -88,7 +90,7 @@
 // Discovery whose clock is ahead lists a start in the future: the endpoint is used, and its
 // connections are kept.
 func TestFutureStartTimeDoesNotBlockEndpoint(t *testing.T) {
-	f := newTestEndpoints(t, 1, writeServed)
+	f := newTestEndpoints(t, 1, respondOK)
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 	inOneHour := time.Now().Add(time.Hour).UnixMilli()
 	listed := EndpointList{Endpoints: []Endpoint{{ID: "a", Addr: f.addrs[0], StartedMs: inOneHour}}}
@@ -109,7 +111,7 @@
 	f := newTestEndpoints(t, 1, func(nc net.Conn, id string) bool {
 		received <- true
 		<-release
-		return writeServed(nc, id)
+		return respondOK(nc, id)
 	})
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 	result := p.doAsync(p.newTestCall("r1", "idempotent", waitTimeout))
@@ -128,43 +130,80 @@
 	for _, cancelAllowed := range []bool{true, false} {
 		for _, responseFirst := range []bool{true, false} {
 			for class, timedOut := range map[string]ResultKind{"idempotent": Rejected, "non-idempotent": Failed} {
-				received, release := make(chan bool, 1), make(chan bool)
-				f := newTestEndpoints(t, 1, func(nc net.Conn, id string) bool {
-					received <- true
-					<-release
-					return writeServed(nc, id)
+				name := fmt.Sprintf("%s, cancel allowed %v, response first %v", class, cancelAllowed, responseFirst)
+				t.Run(name, func(t *testing.T) {
+					settings := balancer.Settings{CancelAllowed: cancelAllowed, Resolution: waitTimeout}
+					if responseFirst {
+						testResponseBeforeDeadline(t, settings, class)
+					} else {
+						testDeadlineBeforeResponse(t, settings, class, timedOut)
+					}
 				})
-				// The Balancer times out one resolution before the deadline, the attempt at the deadline.
-				p := newTestPool(t, balancer.Settings{CancelAllowed: cancelAllowed, Resolution: waitTimeout}, f.addrs...)
-				p.stopTimer()
-				due := p.Now() + 50*time.Millisecond
-				result := p.doAsync(p.newTestCall("r1", class, due+waitTimeout-p.Now()))
-				<-received
-				waitUntil(t, "the deadline has passed", func() bool { return p.Now() > due })
-				want := timedOut
-				if responseFirst {
-					want = Served
-					close(release)
-				} else {
-					p.handleEvent(p.fireDueTimers)
-				}
-				if r := <-result; r.Kind != want {
-					t.Errorf("cancel allowed %v, response first %v: result %+v", cancelAllowed, responseFirst, r)
-				}
-				if responseFirst {
-					p.handleEvent(p.fireDueTimers)
-				} else {
-					close(release)
-				}
-				waitUntil(t, "nothing is in flight", func() bool { return p.Stats().Calls == 0 })
-				if n := f.peers[0].Requests.Load(); n != 1 {
-					t.Errorf("the request was received %d times", n)
-				}
 			}
 		}
 	}
 }
 
+// callPastDeadline is a call whose deadline has passed for the Balancer, with an attempt in flight.
+type callPastDeadline struct {
+	pool     testPool
+	endpoint *testpeer.FakeEndpoint
+	result   <-chan Result
+	respond  chan bool // closed to let the endpoint respond
+}
+
+// newCallPastDeadline starts a call. Its Pool's timer has not fired.
+func newCallPastDeadline(t *testing.T, s balancer.Settings, class string) callPastDeadline {
+	t.Helper()
+	received, respond := make(chan bool, 1), make(chan bool)
+	f := newTestEndpoints(t, 1, func(nc net.Conn, id string) bool {
+		received <- true
+		<-respond
+		return respondOK(nc, id)
+	})
+	// The Balancer times out one resolution before the deadline, the attempt at the deadline.
+	p := newTestPool(t, s, f.addrs...)
+	p.stopTimer()
+	due := p.Now() + 50*time.Millisecond
+	result := p.doAsync(p.newTestCall("r1", class, due+s.Resolution-p.Now()))
+	<-received
+	waitUntil(t, "the deadline has passed", func() bool { return p.Now() > due })
+	return callPastDeadline{pool: p, endpoint: f.peers[0], result: result, respond: respond}
+}
+
+// expectResult checks the result of the call.
+func (c callPastDeadline) expectResult(t *testing.T, want ResultKind) {
+	t.Helper()
+	if r := <-c.result; r.Kind != want {
+		t.Errorf("result %+v, want kind %v", r, want)
+	}
+}
+
+// expectEnd checks that the call ends after one attempt.
+func (c callPastDeadline) expectEnd(t *testing.T) {
+	t.Helper()
+	waitUntil(t, "nothing is in flight", func() bool { return c.pool.Stats().Calls == 0 })
+	if n := c.endpoint.Requests.Load(); n != 1 {
+		t.Errorf("the request was received %d times", n)
+	}
+}
+
+func testResponseBeforeDeadline(t *testing.T, s balancer.Settings, class string) {
+	c := newCallPastDeadline(t, s, class)
+	close(c.respond)
+	c.expectResult(t, Served)
+	c.pool.handleEvent(c.pool.fireDueTimers)
+	c.expectEnd(t)
+}
+
+func testDeadlineBeforeResponse(t *testing.T, s balancer.Settings, class string, timedOut ResultKind) {
+	c := newCallPastDeadline(t, s, class)
+	c.pool.handleEvent(c.pool.fireDueTimers)
+	c.expectResult(t, timedOut)
+	close(c.respond)
+	c.expectEnd(t)
+}
+
 // A hedged request becomes due after its client has disconnected, or its client disconnects while
 // the connection is dialed: it is not sent. With the client still connected, it is.
 func TestNoHedgedRequestForDisconnectedClient(t *testing.T) {
@@ -178,7 +217,7 @@
 			f := newTestEndpoints(t, 2, func(nc net.Conn, id string) bool {
 				received <- true
 				<-release
-				return writeServed(nc, id)
+				return respondOK(nc, id)
 			})
 			p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 			p.stopTimer()
@@ -221,7 +260,7 @@
 // The client disconnects after its attempt was passed to the goroutine in Do and before that
 // goroutine has received it.
 func TestPendingAttemptOfDisconnectedClientIsNotSent(t *testing.T) {
-	f := newTestEndpoints(t, 1, writeServed)
+	f := newTestEndpoints(t, 1, respondOK)
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, f.addrs...)
 	c := p.newTestCall("r1", "non-idempotent", waitTimeout)
 	p.handleEvent(func(now time.Duration) { p.startCall(now, c) })
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -160,8 +160,8 @@
 	return string(rune('a' + slices.Index(f.addrs, addr)))
 }
 
-// writeServed writes a complete response.
-func writeServed(nc net.Conn, _ string) bool {
+// respondOK writes a complete response, and reports whether the connection stays open.
+func respondOK(nc net.Conn, _ string) bool {
 	_, err := io.WriteString(nc, okResponse)
 	return err == nil
 }
