--- a/internal/connpool/acquire_test.go
+++ b/internal/connpool/acquire_test.go
@@ -143,36 +143,38 @@
 // attempt.
 func TestIdleConnClosedBeforeFirstByteIsReplaced(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		closeNow := make(chan bool)
-		e := startEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
-			io.WriteString(nc, okResponse)
-			if n == 1 {
-				<-closeNow
+		t.Run(method, func(t *testing.T) {
+			closeNow := make(chan bool)
+			e := startEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
+				io.WriteString(nc, okResponse)
+				if n == 1 {
+					<-closeNow
+				}
+				return n > 1
+			})
+			p := newTestPool(t, e.Addr)
+			req := newRequest("/c")
+			req.Method = method
+			if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != succeeded {
+				t.Fatalf("first: %v", r)
+			}
+			c := p.endpoints["a"].idle[0]
+			a := attemptWithin(waitTimeout)
+			var once sync.Once
+			a.ClientDisconnected = func() bool { // between the choice of the connection and the first byte
+				once.Do(func() {
+					close(closeNow)
+					waitUntil(t, "the close arrives", c.hasPendingInput)
+				})
+				return false
+			}
+			if r, _ := roundTrip(t, p, a, "a", req); r != succeeded {
+				t.Errorf("outcome %v", r)
+			}
+			if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 2 {
+				t.Errorf("%d requests on %d connections", n, c)
 			}
-			return n > 1
 		})
-		p := newTestPool(t, e.Addr)
-		req := newRequest("/c")
-		req.Method = method
-		if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != succeeded {
-			t.Fatalf("first: %v", r)
-		}
-		c := p.endpoints["a"].idle[0]
-		a := attemptWithin(waitTimeout)
-		var once sync.Once
-		a.ClientDisconnected = func() bool { // between the choice of the connection and the first byte
-			once.Do(func() {
-				close(closeNow)
-				waitUntil(t, "the close arrives", c.hasPendingInput)
-			})
-			return false
-		}
-		if r, _ := roundTrip(t, p, a, "a", req); r != succeeded {
-			t.Errorf("%s: outcome %v", method, r)
-		}
-		if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 2 {
-			t.Errorf("%s: %d requests on %d connections", method, n, c)
-		}
 	}
 }
 
@@ -309,26 +311,30 @@
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 		syscall.ENETDOWN, syscall.EAGAIN,
 	} {
-		e := startEndpoint(t, respondWith(okResponse, keepConn))
-		p := newTestPool(t, e.Addr)
-		dial, dials, failing := p.dial, 0, 3
-		p.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if dials++; dials <= failing {
-				return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", failure)}
+		t.Run(failure.Error(), func(t *testing.T) {
+			e := startEndpoint(t, respondWith(okResponse, keepConn))
+			p := newTestPool(t, e.Addr)
+			dial := p.dial
+			dials := 0
+			failing := 3
+			p.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+				if dials++; dials <= failing {
+					return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", failure)}
+				}
+				return dial(ctx, network, addr)
 			}
-			return dial(ctx, network, addr)
-		}
-		if kind := getOnce(t, p); kind != succeeded {
-			t.Errorf("%v, three times: %v", failure, kind)
-		}
-		p.closeAllIdle()
-		failing = 1 << 30
-		kind, _ := roundTrip(t, p, attemptWithin(100*time.Millisecond), "a", newRequest("/c"))
-		if _, lastFailure := p.EndpointStatus("a"); kind != NotSent || lastFailure != "" {
-			t.Errorf("%v at each dial: %v, endpoint status %q", failure, kind, lastFailure)
-		}
-		if open := p.Counts().Open; open != 0 {
-			t.Errorf("%v: %d connections are counted as open", failure, open)
-		}
+			if kind := getOnce(t, p); kind != succeeded {
+				t.Errorf("three times: %v", kind)
+			}
+			p.closeAllIdle()
+			failing = 1 << 30
+			kind, _ := roundTrip(t, p, attemptWithin(100*time.Millisecond), "a", newRequest("/c"))
+			if _, lastFailure := p.EndpointStatus("a"); kind != NotSent || lastFailure != "" {
+				t.Errorf("at each dial: %v, endpoint status %q", kind, lastFailure)
+			}
+			if open := p.Counts().Open; open != 0 {
+				t.Errorf("%d connections are counted as open", open)
+			}
+		})
 	}
 }
--- a/internal/connpool/exchange_test.go
+++ b/internal/connpool/exchange_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -65,34 +66,36 @@
 // fails; a pool that passes responses through has no maximum.
 func TestEndlessResponseIsCutOff(t *testing.T) {
 	for _, passThrough := range []bool{false, true} {
-		e := startEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
-			io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-			chunk := []byte("100000\r\n" + strings.Repeat("x", 1<<20) + "\r\n")
-			for {
-				if _, err := nc.Write(chunk); err != nil {
-					return false
+		t.Run(fmt.Sprintf("pass through %v", passThrough), func(t *testing.T) {
+			e := startEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
+				io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+				chunk := []byte("100000\r\n" + strings.Repeat("x", 1<<20) + "\r\n")
+				for {
+					if _, err := nc.Write(chunk); err != nil {
+						return false
+					}
 				}
+			})
+			p := newTestPool(t, e.Addr)
+			p.passThrough = passThrough
+			kind, resp := roundTrip(t, p, attemptWithin(waitTimeout), "a", newRequest("/c"))
+			if kind != succeeded || resp.Stream == nil {
+				t.Fatalf("outcome %v, %d bytes and no stream", kind, len(resp.Body))
+			}
+			var ended FailureKind
+			resp.Stream.NotifyClose(func(err error) { ended = kindOf(t, err) })
+			n, err := io.CopyN(io.Discard, resp.Stream, MaxStreamedBody+1<<20)
+			want := errResponseTooLong
+			if passThrough {
+				want = nil
+			}
+			if !errors.Is(err, want) {
+				t.Errorf("after %d bytes %v, want %v", n, err, want)
+			}
+			if resp.Stream.Close(); !passThrough && (n > MaxStreamedBody || ended != Reset) {
+				t.Errorf("%d bytes passed, ended %v", n, ended)
 			}
 		})
-		p := newTestPool(t, e.Addr)
-		p.passThrough = passThrough
-		kind, resp := roundTrip(t, p, attemptWithin(waitTimeout), "a", newRequest("/c"))
-		if kind != succeeded || resp.Stream == nil {
-			t.Fatalf("outcome %v, %d bytes and no stream", kind, len(resp.Body))
-		}
-		var ended FailureKind
-		resp.Stream.NotifyClose(func(err error) { ended = kindOf(t, err) })
-		n, err := io.CopyN(io.Discard, resp.Stream, MaxStreamedBody+1<<20)
-		want := errResponseTooLong
-		if passThrough {
-			want = nil
-		}
-		if !errors.Is(err, want) {
-			t.Errorf("pass through %v: after %d bytes %v, want %v", passThrough, n, err, want)
-		}
-		if resp.Stream.Close(); !passThrough && (n > MaxStreamedBody || ended != Reset) {
-			t.Errorf("%d bytes passed, ended %v", n, ended)
-		}
 	}
 }
 
@@ -152,26 +155,28 @@
 // net/http's Transport would resend such requests by itself.
 func TestRequestOnBrokenReusedConnIsNotResent(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		e := startEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
-			if n > 1 {
-				return false
+		t.Run(method, func(t *testing.T) {
+			e := startEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
+				if n > 1 {
+					return false
+				}
+				io.WriteString(nc, okResponse)
+				return true
+			})
+			p := newTestPool(t, e.Addr)
+			req := newRequest("/c")
+			req.Method = method
+			req.Header.Set("Idempotency-Key", "k")
+			if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != succeeded {
+				t.Fatalf("first: %v", r)
+			}
+			if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != Reset {
+				t.Errorf("on a broken connection: %v", r)
+			}
+			if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
+				t.Errorf("%d requests on %d connections", n, c)
 			}
-			io.WriteString(nc, okResponse)
-			return true
 		})
-		p := newTestPool(t, e.Addr)
-		req := newRequest("/c")
-		req.Method = method
-		req.Header.Set("Idempotency-Key", "k")
-		if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != succeeded {
-			t.Fatalf("first: %v", r)
-		}
-		if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != Reset {
-			t.Errorf("%s on a broken connection: %v", method, r)
-		}
-		if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
-			t.Errorf("%s: %d requests on %d connections", method, n, c)
-		}
 	}
 }
 
