--- a/internal/connpool/attempt.go
+++ b/internal/connpool/attempt.go
@@ -80,14 +80,14 @@
 	return a.ClientDisconnected != nil && a.ClientDisconnected()
 }
 
-// limitWrites makes writes to the connection fail from WriteBy on. It returns errTooLateToWrite if
-// WriteBy has passed.
+// limitWrites makes writes to the connection fail from WriteBy on. It returns
+// errRetryDeadlinePassed if WriteBy has passed.
 func (a *Attempt) limitWrites(c *conn) error {
 	if a.WriteBy.IsZero() {
 		return nil
 	}
 	if time.Now().After(a.WriteBy) || c.SetWriteDeadline(a.WriteBy) != nil {
-		return errTooLateToWrite
+		return errRetryDeadlinePassed
 	}
 	return nil
 }
--- a/internal/connpool/attempt_test.go
+++ b/internal/connpool/attempt_test.go
@@ -56,7 +56,7 @@
 	}{
 		"no limit": {time.Time{}, nil},
 		"to come":  {time.Now().Add(time.Minute), nil},
-		"passed":   {time.Now().Add(-time.Millisecond), errTooLateToWrite},
+		"passed":   {time.Now().Add(-time.Millisecond), errRetryDeadlinePassed},
 	} {
 		a := &Attempt{WriteBy: row.writeBy}
 		if got := a.limitWrites(c); !errors.Is(got, row.want) {
@@ -64,7 +64,7 @@
 		}
 	}
 	client.Close()
-	if err := (&Attempt{WriteBy: time.Now().Add(time.Minute)}).limitWrites(c); !errors.Is(err, errTooLateToWrite) {
+	if err := (&Attempt{WriteBy: time.Now().Add(time.Minute)}).limitWrites(c); !errors.Is(err, errRetryDeadlinePassed) {
 		t.Errorf("closed connection: %v", err)
 	}
 }
