--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -225,20 +225,20 @@
 // snapshot.
 func (in *instance) checkRestored(t *testing.T, i int, restored bool) {
 	t.Helper()
-	message := "starting with what was learned()"
+	message := `msg="snapshot restored"()`
 	if !restored {
-		message = "starting without what was learned()"
+		message = `msg="snapshot not restored"()`
 	}
 	in.log.wait(t, 1, message)
 	n := 0
 	for _, line := range in.log.all() {
-		if strings.Contains(line, `msg="starting with`) {
+		if strings.Contains(line, `msg="snapshot restored"`) || strings.Contains(line, `msg="snapshot not restored"`) {
 			n++
 			t.Logf("instance %d: %s", i, line[strings.Index(line, "msg="):])
 		}
 	}
 	if n != 1 {
-		t.Errorf("instance %d logged %d times what it started with", i, n)
+		t.Errorf("instance %d logged %d times whether it restored its snapshot", i, n)
 	}
 }
 
--- a/cmd/rowancart/handover_test.go
+++ b/cmd/rowancart/handover_test.go
@@ -192,7 +192,7 @@
 	for n, script := range []string{"#!/bin/sh\nexit 1\n", "#!/bin/sh\nexec sleep 60\n"} {
 		d.replace(t, script)
 		d.signal(t, syscall.SIGUSR2)
-		d.log.wait(t, n+1, "no successor: this process goes on()")
+		d.log.wait(t, n+1, `msg="handover failed"()`)
 	}
 	load.stop()
 	sent, lost := load.sent.Load(), load.lost.Load()
@@ -223,7 +223,7 @@
 	d.replace(t, fmt.Sprintf("#!/bin/sh\necho $$ >'%s'\nwhile [ ! -e '%s' ]; do sleep 0.01; done\nexec '%s' \"$@\"\n",
 		pidFile, gate, program))
 	d.signal(t, syscall.SIGUSR2)
-	d.log.wait(t, 1, `msg="handing over"()`)
+	d.log.wait(t, 1, `msg="handover started"()`)
 	if err := d.current.Kill(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/rowancart/harness_test.go
+++ b/cmd/rowancart/harness_test.go
@@ -66,7 +66,7 @@
 // waitSuccessor waits for the nth handover, from 1, and returns the process that serves since.
 func (f *logFollower) waitSuccessor(t *testing.T, n int) *os.Process {
 	t.Helper()
-	return findProcess(t, f.wait(t, n, `msg="handed over" pid=(\d+)`))
+	return findProcess(t, f.wait(t, n, `msg="handover completed" pid=(\d+)`))
 }
 
 func findProcess(t *testing.T, pid string) *os.Process {
--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -137,7 +137,7 @@
 // endpointStatuses returns what the admin listener tells of the only pool's endpoints.
 func endpointStatuses(t *testing.T, d *daemon.Daemon) (statuses []map[string]any) {
 	t.Helper()
-	text, err := json.Marshal(d.Status(true))
+	text, err := json.Marshal(d.Status())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +161,7 @@
 	restored := time.Now()
 	path, pools := storeState(t, thisOwner(t))
 	d, log, stop := startDaemon(t, path, "")
-	if !strings.Contains(log.String(), "starting with what was learned") {
+	if !strings.Contains(log.String(), `msg="snapshot restored"`) {
 		t.Fatalf("the state is not used:\n%s", log)
 	}
 	inactive := map[any]any{}
@@ -239,7 +239,7 @@
 	} {
 		_, log, stop := startDaemon(t, row.path, "")
 		testpeer.WaitUntil(t, "listening", func() bool { return strings.Contains(log.String(), "listening") })
-		for _, want := range []string{"starting without what was learned", row.refusal} {
+		for _, want := range []string{`msg="snapshot not restored"`, row.refusal} {
 			if !strings.Contains(log.String(), want) {
 				t.Errorf("%s: %q is not logged:\n%s", name, want, log)
 			}
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -12,12 +12,14 @@
 
 	"rowancart/balancer"
 	"rowancart/internal/httpserver"
+	"rowancart/internal/logkey"
 	"rowancart/internal/proxy"
 )
 
 const (
 	adminHeaderTimeout = 5 * time.Second // for the head of a request to the admin interface
 	maxEndpointsListed = 1000            // endpoints of a pool in one status
+	adminListenerName  = "admin"         // in the log
 )
 
 // Values in the status and in labels of metrics.
@@ -27,7 +29,8 @@
 	trialInFlight    = "under way"
 )
 
-// Status is the daemon's state as the admin interface shows it.
+// Status is the daemon's state as the admin interface shows it. The names of its JSON members are
+// part of the interface; docs/daemon.md maps them to the terms used here.
 type Status struct {
 	File                string           `json:"file"`
 	Generation          int              `json:"generation"`
@@ -53,7 +56,7 @@
 	Name    string `json:"name"`
 	Removed bool   `json:"ending,omitempty"` // draining: the configuration no longer has it, or another of its name
 	proxy.Stats
-	SourceError string           `json:"roster_error,omitempty"` // why the endpoint list as it is now is not in force
+	SourceError string           `json:"roster_error,omitempty"` // for which the present endpoint list is not in force
 	Endpoints   []EndpointStatus `json:"endpoints"`              // at most maxEndpointsListed of them
 	Unlisted    int              `json:"endpoints_unlisted,omitempty"`
 }
@@ -63,10 +66,10 @@
 	ID             string  `json:"id"`
 	Address        string  `json:"address"`
 	State          string  `json:"state"`              // endpointReady or endpointDraining, as listed
-	InactiveReason string  `json:"out,omitempty"`      // why it gets no ordinary requests
+	InactiveReason string  `json:"out,omitempty"`      // for which it gets no requests but trials
 	NextTrial      string  `json:"trial_in,omitempty"` // a duration, or trialInFlight
-	Weight         float64 `json:"weight"`             // its response time, in multiples of the baseline latency
-	ErrorRate      float64 `json:"errors"`             // share of recent outcomes, from 0 to 1
+	Weight         float64 `json:"weight"`             // its smoothed latency ratio
+	ErrorRate      float64 `json:"errors"`             // of recent outcomes, from 0 to 1
 	InFlight       int     `json:"in_flight"`
 	IdleConns      int     `json:"idle_connections"`
 	Warmth         float64 `json:"warmth"`
@@ -80,25 +83,34 @@
 	Class    string `json:"class"`
 	Pool     string `json:"pool"`
 	InFlight int    `json:"under_way"`
-	Tenants  int    `json:"tenants"` // with counts of their own at present
+	Tenants  int    `json:"tenants"` // tracked separately at present
 }
 
-// Status returns the daemon's state, with each endpoint's if includeEndpoints.
-func (d *Daemon) Status(includeEndpoints bool) Status {
+// Status returns the daemon's state.
+func (d *Daemon) Status() Status { return d.status((*pool).status) }
+
+// Summary returns the daemon's state without those of its endpoints.
+func (d *Daemon) Summary() Status { return d.status((*pool).summary) }
+
+// status returns the daemon's state, with the state of each pool as poolStatus returns it.
+func (d *Daemon) status(poolStatus func(*pool) PoolStatus) Status {
 	d.reloadMu.Lock()
 	pools, current := slices.Clone(d.pools), d.current
-	s := Status{DrainingGenerations: len(d.retired)}
+	s := Status{DrainingGenerations: len(d.retired.generations)}
 	d.reloadMu.Unlock()
 	slices.SortStableFunc(pools, func(x, y *pool) int { return strings.Compare(x.name, y.name) })
 	for _, p := range pools {
-		ps := p.status(includeEndpoints)
-		ps.Removed = current.pools[p.name] != p
+		ps := poolStatus(p)
+		ps.Removed = !current.hasPool(p)
 		s.Pools = append(s.Pools, ps)
 	}
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	c := d.current.config
-	s.File, s.Generation, s.Reloads, s.Warnings = d.configPath, d.current.number, d.reloads, c.Warnings
+	s.File = d.source.path
+	s.Generation = d.current.number
+	s.Reloads = d.reloads
+	s.Warnings = c.Warnings
 	for _, l := range d.listeners {
 		s.Listeners = append(s.Listeners, l.status())
 	}
@@ -117,17 +129,20 @@
 	return ListenerStatus{
 		Name:                l.name,
 		Address:             l.conns.Addr().String(),
-		Removed:             l.drainingFor != nil,
+		Removed:             l.isRemoved(),
 		Connections:         open,
 		RejectedConnections: rejected,
 	}
 }
 
-func (p *pool) status(includeEndpoints bool) PoolStatus {
-	s := PoolStatus{Name: p.name, Stats: p.proxy.Stats(), SourceError: p.sourceError()}
-	if !includeEndpoints {
-		return s
-	}
+// summary returns the state of a pool without those of its endpoints.
+func (p *pool) summary() PoolStatus {
+	return PoolStatus{Name: p.name, Stats: p.proxy.Stats(), SourceError: p.source.get()}
+}
+
+// status returns the state of a pool.
+func (p *pool) status() PoolStatus {
+	s := p.summary()
 	for _, e := range p.proxy.Endpoints() {
 		if len(s.Endpoints) == maxEndpointsListed {
 			s.Unlisted++
@@ -138,6 +153,7 @@
 	return s
 }
 
+// endpointStatus returns the state of an endpoint.
 func endpointStatus(e proxy.EndpointStatus) EndpointStatus {
 	s := EndpointStatus{
 		ID:             e.ID,
@@ -157,11 +173,11 @@
 	if e.SinceResponse >= 0 {
 		s.SinceResponse = e.SinceResponse.Round(time.Millisecond).String()
 	}
+	isEjected := e.Inactive != "" && e.Inactive != balancer.InactiveOutsideSubset
 	switch {
-	case e.Inactive == "" || e.Inactive == balancer.InactiveOutsideSubset:
-	case e.NextTrial < 0:
+	case isEjected && e.NextTrial < 0:
 		s.NextTrial = trialInFlight
-	default:
+	case isEjected:
 		s.NextTrial = e.NextTrial.Round(time.Millisecond).String()
 	}
 	return s
@@ -170,11 +186,12 @@
 func roundThousandths(x float64) float64 { return math.Round(x*1000) / 1000 }
 
 // serveAdmin serves the admin interface. The function that it returns closes it and waits for all
-// tasks of the daemon.
+// goroutines of the daemon.
 func (d *Daemon) serveAdmin() (stop func()) {
 	server := &http.Server{Handler: d.adminHandler(), ReadHeaderTimeout: adminHeaderTimeout}
-	d.log.Info("listening", "listener", "admin", "addr", d.admin.Addr().String())
-	d.tasks.Go(func() error { return ignoreClosed(server.Serve(httpserver.NewRetryingListener(d.admin, d.log))) })
+	d.log.Info("listening", logkey.Listener, adminListenerName, logkey.Addr, d.admin.Addr().String())
+	retrying := httpserver.NewRetryingListener(d.admin, d.log)
+	d.tasks.Go(func() error { return ignoreClosed(server.Serve(retrying)) })
 	return func() {
 		server.Close()
 		_ = d.tasks.Wait()
@@ -189,7 +206,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
-		_ = e.Encode(d.Status(true)) // an error means that the client has left
+		_ = e.Encode(d.Status()) // an error means that the client has disconnected
 	})
 	mux.HandleFunc("POST /reload", func(w http.ResponseWriter, _ *http.Request) {
 		if err := d.Reload(); err != nil {
--- a/internal/daemon/admin_test.go
+++ b/internal/daemon/admin_test.go
@@ -13,7 +13,7 @@
 	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
 	s.request(http.MethodGet, "/x")
 	testpeer.WaitUntil(t, "the request is counted, which happens after its response is written", func() bool {
-		_, metrics := s.requestAdmin(http.MethodGet, "/metrics")
+		metrics := s.requestAdmin(http.MethodGet, "/metrics").body
 		return strings.Contains(metrics, `rowancart_answer_seconds_count{route="x"} 1`)
 	})
 	for path, wants := range map[string][]string{
@@ -27,16 +27,16 @@
 			`rowancart_worth_total{kind="served",route="x"} 1`,
 		},
 	} {
-		status, body := s.requestAdmin(http.MethodGet, path)
+		got := s.requestAdmin(http.MethodGet, path)
 		for _, want := range wants {
-			if status != http.StatusOK || !strings.Contains(body, want) {
-				t.Errorf("%s has no %s: %d\n%s", path, want, status, body)
+			if got.status != http.StatusOK || !strings.Contains(got.body, want) {
+				t.Errorf("%s has no %s: %d\n%s", path, want, got.status, got.body)
 			}
 		}
 	}
 	s.writeConfig("x")
-	status, body := s.requestAdmin(http.MethodPost, "/reload")
-	if status != http.StatusUnprocessableEntity || !strings.Contains(body, "rowancart.hcl:") {
-		t.Errorf("an invalid file: %d %q", status, body)
+	got := s.requestAdmin(http.MethodPost, "/reload")
+	if got.status != http.StatusUnprocessableEntity || !strings.Contains(got.body, "rowancart.hcl:") {
+		t.Errorf("an invalid file: %d %q", got.status, got.body)
 	}
 }
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"maps"
 	"slices"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -13,23 +12,23 @@
 
 	"rowancart/balancer"
 	"rowancart/internal/config"
-	"rowancart/internal/ratelimit"
+	"rowancart/internal/logkey"
 	"rowancart/internal/route"
 )
 
-// generation is one configuration that is in force, or that was when requests came which are still
-// in flight. It is immutable but for the count of its users.
+// generation is one configuration that is in force, or that was in force when a request arrived
+// that is still in flight. It is immutable but for the count of its users.
 //
 // A generation is current, then retired when the next one is applied, and removed once it has no
 // users. Its users are the daemon while it is current, each request that it routed, and each
-// listener that drains since its successor.
+// listener that the next generation has removed, until that has drained.
 type generation struct {
 	number int
 	config *config.Config
 	pools  map[string]*pool       // by name
 	tables map[string]*routeTable // by listener
 	users  atomic.Int64
-	daemon *Daemon
+	unused chan<- struct{} // receives a value when the last use has ended
 }
 
 // routeTable finds the routes of one listener.
@@ -38,7 +37,7 @@
 	entries []*routeEntry // by the index that the table returns
 }
 
-// routeEntry is a route of a generation with all that serves it.
+// routeEntry is a route of a generation with the pool, limits and metrics of its requests.
 type routeEntry struct {
 	config.Route
 	pool    *pool
@@ -47,51 +46,23 @@
 	metrics *routeMetrics
 }
 
-// routeLimiter holds a route to its limits, across generations.
-type routeLimiter struct {
-	mu      sync.Mutex
-	limiter *ratelimit.Limiter
-}
-
-func (l *routeLimiter) acquire(now time.Time, tenant string) (ratelimit.Permit, ratelimit.Exceeded) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.limiter.Acquire(now, tenant)
-}
+// acquire adds a user. The generation must have one already.
+func (g *generation) acquire() { g.users.Add(1) }
 
-func (l *routeLimiter) release(permit ratelimit.Permit) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.limiter.Release(permit)
-}
-
-func (l *routeLimiter) configure(now time.Time, limits ratelimit.Limits) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.limiter.Configure(now, limits)
-}
-
-// usage returns how many requests are in flight, and how many tenants are tracked.
-func (l *routeLimiter) usage() (inFlight, tenants int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.limiter.Usage()
-}
-
-// release ends one use. With the last use of a retired generation the daemon is notified to remove
-// it.
+// release removes a user. The daemon removes a generation that has lost its last user.
 func (g *generation) release() {
-	if g.users.Add(-1) == 0 {
-		select {
-		case g.daemon.generationIdle <- struct{}{}:
-		default: // notified already
-		}
+	if g.users.Add(-1) > 0 {
+		return
+	}
+	select {
+	case g.unused <- struct{}{}:
+	default: // notified already
 	}
 }
 
 // className returns the name of a route's class in its pool. Classes that differ in any way have
-// different names, so that a request in flight keeps the class that it came with, whatever becomes
-// of the route.
+// different names, so that a request in flight keeps the class with which it arrived, whatever a
+// reload makes of the route.
 func className(r config.Route) string {
 	return fmt.Sprintf("%s~%016x", r.Class.Name, xxhash.Sum64String(fmt.Sprintf("%+v", r.BalancerClass(""))))
 }
@@ -100,23 +71,23 @@
 // it: pools are configured with its classes, and listeners are open. The caller must hold
 // d.reloadMu, except before Run.
 func (d *Daemon) apply(c *config.Config, opened []*listener) {
-	g := &generation{number: 1, config: c, pools: map[string]*pool{}, tables: map[string]*routeTable{}, daemon: d}
-	g.users.Store(1) // the daemon, while it is current
 	old := d.current
+	g := newGeneration(c, old, d.retired.unused)
 	if old != nil {
-		g.number = old.number + 1
-		d.retired = append(d.retired, old)
+		d.retired.add(old)
 	}
 	d.addPools(g, old)
 	d.configurePools(g)
 
 	d.mu.Lock()
-	d.syncLimiters(c)
+	for _, route := range d.limiters.update(time.Now(), c.Routes) {
+		d.metrics.deleteRoute(route)
+	}
 	for _, l := range c.Listeners {
 		g.tables[l.Name] = d.newRouteTable(g, l.Name)
 	}
 	d.current = g
-	removed := d.syncListeners(c, opened)
+	removed := d.updateListeners(c, opened, old)
 	d.mu.Unlock()
 
 	for _, l := range removed {
@@ -130,6 +101,23 @@
 	}
 }
 
+// newGeneration returns the generation of a configuration that follows old, which is nil for the
+// first. It has one user: the daemon, while it is current.
+func newGeneration(c *config.Config, old *generation, unused chan<- struct{}) *generation {
+	g := &generation{
+		number: 1,
+		config: c,
+		pools:  map[string]*pool{},
+		tables: map[string]*routeTable{},
+		unused: unused,
+	}
+	if old != nil {
+		g.number = old.number + 1
+	}
+	g.acquire()
+	return g
+}
+
 // addPools gives a generation its pools: those of the generation before it where they serve the
 // same endpoints, else new ones.
 func (d *Daemon) addPools(g, old *generation) {
@@ -138,7 +126,7 @@
 		if old != nil {
 			p = old.pools[pc.Name]
 		}
-		if p == nil || !servesSameEndpoints(p.config.Source, pc.Source) {
+		if p == nil || !servesSameEndpoints(p.settings.config.Source, pc.Source) {
 			p = d.newPool(pc, g)
 			d.pools = append(d.pools, p)
 			if d.runCtx != nil { // otherwise Run starts it
@@ -149,28 +137,7 @@
 	}
 }
 
-// syncLimiters makes the limiters those of the configuration's routes. The caller must hold d.mu.
-func (d *Daemon) syncLimiters(c *config.Config) {
-	routes := map[string]bool{}
-	for _, r := range c.Routes {
-		routes[r.Name] = true
-		limits := r.Policy.Limits()
-		l := d.limiters[r.Name]
-		if l == nil {
-			l = &routeLimiter{limiter: ratelimit.New(limits)}
-			d.limiters[r.Name] = l
-		}
-		l.configure(time.Now(), limits)
-	}
-	for name := range d.limiters {
-		if !routes[name] {
-			delete(d.limiters, name)
-			d.metrics.deleteRoute(name)
-		}
-	}
-}
-
-// newRouteTable collects the routes of a listener. The caller must hold d.mu.
+// newRouteTable returns the table of a listener's routes. The caller must hold d.mu.
 func (d *Daemon) newRouteTable(g *generation, listener string) *routeTable {
 	t := &routeTable{}
 	var matches []route.Match
@@ -195,43 +162,77 @@
 // but the classes, which are those of all of them. The caller must hold d.reloadMu, except before
 // Run.
 func (d *Daemon) configurePools(newest *generation) {
-	classes := map[*pool]map[string]balancer.Class{}
-	for _, g := range append([]*generation{newest}, d.retired...) {
+	classes := classesByPool(append([]*generation{newest}, d.retired.generations...))
+	for _, p := range d.pools {
+		p.configure(newest, classes[p])
+	}
+}
+
+// classesByPool returns the classes of each pool in some generations, sorted by name: their order
+// must not depend on that of the generations, since the balancer sums over classes in it.
+func classesByPool(generations []*generation) map[*pool][]balancer.Class {
+	byName := map[*pool]map[string]balancer.Class{}
+	for _, g := range generations {
 		for _, r := range g.config.Routes {
 			p, name := g.pools[r.Pool], className(r)
-			if classes[p] == nil {
-				classes[p] = map[string]balancer.Class{}
+			if byName[p] == nil {
+				byName[p] = map[string]balancer.Class{}
 			}
-			classes[p][name] = r.BalancerClass(name)
+			byName[p][name] = r.BalancerClass(name)
 		}
 	}
-	for _, p := range d.pools {
-		// The order must not depend on that of the generations: the balancer sums over classes in it.
-		byName := func(x, y balancer.Class) int { return cmp.Compare(x.Name, y.Name) }
-		p.configure(newest, slices.SortedFunc(maps.Values(classes[p]), byName))
+	sorted := map[*pool][]balancer.Class{}
+	for p, classes := range byName {
+		compareNames := func(x, y balancer.Class) int { return cmp.Compare(x.Name, y.Name) }
+		sorted[p] = slices.SortedFunc(maps.Values(classes), compareNames)
 	}
+	return sorted
+}
+
+// retiredGenerations are the generations that are no longer in force and have users.
+// Daemon.reloadMu guards them.
+type retiredGenerations struct {
+	generations []*generation
+	unused      chan struct{} // receives a value when a generation has lost its last user
 }
 
-// removeUnusedGenerations forgets retired generations without users, and stops the pools that only
-// they had. The caller must hold d.reloadMu.
+func newRetiredGenerations() retiredGenerations {
+	return retiredGenerations{unused: make(chan struct{}, 1)}
+}
+
+// add adds a generation that is no longer in force.
+func (r *retiredGenerations) add(g *generation) { r.generations = append(r.generations, g) }
+
+// removeUnused removes the generations without users, and reports whether there were any.
+func (r *retiredGenerations) removeUnused() bool {
+	before := len(r.generations)
+	r.generations = slices.DeleteFunc(r.generations, func(g *generation) bool { return g.users.Load() == 0 })
+	return len(r.generations) < before
+}
+
+// hasPool reports whether one of the generations has a pool.
+func (r *retiredGenerations) hasPool(p *pool) bool {
+	return slices.ContainsFunc(r.generations, func(g *generation) bool { return g.hasPool(p) })
+}
+
+// hasPool reports whether the generation has a pool.
+func (g *generation) hasPool(p *pool) bool { return g.pools[p.name] == p }
+
+// removeUnusedGenerations removes retired generations without users, and stops the pools that only
+// they had.
 func (d *Daemon) removeUnusedGenerations() {
-	before := len(d.retired)
-	d.retired = slices.DeleteFunc(d.retired, func(g *generation) bool { return g.users.Load() == 0 })
-	if len(d.retired) == before {
+	d.reloadMu.Lock()
+	defer d.reloadMu.Unlock()
+	if !d.retired.removeUnused() {
 		return
 	}
-	used := map[*pool]bool{}
-	for _, g := range append([]*generation{d.current}, d.retired...) {
-		for _, p := range g.pools {
-			used[p] = true
-		}
-	}
 	d.pools = slices.DeleteFunc(d.pools, func(p *pool) bool {
-		if !used[p] {
+		isUsed := d.current.hasPool(p) || d.retired.hasPool(p)
+		if !isUsed {
 			p.stop()
-			d.log.Info("pool ended", "pool", p.name)
+			d.log.Info("pool removed", logkey.Pool, p.name)
 		}
-		return !used[p]
+		return !isUsed
 	})
 	d.configurePools(d.current)
 }
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -65,13 +65,14 @@
 `
 )
 
-// startDaemon runs a daemon whose configuration is configHead and blocks until the test ends.
+// startDaemon runs a daemon until the test ends, with configHead and these blocks as its
+// configuration.
 func startDaemon(t *testing.T, blocks string) *testDaemon {
 	t.Helper()
 	return startDaemonWithConfig(t, configHead+blocks)
 }
 
-// startDaemonWithConfig runs a daemon with a whole configuration until the test ends.
+// startDaemonWithConfig runs a daemon with a complete configuration until the test ends.
 func startDaemonWithConfig(t *testing.T, config string) *testDaemon {
 	t.Helper()
 	s := &testDaemon{
@@ -92,7 +93,10 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
-	go func() { s.runErr <- s.Run(ctx, nil); close(s.runErr) }()
+	go func() {
+		defer close(s.runErr)
+		s.runErr <- s.Run(ctx, nil)
+	}()
 	t.Cleanup(func() {
 		stop()
 		<-s.runErr
@@ -152,9 +156,16 @@
 // stateBlock returns the block that sets the snapshot's file.
 func stateBlock(path string) string { return fmt.Sprintf("state {\n path = %q\n}\n", path) }
 
-// request sends a request on a new connection and returns the response's status, body and headers.
-// Header has names and values in turn.
-func (s *testDaemon) request(method, path string, header ...string) (int, string, http.Header) {
+// response is a response that was read to its end.
+type response struct {
+	status int
+	body   string
+	header http.Header
+}
+
+// request sends a request on a new connection and returns the response. Header has names and values
+// in turn.
+func (s *testDaemon) request(method, path string, header ...string) response {
 	s.t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.Addr("front").String()+path, nil)
 	if err != nil {
@@ -166,60 +177,56 @@
 	return s.do(r)
 }
 
-// requestAdmin sends a request to the admin interface and returns the response's status and body.
-func (s *testDaemon) requestAdmin(method, path string) (int, string) {
+// requestAdmin sends a request to the admin interface and returns the response.
+func (s *testDaemon) requestAdmin(method, path string) response {
 	s.t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.AdminAddr().String()+path, nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	status, body, _ := s.do(r)
-	return status, body
+	return s.do(r)
 }
 
-func (s *testDaemon) do(r *http.Request) (int, string, http.Header) {
+func (s *testDaemon) do(r *http.Request) response {
 	s.t.Helper()
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 	if err != nil {
 		s.t.Error(err)
-		return 0, "", nil
+		return response{}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		s.t.Error(err)
 	}
-	return resp.StatusCode, string(body), resp.Header
+	return response{resp.StatusCode, string(body), resp.Header}
 }
 
-// responds returns a function that reports whether a GET request is answered with a body.
+// responds returns a function that reports whether the response to a GET request has a body.
 func (s *testDaemon) responds(path, want string) func() bool {
-	return func() bool {
-		_, body, _ := s.request(http.MethodGet, path)
-		return body == want
-	}
+	return func() bool { return s.request(http.MethodGet, path).body == want }
 }
 
-// respondWith returns an endpoint's handler that answers each request alike.
+// respondWith returns an endpoint's handler that sends the same response to each request.
 func respondWith(status, header, body string) func(net.Conn, *http.Request, int) bool {
 	text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 	return testpeer.RespondWith(text, testpeer.KeepConn)
 }
 
-// gatedEndpoint is an endpoint whose requests wait until they are released.
+// gatedEndpoint is an endpoint that responds to a request once it is released.
 type gatedEndpoint struct {
 	*testpeer.FakeEndpoint
 	arrived chan bool // receives a value for each request
 	release chan bool // each value releases one request, closing it all
 }
 
-// newGatedEndpoint returns an endpoint that sends response for each request that it has released.
-func newGatedEndpoint(t *testing.T, response string) *gatedEndpoint {
+// newGatedEndpoint returns an endpoint that sends a response for each request that is released.
+func newGatedEndpoint(t *testing.T, text string) *gatedEndpoint {
 	e := &gatedEndpoint{arrived: make(chan bool, 100), release: make(chan bool)}
 	e.FakeEndpoint = testpeer.StartEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		e.arrived <- true
 		<-e.release
-		io.WriteString(nc, response)
+		io.WriteString(nc, text)
 		return true
 	})
 	return e
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -12,8 +13,12 @@
 
 	"rowancart/internal/config"
 	"rowancart/internal/httpserver"
+	"rowancart/internal/logkey"
 )
 
+// errSocketInUse means that another process serves at a unix socket of the configuration.
+var errSocketInUse = errors.New("another process serves there")
+
 // listener is an address at which clients are served.
 type listener struct {
 	name    string // changes with the configuration; guarded by Daemon.mu
@@ -22,21 +27,51 @@
 	server  *httpserver.Server
 	daemon  *Daemon
 
-	// drainingFor is the last generation that had the listener: its connections are served by that
+	// lastGeneration is the last generation that had the listener: its connections are served by that
 	// until they end. It is nil while the configuration has the listener, and guarded by Daemon.mu.
-	drainingFor *generation
+	lastGeneration *generation
+}
+
+// isRemoved reports whether the configuration no longer has the listener, which drains since. The
+// caller must hold Daemon.mu.
+func (l *listener) isRemoved() bool { return l.lastGeneration != nil }
+
+// listenerSet has all listeners, those included that drain since a reload has removed them.
+type listenerSet []*listener
+
+// named returns the listener of a name that the configuration has, or nil.
+func (s listenerSet) named(name string) *listener {
+	return s.first(func(l *listener) bool { return l.name == name && !l.isRemoved() })
+}
+
+// at returns the listener at an address that the configuration has, or nil.
+func (s listenerSet) at(address string) *listener {
+	return s.first(func(l *listener) bool { return l.address == address && !l.isRemoved() })
+}
+
+// first returns the first listener that meets a condition, or nil.
+func (s listenerSet) first(meets func(*listener) bool) *listener {
+	i := slices.IndexFunc(s, meets)
+	if i < 0 {
+		return nil
+	}
+	return s[i]
+}
+
+// without returns the listeners but for one, which has ended. It may reuse s.
+func (s listenerSet) without(ended *listener) listenerSet {
+	return slices.DeleteFunc(s, func(l *listener) bool { return l == ended })
 }
 
 // Addr returns the address at which the listener of that name is open, or nil if there is none.
 func (d *Daemon) Addr(name string) net.Addr {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	for _, l := range d.listeners {
-		if l.name == name && l.drainingFor == nil {
-			return l.conns.Addr()
-		}
+	l := d.listeners.named(name)
+	if l == nil {
+		return nil
 	}
-	return nil
+	return l.conns.Addr()
 }
 
 // AdminAddr returns the address of the admin interface, or nil if there is none.
@@ -49,10 +84,8 @@
 
 // listen opens an address of the configuration, or inherits the predecessor's socket for it.
 func (d *Daemon) listen(address string) (net.Listener, error) {
-	if d.predecessor != nil {
-		if l, err := d.predecessor.Listener(address); l != nil || err != nil {
-			return l, err
-		}
+	if l, err := d.handover.inherit(address); l != nil || err != nil {
+		return l, err
 	}
 	path, isUnix := strings.CutPrefix(address, "unix:")
 	if !isUnix {
@@ -60,7 +93,7 @@
 	}
 	if nc, err := net.Dial("unix", path); err == nil {
 		nc.Close()
-		return nil, fmt.Errorf("listen %s: another process serves there", address)
+		return nil, fmt.Errorf("listen %s: %w", address, errSocketInUse)
 	}
 	if info, err := os.Stat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
 		_ = os.Remove(path) // left behind by a process that was killed
@@ -74,24 +107,28 @@
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for _, want := range c.Listeners {
-		isOpen := func(l *listener) bool { return l.address == want.Address && l.drainingFor == nil }
-		if slices.ContainsFunc(d.listeners, isOpen) {
+		if d.listeners.at(want.Address) != nil {
 			continue
 		}
-		nl, err := d.listen(want.Address)
+		socket, err := d.listen(want.Address)
 		if err != nil {
 			closeListeners(opened)
 			return nil, fmt.Errorf("listener %q: %w", want.Name, err)
 		}
-		l := &listener{name: want.Name, address: want.Address, daemon: d}
-		l.conns = httpserver.NewSheddingListener(nl, connsPerListener(c))
-		l.server = httpserver.New(l, "rowancart", want.Address, d.log)
-		l.server.RoundRetryAfter()
-		opened = append(opened, l)
+		opened = append(opened, d.newListener(want, socket, connsPerListener(c)))
 	}
 	return opened, nil
 }
 
+// newListener returns a listener that does not serve yet.
+func (d *Daemon) newListener(c config.Listener, socket net.Listener, maxConns int) *listener {
+	l := &listener{name: c.Name, address: c.Address, daemon: d}
+	l.conns = httpserver.NewSheddingListener(socket, maxConns)
+	l.server = httpserver.New(l, "rowancart", c.Address, d.log)
+	l.server.RoundRetryAfter()
+	return l
+}
+
 // connsPerListener returns how many client connections each listener may have open.
 func connsPerListener(c *config.Config) int { return c.Limits.MaxConns / len(c.Listeners) }
 
@@ -101,31 +138,32 @@
 	}
 }
 
-// startListener serves a listener's connections. The server retries failures to accept by itself,
-// with a backoff.
+// startListener serves a listener's connections. The server retries failures to accept, with a
+// backoff.
 func (d *Daemon) startListener(l *listener) {
 	d.tasks.Go(func() error {
 		err := ignoreClosed(l.server.Serve(l.conns))
 		if err != nil {
-			d.log.Error("a listener has ended", "addr", l.address, "err", err)
+			d.log.Error("listener failed", logkey.Addr, l.address, logkey.Err, err)
 		}
 		return err
 	})
-	d.log.Info("listening", "listener", l.name, "addr", l.conns.Addr().String())
+	d.log.Info("listening", logkey.Listener, l.name, logkey.Addr, l.conns.Addr().String())
 }
 
-// syncListeners makes the listeners those of the configuration, and returns those that it no longer
-// has, which are now draining. The caller must hold d.reloadMu and d.mu.
-func (d *Daemon) syncListeners(c *config.Config, opened []*listener) (removed []*listener) {
+// updateListeners makes the listeners those of the configuration, and returns those that it no
+// longer has, whose last generation is the one that it replaces. The caller must hold d.reloadMu
+// and d.mu.
+func (d *Daemon) updateListeners(c *config.Config, opened []*listener, replaced *generation) (removed []*listener) {
 	d.listeners = append(d.listeners, opened...)
 	for _, l := range d.listeners {
-		if l.drainingFor != nil {
+		if l.isRemoved() {
 			continue
 		}
 		i := slices.IndexFunc(c.Listeners, func(want config.Listener) bool { return want.Address == l.address })
 		if i < 0 {
-			l.drainingFor = d.retired[len(d.retired)-1]
-			l.drainingFor.users.Add(1) // cannot be 0 yet: apply releases that generation later
+			l.lastGeneration = replaced
+			replaced.acquire() // it still has a user: apply releases it later
 			removed = append(removed, l)
 			continue
 		}
@@ -135,21 +173,21 @@
 	return removed
 }
 
-// drainRemoved lets a listener finish that the configuration no longer has.
+// drainRemoved drains a listener that the configuration no longer has.
 func (d *Daemon) drainRemoved(l *listener) {
 	l.server.StartDraining()
 	d.tasks.Go(func() error {
 		err := ignoreClosed(l.conns.Drain(0, time.Time{}))
 		d.mu.Lock()
-		d.listeners = slices.DeleteFunc(d.listeners, func(o *listener) bool { return o == l })
+		d.listeners = d.listeners.without(l)
 		d.mu.Unlock()
-		l.drainingFor.release()
+		l.lastGeneration.release()
 		return err
 	})
 }
 
-// drainListeners waits until all listeners have answered what they accepted. Connections open at
-// the timeout are aborted.
+// drainListeners waits until all listeners have answered the requests that they accepted.
+// Connections open at the timeout are aborted.
 func (d *Daemon) drainListeners(listeners []*listener, timeout <-chan time.Time) error {
 	var all errgroup.Group
 	for _, l := range listeners {
@@ -162,7 +200,7 @@
 	case err := <-drained:
 		return err
 	case <-timeout:
-		d.log.Error("stopped with connections open: the time for it is over")
+		d.log.Error("drain timed out")
 		for _, l := range listeners {
 			l.conns.Abort()
 		}
--- a/internal/daemon/listeners_test.go
+++ b/internal/daemon/listeners_test.go
@@ -18,7 +18,7 @@
 	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
 	var requests sync.WaitGroup
 	requests.Go(func() {
-		if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK {
+		if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK {
 			t.Errorf("%d", status)
 		}
 	})
@@ -32,11 +32,11 @@
 			t.Error(err)
 		}
 	case <-time.After(testpeer.WaitTimeout):
-		t.Error("never ended")
+		t.Error("the daemon does not end")
 	}
 }
 
-// A request that does not end is aborted when the time for draining is over.
+// A request that does not end is aborted at the drain timeout.
 func TestStopAbortsRequestsThatHang(t *testing.T) {
 	arrived := make(chan bool, 10)
 	hangs := testpeer.StartEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -56,10 +56,10 @@
 	select {
 	case <-s.runErr:
 	case <-time.After(testpeer.WaitTimeout):
-		t.Error("a request that never ends keeps the daemon from ending")
+		t.Error("the daemon does not end while a request hangs")
 	}
-	if !strings.Contains(s.log.String(), "the time for it is over") {
-		t.Error("it was not aborted")
+	if !strings.Contains(s.log.String(), `msg="drain timed out"`) {
+		t.Error("the timeout is not logged")
 	}
 	if n := hangs.Requests.Load(); n != 1 {
 		t.Errorf("sent %d times", n)
@@ -86,18 +86,19 @@
 		silent = append(silent, nc)
 	}
 	testpeer.WaitUntil(t, "all connections are open", func() bool {
-		return s.Status(false).Listeners[0].Connections == maxConns
+		return s.Summary().Listeners[0].Connections == maxConns
 	})
-	status, body, h := s.request(http.MethodGet, "/x")
-	if status != http.StatusServiceUnavailable || body != "too many connections\n" || h.Get("Retry-After") != "1" {
-		t.Errorf("%d %q %v", status, body, h)
+	got := s.request(http.MethodGet, "/x")
+	if got.status != http.StatusServiceUnavailable || got.body != "too many connections\n" ||
+		got.header.Get("Retry-After") != "1" {
+		t.Errorf("%+v", got)
 	}
 	for _, nc := range silent {
 		nc.Close()
 	}
 	close(e.release)
 	requests.Wait()
-	if n := s.Status(false).Listeners[0].RejectedConnections; n != 1 {
+	if n := s.Summary().Listeners[0].RejectedConnections; n != 1 {
 		t.Errorf("%d rejected", n)
 	}
 	s.stopAndWait()
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -13,15 +13,15 @@
 	"rowancart/internal/ratelimit"
 )
 
-// metrics are the daemon's counters. Labels come from the configuration alone, so that clients
-// cannot create more of them.
+// metrics are the daemon's counters. Label values come from the configuration alone, so that
+// clients cannot create more time series.
 type metrics struct {
 	registry *prometheus.Registry
 	results  *prometheus.CounterVec
 	limited  *prometheus.CounterVec
 	unserved *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
-	value    *prometheus.CounterVec // of results, by the priority weights of their classes
+	weighted *prometheus.CounterVec // results, multiplied by the priority weights of their classes
 }
 
 // resultLabels are the values of the label "kind".
@@ -32,7 +32,7 @@
 	proxy.Duplicate: "duplicate",
 }
 
-// resultLabelInvalid is the label "kind" of requests that no pool accepted.
+// resultLabelInvalid is the label "kind" of requests that were not forwarded to a pool.
 const resultLabelInvalid = "improper"
 
 func newMetrics(d *Daemon) *metrics {
@@ -54,10 +54,10 @@
 			Help:    "Time from a request's arrival to its final answer, by route.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 15),
 		}, []string{"route"}),
-		value: counter("rowancart_worth_total", "Worth of final answers as their classes state it, by route and kind.",
+		weighted: counter("rowancart_worth_total", "Worth of final answers as their classes state it, by route and kind.",
 			"route", "kind"),
 	}
-	m.registry.MustRegister(m.results, m.unserved, m.limited, m.latency, m.value, &statusCollector{d})
+	m.registry.MustRegister(m.results, m.unserved, m.limited, m.latency, m.weighted, &statusCollector{d})
 	return m
 }
 
@@ -65,9 +65,9 @@
 type routeMetrics struct {
 	all      *metrics
 	route    string
-	weight   float64 // added to value for each result
+	weight   float64 // added to weighted for each result
 	results  map[proxy.ResultKind]prometheus.Counter
-	value    map[proxy.ResultKind]prometheus.Counter
+	weighted map[proxy.ResultKind]prometheus.Counter
 	invalid  prometheus.Counter
 	unserved map[balancer.Reason]prometheus.Counter
 	latency  prometheus.Observer
@@ -80,7 +80,7 @@
 		route:    route,
 		weight:   weight,
 		results:  map[proxy.ResultKind]prometheus.Counter{},
-		value:    map[proxy.ResultKind]prometheus.Counter{},
+		weighted: map[proxy.ResultKind]prometheus.Counter{},
 		invalid:  m.results.WithLabelValues(route, resultLabelInvalid),
 		unserved: map[balancer.Reason]prometheus.Counter{},
 		latency:  m.latency.WithLabelValues(route),
@@ -90,7 +90,7 @@
 	}
 	for kind, label := range resultLabels {
 		r.results[kind] = m.results.WithLabelValues(route, label)
-		r.value[kind] = m.value.WithLabelValues(route, label)
+		r.weighted[kind] = m.weighted.WithLabelValues(route, label)
 	}
 	return r
 }
@@ -102,7 +102,7 @@
 	m.limited.DeletePartialMatch(labels)
 	m.unserved.DeletePartialMatch(labels)
 	m.latency.DeletePartialMatch(labels)
-	m.value.DeletePartialMatch(labels)
+	m.weighted.DeletePartialMatch(labels)
 }
 
 // observe counts a request that has been answered. Only a request that was forwarded to a pool has
@@ -114,7 +114,7 @@
 	}
 	result := outcome.Result
 	r.results[result.Kind].Inc()
-	r.value[result.Kind].Add(r.weight)
+	r.weighted[result.Kind].Add(r.weight)
 	if counter := r.unserved[result.Reason]; counter != nil {
 		counter.Inc()
 	}
@@ -126,7 +126,8 @@
 	r.all.limited.WithLabelValues(r.route, strings.ReplaceAll(string(limit), " ", "_")).Inc()
 }
 
-// statusCollector is a prometheus.Collector that reads the daemon's status at each scrape.
+// statusCollector is a prometheus.Collector that reads the daemon's status at each scrape. The
+// texts of its metrics are part of the interface, as their names are.
 type statusCollector struct{ daemon *Daemon }
 
 var (
@@ -156,7 +157,7 @@
 // Collect implements prometheus.Collector. Pools and listeners that drain are left out: others may
 // have their names.
 func (c *statusCollector) Collect(out chan<- prometheus.Metric) {
-	s := c.daemon.Status(false)
+	s := c.daemon.Summary()
 	gauge := func(d *prometheus.Desc, v int, labels ...string) {
 		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, float64(v), labels...)
 	}
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/outage_test.go
@@ -34,7 +34,7 @@
 		case failHang:
 			<-r.Context().Done()
 		default:
-			_, _ = w.Write([]byte("ok")) // the client sees what did not arrive
+			_, _ = w.Write([]byte("ok")) // the client detects a truncated response
 		}
 	}))
 	t.Cleanup(s.Close)
@@ -53,19 +53,20 @@
 type outage struct {
 	name, method, class string
 	begin               func(s *failingServer)
-	maxLost             int // requests lost in a round at first, and then for each trial that there is time for
+	maxLost             int // requests lost in a round: at first, and then for each trial that may be due
 }
 
-// Whatever happens to one of two endpoints, the other serves all that it can.
+// In any outage of one of two endpoints, the other serves all requests, but for those that must not
+// be retried.
 func TestOneOfTwoEndpointsIsEnough(t *testing.T) {
 	const rounds = 6
 	for _, o := range []outage{
-		{"killed, safe", http.MethodGet, "look", (*failingServer).kill, 0},
-		{"killed, unsafe", http.MethodPost, "pay", (*failingServer).kill, 0},
-		{"resets, safe", http.MethodGet, "look", (*failingServer).reset, 0},
-		{"resets, unsafe", http.MethodPost, "pay", (*failingServer).reset, 1},
-		{"hangs, safe", http.MethodGet, "look", (*failingServer).hang, 1},
-		{"hangs, unsafe", http.MethodPost, "pay", (*failingServer).hang, 1},
+		{"killed, idempotent", http.MethodGet, "look", (*failingServer).kill, 0},
+		{"killed, non-idempotent", http.MethodPost, "pay", (*failingServer).kill, 0},
+		{"resets, idempotent", http.MethodGet, "look", (*failingServer).reset, 0},
+		{"resets, non-idempotent", http.MethodPost, "pay", (*failingServer).reset, 1},
+		{"hangs, idempotent", http.MethodGet, "look", (*failingServer).hang, 1},
+		{"hangs, non-idempotent", http.MethodPost, "pay", (*failingServer).hang, 1},
 	} {
 		t.Run(o.name, func(t *testing.T) {
 			t.Parallel()
@@ -83,19 +84,20 @@
 	pool := poolBlock("two", endpoints[0].Listener.Addr().String(), endpoints[1].Listener.Addr().String())
 	s := startDaemon(t, pool+routeBlock("x", "/x", o.class, "two", "policy {\n client_waits = \"400ms\"\n}"))
 	for range 6 {
-		if status, _, _ := s.request(o.method, "/x"); status != http.StatusOK {
+		if status := s.request(o.method, "/x").status; status != http.StatusOK {
 			t.Fatalf("before the outage: %d", status)
 		}
 	}
 	received := func() int { return int(endpoints[0].requests.Load() + endpoints[1].requests.Load()) }
 	before := received()
 	o.begin(endpoints[round%2])
-	lost, served, begun := 0, 0, time.Now()
+	lost, served := 0, 0
+	begun := time.Now()
 	for range requests {
-		if status, _, h := s.request(o.method, "/x"); status == http.StatusOK {
+		if got := s.request(o.method, "/x"); got.status == http.StatusOK {
 			served++
 		} else {
-			t.Logf("round %d: %d, %s", round, status, h.Get("Proxy-Status"))
+			t.Logf("round %d: %d, %s", round, got.status, got.header.Get("Proxy-Status"))
 			lost++
 		}
 	}
@@ -104,6 +106,6 @@
 		t.Errorf("round %d: %d of %d were lost, at most %d may be", round, lost, requests, maxLost)
 	}
 	if ran := received() - before; o.method == http.MethodPost && ran > requests {
-		t.Errorf("round %d: %d unsafe requests ran %d times", round, requests, ran)
+		t.Errorf("round %d: %d non-idempotent requests ran %d times", round, requests, ran)
 	}
 }
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -13,6 +13,7 @@
 	"rowancart/internal/config"
 	"rowancart/internal/discovery/file"
 	"rowancart/internal/discovery/watch"
+	"rowancart/internal/logkey"
 	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 	"rowancart/internal/subset"
@@ -20,36 +21,101 @@
 
 const (
 	timerResolution = 2 * time.Millisecond // of the balancer's timers
-	maxRetryAfter   = 5 * time.Second      // most that an endpoint's Retry-After is heeded
+	maxRetryAfter   = 5 * time.Second      // upper bound of an endpoint's Retry-After
 )
 
 // pool is a proxy.Pool with the endpoint source that feeds it. It lives as long as a generation
 // that has it, and is the same for all generations whose configuration names the same endpoints.
 type pool struct {
-	name  string
-	proxy *proxy.Pool
-	log   *slog.Logger
-	seed  uint64
-
-	restored    *poolSnapshot // learned state of the process before this one; nil: none
-	restoredAge time.Duration
+	name     string
+	proxy    *proxy.Pool
+	log      *slog.Logger
+	seed     uint64
+	restored restoredPool
+	filter   endpointFilter
+	source   sourceStatus
 
 	// Guarded by Daemon.reloadMu.
-	runCtx  context.Context
-	cancel  context.CancelFunc // ends runCtx; nil before the pool runs
+	settings poolSettings
+	runCtx   context.Context
+	cancel   context.CancelFunc // ends runCtx; nil before the pool runs
+	watcher  *endpointWatcher   // nil: the endpoint list is static
+}
+
+// poolSettings is what a generation's configuration says of a pool.
+type poolSettings struct {
 	config  config.Pool
 	classes []balancer.Class
 	fleet   config.Fleet
 	tenants []balancer.Tenant
-	watcher *endpointWatcher // nil: the endpoint list is static
+}
+
+// endpointFilter passes on the part of the endpoint list that this instance sends to.
+type endpointFilter struct {
+	// mu is held from the filtering of an update until the update is delivered, so that no update
+	// overtakes another.
+	mu     sync.Mutex
+	filter *subset.Filter
+}
+
+// reset forgets all endpoints, and filters for a part from now on.
+func (f *endpointFilter) reset(part subset.Part) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.filter = subset.NewFilter(part)
+}
+
+// setPart changes the part. The next update delivers what that changes.
+func (f *endpointFilter) setPart(part subset.Part) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.filter.SetPart(part)
+}
+
+// update passes what an update of the endpoint list changes for this instance to deliver.
+func (f *endpointFilter) update(update proxy.EndpointList, deliver func(proxy.EndpointList)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	deliver(f.filter.Apply(update))
+}
+
+// endpoints returns all endpoints of the source, of this instance's subset or not.
+func (f *endpointFilter) endpoints() []proxy.Endpoint {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.filter.Endpoints()
+}
+
+// sourceStatus says whether the endpoint list in its present form is in force. It is safe for
+// concurrent use.
+type sourceStatus struct {
+	mu      sync.Mutex
+	problem string // for which it is not; empty: it is
+}
 
-	// filterMu guards filter. It is held from the filtering of an update until the update is
-	// delivered, so that no update overtakes another.
-	filterMu sync.Mutex
-	filter   *subset.Filter
+// set records the error for which the list is not in force, nil if it is.
+func (s *sourceStatus) set(err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.problem = ""
+	if err != nil {
+		s.problem = err.Error()
+	}
+}
 
-	errMu     sync.Mutex
-	sourceErr string // why the endpoint list as it is now is not in force; empty: it is
+// get returns the problem for which the list is not in force, "" if it is.
+func (s *sourceStatus) get() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.problem
+}
+
+// staleListError is the error of an endpoint list that was restored from a snapshot.
+type staleListError struct{ age time.Duration }
+
+// Error implements error.
+func (e *staleListError) Error() string {
+	return fmt.Sprintf("restored from a snapshot that was %v old at the start", e.age.Round(time.Second))
 }
 
 // endpointWatcher is the goroutine that follows an endpoint source.
@@ -58,6 +124,17 @@
 	done   chan struct{} // closed when the goroutine has ended
 }
 
+// startWatcher runs follow in a goroutine of its own.
+func startWatcher(ctx context.Context, follow func(context.Context)) *endpointWatcher {
+	ctx, cancel := context.WithCancel(ctx)
+	w := &endpointWatcher{cancel: cancel, done: make(chan struct{})}
+	go func() {
+		defer close(w.done)
+		follow(ctx)
+	}()
+	return w
+}
+
 // stop ends the watcher and waits for its end. It may be called on nil.
 func (w *endpointWatcher) stop() {
 	if w != nil {
@@ -67,14 +144,15 @@
 }
 
 // servesSameEndpoints reports whether a pool stays the same pool when its endpoint source changes.
-// A static list that has no endpoint in common with the old one makes another pool under the same
-// name: requests meant for the old endpoints must not go to the new ones.
+// A static list that has no endpoint in common with the old one makes a new pool under the same
+// name: requests routed to the old endpoints must not be sent to the new ones.
 func servesSameEndpoints(old, new config.EndpointSource) bool {
 	if len(old.Static) == 0 || len(new.Static) == 0 {
 		return old.File == new.File && old.Platform == new.Platform
 	}
 	return slices.ContainsFunc(old.Static, func(e config.Endpoint) bool {
-		return slices.ContainsFunc(new.Static, func(o config.Endpoint) bool { return o.ID == e.ID && o.Address == e.Address })
+		isSame := func(other config.Endpoint) bool { return other.ID == e.ID && other.Address == e.Address }
+		return slices.ContainsFunc(new.Static, isSame)
 	})
 }
 
@@ -82,14 +160,11 @@
 // or none.
 func (d *Daemon) newPool(c config.Pool, g *generation) *pool {
 	p := &pool{
-		name:        c.Name,
-		config:      c,
-		seed:        d.seed,
-		log:         d.log.With("pool", c.Name),
-		fleet:       g.config.Fleet,
-		tenants:     g.config.Tenants,
-		restored:    d.restored[c.Name],
-		restoredAge: d.restoredAge,
+		name:     c.Name,
+		settings: poolSettings{config: c, fleet: g.config.Fleet, tenants: g.config.Tenants},
+		seed:     d.seed,
+		log:      d.log.With(logkey.Pool, c.Name),
+		restored: d.restored.pool(c.Name),
 	}
 	p.init()
 	return p
@@ -98,47 +173,43 @@
 // init creates the proxy.Pool and restores the learned state. It must not be called once the pool
 // runs.
 func (p *pool) init() {
-	known := staticEndpoints(p.config.Source)
-	if len(known.Endpoints) == 0 && p.restored != nil { // until the source has sent its first list
-		known.Endpoints = p.restored.Endpoints
-		p.errMu.Lock()
-		p.sourceErr = fmt.Sprintf("it is as a snapshot told it, %v old at the start", p.restoredAge.Round(time.Second))
-		p.errMu.Unlock()
+	list := staticEndpoints(p.settings.config.Source)
+	restored := p.restored.snapshot
+	if len(list.Endpoints) == 0 && restored != nil { // until the source has sent its first list
+		list.Endpoints = restored.Endpoints
+		p.source.set(&staleListError{p.restored.age})
 	}
-	p.filter = subset.NewFilter(p.subset())
-	p.proxy = proxy.New(p.settings(), p.filter.Apply(known), p.options())
-	if p.restored != nil {
-		p.proxy.Restore(p.restored.Learned, p.restoredAge)
+	p.filter.reset(p.subset())
+	p.filter.update(list, func(part proxy.EndpointList) {
+		p.proxy = proxy.New(p.balancerSettings(), part, p.options())
+	})
+	if restored != nil {
+		p.proxy.Restore(restored.Learned, p.restored.age)
 	}
 }
 
 // subset returns which part of the endpoints this instance sends to.
 func (p *pool) subset() subset.Part {
-	part := subset.Part{Place: subset.Place(p.seed), Size: p.config.Subset, Instances: p.fleet.Instances}
+	fleet := p.settings.fleet
+	part := subset.Part{Place: subset.Place(p.seed), Size: p.settings.config.Subset, Instances: fleet.Instances}
 	switch {
-	case p.fleet.Name != "":
-		part.Place = subset.PlaceNamed(p.fleet.Name)
-	case p.fleet.Instances > 1: // a single instance may be one of several that do not know of each other
-		part.Place = subset.PlaceOf(p.fleet.Index)
+	case fleet.Name != "":
+		part.Place = subset.PlaceNamed(fleet.Name)
+	case fleet.Instances > 1: // a single instance may be one of several that do not know of each other
+		part.Place = subset.PlaceOf(fleet.Index)
 	}
 	return part
 }
 
-// updateEndpoints passes on what an update of the endpoint list changes for this instance's subset.
+// updateEndpoints applies an update of the endpoint list.
 func (p *pool) updateEndpoints(update proxy.EndpointList) {
-	p.filterMu.Lock()
-	defer p.filterMu.Unlock()
-	p.proxy.UpdateEndpoints(p.filter.Apply(update))
-	p.setSourceError(nil)
-}
-
-// endpoints returns all endpoints of the source, of this instance's subset or not.
-func (p *pool) endpoints() []proxy.Endpoint {
-	p.filterMu.Lock()
-	defer p.filterMu.Unlock()
-	return p.filter.Endpoints()
+	p.filter.update(update, func(part proxy.EndpointList) {
+		p.proxy.UpdateEndpoints(part)
+		p.source.set(nil)
+	})
 }
 
+// staticEndpoints returns the complete list of a static source, which is empty for any other.
 func staticEndpoints(source config.EndpointSource) proxy.EndpointList {
 	list := proxy.EndpointList{Complete: true}
 	for _, e := range source.Static {
@@ -149,33 +220,37 @@
 	return list
 }
 
-func (p *pool) settings() balancer.Settings {
-	index := p.fleet.Index
-	if p.fleet.Name != "" { // the number is unknown: index 0 for all instances would synchronize them
+// balancerSettings returns the settings of the pool's balancer.
+func (p *pool) balancerSettings() balancer.Settings {
+	c, fleet := &p.settings.config, &p.settings.fleet
+	index := fleet.Index
+	if fleet.Name != "" { // the index is unknown: the same one for all instances would synchronize them
 		index = -1
 	}
 	return balancer.Settings{
 		Seed:              p.seed,
-		Instances:         p.fleet.Instances,
+		Instances:         fleet.Instances,
 		Index:             index,
-		TiersBelow:        p.config.TiersBelow,
-		Classes:           p.classes,
-		Tenants:           p.tenants,
+		TiersBelow:        c.TiersBelow,
+		Classes:           p.settings.classes,
+		Tenants:           p.settings.tenants,
 		CancelAllowed:     true,
 		MaxRetryAfter:     maxRetryAfter,
-		RetryBudget:       p.config.RetryBudget,
+		RetryBudget:       c.RetryBudget,
 		Resolution:        timerResolution,
-		SlowStartCapacity: p.config.SlowStartCapacity,
-		SlowStartWindow:   p.config.SlowStartWindow,
-		SlowStartShare:    p.config.SlowStartShare,
+		SlowStartCapacity: c.SlowStartCapacity,
+		SlowStartWindow:   c.SlowStartWindow,
+		SlowStartShare:    c.SlowStartShare,
 	}
 }
 
+// options returns the options of the proxy.Pool.
 func (p *pool) options() proxy.Options {
+	c := &p.settings.config
 	return proxy.Options{
-		IdleTimeout: p.config.ConnIdleTimeout,
-		DialTimeout: p.config.DialTimeout,
-		MaxConns:    p.config.MaxConns,
+		IdleTimeout: c.ConnIdleTimeout,
+		DialTimeout: c.DialTimeout,
+		MaxConns:    c.MaxConns,
 		PassThrough: true,
 		Subscribe:   func() {},
 		Log:         p.log,
@@ -185,12 +260,16 @@
 // startPool runs a pool and follows its endpoint source. The caller must hold d.reloadMu.
 func (d *Daemon) startPool(p *pool) {
 	ctx, cancel := context.WithCancel(d.runCtx)
-	p.runCtx, p.cancel = ctx, cancel
-	d.tasks.Go(func() error { p.proxy.Run(ctx); return nil })
+	p.runCtx = ctx
+	p.cancel = cancel
+	d.tasks.Go(func() error {
+		p.proxy.Run(ctx)
+		return nil
+	})
 	p.watchEndpoints()
 }
 
-// stop ends a pool to which no request goes any more.
+// stop ends a pool that no generation has.
 func (p *pool) stop() {
 	p.watcher.stop()
 	if p.cancel != nil {
@@ -199,71 +278,49 @@
 }
 
 // configure applies what a generation's configuration says of the pool, with these classes. A pool
-// that no longer belongs to that generation keeps its configuration. The caller must hold
+// that the generation does not have keeps its own configuration. The caller must hold
 // Daemon.reloadMu, except before Run.
 func (p *pool) configure(g *generation, classes []balancer.Class) {
-	old := p.config
-	for _, c := range g.config.Pools {
-		if g.pools[c.Name] == p {
-			p.config = c
-		}
+	old := p.settings
+	next := poolSettings{config: old.config, classes: classes, fleet: g.config.Fleet, tenants: g.config.Tenants}
+	if g.hasPool(p) {
+		next.config = g.poolConfig(p.name)
 	}
-	fleet, tenants := g.config.Fleet, g.config.Tenants
-	if reflect.DeepEqual(old, p.config) && reflect.DeepEqual(p.classes, classes) &&
-		p.fleet == fleet && reflect.DeepEqual(p.tenants, tenants) {
+	if reflect.DeepEqual(old, next) {
 		return
 	}
-	p.classes, p.fleet, p.tenants = classes, fleet, tenants
+	p.settings = next
 	if p.cancel == nil { // not running yet: nothing handles events
 		p.init()
 		return
 	}
-	p.proxy.Configure(p.settings(), p.options())
-	p.filterMu.Lock()
-	p.filter.SetPart(p.subset())
-	p.filterMu.Unlock()
+	p.proxy.Configure(p.balancerSettings(), p.options())
+	p.filter.setPart(p.subset())
 	p.updateEndpoints(proxy.EndpointList{}) // delivers what the new subset changes
-	if !reflect.DeepEqual(old.Source, p.config.Source) {
-		p.updateEndpoints(staticEndpoints(p.config.Source)) // another source that is not static would be another pool
+	if !reflect.DeepEqual(old.config.Source, next.config.Source) {
+		p.updateEndpoints(staticEndpoints(next.config.Source)) // a source that is not static would make a new pool
 	}
 }
 
-// watchEndpoints follows an endpoint source that is not static.
+// poolConfig returns the configuration of a pool, which must be one of the generation's.
+func (g *generation) poolConfig(name string) config.Pool {
+	i := slices.IndexFunc(g.config.Pools, func(c config.Pool) bool { return c.Name == name })
+	return g.config.Pools[i]
+}
+
+// watchEndpoints follows the endpoint source, unless it is static.
 func (p *pool) watchEndpoints() {
-	var follow func(ctx context.Context)
-	switch source := p.config.Source; {
+	switch source := p.settings.config.Source; {
 	case source.File != "":
-		follow = func(ctx context.Context) { file.Follow(ctx, source.File, p.updateEndpoints, p.setSourceError, p.log) }
+		p.watcher = startWatcher(p.runCtx, func(ctx context.Context) {
+			file.Follow(ctx, source.File, p.updateEndpoints, p.source.set, p.log)
+		})
 	case source.Platform != "":
-		follow = watch.New(watch.Options{
+		client := watch.New(watch.Options{
 			Addr:     source.Platform,
 			OnUpdate: func(update platform.EndpointList) { p.updateEndpoints(watch.PoolList(update)) },
 			Log:      p.log,
-		}).Run
-	default:
-		return
-	}
-	ctx, cancel := context.WithCancel(p.runCtx)
-	w := &endpointWatcher{cancel: cancel, done: make(chan struct{})}
-	p.watcher = w
-	go func() {
-		defer close(w.done)
-		follow(ctx)
-	}()
-}
-
-// setSourceError records why the endpoint list as it is now is not in force; nil: it is.
-func (p *pool) setSourceError(err error) {
-	p.errMu.Lock()
-	defer p.errMu.Unlock()
-	p.sourceErr = ""
-	if err != nil {
-		p.sourceErr = err.Error()
+		})
+		p.watcher = startWatcher(p.runCtx, client.Run)
 	}
 }
-
-func (p *pool) sourceError() string {
-	p.errMu.Lock()
-	defer p.errMu.Unlock()
-	return p.sourceErr
-}
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -13,7 +13,8 @@
 	"rowancart/internal/testpeer"
 )
 
-func TestEndpointFileIsFollowed(t *testing.T) {
+// The endpoint list follows changes of its file. An incomplete file changes nothing.
+func TestEndpointFileIsWatched(t *testing.T) {
 	a := testpeer.StartEndpoint(t, respondWith("200 OK", "", "a"))
 	b := testpeer.StartEndpoint(t, respondWith("200 OK", "", "b"))
 	list := func(addr string) string {
@@ -29,21 +30,22 @@
 	write(list(a.Addr))
 	s := startDaemon(t, filePoolBlock("one", path)+routeBlock("x", "/x", "look", "one", ""))
 	testpeer.WaitUntil(t, "a serves", s.responds("/x", "a"))
-	write(list(b.Addr)[:40]) // half written
-	testpeer.WaitUntil(t, "the status says so", func() bool {
-		return strings.Contains(s.Status(false).Pools[0].SourceError, "unexpected EOF")
+	write(list(b.Addr)[:40]) // incomplete
+	testpeer.WaitUntil(t, "the status has the error", func() bool {
+		return strings.Contains(s.Summary().Pools[0].SourceError, "unexpected EOF")
 	})
 	if !s.responds("/x", "a")() {
-		t.Error("half a list removed a")
+		t.Error("an incomplete list removed a")
 	}
 	write(list(b.Addr))
 	testpeer.WaitUntil(t, "b serves", s.responds("/x", "b"))
-	if st := s.Status(false).Pools[0]; st.SourceError != "" || st.Ready != 1 || st.Draining != 1 {
+	if st := s.Summary().Pools[0]; st.SourceError != "" || st.Ready != 1 || st.Draining != 1 {
 		t.Errorf("%+v", st)
 	}
 }
 
-func TestInstanceSendsToItsSubsetOnly(t *testing.T) {
+// An instance sends only to its subset, which depends on its index and on the configured size.
+func TestInstanceSendsOnlyToItsSubset(t *testing.T) {
 	var endpoints []*testpeer.FakeEndpoint
 	var addrs []string
 	for range 9 {
@@ -56,9 +58,9 @@
 		fleet := fmt.Sprintf("fleet {\n instances = 9\n index = %d\n}\n", index)
 		return fleet + routeBlock("x", "/x", "look", "one", "") + pool
 	}
-	seen := make([]int32, len(endpoints)) // requests that each endpoint had got
-	// used sends requests until count endpoints have got some, and then 50 more, which must go to the
-	// same.
+	seen := make([]int32, len(endpoints)) // requests that each endpoint had received
+	// used returns the endpoints that received requests: it sends some until there are count of them,
+	// and then 50 more.
 	used := func(s *testDaemon, count int) (indexes []int) {
 		for more, end := 0, time.Now().Add(testpeer.WaitTimeout); more < 50 && time.Now().Before(end); {
 			s.request(http.MethodGet, "/x")
@@ -77,11 +79,11 @@
 	}
 	s := startDaemon(t, config(0, 3))
 	first := used(s, 3)
-	s.reload(config(1, 3)) // half way round the ring
+	s.reload(config(1, 3)) // half of the ring away from index 0
 	second := used(s, 3)
 	common := slices.ContainsFunc(first, func(i int) bool { return slices.Contains(second, i) })
 	if len(first) != 3 || len(second) != 3 || common {
-		t.Errorf("sent to %v, and at another place to %v", first, second)
+		t.Errorf("index 0 sent to %v, index 1 to %v", first, second)
 	}
 	s.reload(config(1, 5))
 	if third := used(s, 5); len(third) != 5 {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,27 +10,59 @@
 	"time"
 
 	"rowancart/internal/config"
+	"rowancart/internal/logkey"
 )
 
-// descriptorsBesideConns is how many file descriptors the process needs for all but connections.
-const descriptorsBesideConns = 64
+// reservedDescriptors is how many file descriptors the process needs beside those of connections.
+const reservedDescriptors = 64
 
-var errStopping = errors.New("the daemon is stopping")
+// Errors of Reload, beside those of reading the configuration and opening its listeners.
+var (
+	errStopping   = errors.New("the daemon is stopping")
+	errAdminMoved = errors.New("the listener cannot be moved without a restart")
+)
+
+// configSource is where a daemon reads its configuration from.
+type configSource struct {
+	path      string
+	lookupEnv func(string) (string, bool)
+}
+
+// load reads, decodes and validates the configuration.
+func (s configSource) load() (*config.Config, error) { return config.Load(s.path, s.lookupEnv) }
+
+// hasText reports whether the file has that text.
+func (s configSource) hasText(text []byte) bool {
+	current, err := os.ReadFile(s.path)
+	return err == nil && bytes.Equal(current, text)
+}
 
 // ReloadStatus counts reloads and describes the latest.
 type ReloadStatus struct {
 	Succeeded int       `json:"good"`
 	Failed    int       `json:"bad"`
 	LastAt    time.Time `json:"last_at"`
-	LastError string    `json:"last_error,omitempty"` // why the file as it is now is not in force
+	LastError string    `json:"last_error,omitempty"` // for which the file in its present form is not in force
 }
 
-// reloadCause says what a reload is for.
-type reloadCause int
+// record counts a reload that ended with err, nil if it succeeded.
+func (s *ReloadStatus) record(now time.Time, err error) {
+	s.LastAt = now
+	s.LastError = ""
+	if err != nil {
+		s.Failed++
+		s.LastError = err.Error()
+		return
+	}
+	s.Succeeded++
+}
+
+// reloadReason is the reason for a reload.
+type reloadReason int
 
 const (
-	reloadRequested   reloadCause = iota // always puts the file in force anew
-	reloadFileChanged                    // skips a text that is in force: a requested reload may have been quicker
+	reloadRequested   reloadReason = iota // always puts the file in force again
+	reloadFileChanged                     // skips a text that is in force: a requested reload may have come first
 )
 
 // Reload reads the configuration and, if it is valid, puts it in force at once. An invalid one
@@ -38,42 +70,41 @@
 func (d *Daemon) Reload() error { return d.reloadFor(reloadRequested) }
 
 // reloadFor reloads and records the result in the log and the status.
-func (d *Daemon) reloadFor(cause reloadCause) error {
+func (d *Daemon) reloadFor(reason reloadReason) error {
 	d.reloadMu.Lock()
 	defer d.reloadMu.Unlock()
-	text, err := os.ReadFile(d.configPath)
-	inForce := err == nil && bytes.Equal(text, d.current.config.Text) && d.reloads.LastError == ""
-	if inForce && cause == reloadFileChanged {
+	if reason == reloadFileChanged && d.isFileInForce() {
 		return nil
 	}
-	err = d.reload()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.reloads.LastAt = time.Now()
+	err := d.reload()
 	if err != nil {
-		d.reloads.Failed++
-		d.reloads.LastError = err.Error()
-		d.log.Error("reload: the old configuration stays", "err", err)
-		return err
+		d.log.Error("reload failed", logkey.Err, err)
 	}
-	d.reloads.Succeeded++
-	d.reloads.LastError = ""
-	return nil
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.reloads.record(time.Now(), err)
+	return err
+}
+
+// isFileInForce reports whether the configuration file as it is now is in force. The caller must
+// hold d.reloadMu.
+func (d *Daemon) isFileInForce() bool {
+	return d.reloads.LastError == "" && d.source.hasText(d.current.config.Text)
 }
 
-// reload puts the file in force. The caller must hold reloadMu, under which alone d.current is
+// reload puts the file in force. The caller must hold d.reloadMu, under which alone d.current is
 // written.
 func (d *Daemon) reload() error {
 	if d.stopping {
 		return errStopping
 	}
-	c, err := config.Load(d.configPath, d.lookupEnv)
+	c, err := d.source.load()
 	if err != nil {
 		return err
 	}
 	old := d.current.config
 	if c.Admin != old.Admin {
-		return fmt.Errorf("admin: the listener cannot be moved from %q to %q without a restart", old.Admin, c.Admin)
+		return fmt.Errorf("admin: %w, from %q to %q", errAdminMoved, old.Admin, c.Admin)
 	}
 	opened, err := d.openListeners(c)
 	if err != nil {
@@ -86,24 +117,32 @@
 			d.startListener(l)
 		}
 	}
-	d.log.Info("reloaded", "generation", d.current.number, "changes", strings.Join(old.Compare(c), ", "))
+	changes := strings.Join(old.Compare(c), ", ")
+	d.log.Info("reloaded", logkey.Generation, d.current.number, "changes", changes)
 	return nil
 }
 
-// logWarnings logs what is valid but probably not meant, and adds a warning for limits that this
+// logWarnings logs what is valid but probably a mistake, and adds a warning for limits that this
 // process cannot reach.
 func (d *Daemon) logWarnings(c *config.Config) {
-	need := uint64(c.Limits.MaxConns + descriptorsBesideConns)
-	for _, p := range c.Pools {
-		need += uint64(p.MaxConns)
-	}
+	need := maxDescriptors(c)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && need > limit.Cur {
 		c.Warnings = append(c.Warnings, fmt.Sprintf(
 			"%s: clients and pools may open %d connections together, and the process has %d descriptors",
 			c.File, need, limit.Cur))
 	}
-	for _, w := range c.Warnings {
-		d.log.Warn(w)
+	for _, warning := range c.Warnings {
+		d.log.Warn("configuration warning", "warning", warning)
+	}
+}
+
+// maxDescriptors returns how many file descriptors a process needs that reaches all of a
+// configuration's limits.
+func maxDescriptors(c *config.Config) uint64 {
+	n := uint64(c.Limits.MaxConns + reservedDescriptors)
+	for _, p := range c.Pools {
+		n += uint64(p.MaxConns)
 	}
+	return n
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -19,37 +19,39 @@
 	"rowancart/internal/testpeer"
 )
 
-// A pool that a reload removes answers the requests in flight, and then ends with its connections.
+// A pool that a reload removes serves the requests in flight, and is then removed with its
+// connections.
 func TestRemovedPoolAnswersRequestsInFlight(t *testing.T) {
 	old := newGatedEndpoint(t, testpeer.OKResponse)
 	next := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	s := startDaemon(t, poolBlock("old", old.Addr)+routeBlock("x", "/*", "look", "old", ""))
 	var requests sync.WaitGroup
 	requests.Go(func() {
-		if status, _, _ := s.request(http.MethodGet, "/slow"); status != http.StatusOK {
+		if status := s.request(http.MethodGet, "/slow").status; status != http.StatusOK {
 			t.Errorf("%d", status)
 		}
 	})
 	<-old.arrived
 	s.reload(poolBlock("new", next.Addr) + routeBlock("x", "/*", "look", "new", ""))
-	if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK || next.Requests.Load() != 1 {
+	if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK || next.Requests.Load() != 1 {
 		t.Errorf("%d, %d at the new pool", status, next.Requests.Load())
 	}
 	// The file watcher may have reloaded too: its generation, without requests, is removed a moment
 	// later.
 	testpeer.WaitUntil(t, "only the generation with a request in flight drains", func() bool {
-		st := s.Status(false)
+		st := s.Summary()
 		return len(st.Pools) == 2 && st.DrainingGenerations == 1
 	})
 	close(old.release)
 	requests.Wait()
-	testpeer.WaitUntil(t, "the old pool ends", func() bool {
-		st := s.Status(false)
+	testpeer.WaitUntil(t, "the old pool is removed", func() bool {
+		st := s.Summary()
 		return len(st.Pools) == 1 && st.DrainingGenerations == 0
 	})
 }
 
-func TestEndpointMovedToAnotherPoolGetsNothingFromTheOld(t *testing.T) {
+// An endpoint that a reload moves from one pool to another gets no request of the first one.
+func TestMovedEndpointGetsNoRequestOfItsOldPool(t *testing.T) {
 	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	b := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	routes := routeBlock("x", "/x", "look", "one", "") + routeBlock("y", "/y", "look", "two", "")
@@ -80,38 +82,38 @@
 		if err := s.Reload(); err == nil {
 			t.Errorf("accepted: %s", invalid)
 		}
-		if st := s.Status(false); st.Generation != 1 || st.Reloads.LastError == "" {
+		if st := s.Summary(); st.Generation != 1 || st.Reloads.LastError == "" {
 			t.Errorf("%+v", st)
 		}
-		if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK {
+		if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK {
 			t.Errorf("%d", status)
 		}
 	}
-	if !strings.Contains(s.log.String(), "the old configuration stays") {
-		t.Error("the log does not say so")
+	if !strings.Contains(s.log.String(), `msg="reload failed"`) {
+		t.Error("the failure is not logged")
 	}
 	s.reload(valid)
-	// The file watcher may have put the mended file in force before the explicit reload did so once
-	// more. Either way each successful reload makes exactly one generation, and no failed one makes
+	// The file watcher may have put the corrected file in force before the explicit reload did so
+	// again. Either way each successful reload makes exactly one generation, and no failed one makes
 	// any.
-	mended := s.Status(false)
-	reloads := mended.Reloads.Succeeded
-	if reloads < 1 || reloads > 2 || mended.Generation != 1+reloads || mended.Reloads.LastError != "" {
-		t.Errorf("%+v", mended)
+	corrected := s.Summary()
+	reloads := corrected.Reloads.Succeeded
+	if reloads < 1 || reloads > 2 || corrected.Generation != 1+reloads || corrected.Reloads.LastError != "" {
+		t.Errorf("%+v", corrected)
 	}
-	// The file in force is the file on disk now, so that the watcher has nothing left to reload.
+	// The file in force is now the file on disk, so the watcher has nothing left to reload.
 	if err := s.Reload(); err != nil {
 		t.Error(err)
 	}
-	st := s.Status(false)
-	if st.Generation != mended.Generation+1 || st.Reloads.Succeeded != reloads+1 || st.Reloads.LastError != "" {
-		t.Errorf("%+v after %+v", st, mended)
+	st := s.Summary()
+	if st.Generation != corrected.Generation+1 || st.Reloads.Succeeded != reloads+1 || st.Reloads.LastError != "" {
+		t.Errorf("%+v after %+v", st, corrected)
 	}
 }
 
-// The configuration file is followed when it is written in place, and when it is replaced by
+// The configuration file is reloaded when it is written in place, and when it is replaced by
 // rename.
-func TestConfigFileIsFollowed(t *testing.T) {
+func TestConfigFileIsWatched(t *testing.T) {
 	a := testpeer.StartEndpoint(t, respondWith("200 OK", "", "a"))
 	b := testpeer.StartEndpoint(t, respondWith("200 OK", "", "b"))
 	route := routeBlock("x", "/x", "look", "one", "")
@@ -128,6 +130,7 @@
 	testpeer.WaitUntil(t, "a serves", s.responds("/x", "a"))
 }
 
+// A listener that a reload removes serves the requests in flight.
 func TestRemovedListenerAnswersRequestsInFlight(t *testing.T) {
 	e := newGatedEndpoint(t, testpeer.OKResponse)
 	path := filepath.Join(t.TempDir(), "sock")
@@ -147,18 +150,18 @@
 	<-e.arrived
 	s.reload(base)
 	if s.Addr("side") != nil {
-		t.Error("the listener is still there")
+		t.Error("the listener is still listed")
 	}
 	close(e.release)
 	requests.Wait()
-	testpeer.WaitUntil(t, "the listener ends", func() bool {
-		st := s.Status(false)
+	testpeer.WaitUntil(t, "the listener is removed", func() bool {
+		st := s.Summary()
 		return len(st.Listeners) == 1 && st.DrainingGenerations == 0
 	})
 }
 
-// A thousand reloads under load: no request is lost or served by a mixture of two files, and
-// nothing is left behind.
+// In a thousand reloads under load, no request is lost or served by a mixture of two
+// configurations, and no goroutine, pool or generation is leaked.
 func TestThousandReloadsUnderLoad(t *testing.T) {
 	reloads := 1000
 	if testing.Short() {
@@ -167,8 +170,8 @@
 	a := testpeer.StartEndpoint(t, respondWith("200 OK", "", "a"))
 	b := testpeer.StartEndpoint(t, respondWith("200 OK", "", "b"))
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	// In either file path and pool belong together: /a to a, /b to b. Each file has one of the routes
-	// under another name and pool.
+	// Both configurations route /a to a, and /b to b. One of the routes has a different name and pool
+	// in each.
 	configs := []string{
 		poolBlock("p1", a.Addr) + poolBlock("p2", b.Addr) +
 			routeBlock("r1", "/a", "look", "p1", "policy {\n concurrency = 100\n}") +
@@ -182,26 +185,26 @@
 	for i := range reloads {
 		before := load.served.Load()
 		s.reload(configs[(i+1)%2])
-		if i%10 == 0 { // so that the load gets its share of the processor
+		if i%10 == 0 { // so that the load gets processor time
 			testpeer.WaitUntil(t, "requests are served", func() bool { return load.served.Load() > before || t.Failed() })
 		}
 	}
 	load.stop()
-	testpeer.WaitUntil(t, "old generations end", func() bool { return s.Status(false).DrainingGenerations == 0 })
-	st := s.Status(false)
+	testpeer.WaitUntil(t, "old generations are removed", func() bool { return s.Summary().DrainingGenerations == 0 })
+	st := s.Summary()
 	if st.Generation <= reloads || len(st.Pools) != 2 || len(st.Listeners) != 1 {
 		t.Errorf("%+v", st)
 	}
-	// A request leaves its route after its response is written.
+	// A request is released by its route after its response has been written.
 	testpeer.WaitUntil(t, "no route has requests in flight", func() bool {
-		return !slices.ContainsFunc(s.Status(false).Routes, func(r RouteStatus) bool { return r.InFlight != 0 })
+		return !slices.ContainsFunc(s.Summary().Routes, func(r RouteStatus) bool { return r.InFlight != 0 })
 	})
 	s.stopAndWait()
 	t.Logf("%d requests served", load.served.Load())
 }
 
-// alternatingLoad are clients that request /a and /b in turn, each of which must be answered with
-// its name.
+// alternatingLoad are clients that request /a and /b in turn. The body of each response must be the
+// path's name.
 type alternatingLoad struct {
 	served atomic.Int64
 	stop   func() // ends the clients and waits for them
@@ -241,8 +244,8 @@
 	return load
 }
 
-// A reload keeps the learned state: a failing endpoint gets no more requests after it than before.
-func TestReloadKeepsLearnedState(t *testing.T) {
+// Learned state survives a reload: a failing endpoint gets no more requests after it than before.
+func TestLearnedStateSurvivesReload(t *testing.T) {
 	works := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
 	fails := testpeer.StartEndpoint(t, respondWith("500 Oh", "", ""))
 	config := func(queue int) string {
@@ -258,7 +261,7 @@
 		s.reload(config(n + 2))
 		s.request(http.MethodGet, "/x")
 	}
-	if n := fails.Requests.Load() - before; n > 3 { // some trials are meant
+	if n := fails.Requests.Load() - before; n > 3 { // some trials are due
 		t.Errorf("%d of 10 requests went to an endpoint known to fail", n)
 	}
 }
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -1,7 +1,6 @@
 package daemon
 
 import (
-	"fmt"
 	"net/http"
 	"strings"
 	"time"
@@ -12,8 +11,8 @@
 	"rowancart/internal/route"
 )
 
-// concurrencyRetryAfter is the advice to a client rejected by a limit of concurrency, and the least
-// to any rejected by a limit.
+// concurrencyRetryAfter is the Retry-After of a request that a concurrency limit rejects, and the
+// minimum for one that a rate rejects.
 const concurrencyRetryAfter = 500 * time.Millisecond
 
 // Route implements httpserver.Router. One generation decides the route, the limits and the pool of
@@ -23,12 +22,13 @@
 		rejection := &httpserver.Rejection{Status: http.StatusBadRequest, Message: err.Error(), Close: true}
 		return httpserver.Target{}, rejection
 	}
-	d, arrived := l.daemon, time.Now()
+	arrived := time.Now()
+	d := l.daemon
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	g := d.current
-	if l.drainingFor != nil {
-		g = l.drainingFor
+	if l.isRemoved() {
+		g = l.lastGeneration
 	}
 	entry, rejection := g.tables[l.name].find(r)
 	if rejection != nil {
@@ -39,7 +39,7 @@
 	if rejection != nil {
 		return httpserver.Target{}, rejection
 	}
-	g.users.Add(1)
+	g.acquire()
 	target := httpserver.Target{
 		Pool:           entry.pool.proxy,
 		Class:          entry.class,
@@ -55,7 +55,7 @@
 		},
 	}
 	if r.Header.Get(platform.RequestIDHeader) == "" {
-		target.DefaultID = fmt.Sprintf("%016x-%x", d.seed, d.requestSerial.Add(1))
+		target.DefaultID = d.requestIDs.next()
 	}
 	return target, nil
 }
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -24,9 +24,10 @@
 		routeBlock("a", "/a/*", "look", "one", "")+
 		routeBlock("b", "/a/b", "look", "two", `methods = ["GET", "POST"]`)+
 		routeBlock("gold", "/a/*", "look", "two", "header \"X-Tier\" {\n  equals = \"gold\"\n}"))
-	status, body, h := s.request(http.MethodGet, "/a/x?y=1")
-	if status != http.StatusCreated || body != "here" || h.Get("X-Own") != "1" || h.Get("X-Hop") != "" {
-		t.Errorf("%d %q %v", status, body, h)
+	got := s.request(http.MethodGet, "/a/x?y=1")
+	isComplete := got.body == "here" && got.header.Get("X-Own") == "1" && got.header.Get("X-Hop") == ""
+	if got.status != http.StatusCreated || !isComplete {
+		t.Errorf("%+v", got)
 	}
 	if first := id.Load(); first == "" {
 		t.Error("a request without an id was forwarded without one")
@@ -44,31 +45,31 @@
 		{http.MethodGet, "/a/../b", nil, http.StatusBadRequest},
 		{http.MethodGet, "/c", nil, http.StatusNotFound},
 	} {
-		if status, body, _ := s.request(row.method, row.path, row.header...); status != row.status {
-			t.Errorf("%s %s: %d %q", row.method, row.path, status, body)
+		if got := s.request(row.method, row.path, row.header...); got.status != row.status {
+			t.Errorf("%s %s: %d %q", row.method, row.path, got.status, got.body)
 		}
 	}
 	s.reload(poolBlock("two", two.Addr) + routeBlock("b", "/b", "look", "two", `methods = ["GET", "POST"]`))
-	status, _, h = s.request(http.MethodPut, "/b")
-	if status != http.StatusMethodNotAllowed || h.Get("Allow") != "GET, POST" {
-		t.Errorf("%d %v", status, h)
+	got = s.request(http.MethodPut, "/b")
+	if got.status != http.StatusMethodNotAllowed || got.header.Get("Allow") != "GET, POST" {
+		t.Errorf("%+v", got)
 	}
 }
 
-func TestUnsafeRequestsAreSentOnceAndSafeOnesRetried(t *testing.T) {
+func TestOnlyIdempotentRequestsAreRetried(t *testing.T) {
 	disconnects := testpeer.StartEndpoint(t, testpeer.RespondWith("", testpeer.CloseConn))
 	fails := testpeer.StartEndpoint(t, respondWith("500 Oh", "", ""))
 	s := startDaemon(t, poolBlock("one", disconnects.Addr)+poolBlock("two", fails.Addr)+
 		routeBlock("pays", "/pay", "pay", "one", "")+
 		routeBlock("looks", "/look", "look", "two", "policy {\n attempts = 2\n}"))
-	status, _, _ := s.request(http.MethodPost, "/pay")
+	status := s.request(http.MethodPost, "/pay").status
 	if attempts := disconnects.Requests.Load(); status != http.StatusBadGateway || attempts != 1 {
-		t.Errorf("unsafe: %d after %d attempts", status, attempts)
+		t.Errorf("non-idempotent: %d after %d attempts", status, attempts)
 	}
-	status, _, h := s.request(http.MethodGet, "/look")
+	got := s.request(http.MethodGet, "/look")
 	attempts := fails.Requests.Load()
-	if status != http.StatusServiceUnavailable || attempts != 2 || h.Get("Retry-After") == "" {
-		t.Errorf("safe: %d after %d attempts", status, attempts)
+	if got.status != http.StatusServiceUnavailable || attempts != 2 || got.header.Get("Retry-After") == "" {
+		t.Errorf("idempotent: %d after %d attempts", got.status, attempts)
 	}
 }
 
@@ -80,37 +81,37 @@
 	var requests sync.WaitGroup
 	for _, owner := range []string{"a", "b"} {
 		requests.Go(func() {
-			if status, _, _ := s.request(http.MethodGet, "/all", "Req-Owner", owner); status != http.StatusOK {
+			if status := s.request(http.MethodGet, "/all", "Req-Owner", owner).status; status != http.StatusOK {
 				t.Errorf("%s: %d", owner, status)
 			}
 		})
 		<-e.arrived
-		status, body, h := s.request(http.MethodGet, "/all", "Req-Owner", owner)
-		if status != http.StatusServiceUnavailable || !strings.Contains(body, "tenant concurrency") ||
-			h.Get("Retry-After") == "" {
-			t.Errorf("%s again: %d %q", owner, status, body)
+		got := s.request(http.MethodGet, "/all", "Req-Owner", owner)
+		if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, "tenant concurrency") ||
+			got.header.Get("Retry-After") == "" {
+			t.Errorf("%s again: %d %q", owner, got.status, got.body)
 		}
 	}
-	status, body, _ := s.request(http.MethodGet, "/all", "Req-Owner", "c")
-	if status != http.StatusServiceUnavailable || !strings.Contains(body, "route concurrency") {
-		t.Errorf("a third: %d %q", status, body)
+	got := s.request(http.MethodGet, "/all", "Req-Owner", "c")
+	if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, "route concurrency") {
+		t.Errorf("a third: %d %q", got.status, got.body)
 	}
 	requests.Go(func() { s.request(http.MethodGet, "/some") })
 	<-e.arrived
-	status, _, h := s.request(http.MethodGet, "/some")
-	if status != http.StatusTooManyRequests || h.Get("Retry-After") != "3600" {
-		t.Errorf("over the rate: %d, retry after %q", status, h.Get("Retry-After"))
+	got = s.request(http.MethodGet, "/some")
+	if got.status != http.StatusTooManyRequests || got.header.Get("Retry-After") != "3600" {
+		t.Errorf("over the rate: %d, retry after %q", got.status, got.header.Get("Retry-After"))
 	}
 	close(e.release)
 	requests.Wait()
-	if status, _, _ := s.request(http.MethodGet, "/all"); status != http.StatusOK {
+	if status := s.request(http.MethodGet, "/all").status; status != http.StatusOK {
 		t.Errorf("once all have ended: %d", status)
 	}
 }
 
-// A request that waits for its first attempt when a reload makes its class unsafe goes on as it
-// came; the next one does not.
-func TestRequestInFlightKeepsItsPolicy(t *testing.T) {
+// A request in flight when a reload makes its class non-idempotent is retried as before; the next
+// one is not.
+func TestReloadDoesNotChangePolicyOfRequestInFlight(t *testing.T) {
 	e := newGatedEndpoint(t, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
 	config := func(class string) string {
 		return poolBlock("one", e.Addr) + routeBlock("x", "/x", class, "one", "policy {\n attempts = 3\n}")
@@ -118,8 +119,8 @@
 	s := startDaemon(t, config("look"))
 	var requests sync.WaitGroup
 	requests.Go(func() {
-		if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusServiceUnavailable {
-			t.Errorf("safe when it came: %d", status)
+		if status := s.request(http.MethodGet, "/x").status; status != http.StatusServiceUnavailable {
+			t.Errorf("idempotent on arrival: %d", status)
 		}
 	})
 	<-e.arrived
@@ -131,8 +132,8 @@
 	}
 	requests.Wait()
 	requests.Go(func() {
-		if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusBadGateway {
-			t.Errorf("unsafe when it came: %d", status)
+		if status := s.request(http.MethodGet, "/x").status; status != http.StatusBadGateway {
+			t.Errorf("non-idempotent on arrival: %d", status)
 		}
 	})
 	<-e.arrived
--- a/internal/daemon/snapshot_test.go
+++ b/internal/daemon/snapshot_test.go
@@ -11,7 +11,9 @@
 	"rowancart/internal/testpeer"
 )
 
-func TestSuccessorRestoresLearnedState(t *testing.T) {
+// A process restores the learned state of the one before it, and starts without it if the snapshot
+// is corrupt.
+func TestLearnedStateSurvivesRestart(t *testing.T) {
 	works := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
 	fails := testpeer.StartEndpoint(t, respondWith("500 Oh", "", ""))
 	state := filepath.Join(t.TempDir(), "state")
@@ -38,15 +40,16 @@
 		t.Fatal(err)
 	}
 	s = startDaemon(t, config)
-	if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK {
-		t.Errorf("with a broken snapshot: %d", status)
+	if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK {
+		t.Errorf("with a corrupt snapshot: %d", status)
 	}
-	if n := strings.Count(s.log.String(), "starting without what was learned"); n != 1 {
+	if n := strings.Count(s.log.String(), `msg="snapshot not restored"`); n != 1 {
 		t.Errorf("logged %d times:\n%s", n, s.log)
 	}
 }
 
-func TestEndpointsAreRestoredUntilTheSourceAnswers(t *testing.T) {
+// Until the endpoint source has sent a list, the endpoints are those of the snapshot.
+func TestEndpointsAreRestoredUntilTheFirstList(t *testing.T) {
 	old := testpeer.StartEndpoint(t, respondWith("200 OK", "", "old"))
 	next := testpeer.StartEndpoint(t, respondWith("200 OK", "", "new"))
 	dir := t.TempDir()
@@ -67,32 +70,32 @@
 		t.Fatal(err)
 	}
 	s = startDaemon(t, config)
-	if status, body, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK || body != "old" {
-		t.Errorf("without a list: %d %q", status, body)
+	if got := s.request(http.MethodGet, "/x"); got.status != http.StatusOK || got.body != "old" {
+		t.Errorf("without a list: %d %q", got.status, got.body)
 	}
 	writeList("b", next.Addr)
 	testpeer.WaitUntil(t, "the list is applied", s.responds("/x", "new"))
 }
 
 func TestUnwritableSnapshotIsLoggedOnceAndHarmless(t *testing.T) {
-	const message = "the snapshot cannot be saved"
+	const message = `msg="snapshot not saved"`
 	e := testpeer.StartEndpoint(t, respondWith("200 OK", "", "x"))
 	path := filepath.Join(t.TempDir(), "none", "state")
 	s := startDaemon(t, fmt.Sprintf("state {\n path = %q\n every = \"1s\"\n}\n", path)+
 		poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
 	testpeer.WaitUntil(t, "it is logged", func() bool { return strings.Contains(s.log.String(), message) })
-	if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK {
+	if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	s.stopAndWait() // tries once more
+	s.stopAndWait() // retries
 	if n := strings.Count(s.log.String(), message); n != 1 {
 		t.Errorf("logged %d times:\n%s", n, s.log)
 	}
 }
 
-// A snapshot of another instance, here one with another index, is not restored; the log says so
+// A snapshot of another instance, here one with another index, is not restored, which is logged
 // once. The snapshot of an instance whose fleet has grown is its own.
-func TestSnapshotOfAnotherInstanceIsNotUsed(t *testing.T) {
+func TestSnapshotOfAnotherInstanceIsNotRestored(t *testing.T) {
 	e := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
 	state := filepath.Join(t.TempDir(), "state")
 	config := func(index, instances int) string {
@@ -103,16 +106,16 @@
 	s.request(http.MethodGet, "/x")
 	s.stopAndWait()
 	s = startDaemon(t, config(0, 3)) // the same instance of a larger fleet
-	if !strings.Contains(s.log.String(), "starting with what was learned") {
-		t.Errorf("its own snapshot is not used:\n%s", s.log)
+	if !strings.Contains(s.log.String(), `msg="snapshot restored"`) {
+		t.Errorf("its own snapshot is not restored:\n%s", s.log)
 	}
 	s.stopAndWait()
 	s = startDaemon(t, config(1, 2))
-	if status, _, _ := s.request(http.MethodGet, "/x"); status != http.StatusOK {
-		t.Errorf("with another's snapshot: %d", status)
+	if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK {
+		t.Errorf("with the snapshot of another instance: %d", status)
 	}
 	log := s.log.String()
-	if strings.Count(log, "starting without what was learned") != 1 || !strings.Contains(log, "index-0's") {
-		t.Errorf("the log does not say once whose it is:\n%s", log)
+	if strings.Count(log, `msg="snapshot not restored"`) != 1 || !strings.Contains(log, "index-0's") {
+		t.Errorf("the owner is not logged once:\n%s", log)
 	}
 }
--- /dev/null
+++ b/internal/daemon/state_test.go
@@ -0,0 +1,99 @@
+package daemon
+
+import (
+	"errors"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"rowancart/internal/config"
+)
+
+func TestReloadStatusRecordsTheLatestError(t *testing.T) {
+	var s ReloadStatus
+	first := time.Unix(1000, 0)
+	s.record(first, errors.New("invalid"))
+	if s.Failed != 1 || s.Succeeded != 0 || s.LastError != "invalid" || !s.LastAt.Equal(first) {
+		t.Errorf("after a failure: %+v", s)
+	}
+	second := first.Add(time.Minute)
+	s.record(second, nil)
+	if s.Failed != 1 || s.Succeeded != 1 || s.LastError != "" || !s.LastAt.Equal(second) {
+		t.Errorf("after a success: %+v", s)
+	}
+}
+
+func TestRequestIDsDiffer(t *testing.T) {
+	ids := requestIDs{prefix: 0xabc}
+	first, second := ids.next(), ids.next()
+	if first != "0000000000000abc-1" || second != "0000000000000abc-2" {
+		t.Errorf("%q, %q", first, second)
+	}
+}
+
+// One handover at a time is in progress; the next may begin once it has failed.
+func TestHandoverBeginsOnce(t *testing.T) {
+	h := newHandover(Options{})
+	if !h.begin() || h.begin() {
+		t.Error("the second signal does not begin a second handover")
+	}
+	h.reset()
+	if !h.begin() {
+		t.Error("no handover after one that failed")
+	}
+	if l, err := h.inherit("127.0.0.1:1"); l != nil || err != nil {
+		t.Errorf("inherited %v, %v without a predecessor", l, err)
+	}
+	if err := h.notifyPredecessor(); err != nil {
+		t.Error(err)
+	}
+}
+
+// A listener that drains is found by neither name nor address.
+func TestListenerSetFindsConfiguredListeners(t *testing.T) {
+	open := &listener{name: "a", address: "h:1"}
+	removed := &listener{name: "b", address: "h:2", lastGeneration: &generation{}}
+	s := listenerSet{removed, open}
+	if s.named("a") != open || s.at("h:1") != open {
+		t.Error("the open listener is not found")
+	}
+	if s.named("b") != nil || s.at("h:2") != nil || s.named("c") != nil {
+		t.Error("a removed or unknown listener is found")
+	}
+	if s = s.without(removed); len(s) != 1 || s[0] != open {
+		t.Errorf("%d listeners without the removed one", len(s))
+	}
+}
+
+func TestSourceStatusHasTheLatestError(t *testing.T) {
+	var s sourceStatus
+	s.set(&staleListError{90 * time.Second})
+	if got, want := s.get(), "restored from a snapshot that was 1m30s old at the start"; got != want {
+		t.Errorf("%q, want %q", got, want)
+	}
+	s.set(nil)
+	if got := s.get(); got != "" {
+		t.Errorf("%q after a list in force", got)
+	}
+}
+
+func TestMaxDescriptorsCountsAllConnections(t *testing.T) {
+	c := &config.Config{Limits: config.Limits{MaxConns: 100}, Pools: []config.Pool{{MaxConns: 10}, {MaxConns: 20}}}
+	if n := maxDescriptors(c); n != 130+reservedDescriptors {
+		t.Errorf("%d", n)
+	}
+}
+
+// The admin listener cannot be moved by a reload; the error names both addresses.
+func TestReloadRejectsMovedAdminListener(t *testing.T) {
+	blocks := poolBlock("one", "127.0.0.1:1") + routeBlock("x", "/x", "look", "one", "")
+	s := startDaemon(t, blocks)
+	path := filepath.Join(t.TempDir(), "admin")
+	s.writeFile(strings.Replace(configHead+blocks, `listen = "127.0.0.1:0"`, `listen = "unix:`+path+`"`, 1))
+	err := s.Reload()
+	want := `admin: the listener cannot be moved without a restart, from "127.0.0.1:0" to "unix:` + path + `"`
+	if !errors.Is(err, errAdminMoved) || err.Error() != want {
+		t.Errorf("%v, want %s", err, want)
+	}
+}
