--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -23,155 +23,160 @@
 	checker.RecordArrival(Arrival{ID: id, Server: server, FirstByte: at, LastByte: at, Digest: 1})
 }
 
-// TestHistories runs histories that violate one rule, or none.
+// history is what a checker is told, and the rule that it violates; empty: none.
+type history struct {
+	name     string
+	violates Rule
+	record   func(t *testing.T, checker *Checker)
+}
+
+var histories = []history{
+	{"served", "", func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.NonIdempotent)
+		recordArrival(checker, "r", "a", ms)
+		checker.RecordServerResponse("a", "r", 7)
+		checker.RecordResponse(5*ms, "r", Served, 7)
+	}},
+	{"retried after a rejection", "", func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.NonIdempotent)
+		recordArrival(checker, "r", "a", ms)
+		checker.RecordRejection(2*ms, "a", "r")
+		recordArrival(checker, "r", "b", 3*ms)
+		checker.RecordServerResponse("b", "r", 7)
+		checker.RecordResponse(5*ms, "r", Served, 7)
+	}},
+	{"retried after the client disconnected", RuleDuplicate, func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.NonIdempotent)
+		recordArrival(checker, "r", "a", ms)
+		checker.Waive("r")
+		recordArrival(checker, "r", "b", 900*ms)
+	}},
+	{"one attempt more than allowed", RulePolicy, func(_ *testing.T, checker *Checker) {
+		checker.RecordRequest(0, Request{ID: "r", Instance: "s", Deadline: time.Second, Digest: 1, MaxAttempts: 1})
+		recordArrival(checker, "r", "a", ms)
+		checker.RecordRejection(2*ms, "a", "r")
+		recordArrival(checker, "r", "b", 3*ms)
+		checker.RecordServerResponse("b", "r", 7)
+		checker.RecordResponse(5*ms, "r", Served, 7)
+	}},
+	{"idempotent, and run again where that is forbidden", RulePolicy, func(_ *testing.T, checker *Checker) {
+		checker.RecordRequest(0, Request{ID: "r", Instance: "s", Deadline: time.Second, Digest: 1, NeverRerun: true})
+		recordArrival(checker, "r", "a", ms)
+		recordArrival(checker, "r", "b", 3*ms)
+		checker.RecordServerResponse("b", "r", 7)
+		checker.RecordResponse(5*ms, "r", Served, 7)
+	}},
+	{"non-idempotent on two servers at once", RuleDuplicate, func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.NonIdempotent)
+		recordArrival(checker, "r", "a", ms)
+		recordArrival(checker, "r", "b", ms)
+		checker.RecordRejection(2*ms, "a", "r") // too late to have been known
+		checker.RecordResponse(5*ms, "r", Failed, 0)
+	}},
+	{"idempotent on two servers at once", "", func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		recordArrival(checker, "r", "a", ms)
+		recordArrival(checker, "r", "b", ms)
+		checker.RecordResponse(5*ms, "r", Rejected, 0)
+	}},
+	{"a truncated response", "", func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.NonIdempotent)
+		recordArrival(checker, "r", "a", ms)
+		checker.RecordResponse(5*ms, "r", Truncated, 0)
+	}},
+	{"another request's response", RuleFabricatedResponse, func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		recordRequest(checker, "q", balancer.Idempotent)
+		recordArrival(checker, "q", "a", ms)
+		checker.RecordServerResponse("a", "q", 7)
+		checker.RecordResponse(4*ms, "q", Served, 7)
+		checker.RecordResponse(5*ms, "r", Served, 7)
+	}},
+	{"a late response", RuleResponse, func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		checker.RecordResponse(1100*ms, "r", Failed, 0)
+	}},
+	{"two responses", RuleResponse, func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		checker.RecordResponse(1*ms, "r", Failed, 0)
+		checker.RecordResponse(2*ms, "r", Failed, 0)
+	}},
+	{"no response", RuleResponse, func(_ *testing.T, checker *Checker) { recordRequest(checker, "r", balancer.Idempotent) }},
+	{"the instance is killed before it responds", "", func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		checker.RecordKill("s")
+	}},
+	{"forwarded after a rejection", RuleFalseRejection, func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.NonIdempotent)
+		checker.RecordResponse(ms, "r", Rejected, 0)
+		recordArrival(checker, "r", "a", 2*ms)
+	}},
+	{"closed before the request was read", "", func(t *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		if checker.RecordClosedConn(ms, "r") {
+			t.Error("no server received it, and it counts as lost")
+		}
+		checker.RecordResponse(5*ms, "r", Failed, 0)
+	}},
+	{"sent within the drain grace", "", func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		checker.RecordNotification(0, "s", "a", balancer.Draining, false)
+		recordArrival(checker, "r", "a", 999*ms)
+		checker.RecordResponse(1000*ms, "r", Failed, 0)
+	}},
+	{"sent after the drain grace", RuleDrain, func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		checker.RecordNotification(0, "s", "a", balancer.Draining, false)
+		// notified again: the first notification counts
+		checker.RecordNotification(500*ms, "s", "a", balancer.Draining, false)
+		recordArrival(checker, "r", "a", 1001*ms)
+		checker.RecordResponse(1001*ms, "r", Failed, 0)
+	}},
+	{"sent after only another instance was notified", "", func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		checker.RecordNotification(0, "other", "a", balancer.Removed, false)
+		recordArrival(checker, "r", "a", 1001*ms)
+		checker.RecordResponse(1001*ms, "r", Failed, 0)
+	}},
+	{"overloaded in slow start by notified instances", RuleWarmup, func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		checker.RecordNotification(0, "s", "a", balancer.Ready, true)
+		checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true,
+			Work: 3})
+		checker.RecordOverload(ms, "a")
+		checker.RecordResponse(5*ms, "r", Failed, 0)
+	}},
+	{"overloaded in slow start by instances that were not notified", "", func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+		checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true,
+			Work: 3})
+		checker.RecordOverload(ms, "a")
+		checker.RecordResponse(5*ms, "r", Failed, 0)
+	}},
+	{"an improper peer served", RuleImproperPeer, func(_ *testing.T, checker *Checker) {
+		checker.RecordImproperPeer(0, ms, "sent nothing", true, true)
+	}},
+	{"an improper peer disconnected in time", "", func(_ *testing.T, checker *Checker) {
+		checker.RecordImproperPeer(0, 2*time.Second, "sent nothing", true, false)
+	}},
+	{"too many descriptors", RuleLimits, func(_ *testing.T, checker *Checker) {
+		checker.CheckUsage(0, Usage{Instance: "s", Descriptors: 11}, experiment.Limits{Descriptors: 10})
+	}},
+	{"more than its limit of cores", RuleLimits, func(_ *testing.T, checker *Checker) {
+		checker.CheckUsage(0, Usage{Instance: "s", Cores: 0.6}, experiment.Limits{Cores: 0.5})
+	}},
+	{"a crash", RuleLimits, func(_ *testing.T, checker *Checker) { checker.RecordCrash(0, "s", "exit status 2") }},
+}
+
+// TestHistories checks that each history violates its rule and no other.
 func TestHistories(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		rule Rule
-		run  func(checker *Checker)
-	}{
-		{"served", "", func(checker *Checker) {
-			recordRequest(checker, "r", balancer.NonIdempotent)
-			recordArrival(checker, "r", "a", ms)
-			checker.RecordServerResponse("a", "r", 7)
-			checker.RecordResponse(5*ms, "r", Served, 7)
-		}},
-		{"sent again after being turned away", "", func(checker *Checker) {
-			recordRequest(checker, "r", balancer.NonIdempotent)
-			recordArrival(checker, "r", "a", ms)
-			checker.RecordRejection(2*ms, "a", "r")
-			recordArrival(checker, "r", "b", 3*ms)
-			checker.RecordServerResponse("b", "r", 7)
-			checker.RecordResponse(5*ms, "r", Served, 7)
-		}},
-		{"a duplicate after the client has left", RuleDuplicate, func(checker *Checker) {
-			recordRequest(checker, "r", balancer.NonIdempotent)
-			recordArrival(checker, "r", "a", ms)
-			checker.Waive("r")
-			recordArrival(checker, "r", "b", 900*ms)
-		}},
-		{"one attempt more than allowed", RulePolicy, func(checker *Checker) {
-			checker.RecordRequest(0, Request{ID: "r", Instance: "s", Deadline: time.Second, Digest: 1, MaxAttempts: 1})
-			recordArrival(checker, "r", "a", ms)
-			checker.RecordRejection(2*ms, "a", "r")
-			recordArrival(checker, "r", "b", 3*ms)
-			checker.RecordServerResponse("b", "r", 7)
-			checker.RecordResponse(5*ms, "r", Served, 7)
-		}},
-		{"safe, and run again where that is forbidden", RulePolicy, func(checker *Checker) {
-			checker.RecordRequest(0, Request{ID: "r", Instance: "s", Deadline: time.Second, Digest: 1, NeverRerun: true})
-			recordArrival(checker, "r", "a", ms)
-			recordArrival(checker, "r", "b", 3*ms)
-			checker.RecordServerResponse("b", "r", 7)
-			checker.RecordResponse(5*ms, "r", Served, 7)
-		}},
-		{"one id on two boxes at once", RuleDuplicate, func(checker *Checker) {
-			recordRequest(checker, "r", balancer.NonIdempotent)
-			recordArrival(checker, "r", "a", ms)
-			recordArrival(checker, "r", "b", ms)
-			checker.RecordRejection(2*ms, "a", "r") // too late to have been known
-			checker.RecordResponse(5*ms, "r", Failed, 0)
-		}},
-		{"safe on two boxes at once", "", func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			recordArrival(checker, "r", "a", ms)
-			recordArrival(checker, "r", "b", ms)
-			checker.RecordResponse(5*ms, "r", Rejected, 0)
-		}},
-		{"an answer cut mid-body", "", func(checker *Checker) {
-			recordRequest(checker, "r", balancer.NonIdempotent)
-			recordArrival(checker, "r", "a", ms)
-			checker.RecordResponse(5*ms, "r", Truncated, 0)
-		}},
-		{"another request's answer", RuleFabricatedResponse, func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			recordRequest(checker, "q", balancer.Idempotent)
-			recordArrival(checker, "q", "a", ms)
-			checker.RecordServerResponse("a", "q", 7)
-			checker.RecordResponse(4*ms, "q", Served, 7)
-			checker.RecordResponse(5*ms, "r", Served, 7)
-		}},
-		{"answered late", RuleResponse, func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			checker.RecordResponse(1100*ms, "r", Failed, 0)
-		}},
-		{"answered twice", RuleResponse, func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			checker.RecordResponse(1*ms, "r", Failed, 0)
-			checker.RecordResponse(2*ms, "r", Failed, 0)
-		}},
-		{"never answered", RuleResponse, func(checker *Checker) { recordRequest(checker, "r", balancer.Idempotent) }},
-		{"killed before it could answer", "", func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			checker.RecordKill("s")
-		}},
-		{"refused, then sent", RuleFalseRejection, func(checker *Checker) {
-			recordRequest(checker, "r", balancer.NonIdempotent)
-			checker.RecordResponse(ms, "r", Rejected, 0)
-			recordArrival(checker, "r", "a", 2*ms)
-		}},
-		{"closed before the request was read", "", func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			if checker.RecordClosedConn(ms, "r") {
-				t.Error("no box saw it and it counts as lost")
-			}
-			checker.RecordResponse(5*ms, "r", Failed, 0)
-		}},
-		{"within the grace of a drain", "", func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			checker.RecordNotification(0, "s", "a", balancer.Draining, false)
-			recordArrival(checker, "r", "a", 999*ms)
-			checker.RecordResponse(1000*ms, "r", Failed, 0)
-		}},
-		{"after it", RuleDrain, func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			checker.RecordNotification(0, "s", "a", balancer.Draining, false)
-			// notified again: the first notification counts
-			checker.RecordNotification(500*ms, "s", "a", balancer.Draining, false)
-			recordArrival(checker, "r", "a", 1001*ms)
-			checker.RecordResponse(1001*ms, "r", Failed, 0)
-		}},
-		{"after another instance was told", "", func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			checker.RecordNotification(0, "other", "a", balancer.Removed, false)
-			recordArrival(checker, "r", "a", 1001*ms)
-			checker.RecordResponse(1001*ms, "r", Failed, 0)
-		}},
-		{"pushed over by those who knew", RuleWarmup, func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			checker.RecordNotification(0, "s", "a", balancer.Ready, true)
-			checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true,
-				Work: 3})
-			checker.RecordOverload(ms, "a")
-			checker.RecordResponse(5*ms, "r", Failed, 0)
-		}},
-		{"pushed over by those who did not", "", func(checker *Checker) {
-			recordRequest(checker, "r", balancer.Idempotent)
-			checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true,
-				Work: 3})
-			checker.RecordOverload(ms, "a")
-			checker.RecordResponse(5*ms, "r", Failed, 0)
-		}},
-		{"an improper peer served", RuleImproperPeer, func(checker *Checker) {
-			checker.RecordImproperPeer(0, ms, "sent nothing", true, true)
-		}},
-		{"an improper peer ended in time", "", func(checker *Checker) {
-			checker.RecordImproperPeer(0, 2*time.Second, "sent nothing", true, false)
-		}},
-		{"too many descriptors", RuleLimits, func(checker *Checker) {
-			checker.CheckUsage(0, Usage{Instance: "s", Descriptors: 11}, experiment.Limits{Descriptors: 10})
-		}},
-		{"more than its share of a core", RuleLimits, func(checker *Checker) {
-			checker.CheckUsage(0, Usage{Instance: "s", Cores: 0.6}, experiment.Limits{Cores: 0.5})
-		}},
-		{"a crash", RuleLimits, func(checker *Checker) { checker.RecordCrash(0, "s", "exit status 2") }},
-	} {
-		t.Run(c.name, func(t *testing.T) {
+	for _, h := range histories {
+		t.Run(h.name, func(t *testing.T) {
 			checker := New(rules, 0)
-			c.run(checker)
+			h.record(t, checker)
 			for _, v := range checker.Close(5 * time.Second) {
-				if (v.Violations > 0) != (v.Rule == c.rule) {
-					t.Errorf("rule %q: broken %d times: %s", v.Rule, v.Violations, v.Detail)
+				if (v.Violations > 0) != (v.Rule == h.violates) {
+					t.Errorf("rule %q: %d violations: %s", v.Rule, v.Violations, v.Detail)
 				}
 			}
 		})
--- a/internal/experiment/roundrobin/roundrobin_test.go
+++ b/internal/experiment/roundrobin/roundrobin_test.go
@@ -6,7 +6,7 @@
 	"rowancart/internal/platform"
 )
 
-func TestEndpointsTakeTurns(t *testing.T) {
+func TestEndpointsAreUsedInTurn(t *testing.T) {
 	endpoint := func(id string, state platform.State) platform.Endpoint {
 		return platform.Endpoint{ID: id, Addr: "addr-" + id, State: state}
 	}
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -74,8 +74,9 @@
 	}
 }
 
-// A run that is killed within a line goes on and comes to the same as one that was not.
-func TestARunGoesOnWhereItWas(t *testing.T) {
+// A run that is killed while it writes a line is resumed, and gives the same results as one that was
+// not killed.
+func TestStoppedRunIsResumed(t *testing.T) {
 	b := parseBounds(t, small)
 	dir := t.TempDir()
 	whole, cut := filepath.Join(dir, "whole"), filepath.Join(dir, "cut")
@@ -123,7 +124,7 @@
 	}
 }
 
-func TestRegretIsMeasuredOnPlaysThatDidNotChooseTheRival(t *testing.T) {
+func TestRegretExcludesRunsThatSelectedTheBaseline(t *testing.T) {
 	s := Site{ServedWeight: map[string][]float64{
 		Design: {0.5, 0.5, 0.5, 0.5, 0.5},
 		"a":    {0.9, 0.7, 0.55, 0.53, 0.54},
@@ -139,11 +140,11 @@
 	}
 	s.ServedWeight = map[string][]float64{Design: {0.5, 0.5}, "a": {0.501, 0.502}}
 	if r := s.Regret(2); r.Significant() || r.Mean <= 0 {
-		t.Errorf("two plays that chose the rival prove %+v", r)
+		t.Errorf("two runs that selected the baseline prove %+v", r)
 	}
 }
 
-func TestBadBoundsAreNamed(t *testing.T) {
+func TestFaultsInBoundsNameTheirPlace(t *testing.T) {
 	for change, want := range map[[2]string]string{
 		{"[1, 6]", "[6, 1]"}: `small.hcl:2:3: two whole numbers from 1 up are wanted, the smaller ` +
 			`one first`,
--- a/internal/experiment/server/server_test.go
+++ b/internal/experiment/server/server_test.go
@@ -157,11 +157,11 @@
 	return at
 }
 
-func TestSlotIsKeptWhileBlocked(t *testing.T) {
+func TestSlotIsHeldWhileBlocked(t *testing.T) {
 	server := newTestServer(1, 1, experiment.ServerSpec{})
 	first, second, third := job(0.1), job(0.2), job(0.1)
 	if server.Admit(0, first, 0.1) != Admitted || server.Admit(0, second, 0.2) != Admitted {
-		t.Fatal("the slot or the place in the queue was refused")
+		t.Fatal("the slot or the place in the queue was not granted")
 	}
 	if got := server.Admit(0, third, 0.1); got != Rejected {
 		t.Fatalf("a third request is %v, want Rejected", got)
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestColdServerWarmsUpAndFallsOver(t *testing.T) {
+func TestServerWarmsUpAndIsOverloaded(t *testing.T) {
 	spec := experiment.ServerSpec{InitialCapacity: 0.25, WarmupTime: 4 * time.Second}
 	rules := experiment.Rules{WarmupOverload: 4, OverloadWindow: time.Second}
 	kind := experiment.Kind{Cores: 1, Speed: 1, Slots: 10, QueueLimit: 100}
@@ -191,28 +191,28 @@
 	// Attained work is the integral of 0.25 + 0.1875 t: 0.25 at t = 0.781 s, less what small steps
 	// leave.
 	if at := ends(server, 2*time.Second); len(at) != 1 || math.Abs(at[0].Seconds()-0.781) > 0.02 {
-		t.Fatalf("a cold server is done at %v", at)
+		t.Fatalf("a server in slow start is done at %v", at)
 	}
 	now := 2 * time.Second // capacity 0.625: a budget of 2.5 s of work a second
 	for i := range 3 {
 		if server.Admit(now, job(1), 1); server.FellOver() {
-			t.Fatalf("fell over at request %d", i)
+			t.Fatalf("overloaded at request %d", i)
 		}
 	}
 	if got := server.Admit(now, job(1), 1); got != Unavailable || !server.FellOver() {
-		t.Fatalf("sent 4 s of work at once: %v, fell %v", got, server.FellOver())
+		t.Fatalf("sent 4 s of work at once: %v, overloaded %v", got, server.FellOver())
 	}
 	server.Crash()
 	server.Restart(10 * time.Second)
 	if server.Down() || server.FellOver() || server.CapacityFraction(10*time.Second) != 0.25 {
-		t.Fatal("not back cold")
+		t.Fatal("not back in slow start")
 	}
 	server.Advance(20*time.Second, nil)
 	for range 10 {
 		server.Admit(20*time.Second, job(1), 1)
 	}
 	if server.FellOver() {
-		t.Fatal("a warm server fell over")
+		t.Fatal("a warm server was overloaded")
 	}
 }
 
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestFaultsBite(t *testing.T) {
+func TestEveryFaultHasAnEffect(t *testing.T) {
 	base := run(t, calm(), "random", 2, nil)
 	for kind, has := range experiment.FaultKinds {
 		if !has || kind == experiment.DiscoveryDelay || kind == experiment.DiscoverySilence {
@@ -176,14 +176,14 @@
 		if got.Quantile(0.99) <= calm.Quantile(0.99) &&
 			got.Total.Fraction(counters.ServedInTime) >= calm.Total.Fraction(counters.ServedInTime) &&
 			got.Attempts <= calm.Attempts {
-			t.Errorf("%s: nothing is worse than on a calm day", kind)
+			t.Errorf("%s: nothing is worse than without the fault", kind)
 		}
 	}
 }
 
-// TestDeathBelowFreesTheSlotAbove lets the servers die that a server in the tier above holds a slot
+// TestCrashInNextTierFreesSlots lets the servers die that a server in the tier above holds a slot
 // for: its requests end, and the slots are freed.
-func TestDeathBelowFreesTheSlotAbove(t *testing.T) {
+func TestCrashInNextTierFreesSlots(t *testing.T) {
 	e := calm()
 	e.Load.Clients = experiment.Clients{}
 	e.Faults = []experiment.Fault{{Kind: experiment.Crash, At: 8 * time.Second, Duration: time.Minute, Tier: "back",
@@ -193,7 +193,7 @@
 		t.Errorf("rules broken: %v", b)
 	}
 	if r.Counters.Total[counters.Failed]+r.Counters.Total[counters.Rejected] == 0 {
-		t.Error("all was served with no box left in the last tier")
+		t.Error("all was served with no server left in the last tier")
 	}
 }
 
