--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -101,7 +101,9 @@
 		checker.RecordResponse(1*ms, "r", Failed, 0)
 		checker.RecordResponse(2*ms, "r", Failed, 0)
 	}},
-	{"no response", RuleResponse, func(_ *testing.T, checker *Checker) { recordRequest(checker, "r", balancer.Idempotent) }},
+	{"no response", RuleResponse, func(_ *testing.T, checker *Checker) {
+		recordRequest(checker, "r", balancer.Idempotent)
+	}},
 	{"the instance is killed before it responds", "", func(_ *testing.T, checker *Checker) {
 		recordRequest(checker, "r", balancer.Idempotent)
 		checker.RecordKill("s")
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// A run that is killed while it writes a line is resumed, and gives the same results as one that was
-// not killed.
+// A run that is killed while it writes a line is resumed, and gives the same results as one that
+// was not killed.
 func TestStoppedRunIsResumed(t *testing.T) {
 	b := parseBounds(t, small)
 	dir := t.TempDir()
