--- a/internal/connpool/exchange_test.go
+++ b/internal/connpool/exchange_test.go
@@ -166,7 +166,7 @@
 			p := newTestPool(t, e.Addr)
 			req := newRequest("/c")
 			req.Method = method
-			req.Header.Set("Idempotency-Key", "k")
+			req.Header.Set(platform.IdempotencyKeyHeader, "k")
 			if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != succeeded {
 				t.Fatalf("first: %v", r)
 			}
