--- a/internal/netaddr/netaddr_test.go
+++ b/internal/netaddr/netaddr_test.go
@@ -15,6 +15,7 @@
 		"":                "listen: missing",
 		"host":            "listen: address host: missing port in address",
 		"::1:80":          "listen: address ::1:80: too many colons in address",
+		"[::1:1":          "listen: address [::1:1: missing ']' in address",
 		"host:":           `listen: port "" is not a number up to 65535`,
 		"host:http":       `listen: port "http" is not a number up to 65535`,
 		"host:65536":      `listen: port "65536" is not a number up to 65535`,
