--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -14,22 +14,32 @@
 // few attempts in flight had used up its concurrency limit. A rate beyond all quotas together
 // shows at once: then requests over quota are rejected.
 func TestOverQuotaIsRejectedWhenTheRateExceedsAllQuotas(t *testing.T) {
-	for perSecond, want := range map[int]bool{4: false, 16: true} {
-		s := testSettings()
-		s.Instances = 10
-		s.Tenants = []balancer.Tenant{{Name: "greedy", Quota: 20}, {Name: "quiet", Quota: 60}} // 8 a second here
-		h := newHarness(t, s, "a", "b", "c")
-		for range 10 * perSecond {
-			id := h.requestFor("read", "greedy")
-			if len(h.sentTo[id]) > 0 {
-				h.advance(10 * ms)
-				h.finish(id, balancer.OK)
+	for _, c := range []struct {
+		name       string
+		perSecond  int
+		isRejected bool
+	}{
+		{"within all quotas", 4, false},
+		{"beyond all quotas", 16, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := testSettings()
+			s.Instances = 10
+			// Together 8 requests a second at one of ten instances.
+			s.Tenants = []balancer.Tenant{{Name: "over", Quota: 20}, {Name: "idle", Quota: 60}}
+			h := newHarness(t, s, "a", "b", "c")
+			for range 10 * c.perSecond {
+				id := h.requestFor("read", "over")
+				if len(h.sentTo[id]) > 0 {
+					h.advance(10 * ms)
+					h.finish(id, balancer.OK)
+				}
+				h.advance(time.Second/time.Duration(c.perSecond) - 10*ms)
 			}
-			h.advance(time.Second/time.Duration(perSecond) - 10*ms)
-		}
-		if n := h.countActions("reject "); n > 0 != want {
-			t.Errorf("%d of %d requests are rejected, made at %d a second", n, 10*perSecond, perSecond)
-		}
+			if n := h.countActions("reject "); n > 0 != c.isRejected {
+				t.Errorf("%d of %d requests are rejected, sent at %d a second", n, 10*c.perSecond, c.perSecond)
+			}
+		})
 	}
 }
 
@@ -37,51 +47,46 @@
 	s := testSettings()
 	s.Tenants = []balancer.Tenant{{Name: "big", Quota: 10}, {Name: "small", Quota: 1000}}
 	h := newHarness(t, s, "a", "b")
-	ask := func(tenant string) string {
-		h.requestCount++
-		id := "r" + strconv.Itoa(h.requestCount)
-		h.b.Request(h.now, balancer.Request{ID: id, Class: "read", Tenant: tenant, Deadline: h.now + 5*time.Second})
-		return id
-	}
 	for range 9 {
-		ask("big")
+		h.requestFor("read", "big")
 	}
 	if h.countActions("reject") > 0 {
 		t.Fatal("rejected with capacity to spare")
 	}
-	ask("small")
-	ask("big")
+	h.requestFor("read", "small")
+	h.requestFor("read", "big")
 	for range 20 {
-		ask("big")
-		ask("small")
+		h.requestFor("read", "big")
+		h.requestFor("read", "small")
 	}
-	refused := map[string]bool{}
+	rejected := map[string]bool{}
 	for _, d := range h.actions {
 		if id, ok := strings.CutPrefix(d, "reject "); ok {
-			refused[id] = true
+			rejected[id] = true
 		}
 	}
-	if len(refused) == 0 {
+	if len(rejected) == 0 {
 		t.Fatal("nothing over the quota was rejected")
 	}
 	for i := 12; i <= h.requestCount; i++ {
-		if small := i%2 == 1; small && refused["r"+strconv.Itoa(i)] {
+		if small := i%2 == 1; small && rejected["r"+strconv.Itoa(i)] {
 			t.Errorf("r%d is within its quota and was rejected", i)
 		}
 	}
 }
 
-// The small tenant sends at its whole quota, and by chance sometimes beyond an instance's part
-// of it. While latencies are as always, ten attempts in flight at one of thirteen instances are
-// no shortage, and nothing is rejected; once latencies rise, something is.
+// The small tenant sends as much as its quota allows, and by chance sometimes more than an
+// instance's part of it. While latencies are as always, ten attempts in flight at one of thirteen
+// instances are no shortage, and nothing is rejected; once latencies rise, something is.
 func TestOverQuotaIsAcceptedWhileResponsesAreQuick(t *testing.T) {
 	s := testSettings()
-	s.Instances, s.Tenants = 13, []balancer.Tenant{{Name: "large", Quota: 400}, {Name: "small", Quota: 25}}
+	s.Instances = 13
+	s.Tenants = []balancer.Tenant{{Name: "large", Quota: 400}, {Name: "small", Quota: 25}}
 	ids := endpointIDs(16)
 	for latency, fewest := range map[time.Duration]int{time.Second: 0, 4 * time.Second: 10} {
 		h := newHarness(t, s, ids...)
 		due := map[string]time.Duration{}
-		play := func(latency time.Duration, steps int) {
+		run := func(latency time.Duration, steps int) {
 			for range steps {
 				tenant := "large"
 				if h.requestCount%4 == 0 {
@@ -94,9 +99,9 @@
 				h.finishDue(due)
 			}
 		}
-		play(time.Second, 100)
+		run(time.Second, 100)
 		before := h.countActions("reject")
-		play(latency, 100)
+		run(latency, 100)
 		if n := h.countActions("reject") - before; n < fewest || fewest == 0 && n > 0 {
 			t.Errorf("latency %v: %d of 100 rejected", latency, n)
 		}
@@ -106,20 +111,22 @@
 // The class with the shortest latency objective must not be the only one rejected in overload.
 func TestNoClassStarvesInTheQueue(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective = 500*ms, 4*time.Second
+	s.Classes[0].LatencyObjective = 500 * ms
+	s.Classes[1].LatencyObjective = 4 * time.Second
 	h := newHarness(t, s, "a")
-	served, out := map[string]int{}, []string{}
+	served := map[string]int{}
 	class := map[string]string{}
+	var finished []string
 	for i := range 1500 { // a hundred requests a second, one response every 40 ms
 		id, _ := h.request([]string{"read", "bill"}[i%2])
 		class[id] = []string{"read", "bill"}[i%2]
 		h.advance(10 * ms)
 		if i%4 == 0 {
 			for j := 1; j <= h.requestCount; j++ {
-				if id := "r" + strconv.Itoa(j); len(h.sentTo[id]) == 1 && !slices.Contains(out, id) &&
+				if id := "r" + strconv.Itoa(j); len(h.sentTo[id]) == 1 && !slices.Contains(finished, id) &&
 					!slices.Contains(h.actions, "reject "+id) &&
 					!slices.Contains(h.actions, "fail "+id) {
-					out = append(out, id)
+					finished = append(finished, id)
 					h.finish(id, balancer.OK)
 					served[class[id]]++
 					break
@@ -160,8 +167,8 @@
 			break
 		}
 	}
-	h.b.Request(h.now, balancer.Request{ID: "late", Class: "read", Deadline: h.now + 60*ms})
-	if h.actions[len(h.actions)-1] != "reject late" {
+	h.b.Request(h.now, balancer.Request{ID: "short", Class: "read", Deadline: h.now + 60*ms})
+	if h.actions[len(h.actions)-1] != "reject short" {
 		t.Errorf("last action %q", h.actions[len(h.actions)-1])
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -9,46 +9,45 @@
 	"rowancart/balancer"
 )
 
-// Settings that no site has, such as negative ones, must leave every request with one answer.
+// Settings that no site has, such as negative ones, must leave every request with one final answer.
 func TestUnusualSettingsAreHarmless(t *testing.T) {
-	for _, s := range []balancer.Settings{{}, {Instances: -1, MaxAttempts: -1,
-		Classes: []balancer.Class{{}}, Tenants: []balancer.Tenant{{}}}} {
-		h := newHarness(t, s, "a", "b")
-		for range 20 {
-			h.request("")
-			h.request("unlisted")
-			h.advance(10 * ms)
-		}
-		h.advance(6 * time.Second)
-		for i := 1; i <= h.requestCount; i++ {
-			id := "r" + strconv.Itoa(i)
-			answers := 0
-			for _, d := range h.actions {
-				if d == "reject "+id || d == "fail "+id {
-					answers++
-				}
+	for name, s := range map[string]balancer.Settings{
+		"zero values": {},
+		"negative numbers and empty names": {Instances: -1, MaxAttempts: -1, Classes: []balancer.Class{{}},
+			Tenants: []balancer.Tenant{{}}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, s, "a", "b")
+			for range 20 {
+				h.request("")
+				h.request("unlisted")
+				h.advance(10 * ms)
 			}
-			if answers != 1 {
-				t.Errorf("%s has %d answers", id, answers)
+			h.advance(6 * time.Second)
+			for i := 1; i <= h.requestCount; i++ {
+				id := "r" + strconv.Itoa(i)
+				if answers := h.finalAnswers(id); len(answers) != 1 {
+					t.Errorf("%s has the answers %q", id, answers)
+				}
 			}
-		}
+		})
 	}
 }
 
-// When the host has to end, what would wait for longer has its answer by then: rejected if
-// nothing can have run, else failed. Attempts in flight are canceled, and what ends sooner by
-// itself is left alone.
+// When the host has to end, requests that would wait for longer get their answer by then: a
+// rejection if nothing can have run, else a failure. Attempts in flight are canceled. Requests with
+// an earlier deadline are left alone.
 func TestCapDeadlinesEndsWaits(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(20*time.Second), "a")
-	safe, _ := h.request("read")
-	unsafe, _ := h.request("bill")
-	var held []string
+	idempotent, _ := h.request("read")
+	nonIdempotent, _ := h.request("bill")
+	var queued []string
 	for range 8 {
 		if id, at := h.request("bill"); at == "" {
-			held = append(held, id)
+			queued = append(queued, id)
 		}
 	}
-	if len(held) == 0 {
+	if len(queued) == 0 {
 		t.Fatal("nothing waits for capacity")
 	}
 	h.b.CapDeadlines(h.now, h.now+10*time.Second) // all of them have 5 s
@@ -56,11 +55,11 @@
 	h.b.CapDeadlines(h.now, at)
 	h.advance(at - 2*ms - h.now)
 	if n := h.countActions("reject") + h.countActions("fail"); n != 0 {
-		t.Fatalf("%d were given up before it was time: %q", n, h.actions)
+		t.Fatalf("%d requests were given up early: %q", n, h.actions)
 	}
 	h.advance(2 * ms)
-	for _, want := range append([]string{"reject " + safe, "cancel " + safe + " 0", "fail " + unsafe,
-		"cancel " + unsafe + " 0"}, withPrefix("reject ", held)...) {
+	for _, want := range append([]string{"reject " + idempotent, "cancel " + idempotent + " 0", "fail " + nonIdempotent,
+		"cancel " + nonIdempotent + " 0"}, withPrefix("reject ", queued)...) {
 		if !slices.Contains(h.actions, want) {
 			t.Errorf("no %q in %q", want, h.actions)
 		}
@@ -68,25 +67,25 @@
 }
 
 func withPrefix(prefix string, all []string) []string {
-	out := slices.Clone(all)
-	for i := range out {
-		out[i] = prefix + out[i]
+	prefixed := slices.Clone(all)
+	for i := range prefixed {
+		prefixed[i] = prefix + prefixed[i]
 	}
-	return out
+	return prefixed
 }
 
-// A body that takes seconds to send is no latency of its endpoint; what the endpoint takes from
-// the last byte on is.
+// The latency of a streamed request is measured from the last byte of its body, which may take
+// seconds to send.
 func TestLatencyBeginsWithTheLastByteWritten(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	h.serve(40, evenLatency(10*ms, "a", "b"))
-	weigh := func() (most float64) {
+	maxWeight := func() (most float64) {
 		for _, s := range h.b.EndpointStatuses(h.now) {
 			most = max(most, s.Weight)
 		}
 		return most
 	}
-	before := weigh()
+	before := maxWeight()
 	for range 10 {
 		id := h.requestStreamed("bill")
 		h.advance(3 * time.Second)
@@ -95,7 +94,7 @@
 		h.advance(10 * ms)
 		h.finish(id, balancer.OK)
 	}
-	if after := weigh(); after > 1.5*before {
+	if after := maxWeight(); after > 1.5*before {
 		t.Errorf("weights rise from %v to %v", before, after)
 	}
 	id := h.requestStreamed("bill")
@@ -103,9 +102,9 @@
 	h.advance(4 * time.Second)
 	for _, s := range h.b.EndpointStatuses(h.now) {
 		if s.ID == h.sentTo[id][0] && s.Inactive == "" {
-			t.Errorf("an endpoint that answers nothing to a body that is there passes for good: %+v", s)
+			t.Errorf("an endpoint that does not respond to a request with its body is active: %+v", s)
 		}
 	}
-	h.b.RequestWritten(h.now, "nobody", 0) // an unknown request has no effect
+	h.b.RequestWritten(h.now, "unknown", 0) // an unknown request has no effect
 	h.b.RequestWritten(h.now, id, 7)
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -19,9 +19,9 @@
 func (*recordingHost) Timer(time.Duration)                           {}
 func (*recordingHost) Log(balancer.LogEvent)                         {}
 
-// BenchmarkModule measures decisions by the number of endpoints: request is one with its outcome
-// without load, change is one endpoint that drains or is back, and whole is a complete list in
-// which nothing has changed.
+// BenchmarkModule measures events by the number of endpoints: request is a request and its outcome
+// without load, change is a list of one endpoint that drains or is ready again, and complete is a
+// complete list in which nothing has changed.
 func BenchmarkModule(b *testing.B) {
 	settings := balancer.Settings{Instances: 1, Resolution: time.Millisecond, Classes: []balancer.Class{{Name: "c",
 		LatencyObjective: time.Second}}}
@@ -51,7 +51,7 @@
 				e.EndpointList(now, balancer.EndpointList{Entries: []balancer.Endpoint{entry}})
 			}
 		})
-		b.Run("whole/"+strconv.Itoa(n), func(b *testing.B) {
+		b.Run("complete/"+strconv.Itoa(n), func(b *testing.B) {
 			for b.Loop() {
 				now += time.Millisecond
 				e.EndpointList(now, l)
--- a/balancer/class_test.go
+++ b/balancer/class_test.go
@@ -1,6 +1,7 @@
 package balancer_test
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -27,33 +28,41 @@
 	return h
 }
 
-func TestClassSetsItsAttemptsAndQueue(t *testing.T) {
-	once := newHarnessWithClass(t, func(c *balancer.Class) { c.NeverRerun = true })
-	ran, _ := once.request("read")
-	once.finish(ran, balancer.Reset)
-	unrun, _ := once.request("read")
-	once.finish(unrun, balancer.ConnectFailed)
-	if len(once.sentTo[ran]) != 1 || once.countActions("reject "+ran) != 1 || len(once.sentTo[unrun]) != 2 {
-		t.Errorf("not to run again: sent to %v after a run, to %v after none: %v", once.sentTo[ran],
-			once.sentTo[unrun], once.actions)
-	}
-	h := newHarnessWithClass(t, func(c *balancer.Class) { c.MaxAttempts = 2 })
-	id, _ := h.request("read")
-	h.finish(id, balancer.Reset)
-	h.finish(id, balancer.Reset)
-	if n := len(h.sentTo[id]); n != 2 || h.countActions("reject "+id) != 1 {
-		t.Errorf("%d attempts where 2 are allowed: %v", n, h.actions)
-	}
-	for queue, want := range map[int]int{-1: 20, 3: 17} {
-		s := testSettings()
-		s.Classes[0].QueueLimit = queue
-		h := newHarness(t, s, "a")
-		for range 26 { // the first limit is 6
-			h.request("read")
+func TestClassLimitsAttemptsAndQueue(t *testing.T) {
+	t.Run("NeverRerun", func(t *testing.T) {
+		h := newHarnessWithClass(t, func(c *balancer.Class) { c.NeverRerun = true })
+		mayHaveRun, _ := h.request("read")
+		h.finish(mayHaveRun, balancer.Reset)
+		if to := h.sentTo[mayHaveRun]; len(to) != 1 || h.countActions("reject "+mayHaveRun) != 1 {
+			t.Errorf("after an attempt that may have run: sent to %v, %v", to, h.actions)
+		}
+		notRun, _ := h.request("read")
+		h.finish(notRun, balancer.ConnectFailed)
+		if to := h.sentTo[notRun]; len(to) != 2 {
+			t.Errorf("after an attempt that did not run: sent to %v, %v", to, h.actions)
 		}
-		if n := h.countActions("reject"); n != want {
-			t.Errorf("with a queue of %d, %d of 20 rejected at once", queue, n)
+	})
+	t.Run("MaxAttempts", func(t *testing.T) {
+		h := newHarnessWithClass(t, func(c *balancer.Class) { c.MaxAttempts = 2 })
+		id, _ := h.request("read")
+		h.finish(id, balancer.Reset)
+		h.finish(id, balancer.Reset)
+		if n := len(h.sentTo[id]); n != 2 || h.countActions("reject "+id) != 1 {
+			t.Errorf("%d attempts where 2 are allowed: %v", n, h.actions)
 		}
+	})
+	for limit, want := range map[int]int{-1: 20, 3: 17} {
+		t.Run(fmt.Sprint("QueueLimit ", limit), func(t *testing.T) {
+			s := testSettings()
+			s.Classes[0].QueueLimit = limit
+			h := newHarness(t, s, "a")
+			for range 26 { // the first concurrency limit is 6
+				h.request("read")
+			}
+			if n := h.countActions("reject"); n != want {
+				t.Errorf("%d of 20 rejected at once, want %d", n, want)
+			}
+		})
 	}
 }
 
@@ -79,18 +88,18 @@
 	h.request("bill")
 	h.b.Request(h.now, balancer.Request{ID: "short", Class: "read", Deadline: h.now + 300*ms})
 	if want := []time.Duration{time.Second, 5 * time.Second, 300 * ms}; !slices.Equal(h.timeouts, want) {
-		t.Errorf("time-outs %v, want %v", h.timeouts, want)
+		t.Errorf("timeouts %v, want %v", h.timeouts, want)
 	}
 }
 
-// A request that waits between two attempts is treated as its class was when it came; the next
-// one as it is now.
+// A request keeps the class that it came with, while requests that come after Configure get the new
+// one.
 func TestConfigureKeepsLearnedStateAndRequestsInFlight(t *testing.T) {
 	h := newHarnessWithClass(t, func(*balancer.Class) {})
 	h.serve(60, map[string]time.Duration{"a": 60 * ms, "b": 10 * ms, "c": 10 * ms})
 	h.b.Configure(h.now, testSettings())
-	if share := h.serve(12, evenLatency(ms, "a", "b", "c")); share["a"] > 1 { // a trial may be due
-		t.Errorf("of 12 calls right after, the slow endpoint gets %d", share["a"])
+	if counts := h.serve(12, evenLatency(ms, "a", "b", "c")); counts["a"] > 1 { // a trial may be due
+		t.Errorf("of the next 12 requests, the slow endpoint gets %d", counts["a"])
 	}
 	before, _ := h.request("read")
 	s := testSettings()
@@ -100,7 +109,7 @@
 	h.finish(before, balancer.Reset)
 	h.finish(after, balancer.Reset)
 	if len(h.sentTo[before]) != 2 || len(h.sentTo[after]) != 1 || h.countActions("fail "+after) != 1 {
-		t.Errorf("safe when it came: %v; unsafe when it came: %v", h.sentTo[before], h.sentTo[after])
+		t.Errorf("idempotent when it came: sent to %v; non-idempotent: %v", h.sentTo[before], h.sentTo[after])
 	}
 	h.finish(before, balancer.OK)
 	s.Classes = []balancer.Class{{Name: "other", Work: "read", Idempotency: balancer.Idempotent,
@@ -109,12 +118,12 @@
 	if id, to := h.request("other"); to == "" {
 		t.Errorf("%s was not sent", id)
 	}
-	if id, _ := h.request("bill"); h.countActions("send "+id) != 1 { // its class is no longer in the settings: sent once
+	if id, _ := h.request("bill"); h.countActions("send "+id) != 1 { // of a class that is not in the settings: sent once
 		t.Errorf("%v", h.actions)
 	}
 }
 
-// policyRequest is a request of TestRulesHoldUnderEveryClassPolicy.
+// policyRequest is a request of policyTest, with what has to hold for it.
 type policyRequest struct {
 	class       string
 	maxAttempts int    // of its class when it came
@@ -144,7 +153,7 @@
 	return s
 }
 
-// step plays one random event.
+// step reports one random event.
 func (p *policyTest) step() {
 	switch rapid.IntRange(0, 5).Draw(p.T, "step") {
 	case 0, 1:
@@ -190,19 +199,19 @@
 	for id, req := range p.requests {
 		sentTo := p.h.sentTo[id]
 		if req.class == "bill" && (req.runs > 1 || req.runs == 1 && len(req.finished) < len(sentTo)) {
-			p.Fatalf("%s is not idempotent, ran %d times and was sent to %v", id, req.runs, sentTo)
+			p.Fatalf("%s is non-idempotent, ran %d times and was sent to %v", id, req.runs, sentTo)
 		}
 		if len(sentTo) > req.maxAttempts {
 			p.Fatalf("%s: %d attempts where %d are allowed", id, len(sentTo), req.maxAttempts)
 		}
-		if n := slices.Compact(p.h.finalAnswers(id)); len(n) > 1 {
-			p.Fatalf("%s: more than one answer: %v", id, n)
+		if answers := p.h.finalAnswers(id); len(answers) > 1 {
+			p.Fatalf("%s: more than one final answer: %v", id, answers)
 		}
 	}
 }
 
-// Whatever the policy, the outcomes and the reloads: a request that is not idempotent runs at
-// most once, attempts keep to their limit, and every request gets one answer.
+// Whatever the policies, the outcomes and the changes of settings: a non-idempotent request runs at
+// most once, no request has more attempts than its limit, and each gets one final answer.
 func TestRulesHoldUnderEveryClassPolicy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSettings(t)
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -16,7 +16,8 @@
 	s.Instances = 10
 	h := newHarness(t, s, "a", "b", "c", "d")
 	due := map[string]time.Duration{}
-	ask := func(latency time.Duration, n int) (out int) {
+	// run sends requests for n half seconds and returns the most in flight.
+	run := func(latency time.Duration, n int) (mostInFlight int) {
 		for range n * 50 {
 			if h.now%(125*ms) < 10*ms {
 				if id, ep := h.request("read"); ep != "" {
@@ -25,14 +26,14 @@
 			}
 			h.advance(10 * ms)
 			h.finishDue(due)
-			out = max(out, len(due))
+			mostInFlight = max(mostInFlight, len(due))
 		}
-		return out
+		return mostInFlight
 	}
-	ask(200*ms, 40)
-	ask(1200*ms, 4) // two seconds of answers six times as slow
-	if out := ask(1200*ms, 2); out > 6 {
-		t.Errorf("%d calls of ten are out after two seconds of slow answers", out)
+	run(200*ms, 40)
+	run(1200*ms, 4) // two seconds of responses six times as slow
+	if n := run(1200*ms, 2); n > 6 {
+		t.Errorf("%d requests of ten are in flight after two seconds of slow responses", n)
 	}
 }
 
@@ -46,10 +47,10 @@
 	}
 	most, answered := h.overload(5*ms, 20*ms, 6*time.Second, "a", "b")
 	if most > 5 {
-		t.Errorf("an endpoint that does one call at a time had %d", most)
+		t.Errorf("an endpoint that serves one request at a time had %d in flight", most)
 	}
 	if answered < 540 {
-		t.Errorf("%d calls answered of the 600 that could be", answered)
+		t.Errorf("%d requests answered of the 600 that could be", answered)
 	}
 	if h.countActions("reject") < 400 {
 		t.Errorf("only %d rejected of twice the load", h.countActions("reject"))
@@ -59,18 +60,21 @@
 // Incidents i72d39d and i2623e0: instances of the first tier that each admit what the endpoints
 // can take tip them into collapse in two seconds.
 func TestInstancesOfTheFirstTierShareTheConcurrencyLimit(t *testing.T) {
-	sends := func(balancers, tier int) int {
+	sends := func(instances, tier int) int {
 		s := testSettings()
-		s.Instances, s.Tier = balancers, tier
+		s.Instances = instances
+		s.Tier = tier
 		h := newHarness(t, s, "a", "b", "c", "d", "e", "f", "g", "h")
 		for range 100 {
 			h.request("read")
 		}
 		return h.countActions("send")
 	}
-	alone, four, below := sends(1, 0), sends(4, 0), sends(4, 1)
+	alone := sends(1, 0)
+	four := sends(4, 0)
+	below := sends(4, 1)
 	if four > alone/2 || four < alone/4 { // its part, and what chance needs beyond it
-		t.Errorf("alone an instance sends %d requests at once, beside three others %d", alone, four)
+		t.Errorf("alone an instance sends %d requests at once, as one of four %d", alone, four)
 	}
 	if below != alone {
 		t.Errorf("behind the first tier an instance sends %d requests at once, alone %d", below, alone)
@@ -83,10 +87,11 @@
 func TestQuickFirstResponsesAreNotTheBaseline(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
 	due := map[string]time.Duration{}
-	seen, n, begun := 0, 0, h.now
+	seen, n := 0, 0
+	begun := h.now
 	for ; h.now < begun+6*time.Second; h.advance(ms) {
 		h.finishDue(due)
-		for asked := 0; len(due)+asked < 22; asked++ {
+		for made := 0; len(due)+made < 22; made++ {
 			if _, ep := h.request("read"); ep == "" && h.now > begun+3*time.Second {
 				t.Fatalf("no capacity for request %d after %v", h.requestCount, h.now-begun)
 			}
@@ -107,7 +112,7 @@
 	h.serve(60, evenLatency(300*ms, "a", "b"))
 	for range 9 {
 		if _, ep := h.request("read"); ep == "" {
-			t.Fatal("a request found no capacity beside fewer than nine")
+			t.Fatal("a request found no capacity with fewer than nine in flight")
 		}
 	}
 }
@@ -116,7 +121,8 @@
 func TestConcurrencyLimitStopsGrowingWhileResponsesSlowDown(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(200*ms), "a", "b")
 	h.serve(60, evenLatency(50*ms, "a", "b"))
-	due, most, seen := map[string]time.Duration{}, 0, len(h.actions)
+	due := map[string]time.Duration{}
+	most, seen := 0, len(h.actions)
 	for begun := h.now; h.now < begun+4*time.Second; h.advance(ms) {
 		h.finishDue(due)
 		h.request("read")
@@ -137,16 +143,16 @@
 // rejected for it.
 func TestOrdinaryLoadIsNoCongestion(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
-	calm := 100 * ms
-	h.serve(100, evenLatency(calm, "a", "b", "c", "d"))
+	baseline := 100 * ms
+	h.serve(100, evenLatency(baseline, "a", "b", "c", "d"))
 	for range 30 {
-		var out []string
+		var ids []string
 		for range 20 { // of a limit of 24
 			id, _ := h.request("read")
-			out = append(out, id)
+			ids = append(ids, id)
 		}
-		h.advance(calm * 9 / 5)
-		for _, id := range out {
+		h.advance(baseline * 9 / 5)
+		for _, id := range ids {
 			if len(h.sentTo[id]) > 0 {
 				h.finish(id, balancer.OK)
 			}
@@ -167,29 +173,44 @@
 		}
 		h.b.EndpointList(h.now, l)
 	}
-	const ready, drains = balancer.Ready, balancer.Draining
+	const ready, draining = balancer.Ready, balancer.Draining
 	start := func() *harness { return newHarness(t, testSettings(), "e0", "e1", "e2", "e3") }
 	all := start().measureCapacity()
-	h := start()
-	list(h, ready, drains, drains, ready)
-	if n := h.measureCapacity(); n < all/2-1 || n > all/2+1 {
-		t.Errorf("with two of four draining %d calls fit, and %d before", n, all)
-	}
-	h = start()
-	list(h, drains, drains, drains, drains)
-	list(h, ready, ready, ready, ready)
-	if n := h.measureCapacity(); n != all {
-		t.Errorf("after all drained and came back %d calls fit, and %d before", n, all)
-	}
-	h = start()
-	h.b.Disable(h.now, "e1")
-	h.b.Disable(h.now, "e2")
-	if n := h.measureCapacity(); n < all/2-1 || n > all/2+1 {
-		t.Errorf("with two of four taken out by hand %d calls fit, and %d before", n, all)
+	for _, c := range []struct {
+		name        string
+		change      func(h *harness)
+		least, most int
+	}{
+		{"two of four draining", func(h *harness) {
+			list(h, ready, draining, draining, ready)
+		}, all/2 - 1, all/2 + 1},
+		{"all drained and ready again", func(h *harness) {
+			list(h, draining, draining, draining, draining)
+			list(h, ready, ready, ready, ready)
+		}, all, all},
+		{"two of four disabled", func(h *harness) {
+			h.b.Disable(h.now, "e1")
+			h.b.Disable(h.now, "e2")
+		}, all/2 - 1, all/2 + 1},
+		{"one of four failing", failRequestsOfE2, all*3/4 - 2, all*3/4 + 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := start()
+			c.change(h)
+			if n := h.measureCapacity(); n < c.least || n > c.most {
+				t.Errorf("capacity for %d requests, and for %d before, want %d to %d", n, all, c.least, c.most)
+			}
+			if err := h.b.CheckIndex(); err != nil {
+				t.Error(err)
+			}
+			h.advance(time.Second)
+		})
 	}
+}
 
-	h = start()
-	for failed := 0; failed < 4; { // one answers errors: it is ejected, with its part of the limit
+// failRequestsOfE2 answers requests at endpoint e2 with errors until it has been ejected.
+func failRequestsOfE2(h *harness) {
+	for failed := 0; failed < 4; {
 		id, ep := h.request("read")
 		h.advance(10 * ms)
 		if ep == "e2" {
@@ -199,17 +220,10 @@
 		}
 		h.finish(id, balancer.OK)
 	}
-	if n := h.measureCapacity(); n < all*3/4-2 || n > all*3/4+2 {
-		t.Errorf("with one of four failing %d calls fit, and %d before", n, all)
-	}
-	if err := h.b.CheckIndex(); err != nil {
-		t.Error(err)
-	}
-	h.advance(time.Second)
 }
 
 // Seen on a day of upgrades with endpoints disabled: attempts that hung at two overloaded
-// endpoints used the whole limit, and a third, which responded at once, stood idle while
+// endpoints used up the limit, and a third, which responded at once, stood idle while
 // requests were rejected.
 func TestHungAttemptsLeaveAHealthyEndpointItsPart(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(40*ms), "a", "b", "c")
@@ -228,24 +242,31 @@
 	h.finish(trial, balancer.OK)
 	for i := range 3 {
 		if _, ep := h.request("read"); ep != "c" {
-			t.Fatalf("call %d goes to %q", i+1, ep)
+			t.Fatalf("request %d goes to %q", i+1, ep)
 		}
 	}
 }
 
 // A thirteenth of the limit for sixteen endpoints is seven attempts. An instance with a mean of
 // five has more than that in flight at times by chance alone, when the others have less: its
-// limit allows for that, and not where it has the whole limit to itself.
+// limit allows for that, but not where it is the only instance.
 func TestConcurrencyLimitAllowsForChanceAtOneOfManyInstances(t *testing.T) {
-	for _, of := range []struct{ instances, endpoints, fits, over int }{{13, 16, 12, 16}, {1, 2, 12, 13}} {
-		h := newHarnessOfInstance(t, of.instances, of.endpoints)
-		for range of.over {
-			h.request("read")
-		}
-		if n := h.countActions("send "); n < of.fits || n >= of.over {
-			t.Errorf("%d instances of %d endpoints: one has %d requests in flight, want %d and fewer than %d",
-				of.instances, of.endpoints, n, of.fits, of.over)
-		}
+	for _, c := range []struct {
+		name                             string
+		instances, endpoints, fits, over int
+	}{
+		{"one of 13 instances", 13, 16, 12, 16},
+		{"the only instance", 1, 2, 12, 13},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarnessOfInstance(t, c.instances, c.endpoints)
+			for range c.over {
+				h.request("read")
+			}
+			if n := h.countActions("send "); n < c.fits || n >= c.over {
+				t.Errorf("%d requests in flight, want %d and fewer than %d", n, c.fits, c.over)
+			}
+		})
 	}
 }
 
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -16,21 +16,22 @@
 	latency["d"] = 400 * ms
 	h.serve(60, latency)
 	if n := h.serve(200, latency)["d"]; n > 10 {
-		t.Errorf("a slow endpoint got %d of 200 calls", n)
+		t.Errorf("a slow endpoint got %d of 200 requests", n)
 	}
 	latency["d"] = 50 * ms
 	h.serve(200, latency)
 	if n := h.serve(200, latency)["d"]; n < 35 {
-		t.Errorf("a recovered endpoint got %d of 200 calls", n)
+		t.Errorf("a recovered endpoint got %d of 200 requests", n)
 	}
 }
 
-// A hung endpoint must not keep its turns for a whole timeout.
+// A hung endpoint must not get requests until the first of them has timed out.
 func TestHungEndpointIsEjectedWithinAFewLatencies(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "hung")
 	latency := evenLatency(50*ms, "a", "b", "c", "hung")
 	h.serve(100, latency)
-	caught, start := 0, h.now
+	caught := 0
+	start := h.now
 	for range 200 {
 		id, ep := h.request("read")
 		if ep == "hung" {
@@ -42,37 +43,38 @@
 		h.finish(id, balancer.OK)
 	}
 	if trials := int((h.now - start) / (500 * ms)); caught > 5+trials {
-		t.Errorf("a hung endpoint caught %d of 200 calls", caught)
+		t.Errorf("a hung endpoint got %d of 200 requests", caught)
 	}
 }
 
-func TestFailedConnectEjectsUntilATrial(t *testing.T) {
+func TestFailedConnectionEjectsUntilATrial(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "down")
 	h.serve(100, evenLatency(50*ms, "a", "b", "c", "down"))
-	tries, start := []time.Duration{}, h.now
+	var attempts []time.Duration
+	start := h.now
 	for h.now < start+20*time.Second {
 		id, ep := h.request("read")
 		if ep == "down" {
-			tries = append(tries, h.now)
+			attempts = append(attempts, h.now)
 			h.finish(id, balancer.ConnectFailed)
 			if n := len(h.sentTo[id]); n != 2 || h.sentTo[id][1] == "down" {
-				t.Fatalf("after a failed connect the call went to %v", h.sentTo[id])
+				t.Fatalf("after a failed connection the request went to %v", h.sentTo[id])
 			}
 		}
 		h.advance(20 * ms)
 		h.finish(id, balancer.OK)
 	}
-	if len(tries) < 4 || len(tries) > 12 {
-		t.Errorf("a dead endpoint was tried %d times in 20 s", len(tries))
+	if len(attempts) < 4 || len(attempts) > 12 {
+		t.Errorf("an unreachable endpoint got %d attempts in 20 s", len(attempts))
 	}
-	for i := 3; i < len(tries); i++ { // the backoff grows up to its limit
-		if wait := tries[i] - tries[i-1]; wait < 500*ms {
+	for i := 3; i < len(attempts); i++ { // the backoff grows up to its limit
+		if wait := attempts[i] - attempts[i-1]; wait < 500*ms {
 			t.Errorf("trial %d came after %v", i, wait)
 		}
 	}
 }
 
-// Trials must stay below the instance's own even share.
+// Trials must be fewer than an even share of the instance's requests.
 func TestQuietInstancesDoNotOverloadAnEjectedEndpoint(t *testing.T) {
 	names := []string{"slow"}
 	latency := map[string]time.Duration{"slow": 900 * ms}
@@ -92,44 +94,46 @@
 		h.advance(500*ms - min(latency[ep], 400*ms))
 	}
 	if slow > 14 {
-		t.Errorf("the slow endpoint got %d of 400 calls; an even share is 20", slow)
+		t.Errorf("the slow endpoint got %d of 400 requests; an even share is 20", slow)
 	}
 }
 
 func TestErrorsOfAllAreAttributedToTheTierBelow(t *testing.T) {
 	s := testSettings()
-	s.TiersBelow, s.MaxAttempts = 1, 1
+	s.TiersBelow = 1
+	s.MaxAttempts = 1
 	h := newHarness(t, s, "a", "b", "c", "d")
 	h.serve(100, evenLatency(50*ms, "a", "b", "c", "d"))
-	share := map[string]int{}
-	for range 80 { // every call ends in an error
+	counts := map[string]int{}
+	for range 80 { // every request ends in an error
 		id, ep := h.request("read")
-		share[ep]++
+		counts[ep]++
 		h.advance(50 * ms)
 		h.finish(id, balancer.Errored)
 	}
 	for _, ep := range []string{"a", "b", "c", "d"} {
-		if share[ep] < 14 {
-			t.Errorf("%s got %d of 80 calls that all failed below: %v", ep, share[ep], share)
+		if counts[ep] < 14 {
+			t.Errorf("%s got %d of 80 requests that all failed in the tier below: %v", ep, counts[ep], counts)
 		}
 	}
 }
 
-// Incident i40577d: the quick errors of an endpoint in a middle tier must not pass for faults of
-// the tier below, nor for speed.
-func TestFastFailingEndpointDrawsNoTraffic(t *testing.T) {
+// Incident i40577d: the quick errors of an endpoint in a middle tier must not be attributed to the
+// tier below, nor make the endpoint look fast.
+func TestFastFailingEndpointAttractsNoRequests(t *testing.T) {
 	s := testSettings()
-	s.TiersBelow, s.MaxAttempts = 1, 1
-	names := []string{"broken"}
+	s.TiersBelow = 1
+	s.MaxAttempts = 1
+	names := []string{"failing"}
 	for i := range 7 {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
 	h := newHarness(t, s, names...)
-	broken := 0
+	toFailing := 0
 	for range 400 {
 		id, ep := h.request("read")
-		if ep == "broken" {
-			broken++
+		if ep == "failing" {
+			toFailing++
 			h.advance(2 * ms)
 			h.finish(id, balancer.Errored)
 			continue
@@ -137,13 +141,13 @@
 		h.advance(50 * ms)
 		h.finish(id, balancer.OK)
 	}
-	if broken > 30 {
-		t.Errorf("a broken endpoint got %d of 400 calls", broken)
+	if toFailing > 30 {
+		t.Errorf("a failing endpoint got %d of 400 requests", toFailing)
 	}
 }
 
-// A balancer that gets no response from an endpoint must not wait for a timeout, nor for its
-// weight to grow.
+// An endpoint that does not respond is ejected before its attempts time out and before its weight
+// has grown.
 func TestUnresponsiveEndpointIsEjectedAtItsFirstStraggler(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(600*ms), "a", "b", "c", "d")
 	h.serve(200, evenLatency(50*ms, "a", "b", "c", "d"))
@@ -155,39 +159,39 @@
 		}
 	}
 	h.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within twice the smallest
-	if share := h.serve(6, evenLatency(50*ms, "a", "b", "c")); share["d"] > 0 {
-		t.Error("an unresponsive endpoint got a turn")
+	if counts := h.serve(6, evenLatency(50*ms, "a", "b", "c")); counts["d"] > 0 {
+		t.Errorf("an unresponsive endpoint got %d requests", counts["d"])
 	}
 }
 
-// A canceled attempt says nothing of its endpoint, good or bad.
+// A canceled attempt is no sample of its endpoint, neither a good one nor a bad one.
 func TestCanceledAttemptIsNoSample(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	latency := evenLatency(50*ms, "a", "b")
 	h.serve(100, latency)
-	off := 0
+	canceled := 0
 	for range 40 { // requests to b alone are canceled, early
 		id, ep := h.request("read")
 		if ep == "b" {
 			h.advance(ms)
 			h.b.ClientDisconnected(h.now, id)
 			h.finish(id, balancer.Canceled)
-			off++
+			canceled++
 			continue
 		}
 		h.advance(50 * ms)
 		h.finish(id, balancer.OK)
 	}
-	if off == 0 || off > 24 {
-		t.Errorf("b got %d of 40 turns; called off early, it must not pass for fast, nor lose its turns", off)
+	if canceled == 0 || canceled > 24 {
+		t.Errorf("b got %d of 40 requests, which were canceled early: it must neither look fast nor be ejected", canceled)
 	}
-	if share := h.serve(60, latency); share["b"] < 20 {
-		t.Errorf("turns after attempts were canceled: %v", share)
+	if counts := h.serve(60, latency); counts["b"] < 20 {
+		t.Errorf("requests after attempts were canceled: %v", counts)
 	}
 }
 
-// Seen on days on which a server quickly failed its requests: its own errors were part of what
-// they were compared with, so that one of four had to fail six in a row before it was ejected.
+// Seen in runs in which one server failed quickly: its own errors were part of those that they were
+// compared with, so that one of four had to fail six requests in a row before it was ejected.
 func TestErrorsOfOneEndpointAreAttributedToIt(t *testing.T) {
 	s := testSettings()
 	s.TiersBelow = 1
@@ -197,7 +201,7 @@
 	failed := 0
 	for i := range 100 {
 		id, ep := h.request("bill")
-		if i >= 40 && ep == "d" { // until then the latency of bills is learned
+		if i >= 40 && ep == "d" { // until then the latency of the class is learned
 			failed++
 			h.advance(ms)
 			h.finish(id, balancer.Errored)
@@ -207,45 +211,48 @@
 		h.finish(id, balancer.OK)
 	}
 	if failed < 2 || failed > 4 {
-		t.Errorf("d failed %d of 60 calls; fifteen are its turns", failed)
+		t.Errorf("d failed %d of 60 requests; an even share is fifteen", failed)
 	}
 }
 
 // An instance that sends to an endpoint every few seconds cannot wait for three errors in
-// fifteen outcomes. Where the others have none, the second error is the endpoint's own, after
-// eight good outcomes; where all fail alike, no number of them is.
+// fifteen outcomes. Where the others have none, the second error after eight good outcomes is
+// attributed to the endpoint. Where all fail equally, no number of errors is.
 func TestErrorsAreAttributedToAnEndpointByTheOdds(t *testing.T) {
 	for _, below := range []bool{false, true} {
 		s := testSettings()
-		s.TiersBelow, s.MaxAttempts = 2, 1
+		s.TiersBelow = 2
+		s.MaxAttempts = 1
 		names := []string{"a", "b", "c", "d", "e", "f"}
 		h := newHarness(t, s, names...)
-		errors, toBad := 0, 0
+		errors, toFirst := 0, 0
 		for i := range 90 {
 			id, ep := h.request("read")
 			h.advance(200 * ms)
-			switch {
-			case i < 48, !below && ep != "a", below && i%3 > 0:
+			fails := ep == "a"
+			if below {
+				fails = i%3 == 0
+			}
+			if i < 48 || !fails {
 				h.finish(id, balancer.OK)
-			default:
+			} else {
 				errors++
 				h.finish(id, balancer.Errored)
 			}
 			if i >= 48 && ep == "a" {
-				toBad++
+				toFirst++
 			}
 		}
 		if !below && errors > 4 {
-			t.Errorf("an endpoint that fails all got %d of 42 calls", errors)
+			t.Errorf("an endpoint that fails all requests got %d of 42", errors)
 		}
-		if below && toBad < 4 {
-			t.Errorf("a third of all calls fails below, and one of six endpoints got %d of 42", toBad)
+		if below && toFirst < 4 {
+			t.Errorf("a third of all requests fails in the tier below, and one of six endpoints got %d of 42", toFirst)
 		}
 	}
 }
 
-// In a class of quick and slow requests a slow response is no fault of its endpoint, and three
-// quick ones do not make the next slow one a straggler.
+// In a class of quick and slow requests, a slow response after quick ones is no straggler.
 func TestSlowResponseAmongQuickOnesIsNotUnresponsive(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newSeededHarness(t, testSettings(), seed, "a", "b")
@@ -258,7 +265,7 @@
 			}
 			for _, s := range h.b.EndpointStatuses(h.now) {
 				if s.Inactive == balancer.InactiveUnresponsive {
-					t.Fatalf("seed %d, call %d: %s passes for unresponsive after %v at %s", seed, n, s.ID, 42*ms, ep)
+					t.Fatalf("seed %d, request %d: %s is ejected as unresponsive after %v at %s", seed, n, s.ID, 42*ms, ep)
 				}
 			}
 			h.finish(id, balancer.OK)
@@ -267,59 +274,68 @@
 	}
 }
 
-// One of two endpoints that fails must cost next to nothing: the other serves all requests,
-// whichever had the lower deficit before. Seeds, latencies and pauses vary, so that at times the
+// Of two endpoints, one fails: the other must serve all requests, whichever had the lower deficit
+// before. Seeds, latencies and pauses vary, so that at times the
 // failing one is the only one active.
 func TestOneFailingEndpointLosesNoRequests(t *testing.T) {
-	for _, way := range []struct {
+	for _, mode := range []struct {
 		name   string
 		result balancer.Result
 		after  time.Duration
 		lost   map[string]int // requests that each run may lose, by class
 	}{
-		{"rejects connections", balancer.ConnectFailed, ms / 10, map[string]int{"read": 0, "bill": 0}},
-		{"takes no connections", balancer.ConnectFailed, 250 * ms, map[string]int{"read": 0, "bill": 0}},
-		{"turns away", balancer.Rejected, ms, map[string]int{"read": 0, "bill": 0}},
+		{"refuses connections", balancer.ConnectFailed, ms / 10, map[string]int{"read": 0, "bill": 0}},
+		{"does not accept connections", balancer.ConnectFailed, 250 * ms, map[string]int{"read": 0, "bill": 0}},
+		{"rejects requests", balancer.Rejected, ms, map[string]int{"read": 0, "bill": 0}},
 		{"resets after accept", balancer.Reset, ms, map[string]int{"read": 0}},
 		{"fails fast", balancer.Errored, ms, map[string]int{"read": 0}},
 	} {
-		for class, most := range way.lost {
-			for seed := range uint64(30) {
-				h := newSeededHarness(t, testSettings(), 7+seed, "a", "b")
-				for n := range 6 + int(seed) {
-					h.serve(1, map[string]time.Duration{"a": time.Duration(1+n%3) * ms, "b": time.Duration(1+(n+int(seed))%5) * ms})
-					h.advance(30 * ms)
-				}
-				dead := []string{"a", "b"}[seed%2]
-				lost := 0
-				for range 60 {
-					id, ep := h.request(class)
-					for tries := 0; ep == dead; tries++ {
-						h.advance(way.after)
-						h.finish(id, way.result)
-						if ep = ""; len(h.sentTo[id]) > tries+1 {
-							ep = h.sentTo[id][tries+1]
-						}
+		for class, most := range mode.lost {
+			t.Run(mode.name+", "+class, func(t *testing.T) {
+				for seed := range uint64(30) {
+					lost := requestsLostToFailingEndpoint(t, seed, class, mode.result, mode.after)
+					if lost > most {
+						t.Errorf("seed %d: %d of 60 requests were lost, at most %d may be", seed, lost, most)
 					}
-					if ep == "" {
-						lost++
-					} else {
-						h.advance(2 * ms)
-						h.finish(id, balancer.OK)
-					}
-					h.advance(30 * ms)
-				}
-				if lost > most {
-					t.Errorf("%s, %s, seed %d: %d of 60 requests were lost, at most %d may be", way.name, class, seed, lost, most)
 				}
+			})
+		}
+	}
+}
+
+// requestsLostToFailingEndpoint returns how many of 60 requests are not served where one of two
+// endpoints ends every attempt with a result after a time.
+func requestsLostToFailingEndpoint(t *testing.T, seed uint64, class string, result balancer.Result,
+	after time.Duration) (lost int) {
+	h := newSeededHarness(t, testSettings(), 7+seed, "a", "b")
+	for n := range 6 + int(seed) {
+		h.serve(1, map[string]time.Duration{"a": time.Duration(1+n%3) * ms, "b": time.Duration(1+(n+int(seed))%5) * ms})
+		h.advance(30 * ms)
+	}
+	failing := []string{"a", "b"}[seed%2]
+	for range 60 {
+		id, ep := h.request(class)
+		for n := 0; ep == failing; n++ {
+			h.advance(after)
+			h.finish(id, result)
+			if ep = ""; len(h.sentTo[id]) > n+1 {
+				ep = h.sentTo[id][n+1]
 			}
 		}
+		if ep == "" {
+			lost++
+		} else {
+			h.advance(2 * ms)
+			h.finish(id, balancer.OK)
+		}
+		h.advance(30 * ms)
 	}
+	return lost
 }
 
-// With all connections refused, a request is answered at once after few attempts, and the first
-// endpoint to be there again is used.
-func TestOutageOfAllCostsFewAttemptsAndRecovers(t *testing.T) {
+// While all connections are refused, a request is answered at once after few attempts. The first
+// endpoint that responds again is used.
+func TestOutageOfAllEndpointsTakesFewAttempts(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 0
 	h := newHarness(t, s, "a", "b", "c", "d", "e", "f")
@@ -347,7 +363,7 @@
 		h.advance(30 * ms)
 		id, again := h.request("read")
 		if len(h.sentTo[id]) != 1 {
-			t.Fatalf("after %s has answered, a request is not sent", ep)
+			t.Fatalf("after %s has responded, a request is not sent", ep)
 		}
 		h.advance(ms)
 		if again == ep {
@@ -356,7 +372,7 @@
 		}
 		h.finish(id, balancer.ConnectFailed)
 		if to := h.sentTo[id]; len(to) != 2 || to[1] != ep {
-			t.Errorf("after a failed trial the request goes to %v, and %s answers", to, ep)
+			t.Errorf("after a failed trial the request goes to %v, while %s responds", to, ep)
 		} else {
 			h.finish(id, balancer.OK)
 		}
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
+// ids returns the IDs of endpoints.
 func ids(endpoints []*endpoint) []string {
-	out := []string{}
+	list := []string{}
 	for _, e := range endpoints {
-		out = append(out, e.ID)
+		list = append(list, e.ID)
 	}
-	return out
+	return list
 }
 
 // TestMergeEndpointList checks what a merge counts, and which endpoints it reports as changed and
@@ -30,13 +31,14 @@
 			[]string{"a", "b", "d"}, []string{"a", "b", "d"}, 3, 2},
 		{"the same again", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "d"}}},
 			[]string{}, []string{}, 3, 2},
-		{"a drain", EndpointList{Entries: []Endpoint{{ID: "b", State: Draining}}}, []string{"b"}, []string{}, 3, 1},
+		{"a draining endpoint", EndpointList{Entries: []Endpoint{{ID: "b", State: Draining}}},
+			[]string{"b"}, []string{}, 3, 1},
 		{"a restart", EndpointList{Entries: []Endpoint{{ID: "b", Started: time.Second}}}, []string{"b"}, []string{"b"}, 3, 2},
 		{"another kind", EndpointList{Entries: []Endpoint{{ID: "b", Started: time.Second, Kind: "k"}}}, []string{"b"},
 			[]string{}, 3, 2},
 		{"a complete list without two", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}}}, []string{"b",
 			"d"}, []string{}, 1, 1},
-		{"one is back", EndpointList{Entries: []Endpoint{{ID: "b"}}}, []string{"b"}, []string{"b"}, 2, 2},
+		{"one is listed again", EndpointList{Entries: []Endpoint{{ID: "b"}}}, []string{"b"}, []string{"b"}, 2, 2},
 	} {
 		touched, started := s.mergeEndpointList(step.list)
 		if got := ids(touched); !slices.Equal(got, step.touched) {
@@ -59,19 +61,20 @@
 		s.mergeEndpointList(EndpointList{Complete: true, Entries: []Endpoint{{ID: strconv.Itoa(i)}}})
 	}
 	if n := len(s.endpoints); n > 2+maxRemovedEndpoints {
-		t.Errorf("%d endpoints are kept where one is listed", n)
+		t.Errorf("%d endpoints are known where one is listed", n)
 	}
 	if e := s.byID["999"]; len(s.byID) != 1 || e == nil || e.listing.index != 999 {
 		t.Errorf("by ID: %v", s.byID)
 	}
 }
 
-// TestSubsetMembershipMovesCountsAndDeficits checks that an endpoint brings its outcomes, and keeps
-// its deficit over the zero of where it is.
+// TestSubsetMembershipMovesCountsAndDeficits checks that an endpoint's outcomes are counted while
+// it is in the subset, and that its deficit is kept relative to zeroDeficit.
 func TestSubsetMembershipMovesCountsAndDeficits(t *testing.T) {
 	s := newEndpointSet()
 	touched, _ := s.mergeEndpointList(EndpointList{Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
-	a, b := touched[0], touched[1]
+	a := touched[0]
+	b := touched[1]
 	a.outcomes.outcomeCounts = outcomeCounts{errors: 1, total: 4}
 	a.deficit = 2
 	a.active = true
--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -72,23 +72,23 @@
 	}
 }
 
-// TestQuantileEstimatorFindsTheShare checks that the share asked for of the responses comes within
-// the estimate.
-func TestQuantileEstimatorFindsTheShare(t *testing.T) {
-	for _, share := range []float64{0.75, 0.95} {
+// TestQuantileEstimatorFindsTheQuantile checks that the share of responses within the estimate is
+// that of the quantile.
+func TestQuantileEstimatorFindsTheQuantile(t *testing.T) {
+	for _, quantile := range []float64{0.75, 0.95} {
 		var q quantileEstimator
 		within, total := 0, 0
 		for i := range 20000 {
 			latency := float64(i*7919%1000) / 1000 // even over a second, so that the mean is half of it
-			if q.observe(latency, 0.5, share); i >= 10000 {
+			if q.observe(latency, 0.5, quantile); i >= 10000 {
 				total++
 				if latency <= q.latency {
 					within++
 				}
 			}
 		}
-		if got := float64(within) / float64(total); math.Abs(got-share) > 0.03 {
-			t.Errorf("%v of the responses come within the estimate for %v", got, share)
+		if got := float64(within) / float64(total); math.Abs(got-quantile) > 0.03 {
+			t.Errorf("%v of the responses come within the estimate for %v", got, quantile)
 		}
 	}
 	var q quantileEstimator
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// harness drives a balancer by hand and records what it asks for.
+// harness is a Host that records the actions of a Balancer, with methods that report events to it.
 type harness struct {
 	t            *testing.T
 	now          time.Duration
@@ -81,15 +81,15 @@
 	return h
 }
 
-// newHarnessOfInstance returns the harness of one of many instances that share their endpoints
-// and have few requests each.
+// newHarnessOfInstance returns the harness of one of a number of instances that send to the same
+// endpoints.
 func newHarnessOfInstance(t *testing.T, instances, endpoints int) *harness {
 	s := testSettings()
 	s.Instances = instances
 	return newHarness(t, s, endpointIDs(endpoints)...)
 }
 
-// endpointIDs returns so many endpoint IDs.
+// endpointIDs returns a number of endpoint IDs.
 func endpointIDs(n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
@@ -124,7 +124,7 @@
 	return id, ep
 }
 
-// requestFor makes a request for a tenant, which need not be sent, and returns its ID.
+// requestFor makes a request of a tenant and returns its ID. The request need not have been sent.
 func (h *harness) requestFor(class, tenant string) string {
 	h.requestCount++
 	id := "r" + strconv.Itoa(h.requestCount)
@@ -132,7 +132,7 @@
 	return id
 }
 
-// requestStreamed makes a request with a long body and returns its ID.
+// requestStreamed makes a streamed request and returns its ID.
 func (h *harness) requestStreamed(class string) string {
 	h.requestCount++
 	id := fmt.Sprint("long", h.requestCount)
@@ -170,6 +170,7 @@
 	}
 }
 
+// countActions counts the actions that begin with a prefix.
 func (h *harness) countActions(prefix string) int {
 	n := 0
 	for _, d := range h.actions {
@@ -182,13 +183,13 @@
 
 // finalAnswers returns the final answers that a request got.
 func (h *harness) finalAnswers(id string) []string {
-	var out []string
-	for _, did := range h.actions {
-		if did == "reject "+id || did == "fail "+id {
-			out = append(out, fmt.Sprint(len(out), strings.Fields(did)[0]))
+	var answers []string
+	for _, action := range h.actions {
+		if action == "reject "+id || action == "fail "+id {
+			answers = append(answers, action)
 		}
 	}
-	return out
+	return answers
 }
 
 // evenLatency returns one latency for all the endpoints, for serve.
@@ -202,22 +203,23 @@
 
 // serve makes requests one after another, each endpoint with a latency of its own, and returns
 // how many went to each.
-func (h *harness) serve(calls int, latency map[string]time.Duration) map[string]int {
-	share := map[string]int{}
-	for range calls {
+func (h *harness) serve(requests int, latency map[string]time.Duration) map[string]int {
+	counts := map[string]int{}
+	for range requests {
 		id, ep := h.request("read")
-		share[ep]++
+		counts[ep]++
 		h.advance(latency[ep])
 		h.finish(id, balancer.OK)
 	}
-	return share
+	return counts
 }
 
 // serveSteadily makes a request at even intervals for a while, and finishes each after the
-// latency of its endpoint. It calls sent for each send as it is made.
+// latency of its endpoint. It calls sent for each send.
 func (h *harness) serveSteadily(every, lasting time.Duration, latency func(ep string) time.Duration,
 	sent func(ep string)) {
-	due, seen := map[string]time.Duration{}, len(h.actions)
+	due := map[string]time.Duration{}
+	seen := len(h.actions)
 	for begun := h.now; h.now < begun+lasting; {
 		if h.now%every == 0 {
 			h.request("read")
@@ -237,7 +239,9 @@
 // a time. It returns the most requests that an endpoint had in the second half of that time, and
 // how many were answered.
 func (h *harness) overload(gap, work, long time.Duration, endpoints ...string) (most, answered int) {
-	queue, busy, begun := map[string][]string{}, map[string]time.Duration{}, h.now
+	queue := map[string][]string{}
+	busy := map[string]time.Duration{}
+	begun := h.now
 	for h.now < begun+long {
 		if id, ep := h.request("read"); ep != "" {
 			queue[ep] = append(queue[ep], id)
--- a/balancer/heap_test.go
+++ b/balancer/heap_test.go
@@ -42,9 +42,9 @@
 	})
 }
 
-// TestHeapVisitLeavesOutWhatIsBelow checks that nothing below an endpoint is visited once visit is
-// told so.
-func TestHeapVisitLeavesOutWhatIsBelow(t *testing.T) {
+// TestHeapVisitStopsWhereDescendReturnsFalse checks that the endpoints below one for which descend
+// returns false are not visited.
+func TestHeapVisitStopsWhereDescendReturnsFalse(t *testing.T) {
 	heap := endpointHeap{slot: trialHeapSlot, less: hasSoonerTrial}
 	for i := range 7 {
 		heap.setMember(&endpoint{trial: trialSchedule{nextAt: time.Duration(i)}, subsetIndex: i}, true)
@@ -59,11 +59,12 @@
 	}
 }
 
-// TestCandidatesOfAListAreThoseOfOneState checks the search outside heaps.
+// TestCandidatesOfAListAreThoseOfOneState checks the candidates of a list.
 func TestCandidatesOfAListAreThoseOfOneState(t *testing.T) {
 	removed := &endpoint{active: true}
 	removed.State = Removed
-	active, inactive := &endpoint{active: true}, &endpoint{}
+	active := &endpoint{active: true}
+	inactive := &endpoint{}
 	for _, want := range []*endpoint{active, inactive} {
 		var got []*endpoint
 		c := candidates{endpoints: []*endpoint{removed, active, inactive}, active: want.active}
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -9,39 +9,50 @@
 
 func TestHedgedRequestFollowsASlowFirstAttempt(t *testing.T) {
 	for name, change := range map[string]func(*balancer.Class){
-		"after a time":    func(c *balancer.Class) { c.HedgeAfter = 30 * ms },
-		"after a share":   func(c *balancer.Class) { c.HedgeAfter, c.HedgeQuantile = time.Second, 0.95 },
-		"two in all":      func(c *balancer.Class) { c.HedgeAfter, c.MaxAttempts = 30*ms, 2 },
-		"not for a queue": func(c *balancer.Class) { c.HedgeAfter, c.QueueLimit = 30*ms, -1 },
+		"HedgeAfter": func(c *balancer.Class) { c.HedgeAfter = 30 * ms },
+		"HedgeQuantile": func(c *balancer.Class) {
+			c.HedgeAfter = time.Second
+			c.HedgeQuantile = 0.95
+		},
+		"as the last of MaxAttempts": func(c *balancer.Class) {
+			c.HedgeAfter = 30 * ms
+			c.MaxAttempts = 2
+		},
+		"without a queue": func(c *balancer.Class) {
+			c.HedgeAfter = 30 * ms
+			c.QueueLimit = -1
+		},
 	} {
-		h := newHarnessWithClass(t, change)
-		id, first := h.request("read")
-		h.advance(8 * ms)
-		if n := len(h.sentTo[id]); n != 1 {
-			t.Errorf("%s: %d sent before it was due", name, n)
-		}
-		h.advance(100 * ms)
-		if to := h.sentTo[id]; len(to) != 2 || to[1] == first {
-			t.Fatalf("%s: sent to %v", name, to)
-		}
-		// The hedged attempt fails: the first one goes on.
-		h.finish(id, balancer.Reset)
-		if n := h.countActions("reject") + h.countActions("fail"); n != 0 {
-			t.Errorf("%s: given up with an attempt out: %v", name, h.actions)
-		}
-		h.b.Outcome(h.now, balancer.Outcome{ID: id, Endpoint: first, Result: balancer.OK, Latency: 100 * ms, Final: true})
-		if h.countActions("send") != 2 || h.countActions("cancel") != 0 {
-			t.Errorf("%s: %v", name, h.actions)
-		}
+		t.Run(name, func(t *testing.T) {
+			h := newHarnessWithClass(t, change)
+			id, first := h.request("read")
+			h.advance(8 * ms)
+			if n := len(h.sentTo[id]); n != 1 {
+				t.Errorf("%d sent before the hedged request was due", n)
+			}
+			h.advance(100 * ms)
+			if to := h.sentTo[id]; len(to) != 2 || to[1] == first {
+				t.Fatalf("sent to %v", to)
+			}
+			// The hedged request fails: the first attempt goes on.
+			h.finish(id, balancer.Reset)
+			if n := h.countActions("reject") + h.countActions("fail"); n != 0 {
+				t.Errorf("given up with an attempt in flight: %v", h.actions)
+			}
+			h.b.Outcome(h.now, balancer.Outcome{ID: id, Endpoint: first, Result: balancer.OK, Latency: 100 * ms, Final: true})
+			if h.countActions("send") != 2 || h.countActions("cancel") != 0 {
+				t.Errorf("actions %v", h.actions)
+			}
+		})
 	}
 }
 
-func TestSlowerOfTwoHedgedAttemptsIsCanceledAndLosesTurns(t *testing.T) {
+func TestSlowerOfTwoHedgedAttemptsIsCanceledAndASample(t *testing.T) {
 	h := newHarnessWithClass(t, func(c *balancer.Class) { c.HedgeAfter = 15 * ms })
-	turns := map[string]int{}
+	counts := map[string]int{}
 	for range 200 {
 		id, first := h.request("read")
-		turns[first]++
+		counts[first]++
 		h.advance(10 * ms)
 		if first == "a" {
 			h.advance(15 * ms)
@@ -49,19 +60,19 @@
 			h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: last, Endpoint: h.sentTo[id][last], Result: balancer.OK,
 				Latency: 10 * ms})
 			if last != 1 || h.countActions("cancel "+id+" 0") != 1 {
-				t.Fatalf("the slow one is still out: %v", h.actions)
+				t.Fatalf("the slower attempt is still in flight: %v", h.actions)
 			}
 			h.b.Outcome(h.now, balancer.Outcome{ID: id, Endpoint: "a", Result: balancer.Canceled, Latency: 25 * ms, Final: true})
 			continue
 		}
 		h.finishAll(id)
 	}
-	if 4*turns["a"] > 3*min(turns["b"], turns["c"]) {
-		t.Errorf("hedging hides that a is slow: %v", turns)
+	if 4*counts["a"] > 3*min(counts["b"], counts["c"]) {
+		t.Errorf("hedging hides that a is slow: %v", counts)
 	}
 }
 
-func TestNoHedgingBeyondIdempotenceOrBudget(t *testing.T) {
+func TestNoHedgingOfNonIdempotentRequestsOrBeyondTheBudget(t *testing.T) {
 	s := testSettings()
 	for i := range s.Classes {
 		s.Classes[i].HedgeAfter = 5 * ms
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -9,23 +9,26 @@
 
 func TestResetIsRetriedOnlyIfIdempotent(t *testing.T) {
 	for class, want := range map[string]int{"read": 2, "bill": 1} {
-		h := newHarness(t, testSettings(), "a", "b", "c")
-		h.serve(50, evenLatency(50*ms, "a", "b", "c"))
-		id, _ := h.request(class)
-		h.advance(time.Second)
-		h.finish(id, balancer.Reset)
-		if n := len(h.sentTo[id]); n != want {
-			t.Errorf("a broken %s was sent %d times, want %d", class, n, want)
-		}
+		t.Run(class, func(t *testing.T) {
+			h := newHarness(t, testSettings(), "a", "b", "c")
+			h.serve(50, evenLatency(50*ms, "a", "b", "c"))
+			id, _ := h.request(class)
+			h.advance(time.Second)
+			h.finish(id, balancer.Reset)
+			if n := len(h.sentTo[id]); n != want {
+				t.Errorf("%d attempts after a reset, want %d", n, want)
+			}
+		})
 	}
 }
 
-// Retries of three tiers and of clients multiply: each balancer may add a tenth.
+// Retries of three tiers and of clients multiply: each Balancer may add a tenth.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
 	h.serve(50, evenLatency(50*ms, "a", "b", "c", "d"))
-	before, asked := h.countActions("send"), 200
-	for range asked {
+	const requests = 200
+	before := h.countActions("send")
+	for range requests {
 		id, ep := h.request("read")
 		for n := 0; ep != "" && n < len(h.sentTo[id]); n++ {
 			h.advance(10 * ms)
@@ -33,12 +36,12 @@
 				Latency: 10 * ms})
 		}
 	}
-	if extra := h.countActions("send") - before - asked; extra > asked/10+10 || extra < 5 {
-		t.Errorf("%d retries for %d requests that all failed", extra, asked)
+	if retries := h.countActions("send") - before - requests; retries > requests/10+10 || retries < 5 {
+		t.Errorf("%d retries of %d requests that all failed", retries, requests)
 	}
 }
 
-// The second attempt goes elsewhere, even where the first endpoint has the lowest deficit again.
+// A retry goes to another endpoint, even if the first one has the lowest deficit again.
 func TestRetryGoesToAnotherEndpoint(t *testing.T) {
 	s := testSettings()
 	s.TiersBelow = 1
@@ -60,33 +63,42 @@
 		}
 	}
 	if again < 10 {
-		t.Errorf("%d of 30 calls were sent again", again)
+		t.Errorf("%d of 30 requests were retried", again)
 	}
 }
 
-// An attempt that was not sent, since its endpoint was disabled while the connection was
-// established, costs the endpoint nothing: the next one is exempt from the budget.
+// An attempt that was not sent, since its endpoint was disabled while the connection was being
+// established, costs the endpoint nothing: the retry is exempt from the budget.
 func TestUnsentAttemptIsExemptFromTheBudget(t *testing.T) {
 	s := testSettings()
-	s.MaxAttempts, s.RetryBudget.PerRequest, s.RetryBudget.Burst = 0, 1e-9, 1e-9
+	s.MaxAttempts = 0
+	s.RetryBudget = balancer.RetryBudget{PerRequest: 1e-9, Burst: 1e-9}
 	h := newHarness(t, s, "a", "b")
-	for _, row := range []struct {
+	for _, c := range []struct {
+		name    string
 		result  balancer.Result
-		resends int
-	}{{balancer.NotSent, 1}, {balancer.ConnectFailed, 1}, {balancer.Rejected, 0}} {
-		id, _ := h.request("bill")
-		h.finish(id, row.result)
-		if n := len(h.sentTo[id]) - 1; n != row.resends {
-			t.Errorf("after %v: sent again %d times, want %d", row.result, n, row.resends)
-		}
-		if n := len(h.sentTo[id]) - 1; n > 0 {
-			h.finish(id, balancer.OK)
-		}
+		retries int
+	}{
+		{"not sent", balancer.NotSent, 1},
+		{"connection failed", balancer.ConnectFailed, 1},
+		{"rejected", balancer.Rejected, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			id, _ := h.request("bill")
+			h.finish(id, c.result)
+			retries := len(h.sentTo[id]) - 1
+			if retries != c.retries {
+				t.Errorf("%d retries, want %d", retries, c.retries)
+			}
+			if retries > 0 {
+				h.finish(id, balancer.OK)
+			}
+		})
 	}
 }
 
-// The window of a key counts from the first attempt that may have run, from when it was sent and
-// not from when the last byte of a long body went out. A retry is written well before its end.
+// The window of a key begins when the first attempt that may have run is sent, not when the last
+// byte of its body is. A retry is written well before the window ends.
 func TestRetryDeadlineCountsFromTheFirstSend(t *testing.T) {
 	keyed := balancer.Class{Name: "keyed", Idempotency: balancer.IdempotencyKeyed, KeyWindow: time.Second,
 		LatencyObjective: 10 * time.Second}
@@ -96,19 +108,19 @@
 	b.EndpointList(0, balancer.EndpointList{Complete: true, Entries: []balancer.Endpoint{{ID: "a"}, {ID: "b"}}})
 	b.Request(0, balancer.Request{ID: "r", Class: "keyed", Deadline: 20 * time.Second, Streamed: true})
 	if at := b.RetryDeadline("r"); at != 0 {
-		t.Errorf("before anything may have run: %v", at)
+		t.Errorf("a retry deadline of %v before an attempt may have run, want none", at)
 	}
 	b.RequestWritten(700*ms, "r", 0)
 	b.Outcome(800*ms, balancer.Outcome{ID: "r", Endpoint: h.sent[0], Result: balancer.Reset})
 	if at := b.RetryDeadline("r"); at != 850*ms {
-		t.Errorf("the retry has to be written by %v", at)
+		t.Errorf("a retry deadline of %v, want 850ms", at)
 	}
 	if len(h.sent) != 2 {
 		t.Fatalf("sent %q", h.sent)
 	}
 	b.Outcome(860*ms, balancer.Outcome{ID: "r", Attempt: 1, Endpoint: h.sent[1], Result: balancer.NotSent})
 	if len(h.sent) != 2 {
-		t.Errorf("sent once more at the end of the window: %q", h.sent)
+		t.Errorf("a retry at the end of the window: %q", h.sent)
 	}
 }
 
--- a/balancer/retrybudget_test.go
+++ b/balancer/retrybudget_test.go
@@ -10,9 +10,9 @@
 // Over any length of time, what is spent stays under what was earned and what may be saved up.
 func TestRetryBudgetStaysWithinWhatWasEarned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := retryBucket{RetryBudget: RetryBudget{PerRequest: rapid.Float64Range(0, 1).Draw(t, "share"),
-			PerSecond: rapid.Float64Range(0, 20).Draw(t, "rate"),
-			Burst:     rapid.Float64Range(1, 50).Draw(t, "most")}}
+		r := retryBucket{RetryBudget: RetryBudget{PerRequest: rapid.Float64Range(0, 1).Draw(t, "per request"),
+			PerSecond: rapid.Float64Range(0, 20).Draw(t, "per second"),
+			Burst:     rapid.Float64Range(1, 50).Draw(t, "burst")}}
 		var now, began time.Duration
 		requests, spent := 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -8,74 +8,85 @@
 	"rowancart/balancer"
 )
 
-func TestTurnsFollowSpeed(t *testing.T) {
+func TestRequestsFollowSpeed(t *testing.T) {
 	h := newHarness(t, testSettings(), "fast", "slow")
 	latency := map[string]time.Duration{"fast": 40 * ms, "slow": 60 * ms}
 	h.serve(100, latency)
-	share := h.serve(400, latency)
-	if f, s := share["fast"], share["slow"]; f < s*5/4 || f > s*2 {
-		t.Errorf("fast got %d turns and slow %d; between 1.25 and 2 times as many were due", f, s)
+	counts := h.serve(400, latency)
+	if f, s := counts["fast"], counts["slow"]; f < s*5/4 || f > s*2 {
+		t.Errorf("fast got %d requests and slow %d, want between 1.25 and 2 times as many", f, s)
 	}
 }
 
-func TestEqualEndpointsGetEqualTurns(t *testing.T) {
+func TestEqualEndpointsGetEqualNumbersOfRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
-	share := h.serve(400, evenLatency(50*ms, "a", "b", "c", "d"))
-	for ep, n := range share {
+	counts := h.serve(400, evenLatency(50*ms, "a", "b", "c", "d"))
+	for ep, n := range counts {
 		if n < 90 || n > 110 {
-			t.Errorf("%s got %d of 400 turns", ep, n)
+			t.Errorf("%s got %d of 400 requests", ep, n)
 		}
 	}
 }
 
 // Incident ha74963: machines of a third of the speed got half as many requests as fast ones, and
-// collapsed: most of a latency was spent in the tiers below, which is the same behind all. There
-// the charge is what the endpoint itself adds.
-func TestLatencyOfTiersBelowDoesNotEqualizeTurns(t *testing.T) {
-	for below, want := range map[int][2]float64{0: {1.2, 1.9}, 1: {2.2, 4.5}} {
-		s := testSettings()
-		s.TiersBelow = below
-		h := newHarness(t, s, "fast1", "fast2", "slow1", "slow2")
-		latency := map[string]time.Duration{"fast1": 100 * ms, "fast2": 100 * ms, "slow1": 150 * ms, "slow2": 150 * ms}
-		h.serve(200, latency)
-		share := map[string]float64{}
-		for range 400 {
-			id, ep := h.request("read")
-			share[ep[:4]]++
-			h.advance(latency[ep])
-			h.finish(id, balancer.OK)
-		}
-		if got := share["fast"] / share["slow"]; got < want[0] || got > want[1] {
-			t.Errorf("with %d tiers below, fast ones get %.2f times the calls of slow ones", below, got)
-		}
+// collapsed: most of a latency was spent in the tiers below, which all endpoints counts. There an
+// endpoint is charged for the latency that it adds itself.
+func TestLatencyOfTiersBelowDoesNotEqualizeRequests(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		tiersBelow  int
+		least, most float64 // requests to fast endpoints over those to slow ones
+	}{
+		{"no tier below", 0, 1.2, 1.9},
+		{"one tier below", 1, 2.2, 4.5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := testSettings()
+			s.TiersBelow = c.tiersBelow
+			h := newHarness(t, s, "fast1", "fast2", "slow1", "slow2")
+			latency := map[string]time.Duration{"fast1": 100 * ms, "fast2": 100 * ms, "slow1": 150 * ms, "slow2": 150 * ms}
+			h.serve(200, latency)
+			counts := map[string]float64{}
+			for range 400 {
+				id, ep := h.request("read")
+				counts[ep[:4]]++
+				h.advance(latency[ep])
+				h.finish(id, balancer.OK)
+			}
+			if got := counts["fast"] / counts["slow"]; got < c.least || got > c.most {
+				t.Errorf("fast endpoints get %.2f times the requests of slow ones, want %v to %v", got, c.least, c.most)
+			}
+		})
 	}
 }
 
-func TestSoonestTrialIsTakenWithNoneActive(t *testing.T) {
+func TestSoonestTrialIsSelectedWithNoneActive(t *testing.T) {
 	h := newHarness(t, testSettings(), "only")
 	id, _ := h.request("read")
-	h.finish(id, balancer.ConnectFailed) // ejected, so that the retry finds none active
+	h.finish(id, balancer.ConnectFailed) // ejected, so that no endpoint is active for the retry
 	if len(h.sentTo[id]) != 2 {
 		t.Fatalf("actions %v", h.actions)
 	}
 	h.advance(30 * ms)
 	h.finish(id, balancer.OK)
 	if _, ep := h.request("read"); ep != "only" {
-		t.Error("a trial that succeeded with none active did not readmit its endpoint")
+		t.Error("a trial that succeeded with no endpoint active did not make its endpoint active")
 	}
 }
 
-// A quiet instance sends to an endpoint every few seconds: the weight of its kind counts until
-// there are samples.
+// At a quiet instance, which sends to an endpoint every few seconds, the weight of the kind stands
+// in until there are samples.
 func TestKindWeightStandsInForFewSamples(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s)
-	l, latency := balancer.EndpointList{Complete: true}, map[string]time.Duration{}
+	l := balancer.EndpointList{Complete: true}
+	latency := map[string]time.Duration{}
 	for i := range 20 {
 		e := balancer.Endpoint{ID: "f" + strconv.Itoa(i), Kind: "fast"}
 		latency[e.ID] = 40 * ms
 		if i%2 == 1 {
-			e.ID, e.Kind = "s"+strconv.Itoa(i), "slow"
+			e.ID = "s" + strconv.Itoa(i)
+			e.Kind = "slow"
 			latency[e.ID] = 70 * ms
 		}
 		l.Entries = append(l.Entries, e)
@@ -89,22 +100,22 @@
 		}
 	}
 	if slow > 20 {
-		t.Errorf("slow machines got %d of 60 turns after three samples each", slow)
+		t.Errorf("slow machines got %d of 60 requests after three samples each", slow)
 	}
 }
 
 func TestOneFastEndpointDoesNotEjectTheOthers(t *testing.T) {
-	h := newHarness(t, testSettings(), "lucky", "b", "c", "d", "e", "f")
-	latency := map[string]time.Duration{"lucky": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms,
+	h := newHarness(t, testSettings(), "fastest", "b", "c", "d", "e", "f")
+	latency := map[string]time.Duration{"fastest": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms,
 		"f": 50 * ms}
 	h.serve(200, latency)
 	others := 0
 	for ep, n := range h.serve(600, latency) {
-		if ep != "lucky" && n > 1 {
+		if ep != "fastest" && n > 1 {
 			others++
 		}
 	}
 	if others < 2 {
-		t.Errorf("only %d endpoints beside the lucky one are in use", others)
+		t.Errorf("only %d endpoints besides the fastest one are in use", others)
 	}
 }
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -13,7 +13,7 @@
 // answerSlack is how long after the deadline a final answer may come.
 const answerSlack = 20 * ms
 
-// simulatedAttempt is one attempt as the simulation sees it.
+// simulatedAttempt is the simulation's record of an attempt.
 type simulatedAttempt struct {
 	endpoint       balancer.Endpoint
 	sentAt, endsAt time.Duration
@@ -23,16 +23,16 @@
 	canceled       bool
 }
 
-// simulatedRequest is one request as the simulation sees it.
+// simulatedRequest is the simulation's record of a request.
 type simulatedRequest struct {
 	balancer.Request
 	class    balancer.Class
 	attempts []*simulatedAttempt
-	ended    bool // has its answer, or its client left
-	notified bool // the balancer knows, from before this step
+	ended    bool // has its final answer, or its client has disconnected
+	notified bool // the Balancer was notified of that before this step
 }
 
-// simulation plays clients, discovery and endpoints against one balancer and checks the rules.
+// simulation simulates the clients, discovery and endpoints of one Balancer, and checks the rules.
 type simulation struct {
 	t            testing.TB
 	rng          *rand.Rand
@@ -55,7 +55,8 @@
 
 func (sim *simulation) Send(id, ep string, timeout time.Duration) {
 	sim.actions = append(sim.actions, fmt.Sprintf("%v send %s %s", sim.now, id, ep))
-	req, e := sim.requests[id], sim.listed[ep]
+	req := sim.requests[id]
+	e := sim.listed[ep]
 	if req == nil || e.ID == "" {
 		sim.t.Fatalf("%v: Send of %s to %s, one of them unknown", sim.now, id, ep)
 	}
@@ -82,18 +83,30 @@
 		if a.inFlight {
 			sim.t.Fatalf("%v: two attempts of %s in flight", sim.now, req.ID)
 		}
-		if !a.mayHaveRun || req.class.Idempotency == balancer.Idempotent {
-			continue
-		}
-		c := req.class
-		if c.Idempotency == balancer.NonIdempotent || sim.now > a.sentAt+c.KeyWindow ||
-			c.KeyScope == balancer.KeyScopeZone && a.endpoint.Zone != e.Zone ||
-			c.KeyScope == balancer.KeyScopeCell && a.endpoint.Cell != e.Cell {
+		if a.mayHaveRun && sim.mayTakeEffectTwice(req.class, a, e) {
 			sim.t.Fatalf("%v: %s may take effect twice at %s", sim.now, req.ID, e.ID)
 		}
 	}
 }
 
+// mayTakeEffectTwice reports whether a request of a class takes effect at an endpoint after an
+// attempt that ran.
+func (sim *simulation) mayTakeEffectTwice(c balancer.Class, earlier *simulatedAttempt, e balancer.Endpoint) bool {
+	switch {
+	case c.Idempotency == balancer.Idempotent:
+		return false
+	case c.Idempotency == balancer.NonIdempotent:
+		return true
+	case sim.now > earlier.sentAt+c.KeyWindow:
+		return true
+	case c.KeyScope == balancer.KeyScopeZone:
+		return earlier.endpoint.Zone != e.Zone
+	case c.KeyScope == balancer.KeyScopeCell:
+		return earlier.endpoint.Cell != e.Cell
+	}
+	return false
+}
+
 // drawAttempt returns an attempt with a random end.
 func (sim *simulation) drawAttempt(e balancer.Endpoint, timeout time.Duration) *simulatedAttempt {
 	a := &simulatedAttempt{endpoint: e, sentAt: sim.now, inFlight: true,
@@ -102,13 +115,15 @@
 	case n < 11:
 		a.result = balancer.OK
 	case n == 11: // hangs
-		a.result, a.endsAt = balancer.TimedOut, sim.now+timeout
+		a.result = balancer.TimedOut
+		a.endsAt = sim.now + timeout
 	default:
 		a.result = []balancer.Result{balancer.Errored, balancer.Rejected, balancer.ConnectFailed, balancer.Reset,
 			balancer.NotSent, balancer.OK, balancer.TimedOut, balancer.Errored}[n-12]
 	}
 	if a.endsAt > sim.now+timeout {
-		a.result, a.endsAt = balancer.TimedOut, sim.now+timeout
+		a.result = balancer.TimedOut
+		a.endsAt = sim.now + timeout
 	}
 	return a
 }
@@ -124,7 +139,8 @@
 	if a := req.attempts[n]; a.inFlight && !a.canceled {
 		a.canceled = true
 		if sim.rng.IntN(4) > 0 || a.endsAt > sim.now+50*ms { // else another outcome is on its way
-			a.result, a.endsAt = balancer.Canceled, sim.now
+			a.result = balancer.Canceled
+			a.endsAt = sim.now
 		}
 	}
 }
@@ -148,21 +164,23 @@
 
 // checkReason checks a reason against what the simulation has seen.
 func (sim *simulation) checkReason(req *simulatedRequest, reason balancer.Reason) {
-	ready, failed, ran, out := false, false, false, false
+	var ready, failed, mayHaveRun, inFlight bool
 	for _, e := range sim.listed {
 		ready = ready || e.State == balancer.Ready
 	}
 	for _, a := range req.attempts {
-		failed, ran, out = failed || !a.inFlight, ran || a.mayHaveRun, out || a.inFlight
+		failed = failed || !a.inFlight
+		mayHaveRun = mayHaveRun || a.mayHaveRun
+		inFlight = inFlight || a.inFlight
 	}
 	holds := map[balancer.Reason]bool{
 		balancer.NoEndpoint:        !ready,
 		balancer.NoCapacity:        ready && len(req.attempts) == 0,
 		balancer.OverQuota:         req.Tenant != "t2" && len(req.attempts) == 0,
-		balancer.DeadlineTooClose:  true, // how long an answer would take is the module's own estimate
-		balancer.RetryBudgetSpent:  failed && !out,
-		balancer.AttemptsExhausted: len(req.attempts) >= sim.settings.MaxAttempts && !out,
-		balancer.MayHaveRun:        ran && req.class.Idempotency != balancer.Idempotent,
+		balancer.DeadlineTooClose:  true, // by the Balancer's own estimate of the latency
+		balancer.RetryBudgetSpent:  failed && !inFlight,
+		balancer.AttemptsExhausted: len(req.attempts) >= sim.settings.MaxAttempts && !inFlight,
+		balancer.MayHaveRun:        mayHaveRun && req.class.Idempotency != balancer.Idempotent,
 	}
 	if !holds[reason] {
 		sim.t.Fatalf("%v: %s gets the reason %q after %d attempts, which does not hold", sim.now, req.ID, reason,
@@ -171,6 +189,7 @@
 	sim.reasons[reason]++
 }
 
+// recordAnswer records the final answer of a request and returns the request.
 func (sim *simulation) recordAnswer(id string) *simulatedRequest {
 	sim.actions = append(sim.actions, fmt.Sprintf("%v answer %s", sim.now, id))
 	req := sim.requests[id]
@@ -178,9 +197,10 @@
 		sim.t.Fatalf("%v: a second answer to %s", sim.now, id)
 	}
 	if !req.ended && sim.now > req.Deadline+answerSlack {
-		sim.t.Fatalf("%v: a late answer to %s, due at %v", sim.now, id, req.Deadline)
+		sim.t.Fatalf("%v: the answer to %s comes after its deadline at %v", sim.now, id, req.Deadline)
 	}
-	req.ended, req.notified = true, true
+	req.ended = true
+	req.notified = true
 	return req
 }
 
@@ -190,10 +210,12 @@
 
 func (sim *simulation) Log(balancer.LogEvent) {}
 
-// startBalancer starts a new incarnation of the balancer; the requests of an earlier one are
-// lost.
+// startBalancer starts a new incarnation of the Balancer, which does not know the requests of an
+// earlier one.
 func (sim *simulation) startBalancer(seed uint64) {
-	sim.requests, sim.openIDs, sim.timers = map[string]*simulatedRequest{}, nil, nil
+	sim.requests = map[string]*simulatedRequest{}
+	sim.openIDs = nil
+	sim.timers = nil
 	sim.settings.Seed = seed
 	sim.b = balancer.New(sim.now, sim.settings, sim)
 	l := balancer.EndpointList{Complete: true}
@@ -205,6 +227,7 @@
 	sim.b.EndpointList(sim.now, l)
 }
 
+// changeEndpoint reports a random change of one endpoint, or a failure of discovery.
 func (sim *simulation) changeEndpoint() {
 	if sim.rng.IntN(10) == 0 {
 		sim.b.EndpointList(sim.now, balancer.EndpointList{Failed: true})
@@ -232,6 +255,7 @@
 	sim.b.EndpointList(sim.now, balancer.EndpointList{Entries: []balancer.Endpoint{e}})
 }
 
+// startRequest makes a random request.
 func (sim *simulation) startRequest() {
 	sim.requestCount++
 	c := sim.settings.Classes[sim.rng.IntN(len(sim.settings.Classes))]
@@ -258,13 +282,13 @@
 		sim.changeEndpoint()
 	}
 	sim.fireTimers()
-	kept := sim.openIDs[:0]
+	open := sim.openIDs[:0]
 	for _, id := range sim.openIDs {
 		if sim.stepRequest(sim.requests[id]) {
-			kept = append(kept, id)
+			open = append(open, id)
 		}
 	}
-	sim.openIDs = kept
+	sim.openIDs = open
 	if err := sim.b.CheckIndex(); err != nil {
 		sim.t.Fatalf("%v: %v", sim.now, err)
 	}
@@ -286,11 +310,12 @@
 	}
 }
 
-// stepRequest simulates one step of one request, and reports whether it is still open: without an
-// answer, or with an attempt in flight.
+// stepRequest simulates one step of a request, and reports whether it is still open: without a
+// final answer, or with an attempt in flight.
 func (sim *simulation) stepRequest(req *simulatedRequest) (open bool) {
 	if !sim.ending && !req.ended && sim.rng.IntN(400) == 0 {
-		req.ended, req.notified = true, true
+		req.ended = true
+		req.notified = true
 		sim.b.ClientDisconnected(sim.now, req.ID)
 	}
 	for n, a := range req.attempts {
@@ -305,11 +330,11 @@
 	return open || !req.ended
 }
 
-// finishAttempt reports the outcome of an attempt, and at times reports it twice, which must do no
-// harm.
+// finishAttempt reports the outcome of an attempt, sometimes twice, which must be harmless.
 func (sim *simulation) finishAttempt(req *simulatedRequest, n int) {
 	a := req.attempts[n]
-	a.inFlight, a.mayHaveRun = false, mayHaveRun(a.result)
+	a.inFlight = false
+	a.mayHaveRun = mayHaveRun(a.result)
 	if a.result == balancer.OK && !req.ended {
 		req.ended = true
 		sim.answers[0]++
@@ -329,6 +354,7 @@
 	return r != balancer.Rejected && r != balancer.ConnectFailed && r != balancer.NotSent
 }
 
+// newSimulation returns a simulation with random settings.
 func newSimulation(t testing.TB, seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	sim := &simulation{t: t, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second,
@@ -355,7 +381,7 @@
 	return sim
 }
 
-// simulate runs random legal events; any broken rule is fatal.
+// simulate reports random legal events. A violation is fatal.
 func simulate(t testing.TB, seed uint64, steps int) *simulation {
 	sim := newSimulation(t, seed)
 	for i := range steps {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -46,10 +46,10 @@
 	return b.LearnedState(now), now
 }
 
-func TestRestoreTakesOverLearnedState(t *testing.T) {
+func TestRestoreOfLearnedState(t *testing.T) {
 	l, _ := learnState(t)
 	h := &recordingHost{sent: map[string]string{}}
-	now := 3 * time.Hour // by another clock
+	now := 3 * time.Hour // by the clock of another process
 	b := New(now, learnedSettings, h)
 	b.EndpointList(now, learnedList)
 	b.Restore(now, l, time.Second)
@@ -84,7 +84,7 @@
 	}
 }
 
-// Whatever a file says, the weights stay valid and requests are sent.
+// Whatever the learned state, the weights stay valid and requests are sent.
 func TestRestoreWithstandsInvalidState(t *testing.T) {
 	number := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), -1, 0, 1e300}))
 	rapid.Check(t, func(t *rapid.T) {
@@ -92,17 +92,17 @@
 		now := time.Hour
 		b := New(now, learnedSettings, h)
 		b.EndpointList(now, learnedList)
-		l := LearnedState{ConcurrencyLimit: number.Draw(t, "room"),
-			Works: []LearnedWork{{Name: "look", BaselineLatency: number.Draw(t, "calm"), MeanLatency: number.Draw(t,
+		l := LearnedState{ConcurrencyLimit: number.Draw(t, "limit"),
+			Works: []LearnedWork{{Name: "look", BaselineLatency: number.Draw(t, "baseline"), MeanLatency: number.Draw(t,
 				"mean"), Samples: number.Draw(t, "n"),
-				Age: time.Duration(rapid.Int64().Draw(t, "for"))}},
+				Age: time.Duration(rapid.Int64().Draw(t, "age of work"))}},
 			Kinds: []LearnedKind{{Weight: number.Draw(t, "w"), Samples: number.Draw(t, "of kind")}}}
-		for _, id := range []string{"a", "b", "b", "nobody"} {
+		for _, id := range []string{"a", "b", "b", "unknown"} {
 			l.Endpoints = append(l.Endpoints, LearnedEndpoint{ID: id, Sum: number.Draw(t, "sum"), Samples: number.Draw(t,
 				"samples"),
 				Errors: number.Draw(t, "errors"), Active: rapid.Bool().Draw(t, "active")})
 		}
-		b.Restore(now, l, time.Duration(rapid.Int64().Draw(t, "ago")))
+		b.Restore(now, l, time.Duration(rapid.Int64().Draw(t, "age")))
 		for _, e := range b.endpoints {
 			if w := e.weight(); math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !areValid(e.outcomes.errors, e.samples.count) {
 				t.Fatalf("%s has weight %g of %+v", e.ID, w, l)
@@ -115,18 +115,18 @@
 	})
 }
 
-// Seen on a day of upgrades during a release: endpoints that were new to a successor waited for
-// their trial as though it were an instance with a request every few seconds, and the old ones
-// were overloaded meanwhile.
-func TestRestoreTakesOverTheRequestRate(t *testing.T) {
+// Seen in a run with process handovers during a release: endpoints that were new to a successor
+// waited for their trials as at an instance with a request every few seconds, and the others were
+// overloaded meanwhile.
+func TestRestoreOfTheRequestRate(t *testing.T) {
 	l, now := learnState(t)
-	longest := func(recall bool) (wait time.Duration) {
+	longest := func(restore bool) (wait time.Duration) {
 		for seed := range uint64(20) {
 			s := learnedSettings
 			s.Seed = seed
 			b := New(now, s, &recordingHost{sent: map[string]string{}})
 			b.EndpointList(now, learnedList)
-			if recall {
+			if restore {
 				b.Restore(now, l, time.Second)
 			}
 			b.EndpointList(now, EndpointList{Entries: []Endpoint{{ID: "fresh"}}})
@@ -135,6 +135,6 @@
 		return wait
 	}
 	if with, without := longest(true), longest(false); with > time.Second || without < 5*with {
-		t.Errorf("the trial is due after up to %v, and up to %v where nothing is known", with, without)
+		t.Errorf("the trial is due after up to %v, and up to %v without learned state", with, without)
 	}
 }
--- a/balancer/tokenbucket_test.go
+++ b/balancer/tokenbucket_test.go
@@ -19,11 +19,13 @@
 		{"no more than the burst", 5, 100, 10, 9, time.Second, 10},
 		{"nothing", 0, 0, 10, 4, time.Hour, 4},
 	} {
-		bucket := tokenBucket{tokens: c.initial, refilledAt: time.Minute}
-		bucket.refill(time.Minute+c.after, c.deposit, c.perSecond, c.burst)
-		if bucket.tokens != c.want || bucket.refilledAt != time.Minute+c.after {
-			t.Errorf("%s: %v tokens as of %v, want %v", c.name, bucket.tokens, bucket.refilledAt, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			bucket := tokenBucket{tokens: c.initial, refilledAt: time.Minute}
+			bucket.refill(time.Minute+c.after, c.deposit, c.perSecond, c.burst)
+			if bucket.tokens != c.want || bucket.refilledAt != time.Minute+c.after {
+				t.Errorf("%v tokens as of %v, want %v", bucket.tokens, bucket.refilledAt, c.want)
+			}
+		})
 	}
 }
 
