--- a/cmd/rowancart/config.go
+++ b/cmd/rowancart/config.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -19,7 +18,7 @@
 )
 
 const (
-	adminTimeout     = 5 * time.Second
+	adminTimeout     = 5 * time.Second // of a request to the admin interface
 	defaultAdminAddr = "127.0.0.1:9901"
 )
 
@@ -65,8 +64,8 @@
 	return newAdminCommand("reload", short, http.MethodPost)
 }
 
-// newAdminCommand returns a command that requests the path of its own name from a daemon's admin
-// interface.
+// newAdminCommand returns a command that sends a request for the path of its own name to a daemon's
+// admin interface, and prints the response.
 func newAdminCommand(name, short, method string) *cobra.Command {
 	var admin string
 	command := &cobra.Command{
@@ -74,7 +73,12 @@
 		Short: short,
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return requestAdmin(cmd.Context(), cmd.OutOrStdout(), admin, method, "/"+name)
+			text, err := requestAdmin(cmd.Context(), admin, method, "/"+name)
+			if err != nil {
+				return err
+			}
+			_, err = cmd.OutOrStdout().Write(text)
+			return err
 		},
 	}
 	command.Flags().StringVar(&admin, "admin", defaultAdminAddr,
@@ -127,11 +131,11 @@
 			if err != nil {
 				return err
 			}
-			next, err := config.Load(args[1], os.LookupEnv)
+			changed, err := config.Load(args[1], os.LookupEnv)
 			if err != nil {
 				return err
 			}
-			for _, line := range old.Compare(next) {
+			for _, line := range old.Compare(changed) {
 				fmt.Fprintln(cmd.OutOrStdout(), line)
 			}
 			return nil
@@ -139,35 +143,43 @@
 	}
 }
 
-// requestAdmin sends a request to a daemon's admin interface and writes the body of the response to
-// out. A response other than 200 is an error with that body.
-func requestAdmin(ctx context.Context, out io.Writer, admin, method, path string) error {
+// adminError is the error of a request that a daemon's admin interface has rejected.
+type adminError struct {
+	status  int // HTTP status
+	message string
+}
+
+// Error implements error.
+func (e *adminError) Error() string { return e.message }
+
+// requestAdmin sends a request to a daemon's admin interface and returns the body of the response.
+// It returns an *adminError for a response other than 200.
+func requestAdmin(ctx context.Context, admin, method, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	transport := adminTransport(admin)
 	defer transport.CloseIdleConnections()
 	r, err := http.NewRequestWithContext(ctx, method, "http://admin"+path, nil)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	resp, err := (&http.Client{Transport: transport}).Do(r)
 	if err != nil {
-		return fmt.Errorf("--admin: %w", err)
+		return nil, fmt.Errorf("--admin: %w", err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return errors.New(strings.TrimSpace(string(text)))
+		return nil, &adminError{status: resp.StatusCode, message: strings.TrimSpace(string(text))}
 	}
-	_, err = out.Write(text)
-	return err
+	return text, nil
 }
 
-// adminTransport returns a transport that connects to the admin interface, whatever the host of a
-// request.
+// adminTransport returns a transport that connects to the admin interface for any host in a
+// request's URL.
 func adminTransport(admin string) *http.Transport {
 	network, address := "tcp", admin
 	if socket, ok := strings.CutPrefix(admin, "unix:"); ok {
--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -62,10 +62,12 @@
 
 // instance is one daemon of a fleet, at a unix socket of its own, with a snapshot of its own.
 type instance struct {
-	config, socket, snapshot string
-	cmd                      *exec.Cmd
-	log                      *logFollower
-	startedAt                time.Time
+	config    string // paths of its files
+	socket    string
+	snapshot  string
+	cmd       *exec.Cmd
+	log       *logFollower
+	startedAt time.Time
 }
 
 func (in *instance) start(t *testing.T, program string) {
@@ -74,7 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	in.cmd, in.startedAt = exec.Command(program, "serve", in.config), time.Now()
+	in.cmd = exec.Command(program, "serve", in.config)
+	in.startedAt = time.Now()
 	in.cmd.Stderr = stderr
 	if err := in.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -124,18 +127,18 @@
 	return f
 }
 
-// outcomes counts what clients saw, and what endpoints ran.
+// outcomes counts the results of requests, and the runs of each request by endpoints.
 type outcomes struct {
 	mu       sync.Mutex
 	runs     map[string]int // by request id
-	answered atomic.Int64   // 200 with the request's own body
+	served   atomic.Int64   // 200 with the request's own body
 	failed   atomic.Int64   // an error status
 	unsent   atomic.Int64   // no instance accepted the connection
-	cut      atomic.Int64   // an instance accepted the connection and was killed
-	wrong    atomic.Int64   // anything else
+	aborted  atomic.Int64   // an instance accepted the connection and was killed
+	mismatch atomic.Int64   // anything else
 }
 
-// handle is an endpoint's handler that answers a request with its id.
+// handle is an endpoint's handler that responds to a request with its id.
 func (o *outcomes) handle(nc net.Conn, r *http.Request, _ int) bool {
 	id := r.Header.Get("Req-Id")
 	o.mu.Lock()
@@ -146,7 +149,7 @@
 }
 
 // send sends one request to an instance and counts its outcome. It reports whether the request was
-// answered.
+// served.
 func (o *outcomes) send(in *instance, id string) bool {
 	var connected atomic.Bool
 	dial := func(context.Context, string, string) (net.Conn, error) {
@@ -166,34 +169,34 @@
 		o.unsent.Add(1)
 		return false
 	case err != nil:
-		o.cut.Add(1)
+		o.aborted.Add(1)
 		return false
 	}
 	body, err := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	switch {
 	case err == nil && resp.StatusCode == http.StatusOK && string(body) == id:
-		o.answered.Add(1)
+		o.served.Add(1)
 		return true
 	case err == nil && resp.StatusCode >= 500 && string(body) != id:
 		o.failed.Add(1)
 	default:
-		o.wrong.Add(1)
+		o.mismatch.Add(1)
 	}
 	return false
 }
 
-// waitAnswered waits for count more answers.
-func (o *outcomes) waitAnswered(t *testing.T, what string, count int64) {
+// waitServed waits until count more requests have been served.
+func (o *outcomes) waitServed(t *testing.T, what string, count int64) {
 	t.Helper()
-	before := o.answered.Load()
-	testpeer.WaitUntil(t, what, func() bool { return o.answered.Load() >= before+count })
+	before := o.served.Load()
+	testpeer.WaitUntil(t, what, func() bool { return o.served.Load() >= before+count })
 }
 
-// restartAll kills all instances at once, calls spoil for each if it is not nil, and starts them
-// all again. Spoil reports whether the instance has lost its snapshot. RestartAll returns how long
-// after the kill each instance answered again.
-func (f *fleet) restartAll(t *testing.T, o *outcomes, spoil func(i int, in *instance) bool) []time.Duration {
+// restartAll kills all instances at once, calls corrupt for each if it is not nil, and restarts
+// them all. Corrupt reports whether the instance has no valid snapshot any more. RestartAll returns
+// how long after the kill each instance served again.
+func (f *fleet) restartAll(t *testing.T, o *outcomes, corrupt func(i int, in *instance) bool) []time.Duration {
 	t.Helper()
 	for _, in := range f.instances {
 		in.cmd.Process.Signal(syscall.SIGKILL)
@@ -204,7 +207,7 @@
 	killedAt := time.Now()
 	lost := make([]bool, len(f.instances))
 	for i, in := range f.instances {
-		lost[i] = spoil != nil && spoil(i, in)
+		lost[i] = corrupt != nil && corrupt(i, in)
 	}
 	for _, in := range f.instances {
 		in.start(t, f.program)
@@ -212,8 +215,8 @@
 	var recovery []time.Duration
 	for i, in := range f.instances {
 		in.log.wait(t, 1, "listening()")
-		testpeer.WaitUntil(t, "a first answer of "+in.socket, func() bool {
-			return o.send(in, fmt.Sprint("probe-", in.socket, "-", time.Now().UnixNano()))
+		testpeer.WaitUntil(t, "a first response of "+in.socket, func() bool {
+			return o.send(in, fmt.Sprint("first-", in.socket, "-", time.Now().UnixNano()))
 		})
 		recovery = append(recovery, time.Since(killedAt))
 		in.checkRestored(t, i, !lost[i])
@@ -242,9 +245,9 @@
 	}
 }
 
-// spoilSnapshot makes the snapshots of six instances of eight unusable in six ways. It reports
+// corruptSnapshot makes the snapshots of six instances of eight invalid, in six ways. It reports
 // whether it did.
-func spoilSnapshot(i int, in *instance) bool {
+func corruptSnapshot(i int, in *instance) bool {
 	text, err := os.ReadFile(in.snapshot)
 	if err != nil {
 		return false
@@ -270,7 +273,8 @@
 		return true
 	case 5: // another instance's, and incomplete
 		rest = bytes.Replace(rest, []byte(`/index-5"`), []byte(`/index-7"`), 1)
-		head["bytes"], head["xxhash64"] = len(rest)-1, strconv.FormatUint(xxhash.Sum64(rest[:len(rest)-1]), 16)
+		head["bytes"] = len(rest) - 1
+		head["xxhash64"] = strconv.FormatUint(xxhash.Sum64(rest[:len(rest)-1]), 16)
 	default:
 		return false
 	}
@@ -279,10 +283,10 @@
 	return true
 }
 
-// startFleetLoad sends requests to each instance until the function that it returns is called,
-// which waits for the clients and returns how many requests they sent.
+// startFleetLoad starts a client of each instance. The function that it returns stops them and
+// returns how many requests they have sent.
 func startFleetLoad(f *fleet, o *outcomes) (stop func() int64) {
-	const maxRequests = 100000 // of each client; the test ends them before
+	const maxRequests = 100000 // of each client; the test stops them before
 	stopped := make(chan struct{})
 	var clients sync.WaitGroup
 	var sent atomic.Int64
@@ -306,10 +310,11 @@
 	}
 }
 
-// Eight instances with three endpoints: one endpoint is cut off and comes back, then all eight
-// instances are killed at once and started again from their snapshots. No request runs twice, none
-// is answered with another's body, and all eight serve again within the bound.
-func TestAFleetComesBackFromAPartitionAndAMassKill(t *testing.T) {
+// Eight instances send to three endpoints: one endpoint is partitioned and healed, then all eight
+// instances are killed at once and restarted from their snapshots. No request runs twice, no
+// response has the body of a different request, and all eight instances serve again within the
+// bound.
+func TestFleetRecoversFromPartitionAndMassKill(t *testing.T) {
 	const instances, maxRecovery = 8, 10 * time.Second
 	o := &outcomes{runs: map[string]int{}}
 	var endpoints []string
@@ -319,46 +324,48 @@
 	f := startFleet(t, instances, endpoints...)
 	stop := startFleetLoad(f, o)
 
-	o.waitAnswered(t, "answers before the partition", 200)
+	o.waitServed(t, "responses before the partition", 200)
 	f.proxies[0].Set(faultproxy.Fault{Partition: true})
-	o.waitAnswered(t, "answers during the partition", 200)
-	// An attempt held by the partition ends at its timeout: it may have run, and is answered as
-	// failed.
-	testpeer.WaitUntil(t, "an attempt held until its timeout", func() bool { return o.failed.Load() > 0 })
+	o.waitServed(t, "responses during the partition", 200)
+	// An attempt that the partition delays ends at its timeout. It may have run, so the request fails.
+	testpeer.WaitUntil(t, "an attempt that times out", func() bool { return o.failed.Load() > 0 })
 	f.proxies[0].Heal()
-	o.waitAnswered(t, "answers after the heal", 200)
+	o.waitServed(t, "responses after the heal", 200)
 	for _, in := range f.instances {
-		testpeer.WaitUntil(t, "a snapshot of "+in.socket, func() bool { _, err := os.Stat(in.snapshot); return err == nil })
+		testpeer.WaitUntil(t, "a snapshot of "+in.socket, func() bool {
+			_, err := os.Stat(in.snapshot)
+			return err == nil
+		})
 	}
 
 	recovery := f.restartAll(t, o, nil)
-	o.waitAnswered(t, "answers after the restart", 400)
-	for _, in := range f.instances { // written by the processes that run now
+	o.waitServed(t, "responses after the restart", 400)
+	for _, in := range f.instances { // written by the restarted process
 		testpeer.WaitUntil(t, "a new snapshot of "+in.socket, func() bool {
 			info, err := os.Stat(in.snapshot)
 			return err == nil && info.ModTime().After(in.startedAt)
 		})
 	}
-	recovery = append(recovery, f.restartAll(t, o, spoilSnapshot)...)
-	o.waitAnswered(t, "answers after the restart without snapshots", 400)
+	recovery = append(recovery, f.restartAll(t, o, corruptSnapshot)...)
+	o.waitServed(t, "responses after the restart without snapshots", 400)
 	sent := stop()
 
 	slices.Sort(recovery)
 	longest := recovery[len(recovery)-1]
-	t.Logf("sent %d: %d answered, %d failed, %d not accepted, %d cut by the kill; "+
-		"back to service after %v (median) and %v (most)",
-		sent, o.answered.Load(), o.failed.Load(), o.unsent.Load(), o.cut.Load(), recovery[len(recovery)/2], longest)
+	t.Logf("sent %d: %d served, %d failed, %d not accepted, %d aborted by the kill; "+
+		"serving again after %v (median) and %v (longest)",
+		sent, o.served.Load(), o.failed.Load(), o.unsent.Load(), o.aborted.Load(), recovery[len(recovery)/2], longest)
 	if longest > maxRecovery {
-		t.Errorf("the last instance served again %v after the kill, over %v", longest, maxRecovery)
+		t.Errorf("the last instance served again %v after the kill, more than %v", longest, maxRecovery)
 	}
 	o.check(t)
 }
 
-// check checks that no request ran twice or was answered with another's body.
+// check checks that no request ran twice, and that no response had the body of a different request.
 func (o *outcomes) check(t *testing.T) {
 	t.Helper()
-	if w := o.wrong.Load(); w > 0 {
-		t.Errorf("%d answers were not the request's own", w)
+	if w := o.mismatch.Load(); w > 0 {
+		t.Errorf("%d responses were not the request's own", w)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/cmd/rowancart/handover_test.go
+++ b/cmd/rowancart/handover_test.go
@@ -21,10 +21,11 @@
 
 // replaceableDaemon is a daemon that serves at a unix socket, from a program that can be replaced.
 type replaceableDaemon struct {
-	program, socket string
-	first           *exec.Cmd
-	current         *os.Process // that serves
-	log             *logFollower
+	program string
+	socket  string
+	first   *exec.Cmd
+	current *os.Process // that serves
+	log     *logFollower
 }
 
 // replaceableConfig has the paths of the socket and the snapshot, and the address of the endpoint.
@@ -54,6 +55,7 @@
 }
 `
 
+// startReplaceable starts a daemon and waits until it serves.
 func startReplaceable(t *testing.T, endpoint string) *replaceableDaemon {
 	t.Helper()
 	dir := t.TempDir()
@@ -75,7 +77,7 @@
 	d.current = d.first.Process
 	t.Cleanup(func() {
 		_ = d.current.Kill()
-		if t.Failed() { // other processes may still log: their end is not awaited
+		if t.Failed() { // other processes may still log, since nothing waits for their end
 			t.Logf("%q", d.log.all())
 		}
 	})
@@ -108,16 +110,19 @@
 	select {
 	case <-d.log.ended:
 	case <-time.After(testpeer.WaitTimeout):
-		t.Error("a process is left")
+		t.Error("a process has not ended")
 	}
 }
 
-// unixLoad are clients that send unsafe requests, each of which must be answered with its own id.
+// unixLoad are clients that send non-idempotent requests. The body of each response must be the
+// request's id.
 type unixLoad struct {
-	sent, lost atomic.Int64
-	stop       func() // ends the clients and waits for them
+	sent atomic.Int64
+	lost atomic.Int64
+	stop func() // ends the clients and waits for them
 }
 
+// startUnixLoad starts clients of a unix socket.
 func startUnixLoad(t *testing.T, socket string) *unixLoad {
 	const clients = 4
 	l := &unixLoad{}
@@ -149,7 +154,7 @@
 	return l
 }
 
-// sendWithID sends a request, and returns an error unless it is answered with its id.
+// sendWithID sends a request, and returns an error unless the response's body is its id.
 func sendWithID(client *http.Client, id string) error {
 	r, err := http.NewRequest(http.MethodPost, "http://front/x", http.NoBody)
 	if err != nil {
@@ -168,9 +173,9 @@
 	return nil
 }
 
-// A daemon is replaced three times under load, then by programs that do not get to serve, and no
-// request is lost.
-func TestHandoverLosesNothing(t *testing.T) {
+// Under load, a daemon hands over three times, and then fails to because its successors do not
+// serve. No request is lost.
+func TestHandoverLosesNoRequest(t *testing.T) {
 	endpoint := testpeer.StartEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		body := r.Header.Get("Req-Id")
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -205,9 +210,9 @@
 	d.stop(t)
 }
 
-// A daemon that is killed while it hands over leaves the sockets, with the clients that wait at
-// them, to its successor.
-func TestSuccessorServesThoughThePredecessorIsKilled(t *testing.T) {
+// If a daemon is killed during a handover, its successor has the sockets, with the connections that
+// are queued there.
+func TestSuccessorServesAfterPredecessorIsKilled(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	endpoint := testpeer.StartEndpoint(t, testpeer.RespondWith(response, testpeer.KeepConn))
 	d := startReplaceable(t, endpoint.Addr)
@@ -216,7 +221,9 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	gate, pidFile, program := filepath.Join(dir, "gate"), filepath.Join(dir, "pid"), filepath.Join(dir, "rowancart")
+	gate := filepath.Join(dir, "gate")
+	pidFile := filepath.Join(dir, "pid")
+	program := filepath.Join(dir, "rowancart")
 	if err := os.Symlink(target, program); err != nil {
 		t.Fatal(err)
 	}
@@ -228,7 +235,7 @@
 		t.Fatal(err)
 	}
 	_ = d.first.Wait()
-	nc, err := net.Dial("unix", d.socket) // the shell holds the socket: the connection waits there
+	nc, err := net.Dial("unix", d.socket) // the shell has inherited the socket: the connection is queued there
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/rowancart/harness_test.go
+++ b/cmd/rowancart/harness_test.go
@@ -47,7 +47,8 @@
 // group matched.
 func (f *logFollower) wait(t *testing.T, n int, pattern string) string {
 	t.Helper()
-	re, found := regexp.MustCompile(pattern), ""
+	re := regexp.MustCompile(pattern)
+	found := ""
 	testpeer.WaitUntil(t, pattern, func() bool {
 		seen := 0
 		for _, line := range f.all() {
@@ -63,12 +64,13 @@
 	return found
 }
 
-// waitSuccessor waits for the nth handover, from 1, and returns the process that serves since.
+// waitSuccessor waits for the nth completed handover, from 1, and returns the successor.
 func (f *logFollower) waitSuccessor(t *testing.T, n int) *os.Process {
 	t.Helper()
 	return findProcess(t, f.wait(t, n, `msg="handover completed" pid=(\d+)`))
 }
 
+// findProcess returns the process of an id.
 func findProcess(t *testing.T, pid string) *os.Process {
 	t.Helper()
 	id, err := strconv.Atoi(pid)
--- a/cmd/rowancart/serve.go
+++ b/cmd/rowancart/serve.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	gcPercent    = 300 // the live heap is small: collect less often
-	heapFraction = 0.7 // of the memory limit that the heap may take before the collector works harder
+	gcPercent    = 300 // the live heap is small, so that collecting less often costs little memory
+	heapFraction = 0.7 // of the configured memory limit; beyond it the garbage collector runs more often
 )
 
 func newServe() *cobra.Command {
@@ -38,21 +38,19 @@
 	}
 }
 
-// serve runs the daemon until it is told to stop, or until a successor has taken over.
+// serve runs the daemon until SIGTERM or SIGINT, or until a successor serves.
 func serve(cmd *cobra.Command, configPath string) error {
-	hup := make(chan os.Signal, 1) // first of all: without a handler the signal would end the process
-	signal.Notify(hup, syscall.SIGHUP)
-	defer signal.Stop(hup)
+	reload, stopReload := notify(syscall.SIGHUP) // before anything else: an unhandled SIGHUP ends the process
+	defer stopReload()
 	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	handover := make(chan os.Signal, 1)
-	signal.Notify(handover, syscall.SIGUSR2)
-	defer signal.Stop(handover)
+	handover, stopHandover := notify(syscall.SIGUSR2)
+	defer stopHandover()
 	predecessor, err := successor.Inherit()
 	if err != nil {
 		return err
 	}
-	program, err := programPath() // now: at a handover another file may be at that path
+	program, err := programPath() // once: at a handover there may be a new program at that path
 	if err != nil {
 		return fmt.Errorf("this program can't be found: %w", err)
 	}
@@ -69,7 +67,15 @@
 	if err != nil {
 		return err
 	}
-	return d.Run(ctx, hup)
+	return d.Run(ctx, reload)
+}
+
+// notify returns a channel that receives a signal, and a function that ends this. A signal that
+// arrives while the previous one is pending is dropped.
+func notify(s os.Signal) (received <-chan os.Signal, stop func()) {
+	c := make(chan os.Signal, 1)
+	signal.Notify(c, s)
+	return c, func() { signal.Stop(c) }
 }
 
 // programPath returns the absolute path at which this program was started.
@@ -85,7 +91,9 @@
 // files.
 func sameCommand(program string) *exec.Cmd {
 	c := exec.Command(program, os.Args[1:]...)
-	c.Stdin, c.Stdout, c.Stderr = os.Stdin, os.Stdout, os.Stderr
+	c.Stdin = os.Stdin
+	c.Stdout = os.Stdout
+	c.Stderr = os.Stderr
 	return c
 }
 
