--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -103,27 +103,23 @@
 
 func (d *decoder) class(b *hcl.Block) {
 	c := Class{Name: b.Labels[0], LatencyObjective: defaultLatencyObjective, PriorityWeight: defaultPriorityWeight}
-	var effect, policy string
-	group := "all"
+	var idempotency, policy string
+	scope := "all"
 	ok := d.define(b, c.Name) && d.Body(b.Body, hcldecode.Fields{
-		"effect!": &effect,
+		"effect!": &idempotency,
 		"aim":     &c.LatencyObjective,
 		"worth":   &c.PriorityWeight,
-		"group":   &group,
+		"group":   &scope,
 		"window":  &c.KeyWindow,
 		"policy":  &policy,
 	}, nil)
 	if ok {
-		hcldecode.OneOf(&d.Reader, d.Places[&effect], "effect", effect, effectSafe, effectKeyed, effectUnsafe)
-		hcldecode.OneOf(&d.Reader, d.Places[&group], "group", group, "all", "zone", "cell")
-		c.Repeatability, c.KeyScope = effects[effect], keyScopes[group]
-		windowAt, hasWindow := d.Places[&c.KeyWindow]
-		switch {
-		case effect == effectKeyed && c.KeyWindow == 0:
-			d.Fault(b.DefRange, "class %q: keyed, and no window says for how long repeats are dropped", c.Name)
-		case effect != effectKeyed && hasWindow:
-			d.Fault(windowAt, "window: class %q is %s; repeats are dropped of keyed classes only", c.Name, effect)
-		}
+		hcldecode.OneOf(&d.Reader, d.Places[&idempotency], "effect", idempotency,
+			nameIdempotent, nameKeyed, nameNonIdempotent)
+		hcldecode.OneOf(&d.Reader, d.Places[&scope], "group", scope, "all", "zone", "cell")
+		c.Idempotency = idempotencyByName[idempotency]
+		c.KeyScope = keyScopes[scope]
+		d.checkKeyWindow(b, &c, idempotency)
 		if policy != "" {
 			d.classPolicies[c.Name] = reference{policy, d.Places[&policy]}
 		}
@@ -131,6 +127,17 @@
 	d.Classes = append(d.Classes, c)
 }
 
+// checkKeyWindow requires a window of keyed classes, and of no others.
+func (d *decoder) checkKeyWindow(b *hcl.Block, c *Class, idempotency string) {
+	at, hasWindow := d.Places[&c.KeyWindow]
+	switch {
+	case idempotency == nameKeyed && c.KeyWindow == 0:
+		d.Fault(b.DefRange, "class %q: keyed, and no window says for how long repeats are dropped", c.Name)
+	case idempotency != nameKeyed && hasWindow:
+		d.Fault(at, "window: class %q is %s; repeats are dropped of keyed classes only", c.Name, idempotency)
+	}
+}
+
 func (d *decoder) tenant(b *hcl.Block) {
 	t := balancer.Tenant{Name: b.Labels[0]}
 	var quota hcldecode.Rate
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,7 +57,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name             string
-	Repeatability    balancer.Idempotency
+	Idempotency      balancer.Idempotency
 	KeyScope         balancer.KeyScope // within which an endpoint drops repeats of an idempotency key
 	KeyWindow        time.Duration     // for how long it drops them
 	LatencyObjective time.Duration
@@ -145,7 +145,7 @@
 	return balancer.Class{
 		Name:             name,
 		Work:             c.Name,
-		Idempotency:      c.Repeatability,
+		Idempotency:      c.Idempotency,
 		KeyScope:         c.KeyScope,
 		KeyWindow:        c.KeyWindow,
 		LatencyObjective: c.LatencyObjective,
@@ -170,23 +170,23 @@
 	return limit
 }
 
-// The values of a class's "effect" in the file.
+// The names of idempotency in the file, as values of a class's "effect".
 const (
-	effectSafe   = "safe"
-	effectKeyed  = "keyed"
-	effectUnsafe = "unsafe"
+	nameIdempotent    = "safe"
+	nameKeyed         = "keyed"
+	nameNonIdempotent = "unsafe"
 )
 
-var effects = map[string]balancer.Idempotency{
-	effectSafe:   balancer.Idempotent,
-	effectKeyed:  balancer.IdempotencyKeyed,
-	effectUnsafe: balancer.NonIdempotent,
+var idempotencyByName = map[string]balancer.Idempotency{
+	nameIdempotent:    balancer.Idempotent,
+	nameKeyed:         balancer.IdempotencyKeyed,
+	nameNonIdempotent: balancer.NonIdempotent,
 }
 
-// effectName returns the name of a repeatability in the file.
-func effectName(r balancer.Idempotency) string {
-	for name, effect := range effects {
-		if effect == r {
+// idempotencyName returns the name in the file.
+func idempotencyName(i balancer.Idempotency) string {
+	for name, idempotency := range idempotencyByName {
+		if idempotency == i {
 			return name
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -224,8 +224,8 @@
 		}
 		p, class := c.Routes[1].Policy, c.Routes[1].Class
 		hedged := p.HedgeAfter > 0 || p.HedgePercentile > 0
-		if class.Repeatability == balancer.NonIdempotent && p.Retry != RetryIfNotRun ||
-			class.Repeatability != balancer.Idempotent && hedged {
+		if class.Idempotency == balancer.NonIdempotent && p.Retry != RetryIfNotRun ||
+			class.Idempotency != balancer.Idempotent && hedged {
 			t.Fatalf("could run twice: %+v", c.Routes[1])
 		}
 		allAttempts := time.Duration(p.MaxAttempts) * p.AttemptTimeout
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -212,7 +212,7 @@
 		Retry:         RetryAfterRun,
 		QueueLimit:    -1,
 	}
-	if r.Class.Repeatability == balancer.NonIdempotent {
+	if r.Class.Idempotency == balancer.NonIdempotent {
 		p.Retry = RetryIfNotRun
 	}
 	for _, a := range attributes {
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -18,7 +18,7 @@
 		m := r.Match
 		fmt.Fprintf(tw, "route %q: %s %s%s, class %q (%s), pool %q\n", r.Name,
 			cmp.Or(strings.Join(m.Methods, "|"), "any method"), cmp.Or(m.Host, "*"), cmp.Or(m.Path, "/*"),
-			r.Class.Name, effectName(r.Class.Repeatability), r.Pool)
+			r.Class.Name, idempotencyName(r.Class.Idempotency), r.Pool)
 		for _, a := range attributes {
 			if a.format != nil {
 				fmt.Fprintf(tw, "  %s\t%s\t%s\n", a.name, a.format(r.Policy), r.Origins[a.name])
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -61,16 +61,16 @@
 // checkRepeats rejects retries and hedged requests by which a request could have its effect twice.
 func (d *decoder) checkRepeats(r *Route, at map[string]hcl.Range) {
 	p, c := r.Policy, r.Class
-	if c.Repeatability == balancer.NonIdempotent && p.Retry == RetryAfterRun {
+	if c.Idempotency == balancer.NonIdempotent && p.Retry == RetryAfterRun {
 		d.Fault(at["retry"], "retry: route %q is of class %q, which is unsafe: after a run, another could run it twice",
 			r.Name, c.Name)
 	}
 	if p.HedgeAfter == 0 && p.HedgePercentile == 0 {
 		return
 	}
-	if c.Repeatability != balancer.Idempotent {
+	if c.Idempotency != balancer.Idempotent {
 		d.Fault(at["second_copy"], "second_copy: route %q is of class %q, which is %s: both copies could run",
-			r.Name, c.Name, effectName(c.Repeatability))
+			r.Name, c.Name, idempotencyName(c.Idempotency))
 	}
 	if p.MaxAttempts < 2 {
 		d.Fault(at["second_copy"], "second_copy: it is a second attempt, and route %q has 1", r.Name)
--- a/internal/daemon/generation_test.go
+++ b/internal/daemon/generation_test.go
@@ -56,7 +56,7 @@
 	p := &pool{name: "a"}
 	unused := &pool{name: "b"}
 	route := func(class string, idempotency balancer.Idempotency) config.Route {
-		return config.Route{Pool: "a", Class: config.Class{Name: class, Repeatability: idempotency}}
+		return config.Route{Pool: "a", Class: config.Class{Name: class, Idempotency: idempotency}}
 	}
 	old := newTestGeneration(nil, &retired, p, unused)
 	old.config.Routes = []config.Route{route("y", balancer.Idempotent), route("x", balancer.Idempotent)}
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -43,7 +43,7 @@
 	target := httpserver.Target{
 		Pool:           entry.pool.proxy,
 		Class:          entry.class,
-		Idempotency:    entry.Class.Repeatability,
+		Idempotency:    entry.Class.Idempotency,
 		Tenant:         tenant,
 		DefaultTimeout: entry.Policy.ClientTimeout,
 		MaxTimeout:     entry.Policy.RequestTimeout,
