--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config is the daemon's configuration: a language in HCL, its validation, and the
 // immutable value that a valid file makes. docs/daemon.md describes the language. The error for an
-// invalid file has one line for each fault, with file, line, column and reason.
+// invalid file is an hcldecode.FaultList.
 package config
 
 import (
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -57,7 +57,7 @@
 	}
 	d := newDecoder(text, name, lookupEnv)
 	d.decode(body)
-	if err := hcldecode.Faults(d.Diags); err != nil {
+	if err := hcldecode.Faults(d.Diags).Err(); err != nil {
 		return nil, err
 	}
 	d.warnUnused()
@@ -160,7 +160,7 @@
 func (d *decoder) define(b *hcl.Block, label string) bool {
 	key := blockKey(b.Type, label)
 	if first, ok := d.defined[key]; ok {
-		d.Fault(b.DefRange, "%s: there is one already, at %s", key, hcldecode.Where(first))
+		d.Fault(b.DefRange, "%s: there is one already, at %s", key, hcldecode.PlaceOf(first))
 		return false
 	}
 	d.defined[key] = b.DefRange
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -222,7 +222,7 @@
 			if place, ok := layer.places[a.name]; ok {
 				a.copy(p, layer)
 				p.places[a.name] = place
-				r.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.Where(place), layer.title)
+				r.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.PlaceOf(place), layer.title)
 				break
 			}
 		}
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -79,7 +79,7 @@
 	ids, addresses := map[string]hcl.Range{}, map[string]hcl.Range{}
 	checkUnique := func(seen map[string]hcl.Range, what, value string, at hcl.Range) {
 		if first, ok := seen[value]; ok {
-			d.Fault(at, "%s: %q is in use already, at %s", what, value, hcldecode.Where(first))
+			d.Fault(at, "%s: %q is in use already, at %s", what, value, hcldecode.PlaceOf(first))
 		}
 		seen[value] = at
 	}
@@ -92,7 +92,7 @@
 				d.Fault(at, "address: %v", err)
 			}
 			if first, ok := d.addresses[e.Address]; ok {
-				d.Fault(at, "address: %s is where this process listens, at %s", e.Address, hcldecode.Where(first))
+				d.Fault(at, "address: %s is where this process listens, at %s", e.Address, hcldecode.PlaceOf(first))
 			}
 			checkUnique(ids, "endpoint", e.ID, b.DefRange)
 			checkUnique(addresses, "address", e.Address, at)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -37,7 +37,7 @@
 		return // any free port
 	}
 	if first, ok := d.addresses[address]; ok {
-		d.Fault(at, "%s: %s is in use already, at %s", attribute, address, hcldecode.Where(first))
+		d.Fault(at, "%s: %s is in use already, at %s", attribute, address, hcldecode.PlaceOf(first))
 		return
 	}
 	d.addresses[address] = at
@@ -107,7 +107,7 @@
 			if shareListener(r, other) && r.Match.Overlaps(other.Match) {
 				d.Fault(d.defined[blockKey("route", r.Name)],
 					"route %q overlaps route %q, at %s: some requests fit both, and neither is more specific",
-					r.Name, other.Name, hcldecode.Where(d.defined[blockKey("route", other.Name)]))
+					r.Name, other.Name, hcldecode.PlaceOf(d.defined[blockKey("route", other.Name)]))
 			}
 		}
 		byPattern[pattern] = append(byPattern[pattern], r)
@@ -138,5 +138,5 @@
 
 // warn adds a warning about the block with that key.
 func (d *decoder) warn(key, text string) {
-	d.Warnings = append(d.Warnings, fmt.Sprintf("%s: %s: %s", hcldecode.Where(d.defined[key]), key, text))
+	d.Warnings = append(d.Warnings, fmt.Sprintf("%s: %s: %s", hcldecode.PlaceOf(d.defined[key]), key, text))
 }
--- a/internal/experiment/hclfile/decode.go
+++ b/internal/experiment/hclfile/decode.go
@@ -24,7 +24,7 @@
 func (d *decoder) once(seen map[string]hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
 	return func(b *hcl.Block) {
 		if first, ok := seen[b.Type]; ok {
-			d.Fault(b.DefRange, "%s: there is one already, at %s", b.Type, hcldecode.Where(first))
+			d.Fault(b.DefRange, "%s: there is one already, at %s", b.Type, hcldecode.PlaceOf(first))
 			return
 		}
 		seen[b.Type] = b.DefRange
@@ -67,7 +67,7 @@
 	}
 	d.checkExpectations()
 	d.checkFaultKinds()
-	return p, hcldecode.Faults(d.Diags)
+	return p, hcldecode.Faults(d.Diags).Err()
 }
 
 // checkFaultKinds reports faults that an experiment in virtual time cannot have.
--- a/internal/experiment/hclfile/expectations.go
+++ b/internal/experiment/hclfile/expectations.go
@@ -24,7 +24,7 @@
 		"fresh_peak_under": &x.WarmupPeakBelow, "resends_under": &x.RetriesBelow}, nil)
 	x.ServedInTimeAbove = float64(served)
 	x.FailedBelow = float64(failed)
-	x.Position = hcldecode.Where(b.DefRange)
+	x.Position = hcldecode.PlaceOf(b.DefRange).String()
 	d.expect = append(d.expect, x)
 }
 
--- a/internal/experiment/hclfile/hclfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -1,6 +1,6 @@
 // Package hclfile reads experiment files: HCL that says what to run and what results are required.
-// docs/lab.md describes the language. The error for a bad file has one line for each fault, with
-// file, line, column and reason.
+// docs/lab.md describes the language. The error for an invalid file is an hcldecode.FaultList, or
+// wraps one.
 package hclfile
 
 import (
@@ -108,7 +108,7 @@
 		}
 		vars.values[k] = cty.StringVal(set[k])
 	}
-	return vars, hcldecode.Faults(r.Diags)
+	return vars, hcldecode.Faults(r.Diags).Err()
 }
 
 func (vars *variables) readValues(r *hcldecode.Reader, b *hcl.Block) {
--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -98,7 +98,7 @@
 	if !found && len(r.Diags) == 0 {
 		r.Fault(hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}, `the file has no block "search"`)
 	}
-	return b, hcldecode.Faults(r.Diags)
+	return b, hcldecode.Faults(r.Diags).Err()
 }
 
 // maxCount is the largest number of a span of counts.
--- a/internal/hcldecode/hcldecode.go
+++ b/internal/hcldecode/hcldecode.go
@@ -1,6 +1,5 @@
 // Package hcldecode decodes the bodies of HCL files into values, with units where they are
-// required, and collects all that is wrong: one line for each fault, with file, line, column and
-// reason.
+// required, and collects all faults of a file: a FaultList holds each with its place and message.
 package hcldecode
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Reader decodes bodies into values and collects what is wrong with them. Its zero value is ready
+// Reader decodes bodies into values and collects their faults. Its zero value is ready
 // for use.
 type Reader struct {
 	Vars   *hcl.EvalContext // variables and functions of expressions; nil: none
@@ -29,11 +28,11 @@
 // a block with one label.
 type Blocks map[string]func(b *hcl.Block)
 
-// Parse parses the text of a file that is called name in messages. It reports the first syntax
-// error only: others mostly follow from it.
+// Parse parses the text of a file that is called name in messages. Its error is a FaultList with the
+// first syntax error only: others mostly follow from it.
 func Parse(text []byte, name string) (hcl.Body, error) {
 	file, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
-	if err := Faults(diags[:min(len(diags), 1)]); err != nil {
+	if err := Faults(diags[:min(len(diags), 1)]).Err(); err != nil {
 		return nil, err
 	}
 	return file.Body, nil
@@ -112,47 +111,3 @@
 	}
 	return strings.Join(texts, ", ")
 }
-
-// Where formats the start of a range as file:line:column.
-func Where(at hcl.Range) string {
-	return fmt.Sprintf("%s:%d:%d", at.Filename, at.Start.Line, at.Start.Column)
-}
-
-// Faults returns an error with a line for each error among the diagnostics, in the file's order and
-// without repeats, or nil if there is none.
-func Faults(diags hcl.Diagnostics) error {
-	var faults []*hcl.Diagnostic
-	for _, d := range diags {
-		if d.Severity == hcl.DiagError {
-			faults = append(faults, d)
-		}
-	}
-	if len(faults) == 0 {
-		return nil
-	}
-	slices.SortStableFunc(faults, func(a, b *hcl.Diagnostic) int {
-		if a.Subject == nil || b.Subject == nil {
-			return 0
-		}
-		return a.Subject.Start.Byte - b.Subject.Start.Byte
-	})
-	var lines []string
-	for _, d := range faults {
-		if line := faultLine(d); !slices.Contains(lines, line) {
-			lines = append(lines, line)
-		}
-	}
-	return fmt.Errorf("%s", strings.Join(lines, "\n"))
-}
-
-// faultLine formats a diagnostic as one line.
-func faultLine(d *hcl.Diagnostic) string {
-	line := d.Summary
-	if d.Detail != "" {
-		line += ": " + strings.ReplaceAll(d.Detail, "\n", " ")
-	}
-	if d.Subject != nil {
-		line = Where(*d.Subject) + ": " + line
-	}
-	return line
-}
--- a/internal/hcldecode/hcldecode_test.go
+++ b/internal/hcldecode/hcldecode_test.go
@@ -18,7 +18,7 @@
 	var r Reader
 	var x T
 	r.Body(body, Fields{"x": &x}, nil)
-	return x, Faults(r.Diags)
+	return x, Faults(r.Diags).Err()
 }
 
 func checkValue[T any](t *testing.T, text string, want T) {
@@ -90,7 +90,7 @@
 		if r.Body(body, Fields{"y": &y}, Blocks{"b": decodeBlock}) {
 			t.Fatal("decoded without a fault")
 		}
-		if err := Faults(r.Diags); err == nil || err.Error() != want {
+		if err := Faults(r.Diags).Err(); err == nil || err.Error() != want {
 			t.Fatalf("got\n%v\nwant\n%s", err, want)
 		}
 	}
--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -32,8 +32,7 @@
 	MaxBackoff     time.Duration
 }
 
-// LoadConfig reads a fleet's file. Its error has one line for each fault, with file, line and
-// column. Relative paths in the file are relative to its folder.
+// LoadConfig reads a fleet's file. The error for an invalid one is an hcldecode.FaultList. Relative paths in the file are relative to its folder.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -51,7 +50,7 @@
 	}
 	r := &hcldecode.Reader{Places: map[any]hcl.Range{}}
 	r.Body(body, nil, hcldecode.Blocks{"fleet": func(b *hcl.Block) { c.decode(r, b) }})
-	if err := hcldecode.Faults(r.Diags); err != nil {
+	if err := hcldecode.Faults(r.Diags).Err(); err != nil {
 		return nil, err
 	}
 	if c.Instances == 0 {
