--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -17,12 +17,12 @@
 	at := d.Places[&d.Admin]
 	d.checkListenAddress(at, "listen", d.Admin)
 	if !isLocal(d.Admin) {
-		d.Fault(at, "listen: %s is not on loopback, and the admin listener asks nobody who they are", d.Admin)
+		d.Fault(at, "listen: %s is not a loopback address, and the admin interface has no authentication", d.Admin)
 	}
 }
 
-// isLocal reports whether an address is a unix socket or on loopback. It is true for text that is
-// no address at all.
+// isLocal reports whether an address is a unix socket or on loopback. It is true for text that
+// is not an address.
 func isLocal(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	return err != nil || strings.HasPrefix(address, "unix:") || host == "localhost" || net.ParseIP(host).IsLoopback()
@@ -34,10 +34,10 @@
 		return
 	}
 	if f.Instances < 1 || f.Index >= f.Instances {
-		d.Fault(b.DefRange, "fleet: index %d is not among %d instances", f.Index, f.Instances)
+		d.Fault(b.DefRange, "fleet: index %d is out of range for %d instances", f.Index, f.Instances)
 	}
 	if _, hasIndex := d.Places[&f.Index]; hasIndex && f.Name != "" {
-		d.Fault(d.Places[&f.Name], "name: the index stands already; the name is for instances that know none")
+		d.Fault(d.Places[&f.Name], "name: cannot be combined with index; it identifies instances that have none")
 	}
 }
 
@@ -48,14 +48,14 @@
 		return
 	}
 	if s.Path == "" {
-		d.Fault(d.Places[&s.Path], "path: a file is wanted")
+		d.Fault(d.Places[&s.Path], "path: must not be empty")
 	}
 	if s.Interval < minSnapshotInterval {
-		d.Fault(d.Places[&s.Interval], "every: %v writes the disk more often than anything changes; %v is the least",
+		d.Fault(d.Places[&s.Interval], "every: %v is below the minimum of %v: the learned state does not change faster",
 			s.Interval, minSnapshotInterval)
 	}
 	if s.MaxAge < s.Interval {
-		d.Fault(b.DefRange, "state: what is written every %v is never fresh for %v", s.Interval, s.MaxAge)
+		d.Fault(b.DefRange, "state: fresh_for is %v, shorter than the time between two snapshots, %v", s.MaxAge, s.Interval)
 	}
 }
 
@@ -72,16 +72,16 @@
 	}
 	l.Memory = int64(memory)
 	if l.Memory < minMemory {
-		d.Fault(d.Places[&memory], "memory: the process needs %dMiB at least", minMemory>>20)
+		d.Fault(d.Places[&memory], "memory: the process needs at least %dMiB", minMemory>>20)
 	}
 	if l.MaxConns < minMaxConns {
-		d.Fault(d.Places[&l.MaxConns], "connections: the process needs %d at least", minMaxConns)
+		d.Fault(d.Places[&l.MaxConns], "connections: the process needs at least %d", minMaxConns)
 	}
 	if need := baseMemory + int64(l.MaxConns)*memoryPerConn; need > l.Memory && l.Memory >= minMemory {
-		d.Fault(b.DefRange, "limits: %d connections need %dMiB, and memory is %dMiB", l.MaxConns, need>>20, l.Memory>>20)
+		d.Fault(b.DefRange, "limits: %d connections need %dMiB, but memory is %dMiB", l.MaxConns, need>>20, l.Memory>>20)
 	}
 	if l.StopTimeout < minStopTimeout {
-		d.Fault(d.Places[&l.StopTimeout], "stop_within: %v leaves callers no time to hear of it; %v is the least",
+		d.Fault(d.Places[&l.StopTimeout], "stop_within: %v leaves no time to notify clients; the minimum is %v",
 			l.StopTimeout, minStopTimeout)
 	}
 }
@@ -132,9 +132,9 @@
 	at, hasWindow := d.Places[&c.KeyWindow]
 	switch {
 	case idempotency == nameKeyed && c.KeyWindow == 0:
-		d.Fault(b.DefRange, "class %q: keyed, and no window says for how long repeats are dropped", c.Name)
+		d.Fault(b.DefRange, "class %q: a keyed class needs a window, for which endpoints drop repeats of a key", c.Name)
 	case idempotency != nameKeyed && hasWindow:
-		d.Fault(at, "window: class %q is %s; repeats are dropped of keyed classes only", c.Name, idempotency)
+		d.Fault(at, "window: class %q is %s; endpoints drop repeats of keyed classes only", c.Name, idempotency)
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"slices"
@@ -12,6 +13,7 @@
 	"pgregory.net/rapid"
 
 	"rowancart/balancer"
+	"rowancart/internal/hcldecode"
 	"rowancart/internal/ratelimit"
 )
 
@@ -70,6 +72,7 @@
 }
 `
 
+// lookupNothing is an environment without variables.
 func lookupNothing(string) (string, bool) { return "", false }
 
 func TestParse(t *testing.T) {
@@ -113,7 +116,7 @@
 	}
 	if looks.Origins["attempts"] != `x.hcl:19:3, policy "quick"` ||
 		pays.Origins["queue"] != `x.hcl:44:5, route "pays"` || pays.Origins["attempts"] != "default" {
-		t.Errorf("set at %v and %v", looks.Origins, pays.Origins)
+		t.Errorf("origins: %v and %v", looks.Origins, pays.Origins)
 	}
 	if len(c.Warnings) != 0 {
 		t.Errorf("warnings: %v", c.Warnings)
@@ -147,9 +150,9 @@
 		t.Fatal(err)
 	}
 	want := []string{
-		`x.hcl:59:1: class "other": nobody uses it`,
-		`x.hcl:62:1: policy "lazy": nobody uses it`,
-		`x.hcl:54:1: pool "spare": nobody uses it`,
+		`x.hcl:59:1: class "other": not used`,
+		`x.hcl:62:1: policy "lazy": not used`,
+		`x.hcl:54:1: pool "spare": not used`,
 	}
 	if !slices.Equal(c.Warnings, want) {
 		t.Errorf("warnings %q", c.Warnings)
@@ -170,9 +173,11 @@
 		t.Fatal("none found")
 	}
 	for _, name := range files {
-		if c, err := Load(name, lookupNothing); err != nil || len(c.Warnings) > 0 {
-			t.Errorf("%s: %v, %+v", name, err, c)
-		}
+		t.Run(filepath.Base(name), func(t *testing.T) {
+			if c, err := Load(name, lookupNothing); err != nil || len(c.Warnings) > 0 {
+				t.Errorf("%v, %+v", err, c)
+			}
+		})
 	}
 }
 
@@ -192,12 +197,13 @@
 		t.Errorf("%q", got)
 	}
 	if got := old.Compare(old); len(got) != 0 {
-		t.Errorf("of itself: %q", got)
+		t.Errorf("compared with itself: %q", got)
 	}
 }
 
-// The policies of a valid file keep the rules, whatever its attributes are.
-func TestValidPoliciesKeepTheRules(t *testing.T) {
+// No policy of a valid file lets a request that is not idempotent run twice, or has timeouts that
+// contradict each other.
+func TestValidPoliciesAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := []string{"", "100ms", "1s", "2s", "5s", "20s"}
 		var policy strings.Builder
@@ -226,16 +232,16 @@
 		hedged := p.HedgeAfter > 0 || p.HedgePercentile > 0
 		if class.Idempotency == balancer.NonIdempotent && p.Retry != RetryIfNotRun ||
 			class.Idempotency != balancer.Idempotent && hedged {
-			t.Fatalf("could run twice: %+v", c.Routes[1])
+			t.Fatalf("a request could run twice: %+v", c.Routes[1])
 		}
 		allAttempts := time.Duration(p.MaxAttempts) * p.AttemptTimeout
 		if p.RequestTimeout > p.ClientTimeout || allAttempts > p.RequestTimeout || p.HedgeAfter >= p.RequestTimeout {
-			t.Fatalf("does not add up: %+v", p)
+			t.Fatalf("timeouts contradict each other: %+v", p)
 		}
 	})
 }
 
-// For any text Parse returns either a configuration or an error, each line of which names a place.
+// For any text Parse returns either a configuration or a FaultList whose faults all have a place.
 func FuzzParse(f *testing.F) {
 	f.Add(validConfig)
 	if text, err := os.ReadFile("../../deploy/rowancart.hcl"); err == nil {
@@ -248,6 +254,9 @@
 			t.Fatalf("%v and %v", c, err)
 		}
 		if err != nil {
+			if !errors.As(err, new(hcldecode.FaultList)) {
+				t.Errorf("%T is not a FaultList", err)
+			}
 			for line := range strings.Lines(err.Error()) {
 				if !strings.HasPrefix(line, "x.hcl:") {
 					t.Errorf("no place: %q", line)
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -31,8 +31,8 @@
 	return c, nil
 }
 
-// decoder collects what a file says, and where. Each method that is named after a block decodes and
-// validates that block.
+// decoder collects the values of a file, and their places. Each method that is named after a block
+// decodes and validates that block.
 type decoder struct {
 	hcldecode.Reader
 	Config
@@ -43,7 +43,7 @@
 	addresses     map[string]hcl.Range    // at which the process listens
 }
 
-// reference is the name of a block in another block, and where it stands.
+// reference is the name of a block in another block, and its place.
 type reference struct {
 	name string
 	at   hcl.Range
@@ -160,7 +160,7 @@
 func (d *decoder) define(b *hcl.Block, label string) bool {
 	key := blockKey(b.Type, label)
 	if first, ok := d.defined[key]; ok {
-		d.Fault(b.DefRange, "%s: there is one already, at %s", key, hcldecode.PlaceOf(first))
+		d.Fault(b.DefRange, "%s: already defined at %s", key, hcldecode.PlaceOf(first))
 		return false
 	}
 	d.defined[key] = b.DefRange
@@ -172,7 +172,7 @@
 func (d *decoder) resolve(at hcl.Range, kind, label string) bool {
 	key := fmt.Sprintf("%s %q", kind, label)
 	if _, ok := d.defined[key]; !ok {
-		d.Fault(at, "there is no %s", key)
+		d.Fault(at, "%s is not defined", key)
 		return false
 	}
 	d.used[key] = true
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -164,26 +164,26 @@
 func (d *decoder) hedging(b *hcl.Block, p *policyBlock) {
 	ok := d.Body(b.Body, hcldecode.Fields{"after": &p.HedgeAfter, "percentile": &p.HedgePercentile}, nil)
 	if ok && p.HedgeAfter == 0 && p.HedgePercentile == 0 {
-		d.Fault(b.DefRange, "second_copy: it says neither after what time nor after what percentile")
+		d.Fault(b.DefRange, "second_copy: must set after or percentile")
 	}
 	p.places["second_copy"] = b.DefRange
 }
 
-// checkPolicyBlock validates what can be judged without the route that a policy is for.
+// checkPolicyBlock validates the attributes that do not depend on the route of a policy.
 func (d *decoder) checkPolicyBlock(p *policyBlock) {
-	const noTime, noRate = "0s is no time to answer in", "at 0 a second nobody is served"
+	const aboveZeroSeconds, aboveZeroRate, atLeastOne = "must be above 0s", "must be above 0/s", "must be at least 1"
 	for _, required := range []struct {
 		name     string
 		positive bool
 		reason   string
 	}{
-		{"client_waits", p.ClientTimeout > 0, noTime},
-		{"request_timeout", p.RequestTimeout > 0, noTime},
-		{"attempt_timeout", p.AttemptTimeout > 0, noTime},
-		{"attempts", p.MaxAttempts > 0, "0 attempts serve nobody"},
-		{"rate", p.rate > 0, noRate},
-		{"concurrency", p.Concurrency > 0, "0 at once serve nobody"},
-		{"tenant_rate", p.tenantRate > 0, noRate},
+		{"client_waits", p.ClientTimeout > 0, aboveZeroSeconds},
+		{"request_timeout", p.RequestTimeout > 0, aboveZeroSeconds},
+		{"attempt_timeout", p.AttemptTimeout > 0, aboveZeroSeconds},
+		{"attempts", p.MaxAttempts > 0, atLeastOne},
+		{"rate", p.rate > 0, aboveZeroRate},
+		{"concurrency", p.Concurrency > 0, atLeastOne},
+		{"tenant_rate", p.tenantRate > 0, aboveZeroRate},
 	} {
 		if at, ok := p.places[required.name]; ok && !required.positive {
 			d.Fault(at, "%s: %s", required.name, required.reason)
@@ -195,12 +195,13 @@
 	}
 	at, ok := d.Places[&p.HedgePercentile]
 	if ok && (p.HedgePercentile < minHedgePercentile || p.HedgePercentile >= maxHedgePercentile) {
-		d.Fault(at, "percentile: %g is not from %d to under %d", p.HedgePercentile, minHedgePercentile, maxHedgePercentile)
+		d.Fault(at, "percentile: %g is not at least %d and below %d",
+			p.HedgePercentile, minHedgePercentile, maxHedgePercentile)
 	}
 }
 
 // mergePolicy sets a route's policy: each attribute comes from the first of the layers that sets
-// it, or else is the default.
+// it, and is the default if none does.
 func (d *decoder) mergePolicy(r *Route, layers []*policyBlock, at hcl.Range) {
 	if slices.ContainsFunc(layers, func(layer *policyBlock) bool { return !layer.valid }) {
 		return
@@ -240,7 +241,7 @@
 // originDefault is the origin of an attribute that no block sets.
 const originDefault = "default"
 
-// newRate returns a rate whose burst, where none is set, is what comes in a second.
+// newRate returns a rate. If no burst is set, it is the number of requests in a second.
 func newRate(perSecond hcldecode.Rate, burst int) ratelimit.Rate {
 	if perSecond > 0 && burst == 0 {
 		burst = max(int(math.Ceil(float64(perSecond))), 1)
@@ -251,6 +252,6 @@
 // checkBurst adds a fault for a burst without a rate.
 func (d *decoder) checkBurst(r *Route, name string, rate hcldecode.Rate, places map[string]hcl.Range) {
 	if r.Origins[name] != originDefault && rate == 0 {
-		d.Fault(places[name], "%s: route %q has no rate that it could belong to", name, r.Name)
+		d.Fault(places[name], "%s: route %q has no rate to which it applies", name, r.Name)
 	}
 }
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -29,7 +29,7 @@
 		"retry_budget": func(b *hcl.Block) { d.RetryBudget(b, &p.RetryBudget) },
 		"roster kind": func(b *hcl.Block) {
 			if sources++; sources > 1 {
-				d.Fault(b.DefRange, "roster: pool %q has one already", p.Name)
+				d.Fault(b.DefRange, "roster: pool %q already has one", p.Name)
 			}
 			d.endpointSource(b, &p.Source)
 		},
@@ -38,10 +38,10 @@
 		d.Fault(b.DefRange, "pool %q has no roster", p.Name)
 	}
 	if at, hasSubset := d.Places[&p.Subset]; ok && hasSubset && p.Subset < minSubset {
-		d.Fault(at, "subset: %d leaves too little to choose from; %d is the least", p.Subset, minSubset)
+		d.Fault(at, "subset: %d endpoints are too few to choose from; the minimum is %d", p.Subset, minSubset)
 	}
 	if ok && p.MaxConns < minPoolConns {
-		d.Fault(d.Places[&p.MaxConns], "connections: a pool needs %d at least", minPoolConns)
+		d.Fault(d.Places[&p.MaxConns], "connections: a pool needs at least %d", minPoolConns)
 	}
 	d.Pools = append(d.Pools, p)
 }
@@ -50,8 +50,8 @@
 	capacity := hcldecode.Share(p.SlowStartCapacity)
 	d.Body(b.Body, hcldecode.Fields{"from": &capacity, "within": &p.SlowStartWindow, "share": &p.SlowStartShare}, nil)
 	if p.SlowStartShare <= 0 || p.SlowStartShare > maxSlowStartShare {
-		d.Fault(b.DefRange, "warm_up: share %g is not over 0 and up to %d: "+
-			"it is how much of its warmth's part a fresh server gets", p.SlowStartShare, maxSlowStartShare)
+		d.Fault(b.DefRange, "warm_up: share %g is not above 0 and at most %d: "+
+			"it scales the share of the traffic of an endpoint that warms up", p.SlowStartShare, maxSlowStartShare)
 	}
 	p.SlowStartCapacity = float64(capacity)
 }
@@ -70,16 +70,16 @@
 			}
 		}
 	default:
-		d.Fault(b.DefRange, "roster: %q is none of static, file, platform", kind)
+		d.Fault(b.DefRange, "roster: %q is not one of static, file, platform", kind)
 	}
 }
 
 // staticEndpoints decodes a list of endpoints. Ids and addresses must be unique in it.
 func (d *decoder) staticEndpoints(b *hcl.Block, source *EndpointSource) {
 	ids, addresses := map[string]hcl.Range{}, map[string]hcl.Range{}
-	checkUnique := func(seen map[string]hcl.Range, what, value string, at hcl.Range) {
+	checkUnique := func(seen map[string]hcl.Range, attribute, value string, at hcl.Range) {
 		if first, ok := seen[value]; ok {
-			d.Fault(at, "%s: %q is in use already, at %s", what, value, hcldecode.PlaceOf(first))
+			d.Fault(at, "%s: %q is already in use at %s", attribute, value, hcldecode.PlaceOf(first))
 		}
 		seen[value] = at
 	}
@@ -92,7 +92,8 @@
 				d.Fault(at, "address: %v", err)
 			}
 			if first, ok := d.addresses[e.Address]; ok {
-				d.Fault(at, "address: %s is where this process listens, at %s", e.Address, hcldecode.PlaceOf(first))
+				d.Fault(at, "address: %s is an address at which this process listens, set at %s",
+					e.Address, hcldecode.PlaceOf(first))
 			}
 			checkUnique(ids, "endpoint", e.ID, b.DefRange)
 			checkUnique(addresses, "address", e.Address, at)
@@ -100,6 +101,6 @@
 		source.Static = append(source.Static, e)
 	}})
 	if len(source.Static) == 0 {
-		d.Fault(b.DefRange, "roster: static, and no endpoint is listed")
+		d.Fault(b.DefRange, "roster: a static list needs at least one endpoint")
 	}
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -40,7 +40,7 @@
 		"header name": func(b *hcl.Block) { d.header(b, m) },
 		"policy": func(b *hcl.Block) {
 			if ownPolicy != nil {
-				d.Fault(b.DefRange, "policy: route %q has one already", r.Name)
+				d.Fault(b.DefRange, "policy: route %q already has one", r.Name)
 			}
 			ownPolicy = d.policy(b, fmt.Sprintf("route %q", r.Name))
 		},
@@ -78,7 +78,7 @@
 	}
 	name := http.CanonicalHeaderKey(b.Labels[0])
 	if _, exists := m.Headers[name]; exists {
-		d.Fault(b.DefRange, "header: there are two called %q", name)
+		d.Fault(b.DefRange, "header: %q is defined twice", name)
 	}
 	m.Headers[name] = equals
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -18,7 +18,7 @@
 // checkHostPort returns an error for an address that is not host:port.
 func checkHostPort(address string) error {
 	if err := netaddr.Check(address); err != nil {
-		return fmt.Errorf("%q is no host:port: %w", address, err)
+		return fmt.Errorf("%q is not host:port: %w", address, err)
 	}
 	return nil
 }
@@ -27,7 +27,7 @@
 func (d *decoder) checkListenAddress(at hcl.Range, attribute, address string) {
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		if path == "" {
-			d.Fault(at, "%s: unix: without a path", attribute)
+			d.Fault(at, "%s: unix: needs a path", attribute)
 		}
 	} else if err := checkHostPort(address); err != nil {
 		d.Fault(at, "%s: %v", attribute, err)
@@ -37,47 +37,49 @@
 		return // any free port
 	}
 	if first, ok := d.addresses[address]; ok {
-		d.Fault(at, "%s: %s is in use already, at %s", attribute, address, hcldecode.PlaceOf(first))
+		d.Fault(at, "%s: %s is already in use at %s", attribute, address, hcldecode.PlaceOf(first))
 		return
 	}
 	d.addresses[address] = at
 }
 
-// checkPolicy validates a route's policy as a whole. At says where each attribute is set.
+// checkPolicy validates a route's policy as a whole. At holds the place of each attribute.
 func (d *decoder) checkPolicy(r *Route, at map[string]hcl.Range) {
-	d.checkRepeats(r, at)
+	d.checkRepeatedRuns(r, at)
 	d.checkTimeouts(r, at)
 	p := r.Policy
 	if p.TenantConcurrency > p.Concurrency && p.Concurrency > 0 {
-		d.Fault(at["tenant_concurrency"], "tenant_concurrency: %d is more than all tenants of route %q have together: %d",
+		d.Fault(at["tenant_concurrency"],
+			"tenant_concurrency: %d is above the limit of route %q for all tenants together: %d",
 			p.TenantConcurrency, r.Name, p.Concurrency)
 	}
 	if p.TenantRate.PerSecond > p.Rate.PerSecond && p.Rate.PerSecond > 0 {
-		d.Fault(at["tenant_rate"], "tenant_rate: %g/s is more than all tenants of route %q have together: %g/s",
+		d.Fault(at["tenant_rate"], "tenant_rate: %g/s is above the limit of route %q for all tenants together: %g/s",
 			p.TenantRate.PerSecond, r.Name, p.Rate.PerSecond)
 	}
 }
 
-// checkRepeats rejects retries and hedged requests by which a request could have its effect twice.
-func (d *decoder) checkRepeats(r *Route, at map[string]hcl.Range) {
+// checkRepeatedRuns rejects retries and hedged requests by which a request that is not idempotent
+// could run twice.
+func (d *decoder) checkRepeatedRuns(r *Route, at map[string]hcl.Range) {
 	p, c := r.Policy, r.Class
 	if c.Idempotency == balancer.NonIdempotent && p.Retry == RetryAfterRun {
-		d.Fault(at["retry"], "retry: route %q is of class %q, which is unsafe: after a run, another could run it twice",
-			r.Name, c.Name)
+		d.Fault(at["retry"], "retry: route %q is of class %q, which is %s: a retry after a run could run the request twice",
+			r.Name, c.Name, nameNonIdempotent)
 	}
 	if p.HedgeAfter == 0 && p.HedgePercentile == 0 {
 		return
 	}
 	if c.Idempotency != balancer.Idempotent {
-		d.Fault(at["second_copy"], "second_copy: route %q is of class %q, which is %s: both copies could run",
+		d.Fault(at["second_copy"], "second_copy: route %q is of class %q, which is %s: a hedged request could run twice",
 			r.Name, c.Name, idempotencyName(c.Idempotency))
 	}
 	if p.MaxAttempts < 2 {
-		d.Fault(at["second_copy"], "second_copy: it is a second attempt, and route %q has 1", r.Name)
+		d.Fault(at["second_copy"], "second_copy: it needs a second attempt, and route %q allows 1", r.Name)
 	}
 }
 
-// checkTimeouts rejects timeouts that cannot be reached.
+// checkTimeouts rejects timeouts that can never expire.
 func (d *decoder) checkTimeouts(r *Route, at map[string]hcl.Range) {
 	p := r.Policy
 	if p.RequestTimeout > p.ClientTimeout {
@@ -88,13 +90,16 @@
 	allAttempts := time.Duration(p.MaxAttempts) * p.AttemptTimeout
 	switch {
 	case p.AttemptTimeout > total:
-		d.Fault(at["attempt_timeout"], "attempt_timeout: %v is longer than a request of route %q has: %v",
+		d.Fault(at["attempt_timeout"],
+			"attempt_timeout: %v is longer than a request of route %q may take: %v",
 			p.AttemptTimeout, r.Name, total)
 	case p.AttemptTimeout > 0 && allAttempts > total:
-		d.Fault(at["attempt_timeout"], "attempt_timeout: %d attempts of %v add up to %v, and a request of route %q has %v",
+		d.Fault(at["attempt_timeout"],
+			"attempt_timeout: %d attempts of %v add up to %v, but a request of route %q may take %v",
 			p.MaxAttempts, p.AttemptTimeout, allAttempts, r.Name, total)
 	case p.HedgeAfter > 0 && p.HedgeAfter >= cmp.Or(p.AttemptTimeout, total):
-		d.Fault(at["second_copy"], "second_copy: after %v the first attempt of route %q has ended", p.HedgeAfter, r.Name)
+		d.Fault(at["second_copy"],
+			"second_copy: after %v the first attempt of route %q has already ended", p.HedgeAfter, r.Name)
 	}
 }
 
@@ -106,7 +111,7 @@
 		for _, other := range byPattern[pattern] {
 			if shareListener(r, other) && r.Match.Overlaps(other.Match) {
 				d.Fault(d.defined[blockKey("route", r.Name)],
-					"route %q overlaps route %q, at %s: some requests fit both, and neither is more specific",
+					"route %q overlaps route %q, at %s: some requests match both, and neither is more specific",
 					r.Name, other.Name, hcldecode.PlaceOf(d.defined[blockKey("route", other.Name)]))
 			}
 		}
@@ -125,13 +130,13 @@
 	for _, key := range slices.Sorted(maps.Keys(d.defined)) {
 		kind, _, _ := strings.Cut(key, " ")
 		if !d.used[key] && (kind == "pool" || kind == "class" || kind == "policy") {
-			d.warn(key, "nobody uses it")
+			d.warn(key, "not used")
 		}
 	}
 	for _, l := range d.Listeners {
 		served := func(r Route) bool { return len(r.Listeners) == 0 || slices.Contains(r.Listeners, l.Name) }
 		if !slices.ContainsFunc(d.Routes, served) {
-			d.warn(fmt.Sprintf("listener %q", l.Name), "no route is served there")
+			d.warn(fmt.Sprintf("listener %q", l.Name), "not used by any route")
 		}
 	}
 }
--- a/internal/experiment/hclfile/decode.go
+++ b/internal/experiment/hclfile/decode.go
@@ -15,16 +15,16 @@
 type decoder struct {
 	hcldecode.Reader
 	experiment *experiment.Experiment
-	seen       map[string]hcl.Range // top-level blocks that may stand only once
+	seen       map[string]hcl.Range // by type: top-level blocks that a file has once
 	expect     []expectation
 }
 
-// once returns a reader of a block that may stand only once. The reader reports a second one by
-// what seen has.
+// once returns a function that reads a block, and reports a second block of the same type as a
+// fault. Seen holds the places of the blocks that were read.
 func (d *decoder) once(seen map[string]hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
 	return func(b *hcl.Block) {
 		if first, ok := seen[b.Type]; ok {
-			d.Fault(b.DefRange, "%s: there is one already, at %s", b.Type, hcldecode.PlaceOf(first))
+			d.Fault(b.DefRange, "%s: already defined at %s", b.Type, hcldecode.PlaceOf(first))
 			return
 		}
 		seen[b.Type] = b.DefRange
@@ -70,19 +70,19 @@
 	return p, hcldecode.Faults(d.Diags).Err()
 }
 
-// checkFaultKinds reports faults that an experiment in virtual time cannot have.
+// checkFaultKinds reports kinds of faults that cannot run in virtual time.
 func (d *decoder) checkFaultKinds() {
 	if !d.experiment.Virtual {
 		return
 	}
 	for _, f := range d.experiment.Faults {
 		if virtual, known := experiment.FaultKinds[f.Kind]; known && !virtual {
-			d.Fault(d.seen["experiment"], "experiment: the fault %s needs sockets, and this says virtual", f.Kind)
+			d.Fault(d.seen["experiment"], "experiment: fault %s cannot run in virtual time", f.Kind)
 		}
 	}
 }
 
-// defaultExperiment returns what holds where a file says nothing else.
+// defaultExperiment returns the values of attributes that a file does not set.
 func defaultExperiment(fileName string) experiment.Experiment {
 	return experiment.Experiment{
 		Name:  strings.TrimSuffix(fileName, ".hcl"),
@@ -105,8 +105,8 @@
 	}
 }
 
-// printableValues returns the values of variables for reports, without those that are neither text
-// nor numbers.
+// printableValues returns the values of variables for reports, without those that are neither
+// strings nor numbers.
 func printableValues(vars map[string]cty.Value) map[string]string {
 	out := map[string]string{}
 	for name, v := range vars {
@@ -128,8 +128,8 @@
 	ok := d.Body(b.Body, hcldecode.Fields{"question!": &e.Question, "duration!": &e.Duration, "warmup": &e.Warmup,
 		"seeds": &seeds, "repeats": &repeats, "virtual": &e.Virtual}, nil)
 	switch {
-	case repeats < 0 || repeats > 0 && len(seeds) > 0:
-		d.Fault(b.DefRange, "experiment: either seeds or repeats, a number of seeds from 1 on")
+	case repeats > 0 && len(seeds) > 0:
+		d.Fault(b.DefRange, "experiment: seeds and repeats cannot be combined")
 	case len(seeds) > 0:
 		e.Seeds = seeds
 	case repeats > 0:
--- a/internal/experiment/hclfile/expectations.go
+++ b/internal/experiment/hclfile/expectations.go
@@ -33,10 +33,10 @@
 func (d *decoder) checkExpectations() {
 	for _, x := range d.expect {
 		if x.Variant != "" && !d.hasVariant(x.Variant) {
-			d.Fault(x.position, "expect: there is no arm %q", x.Variant)
+			d.Fault(x.position, "expect: arm %q is not defined", x.Variant)
 		}
 		if (x.Expectation == experiment.Expectation{Variant: x.Variant, Position: x.Position}) {
-			d.Fault(x.position, "expect: it asks for nothing")
+			d.Fault(x.position, "expect: must set at least one requirement")
 		}
 		d.experiment.Expect = append(d.experiment.Expect, x.Expectation)
 	}
--- a/internal/experiment/hclfile/hclfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -99,7 +99,7 @@
 		}
 	}
 	if _, ok := vars.values[vars.sweep]; vars.sweep != "" && !ok {
-		r.Fault(vars.sweepAt, "sweep: there is no variable %q in vars", vars.sweep)
+		r.Fault(vars.sweepAt, "sweep: variable %q is not defined in vars", vars.sweep)
 	}
 	for _, k := range slices.Sorted(maps.Keys(set)) {
 		if _, ok := vars.values[k]; !ok {
@@ -123,10 +123,11 @@
 
 func (vars *variables) readSweep(r *hcldecode.Reader, b *hcl.Block) {
 	if vars.sweep != "" {
-		r.Fault(b.DefRange, "sweep: one is enough: %s is swept already", vars.sweep)
+		r.Fault(b.DefRange, "sweep: variable %s is already swept", vars.sweep)
 		return
 	}
-	vars.sweep, vars.sweepAt = b.Labels[0], b.DefRange
+	vars.sweep = b.Labels[0]
+	vars.sweepAt = b.DefRange
 	r.Body(b.Body, hcldecode.Fields{"values!": &vars.sweepValues}, nil)
 }
 
--- a/internal/experiment/hclfile/hclfile_test.go
+++ b/internal/experiment/hclfile/hclfile_test.go
@@ -1,14 +1,15 @@
 package hclfile
 
 import (
+	"fmt"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 )
 
-// good is a file without a fault.
-const good = `experiment "x" {
+// validFile is a file without a fault.
+const validFile = `experiment "x" {
   question = "?"
   duration = "10s"
 }
@@ -27,7 +28,7 @@
 }
 `
 
-func TestShippedFilesAreGood(t *testing.T) {
+func TestShippedFilesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../experiments/*.hcl")
 	if err != nil || len(paths) < 8 {
 		t.Fatalf("%d experiments: %v", len(paths), err)
@@ -44,102 +45,110 @@
 	}
 }
 
-// replaced returns the text of the good file with a part replaced.
-func replaced(old, with string) string { return strings.Replace(good, old, with, 1) }
+// replaceInValid returns the valid file with a part replaced.
+func replaceInValid(old, new string) string {
+	if !strings.Contains(validFile, old) {
+		panic(fmt.Sprintf("the valid file has no %q", old))
+	}
+	return strings.Replace(validFile, old, new, 1)
+}
 
-// badFiles are files with faults, and the error that names all of them with their places.
-var badFiles = []struct{ name, text, want string }{
-	{"no unit of time", replaced(`"10ms"`, `10`), `x.hcl:7:16: work: a time with its unit, such as "250ms" is wanted`},
+// faultCases are invalid files, and the whole error for each.
+var faultCases = []struct{ name, text, want string }{
+	{"duration without a unit", replaceInValid(`"10ms"`, `10`),
+		`x.hcl:7:16: work: must be a duration with its unit, such as "250ms"`},
 	{
-		"not a time",
-		replaced(`"10ms"`, `"10 parsecs"`),
-		`x.hcl:7:16: work: "10 parsecs" is no time; write such as "250ms" or "2.5s"`,
+		"not a duration",
+		replaceInValid(`"10ms"`, `"10 parsecs"`),
+		`x.hcl:7:16: work: "10 parsecs" is not a duration; examples: "250ms", "2.5s"`,
 	},
-	{"no unit of rate", replaced(`"5/s"`, `5`), `x.hcl:16:10: rate: a rate with its unit, such as "50/s" is wanted`},
+	{"rate without a unit", replaceInValid(`"5/s"`, `5`),
+		`x.hcl:16:10: rate: must be a rate with its unit, such as "50/s"`},
 	{
-		"unknown unit of rate",
-		replaced(`"5/s"`, `"5/day"`),
-		`x.hcl:16:10: rate: "5/day" is no rate; write such as "50/s" or "3000/min"`,
+		"rate with an unknown unit",
+		replaceInValid(`"5/s"`, `"5/day"`),
+		`x.hcl:16:10: rate: "5/day" is not a rate; examples: "50/s", "3000/min"`,
 	},
 	{
 		"aim after deadline",
-		replaced(`aim      = "1s"`, `aim      = "3s"`),
-		`x.hcl:6:3: class lookup: the aim of 3s is later than the deadline of 2s`,
+		replaceInValid(`aim      = "1s"`, `aim      = "3s"`),
+		`x.hcl:6:3: class lookup: aim 3s is longer than deadline 2s`,
 	},
 	{
-		"two faults in one go",
-		replaced(`"10ms"`, `10`) + "fault \"flood\" {\n  at = \"1s\"\n}\n",
-		"x.hcl:7:16: work: a time with its unit, such as \"250ms\" is wanted\n" +
-			`x.hcl:18:7: fault: "flood" is none of break_after, break_answer, break_before, crash, deploy, ` +
+		"several faults",
+		replaceInValid(`"10ms"`, `10`) + "fault \"flood\" {\n  at = \"1s\"\n}\n",
+		"x.hcl:7:16: work: must be a duration with its unit, such as \"250ms\"\n" +
+			`x.hcl:18:7: fault: "flood" is not one of break_after, break_answer, break_before, crash, deploy, ` +
 			`fast_errors, garble_answer, half_peer, huge_peer, kill_sidecar, neighbour, roster_late, ` +
 			`roster_move, roster_silent, shared_slow, silent_peer, slow_answer, stall_accept, ` +
 			`term_sidecar, vanish`,
 	},
 	{
 		"missing attribute",
-		replaced(`    boxes = 2`, ``),
+		replaceInValid(`    boxes = 2`, ``),
 		`x.hcl:11:16: Missing required argument: The argument "boxes" is required, but no definition was found.`,
 	},
 	{
 		"unknown attribute",
-		replaced(`boxes = 2`, "boxes = 2\n    colour = 1"),
+		replaceInValid(`boxes = 2`, "boxes = 2\n    colour = 1"),
 		`x.hcl:13:5: Unsupported argument: An argument named "colour" is not expected here.`,
 	},
 	{
 		"syntax",
-		replaced(`rate = "5/s"`, `rate = `),
+		replaceInValid(`rate = "5/s"`, `rate = `),
 		`x.hcl:16:10: Invalid expression: Expected the start of an expression, but found an invalid expression token.`,
 	},
 	{
 		"unknown tier",
-		good + "fault \"crash\" {\n  at   = \"1s\"\n  tier = \"back\"\n}\n",
-		`x.hcl:18:1: fault: there is no tier "back" above it in the file`,
+		validFile + "fault \"crash\" {\n  at   = \"1s\"\n  tier = \"back\"\n}\n",
+		`x.hcl:18:1: fault: tier "back" is not defined before it`,
 	},
 	{
-		"share over 1",
-		good + "fault \"crash\" {\n  at   = \"1s\"\n  part = 2\n}\n",
-		`x.hcl:20:10: part: 2 is no share: it is not from 0 to 1`,
+		"fraction above 1",
+		validFile + "fault \"crash\" {\n  at   = \"1s\"\n  part = 2\n}\n",
+		`x.hcl:20:10: part: 2 is not between 0 and 1`,
 	},
-	{"same arm twice", good + "arm \"a\" {}\narm \"a\" {}\n", `x.hcl:19:1: arm: there are two called "a"`},
+	{"duplicate arm", validFile + "arm \"a\" {}\narm \"a\" {}\n", `x.hcl:19:1: arm: "a" is defined twice`},
 	{
-		"policy for no class",
-		good + "arm \"a\" {\n  class \"nobody\" {}\n}\n",
-		`x.hcl:19:3: class: the site has none called "nobody"; it must stand before the arms`,
+		"policy for an unknown class",
+		validFile + "arm \"a\" {\n  class \"nobody\" {}\n}\n",
+		`x.hcl:19:3: class: "nobody" is not defined in a site before the arms`,
 	},
 	{
 		"unknown policy",
-		good + "arm \"a\" {\n  policy = \"best\"\n}\n",
-		`x.hcl:18:1: policy: "best" is none of tuliprock, reverse_proxy, random, round_robin, least_outstanding,` +
+		validFile + "arm \"a\" {\n  policy = \"best\"\n}\n",
+		`x.hcl:18:1: policy: "best" is not one of tuliprock, reverse_proxy, random, round_robin, least_outstanding,` +
 			` two_choices, peak_ewma`,
 	},
 	{
-		"expectation of nobody",
-		good + "expect {\n  arm        = \"b\"\n  rules_kept = true\n}\n",
-		`x.hcl:18:1: expect: there is no arm "b"`,
+		"expectation of an unknown arm",
+		validFile + "expect {\n  arm        = \"b\"\n  rules_kept = true\n}\n",
+		`x.hcl:18:1: expect: arm "b" is not defined`,
 	},
-	{"expectation of nothing", good + "expect {}\n", `x.hcl:18:1: expect: it asks for nothing`},
+	{"expectation without a requirement", validFile + "expect {}\n",
+		`x.hcl:18:1: expect: must set at least one requirement`},
 	{
-		"no site",
+		"missing blocks",
 		"experiment \"x\" {\n  question = \"?\"\n  duration = \"1s\"\n}\n",
 		"x.hcl:1:1: the file has no block \"site\"\nx.hcl:1:1: the file has no block \"load\"",
 	},
-	{"two sites", good + "site {}\n", `x.hcl:18:1: site: there is one already, at x.hcl:5:1`},
+	{"duplicate site", validFile + "site {}\n", `x.hcl:18:1: site: already defined at x.hcl:5:1`},
 	{
-		"sweep of nothing",
-		good + "sweep \"n\" {\n  values = [1]\n}\n",
-		`x.hcl:18:1: sweep: there is no variable "n" in vars`,
+		"sweep of an unknown variable",
+		validFile + "sweep \"n\" {\n  values = [1]\n}\n",
+		`x.hcl:18:1: sweep: variable "n" is not defined in vars`,
 	},
 	{
-		"sockets only",
-		strings.Replace(good, `"10s"`, "\"10s\"\n  virtual  = true", 1) +
+		"fault that needs sockets in virtual time",
+		strings.Replace(validFile, `"10s"`, "\"10s\"\n  virtual  = true", 1) +
 			"fault \"half_peer\" {\n  at = \"1s\"\n}\n",
-		`x.hcl:1:1: experiment: the fault half_peer needs sockets, and this says virtual`,
+		`x.hcl:1:1: experiment: fault half_peer cannot run in virtual time`,
 	},
 }
 
-// TestBadFiles checks that each bad file produces its faults and nothing else.
-func TestBadFiles(t *testing.T) {
-	for _, c := range badFiles {
+// TestParseReportsEveryFault checks that each invalid file produces its faults and no others.
+func TestParseReportsEveryFault(t *testing.T) {
+	for _, c := range faultCases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse([]byte(c.text), "x.hcl", nil)
 			if err == nil {
@@ -154,7 +163,7 @@
 
 func TestVariablesAndSweeps(t *testing.T) {
 	text := strings.Replace(
-		good,
+		validFile,
 		`"5/s"`,
 		"var.rate",
 		1,
@@ -174,7 +183,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add(`experiment "x" { question = var.a }` + "\nvars { a = 1 }")
 	f.Fuzz(func(t *testing.T, text string) {
 		points, err := Parse([]byte(text), "x.hcl", nil)
--- a/internal/experiment/hclfile/include.go
+++ b/internal/experiment/hclfile/include.go
@@ -13,9 +13,8 @@
 )
 
 // includedBodies returns a body after the bodies that it includes, so that its own attributes come
-// last and replace theirs. Paths are relative to the file that includes them. Chain holds the files
-// that led here, beginning with the one that was asked for; a file that is included by itself is an
-// error.
+// last and replace theirs. Paths are relative to the file that includes them. Chain holds the paths
+// from the file that was loaded to the one with this body; a file that includes itself is an error.
 func includedBodies(body hcl.Body, chain []string) ([]hcl.Body, error) {
 	content, _, diags := body.PartialContent(&hcl.BodySchema{
 		Blocks: []hcl.BlockHeaderSchema{{Type: "include", LabelNames: []string{"path"}}}})
@@ -27,7 +26,7 @@
 	for _, b := range content.Blocks {
 		path := filepath.Join(filepath.Dir(current), b.Labels[0])
 		if slices.Contains(chain, path) {
-			return nil, fmt.Errorf("%s: include: %s leads back to itself: %s", hcldecode.PlaceOf(b.DefRange), b.Labels[0],
+			return nil, fmt.Errorf("%s: include: %s includes itself: %s", hcldecode.PlaceOf(b.DefRange), b.Labels[0],
 				strings.Join(append(baseNames(chain), filepath.Base(path)), " > "))
 		}
 		text, err := os.ReadFile(path)
--- a/internal/experiment/hclfile/include_test.go
+++ b/internal/experiment/hclfile/include_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
 )
 
@@ -28,60 +29,68 @@
 	for _, c := range []struct {
 		name  string
 		files map[string]string
-		want  string // the error; empty: it is a good file
+		want  string // the start of the error; empty: the file is valid
 		n     int    // balancers
 	}{
-		{"the including file's variables count", map[string]string{
+		{"variables of the including file replace others", map[string]string{
 			"x.hcl":       head + "vars {\n  n = 7\n}\ninclude \"sites/s.hcl\" {}\n",
 			"sites/s.hcl": "vars {\n  n = 3\n}\n" + siteAndLoad}, "", 7},
-		{"paths are relative to the file that names them", map[string]string{"x.hcl": head + "include \"sites/a.hcl\" {}\n",
+		{"paths are relative to the including file", map[string]string{"x.hcl": head + "include \"sites/a.hcl\" {}\n",
 			"sites/a.hcl": "include \"b.hcl\" {}\n", "sites/b.hcl": "vars {\n  n = 3\n}\n" + siteAndLoad}, "", 3},
 		{
-			"a fault is placed in its file",
+			"fault in an included file",
 			map[string]string{"x.hcl": head + "include \"s.hcl\" {}\n", "s.hcl": "vars {\n  n = 3\n}\n" + siteAndLoad +
 				"fault \"crush\" {\n  at = \"1s\"\n}\n",
 			},
-			`s.hcl:18:7: fault: "crush" is none of`, 0},
+			`s.hcl:18:7: fault: "crush" is not one of`, 0},
 		{
-			"a cycle",
+			"cycle",
 			map[string]string{"x.hcl": head +
 				"include \"a.hcl\" {}\n", "a.hcl": "\ninclude \"b.hcl\" {}\n", "b.hcl": "include \"a.hcl\" {}\n",
 			},
-			`b.hcl:1:1: include: a.hcl leads back to itself: x.hcl > a.hcl > b.hcl > a.hcl`, 0},
+			`b.hcl:1:1: include: a.hcl includes itself: x.hcl > a.hcl > b.hcl > a.hcl`, 0},
 		{
-			"a file that is not there",
+			"missing file",
 			map[string]string{"x.hcl": head + "include \"a.hcl\" {}\n"},
 			`x.hcl:5:1: include: open `,
 			0,
 		},
 		{
-			"two sites",
+			"duplicate site",
 			map[string]string{"x.hcl": head + "vars {\n  n = 7\n}\ninclude \"s.hcl\" {}\n" +
 				siteAndLoad, "s.hcl": siteAndLoad},
-			`x.hcl:9:1: site: there is one already, at s.hcl:1:1`,
+			`x.hcl:9:1: site: already defined at s.hcl:1:1`,
 			0,
 		},
 	} {
-		dir := t.TempDir()
-		for name, text := range c.files {
-			path := filepath.Join(dir, name)
-			if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
-				t.Fatal(err)
-			}
-			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-				t.Fatal(err)
+		t.Run(c.name, func(t *testing.T) {
+			points, err := Load(filepath.Join(writeFiles(t, c.files), "x.hcl"), nil)
+			switch {
+			case c.want != "":
+				if err == nil || !strings.HasPrefix(err.Error(), c.want) {
+					t.Errorf("got %v, want %s", err, c.want)
+				}
+			case err != nil:
+				t.Error(err)
+			case points[0].Site.Balancers != c.n:
+				t.Errorf("%d balancers, want %d", points[0].Site.Balancers, c.n)
 			}
+		})
+	}
+}
+
+// writeFiles writes files, by their paths, into a new folder and returns its path.
+func writeFiles(t *testing.T, files map[string]string) string {
+	t.Helper()
+	dir := t.TempDir()
+	for name, text := range files {
+		path := filepath.Join(dir, name)
+		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
+			t.Fatal(err)
 		}
-		points, err := Load(filepath.Join(dir, "x.hcl"), nil)
-		switch {
-		case c.want != "":
-			if err == nil || len(err.Error()) < len(c.want) || err.Error()[:len(c.want)] != c.want {
-				t.Errorf("%s: %v\nwanted: %s", c.name, err, c.want)
-			}
-		case err != nil:
-			t.Errorf("%s: %v", c.name, err)
-		case points[0].Site.Balancers != c.n:
-			t.Errorf("%s: %d balancers, %d are right", c.name, points[0].Site.Balancers, c.n)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
 		}
 	}
+	return dir
 }
--- a/internal/experiment/hclfile/load.go
+++ b/internal/experiment/hclfile/load.go
@@ -16,7 +16,8 @@
 	l := &d.experiment.Load
 	var rate hcldecode.Rate
 	var disconnect hcldecode.Share
-	minPatience, process := hcldecode.Share(1), string(l.Process)
+	minPatience := hcldecode.Share(1)
+	process := string(l.Process)
 	ok := d.Body(b.Body, hcldecode.Fields{"rate": &rate, "process": &process, "recorded": &l.Recorded}, hcldecode.Blocks{
 		"step": func(b *hcl.Block) {
 			s := experiment.Step{Factor: 1}
@@ -29,16 +30,18 @@
 				"retry_wait": &c.RetryWait, "heed": &c.HonorRetryAfter, "leave": &disconnect}, nil)
 		},
 	})
-	l.Rate, l.Process = float64(rate), experiment.ArrivalProcess(process)
-	l.Clients.MinPatience, l.Clients.DisconnectRate = float64(minPatience), float64(disconnect)
+	l.Rate = float64(rate)
+	l.Process = experiment.ArrivalProcess(process)
+	l.Clients.MinPatience = float64(minPatience)
+	l.Clients.DisconnectRate = float64(disconnect)
 	hcldecode.OneOf(&d.Reader, b.DefRange, "process", l.Process,
 		experiment.Poisson, experiment.Steady, experiment.Recorded)
 	switch {
 	case !ok:
 	case l.Process == experiment.Recorded && len(l.Recorded) == 0:
-		d.Fault(b.DefRange, "load: a recorded process wants a list in recorded")
+		d.Fault(b.DefRange, "load: the process recorded needs a list in recorded")
 	case l.Process != experiment.Recorded && l.Rate <= 0:
-		d.Fault(b.DefRange, "load: a rate above 0 is wanted")
+		d.Fault(b.DefRange, "load: rate must be above 0")
 	}
 }
 
@@ -47,30 +50,30 @@
 	f := experiment.Fault{Kind: experiment.FaultKind(b.Labels[0]), Size: 1, Count: 1, Period: time.Second}
 	if _, ok := experiment.FaultKinds[f.Kind]; !ok {
 		kinds := slices.Sorted(maps.Keys(experiment.FaultKinds))
-		d.Fault(b.LabelRanges[0], "fault: %q is none of %s", string(f.Kind), hcldecode.Join(kinds))
+		d.Fault(b.LabelRanges[0], "fault: %q is not one of %s", string(f.Kind), hcldecode.Join(kinds))
 	}
 	fraction := hcldecode.Share(1)
 	d.Body(b.Body, hcldecode.Fields{"at!": &f.At, "for": &f.Duration, "tier": &f.Tier, "part": &fraction,
 		"size": &f.Size, "period": &f.Period, "count": &f.Count}, nil)
 	f.Fraction = float64(fraction)
 	if f.Tier != "" && e.Site.TierIndex(f.Tier) < 0 {
-		d.Fault(b.DefRange, "fault: there is no tier %q above it in the file", f.Tier)
+		d.Fault(b.DefRange, "fault: tier %q is not defined before it", f.Tier)
 	}
 	d.checkFaultSize(b, f)
 	e.Faults = append(e.Faults, f)
 }
 
-// checkFaultSize reports a size that makes no sense for the kind of fault.
+// checkFaultSize reports a size out of the range of the kind of fault.
 func (d *decoder) checkFaultSize(b *hcl.Block, f experiment.Fault) {
 	switch f.Kind {
 	case experiment.FastErrors, experiment.BreakBeforeRequest, experiment.BreakAfterRequest, experiment.TruncateResponse,
 		experiment.CorruptResponse, experiment.NoisyNeighbour, experiment.RollingDeploy:
 		if f.Size > 1 || math.IsNaN(f.Size) {
-			d.Fault(b.DefRange, "fault: the size of %s is a share: %g is not from 0 to 1", f.Kind, f.Size)
+			d.Fault(b.DefRange, "fault: the size of %s is a fraction: %g is not between 0 and 1", f.Kind, f.Size)
 		}
 	case experiment.SharedSlowdown:
 		if f.Size < 1 {
-			d.Fault(b.DefRange, "fault: the size of %s is how many times slower: %g is under 1", f.Kind, f.Size)
+			d.Fault(b.DefRange, "fault: the size of %s is a factor: %g is below 1", f.Kind, f.Size)
 		}
 	}
 }
--- a/internal/experiment/hclfile/site.go
+++ b/internal/experiment/hclfile/site.go
@@ -8,10 +8,10 @@
 	"rowancart/internal/hcldecode"
 )
 
-// Effects of a class's requests, as files have them.
+// The names of idempotency in files, as values of a class's "effect".
 const (
-	effectSafe   = "safe"
-	effectUnsafe = "unsafe"
+	nameIdempotent    = "safe"
+	nameNonIdempotent = "unsafe"
 )
 
 func (d *decoder) readSite(b *hcl.Block) {
@@ -33,14 +33,14 @@
 		"tier name":   d.readTier,
 	})
 	if len(s.Classes) == 0 || len(s.Tiers) == 0 {
-		d.Fault(b.DefRange, "site: at least one class and one tier are wanted")
+		d.Fault(b.DefRange, "site: needs at least one class and one tier")
 		return
 	}
 	if s.Balancers < 1 {
-		d.Fault(b.DefRange, "site: at least one balancer is wanted")
+		d.Fault(b.DefRange, "site: balancers must be at least 1")
 	}
 	if last := s.Tiers[len(s.Tiers)-1]; last.Calls > 0 {
-		d.Fault(b.DefRange, "tier %s: it is the last and has nobody to call", last.Name)
+		d.Fault(b.DefRange, "tier %s: the last tier has no other to call", last.Name)
 	}
 }
 
@@ -60,21 +60,32 @@
 
 func (d *decoder) readClass(b *hcl.Block) {
 	c := experiment.Class{Name: b.Labels[0], TrafficShare: 1, PriorityWeight: 1, VariationCoefficient: 1}
-	effect, distribution := effectSafe, string(experiment.Exponential)
+	idempotency := nameIdempotent
+	distribution := string(experiment.Exponential)
 	var hits hcldecode.Share
-	d.Body(b.Body, hcldecode.Fields{"effect": &effect, "share": &c.TrafficShare, "work!": &c.Work, "wait": &c.OffCPUTime,
-		"spread": &distribution, "cv": &c.VariationCoefficient, "hits": &hits, "hit_work": &c.CacheHitWork,
-		"aim!": &c.LatencyObjective, "deadline!": &c.Deadline, "worth": &c.PriorityWeight}, nil)
-	hcldecode.OneOf(&d.Reader, b.DefRange, "effect", effect, effectSafe, effectUnsafe)
+	d.Body(b.Body, hcldecode.Fields{
+		"effect":    &idempotency,
+		"share":     &c.TrafficShare,
+		"work!":     &c.Work,
+		"wait":      &c.OffCPUTime,
+		"spread":    &distribution,
+		"cv":        &c.VariationCoefficient,
+		"hits":      &hits,
+		"hit_work":  &c.CacheHitWork,
+		"aim!":      &c.LatencyObjective,
+		"deadline!": &c.Deadline,
+		"worth":     &c.PriorityWeight,
+	}, nil)
+	hcldecode.OneOf(&d.Reader, b.DefRange, "effect", idempotency, nameIdempotent, nameNonIdempotent)
 	c.Distribution = experiment.Distribution(distribution)
 	hcldecode.OneOf(&d.Reader, b.DefRange, "spread", c.Distribution,
 		experiment.Exponential, experiment.LogNormal, experiment.Fixed)
-	if effect == effectUnsafe {
+	if idempotency == nameNonIdempotent {
 		c.Repeat = balancer.NonIdempotent
 	}
 	c.CacheHitRatio = float64(hits)
 	if c.LatencyObjective > c.Deadline {
-		d.Fault(b.DefRange, "class %s: the aim of %v is later than the deadline of %v", c.Name, c.LatencyObjective,
+		d.Fault(b.DefRange, "class %s: aim %v is longer than deadline %v", c.Name, c.LatencyObjective,
 			c.Deadline)
 	}
 	d.experiment.Site.Classes = append(d.experiment.Site.Classes, c)
@@ -109,16 +120,18 @@
 				"noise": &noise}, nil)
 		},
 	})
-	server.InitialCapacity, server.ReportNoise, server.ErrorRate = float64(initial), float64(noise), float64(errors)
+	server.InitialCapacity = float64(initial)
+	server.ReportNoise = float64(noise)
+	server.ErrorRate = float64(errors)
 	if ok && t.Servers < 1 {
-		d.Fault(b.DefRange, "tier %s: at least one box is wanted", t.Name)
+		d.Fault(b.DefRange, "tier %s: boxes must be at least 1", t.Name)
 	}
 	t.Servers = max(t.Servers, 1)
 	if len(t.Kinds) == 0 {
 		t.Kinds = []experiment.Kind{defaultKind("box")}
 	}
 	if site.TierIndex(t.Name) >= 0 {
-		d.Fault(b.DefRange, "tier: there are two called %q", t.Name)
+		d.Fault(b.DefRange, "tier: %q is defined twice", t.Name)
 	}
 	site.Tiers = append(site.Tiers, t)
 }
@@ -141,6 +154,6 @@
 	d.Body(b.Body, hcldecode.Fields{"at!": &s.CollapseQueue, "over!": &s.CollapseAfter, "slower!": &s.CollapseSlowdown,
 		"below!": &s.RecoveryLoad, "rest!": &s.RecoveryAfter, "most": &s.MaxCollapse}, nil)
 	if s.CollapseSlowdown < 1 {
-		d.Fault(b.DefRange, "choke: slower is %g; a choked box is slower, not faster", s.CollapseSlowdown)
+		d.Fault(b.DefRange, "choke: slower is %g: the slowdown of a collapse is at least 1", s.CollapseSlowdown)
 	}
 }
--- a/internal/experiment/hclfile/variant.go
+++ b/internal/experiment/hclfile/variant.go
@@ -10,13 +10,13 @@
 	"rowancart/internal/hcldecode"
 )
 
-// What a class policy says of retries.
+// Values of "retry" in a class policy.
 const (
 	retryNotRun   = "not_run"   // none after an attempt that may have run
 	retryAfterRun = "after_run" // as the class allows
 )
 
-// readVariant reads an arm block.
+// readVariant reads a block "arm".
 func (d *decoder) readVariant(b *hcl.Block) {
 	v := experiment.Variant{Name: b.Labels[0], Policy: experiment.DesignPolicy}
 	d.Body(b.Body, hcldecode.Fields{"policy": &v.Policy, "run": &v.Command, "cold_share": &v.SlowStartShare,
@@ -27,7 +27,7 @@
 	policies := append([]string{experiment.DesignPolicy, experiment.ReverseProxyPolicy}, baseline.Names...)
 	hcldecode.OneOf(&d.Reader, b.DefRange, "policy", v.Policy, policies...)
 	if d.hasVariant(v.Name) {
-		d.Fault(b.DefRange, "arm: there are two called %q", v.Name)
+		d.Fault(b.DefRange, "arm: %q is defined twice", v.Name)
 	}
 	d.experiment.Variants = append(d.experiment.Variants, v)
 }
@@ -39,14 +39,14 @@
 		"copy_after": &p.HedgeAfter, "copy_percentile": &p.HedgePercentile, "queue": &queue}, nil)
 	hcldecode.OneOf(&d.Reader, b.DefRange, "retry", retry, retryNotRun, retryAfterRun)
 	p.NeverRerun = retry == retryNotRun
-	switch { // in a file 0 stands for no queue, and no number for no limit
+	switch { // in a file 0 is no queue, and no number is no limit
 	case queue == 0:
 		p.QueueLimit = -1
 	case queue > 0:
 		p.QueueLimit = queue
 	}
 	if !slices.ContainsFunc(d.experiment.Site.Classes, func(c experiment.Class) bool { return c.Name == p.Class }) {
-		d.Fault(b.DefRange, "class: the site has none called %q; it must stand before the arms", p.Class)
+		d.Fault(b.DefRange, "class: %q is not defined in a site before the arms", p.Class)
 	}
 	return p
 }
--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -1,7 +1,7 @@
-// Package search looks for sites on which the design loses: it draws services, loads and faults
-// within bounds, runs the design and the baseline policies on each in virtual time, and ranks the
-// sites by regret. Regret is what the best baseline serves in time, by priority weight, less what
-// the design does.
+// Package search finds sites on which the design does worse than a baseline: it draws services,
+// loads and faults within bounds, runs the design and the baseline policies on each in virtual
+// time, and ranks the sites by regret. Regret is what the best baseline serves in time, by priority
+// weight, less what the design does.
 package search
 
 import (
@@ -19,21 +19,21 @@
 	"rowancart/internal/hcldecode"
 )
 
-// Design is the policy that is searched for its weaknesses.
+// Design is the policy that is compared with the baselines.
 const Design = experiment.DesignPolicy
 
-// Kinds of faults that are drawn besides those of package experiment. Their texts are those of
-// files of bounds.
+// Kinds of faults that are drawn besides those of package experiment, by their names in files of
+// bounds.
 const (
 	flapping    = "flap"         // a server that crashes and restarts several times
-	silentCrash = "silent_crash" // a crash that discovery says nothing of
+	silentCrash = "silent_crash" // a crash without a change of the endpoint list
 	loadStep    = "step"         // a step of the load
 )
 
 // Span is a range that includes both its ends.
 type Span[T int | float64 | time.Duration] struct{ Min, Max T }
 
-// Bounds say within what sites are drawn, and how each is run.
+// Bounds limit the sites that are drawn, and say how each is run.
 type Bounds struct {
 	Name          string
 	Servers       Span[int] // of the first tier
@@ -46,13 +46,13 @@
 	Load          Span[float64] // as a fraction of the site's capacity
 	Rate          Span[float64] // requests a second
 	MaxRequests   int           // in one run; the rate is lowered to it
-	MaxKnownPairs int           // of an instance and a server in its endpoint list
+	MaxKnownPairs int           // pairs of an instance and a server in its endpoint list
 	QuietFraction float64       // of sites on which each instance has less than one request a second
 	FaultKinds    []string
 	Baselines     []string
 	Repeats       int     // runs of every site and policy
-	MoreRepeats   int     // runs of sites where the design seems behind, those of Repeats included
-	SuspectRegret float64 // from which the design seems behind
+	MoreRepeats   int     // runs of sites with SuspectRegret, including Repeats
+	SuspectRegret float64 // regret from which a site gets MoreRepeats
 	Digest        uint64  // of the file
 }
 
@@ -90,9 +90,10 @@
 	found := false
 	r.Body(body, nil, hcldecode.Blocks{"search name": func(block *hcl.Block) {
 		if found {
-			r.Fault(block.DefRange, "search: there is one already")
+			r.Fault(block.DefRange, "search: already defined")
 		}
-		found, b.Name = true, block.Labels[0]
+		found = true
+		b.Name = block.Labels[0]
 		readSearch(r, block, b)
 	}})
 	if !found && len(r.Diags) == 0 {
@@ -102,78 +103,104 @@
 }
 
 // maxCount is the largest number of a span of counts.
-const maxCount = 1e6
+const maxCount = 1_000_000
+
+// searchBlock holds the attributes of a block "search" whose types differ from those of Bounds.
+type searchBlock struct {
+	servers, instances, tiers, classes, faults []uint64
+	work, duration                             []time.Duration
+	load                                       []float64
+	minRate, maxRate                           hcldecode.Rate
+	quiet, suspect                             hcldecode.Share
+}
 
-// readSearch reads a search block.
+// readSearch reads a block "search".
 func readSearch(r *hcldecode.Reader, block *hcl.Block, b *Bounds) {
-	var counts [5][]uint64
-	var times [2][]time.Duration
-	var load []float64
-	var rates struct{ least, most hcldecode.Rate }
-	var quiet, suspect hcldecode.Share
-	ok := r.Body(block.Body, hcldecode.Fields{"boxes!": &counts[0], "instances!": &counts[1], "tiers!": &counts[2],
-		"classes!": &counts[3], "faults!": &counts[4], "work!": &times[0], "duration!": &times[1], "load!": &load,
-		"rate_least!": &rates.least, "rate_most!": &rates.most, "requests!": &b.MaxRequests, "known!": &b.MaxKnownPairs,
-		"quiet!": &quiet, "fault_kinds!": &b.FaultKinds, "rivals!": &b.Baselines, "repeats!": &b.Repeats,
-		"more_repeats!": &b.MoreRepeats, "seems!": &suspect}, nil)
+	var s searchBlock
+	ok := r.Body(block.Body, hcldecode.Fields{
+		"boxes!":        &s.servers,
+		"instances!":    &s.instances,
+		"tiers!":        &s.tiers,
+		"classes!":      &s.classes,
+		"faults!":       &s.faults,
+		"work!":         &s.work,
+		"duration!":     &s.duration,
+		"load!":         &s.load,
+		"rate_least!":   &s.minRate,
+		"rate_most!":    &s.maxRate,
+		"requests!":     &b.MaxRequests,
+		"known!":        &b.MaxKnownPairs,
+		"quiet!":        &s.quiet,
+		"fault_kinds!":  &b.FaultKinds,
+		"rivals!":       &b.Baselines,
+		"repeats!":      &b.Repeats,
+		"more_repeats!": &b.MoreRepeats,
+		"seems!":        &s.suspect,
+	}, nil)
 	if !ok {
 		return
 	}
-	for i, to := range []*Span[int]{&b.Servers, &b.Instances, &b.Tiers, &b.Classes, &b.Faults} {
-		least := uint64(1)
-		if to == &b.Faults {
-			least = 0
-		}
-		readCounts(r, &counts[i], least, to)
-	}
-	for i, to := range []*Span[time.Duration]{&b.Work, &b.Duration} {
-		readTimes(r, &times[i], to)
-	}
-	if len(load) != 2 || load[0] > load[1] || load[0] <= 0 {
-		r.Fault(r.Places[&load], "load: two numbers above 0 are wanted, the smaller one first")
-	} else {
-		b.Load = Span[float64]{load[0], load[1]}
-	}
-	if rates.least <= 0 || rates.least > rates.most {
-		r.Fault(r.Places[&rates.most], "rate_most: it is under rate_least, or that is 0")
-	}
-	b.Rate = Span[float64]{float64(rates.least), float64(rates.most)}
-	b.QuietFraction, b.SuspectRegret = float64(quiet), float64(suspect)
-	b.check(r, r.Places[&counts[2]])
+	b.Servers = readCounts(r, "boxes", &s.servers, 1)
+	b.Instances = readCounts(r, "instances", &s.instances, 1)
+	b.Tiers = readCounts(r, "tiers", &s.tiers, 1)
+	b.Classes = readCounts(r, "classes", &s.classes, 1)
+	b.Faults = readCounts(r, "faults", &s.faults, 0)
+	b.Work = readTimes(r, "work", &s.work)
+	b.Duration = readTimes(r, "duration", &s.duration)
+	b.Load = readLoad(r, &s.load)
+	if s.minRate <= 0 || s.minRate > s.maxRate {
+		r.Fault(r.Places[&s.maxRate], "rate_most: must be at least rate_least, which must be above 0")
+	}
+	b.Rate = Span[float64]{float64(s.minRate), float64(s.maxRate)}
+	b.QuietFraction = float64(s.quiet)
+	b.SuspectRegret = float64(s.suspect)
+	b.check(r, r.Places[&s.tiers])
 }
 
-func readCounts(r *hcldecode.Reader, numbers *[]uint64, least uint64, to *Span[int]) {
+// readCounts returns the span of two integers, of which the first is at least smallest.
+func readCounts(r *hcldecode.Reader, name string, numbers *[]uint64, smallest uint64) Span[int] {
 	n := *numbers
-	if len(n) != 2 || n[0] > n[1] || n[0] < least || n[1] > maxCount {
-		r.Fault(r.Places[numbers], "two whole numbers from %d up are wanted, the smaller one first", least)
-		return
+	if len(n) != 2 || n[0] > n[1] || n[0] < smallest || n[1] > maxCount {
+		r.Fault(r.Places[numbers], "%s: must be two integers from %d to %d, the smaller one first", name, smallest, maxCount)
+		return Span[int]{}
 	}
-	*to = Span[int]{int(n[0]), int(n[1])}
+	return Span[int]{int(n[0]), int(n[1])}
 }
 
-func readTimes(r *hcldecode.Reader, times *[]time.Duration, to *Span[time.Duration]) {
+// readTimes returns the span of two durations.
+func readTimes(r *hcldecode.Reader, name string, times *[]time.Duration) Span[time.Duration] {
 	t := *times
 	if len(t) != 2 || t[0] > t[1] || t[0] <= 0 {
-		r.Fault(r.Places[times], "two times above 0 are wanted, the shorter one first")
-		return
+		r.Fault(r.Places[times], "%s: must be two durations above 0s, the shorter one first", name)
+		return Span[time.Duration]{}
+	}
+	return Span[time.Duration]{t[0], t[1]}
+}
+
+// readLoad returns the span of two fractions of a site's capacity.
+func readLoad(r *hcldecode.Reader, load *[]float64) Span[float64] {
+	l := *load
+	if len(l) != 2 || l[0] > l[1] || l[0] <= 0 {
+		r.Fault(r.Places[load], "load: must be two numbers above 0, the smaller one first")
+		return Span[float64]{}
 	}
-	*to = Span[time.Duration]{t[0], t[1]}
+	return Span[float64]{l[0], l[1]}
 }
 
 // maxTiers is the largest number of tiers that can be drawn.
 const maxTiers = 3
 
-// check reports values that cannot be run. The position is that of the numbers of tiers.
+// check reports values that cannot be run. Tiers is the place of that attribute.
 func (b *Bounds) check(r *hcldecode.Reader, tiers hcl.Range) {
 	if b.MaxRequests < 100 || b.MaxKnownPairs < 1 {
-		r.Fault(r.Places[&b.MaxRequests], "requests and known: at least 100 requests and one pair are wanted")
+		r.Fault(r.Places[&b.MaxRequests], "requests and known: must be at least 100 requests and 1 pair")
 	}
 	if b.Tiers.Max > maxTiers {
-		r.Fault(tiers, "tiers: three at most")
+		r.Fault(tiers, "tiers: must be at most %d", maxTiers)
 	}
 	if b.Repeats < 1 || b.MoreRepeats < b.Repeats+2 {
 		r.Fault(r.Places[&b.MoreRepeats],
-			"more_repeats: at least two more than repeats are wanted, to measure on plays that did not choose")
+			"more_repeats: must exceed repeats by at least 2: regret excludes the runs that selected the baseline")
 	}
 	for _, k := range b.FaultKinds {
 		hcldecode.OneOf(r, r.Places[&b.FaultKinds], "fault_kinds", k, faultKinds...)
@@ -182,6 +209,6 @@
 		hcldecode.OneOf(r, r.Places[&b.Baselines], "rivals", p, baseline.Names...)
 	}
 	if len(b.Baselines) == 0 {
-		r.Fault(r.Places[&b.Baselines], "rivals: at least one is wanted")
+		r.Fault(r.Places[&b.Baselines], "rivals: must name at least one policy")
 	}
 }
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -146,27 +146,28 @@
 
 func TestFaultsInBoundsNameTheirPlace(t *testing.T) {
 	for change, want := range map[[2]string]string{
-		{"[1, 6]", "[6, 1]"}: `small.hcl:2:3: two whole numbers from 1 up are wanted, the smaller ` +
-			`one first`,
-		{`["1ms", "20ms"]`, `["1ms"]`}: `small.hcl:7:3: two times above 0 are wanted, the shorter one first`,
-		{"[0.1, 1.2]", "[0, 1.2]"}: `small.hcl:8:3: load: two numbers above 0 are wanted, the smaller one ` +
-			`first`,
-		{`"1000/s"`, `"1/s"`}: `small.hcl:10:3: rate_most: it is under rate_least, or that is 0`,
-		{"requests     = 200", "requests     = 2"}: `small.hcl:13:3: requests and known: at least 100 requests and one ` +
-			`pair are wanted`,
-		{`"random", `, `"best", `}: `small.hcl:16:3: rivals: "best" is none of random, round_robin, ` +
+		{"[1, 6]", "[6, 1]"}: `small.hcl:2:3: boxes: must be two integers from 1 to 1000000, ` +
+			`the smaller one first`,
+		{`["1ms", "20ms"]`, `["1ms"]`}: `small.hcl:7:3: work: must be two durations above 0s, the shorter one first`,
+		{"[0.1, 1.2]", "[0, 1.2]"}:     `small.hcl:8:3: load: must be two numbers above 0, the smaller one first`,
+		{`"1000/s"`, `"1/s"`}:          `small.hcl:10:3: rate_most: must be at least rate_least, which must be above 0`,
+		{"requests     = 200", "requests     = 2"}: `small.hcl:13:3: requests and known: must be at least 100 requests ` +
+			`and 1 pair`,
+		{`"random", `, `"best", `}: `small.hcl:16:3: rivals: "best" is not one of random, round_robin, ` +
 			`least_outstanding, two_choices, peak_ewma`,
-		{"= 4\n", "= 3\n"}: `small.hcl:18:3: more_repeats: at least two more than repeats are ` +
-			`wanted, to measure on plays that did not choose`,
-		{`"flap"`, `"flop"`}:                `small.hcl:15:3: fault_kinds: "flop" is none of `,
-		{`search "small"`, `serch "small"`}: `small.hcl:1:1: `,
+		{"= 4\n", "= 3\n"}: `small.hcl:18:3: more_repeats: must exceed repeats by at least 2: ` +
+			`regret excludes the runs that selected the baseline`,
+		{`"flap"`, `"flop"`}:                `small.hcl:15:3: fault_kinds: "flop" is not one of `,
+		{`search "small"`, `serch "small"`}: `small.hcl:1:1: Unsupported block type`,
 	} {
-		text := strings.Replace(small, change[0], change[1], 1)
-		if text == small {
-			t.Fatalf("%q is not in the file", change[0])
-		}
-		if _, err := Parse([]byte(text), "small.hcl"); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q: %v\nwanted: %s", change[1], err, want)
-		}
+		t.Run(change[1], func(t *testing.T) {
+			text := strings.Replace(small, change[0], change[1], 1)
+			if text == small {
+				t.Fatalf("%q is not in the file", change[0])
+			}
+			if _, err := Parse([]byte(text), "small.hcl"); err == nil || !strings.HasPrefix(err.Error(), want) {
+				t.Errorf("got %v, want %s", err, want)
+			}
+		})
 	}
 }
--- a/internal/hcldecode/budget.go
+++ b/internal/hcldecode/budget.go
@@ -6,7 +6,11 @@
 	"rowancart/balancer"
 )
 
-const defaultBurst = 10 // retries that a budget may save up
+// Retries that a budget may accumulate.
+const (
+	defaultBurst = 10
+	minBurst     = 1
+)
 
 // RetryBudget decodes a block "retry_budget".
 func (r *Reader) RetryBudget(b *hcl.Block, to *balancer.RetryBudget) {
@@ -14,8 +18,8 @@
 	var perSecond Rate
 	to.Burst = defaultBurst
 	ok := r.Body(b.Body, Fields{"share!": &perRequest, "floor": &perSecond, "most": &to.Burst}, nil)
-	if ok && to.Burst < 1 {
-		r.Fault(r.Places[&to.Burst], "most: %g never lets a retry through; 1 is the least", to.Burst)
+	if ok && to.Burst < minBurst {
+		r.Fault(r.Places[&to.Burst], "most: %g allows no retry; the minimum is %d", to.Burst, minBurst)
 	}
 	to.PerRequest, to.PerSecond = float64(perRequest), float64(perSecond)
 }
--- a/internal/hcldecode/hcldecode.go
+++ b/internal/hcldecode/hcldecode.go
@@ -28,8 +28,8 @@
 // a block with one label.
 type Blocks map[string]func(b *hcl.Block)
 
-// Parse parses the text of a file that is called name in messages. Its error is a FaultList with the
-// first syntax error only: others mostly follow from it.
+// Parse parses the text of a file that is called name in messages. Its error is a FaultList with
+// the first syntax error only: others mostly follow from it.
 func Parse(text []byte, name string) (hcl.Body, error) {
 	file, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
 	if err := Faults(diags[:min(len(diags), 1)]).Err(); err != nil {
@@ -99,7 +99,7 @@
 // OneOf adds a fault if the value of an attribute is not one of those allowed.
 func OneOf[T ~string](r *Reader, at hcl.Range, name string, value T, allowed ...T) {
 	if !slices.Contains(allowed, value) {
-		r.Fault(at, "%s: %q is none of %s", name, string(value), Join(allowed))
+		r.Fault(at, "%s: %q is not one of %s", name, string(value), Join(allowed))
 	}
 }
 
--- a/internal/hcldecode/hcldecode_test.go
+++ b/internal/hcldecode/hcldecode_test.go
@@ -1,11 +1,14 @@
 package hcldecode
 
 import (
+	"fmt"
 	"reflect"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/hcl/v2"
+
+	"rowancart/balancer"
 )
 
 // decodeAttribute decodes the attribute x of a file into a value of type T.
@@ -21,21 +24,27 @@
 	return x, Faults(r.Diags).Err()
 }
 
+// checkValue checks in a subtest that an expression is decoded into a value.
 func checkValue[T any](t *testing.T, text string, want T) {
 	t.Helper()
-	got, err := decodeAttribute[T](t, "x = "+text)
-	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s as %T: got %v, %v, want %v", text, want, got, err, want)
-	}
+	t.Run(fmt.Sprintf("%s as %T", text, want), func(t *testing.T) {
+		got, err := decodeAttribute[T](t, "x = "+text)
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("got %v, %v, want %v", got, err, want)
+		}
+	})
 }
 
-func checkFault[T any](t *testing.T, text, want string) {
+// checkFault checks in a subtest that an expression has a fault as a value of type T.
+func checkFault[T any](t *testing.T, text, message string) {
 	t.Helper()
 	var zero T
-	_, err := decodeAttribute[T](t, "x = "+text)
-	if want = "f.hcl:1:5: x: " + want; err == nil || err.Error() != want {
-		t.Errorf("%s as %T:\n got %v\nwant %s", text, zero, err, want)
-	}
+	t.Run(fmt.Sprintf("%s as %T", text, zero), func(t *testing.T) {
+		_, err := decodeAttribute[T](t, "x = "+text)
+		if want := "f.hcl:1:5: x: " + message; err == nil || err.Error() != want {
+			t.Errorf("\n got %v\nwant %s", err, want)
+		}
+	})
 }
 
 func TestValues(t *testing.T) {
@@ -57,28 +66,28 @@
 }
 
 func TestFaultsOfValues(t *testing.T) {
-	checkFault[time.Duration](t, `3`, `a time with its unit, such as "250ms" is wanted`)
-	checkFault[time.Duration](t, `"-1s"`, `"-1s" is no time; write such as "250ms" or "2.5s"`)
-	checkFault[Size](t, `64`, `a size with its unit, such as "128MiB" is wanted`)
-	checkFault[Size](t, `"64MB"`, `"64MB" is no size; write such as "64KiB" or "128MiB"`)
-	checkFault[Rate](t, `"50"`, `"50" is no rate; write such as "50/s" or "3000/min"`)
-	checkFault[Share](t, `1.5`, `1.5 is no share: it is not from 0 to 1`)
-	checkFault[float64](t, `-1`, `-1 is below 0`)
-	checkFault[float64](t, `"many"`, `a number is wanted`)
-	checkFault[int](t, `1.5`, `1.5 is no whole number from 0 up`)
-	checkFault[bool](t, `3`, `true or false is wanted`)
-	checkFault[string](t, `3`, `a text in quotes is wanted`)
-	checkFault[[]float64](t, `3`, `a list in brackets is wanted`)
-	checkFault[[]string](t, `[[]]`, `plain values are wanted`)
+	checkFault[time.Duration](t, `3`, `must be a duration with its unit, such as "250ms"`)
+	checkFault[time.Duration](t, `"-1s"`, `"-1s" is not a duration; examples: "250ms", "2.5s"`)
+	checkFault[Size](t, `64`, `must be a size with its unit, such as "128MiB"`)
+	checkFault[Size](t, `"64MB"`, `"64MB" is not a size; examples: "64KiB", "128MiB"`)
+	checkFault[Rate](t, `"50"`, `"50" is not a rate; examples: "50/s", "3000/min"`)
+	checkFault[Share](t, `1.5`, `1.5 is not between 0 and 1`)
+	checkFault[float64](t, `-1`, `-1 is negative`)
+	checkFault[float64](t, `"many"`, `must be a number`)
+	checkFault[int](t, `1.5`, `1.5 is not a non-negative integer`)
+	checkFault[bool](t, `3`, `must be true or false`)
+	checkFault[string](t, `3`, `must be a quoted string`)
+	checkFault[[]float64](t, `3`, `must be a list in brackets`)
+	checkFault[[]string](t, `[[]]`, `elements must be strings, numbers or booleans`)
 }
 
-// All faults come at once, in the file's order; those at one place in the order of their names.
-func TestFaultsComeInOrder(t *testing.T) {
+// All faults of a file are reported, in its order; those at one place in the order of their names.
+func TestFaultsAreInFileOrder(t *testing.T) {
 	const text = "b {\n}\nz = 1\ny = -1\n"
 	const want = `f.hcl:1:3: Missing required argument: The argument "k" is required, but no definition was found.
 f.hcl:1:3: Missing required argument: The argument "l" is required, but no definition was found.
 f.hcl:3:1: Unsupported argument: An argument named "z" is not expected here.
-f.hcl:4:5: y: -1 is below 0`
+f.hcl:4:5: y: -1 is negative`
 	for range 20 { // maps are iterated in random order
 		body, err := Parse([]byte(text), "f.hcl")
 		if err != nil {
@@ -95,3 +104,32 @@
 		}
 	}
 }
+
+func TestRetryBudget(t *testing.T) {
+	for _, c := range []struct {
+		name, text, fault string
+		want              balancer.RetryBudget
+	}{
+		{"default burst", "share = 0.1\n", "", balancer.RetryBudget{PerRequest: 0.1, Burst: 10}},
+		{"all attributes", "share = 0.2\nfloor = \"30/min\"\nmost = 4\n", "",
+			balancer.RetryBudget{PerRequest: 0.2, PerSecond: 0.5, Burst: 4}},
+		{"burst that allows no retry", "share = 0.1\nmost = 0.5\n",
+			"f.hcl:3:1: most: 0.5 allows no retry; the minimum is 1", balancer.RetryBudget{}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			body, err := Parse([]byte("retry_budget {\n"+c.text+"}\n"), "f.hcl")
+			if err != nil {
+				t.Fatal(err)
+			}
+			var r Reader
+			var budget balancer.RetryBudget
+			r.Body(body, nil, Blocks{"retry_budget": func(b *hcl.Block) { r.RetryBudget(b, &budget) }})
+			if got := Faults(r.Diags).Error(); got != c.fault {
+				t.Fatalf("faults: got %q, want %q", got, c.fault)
+			}
+			if c.fault == "" && budget != c.want {
+				t.Errorf("got %+v, want %+v", budget, c.want)
+			}
+		})
+	}
+}
--- a/internal/hcldecode/values.go
+++ b/internal/hcldecode/values.go
@@ -33,7 +33,7 @@
 	at   hcl.Range // of its expression
 }
 
-// attribute decodes an attribute into what to points to.
+// attribute decodes an attribute into the value to which to points.
 func (r *Reader) attribute(a *hcl.Attribute, to any) {
 	evaluated, diags := a.Expr.Value(r.Vars)
 	r.Diags = append(r.Diags, diags...)
@@ -42,11 +42,11 @@
 	}
 	v := value{Value: evaluated, r: r, name: a.Name, at: a.Expr.Range()}
 	if !v.decodeScalar(to) && !v.decodeList(to) {
-		panic(fmt.Sprintf("hcldecode: no way to decode a %T", to))
+		panic(fmt.Sprintf("hcldecode: cannot decode into a %T", to))
 	}
 }
 
-// decodeScalar decodes a single value. It returns false if the type of to is none that it knows.
+// decodeScalar decodes a single value. It returns false if it does not support the type of to.
 func (v value) decodeScalar(to any) bool {
 	switch to := to.(type) {
 	case *time.Duration:
@@ -64,14 +64,14 @@
 	case *bool:
 		set(to, v.boolean)
 	case *string:
-		set(to, func() (string, bool) { return v.text("a text in quotes") })
+		set(to, func() (string, bool) { return v.text("a quoted string") })
 	default:
 		return false
 	}
 	return true
 }
 
-// decodeList decodes a list. It returns false if the type of to is none that it knows.
+// decodeList decodes a list. It returns false if it does not support the type of to.
 func (v value) decodeList(to any) bool {
 	switch to := to.(type) {
 	case *[]uint64:
@@ -95,7 +95,7 @@
 		v.each(func(element value) {
 			s, err := convert.Convert(element.Value, cty.String)
 			if err != nil {
-				v.fault("plain values are wanted")
+				v.fault("elements must be strings, numbers or booleans")
 				return
 			}
 			*to = append(*to, s.AsString())
@@ -121,7 +121,7 @@
 // each calls f with each element of a list.
 func (v value) each(f func(element value)) {
 	if !v.CanIterateElements() || v.Type().IsMapType() || v.Type().IsObjectType() {
-		v.fault("a list in brackets is wanted")
+		v.fault("must be a list in brackets")
 		return
 	}
 	for it := v.ElementIterator(); it.Next(); {
@@ -131,10 +131,10 @@
 	}
 }
 
-// text returns a string. Expected describes what is required instead of another type.
+// text returns a string. Expected describes the required value in the fault for another type.
 func (v value) text(expected string) (string, bool) {
 	if v.Type() != cty.String {
-		v.fault("%s is wanted", expected)
+		v.fault("must be %s", expected)
 		return "", false
 	}
 	return v.AsString(), true
@@ -145,7 +145,7 @@
 func (v value) number() (float64, bool) {
 	n, err := convert.Convert(v.Value, cty.Number)
 	if err != nil {
-		v.fault("a number is wanted")
+		v.fault("must be a number")
 		return 0, false
 	}
 	x, _ := n.AsBigFloat().Float64()
@@ -155,7 +155,7 @@
 func (v value) nonNegative() (float64, bool) {
 	x, ok := v.number()
 	if ok && x < 0 {
-		v.fault("%g is below 0", x)
+		v.fault("%g is negative", x)
 		return 0, false
 	}
 	return x, ok
@@ -164,7 +164,7 @@
 func (v value) wholeNumber() (int, bool) {
 	x, ok := v.number()
 	if ok && (x != float64(int(x)) || x < 0) {
-		v.fault("%g is no whole number from 0 up", x)
+		v.fault("%g is not a non-negative integer", x)
 		return 0, false
 	}
 	return int(x), ok
@@ -173,7 +173,7 @@
 func (v value) share() (Share, bool) {
 	x, ok := v.number()
 	if ok && (x < 0 || x > 1) {
-		v.fault("%g is no share: it is not from 0 to 1", x)
+		v.fault("%g is not between 0 and 1", x)
 		return 0, false
 	}
 	return Share(x), ok
@@ -182,20 +182,20 @@
 func (v value) boolean() (bool, bool) {
 	b, err := convert.Convert(v.Value, cty.Bool)
 	if err != nil {
-		v.fault("true or false is wanted")
+		v.fault("must be true or false")
 		return false, false
 	}
 	return b.True(), true
 }
 
 func (v value) duration() (time.Duration, bool) {
-	text, ok := v.text(`a time with its unit, such as "250ms"`)
+	text, ok := v.text(`a duration with its unit, such as "250ms"`)
 	if !ok {
 		return 0, false
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		v.fault(`%q is no time; write such as "250ms" or "2.5s"`, text)
+		v.fault(`%q is not a duration; examples: "250ms", "2.5s"`, text)
 		return 0, false
 	}
 	return d, true
@@ -210,7 +210,7 @@
 	seconds := rateUnits[unit]
 	x, err := strconv.ParseFloat(strings.TrimSpace(count), 64)
 	if err != nil || seconds == 0 || x < 0 {
-		v.fault(`%q is no rate; write such as "50/s" or "3000/min"`, text)
+		v.fault(`%q is not a rate; examples: "50/s", "3000/min"`, text)
 		return 0, false
 	}
 	return Rate(x / seconds), true
@@ -225,7 +225,7 @@
 	bytes := sizeUnits[text[len(digits):]]
 	x, err := strconv.ParseFloat(strings.TrimSpace(digits), 64)
 	if err != nil || bytes == 0 || x < 0 {
-		v.fault(`%q is no size; write such as "64KiB" or "128MiB"`, text)
+		v.fault(`%q is not a size; examples: "64KiB", "128MiB"`, text)
 		return 0, false
 	}
 	return Size(x * bytes), true
--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -1,7 +1,6 @@
 package supervisor
 
 import (
-	"fmt"
 	"os"
 	"path/filepath"
 	"time"
@@ -32,7 +31,8 @@
 	MaxBackoff     time.Duration
 }
 
-// LoadConfig reads a fleet's file. The error for an invalid one is an hcldecode.FaultList. Relative paths in the file are relative to its folder.
+// LoadConfig reads a fleet's file. The error for an invalid one is an hcldecode.FaultList. Relative
+// paths in the file are relative to its folder.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -50,12 +50,12 @@
 	}
 	r := &hcldecode.Reader{Places: map[any]hcl.Range{}}
 	r.Body(body, nil, hcldecode.Blocks{"fleet": func(b *hcl.Block) { c.decode(r, b) }})
+	if c.Instances == 0 && len(r.Diags) == 0 {
+		r.Fault(hcl.Range{Filename: path, Start: hcl.InitialPos, End: hcl.InitialPos}, `the file has no block "fleet"`)
+	}
 	if err := hcldecode.Faults(r.Diags).Err(); err != nil {
 		return nil, err
 	}
-	if c.Instances == 0 {
-		return nil, fmt.Errorf("%s: no fleet block", path)
-	}
 	if err := c.resolvePaths(filepath.Dir(path)); err != nil {
 		return nil, err
 	}
@@ -80,11 +80,11 @@
 	c.Seed = uint64(seed)
 	switch {
 	case c.Instances < 1 || c.Instances > maxInstances:
-		r.Fault(r.Places[&c.Instances], "instances: %d is not from 1 to %d", c.Instances, maxInstances)
+		r.Fault(r.Places[&c.Instances], "instances: %d is not between 1 and %d", c.Instances, maxInstances)
 	case c.InitialBackoff <= 0 || c.MaxBackoff < c.InitialBackoff:
-		r.Fault(b.DefRange, "back_off: first must be over 0 and most no less than first")
+		r.Fault(b.DefRange, "back_off: first must be above 0, and most at least first")
 	case c.ReadyTimeout <= 0 || c.StopTimeout <= 0:
-		r.Fault(b.DefRange, "fleet: ready_within and stop_within must be over 0")
+		r.Fault(b.DefRange, "fleet: ready_within and stop_within must be above 0")
 	}
 }
 
--- a/internal/supervisor/config_test.go
+++ b/internal/supervisor/config_test.go
@@ -3,7 +3,6 @@
 import (
 	"os"
 	"path/filepath"
-	"strings"
 	"testing"
 )
 
@@ -42,9 +41,29 @@
 }
 
 func TestLoadConfigNamesThePlaceOfAFault(t *testing.T) {
-	path := writeConfig(t, "fleet {\n  instances = 0\n  config = \"i.hcl\"\n  folder = \"run\"\n}\n")
+	for _, c := range []struct{ name, instances, attributes, want string }{
+		{"no instances", "0", "", ":2:3: instances: 0 is not between 1 and 1024"},
+		{"too many instances", "1025", "", ":2:3: instances: 1025 is not between 1 and 1024"},
+		{"backoff that shrinks", "1", "  back_off {\n    first = \"2s\"\n    most = \"1s\"\n  }\n",
+			":1:1: back_off: first must be above 0, and most at least first"},
+		{"no time to stop", "1", "  stop_within = \"0s\"\n",
+			":1:1: fleet: ready_within and stop_within must be above 0"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			path := writeConfig(t, "fleet {\n  instances = "+c.instances+"\n  config = \"i.hcl\"\n  folder = \"run\"\n"+
+				c.attributes+"}\n")
+			_, err := LoadConfig(path)
+			if want := path + c.want; err == nil || err.Error() != want {
+				t.Errorf("got %v, want %s", err, want)
+			}
+		})
+	}
+}
+
+func TestLoadConfigNeedsAFleet(t *testing.T) {
+	path := writeConfig(t, "")
 	_, err := LoadConfig(path)
-	if err == nil || !strings.HasPrefix(err.Error(), path+":2:") || strings.Count(err.Error(), "\n") != 0 {
-		t.Errorf("no instances: %v", err)
+	if want := path + `:1:1: the file has no block "fleet"`; err == nil || err.Error() != want {
+		t.Errorf("got %v, want %s", err, want)
 	}
 }
