--- a/internal/discovery/file/follow_test.go
+++ b/internal/discovery/file/follow_test.go
@@ -11,39 +11,53 @@
 	"rowancart/internal/testpeer"
 )
 
-// followed records what Follow calls.
-type followed struct {
+// recorder records the calls of Follow.
+type recorder struct {
 	lists    chan proxy.EndpointList
 	statuses chan error
 }
 
-func startFollow(t *testing.T, path string) *followed {
+// startFollow lets Follow run until the end of the test.
+func startFollow(t *testing.T, path string) *recorder {
 	t.Helper()
-	f := &followed{make(chan proxy.EndpointList, 100), make(chan error, 100)}
+	r := &recorder{lists: make(chan proxy.EndpointList, 100), statuses: make(chan error, 100)}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		Follow(ctx, path, func(l proxy.EndpointList) { f.lists <- l }, func(err error) { f.statuses <- err },
+		Follow(ctx, path, func(l proxy.EndpointList) { r.lists <- l }, func(err error) { r.statuses <- err },
 			slog.New(slog.DiscardHandler))
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	return f
+	return r
 }
 
-// expectStatus waits for the next status, which must be an error or nil.
-func (f *followed) expectStatus(t *testing.T, when string, isError bool) {
+// nextStatus waits for the next status.
+func (r *recorder) nextStatus(t *testing.T, when string) error {
 	t.Helper()
-	testpeer.WaitUntil(t, "a status "+when, func() bool { return len(f.statuses) > 0 })
-	if err := <-f.statuses; (err != nil) != isError {
-		t.Errorf("%s: status %v", when, err)
+	testpeer.WaitUntil(t, "a status "+when, func() bool { return len(r.statuses) > 0 })
+	return <-r.statuses
+}
+
+func (r *recorder) expectError(t *testing.T, when string) {
+	t.Helper()
+	if err := r.nextStatus(t, when); err == nil {
+		t.Errorf("%s: no error", when)
+	}
+}
+
+func (r *recorder) expectNoError(t *testing.T, when string) {
+	t.Helper()
+	if err := r.nextStatus(t, when); err != nil {
+		t.Errorf("%s: %v", when, err)
 	}
 }
 
-func (f *followed) expectEndpoint(t *testing.T, when, id string) {
+// expectEndpoint waits for the next list, which must consist of one endpoint.
+func (r *recorder) expectEndpoint(t *testing.T, when, id string) {
 	t.Helper()
-	testpeer.WaitUntil(t, "a list "+when, func() bool { return len(f.lists) > 0 })
-	if l := <-f.lists; len(l.Endpoints) != 1 || l.Endpoints[0].ID != id {
+	testpeer.WaitUntil(t, "a list "+when, func() bool { return len(r.lists) > 0 })
+	if l := <-r.lists; len(l.Endpoints) != 1 || l.Endpoints[0].ID != id {
 		t.Errorf("%s: %+v, want endpoint %s", when, l, id)
 	}
 }
@@ -60,23 +74,23 @@
 			t.Fatal(err)
 		}
 	}
-	f := startFollow(t, path)
-	f.expectStatus(t, "before there is a file", true)
+	r := startFollow(t, path)
+	r.expectError(t, "before there is a file")
 	replace(`{"endpoints": [{"id": "a", "address": "127.0.0.1:1"}]}`)
-	f.expectStatus(t, "for a first list", false)
-	f.expectEndpoint(t, "for a first list", "a")
+	r.expectNoError(t, "for a first list")
+	r.expectEndpoint(t, "for a first list", "a")
 	replace(`{"endpoints": [{"id"`)
-	f.expectStatus(t, "for an invalid list", true)
+	r.expectError(t, "for an invalid list")
 	replace(`{"endpoints": [{"id": "b", "address": "127.0.0.1:1"}]}`)
-	f.expectStatus(t, "for a later list", false)
-	f.expectEndpoint(t, "for a later list", "b")
-	if len(f.lists) > 0 {
-		t.Errorf("one more list: %+v", <-f.lists)
+	r.expectNoError(t, "for a later list")
+	r.expectEndpoint(t, "for a later list", "b")
+	if len(r.lists) > 0 {
+		t.Errorf("a further list: %+v", <-r.lists)
 	}
 }
 
 func TestFollowReportsAMissingDirectory(t *testing.T) {
-	f := startFollow(t, filepath.Join(t.TempDir(), "none", "endpoints.json"))
-	f.expectStatus(t, "for the file", true)
-	f.expectStatus(t, "for its directory", true)
+	r := startFollow(t, filepath.Join(t.TempDir(), "none", "endpoints.json"))
+	r.expectError(t, "for the file")
+	r.expectError(t, "for its directory")
 }
--- a/internal/discovery/file/list.go
+++ b/internal/discovery/file/list.go
@@ -40,7 +40,7 @@
 // makes the entire text invalid. So does an unknown field, and a text that ends early: a file that
 // is half written must not pass for a list without endpoints.
 //
-// Errors name the field, as in "endpoints[2].id: missing". The prefix of others is the name of the
+// Errors are FieldErrors, as in "endpoints[2].id: missing". Those of the whole document name the
 // block that configures the file.
 func ParseEndpointList(text []byte) (proxy.EndpointList, error) {
 	entries, err := decode(text)
@@ -50,12 +50,11 @@
 	list := proxy.EndpointList{Complete: true}
 	seen := map[string]bool{}
 	for i, e := range entries {
-		endpoint, err := resolve(e, fmt.Sprintf("endpoints[%d]", i), seen)
-		if err != nil {
+		if err := validate(e, fmt.Sprintf("endpoints[%d]", i), seen); err != nil {
 			return proxy.EndpointList{}, err
 		}
 		seen[e.ID] = true
-		list.Endpoints = append(list.Endpoints, endpoint)
+		list.Endpoints = append(list.Endpoints, endpointOf(e))
 	}
 	return list, nil
 }
@@ -66,32 +65,44 @@
 	decoder.DisallowUnknownFields()
 	var d document
 	if err := decoder.Decode(&d); err != nil {
-		return nil, fmt.Errorf("roster: %w", err)
+		return nil, &FieldError{blockName, err}
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("roster: more follows the list")
+		return nil, &FieldError{blockName, ErrTrailingData}
 	}
 	if d.Endpoints == nil {
-		return nil, errors.New("endpoints: missing")
+		return nil, &FieldError{"endpoints", ErrMissing}
 	}
 	return d.Endpoints, nil
 }
 
-// resolve validates the entry at a path within the document. Its ID must not be among the seen
-// ones.
-func resolve(e entry, path string, seen map[string]bool) (proxy.Endpoint, error) {
-	state, ok := states[e.State]
-	switch {
-	case e.ID == "":
-		return proxy.Endpoint{}, fmt.Errorf("%s.id: missing", path)
-	case seen[e.ID]:
-		return proxy.Endpoint{}, fmt.Errorf("%s.id: %q is there twice", path, e.ID)
-	case !ok:
-		return proxy.Endpoint{}, fmt.Errorf("%s.state: %q is neither ready nor draining", path, e.State)
+// validate returns an error that names the first invalid field of the entry at a path. Its ID must
+// not be among the seen ones.
+func validate(e entry, path string, seen map[string]bool) error {
+	if e.ID == "" {
+		return &FieldError{path + ".id", ErrMissing}
 	}
-	if err := netaddr.CheckField(path+".address", e.Address); err != nil {
-		return proxy.Endpoint{}, err
+	if seen[e.ID] {
+		return &FieldError{path + ".id", fmt.Errorf("%q is listed twice", e.ID)}
+	}
+	if _, ok := states[e.State]; !ok {
+		return &FieldError{path + ".state", fmt.Errorf("%q is neither ready nor draining", e.State)}
+	}
+	if err := netaddr.Check(e.Address); err != nil {
+		return &FieldError{path + ".address", err}
+	}
+	return nil
+}
+
+// endpointOf returns the endpoint of a valid entry.
+func endpointOf(e entry) proxy.Endpoint {
+	return proxy.Endpoint{
+		ID:        e.ID,
+		Addr:      e.Address,
+		Zone:      e.Zone,
+		Kind:      e.Kind,
+		Cell:      e.Cell,
+		State:     states[e.State],
+		StartedMs: e.StartedMs,
 	}
-	return proxy.Endpoint{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: state,
-		StartedMs: e.StartedMs}, nil
 }
--- a/internal/discovery/file/list_test.go
+++ b/internal/discovery/file/list_test.go
@@ -1,6 +1,7 @@
 package file
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -39,13 +40,13 @@
 	for _, test := range []struct{ text, want string }{
 		{``, "roster: EOF"},
 		{`{"endpoints": [` + valid, "roster: unexpected EOF"},
-		{`{"endpoints": []} x`, "roster: more follows the list"},
+		{`{"endpoints": []} x`, "roster: data after the list"},
 		{`{"servers": []}`, `roster: json: unknown field "servers"`},
 		{`{}`, "endpoints: missing"},
 		{`{"endpoints": [{"id": true}]}`,
 			"roster: json: cannot unmarshal bool into Go struct field .endpoints.id of type string"},
 		{`{"endpoints": [{"address": "127.0.0.1:1"}]}`, "endpoints[0].id: missing"},
-		{`{"endpoints": [` + valid + `, ` + valid + `]}`, `endpoints[1].id: "a" is there twice`},
+		{`{"endpoints": [` + valid + `, ` + valid + `]}`, `endpoints[1].id: "a" is listed twice`},
 		{`{"endpoints": [{"id": "a", "state": "gone"}]}`,
 			`endpoints[0].state: "gone" is neither ready nor draining`},
 		{`{"endpoints": [{"id": "a"}]}`, "endpoints[0].address: missing"},
@@ -56,6 +57,9 @@
 		if err == nil || !strings.HasPrefix(err.Error(), test.want) {
 			t.Errorf("%s: %v, want %q", test.text, err, test.want)
 		}
+		if invalid := (*FieldError)(nil); !errors.As(err, &invalid) {
+			t.Errorf("%s: error of type %T, want a FieldError", test.text, err)
+		}
 		if list.Complete || list.Endpoints != nil {
 			t.Errorf("%s: a list along with an error: %+v", test.text, list)
 		}
--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -1,9 +1,9 @@
 // Package watch is a client of the platform's endpoint discovery: it fetches an endpoint list
 // over HTTP, and then follows the changes of that list on a watch.
 //
-// The list is the answer to GET /catalog/members. A watch is GET
-// /catalog/members?watch=1&after=VERSION: a response without an end that carries one JSON message
-// for each change after that version, and an empty line at least every 2 s while nothing changes.
+// The list is the response to GET of platform.EndpointListPath. A watch is the same with
+// platform.WatchQuery: a response without an end that carries one JSON message for each change
+// after a version, and an empty line at least every 2 s while nothing changes.
 package watch
 
 import (
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"rowancart/internal/logkey"
 	"rowancart/internal/platform"
 )
 
@@ -104,7 +105,8 @@
 	if addr == c.addr {
 		return
 	}
-	c.addr, c.addrChanged = addr, true
+	c.addr = addr
+	c.addrChanged = true
 	if c.cancelWatch != nil {
 		c.cancelWatch()
 	}
@@ -135,11 +137,11 @@
 	}
 }
 
-// warn logs why a watch ended, unless it has logged within the last warningInterval.
+// warn logs the error that ended a watch, unless it has logged within the last warningInterval.
 func (c *Client) warn(err error) {
 	if time.Since(c.lastWarning) > warningInterval {
 		c.lastWarning = time.Now()
-		c.log.Warn("discovery: watch ended", "err", err)
+		c.log.Warn("discovery watch ended", logkey.Err, err)
 	}
 }
 
--- a/internal/discovery/watch/drain_test.go
+++ b/internal/discovery/watch/drain_test.go
@@ -35,7 +35,9 @@
 func observeDrain(t *testing.T, options Options, discovery http.Handler, refuses func() bool) *drainObserver {
 	observer := &drainObserver{}
 	version := int64(41)
-	options.Addr, options.Version, options.Log = "127.0.0.1:1", &version, slog.New(slog.DiscardHandler)
+	options.Addr = "127.0.0.1:1"
+	options.Version = &version
+	options.Log = slog.New(slog.DiscardHandler)
 	options.OnUpdate = func(list platform.EndpointList) {
 		if *list.Version == 42 {
 			observer.notified.CompareAndSwap(0, time.Now().UnixNano())
@@ -141,7 +143,7 @@
 	drain func(a *agent, grace time.Duration) time.Time
 }
 
-// drainOnStalledWatch is a drain that the first watch hides: it stalls after the given beginning.
+// drainOnStalledWatch is a drain that the first watch does not deliver: it stalls after its beginning.
 // A watch that has been stalled for 6 s counts as one that has notified.
 func drainOnStalledWatch(beginning string) drainCase {
 	const bound = 6 * time.Second
@@ -190,7 +192,7 @@
 // An instance counts as notified of what the agent has whether or not a watch is open, and requests
 // have to end within the drain grace after that. However a watch stalled, or discovery was down,
 // the client is notified well within the grace.
-func TestADrainIsHeardOfWithinItsBound(t *testing.T) {
+func TestClientIsNotifiedOfDrainWithinGrace(t *testing.T) {
 	for _, setting := range []time.Duration{0, 800 * time.Millisecond, 2 * time.Second} {
 		grace := setting
 		if grace == 0 {
@@ -215,107 +217,3 @@
 		}
 	}
 }
-
-// sharedService is discovery as one service for all instances: it answers one call after the other,
-// takes a while for each, and rejects calls while its queue is full. Until it stalls, a watch is
-// opened at once and stays healthy.
-type sharedService struct {
-	stalled   chan struct{} // closed: watches that are open deliver nothing any more
-	answering chan struct{} // capacity 1: a semaphore held by the call that is being answered
-	queued    atomic.Int32
-	rejected  atomic.Int32 // calls
-}
-
-const (
-	serviceQueueLimit = 8 // the last one waits for 2 s
-	serviceTime       = 250 * time.Millisecond
-	rejectionTime     = 35 * time.Millisecond
-)
-
-func (s *sharedService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	select {
-	case <-s.stalled:
-	default:
-		writeEmptyLines(w, r, s.stalled)
-		<-r.Context().Done()
-		return
-	}
-	if s.queued.Add(1) > serviceQueueLimit {
-		s.queued.Add(-1)
-		s.rejected.Add(1)
-		time.Sleep(rejectionTime)
-		w.WriteHeader(http.StatusServiceUnavailable)
-		return
-	}
-	s.answering <- struct{}{}
-	time.Sleep(serviceTime) // also for a call that was cancelled meanwhile
-	<-s.answering
-	s.queued.Add(-1)
-	w.Write([]byte(drainMessage + "\n"))
-	writeEmptyLines(w, r, nil)
-}
-
-// writeEmptyLines writes an empty line at once and every 2 s, until the client disconnects or stop
-// is closed.
-func writeEmptyLines(w http.ResponseWriter, r *http.Request, stop <-chan struct{}) {
-	ticker := time.NewTicker(2 * time.Second)
-	defer ticker.Stop()
-	for {
-		w.Write([]byte("\n"))
-		w.(http.Flusher).Flush()
-		select {
-		case <-stop:
-			return
-		case <-r.Context().Done():
-			return
-		case <-ticker.C:
-		}
-	}
-}
-
-// All instances lose their watches together and call one service anew. Their attempts must not keep
-// it from answering: each is notified of a drain within 6 s of the stall and the grace.
-func TestRetriesDoNotOverloadASharedService(t *testing.T) {
-	const instances, bound = 13, 6*time.Second + defaultDrainGrace
-	for range 20 { // the jitter of backoffs is random
-		synctest.Test(t, func(t *testing.T) {
-			s := &sharedService{stalled: make(chan struct{}), answering: make(chan struct{}, 1)}
-			var observers []*drainObserver
-			for range instances {
-				observers = append(observers, observeDrain(t, Options{WaitForSubscribe: true}, s, func() bool { return false }))
-			}
-			time.Sleep(5 * time.Second)
-			stalledAt := time.Now()
-			close(s.stalled)
-			time.Sleep(20 * time.Second)
-			for _, o := range observers {
-				o.stop()
-			}
-			time.Sleep(3 * time.Second) // calls that were cancelled are answered all the same
-			for i, o := range observers {
-				if !o.wasNotifiedBy(stalledAt.Add(bound)) {
-					t.Errorf("instance %d was notified of a drain %v after its watch stalled", i, o.notifiedAt().Sub(stalledAt))
-				}
-			}
-		})
-	}
-}
-
-// While a shared service rejects all calls, an instance makes few of them, and it still makes some.
-func TestBackoffBoundsCallsToARejectingSharedService(t *testing.T) {
-	const outage, minCalls, maxCalls = 30 * time.Second, 12, 45
-	for range 20 { // the jitter of backoffs is random
-		synctest.Test(t, func(t *testing.T) {
-			s := &sharedService{stalled: make(chan struct{}), answering: make(chan struct{}, 1)}
-			s.queued.Store(serviceQueueLimit)
-			close(s.stalled)
-			o := observeDrain(t, Options{WaitForSubscribe: true}, s, func() bool { return false })
-			time.Sleep(outage)
-			o.stop()
-			time.Sleep(time.Second) // a call that was cancelled is rejected all the same
-			if n := s.rejected.Load(); n < minCalls || n > maxCalls {
-				t.Errorf("%d calls in %v, want between %d and %d", n, outage, minCalls, maxCalls)
-			}
-		})
-	}
-}
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -30,15 +30,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.addrChanged {
-		c.addrChanged, c.version = false, nil
+		c.addrChanged = false
+		c.version = nil
 	}
 	c.cancelWatch = cancel
 	return ctx, cancel, c.addr
 }
 
 // watch runs one watch to its end, after it has fetched the complete list if there is no version to
-// start from. It reports whether the watch delivered anything, and returns why it ended, which is
-// never nil.
+// start from. It reports whether the watch delivered anything, and returns the error that ended it,
+// which is never nil.
 func (c *Client) watch(ctx context.Context) (received bool, err error) {
 	ctx, cancel, addr := c.startWatch(ctx)
 	defer cancel()
@@ -88,7 +89,19 @@
 	return c.applyMessage(text)
 }
 
-// get calls discovery and returns the body of a 200 response, which the caller must close.
+// StatusError says that discovery responded with a status other than 200.
+type StatusError struct {
+	Query  string // with its question mark; empty: the complete list was asked for
+	Status string
+}
+
+// Error implements error.
+func (e *StatusError) Error() string {
+	return platform.EndpointListPath + e.Query + ": " + e.Status
+}
+
+// get calls discovery and returns the body of a 200 response, which the caller must close. The
+// error for another status is a *StatusError.
 func (c *Client) get(ctx context.Context, addr, query string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+platform.EndpointListPath+query, nil)
 	if err != nil {
@@ -100,7 +113,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		return nil, fmt.Errorf("%s%s: %s", platform.EndpointListPath, query, resp.Status)
+		return nil, &StatusError{Query: query, Status: resp.Status}
 	}
 	return resp.Body, nil
 }
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -3,6 +3,9 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
+	"net/http"
+	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
@@ -124,3 +127,16 @@
 	c.expectVersions(t, 41, 42, 43, 44)
 	c.expectCalls(t, "", "watch=1&after=41")
 }
+
+func TestStatusErrorNamesTheCall(t *testing.T) {
+	server := httptest.NewServer(http.NotFoundHandler())
+	t.Cleanup(server.Close)
+	c := New(Options{Addr: server.Listener.Addr().String()})
+	_, err := c.get(t.Context(), c.addr, "?"+platform.WatchQuery(7))
+	if status := (*StatusError)(nil); !errors.As(err, &status) {
+		t.Fatalf("%v is no StatusError", err)
+	}
+	if want := "/catalog/members?watch=1&after=7: 404 Not Found"; err.Error() != want {
+		t.Errorf("%q, want %q", err, want)
+	}
+}
