--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -278,30 +278,29 @@
 // keepAliveClient keeps one connection.
 type keepAliveClient struct {
 	addr string
-	conn net.Conn // nil: there is none
-	in   *bufio.Reader
+	conn *testpeer.ClientConn // nil: there is none
 }
 
 // get sends a request and returns its response, whose body must be read before the next one.
 func (c *keepAliveClient) get(id string) (*http.Response, error) {
+	request := testpeer.Request{Method: http.MethodGet, Path: "/look", ID: id, Deadline: 10 * time.Second}
 	for {
-		used := c.conn != nil
-		if !used {
-			var err error
-			if c.conn, err = net.Dial("tcp", c.addr); err != nil {
-				c.conn = nil
+		isReused := c.conn != nil
+		if !isReused {
+			conn, err := testpeer.Dial(c.addr)
+			if err != nil {
 				return nil, err
 			}
-			c.in = bufio.NewReader(c.conn)
+			c.conn = conn
 		}
-		c.conn.SetDeadline(time.Now().Add(testTimeout)) // a request that is never answered is lost, too
-		fmt.Fprintf(c.conn, "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: 10000\r\n\r\n", id)
-		resp, err := http.ReadResponse(c.in, nil)
+		c.conn.SetWriteDeadline(time.Now().Add(testTimeout))
+		io.WriteString(c.conn, request.Text())
+		resp, err := c.conn.ReadResponse(testTimeout) // a request that is never answered is lost, too
 		if err == nil {
 			return resp, nil
 		}
 		c.close()
-		if !used || errors.Is(err, os.ErrDeadlineExceeded) {
+		if !isReused || errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
 	}
--- a/internal/discovery/watch/drain_test.go
+++ b/internal/discovery/watch/drain_test.go
@@ -143,8 +143,8 @@
 	drain func(a *agent, grace time.Duration) time.Time
 }
 
-// drainOnStalledWatch is a drain that the first watch does not deliver: it stalls after its beginning.
-// A watch that has been stalled for 6 s counts as one that has notified.
+// drainOnStalledWatch is a drain that the first watch does not deliver, since it stalls after its
+// beginning. A watch that has been stalled for 6 s counts as one that has notified.
 func drainOnStalledWatch(beginning string) drainCase {
 	const bound = 6 * time.Second
 	return drainCase{
