--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -41,6 +41,8 @@
 //	  ColdUs                 slow-start window
 //	  ColdFrom               slow-start capacity
 //	  ColdShare              slow-start share
+//	  FallMultiple           overload multiple (not used)
+//	  TipAfterUs             overload window (not used)
 //	known                  known endpoints
 //	console                admin address
 //	sockets                descriptors
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -72,7 +72,8 @@
 	`"Accounts":[{"Name":"erie","QuotaPerS":2.5,"Share":0.25}],"Discovery":"subscribe","ResolutionUs":9,` +
 	`"Permissions":{"MayCancel":true,"MayProbe":true,"RetryAfter":true,"TryLimit":3,"MaxRetryAfterUs":10,` +
 	`"ConnIdleUs":11,"DialTimeoutUs":12},` +
-	`"Rules":{"AskWithinUs":13,"ColdUs":14,"DrainGraceUs":15,"ColdFrom":0.5,"ColdShare":0.75}}`
+	`"Rules":{"AskWithinUs":13,"ColdUs":14,"DrainGraceUs":15,"ColdFrom":0.5,"ColdShare":0.75,` +
+	`"FallMultiple":4,"TipAfterUs":16}}`
 
 // goldenSettingsObject returns what goldenSettings is written from.
 func goldenSettingsObject() SettingsObject {
@@ -107,6 +108,8 @@
 			DrainGraceUs:      15,
 			SlowStartCapacity: 0.5,
 			SlowStartShare:    0.75,
+			OverloadMultiple:  WriteOnly[float64]{4},
+			OverloadWindowUs:  WriteOnly[int64]{16},
 		},
 	}
 }
@@ -176,6 +179,8 @@
 	file.Settings.Classes[0].PriorityWeight.Value = 0 // what is only written
 	file.Settings.Tenants[0].TrafficShare.Value = 0
 	file.Settings.Permissions.HealthCheckAllowed.Value = false
+	file.Settings.Rules.OverloadMultiple.Value = 0
+	file.Settings.Rules.OverloadWindowUs.Value = 0
 	if !reflect.DeepEqual(read, file) {
 		t.Errorf("read: %+v, want %+v", read, file)
 	}
@@ -219,7 +224,8 @@
 			t.Errorf("%s: %v", list, err)
 		}
 		settings := `{"Lanes":[{"Name":"look","Semantics":"read_like","Credit":` + value + `}],"Accounts":[{"Share":` +
-			value + `}],"Permissions":{"MayProbe":` + value + `}}`
+			value + `}],"Permissions":{"MayProbe":` + value + `},"Rules":{"FallMultiple":` + value +
+			`,"TipAfterUs":` + value + `}}`
 		if _, err := ParseSettings([]byte(settings)); err != nil {
 			t.Errorf("%s: %v", settings, err)
 		}
--- a/internal/platform/settingsobject.go
+++ b/internal/platform/settingsobject.go
@@ -71,4 +71,7 @@
 	DrainGraceUs      int64   `json:"DrainGraceUs"`
 	SlowStartCapacity float64 `json:"ColdFrom"`
 	SlowStartShare    float64 `json:"ColdShare"` // our own field: the platform does not send it
+
+	OverloadMultiple WriteOnly[float64] `json:"FallMultiple"` // of its capacity, under which an endpoint collapses
+	OverloadWindowUs WriteOnly[int64]   `json:"TipAfterUs"`   // for which it bears that load
 }
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -1,32 +1,30 @@
 package soak
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
-	"net/http"
 	"os"
 	"strings"
 	"sync/atomic"
 	"time"
+
+	"rowancart/internal/testpeer"
 )
 
 // client sends requests to one sidecar, one after the other, on a connection that it keeps.
 type client struct {
 	name    string
 	sidecar *sidecar
-	ledger  *ledger
+	checker *checker
 	rng     *rand.Rand
 	classes []class
 	stop    <-chan struct{} // closed when no new request is to be sent
 	noDials *atomic.Bool    // no new connection may be opened any more
 
-	conn   net.Conn // nil: there is none
-	in     *bufio.Reader
-	served int // responses on conn
+	conn   *testpeer.ClientConn // nil: there is none
 	serial int
 }
 
@@ -41,9 +39,9 @@
 		}
 		switch n := c.rng.IntN(100); {
 		case n < 8:
-			c.sendAndLeave()
+			c.sendAndDisconnect()
 		case n < 12:
-			c.sendHalf()
+			c.sendPartialRequest()
 		case n < 17:
 			c.sendPipelined()
 		default:
@@ -52,7 +50,7 @@
 	}
 }
 
-// request is one request as text.
+// request is one request of a class.
 type request struct {
 	id       string
 	class    class
@@ -71,16 +69,17 @@
 	if c.rng.IntN(10) == 0 {
 		r.deadline = time.Duration(20+c.rng.IntN(100)) * time.Millisecond
 	}
-	if r.class.effect != safe {
+	if r.class.idempotency != idempotent {
 		r.body = strings.Repeat("b", c.rng.IntN(300))
-		if c.rng.IntN(longBodyOdds) == 0 { // longer than what is held in memory, and than one body's buffers
+		if c.rng.IntN(longBodyOdds) == 0 {
 			r.body = strings.Repeat("b", minLongBody+c.rng.IntN(maxLongBody-minLongBody))
 		}
 	}
 	return r
 }
 
-// Long bodies: one of so many, of so many bytes.
+// Long bodies: one of so many, of so many bytes. They are longer than what a sidecar keeps in
+// memory, and than the kernel's buffers of one connection.
 const (
 	longBodyOdds = 20
 	minLongBody  = 60 << 10
@@ -92,15 +91,17 @@
 
 // text returns the request as it is sent.
 func (r request) text() string {
-	head := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline-Ms: %d\r\n",
-		r.class.method, r.class.name, r.id, r.deadline.Milliseconds())
-	if r.class.effect == keyed {
-		head += "Idempotency-Key: " + r.id + "\r\n"
+	sent := testpeer.Request{
+		Method:   r.class.method,
+		Path:     "/" + r.class.name,
+		ID:       r.id,
+		Deadline: r.deadline,
+		Body:     r.body,
 	}
-	if r.class.effect != safe {
-		head += fmt.Sprintf("Content-Length: %d\r\n", len(r.body))
+	if r.class.idempotency == keyed {
+		sent.IdempotencyKey = r.id
 	}
-	return head + "\r\n" + r.body
+	return sent.Text()
 }
 
 var errNoSidecar = errors.New("no connection: the sidecar has ended")
@@ -113,11 +114,11 @@
 	if c.noDials.Load() {
 		return errNoSidecar
 	}
-	conn, err := net.Dial("tcp", c.sidecar.addr)
+	conn, err := testpeer.Dial(c.sidecar.addr)
 	if err != nil {
 		return errNoSidecar
 	}
-	c.conn, c.in, c.served = conn, bufio.NewReader(conn), 0
+	c.conn = conn
 	return nil
 }
 
@@ -134,25 +135,9 @@
 	for _, r := range requests {
 		text += r.text()
 	}
-	recordSent := func(at func(request) time.Time) {
-		for _, r := range requests {
-			c.ledger.sent(r.id, r.class, r.body, at(r), r.deadline)
-		}
-	}
-	// Before the write: an endpoint may have it before the write returns. The time of a long one has
-	// not begun yet.
-	recordSent(func(r request) time.Time {
-		if r.isLong() {
-			return time.Now().Add(time.Hour)
-		}
-		return time.Now()
-	})
-	defer recordSent(func(r request) time.Time { // its time counts from the last byte
-		if r.isLong() {
-			return time.Now()
-		}
-		return time.Time{}
-	})
+	// Before the write: an endpoint may have received it before the write returns.
+	c.recordSent(requests, beforeWrite)
+	defer c.recordSent(requests, afterWrite)
 	cut := len(text)
 	if c.rng.IntN(4) == 0 {
 		cut = c.rng.IntN(len(text))
@@ -165,98 +150,139 @@
 		return nil
 	}
 	time.Sleep(time.Duration(c.rng.IntN(50)) * time.Millisecond)
-	recordSent(func(r request) time.Time {
-		if r.isLong() {
+	c.recordSent(requests, betweenPieces)
+	_, err := io.WriteString(c.conn, text[cut:])
+	return err
+}
+
+// writePhase is a point in the writing of requests.
+type writePhase int
+
+const (
+	beforeWrite writePhase = iota
+	betweenPieces
+	afterWrite
+)
+
+// recordSent records at a point of their writing when requests were sent. Their deadline counts
+// from their last byte: that of a long body is known after the write only, and lies in the future
+// until then.
+func (c *client) recordSent(requests []request, phase writePhase) {
+	for _, r := range requests {
+		c.checker.recordSent(r.id, r.class, r.body, r.sentAt(phase), r.deadline)
+	}
+}
+
+// sentAt returns when the request counts as sent at a point of its writing; zero: as before.
+func (r request) sentAt(phase writePhase) time.Time {
+	if !r.isLong() {
+		if phase == afterWrite {
 			return time.Time{}
 		}
 		return time.Now()
-	})
-	_, err := io.WriteString(c.conn, text[cut:])
-	return err
+	}
+	switch phase {
+	case beforeWrite:
+		return time.Now().Add(time.Hour)
+	case afterWrite:
+		return time.Now()
+	}
+	return time.Time{}
 }
 
-// read reads one response and reports whether the connection ends with it.
-func (c *client) read(r request) (last bool, err error) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(r.deadline + 3*time.Second))
-	resp, err := http.ReadResponse(c.in, nil)
+// readResponse reads one response and reports whether the connection ends with it.
+func (c *client) readResponse(r request) (isLast bool, err error) {
+	resp, err := c.conn.ReadResponse(r.deadline + 3*time.Second)
 	if err != nil {
 		return true, err
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
 	if err != nil {
-		c.ledger.count("broken responses") // failed, and its client can tell
+		c.checker.count("incomplete responses") // failed, and its client can tell
 	}
-	c.ledger.answered(r.id, resp.StatusCode, time.Now())
-	c.served++
+	c.checker.recordResponse(r.id, resp.StatusCode, time.Now())
 	return resp.Close || err != nil, nil
 }
 
-// send sends one request and waits for its answer. Where its connection, used before, ends without
-// one, it is sent once more on a new connection.
+// send sends one request and waits for its response. Where its connection, used before, ends
+// without one, the request is sent once more on a new connection.
 func (c *client) send() {
+	const maxSends = 2
 	r := c.newRequest()
-	for try := 0; ; try++ {
+	for n := 1; ; n++ {
 		if c.connect() != nil {
-			c.ledger.count("not sent")
+			c.checker.count("not sent")
 			return
 		}
-		err := c.write(r)
-		if err == nil || c.served == 0 || r.isLong() { // it may be answered though the rest was not accepted
-			var last bool
-			if last, err = c.read(r); err == nil {
-				if last {
-					c.closeConn()
-				}
-				return
-			}
+		isReused := c.conn.Responses > 0
+		err := c.exchange(r)
+		if err == nil {
+			return
 		}
-		crossed := c.served > 0 && !errors.Is(err, os.ErrDeadlineExceeded)
+		crossedClose := isReused && !errors.Is(err, os.ErrDeadlineExceeded)
 		c.closeConn()
-		if !crossed || try > 0 {
-			c.ledger.lost(r.id, fmt.Errorf("try %d: %w", try+1, err))
+		if !crossedClose || n == maxSends {
+			c.checker.recordNoResponse(r.id, fmt.Errorf("send %d: %w", n, err))
 			return
 		}
-		c.ledger.count("crossed a close")
+		c.checker.count("crossed a close")
+	}
+}
+
+// exchange writes a request and reads its response.
+func (c *client) exchange(r request) error {
+	err := c.write(r)
+	// A sidecar may respond although it has not accepted all of the request.
+	mayRespond := err == nil || c.conn.Responses == 0 || r.isLong()
+	if !mayRespond {
+		return err
 	}
+	isLast, err := c.readResponse(r)
+	if err != nil {
+		return err
+	}
+	if isLast {
+		c.closeConn()
+	}
+	return nil
 }
 
-// sendPipelined sends two requests at once. Behind a response that closes the connection, none
-// follows.
+// sendPipelined sends two requests at once. None follows a response that closes the connection.
 func (c *client) sendPipelined() {
 	if c.connect() != nil {
 		return
 	}
-	fresh := c.served == 0
+	isNew := c.conn.Responses == 0
 	requests := []request{c.newRequest(), c.newRequest()}
 	for i := range requests {
 		requests[i].id += "-pipelined"
 		requests[i].body = requests[i].body[:min(len(requests[i].body), minLongBody/2)]
 	}
-	// HTTP/1.1 answers in order (RFC 9112, 9.3.2): no answer can come before that of the request
-	// ahead.
+	// Responses come in the order of the requests (RFC 9112, 9.3.2): none can come before that of the
+	// request ahead.
 	requests[1].deadline = max(requests[0].deadline, requests[1].deadline)
-	if c.write(requests...) != nil && !fresh {
+	if c.write(requests...) != nil && !isNew {
 		c.closeConn()
 		return
 	}
 	for i, r := range requests {
-		last, err := c.read(r)
+		isLast, err := c.readResponse(r)
 		if err != nil {
-			if i > 0 || fresh || errors.Is(err, os.ErrDeadlineExceeded) {
-				c.ledger.lost(r.id, fmt.Errorf("pipelined %d: %w", i+1, err))
+			if i > 0 || isNew || errors.Is(err, os.ErrDeadlineExceeded) {
+				c.checker.recordNoResponse(r.id, fmt.Errorf("pipelined %d: %w", i+1, err))
 			}
 			c.closeConn()
 			return
 		}
-		if last {
+		if isLast {
 			c.closeConn()
 			return
 		}
 	}
 }
 
-// sendAndLeave sends a request and closes the connection soon.
-func (c *client) sendAndLeave() {
+// sendAndDisconnect sends a request and closes the connection soon.
+func (c *client) sendAndDisconnect() {
 	if c.connect() != nil {
 		return
 	}
@@ -265,14 +291,15 @@
 		time.Sleep(time.Duration(c.rng.IntN(200)) * time.Millisecond)
 	}
 	if c.rng.IntN(2) == 0 {
-		_ = c.conn.(*net.TCPConn).SetLinger(0)
+		c.conn.ResetOnClose()
 	}
 	c.closeConn()
-	c.ledger.left(r.id, time.Now())
+	c.checker.recordDisconnect(r.id, time.Now())
 }
 
-// sendHalf stops in the middle of a request and stays: an error or a close has to come.
-func (c *client) sendHalf() {
+// sendPartialRequest sends the beginning of a request and stays connected: an error or a close has
+// to come.
+func (c *client) sendPartialRequest() {
 	if c.noDials.Load() {
 		return
 	}
@@ -284,13 +311,13 @@
 	began := time.Now()
 	text := c.newRequest().text()
 	_, _ = io.WriteString(conn, text[:c.rng.IntN(len(text))])
-	_ = conn.SetReadDeadline(began.Add(2 * improperLimit))
+	_ = conn.SetReadDeadline(began.Add(2 * improperPeerLimit))
 	status := make([]byte, len("HTTP/1.1 4"))
 	n, err := io.ReadFull(conn, status)
-	if took := time.Since(began); took > improperLimit+c.ledger.slack(began) {
-		c.ledger.breach(ruleImproper, "%s: %q, %v after %v", c.name, status[:n], err, took)
+	if took := time.Since(began); took > improperPeerLimit+c.checker.allowance(began) {
+		c.checker.recordViolation(ruleImproperPeers, "%s: %q, %v after %v", c.name, status[:n], err, took)
 	}
 	if n == len(status) && status[n-1] != '4' && status[n-1] != '5' {
-		c.ledger.breach(ruleImproper, "%s: half a request is answered %q", c.name, status)
+		c.checker.recordViolation(ruleImproperPeers, "%s: a partial request gets the response %q", c.name, status)
 	}
 }
--- a/internal/soak/endpoints_test.go
+++ b/internal/soak/endpoints_test.go
@@ -11,6 +11,7 @@
 	"sync"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -18,40 +19,45 @@
 type behavior int
 
 const (
-	serve behavior = iota
-	serveSlowly
-	serveWithoutLength // the body ends with the connection
-	fail
-	decline
+	respondOK behavior = iota
+	respondSlowly
+	respondWithoutLength // the body ends with the connection
+	respondError
+	respondRejected
 	hang
-	closeUnanswered
-	resetUnanswered
-	resetWithin
-	spoil // what comes back is no response
+	closeWithoutResponse
+	resetWithoutResponse
+	resetWithinResponse
+	respondMalformed
 )
 
-// endpoint is an emulated endpoint at one address. It may be restarted.
+// endpoint is a fake endpoint at one address. It may be restarted.
 type endpoint struct {
 	id, addr string
 	seed     uint64
-	ledger   *ledger
-	stopped  <-chan struct{} // closed at the end: what hangs ends
+	checker  *checker
+	stopped  <-chan struct{} // closed at the end of the run, which also ends the requests that hang
 
 	mu       sync.Mutex
-	listener net.Listener // nil: the process is down
+	listener net.Listener // nil: the endpoint is down
 	conns    map[net.Conn]bool
 	failing  bool // three of four requests fail in some way
 }
 
 // startEndpoint starts an endpoint at an address of its own.
-func startEndpoint(id string, seed uint64, l *ledger, stopped <-chan struct{}) (*endpoint, error) {
+func startEndpoint(id string, seed uint64, c *checker, stopped <-chan struct{}) (*endpoint, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	e := &endpoint{
-		id: id, addr: listener.Addr().String(), seed: seed, ledger: l, stopped: stopped,
-		listener: listener, conns: map[net.Conn]bool{},
+		id:       id,
+		addr:     listener.Addr().String(),
+		seed:     seed,
+		checker:  c,
+		stopped:  stopped,
+		listener: listener,
+		conns:    map[net.Conn]bool{},
 	}
 	go e.run(listener)
 	return e, nil
@@ -90,7 +96,7 @@
 	clear(e.conns)
 }
 
-// start starts the process again, cold.
+// start starts the process again. It warms up from now on.
 func (e *endpoint) start() error {
 	l, err := net.Listen("tcp", e.addr)
 	if err != nil {
@@ -99,7 +105,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listener = l
-	e.ledger.restarted(e.id, time.Now())
+	e.checker.recordStart(e.id, time.Now())
 	go e.run(l)
 	return nil
 }
@@ -119,17 +125,23 @@
 	failing := e.failing
 	e.mu.Unlock()
 	if failing && n%4 > 0 {
-		return fail + behavior(n/4%uint64(spoil-fail+1))
+		return drawFault(n / 4)
 	}
 	switch n = n / 4 % 100; {
 	case n < 82:
-		return serve
+		return respondOK
 	case n < 90:
-		return serveSlowly
+		return respondSlowly
 	case n < 92:
-		return serveWithoutLength
+		return respondWithoutLength
 	}
-	return fail + behavior((n-92)%uint64(spoil-fail+1))
+	return drawFault(n - 92)
+}
+
+// drawFault returns the fault that a random number stands for.
+func drawFault(n uint64) behavior {
+	const faults = uint64(respondMalformed - respondError + 1)
+	return respondError + behavior(n%faults)
 }
 
 // serveConn serves a connection until it ends.
@@ -146,56 +158,65 @@
 		if err != nil {
 			return
 		}
-		headAt := time.Now() // the rules on drains, on clients that left and on deadlines go by the first bytes
+		headAt := time.Now() // by which all rules on attempts go
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
-		ms, _ := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
-		id := r.Header.Get("Req-Id")
-		e.ledger.attempt(e.id, id, r.Method, r.URL.Path, string(body), time.Duration(ms)*time.Millisecond, headAt)
+		timeoutMs, _ := strconv.Atoi(r.Header.Get(platform.DeadlineHeader))
+		id := r.Header.Get(platform.RequestIDHeader)
+		e.checker.recordAttempt(attempt{
+			endpoint: e.id,
+			id:       id,
+			method:   r.Method,
+			path:     r.URL.Path,
+			body:     string(body),
+			timeout:  time.Duration(timeoutMs) * time.Millisecond,
+			at:       headAt,
+		})
 		if !e.respond(nc, in, e.draw(id), id) {
 			return
 		}
 	}
 }
 
-// respond does with a request what was drawn, and reports whether the connection goes on.
-func (e *endpoint) respond(nc net.Conn, in *bufio.Reader, what behavior, id string) bool {
-	reply := func(text string) bool {
+// respond does with a request what was drawn, and reports whether the connection stays open.
+func (e *endpoint) respond(nc net.Conn, in *bufio.Reader, drawn behavior, id string) bool {
+	write := func(text string) bool {
 		_, err := io.WriteString(nc, text)
 		return err == nil
 	}
-	switch what {
-	case serve:
-		return reply(testpeer.OKResponse)
-	case serveSlowly:
+	switch drawn {
+	case respondOK:
+		return write(testpeer.OKResponse)
+	case respondSlowly:
 		e.pause(time.Duration(len(id)*20) * time.Millisecond)
-		return reply(testpeer.OKResponse)
-	case serveWithoutLength:
-		reply("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi")
-	case fail:
-		return reply("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-	case decline:
-		e.ledger.declined(id)
-		return reply("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+		return write(testpeer.OKResponse)
+	case respondWithoutLength:
+		write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi")
+	case respondError:
+		return write("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+	case respondRejected:
+		e.checker.recordRejection(id)
+		return write("HTTP/1.1 503 Service Unavailable\r\n" +
+			platform.RejectedHeader + ": " + platform.RejectedValue + "\r\nContent-Length: 0\r\n\r\n")
 	case hang:
-		gone := make(chan struct{})
+		closed := make(chan struct{})
 		go func() { // until the sidecar ends the connection
-			defer close(gone)
+			defer close(closed)
 			_, _ = in.ReadByte()
 		}()
 		select {
-		case <-gone:
+		case <-closed:
 		case <-e.stopped:
 		}
-	case resetUnanswered:
+	case resetWithoutResponse:
 		nc.(*net.TCPConn).SetLinger(0)
-	case resetWithin:
-		reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh")
+	case resetWithinResponse:
+		write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh")
 		nc.(*net.TCPConn).SetLinger(0)
-	case spoil:
-		reply("HTTP/1.1 two hundred\r\n\r\n")
+	case respondMalformed:
+		write("HTTP/1.1 two hundred\r\n\r\n")
 	}
 	return false
 }
--- /dev/null
+++ b/internal/soak/lateness_test.go
@@ -0,0 +1,50 @@
+package soak
+
+import (
+	"sync"
+	"time"
+)
+
+// timingAllowance is by how much times may be late in any case: the machine's part.
+const timingAllowance = 100 * time.Millisecond
+
+// timerLateness measures how late this process's own timers are: the times that it takes may be
+// late by as much.
+type timerLateness struct {
+	mu   sync.Mutex
+	late []lateTimer // in order of time
+}
+
+type lateTimer struct {
+	at time.Time
+	by time.Duration
+}
+
+// measure runs until stop is closed.
+func (l *timerLateness) measure(stop <-chan struct{}) {
+	const interval = 5 * time.Millisecond
+	for {
+		began := time.Now()
+		select {
+		case <-stop:
+			return
+		case <-time.After(interval):
+		}
+		if by := time.Since(began) - interval; by > interval {
+			l.mu.Lock()
+			l.late = append(l.late, lateTimer{time.Now(), by})
+			l.mu.Unlock()
+		}
+	}
+}
+
+// allowance returns by how much times between since and now may be late.
+func (l *timerLateness) allowance(since time.Time) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	allowance := timingAllowance
+	for i := len(l.late) - 1; i >= 0 && l.late[i].at.After(since.Add(-timingAllowance)); i-- {
+		allowance += l.late[i].by
+	}
+	return allowance
+}
--- a/internal/soak/sidecars_test.go
+++ b/internal/soak/sidecars_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -9,33 +10,74 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"rowancart/internal/platform"
 )
 
-// settings are those of all sidecars. Deadlines are short, so that SIGKILL comes soon.
-const settings = `{"Lanes":[
-	{"Name":"look","Semantics":"read_like","OnTimeUs":600000,"HardLimitUs":1000000},
-	{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":600000,"HardLimitUs":1000000},
-	{"Name":"book","Semantics":"idempotency_key","Group":"all","WindowUs":400000,"OnTimeUs":600000,"HardLimitUs":1000000}],
-	"Permissions":{"MayCancel":true,"TryLimit":4,"RetryAfter":true,"MaxRetryAfterUs":300000,"DialTimeoutUs":250000,
-		"ConnIdleUs":3000000},
-	"Rules":{"ColdFrom":0.31,"ColdUs":3000000,"DrainGraceUs":1000000,"FallMultiple":4,"TipAfterUs":1000000},
-	"NInstances":2,"Me":%d}`
+// The figures of the settings that the checker and the clients need, too.
+const (
+	longestDeadline  = time.Second
+	keyWindow        = 400 * time.Millisecond
+	warmupDuration   = 3 * time.Second
+	initialShare     = 0.31
+	overloadMultiple = 4
+	overloadWindow   = time.Second
+)
 
-// The figures of the settings that the ledger and the clients need.
 const (
-	longestDeadline = time.Second
-	keyWindow       = 400 * time.Millisecond
-	killDelay       = longestDeadline + 700*time.Millisecond // after SIGTERM, at the earliest
-	descriptors     = 256
-	readyLimit      = 6 * time.Second
+	killDelay   = longestDeadline + 700*time.Millisecond // after SIGTERM, at the earliest
+	descriptors = 256
+	readyLimit  = 6 * time.Second
 )
 
+// settings returns the settings of the sidecar with an index. Deadlines are short, so that SIGKILL
+// comes soon.
+func settings(index int) platform.SettingsObject {
+	const latencyObjective = 600 * time.Millisecond
+	class := func(name, repeatability string) platform.ClassSettings {
+		return platform.ClassSettings{
+			Name:               name,
+			Repeatability:      repeatability,
+			LatencyObjectiveUs: latencyObjective.Microseconds(),
+			MaxDeadlineUs:      longestDeadline.Microseconds(),
+		}
+	}
+	book := class("book", platform.RepeatabilityKeyed)
+	book.KeyScope = platform.KeyScopeAll
+	book.KeyWindowUs = keyWindow.Microseconds()
+	return platform.SettingsObject{
+		Instances: sidecarCount,
+		Index:     index,
+		Classes: []platform.ClassSettings{
+			class("look", platform.RepeatabilityIdempotent),
+			class("pay", platform.RepeatabilityNonIdempotent),
+			book,
+		},
+		Permissions: platform.Permissions{
+			CancelAllowed:     true,
+			RetryAfterAllowed: true,
+			MaxAttempts:       4,
+			MaxRetryAfterUs:   (300 * time.Millisecond).Microseconds(),
+			DialTimeoutUs:     (250 * time.Millisecond).Microseconds(),
+			ConnIdleUs:        (3 * time.Second).Microseconds(),
+		},
+		Rules: platform.EndpointBehaviour{
+			SlowStartCapacity: initialShare,
+			SlowStartWindowUs: warmupDuration.Microseconds(),
+			DrainGraceUs:      drainGrace.Microseconds(),
+			OverloadMultiple:  platform.WriteOnly[float64]{Value: overloadMultiple},
+			OverloadWindowUs:  platform.WriteOnly[int64]{Value: overloadWindow.Microseconds()},
+		},
+	}
+}
+
 // sidecar is one sidecar, of which two processes may run: the platform holds its listening socket.
 type sidecar struct {
 	index     int
@@ -43,7 +85,7 @@
 	dir       string // its configuration file and TMPDIR
 	listener  *os.File
 	addr      string
-	ledger    *ledger
+	checker   *checker
 	discovery *discovery
 	processes []*process // those that have been started
 }
@@ -60,8 +102,14 @@
 	terminated bool // SIGTERM was sent
 }
 
-func newSidecar(index int, program, dir string, l *ledger, d *discovery) (*sidecar, error) {
-	s := &sidecar{index: index, program: program, dir: filepath.Join(dir, fmt.Sprint("n", index)), ledger: l, discovery: d}
+func newSidecar(index int, program, dir string, c *checker, d *discovery) (*sidecar, error) {
+	s := &sidecar{
+		index:     index,
+		program:   program,
+		dir:       filepath.Join(dir, fmt.Sprint("n", index)),
+		checker:   c,
+		discovery: d,
+	}
 	if err := os.MkdirAll(s.tempDir(), 0o700); err != nil {
 		return nil, err
 	}
@@ -75,16 +123,25 @@
 	return s, err
 }
 
+func (s *sidecar) name() string       { return fmt.Sprint("n", s.index) }
 func (s *sidecar) tempDir() string    { return filepath.Join(s.dir, "tmp") }
 func (s *sidecar) configPath() string { return filepath.Join(s.dir, "config.json") }
 
 // writeConfig replaces the configuration file.
 func (s *sidecar) writeConfig() error {
-	text := fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"seed":"%x",
-		"limits":{"cores":1,"memory_mb":64,"sockets":%d},"settings":%s}`,
-		s.index, s.addr, s.discovery.address(), 7+s.index, descriptors, fmt.Sprintf(settings, s.index))
+	text, err := json.Marshal(platform.ConfigFile{
+		Name:      s.name(),
+		Listen:    s.addr,
+		Discovery: s.discovery.Addr(),
+		Seed:      strconv.FormatInt(int64(7+s.index), 16),
+		Limits:    platform.ConfigLimits{Cores: 1, MemoryMB: 64, Sockets: descriptors},
+		Settings:  settings(s.index),
+	})
+	if err != nil {
+		return err
+	}
 	next := s.configPath() + ".new"
-	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(next, text, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(next, s.configPath())
@@ -97,7 +154,10 @@
 	}
 	p := &process{Cmd: exec.Command(s.program), exited: make(chan struct{})}
 	p.Env = []string{
-		"ROUTER_CONFIG=" + s.configPath(), "ROUTER_CONSOLE=127.0.0.1:0", "ROUTER_ACCEPT_FD=3", "TMPDIR=" + s.tempDir(),
+		platform.EnvConfig + "=" + s.configPath(),
+		platform.EnvAdminAddr + "=127.0.0.1:0",
+		platform.EnvAcceptFD + "=3",
+		platform.EnvSharedDir + "=" + s.tempDir(),
 	}
 	p.ExtraFiles = []*os.File{s.listener}
 	stderr, err := p.StderrPipe()
@@ -110,14 +170,14 @@
 	}
 	s.processes = append(s.processes, p)
 	adminAddr := make(chan string, 1)
-	go p.follow(stderr, adminAddr)
+	go p.readLog(stderr, adminAddr)
 	select {
 	case p.adminAddr = <-adminAddr:
 	case <-p.exited:
 		return nil, fmt.Errorf("exited at its start: %w", p.exitErr)
 	}
 	for {
-		if response, _ := p.command("ready"); strings.HasPrefix(response, "SUCCESS") {
+		if p.command("ready").succeeded() {
 			return p, nil
 		}
 		if time.Since(began) > readyLimit {
@@ -127,8 +187,8 @@
 	}
 }
 
-// follow keeps the process's log until it exits, and sends the address of its admin interface.
-func (p *process) follow(stderr io.Reader, adminAddr chan<- string) {
+// readLog records the process's log until it exits, and sends the address of its admin interface.
+func (p *process) readLog(stderr io.Reader, adminAddr chan<- string) {
 	for lines := bufio.NewScanner(stderr); lines.Scan(); {
 		p.mu.Lock()
 		p.log.WriteString(lines.Text() + "\n")
@@ -148,38 +208,52 @@
 	return p.log.String()
 }
 
-// command sends a command to the admin interface and returns the first line of the response, and
-// how long it took.
-func (p *process) command(line string) (response string, took time.Duration) {
+// adminResponse is the response to an admin command.
+type adminResponse struct {
+	line string // the first one, or an error
+	took time.Duration
+}
+
+func (r adminResponse) succeeded() bool { return strings.HasPrefix(r.line, "SUCCESS") }
+func (r adminResponse) failed() bool    { return strings.HasPrefix(r.line, "FAILURE") }
+
+// command sends a command to the admin interface.
+func (p *process) command(line string) adminResponse {
 	began := time.Now()
-	conn, err := net.DialTimeout("tcp", p.adminAddr, 3*operatorsLimit)
+	response, err := p.exchange(line, began.Add(3*adminLimit))
 	if err != nil {
-		return err.Error(), time.Since(began)
+		response = err.Error()
 	}
-	defer conn.Close()
-	_ = conn.SetDeadline(began.Add(3 * operatorsLimit))
-	_, _ = io.WriteString(conn, line+"\n")
-	response, err = bufio.NewReader(conn).ReadString('\n')
+	return adminResponse{response, time.Since(began)}
+}
+
+// exchange sends a command and returns the first line of the response.
+func (p *process) exchange(line string, deadline time.Time) (string, error) {
+	conn, err := net.DialTimeout("tcp", p.adminAddr, time.Until(deadline))
 	if err != nil {
-		response = err.Error()
+		return "", err
 	}
-	return response, time.Since(began)
+	defer conn.Close()
+	_ = conn.SetDeadline(deadline)
+	_, _ = io.WriteString(conn, line+"\n")
+	return bufio.NewReader(conn).ReadString('\n')
 }
 
-// operate sends a command that has to be answered in time, and reports whether it succeeded.
-func (s *sidecar) operate(p *process, line string) bool {
+// adminCommand sends a command that has to be responded to in time, and reports whether it
+// succeeded.
+func (s *sidecar) adminCommand(p *process, line string) bool {
 	began := time.Now()
-	response, took := p.command(line)
-	succeeded := strings.HasPrefix(response, "SUCCESS")
-	if took > operatorsLimit+s.ledger.slack(began) || !succeeded && !strings.HasPrefix(response, "FAILURE") {
-		s.ledger.breach(ruleOperators, "%s: %q after %v", line, response, took)
+	response := p.command(line)
+	isLate := response.took > adminLimit+s.checker.allowance(began)
+	if isLate || !response.succeeded() && !response.failed() {
+		s.checker.recordViolation(ruleAdmin, "%s: %q after %v", line, response.line, response.took)
 	}
-	return succeeded
+	return response.succeeded()
 }
 
 // reload replaces the configuration and sends SIGHUP n times.
 func (s *sidecar) reload(p *process, n int) error {
-	s.discovery.allow(reloadGrace)
+	s.discovery.extendGrace(reloadGrace)
 	if err := s.writeConfig(); err != nil {
 		return err
 	}
@@ -191,48 +265,46 @@
 	return nil
 }
 
-// terminate sends SIGTERM, twice if asked, and SIGKILL at the earliest moment. It judges the end.
-func (s *sidecar) terminate(p *process, twice bool) {
+// terminate sends SIGTERM so many times, and SIGKILL at the earliest moment that is allowed.
+func (s *sidecar) terminate(p *process, signals int) {
 	p.mu.Lock()
 	p.terminated = true
 	p.mu.Unlock()
-	_ = p.Process.Signal(syscall.SIGTERM)
-	if twice {
+	for range signals {
 		_ = p.Process.Signal(syscall.SIGTERM)
 	}
 	select {
 	case <-p.exited:
 	case <-time.After(killDelay):
-		s.ledger.count("killed")
+		s.checker.count("killed")
 		_ = p.Process.Kill()
 		<-p.exited
 	}
 }
 
-// squeeze leaves the process no further descriptors for a while, as a machine without any does.
-func (s *sidecar) squeeze(p *process, d time.Duration) {
-	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
+// exhaustDescriptors leaves the process no further descriptors for a while.
+func (p *process) exhaustDescriptors(d time.Duration) {
+	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	if err != nil {
 		return
 	}
-	var old unix.Rlimit
-	few := unix.Rlimit{Cur: uint64(len(files))}
-	if unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, nil, &old) != nil {
+	var before unix.Rlimit
+	if unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, nil, &before) != nil {
 		return
 	}
-	few.Max = old.Max
-	if unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &few, nil) != nil {
+	exhausted := unix.Rlimit{Cur: uint64(len(open)), Max: before.Max}
+	if unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &exhausted, nil) != nil {
 		return
 	}
 	time.Sleep(d)
-	_ = unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &old, nil)
+	_ = unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &before, nil)
 }
 
 // breakSharedDir makes the sidecar's shared directory fail for a while.
 func (s *sidecar) breakSharedDir(d time.Duration) error {
-	path := filepath.Join(s.tempDir(), fmt.Sprintf("rowancart-n%d", s.index))
-	aside := filepath.Join(s.dir, "aside")
-	if err := os.Rename(path, aside); err != nil {
+	path := filepath.Join(s.tempDir(), "rowancart-"+s.name())
+	moved := filepath.Join(s.dir, "moved")
+	if err := os.Rename(path, moved); err != nil {
 		return err
 	}
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
@@ -242,33 +314,37 @@
 	if err := os.Remove(path); err != nil {
 		return err
 	}
-	return os.Rename(aside, path)
+	return os.Rename(moved, path)
 }
 
-// judgeProcesses looks for crashes, and for what the processes have left behind.
-func (s *sidecar) judgeProcesses() {
+// checkProcesses checks that the processes have ended without a crash and left nothing behind.
+func (s *sidecar) checkProcesses() {
 	for _, p := range s.processes {
-		select {
-		case <-p.exited:
-		default:
-			s.ledger.breach(ruleRemains, "process %d still runs", p.Process.Pid)
-			continue
-		}
-		var exit *exec.ExitError
-		killed := errors.As(p.exitErr, &exit) && exit.Sys().(syscall.WaitStatus).Signal() == syscall.SIGKILL
-		if p.exitErr != nil && !(p.terminated && killed) {
-			s.ledger.breach(ruleRemains, "process %d ended with %v:\n%s", p.Process.Pid, p.exitErr, p.logText())
-		}
-		if strings.Contains(p.logText(), "request panicked") {
-			s.ledger.breach(ruleRemains, "process %d: %s", p.Process.Pid, p.logText())
-		}
+		s.checkProcess(p)
 	}
 	left, _ := filepath.Glob(filepath.Join(s.tempDir(), "*", "*"))
 	for _, path := range left {
 		switch name := filepath.Base(path); {
 		case name == "bans", name == "learned":
 		default:
-			s.ledger.breach(ruleRemains, "%s is left behind", path)
+			s.checker.recordViolation(ruleCleanup, "%s is left behind", path)
 		}
 	}
 }
+
+func (s *sidecar) checkProcess(p *process) {
+	select {
+	case <-p.exited:
+	default:
+		s.checker.recordViolation(ruleCleanup, "process %d still runs", p.Process.Pid)
+		return
+	}
+	var exit *exec.ExitError
+	killed := errors.As(p.exitErr, &exit) && exit.Sys().(syscall.WaitStatus).Signal() == syscall.SIGKILL
+	if p.exitErr != nil && !(p.terminated && killed) {
+		s.checker.recordViolation(ruleCleanup, "process %d ended with %v:\n%s", p.Process.Pid, p.exitErr, p.logText())
+	}
+	if strings.Contains(p.logText(), "request panicked") {
+		s.checker.recordViolation(ruleCleanup, "process %d: %s", p.Process.Pid, p.logText())
+	}
+}
