--- a/internal/discovery/watch/backoff.go
+++ b/internal/discovery/watch/backoff.go
@@ -27,15 +27,15 @@
 	watchIdleTimeout = 2500 * time.Millisecond
 )
 
-// localAgentTiming returns the timing for an agent on this machine, which answers at once. A lost
-// watch has to be replaced within the drain grace (0 means the default), so the bounds are shares
-// of it: half of it for an answer, a fifth between two watches.
+// localAgentTiming returns the timing for an agent on this machine, which responds at once. A lost
+// watch has to be replaced within the drain grace (0 means the default), so the bounds are
+// fractions of it: half of it for a response, a fifth between two watches.
 func localAgentTiming(drainGrace time.Duration) watchTiming {
-	const responseShare, backoffShare = 0.5, 0.2
+	const responseFraction, backoffFraction = 0.5, 0.2
 	grace := float64(cmp.Or(drainGrace, defaultDrainGrace))
-	maxBackoff := time.Duration(backoffShare * grace)
+	maxBackoff := time.Duration(backoffFraction * grace)
 	return watchTiming{
-		responseTimeout: time.Duration(responseShare * grace),
+		responseTimeout: time.Duration(responseFraction * grace),
 		idleTimeout:     watchIdleTimeout,
 		minBackoff:      min(firstBackoff, maxBackoff),
 		maxBackoff:      maxBackoff,
@@ -43,18 +43,18 @@
 	}
 }
 
-// sharedServiceTiming is the timing for one service of bounded capacity that answers the calls of
+// sharedServiceTiming is the timing for one service of bounded capacity that serves the calls of
 // all instances one after the other.
 var sharedServiceTiming = watchTiming{
-	// A call waits for its turn for up to 2 s. One that is given up sooner is served nevertheless, and
-	// has to be made again.
+	// A call is queued for up to 2 s. One that is canceled sooner is served nevertheless, and has to
+	// be made again.
 	responseTimeout: 2500 * time.Millisecond,
 	idleTimeout:     watchIdleTimeout,
 	minBackoff:      firstBackoff,
-	// Where calls come sooner than they are served, the service rejects most of them, and no instance
-	// gets its turn.
+	// Where calls come faster than they are served, the service rejects most of them, and hardly any
+	// instance is served.
 	maxBackoff: 1600 * time.Millisecond,
-	// A watch that breaks right after its start must not reset the backoff: all instances would call
+	// A watch that ends right after its start must not reset the backoff: all instances would call
 	// again at once.
 	stableAfter: time.Second,
 }
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -33,7 +33,7 @@
 }
 
 // startClient runs a client that knows a version, after configure (nil: nothing) has changed it.
-// Discovery answers its calls with one step each.
+// Discovery responds to its calls with one step each.
 func startClient(t *testing.T, version int64, configure func(*Client), steps ...testpeer.Step) *testClient {
 	t.Helper()
 	addr, calls := startDiscovery(t, steps...)
@@ -50,8 +50,8 @@
 	return c
 }
 
-// startDiscovery starts a discovery that answers its calls with one step each. It returns its
-// address and the queries of its calls.
+// startDiscovery starts a fake discovery that responds to its calls with one step each. It returns
+// its address and the queries of its calls.
 func startDiscovery(t *testing.T, steps ...testpeer.Step) (addr string, calls chan string) {
 	t.Helper()
 	discovery := &testpeer.ScriptedDiscovery{Steps: steps, Calls: make(chan string, 100)}
@@ -125,7 +125,7 @@
 	c.expectCalls(t, "", "watch=1&after=7")
 }
 
-// A reload may change the address at any point of a watch. The old address is left at once.
+// A reload may change the address at any point of a watch. The watch at the old one ends at once.
 func TestSetAddressAtAnyPointOfAWatch(t *testing.T) {
 	for name, step := range map[string]testpeer.Step{
 		"before the headers": noResponse(),
--- a/internal/discovery/watch/sharedservice_test.go
+++ b/internal/discovery/watch/sharedservice_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// sharedService is discovery as one service for all instances: it answers one call after the other,
+// sharedService is discovery as one service for all instances: it serves one call after the other,
 // takes a while for each, and rejects calls while its queue is full. Until it stalls, a watch is
 // opened at once and stays healthy.
 type sharedService struct {
-	stalled   chan struct{} // closed: watches that are open deliver nothing any more
-	answering chan struct{} // capacity 1: a semaphore held by the call that is being answered
-	queued    atomic.Int32
-	rejected  atomic.Int32 // calls
+	stalled  chan struct{} // closed: watches that are open deliver nothing any more
+	serving  chan struct{} // capacity 1: a semaphore held by the call that is being served
+	queued   atomic.Int32
+	rejected atomic.Int32 // calls
 }
 
 const (
@@ -39,9 +39,9 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s.answering <- struct{}{}
-	time.Sleep(serviceTime) // also for a call that was cancelled meanwhile
-	<-s.answering
+	s.serving <- struct{}{}
+	time.Sleep(serviceTime) // also for a call that was canceled meanwhile
+	<-s.serving
 	s.queued.Add(-1)
 	w.Write([]byte(drainMessage + "\n"))
 	writeEmptyLines(w, r, nil)
@@ -66,12 +66,12 @@
 }
 
 // All instances lose their watches together and call one service anew. Their attempts must not keep
-// it from answering: each is notified of a drain within 6 s of the stall and the grace.
+// it from serving: each is notified of a drain within 6 s of the stall and the grace.
 func TestRetriesDoNotOverloadASharedService(t *testing.T) {
 	const instances, bound = 13, 6*time.Second + defaultDrainGrace
 	for range 20 { // the jitter of backoffs is random
 		synctest.Test(t, func(t *testing.T) {
-			s := &sharedService{stalled: make(chan struct{}), answering: make(chan struct{}, 1)}
+			s := &sharedService{stalled: make(chan struct{}), serving: make(chan struct{}, 1)}
 			var observers []*drainObserver
 			for range instances {
 				observers = append(observers, observeDrain(t, Options{WaitForSubscribe: true}, s, func() bool { return false }))
@@ -83,7 +83,7 @@
 			for _, o := range observers {
 				o.stop()
 			}
-			time.Sleep(3 * time.Second) // calls that were cancelled are answered all the same
+			time.Sleep(3 * time.Second) // calls that were canceled are served all the same
 			for i, o := range observers {
 				if !o.wasNotifiedBy(stalledAt.Add(bound)) {
 					t.Errorf("instance %d was notified of a drain %v after its watch stalled", i, o.notifiedAt().Sub(stalledAt))
@@ -98,13 +98,13 @@
 	const outage, minCalls, maxCalls = 30 * time.Second, 12, 45
 	for range 20 { // the jitter of backoffs is random
 		synctest.Test(t, func(t *testing.T) {
-			s := &sharedService{stalled: make(chan struct{}), answering: make(chan struct{}, 1)}
+			s := &sharedService{stalled: make(chan struct{}), serving: make(chan struct{}, 1)}
 			s.queued.Store(serviceQueueLimit)
 			close(s.stalled)
 			o := observeDrain(t, Options{WaitForSubscribe: true}, s, func() bool { return false })
 			time.Sleep(outage)
 			o.stop()
-			time.Sleep(time.Second) // a call that was cancelled is rejected all the same
+			time.Sleep(time.Second) // a call that was canceled is rejected all the same
 			if n := s.rejected.Load(); n < minCalls || n > maxCalls {
 				t.Errorf("%d calls in %v, want between %d and %d", n, outage, minCalls, maxCalls)
 			}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // The golden tests hold every name of the platform to literal text. Programs under test and their
-// stand-ins share this package: a wrong name would pass on both sides of any other test.
+// stand-ins share this package, so a wrong name would go unnoticed in any other test.
 
 const goldenList = `{"version":7,"full":true,"servers":[` +
 	`{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"Ready","weight":1,` +
@@ -172,6 +172,15 @@
 	if err != nil || string(text) != golden {
 		t.Errorf("written: %v\n%s, want\n%s", err, text, golden)
 	}
+	var raw RawConfigFile
+	if err := json.Unmarshal([]byte(golden), &raw); err != nil {
+		t.Fatal(err)
+	}
+	if raw.Name != "n" || raw.Listen != "127.0.0.1:1" || raw.Discovery != "127.0.0.1:2" ||
+		raw.AdminAddr != "127.0.0.1:3" || raw.Seed != "1f" || raw.Limits != file.Limits ||
+		string(raw.Known) != goldenEmptyList || string(raw.Settings) != goldenSettings {
+		t.Errorf("read raw: %+v", raw)
+	}
 	var read ConfigFile
 	if err := json.Unmarshal([]byte(golden), &read); err != nil {
 		t.Fatal(err)
@@ -201,6 +210,15 @@
 		{EndpointListPath, "/catalog/members"},
 		{WatchQuery(42), "watch=1&after=42"},
 		{SettingsField, "Config"},
+		{ListenField, "listen"},
+		{DiscoveryField, "discovery"},
+		{AdminAddrField, "console"},
+		{SeedField, "seed"},
+		{KnownField, "known"},
+		{ConfigSettingsField, "settings"},
+		{CoresField, "limits.cores"},
+		{MemoryMBField, "limits.memory_mb"},
+		{SocketsField, "limits.sockets"},
 		{EnvConfig, "ROUTER_CONFIG"},
 		{EnvName, "ROUTER_NAME"},
 		{EnvListen, "ROUTER_LISTEN"},
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -8,8 +8,7 @@
 	"rowancart/balancer"
 )
 
-// Settings are what the settings object says to a host: those of the balancer, and what a host with
-// connections of its own needs besides.
+// Settings are those of the balancer, and those of a host that has connections of its own.
 type Settings struct {
 	balancer.Settings
 	ConnIdle    time.Duration // an endpoint closes a connection that has been idle for this long; 0: unknown
@@ -18,11 +17,11 @@
 	DrainGrace  time.Duration // draining endpoints may still be sent requests for this long; 0: unknown
 }
 
-// SettingsField names the settings object where it is a field of another message.
+// SettingsField is the name of the field of the simulator's message that has a SettingsObject.
 const SettingsField = "Config"
 
-// ParseSettings decodes the settings object, which has the same form in the simulator and in the
-// deployment.
+// ParseSettings decodes a SettingsObject, which has the same form in the simulator and in the
+// deployment. Fields that are not there have the value 0.
 func ParseSettings(text []byte) (Settings, error) {
 	s, err := parseSettings(text)
 	if err != nil {
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestABadSettingIsNamed(t *testing.T) {
+func TestParseSettingsNamesTheInvalidField(t *testing.T) {
 	for text, field := range map[string]string{
 		`{"NInstances":-1}`:                                                       "NInstances",
 		`{"Rules":{"ColdUs":-5}}`:                                                 "Rules.ColdUs",
--- a/internal/testpeer/discovery.go
+++ b/internal/testpeer/discovery.go
@@ -30,8 +30,8 @@
 	return string(platform.NewEndpointList(version, false, endpoints...).Text())
 }
 
-// ScriptedDiscovery is a fake discovery that answers each call with its next step. After the last
-// one it doesn't respond any more. It must be called by one client at a time.
+// ScriptedDiscovery is a fake discovery that responds to each call with its next step. After the
+// last one it doesn't respond any more. It must be called by one client at a time.
 type ScriptedDiscovery struct {
 	Steps []Step
 	// Calls is sent the query of each call. A call waits until it is received or buffered.
@@ -66,7 +66,7 @@
 // NoResponse returns a step that doesn't respond.
 func NoResponse() Step { return Step{end: neverBegin} }
 
-// nextStep returns the step that answers the next call.
+// nextStep returns the step for the next call.
 func (d *ScriptedDiscovery) nextStep() Step {
 	if len(d.Steps) == 0 {
 		return NoResponse()
--- a/internal/testpeer/fakediscovery.go
+++ b/internal/testpeer/fakediscovery.go
@@ -15,7 +15,7 @@
 
 const (
 	emptyLineInterval = 2 * time.Second         // of a watch, while nothing changes
-	oldAddrGrace      = 1500 * time.Millisecond // for which responses of an address that was left go on
+	oldAddrGrace      = 1500 * time.Millisecond // for which open responses at an old address go on
 )
 
 // FakeDiscovery is a discovery agent whose list a test changes. It can let its watches fall silent,
