--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -7,48 +7,99 @@
 	"rowancart/balancer"
 )
 
-// attrClientRetry is the bit of a request's Attrs field that marks a retry by the client.
+// attrClientRetry is the bit of fieldAttributes that marks a retry by the client.
 const attrClientRetry = 2
 
 // handleEvent passes the event of the current line to events. An event with a fault is not passed
 // on.
 func (r *Reader) handleEvent(name string, events balancer.Events) error {
-	v := values{r: r}
 	switch name {
 	case msgEndpointList:
-		list := v.endpointList()
-		if v.err == nil {
-			events.EndpointList(r.now, list)
-		}
+		return r.handleEndpointList(events)
 	case msgRequest:
-		request := v.request()
-		if v.err == nil {
-			events.Request(r.now, request)
-		}
+		return r.handleRequest(events)
 	case msgStreamStarted:
-		id, attempt := v.id(), v.integer("N", true)
-		if v.err == nil {
-			events.StreamStarted(r.now, id, attempt)
-		}
+		return r.handleStreamStarted(events)
 	case msgOutcome:
-		outcome := v.outcome()
-		if v.err == nil {
-			events.Outcome(r.now, outcome)
-		}
-	case msgClientLeft:
-		if id := v.id(); v.err == nil {
-			events.ClientDisconnected(r.now, id)
-		}
+		return r.handleOutcome(events)
+	case msgDisconnected:
+		return r.handleDisconnected(events)
 	case msgTimer:
-		v.integer("Mark", true)
-		if v.err == nil {
-			events.Timer(r.now)
-		}
-	case msgHealthCheck: // validated only: the balancer asks for no health checks
-		v.intern("Endpoint", true)
-		v.result()
-		v.validateLoadReport()
+		return r.handleTimer(events)
+	case msgHealthCheck:
+		return r.validateHealthCheck()
+	}
+	return nil // msgText
+}
+
+func (r *Reader) handleEndpointList(events balancer.Events) error {
+	v := values{r: r}
+	list := v.endpointList()
+	if v.err != nil {
+		return v.err
+	}
+	events.EndpointList(r.now, list)
+	return nil
+}
+
+func (r *Reader) handleRequest(events balancer.Events) error {
+	v := values{r: r}
+	request := v.request()
+	if v.err != nil {
+		return v.err
+	}
+	events.Request(r.now, request)
+	return nil
+}
+
+func (r *Reader) handleStreamStarted(events balancer.Events) error {
+	v := values{r: r}
+	id := v.id()
+	attempt := v.integer(fieldAttempt, required)
+	if v.err != nil {
+		return v.err
+	}
+	events.StreamStarted(r.now, id, attempt)
+	return nil
+}
+
+func (r *Reader) handleOutcome(events balancer.Events) error {
+	v := values{r: r}
+	outcome := v.outcome()
+	if v.err != nil {
+		return v.err
+	}
+	events.Outcome(r.now, outcome)
+	return nil
+}
+
+func (r *Reader) handleDisconnected(events balancer.Events) error {
+	v := values{r: r}
+	id := v.id()
+	if v.err != nil {
+		return v.err
 	}
+	events.ClientDisconnected(r.now, id)
+	return nil
+}
+
+func (r *Reader) handleTimer(events balancer.Events) error {
+	v := values{r: r}
+	v.integer(fieldTimer, required)
+	if v.err != nil {
+		return v.err
+	}
+	events.Timer(r.now)
+	return nil
+}
+
+// validateHealthCheck checks the form of the result of a health check. The balancer asks for no
+// health checks, so it is not used.
+func (r *Reader) validateHealthCheck() error {
+	v := values{r: r}
+	v.intern(fieldEndpoint, required)
+	v.result()
+	v.validateLoadReport()
 	return v.err
 }
 
@@ -56,11 +107,11 @@
 func (v *values) request() balancer.Request {
 	request := balancer.Request{
 		ID:       v.id(),
-		Class:    v.intern("Band", true),
-		Tenant:   v.intern("Team", false),
-		Deadline: v.micros("ValidUntilUs", true),
+		Class:    v.intern(fieldClass, required),
+		Tenant:   v.intern(fieldTenant, optional),
+		Deadline: v.micros(fieldDeadline, required),
 	}
-	request.ClientRetry = v.integer("Attrs", false)&attrClientRetry != 0
+	request.ClientRetry = v.integer(fieldAttributes, optional)&attrClientRetry != 0
 	return request
 }
 
@@ -68,49 +119,46 @@
 func (v *values) outcome() balancer.Outcome {
 	return balancer.Outcome{
 		ID:       v.id(),
-		Attempt:  v.integer("N", true),
-		Endpoint: v.intern("Endpoint", true),
+		Attempt:  v.integer(fieldAttempt, required),
+		Endpoint: v.intern(fieldEndpoint, required),
 		Result:   v.result(),
-		Latency:  v.micros("SpentUs", true),
-		Final:    v.integer("DoneFlag", false) != 0,
+		Latency:  v.micros(fieldLatency, required),
+		Final:    v.integer(fieldFinal, optional) != 0,
 	}
 }
 
+// results are the results of an attempt or a health check by their names.
+var results = map[string]balancer.Result{
+	"Ok":           balancer.OK,
+	"Failed":       balancer.Errored,
+	"QueueFull":    balancer.Rejected,
+	"TimedOut":     balancer.TimedOut,
+	"ConnectError": balancer.ConnectFailed,
+	"ResetByPeer":  balancer.Reset,
+	"Canceled":     balancer.Canceled,
+	"Ignored":      balancer.NotSent,
+}
+
 // result reads how an attempt or a health check ended.
 func (v *values) result() balancer.Result {
-	switch code := v.bytes("StateCode", true); string(code) {
-	case "Ok":
-		return balancer.OK
-	case "Failed":
-		return balancer.Errored
-	case "QueueFull":
-		return balancer.Rejected
-	case "TimedOut":
-		return balancer.TimedOut
-	case "ConnectError":
-		return balancer.ConnectFailed
-	case "ResetByPeer":
-		return balancer.Reset
-	case "Canceled":
-		return balancer.Canceled
-	case "Ignored":
-		return balancer.NotSent
-	default:
-		v.fail("unknown StateCode %q", code)
-		return balancer.Errored
+	name := v.bytes(fieldResult, required)
+	result, ok := results[string(name)]
+	if !ok {
+		v.fail("unknown %s %q", fieldResult, name)
 	}
+	return result
 }
 
 // validateLoadReport checks the form of a load report: pairs of name:value, separated by commas.
 // Its values are not used, because reports arrive late and most sites send none.
 func (v *values) validateLoadReport() {
-	rest := v.bytes("Load", false)
+	rest := v.bytes(fieldLoadReport, optional)
 	for len(rest) > 0 {
 		var pair []byte
 		pair, rest, _ = bytes.Cut(rest, []byte(","))
 		_, value, ok := bytes.Cut(pair, []byte(":"))
 		if _, err := strconv.ParseFloat(string(value), 64); !ok || err != nil {
-			v.fail("Load has a part %.40q that is not name:value", pair)
+			v.fail("%s has a part %.40q that is not name:value", fieldLoadReport, pair)
 			return
 		}
 	}
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -40,14 +40,22 @@
 	return nil, false
 }
 
+// presence says whether a message must have a field.
+type presence int
+
+const (
+	required presence = iota
+	optional
+)
+
 // maxDigits is the length of the largest uint64.
 const maxDigits = 20
 
-// unsigned returns a field as a number; a missing one that is not required is 0.
-func (r *Reader) unsigned(key string, required bool) (uint64, error) {
+// unsigned returns a field as a number. An optional one that is missing is 0.
+func (r *Reader) unsigned(key string, p presence) (uint64, error) {
 	value, ok := r.field(key)
 	if !ok {
-		if required {
+		if p == required {
 			return 0, fmt.Errorf("%s is missing", key)
 		}
 		return 0, nil
@@ -69,8 +77,8 @@
 const maxMicros = int64(1<<63-1) / int64(time.Microsecond)
 
 // micros returns a field that is in microseconds.
-func (r *Reader) micros(key string, required bool) (time.Duration, error) {
-	n, err := r.unsigned(key, required)
+func (r *Reader) micros(key string, p presence) (time.Duration, error) {
+	n, err := r.unsigned(key, p)
 	if err == nil && n > uint64(maxMicros) {
 		err = fmt.Errorf("%s is too large a time", key)
 	}
@@ -78,8 +86,8 @@
 }
 
 // integer returns a field as an int.
-func (r *Reader) integer(key string, required bool) (int, error) {
-	n, err := r.unsigned(key, required)
+func (r *Reader) integer(key string, p presence) (int, error) {
+	n, err := r.unsigned(key, p)
 	if err == nil && n > 1<<63-1 {
 		err = fmt.Errorf("%s is too large", key)
 	}
@@ -92,34 +100,37 @@
 	err error
 }
 
-// fail sets the error unless there is one.
+// fail sets a new error unless there is one.
 func (v *values) fail(format string, args ...any) {
 	v.setError(fmt.Errorf(format, args...))
 }
 
+// setError sets the error unless there is one.
 func (v *values) setError(err error) {
 	if v.err == nil {
 		v.err = err
 	}
 }
 
-func (v *values) integer(key string, required bool) int {
-	n, err := v.r.integer(key, required)
+// integer returns a field as an int.
+func (v *values) integer(key string, p presence) int {
+	n, err := v.r.integer(key, p)
 	v.setError(err)
 	return n
 }
 
-func (v *values) micros(key string, required bool) time.Duration {
-	d, err := v.r.micros(key, required)
+// micros returns a field that is in microseconds.
+func (v *values) micros(key string, p presence) time.Duration {
+	d, err := v.r.micros(key, p)
 	v.setError(err)
 	return d
 }
 
 // bytes returns a field; one that is required must not be empty. The bytes are valid until the next
 // line is read.
-func (v *values) bytes(key string, required bool) []byte {
+func (v *values) bytes(key string, p presence) []byte {
 	value, ok := v.r.field(key)
-	if required && len(value) == 0 {
+	if p == required && len(value) == 0 {
 		if ok {
 			v.fail("%s is empty", key)
 		} else {
@@ -129,18 +140,19 @@
 	return value
 }
 
-func (v *values) text(key string, required bool) string { return string(v.bytes(key, required)) }
+// text returns a field as a string.
+func (v *values) text(key string, p presence) string { return string(v.bytes(key, p)) }
 
 // id reads the request ID.
-func (v *values) id() string { return v.text("Rid", true) }
+func (v *values) id() string { return v.text(fieldRequestID, required) }
 
-// maxInterned bounds the memory of intern.
+// maxInterned is the largest number of strings that intern remembers.
 const maxInterned = 1 << 16
 
-// intern reads a field with few different values, such as a class or an endpoint, and returns the
-// same string for equal values, which saves an allocation.
-func (v *values) intern(key string, required bool) string {
-	value := v.bytes(key, required)
+// intern returns a field with few different values, such as a class or an endpoint. Equal values
+// give the same string, which saves an allocation.
+func (v *values) intern(key string, p presence) string {
+	value := v.bytes(key, p)
 	if s, ok := v.r.interned[string(value)]; ok {
 		return s
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -2,8 +2,8 @@
 // batch out. It translates and validates; every decision is the balancer's.
 //
 // A line is a message name followed by fields, all separated by tabs; a field is name=value.
-// Message and field names are the simulator's. This package is the one place that translates them
-// to the terms of package balancer.
+// Message and field names are the simulator's. names.go has them next to the terms of package
+// balancer, and nothing outside this package uses them.
 package wire
 
 import (
@@ -18,28 +18,6 @@
 	"rowancart/internal/platform"
 )
 
-// Messages that the Reader accepts. Messages of any other name belong to a later protocol and are
-// skipped.
-const (
-	msgBeginBatch     = "CLOCK"
-	msgEndBatch       = "GO"
-	msgSelectInstance = "SWITCH_TO" // names the instance that the following messages are for
-
-	msgBeginList = "LEDGER"   // begins an endpoint list, whose entries follow
-	msgListEntry = "ENDPOINT" // one entry of the list begun last
-
-	msgStart         = "START"
-	msgStop          = "SHUTDOWN"
-	msgEndpointList  = "REGISTRY"
-	msgRequest       = "CALL"
-	msgStreamStarted = "FLOWING"
-	msgOutcome       = "ATTEMPT_END"
-	msgClientLeft    = "LEFT"
-	msgTimer         = "BELL"
-	msgHealthCheck   = "CHECKED"
-	msgText          = "MESSAGE"
-)
-
 // Handler receives the events of the batches, in order. A method that returns an error ends
 // Reader.Run.
 type Handler interface {
@@ -51,10 +29,10 @@
 	EndBatch() error
 }
 
-// readBufferSize is in bytes. Longer lines are accepted; they are copied.
+// readBufferSize is the size of the Reader's buffer in bytes. A longer line is copied.
 const readBufferSize = 1 << 16
 
-// A Reader decodes batches. It is not safe for concurrent use.
+// Reader decodes batches. It is not safe for concurrent use.
 type Reader struct {
 	in         *bufio.Reader
 	longLine   []byte // holds a line that is longer than the buffer of in
@@ -64,8 +42,8 @@
 
 	inBatch          bool
 	now              time.Duration // of the current batch
-	instance         int           // named by the last msgSelectInstance
-	instanceSelected bool          // in this batch
+	instance         int           // selected last
+	instanceSelected bool          // in the current batch
 	lists            listReader
 }
 
@@ -131,7 +109,7 @@
 		return err
 	}
 	if missing := r.lists.missing; missing > 0 && string(name) != msgListEntry {
-		return fmt.Errorf("%s where %d more ENDPOINT lines are due", name, missing)
+		return fmt.Errorf("%s where %d more %s lines are due", name, missing, msgListEntry)
 	}
 	if string(name) == msgBeginBatch {
 		return r.beginBatch()
@@ -142,43 +120,57 @@
 	return r.handleMessage(name, h)
 }
 
-// beginBatch sets the time of a new batch, which is never earlier than that of the batch before.
+// beginBatch begins a batch. Its time is never earlier than that of the batch before.
 func (r *Reader) beginBatch() error {
 	if r.inBatch {
-		return errors.New("CLOCK within a batch")
+		return errors.New(msgBeginBatch + " within a batch")
+	}
+	now, err := r.micros(fieldNow, required)
+	if err != nil {
+		return err
 	}
-	now, err := r.micros("AtTimeUs", true)
-	if err == nil && now < r.now {
-		err = errors.New("CLOCK runs backwards")
+	if now < r.now {
+		return errors.New(msgBeginBatch + " runs backwards")
 	}
-	r.inBatch, r.instanceSelected, r.now = true, false, now
-	return err
+	r.now = now
+	r.inBatch = true
+	r.instanceSelected = false
+	return nil
 }
 
 // handleMessage handles a message within a batch.
-func (r *Reader) handleMessage(name []byte, h Handler) (err error) {
+func (r *Reader) handleMessage(name []byte, h Handler) error {
 	switch string(name) {
 	case msgEndBatch:
 		r.inBatch = false
 		return h.EndBatch()
 	case msgSelectInstance:
-		r.instance, err = r.integer("Sidecar", true)
-		r.instanceSelected = true
-		return err
+		return r.selectInstance()
 	case msgBeginList:
 		return r.beginList()
 	case msgListEntry:
 		return r.addListEntry()
-	case msgStart, msgStop, msgEndpointList, msgRequest, msgStreamStarted, msgOutcome, msgClientLeft, msgTimer,
+	case msgStart, msgStop, msgEndpointList, msgRequest, msgStreamStarted, msgOutcome, msgDisconnected, msgTimer,
 		msgHealthCheck, msgText:
 		if !r.instanceSelected {
-			return fmt.Errorf("%s before any SWITCH_TO", name)
+			return fmt.Errorf("%s before any %s", name, msgSelectInstance)
 		}
 		return r.handleInstanceMessage(string(name), h)
 	}
 	return nil // a message of a later protocol
 }
 
+// selectInstance selects the instance that the following messages of the batch are for.
+func (r *Reader) selectInstance() error {
+	instance, err := r.integer(fieldInstance, required)
+	if err != nil {
+		return err
+	}
+	r.instance = instance
+	r.instanceSelected = true
+	return nil
+}
+
 // handleInstanceMessage handles a message for the selected instance.
 func (r *Reader) handleInstanceMessage(name string, h Handler) error {
 	switch name {
@@ -196,13 +188,13 @@
 
 // startInstance starts the selected instance with the settings and the seed of the message.
 func (r *Reader) startInstance(h Handler) error {
-	seed, err := r.unsigned("RandomSeed", true)
+	seed, err := r.unsigned(fieldSeed, required)
 	if err != nil {
 		return err
 	}
 	config, ok := r.field(platform.SettingsField)
 	if !ok {
-		return errors.New("START without Config")
+		return errors.New(msgStart + " without " + platform.SettingsField)
 	}
 	s, err := platform.ParseSettings(config)
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -23,22 +24,37 @@
 	r.events = append(r.events, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) Start(i int, s balancer.Settings) error { r.started[i] = s; return nil }
-func (r *recorder) Stop(i int) error                       { delete(r.started, i); return nil }
-func (r *recorder) EndBatch() error                        { r.batches++; return nil }
+func (r *recorder) Start(i int, s balancer.Settings) error {
+	r.started[i] = s
+	return nil
+}
+
+func (r *recorder) Stop(i int) error {
+	delete(r.started, i)
+	return nil
+}
+
+func (r *recorder) EndBatch() error {
+	r.batches++
+	return nil
+}
+
 func (r *recorder) Instance(i int) (balancer.Events, error) {
 	if _, ok := r.started[i]; !ok {
 		return nil, errors.New("never started")
 	}
 	return r, nil
 }
+
 func (r *recorder) EndpointList(now time.Duration, l balancer.EndpointList) {
 	r.add("%v list %+v", now, l)
 }
+
 func (r *recorder) Request(now time.Duration, q balancer.Request) { r.add("%v request %+v", now, q) }
 func (r *recorder) StreamStarted(now time.Duration, id string, n int) {
 	r.add("%v stream %s %d", now, id, n)
 }
+
 func (r *recorder) Outcome(now time.Duration, o balancer.Outcome)   { r.add("%v outcome %+v", now, o) }
 func (r *recorder) ClientDisconnected(now time.Duration, id string) { r.add("%v left %s", now, id) }
 func (r *recorder) Timer(now time.Duration)                         { r.add("%v timer", now) }
@@ -106,53 +122,127 @@
 	}
 }
 
+// Each name of a result and of a state stands for one term of package balancer.
+func TestResultsAndStatesAreRead(t *testing.T) {
+	for name, want := range map[string]balancer.Result{"Ok": balancer.OK, "Failed": balancer.Errored,
+		"QueueFull": balancer.Rejected, "TimedOut": balancer.TimedOut, "ConnectError": balancer.ConnectFailed,
+		"ResetByPeer": balancer.Reset, "Canceled": balancer.Canceled, "Ignored": balancer.NotSent} {
+		t.Run(name, func(t *testing.T) {
+			r, err := read(head + "ATTEMPT_END\tRid=r\tN=2\tEndpoint=h\tStateCode=" + name + "\tSpentUs=1\nGO\n")
+			if err != nil {
+				t.Fatal(err)
+			}
+			event := fmt.Sprintf("1ms outcome %+v", balancer.Outcome{ID: "r", Attempt: 2, Endpoint: "h", Result: want,
+				Latency: time.Microsecond})
+			if !slices.Equal(r.events, []string{event}) {
+				t.Errorf("events %q, want %q", r.events, event)
+			}
+		})
+	}
+	for name, want := range map[string]balancer.State{"ready": balancer.Ready, "draining": balancer.Draining,
+		"gone": balancer.Removed} {
+		t.Run(name, func(t *testing.T) {
+			r, err := read(head + "LEDGER\tRef=15\tHosts=1\nENDPOINT\tPhase=" + name + "\tEndpoint=h\n" +
+				"REGISTRY\tMode=D\tGen=1\tRef=15\nGO\n")
+			if err != nil {
+				t.Fatal(err)
+			}
+			event := fmt.Sprintf("1ms list %+v", balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "h", State: want}}})
+			if !slices.Equal(r.events, []string{event}) {
+				t.Errorf("events %q, want %q", r.events, event)
+			}
+		})
+	}
+}
+
 func TestBadInputIsAnError(t *testing.T) {
-	for name, text := range map[string]string{
-		"an event outside a batch":      "BELL\tMark=1\n",
-		"a batch within a batch":        "CLOCK\tAtTimeUs=1\nCLOCK\tAtTimeUs=2\n",
-		"a clock that runs backwards":   "CLOCK\tAtTimeUs=2\nGO\nCLOCK\tAtTimeUs=1\n",
-		"a clock without a time":        "CLOCK\n",
-		"a part without a value":        head + "BELL\tMark\n",
-		"a part without a name":         head + "BELL\t=5\n",
-		"a line without a name":         head + "\tMark=1\n",
-		"an event before SWITCH_TO":     "CLOCK\tAtTimeUs=1\nBELL\tMark=1\n",
-		"an instance never started":     "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=4\nBELL\tMark=1\n",
-		"an instance that is no number": "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=x\n",
-		"START without a seed":          "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tConfig={}\n",
-		"START without Config":          "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tRandomSeed=1\n",
-		"a Config that is not JSON":     "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tRandomSeed=1\tConfig={\n",
-		"an unknown semantics": "CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\n" +
-			"START\tRandomSeed=1\tConfig={\"Lanes\":[{}]}\n",
-		"an unknown list":             head + "REGISTRY\tMode=F\tGen=1\tRef=3\n",
-		"a list number out of range":  head + "LEDGER\tRef=16\tHosts=0\n",
-		"an unknown mode":             head + "REGISTRY\tMode=Q\tGen=1\tRef=0\n",
-		"a list that is too short":    head + "LEDGER\tRef=0\tHosts=2\nENDPOINT\tPhase=ready\tEndpoint=h\nGO\n",
-		"an entry without a list":     head + "ENDPOINT\tPhase=ready\tEndpoint=h\n",
-		"an entry without a phase":    head + "LEDGER\tRef=0\tHosts=1\nENDPOINT\tEndpoint=h\n",
-		"a CALL without an id":        head + "CALL\tBand=c\tValidUntilUs=5\n",
-		"a CALL with an empty id":     head + "CALL\tRid=\tBand=c\tValidUntilUs=5\n",
-		"a CALL without a deadline":   head + "CALL\tRid=r\tBand=c\n",
-		"a negative number":           head + "CALL\tRid=r\tBand=c\tValidUntilUs=-5\n",
-		"a number that is too large":  head + "CALL\tRid=r\tBand=c\tValidUntilUs=99999999999999999999\n",
-		"a time that is too large":    head + "CALL\tRid=r\tBand=c\tValidUntilUs=9999999999999999999\n",
-		"an unknown outcome":          head + "ATTEMPT_END\tRid=r\tN=0\tEndpoint=h\tStateCode=Huh\tSpentUs=1\n",
-		"an outcome without a number": head + "ATTEMPT_END\tRid=r\tEndpoint=h\tStateCode=Ok\tSpentUs=1\n",
-		"a load that is no pair":      head + "CHECKED\tEndpoint=h\tStateCode=Ok\tSpentUs=1\tLoad=active\n",
-		"input that ends in a batch":  head,
-		"a last line without its end": head + "GO",
+	for _, c := range []struct{ name, text, want string }{
+		{"an event outside a batch", "BELL\tMark=1\n", "line 1: BELL outside a batch"},
+		{"a batch within a batch", "CLOCK\tAtTimeUs=1\nCLOCK\tAtTimeUs=2\n", "line 2: CLOCK within a batch"},
+		{"a clock that runs backwards",
+			"CLOCK\tAtTimeUs=2\nGO\nCLOCK\tAtTimeUs=1\n",
+			"line 3: CLOCK runs backwards"},
+		{"a clock without a time", "CLOCK\n", "line 1: AtTimeUs is missing"},
+		{"a part without a value", head + "BELL\tMark\n", "line 4: BELL has a part that is not name=value"},
+		{"a part without a name", head + "BELL\t=5\n", "line 4: BELL has a part that is not name=value"},
+		{"a line without a name", head + "\tMark=1\n", "line 4: a line without a message name"},
+		{"an event before SWITCH_TO", "CLOCK\tAtTimeUs=1\nBELL\tMark=1\n", "line 2: BELL before any SWITCH_TO"},
+		{"an instance never started",
+			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=4\nBELL\tMark=1\n",
+			"line 3: BELL: never started"},
+		{"an instance that is no number",
+			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=x\n",
+			`line 2: Sidecar="x" is not a number`},
+		{"START without a seed",
+			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tConfig={}\n",
+			"line 3: RandomSeed is missing"},
+		{"START without Config",
+			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tRandomSeed=1\n",
+			"line 3: START without Config"},
+		{"a Config that is not JSON",
+			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tRandomSeed=1\tConfig={\n",
+			"line 3: Config: unexpected end of JSON input"},
+		{"an unknown semantics",
+			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\n" +
+				"START\tRandomSeed=1\tConfig={\"Lanes\":[{}]}\n",
+			`line 3: Config: class "" has unknown Semantics ""`},
+		{"an unknown list",
+			head + "REGISTRY\tMode=F\tGen=1\tRef=3\n",
+			"line 4: REGISTRY names list 3, which was never given"},
+		{"a list number out of range",
+			head + "LEDGER\tRef=16\tHosts=0\n",
+			"line 4: LEDGER with a number out of range"},
+		{"an unknown mode",
+			head + "REGISTRY\tMode=Q\tGen=1\tRef=0\n",
+			`line 4: REGISTRY has an unknown Mode "Q"`},
+		{"a list that is too short",
+			head + "LEDGER\tRef=0\tHosts=2\nENDPOINT\tPhase=ready\tEndpoint=h\nGO\n",
+			"line 6: GO where 1 more ENDPOINT lines are due"},
+		{"an entry without a list",
+			head + "ENDPOINT\tPhase=ready\tEndpoint=h\n",
+			"line 4: ENDPOINT without a LEDGER that counts it"},
+		{"an entry without a phase",
+			head + "LEDGER\tRef=0\tHosts=1\nENDPOINT\tEndpoint=h\n",
+			"line 5: Phase is missing"},
+		{"a CALL without an id", head + "CALL\tBand=c\tValidUntilUs=5\n", "line 4: Rid is missing"},
+		{"a CALL with an empty id", head + "CALL\tRid=\tBand=c\tValidUntilUs=5\n", "line 4: Rid is empty"},
+		{"a CALL without a deadline", head + "CALL\tRid=r\tBand=c\n", "line 4: ValidUntilUs is missing"},
+		{"a negative number",
+			head + "CALL\tRid=r\tBand=c\tValidUntilUs=-5\n",
+			`line 4: ValidUntilUs="-5" is not a number`},
+		{"a number that is too large",
+			head + "CALL\tRid=r\tBand=c\tValidUntilUs=99999999999999999999\n",
+			`line 4: ValidUntilUs="99999999999999999999" is not a number`},
+		{"a time that is too large",
+			head + "CALL\tRid=r\tBand=c\tValidUntilUs=9999999999999999999\n",
+			"line 4: ValidUntilUs is too large a time"},
+		{"an unknown outcome",
+			head + "ATTEMPT_END\tRid=r\tN=0\tEndpoint=h\tStateCode=Huh\tSpentUs=1\n",
+			`line 4: unknown StateCode "Huh"`},
+		{"an outcome without a number",
+			head + "ATTEMPT_END\tRid=r\tEndpoint=h\tStateCode=Ok\tSpentUs=1\n",
+			"line 4: N is missing"},
+		{"a load that is no pair",
+			head + "CHECKED\tEndpoint=h\tStateCode=Ok\tSpentUs=1\tLoad=active\n",
+			`line 4: Load has a part "active" that is not name:value`},
+		{"input that ends in a batch", head, "line 4: input ends within a batch"},
+		{"a last line without its end", head + "GO", "line 4: the last line has no end"},
 	} {
-		if _, err := read(text); err == nil {
-			t.Errorf("%s is taken", name)
-		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: the error is not one line: %q", name, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := read(c.text)
+			if err == nil || err.Error() != c.want {
+				t.Errorf("error %v, want %s", err, c.want)
+			}
+		})
 	}
 }
 
-// TestActionsComeBackAsWritten parses a reply's lines with the Reader's own splitFields.
-func TestActionsComeBackAsWritten(t *testing.T) {
+// TestReplyIsWrittenAndParsed compares a reply with its literal text, and parses its lines with the
+// Reader's own splitFields.
+func TestReplyIsWrittenAndParsed(t *testing.T) {
 	var r Reply
-	a, b := r.Host(3), r.Host(5)
+	a := r.Host(3)
+	b := r.Host(5)
 	a.Send("r1", "h:1", 1500*time.Nanosecond)
 	a.Cancel("r1", 2)
 	b.Reject("r2", balancer.NoCapacity, 0)
@@ -182,7 +272,7 @@
 			back += "\t" + string(f.key) + "=" + string(f.value)
 		}
 		if back != line {
-			t.Errorf("%q came back as %q", line, back)
+			t.Errorf("%q is parsed as %q", line, back)
 		}
 	}
 	if got := string(r.Bytes()); got != "FINISHED\n" {
@@ -197,7 +287,7 @@
 	f.Add(head + "CHECKED\tEndpoint=h:1\tStateCode=Ok\tSpentUs=3\tLoad=active:2.5,waiting:1\nGO\n")
 	f.Fuzz(func(t *testing.T, text string) { // any text is either read or an error, never a panic
 		if _, err := read(text); err != nil && err.Error() == "" {
-			t.Error("an error without words")
+			t.Error("an error without a text")
 		}
 	})
 }
