--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -107,3 +107,85 @@
 		}
 	}
 }
+
+// sourceText returns the text of all Go files that are not tests.
+func sourceText(t *testing.T) string {
+	t.Helper()
+	var all strings.Builder
+	for _, dir := range []string{"../balancer", "../cmd", "../internal"} {
+		err := filepath.WalkDir(dir, func(path string, _ fs.DirEntry, err error) error {
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			text, err := os.ReadFile(path)
+			all.Write(text)
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return all.String()
+}
+
+// firstCells returns the first cells of the rows of the table in a section of a page.
+func firstCells(t *testing.T, page, section string) []string {
+	t.Helper()
+	_, text, found := strings.Cut(page, "## "+section+"\n")
+	if !found {
+		t.Fatalf("the page has no section %q", section)
+	}
+	text, _, _ = strings.Cut(text, "\n## ")
+	var cells []string
+	for line := range strings.Lines(text) {
+		if !strings.HasPrefix(line, "| ") || strings.HasPrefix(line, "| ---") {
+			continue
+		}
+		cells = append(cells, strings.Split(line, "|")[1])
+	}
+	if len(cells) < 2 {
+		t.Fatalf("the section %q has no table", section)
+	}
+	return cells[1:] // without the heading
+}
+
+// The page for engineers on call names log lines, reasons and metrics that the code has. A log line
+// is the first argument of a call of a logger, at the level that the page gives.
+func TestOnCallPageNamesWhatTheCodeHas(t *testing.T) {
+	content, err := os.ReadFile("oncall.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	page, source := string(content), sourceText(t)
+	quoted := regexp.MustCompile("`([^`]+)`")
+	requireInSource := func(section string, pattern func(name string) string) {
+		for _, cell := range firstCells(t, page, section) {
+			for _, m := range quoted.FindAllStringSubmatch(cell, -1) {
+				if !regexp.MustCompile(pattern(regexp.QuoteMeta(m[1]))).MatchString(source) {
+					t.Errorf("%s: the code has no %q", section, m[1])
+				}
+			}
+		}
+	}
+	requireInSource("Log lines", func(line string) string {
+		return `(?i)\blog\.(Info|Warn|Error)\(\s*"` + line + `"`
+	})
+	requireInSource("Reasons", func(reason string) string { return `Reason = "` + reason + `"` })
+	requireInSource("Metrics", func(metric string) string {
+		if name, ok := strings.CutPrefix(metric, "sidecar_"); ok { // the prefix is a constant of its own
+			return `"` + name + `"`
+		}
+		return `"` + metric + `"`
+	})
+	for line := range strings.Lines(page) {
+		cells := strings.Split(line, "|")
+		if len(cells) < 4 || !regexp.MustCompile(`^ (info|warn|error) $`).MatchString(cells[2]) {
+			continue
+		}
+		message := quoted.FindStringSubmatch(cells[1])[1]
+		call := `(?i)\blog\.` + strings.TrimSpace(cells[2]) + `\(\s*"` + regexp.QuoteMeta(message) + `"`
+		if !regexp.MustCompile(call).MatchString(source) {
+			t.Errorf("%q is not logged at level %s", message, strings.TrimSpace(cells[2]))
+		}
+	}
+}
