--- a/internal/daemon/state_test.go
+++ b/internal/daemon/state_test.go
@@ -2,12 +2,18 @@
 
 import (
 	"errors"
+	"fmt"
+	"log/slog"
+	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"rowancart/internal/config"
+	"rowancart/internal/proxy"
+	"rowancart/internal/snapshot"
+	"rowancart/internal/subset"
 )
 
 func TestReloadStatusRecordsTheLatestError(t *testing.T) {
@@ -97,3 +103,54 @@
 		t.Errorf("%v, want %s", err, want)
 	}
 }
+
+// A periodic snapshot is written when it is due, any other at once. The file is locked until the
+// final one.
+func TestSnapshotWriterWritesAndLocks(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
+	g := &generation{config: &config.Config{Snapshot: config.Snapshot{Path: path, Interval: time.Hour}}}
+	w := snapshotWriter{log: slog.New(slog.DiscardHandler)}
+	current := func() *generation { return g }
+	for i, row := range []struct {
+		mode    saveMode
+		written bool
+		locked  bool
+	}{
+		{savePeriodic, true, true}, // the first is due
+		{savePeriodic, false, true},
+		{saveForSuccessor, true, true},
+		{saveFinal, true, false},
+	} {
+		w.save(row.mode, current)
+		if err := os.Remove(path); (err == nil) != row.written {
+			t.Errorf("step %d: written %v, want %v", i, err == nil, row.written)
+		}
+		lock, err := snapshot.Lock(path)
+		if (err != nil) != row.locked {
+			t.Errorf("step %d: locked %v, want %v", i, err != nil, row.locked)
+		}
+		if err == nil {
+			lock.Close()
+		}
+	}
+}
+
+// The filter delivers the part of an update that this instance sends to, and has all endpoints.
+func TestEndpointFilterDeliversItsPart(t *testing.T) {
+	var f endpointFilter
+	f.reset(subset.Part{Size: 3, Instances: 9})
+	list := proxy.EndpointList{Complete: true}
+	for i := range 9 {
+		list.Endpoints = append(list.Endpoints, proxy.Endpoint{ID: fmt.Sprint("e", i), Addr: "h:1"})
+	}
+	var delivered proxy.EndpointList
+	f.update(list, func(part proxy.EndpointList) { delivered = part })
+	if len(delivered.Endpoints) != 3 || len(f.endpoints()) != 9 {
+		t.Errorf("%d endpoints delivered, %d known", len(delivered.Endpoints), len(f.endpoints()))
+	}
+	f.setPart(subset.Part{})
+	f.update(proxy.EndpointList{}, func(part proxy.EndpointList) { delivered = part })
+	if len(delivered.Endpoints) != 6 {
+		t.Errorf("%d endpoints delivered once the part is all, want the other 6", len(delivered.Endpoints))
+	}
+}
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -162,26 +162,36 @@
 	return c.reject(r, rejection)
 }
 
+// forwarding is a routed request on its way through a pool.
+type forwarding struct {
+	request *http.Request
+	target  *Target
+	body    receivedBody
+	message *proxy.RequestMessage
+	call    *proxy.Call
+	outcome Outcome
+}
+
 // forward passes a request to its pool and writes the pool's response.
 func (c *conn) forward(r *http.Request, target *Target, body receivedBody) bool {
-	outcome := Outcome{Result: proxy.Result{Kind: proxy.Failed}}
+	f := forwarding{request: r, target: target, body: body, outcome: Outcome{Result: proxy.Result{Kind: proxy.Failed}}}
 	if target.Done != nil {
-		defer func() { target.Done(outcome) }()
+		defer func() { target.Done(f.outcome) }()
 	}
-	message := &proxy.RequestMessage{Body: body.data, Release: body.releaseData}
-	if rejection := c.server.completeMessage(message, r, target, body); rejection != nil {
+	f.message = &proxy.RequestMessage{Body: body.data, Release: body.releaseData}
+	if rejection := c.server.completeMessage(f.message, r, target, body); rejection != nil {
 		return c.rejectUnread(r, body, rejection)
 	}
-	call := newCall(r, target, message, c.reader.arrivedAt)
+	f.call = newCall(r, target, f.message, c.reader.arrivedAt)
 	// A request that has just been read may have waited in the kernel's queues, so its client may
 	// have disconnected already.
-	call.ClientDisconnected = c.isDisconnected
+	f.call.ClientDisconnected = c.isDisconnected
 	if body.streamed != nil {
-		return c.forwardStreamed(r, target.Pool, call, message, body, &outcome)
+		return c.forwardStreamed(&f)
 	}
-	outcome.Forwarded = true
-	outcome.Result = c.do(target.Pool, call)
-	return c.writeResult(r, outcome.Result)
+	f.outcome.Forwarded = true
+	f.outcome.Result = c.do(target.Pool, f.call)
+	return c.writeResult(r, f.outcome.Result)
 }
 
 // isDisconnected reports whether the client has disconnected.
@@ -189,40 +199,40 @@
 
 // forwardStreamed is forward for a request with a long body: the pool reads the rest of it from the
 // connection.
-func (c *conn) forwardStreamed(r *http.Request, pool *proxy.Pool, call *proxy.Call, message *proxy.RequestMessage,
-	body receivedBody, outcome *Outcome) bool {
-	streamed := body.streamed
+func (c *conn) forwardStreamed(f *forwarding) bool {
+	body, streamed := f.body, f.body.streamed
 	upload, err := streamed.bufferAhead()
 	if err != nil {
 		body.release()
-		return c.reject(r, bodyRejection(err))
+		return c.reject(f.request, bodyRejection(err))
 	}
-	message.Upload = upload
-	message.Release = func() {
+	f.message.Upload = upload
+	f.message.Release = func() {
 		body.release()
 		streamed.release()
 	}
-	call.Streamed = true
-	call.Deadline = pool.Now() - time.Since(c.reader.arrivedAt) + message.ClientTimeout
+	pool := f.target.Pool
+	f.call.Streamed = true
+	f.call.Deadline = pool.Now() - time.Since(c.reader.arrivedAt) + f.message.ClientTimeout
 	if upload.Remaining != nil {
-		call.Deadline = pool.Now() + message.ClientTimeout + streamed.timeLimit()
+		f.call.Deadline = pool.Now() + f.message.ClientTimeout + streamed.timeLimit()
 	}
-	outcome.Forwarded = true
-	outcome.Result = c.do(pool, call)
+	f.outcome.Forwarded = true
+	f.outcome.Result = c.do(pool, f.call)
 	ended, err := streamed.abandon()
 	if err == nil && !ended && c.isDisconnected() { // the rest will never arrive
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil && !errors.Is(err, errBodyAbandoned) {
-		outcome.Result.Kind = proxy.Failed
-		return c.reject(r, bodyRejection(err))
+		f.outcome.Result.Kind = proxy.Failed
+		return c.reject(f.request, bodyRejection(err))
 	}
 	if !ended { // the rest of the body must not be read as the next request
 		c.lastRequest = true
-		c.writeResult(r, outcome.Result)
+		c.writeResult(f.request, f.outcome.Result)
 		return c.lingeringClose()
 	}
-	return c.writeResult(r, outcome.Result)
+	return c.writeResult(f.request, f.outcome.Result)
 }
 
 // do passes a call to its pool and waits for the result, while it watches whether the client
--- a/internal/httpserver/connection_test.go
+++ b/internal/httpserver/connection_test.go
@@ -21,6 +21,42 @@
 	requireStatus(t, connect(t, inner, healthRequest), http.StatusOK)
 }
 
+// A response closes its connection if the client or the server ends it. A draining server answers
+// pipelined requests first.
+func TestLastRequestOfConnection(t *testing.T) {
+	type state struct {
+		request  *http.Request
+		draining bool
+		buffered string // behind the request
+	}
+	keepsOpen := &http.Request{}
+	for name, row := range map[string]struct {
+		state
+		want bool
+	}{
+		"an ordinary request":              {state{keepsOpen, false, ""}, false},
+		"a request that was not parsed":    {state{nil, false, ""}, true},
+		"the client closes":                {state{&http.Request{Close: true}, false, ""}, true},
+		"draining":                         {state{keepsOpen, true, ""}, true},
+		"draining, a pipelined request":    {state{keepsOpen, true, "GET"}, false},
+		"the client closes, pipelined":     {state{&http.Request{Close: true}, false, "GET"}, true},
+		"not draining, pipelined requests": {state{keepsOpen, false, "GET"}, false},
+	} {
+		s := &Server{}
+		if row.draining {
+			s.StartDraining()
+		}
+		c := &conn{server: s, reader: connReader{buf: []byte(row.buffered), end: len(row.buffered)}}
+		if c.decideLastRequest(row.request); c.lastRequest != row.want {
+			t.Errorf("%s: last %v, want %v", name, c.lastRequest, row.want)
+		}
+		c.lastRequest = true // once decided, it stays so
+		if c.decideLastRequest(keepsOpen); !c.lastRequest {
+			t.Errorf("%s: the decision is undone", name)
+		}
+	}
+}
+
 // Up to two empty lines before a request are skipped, however they arrive.
 func TestEmptyLinesBeforeRequestAreSkipped(t *testing.T) {
 	inner := listen(t)
