--- a/cmd/sidecar/handover_test.go
+++ b/cmd/sidecar/handover_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -108,7 +109,11 @@
 		config := filepath.Join(t.TempDir(), "config.json")
 		writeConfig(t, config, p.discovery)
 		c := exec.Command(p.program)
-		c.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_ACCEPT_FD=" + fd, "TMPDIR=" + p.sharedDir}
+		c.Env = []string{
+			platform.EnvConfig + "=" + config,
+			platform.EnvAcceptFD + "=" + fd,
+			platform.EnvSharedDir + "=" + p.sharedDir,
+		}
 		out, err := c.CombinedOutput()
 		oneLine := strings.Count(string(out), "\n") == 1
 		if err == nil || !oneLine || !strings.HasPrefix(string(out), "sidecar: ROUTER_ACCEPT_FD: ") {
@@ -170,7 +175,7 @@
 		conn.SetDeadline(time.Now().Add(testTimeout))
 		text := strings.Replace(request, "ID", fmt.Sprint("r", i), 1)
 		io.WriteString(conn, text[:sent])
-		partial = append(partial, partialRequest{conn, text[sent:]})
+		partial = append(partial, partialRequest{Conn: conn, rest: text[sent:]})
 	}
 	// A client that connected after them has been served. Connections are accepted in their order,
 	// so that the first process has accepted all of them.
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -16,6 +16,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 const testTimeout = 20 * time.Second // no test should come near it
@@ -62,7 +64,7 @@
 // gets its result.
 func startProgram(t *testing.T, config string) <-chan error {
 	t.Helper()
-	t.Setenv("ROUTER_CONFIG", config)
+	t.Setenv(platform.EnvConfig, config)
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
 	return ended
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -29,7 +30,7 @@
 		t.Fatal(err)
 	}
 	c := exec.Command(program)
-	c.Env = []string{"ROUTER_CONFIG=" + path}
+	c.Env = []string{platform.EnvConfig + "=" + path}
 	c.Stderr = stderr
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -16,6 +16,7 @@
 	"testing"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -116,10 +117,10 @@
 	}
 	s := &sidecarProcess{Cmd: exec.Command(p.program), exited: make(chan error, 1)}
 	s.Env = []string{
-		"ROUTER_CONFIG=" + config,
-		"ROUTER_CONSOLE=127.0.0.1:0",
-		"ROUTER_ACCEPT_FD=3",
-		"TMPDIR=" + p.sharedDir,
+		platform.EnvConfig + "=" + config,
+		platform.EnvAdminAddr + "=127.0.0.1:0",
+		platform.EnvAcceptFD + "=3",
+		platform.EnvSharedDir + "=" + p.sharedDir,
 	}
 	s.ExtraFiles = []*os.File{p.listener}
 	stderr, err := s.StderrPipe()
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -17,15 +17,15 @@
 	"time"
 )
 
-// bodyPattern is what bodies are made of. Its length is no buffer's: bytes that are missing,
-// doubled or moved show.
+// bodyPattern is repeated in test bodies. Its length differs from that of every buffer, so that
+// missing, duplicated or moved bytes change the digest.
 var bodyPattern = func() []byte {
 	b := make([]byte, 65_537)
 	rand.NewChaCha8([32]byte{}).Read(b)
 	return b
 }()
 
-// patternReader is a body without end that takes no memory. Its value is the index in bodyPattern.
+// patternReader is an endless body that needs no memory. Its value is the index in bodyPattern.
 type patternReader int
 
 func (r *patternReader) Read(p []byte) (int, error) {
@@ -34,7 +34,7 @@
 	return n, nil
 }
 
-// testBody returns a body of so many bytes, another one for each seed.
+// testBody returns a body of so many bytes, a different one for each seed.
 func testBody(seed uint64, length int64) io.Reader {
 	r := patternReader(seed * 997 % uint64(len(bodyPattern)))
 	return io.LimitReader(&r, length)
@@ -82,8 +82,8 @@
 	return err == nil
 }
 
-// A hundred responses of 2 MB are read slowly at once, 200 MB under a limit of 64 MB: all arrive
-// complete, and little of them is in memory.
+// A hundred responses of 2 MB are read slowly at the same time, 200 MB under a limit of 64 MB: all
+// arrive completely, and little of them is in memory.
 func TestLongResponsesUseBoundedMemory(t *testing.T) {
 	const responses, size = 100, 2 << 20
 	e := newEndpoint(t, func(conn net.Conn, r *http.Request, _ int) bool {
@@ -95,7 +95,7 @@
 	before := heapInUse()
 	var begun, all sync.WaitGroup
 	begun.Add(responses)
-	readOn := make(chan bool)
+	resume := make(chan bool)
 	for i := range responses {
 		all.Go(func() {
 			resp, err := s.getWithSmallBuffer(t, fmt.Sprint("/look?seed=", i), fmt.Sprint("r", i))
@@ -104,18 +104,18 @@
 				t.Errorf("%d: %v, %v", i, resp, err)
 				return
 			}
-			<-readOn
+			<-resume
 			want, _ := digest(t, testBody(uint64(i), size))
 			if got, n := digest(t, resp.Body); got != want {
-				t.Errorf("%d: another body, %d bytes", i, n)
+				t.Errorf("%d: a different body, %d bytes", i, n)
 			}
 		})
 	}
 	begun.Wait()
-	if grown := heapInUse() - before; grown > 40<<20 { // a peer's buffers are in it, too
-		t.Errorf("%d MB are in use while nobody reads", grown>>20)
+	if grown := heapInUse() - before; grown > 40<<20 { // includes the endpoint's buffers
+		t.Errorf("%d MB are in use while no client reads", grown>>20)
 	}
-	close(readOn)
+	close(resume)
 	all.Wait()
 }
 
@@ -135,8 +135,8 @@
 	return http.ReadResponse(bufio.NewReader(conn), r)
 }
 
-// Bodies longer than what is buffered of one are forwarded as they are received; shorter ones are
-// buffered. Both arrive unchanged, with either framing.
+// Bodies longer than the buffer for one are streamed; shorter ones are buffered. Both arrive
+// unchanged, with either framing.
 func TestLongBodiesArriveUnchanged(t *testing.T) {
 	received := make(chan [32]byte, 100)
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -149,17 +149,18 @@
 	for i, size := range []int64{0, 1, 64 << 10, 64<<10 + 1, 300_000, 1 << 20, 3 << 20, 32 << 20} {
 		for _, withLength := range []bool{true, false} {
 			r := s.newRequest(t, http.MethodPost, "/pay", fmt.Sprint("r", i, withLength), 60000)
-			r.Body, r.ContentLength = io.NopCloser(testBody(uint64(i), size)), -1
+			r.Body = io.NopCloser(testBody(uint64(i), size))
+			r.ContentLength = -1
 			if withLength {
 				r.ContentLength = size
 			}
-			status, text, _ := sendRequest(t, r)
-			if status != http.StatusOK || text != "hi" {
-				t.Fatalf("%d bytes, with length %v: %d %q", size, withLength, status, text)
+			resp := sendRequest(t, r)
+			if resp.status != http.StatusOK || resp.body != "hi" {
+				t.Fatalf("%d bytes, with length %v: %d %q", size, withLength, resp.status, resp.body)
 			}
 			want, _ := digest(t, testBody(uint64(i), size))
 			if sum := <-received; sum != want {
-				t.Errorf("%d bytes, with length %v: another body arrived", size, withLength)
+				t.Errorf("%d bytes, with length %v: a different body arrived", size, withLength)
 			}
 		}
 	}
@@ -186,7 +187,7 @@
 func newResettingEndpoint(t *testing.T) string {
 	t.Helper()
 	smallBuffer := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { // the rest of a body must not fit behind what is read
+		return c.Control(func(fd uintptr) { // the unread rest of a body must not fit into it
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 64<<10)
 		})
 	}}
@@ -209,8 +210,8 @@
 	return l.Addr().String()
 }
 
-// newCountingEndpoint returns an endpoint that serves all requests, and the number of those that it
-// has run.
+// newCountingEndpoint returns an endpoint that serves all requests, and the number of requests that
+// it has served.
 func newCountingEndpoint(t *testing.T) (addr string, ran *atomic.Int32) {
 	t.Helper()
 	ran = new(atomic.Int32)
@@ -222,18 +223,18 @@
 	return e.Addr, ran
 }
 
-// A buffered body is retried by the rules. One of which some has been forwarded can't be, and its
-// request has not run if the end was never written.
-func TestBrokenUploadNeverRunsTwice(t *testing.T) {
+// A request with a buffered body is retried. One with a streamed body can't be, but has not run if
+// the end of its body was never written.
+func TestFailedUploadNeverRunsTwice(t *testing.T) {
 	const length = 12 << 20
 	resetting := newResettingEndpoint(t)
 	counting, ran := newCountingEndpoint(t)
 	t.Run("buffered", func(t *testing.T) {
-		// A body that the sending kernel's buffer holds completely, 4 MB at most, is written before the
-		// break shows: it may have run then.
+		// A body that the kernel's send buffer holds completely, 4 MB at most, is written before
+		// the reset is seen: its request may have run.
 		s := startSidecarWithLimits(t, `{"memory_mb":512}`, resetting, counting)
-		for i := range 6 { // whichever endpoint is first
-			resp, err := readUploadResponse(s.startUpload(t, fmt.Sprint("kept", i), length, length))
+		for i := range 6 { // either endpoint may be the first
+			resp, err := readUploadResponse(s.startUpload(t, fmt.Sprint("buffered", i), length, length))
 			if err != nil || resp.StatusCode != http.StatusOK {
 				t.Fatalf("%v, %v", resp, err)
 			}
@@ -242,17 +243,17 @@
 			}
 		}
 	})
-	t.Run("broken by its endpoint", func(t *testing.T) {
+	t.Run("reset by its endpoint", func(t *testing.T) {
 		s := startSidecarWithLimits(t, `{"memory_mb":32}`, resetting)
-		// The break has to show before all that is sent of the body has been forwarded.
-		resp, err := readUploadResponse(s.startUpload(t, "flows", length, length-1))
+		// The reset has to be seen before all that the client sends has been forwarded.
+		resp, err := readUploadResponse(s.startUpload(t, "streamed", length, length-1))
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 			t.Errorf("%+v, %v", resp, err)
 		}
 	})
-	t.Run("broken by its client", func(t *testing.T) {
+	t.Run("aborted by its client", func(t *testing.T) {
 		s := startSidecarWithLimits(t, `{"memory_mb":32}`, counting)
-		conn := s.startUpload(t, "left", 8<<20, 2<<20)
+		conn := s.startUpload(t, "aborted", 8<<20, 2<<20)
 		waitUntil(t, "it is in flight", func() bool { return s.metric(t, "sidecar_concurrent") > 0 })
 		conn.(*net.TCPConn).CloseWrite()
 		resp, err := readUploadResponse(conn)
@@ -260,7 +261,7 @@
 			t.Errorf("%+v, %v", resp, err)
 		}
 		if n := ran.Load(); n != 0 {
-			t.Errorf("broken uploads ran %d times", n)
+			t.Errorf("the aborted upload ran %d times", n)
 		}
 		if status := s.get(t, "/look", "next", 4000); status != http.StatusOK {
 			t.Errorf("afterwards: %d", status)
@@ -268,8 +269,8 @@
 	})
 }
 
-// An endpoint may respond before it has received the whole body: its response is forwarded, and
-// nothing of the rest is taken for a request.
+// An endpoint may respond before it has received the complete body: its response is forwarded, and
+// the rest of the body is not parsed as a request.
 func TestResponseBeforeEndOfBody(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -13,27 +13,29 @@
 	"time"
 
 	"rowancart/internal/hotrestart"
+	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 )
 
 // disconnectPrefix begins the ids of clients that disconnect.
-const disconnectPrefix = "leaves"
+const disconnectPrefix = "disconnects"
 
 // waitCase is something that requests wait for.
 type waitCase struct {
 	*testSidecar
 	endpoint       *blockingEndpoint // where the requests go once the wait ends
 	request        string            // that waits; empty: lookRequest
-	othersInFlight int               // requests beside those that wait
+	othersInFlight int               // other requests than those that wait
 	disconnects    []string          // the ways to test; none: all
 	whileWaiting   func(t *testing.T, waiting int)
 	endWait        func(t *testing.T)
 }
 
 // waitForCapacity is a wait for capacity at one endpoint.
-func waitForCapacity(t *testing.T, o testOptions, mayCancel bool) waitCase {
+func waitForCapacity(t *testing.T, o testOptions) waitCase {
 	e := startBlockingEndpoint(t)
-	o.settings, o.endpoints = longWaitSettings(mayCancel), endpointsJSON(e)
+	o.settings = cmp.Or(o.settings, longWaitSettings)
+	o.endpoints = endpointsJSON(e)
 	s := o.start(t)
 	for i := range initialCapacity {
 		s.connectAndSend(t, fmt.Sprint("hang", i), lookRequest)
@@ -47,11 +49,16 @@
 	}
 }
 
+// waitForCapacityWithoutCancel is a wait for capacity where attempts must not be canceled.
+func waitForCapacityWithoutCancel(t *testing.T) waitCase {
+	return waitForCapacity(t, testOptions{settings: noCancelSettings})
+}
+
 // waitForConnection is a wait for a connection to be established to the last of the endpoints.
-func waitForConnection(t *testing.T, mayCancel bool, before ...string) waitCase {
+func waitForConnection(t *testing.T, settings string, before ...string) waitCase {
 	e := newFullBacklogEndpoint(t)
 	o := testOptions{
-		settings:  longWaitSettings(mayCancel),
+		settings:  settings,
 		endpoints: []string{endpointJSON("z", e.addr(), "Ready")},
 	}
 	for i, addr := range before {
@@ -64,12 +71,12 @@
 func waitForRetryConnection(t *testing.T) waitCase {
 	refusing := newBlockingEndpoint(t)
 	refusing.Close()
-	return waitForConnection(t, true, refusing.addr())
+	return waitForConnection(t, longWaitSettings, refusing.addr())
 }
 
 // waitForCapacityWithBody is a wait for capacity while the request's body is still being sent.
 func waitForCapacityWithBody(t *testing.T) waitCase {
-	w := waitForCapacity(t, testOptions{limits: `{"memory_mb":32}`}, true)
+	w := waitForCapacity(t, testOptions{limits: `{"memory_mb":32}`})
 	w.request = partialUpload
 	w.disconnects = []string{"fin", "rst", "half"} // bytes behind it would be the rest of the body
 	return w
@@ -87,8 +94,10 @@
 // waitForRetry is a wait for an endpoint to retry at: the first has failed and is draining, and the
 // other is in slow start.
 func waitForRetry(t *testing.T) waitCase {
-	first, second := startBlockingEndpoint(t), startBlockingEndpoint(t)
-	first.blockPrefix, first.closeUnanswered = "", true
+	first := startBlockingEndpoint(t)
+	second := startBlockingEndpoint(t)
+	first.blockPrefix = ""
+	first.closeUnanswered = true
 	s := startLongWaitSidecar(t, first)
 	return waitCase{
 		testSidecar: s,
@@ -114,7 +123,7 @@
 
 // waitForCapacityDuringShutdown is a wait for capacity that goes on after SIGTERM.
 func waitForCapacityDuringShutdown(t *testing.T) waitCase {
-	w := waitForCapacity(t, testOptions{}, true)
+	w := waitForCapacity(t, testOptions{})
 	w.whileWaiting = func(*testing.T, int) { w.terminate() }
 	return w
 }
@@ -122,7 +131,7 @@
 // waitForCapacityWhileSuperseded is a wait for capacity that goes on while a successor serves.
 func waitForCapacityWhileSuperseded(t *testing.T) waitCase {
 	dir := t.TempDir()
-	w := waitForCapacity(t, testOptions{sharedDir: dir}, true)
+	w := waitForCapacity(t, testOptions{sharedDir: dir})
 	w.whileWaiting = func(t *testing.T, _ int) {
 		sharedDir, err := hotrestart.OpenSharedDir(dir, "")
 		if err != nil {
@@ -141,23 +150,22 @@
 	return w
 }
 
-// waitCases are all that a request may wait for.
+// waitCases are all that a request can wait for.
 var waitCases = map[string]func(t *testing.T) waitCase{
-	"capacity":                          func(t *testing.T) waitCase { return waitForCapacity(t, testOptions{}, true) },
-	"capacity, no cancellation":         func(t *testing.T) waitCase { return waitForCapacity(t, testOptions{}, false) },
+	"capacity":                          func(t *testing.T) waitCase { return waitForCapacity(t, testOptions{}) },
+	"capacity, no cancellation":         waitForCapacityWithoutCancel,
 	"capacity, with an incomplete body": waitForCapacityWithBody,
 	"capacity, after SIGTERM":           waitForCapacityDuringShutdown,
 	"capacity, while superseded":        waitForCapacityWhileSuperseded,
-	"a connection":                      func(t *testing.T) waitCase { return waitForConnection(t, true) },
-	"a connection, no cancellation":     func(t *testing.T) waitCase { return waitForConnection(t, false) },
+	"a connection":                      func(t *testing.T) waitCase { return waitForConnection(t, longWaitSettings) },
+	"a connection, no cancellation":     func(t *testing.T) waitCase { return waitForConnection(t, noCancelSettings) },
 	"the connection of a retry":         waitForRetryConnection,
 	"the first list":                    waitForFirstList,
 	"a retry":                           waitForRetry,
 }
 
 // Whatever a request waits for when its client disconnects, it is not forwarded when the wait ends.
-// A client that stays connected is not taken for a disconnected one, even if it has sent bytes
-// ahead.
+// The request of a client that stays connected is, even if the client has sent pipelined bytes.
 func TestNothingIsForwardedAfterClientDisconnect(t *testing.T) {
 	for name, startWait := range waitCases {
 		t.Run(name, func(t *testing.T) {
@@ -180,7 +188,7 @@
 			for _, disconnect := range disconnectAll {
 				disconnect()
 			}
-			w.waitForInFlight(t, w.othersInFlight+1) // all have been checked, the one that stays as well
+			w.waitForInFlight(t, w.othersInFlight+1) // all connections have been checked
 			w.endWait(t)
 			stays.requireOK(t)
 			w.waitForInFlight(t, 0)
@@ -189,8 +197,8 @@
 	}
 }
 
-// A connection may be in the kernel's accept queue for long, while another process takes over or
-// the limit of connections is reached, with its request written and its client gone.
+// A connection may be in the kernel's accept queue for long, during a process handover or while the
+// limit of connections is reached. Its client may write a request and disconnect meanwhile.
 func TestNothingIsForwardedAfterDisconnectBeforeAccept(t *testing.T) {
 	e := startBlockingEndpoint(t)
 	s := startLongWaitSidecar(t, e)
@@ -206,8 +214,8 @@
 }
 
 // A body, buffered or still being received, is being written to an endpoint that reads none of it
-// when its client disconnects: its end is never written, there or elsewhere. That of a client that
-// stays connected is.
+// when its client disconnects: its end is never written, to any endpoint. The body of a client that
+// stays connected is written completely.
 func TestBodyIsNotCompletedAfterClientDisconnect(t *testing.T) {
 	for name, c := range map[string]bodyDisconnectCase{
 		"buffered":       {limits: `{"memory_mb":512}`, sentBeforeDisconnect: bodyDisconnectSize},
@@ -229,62 +237,72 @@
 	sentBeforeDisconnect int // bytes of the body
 }
 
-// runDisconnected has the client disconnect while its body is being written.
+// runDisconnected tests a client that disconnects while its body is being written.
 func (c bodyDisconnectCase) runDisconnected(t *testing.T, disconnect func(*testClient)) {
-	s, client, sent, endpoints := c.startUpload(t, c.sentBeforeDisconnect)
-	<-sent
-	disconnect(client)
-	s.waitForInFlight(t, 0)
-	for _, e := range endpoints {
+	u := c.startUpload(t, c.sentBeforeDisconnect)
+	<-u.sent
+	disconnect(u.client)
+	u.waitForInFlight(t, 0)
+	for _, e := range u.endpoints {
 		close(e.release)
 	}
-	s.waitForInFlight(t, 0)
-	requireUploads(t, s, endpoints, 0)
+	u.waitForInFlight(t, 0)
+	u.requireUploads(t, 0)
 }
 
-// runConnected has the client stay until its request is served.
+// runConnected tests a client that stays connected until its request is served.
 func (c bodyDisconnectCase) runConnected(t *testing.T) {
-	s, client, sent, endpoints := c.startUpload(t, bodyDisconnectSize)
-	for _, e := range endpoints {
+	u := c.startUpload(t, bodyDisconnectSize)
+	for _, e := range u.endpoints {
 		close(e.release)
 	}
-	client.requireOK(t)
-	<-sent
-	s.waitForInFlight(t, 0)
-	requireUploads(t, s, endpoints, 1)
+	u.client.requireOK(t)
+	<-u.sent
+	u.waitForInFlight(t, 0)
+	u.requireUploads(t, 1)
+}
+
+// pendingUpload is an upload that is being written to one of two endpoints.
+type pendingUpload struct {
+	*testSidecar
+	client    *testClient
+	sent      chan bool // closed once the client has sent its bytes
+	endpoints []*blockingEndpoint
 }
 
 // startUpload begins an upload of which so many bytes are sent, and waits until it is being written
-// to one of the endpoints. The channel is closed once the bytes are sent.
-func (c bodyDisconnectCase) startUpload(t *testing.T, bytes int) (
-	s *testSidecar, client *testClient, sent chan bool, endpoints []*blockingEndpoint,
-) {
-	first, second := startBlockingEndpoint(t), startBlockingEndpoint(t)
-	endpoints = []*blockingEndpoint{first, second}
-	s = testOptions{
+// to one of the endpoints.
+func (c bodyDisconnectCase) startUpload(t *testing.T, bytes int) pendingUpload {
+	first := startBlockingEndpoint(t)
+	second := startBlockingEndpoint(t)
+	s := testOptions{
 		limits:    c.limits,
-		settings:  longWaitSettings(true),
+		settings:  longWaitSettings,
 		endpoints: endpointsJSON(first, second),
 	}.start(t)
-	client = s.connectAndSend(t, "hang", uploadHead(bodyDisconnectSize))
-	sent = make(chan bool)
+	u := pendingUpload{
+		testSidecar: s,
+		client:      s.connectAndSend(t, "hang", uploadHead(bodyDisconnectSize)),
+		sent:        make(chan bool),
+		endpoints:   []*blockingEndpoint{first, second},
+	}
 	go func() {
-		io.WriteString(client, strings.Repeat("x", bytes))
-		close(sent)
+		io.WriteString(u.client, strings.Repeat("x", bytes))
+		close(u.sent)
 	}()
 	waitUntil(t, "it is being written", func() bool {
 		return len(first.startedIDs())+len(second.startedIDs()) == 1
 	})
-	return s, client, sent, endpoints
+	return u
 }
 
 // requireUploads checks that one upload was begun in all, that so many were completed, and that no
 // more connections than those stay open.
-func requireUploads(t *testing.T, s *testSidecar, endpoints []*blockingEndpoint, wantCompleted int) {
+func (u pendingUpload) requireUploads(t *testing.T, wantCompleted int) {
 	t.Helper()
-	waitUntil(t, "no connection carries anything", func() bool { return s.pool.Stats().Connections <= wantCompleted })
+	waitUntil(t, "no connection is in use", func() bool { return u.pool.Stats().Connections <= wantCompleted })
 	var started, completed int
-	for _, e := range endpoints {
+	for _, e := range u.endpoints {
 		n, complete := e.counts()
 		started += n
 		completed += complete
@@ -294,8 +312,8 @@
 	}
 }
 
-// An endpoint closes an idle connection when a request that was written there arrives unread: an
-// idempotent one is retried, and another, which may have run for all that is known, is not.
+// An endpoint closes an idle connection when a request has just been written to it: an idempotent
+// request is retried, and a non-idempotent one, which may have run, is not.
 func TestIdleEndpointConnectionClosedDuringRequest(t *testing.T) {
 	for _, c := range []struct {
 		method, path      string
@@ -307,7 +325,7 @@
 	} {
 		var closed atomic.Int32
 		e := newEndpoint(t, func(conn net.Conn, r *http.Request, _ int) bool {
-			if r.Header.Get("Req-Id") == "second" && closed.Add(1) == 1 {
+			if r.Header.Get(platform.RequestIDHeader) == "second" && closed.Add(1) == 1 {
 				conn.(*net.TCPConn).SetLinger(0)
 				return false
 			}
@@ -315,12 +333,12 @@
 			return true
 		})
 		s := startSidecar(t, e.Addr)
-		if status, _, _ := sendRequest(t, s.newRequest(t, c.method, c.path, "first", 10000)); status != http.StatusOK {
+		if status := sendRequest(t, s.newRequest(t, c.method, c.path, "first", 10000)).status; status != http.StatusOK {
 			t.Fatalf("the first on %s: %d", c.path, status)
 		}
 		quarantineEnd := time.Now().Add(responseQuarantine)
 		waitUntil(t, "the quarantine is over", func() bool { return time.Now().After(quarantineEnd) })
-		if status, _, _ := sendRequest(t, s.newRequest(t, c.method, c.path, "second", 10000)); status != c.want {
+		if status := sendRequest(t, s.newRequest(t, c.method, c.path, "second", 10000)).status; status != c.want {
 			t.Errorf("%s gets status %d", c.path, status)
 		}
 		if conns, deliveries := e.Connections.Load(), e.Requests.Load(); conns != c.conns || deliveries != c.deliveries {
--- a/internal/sidecar/forwarding_test.go
+++ b/internal/sidecar/forwarding_test.go
@@ -12,6 +12,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // hangUntilCanceled never responds, and closes its connection once the attempt is canceled.
@@ -40,17 +42,17 @@
 	s := startSidecar(t, e.Listener.Addr().String())
 	r := s.newRequest(t, http.MethodPost, "/book/a%2Fb?x=1&y=%20", "id-1", 4000)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader("parcel")), 6
-	if status, text, _ := sendRequest(t, r); status != http.StatusOK || text != "done" {
-		t.Errorf("%d %q", status, text)
+	if resp := sendRequest(t, r); resp.status != http.StatusOK || resp.body != "done" {
+		t.Errorf("%d %q", resp.status, resp.body)
 	}
 	in := <-received
 	if b := <-body; in.Method != http.MethodPost || in.RequestURI != "/book/a%2Fb?x=1&y=%20" || b != "parcel" ||
-		in.Header.Get("Req-Id") != "id-1" || in.Header.Get("Idempotency-Key") != "key-id-1" {
+		in.Header.Get(platform.RequestIDHeader) != "id-1" || in.Header.Get(platform.IdempotencyKeyHeader) != "key-id-1" {
 		t.Errorf("%s %s %v, body %q", in.Method, in.RequestURI, in.Header, b)
 	}
 	var leftMs int
-	if _, err := fmt.Sscan(in.Header.Get("Req-Deadline-Ms"), &leftMs); err != nil || leftMs < 1 || leftMs >= 4000 {
-		t.Errorf("the endpoint is told to have %d ms: %v", leftMs, err)
+	if _, err := fmt.Sscan(in.Header.Get(platform.DeadlineHeader), &leftMs); err != nil || leftMs < 1 || leftMs >= 4000 {
+		t.Errorf("the attempt's deadline is %d ms: %v", leftMs, err)
 	}
 }
 
@@ -59,7 +61,7 @@
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	e := newEndpoint(t, respondWith("", false))
 	s := startSidecar(t, e.Addr, e.Addr, e.Addr)
-	status, _, _ := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 4000))
+	status := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 4000)).status
 	if status != http.StatusBadGateway {
 		t.Errorf("may have run: %d", status)
 	}
@@ -67,16 +69,16 @@
 	closed := newEndpoint(t, respondWith("", false))
 	closed.Listener.Close()
 	s = startSidecar(t, closed.Addr)
-	status, _, h := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r2", 4000))
-	if status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
-		t.Errorf("never ran: %d %v", status, h)
+	resp := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r2", 4000))
+	if resp.status != http.StatusServiceUnavailable || resp.header.Get("Retry-After") == "" {
+		t.Errorf("never ran: %d %v", resp.status, resp.header)
 	}
 }
 
 func TestSilentEndpointYieldsBadGatewayAtDeadline(t *testing.T) {
 	e := newEndpoint(t, hangUntilCanceled)
 	s := startSidecar(t, e.Addr)
-	status, _, _ := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 300))
+	status := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 300)).status
 	if status != http.StatusBadGateway {
 		t.Errorf("status %d", status)
 	}
@@ -107,8 +109,8 @@
 	}
 }
 
-// A client that had ended its sending before the response was once answered 200, which no endpoint
-// had said.
+// A client that had closed its sending side before the response was once answered 200, which no
+// endpoint had sent.
 func TestHalfClosedClientGetsBadGateway(t *testing.T) {
 	e := newEndpoint(t, hangUntilCanceled)
 	s := startSidecar(t, e.Addr)
@@ -149,7 +151,7 @@
 	requireRequests(t, e.Requests.Load(), 1)
 }
 
-// Peers have been seen to send the ids of clients' requests again once those were answered.
+// Clients have been seen to reuse the id of a request that was answered.
 func TestRepeatedIDIsRejectedAfterResponse(t *testing.T) {
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecar(t, e.Addr)
@@ -183,7 +185,7 @@
 	}
 	s.updateEndpoints(t, endpointListJSON(3, true, endpointJSON("b", a.Addr, "Ready"))) // a removed, b at its address
 	if toA, toB := sendEight(); toA != 8 || toB != 0 {
-		t.Errorf("with b at another address, %d to that and %d to the old one", toA, toB)
+		t.Errorf("with b at another address, %d to the new and %d to the old one", toA, toB)
 	}
 }
 
@@ -192,7 +194,7 @@
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecarWithLimits(t, `{"sockets":64}`, e.Addr)
 	for i := range 100 { // far over the limit
-		_, _, resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000))
+		resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)).resp
 		if resp.StatusCode != http.StatusOK {
 			t.Fatalf("client %d: status %d", i, resp.StatusCode)
 		}
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -30,9 +30,9 @@
 
 // framedResponse is a response in one of the framings that an endpoint may use.
 type framedResponse struct {
-	text   string
-	body   string
-	broken bool // the client must see that the response is not complete
+	text      string
+	body      string
+	truncated bool // the client must see that the response is not complete
 }
 
 // framedResponses returns responses in all framings, by name.
@@ -44,22 +44,22 @@
 	cutChunks := strings.TrimSuffix(chunked(long), "\r\n")
 	badChunk := strings.Replace(chunked(long), "\r\n0\r\n", "\r\n-1\r\n", 1)
 	return map[string]framedResponse{
-		"length":         {text: lengthHead(2) + "hi", body: "hi"},
-		"chunks":         {text: chunkedHead + chunked("hi"), body: "hi"},
-		"no body":        {text: chunkedHead + chunked(""), body: ""},
-		"close":          {text: okStatusLine + "Connection: close\r\n\r\nhi", body: "hi"},
-		"of old":         {text: "HTTP/1.0 200 OK\r\n\r\nhi", body: "hi"},
-		"interim":        {text: interim + lengthHead(2) + "hi", body: "hi"},
-		"long length":    {text: lengthHead(len(long)) + long, body: long},
-		"long chunks":    {text: chunkedHead + chunked(long), body: long},
-		"long close":     {text: okStatusLine + "\r\n" + long, body: long},
-		"long, cut":      {text: lengthHead(len(long)+1) + long, broken: true},
-		"long cut chunk": {text: chunkedHead + cutChunks, broken: true},
-		"long bad chunk": {text: chunkedHead + badChunk, broken: true},
+		"length":          {text: lengthHead(2) + "hi", body: "hi"},
+		"chunks":          {text: chunkedHead + chunked("hi"), body: "hi"},
+		"no body":         {text: chunkedHead + chunked(""), body: ""},
+		"close":           {text: okStatusLine + "Connection: close\r\n\r\nhi", body: "hi"},
+		"HTTP/1.0":        {text: "HTTP/1.0 200 OK\r\n\r\nhi", body: "hi"},
+		"interim":         {text: interim + lengthHead(2) + "hi", body: "hi"},
+		"long length":     {text: lengthHead(len(long)) + long, body: long},
+		"long chunks":     {text: chunkedHead + chunked(long), body: long},
+		"long close":      {text: okStatusLine + "\r\n" + long, body: long},
+		"long, truncated": {text: lengthHead(len(long)+1) + long, truncated: true},
+		"long cut chunk":  {text: chunkedHead + cutChunks, truncated: true},
+		"long bad chunk":  {text: chunkedHead + badChunk, truncated: true},
 	}
 }
 
-// Every form in which an endpoint may frame a response, and in which a client may send a request.
+// Every form in which an endpoint may frame a response, to clients of both versions.
 func TestAllResponseFramings(t *testing.T) {
 	responses := framedResponses()
 	e := newEndpoint(t, func(conn net.Conn, r *http.Request, _ int) bool {
@@ -80,16 +80,16 @@
 			}
 			body, err := io.ReadAll(resp.Body)
 			conn.Close()
-			if resp.StatusCode != http.StatusOK || (err != nil) != want.broken ||
-				!want.broken && string(body) != want.body {
+			if resp.StatusCode != http.StatusOK || (err != nil) != want.truncated ||
+				!want.truncated && string(body) != want.body {
 				t.Errorf("%s, %s: %d, %d bytes, %v", name, version, resp.StatusCode, len(body), err)
 			}
 		}
 	}
 }
 
-// Requests follow one another on a connection without a wait, with every framing of bodies, empty
-// lines between them, and a client that expects 100 Continue.
+// Pipelined requests with every framing of bodies, empty lines between them, and a client that
+// expects 100 Continue.
 func TestPipelinedRequestsOfAllFramings(t *testing.T) {
 	var bodies []string
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/sidecar/malformed_test.go
+++ b/internal/sidecar/malformed_test.go
@@ -22,35 +22,35 @@
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecar(t, e.Addr)
 	for name, text := range map[string]string{
-		"noise":                     "\x01\x02 \x03\r\n\r\n",
-		"no host":                   "GET /look HTTP/1.1\r\n" + id + ms + end,
-		"no id":                     "GET /look" + host + ms + end,
-		"an empty id":               "GET /look" + host + "Req-Id:\r\n" + ms + end,
-		"two ids":                   "GET /look" + host + id + "Req-Id: r2\r\n" + ms + end,
-		"an endless id":             "GET /look" + host + "Req-Id: " + strings.Repeat("x", 999) + end + ms + end,
-		"no deadline":               "GET /look" + host + id + end,
-		"a deadline that's no time": "GET /look" + host + id + "Req-Deadline-Ms: soon\r\n" + end,
-		"a deadline of nothing":     "GET /look" + host + id + "Req-Deadline-Ms: 0\r\n" + end,
-		"a negative deadline":       "GET /look" + host + id + "Req-Deadline-Ms: -5\r\n" + end,
-		"an endless deadline":       "GET /look" + host + id + "Req-Deadline-Ms: 99999999999999999999\r\n" + end,
-		"a negative length":         "POST /look" + host + id + ms + "Content-Length: -1\r\n" + end,
-		"a length that's no number": "POST /look" + host + id + ms + "Content-Length: x\r\n" + end,
-		"an over-long body":         "POST /pay" + host + id + ms + "Content-Length: 60000000\r\n" + end + long,
-		"a long body of safe work":  "GET /look" + host + id + ms + "Content-Length: 70000\r\n" + end + long,
-		"a long chunked one": "GET /look" + host + id + ms + "Transfer-Encoding: chunked\r\n" + end +
+		"noise":                   "\x01\x02 \x03\r\n\r\n",
+		"no host":                 "GET /look HTTP/1.1\r\n" + id + ms + end,
+		"no id":                   "GET /look" + host + ms + end,
+		"an empty id":             "GET /look" + host + "Req-Id:\r\n" + ms + end,
+		"two ids":                 "GET /look" + host + id + "Req-Id: r2\r\n" + ms + end,
+		"an endless id":           "GET /look" + host + "Req-Id: " + strings.Repeat("x", 999) + end + ms + end,
+		"no deadline":             "GET /look" + host + id + end,
+		"a deadline not a number": "GET /look" + host + id + "Req-Deadline-Ms: soon\r\n" + end,
+		"a deadline of zero":      "GET /look" + host + id + "Req-Deadline-Ms: 0\r\n" + end,
+		"a negative deadline":     "GET /look" + host + id + "Req-Deadline-Ms: -5\r\n" + end,
+		"an endless deadline":     "GET /look" + host + id + "Req-Deadline-Ms: 99999999999999999999\r\n" + end,
+		"a negative length":       "POST /look" + host + id + ms + "Content-Length: -1\r\n" + end,
+		"a length not a number":   "POST /look" + host + id + ms + "Content-Length: x\r\n" + end,
+		"an over-long body":       "POST /pay" + host + id + ms + "Content-Length: 60000000\r\n" + end + long,
+		"a long idempotent body":  "GET /look" + host + id + ms + "Content-Length: 70000\r\n" + end + long,
+		"a long chunked body": "GET /look" + host + id + ms + "Transfer-Encoding: chunked\r\n" + end +
 			"11170\r\n" + long + "\r\n0\r\n\r\n",
 		"a bad chunk":               "POST /look" + host + id + ms + "Transfer-Encoding: chunked\r\n" + end + "zz\r\n",
 		"an over-long head":         "GET /look" + host + id + ms + "X: " + strings.Repeat("x", 64<<10) + end + end,
 		"a keyed class with no key": "POST /book" + host + id + ms + empty + end,
 		"another method":            "DELETE /look" + host + id + ms + end,
-		"safe work by POST":         "POST /look" + host + id + ms + empty + end,
-		"safe work with a body":     "GET /look" + host + id + ms + "Content-Length: 2\r\n" + end + "hi",
-		"unsafe work by GET":        "GET /pay" + host + id + ms + end,
-		"a class nobody listed":     "GET /looks" + host + id + ms + end,
+		"an idempotent POST":        "POST /look" + host + id + ms + empty + end,
+		"an idempotent body":        "GET /look" + host + id + ms + "Content-Length: 2\r\n" + end + "hi",
+		"a non-idempotent GET":      "GET /pay" + host + id + ms + end,
+		"an unknown class":          "GET /looks" + host + id + ms + end,
 		"no class":                  "GET /" + host + id + ms + end,
-		"a way out of the class":    "GET /look/../pay/x" + host + id + ms + end,
-		"an encoded way out":        "GET /look/%2e%2E%2fpay/x" + host + id + ms + end,
-		"a class in other letters":  "GET /l%6fok" + host + id + ms + end,
+		"a path out of the class":   "GET /look/../pay/x" + host + id + ms + end,
+		"an encoded path out":       "GET /look/%2e%2E%2fpay/x" + host + id + ms + end,
+		"an encoded class":          "GET /l%6fok" + host + id + ms + end,
 	} {
 		conn := s.dial(t)
 		go io.WriteString(conn, text)
@@ -64,27 +64,27 @@
 	}
 	requireRequests(t, e.Requests.Load(), 0)
 	if status := s.get(t, "/look", "r1", 4000); status != http.StatusOK {
-		t.Errorf("a good request afterwards: %d", status)
+		t.Errorf("a valid request afterwards: %d", status)
 	}
 }
 
 // Where Content-Length and Transfer-Encoding disagreed, a request inside the body of another was
-// once taken for one of its own.
+// once parsed as a request.
 func TestSmuggledRequestReachesNoEndpoint(t *testing.T) {
 	const (
-		smuggled = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: hidden\r\nReq-Deadline-Ms: 6000\r\n\r\n"
-		fields   = "Host: h\r\nReq-Id: r1\r\nReq-Deadline-Ms: 6000\r\n"
-		chunked  = "Transfer-Encoding: chunked\r\n"
-		lastOne  = "0\r\n\r\n"
+		smuggled  = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: hidden\r\nReq-Deadline-Ms: 6000\r\n\r\n"
+		fields    = "Host: h\r\nReq-Id: r1\r\nReq-Deadline-Ms: 6000\r\n"
+		chunked   = "Transfer-Encoding: chunked\r\n"
+		lastChunk = "0\r\n\r\n"
 	)
-	length := fmt.Sprintf("Content-Length: %d\r\n", len(lastOne)+len(smuggled))
+	length := fmt.Sprintf("Content-Length: %d\r\n", len(lastChunk)+len(smuggled))
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecar(t, e.Addr)
 	for name, text := range map[string]string{
-		"length, then chunks": "POST /pay HTTP/1.1\r\n" + fields + length + chunked + "\r\n" + lastOne + smuggled,
-		"chunks, then length": "POST /pay HTTP/1.1\r\n" + fields + chunked + length + "\r\n" + lastOne + smuggled,
+		"length, then chunks": "POST /pay HTTP/1.1\r\n" + fields + length + chunked + "\r\n" + lastChunk + smuggled,
+		"chunks, then length": "POST /pay HTTP/1.1\r\n" + fields + chunked + length + "\r\n" + lastChunk + smuggled,
 		"chunks over HTTP/1.0": "POST /pay HTTP/1.0\r\n" + fields + "Connection: keep-alive\r\n" + chunked +
-			"Content-Length: 3\r\n\r\n" + fmt.Sprintf("%x\r\n", len(smuggled)) + smuggled + "\r\n" + lastOne,
+			"Content-Length: 3\r\n\r\n" + fmt.Sprintf("%x\r\n", len(smuggled)) + smuggled + "\r\n" + lastChunk,
 	} {
 		conn := s.dial(t)
 		io.WriteString(conn, text)
@@ -98,12 +98,13 @@
 	requireRequests(t, e.Requests.Load(), 0)
 }
 
-// A body that never ends must not hold its connection, whatever else is wrong with the request.
+// A body that never ends must not keep its connection open, whatever else is wrong with the
+// request.
 func TestUnfinishedBodyTimesOut(t *testing.T) {
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecar(t, e.Addr)
 	s.server.SetBodyTimeout(100 * time.Millisecond)
-	for name, fields := range map[string]string{"good": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
+	for name, fields := range map[string]string{"valid": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
 		conn := s.dial(t)
 		io.WriteString(conn, "POST /look HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 9\r\n\r\nhalf")
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
--- a/internal/sidecar/operations_test.go
+++ b/internal/sidecar/operations_test.go
@@ -23,14 +23,15 @@
 }
 
 func TestDisableAndEnableEndpoint(t *testing.T) {
-	a, b := newEndpoint(t, respondWith(okResponse, true)), newEndpoint(t, respondWith(okResponse, true))
+	a := newEndpoint(t, respondWith(okResponse, true))
+	b := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecar(t, a.Addr, b.Addr)
 	sent := 0
 	sendTwelve := func(class string) (toA, toB int32) {
 		for range 12 {
 			sent++
 			r := s.newRequest(t, methodOf(class), "/"+class, fmt.Sprint("r", sent), 60000)
-			if status, _, _ := sendRequest(t, r); status != http.StatusOK {
+			if status := sendRequest(t, r).status; status != http.StatusOK {
 				t.Errorf("status %d", status)
 			}
 		}
@@ -62,14 +63,14 @@
 	}
 }
 
-// behaveAsAsked behaves as a request's query says.
-func behaveAsAsked(conn net.Conn, r *http.Request, _ int) (keepOpen bool) {
+// followQuery responds as a request's query says.
+func followQuery(conn net.Conn, r *http.Request, _ int) (keepOpen bool) {
 	switch r.URL.Query().Get("do") {
 	case "serve":
 		io.WriteString(conn, okResponse)
 	case "fail":
 		io.WriteString(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-	case "decline":
+	case "reject":
 		io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 	case "stream":
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n%s", strings.Repeat("x", 200_000))
@@ -82,10 +83,10 @@
 	return true
 }
 
-// The metrics are what peers observed: each response by its outcome, each attempt that was written
-// completely, nothing in flight at the end.
+// The metrics match what clients and endpoints observed: each response by its outcome, each attempt
+// that was written completely, and no request in flight at the end.
 func TestMetricsMatchWhatPeersObserved(t *testing.T) {
-	e := newEndpoint(t, behaveAsAsked)
+	e := newEndpoint(t, followQuery)
 	s := startSidecar(t, e.Addr)
 	observed := map[string]int{} // by metric
 	outcomes := map[int]string{
@@ -93,25 +94,25 @@
 		http.StatusServiceUnavailable: "overload",
 		http.StatusBadGateway:         "error",
 	}
-	for i, do := range []string{"serve", "fail", "decline", "break", "serve", "serve", "decline", "fail"} {
+	for i, do := range []string{"serve", "fail", "reject", "break", "serve", "serve", "reject", "fail"} {
 		for _, class := range []string{"look", "pay"} {
 			r := s.newRequest(t, methodOf(class), "/"+class+"?do="+do, fmt.Sprint(class, i), 500)
-			status, _, _ := sendRequest(t, r)
+			status := sendRequest(t, r).status
 			observed[fmt.Sprintf("sidecar_%s{type=%q}", outcomes[status], class)]++
 		}
 	}
 	stream := s.newRequest(t, http.MethodGet, "/look?do=stream", "long", 60000)
-	conn, _, resp := sendKeepingConn(t, stream) // reads the response to its end
-	conn.Close()
-	if resp.StatusCode == http.StatusOK {
+	streamed := sendKeepingConn(t, stream)
+	streamed.conn.Close()
+	if streamed.resp.StatusCode == http.StatusOK {
 		observed[`sidecar_success{type="look"}`]++
 	}
 	disconnecting := s.dial(t)
-	s.newRequest(t, http.MethodPost, "/book?do=hang", "leaves", 60000).Write(disconnecting)
+	s.newRequest(t, http.MethodPost, "/book?do=hang", "disconnects", 60000).Write(disconnecting)
 	waitUntil(t, "it is in flight", func() bool { return s.metric(t, "sidecar_concurrent") == 1 })
-	disconnecting.Close() // counts as an error: nobody receives its response
+	disconnecting.Close() // counts as an error: its client gets no response
 	observed[`sidecar_error{type="book"}`]++
-	s.get(t, "/look?do=serve", "look0", 500) // a duplicate: it has been answered
+	s.get(t, "/look?do=serve", "look0", 500) // a duplicate of a request that was answered
 	sendRequest(t, s.newRequest(t, http.MethodDelete, "/look?do=serve", "no", 500))
 	s.get(t, "/nothing?do=serve", "none", 500) // not a class of the settings
 	for _, outcome := range outcomes {
@@ -132,8 +133,8 @@
 	}
 }
 
-// The admin interface responds whatever clients do: with all connections in use, and silent clients
-// on the admin interface itself.
+// The admin interface responds while all client connections are in use, and silent clients are
+// connected to the admin interface itself.
 func TestAdminRespondsUnderLoad(t *testing.T) {
 	received, release := make(chan bool, 200), make(chan bool)
 	e := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) bool {
@@ -181,7 +182,7 @@
 	silent.listDeadline = time.Now()
 	silent.accepting.Store(true)
 	if err := (&operations{readiness: silent}).Ready(); err != nil {
-		t.Errorf("discovery has been waited for: %v", err)
+		t.Errorf("after the deadline for discovery's list: %v", err)
 	}
 }
 
@@ -245,16 +246,17 @@
 	}
 }
 
-// An operator's call comes before the first list has been received: the answer waits for it.
+// A command comes before the first endpoint list has been received: its response waits for the
+// list.
 func TestDisableWaitsForTheFirstList(t *testing.T) {
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := testOptions{}.start(t) // it knows no endpoint
-	answer := make(chan string, 1)
-	go func() { answer <- s.adminCommand(t, "disable-server a") }()
-	time.Sleep(100 * time.Millisecond) // that the call comes first is likely; the test holds either way
+	response := make(chan string, 1)
+	go func() { response <- s.adminCommand(t, "disable-server a") }()
+	time.Sleep(100 * time.Millisecond) // the command probably comes first; the test is valid either way
 	s.updateEndpoints(t, endpointListJSON(2, true, endpointJSON("a", e.Addr, "Ready")))
 	s.readiness.markListReceived()
-	if got := <-answer; !strings.HasPrefix(got, "SUCCESS") {
+	if got := <-response; !strings.HasPrefix(got, "SUCCESS") {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/sidecar/shareddir_test.go
+++ b/internal/sidecar/shareddir_test.go
@@ -40,7 +40,8 @@
 // An endpoint that an operator has disabled is disabled in the next process, though the shared
 // directory fails while that process starts.
 func TestEndpointStaysDisabledThoughSharedDirFailsAtStart(t *testing.T) {
-	a, b := newEndpoint(t, respondWith(okResponse, true)), newEndpoint(t, respondWith(okResponse, true))
+	a := newEndpoint(t, respondWith(okResponse, true))
+	b := newEndpoint(t, respondWith(okResponse, true))
 	sharedDir := t.TempDir()
 	endpoints := []string{endpointJSON("a", a.Addr, "Ready"), endpointJSON("b", b.Addr, "Ready")}
 	first := testOptions{sharedDir: sharedDir, endpoints: endpoints}.start(t)
@@ -68,7 +69,8 @@
 // The shared directory fails while an operator disables an endpoint: it is disabled at once, and
 // that is stored as soon as the directory works.
 func TestDisabledEndpointIsStoredOnceSharedDirWorks(t *testing.T) {
-	a, b := newEndpoint(t, respondWith(okResponse, true)), newEndpoint(t, respondWith(okResponse, true))
+	a := newEndpoint(t, respondWith(okResponse, true))
+	b := newEndpoint(t, respondWith(okResponse, true))
 	sharedDir := t.TempDir()
 	endpoints := []string{endpointJSON("a", a.Addr, "Ready"), endpointJSON("b", b.Addr, "Ready")}
 	first := testOptions{sharedDir: sharedDir, endpoints: endpoints}.start(t)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -12,24 +12,25 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
-// SIGKILL comes no sooner after SIGTERM than the longest deadline, which counts as 3 s where it is
-// longer, plus 0.7 s.
+// SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, plus 0.7 s.
 func TestKillDelayFollowsTheLongestDeadline(t *testing.T) {
-	for lanes, want := range map[string]time.Duration{
+	for classes, want := range map[string]time.Duration{
 		`{"Semantics":"read_like","HardLimitUs":200000},
 			{"Semantics":"read_like","HardLimitUs":300000}`: time.Second,
 		`{"Semantics":"read_like","HardLimitUs":6000000}`: 3700 * time.Millisecond,
 		`{"Semantics":"read_like"}`:                       3700 * time.Millisecond,
 	} {
-		text := strings.Replace(goodConfig, `"settings":{`, `"settings":{"Lanes":[`+lanes+`],`, 1)
+		text := strings.Replace(goodConfig, `"settings":{`, `"settings":{"Lanes":[`+classes+`],`, 1)
 		c, err := parseConfig([]byte(text), noEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := killDelay(c); got != want {
-			t.Errorf("%s: %v, want %v", lanes, got, want)
+			t.Errorf("%s: %v, want %v", classes, got, want)
 		}
 	}
 }
@@ -39,7 +40,7 @@
 func TestGracefulShutdownLosesNoRequest(t *testing.T) {
 	received, release := make(chan bool, 100), make(chan bool)
 	e := newEndpoint(t, func(conn net.Conn, r *http.Request, _ int) bool {
-		if strings.HasPrefix(r.Header.Get("Req-Id"), "slow") {
+		if strings.HasPrefix(r.Header.Get(platform.RequestIDHeader), "slow") {
 			received <- true
 			<-release
 		}
@@ -50,23 +51,23 @@
 	var slow sync.WaitGroup
 	for i := range 3 {
 		slow.Go(func() {
-			_, _, resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000))
+			resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000)).resp
 			if resp.StatusCode != http.StatusOK || !resp.Close {
 				t.Errorf("in flight: %d, close %v", resp.StatusCode, resp.Close)
 			}
 		})
 		<-received
 	}
-	_, idle, resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", "kept", 60000))
-	if resp.StatusCode != http.StatusOK || resp.Close {
-		t.Errorf("before the signal: %d, close %v", resp.StatusCode, resp.Close)
+	idle := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", "idle", 60000))
+	if idle.resp.StatusCode != http.StatusOK || idle.resp.Close {
+		t.Errorf("before the signal: %d, close %v", idle.resp.StatusCode, idle.resp.Close)
 	}
 
 	s.terminate()
 	if status := s.get(t, "/look", "late", 60000); status != http.StatusOK {
 		t.Errorf("right after the signal: %d", status)
 	}
-	if _, err := idle.ReadByte(); err != io.EOF {
+	if _, err := idle.in.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection: %v", err)
 	}
 	waitUntil(t, "the listener is closed", func() bool {
@@ -89,17 +90,20 @@
 }
 
 // Endpoints hang when SIGTERM comes, and deadlines are far off: every accepted request is answered
-// before SIGKILL can come, and what has not been received by then does not delay the end.
+// before SIGKILL can come, and requests that have not been received by then do not delay the exit.
 func TestShutdownAnswersEveryAcceptedRequestBeforeSIGKILL(t *testing.T) {
 	e := startBlockingEndpoint(t)
 	e.blockPrefix = ""
 	defer close(e.release)
 	s := testOptions{
-		settings:  longWaitSettings(true),
+		settings:  longWaitSettings,
 		endpoints: endpointsJSON(e),
 		killDelay: 2 * time.Second,
 	}.start(t)
-	accepted := []*testClient{s.connectAndSend(t, "safe", lookRequest), s.connectAndSend(t, "unsafe", payRequest)}
+	accepted := []*testClient{
+		s.connectAndSend(t, "idempotent", lookRequest),
+		s.connectAndSend(t, "non-idempotent", payRequest),
+	}
 	waitUntil(t, "both are at the endpoint", func() bool { return len(e.startedIDs()) == 2 })
 	for i := range initialCapacity { // all but two of these wait for capacity
 		accepted = append(accepted, s.connectAndSend(t, fmt.Sprint("more", i), lookRequest))
@@ -124,7 +128,7 @@
 	silent.send(lookRequest)
 	for _, c := range append(accepted, half, silent) {
 		want := http.StatusServiceUnavailable
-		if c.id == "unsafe" {
+		if c.id == "non-idempotent" {
 			want = http.StatusBadGateway
 		}
 		if resp := c.readResponse(t); resp.StatusCode != want || !resp.Close {
@@ -135,13 +139,13 @@
 		t.Errorf("the client that sent no request gets a response")
 	}
 	err := s.waitForServeResult(t)
-	if took := time.Since(signalled); err != nil || took > 5*time.Second { // 60 s and more, else
+	if took := time.Since(signalled); err != nil || took > 5*time.Second { // else 60 s and more
 		t.Errorf("ended after %v with %v", took, err)
 	}
 }
 
-// A response that is delimited by the end of its connection and is cut off at shutdown must not
-// pass for a complete one.
+// A response that ends with its connection and is truncated at shutdown must not pass for a
+// complete one.
 func TestShutdownResetsTruncatedResponse(t *testing.T) {
 	e := newBlockingEndpoint(t)
 	go func() {
@@ -155,7 +159,7 @@
 	}()
 	defer close(e.release)
 	s := testOptions{
-		settings:  longWaitSettings(true),
+		settings:  longWaitSettings,
 		endpoints: endpointsJSON(e),
 		killDelay: 2 * time.Second,
 	}.start(t)
@@ -166,29 +170,28 @@
 	signalled := time.Now()
 	s.terminate()
 	text, err := io.ReadAll(c)
-	if took := time.Since(signalled); took > 8*time.Second { // a silent endpoint is waited for 12 s, else
-		t.Errorf("cut off after %v", took)
+	if took := time.Since(signalled); took > 8*time.Second { // a silent endpoint else delays it for 12 s
+		t.Errorf("truncated after %v", took)
 	}
 	if !strings.HasSuffix(string(text), "half") || !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("%q, then %v", text, err)
 	}
 }
 
-// A request that follows another on its connection has been accepted when the other's response is
-// written during shutdown, read or not: it is answered, and only the last response closes the
-// connection.
+// A pipelined request has been accepted when the response to the request before it is written
+// during shutdown, read or not: it is answered, and only the last response closes the connection.
 func TestShutdownAnswersPipelinedRequests(t *testing.T) {
-	for name, atOnce := range map[string]bool{"read with the first": true, "unread": false} {
+	for name, sentTogether := range map[string]bool{"read with the first": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
 			e := startBlockingEndpoint(t)
 			s := startLongWaitSidecar(t, e)
 			text := lookRequest
-			if atOnce {
+			if sentTogether {
 				text += pipelinedRequest
 			}
 			c := s.connectAndSend(t, "hang", text)
 			waitUntil(t, "it is at the endpoint", func() bool { return len(e.startedIDs()) == 1 })
-			if !atOnce {
+			if !sentTogether {
 				c.send(pipelinedRequest)
 			}
 			s.terminate()
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The address is still in use when the process starts, as after a restart at once: it starts as
-// soon as the address is free.
+// The address is still in use when the process starts, as right after a restart: the start succeeds
+// once the address is free.
 func TestStartWaitsForItsAddress(t *testing.T) {
 	inUse, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/sidecar/testclient_test.go
+++ b/internal/sidecar/testclient_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Requests as text, in which ID stands for the client's own.
+// Requests as text, in which ID stands for the id of the client.
 const (
 	lookRequest      = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\n\r\n"
 	pipelinedRequest = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID-next\r\nReq-Deadline-Ms: 600000\r\n\r\n"
@@ -39,7 +39,7 @@
 func (s *testSidecar) connectAndSend(t *testing.T, id, text string) *testClient {
 	t.Helper()
 	conn := s.dial(t)
-	conn.SetDeadline(time.Now().Add(testTimeout)) // a bound: no test depends on it
+	conn.SetDeadline(time.Now().Add(testTimeout)) // no result depends on it
 	c := &testClient{conn.(*net.TCPConn), id}
 	if err := c.send(text); err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/testendpoint_test.go
+++ b/internal/sidecar/testendpoint_test.go
@@ -13,14 +13,15 @@
 	"testing"
 
 	"rowancart/internal/hotrestart"
+	"rowancart/internal/platform"
 )
 
-// blockingEndpoint is an endpoint that records each request from its head on. Requests whose id
-// begins with blockPrefix wait for release.
+// blockingEndpoint is a fake endpoint that records each request once it has received the head.
+// Requests whose id begins with blockPrefix wait for release.
 type blockingEndpoint struct {
 	net.Listener
 	blockPrefix     string
-	closeUnanswered bool // those that have waited get no response
+	closeUnanswered bool // requests that have waited get no response
 	release         chan bool
 
 	mu        sync.Mutex
@@ -71,7 +72,7 @@
 		t.Fatal(err)
 	}
 	e := newBlockingEndpointOn(t, l)
-	conn, err := net.Dial("tcp", e.addr()) // the only one that the queue has room for
+	conn, err := net.Dial("tcp", e.addr()) // the only one that the queue holds
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +103,7 @@
 		if err != nil {
 			return
 		}
-		id := r.Header.Get("Req-Id")
+		id := r.Header.Get(platform.RequestIDHeader)
 		e.record(&e.started, id)
 		blocks := strings.HasPrefix(id, e.blockPrefix)
 		if blocks {
@@ -132,7 +133,7 @@
 	return slices.Clone(e.started)
 }
 
-// counts returns how many requests were received from the head on, and how many of them completely.
+// counts returns of how many requests the head was received, and how many were received completely.
 func (e *blockingEndpoint) counts() (started, completed int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/sidecar/testsidecar_test.go
+++ b/internal/sidecar/testsidecar_test.go
@@ -33,8 +33,8 @@
 	endpointJSON     = testpeer.Member
 )
 
-// testSettings have one class for each kind of repeatability: look may be repeated, book with an
-// idempotency key, and pay must not be.
+// testSettings have one class of each kind: look is idempotent, book is idempotent with a key, and
+// pay is non-idempotent.
 const testSettings = `{"Lanes":[
 	{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
 	{"Name":"book","Semantics":"idempotency_key","Group":"cell","WindowUs":10000000,"OnTimeUs":2000000},
@@ -43,13 +43,14 @@
 		"DialTimeoutUs":5000000}}`
 
 // longWaitSettings let requests wait for as long as a test takes.
-func longWaitSettings(mayCancel bool) string {
-	return fmt.Sprintf(`{"Lanes":[
-		{"Name":"look","Semantics":"read_like","OnTimeUs":60000000},
-		{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":60000000}],
-		"Permissions":{"MayCancel":%v,"TryLimit":4,"DialTimeoutUs":15000000},
-		"Rules":{"ColdUs":60000000,"ColdFrom":0.1,"ColdShare":0.000001}}`, mayCancel)
-}
+const longWaitSettings = `{"Lanes":[
+	{"Name":"look","Semantics":"read_like","OnTimeUs":60000000},
+	{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":60000000}],
+	"Permissions":{"MayCancel":true,"TryLimit":4,"DialTimeoutUs":15000000},
+	"Rules":{"ColdUs":60000000,"ColdFrom":0.1,"ColdShare":0.000001}}`
+
+// noCancelSettings are longWaitSettings that forbid the cancellation of attempts.
+var noCancelSettings = strings.Replace(longWaitSettings, `"MayCancel":true`, `"MayCancel":false`, 1)
 
 // initialCapacity is how many requests fill one endpoint of one sidecar with longWaitSettings
 // before anything is known of it.
@@ -63,7 +64,7 @@
 	serveResult chan error
 }
 
-// startSidecar starts a sidecar with the endpoints given, named a, b, ... Its discovery sends
+// startSidecar starts a sidecar with the endpoints given, named a, b, ... Its fake discovery sends
 // nothing.
 func startSidecar(t *testing.T, addrs ...string) *testSidecar {
 	t.Helper()
@@ -83,7 +84,7 @@
 // startLongWaitSidecar starts a sidecar whose requests wait for as long as a test takes.
 func startLongWaitSidecar(t *testing.T, endpoints ...*blockingEndpoint) *testSidecar {
 	t.Helper()
-	return testOptions{settings: longWaitSettings(true), endpoints: endpointsJSON(endpoints...)}.start(t)
+	return testOptions{settings: longWaitSettings, endpoints: endpointsJSON(endpoints...)}.start(t)
 }
 
 // testOptions are the parts of a configuration that differ between tests. Each has a default.
@@ -108,7 +109,7 @@
 	return c
 }
 
-// start starts a sidecar, and ends it with the test.
+// start starts a sidecar, which is shut down with the test.
 func (o testOptions) start(t *testing.T) *testSidecar {
 	t.Helper()
 	discovery := httptest.NewServer(&testpeer.Script{Calls: make(chan string, 100)}) // sends nothing
@@ -153,8 +154,7 @@
 	}
 }
 
-// updateEndpoints applies a list of endpoints. The pool handles it as an event: what follows finds
-// the list in force.
+// updateEndpoints applies an endpoint list. The list is in force once it returns.
 func (s *testSidecar) updateEndpoints(t *testing.T, text string) {
 	t.Helper()
 	list, err := platform.ParseEndpointList([]byte(text))
@@ -165,7 +165,7 @@
 }
 
 // waitForInFlight waits until exactly so many requests are in flight in the balancer. The metric
-// counts a request earlier, from when it has been read.
+// counts a request earlier, once it has been read.
 func (s *testSidecar) waitForInFlight(t *testing.T, want int) {
 	t.Helper()
 	waitUntil(t, fmt.Sprint(want, " requests are in flight"), func() bool { return s.pool.Stats().Calls == want })
@@ -195,10 +195,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set("Req-Id", id)
-	r.Header.Set("Req-Deadline-Ms", fmt.Sprint(deadlineMs))
+	r.Header.Set(platform.RequestIDHeader, id)
+	r.Header.Set(platform.DeadlineHeader, fmt.Sprint(deadlineMs))
 	if strings.HasPrefix(path, "/book") {
-		r.Header.Set("Idempotency-Key", "key-"+id)
+		r.Header.Set(platform.IdempotencyKeyHeader, "key-"+id)
 	}
 	return r
 }
@@ -206,49 +206,64 @@
 // get sends a GET request on a connection of its own and returns the status of the response.
 func (s *testSidecar) get(t *testing.T, path, id string, deadlineMs int) (status int) {
 	t.Helper()
-	status, _, _ = sendRequest(t, s.newRequest(t, http.MethodGet, path, id, deadlineMs))
-	return status
+	return sendRequest(t, s.newRequest(t, http.MethodGet, path, id, deadlineMs)).status
+}
+
+// testResponse is a response that a test has read completely.
+type testResponse struct {
+	status int
+	header http.Header
+	body   string
 }
 
 // sendRequest sends a request on a connection of its own.
-func sendRequest(t *testing.T, r *http.Request) (status int, body string, h http.Header) {
+func sendRequest(t *testing.T, r *http.Request) testResponse {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(r)
 	if err != nil {
 		t.Error(err)
-		return 0, "", nil
+		return testResponse{}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Error(err)
 	}
-	return resp.StatusCode, string(text), resp.Header
+	return testResponse{status: resp.StatusCode, header: resp.Header, body: string(text)}
+}
+
+// openExchange is a request that was sent and its response, on a connection that is still open.
+type openExchange struct {
+	conn net.Conn
+	in   *bufio.Reader  // reads from conn
+	resp *http.Response // its body has been read
 }
 
 // sendKeepingConn sends a request on a new connection, reads the response and leaves the connection
-// open.
-func sendKeepingConn(t *testing.T, r *http.Request) (net.Conn, *bufio.Reader, *http.Response) {
+// open until the test ends.
+func sendKeepingConn(t *testing.T, r *http.Request) openExchange {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.URL.Host)
 	if err != nil {
 		t.Error(err)
-		return nil, nil, nil
+		return openExchange{resp: &http.Response{}}
 	}
 	t.Cleanup(func() { conn.Close() })
-	in := bufio.NewReader(conn)
-	err = r.Write(conn)
-	if err == nil {
-		conn.SetReadDeadline(time.Now().Add(testTimeout))
-		var resp *http.Response
-		if resp, err = http.ReadResponse(in, r); err == nil {
-			io.Copy(io.Discard, resp.Body)
-			return conn, in, resp
-		}
+	x := openExchange{conn: conn, in: bufio.NewReader(conn), resp: &http.Response{}}
+	if err := r.Write(conn); err != nil {
+		t.Error(err)
+		return x
+	}
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
+	resp, err := http.ReadResponse(x.in, r)
+	if err != nil {
+		t.Error(err)
+		return x
 	}
-	t.Error(err)
-	return conn, in, &http.Response{}
+	io.Copy(io.Discard, resp.Body)
+	x.resp = resp
+	return x
 }
 
 // adminCommand sends a command to the admin interface and returns the complete response.
--- a/internal/sidecar/wiregolden_test.go
+++ b/internal/sidecar/wiregolden_test.go
@@ -25,8 +25,9 @@
 // wireTranscript collects what the sidecar writes, exchange by exchange.
 type wireTranscript struct{ bytes.Buffer }
 
-// add appends a section. What differs from run to run is replaced by a word: ports, times, and the
-// order of header fields of different names, which means nothing (RFC 9110, section 5.3).
+// add appends a section. What differs from run to run is replaced by a placeholder: ports and
+// times. Header fields are sorted: the order of fields of different names has no meaning (RFC 9110,
+// section 5.3).
 func (w *wireTranscript) add(title, text string) {
 	fmt.Fprintf(w, "=== %s\n%s\n", title, normalizeWire(text))
 }
@@ -52,7 +53,7 @@
 	return strings.ReplaceAll(text, "\r\n", "<CRLF>\n")
 }
 
-// rawEndpoint is an endpoint that records the bytes of requests and writes a text for each.
+// rawEndpoint is a fake endpoint that records the bytes of requests and writes a text for each.
 type rawEndpoint struct {
 	addr     string
 	requests chan string
@@ -117,7 +118,7 @@
 	return okResponse, true
 }
 
-// wireExchanges are what clients send, by what they show. "ID" stands for an id of their own.
+// wireExchanges are requests of clients, by what they show. "ID" stands for the id of each.
 var wireExchanges = []struct{ name, request string }{
 	{"an idempotent request", "GET /look/a%20b?q=1&r=%2F HTTP/1.1\r\nHost: api.internal\r\nReq-Id: ID\r\n" +
 		"Req-Owner: acme\r\nReq-Deadline-Ms: 5000\r\nReq-Extra: a=1,b=2\r\nAccept: text/plain\r\n\r\n"},
