--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,9 +1,8 @@
 package balancer
 
-// The endpoint list: how service discovery and the operators change it, and what follows.
+// The endpoint list: how service discovery and the operators change it, and what changes with it.
 
 import (
-	"cmp"
 	"slices"
 	"time"
 )
@@ -11,77 +10,93 @@
 // minSubscribeBackoff is the least wait before Host.Subscribe is called again after a failure.
 const minSubscribeBackoff = 500 * time.Millisecond
 
-// EndpointList implements Events. Nothing new goes to an endpoint from the event on that says it
-// drains.
+// EndpointList implements Events. From the event that lists an endpoint as draining on, it gets no
+// new request.
 func (b *Balancer) EndpointList(now time.Duration, l EndpointList) {
 	if l.Failed {
 		b.scheduleSubscribe(now)
 		return
 	}
-	b.subscribeBackoff, b.subscribeAt, b.unlistedCount = 0, 0, l.Unlisted
+	b.subscription = subscription{}
+	b.unlistedCount = l.Unlisted
 	b.applyEndpointList(now, l)
 }
 
-// scheduleSubscribe sets the time of the next Host.Subscribe after a failure: each instance at a
-// moment of its own, and within the poll interval.
+// scheduleSubscribe sets the time of the next Host.Subscribe after a failure: with jitter, and
+// within the poll interval.
 func (b *Balancer) scheduleSubscribe(now time.Duration) {
 	if !b.settings.SubscribeRequired {
 		return
 	}
-	longest := max(b.settings.PollInterval/2, minSubscribeBackoff)
-	b.subscribeBackoff = min(max(2*b.subscribeBackoff, minSubscribeBackoff), longest)
-	b.subscribeAt = now + b.jitter(b.subscribeBackoff)
-	b.scheduleWakeUp(b.subscribeAt)
+	b.subscription.backOff(b.settings.PollInterval / 2)
+	b.subscription.dueAt = now + b.jitter(b.subscription.backoff)
+	b.scheduleWakeUp(b.subscription.dueAt)
 }
 
+// subscription is the state of the subscription to discovery.
+type subscription struct {
+	dueAt   time.Duration // next Host.Subscribe; 0: none is due
+	backoff time.Duration // wait before it
+}
+
+// backOff doubles the backoff, up to a longest one.
+func (s *subscription) backOff(longest time.Duration) {
+	longest = max(longest, minSubscribeBackoff)
+	s.backoff = min(max(2*s.backoff, minSubscribeBackoff), longest)
+}
+
+// isDue reports whether Host.Subscribe is to be called by now.
+func (s subscription) isDue(now time.Duration) bool { return s.dueAt > 0 && now >= s.dueAt }
+
 // applyEndpointList merges a list and adapts the subset, the slow start of what has started, and
 // the concurrency limit.
 func (b *Balancer) applyEndpointList(now time.Duration, l EndpointList) {
-	first := b.listedCount == 0
+	isFirst := b.listedCount == 0
 	touched, started := b.mergeEndpointList(l)
-	b.updateSubset(touched) // before the trials are timed: with an empty subset all would be due
-	for _, e := range started {
-		b.introduceEndpoint(now, e, first)
+	b.updateSubset(touched) // the times of trials depend on the size of the subset
+	introduce := b.introduceEndpoint
+	if isFirst {
+		introduce = b.introduceFirstEndpoint
 	}
-	if first {
-		b.concurrencyLimit = b.concurrencyLimitFor(b.listedCount + b.unlistedCount)
+	for _, e := range started {
+		introduce(now, e)
 	}
-	if b.readyCount > 0 { // the endpoints that take new work must not get the part of those that do not
-		before := cmp.Or(b.limitReadyCount, b.readyCount)
-		b.concurrencyLimit *= b.concurrencyLimitFor(b.readyCount) / b.concurrencyLimitFor(before)
-		b.limitReadyCount = b.readyCount
+	if isFirst {
+		b.limiter.limit = b.concurrencyLimitFor(b.fleetCount())
 	}
+	b.scaleConcurrencyLimit()
 	b.dispatchQueue(now)
 }
 
-// Disable takes an endpoint out for the operators, whatever the list says. Its attempts in flight
-// go on.
+// Disable takes an endpoint out of service for the operators, whatever the list says. Its attempts
+// in flight go on.
 func (b *Balancer) Disable(now time.Duration, id string) {
 	b.disabled[id] = true
 	b.reapplyListedState(now, id)
 }
 
-// Enable leaves an endpoint to the list again. It may have restarted meanwhile, so it goes through
-// slow start. Its trial is due at once, since the operators wait to see it work.
+// Enable ends Disable: the list applies to the endpoint again. It may have restarted meanwhile, so
+// it goes through slow start. Its trial is due at once, since the operators wait for its result.
 func (b *Balancer) Enable(now time.Duration, id string) {
 	if !b.disabled[id] {
 		return
 	}
 	delete(b.disabled, id)
 	if e := b.byID[id]; e != nil {
-		e.enabledAt = now
-		b.introduceEndpoint(now, e, false)
-		e.nextTrialAt, e.nextSendAt = now, now
+		e.slowStart.enabledAt = now
+		b.introduceEndpoint(now, e)
+		e.trial.nextAt = now
+		e.slowStart.nextSendAt = now
 	}
 	b.reapplyListedState(now, id)
 }
 
-// reapplyListedState applies the state that the list has for an endpoint, after the operators'
-// changed.
+// reapplyListedState applies the listed state of an endpoint that the operators have disabled or
+// enabled.
 func (b *Balancer) reapplyListedState(now time.Duration, id string) {
 	if e := b.byID[id]; e != nil {
 		entry := e.Endpoint
-		entry.State = e.listedState
+		entry.State = e.listing.state
 		b.applyEndpointList(now, EndpointList{Entries: []Endpoint{entry}})
 	}
 }
@@ -90,6 +105,6 @@
 // them.
 func (b *Balancer) allDisabled() bool {
 	return b.readyCount == 0 && slices.ContainsFunc(b.endpoints, func(e *endpoint) bool {
-		return e.State != Removed && e.listedState == Ready
+		return e.State != Removed && e.listing.state == Ready
 	})
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -4,13 +4,13 @@
 
 import "time"
 
-// StreamStarted implements Events: the client has the response from here on, and no time limit runs
-// any more.
+// StreamStarted implements Events. The response goes to the client from here on, and the request
+// has no time limit any more.
 func (b *Balancer) StreamStarted(now time.Duration, id string, n int) {
 	req := b.requests[id]
 	if a := req.attemptInFlight(n); a != nil {
 		a.streaming = true
-		b.setCountsToLimit(a, false)
+		b.limiter.end(a)
 		b.evaluateAttempt(now, req, a, OK, now-a.sentAt)
 		b.closeRequest(req)
 	}
@@ -24,8 +24,8 @@
 	}
 }
 
-// RequestWritten reports that the last byte of an attempt of a streamed request has been sent. Only
-// now can its endpoint begin, and the time that the body took is not the endpoint's latency.
+// RequestWritten reports that the last byte of an attempt of a streamed request has been sent. The
+// endpoint's latency begins here: it does not include the time that sending the body took.
 func (b *Balancer) RequestWritten(now time.Duration, id string, n int) {
 	req := b.requests[id]
 	a := req.attemptInFlight(n)
@@ -34,16 +34,17 @@
 	}
 	a.sentAt = now
 	a.stragglingAt = now + b.stragglingDelay(req, a.endpoint)
-	b.setCountsToLimit(a, true)
+	b.limiter.start(a)
 	b.scheduleWakeUp(a.stragglingAt)
 }
 
-// CapDeadlines reports that no answer will be of use after an instant: requests do not wait for
+// CapDeadlines reports the latest instant at which an answer is of use: no request waits for
 // longer.
 func (b *Balancer) CapDeadlines(now, latest time.Duration) {
 	for _, req := range b.unanswered {
 		if req.Deadline > latest {
-			req.Deadline, req.giveUpAt = latest, b.giveUpBefore(latest)
+			req.Deadline = latest
+			req.giveUpAt = b.giveUpBefore(latest)
 			b.scheduleWakeUp(max(b.nextCheckAt(req), now))
 		}
 	}
--- a/balancer/heap.go
+++ b/balancer/heap.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Heaps in which endpoints are looked for. No decision is made in this file.
+// Heaps in which endpoints are searched. No decision is made in this file.
 
 // The slots of endpoint.heapIndexes.
 const (
@@ -10,8 +10,8 @@
 	heapSlots
 )
 
-// endpointHeap is a binary heap of endpoints. Each endpoint knows its index, so that it can be
-// moved at once.
+// endpointHeap is a binary heap of endpoints. Each endpoint has its own index in it, so that it can
+// be moved without a search.
 type endpointHeap struct {
 	slot      int // of endpoint.heapIndexes
 	less      func(x, y *endpoint) bool
@@ -19,30 +19,46 @@
 }
 
 // setMember puts an endpoint where it belongs in the heap, or takes it out.
-func (h *endpointHeap) setMember(e *endpoint, member bool) {
+func (h *endpointHeap) setMember(e *endpoint, isMember bool) {
+	if isMember {
+		h.put(e)
+	} else {
+		h.remove(e)
+	}
+}
+
+// put adds an endpoint, or moves one that is in the heap to where it belongs now.
+func (h *endpointHeap) put(e *endpoint) {
 	i := e.heapIndexes[h.slot] - 1
-	switch {
-	case member && i >= 0:
-		h.fix(i)
-	case member:
+	if i < 0 {
+		i = len(h.endpoints)
 		h.endpoints = append(h.endpoints, e)
-		e.heapIndexes[h.slot] = len(h.endpoints)
-		h.fix(len(h.endpoints) - 1)
-	case i >= 0:
-		last := len(h.endpoints) - 1
-		h.swap(i, last)
-		h.endpoints[last] = nil
-		h.endpoints = h.endpoints[:last]
-		e.heapIndexes[h.slot] = 0
-		if i < last {
-			h.fix(i)
-		}
+		e.heapIndexes[h.slot] = i + 1
+	}
+	h.fix(i)
+}
+
+// remove takes an endpoint out if it is in the heap.
+func (h *endpointHeap) remove(e *endpoint) {
+	i := e.heapIndexes[h.slot] - 1
+	if i < 0 {
+		return
+	}
+	last := len(h.endpoints) - 1
+	h.swap(i, last)
+	h.endpoints[last] = nil
+	h.endpoints = h.endpoints[:last]
+	e.heapIndexes[h.slot] = 0
+	if i < last {
+		h.fix(i)
 	}
 }
 
+// swap swaps the endpoints at two indexes.
 func (h *endpointHeap) swap(i, j int) {
 	h.endpoints[i], h.endpoints[j] = h.endpoints[j], h.endpoints[i]
-	h.endpoints[i].heapIndexes[h.slot], h.endpoints[j].heapIndexes[h.slot] = i+1, j+1
+	h.endpoints[i].heapIndexes[h.slot] = i + 1
+	h.endpoints[j].heapIndexes[h.slot] = j + 1
 }
 
 // fix restores the heap after the endpoint at i has changed.
@@ -66,8 +82,8 @@
 	}
 }
 
-// visit passes the endpoint at i and those below it to descend. Below one for which it returns
-// false none is visited.
+// visit passes the endpoint at i and those below it to descend. Where descend returns false, the
+// endpoints below are not visited.
 func (h *endpointHeap) visit(i int, descend func(e *endpoint) bool) {
 	if i < len(h.endpoints) && descend(h.endpoints[i]) {
 		h.visit(2*i+1, descend)
@@ -75,17 +91,17 @@
 	}
 }
 
-// candidates are endpoints to select from: those of a heap, or else those of a list that are
-// active, or are not. It is a struct, not a func or an interface, so that a selection allocates
-// nothing.
+// candidates are the endpoints that a selection chooses from: those of a heap, or else the active
+// or the inactive ones of a list. It is a struct, not a func or an interface, so that a selection
+// allocates nothing.
 type candidates struct {
 	heap      *endpointHeap
 	endpoints []*endpoint
 	active    bool
 }
 
-// visit passes the candidates to descend. If it returns false, those below that endpoint in a heap
-// are left out.
+// visit passes the candidates to descend. Where descend returns false, the endpoints below in a
+// heap are not visited.
 func (c candidates) visit(descend func(e *endpoint) bool) {
 	if c.heap != nil {
 		c.heap.visit(0, descend)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -9,20 +9,28 @@
 )
 
 const (
-	maxBudgetExemptAttempts = 3 // attempts beside the retry budget that one request may bring
+	maxBudgetExemptAttempts = 3 // attempts of one request that may be exempt from the retry budget
 
-	// keyWindowMargin is how long before the end of a key's window a request is sent again at the
-	// latest: the host may be held up for that long between reading its clock and writing.
+	// keyWindowMargin is the least time between a retry and the end of its key's window: the host may
+	// be delayed for that long between reading its clock and writing.
 	keyWindowMargin = 150 * time.Millisecond
 )
 
+// budgetUse says whether an attempt after the first needs a token of the retry budget.
+type budgetUse int
+
+const (
+	takesToken budgetUse = iota
+	exemptFromBudget
+)
+
 // retry sends a request again whose last attempt has ended without success, or answers it.
-func (b *Balancer) retry(now time.Duration, req *request, exempt bool) {
-	if reason := b.reasonAgainstRetry(now, req, exempt); reason != "" {
+func (b *Balancer) retry(now time.Duration, req *request, budget budgetUse) {
+	if reason := b.reasonAgainstRetry(now, req, budget); reason != "" {
 		b.rejectOrFail(req, reason)
 		return
 	}
-	if !exempt {
+	if budget == takesToken {
 		b.retryTokens.takeToken()
 	}
 	b.dispatch(now, req)
@@ -31,7 +39,7 @@
 // reasonAgainstRetry returns the reason for which a request may not be sent once more, empty if it
 // may: its effect, the number of attempts, the budget or the time. Without these limits retries
 // would multiply from tier to tier.
-func (b *Balancer) reasonAgainstRetry(now time.Duration, req *request, exempt bool) Reason {
+func (b *Balancer) reasonAgainstRetry(now time.Duration, req *request, budget budgetUse) Reason {
 	most := cmp.Or(req.class.MaxAttempts, b.settings.MaxAttempts)
 	switch {
 	case b.readyCount == 0:
@@ -40,7 +48,7 @@
 		return MayHaveRun
 	case most > 0 && len(req.attempts) >= most:
 		return AttemptsExhausted
-	case !exempt && !b.retryTokens.hasToken():
+	case budget == takesToken && !b.retryTokens.hasToken():
 		return RetryBudgetSpent
 	case !b.canMeetDeadline(now, req, 1):
 		return DeadlineTooClose
@@ -48,16 +56,20 @@
 	return ""
 }
 
-// isBudgetExempt reports whether the attempt after one that has just ended is beside the budget,
-// which is against sending ever more to endpoints that fail: what was not sent cost them nothing,
-// trials are this Balancer's.
-func (b *Balancer) isBudgetExempt(req *request, a *attempt, r Result) bool {
-	trial := a.trial && b.hasActiveEndpoint()
-	return len(req.attempts) <= maxBudgetExemptAttempts && (trial || r == ConnectFailed || r == NotSent)
+// retryBudgetUse returns whether the retry after an attempt that has just ended needs a token. The
+// budget limits what endpoints that fail get on top of the requests. An attempt that was not sent
+// costs them nothing, and a trial is the Balancer's own choice: these are exempt, a few times.
+func (b *Balancer) retryBudgetUse(req *request, a *attempt, r Result) budgetUse {
+	wasNotSent := r == ConnectFailed || r == NotSent
+	wasOptionalTrial := a.trial && b.hasActiveEndpoint()
+	if len(req.attempts) <= maxBudgetExemptAttempts && (wasNotSent || wasOptionalTrial) {
+		return exemptFromBudget
+	}
+	return takesToken
 }
 
-// canMeetDeadline reports whether a response would come in time if it took a share of what is
-// expected.
+// canMeetDeadline reports whether a response would be in time if it took the given share of the
+// expected latency.
 func (b *Balancer) canMeetDeadline(now time.Duration, req *request, share float64) bool {
 	return now+seconds(b.expectedLatency(req)*b.smallestActiveWeight()*share) <= req.giveUpAt
 }
@@ -115,13 +127,13 @@
 	return false
 }
 
-// covers reports whether one endpoint drops the duplicates of what another has seen.
-func (s KeyScope) covers(seenBy, e *endpoint) bool {
+// covers reports whether one endpoint drops the duplicates of requests that another has received.
+func (s KeyScope) covers(receiver, e *endpoint) bool {
 	switch s {
 	case KeyScopeZone:
-		return seenBy.Zone == e.Zone
+		return receiver.Zone == e.Zone
 	case KeyScopeCell:
-		return seenBy.Cell == e.Cell
+		return receiver.Cell == e.Cell
 	}
 	return true
 }
@@ -132,8 +144,8 @@
 }
 
 // RetryDeadline returns the instant by which a retry of a request has to have been written, however
-// late its connection comes up: what comes after the window of its key takes effect once more. It
-// is 0 where there is no such instant.
+// long its connection takes: a duplicate takes effect after the window of its key. It is 0 where
+// there is no such instant.
 func (b *Balancer) RetryDeadline(id string) time.Duration {
 	req := b.requests[id]
 	if req == nil || req.class.Idempotency != IdempotencyKeyed {
--- a/balancer/straggling.go
+++ b/balancer/straggling.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Stragglers: when an attempt has been in flight for too long, and what that says of its endpoint.
+// Stragglers: when an attempt has been in flight for too long, and what that shows of its endpoint.
 
 import "time"
 
@@ -47,7 +47,7 @@
 // timeout.
 func (b *Balancer) handleStraggler(now time.Duration, req *request, a *attempt) {
 	e := a.endpoint
-	isUnresponsive := e.respondedAt < a.sentAt
+	isUnresponsive := e.connection.respondedAt < a.sentAt
 	age := now - a.sentAt
 	a.straggling = true
 	a.stragglingAt = now + age
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -56,25 +56,15 @@
 // returns its address.
 func startListingDiscovery(t *testing.T, endpoints []string) string {
 	t.Helper()
-	var entries []string
-	for i, addr := range endpoints {
-		entries = append(entries, testpeer.Member(string(rune('a'+i)), addr, "Ready"))
-	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	discovery, err := testpeer.StartDiscovery(testpeer.DiscoveryOptions{EmptyLineFirst: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	discovery := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		fmt.Fprintln(w, testpeer.Members(1, true, entries...))
-		w.(http.Flusher).Flush()
-		if r.URL.RawQuery != "" { // a watch
-			<-r.Context().Done()
-		}
-	})}
-	go discovery.Serve(l)
-	t.Cleanup(func() { discovery.Close() })
-	return l.Addr().String()
+	t.Cleanup(discovery.Close)
+	for i, addr := range endpoints {
+		discovery.Publish(testpeer.Listed(string(rune('a'+i)), addr, platform.StateReady))
+	}
+	return discovery.Addr()
 }
 
 // sidecarProcess is one process of the sidecar.
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -1,7 +1,6 @@
 package daemon
 
 import (
-	"fmt"
 	"net/http"
 	"strings"
 	"time"
@@ -12,8 +11,8 @@
 	"rowancart/internal/route"
 )
 
-// concurrencyRetryAfter is the advice to a client rejected by a limit of concurrency, and the least
-// to any rejected by a limit.
+// concurrencyRetryAfter is the Retry-After of a request that a concurrency limit rejects, and the
+// minimum for one that a rate rejects.
 const concurrencyRetryAfter = 500 * time.Millisecond
 
 // Route implements httpserver.Router. One generation decides the route, the limits and the pool of
@@ -23,12 +22,13 @@
 		rejection := &httpserver.Rejection{Status: http.StatusBadRequest, Message: err.Error(), Close: true}
 		return httpserver.Target{}, rejection
 	}
-	d, arrived := l.daemon, time.Now()
+	arrived := time.Now()
+	d := l.daemon
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	g := d.current
-	if l.drainingFor != nil {
-		g = l.drainingFor
+	if l.isRemoved() {
+		g = l.lastGeneration
 	}
 	entry, rejection := g.tables[l.name].find(r)
 	if rejection != nil {
@@ -39,7 +39,7 @@
 	if rejection != nil {
 		return httpserver.Target{}, rejection
 	}
-	g.users.Add(1)
+	g.acquire()
 	target := httpserver.Target{
 		Pool:           entry.pool.proxy,
 		Class:          entry.class,
@@ -55,43 +55,43 @@
 		},
 	}
 	if r.Header.Get(platform.RequestIDHeader) == "" {
-		target.DefaultID = fmt.Sprintf("%016x-%x", d.seed, d.requestSerial.Add(1))
+		target.DefaultID = d.requestIDs.next()
 	}
 	return target, nil
 }
 
 // find returns the route of a request, or the rejection for a request that has none.
 func (t *routeTable) find(r *http.Request) (*routeEntry, *httpserver.Rejection) {
-	index, allowed := t.Find(r.Host, r.URL.Path, r.Method, r.Header.Get)
+	found := t.Find(route.Request{Host: r.Host, Path: r.URL.Path, Method: r.Method, Header: r.Header.Get})
 	switch {
-	case index >= 0:
-		return t.entries[index], nil
-	case len(allowed) > 0:
+	case found.Index >= 0:
+		return t.entries[found.Index], nil
+	case len(found.Allowed) > 0:
 		return nil, &httpserver.Rejection{
 			Status:  http.StatusMethodNotAllowed,
-			Message: "methods here: " + strings.Join(allowed, ", "),
-			Allow:   allowed,
+			Message: "methods here: " + strings.Join(found.Allowed, ", "),
+			Allow:   found.Allowed,
 		}
 	}
 	return nil, &httpserver.Rejection{Status: http.StatusNotFound, Message: "no route"}
 }
 
 // acquire admits a request under the route's limits, or returns the rejection that names the limit
-// it is over. Rejections that a rate causes are 429, those that concurrency causes 503.
+// which it exceeds. The status is 429 for a rate and 503 for concurrency.
 func (e *routeEntry) acquire(arrived time.Time, tenant string) (ratelimit.Permit, *httpserver.Rejection) {
-	permit, exceeded, wait := e.limiter.acquire(arrived, tenant)
-	if exceeded == ratelimit.None {
+	permit, exceeded := e.limiter.acquire(arrived, tenant)
+	if exceeded.Limit == ratelimit.None {
 		return permit, nil
 	}
-	e.metrics.countLimited(exceeded)
+	e.metrics.countLimited(exceeded.Limit)
 	status := http.StatusServiceUnavailable
-	if wait > 0 {
+	if exceeded.RetryAfter > 0 {
 		status = http.StatusTooManyRequests
 	}
 	return permit, &httpserver.Rejection{
 		Status:     status,
-		Message:    "over the limit: " + string(exceeded),
-		Limit:      string(exceeded),
-		RetryAfter: max(wait, concurrencyRetryAfter),
+		Message:    "over the limit: " + string(exceeded.Limit),
+		Limit:      string(exceeded.Limit),
+		RetryAfter: max(exceeded.RetryAfter, concurrencyRetryAfter),
 	}
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -110,16 +110,16 @@
 
 // validateAddresses returns a *platform.FieldError for the first address at fault.
 func (c *Config) validateAddresses() error {
-	if err := netaddr.Validate(c.Listen); err != nil {
+	if err := netaddr.Check(c.Listen); err != nil {
 		return &platform.FieldError{Field: platform.ListenField, Err: err}
 	}
-	if err := netaddr.Validate(c.Discovery); err != nil {
+	if err := netaddr.Check(c.Discovery); err != nil {
 		return &platform.FieldError{Field: platform.DiscoveryField, Err: err}
 	}
 	if c.AdminAddr == "" {
 		return nil
 	}
-	if err := netaddr.Validate(c.AdminAddr); err != nil {
+	if err := netaddr.Check(c.AdminAddr); err != nil {
 		return &platform.FieldError{Field: platform.AdminAddrField, Err: err}
 	}
 	if c.hasSameListenAndAdminAddr() {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -97,7 +97,7 @@
 	defer close(e.release)
 	s := testOptions{
 		settings:  longWaitSettings,
-		endpoints: endpointsJSON(e),
+		endpoints: listedAll(e),
 		killDelay: 2 * time.Second,
 	}.start(t)
 	accepted := []*testClient{
@@ -160,7 +160,7 @@
 	defer close(e.release)
 	s := testOptions{
 		settings:  longWaitSettings,
-		endpoints: endpointsJSON(e),
+		endpoints: listedAll(e),
 		killDelay: 2 * time.Second,
 	}.start(t)
 	c := s.connectAndSend(t, "old", strings.Replace(lookRequest, "HTTP/1.1", "HTTP/1.0", 1))
--- a/internal/sidecar/testendpoint_test.go
+++ b/internal/sidecar/testendpoint_test.go
@@ -150,11 +150,11 @@
 	}
 }
 
-// endpointsJSON returns the entries of endpoints, named a, b, ..., in a list.
-func endpointsJSON(endpoints ...*blockingEndpoint) []string {
-	var entries []string
+// listedAll returns endpoints as discovery lists them, named a, b, ...
+func listedAll(endpoints ...*blockingEndpoint) []platform.Endpoint {
+	var entries []platform.Endpoint
 	for i, e := range endpoints {
-		entries = append(entries, endpointJSON(string(rune('a'+i)), e.addr(), "Ready"))
+		entries = append(entries, listed(string(rune('a'+i)), e.addr(), platform.StateReady))
 	}
 	return entries
 }
