--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -52,8 +52,8 @@
 // the concurrency limit.
 func (b *Balancer) applyEndpointList(now time.Duration, l EndpointList) {
 	isFirst := b.listedCount == 0
-	touched, started := b.mergeEndpointList(l)
-	b.updateSubset(touched) // the times of trials depend on the size of the subset
+	changed, started := b.mergeEndpointList(l)
+	b.updateSubset(changed) // the times of trials depend on the size of the subset
 	introduce := b.introduceEndpoint
 	if isFirst {
 		introduce = b.introduceFirstEndpoint
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -52,23 +52,23 @@
 
 // mergeEndpointList applies a list to the endpoints. It returns those that were changed or removed,
 // and of them those that are new or have restarted.
-func (s *endpointSet) mergeEndpointList(l EndpointList) (touched, started []*endpoint) {
+func (s *endpointSet) mergeEndpointList(l EndpointList) (changed, started []*endpoint) {
 	s.listVersion++
 	for _, entry := range l.Entries {
 		e := s.endpointFor(entry.ID)
-		changed, restarted := s.mergeEntry(e, entry)
-		if changed {
-			touched = append(touched, e)
+		merge := s.mergeEntry(e, entry)
+		if merge.isChanged {
+			changed = append(changed, e)
 		}
-		if restarted {
+		if merge.isStarted {
 			started = append(started, e)
 		}
 	}
 	if l.Complete {
-		touched = append(touched, s.markUnlistedRemoved()...)
+		changed = append(changed, s.markUnlistedRemoved()...)
 	}
-	s.forgetRemoved(touched)
-	return touched, started
+	s.forgetRemoved(changed)
+	return changed, started
 }
 
 // endpointFor returns the endpoint with an ID, a new one if need be.
@@ -86,18 +86,23 @@
 	return e
 }
 
-// mergeEntry applies an entry of a list to its endpoint. It reports whether the entry says anything
-// new, and whether the endpoint is new or has restarted.
-func (s *endpointSet) mergeEntry(e *endpoint, entry Endpoint) (changed, restarted bool) {
+// entryMerge is what an entry of a list changes at its endpoint.
+type entryMerge struct {
+	isChanged bool // the entry differs from the one before
+	isStarted bool // the endpoint is new or has restarted
+}
+
+// mergeEntry applies an entry of a list to its endpoint.
+func (s *endpointSet) mergeEntry(e *endpoint, entry Endpoint) entryMerge {
 	e.listing.namedIn = s.listVersion
 	e.listing.state = entry.State
 	if s.disabled[entry.ID] && entry.State == Ready {
 		entry.State = Draining
 	}
 	if e.kind != nil && e.Endpoint == entry {
-		return false, false
+		return entryMerge{}
 	}
-	restarted = e.kind == nil || entry.Started > e.Started
+	merge := entryMerge{isChanged: true, isStarted: e.kind == nil || entry.Started > e.Started}
 	if e.kind != nil && e.Kind != entry.Kind {
 		e.kind.activeByWeight.remove(e)
 	}
@@ -105,7 +110,7 @@
 	s.countState(e.State, entry.State)
 	e.Endpoint = entry
 	e.listing.changedIn = s.listVersion
-	return true, restarted
+	return merge
 }
 
 // kindFor returns the kind with a name, a new one if need be.
@@ -134,8 +139,8 @@
 }
 
 // forgetRemoved drops removed endpoints: from the index at once, from the slice now and then.
-func (s *endpointSet) forgetRemoved(touched []*endpoint) {
-	for _, e := range touched {
+func (s *endpointSet) forgetRemoved(changed []*endpoint) {
+	for _, e := range changed {
 		if e.State == Removed {
 			delete(s.byID, e.ID)
 		}
@@ -278,7 +283,7 @@
 }
 
 // useAllEndpoints makes the subset all ready endpoints.
-func (s *endpointSet) useAllEndpoints(touched []*endpoint) {
+func (s *endpointSet) useAllEndpoints(changed []*endpoint) {
 	if !s.subsetIsAll {
 		for _, e := range s.subset { // endpoints that are removed may no longer be in s.endpoints
 			s.updateMembership(e)
@@ -286,29 +291,29 @@
 		s.subsetIsAll = true
 		s.subset = nil
 		s.readyByKind = nil
-		touched = s.endpoints
+		changed = s.endpoints
 	}
-	for _, e := range touched {
+	for _, e := range changed {
 		s.updateMembership(e)
 	}
 }
 
 // updateReadyByKind brings the sorted list of ready endpoints up to date.
-func (s *endpointSet) updateReadyByKind(touched []*endpoint) {
+func (s *endpointSet) updateReadyByKind(changed []*endpoint) {
 	if s.subsetIsAll || s.readyByKind == nil {
-		touched = s.endpoints
+		changed = s.endpoints
 	}
 	notReady := func(e *endpoint) bool { return e.State != Ready }
 	s.readyByKind = slices.DeleteFunc(s.readyByKind, func(e *endpoint) bool {
-		return notReady(e) || len(touched) > 0 && e.listing.changedIn == s.listVersion
+		return notReady(e) || len(changed) > 0 && e.listing.changedIn == s.listVersion
 	})
-	if len(touched) > maxSortedInserts {
-		s.readyByKind = append(s.readyByKind, touched...)
+	if len(changed) > maxSortedInserts {
+		s.readyByKind = append(s.readyByKind, changed...)
 		slices.SortFunc(s.readyByKind, compareByKind)
 		s.readyByKind = slices.DeleteFunc(slices.Compact(s.readyByKind), notReady)
 		return
 	}
-	for _, e := range touched {
+	for _, e := range changed {
 		i, found := slices.BinarySearchFunc(s.readyByKind, e, compareByKind)
 		if !found && e.State == Ready {
 			s.readyByKind = slices.Insert(s.readyByKind, i, e)
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -24,7 +24,7 @@
 	for _, step := range []struct {
 		name             string
 		list             EndpointList
-		touched, started []string
+		changed, started []string
 		listed, ready    int
 	}{
 		{"the first list", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "d"}}},
@@ -40,9 +40,9 @@
 			"d"}, []string{}, 1, 1},
 		{"one is listed again", EndpointList{Entries: []Endpoint{{ID: "b"}}}, []string{"b"}, []string{"b"}, 2, 2},
 	} {
-		touched, started := s.mergeEndpointList(step.list)
-		if got := ids(touched); !slices.Equal(got, step.touched) {
-			t.Errorf("%s: touched %v, want %v", step.name, got, step.touched)
+		changed, started := s.mergeEndpointList(step.list)
+		if got := ids(changed); !slices.Equal(got, step.changed) {
+			t.Errorf("%s: changed %v, want %v", step.name, got, step.changed)
 		}
 		if got := ids(started); !slices.Equal(got, step.started) {
 			t.Errorf("%s: started %v, want %v", step.name, got, step.started)
@@ -72,9 +72,9 @@
 // it is in the subset, and that its deficit is kept relative to zeroDeficit.
 func TestSubsetMembershipMovesCountsAndDeficits(t *testing.T) {
 	s := newEndpointSet()
-	touched, _ := s.mergeEndpointList(EndpointList{Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
-	a := touched[0]
-	b := touched[1]
+	changed, _ := s.mergeEndpointList(EndpointList{Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
+	a := changed[0]
+	b := changed[1]
 	a.outcomes.outcomeCounts = outcomeCounts{errors: 1, total: 4}
 	a.deficit = 2
 	a.active = true
--- a/balancer/reason.go
+++ b/balancer/reason.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Reason is the cause of a final answer that is not an endpoint's. No decision is made in
+// Reason is the cause of a final answer that does not come from an endpoint. No decision is made in
 // this file.
 type Reason string
 
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -38,17 +38,17 @@
 
 // updateSubset chooses the subset. Subsets are even steps through the list, sorted by kind and
 // begun at an offset by the instance's index: all endpoints are in as many subsets, and all subsets
-// have the same mix of kinds. The work depends on the number of endpoints touched.
-func (b *Balancer) updateSubset(touched []*endpoint) {
+// have the same mix of kinds. The work depends on the number of endpoints changed.
+func (b *Balancer) updateSubset(changed []*endpoint) {
 	ready := float64(b.readyCount)
 	instances := float64(max(b.settings.Instances, 1))
 	even := minSubsetsPerEndpoint * (ready + float64(b.unlistedCount)) / instances
 	size := math.Floor(max(b.wantedSubsetSize, minSubsetSize, even))
 	if 2*size >= ready {
-		b.useAllEndpoints(touched)
+		b.useAllEndpoints(changed)
 		return
 	}
-	b.updateReadyByKind(touched)
+	b.updateReadyByKind(changed)
 	offset := min(float64(max(b.settings.Index, 0))/instances, 1-1/instances)
 	subset := make([]*endpoint, int(size))
 	for i := range subset {
