--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// maxLineBytes is the most bytes that a command's line may have, without its end.
+// maxLineBytes is the length limit of a command's line, without its line feed.
 const maxLineBytes = 128
 
 // CommandName is the first word of a command's line.
@@ -20,58 +20,88 @@
 	CommandEnableServer  CommandName = "enable-server"
 )
 
-// commandTakesID has all commands, and whether each takes the id of an endpoint.
-var commandTakesID = map[CommandName]bool{
-	CommandReady:         false,
-	CommandShowStat:      false,
-	CommandDisableServer: true,
-	CommandEnableServer:  true,
+// argument is what follows the name of a command.
+type argument int
+
+const (
+	noArgument argument = iota
+	endpointID
+)
+
+// commandArguments has all commands, and the argument of each.
+var commandArguments = map[CommandName]argument{
+	CommandReady:         noArgument,
+	CommandShowStat:      noArgument,
+	CommandDisableServer: endpointID,
+	CommandEnableServer:  endpointID,
 }
 
 // Command is one command of an operator.
 type Command struct {
 	Name     CommandName
-	Endpoint string // the endpoint's id, for commands that take one
+	Endpoint string // id, for commands that take one
 }
 
+// Reasons why a line is not a command. The texts of all errors of ParseCommand are on the wire.
 var (
-	errLineTooLong = fmt.Errorf("the line is longer than %d bytes", maxLineBytes)
-	errNoCommand   = errors.New("no call: ready, show-stat, disable-server ID and enable-server ID are known")
+	ErrLineTooLong    = fmt.Errorf("the line is longer than %d bytes", maxLineBytes)
+	ErrNoCommand      = errors.New("no call: ready, show-stat, disable-server ID and enable-server ID are known")
+	ErrUnknownCommand = errors.New("unknown call")
 )
 
+// ArgumentError says that a command has a missing or a surplus argument.
+type ArgumentError struct {
+	Command CommandName
+	Problem string
+}
+
+// Error implements error.
+func (e *ArgumentError) Error() string { return fmt.Sprintf("%s: %s", e.Command, e.Problem) }
+
 // ParseCommand parses a command's line, without the line's end. An error's text fits a response.
 func ParseCommand(line string) (Command, error) {
 	if len(line) > maxLineBytes {
-		return Command{}, errLineTooLong
+		return Command{}, ErrLineTooLong
 	}
-	for i := range len(line) {
-		if !isPrintable(line[i]) {
-			return Command{}, fmt.Errorf("byte %d is no printable ASCII", i+1)
-		}
+	if i := strings.IndexFunc(line, isNotPrintable); i >= 0 {
+		return Command{}, fmt.Errorf("byte %d is no printable ASCII", i+1)
 	}
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return Command{}, errNoCommand
+		return Command{}, ErrNoCommand
 	}
-	name, args := CommandName(words[0]), words[1:]
-	takesID, known := commandTakesID[name]
-	switch {
-	case !known:
-		return Command{}, fmt.Errorf("unknown call %q", name)
-	case takesID && len(args) == 0:
-		return Command{}, fmt.Errorf("%s: the endpoint's id is missing", name)
-	case takesID && len(args) > 1:
-		return Command{}, fmt.Errorf("%s: %q is too much: one id is wanted", name, args[1])
-	case takesID:
+	name := CommandName(words[0])
+	argument, known := commandArguments[name]
+	if !known {
+		return Command{}, fmt.Errorf("%w %q", ErrUnknownCommand, name)
+	}
+	if argument == endpointID {
+		return parseEndpointCommand(name, words[1:])
+	}
+	return parsePlainCommand(name, words[1:])
+}
+
+// parseEndpointCommand parses the arguments of a command that takes the id of an endpoint.
+func parseEndpointCommand(name CommandName, args []string) (Command, error) {
+	switch len(args) {
+	case 0:
+		return Command{}, &ArgumentError{Command: name, Problem: "the endpoint's id is missing"}
+	case 1:
 		return Command{Name: name, Endpoint: args[0]}, nil
-	case len(args) > 0:
-		return Command{}, fmt.Errorf("%s: %q is too much: nothing is wanted", name, args[0])
+	}
+	return Command{}, &ArgumentError{Command: name, Problem: fmt.Sprintf("%q is too much: one id is wanted", args[1])}
+}
+
+// parsePlainCommand parses the arguments of a command that takes none.
+func parsePlainCommand(name CommandName, args []string) (Command, error) {
+	if len(args) > 0 {
+		return Command{}, &ArgumentError{Command: name, Problem: fmt.Sprintf("%q is too much: nothing is wanted", args[0])}
 	}
 	return Command{Name: name}, nil
 }
 
-// isPrintable reports whether a byte is printable ASCII or a tab.
-func isPrintable(b byte) bool {
+// isNotPrintable reports whether a character is neither printable ASCII nor a tab.
+func isNotPrintable(r rune) bool {
 	const space, del = 0x20, 0x7f
-	return b == '\t' || b >= space && b < del
+	return r != '\t' && (r < space || r >= del)
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin is the operators' line protocol. It has an address of its own, on which each
-// connection carries one command, a line, and gets one response. It shares nothing with the path of
-// requests, so that it responds whatever the load.
+// Package admin serves the operators' line protocol. It has an address of its own, on which each
+// connection carries one command, a line, and gets one response. It shares nothing with the way of
+// a request, so it responds whatever the load.
 package admin
 
 import (
@@ -10,29 +10,32 @@
 	"io"
 	"log/slog"
 	"net"
+	"slices"
 	"sync"
 	"time"
+
+	"rowancart/internal/logkey"
 )
 
 const (
 	// MaxDescriptors is how many descriptors a Server needs at most: its connections, its listener,
-	// and a connection that has been accepted in the place of one that is being closed.
+	// and a connection that was accepted while the one that it replaces is being closed.
 	MaxDescriptors = maxOpenConns + 2
 
 	maxOpenConns     = 24
 	acceptRetryDelay = 100 * time.Millisecond // after a failed accept
 	commandTimeout   = 5 * time.Second        // for the command's line to be received
 	responseTimeout  = 2 * time.Second        // for the response to be written
-	// lingerTimeout is how long the client may take to close the connection first. A close with unread
-	// input would reset it, and the client could lose the response.
+	// lingerTimeout is how long the client may take to close the connection first. A close with
+	// unread input resets the connection, and the client could lose the response.
 	lingerTimeout  = 200 * time.Millisecond
-	lingerMaxBytes = 4 << 10 // of input discarded meanwhile
+	lingerMaxBytes = 4 << 10 // of input that is discarded meanwhile
 )
 
-// Operations is what the commands operate. Each of its methods must return quickly: a response is
-// due within a second.
+// Operations carries out the commands. Each method must return quickly: a response is due within a
+// second.
 type Operations interface {
-	// Ready returns nil once requests can be served, and otherwise why they can't.
+	// Ready returns nil once requests can be served, and until then the reason why they can't.
 	Ready() error
 	// AppendStats appends all metrics, one a line.
 	AppendStats(b []byte) []byte
@@ -49,12 +52,12 @@
 	log        *slog.Logger
 
 	mu              sync.Mutex
-	awaitingCommand []net.Conn // their command has not been received yet, the oldest first
+	awaitingCommand []net.Conn // connections whose command has not been received yet, the oldest first
 	openConns       int
 	closed          bool // no connection is admitted any more
 }
 
-// New returns a server on a listener, which it owns from now on. Run does the work.
+// New returns a server on a listener, which Run closes. Run does the work.
 func New(l net.Listener, o Operations, log *slog.Logger) *Server {
 	return &Server{listener: l, operations: o, log: log}
 }
@@ -62,7 +65,8 @@
 // Addr returns the address of the listener.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Run executes commands until ctx ends. It returns once all connections have ended.
+// Run accepts connections until ctx ends, and serves each in a goroutine of its own. It returns
+// once all of them have ended.
 func (s *Server) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { s.listener.Close() })
 	defer stop()
@@ -75,7 +79,7 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			s.log.Warn("admin: accept failed", "err", err)
+			s.log.Warn("admin: accept failed", logkey.Err, err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(acceptRetryDelay):
@@ -90,9 +94,8 @@
 	}
 }
 
-// admitConn admits a connection and reports whether there is room for it. Where too many are open,
-// the one that has waited longest for its command is closed: silent clients must not keep out one
-// that has a command.
+// admitConn admits a connection, or reports false. Where too many are open, it closes the one that
+// has waited longest for its command: silent clients must not keep out one that has a command.
 func (s *Server) admitConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,20 +112,17 @@
 	return true
 }
 
-// stopAwaiting removes a connection from those that may be closed in favour of a new one.
+// stopAwaiting removes a connection from those that may be closed for a new one.
 func (s *Server) stopAwaiting(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, other := range s.awaitingCommand {
-		if other == conn {
-			s.awaitingCommand = append(s.awaitingCommand[:i:i], s.awaitingCommand[i+1:]...)
-			return
-		}
+	if i := slices.Index(s.awaitingCommand, conn); i >= 0 {
+		s.awaitingCommand = slices.Delete(s.awaitingCommand, i, i+1)
 	}
 }
 
-// closeAwaiting closes the connections whose command has not been received, and admits none from
-// now on.
+// closeAwaiting closes the connections whose command has not been received. No connection is
+// admitted from then on.
 func (s *Server) closeAwaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,13 +142,13 @@
 	s.openConns--
 }
 
-// serveConn reads one command, executes it and writes the response. A command that is cut off is
-// none and gets no response.
+// serveConn reads one command, executes it and writes the response. An incomplete line gets no
+// response.
 func (s *Server) serveConn(conn net.Conn) {
 	defer s.releaseConn(conn)
-	_ = conn.SetDeadline(time.Now().Add(commandTimeout)) // a closed connection shows at the read
+	_ = conn.SetDeadline(time.Now().Add(commandTimeout)) // on a closed connection the read fails
 	line, err := readLine(conn)
-	if err != nil && !errors.Is(err, errLineTooLong) {
+	if err != nil && !errors.Is(err, ErrLineTooLong) {
 		return
 	}
 	s.stopAwaiting(conn)
@@ -165,18 +165,19 @@
 	lingerUntilClosed(conn)
 }
 
-// lingerUntilClosed ends this side of a connection and lets the client close the other side.
+// lingerUntilClosed closes the sending side of a connection and waits for the client to close the
+// other.
 func lingerUntilClosed(conn net.Conn) {
-	half, ok := conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := conn.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
 	_ = conn.SetDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.CopyN(io.Discard, conn, lingerMaxBytes)
 }
 
-// readLine reads up to the end of a line, LF or CR LF, and returns the line without it. What
-// follows is ignored.
+// readLine reads a line that ends with LF or CR LF, and returns it without its end. Any input after
+// it is ignored.
 func readLine(r io.Reader) (string, error) {
 	buf := make([]byte, 0, maxLineBytes+len("\r\n"))
 	for {
@@ -186,7 +187,7 @@
 			return string(bytes.TrimSuffix(buf[:i], []byte("\r"))), nil
 		}
 		if len(buf) == cap(buf) {
-			return "", errLineTooLong
+			return "", ErrLineTooLong
 		}
 		if err != nil {
 			return "", err
@@ -212,8 +213,7 @@
 	}
 }
 
-// outcome returns the response to a command that has failed with err or, where err is nil,
-// succeeded.
+// outcome returns the response to a command that has failed with err, or succeeded if err is nil.
 func outcome(err error, success string) []byte {
 	if err != nil {
 		return failure(err)
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// pipeListener is a listener whose connections are pipes, so that a synctest bubble's time covers
-// them.
+// pipeListener is a listener whose connections are pipes, which a synctest bubble controls the time
+// of.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -58,7 +58,7 @@
 
 // startServer runs a server until the test ends, and returns a function that connects to it.
 func startServer(t *testing.T) (connect func() net.Conn) {
-	l := pipeListener{make(chan net.Conn), make(chan struct{})}
+	l := pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 	s := New(l, &fakeOperations{disabled: map[string]bool{}}, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan bool)
@@ -98,7 +98,7 @@
 		"re\xc3\xa4dy\n":       "FAILURE byte 3 is no printable ASCII\n",
 		strings.Repeat("x", maxLineBytes+1) + "\n": "FAILURE the line is longer than 128 bytes\n",
 		strings.Repeat("x", 9*maxLineBytes):        "FAILURE the line is longer than 128 bytes\n",
-		"ready":                                    "", // cut by the end of input: no call
+		"ready":                                    "", // an incomplete line
 	} {
 		conn := startServer(t)()
 		go func() {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Far more silent clients than there is room for stay for seconds: one with a command gets its
-// response at once all the same.
+// Three times as many silent clients as may be connected stay connected: a client with a command
+// gets its response at once nevertheless.
 func TestSilentClientsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		connect := startServer(t)
@@ -135,7 +135,7 @@
 	})
 }
 
-// The connection of a client that sends nothing, or does not read, is closed in time.
+// The connection of a client that sends nothing, or does not read, is closed by a timeout.
 func TestStalledConnectionsTimeOut(t *testing.T) {
 	for name, line := range map[string]string{
 		"silent":         "",
@@ -153,6 +153,29 @@
 	}
 }
 
+func TestParseCommandErrorsAreTyped(t *testing.T) {
+	for line, want := range map[string]error{
+		strings.Repeat("x", maxLineBytes+1): ErrLineTooLong,
+		" ":                                 ErrNoCommand,
+		"drain a":                           ErrUnknownCommand,
+	} {
+		if _, err := ParseCommand(line); !errors.Is(err, want) {
+			t.Errorf("%.20q: %v, want %v", line, err, want)
+		}
+	}
+	for line, want := range map[string]CommandName{
+		"disable-server":    CommandDisableServer,
+		"enable-server a b": CommandEnableServer,
+		"ready now":         CommandReady,
+	} {
+		_, err := ParseCommand(line)
+		var argumentErr *ArgumentError
+		if !errors.As(err, &argumentErr) || argumentErr.Command != want {
+			t.Errorf("%q: %v, want an ArgumentError of %s", line, err, want)
+		}
+	}
+}
+
 func FuzzParseCommand(f *testing.F) {
 	for _, seed := range []string{"ready", "disable-server s-1", "enable-server  x ", "show-stat y", "\x00", ""} {
 		f.Add(seed)
@@ -165,12 +188,13 @@
 			}
 			return
 		}
-		if commandTakesID[c.Name] != (c.Endpoint != "") || strings.ContainsAny(c.Endpoint, " \t\r\n") {
+		takesID := commandArguments[c.Name] == endpointID
+		if takesID != (c.Endpoint != "") || strings.ContainsAny(c.Endpoint, " \t\r\n") {
 			t.Errorf("%+v", c)
 		}
-		again, err := ParseCommand(strings.TrimSpace(string(c.Name) + " " + c.Endpoint))
-		if err != nil || again != c {
-			t.Errorf("%+v reads again as %+v, %v", c, again, err)
+		reparsed, err := ParseCommand(strings.TrimSpace(string(c.Name) + " " + c.Endpoint))
+		if err != nil || reparsed != c {
+			t.Errorf("%+v is parsed again as %+v, %v", c, reparsed, err)
 		}
 	})
 }
--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,4 +1,5 @@
-// Package asynclog keeps a log that is slow, full or broken from holding up those who write to it.
+// Package asynclog provides a log writer that never blocks, whether the log is slow, full or
+// closed.
 package asynclog
 
 import (
@@ -6,25 +7,28 @@
 	"io"
 	"sync/atomic"
 	"time"
+
+	"rowancart/internal/logkey"
 )
 
 const (
-	queuedLines  = 1024                   // that wait to be written; more are dropped
-	flushTimeout = 200 * time.Millisecond // for what is queued, at the end
+	maxQueuedLines = 1024                   // more lines are dropped
+	flushTimeout   = 200 * time.Millisecond // of Close
 )
 
-// Writer writes lines to another writer in a goroutine of its own. It never blocks: where too many
-// lines wait, it drops the new ones, and says later how many. It is safe for concurrent use.
+// Writer writes lines to another writer in a goroutine of its own, which New starts and Close ends.
+// It never blocks: while maxQueuedLines are queued it drops new ones, and logs their number later.
+// It is safe for concurrent use.
 type Writer struct {
 	target  io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	flushed chan struct{} // closed once all lines up to the nil that Close queues have been written
+	flushed chan struct{} // closed once the lines before the nil that Close queues have been written
 }
 
-// New returns a Writer to a target, which may fail: its errors are ignored.
+// New returns a Writer to a target. Errors of the target are ignored.
 func New(target io.Writer) *Writer {
-	w := &Writer{target: target, lines: make(chan []byte, queuedLines), flushed: make(chan struct{})}
+	w := &Writer{target: target, lines: make(chan []byte, maxQueuedLines), flushed: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -46,15 +50,15 @@
 		if line == nil {
 			return
 		}
-		_, _ = w.target.Write(line) // a log that fails is not logged
+		_, _ = w.target.Write(line) // there is no other log for the error
 		if n := w.dropped.Swap(0); n > 0 {
-			_, _ = fmt.Fprintf(w.target, "level=WARN msg=\"log lines were dropped\" lines=%d\n", n)
+			_, _ = fmt.Fprintf(w.target, "level=WARN msg=\"log lines dropped\" %s=%d\n", logkey.Count, n)
 		}
 	}
 }
 
-// Close writes what is queued, as far as that takes no longer than flushTimeout. Lines that follow
-// are dropped.
+// Close waits until the queued lines have been written, for flushTimeout at most. Later lines are
+// dropped.
 func (w *Writer) Close() {
 	timeout := time.NewTimer(flushTimeout)
 	defer timeout.Stop()
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// stallingTarget blocks each write until it is released.
-type stallingTarget struct {
+// blockingTarget blocks each write until it is released.
+type blockingTarget struct {
 	release chan struct{}
 	text    strings.Builder
 }
 
 // Write implements io.Writer.
-func (s *stallingTarget) Write(line []byte) (int, error) {
+func (s *blockingTarget) Write(line []byte) (int, error) {
 	<-s.release
 	return s.text.Write(line)
 }
 
 func TestLinesAreWrittenInOrder(t *testing.T) {
-	target := &stallingTarget{release: make(chan struct{})}
+	target := &blockingTarget{release: make(chan struct{})}
 	close(target.release)
 	w := New(target)
 	for i := range 3 {
@@ -33,28 +33,28 @@
 	}
 }
 
-// Nobody reads the log: writing it does not block, what does not fit is counted, and the end does
-// not wait for it.
-func TestStalledTargetHoldsNothingUp(t *testing.T) {
+// Writes of the log do not end: neither Write nor Close blocks on them, and dropped lines are
+// counted.
+func TestBlockedTargetBlocksNoWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		target := &stallingTarget{release: make(chan struct{})}
+		target := &blockingTarget{release: make(chan struct{})}
 		w := New(target)
 		fmt.Fprintln(w, "first")
 		synctest.Wait()
 		const surplus = 5
-		for range queuedLines + surplus {
+		for range maxQueuedLines + surplus {
 			fmt.Fprintln(w, "more")
 		}
 		began := time.Now()
 		w.Close()
 		if took := time.Since(began); took != flushTimeout {
-			t.Errorf("the end took %v", took)
+			t.Errorf("Close took %v", took)
 		}
 		close(target.release)
 		synctest.Wait()
-		if got := target.text.String(); !strings.Contains(got, fmt.Sprintf("lines=%d\n", surplus)) {
+		if got := target.text.String(); !strings.Contains(got, fmt.Sprintf("msg=\"log lines dropped\" count=%d\n", surplus)) {
 			t.Errorf("the dropped lines are not counted: %.200q", got)
 		}
-		w.Close() // what is queued has been written
+		w.Close() // all queued lines have been written
 	})
 }
--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -220,9 +220,9 @@
 func TestDaemonRefusesStateAsBefore(t *testing.T) {
 	now := time.Now()
 	written, _ := writtenAt(t, daemonStatePath)
-	refusal := "it is too old"
+	refusal := "too old"
 	if now.Before(written) { // by a clock that is behind the one that wrote it
-		refusal = "it was written in the future"
+		refusal = "written in the future"
 	}
 	stored, err := os.ReadFile(daemonStatePath)
 	if err != nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -35,7 +35,8 @@
 	started atomic.Int64     // requests
 	dropped atomic.Int64     // requests that were started and have no outcome
 
-	Reloads, FailedReloads atomic.Int64 // of the configuration
+	Reloads       atomic.Int64 // of the configuration
+	FailedReloads atomic.Int64
 }
 
 // classCounters counts the requests of one class by their outcomes.
@@ -44,9 +45,9 @@
 	outcomes [outcomeCount]atomic.Int64
 }
 
-// New returns the counters of the classes named.
-func New(names []string) *Counters {
-	names = slices.Compact(slices.Sorted(slices.Values(names)))
+// New returns the counters of the classes with the names given, which may be repeated.
+func New(classNames []string) *Counters {
+	names := slices.Compact(slices.Sorted(slices.Values(classNames)))
 	c := &Counters{classes: make([]*classCounters, len(names))}
 	for i, name := range names {
 		c.classes[i] = &classCounters{name: name}
@@ -68,21 +69,21 @@
 	}
 }
 
-// RequestDropped takes back a request that has none of the outcomes.
+// RequestDropped ends a request that is not counted with an outcome.
 func (c *Counters) RequestDropped() { c.dropped.Add(1) }
 
-// Gauges are the metrics whose values are known elsewhere.
+// Gauges are the metrics that the counters do not contain.
 type Gauges struct {
 	Dispatches       int64 // attempts whose request was written completely
 	ListedEndpoints  int   // endpoints in the list
-	AvoidedEndpoints int   // of them, those avoided now
+	AvoidedEndpoints int   // listed endpoints that are not in ordinary rotation
 }
 
 // Append appends all metrics, one a line. Those of requests are one consistent reading: no request
 // is counted both with an outcome and as in flight.
 func (c *Counters) Append(b []byte, gauges Gauges) []byte {
-	// The requests that have ended are read before those that have started: each starts before it
-	// ends, so that the difference is never negative.
+	// The requests that have ended are read before those that have started: a request starts before
+	// it ends, so the difference is never negative.
 	ended := c.dropped.Load()
 	for outcome := range outcomeCount {
 		for _, class := range c.classes {
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -10,7 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A file has two lines, each a JSON value: the header and the content.
+// A file has two lines, each a JSON value: the header and the content. Files are exchanged between
+// versions of the program, so the names and the values here must not change.
 const (
 	formatName    = "rowancart snapshot"
 	formatVersion = 1
@@ -21,11 +22,17 @@
 	Format    string `json:"form"`
 	Version   int    `json:"version"`
 	WrittenMs int64  `json:"written_ms"` // Unix time
-	Bytes     int    `json:"bytes"`      // length of the content, without its line's end
-	Checksum  string `json:"xxhash64"`   // of the same
+	Bytes     int    `json:"bytes"`      // length of the content, without its line feed
+	Checksum  string `json:"xxhash64"`   // of the content, without its line feed
 }
 
-// encode returns the text of a file.
+// file is a decoded file.
+type file struct {
+	header
+	content []byte // a JSON value
+}
+
+// encode returns the text of a file that is written now.
 func encode(now time.Time, value any) ([]byte, error) {
 	content, err := json.Marshal(value)
 	if err != nil {
@@ -44,20 +51,29 @@
 	return bytes.Join([][]byte{first, content, nil}, []byte("\n")), nil
 }
 
-// decode splits the text of a file and verifies that it is complete and unchanged.
-func decode(text []byte) (h header, content []byte, err error) {
+// decode decodes the text of a file and verifies that it is complete and unchanged.
+func decode(text []byte) (file, error) {
 	first, rest, _ := bytes.Cut(text, []byte("\n"))
-	if err := json.Unmarshal(first, &h); err != nil || h.Format != formatName {
-		return header{}, nil, ErrCorrupt
+	var f file
+	if err := json.Unmarshal(first, &f.header); err != nil || f.Format != formatName {
+		return file{}, ErrCorrupt
 	}
-	if h.Version != formatVersion {
-		return header{}, nil, fmt.Errorf("%w: %d, and this program reads %d", ErrVersion, h.Version, formatVersion)
+	if f.Version != formatVersion {
+		return file{}, fmt.Errorf("%w: %d, and this program reads %d", ErrVersion, f.Version, formatVersion)
 	}
-	content, isComplete := bytes.CutSuffix(rest, []byte("\n"))
-	if !isComplete || len(content) != h.Bytes || checksum(content) != h.Checksum {
-		return header{}, nil, ErrCorrupt
+	var hasLineFeed bool
+	f.content, hasLineFeed = bytes.CutSuffix(rest, []byte("\n"))
+	if !hasLineFeed || !f.isIntact() {
+		return file{}, ErrCorrupt
 	}
-	return h, content, nil
+	return f, nil
 }
 
+// isIntact reports whether the content is the one that the header describes.
+func (f file) isIntact() bool { return len(f.content) == f.Bytes && checksum(f.content) == f.Checksum }
+
+// writtenAt returns when the file was written.
+func (f file) writtenAt() time.Time { return time.UnixMilli(f.WrittenMs) }
+
+// checksum returns the checksum of a content, as it is in the header.
 func checksum(content []byte) string { return strconv.FormatUint(xxhash.Sum64(content), 16) }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,7 +1,8 @@
-// Package snapshot keeps the state of a process in one file, from which its successor can start.
+// Package snapshot stores the state of a process in one file, which its successor reads at its
+// start.
 //
-// A file is used completely or not at all: it carries its format, its version and a checksum, and
-// it is replaced by a rename. Read returns one of the errors below for a file that can't be used.
+// A file is used completely or not at all: it has a format name, a version and a checksum, and it
+// is replaced by a rename. Read returns one of the errors below for a file that can't be used.
 package snapshot
 
 import (
@@ -16,27 +17,28 @@
 )
 
 const (
-	// maxFileBytes is how much of a file is read. A longer one is taken for a corrupt one.
+	// maxFileBytes is how much of a file is read. A longer file counts as corrupt.
 	maxFileBytes = 256 << 20
-	// maxClockSkew is how far in the future a snapshot may have been written. Clocks of one machine
-	// are corrected by seconds. One that was an hour ahead says nothing of how old a snapshot is.
+	// maxClockSkew is how far in the future a snapshot may have been written. The clock of a
+	// machine is corrected by seconds. If it was an hour ahead, the age of the snapshot is unknown.
 	maxClockSkew = 5 * time.Second
 )
 
-// Errors that say why a snapshot is not used.
+// Reasons why a snapshot is not used.
 var (
-	ErrNotFound   = errors.New("there is none")
-	ErrCorrupt    = errors.New("it is broken or cut")
-	ErrVersion    = errors.New("it is of another version")
-	ErrExpired    = errors.New("it is too old")
-	ErrFromFuture = errors.New("it was written in the future")
+	ErrNotFound   = errors.New("not found")
+	ErrCorrupt    = errors.New("corrupt or truncated")
+	ErrVersion    = errors.New("unsupported version")
+	ErrExpired    = errors.New("too old")
+	ErrFromFuture = errors.New("written in the future")
 )
 
 // temporarySuffix, with random digits, ends the name of a file that is being written.
 const temporarySuffix = ".new-"
 
-// RemoveLeftovers removes the temporary files of writes to path that a kill has cut off. A write in
-// progress fails by it: the caller must be the only writer, or the others must write again.
+// RemoveLeftovers removes the temporary files of processes that were killed while they wrote to
+// path. It makes a write in progress fail: the caller must be the only writer, or the others must
+// retry.
 func RemoveLeftovers(path string) error {
 	files, err := filepath.Glob(path + temporarySuffix + "*")
 	for _, file := range files {
@@ -45,22 +47,23 @@
 	return err
 }
 
-// Write replaces the file at path by a snapshot of a value, in JSON, as of now. The old file stays
-// until the new one is complete on disk, even if the machine fails. Temporary files are in the same
-// directory; the caller must hold the lock of the path (see Lock) where others may write it too.
+// Write replaces the file at path by a snapshot of a value, in JSON, that is written now. The old
+// file stays until the new one is complete on disk, even if the machine crashes. Temporary files
+// are in the same directory; the caller must hold the lock of the path (see Lock) if others may
+// write it too.
 func Write(path string, now time.Time, value any) error {
-	return replaceFile(path, now, value, true)
+	return replaceFile(path, now, value, (*os.File).Sync)
 }
 
 // WriteNoSync is like Write but doesn't wait for the disk. It is for a directory that lasts no
 // longer than the machine runs.
 func WriteNoSync(path string, now time.Time, value any) error {
-	return replaceFile(path, now, value, false)
+	return replaceFile(path, now, value, func(*os.File) error { return nil })
 }
 
-// replaceFile writes a temporary file and renames it to path. With sync it waits for the disk in
-// between: a rename may reach the disk before the content does.
-func replaceFile(path string, now time.Time, value any, sync bool) error {
+// replaceFile writes a temporary file, syncs it and renames it to path. The rename could reach the
+// disk before the content of a file that is not synced.
+func replaceFile(path string, now time.Time, value any, sync func(*os.File) error) error {
 	text, err := encode(now, value)
 	if err != nil {
 		return fmt.Errorf("snapshot %s: %w", path, err)
@@ -70,8 +73,8 @@
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	_, err = f.Write(text)
-	if err == nil && sync {
-		err = f.Sync()
+	if err == nil {
+		err = sync(f)
 	}
 	err = errors.Join(err, f.Close())
 	if err == nil {
@@ -83,9 +86,9 @@
 	return nil
 }
 
-// Read decodes the file at path into value and returns how long ago it was written, never less than
-// zero. A file that is older than maxAge is not used. The error is, or wraps, one of the package's
-// errors unless the file system failed.
+// Read decodes the file at path into value and returns its age, which is never negative. A file
+// that is older than maxAge is not used. The error wraps one of the reasons above unless the file
+// system has failed.
 func Read(path string, now time.Time, maxAge time.Duration, value any) (age time.Duration, err error) {
 	defer func() {
 		if err != nil {
@@ -96,23 +99,24 @@
 	if err != nil {
 		return 0, err
 	}
-	h, content, err := decode(text)
+	f, err := decode(text)
 	if err != nil {
 		return 0, err
 	}
-	age = now.Sub(time.UnixMilli(h.WrittenMs))
+	age = now.Sub(f.writtenAt())
 	switch {
 	case age < -maxClockSkew:
 		return 0, fmt.Errorf("%w, in %v by this machine's clock", ErrFromFuture, -age.Round(time.Second))
 	case age > maxAge:
-		return 0, fmt.Errorf("%w: %v, and %v is the most", ErrExpired, age.Round(time.Second), maxAge)
+		return 0, fmt.Errorf("%w: %v, and the maximum age is %v", ErrExpired, age.Round(time.Second), maxAge)
 	}
-	if err := json.Unmarshal(content, value); err != nil {
+	if err := json.Unmarshal(f.content, value); err != nil {
 		return 0, ErrCorrupt
 	}
 	return max(age, 0), nil
 }
 
+// readFile returns the text of the file at path.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-type state struct {
-	Names []string
-	Share float64
+// testState is the state of the snapshots in these tests.
+type testState struct {
+	Names  []string
+	Weight float64
 }
 
 var writtenAt = time.UnixMilli(1_800_000_000_000)
@@ -20,7 +21,7 @@
 func writeState(t *testing.T) (path string, text string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "state")
-	if err := Write(path, writtenAt, state{[]string{"a", "b\n{"}, 0.25}); err != nil {
+	if err := Write(path, writtenAt, testState{Names: []string{"a", "b\n{"}, Weight: 0.25}); err != nil {
 		t.Fatal(err)
 	}
 	b, err := os.ReadFile(path)
@@ -32,15 +33,15 @@
 
 func TestReadReturnsWhatWasWritten(t *testing.T) {
 	path, _ := writeState(t)
-	var s state
+	var s testState
 	age, err := Read(path, writtenAt.Add(3*time.Second), time.Minute, &s)
-	if err != nil || age != 3*time.Second || len(s.Names) != 2 || s.Names[1] != "b\n{" || s.Share != 0.25 {
+	if err != nil || age != 3*time.Second || len(s.Names) != 2 || s.Names[1] != "b\n{" || s.Weight != 0.25 {
 		t.Fatalf("%+v, of age %v, %v", s, age, err)
 	}
 	if age, err := Read(path, writtenAt.Add(-time.Second), time.Minute, &s); err != nil || age != 0 {
 		t.Errorf("a second in the future: %v, %v", age, err)
 	}
-	if err := WriteNoSync(path, writtenAt, state{Share: 1}); err != nil {
+	if err := WriteNoSync(path, writtenAt, testState{Weight: 1}); err != nil {
 		t.Fatal(err)
 	}
 	files, err := os.ReadDir(filepath.Dir(path))
@@ -49,7 +50,7 @@
 	}
 }
 
-// Snapshots are exchanged between versions of the program: the form on disk is fixed.
+// Snapshots are exchanged between versions of the program: the format must not change.
 func TestFileFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	if err := Write(path, writtenAt, 1); err != nil {
@@ -63,14 +64,14 @@
 	}
 }
 
-// Whatever is cut off or changed, nothing of the file is used.
+// A file that is truncated or changed at any byte is not used, not even in part.
 func TestCorruptFileIsNotUsed(t *testing.T) {
 	path, text := writeState(t)
 	read := func(text string) error {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var s state
+		var s testState
 		_, err := Read(path, writtenAt, time.Minute, &s)
 		if err != nil && (s.Names != nil || strings.Contains(err.Error(), "\n")) {
 			t.Fatalf("%q: %+v is used, or the error has more than a line: %v", text, s, err)
@@ -79,11 +80,11 @@
 	}
 	for i := range text {
 		if read(text[:i]) == nil {
-			t.Fatalf("cut after %d bytes, it is read", i)
+			t.Fatalf("truncated after %d bytes, it is read", i)
 		}
 		changed := []byte(text)
 		changed[i] ^= 0x10
-		// One bit in the time of writing makes it old, or of the future, or leaves a valid time.
+		// One changed bit of the time of writing may leave a valid time.
 		if err := read(string(changed)); err == nil && !strings.Contains(text[max(i-16, 0):i+1], "written_ms") {
 			t.Fatalf("with byte %d (%q) changed, it is read", i, text[i])
 		}
@@ -92,7 +93,7 @@
 		name, text string
 		want       error
 	}{
-		{"more after the content", text + "x", ErrCorrupt},
+		{"trailing text", text + "x", ErrCorrupt},
 		{"another version", strings.Replace(text, `"version":1`, `"version":2`, 1), ErrVersion},
 		{"a negative length", `{"form":"rowancart snapshot","version":1,"bytes":-1}` + "\n", ErrCorrupt},
 	} {
@@ -112,30 +113,30 @@
 		{time.Minute + time.Second, ErrExpired},
 		{-time.Hour, ErrFromFuture},
 	} {
-		if _, err := Read(path, writtenAt.Add(test.age), time.Minute, &state{}); !errors.Is(err, test.want) {
+		if _, err := Read(path, writtenAt.Add(test.age), time.Minute, &testState{}); !errors.Is(err, test.want) {
 			t.Errorf("at an age of %v: %v, want %v", test.age, err, test.want)
 		}
 	}
-	if _, err := Read(path+"x", writtenAt, time.Minute, &state{}); !errors.Is(err, ErrNotFound) {
+	if _, err := Read(path+"x", writtenAt, time.Minute, &testState{}); !errors.Is(err, ErrNotFound) {
 		t.Errorf("no file: %v", err)
 	}
 }
 
-// A write that fails leaves the file that was there, and nothing else.
+// A failed write leaves the old file, and no other.
 func TestFailedWriteKeepsOldFile(t *testing.T) {
 	path, text := writeState(t)
 	if err := Write(path, writtenAt, map[string]any{"x": func() {}}); err == nil {
-		t.Error("a func was written")
+		t.Error("a value without a JSON form was written")
 	}
 	dir := filepath.Join(filepath.Dir(path), "none")
-	if err := Write(filepath.Join(dir, "state"), writtenAt, state{}); err == nil {
+	if err := Write(filepath.Join(dir, "state"), writtenAt, testState{}); err == nil {
 		t.Error("written into a directory that doesn't exist")
 	}
 	// Nothing can be renamed onto a directory: the write fails at its last step.
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := Write(dir, writtenAt, state{}); err == nil {
+	if err := Write(dir, writtenAt, testState{}); err == nil {
 		t.Error("a directory was replaced")
 	}
 	if now, err := os.ReadFile(path); err != nil || string(now) != text {
@@ -152,8 +153,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Lock(path); err == nil {
-		t.Error("two hold the lock")
+	if _, err := Lock(path); !errors.Is(err, ErrLocked) {
+		t.Errorf("while it is locked: %v", err)
 	}
 	first.Close()
 	second, err := Lock(path)
