--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -287,8 +287,8 @@
 func (c *keepAliveClient) get(id string) (*http.Response, error) {
 	request := testpeer.Request{Method: http.MethodGet, Path: "/look", ID: id, Deadline: 10 * time.Second}
 	for {
-		reused := c.conn != nil
-		if !reused {
+		isReused := c.conn != nil
+		if !isReused {
 			conn, err := testpeer.Dial(c.addr)
 			if err != nil {
 				return nil, err
@@ -297,12 +297,12 @@
 		}
 		c.conn.SetWriteDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c.conn, request.Text())
-		resp, err := c.conn.ReadResponse(testTimeout) // a request that is not answered by then is lost, too
+		resp, err := c.conn.ReadResponse(testTimeout) // a request that is never answered is lost, too
 		if err == nil {
 			return resp, nil
 		}
 		c.close()
-		if !reused || errors.Is(err, os.ErrDeadlineExceeded) {
+		if !isReused || errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
 	}
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -212,7 +212,7 @@
 		Retry:         RetryAfterRun,
 		QueueLimit:    -1,
 	}
-	if r.Class.Repeatability == balancer.NonIdempotent {
+	if r.Class.Idempotency == balancer.NonIdempotent {
 		p.Retry = RetryIfNotRun
 	}
 	for _, a := range attributes {
@@ -222,7 +222,7 @@
 			if place, ok := layer.places[a.name]; ok {
 				a.copy(p, layer)
 				p.places[a.name] = place
-				r.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.Where(place), layer.title)
+				r.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.PlaceOf(place), layer.title)
 				break
 			}
 		}
