--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // The golden tests hold every name of the platform to literal text. Programs under test and their
-// stand-ins share this package: a wrong name would pass on both sides of any other test.
+// stand-ins share this package, so a wrong name would go unnoticed in any other test.
 
 const goldenList = `{"version":7,"full":true,"servers":[` +
 	`{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"Ready","weight":1,` +
@@ -72,7 +72,8 @@
 	`"Accounts":[{"Name":"erie","QuotaPerS":2.5,"Share":0.25}],"Discovery":"subscribe","ResolutionUs":9,` +
 	`"Permissions":{"MayCancel":true,"MayProbe":true,"RetryAfter":true,"TryLimit":3,"MaxRetryAfterUs":10,` +
 	`"ConnIdleUs":11,"DialTimeoutUs":12},` +
-	`"Rules":{"AskWithinUs":13,"ColdUs":14,"DrainGraceUs":15,"ColdFrom":0.5,"ColdShare":0.75}}`
+	`"Rules":{"AskWithinUs":13,"ColdUs":14,"DrainGraceUs":15,"ColdFrom":0.5,"ColdShare":0.75,` +
+	`"FallMultiple":4,"TipAfterUs":16}}`
 
 // goldenSettingsObject returns what goldenSettings is written from.
 func goldenSettingsObject() SettingsObject {
@@ -107,6 +108,8 @@
 			DrainGraceUs:      15,
 			SlowStartCapacity: 0.5,
 			SlowStartShare:    0.75,
+			OverloadMultiple:  WriteOnly[float64]{4},
+			OverloadWindowUs:  WriteOnly[int64]{16},
 		},
 	}
 }
@@ -169,6 +172,15 @@
 	if err != nil || string(text) != golden {
 		t.Errorf("written: %v\n%s, want\n%s", err, text, golden)
 	}
+	var raw RawConfigFile
+	if err := json.Unmarshal([]byte(golden), &raw); err != nil {
+		t.Fatal(err)
+	}
+	if raw.Name != "n" || raw.Listen != "127.0.0.1:1" || raw.Discovery != "127.0.0.1:2" ||
+		raw.AdminAddr != "127.0.0.1:3" || raw.Seed != "1f" || raw.Limits != file.Limits ||
+		string(raw.Known) != goldenEmptyList || string(raw.Settings) != goldenSettings {
+		t.Errorf("read raw: %+v", raw)
+	}
 	var read ConfigFile
 	if err := json.Unmarshal([]byte(golden), &read); err != nil {
 		t.Fatal(err)
@@ -176,6 +188,8 @@
 	file.Settings.Classes[0].PriorityWeight.Value = 0 // what is only written
 	file.Settings.Tenants[0].TrafficShare.Value = 0
 	file.Settings.Permissions.HealthCheckAllowed.Value = false
+	file.Settings.Rules.OverloadMultiple.Value = 0
+	file.Settings.Rules.OverloadWindowUs.Value = 0
 	if !reflect.DeepEqual(read, file) {
 		t.Errorf("read: %+v, want %+v", read, file)
 	}
@@ -196,6 +210,15 @@
 		{EndpointListPath, "/catalog/members"},
 		{WatchQuery(42), "watch=1&after=42"},
 		{SettingsField, "Config"},
+		{ListenField, "listen"},
+		{DiscoveryField, "discovery"},
+		{AdminAddrField, "console"},
+		{SeedField, "seed"},
+		{KnownField, "known"},
+		{ConfigSettingsField, "settings"},
+		{CoresField, "limits.cores"},
+		{MemoryMBField, "limits.memory_mb"},
+		{SocketsField, "limits.sockets"},
 		{EnvConfig, "ROUTER_CONFIG"},
 		{EnvName, "ROUTER_NAME"},
 		{EnvListen, "ROUTER_LISTEN"},
@@ -219,7 +242,8 @@
 			t.Errorf("%s: %v", list, err)
 		}
 		settings := `{"Lanes":[{"Name":"look","Semantics":"read_like","Credit":` + value + `}],"Accounts":[{"Share":` +
-			value + `}],"Permissions":{"MayProbe":` + value + `}}`
+			value + `}],"Permissions":{"MayProbe":` + value + `},"Rules":{"FallMultiple":` + value +
+			`,"TipAfterUs":` + value + `}}`
 		if _, err := ParseSettings([]byte(settings)); err != nil {
 			t.Errorf("%s: %v", settings, err)
 		}
