--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,29 +24,29 @@
 	Tenants   []balancer.Tenant
 	Pools     []Pool
 	Routes    []Route
-	Warnings  []string // one line for each thing that is valid but probably not meant
+	Warnings  []string // one line for each part that is valid but probably unintended
 }
 
-// Fleet says which of how many instances this one is.
+// Fleet identifies this instance among those of its fleet.
 type Fleet struct {
 	Instances int
 	Index     int    // from 0
 	Name      string // identifies an instance that has no index; empty: Index does
 }
 
-// Snapshot says where a daemon saves its learned state, for its successor.
+// Snapshot configures the file in which a daemon saves its learned state, for its successor.
 type Snapshot struct {
 	Path     string        // of the file; empty: nothing is saved
 	Interval time.Duration // between two snapshots; there is one more at the end
 	MaxAge   time.Duration // an older snapshot is not used
 }
 
-// Limits bound what the process uses.
+// Limits bound the resources of the process.
 type Limits struct {
 	Memory          int64         // bytes
 	MaxConns        int           // clients' connections, over all listeners
 	StopTimeout     time.Duration // for draining
-	HandoverTimeout time.Duration // a successor that does not serve by then is ended
+	HandoverTimeout time.Duration // after which a successor that does not serve is ended
 }
 
 // Listener is an address at which clients are served.
@@ -72,14 +72,14 @@
 	MaxConns          int           // open at once, to all endpoints of the pool
 	ConnIdleTimeout   time.Duration // after which endpoints close an idle connection
 	DialTimeout       time.Duration
-	SlowStartCapacity float64 // of a new endpoint, as a share of a warm one's
+	SlowStartCapacity float64 // of a new endpoint, as a fraction of its full one
 	SlowStartWindow   time.Duration
 	SlowStartShare    float64 // see balancer.Settings.SlowStartShare
 	RetryBudget       balancer.RetryBudget
 	TiersBelow        int // see balancer.Settings.TiersBelow
 }
 
-// EndpointSource says where a pool's endpoints are listed. Exactly one field is set.
+// EndpointSource is the source of a pool's endpoint list. Exactly one field is set.
 type EndpointSource struct {
 	Static   []Endpoint
 	File     string // path of a JSON file
@@ -106,7 +106,7 @@
 
 // Policy bounds the requests of a route. balancer.Class documents most of its fields.
 type Policy struct {
-	ClientTimeout     time.Duration // how long clients wait that do not say so
+	ClientTimeout     time.Duration // of requests that name no deadline
 	RequestTimeout    time.Duration
 	AttemptTimeout    time.Duration // 0: the request's
 	MaxAttempts       int
@@ -120,7 +120,7 @@
 	TenantConcurrency int // 0: no limit
 }
 
-// RetryMode says after which failures another attempt may follow.
+// RetryMode limits the failures after which a request is retried.
 type RetryMode string
 
 // The retry modes, by their names in the file.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,7 +40,7 @@
     after = "300ms"
   }
 }
-pool "boxes" {
+pool "servers" {
   roster "static" {
     endpoint "a" {
       address = "127.0.0.1:9001"
@@ -53,12 +53,12 @@
 route "looks" {
   path  = "/look/*"
   class = "look"
-  pool  = "boxes"
+  pool  = "servers"
 }
 route "pays" {
   path  = "/pay"
   class = "pay"
-  pool  = "boxes"
+  pool  = "servers"
   policy {
     queue = 0
     rate  = "120/min"
@@ -68,7 +68,7 @@
   path    = "/book/*"
   methods = ["POST"]
   class   = "book"
-  pool    = "boxes"
+  pool    = "servers"
 }
 `
 
@@ -192,7 +192,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []string{`pool "boxes" changed`, `route "books" went`, `route "orders" came`, `route "pays" changed`}
+	want := []string{`pool "servers" changed`, `route "books" went`, `route "orders" came`, `route "pays" changed`}
 	if got := old.Compare(next); !slices.Equal(got, want) {
 		t.Errorf("%q", got)
 	}
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -88,7 +88,7 @@
 	return d
 }
 
-// decode decodes and validates the whole file. Blocks that refer to others are decoded after those.
+// decode decodes and validates the whole file. Blocks that refer to others are decoded after them.
 func (d *decoder) decode(body hcl.Body) {
 	var routes, pools []*hcl.Block
 	once := func(decode func(*hcl.Block)) func(*hcl.Block) {
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Values where the file sets none.
+// Values of attributes that the file does not set.
 const (
 	defaultMemory            = 192 << 20 // bytes
 	defaultMaxConns          = 1024
@@ -27,13 +27,13 @@
 	minStopTimeout      = time.Second
 	minSnapshotInterval = time.Second
 	minPoolConns        = 4
-	minSubset           = 3 // with fewer, a slow endpoint and one that restarts may be all there is
+	minSubset           = 3 // with 2, both may be impaired: one slow, the other restarting
 	maxSlowStartShare   = 4
 	minHedgePercentile  = 50
 	maxHedgePercentile  = 100 // exclusive
 )
 
-// What the process needs, in bytes.
+// Memory that the process needs, in bytes.
 const (
 	baseMemory    = 20 << 20 // without any connection
 	memoryPerConn = 12 << 10 // of an idle connection, as measured with 10,000
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -47,7 +47,7 @@
 }
 
 func (d *decoder) slowStart(b *hcl.Block, p *Pool) {
-	capacity := hcldecode.Share(p.SlowStartCapacity)
+	capacity := hcldecode.Fraction(p.SlowStartCapacity)
 	d.Body(b.Body, hcldecode.Fields{"from": &capacity, "within": &p.SlowStartWindow, "share": &p.SlowStartShare}, nil)
 	if p.SlowStartShare <= 0 || p.SlowStartShare > maxSlowStartShare {
 		d.Fault(b.DefRange, "warm_up: share %g is not above 0 and at most %d: "+
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -109,7 +109,7 @@
 	for _, r := range d.Routes {
 		pattern := r.Match.Host + " " + cmp.Or(r.Match.Path, "/*")
 		for _, other := range byPattern[pattern] {
-			if shareListener(r, other) && r.Match.Overlaps(other.Match) {
+			if haveCommonListener(r, other) && r.Match.Overlaps(other.Match) {
 				d.Fault(d.defined[blockKey("route", r.Name)],
 					"route %q overlaps route %q, at %s: some requests match both, and neither is more specific",
 					r.Name, other.Name, hcldecode.PlaceOf(d.defined[blockKey("route", other.Name)]))
@@ -119,8 +119,8 @@
 	}
 }
 
-// shareListener reports whether two routes are served at a common listener.
-func shareListener(a, b Route) bool {
+// haveCommonListener reports whether a listener serves both routes.
+func haveCommonListener(a, b Route) bool {
 	return len(a.Listeners) == 0 || len(b.Listeners) == 0 ||
 		slices.ContainsFunc(a.Listeners, func(name string) bool { return slices.Contains(b.Listeners, name) })
 }
--- a/internal/experiment/hclfile/expectations.go
+++ b/internal/experiment/hclfile/expectations.go
@@ -18,7 +18,7 @@
 // readExpectation reads a block of requirements.
 func (d *decoder) readExpectation(b *hcl.Block) {
 	x := expectation{position: b.DefRange}
-	var served, failed hcldecode.Share
+	var served, failed hcldecode.Fraction
 	d.Body(b.Body, hcldecode.Fields{"arm": &x.Variant, "rules_kept": &x.NoViolations, "served_in_time_over": &served,
 		"refused_or_failed_under": &failed, "attempts_under": &x.AttemptsBelow, "p99_under": &x.P99Below,
 		"fresh_peak_under": &x.WarmupPeakBelow, "resends_under": &x.RetriesBelow}, nil)
--- a/internal/experiment/hclfile/load.go
+++ b/internal/experiment/hclfile/load.go
@@ -15,8 +15,8 @@
 func (d *decoder) readLoad(b *hcl.Block) {
 	l := &d.experiment.Load
 	var rate hcldecode.Rate
-	var disconnect hcldecode.Share
-	minPatience := hcldecode.Share(1)
+	var disconnect hcldecode.Fraction
+	minPatience := hcldecode.Fraction(1)
 	process := string(l.Process)
 	ok := d.Body(b.Body, hcldecode.Fields{"rate": &rate, "process": &process, "recorded": &l.Recorded}, hcldecode.Blocks{
 		"step": func(b *hcl.Block) {
@@ -52,7 +52,7 @@
 		kinds := slices.Sorted(maps.Keys(experiment.FaultKinds))
 		d.Fault(b.LabelRanges[0], "fault: %q is not one of %s", string(f.Kind), hcldecode.Join(kinds))
 	}
-	fraction := hcldecode.Share(1)
+	fraction := hcldecode.Fraction(1)
 	d.Body(b.Body, hcldecode.Fields{"at!": &f.At, "for": &f.Duration, "tier": &f.Tier, "part": &fraction,
 		"size": &f.Size, "period": &f.Period, "count": &f.Count}, nil)
 	f.Fraction = float64(fraction)
--- a/internal/experiment/hclfile/site.go
+++ b/internal/experiment/hclfile/site.go
@@ -46,7 +46,7 @@
 
 func (d *decoder) readNetwork(b *hcl.Block) {
 	s := &d.experiment.Site
-	var jitter hcldecode.Share
+	var jitter hcldecode.Fraction
 	d.Body(b.Body, hcldecode.Fields{"delay": &s.NetworkDelay, "jitter": &jitter}, nil)
 	s.NetworkJitter = float64(jitter)
 }
@@ -62,7 +62,7 @@
 	c := experiment.Class{Name: b.Labels[0], TrafficShare: 1, PriorityWeight: 1, VariationCoefficient: 1}
 	idempotency := nameIdempotent
 	distribution := string(experiment.Exponential)
-	var hits hcldecode.Share
+	var hits hcldecode.Fraction
 	d.Body(b.Body, hcldecode.Fields{
 		"effect":    &idempotency,
 		"share":     &c.TrafficShare,
@@ -103,7 +103,7 @@
 	site := &d.experiment.Site
 	t := experiment.Tier{Name: b.Labels[0], WorkFraction: 1}
 	server := &t.Server
-	var initial, noise, errors hcldecode.Share
+	var initial, noise, errors hcldecode.Fraction
 	ok := d.Body(b.Body, hcldecode.Fields{"boxes!": &t.Servers, "work": &t.WorkFraction, "calls": &t.Calls,
 		"errors": &errors, "cancel_stops": &server.CancelStopsWork}, hcldecode.Blocks{
 		"kind name": func(b *hcl.Block) { t.Kinds = append(t.Kinds, d.readKind(b)) },
--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -111,7 +111,7 @@
 	work, duration                             []time.Duration
 	load                                       []float64
 	minRate, maxRate                           hcldecode.Rate
-	quiet, suspect                             hcldecode.Share
+	quiet, suspect                             hcldecode.Fraction
 }
 
 // readSearch reads a block "search".
--- a/internal/hcldecode/budget.go
+++ b/internal/hcldecode/budget.go
@@ -14,7 +14,7 @@
 
 // RetryBudget decodes a block "retry_budget".
 func (r *Reader) RetryBudget(b *hcl.Block, to *balancer.RetryBudget) {
-	var perRequest Share
+	var perRequest Fraction
 	var perSecond Rate
 	to.Burst = defaultBurst
 	ok := r.Body(b.Body, Fields{"share!": &perRequest, "floor": &perSecond, "most": &to.Burst}, nil)
--- a/internal/hcldecode/hcldecode.go
+++ b/internal/hcldecode/hcldecode.go
@@ -42,7 +42,7 @@
 // there was no fault: after one the values need no further checks, which would mostly find its
 // consequences.
 //
-// A value is a *time.Duration, *Size, *Rate, *Share, *float64, *int, *bool or *string, or a pointer
+// A value is a *time.Duration, *Size, *Rate, *Fraction, *float64, *int, *bool or *string, or a pointer
 // to a slice of uint64, float64, time.Duration or string. Body panics if it is of another type.
 func (r *Reader) Body(body hcl.Body, fields Fields, blocks Blocks) bool {
 	faultsBefore := len(r.Diags)
--- a/internal/hcldecode/hcldecode_test.go
+++ b/internal/hcldecode/hcldecode_test.go
@@ -54,7 +54,7 @@
 	checkValue(t, `"50/s"`, Rate(50))
 	checkValue(t, `"3000/min"`, Rate(50))
 	checkValue(t, `"7200/h"`, Rate(2))
-	checkValue(t, `0.25`, Share(0.25))
+	checkValue(t, `0.25`, Fraction(0.25))
 	checkValue(t, `1.5`, 1.5)
 	checkValue(t, `"3"`, 3) // variables set on the command line are strings
 	checkValue(t, `true`, true)
@@ -71,7 +71,7 @@
 	checkFault[Size](t, `64`, `must be a size with its unit, such as "128MiB"`)
 	checkFault[Size](t, `"64MB"`, `"64MB" is not a size; examples: "64KiB", "128MiB"`)
 	checkFault[Rate](t, `"50"`, `"50" is not a rate; examples: "50/s", "3000/min"`)
-	checkFault[Share](t, `1.5`, `1.5 is not between 0 and 1`)
+	checkFault[Fraction](t, `1.5`, `1.5 is not between 0 and 1`)
 	checkFault[float64](t, `-1`, `-1 is negative`)
 	checkFault[float64](t, `"many"`, `must be a number`)
 	checkFault[int](t, `1.5`, `1.5 is not a non-negative integer`)
--- a/internal/hcldecode/values.go
+++ b/internal/hcldecode/values.go
@@ -14,8 +14,8 @@
 // Rate is a number of times a second, written with its unit: "50/s", "3000/min" or "10/h".
 type Rate float64
 
-// Share is a number from 0 to 1.
-type Share float64
+// Fraction is a number from 0 to 1.
+type Fraction float64
 
 // Size is a number of bytes, written with its unit: "64KiB", "128MiB" or "2GiB".
 type Size int64
@@ -55,12 +55,12 @@
 		set(to, v.size)
 	case *Rate:
 		set(to, v.rate)
-	case *Share:
-		set(to, v.share)
+	case *Fraction:
+		set(to, v.fraction)
 	case *float64:
 		set(to, v.nonNegative)
 	case *int:
-		set(to, v.wholeNumber)
+		set(to, v.nonNegativeInt)
 	case *bool:
 		set(to, v.boolean)
 	case *string:
@@ -161,7 +161,7 @@
 	return x, ok
 }
 
-func (v value) wholeNumber() (int, bool) {
+func (v value) nonNegativeInt() (int, bool) {
 	x, ok := v.number()
 	if ok && (x != float64(int(x)) || x < 0) {
 		v.fault("%g is not a non-negative integer", x)
@@ -170,13 +170,13 @@
 	return int(x), ok
 }
 
-func (v value) share() (Share, bool) {
+func (v value) fraction() (Fraction, bool) {
 	x, ok := v.number()
 	if ok && (x < 0 || x > 1) {
 		v.fault("%g is not between 0 and 1", x)
 		return 0, false
 	}
-	return Share(x), ok
+	return Fraction(x), ok
 }
 
 func (v value) boolean() (bool, bool) {
