--- a/internal/config/faults_test.go
+++ b/internal/config/faults_test.go
@@ -134,7 +134,8 @@
 		`x.hcl:25:3: connections: a pool needs at least 4`},
 	{
 		"retry budget that allows no retry",
-		replaceInValid("pool \"servers\" {\n", "pool \"servers\" {\n  retry_budget {\n    share = 0.1\n    most = 0.5\n  }\n"),
+		replaceInValid("pool \"servers\" {\n",
+			"pool \"servers\" {\n  retry_budget {\n    share = 0.1\n    most = 0.5\n  }\n"),
 		`x.hcl:27:5: most: 0.5 allows no retry; the minimum is 1`,
 	},
 	{"admin interface not on loopback", validConfig + "admin {\n  listen = \"0.0.0.0:9901\"\n}\n",
--- a/internal/hcldecode/hcldecode.go
+++ b/internal/hcldecode/hcldecode.go
@@ -20,12 +20,12 @@
 	Places map[any]hcl.Range // by pointer to a value: the attribute that set it
 }
 
-// Fields maps the attributes of a body to pointers to their values. A name that ends in "!" is of a
+// Fields maps the attributes of a body to pointers to their values. A name that ends in "!" marks a
 // required attribute. See Reader.Body for the types of values.
 type Fields map[string]any
 
-// Blocks maps the types of a body's blocks to functions that decode them. The key "type name" is of
-// a block with one label.
+// Blocks maps the types of a body's blocks to functions that decode them. The key "type name" is
+// for blocks with one label.
 type Blocks map[string]func(b *hcl.Block)
 
 // Parse parses the text of a file that is called name in messages. Its error is a FaultList with
@@ -42,8 +42,9 @@
 // there was no fault: after one the values need no further checks, which would mostly find its
 // consequences.
 //
-// A value is a *time.Duration, *Size, *Rate, *Fraction, *float64, *int, *bool or *string, or a pointer
-// to a slice of uint64, float64, time.Duration or string. Body panics if it is of another type.
+// A value is a *time.Duration, *Size, *Rate, *Fraction, *float64, *int, *bool or *string, or a
+// pointer to a slice of uint64, float64, time.Duration or string. Body panics if it is of another
+// type.
 func (r *Reader) Body(body hcl.Body, fields Fields, blocks Blocks) bool {
 	faultsBefore := len(r.Diags)
 	schema, decoders := newSchema(fields, blocks)
