--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -50,7 +50,7 @@
 	tenants []balancer.Tenant
 }
 
-// endpointFilter passes on the part of the endpoint list that this instance sends to.
+// endpointFilter passes on this instance's subset of the endpoint list.
 type endpointFilter struct {
 	// mu is held from the filtering of an update until the update is delivered, so that no update
 	// overtakes another.
@@ -58,18 +58,18 @@
 	filter *subset.Filter
 }
 
-// reset forgets all endpoints, and filters for a part from now on.
-func (f *endpointFilter) reset(part subset.Part) {
+// reset forgets all endpoints, and filters for a subset from now on.
+func (f *endpointFilter) reset(spec subset.Spec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.filter = subset.NewFilter(part)
+	f.filter = subset.NewFilter(spec)
 }
 
-// setPart changes the part. The next update delivers what that changes.
-func (f *endpointFilter) setPart(part subset.Part) {
+// setSpec changes the subset. The next update delivers the change.
+func (f *endpointFilter) setSpec(spec subset.Spec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.filter.SetPart(part)
+	f.filter.SetSpec(spec)
 }
 
 // update passes what an update of the endpoint list changes for this instance to deliver.
@@ -180,31 +180,31 @@
 		p.source.set(&staleListError{p.restored.age})
 	}
 	p.filter.reset(p.subset())
-	p.filter.update(list, func(part proxy.EndpointList) {
-		p.proxy = proxy.New(p.balancerSettings(), part, p.options())
+	p.filter.update(list, func(list proxy.EndpointList) {
+		p.proxy = proxy.New(p.balancerSettings(), list, p.options())
 	})
 	if restored != nil {
 		p.proxy.Restore(restored.Learned, p.restored.age)
 	}
 }
 
-// subset returns which part of the endpoints this instance sends to.
-func (p *pool) subset() subset.Part {
+// subset returns the specification of this instance's subset of the endpoints.
+func (p *pool) subset() subset.Spec {
 	fleet := p.settings.fleet
-	part := subset.Part{Place: subset.Place(p.seed), Size: p.settings.config.Subset, Instances: fleet.Instances}
+	spec := subset.Spec{Position: subset.Position(p.seed), Size: p.settings.config.Subset, Instances: fleet.Instances}
 	switch {
 	case fleet.Name != "":
-		part.Place = subset.PlaceNamed(fleet.Name)
+		spec.Position = subset.PositionOfName(fleet.Name)
 	case fleet.Instances > 1: // a single instance may be one of several that do not know of each other
-		part.Place = subset.PlaceOf(fleet.Index)
+		spec.Position = subset.PositionOf(fleet.Index)
 	}
-	return part
+	return spec
 }
 
 // updateEndpoints applies an update of the endpoint list.
 func (p *pool) updateEndpoints(update proxy.EndpointList) {
-	p.filter.update(update, func(part proxy.EndpointList) {
-		p.proxy.UpdateEndpoints(part)
+	p.filter.update(update, func(list proxy.EndpointList) {
+		p.proxy.UpdateEndpoints(list)
 		p.source.set(nil)
 	})
 }
@@ -295,7 +295,7 @@
 		return
 	}
 	p.proxy.Configure(p.balancerSettings(), p.options())
-	p.filter.setPart(p.subset())
+	p.filter.setSpec(p.subset())
 	p.updateEndpoints(proxy.EndpointList{}) // delivers what the new subset changes
 	if !reflect.DeepEqual(old.config.Source, next.config.Source) {
 		p.updateEndpoints(staticEndpoints(next.config.Source)) // a source that is not static would make a new pool
--- a/internal/daemon/state_test.go
+++ b/internal/daemon/state_test.go
@@ -138,7 +138,7 @@
 // The filter delivers the part of an update that this instance sends to, and has all endpoints.
 func TestEndpointFilterDeliversItsPart(t *testing.T) {
 	var f endpointFilter
-	f.reset(subset.Part{Size: 3, Instances: 9})
+	f.reset(subset.Spec{Size: 3, Instances: 9})
 	list := proxy.EndpointList{Complete: true}
 	for i := range 9 {
 		list.Endpoints = append(list.Endpoints, proxy.Endpoint{ID: fmt.Sprint("e", i), Addr: "h:1"})
@@ -148,7 +148,7 @@
 	if len(delivered.Endpoints) != 3 || len(f.endpoints()) != 9 {
 		t.Errorf("%d endpoints delivered, %d known", len(delivered.Endpoints), len(f.endpoints()))
 	}
-	f.setPart(subset.Part{})
+	f.setSpec(subset.Spec{})
 	f.update(proxy.EndpointList{}, func(part proxy.EndpointList) { delivered = part })
 	if len(delivered.Endpoints) != 6 {
 		t.Errorf("%d endpoints delivered once the part is all, want the other 6", len(delivered.Endpoints))
--- a/internal/experiment/subsets/methods.go
+++ b/internal/experiment/subsets/methods.go
@@ -25,7 +25,7 @@
 
 // methods are what is compared, the daemon's first.
 var methods = []method{
-	{"ring, numbered", func(instances, size int) chooser { return filtered(instances, size, subset.PlaceOf) }},
+	{"ring, numbered", func(instances, size int) chooser { return filtered(instances, size, subset.PositionOf) }},
 	{"ring, named", func(instances, size int) chooser { return filtered(instances, size, namedPlace) }},
 	{"ring, forgetful", stateless(ringSubsets)},
 	{"rendezvous", stateless(rendezvousSubsets)},
@@ -39,17 +39,17 @@
 	}
 }
 
-func namedPlace(i int) subset.Place { return subset.PlaceNamed(memberName("instance", i)) }
+func namedPlace(i int) subset.Position { return subset.PositionOfName(memberName("instance", i)) }
 
 func memberName(kind string, i int) string { return kind + "-" + strconv.Itoa(i) }
 
 // filtered is the daemon's method: each instance has a filter, which keeps servers that have not
 // moved far on the ring.
-func filtered(instances, size int, place func(int) subset.Place) chooser {
+func filtered(instances, size int, place func(int) subset.Position) chooser {
 	filters := make([]*subset.Filter, instances)
 	subsets := make([]map[string]bool, instances)
 	for i := range filters {
-		filters[i], subsets[i] = subset.NewFilter(subset.Part{Place: place(i), Size: size}), map[string]bool{}
+		filters[i], subsets[i] = subset.NewFilter(subset.Spec{Position: place(i), Size: size}), map[string]bool{}
 	}
 	known := map[string]bool{}
 	return func(servers []string) [][]string {
@@ -97,7 +97,7 @@
 	}
 	out := make([][]string, instances)
 	for i := range out {
-		out[i] = r.From(subset.PlaceOf(i), size)
+		out[i] = r.From(subset.PositionOf(i), size)
 	}
 	return out
 }
--- a/internal/experiment/subsets/subsets.go
+++ b/internal/experiment/subsets/subsets.go
@@ -28,7 +28,7 @@
 
 // Measure compares the methods for a fleet.
 func Measure(instances, servers, size int) []Result {
-	size = subset.Part{Size: size, Instances: instances}.Of(servers)
+	size = subset.Spec{Size: size, Instances: instances}.SizeOf(servers)
 	var all []string
 	for i := range servers {
 		all = append(all, memberName("box", i))
@@ -107,8 +107,8 @@
 	for _, n := range instances {
 		for _, count := range servers {
 			results := Measure(n, count, size)
-			part := subset.Part{Size: size, Instances: n}.Of(count)
-			fmt.Fprintf(w, "%9d %6d %5d  %-15s %7s %7s %9.2f %9.2f\n", n, count, part, "(needed)", "", "",
+			subsetSize := subset.Spec{Size: size, Instances: n}.SizeOf(count)
+			fmt.Fprintf(w, "%9d %6d %5d  %-15s %7s %7s %9.2f %9.2f\n", n, count, subsetSize, "(needed)", "", "",
 				results[0].ReplacedNeeded, 0.0)
 			for _, r := range results {
 				fmt.Fprintf(w, "%9s %6s %5s  %-15s %7.2f %7.2f %9.2f %9.2f\n", "", "", "", r.Method, r.MinInstances,
--- a/internal/subset/filter.go
+++ b/internal/subset/filter.go
@@ -12,64 +12,64 @@
 // Filter turns the updates of an endpoint list into updates for one instance, with its subset of
 // the endpoints only.
 //
-// An endpoint that leaves the subset while it is ready is balancer.Removed to the instance: it gets
-// nothing new, and requests in flight end there. A draining endpoint of the subset stays known
-// until the list removes it, and another replaces it at once.
+// An endpoint that leaves the subset while it is ready is delivered as balancer.Removed: it gets no
+// new requests, and those in flight complete. A draining endpoint of the subset stays delivered
+// until the list removes it, and another endpoint replaces it at once.
 //
 // A Filter is not safe for concurrent use.
 type Filter struct {
-	part      Part
-	resized   bool            // since the latest update
-	added     map[string]bool // ready endpoints that are new since the latest update
-	ring      Ring            // ready endpoints
-	all       map[string]proxy.Endpoint
-	delivered map[string]proxy.Endpoint // as the instance knows them
+	spec        Spec
+	specChanged bool            // since the latest update
+	added       map[string]bool // ready endpoints that are new since the latest update
+	ring        Ring            // ready endpoints
+	all         map[string]proxy.Endpoint
+	delivered   map[string]proxy.Endpoint // as they were delivered to the instance
 }
 
-// Part says which subset of the endpoints an instance sends to.
-type Part struct {
-	Place     Place
+// Spec determines the subset of an instance.
+type Spec struct {
+	Position  Position
 	Size      int // endpoints; 0: all
-	Instances int // of the fleet, if known: subsets of few instances are larger, so that each endpoint is in some
+	Instances int // of the fleet, if known: with few instances, subsets are larger, so that they cover all endpoints
 }
 
-// minInstancesPerEndpoint is how many instances send to each endpoint, where the number of
-// instances is known.
+// minInstancesPerEndpoint is the number of subsets to which each endpoint belongs at least, if the
+// number of instances is known.
 const minInstancesPerEndpoint = 3
 
-// Of returns the size of the subset of n endpoints.
-func (p Part) Of(n int) int {
-	if p.Size == 0 {
+// SizeOf returns the size of the subset of n endpoints.
+func (s Spec) SizeOf(n int) int {
+	if s.Size == 0 {
 		return n
 	}
-	if p.Instances > 1 {
-		covering := (minInstancesPerEndpoint*n + p.Instances - 1) / p.Instances
-		return min(max(p.Size, covering), n)
+	if s.Instances > 1 {
+		covering := (minInstancesPerEndpoint*n + s.Instances - 1) / s.Instances
+		return min(max(s.Size, covering), n)
 	}
-	return min(p.Size, n)
+	return min(s.Size, n)
 }
 
-// NewFilter returns a filter that knows no endpoint yet.
-func NewFilter(p Part) *Filter {
+// NewFilter returns a filter without any endpoints.
+func NewFilter(s Spec) *Filter {
 	return &Filter{
-		part:      p,
+		spec:      s,
 		added:     map[string]bool{},
 		all:       map[string]proxy.Endpoint{},
 		delivered: map[string]proxy.Endpoint{},
 	}
 }
 
-// SetPart changes the subset. The result of the next Apply has what that changes.
-func (f *Filter) SetPart(p Part) {
-	f.resized = f.resized || p != f.part
-	f.part = p
+// SetSpec changes the subset. The change is part of the result of the next Apply.
+func (f *Filter) SetSpec(s Spec) {
+	f.specChanged = f.specChanged || s != f.spec
+	f.spec = s
 }
 
-// Apply takes an update of the endpoint list and returns the update for the instance. That is
-// complete if the update is.
+// Apply records an update of the endpoint list and returns the update for the instance, which is
+// complete if the other is.
 func (f *Filter) Apply(update proxy.EndpointList) proxy.EndpointList {
 	f.record(update)
-	if f.part.Size == 0 && !f.resized {
+	if f.spec.Size == 0 && !f.specChanged {
 		f.deliverAll(update)
 		return update
 	}
@@ -77,7 +77,7 @@
 	out := proxy.EndpointList{Complete: update.Complete, Unlisted: f.ring.Len() - len(selected)}
 	out.Endpoints = f.updateDelivered(selected, update.Complete)
 	out.Endpoints = append(out.Endpoints, f.deliverNew(selected)...)
-	if update.Complete { // which lists no endpoint that is gone
+	if update.Complete { // a complete list does not contain removed endpoints
 		out.Endpoints = slices.DeleteFunc(out.Endpoints, func(e proxy.Endpoint) bool { return e.State == balancer.Removed })
 	}
 	return out
@@ -121,7 +121,7 @@
 	f.all[e.ID] = e
 }
 
-// deliverAll records that an update is delivered as it is.
+// deliverAll records that an update is delivered unchanged.
 func (f *Filter) deliverAll(update proxy.EndpointList) {
 	clear(f.added)
 	if update.Complete {
@@ -129,24 +129,26 @@
 		return
 	}
 	for _, e := range update.Endpoints {
-		if f.delivered[e.ID] = e; e.State == balancer.Removed {
+		if e.State == balancer.Removed {
 			delete(f.delivered, e.ID)
+		} else {
+			f.delivered[e.ID] = e
 		}
 	}
 }
 
-// selectEndpoints returns the ids of the subset as it is now.
+// selectEndpoints returns the ids of the subset after the latest update.
 func (f *Filter) selectEndpoints() map[string]bool {
-	size := f.part.Of(f.ring.Len())
+	size := f.spec.SizeOf(f.ring.Len())
 	var ids []string
-	if f.resized {
-		ids = f.ring.From(f.part.Place, size)
+	if f.specChanged {
+		ids = f.ring.From(f.spec.Position, size)
 	} else {
 		isDelivered := func(id string) bool { _, ok := f.delivered[id]; return ok }
 		isAdded := func(id string) bool { return f.added[id] }
-		ids = f.ring.Select(f.part.Place, size, isDelivered, isAdded)
+		ids = f.ring.Select(f.spec.Position, size, isDelivered, isAdded)
 	}
-	f.resized = false
+	f.specChanged = false
 	clear(f.added)
 	selected := map[string]bool{}
 	for _, id := range ids {
@@ -155,20 +157,20 @@
 	return selected
 }
 
-// updateDelivered returns the endpoints that the instance knows and that have changed or are gone
-// for it; with complete also those that have not changed.
+// updateDelivered returns the delivered endpoints that have changed or are removed for the
+// instance; if complete, also those that have not changed.
 func (f *Filter) updateDelivered(selected map[string]bool, complete bool) []proxy.Endpoint {
 	var updates []proxy.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(f.delivered)) {
 		current, listed := f.all[id]
-		known := f.delivered[id]
+		last := f.delivered[id]
 		leftSubset := current.State == balancer.Ready && !selected[id]
 		switch {
 		case !listed || leftSubset:
-			known.State = balancer.Removed
-			updates = append(updates, known)
+			last.State = balancer.Removed
+			updates = append(updates, last)
 			delete(f.delivered, id)
-		case current != known || complete:
+		case current != last || complete:
 			updates = append(updates, current)
 			f.delivered[id] = current
 		}
@@ -176,11 +178,11 @@
 	return updates
 }
 
-// deliverNew returns the endpoints of the subset that the instance does not know yet.
+// deliverNew returns the endpoints of the subset that are not delivered yet.
 func (f *Filter) deliverNew(selected map[string]bool) []proxy.Endpoint {
 	var updates []proxy.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(selected)) {
-		if _, known := f.delivered[id]; !known {
+		if _, delivered := f.delivered[id]; !delivered {
 			updates = append(updates, f.all[id])
 			f.delivered[id] = f.all[id]
 		}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -13,6 +13,7 @@
 	"rowancart/internal/proxy"
 )
 
+// ringOf returns a ring of n endpoints.
 func ringOf(n int) *Ring {
 	var r Ring
 	for i := range n {
@@ -21,8 +22,8 @@
 	return &r
 }
 
-// subsetAt returns the subset of an instance with that place.
-func subsetAt(r *Ring, p Place, size int) map[string]bool {
+// subsetAt returns the subset of an instance at a position.
+func subsetAt(r *Ring, p Position, size int) map[string]bool {
 	ids := map[string]bool{}
 	for _, id := range r.From(p, size) {
 		ids[id] = true
@@ -32,44 +33,48 @@
 
 // The numbers of instances per endpoint differ by no more than the logarithm of all instances,
 // whatever the numbers: the discrepancy of the van der Corput sequence.
-func TestInstancesSpreadEvenly(t *testing.T) {
+func TestInstancesAreSpreadEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, instances := rapid.IntRange(1, 300).Draw(t, "endpoints"), rapid.IntRange(1, 300).Draw(t, "instances")
+		n := rapid.IntRange(1, 300).Draw(t, "endpoints")
+		instances := rapid.IntRange(1, 300).Draw(t, "instances")
 		size := rapid.IntRange(1, n).Draw(t, "size")
-		r, load := ringOf(n), map[string]int{}
+		r := ringOf(n)
+		instancesOf := map[string]int{}
 		for i := range instances {
-			ids := subsetAt(r, PlaceOf(i), size)
+			ids := subsetAt(r, PositionOf(i), size)
 			if len(ids) != size {
 				t.Fatalf("instance %d has %d endpoints", i, len(ids))
 			}
 			for id := range ids {
-				load[id]++
+				instancesOf[id]++
 			}
 		}
-		mean, tolerance := float64(instances*size)/float64(n), math.Log2(float64(instances))+2
+		mean := float64(instances*size) / float64(n)
+		tolerance := math.Log2(float64(instances)) + 2
 		for i := range n {
-			if got := float64(load[fmt.Sprintf("endpoint-%d", i)]); math.Abs(got-mean) > tolerance {
-				t.Fatalf("endpoint-%d has %g instances, %.1f in the mean", i, got, mean)
+			if got := float64(instancesOf[fmt.Sprintf("endpoint-%d", i)]); math.Abs(got-mean) > tolerance {
+				t.Fatalf("endpoint-%d has %g instances, mean %.1f", i, got, mean)
 			}
 		}
 	})
 }
 
-// Whatever the updates, an instance that sees only those of its filter knows exactly its subset of
-// the ready endpoints, and the draining ones that were in it.
+// After any updates, an instance that gets only those of its filter knows exactly its subset of the
+// ready endpoints, and the draining ones that were in it.
 func TestFilterDeliversTheSubset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 6).Draw(t, "size")
-		p := Part{Place: Place(rapid.Uint64().Draw(t, "place")), Size: size}
-		f := NewFilter(p)
-		listed, known := endpointMap{}, endpointMap{}
+		spec := Spec{Position: Position(rapid.Uint64().Draw(t, "position")), Size: size}
+		f := NewFilter(spec)
+		listed := endpointMap{}
+		known := endpointMap{}
 		for range rapid.IntRange(1, 20).Draw(t, "updates") {
 			update := drawUpdate(t)
 			listed = listed.apply(update)
-			if rapid.Bool().Draw(t, "resized") {
+			if rapid.Bool().Draw(t, "changed") {
 				size = rapid.IntRange(0, 6).Draw(t, "to")
-				p.Size = size
-				f.SetPart(p)
+				spec.Size = size
+				f.SetSpec(spec)
 			}
 			before := known
 			out := f.Apply(update)
@@ -78,13 +83,13 @@
 			ready := listed.count(balancer.Ready)
 			got := known.count(balancer.Ready)
 			if want := min(cmp.Or(size, ready), ready); got != want || out.Unlisted != ready-got {
-				t.Fatalf("%d ready endpoints of %d are known, %d are wanted; others %d", got, ready, want, out.Unlisted)
+				t.Fatalf("%d of %d ready endpoints are known, want %d; unlisted: %d", got, ready, want, out.Unlisted)
 			}
 		}
 	})
 }
 
-// endpointMap is a list of endpoints, by id.
+// endpointMap is an endpoint list, by id.
 type endpointMap map[string]proxy.Endpoint
 
 // apply returns the list after an update.
@@ -94,8 +99,10 @@
 		maps.Copy(next, m)
 	}
 	for _, e := range update.Endpoints {
-		if next[e.ID] = e; e.State == balancer.Removed {
+		if e.State == balancer.Removed {
 			delete(next, e.ID)
+		} else {
+			next[e.ID] = e
 		}
 	}
 	return next
@@ -130,80 +137,109 @@
 func checkKnown(t *rapid.T, listed, before, known endpointMap, size int) {
 	for id, e := range known {
 		if listed[id] != e {
-			t.Fatalf("%s is known as %v and is %v", id, e, listed[id])
+			t.Fatalf("%s is known as %v, but listed as %v", id, e, listed[id])
 		}
 		if _, wasKnown := before[id]; e.State != balancer.Ready && !wasKnown && size > 0 {
-			t.Fatalf("%s drains and was never in the subset", id)
+			t.Fatalf("%s is draining and was not in the subset", id)
 		}
 	}
 	for id, e := range before {
 		if _, isKnown := known[id]; !isKnown && listed[id].ID == id && listed[id].State == balancer.Draining {
-			t.Fatalf("%s, known as %v, drains and is forgotten", id, e)
+			t.Fatalf("%s, known as %v, is draining and no longer known", id, e)
 		}
 	}
 }
 
-// With three instances and 60 endpoints, subsets of 5 would leave most endpoints without an
-// instance.
+// With 3 instances and 60 endpoints, subsets of 5 would leave most endpoints without an instance.
 func TestSubsetsOfFewInstancesAreLarger(t *testing.T) {
-	for _, c := range []struct{ size, instances, endpoints, want int }{
-		{5, 3, 60, 60}, {5, 10, 60, 18}, {5, 100, 60, 5}, {5, 1, 60, 5}, {5, 100, 4, 4}, {0, 9, 60, 60},
+	for _, c := range []struct {
+		name                             string
+		size, instances, endpoints, want int
+	}{
+		{"few instances", 5, 3, 60, 60},
+		{"some instances", 5, 10, 60, 18},
+		{"many instances", 5, 100, 60, 5},
+		{"one instance", 5, 1, 60, 5},
+		{"few endpoints", 5, 100, 4, 4},
+		{"no subsets", 0, 9, 60, 60},
 	} {
-		if got := (Part{Size: c.size, Instances: c.instances}).Of(c.endpoints); got != c.want {
-			t.Errorf("%+v: %d", c, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := (Spec{Size: c.size, Instances: c.instances}).SizeOf(c.endpoints); got != c.want {
+				t.Errorf("got %d, want %d", got, c.want)
+			}
+		})
 	}
 }
 
-// Half of all endpoints are replaced one after another: subsets change by little more than they
-// must, and stay spread evenly.
-func TestRollingReplacementChangesFewSubsets(t *testing.T) {
-	const instances, n, size = 60, 120, 10
-	filters := make([]*Filter, instances)
-	subsets := make([]map[string]bool, instances)
-	moves := 0
-	apply := func(update proxy.EndpointList) {
-		for i, f := range filters {
-			for _, e := range f.Apply(update).Endpoints {
-				if e.State == balancer.Ready && !subsets[i][e.ID] {
-					subsets[i][e.ID] = true
-					moves++
-				} else if e.State == balancer.Removed {
-					delete(subsets[i], e.ID)
-				}
+// fleet is a set of instances, each with a filter and the ready endpoints that it knows.
+type fleet struct {
+	filters   []*Filter
+	subsets   []map[string]bool
+	additions int // of endpoints to subsets
+}
+
+// newFleet returns instances that have subsets of that size.
+func newFleet(instances, size int) *fleet {
+	f := &fleet{}
+	for i := range instances {
+		f.filters = append(f.filters, NewFilter(Spec{Position: PositionOf(i), Size: size}))
+		f.subsets = append(f.subsets, map[string]bool{})
+	}
+	return f
+}
+
+// apply passes an update to all instances.
+func (f *fleet) apply(endpoints ...proxy.Endpoint) {
+	for i, filter := range f.filters {
+		for _, e := range filter.Apply(proxy.EndpointList{Endpoints: endpoints}).Endpoints {
+			if e.State == balancer.Ready && !f.subsets[i][e.ID] {
+				f.subsets[i][e.ID] = true
+				f.additions++
+			} else if e.State == balancer.Removed {
+				delete(f.subsets[i], e.ID)
 			}
 		}
 	}
-	var all proxy.EndpointList
-	for i := range n {
-		all.Endpoints = append(all.Endpoints, proxy.Endpoint{ID: fmt.Sprintf("endpoint-%d", i)})
+}
+
+// instancesOf returns the number of instances of each endpoint.
+func (f *fleet) instancesOf() map[string]int {
+	instances := map[string]int{}
+	for _, ids := range f.subsets {
+		for id := range ids {
+			instances[id]++
+		}
 	}
-	for i := range filters {
-		filters[i], subsets[i] = NewFilter(Part{Place: PlaceOf(i), Size: size}), map[string]bool{}
+	return instances
+}
+
+// Half of all endpoints are replaced one after another: subsets change by little more than
+// necessary, and stay spread evenly.
+func TestRollingReplacementChangesFewSubsets(t *testing.T) {
+	const instances, n, size = 60, 120, 10
+	f := newFleet(instances, size)
+	var all []proxy.Endpoint
+	for i := range n {
+		all = append(all, proxy.Endpoint{ID: fmt.Sprintf("endpoint-%d", i)})
 	}
-	apply(all)
-	moves = 0
+	f.apply(all...)
+	f.additions = 0
 	for i := range n / 2 {
-		apply(proxy.EndpointList{Endpoints: []proxy.Endpoint{{ID: fmt.Sprintf("endpoint-%d", i), State: balancer.Removed}}})
-		apply(proxy.EndpointList{Endpoints: []proxy.Endpoint{{ID: fmt.Sprintf("new-%d", i)}}})
-	}
-	// Each replacement takes an endpoint from size of n instances and gives one to as many: two moves
-	// for each of them.
-	if must := instances * (n / 2) * 2 * size / n; moves > must*3/2 {
-		t.Errorf("%d moves, %d are needed", moves, must)
+		f.apply(proxy.Endpoint{ID: fmt.Sprintf("endpoint-%d", i), State: balancer.Removed})
+		f.apply(proxy.Endpoint{ID: fmt.Sprintf("new-%d", i)})
 	}
-	load := map[string]int{}
-	for _, ids := range subsets {
-		for id := range ids {
-			load[id]++
-		}
+	// Each replacement removes an endpoint from its instances, size*instances/n of them, which get
+	// another, and adds one to as many: two additions for each of them.
+	if needed := instances * (n / 2) * 2 * size / n; f.additions > needed*3/2 {
+		t.Errorf("%d additions, %d are needed", f.additions, needed)
 	}
-	if len(load) != n {
-		t.Errorf("%d of %d endpoints are in a subset", len(load), n)
+	instancesOf := f.instancesOf()
+	if len(instancesOf) != n {
+		t.Errorf("%d of %d endpoints are in a subset", len(instancesOf), n)
 	}
-	for id, got := range load {
+	for id, got := range instancesOf {
 		if got > 3*instances*size/n {
-			t.Errorf("%s is in %d subsets, %d in the mean", id, got, instances*size/n)
+			t.Errorf("%s is in %d subsets, mean %d", id, got, instances*size/n)
 		}
 	}
 }
