--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -54,12 +54,12 @@
 	isFirst := b.listedCount == 0
 	changed, started := b.mergeEndpointList(l)
 	b.updateSubset(changed) // the times of trials depend on the size of the subset
-	introduce := b.introduceEndpoint
-	if isFirst {
-		introduce = b.introduceFirstEndpoint
-	}
 	for _, e := range started {
-		introduce(now, e)
+		if isFirst {
+			b.introduceFirstEndpoint(now, e)
+		} else {
+			b.introduceEndpoint(now, e)
+		}
 	}
 	if isFirst {
 		b.limiter.limit = b.concurrencyLimitFor(b.fleetCount())
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -249,16 +249,26 @@
 // updateHeaps moves an endpoint to where it belongs in all heaps. It must be called after any
 // change of what they are ordered by.
 func (s *endpointSet) updateHeaps(e *endpoint) {
-	isActive := e.inSubset && e.active
-	isInactive := e.inSubset && !e.active
-	s.activeHeap.setMember(e, isActive)
-	s.trialHeap.setMember(e, isInactive)
-	e.kind.activeByWeight.setMember(e, isActive)
-	s.setCountedFailing(e, isInactive && e.inactiveReason == InactiveFailing)
+	switch {
+	case !e.inSubset:
+		s.activeHeap.remove(e)
+		e.kind.activeByWeight.remove(e)
+		s.trialHeap.remove(e)
+	case e.active:
+		s.trialHeap.remove(e)
+		s.activeHeap.put(e)
+		e.kind.activeByWeight.put(e)
+	default:
+		s.activeHeap.remove(e)
+		e.kind.activeByWeight.remove(e)
+		s.trialHeap.put(e)
+	}
+	s.updateFailingCount(e)
 }
 
-// setCountedFailing sets whether an endpoint is counted among those ejected for failures.
-func (s *endpointSet) setCountedFailing(e *endpoint, isFailing bool) {
+// updateFailingCount counts an endpoint while it is ejected for failures.
+func (s *endpointSet) updateFailingCount(e *endpoint) {
+	isFailing := e.inSubset && !e.active && e.inactiveReason == InactiveFailing
 	switch {
 	case isFailing && !e.countedFailing:
 		s.failingCount++
--- a/balancer/heap.go
+++ b/balancer/heap.go
@@ -18,15 +18,6 @@
 	endpoints []*endpoint
 }
 
-// setMember puts an endpoint where it belongs in the heap, or takes it out.
-func (h *endpointHeap) setMember(e *endpoint, isMember bool) {
-	if isMember {
-		h.put(e)
-	} else {
-		h.remove(e)
-	}
-}
-
 // put adds an endpoint, or moves one that is in the heap to where it belongs now.
 func (h *endpointHeap) put(e *endpoint) {
 	i := e.heapIndexes[h.slot] - 1
@@ -40,10 +31,14 @@
 
 // remove takes an endpoint out if it is in the heap.
 func (h *endpointHeap) remove(e *endpoint) {
-	i := e.heapIndexes[h.slot] - 1
-	if i < 0 {
-		return
+	if i := e.heapIndexes[h.slot] - 1; i >= 0 {
+		h.removeAt(i)
 	}
+}
+
+// removeAt takes the endpoint at an index out.
+func (h *endpointHeap) removeAt(i int) {
+	e := h.endpoints[i]
 	last := len(h.endpoints) - 1
 	h.swap(i, last)
 	h.endpoints[last] = nil
--- a/balancer/heap_test.go
+++ b/balancer/heap_test.go
@@ -22,7 +22,11 @@
 			e := rapid.SampledFrom(all).Draw(t, "endpoint")
 			e.deficit = float64(rapid.IntRange(0, 5).Draw(t, "deficit"))
 			member := rapid.Bool().Draw(t, "member")
-			heap.setMember(e, member)
+			if member {
+				heap.put(e)
+			} else {
+				heap.remove(e)
+			}
 			members = slices.DeleteFunc(members, func(m *endpoint) bool { return m == e })
 			if member {
 				members = append(members, e)
@@ -47,7 +51,7 @@
 func TestHeapVisitStopsWhereDescendReturnsFalse(t *testing.T) {
 	heap := endpointHeap{slot: trialHeapSlot, less: hasSoonerTrial}
 	for i := range 7 {
-		heap.setMember(&endpoint{trial: trialSchedule{nextAt: time.Duration(i)}, subsetIndex: i}, true)
+		heap.put(&endpoint{trial: trialSchedule{nextAt: time.Duration(i)}, subsetIndex: i})
 	}
 	visited := 0
 	heap.visit(0, func(e *endpoint) bool {
