--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -122,14 +122,10 @@
 func (c *conn) serveRequest() bool {
 	c.requestRead = false
 	r, err := c.readRequestHead()
-	var rejection *Rejection
-	if err != nil && !errors.As(err, &rejection) {
-		return false
+	if err != nil {
+		return c.rejectHead(r, err)
 	}
 	c.requestRead = true
-	if rejection != nil {
-		return c.reject(r, rejection)
-	}
 	body, rejection := c.readBody(r)
 	if rejection != nil {
 		return c.reject(r, rejection)
@@ -141,7 +137,18 @@
 	if rejection != nil {
 		return c.rejectUnread(r, body, rejection)
 	}
-	return c.forward(r, &target, body)
+	return c.forward(r, target, body)
+}
+
+// rejectHead handles an error of readRequestHead. It reports whether the connection can carry
+// another request.
+func (c *conn) rejectHead(r *http.Request, err error) bool {
+	var rejection *Rejection
+	if !errors.As(err, &rejection) {
+		return false
+	}
+	c.requestRead = true
+	return c.reject(r, rejection)
 }
 
 // serveHealthCheck responds to a health check of this process. The request's body, if any, is
@@ -165,7 +172,7 @@
 // forwarding is a routed request on its way through a pool.
 type forwarding struct {
 	request *http.Request
-	target  *Target
+	target  Target
 	body    receivedBody
 	message *proxy.RequestMessage
 	call    *proxy.Call
@@ -173,16 +180,16 @@
 }
 
 // forward passes a request to its pool and writes the pool's response.
-func (c *conn) forward(r *http.Request, target *Target, body receivedBody) bool {
+func (c *conn) forward(r *http.Request, target Target, body receivedBody) bool {
 	f := forwarding{request: r, target: target, body: body, outcome: Outcome{Result: proxy.Result{Kind: proxy.Failed}}}
 	if target.Done != nil {
 		defer func() { target.Done(f.outcome) }()
 	}
 	f.message = &proxy.RequestMessage{Body: body.data, Release: body.releaseData}
-	if rejection := c.server.completeMessage(f.message, r, target, body); rejection != nil {
+	if rejection := c.server.completeMessage(f.message, r, &f.target, body); rejection != nil {
 		return c.rejectUnread(r, body, rejection)
 	}
-	f.call = newCall(r, target, f.message, c.reader.arrivedAt)
+	f.call = newCall(r, &f.target, f.message, c.reader.arrivedAt)
 	// A request that has just been read may have waited in the kernel's queues, so its client may
 	// have disconnected already.
 	f.call.ClientDisconnected = c.isDisconnected
