--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -54,7 +54,7 @@
 		{"health", "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\nok\n"},
 		{"forwarded", "GET /form-lookup/a?b=c HTTP/1.1\r\nHost: h\r\nReq-Id: r00000000\r\n" +
 			"Req-Deadline-Ms: 5000\r\nReq-Owner: x\r\n\r\n", "\r\n\r\nhi"},
-		{"not plain", "GET /_health HTTP/1.1\r\nHost: h\r\nPragma: no-cache\r\n\r\n", "\r\n\r\nok\n"},
+		{"parsed by net/http", "GET /_health HTTP/1.1\r\nHost: h\r\nPragma: no-cache\r\n\r\n", "\r\n\r\nok\n"},
 	} {
 		b.Run(row.name, func(b *testing.B) {
 			client, _ := connectToServer(b, listenBenchmark(b))
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -168,8 +168,8 @@
 
 // Errors of requests whose method or body their class does not allow.
 var (
-	errNotPlainGet = errors.New("the class takes GET with no body")
-	errNotPost     = errors.New("the class takes POST")
+	errNotBodilessGet = errors.New("the class takes GET with no body")
+	errNotPost        = errors.New("the class takes POST")
 )
 
 // headerError is the error of a header whose value is missing, repeated or invalid.
@@ -184,12 +184,12 @@
 // checkMethod returns an error if a request does not have the form that its class requires: GET
 // without a body for idempotent requests, POST for all others.
 func (t *Target) checkMethod(method string, body receivedBody) error {
-	isPlainGet := method == http.MethodGet && body.isEmpty()
+	isBodilessGet := method == http.MethodGet && body.isEmpty()
 	switch {
 	case t.AnyMethod:
 		return nil
-	case t.Idempotency == balancer.Idempotent && !isPlainGet:
-		return errNotPlainGet
+	case t.Idempotency == balancer.Idempotent && !isBodilessGet:
+		return errNotBodilessGet
 	case t.Idempotency != balancer.Idempotent && method != http.MethodPost:
 		return errNotPost
 	}
--- a/internal/httpserver/request_test.go
+++ b/internal/httpserver/request_test.go
@@ -60,9 +60,9 @@
 		want   error
 	}{
 		{"GET of an idempotent class", Target{Idempotency: balancer.Idempotent}, http.MethodGet, empty, nil},
-		{"GET with a body", Target{Idempotency: balancer.Idempotent}, http.MethodGet, data, errNotPlainGet},
-		{"GET with a long body", Target{Idempotency: balancer.Idempotent}, http.MethodGet, streamed, errNotPlainGet},
-		{"POST of an idempotent class", Target{Idempotency: balancer.Idempotent}, http.MethodPost, empty, errNotPlainGet},
+		{"GET with a body", Target{Idempotency: balancer.Idempotent}, http.MethodGet, data, errNotBodilessGet},
+		{"GET with a long body", Target{Idempotency: balancer.Idempotent}, http.MethodGet, streamed, errNotBodilessGet},
+		{"POST of an idempotent class", Target{Idempotency: balancer.Idempotent}, http.MethodPost, empty, errNotBodilessGet},
 		{"POST of a keyed class", Target{Idempotency: balancer.IdempotencyKeyed}, http.MethodPost, data, nil},
 		{"GET of a keyed class", Target{Idempotency: balancer.IdempotencyKeyed}, http.MethodGet, empty, errNotPost},
 		{"GET of a non-idempotent class", Target{Idempotency: balancer.NonIdempotent}, http.MethodGet, empty, errNotPost},
