--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // listenBenchmark starts an endpoint that responds at once to each request of one connection, and
@@ -51,10 +53,11 @@
 
 func BenchmarkServe(b *testing.B) {
 	for _, row := range []struct{ name, head, last string }{
-		{"health", "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\nok\n"},
-		{"forwarded", "GET /form-lookup/a?b=c HTTP/1.1\r\nHost: h\r\nReq-Id: r00000000\r\n" +
-			"Req-Deadline-Ms: 5000\r\nReq-Owner: x\r\n\r\n", "\r\n\r\nhi"},
-		{"parsed by net/http", "GET /_health HTTP/1.1\r\nHost: h\r\nPragma: no-cache\r\n\r\n", "\r\n\r\nok\n"},
+		{"health", "GET " + platform.HealthPath + " HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\nok\n"},
+		{"forwarded", "GET /form-lookup/a?b=c HTTP/1.1\r\nHost: h\r\n" + platform.RequestIDHeader + ": r00000000\r\n" +
+			platform.DeadlineHeader + ": 5000\r\n" + platform.TenantHeader + ": x\r\n\r\n", "\r\n\r\nhi"},
+		{"parsed by net/http", "GET " + platform.HealthPath + " HTTP/1.1\r\nHost: h\r\nPragma: no-cache\r\n\r\n",
+			"\r\n\r\nok\n"},
 	} {
 		b.Run(row.name, func(b *testing.B) {
 			client, _ := connectToServer(b, listenBenchmark(b))
--- a/internal/httpserver/connection_test.go
+++ b/internal/httpserver/connection_test.go
@@ -3,6 +3,8 @@
 import (
 	"net/http"
 	"testing"
+
+	"rowancart/internal/platform"
 )
 
 // panickingRouter is a faulty router.
@@ -16,7 +18,8 @@
 func TestPanicIsAnsweredWithBadGateway(t *testing.T) {
 	inner := listen(t)
 	startServer(t, NewListener(inner, 10), panickingRouter{})
-	nc := connect(t, inner, "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Deadline-Ms: 1000\r\n\r\n")
+	nc := connect(t, inner, "GET /look HTTP/1.1\r\nHost: h\r\n"+
+		platform.RequestIDHeader+": r\r\n"+platform.DeadlineHeader+": 1000\r\n\r\n")
 	requireStatus(t, nc, http.StatusBadGateway)
 	requireStatus(t, connect(t, inner, healthRequest), http.StatusOK)
 }
--- a/internal/httpserver/response_test.go
+++ b/internal/httpserver/response_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"rowancart/balancer"
+	"rowancart/internal/platform"
 	"rowancart/internal/proxy"
 	"rowancart/internal/testpeer"
 )
@@ -102,7 +103,7 @@
 		{"GET", "/big", "Connection: close\r\n", 200, 9000, true},
 	} {
 		name, id := row.method+" "+row.path, "r"+string(rune('b'+i))
-		io.WriteString(client, name+" HTTP/1.1\r\nHost: h\r\nReq-Id: "+id+"\r\n"+row.fields+"\r\n")
+		io.WriteString(client, name+" HTTP/1.1\r\nHost: h\r\n"+platform.RequestIDHeader+": "+id+"\r\n"+row.fields+"\r\n")
 		if strings.Contains(row.fields, "Expect") {
 			expectContinue(t, in)
 			io.WriteString(client, "hi")
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // incompleteRequestLimit is how long after connecting a client that sends no complete request may
@@ -66,9 +68,9 @@
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	for name, text := range map[string]string{
 		"nothing":     "",
-		"half a head": "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\n",
-		"half a body": "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline-Ms: 6000\r\n" +
-			"Content-Length: 9\r\n\r\nhalf",
+		"half a head": "GET /look HTTP/1.1\r\nHost: h\r\n" + platform.RequestIDHeader + ": r1\r\n",
+		"half a body": "POST /pay HTTP/1.1\r\nHost: h\r\n" + platform.RequestIDHeader + ": r1\r\n" +
+			platform.DeadlineHeader + ": 6000\r\n" + "Content-Length: 9\r\n\r\nhalf",
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
