--- a/internal/hotrestart/presence_test.go
+++ b/internal/hotrestart/presence_test.go
@@ -59,8 +59,8 @@
 	first.Unregister()
 	expectPeerProcesses(t, "after the first has unregistered", third, PeerProcesses{})
 	third.Unregister()
-	if left, err := os.ReadDir(dir.path); err != nil || len(left) != 1 { // the directory of disabled endpoints
-		t.Errorf("left in the directory: %v, %v", left, err)
+	if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // the directory of disabled endpoints
+		t.Errorf("files in the directory: %v, %v", files, err)
 	}
 }
 
@@ -170,8 +170,8 @@
 		if _, err := dir.Register(time.Now()); err == nil {
 			t.Errorf("%s: no error", name)
 		}
-		if left, err := os.ReadDir(dir.path); err != nil || len(left) != 1 { // the directory of disabled endpoints
-			t.Errorf("%s: left in the directory: %v, %v", name, left, err)
+		if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // the directory of disabled endpoints
+			t.Errorf("%s: files in the directory: %v, %v", name, files, err)
 		}
 		dir.files = working
 		register(t, dir, 1).Unregister()
@@ -190,7 +190,7 @@
 		return os.Remove(path)
 	}
 	p.Unregister()
-	if left, err := os.ReadDir(dir.path); err != nil || len(left) != 1 { // the directory of disabled endpoints
-		t.Errorf("left in the directory: %v, %v", left, err)
+	if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // the directory of disabled endpoints
+		t.Errorf("files in the directory: %v, %v", files, err)
 	}
 }
--- a/internal/sidecar/serve.go
+++ b/internal/sidecar/serve.go
@@ -20,7 +20,7 @@
 	if !s.handover.waitForDisabledEndpoints(ctx.Done()) {
 		return nil
 	}
-	if s.handover.hasPeerProcess() { // the predecessor serves until this process has a list to serve with
+	if s.handover.hasPeerProcess() { // a predecessor serves until this process has the endpoint list
 		s.readiness.waitForList(ctx.Done())
 	}
 	s.handover.restoreSnapshot()
@@ -39,9 +39,9 @@
 }
 
 // backgroundTasks returns what runs concurrently with the server, each in a goroutine that Serve
-// starts. Each ends when the context of Serve's tasks does, after the last request:
+// starts and ends after the last request:
 //
-//   - the pool's timers: deadlines, retries and hedged requests
+//   - the maintenance of the pool's connections to endpoints, and the close of the pool
 //   - the watch on the platform's endpoint list
 //   - the check of the shared directory and the snapshots
 //   - the admin interface, if there is one
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -143,7 +143,7 @@
 		t.Errorf("the old file is %q, %v", now, err)
 	}
 	if files, err := os.ReadDir(filepath.Dir(path)); err != nil || len(files) != 2 {
-		t.Errorf("left in the directory: %v, %v", files, err)
+		t.Errorf("files in the directory: %v, %v", files, err)
 	}
 }
 
