--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -25,6 +25,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"rowancart/internal/faultproxy"
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -140,7 +141,7 @@
 
 // handle is an endpoint's handler that responds to a request with its id.
 func (o *outcomes) handle(nc net.Conn, r *http.Request, _ int) bool {
-	id := r.Header.Get("Req-Id")
+	id := r.Header.Get(platform.RequestIDHeader)
 	o.mu.Lock()
 	o.runs[id]++
 	o.mu.Unlock()
@@ -162,7 +163,7 @@
 		Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial},
 	}
 	r, _ := http.NewRequest(http.MethodPost, "http://front/x", http.NoBody)
-	r.Header.Set("Req-Id", id)
+	r.Header.Set(platform.RequestIDHeader, id)
 	resp, err := client.Do(r)
 	switch {
 	case err != nil && !connected.Load():
--- a/cmd/rowancart/handover_test.go
+++ b/cmd/rowancart/handover_test.go
@@ -16,6 +16,7 @@
 	"testing"
 	"time"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
@@ -160,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	r.Header.Set("Req-Id", id)
+	r.Header.Set(platform.RequestIDHeader, id)
 	resp, err := client.Do(r)
 	if err != nil {
 		return fmt.Errorf("request %s: %w", id, err)
@@ -177,7 +178,7 @@
 // serve. No request is lost.
 func TestHandoverLosesNoRequest(t *testing.T) {
 	endpoint := testpeer.StartEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
-		body := r.Header.Get("Req-Id")
+		body := r.Header.Get(platform.RequestIDHeader)
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		return true
 	})
--- a/cmd/sidecar/handover_test.go
+++ b/cmd/sidecar/handover_test.go
@@ -107,7 +107,7 @@
 	p := newTestPlatform(t)
 	for _, fd := range []string{"seven", "63"} {
 		config := filepath.Join(t.TempDir(), "config.json")
-		writeConfig(t, config, p.discovery)
+		writeConfig(t, config, configWithoutEndpoints(anyLoopbackAddr, p.discovery))
 		c := exec.Command(p.program)
 		c.Env = []string{
 			platform.EnvConfig + "=" + config,
@@ -116,7 +116,7 @@
 		}
 		out, err := c.CombinedOutput()
 		oneLine := strings.Count(string(out), "\n") == 1
-		if err == nil || !oneLine || !strings.HasPrefix(string(out), "sidecar: ROUTER_ACCEPT_FD: ") {
+		if err == nil || !oneLine || !strings.HasPrefix(string(out), "sidecar: "+platform.EnvAcceptFD+": ") {
 			t.Errorf("%s: %v, %q", fd, err, out)
 		}
 	}
@@ -159,21 +159,22 @@
 	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
-	const request = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 10000\r\n" +
-		"Content-Length: 4\r\n\r\nbody"
+	request := testpeer.Request{Method: http.MethodPost, Path: "/pay", ID: "r0", Deadline: 10 * time.Second, Body: "body"}
+	textLen := len(request.Text())
 	type partialRequest struct {
 		net.Conn
 		rest string
 	}
 	var partial []partialRequest
-	for i, sent := range []int{1, len(request) / 2, len(request) - 5, len(request) - 1} {
+	for i, sent := range []int{1, textLen / 2, textLen - 5, textLen - 1} {
 		conn, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(testTimeout))
-		text := strings.Replace(request, "ID", fmt.Sprint("r", i), 1)
+		request.ID = fmt.Sprint("r", i)
+		text := request.Text()
 		io.WriteString(conn, text[:sent])
 		partial = append(partial, partialRequest{Conn: conn, rest: text[sent:]})
 	}
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"fmt"
+	"encoding/json"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -18,6 +18,7 @@
 	"time"
 
 	"rowancart/internal/platform"
+	"rowancart/internal/testpeer"
 )
 
 const testTimeout = 20 * time.Second // no test should come near it
@@ -30,7 +31,7 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
 		if r.URL.RawQuery == "" {
-			io.WriteString(w, `{"version":1,"full":true,"servers":[]}`)
+			io.WriteString(w, testpeer.CompleteList(1))
 			return
 		}
 		w.(http.Flusher).Flush()
@@ -40,16 +41,32 @@
 	return s.Listener.Addr().String(), calls
 }
 
-// writeConfig writes a configuration with discovery at an address.
-func writeConfig(t *testing.T, path, discovery string) {
+// writeConfig writes a configuration file.
+func writeConfig(t *testing.T, path string, config platform.ConfigFile) {
 	t.Helper()
-	text := fmt.Sprintf(`{"name":"t","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
-		"known":{"version":1,"full":true,"servers":[]},"settings":{}}`, discovery)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	text, err := json.Marshal(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// anyLoopbackAddr lets the kernel choose a port.
+const anyLoopbackAddr = "127.0.0.1:0"
+
+// configWithoutEndpoints returns a configuration whose known endpoint list is empty.
+func configWithoutEndpoints(addr, discovery string) platform.ConfigFile {
+	return platform.ConfigFile{
+		Name:      "t",
+		Listen:    addr,
+		Discovery: discovery,
+		Seed:      "1",
+		Known:     platform.NewEndpointList(1, true),
+	}
+}
+
 // waitForCall waits until a fake discovery has been called.
 func waitForCall(t *testing.T, what string, called <-chan string) {
 	t.Helper()
@@ -97,7 +114,7 @@
 	first, firstCalled := startDiscovery(t)
 	second, secondCalled := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, first)
+	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, first))
 	ended := startProgram(t, path)
 	waitForCall(t, "the first discovery", firstCalled)
 
@@ -105,7 +122,7 @@
 		t.Fatal(err)
 	}
 	signalSelf(t, syscall.SIGHUP)
-	writeConfig(t, path, second)
+	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, second))
 	signalSelf(t, syscall.SIGHUP)
 	waitForCall(t, "the second discovery", secondCalled)
 
@@ -125,7 +142,7 @@
 	})
 	addr, called := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, addr)
+	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, addr))
 	ended := startProgram(t, path)
 	waitForCall(t, "discovery", called)
 	signalled := make(chan os.Signal, 1)
@@ -167,7 +184,7 @@
 	first, firstCalled := startDiscovery(t)
 	second, secondCalled := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, first)
+	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, first))
 	ended := startProgram(t, path)
 	waitForCall(t, "the first discovery", firstCalled)
 
@@ -176,7 +193,7 @@
 	}
 	signalSelf(t, syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond) // that the signal is handled first is likely; the test holds either way
-	writeConfig(t, path, second)
+	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, second))
 	waitForCall(t, "the second discovery", secondCalled)
 	signalSelf(t, syscall.SIGTERM)
 	requireCleanEnd(t, ended)
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -93,18 +93,32 @@
 	return b.text.String()
 }
 
+// config returns the configuration of the sidecar.
+func (p *testPlatform) config() platform.ConfigFile {
+	const latencyObjective = 2 * time.Second
+	return platform.ConfigFile{
+		Name:      "t",
+		Listen:    p.addr,
+		Discovery: p.discovery,
+		Seed:      "1",
+		Limits:    platform.ConfigLimits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		Settings: platform.SettingsObject{
+			Classes: []platform.ClassSettings{
+				{Name: "look", Repeatability: platform.RepeatabilityIdempotent,
+					LatencyObjectiveUs: latencyObjective.Microseconds()},
+				{Name: "pay", Repeatability: platform.RepeatabilityNonIdempotent,
+					LatencyObjectiveUs: latencyObjective.Microseconds()},
+			},
+			Permissions: platform.Permissions{CancelAllowed: true, MaxAttempts: 4},
+		},
+	}
+}
+
 // start starts a process and waits until its admin interface listens. It may not be ready yet.
 func (p *testPlatform) start(t *testing.T) *sidecarProcess {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1",
-		"limits":{"cores":1,"memory_mb":64,"sockets":256},
-		"settings":{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
-			{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],
-		"Permissions":{"MayCancel":true,"TryLimit":4}}}`, p.addr, p.discovery)
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeConfig(t, config, p.config())
 	s := &sidecarProcess{Cmd: exec.Command(p.program), exited: make(chan error, 1)}
 	s.Env = []string{
 		platform.EnvConfig + "=" + config,
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -9,13 +9,14 @@
 	"sync/atomic"
 	"testing"
 
+	"rowancart/internal/platform"
 	"rowancart/internal/testpeer"
 )
 
 func TestRoutingAndCompleteResponses(t *testing.T) {
 	var id atomic.Value
 	one := testpeer.StartEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
-		id.Store(r.Header.Get("Req-Id"))
+		id.Store(r.Header.Get(platform.RequestIDHeader))
 		io.WriteString(nc, "HTTP/1.1 201 Made\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nhere")
 		return true
 	})
@@ -41,7 +42,7 @@
 	}{
 		{http.MethodGet, "/a/b", nil, http.StatusNotFound},
 		{http.MethodGet, "/a/x", []string{"X-Tier", "gold"}, http.StatusNotFound},
-		{http.MethodGet, "/a/x", []string{"Req-Deadline-Ms", "soon"}, http.StatusBadRequest},
+		{http.MethodGet, "/a/x", []string{platform.DeadlineHeader, "soon"}, http.StatusBadRequest},
 		{http.MethodGet, "/a/../b", nil, http.StatusBadRequest},
 		{http.MethodGet, "/c", nil, http.StatusNotFound},
 	} {
@@ -81,18 +82,18 @@
 	var requests sync.WaitGroup
 	for _, owner := range []string{"a", "b"} {
 		requests.Go(func() {
-			if status := s.request(http.MethodGet, "/all", "Req-Owner", owner).status; status != http.StatusOK {
+			if status := s.request(http.MethodGet, "/all", platform.TenantHeader, owner).status; status != http.StatusOK {
 				t.Errorf("%s: %d", owner, status)
 			}
 		})
 		<-e.arrived
-		got := s.request(http.MethodGet, "/all", "Req-Owner", owner)
+		got := s.request(http.MethodGet, "/all", platform.TenantHeader, owner)
 		if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, "tenant concurrency") ||
 			got.header.Get("Retry-After") == "" {
 			t.Errorf("%s again: %d %q", owner, got.status, got.body)
 		}
 	}
-	got := s.request(http.MethodGet, "/all", "Req-Owner", "c")
+	got := s.request(http.MethodGet, "/all", platform.TenantHeader, "c")
 	if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, "route concurrency") {
 		t.Errorf("a third: %d %q", got.status, got.body)
 	}
--- a/internal/experiment/testbed/violation_test.go
+++ b/internal/experiment/testbed/violation_test.go
@@ -162,7 +162,7 @@
 		http.Error(w, "no proper body", http.StatusBadRequest)
 		return
 	}
-	if r.URL.Path == "/_health" {
+	if r.URL.Path == platform.HealthPath {
 		return
 	}
 	ms, err := strconv.Atoi(r.Header.Get(platform.DeadlineHeader))
