--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -63,7 +63,7 @@
 		Listen:    addr,
 		Discovery: discovery,
 		Seed:      "1",
-		Known:     platform.NewEndpointList(1, true),
+		Known:     platform.CompleteList(1),
 	}
 }
 
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -125,10 +125,10 @@
 		Listen:    addr,
 		Discovery: discovery,
 		Seed:      "1",
-		Known:     platform.NewEndpointList(1, true, testpeer.Listed("a", hanging.Addr().String(), platform.StateReady)),
+		Known:     platform.CompleteList(1, testpeer.Listed("a", hanging.Addr().String(), platform.StateReady)),
 		Settings: platform.SettingsObject{Classes: []platform.ClassSettings{{
 			Name:               "pay",
-			Repeatability:      platform.RepeatabilityNonIdempotent,
+			Idempotency:        platform.NonIdempotent,
 			LatencyObjectiveUs: (900 * time.Millisecond).Microseconds(),
 			MaxDeadlineUs:      deadline.Microseconds(),
 		}}},
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -104,9 +104,9 @@
 		Limits:    platform.ConfigLimits{Cores: 1, MemoryMB: 64, Sockets: 256},
 		Settings: platform.SettingsObject{
 			Classes: []platform.ClassSettings{
-				{Name: "look", Repeatability: platform.RepeatabilityIdempotent,
+				{Name: "look", Idempotency: platform.Idempotent,
 					LatencyObjectiveUs: latencyObjective.Microseconds()},
-				{Name: "pay", Repeatability: platform.RepeatabilityNonIdempotent,
+				{Name: "pay", Idempotency: platform.NonIdempotent,
 					LatencyObjectiveUs: latencyObjective.Microseconds()},
 			},
 			Permissions: platform.Permissions{CancelAllowed: true, MaxAttempts: 4},
--- a/internal/experiment/roundrobin/roundrobin_test.go
+++ b/internal/experiment/roundrobin/roundrobin_test.go
@@ -26,13 +26,13 @@
 	if addr := e.next(); addr != "" {
 		t.Errorf("without endpoints: %q", addr)
 	}
-	e.apply(platform.NewEndpointList(1, true, endpoint("a", platform.StateReady), endpoint("b", platform.StateReady),
+	e.apply(platform.CompleteList(1, endpoint("a", platform.StateReady), endpoint("b", platform.StateReady),
 		endpoint("c", platform.StateDraining)))
 	expect("complete list", "addr-a", "addr-b")
-	e.apply(platform.NewEndpointList(2, false, endpoint("a", platform.StateDraining), endpoint("c", platform.StateReady),
+	e.apply(platform.Changes(2, endpoint("a", platform.StateDraining), endpoint("c", platform.StateReady),
 		endpoint("d", platform.StateReady)))
 	expect("changes", "addr-b", "addr-c", "addr-d")
-	e.apply(platform.NewEndpointList(3, true, endpoint("d", platform.StateReady)))
+	e.apply(platform.CompleteList(3, endpoint("d", platform.StateReady)))
 	expect("second complete list", "addr-d")
 	if e.version != 3 {
 		t.Errorf("version %d, want 3", e.version)
--- a/internal/experiment/speed/config.go
+++ b/internal/experiment/speed/config.go
@@ -22,7 +22,7 @@
 			MemoryMB: sidecarMemoryMB,
 			Sockets:  sidecarSockets + 2*o.IdleConnections,
 		},
-		Known:    platform.NewEndpointList(1, true, listedEndpoints(servers)...),
+		Known:    platform.CompleteList(1, listedEndpoints(servers)...),
 		Settings: sidecarSettings(),
 	})
 }
@@ -52,9 +52,9 @@
 	const latencyObjective, connIdle = time.Second, 30 * time.Second
 	return platform.SettingsObject{
 		Classes: []platform.ClassSettings{
-			{Name: "get", Repeatability: platform.RepeatabilityIdempotent,
+			{Name: "get", Idempotency: platform.Idempotent,
 				LatencyObjectiveUs: latencyObjective.Microseconds()},
-			{Name: "post", Repeatability: platform.RepeatabilityNonIdempotent,
+			{Name: "post", Idempotency: platform.NonIdempotent,
 				LatencyObjectiveUs: latencyObjective.Microseconds()},
 		},
 		Permissions: platform.Permissions{ConnIdleUs: connIdle.Microseconds(), MaxAttempts: 3, CancelAllowed: true},
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -99,7 +99,7 @@
 func (d *discoveryServer) snapshot() platform.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return platform.NewEndpointList(int64(d.version), true, d.current...)
+	return platform.CompleteList(int64(d.version), d.current...)
 }
 
 // serve answers a poll with the complete list, or a watch with changes as they come.
@@ -131,7 +131,7 @@
 		changes, version, changed := d.changesAfter(after)
 		line := []byte("\n")
 		if len(changes) > 0 {
-			line = append(platform.NewEndpointList(int64(version), false, changes...).Text(), '\n')
+			line = append(platform.Changes(int64(version), changes...).Text(), '\n')
 		}
 		after = version
 		if _, err := w.Write(line); err != nil || flusher.Flush() != nil {
--- a/internal/experiment/testbed/settings.go
+++ b/internal/experiment/testbed/settings.go
@@ -35,7 +35,7 @@
 			ConnIdleUs:        server.ConnIdleTimeout.Microseconds(),
 			DialTimeoutUs:     sidecarDialTime.Microseconds(),
 		},
-		Rules: platform.EndpointBehaviour{
+		Rules: platform.EndpointBehavior{
 			SlowStartCapacity: server.InitialCapacity,
 			SlowStartWindowUs: server.WarmupTime.Microseconds(),
 			SlowStartShare:    variant.SlowStartShare,
@@ -58,13 +58,13 @@
 func classSettings(classes []experiment.Class) []platform.ClassSettings {
 	var settings []platform.ClassSettings
 	for _, c := range classes {
-		repeatability := platform.RepeatabilityIdempotent
+		idempotency := platform.Idempotent
 		if c.Repeat == balancer.NonIdempotent {
-			repeatability = platform.RepeatabilityNonIdempotent
+			idempotency = platform.NonIdempotent
 		}
 		settings = append(settings, platform.ClassSettings{
 			Name:               c.Name,
-			Repeatability:      repeatability,
+			Idempotency:        idempotency,
 			KeyScope:           platform.KeyScopeAll,
 			LatencyObjectiveUs: c.LatencyObjective.Microseconds(),
 			MaxDeadlineUs:      c.Deadline.Microseconds(),
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -17,7 +17,7 @@
 //	Gone                   removed
 //	weight                 weight (not used)
 //	Lanes                  classes
-//	Semantics              repeatability
+//	Semantics              idempotency
 //	  read_like              idempotent
 //	  idempotency_key        idempotent with a key
 //	  non_idempotent         non-idempotent
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -50,9 +50,19 @@
 	Endpoints []Endpoint `json:"servers"`
 }
 
-// NewEndpointList returns a message that is valid without endpoints, too, if the endpoints are.
-func NewEndpointList(version int64, complete bool, endpoints ...Endpoint) EndpointList {
-	return EndpointList{Version: &version, Complete: complete, Endpoints: append([]Endpoint{}, endpoints...)}
+// CompleteList returns the message with the complete list of a version.
+func CompleteList(version int64, endpoints ...Endpoint) EndpointList {
+	list := Changes(version, endpoints...)
+	list.Complete = true
+	return list
+}
+
+// Changes returns the message with the entries that have changed up to a version.
+func Changes(version int64, endpoints ...Endpoint) EndpointList {
+	return EndpointList{
+		Version:   &version,
+		Endpoints: append([]Endpoint{}, endpoints...), // a message without endpoints has an empty array
+	}
 }
 
 // Text returns the message as discovery sends it.
--- a/internal/platform/endpointlist_test.go
+++ b/internal/platform/endpointlist_test.go
@@ -10,7 +10,7 @@
 }
 
 func TestParseEndpointList(t *testing.T) {
-	text := NewEndpointList(3, true, listed("a", "127.0.0.1:1", StateReady), listed("b", "", StateRemoved)).Text()
+	text := CompleteList(3, listed("a", "127.0.0.1:1", StateReady), listed("b", "", StateRemoved)).Text()
 	list, err := ParseEndpointList(text)
 	if err != nil {
 		t.Fatal(err)
@@ -26,8 +26,8 @@
 	for field, text := range map[string]string{
 		"version": `{"full":false,"servers":[]}`,
 		"servers": `{"version":42,"full":true}`,
-		"state":   string(NewEndpointList(42, false, listed("a", "127.0.0.1:1", "Asleep")).Text()),
-		"id":      string(NewEndpointList(42, false, listed("", "127.0.0.1:1", StateReady)).Text()),
+		"state":   string(Changes(42, listed("a", "127.0.0.1:1", "Asleep")).Text()),
+		"id":      string(Changes(42, listed("", "127.0.0.1:1", StateReady)).Text()),
 	} {
 		_, err := ParseEndpointList([]byte(text))
 		var invalid *FieldError
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -37,9 +37,9 @@
 		read    EndpointList // without what is only written
 	}{
 		"list": {goldenList,
-			NewEndpointList(7, true, weighted(ready, 1), weighted(draining, 0.5)), NewEndpointList(7, true, ready, draining)},
-		"change":     {goldenChange, NewEndpointList(8, false, removed), NewEndpointList(8, false, removed)},
-		"empty list": {goldenEmptyList, NewEndpointList(0, true), NewEndpointList(0, true)},
+			CompleteList(7, weighted(ready, 1), weighted(draining, 0.5)), CompleteList(7, ready, draining)},
+		"change":     {goldenChange, Changes(8, removed), Changes(8, removed)},
+		"empty list": {goldenEmptyList, CompleteList(0), CompleteList(0)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := string(test.written.Text()); got != test.text {
@@ -83,11 +83,11 @@
 		Tier:      1,
 		Tiers:     []string{"front", "middle", "back"},
 		Classes: []ClassSettings{
-			{Name: "look", Repeatability: RepeatabilityIdempotent, KeyScope: KeyScopeAll, LatencyObjectiveUs: 1,
+			{Name: "look", Idempotency: Idempotent, KeyScope: KeyScopeAll, LatencyObjectiveUs: 1,
 				MaxDeadlineUs: 2, PriorityWeight: WriteOnly[float64]{5}},
-			{Name: "pay", Repeatability: RepeatabilityKeyed, KeyScope: KeyScopeZone, LatencyObjectiveUs: 3,
+			{Name: "pay", Idempotency: IdempotencyKeyed, KeyScope: KeyScopeZone, LatencyObjectiveUs: 3,
 				MaxDeadlineUs: 4, KeyWindowUs: 6},
-			{Name: "book", Repeatability: RepeatabilityNonIdempotent, KeyScope: KeyScopeCell, LatencyObjectiveUs: 7,
+			{Name: "book", Idempotency: NonIdempotent, KeyScope: KeyScopeCell, LatencyObjectiveUs: 7,
 				MaxDeadlineUs: 8},
 		},
 		Tenants:      []TenantSettings{{Name: "erie", Quota: 2.5, TrafficShare: WriteOnly[float64]{0.25}}},
@@ -102,7 +102,7 @@
 			ConnIdleUs:         11,
 			DialTimeoutUs:      12,
 		},
-		Rules: EndpointBehaviour{
+		Rules: EndpointBehavior{
 			PollIntervalUs:    13,
 			SlowStartWindowUs: 14,
 			DrainGraceUs:      15,
@@ -165,7 +165,7 @@
 		AdminAddr: "127.0.0.1:3",
 		Seed:      "1f",
 		Limits:    ConfigLimits{Cores: 0.5, MemoryMB: 64, Sockets: 128},
-		Known:     NewEndpointList(0, true),
+		Known:     CompleteList(0),
 		Settings:  goldenSettingsObject(),
 	}
 	text, err := json.Marshal(file)
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -90,15 +90,15 @@
 func (c ClassSettings) parse() (balancer.Class, error) {
 	class := balancer.Class{Name: c.Name, KeyWindow: microseconds(c.KeyWindowUs),
 		LatencyObjective: microseconds(c.LatencyObjectiveUs)}
-	switch c.Repeatability {
-	case RepeatabilityIdempotent:
+	switch c.Idempotency {
+	case Idempotent:
 		class.Idempotency = balancer.Idempotent
-	case RepeatabilityKeyed:
+	case IdempotencyKeyed:
 		class.Idempotency = balancer.IdempotencyKeyed
-	case RepeatabilityNonIdempotent:
+	case NonIdempotent:
 		class.Idempotency = balancer.NonIdempotent
 	default:
-		return class, fmt.Errorf("class %q has unknown Semantics %q", c.Name, c.Repeatability)
+		return class, fmt.Errorf("class %q has unknown Semantics %q", c.Name, c.Idempotency)
 	}
 	switch c.KeyScope {
 	case KeyScopeAll, "":
--- a/internal/platform/settingsobject.go
+++ b/internal/platform/settingsobject.go
@@ -3,16 +3,16 @@
 // SettingsObject is the JSON form of the settings, under the platform's names. Times are in
 // microseconds.
 type SettingsObject struct {
-	Instances    int               `json:"NInstances"`
-	Index        int               `json:"Me"`
-	Tier         int               `json:"Tier"`
-	Tiers        []string          `json:"Tiers"`
-	Classes      []ClassSettings   `json:"Lanes"`
-	Tenants      []TenantSettings  `json:"Accounts"`
-	Discovery    string            `json:"Discovery"` // a discovery mode
-	ResolutionUs int64             `json:"ResolutionUs"`
-	Permissions  Permissions       `json:"Permissions"`
-	Rules        EndpointBehaviour `json:"Rules"`
+	Instances    int              `json:"NInstances"`
+	Index        int              `json:"Me"`
+	Tier         int              `json:"Tier"`
+	Tiers        []string         `json:"Tiers"`
+	Classes      []ClassSettings  `json:"Lanes"`
+	Tenants      []TenantSettings `json:"Accounts"`
+	Discovery    string           `json:"Discovery"` // a discovery mode
+	ResolutionUs int64            `json:"ResolutionUs"`
+	Permissions  Permissions      `json:"Permissions"`
+	Rules        EndpointBehavior `json:"Rules"`
 }
 
 // Discovery modes.
@@ -24,7 +24,7 @@
 // ClassSettings are the settings of one class of requests.
 type ClassSettings struct {
 	Name               string             `json:"Name"`
-	Repeatability      string             `json:"Semantics"`
+	Idempotency        string             `json:"Semantics"`
 	KeyScope           string             `json:"Group"`
 	LatencyObjectiveUs int64              `json:"OnTimeUs"`
 	MaxDeadlineUs      int64              `json:"HardLimitUs"`
@@ -32,11 +32,11 @@
 	PriorityWeight     WriteOnly[float64] `json:"Credit"`
 }
 
-// Values of ClassSettings.Repeatability.
+// Values of ClassSettings.Idempotency.
 const (
-	RepeatabilityIdempotent    = "read_like"
-	RepeatabilityKeyed         = "idempotency_key"
-	RepeatabilityNonIdempotent = "non_idempotent"
+	Idempotent       = "read_like"
+	IdempotencyKeyed = "idempotency_key"
+	NonIdempotent    = "non_idempotent"
 )
 
 // Values of ClassSettings.KeyScope: among which endpoints an idempotency key is known.
@@ -64,8 +64,8 @@
 	DialTimeoutUs      int64           `json:"DialTimeoutUs"`
 }
 
-// EndpointBehaviour is what a sidecar can rely on in endpoints and discovery.
-type EndpointBehaviour struct {
+// EndpointBehavior is what a sidecar can rely on in endpoints and discovery.
+type EndpointBehavior struct {
 	PollIntervalUs    int64   `json:"AskWithinUs"`
 	SlowStartWindowUs int64   `json:"ColdUs"`
 	DrainGraceUs      int64   `json:"DrainGraceUs"`
--- a/internal/soak/sidecars_test.go
+++ b/internal/soak/sidecars_test.go
@@ -41,23 +41,23 @@
 // comes soon.
 func settings(index int) platform.SettingsObject {
 	const latencyObjective = 600 * time.Millisecond
-	class := func(name, repeatability string) platform.ClassSettings {
+	class := func(name, idempotency string) platform.ClassSettings {
 		return platform.ClassSettings{
 			Name:               name,
-			Repeatability:      repeatability,
+			Idempotency:        idempotency,
 			LatencyObjectiveUs: latencyObjective.Microseconds(),
 			MaxDeadlineUs:      longestDeadline.Microseconds(),
 		}
 	}
-	book := class("book", platform.RepeatabilityKeyed)
+	book := class("book", platform.IdempotencyKeyed)
 	book.KeyScope = platform.KeyScopeAll
 	book.KeyWindowUs = keyWindow.Microseconds()
 	return platform.SettingsObject{
 		Instances: sidecarCount,
 		Index:     index,
 		Classes: []platform.ClassSettings{
-			class("look", platform.RepeatabilityIdempotent),
-			class("pay", platform.RepeatabilityNonIdempotent),
+			class("look", platform.Idempotent),
+			class("pay", platform.NonIdempotent),
 			book,
 		},
 		Permissions: platform.Permissions{
@@ -68,7 +68,7 @@
 			DialTimeoutUs:     (250 * time.Millisecond).Microseconds(),
 			ConnIdleUs:        (3 * time.Second).Microseconds(),
 		},
-		Rules: platform.EndpointBehaviour{
+		Rules: platform.EndpointBehavior{
 			SlowStartCapacity: initialShare,
 			SlowStartWindowUs: warmupDuration.Microseconds(),
 			DrainGraceUs:      drainGrace.Microseconds(),
--- a/internal/testpeer/discovery.go
+++ b/internal/testpeer/discovery.go
@@ -22,12 +22,12 @@
 
 // CompleteList returns the complete endpoint list as discovery sends it.
 func CompleteList(version int64, endpoints ...platform.Endpoint) string {
-	return string(platform.NewEndpointList(version, true, endpoints...).Text())
+	return string(platform.CompleteList(version, endpoints...).Text())
 }
 
 // Changes returns changes of the endpoint list as discovery sends them.
 func Changes(version int64, endpoints ...platform.Endpoint) string {
-	return string(platform.NewEndpointList(version, false, endpoints...).Text())
+	return string(platform.Changes(version, endpoints...).Text())
 }
 
 // ScriptedDiscovery is a fake discovery that responds to each call with its next step. After the
--- a/internal/testpeer/fakediscovery.go
+++ b/internal/testpeer/fakediscovery.go
@@ -147,7 +147,7 @@
 func (d *FakeDiscovery) completeList() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return listLine(platform.NewEndpointList(d.version, true, d.endpointsAfterLocked(0)...))
+	return listLine(platform.CompleteList(d.version, d.endpointsAfterLocked(0)...))
 }
 
 // endpointsAfterLocked returns the endpoints that have changed after a version, in the order of
@@ -185,7 +185,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.version > w.version && d.epoch == w.epoch {
-		line = listLine(platform.NewEndpointList(d.version, false, d.endpointsAfterLocked(w.version)...))
+		line = listLine(platform.Changes(d.version, d.endpointsAfterLocked(w.version)...))
 	}
 	w.version = max(w.version, d.version)
 	return line, d.changed
