--- /dev/null
+++ b/cmd/rowancart/labrun.go
@@ -0,0 +1,158 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"rowancart/internal/experiment/hclfile"
+	"rowancart/internal/experiment/report"
+	"rowancart/internal/experiment/runner"
+)
+
+// errMissed is the error of a complete run that did not meet the expectations of its file.
+var errMissed = errors.New("the results do not meet the expectations of the experiment file")
+
+// labRunFlags are the flags of lab run.
+type labRunFlags struct {
+	virtual   bool
+	seed      uint64
+	variant   string
+	set       []string
+	jsonFile  string
+	reportDir string
+	root      string
+}
+
+func newLabRun() *cobra.Command {
+	var flags labRunFlags
+	cmd := &cobra.Command{
+		Use:   "run FILE",
+		Short: "Play an experiment and report on it",
+		Long: `Play an experiment and report on it.
+
+The exit status is 0 if all that the file expects came out, else 1. An interrupt ends every program that was started
+and still reports what had been measured.`,
+		Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error { return flags.run(cmd, args[0]) },
+	}
+	f := cmd.Flags()
+	f.BoolVar(&flags.virtual, "virtual", false, "play in virtual time, or with =false on sockets, whatever the file says")
+	f.Uint64Var(&flags.seed, "seed", 0, "play this seed only")
+	f.StringVar(&flags.variant, "arm", "", "play this arm only")
+	f.StringArrayVar(&flags.set, "set", nil, "give a variable of the file another value: KEY=VALUE")
+	f.StringVar(&flags.jsonFile, "json", "", "write the figures to this file")
+	f.StringVar(&flags.reportDir, "report", "", "write a page and the figures into this folder")
+	f.StringVar(&flags.root, "root", "",
+		"the repository whose deploy file starts the sidecar (default: the one around the working folder)")
+	return cmd
+}
+
+// run runs the experiment of a file and writes the reports.
+func (flags *labRunFlags) run(cmd *cobra.Command, path string) error {
+	values, err := assignments(flags.set)
+	if err != nil {
+		return err
+	}
+	points, err := hclfile.Load(path, values)
+	if err != nil {
+		return err
+	}
+	options, err := flags.options(cmd, points[0].Virtual)
+	if err != nil {
+		return err
+	}
+	display := newProgressDisplay(cmd.ErrOrStderr())
+	options.Progress = display.show
+	r, err := runner.Run(cmd.Context(), points, options)
+	display.finish()
+	if err != nil {
+		return err
+	}
+	if err := flags.write(cmd.OutOrStdout(), r); err != nil {
+		return err
+	}
+	switch {
+	case r.Stopped != "":
+		return errors.New(r.Stopped)
+	case len(r.Missed) > 0:
+		return errMissed
+	}
+	return nil
+}
+
+// options returns the options of a run. Virtual is the setting of the file, which a flag overrides.
+func (flags *labRunFlags) options(cmd *cobra.Command, virtual bool) (runner.Options, error) {
+	o := runner.Options{Virtual: virtual, Variant: flags.variant, Root: flags.root}
+	if cmd.Flags().Changed("virtual") {
+		o.Virtual = flags.virtual
+	}
+	if cmd.Flags().Changed("seed") {
+		o.Seeds = []uint64{flags.seed}
+	}
+	if o.Virtual {
+		return o, nil
+	}
+	var err error
+	if o.Self, err = os.Executable(); err != nil {
+		return o, err
+	}
+	if o.Root == "" {
+		o.Root, err = repository()
+	}
+	return o, err
+}
+
+// write writes the report in each form that a flag selects.
+func (flags *labRunFlags) write(w io.Writer, r *report.Report) error {
+	r.Text(w)
+	if flags.jsonFile != "" {
+		if err := r.WriteJSON(flags.jsonFile); err != nil {
+			return err
+		}
+	}
+	if flags.reportDir != "" {
+		if err := r.Write(flags.reportDir); err != nil {
+			return err
+		}
+		fmt.Fprintln(w, "\nreport:", filepath.Join(flags.reportDir, "index.html"))
+	}
+	return nil
+}
+
+// assignments parses KEY=VALUE arguments.
+func assignments(set []string) (map[string]string, error) {
+	out := map[string]string{}
+	for _, s := range set {
+		key, value, ok := strings.Cut(s, "=")
+		if !ok || key == "" {
+			return nil, fmt.Errorf("--set %s: must be KEY=VALUE", s)
+		}
+		out[key] = value
+	}
+	return out, nil
+}
+
+// repository returns the nearest directory, from the working directory upwards, that has a deploy
+// file.
+func repository() (string, error) {
+	dir, err := os.Getwd()
+	if err != nil {
+		return "", err
+	}
+	for {
+		if _, err := os.Stat(filepath.Join(dir, "deploy", "balancer.toml")); err == nil {
+			return dir, nil
+		}
+		parent := filepath.Dir(dir)
+		if parent == dir {
+			return "", errors.New("no deploy/balancer.toml here or above: run within the repository, or name it with --root")
+		}
+		dir = parent
+	}
+}
--- a/cmd/rowancart/main.go
+++ b/cmd/rowancart/main.go
@@ -15,8 +15,8 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run returns the exit status: 0 if all is well, exitFailure if something failed or an expectation
-// was missed.
+// run executes a command and returns the exit status: 0, or exitFailure if the command failed or
+// the results of an experiment do not meet its expectations.
 func run(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/cmd/rowancart/root.go
+++ b/cmd/rowancart/root.go
@@ -36,11 +36,11 @@
 	return root
 }
 
-// newLogger returns a logger with the format and the least level of the flags.
+// newLogger returns a logger for the values of --log-format and --log-level.
 func newLogger(w io.Writer, format, level string) (*slog.Logger, error) {
 	var minLevel slog.Level
 	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
-		return nil, fmt.Errorf("--log-level: %q is none of debug, info, warn, error", level)
+		return nil, fmt.Errorf("--log-level: %q is not one of debug, info, warn, error", level)
 	}
 	options := &slog.HandlerOptions{Level: minLevel}
 	switch format {
@@ -49,7 +49,7 @@
 	case "json":
 		return slog.New(slog.NewJSONHandler(w, options)), nil
 	}
-	return nil, fmt.Errorf("--log-format: %q is none of text, json", format)
+	return nil, fmt.Errorf("--log-format: %q is not one of text, json", format)
 }
 
 // version describes the build as the Go toolchain recorded it.
@@ -58,7 +58,8 @@
 	if !ok {
 		return "rowancart, of an unknown version"
 	}
-	revision, modified := "an unrecorded revision", ""
+	revision := "an unrecorded revision"
+	modified := ""
 	for _, setting := range info.Settings {
 		switch {
 		case setting.Key == "vcs.revision":
--- a/cmd/rowancart/search.go
+++ b/cmd/rowancart/search.go
@@ -22,7 +22,7 @@
 	return cmd
 }
 
-// progressEvery is how many sites are run between two reports of progress.
+// progressEvery is the number of sites between two reports of progress.
 const progressEvery = 100
 
 func newSearchRun(seed *uint64) *cobra.Command {
@@ -44,17 +44,18 @@
 				return err
 			}
 			if o.Out == "" {
-				return errors.New("--out: a file for the results is wanted")
+				return errors.New("--out: a file for the results is required")
 			}
-			o.Seed, o.To = *seed, o.From+sites
-			show, finish := progress(cmd.ErrOrStderr())
+			o.Seed = *seed
+			o.To = o.From + sites
+			display := newProgressDisplay(cmd.ErrOrStderr())
 			o.Progress = func(done, all int) {
 				if done%progressEvery == 0 || done == all {
-					show(done, all, 0)
+					display.show(done, all, 0)
 				}
 			}
 			err = search.Run(cmd.Context(), b, o)
-			finish()
+			display.finish()
 			return err
 		},
 	}
@@ -65,7 +66,8 @@
 }
 
 func newSearchReport(seed *uint64) *cobra.Command {
-	worst, plotFile := 10, ""
+	worst := 10 // sites
+	var plotFile string
 	cmd := &cobra.Command{
 		Use:   "report BOUNDS RESULTS...",
 		Short: "Tell on how many sites the design is behind, by how much, and describe the worst",
@@ -89,11 +91,7 @@
 			if plotFile == "" {
 				return nil
 			}
-			f, err := os.Create(plotFile)
-			if err != nil {
-				return err
-			}
-			return errors.Join(search.Plot(f, args[1:], all), f.Close())
+			return plotRegret(plotFile, args[1:], all)
 		},
 	}
 	cmd.Flags().IntVar(&worst, "worst", worst, "sites that are described")
@@ -101,6 +99,15 @@
 	return cmd
 }
 
+// plotRegret writes a plot of the summaries, which have these labels, into a file.
+func plotRegret(path string, labels []string, summaries []search.Summary) error {
+	f, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	return errors.Join(search.Plot(f, labels, summaries), f.Close())
+}
+
 func newSearchShow(seed *uint64) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show BOUNDS SITE",
@@ -113,7 +120,7 @@
 			}
 			n, err := strconv.Atoi(args[1])
 			if err != nil {
-				return fmt.Errorf("%q is no number of a site", args[1])
+				return fmt.Errorf("%q is not the number of a site", args[1])
 			}
 			return search.Show(cmd.Context(), cmd.OutOrStdout(), b, *seed, n)
 		},
--- a/cmd/rowancart/speed.go
+++ b/cmd/rowancart/speed.go
@@ -22,25 +22,7 @@
 machine that others use, only their ratios mean something.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var err error
-			if o.Self, err = os.Executable(); err != nil {
-				return err
-			}
-			if o.Dir, err = os.MkdirTemp("", "rowancart-speed"); err != nil {
-				return err
-			}
-			defer os.RemoveAll(o.Dir)
-			if o.Sidecar == "" {
-				o.Sidecar = filepath.Join(o.Dir, "sidecar")
-				if err := buildSidecar(cmd, o.Sidecar); err != nil {
-					return err
-				}
-			}
-			results, err := speed.Run(cmd.Context(), o)
-			if err != nil {
-				return err
-			}
-			return speed.Text(cmd.OutOrStdout(), results)
+			return measureSpeed(cmd, o)
 		},
 	}
 	f := cmd.Flags()
@@ -57,6 +39,32 @@
 	return cmd
 }
 
+// measureSpeed measures in a temporary directory and prints the results. It builds the sidecar if
+// the options have none.
+func measureSpeed(cmd *cobra.Command, o speed.Options) error {
+	var err error
+	o.Self, err = os.Executable()
+	if err != nil {
+		return err
+	}
+	o.Dir, err = os.MkdirTemp("", "rowancart-speed")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(o.Dir)
+	if o.Sidecar == "" {
+		o.Sidecar = filepath.Join(o.Dir, "sidecar")
+		if err := buildSidecar(cmd, o.Sidecar); err != nil {
+			return err
+		}
+	}
+	results, err := speed.Run(cmd.Context(), o)
+	if err != nil {
+		return err
+	}
+	return speed.Text(cmd.OutOrStdout(), results)
+}
+
 // buildSidecar builds the platform's program from the repository around the working directory.
 func buildSidecar(cmd *cobra.Command, path string) error {
 	root, err := repository()
@@ -64,7 +72,8 @@
 		return err
 	}
 	build := exec.CommandContext(cmd.Context(), "go", "build", "-o", path, "./cmd/sidecar")
-	build.Dir, build.Stderr = root, cmd.ErrOrStderr()
+	build.Dir = root
+	build.Stderr = cmd.ErrOrStderr()
 	return build.Run()
 }
 
--- a/cmd/rowancart/subsets.go
+++ b/cmd/rowancart/subsets.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 
 	"github.com/spf13/cobra"
 
@@ -9,7 +10,9 @@
 )
 
 func newSubsets() *cobra.Command {
-	instances, servers, size := []int{10, 100, 1000}, []int{10, 100, 1000, 10000}, 20
+	instances := []int{10, 100, 1000}
+	servers := []int{10, 100, 1000, 10000}
+	size := 20
 	cmd := &cobra.Command{
 		Use:   "subsets",
 		Short: "Measure ways to choose which boxes each instance of a fleet sends to",
@@ -21,9 +24,9 @@
 instances are few, parts are larger than asked for, so that each box has three instances.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, n := range append(append([]int{size}, instances...), servers...) {
+			for _, n := range slices.Concat([]int{size}, instances, servers) {
 				if n < 1 {
-					return errors.New("instances, boxes and part are numbers from 1 on")
+					return errors.New("--instances, --boxes and --part must be at least 1")
 				}
 			}
 			subsets.Report(cmd.OutOrStdout(), instances, servers, size)
