--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -73,18 +73,9 @@
 
 func (in *instance) start(t *testing.T, program string) {
 	t.Helper()
-	logReader, stderr, err := os.Pipe()
-	if err != nil {
-		t.Fatal(err)
-	}
 	in.cmd = exec.Command(program, "serve", in.config)
 	in.startedAt = time.Now()
-	in.cmd.Stderr = stderr
-	if err := in.cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	stderr.Close()
-	in.log = followLog(logReader)
+	in.log = startProgram(t, in.cmd)
 }
 
 // fleet is a number of instances that reach their endpoints through fault proxies.
--- a/cmd/rowancart/handover_test.go
+++ b/cmd/rowancart/handover_test.go
@@ -63,18 +63,9 @@
 	d := &replaceableDaemon{program: linkProgram(t, dir), socket: filepath.Join(dir, "front")}
 	config := filepath.Join(dir, "rowancart.hcl")
 	writeFile(t, config, fmt.Sprintf(replaceableConfig, d.socket, filepath.Join(dir, "state"), endpoint))
-	logReader, stderr, err := os.Pipe()
-	if err != nil {
-		t.Fatal(err)
-	}
 	d.first = exec.Command(d.program, "serve", config)
-	d.first.Stderr = stderr
 	d.first.Env = append(os.Environ(), "PATH="+dir+":"+os.Getenv("PATH")) // the program is found by its bare name, too
-	if err := d.first.Start(); err != nil {
-		t.Fatal(err)
-	}
-	stderr.Close()
-	d.log = followLog(logReader)
+	d.log = startProgram(t, d.first)
 	d.current = d.first.Process
 	t.Cleanup(func() {
 		_ = d.current.Kill()
--- a/cmd/rowancart/harness_test.go
+++ b/cmd/rowancart/harness_test.go
@@ -7,6 +7,7 @@
 	"net"
 	"net/http"
 	"os"
+	"os/exec"
 	"path/filepath"
 	"regexp"
 	"strconv"
@@ -23,6 +24,23 @@
 	ended chan struct{} // closed when all of the processes have ended
 }
 
+// startProgram starts a command and follows its log.
+func startProgram(t *testing.T, cmd *exec.Cmd) *logFollower {
+	t.Helper()
+	logReader, stderr, err := os.Pipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	cmd.Stderr = stderr
+	err = cmd.Start()
+	stderr.Close() // of this process: the log ends with the processes that have inherited it
+	if err != nil {
+		t.Fatal(err)
+	}
+	return followLog(logReader)
+}
+
+// followLog returns a logFollower of the lines that it reads.
 func followLog(r io.Reader) *logFollower {
 	f := &logFollower{ended: make(chan struct{})}
 	go func() {
@@ -70,7 +88,7 @@
 	return findProcess(t, f.wait(t, n, `msg="handover completed" pid=(\d+)`))
 }
 
-// findProcess returns the process of an id.
+// findProcess returns the process with an id.
 func findProcess(t *testing.T, pid string) *os.Process {
 	t.Helper()
 	id, err := strconv.Atoi(pid)
@@ -106,7 +124,7 @@
 	}}
 }
 
-// writeFile writes a file that only the test's processes read.
+// writeFile writes a file for the processes of the test.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/cmd/rowancart/supervisor_test.go
+++ b/cmd/rowancart/supervisor_test.go
@@ -19,7 +19,7 @@
 	"rowancart/internal/testpeer"
 )
 
-var fleetKills = flag.Int("fleet.kills", 60, "kills of instances and of the supervisor in the supervisor's test")
+var fleetKills = flag.Int("fleet.kills", 60, "kills of instances and of the supervisor")
 
 // supervisedInstanceConfig has the address of the endpoint.
 const supervisedInstanceConfig = `admin {
@@ -78,24 +78,15 @@
 // startSupervisor starts a supervisor of a fleet whose file is in the parent of folder.
 func startSupervisor(t *testing.T, program, folder string, instances int) *supervisorProcess {
 	t.Helper()
-	logReader, stderr, err := os.Pipe()
-	if err != nil {
-		t.Fatal(err)
-	}
 	file := filepath.Join(filepath.Dir(folder), "fleet.hcl")
 	s := &supervisorProcess{cmd: exec.Command(program, "fleet", file), folder: folder, instances: instances}
-	s.cmd.Stderr = stderr
-	if err := s.cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	stderr.Close()
-	s.log = followLog(logReader)
+	s.log = startProgram(t, s.cmd)
 	s.log.wait(t, instances, `msg="instance (?:adopted|started)"()`) // it handles SIGTERM by then
 	return s
 }
 
-// pids returns the instances' processes as the supervisor has saved them; 0 for one that does not
-// run.
+// pids returns the process ids of the instances as the supervisor has saved them; 0 for an instance
+// that does not run.
 func (s *supervisorProcess) pids() []int {
 	var state struct{ Instances []struct{ Pid int } }
 	if _, err := snapshot.Read(filepath.Join(s.folder, "fleet.state"), time.Now(), time.Hour, &state); err != nil {
@@ -108,7 +99,7 @@
 	return pids
 }
 
-// allHealthy reports whether all instances run and answer their health checks.
+// allHealthy reports whether all instances run and are healthy.
 func (s *supervisorProcess) allHealthy() bool {
 	pids := s.pids()
 	if len(pids) != s.instances {
@@ -122,6 +113,7 @@
 	return true
 }
 
+// isHealthy reports whether the admin interface of an instance says that it is healthy.
 func (s *supervisorProcess) isHealthy(i int) bool {
 	transport := unixTransport(filepath.Join(s.folder, fmt.Sprintf("admin-%d.sock", i)))
 	transport.DisableKeepAlives = true
@@ -144,10 +136,19 @@
 	}
 }
 
-// countRunning returns how many of the processes run.
-func countRunning(pids map[int]bool) int {
+// pidSet is a set of process ids.
+type pidSet map[int]bool
+
+func (p pidSet) add(pids []int) {
+	for _, pid := range pids {
+		p[pid] = true
+	}
+}
+
+// countRunning returns the number of processes that run.
+func (p pidSet) countRunning() int {
 	running := 0
-	for pid := range pids {
+	for pid := range p {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		_, state, _ := strings.Cut(string(stat), ") ")
 		if err == nil && !strings.HasPrefix(state, "Z") { // zombies wait for init
@@ -157,18 +158,36 @@
 	return running
 }
 
-// Seeded kills of instances and of the supervisor itself: after each, all eight serve again, and at
-// the end no process of any of them is left.
-func TestASupervisorBringsBackWhatIsKilledAndLeavesNothing(t *testing.T) {
+// kill kills the supervisor, but not its instances.
+func (s *supervisorProcess) kill() {
+	s.cmd.Process.Signal(syscall.SIGKILL)
+	s.cmd.Wait()
+}
+
+// stop stops the supervisor and its instances.
+func (s *supervisorProcess) stop(t *testing.T) {
+	t.Helper()
+	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.cmd.Wait(); err != nil {
+		t.Errorf("the supervisor ends with %v", err)
+	}
+}
+
+// Seeded kills of instances and of the supervisor itself: after each, all eight instances are
+// healthy again, and after the supervisor is stopped none of their processes runs.
+func TestSupervisorRestartsKilledInstancesAndLeavesNoProcesses(t *testing.T) {
 	const instances = 8
 	kills := *fleetKills
 	endpoint := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	dir := t.TempDir()
 	program := linkProgram(t, dir)
-	file, folder := filepath.Join(dir, "fleet.hcl"), filepath.Join(dir, "run")
+	file := filepath.Join(dir, "fleet.hcl")
+	folder := filepath.Join(dir, "run")
 	writeFile(t, filepath.Join(dir, "instance.hcl"), fmt.Sprintf(supervisedInstanceConfig, endpoint.Addr))
 	writeFile(t, file, fmt.Sprintf(supervisorConfig, instances))
-	seen := map[int]bool{} // pids of instances
+	seen := pidSet{} // of instances
 	s := startSupervisor(t, program, folder, instances)
 	t.Cleanup(func() {
 		_ = s.cmd.Process.Kill()
@@ -177,34 +196,25 @@
 		}
 	})
 	checkSecondSupervisor(t, program, file)
-	rng, supervisorKills := rand.New(rand.NewPCG(11, 0)), 0
+	rng := rand.New(rand.NewPCG(11, 0))
+	supervisorKills := 0
 	for k := range kills {
 		testpeer.WaitUntil(t, fmt.Sprintf("all %d healthy before kill %d", instances, k+1), s.allHealthy)
 		pids := s.pids()
-		for _, pid := range pids {
-			seen[pid] = true
-		}
-		if rng.IntN(6) == 0 { // the supervisor: the next one adopts what runs
+		seen.add(pids)
+		if rng.IntN(6) == 0 { // the supervisor: the next one adopts its instances
 			supervisorKills++
-			s.cmd.Process.Signal(syscall.SIGKILL)
-			s.cmd.Wait()
+			s.kill()
 			s = startSupervisor(t, program, folder, instances)
 			continue
 		}
 		syscall.Kill(pids[rng.IntN(instances)], syscall.SIGKILL)
 	}
 	testpeer.WaitUntil(t, "all healthy after the last kill", s.allHealthy)
-	for _, pid := range s.pids() {
-		seen[pid] = true
-	}
-	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := s.cmd.Wait(); err != nil {
-		t.Errorf("the supervisor ends with %v", err)
-	}
-	if left := countRunning(seen); left > 0 {
-		t.Errorf("%d of %d instances' processes are left", left, len(seen))
+	seen.add(s.pids())
+	s.stop(t)
+	if running := seen.countRunning(); running > 0 {
+		t.Errorf("%d of %d processes of instances still run", running, len(seen))
 	}
 	t.Logf("%d kills, %d of them of the supervisor; %d processes of instances in all", kills, supervisorKills, len(seen))
 }
