--- a/cmd/rowancart/fleet.go
+++ b/cmd/rowancart/fleet.go
@@ -13,14 +13,14 @@
 func newFleet() *cobra.Command {
 	return &cobra.Command{
 		Use:   "fleet FILE",
-		Short: "Run and watch the instances of a fleet on this machine",
+		Short: "Run and supervise the instances of a fleet on this machine",
 		Long: `Run the instances that the file names, each as "serve CONFIG" with ROWANCART_INDEX, ROWANCART_INSTANCES,
 ROWANCART_ADMIN and ROWANCART_STATE in its environment, which its configuration reads with env().
 
-An instance that ends is started again after a back-off that doubles with each failure in a row; one that is not healthy
-at its admin socket in time is killed. The supervisor keeps its own state in the folder, and one that starts after it
-takes up the instances that still run. A second supervisor of the same folder refuses to start. At SIGTERM or SIGINT all
-instances are ended.`,
+An instance that exits is restarted after a backoff that doubles with each consecutive failure; one that is not healthy
+at its admin socket in time is killed. The supervisor saves its state in the folder, and its successor adopts the
+instances that still run. A second supervisor of the same folder does not start. At SIGTERM or SIGINT all instances are
+stopped.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			config, err := supervisor.LoadConfig(args[0])
--- a/cmd/rowancart/lab.go
+++ b/cmd/rowancart/lab.go
@@ -18,7 +18,7 @@
 )
 
 func newLab() *cobra.Command {
-	lab := &cobra.Command{Use: "lab", Short: "Play experiments with the balancer before stand-in boxes"}
+	lab := &cobra.Command{Use: "lab", Short: "Run experiments with the balancer and emulated servers"}
 	lab.AddCommand(newLabRun(), newLabCheck(), newLabList(), newLabCompare(), newSpeed(), newSubsets(), newSearch(),
 		newFastHTTP(), newReverseProxy())
 	return lab
@@ -28,7 +28,7 @@
 func newReverseProxy() *cobra.Command {
 	return &cobra.Command{
 		Use:    "reverse-proxy",
-		Short:  "Serve as the rival on sockets, as " + platform.EnvConfig + " says",
+		Short:  "Serve as the baseline on sockets, as " + platform.EnvConfig + " configures",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -41,7 +41,7 @@
 	var set []string
 	cmd := &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check experiment files without playing them",
+		Short: "Check experiment files without running them",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			values, err := assignments(set)
@@ -59,14 +59,14 @@
 			return errors.Join(errs...)
 		},
 	}
-	cmd.Flags().StringArrayVar(&set, "set", nil, "give a variable of the file another value: KEY=VALUE")
+	cmd.Flags().StringArrayVar(&set, "set", nil, "set a variable of the file: KEY=VALUE")
 	return cmd
 }
 
 func newLabList() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list [DIR]",
-		Short: "List the experiments in a folder and the questions that they answer",
+		Short: "List the experiments in a directory and the questions that they answer",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			dir := "experiments"
@@ -108,7 +108,7 @@
 func newLabCompare() *cobra.Command {
 	return &cobra.Command{
 		Use:   "compare A.json B.json",
-		Short: "Tell two runs of one experiment apart, beyond the noise of their repeats",
+		Short: "Report the significant differences between two runs of one experiment",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := report.ReadJSON(args[0])
--- a/cmd/rowancart/labrun.go
+++ b/cmd/rowancart/labrun.go
@@ -33,23 +33,23 @@
 	var flags labRunFlags
 	cmd := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Play an experiment and report on it",
-		Long: `Play an experiment and report on it.
+		Short: "Run an experiment and report its results",
+		Long: `Run an experiment and report its results.
 
-The exit status is 0 if all that the file expects came out, else 1. An interrupt ends every program that was started
-and still reports what had been measured.`,
+The exit status is 0 if the results meet all expectations of the file, else 1. An interrupt ends all programs that were
+started; the results until then are reported.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return flags.run(cmd, args[0]) },
 	}
 	f := cmd.Flags()
-	f.BoolVar(&flags.virtual, "virtual", false, "play in virtual time, or with =false on sockets, whatever the file says")
-	f.Uint64Var(&flags.seed, "seed", 0, "play this seed only")
-	f.StringVar(&flags.variant, "arm", "", "play this arm only")
-	f.StringArrayVar(&flags.set, "set", nil, "give a variable of the file another value: KEY=VALUE")
-	f.StringVar(&flags.jsonFile, "json", "", "write the figures to this file")
-	f.StringVar(&flags.reportDir, "report", "", "write a page and the figures into this folder")
+	f.BoolVar(&flags.virtual, "virtual", false, "run in virtual time, or with =false on sockets; overrides the file")
+	f.Uint64Var(&flags.seed, "seed", 0, "run this seed only")
+	f.StringVar(&flags.variant, "arm", "", "run this arm only")
+	f.StringArrayVar(&flags.set, "set", nil, "set a variable of the file: KEY=VALUE")
+	f.StringVar(&flags.jsonFile, "json", "", "write the results to this file")
+	f.StringVar(&flags.reportDir, "report", "", "write a page and the results into this directory")
 	f.StringVar(&flags.root, "root", "",
-		"the repository whose deploy file starts the sidecar (default: the one around the working folder)")
+		"the repository whose deploy file starts the sidecar (default: that of the working directory)")
 	return cmd
 }
 
--- a/cmd/rowancart/search.go
+++ b/cmd/rowancart/search.go
@@ -14,10 +14,10 @@
 func newSearch() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "search",
-		Short: "Look for the sites on which the design loses against the rival policies",
+		Short: "Find sites on which the design does worse than a baseline policy",
 	}
 	var seed uint64
-	cmd.PersistentFlags().Uint64Var(&seed, "seed", 1, "of the sites that are drawn")
+	cmd.PersistentFlags().Uint64Var(&seed, "seed", 1, "seed of the sites that are drawn")
 	cmd.AddCommand(newSearchRun(&seed), newSearchReport(&seed), newSearchShow(&seed))
 	return cmd
 }
@@ -30,13 +30,12 @@
 	sites := 1000
 	cmd := &cobra.Command{
 		Use:   "run BOUNDS",
-		Short: "Draw sites, play the design and its rivals on each, and add the results to a file",
-		Long: `Draw sites within the bounds of a file, play the design and its rivals on each in virtual time,
-and add the results to a file.
+		Short: "Draw sites, run the design and the baselines on each, and append the results to a file",
+		Long: `Draw sites within the bounds of a file, run the design and the baselines on each in virtual
+time, and append the results to a file.
 
-A run that was stopped goes on where it was when it is called again with the same bounds, seed
-and file. The file says nothing of the program: results of another build want a file of their
-own.`,
+A run that was stopped is resumed by the same command with the same bounds, seed and file. The
+file does not identify the program: use a new file for the results of another build.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			b, err := search.Load(args[0])
@@ -60,8 +59,8 @@
 		},
 	}
 	cmd.Flags().StringVar(&o.Out, "out", "", "file for the results")
-	cmd.Flags().IntVar(&sites, "sites", sites, "how many are played")
-	cmd.Flags().IntVar(&o.From, "from", 0, "the first of them")
+	cmd.Flags().IntVar(&sites, "sites", sites, "number of sites")
+	cmd.Flags().IntVar(&o.From, "from", 0, "number of the first site")
 	return cmd
 }
 
@@ -70,7 +69,7 @@
 	var plotFile string
 	cmd := &cobra.Command{
 		Use:   "report BOUNDS RESULTS...",
-		Short: "Tell on how many sites the design is behind, by how much, and describe the worst",
+		Short: "Report the distribution of regret, and describe the worst sites",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			b, err := search.Load(args[0])
@@ -94,7 +93,7 @@
 			return plotRegret(plotFile, args[1:], all)
 		},
 	}
-	cmd.Flags().IntVar(&worst, "worst", worst, "sites that are described")
+	cmd.Flags().IntVar(&worst, "worst", worst, "number of sites that are described")
 	cmd.Flags().StringVar(&plotFile, "plot", "", "draw the distributions of regret into this file, as SVG")
 	return cmd
 }
@@ -111,7 +110,7 @@
 func newSearchShow(seed *uint64) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show BOUNDS SITE",
-		Short: "Play one site and tell what each policy served, and what the design's instances logged",
+		Short: "Run one site; print what each policy served and the log of the design's instances",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			b, err := search.Load(args[0])
--- a/cmd/rowancart/speed.go
+++ b/cmd/rowancart/speed.go
@@ -15,27 +15,27 @@
 	o := speed.Options{}
 	cmd := &cobra.Command{
 		Use:   "speed",
-		Short: "Measure how fast the programs pass requests on, beside rivals in the same run",
-		Long: `Measure how fast the programs pass requests on, beside rivals in the same run: the platform's
-sidecar, the daemon, net/http/httputil's ReverseProxy in turns, and fasthttp's LBClient. Each is
-a process of its own before boxes that answer at once. Figures are medians over rounds; on a
-machine that others use, only their ratios mean something.`,
+		Short: "Measure how fast the programs forward requests, compared with other proxies in one run",
+		Long: `Measure how fast the programs forward requests: the platform's sidecar, the daemon,
+net/http/httputil's ReverseProxy and fasthttp's LBClient. Each is a process of its own, with
+endpoints that respond at once. Results are medians over rounds in which the programs are measured
+one after another; on a machine with other load only their ratios are meaningful.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return measureSpeed(cmd, o)
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&o.Programs, "programs", speed.Programs, "what to compare")
-	f.IntVar(&o.Servers, "boxes", 12, "boxes that answer at once")
-	f.IntVar(&o.Connections, "connections", 32, "connections of clients, each with one request at a time")
-	f.IntVar(&o.BodySize, "body", 0, "bytes that a request posts; 0: a GET")
+	f.StringSliceVar(&o.Programs, "programs", speed.Programs, "programs to compare")
+	f.IntVar(&o.Servers, "boxes", 12, "number of endpoints, which respond at once")
+	f.IntVar(&o.Connections, "connections", 32, "client connections, each with one request at a time")
+	f.IntVar(&o.BodySize, "body", 0, "size of the body of a POST request in bytes; 0: GET requests")
 	f.IntVar(&o.Cores, "cores", 1, "cores of each program")
-	f.IntVar(&o.Rounds, "rounds", 5, "rounds in which each program has a turn, after one that warms up")
-	f.DurationVar(&o.SampleTime, "turn", time.Second, "time of a turn")
-	f.IntVar(&o.IdleConnections, "idle", 0, "further connections of clients that send nothing")
+	f.IntVar(&o.Rounds, "rounds", 5, "rounds in which each program is measured once, after one for warming up")
+	f.DurationVar(&o.SampleTime, "turn", time.Second, "duration of one measurement")
+	f.IntVar(&o.IdleConnections, "idle", 0, "additional client connections that send nothing")
 	f.StringVar(&o.Sidecar, "sidecar", "",
-		"the platform's program (default: built from the repository around the working folder)")
+		"the sidecar program (default: built from the repository of the working directory)")
 	return cmd
 }
 
@@ -81,7 +81,7 @@
 func newFastHTTP() *cobra.Command {
 	return &cobra.Command{
 		Use:    "fasthttp LISTEN ENDPOINT...",
-		Short:  "Serve as the rival on fasthttp",
+		Short:  "Serve as the baseline on fasthttp",
 		Hidden: true,
 		Args:   cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/rowancart/subsets.go
+++ b/cmd/rowancart/subsets.go
@@ -15,13 +15,14 @@
 	size := 20
 	cmd := &cobra.Command{
 		Use:   "subsets",
-		Short: "Measure ways to choose which boxes each instance of a fleet sends to",
-		Long: `Measure ways to choose which boxes each instance of a fleet sends to.
+		Short: "Compare methods of selecting the servers to which each instance of a fleet sends",
+		Long: `Compare methods of selecting the servers to which each instance of a fleet sends.
 
-Least and most are the instances on the box that has fewest and most, in multiples of the mean,
-after five boxes have been replaced one after another. The other columns are how many boxes
-change for an instance, in the mean, when one box is replaced, and when an instance comes. Where
-instances are few, parts are larger than asked for, so that each box has three instances.`,
+Columns "least" and "most" are the smallest and the largest number of instances of a server,
+relative to the mean, after five servers have been replaced one after another. The other columns
+are the mean number of servers that change for an instance when a server is replaced, and when an
+instance is added. With few instances, subsets are larger than --part, so that each server has
+three instances.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, n := range slices.Concat([]int{size}, instances, servers) {
@@ -33,8 +34,8 @@
 			return nil
 		},
 	}
-	cmd.Flags().IntSliceVar(&instances, "instances", instances, "sizes of fleets")
-	cmd.Flags().IntSliceVar(&servers, "boxes", servers, "sizes of pools")
-	cmd.Flags().IntVar(&size, "part", size, "boxes that one instance sends to")
+	cmd.Flags().IntSliceVar(&instances, "instances", instances, "numbers of instances")
+	cmd.Flags().IntSliceVar(&servers, "boxes", servers, "numbers of servers")
+	cmd.Flags().IntVar(&size, "part", size, "servers to which one instance sends")
 	return cmd
 }
