--- a/cmd/rowancart/root.go
+++ b/cmd/rowancart/root.go
@@ -26,7 +26,8 @@
 		},
 	}
 	root.PersistentFlags().StringVar(&format, "log-format", "text", "format of the log: text or json")
-	root.PersistentFlags().StringVar(&level, "log-level", "info", "minimum level that is logged: debug, info, warn or error")
+	root.PersistentFlags().StringVar(&level, "log-level", "info",
+		"minimum level that is logged: debug, info, warn or error")
 	root.AddCommand(newServe(), newFleet(), newConfig(), newLab(), &cobra.Command{
 		Use:   "version",
 		Short: "Print the version that this program was built from",
