--- a/internal/experiment/server/collapse.go
+++ b/internal/experiment/server/collapse.go
@@ -3,8 +3,8 @@
 import "time"
 
 // collapse is the state of a server that becomes slower when its queue has been long for some time,
-// and recovers when its load has been low for some time or the longest collapse is over. Negative
-// instants stand for "not now".
+// and recovers when its load has been low for some time, or after the maximum duration. A negative
+// instant is none.
 //
 //	normal -- queue above CollapseQueue for CollapseAfter --> collapsed
 //	collapsed -- load below RecoveryLoad for RecoveryAfter, or MaxCollapse over --> normal
@@ -22,7 +22,8 @@
 // nextCollapseChange returns the instant at which the server collapses or recovers if its load
 // stays as it is.
 func (s *Server) nextCollapseChange() time.Duration {
-	c, next := &s.collapse, never
+	c := &s.collapse
+	next := never
 	if c.overloadedSince >= 0 && !s.Collapsed() {
 		next = c.overloadedSince + s.spec.CollapseAfter
 	}
@@ -42,12 +43,14 @@
 	if s.spec.CollapseQueue <= 0 || s.down {
 		return
 	}
-	c, cores := &s.collapse, float64(s.kind.Cores)
-	waiting := s.queued() + max(s.slotsUsed-s.kind.Cores, 0)
+	c := &s.collapse
+	cores := float64(s.kind.Cores)
+	waiting := s.queue.len() + max(s.slotsUsed-s.kind.Cores, 0)
 	holdSince(&c.overloadedSince, s.now, float64(waiting) > s.spec.CollapseQueue*cores)
 	if !s.Collapsed() {
 		if c.overloadedSince >= 0 && s.now-c.overloadedSince >= s.spec.CollapseAfter {
-			c.collapsedAt, c.recoveringSince = s.now, -1
+			c.collapsedAt = s.now
+			c.recoveringSince = -1
 		}
 		return
 	}
@@ -59,7 +62,8 @@
 	}
 }
 
-// holdSince keeps in since the instant from which a condition has held, negative while it does not.
+// holdSince updates the instant since which a condition holds. It is negative while the condition
+// does not hold.
 func holdSince(since *time.Duration, now time.Duration, holds bool) {
 	switch {
 	case !holds:
--- a/internal/experiment/server/job.go
+++ b/internal/experiment/server/job.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Admission says what became of a request that arrived.
+// Admission is the result of an arrival.
 type Admission int
 
 // The admissions.
 const (
-	Admitted    Admission = iota // it has a slot, or waits for one
-	Rejected                     // it was not run, because the server drains or is full
-	Unavailable                  // the process has died, or dies by this request
+	Admitted    Admission = iota // the request has a slot, or waits for one
+	Rejected                     // it was not run, because the server is draining or full
+	Unavailable                  // the process has crashed, or crashes because of this request
 )
 
-// Job is a request in a server. The driver creates it, and may use it again once it is finished.
+// Job is a request in a server. The driver creates it, and may reuse it after it has finished.
 type Job struct {
-	Owner any     // the driver's
+	Owner any     // set and used by the driver only
 	Work  float64 // seconds on a core of speed 1, until Advance returns the job
 
 	phase       phase
@@ -33,7 +33,7 @@
 	notAdmitted phase = iota
 	queued
 	running
-	blocked // has a slot and does not compute
+	blocked // has a slot, but does not compute
 	finished
 )
 
@@ -43,8 +43,8 @@
 }
 
 // Admit offers the server a request whose last byte has arrived. totalWork is all its work, for the
-// rule on warming servers; j.Work is the first part of it. The server must have been advanced to
-// now.
+// rule for servers that warm up; j.Work is the first part of it. The server must have been advanced
+// to now.
 func (s *Server) Admit(now time.Duration, j *Job, totalWork float64) Admission {
 	s.recordLoad()
 	if s.down {
@@ -54,24 +54,33 @@
 	if s.down {
 		return Unavailable
 	}
-	if s.draining || s.slotsUsed >= s.kind.Slots && s.queued() >= s.kind.QueueLimit {
+	if s.draining || s.isFull() {
 		return Rejected
 	}
 	s.admitted++
-	j.number, j.server, j.incarnation = s.admitted, s, s.incarnation
+	j.number = s.admitted
+	j.server = s
+	j.incarnation = s.incarnation
 	if s.slotsUsed < s.kind.Slots {
 		s.slotsUsed++
 		s.startJob(j)
 	} else {
 		j.phase = queued
-		s.queue = append(s.queue, j)
+		s.queue.push(j)
 	}
 	s.updateCollapse()
 	return Admitted
 }
 
+// isFull reports whether all slots are used and the queue has reached its limit.
+func (s *Server) isFull() bool {
+	return s.slotsUsed >= s.kind.Slots && s.queue.len() >= s.kind.QueueLimit
+}
+
+// startJob lets a job that has a slot compute.
 func (s *Server) startJob(j *Job) {
-	j.phase, j.finishClock = running, s.workClock+j.Work
+	j.phase = running
+	j.finishClock = s.workClock + j.Work
 	s.running.push(j)
 }
 
@@ -82,8 +91,8 @@
 	}
 }
 
-// Finish removes a job and passes its slot to the next that waits. It does nothing to a job that is
-// finished already.
+// Finish removes a job and passes its slot to the next in the queue. It does nothing if the job has
+// already finished.
 func (s *Server) Finish(j *Job) {
 	if j.Finished() {
 		return
@@ -91,7 +100,7 @@
 	s.recordLoad()
 	switch j.phase {
 	case queued:
-		s.removeQueued(j)
+		s.queue.remove(j)
 	case running:
 		s.running.remove(j)
 		s.releaseSlot()
@@ -102,33 +111,11 @@
 	s.updateCollapse()
 }
 
-func (s *Server) removeQueued(j *Job) {
-	for i := s.queueHead; i < len(s.queue); i++ {
-		if s.queue[i] == j {
-			copy(s.queue[i:], s.queue[i+1:])
-			s.queue[len(s.queue)-1] = nil
-			s.queue = s.queue[:len(s.queue)-1]
-			return
-		}
-	}
-}
-
-// maxQueueGap is how many entries before queueHead are kept before the queue is moved to the front.
-const maxQueueGap = 1024
-
 // releaseSlot passes a slot to the first job in the queue, if there is one.
 func (s *Server) releaseSlot() {
 	s.slotsUsed--
-	if s.queued() == 0 {
-		return
-	}
-	j := s.queue[s.queueHead]
-	s.queue[s.queueHead] = nil
-	s.queueHead++
-	if s.queueHead == len(s.queue) || s.queueHead > maxQueueGap {
-		s.queue = append(s.queue[:0], s.queue[s.queueHead:]...)
-		s.queueHead = 0
+	if s.queue.len() > 0 {
+		s.slotsUsed++
+		s.startJob(s.queue.pop())
 	}
-	s.slotsUsed++
-	s.startJob(j)
 }
--- a/internal/experiment/server/loadreport.go
+++ b/internal/experiment/server/loadreport.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// loadReports are the load reports that responses may still carry.
+// loadReports are the readings that responses may still carry.
 type loadReports struct {
 	readings    []loadReading // by time
-	refreshedAt time.Duration // latest refresh that the readings cover
+	refreshedAt time.Duration // the latest refresh that the readings cover
 }
 
 type loadReading struct {
@@ -17,7 +17,8 @@
 // called before each change of the load, so one reading stands for all refreshes up to the next
 // reading.
 func (s *Server) recordLoad() {
-	r, interval := &s.reports, s.spec.ReportInterval
+	r := &s.reports
+	interval := s.spec.ReportInterval
 	if interval <= 0 || s.now < r.refreshedAt+interval {
 		return
 	}
@@ -28,8 +29,8 @@
 	}
 }
 
-// LoadReport returns the number of requests in flight as a response reports it now: late, and with
-// noise. Without load reports ok is false.
+// LoadReport returns the number of requests in flight as a response reports it now: delayed, and
+// with noise. If the server sends no load reports, ok is false.
 func (s *Server) LoadReport(now time.Duration) (inFlight float64, ok bool) {
 	s.recordLoad()
 	if s.spec.ReportInterval <= 0 {
--- /dev/null
+++ b/internal/experiment/server/queue.go
@@ -0,0 +1,40 @@
+package server
+
+// maxQueueGap is the number of free entries before the head of a queue above which the jobs are
+// moved to the front.
+const maxQueueGap = 1024
+
+// jobQueue holds the jobs without a slot, first in, first out. Its zero value is empty and ready
+// for use.
+type jobQueue struct {
+	jobs []*Job // the entries before head are free
+	head int
+}
+
+func (q *jobQueue) len() int { return len(q.jobs) - q.head }
+
+func (q *jobQueue) push(j *Job) { q.jobs = append(q.jobs, j) }
+
+// pop removes the first job. There must be one.
+func (q *jobQueue) pop() *Job {
+	j := q.jobs[q.head]
+	q.jobs[q.head] = nil
+	q.head++
+	if q.head == len(q.jobs) || q.head > maxQueueGap {
+		q.jobs = append(q.jobs[:0], q.jobs[q.head:]...)
+		q.head = 0
+	}
+	return j
+}
+
+// remove removes a job from any place in the queue. It does nothing if the job is not in it.
+func (q *jobQueue) remove(j *Job) {
+	for i := q.head; i < len(q.jobs); i++ {
+		if q.jobs[i] == j {
+			copy(q.jobs[i:], q.jobs[i+1:])
+			q.jobs[len(q.jobs)-1] = nil
+			q.jobs = q.jobs[:len(q.jobs)-1]
+			return
+		}
+	}
+}
--- a/internal/experiment/server/server.go
+++ b/internal/experiment/server/server.go
@@ -1,6 +1,6 @@
 // Package server models one emulated server: cores, slots, a queue, warm-up and overload collapse.
-// It has no clock: instants are passed in, and the driver, in virtual time or on sockets, asks the
-// server when it must be advanced next.
+// It has no clock: instants are passed in, and the driver, in virtual time or on sockets,
+// advances the server at the instants that NextEvent returns.
 //
 // A request occupies a slot from its admission to its end, also while it waits for something else,
 // such as the next tier. Of the requests in slots, those that compute share the cores evenly
@@ -30,10 +30,9 @@
 	down        bool
 	incarnation int // number of crashes
 
-	workClock   float64 // work that a job would have been given that has computed all the time, in seconds
+	workClock   float64 // work of a hypothetical job that has computed all the time, in seconds
 	running     jobHeap // jobs that compute
-	queue       []*Job  // jobs without a slot; those before queueHead are gone
-	queueHead   int
+	queue       jobQueue
 	slotsUsed   int
 	admitted    uint64  // number of jobs so far
 	coreSeconds float64 // used so far
@@ -44,7 +43,7 @@
 	reports  loadReports
 }
 
-// never stands for an instant that does not come.
+// never is the instant of an event that is not scheduled.
 const never = time.Duration(math.MaxInt64)
 
 // New returns a server that started at an instant; a negative one stands for a start long before
@@ -59,8 +58,8 @@
 // run.
 func (s *Server) Started() time.Duration { return s.started }
 
-// InFlight returns the number of requests that the server has, with those that wait for a slot.
-func (s *Server) InFlight() int { return s.slotsUsed + s.queued() }
+// InFlight returns the number of requests in the server, including those that wait for a slot.
+func (s *Server) InFlight() int { return s.slotsUsed + s.queue.len() }
 
 // SlotsUsed returns the number of requests that have a slot.
 func (s *Server) SlotsUsed() int { return s.slotsUsed }
@@ -68,8 +67,6 @@
 // CoreSeconds returns the core time used so far.
 func (s *Server) CoreSeconds() float64 { return s.coreSeconds }
 
-func (s *Server) queued() int { return len(s.queue) - s.queueHead }
-
 // workRate returns the progress of each running job, in work a second.
 func (s *Server) workRate(now time.Duration) float64 {
 	n := len(s.running)
@@ -83,12 +80,12 @@
 	return speed * min(1, float64(s.kind.Cores)/float64(n))
 }
 
-// NextEvent returns the instant at which the server must be advanced, or a very late one.
+// NextEvent returns the instant at which the server must be advanced, at most never.
 func (s *Server) NextEvent() time.Duration {
 	next := s.nextCollapseChange()
 	if r := s.workRate(s.now); r > 0 {
-		left := max(s.running[0].finishClock-s.workClock, 0) / r
-		finish := s.now + time.Duration(math.Round(left*1e9)) // Advance allows for the rounding
+		remaining := max(s.running[0].finishClock-s.workClock, 0) / r
+		finish := s.now + time.Duration(math.Round(remaining*1e9)) // Advance tolerates the rounding error
 		next = min(next, finish)
 		if s.CapacityFraction(s.now) < 1 {
 			next = min(next, s.now+warmupStep)
@@ -122,7 +119,7 @@
 	return done
 }
 
-// SetSlowdown sets how many times slower than usual the machine is. The server must have been
+// SetSlowdown sets the factor by which the machine is slower than usual. The server must have been
 // advanced to now.
 func (s *Server) SetSlowdown(factor float64) { s.slowdown = factor }
 
@@ -132,23 +129,31 @@
 // Draining reports whether the server rejects new requests.
 func (s *Server) Draining() bool { return s.draining }
 
-// Down reports whether the process has died.
+// Down reports whether the process has crashed.
 func (s *Server) Down() bool { return s.down }
 
 // Crash ends the process. All jobs are finished, without a response.
 func (s *Server) Crash() {
 	s.incarnation++
-	s.down, s.running, s.queue, s.queueHead, s.slotsUsed, s.conns = true, nil, nil, 0, 0, 0
+	s.down = true
+	s.running = nil
+	s.queue = jobQueue{}
+	s.slotsUsed = 0
+	s.conns = 0
 	s.collapse = noCollapse
 }
 
-// Restart starts a crashed process again, with the capacity of a cold one.
+// Restart starts a crashed process again. It warms up.
 func (s *Server) Restart(now time.Duration) {
-	s.now, s.started, s.down, s.draining = now, now, false, false
+	s.now = now
+	s.started = now
+	s.down = false
+	s.draining = false
 	s.warmup.restart()
 }
 
-// Connect accepts a connection. It reports false if there are too many, or if the process has died.
+// Connect accepts a connection. It returns false if there are too many, or if the process has
+// crashed.
 func (s *Server) Connect() bool {
 	if s.down || s.spec.ConnLimit > 0 && s.conns >= s.spec.ConnLimit {
 		return false
@@ -160,5 +165,5 @@
 // Disconnect closes a connection.
 func (s *Server) Disconnect() { s.conns = max(s.conns-1, 0) }
 
-// DrawError draws whether a request is answered 500 without any fault.
+// DrawError draws whether the response to a request is 500 without a fault in force.
 func (s *Server) DrawError() bool { return s.spec.ErrorRate > 0 && s.rng.Float64() < s.spec.ErrorRate }
--- a/internal/experiment/server/server_test.go
+++ b/internal/experiment/server/server_test.go
@@ -195,23 +195,23 @@
 	}
 	now := 2 * time.Second // capacity 0.625: a budget of 2.5 s of work a second
 	for i := range 3 {
-		if server.Admit(now, job(1), 1); server.FellOver() {
+		if server.Admit(now, job(1), 1); server.Overloaded() {
 			t.Fatalf("overloaded at request %d", i)
 		}
 	}
-	if got := server.Admit(now, job(1), 1); got != Unavailable || !server.FellOver() {
-		t.Fatalf("sent 4 s of work at once: %v, overloaded %v", got, server.FellOver())
+	if got := server.Admit(now, job(1), 1); got != Unavailable || !server.Overloaded() {
+		t.Fatalf("sent 4 s of work at once: %v, overloaded %v", got, server.Overloaded())
 	}
 	server.Crash()
 	server.Restart(10 * time.Second)
-	if server.Down() || server.FellOver() || server.CapacityFraction(10*time.Second) != 0.25 {
+	if server.Down() || server.Overloaded() || server.CapacityFraction(10*time.Second) != 0.25 {
 		t.Fatal("not back in slow start")
 	}
 	server.Advance(20*time.Second, nil)
 	for range 10 {
 		server.Admit(20*time.Second, job(1), 1)
 	}
-	if server.FellOver() {
+	if server.Overloaded() {
 		t.Fatal("a warm server was overloaded")
 	}
 }
--- a/internal/experiment/server/warmup.go
+++ b/internal/experiment/server/warmup.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// warmupStep is how often the growth of a warming server's capacity is followed.
+// warmupStep is the interval at which the capacity of a server that warms up is updated.
 const warmupStep = 20 * time.Millisecond
 
-// warmupLoad is the work that arrived at a warming server. One that is sent too much falls over:
-// its process dies.
+// warmupLoad is the work that arrived at a server that warms up. The server crashes if that is more
+// than its budget.
 type warmupLoad struct {
-	recent   []workArrival // within Rules.OverloadWindow
-	sum      float64       // of the work of recent, in seconds
-	peak     float64       // see Server.WarmupPeak
-	fellOver bool
+	recent     []workArrival // within Rules.OverloadWindow
+	sum        float64       // of the work of recent, in seconds
+	peak       float64       // see Server.WarmupPeak
+	overloaded bool          // the server has crashed by overload
 }
 
 type workArrival struct {
@@ -19,7 +19,16 @@
 	work float64
 }
 
-func (w *warmupLoad) restart() { w.recent, w.sum, w.fellOver = nil, 0, false }
+// restart begins a warm-up. The peak is that of all warm-ups.
+func (w *warmupLoad) restart() {
+	w.clearRecent()
+	w.overloaded = false
+}
+
+func (w *warmupLoad) clearRecent() {
+	w.recent = nil
+	w.sum = 0
+}
 
 // CapacityFraction returns the fraction of its full capacity that the server has. It grows linearly
 // during the warm-up.
@@ -37,22 +46,23 @@
 	return float64(s.kind.Cores) * s.kind.Speed * s.CapacityFraction(now)
 }
 
-// WarmupBudget returns the work that a warming server may be sent within Rules.OverloadWindow, in
-// seconds.
+// WarmupBudget returns the work that a server that warms up may be sent within
+// Rules.OverloadWindow, in seconds.
 func (s *Server) WarmupBudget(now time.Duration) float64 {
 	return s.rules.WarmupOverload * s.Capacity(now) * s.rules.OverloadWindow.Seconds()
 }
 
-// recordWarmupWork adds to the work that arrived at a warming server, which falls over when it is
-// more than its budget. The latest request is not counted: otherwise a server so small that a
-// single request is over its budget could be sent nothing.
+// recordWarmupWork records work that arrived at a server that warms up, which crashes if it is more
+// than its budget. The latest request is not counted: otherwise a server so small that a single
+// request exceeds its budget could be sent nothing.
 func (s *Server) recordWarmupWork(now time.Duration, work float64) {
 	w := &s.warmup
 	if s.rules.WarmupOverload <= 0 || s.CapacityFraction(now) == 1 {
-		w.recent, w.sum = nil, 0
+		w.clearRecent()
 		return
 	}
-	w.recent, w.sum = append(w.recent, workArrival{now, work}), w.sum+work
+	w.recent = append(w.recent, workArrival{now, work})
+	w.sum += work
 	for len(w.recent) > 0 && w.recent[0].at <= now-s.rules.OverloadWindow {
 		w.sum -= w.recent[0].work
 		w.recent = w.recent[1:]
@@ -61,7 +71,8 @@
 		budget := s.WarmupBudget(now)
 		w.peak = max(w.peak, s.rules.WarmupOverload*(w.sum-work)/budget)
 		if w.sum-work > budget {
-			w.fellOver, s.down = true, true
+			w.overloaded = true
+			s.down = true
 		}
 	}
 }
@@ -70,5 +81,6 @@
 // warmed up, in multiples of its capacity at the time.
 func (s *Server) WarmupPeak() float64 { return s.warmup.peak }
 
-// FellOver reports whether the server was sent too much while it warmed up, and has died by that.
-func (s *Server) FellOver() bool { return s.warmup.fellOver }
+// Overloaded reports whether the server has crashed because it was sent more than its budget while
+// it warmed up.
+func (s *Server) Overloaded() bool { return s.warmup.overloaded }
--- a/internal/experiment/testbed/exchange.go
+++ b/internal/experiment/testbed/exchange.go
@@ -161,7 +161,7 @@
 	return x.writeResponse(status, body)
 }
 
-// admit offers the job to the model. A server that falls over by it crashes.
+// admit offers the job to the model. A server that is overloaded by it crashes.
 func (x *exchange) admit(job *server.Job) server.Admission {
 	s := x.server
 	s.mu.Lock()
@@ -171,13 +171,13 @@
 	if admission == server.Rejected {
 		s.stats.Rejected++
 	}
-	fellOver := admission == server.Unavailable && s.model.FellOver()
+	overloaded := admission == server.Unavailable && s.model.Overloaded()
 	s.reschedule()
 	s.mu.Unlock()
 	switch {
 	case admission == server.Rejected:
 		s.run.checker.RecordRejection(now, s.name, x.id)
-	case fellOver:
+	case overloaded:
 		s.run.checker.RecordOverload(now, s.name)
 		s.crash()
 	}
--- a/internal/experiment/virtual/server.go
+++ b/internal/experiment/virtual/server.go
@@ -151,7 +151,7 @@
 		a.connReusable = true
 		a.sendResult(now, balancer.Rejected)
 	case server.Unavailable:
-		if n.model.FellOver() {
+		if n.model.Overloaded() {
 			n.sim.checker.RecordOverload(now, n.name)
 			n.crash(now)
 		}
