--- a/internal/experiment/search/plot.go
+++ b/internal/experiment/search/plot.go
@@ -9,14 +9,23 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// maxRegretShown is the largest regret of a plot, in points either way.
+// maxRegretShown is the largest absolute regret in a plot, in points.
 const maxRegretShown = 30
 
+// Dimensions of a plot.
+const (
+	plotWidth  = 16 * vg.Centimeter
+	plotHeight = 9 * vg.Centimeter
+	lineWidth  = 1.2 // typographic points
+)
+
 // Plot draws the distributions of regret of several searches as SVG.
 func Plot(w io.Writer, names []string, summaries []Summary) error {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "share of sites", "regret, points"
-	p.Legend.Top, p.Legend.Left = true, true
+	p.X.Label.Text = "share of sites"
+	p.Y.Label.Text = "regret, points"
+	p.Legend.Top = true
+	p.Legend.Left = true
 	for i, s := range summaries {
 		var xy plotter.XYs
 		for n, r := range s.Regrets {
@@ -27,12 +36,13 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Width = plotutil.Color(i), vg.Points(1.2)
+		line.Color = plotutil.Color(i)
+		line.Width = vg.Points(lineWidth)
 		p.Add(line)
 		p.Legend.Add(names[i], line)
 	}
 	p.Add(plotter.NewGrid())
-	svg, err := p.WriterTo(16*vg.Centimeter, 9*vg.Centimeter, "svg")
+	svg, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/search/results.go
+++ b/internal/experiment/search/results.go
@@ -12,23 +12,25 @@
 	"rowancart/internal/experiment/report"
 )
 
-// Site is the results of one site, which is one line of a file of results.
+// Site holds the results of one site: one line of a file of results.
 type Site struct {
 	N             int                  `json:"site"`
 	ServedWeight  map[string][]float64 `json:"worth"`            // in time, as a fraction, by policy and repeat
 	Failed        []float64            `json:"failed"`           // fraction that the design did not serve, by repeat
-	Reasons       report.Reasons       `json:"why,omitempty"`    // for that, in the first repeat
+	Reasons       report.Reasons       `json:"why,omitempty"`    // of that, in the first repeat
 	ViolatedRules map[string][]string  `json:"broken,omitempty"` // by policy
 	Requests      int64                `json:"requests"`         // in the first repeat
 }
 
-// header is the first line of a file of results: what they depend on besides the program.
+// header is the first line of a file of results: the inputs that determine them besides the
+// program.
 type header struct {
 	Search string `json:"search"`
 	Digest uint64 `json:"bounds"`
 	Seed   uint64 `json:"seed"`
 }
 
+// writeLine writes a value as one line of JSON.
 func writeLine(w io.Writer, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -38,8 +40,8 @@
 	return err
 }
 
-// openResults opens the file of results for more, and returns the sites that it has. It creates the
-// file if needed. The header must be that of the file.
+// openResults opens a file of results for appending, and returns the numbers of its sites. It
+// creates the file if needed. The header must be that of the file.
 func openResults(path string, h header) (f *os.File, done map[int]bool, err error) {
 	done = map[int]bool{}
 	checkHeader := func(found header) error {
@@ -64,8 +66,7 @@
 	return f, done, nil
 }
 
-// prepareAppend removes a line that was not written completely, and writes the header of an empty
-// file.
+// prepareAppend removes an incomplete last line, and writes the header of an empty file.
 func prepareAppend(f *os.File, complete int64, h header) error {
 	if err := f.Truncate(complete); err != nil {
 		return err
@@ -109,7 +110,7 @@
 		if n == 1 {
 			var h header
 			if err := json.Unmarshal(text, &h); err != nil || h.Search == "" {
-				return complete, fmt.Errorf("%s:1: no file of a search's results", path)
+				return complete, fmt.Errorf("%s:1: not a file of search results", path)
 			}
 			if err := checkHeader(h); err != nil {
 				return complete, err
--- a/internal/experiment/search/run.go
+++ b/internal/experiment/search/run.go
@@ -17,21 +17,22 @@
 	"rowancart/internal/experiment/virtual"
 )
 
-// gcPercent trades memory, of which runs keep little, for fewer collections of their garbage.
+// gcPercent reduces the number of garbage collections, at the cost of memory, of which runs need
+// little.
 const gcPercent = 400
 
-// Options say which sites are run.
+// Options select the sites that are run.
 type Options struct {
 	Seed     uint64
-	From, To int    // sites, without To
+	From, To int    // numbers of sites, To excluded
 	Out      string // the file of results
 	Progress func(done, all int)
 }
 
-// Run runs sites on all cores and appends each to the file of results. It does not run sites that
-// the file has, so that a run that was stopped can be continued.
+// Run runs sites on all cores and appends each to the file of results. It skips sites that the file
+// contains, so that a run that was stopped can be resumed.
 func Run(ctx context.Context, b *Bounds, o Options) error {
-	f, stored, err := openResults(o.Out, header{b.Name, b.Digest, o.Seed})
+	f, stored, err := openResults(o.Out, header{Search: b.Name, Digest: b.Digest, Seed: o.Seed})
 	if err != nil {
 		return err
 	}
@@ -70,8 +71,8 @@
 	return ctx.Err()
 }
 
-// RunSite runs one site: the design and the baselines with common random numbers, and more often
-// where the design seems behind.
+// RunSite runs one site: the design and the baselines with common random numbers, with more repeats
+// if the design seems to be behind.
 func RunSite(ctx context.Context, b *Bounds, seed uint64, n int) (Site, error) {
 	e := Draw(b, seed, n)
 	s := Site{N: n, ServedWeight: map[string][]float64{}, ViolatedRules: map[string][]string{}}
@@ -96,7 +97,8 @@
 	if policy == Design {
 		s.Failed = append(s.Failed, result.failed)
 		if repeat == 0 {
-			s.Requests, s.Reasons = result.requests, result.reasons
+			s.Requests = result.requests
+			s.Reasons = result.reasons
 		}
 	}
 	for _, rule := range result.violatedRules {
@@ -106,18 +108,13 @@
 	}
 }
 
-// Show runs a site once with each policy and writes the results, with what the design's instances
-// logged.
+// Show runs a site once with each policy and writes the results, with the log of the design's
+// instances.
 func Show(ctx context.Context, w io.Writer, b *Bounds, seed uint64, n int) error {
 	e := Draw(b, seed, n)
 	fmt.Fprintln(w, Describe(e))
 	for _, t := range e.Site.Tiers {
-		fmt.Fprintf(w, "%s: %d boxes, %g of the work, %d calls below, cold from %g for %v, choked at %g, kinds", t.Name,
-			t.Servers, t.WorkFraction, t.Calls, t.Server.InitialCapacity, t.Server.WarmupTime, t.Server.CollapseQueue)
-		for _, k := range t.Kinds {
-			fmt.Fprintf(w, " %g of %d cores at %g, %d slots, queue %d;", k.Fraction, k.Cores, k.Speed, k.Slots, k.QueueLimit)
-		}
-		fmt.Fprintln(w)
+		writeTier(w, t)
 	}
 	for _, policy := range append([]string{Design}, b.Baselines...) {
 		result, err := runOnce(ctx, e, policy, 1)
@@ -135,6 +132,16 @@
 	return nil
 }
 
+// writeTier writes the parameters of a tier in one line.
+func writeTier(w io.Writer, t experiment.Tier) {
+	fmt.Fprintf(w, "%s: %d boxes, %g of the work, %d calls below, cold from %g for %v, choked at %g, kinds", t.Name,
+		t.Servers, t.WorkFraction, t.Calls, t.Server.InitialCapacity, t.Server.WarmupTime, t.Server.CollapseQueue)
+	for _, k := range t.Kinds {
+		fmt.Fprintf(w, " %g of %d cores at %g, %d slots, queue %d;", k.Fraction, k.Cores, k.Speed, k.Slots, k.QueueLimit)
+	}
+	fmt.Fprintln(w)
+}
+
 // runResult is the result of one run of one policy.
 type runResult struct {
 	servedWeight  float64 // in time, as a fraction of the priority weight of all requests
--- a/internal/experiment/search/sampler.go
+++ b/internal/experiment/search/sampler.go
@@ -10,14 +10,14 @@
 // sampler draws the properties of a site.
 type sampler struct{ *rand.Rand }
 
-// bernoulli reports true with probability p.
+// bernoulli returns true with probability p.
 func (d sampler) bernoulli(p float64) bool { return d.Float64() < p }
 
-func (d sampler) uniform(least, most float64) float64 { return least + (most-least)*d.Float64() }
+func (d sampler) uniform(low, high float64) float64 { return low + (high-low)*d.Float64() }
 
-// logUniform draws evenly over orders of magnitude.
-func (d sampler) logUniform(least, most float64) float64 {
-	return math.Exp(d.uniform(math.Log(least), math.Log(most)))
+// logUniform draws a number whose logarithm is uniformly distributed.
+func (d sampler) logUniform(low, high float64) float64 {
+	return math.Exp(d.uniform(math.Log(low), math.Log(high)))
 }
 
 func (d sampler) integer(s Span[int]) int { return s.Min + d.IntN(s.Max-s.Min+1) }
@@ -26,11 +26,11 @@
 	return min(max(int(math.Round(d.logUniform(float64(s.Min), float64(s.Max)))), s.Min), s.Max)
 }
 
-func (d sampler) logUniformTime(least, most time.Duration) time.Duration {
-	return roundTime(time.Duration(d.logUniform(float64(least), float64(most))))
+func (d sampler) logUniformTime(low, high time.Duration) time.Duration {
+	return roundTime(time.Duration(d.logUniform(float64(low), float64(high))))
 }
 
-// roundTime rounds to three digits, so that a drawn site is easy to write down. It returns 0 for
+// roundTime rounds to three significant digits, which makes sites easier to read. It returns 0 for
 // negative times.
 func roundTime(t time.Duration) time.Duration {
 	if t <= 0 {
@@ -45,8 +45,8 @@
 	return roundTime(time.Duration(seconds * float64(time.Second)))
 }
 
-// threeDigits rounds to three digits.
+// threeDigits rounds to three significant digits.
 func threeDigits(x float64) float64 {
-	y, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 3, 64), 64) // FormatFloat wrote it
+	y, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 3, 64), 64) // the text of FormatFloat is always valid
 	return y
 }
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -10,6 +10,7 @@
 	"rowancart/internal/experiment"
 )
 
+// small is a file of bounds.
 const small = `search "small" {
   boxes        = [1, 6]
   instances    = [1, 4]
@@ -43,11 +44,11 @@
 
 func TestDrawnSitesAreWithinTheirBounds(t *testing.T) {
 	b := parseBounds(t, small)
-	struck := map[experiment.FaultKind]bool{}
+	drawn := map[experiment.FaultKind]bool{}
 	for n := range 300 {
 		e := Draw(b, 7, n)
 		if !reflect.DeepEqual(e, Draw(b, 7, n)) {
-			t.Fatalf("site %d is drawn differently the second time", n)
+			t.Fatalf("site %d differs in a second draw", n)
 		}
 		s := e.Site
 		if s.Balancers < 1 || s.Balancers > 4 || s.Tiers[0].Servers < 1 || s.Tiers[0].Servers > 6 ||
@@ -55,13 +56,13 @@
 			t.Fatalf("site %d is out of bounds: %s", n, Describe(e))
 		}
 		if s.Tiers[0].Servers > 1 && s.Tiers[0].Servers*s.Balancers > 20 {
-			t.Fatalf("site %d has more pairs than it may: %s", n, Describe(e))
+			t.Fatalf("site %d has too many pairs: %s", n, Describe(e))
 		}
 		if e.Load.Rate > 200 || e.Load.Rate*e.Duration.Seconds() > 320 {
-			t.Fatalf("site %d asks too much: %s", n, Describe(e))
+			t.Fatalf("site %d has too many requests: %s", n, Describe(e))
 		}
 		for _, f := range e.Faults {
-			struck[f.Kind] = true
+			drawn[f.Kind] = true
 			_, known := experiment.FaultKinds[f.Kind]
 			atStart := f.At <= 0 && f.Kind != experiment.DiscoverySilence
 			if !known || atStart || f.Fraction <= 0 || f.Fraction > 1 {
@@ -69,58 +70,69 @@
 			}
 		}
 	}
-	if len(struck) != 5 { // a flap is crashes, a step is of the load, and a silent crash silences the discovery service
-		t.Errorf("only %v were drawn", struck)
+	if len(drawn) != 5 { // a flap is crashes, a step is of the load, and a silent crash silences discovery
+		t.Errorf("the kinds of faults are %v, want 5", drawn)
 	}
 }
 
-// A run that is killed while it writes a line is resumed, and gives the same results as one that
-// was not killed.
-func TestStoppedRunIsResumed(t *testing.T) {
-	b := parseBounds(t, small)
-	dir := t.TempDir()
-	whole, cut := filepath.Join(dir, "whole"), filepath.Join(dir, "cut")
-	if err := Run(t.Context(), b, Options{Seed: 3, To: 6, Out: whole}); err != nil {
-		t.Fatal(err)
-	}
-	if err := Run(t.Context(), b, Options{Seed: 3, To: 4, Out: cut}); err != nil {
+// runSites runs sites into a file of results.
+func runSites(t *testing.T, b *Bounds, o Options) {
+	t.Helper()
+	if err := Run(t.Context(), b, o); err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(cut)
+}
+
+func readSites(t *testing.T, path string) []Site {
+	t.Helper()
+	sites, err := Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(cut, text[:len(text)-20], 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := Run(t.Context(), b, Options{Seed: 3, To: 6, Out: cut}); err != nil {
-		t.Fatal(err)
-	}
-	want, err := Read(whole)
+	return sites
+}
+
+// A run that is killed while it writes a line is resumed, and gives the same results as one that
+// was not killed.
+func TestStoppedRunIsResumed(t *testing.T) {
+	b := parseBounds(t, small)
+	dir := t.TempDir()
+	complete := filepath.Join(dir, "complete")
+	resumed := filepath.Join(dir, "resumed")
+	runSites(t, b, Options{Seed: 3, To: 6, Out: complete})
+	runSites(t, b, Options{Seed: 3, To: 4, Out: resumed})
+	text, err := os.ReadFile(resumed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := Read(cut)
-	if err != nil {
+	if err := os.WriteFile(resumed, text[:len(text)-20], 0o600); err != nil {
 		t.Fatal(err)
 	}
+	runSites(t, b, Options{Seed: 3, To: 6, Out: resumed})
+	want := readSites(t, complete)
+	got := readSites(t, resumed)
 	if len(want) != 6 || !reflect.DeepEqual(got, want) {
-		t.Errorf("gone on: %v\nat once: %v", got, want)
+		t.Errorf("resumed: %v\nin one run: %v", got, want)
 	}
-	err = Run(t.Context(), b, Options{Seed: 4, To: 6, Out: cut})
+	err = Run(t.Context(), b, Options{Seed: 4, To: 6, Out: resumed})
 	if err == nil || !strings.Contains(err.Error(), "another seed") {
-		t.Errorf("results of another seed are added to: %v", err)
-	}
-	var out strings.Builder
-	s := Summarise(b, got)
-	s.Text(&out, b, 3, 2)
-	if !strings.HasPrefix(out.String(), "6 sites: ") || !strings.Contains(out.String(), "least_outstanding") {
-		t.Errorf("the report says %q", out.String())
+		t.Errorf("results of another seed are appended: %v", err)
 	}
-	var picture strings.Builder
-	if err := Plot(&picture, []string{"a", "b"}, []Summary{s, s}); err != nil ||
-		!strings.Contains(picture.String(), "<svg") {
-		t.Errorf("no plot: %v", err)
+}
+
+func TestResultsAreSummarisedAndPlotted(t *testing.T) {
+	b := parseBounds(t, small)
+	results := filepath.Join(t.TempDir(), "results")
+	runSites(t, b, Options{Seed: 3, To: 6, Out: results})
+	s := Summarise(b, readSites(t, results))
+	var text strings.Builder
+	s.Text(&text, b, 3, 2)
+	if !strings.HasPrefix(text.String(), "6 sites: ") || !strings.Contains(text.String(), "least_outstanding") {
+		t.Errorf("the summary is %q", text.String())
+	}
+	var plot strings.Builder
+	if err := Plot(&plot, []string{"a", "b"}, []Summary{s, s}); err != nil || !strings.Contains(plot.String(), "<svg") {
+		t.Errorf("not an SVG: %v, %q", err, plot.String())
 	}
 }
 
@@ -132,41 +144,48 @@
 	}}
 	r := s.Regret(2)
 	if r.Baseline != "a" || r.Mean < 0.039 || r.Mean > 0.041 || r.Bound < 0.024 || r.Bound > 0.026 || !r.Significant() {
-		t.Errorf("regret is %+v; 0.04 ±0.025 against a is right", r)
+		t.Errorf("regret is %+v, want 0.04 ±0.025 against a", r)
 	}
 	s.ServedWeight["a"] = []float64{0.9, 0.7, 0.5, 0.58, 0.54}
 	if r := s.Regret(2); r.Significant() {
-		t.Errorf("%+v passes for more than noise", r)
+		t.Errorf("%+v is significant, but within noise", r)
 	}
 	s.ServedWeight = map[string][]float64{Design: {0.5, 0.5}, "a": {0.501, 0.502}}
 	if r := s.Regret(2); r.Significant() || r.Mean <= 0 {
-		t.Errorf("two runs that selected the baseline prove %+v", r)
+		t.Errorf("%+v is significant after two runs that selected the baseline", r)
 	}
 }
 
 func TestFaultsInBoundsNameTheirPlace(t *testing.T) {
-	for change, want := range map[[2]string]string{
-		{"[1, 6]", "[6, 1]"}: `small.hcl:2:3: boxes: must be two integers from 1 to 1000000, ` +
-			`the smaller one first`,
-		{`["1ms", "20ms"]`, `["1ms"]`}: `small.hcl:7:3: work: must be two durations above 0s, the shorter one first`,
-		{"[0.1, 1.2]", "[0, 1.2]"}:     `small.hcl:8:3: load: must be two numbers above 0, the smaller one first`,
-		{`"1000/s"`, `"1/s"`}:          `small.hcl:10:3: rate_most: must be at least rate_least, which must be above 0`,
-		{"requests     = 200", "requests     = 2"}: `small.hcl:13:3: requests and known: must be at least 100 requests ` +
-			`and 1 pair`,
-		{`"random", `, `"best", `}: `small.hcl:16:3: rivals: "best" is not one of random, round_robin, ` +
-			`least_outstanding, two_choices, peak_ewma`,
-		{"= 4\n", "= 3\n"}: `small.hcl:18:3: more_repeats: must exceed repeats by at least 2: ` +
-			`regret excludes the runs that selected the baseline`,
-		{`"flap"`, `"flop"`}:                `small.hcl:15:3: fault_kinds: "flop" is not one of `,
-		{`search "small"`, `serch "small"`}: `small.hcl:1:1: Unsupported block type`,
+	for _, c := range []struct{ name, old, new, want string }{
+		{"span in descending order", "[1, 6]", "[6, 1]",
+			`small.hcl:2:3: boxes: must be two integers from 1 to 1000000, the smaller one first`},
+		{"span of one duration", `["1ms", "20ms"]`, `["1ms"]`,
+			`small.hcl:7:3: work: must be two durations above 0s, the shorter one first`},
+		{"load of 0", "[0.1, 1.2]", "[0, 1.2]",
+			`small.hcl:8:3: load: must be two numbers above 0, the smaller one first`},
+		{"rates in descending order", `"1000/s"`, `"1/s"`,
+			`small.hcl:10:3: rate_most: must be at least rate_least, which must be above 0`},
+		{"too few requests", "requests     = 200", "requests     = 2",
+			`small.hcl:13:3: requests and known: must be at least 100 requests and 1 pair`},
+		{"too many tiers", "tiers        = [1, 2]", "tiers        = [1, 4]", `small.hcl:5:3: tiers: must be at most 3`},
+		{"unknown baseline", `"random", `, `"best", `,
+			`small.hcl:16:3: rivals: "best" is not one of random, round_robin, ` +
+				`least_outstanding, two_choices, peak_ewma`},
+		{"no baseline", `["random", "least_outstanding"]`, `[]`, `small.hcl:16:3: rivals: must name at least one policy`},
+		{"too few repeats", "= 4\n", "= 3\n",
+			`small.hcl:18:3: more_repeats: must exceed repeats by at least 2: ` +
+				`regret excludes the runs that selected the baseline`},
+		{"unknown fault", `"flap"`, `"flop"`, `small.hcl:15:3: fault_kinds: "flop" is not one of `},
+		{"unknown block", `search "small"`, `serch "small"`, `small.hcl:1:1: Unsupported block type`},
 	} {
-		t.Run(change[1], func(t *testing.T) {
-			text := strings.Replace(small, change[0], change[1], 1)
+		t.Run(c.name, func(t *testing.T) {
+			text := strings.Replace(small, c.old, c.new, 1)
 			if text == small {
-				t.Fatalf("%q is not in the file", change[0])
+				t.Fatalf("%q is not in the file", c.old)
 			}
-			if _, err := Parse([]byte(text), "small.hcl"); err == nil || !strings.HasPrefix(err.Error(), want) {
-				t.Errorf("got %v, want %s", err, want)
+			if _, err := Parse([]byte(text), "small.hcl"); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+				t.Errorf("got %v, want %s", err, c.want)
 			}
 		})
 	}
--- a/internal/experiment/search/site.go
+++ b/internal/experiment/search/site.go
@@ -10,29 +10,38 @@
 	"rowancart/internal/experiment"
 )
 
-// Limits of sites besides the bounds. The ranges within the functions below are those of known
-// installations, and wider.
+// Limits of sites besides the bounds. The ranges in the functions below include those of known
+// installations.
 const (
-	minRequests              = 300              // in one run, where the longest duration allows that many
+	minRequests              = 300              // in one run, if the longest duration allows for them
 	maxDuration              = 10 * time.Minute // of runs with a low rate
-	maxServersOfSeveralTiers = 60               // in a tier, if there are several: each server then has an instance
-	maxLowLoad               = 0.9              // load that three of four sites do not exceed
+	maxServersOfSeveralTiers = 60               // in a tier, if there are several tiers: each server then has an instance
+	maxLowLoad               = 0.9              // load that three quarters of the sites do not exceed
 )
 
 // Draw returns site n of a search. The same bounds, seed and n give the same site. The order of the
 // draws is part of that.
 func Draw(b *Bounds, seed uint64, n int) *experiment.Experiment {
 	d := sampler{experiment.Rand(seed, "site "+strconv.Itoa(n))}
-	e := &experiment.Experiment{Name: fmt.Sprintf("site-%d-%d", seed, n),
-		Question: "Does the design serve as much as the best rival?", Virtual: true, Settings: map[string]string{}}
+	e := &experiment.Experiment{
+		Name:     fmt.Sprintf("site-%d-%d", seed, n),
+		Question: "Does the design serve as much as the best rival?",
+		Virtual:  true,
+		Settings: map[string]string{},
+	}
 	s := &e.Site
 	s.NetworkDelay = d.logUniformTime(20*time.Microsecond, 3*time.Millisecond)
 	s.NetworkJitter = threeDigits(d.uniform(0, 0.5))
 	s.MaxAttempts = 1 + d.IntN(5)
 	s.Discovery.Delay = d.logUniformTime(10*time.Millisecond, 4*time.Second)
 	s.Discovery.Spread = d.logUniformTime(time.Millisecond, time.Second)
-	s.Rules = experiment.Rules{ResponseSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmupOverload: 4,
-		OverloadWindow: time.Second, ImproperPeerTimeout: 3 * time.Second}
+	s.Rules = experiment.Rules{
+		ResponseSlack:       20 * time.Millisecond,
+		DrainGrace:          time.Second,
+		WarmupOverload:      4,
+		OverloadWindow:      time.Second,
+		ImproperPeerTimeout: 3 * time.Second,
+	}
 	capacity, work := d.drawTiers(b, s)
 	d.drawClasses(b, s, work)
 	d.drawLoad(b, e, capacity, work)
@@ -44,8 +53,8 @@
 	return e
 }
 
-// drawTiers draws the instances and tiers. It returns the requests a second that the tiers can
-// serve together, and the mean work of a request in seconds.
+// drawTiers draws the instances and tiers. It returns the capacity of the site in requests a
+// second, and the mean work of a request in seconds.
 func (d sampler) drawTiers(b *Bounds, s *experiment.Site) (capacity, work float64) {
 	tiers := b.Tiers.Min
 	for tiers < b.Tiers.Max && d.bernoulli(0.35) {
@@ -74,7 +83,7 @@
 	return capacity, work
 }
 
-// drawTier draws tier t of so many; first is the number of servers of tier 0.
+// drawTier draws tier t of a number of tiers; first is the number of servers of tier 0.
 func (d sampler) drawTier(t, tiers, first int, work float64) experiment.Tier {
 	out := experiment.Tier{Name: fmt.Sprintf("tier-%d", t+1), Servers: first, WorkFraction: 1}
 	if tiers > 1 {
@@ -91,6 +100,7 @@
 	return out
 }
 
+// drawKinds draws the kinds of the servers of a tier.
 func (d sampler) drawKinds() []experiment.Kind {
 	n := 1
 	for n < 3 && d.bernoulli(0.4) {
@@ -99,8 +109,12 @@
 	var kinds []experiment.Kind
 	sum := 0.0
 	for i := range n {
-		k := experiment.Kind{Name: fmt.Sprintf("kind-%d", i+1), Fraction: threeDigits(d.uniform(0.2, 1)),
-			Cores: 1 << d.IntN(4), Speed: 1}
+		k := experiment.Kind{
+			Name:     fmt.Sprintf("kind-%d", i+1),
+			Fraction: threeDigits(d.uniform(0.2, 1)),
+			Cores:    1 << d.IntN(4),
+			Speed:    1,
+		}
 		if n > 1 {
 			k.Speed = threeDigits(d.logUniform(0.5, 1.6))
 		}
@@ -115,6 +129,8 @@
 	return kinds
 }
 
+// drawServerSpec draws the properties that the servers of a tier share. Work is the mean of a
+// request, in seconds.
 func (d sampler) drawServerSpec(work float64) experiment.ServerSpec {
 	var s experiment.ServerSpec
 	if d.bernoulli(0.6) {
@@ -139,6 +155,7 @@
 	return s
 }
 
+// drawClasses draws the classes. Work is the mean of a request of the first, in seconds.
 func (d sampler) drawClasses(b *Bounds, s *experiment.Site, work float64) {
 	for i := range d.integer(b.Classes) {
 		mean := work
@@ -153,8 +170,13 @@
 func (d sampler) drawClass(i int, mean float64, networkDelay time.Duration) experiment.Class {
 	distributions := []experiment.Distribution{experiment.Exponential, experiment.Exponential, experiment.LogNormal,
 		experiment.Fixed}
-	c := experiment.Class{Name: fmt.Sprintf("class-%d", i+1), TrafficShare: threeDigits(d.uniform(0.2, 1)),
-		PriorityWeight: 1, VariationCoefficient: 1, Distribution: distributions[d.IntN(len(distributions))]}
+	c := experiment.Class{
+		Name:                 fmt.Sprintf("class-%d", i+1),
+		TrafficShare:         threeDigits(d.uniform(0.2, 1)),
+		PriorityWeight:       1,
+		VariationCoefficient: 1,
+		Distribution:         distributions[d.IntN(len(distributions))],
+	}
 	if c.Distribution == experiment.LogNormal {
 		c.VariationCoefficient = threeDigits(d.logUniform(0.3, 3))
 	}
@@ -170,10 +192,11 @@
 		c.OffCPUTime = d.logUniformTime(time.Millisecond, 200*time.Millisecond)
 	}
 	if d.bernoulli(0.35) {
-		c.Repeat, c.PriorityWeight = balancer.NonIdempotent, float64(1+d.IntN(10))
+		c.Repeat = balancer.NonIdempotent
+		c.PriorityWeight = float64(1 + d.IntN(10))
 	}
-	usual := time.Duration(3*missWork*float64(time.Second)) + c.OffCPUTime + 20*networkDelay + 20*time.Millisecond
-	c.Deadline = max(d.logUniformTime(2*usual, 20*usual).Truncate(time.Millisecond), 100*time.Millisecond)
+	expected := time.Duration(3*missWork*float64(time.Second)) + c.OffCPUTime + 20*networkDelay + 20*time.Millisecond
+	c.Deadline = max(d.logUniformTime(2*expected, 20*expected).Truncate(time.Millisecond), 100*time.Millisecond)
 	c.LatencyObjective = max(roundTime(time.Duration(d.uniform(0.3, 1)*float64(c.Deadline))), time.Millisecond)
 	return c
 }
@@ -198,7 +221,8 @@
 	if shortest := minRequests / l.Rate; e.Duration.Seconds() < shortest {
 		e.Duration = min(roundSeconds(shortest), max(maxDuration, e.Duration))
 	}
-	l.Rate, l.Process = max(threeDigits(l.Rate), 0.01), experiment.Poisson
+	l.Rate = max(threeDigits(l.Rate), 0.01)
+	l.Process = experiment.Poisson
 	if d.bernoulli(0.2) {
 		l.Process = experiment.Steady
 	}
@@ -220,16 +244,25 @@
 	duration := roundTime(time.Duration(d.uniform(0.05, 0.35) * length))
 	tier := e.Site.Tiers[d.IntN(len(e.Site.Tiers))]
 	fraction := threeDigits(d.logUniform(min(1/float64(tier.Servers), 0.9), 1))
-	f := experiment.Fault{Kind: experiment.FaultKind(kind), At: at, Duration: duration, Tier: tier.Name,
-		Fraction: fraction, Size: 1, Period: time.Second, Count: 1}
+	f := experiment.Fault{
+		Kind:     experiment.FaultKind(kind),
+		At:       at,
+		Duration: duration,
+		Tier:     tier.Name,
+		Fraction: fraction,
+		Size:     1,
+		Period:   time.Second,
+		Count:    1,
+	}
 	switch f.Kind {
 	case loadStep:
 		e.Load.Steps = append(e.Load.Steps, experiment.Step{At: at, Factor: threeDigits(d.logUniform(1.3, 5))},
 			experiment.Step{At: at + duration, Factor: 1})
 		return
 	case flapping:
-		f.Kind, f.Duration = experiment.Crash, max(f.Duration/8, time.Millisecond)
-		for range 3 { // and once more below
+		f.Kind = experiment.Crash
+		f.Duration = max(f.Duration/8, time.Millisecond)
+		for range 3 { // the fourth crash is added below
 			e.Faults = append(e.Faults, f)
 			f.At += 2 * f.Duration
 		}
@@ -242,13 +275,20 @@
 	e.Faults = append(e.Faults, f)
 }
 
-// silenceAround returns a silence of discovery that hides a fault.
+// silenceAround returns a fault of discovery, which sends nothing while another fault is in force.
 func silenceAround(discovery experiment.Discovery, f experiment.Fault) experiment.Fault {
-	return experiment.Fault{Kind: experiment.DiscoverySilence, At: max(f.At-discovery.Delay-discovery.Spread, 0),
-		Duration: f.Duration + 2*discovery.Delay + discovery.Spread, Fraction: 1, Size: 1, Period: time.Second, Count: 1}
+	return experiment.Fault{
+		Kind:     experiment.DiscoverySilence,
+		At:       max(f.At-discovery.Delay-discovery.Spread, 0),
+		Duration: f.Duration + 2*discovery.Delay + discovery.Spread,
+		Fraction: 1,
+		Size:     1,
+		Period:   time.Second,
+		Count:    1,
+	}
 }
 
-// drawFaultSize draws what the kind of fault needs.
+// drawFaultSize draws the parameters of a kind of fault.
 func (d sampler) drawFaultSize(f *experiment.Fault) {
 	switch f.Kind {
 	case experiment.FastErrors:
@@ -257,7 +297,9 @@
 		f.Size = threeDigits(d.uniform(0.3, 0.9))
 		f.Period = d.logUniformTime(time.Second, 5*time.Second)
 	case experiment.SharedSlowdown:
-		f.Size, f.Tier, f.Fraction = threeDigits(d.uniform(1.2, 3)), "", 1
+		f.Size = threeDigits(d.uniform(1.2, 3))
+		f.Tier = ""
+		f.Fraction = 1
 	case experiment.RollingDeploy:
 		f.Size = threeDigits(d.logUniform(0.05, 0.5))
 		f.Period = d.logUniformTime(500*time.Millisecond, 5*time.Second)
--- a/internal/experiment/search/summary.go
+++ b/internal/experiment/search/summary.go
@@ -13,7 +13,7 @@
 // Summary is the result of a search.
 type Summary struct {
 	Sites               int
-	Regrets             []float64 // in rising order
+	Regrets             []float64 // in ascending order
 	Behind              int       // sites where the design is significantly behind the best baseline
 	Baselines           []Comparison
 	SitesWithViolations map[string]int // by policy
@@ -24,7 +24,7 @@
 type Comparison struct {
 	Baseline      string
 	Mean          float64 // of the baseline's served weight less the design's
-	Behind, Ahead int     // sites where the design is so by more than minRegret
+	Behind, Ahead int     // sites where the design is behind or ahead by more than minRegret
 }
 
 // Finding is a site on which the design is behind.
@@ -60,7 +60,7 @@
 	return out
 }
 
-// add adds one of so many sites.
+// add adds one site of a number of sites.
 func (c *Comparison) add(s Site, sites int) {
 	lead := s.BaselineLead(c.Baseline)
 	c.Mean += lead / float64(sites)
@@ -71,7 +71,7 @@
 	}
 }
 
-// Quantile returns a quantile of the regrets; q is from 0 to 1.
+// Quantile returns the q-quantile of the regrets, with q from 0 to 1.
 func (s Summary) Quantile(q float64) float64 {
 	if len(s.Regrets) == 0 {
 		return 0
@@ -82,7 +82,8 @@
 // quantilesShown are those of the regrets that Text writes.
 var quantilesShown = []float64{0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 1}
 
-// Text writes a summary. The worst sites, so many at most, are drawn again for their description.
+// Text writes a summary. At most worst of the sites with the largest regret are described; they are
+// drawn again for that.
 func (s Summary) Text(w io.Writer, b *Bounds, seed uint64, worst int) {
 	sites := float64(s.Sites)
 	behind := float64(s.Behind) / max(sites, 1)
