--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -31,7 +31,7 @@
 	b.retryTokens.earn(now)
 	isOverQuota := b.chargeQuota(now, req)
 	switch {
-	case b.isTooLate(now, req):
+	case b.missesDeadline(now, req):
 		b.rejectOrFail(req, DeadlineTooClose)
 	case isOverQuota && (b.isCapacityShort() || b.isRateHigh(now)):
 		b.rejectOrFail(req, OverQuota)
@@ -41,9 +41,9 @@
 	}
 }
 
-// isTooLate reports whether a new request cannot be answered in time. While others wait, it would
-// have to wait behind them.
-func (b *Balancer) isTooLate(now time.Duration, req *request) bool {
+// missesDeadline reports whether a new request cannot be answered in time. While others are
+// queued, it would have to wait behind them.
+func (b *Balancer) missesDeadline(now time.Duration, req *request) bool {
 	return now >= req.giveUpAt || len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftShare)
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -96,7 +96,7 @@
 
 // dispatch sends a request to the endpoint selected, or queues it.
 func (b *Balancer) dispatch(now time.Duration, req *request) {
-	if !b.mustWaitForOthers(req) {
+	if !b.mustQueue(req) {
 		if e := b.selectForDispatch(now, req); e != nil {
 			b.send(now, req, e)
 			return
@@ -109,8 +109,8 @@
 	b.enqueue(now, req)
 }
 
-// mustWaitForOthers reports whether a request has to queue behind others. Retries do not.
-func (b *Balancer) mustWaitForOthers(req *request) bool {
+// mustQueue reports whether a request has to wait behind others. Retries do not.
+func (b *Balancer) mustQueue(req *request) bool {
 	return !req.isRetry() && !req.queued && len(b.queue) > 0
 }
 
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -47,7 +47,7 @@
 	case Errored:
 		b.evaluateError(now, req, a, latencyRatio)
 	case Reset, ConnectFailed:
-		b.recordBrokenConnection(now, a.endpoint, r)
+		b.recordConnectionFailure(now, a.endpoint, r)
 		b.sampleFailure(now, req, a, failure{result: r, latencyRatio: latencyRatio, isOwn: true})
 	case Rejected, TimedOut:
 		b.sampleFailure(now, req, a, failure{result: r, latencyRatio: latencyRatio})
@@ -157,11 +157,11 @@
 	return own > usual && odds > math.Log(ejectionOdds)
 }
 
-// recordBrokenConnection records a reset or failed connection. One reset may be the network's and
+// recordConnectionFailure records a reset or failed connection. One reset may be the network's and
 // says nothing about the endpoint. Two without a response in between show that it went down, so
 // that it warms up when it is back. If one were enough, a warm endpoint would get a warming one's
 // traffic, and the others the rest of its own.
-func (b *Balancer) recordBrokenConnection(now time.Duration, e *endpoint, r Result) {
+func (b *Balancer) recordConnectionFailure(now time.Duration, e *endpoint, r Result) {
 	if e.connection.isDown() {
 		e.Started = max(e.Started, now)
 		e.slowStart.speedUp = 1
