--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -219,36 +219,36 @@
 // fifteen outcomes. Where the others have none, the second error after eight good outcomes is
 // attributed to the endpoint. Where all fail equally, no number of errors is.
 func TestErrorsAreAttributedToAnEndpointByTheOdds(t *testing.T) {
-	for _, below := range []bool{false, true} {
-		s := testSettings()
-		s.TiersBelow = 2
-		s.MaxAttempts = 1
-		names := []string{"a", "b", "c", "d", "e", "f"}
-		h := newHarness(t, s, names...)
-		errors, toFirst := 0, 0
-		for i := range 90 {
-			id, ep := h.request("read")
-			h.advance(200 * ms)
-			fails := ep == "a"
-			if below {
-				fails = i%3 == 0
-			}
-			if i < 48 || !fails {
-				h.finish(id, balancer.OK)
-			} else {
-				errors++
-				h.finish(id, balancer.Errored)
+	for _, c := range []struct {
+		name        string
+		fails       func(n int, ep string) bool
+		least, most int // of 42 requests, that go to endpoint a
+	}{
+		{"one endpoint fails", func(_ int, ep string) bool { return ep == "a" }, 0, 4},
+		{"a third of all requests fails in the tier below", func(n int, _ string) bool { return n%3 == 0 }, 4, 42},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := testSettings()
+			s.TiersBelow = 2
+			s.MaxAttempts = 1
+			h := newHarness(t, s, "a", "b", "c", "d", "e", "f")
+			toA := 0
+			for n := range 90 {
+				id, ep := h.request("read")
+				h.advance(200 * ms)
+				if n < 48 || !c.fails(n, ep) { // the first 48 are the good outcomes of all
+					h.finish(id, balancer.OK)
+				} else {
+					h.finish(id, balancer.Errored)
+				}
+				if n >= 48 && ep == "a" {
+					toA++
+				}
 			}
-			if i >= 48 && ep == "a" {
-				toFirst++
+			if toA < c.least || toA > c.most {
+				t.Errorf("%d of 42 requests go to endpoint a, want %d to %d", toA, c.least, c.most)
 			}
-		}
-		if !below && errors > 4 {
-			t.Errorf("an endpoint that fails all requests got %d of 42", errors)
-		}
-		if below && toFirst < 4 {
-			t.Errorf("a third of all requests fails in the tier below, and one of six endpoints got %d of 42", toFirst)
-		}
+		})
 	}
 }
 
@@ -275,8 +275,7 @@
 }
 
 // Of two endpoints, one fails: the other must serve all requests, whichever had the lower deficit
-// before. Seeds, latencies and pauses vary, so that at times the
-// failing one is the only one active.
+// before. Seeds, latencies and pauses vary, so that at times the failing one is the only one active.
 func TestOneFailingEndpointLosesNoRequests(t *testing.T) {
 	for _, mode := range []struct {
 		name   string
