--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -78,7 +78,7 @@
 	}
 	err := d.reload()
 	if err != nil {
-		d.log.Error("reload failed", logkey.Err, err)
+		d.log.Error("configuration not reloaded", logkey.Err, err)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,7 +118,7 @@
 		}
 	}
 	changes := strings.Join(old.Compare(c), ", ")
-	d.log.Info("reloaded", logkey.Generation, d.current.number, "changes", changes)
+	d.log.Info("configuration reloaded", logkey.Generation, d.current.number, "changes", changes)
 	return nil
 }
 
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -89,7 +89,7 @@
 			t.Errorf("%d", status)
 		}
 	}
-	if !strings.Contains(s.log.String(), `msg="reload failed"`) {
+	if !strings.Contains(s.log.String(), `msg="configuration not reloaded"`) {
 		t.Error("the failure is not logged")
 	}
 	s.reload(valid)
