--- a/cmd/sidecar/handover_test.go
+++ b/cmd/sidecar/handover_test.go
@@ -107,7 +107,7 @@
 	p := newTestPlatform(t)
 	for _, fd := range []string{"seven", "63"} {
 		config := filepath.Join(t.TempDir(), "config.json")
-		writeConfig(t, config, p.discovery)
+		writeTestConfig(t, config, p.discovery)
 		c := exec.Command(p.program)
 		c.Env = []string{
 			platform.EnvConfig + "=" + config,
@@ -159,7 +159,8 @@
 	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
-	const request = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 10000\r\n" +
+	const request = "POST /pay HTTP/1.1\r\nHost: h\r\n" +
+		platform.RequestIDHeader + ": ID\r\n" + platform.DeadlineHeader + ": 10000\r\n" +
 		"Content-Length: 4\r\n\r\nbody"
 	type partialRequest struct {
 		net.Conn
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"fmt"
+	"encoding/json"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -40,14 +40,33 @@
 	return s.Listener.Addr().String(), calls
 }
 
-// writeConfig writes a configuration with discovery at an address.
-func writeConfig(t *testing.T, path, discovery string) {
+// testConfig returns a configuration with default settings and no known endpoint.
+func testConfig(listen, discovery string) platform.ConfigFile {
+	return platform.ConfigFile{
+		Name:      "t",
+		Listen:    listen,
+		Discovery: discovery,
+		Seed:      "1",
+		Known:     platform.NewEndpointList(1, true),
+	}
+}
+
+// writeConfig writes a configuration file.
+func writeConfig(t *testing.T, path string, config platform.ConfigFile) {
 	t.Helper()
-	text := fmt.Sprintf(`{"name":"t","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
-		"known":{"version":1,"full":true,"servers":[]},"settings":{}}`, discovery)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	text, err := json.Marshal(config)
+	if err != nil {
 		t.Fatal(err)
 	}
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// writeTestConfig writes a configuration that listens on any port, with discovery at an address.
+func writeTestConfig(t *testing.T, path, discovery string) {
+	t.Helper()
+	writeConfig(t, path, testConfig("127.0.0.1:0", discovery))
 }
 
 // waitForCall waits until a fake discovery has been called.
@@ -97,7 +116,7 @@
 	first, firstCalled := startDiscovery(t)
 	second, secondCalled := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, first)
+	writeTestConfig(t, path, first)
 	ended := startProgram(t, path)
 	waitForCall(t, "the first discovery", firstCalled)
 
@@ -105,7 +124,7 @@
 		t.Fatal(err)
 	}
 	signalSelf(t, syscall.SIGHUP)
-	writeConfig(t, path, second)
+	writeTestConfig(t, path, second)
 	signalSelf(t, syscall.SIGHUP)
 	waitForCall(t, "the second discovery", secondCalled)
 
@@ -125,7 +144,7 @@
 	})
 	addr, called := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, addr)
+	writeTestConfig(t, path, addr)
 	ended := startProgram(t, path)
 	waitForCall(t, "discovery", called)
 	signalled := make(chan os.Signal, 1)
@@ -167,7 +186,7 @@
 	first, firstCalled := startDiscovery(t)
 	second, secondCalled := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, first)
+	writeTestConfig(t, path, first)
 	ended := startProgram(t, path)
 	waitForCall(t, "the first discovery", firstCalled)
 
@@ -176,7 +195,7 @@
 	}
 	signalSelf(t, syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond) // that the signal is handled first is likely; the test holds either way
-	writeConfig(t, path, second)
+	writeTestConfig(t, path, second)
 	waitForCall(t, "the second discovery", secondCalled)
 	signalSelf(t, syscall.SIGTERM)
 	requireCleanEnd(t, ended)
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -19,16 +19,14 @@
 )
 
 // startBuilt starts the built program with a configuration, with its log at stderr.
-func startBuilt(t *testing.T, config string, stderr io.Writer) *exec.Cmd {
+func startBuilt(t *testing.T, config platform.ConfigFile, stderr io.Writer) *exec.Cmd {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "sidecar")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeConfig(t, path, config)
 	c := exec.Command(program)
 	c.Env = []string{platform.EnvConfig + "=" + path}
 	c.Stderr = stderr
@@ -58,7 +56,7 @@
 	t.Helper()
 	client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	testpeer.WaitUntil(t, "the sidecar is healthy", func() bool {
-		resp, err := client.Get("http://" + addr + "/_health")
+		resp, err := client.Get("http://" + addr + platform.HealthPath)
 		if err != nil {
 			return false
 		}
@@ -75,8 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := startBuilt(t, fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1",
-		"known":{"version":1,"full":true,"servers":[]},"settings":{}}`, addr, discovery), writer)
+	c := startBuilt(t, testConfig(addr, discovery), writer)
 	writer.Close()
 	waitUntilHealthy(t, addr)
 	reader.Close()
@@ -106,8 +103,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal(err)
 	}
-	startBuilt(t, fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1",
-		"known":{"version":1,"full":true,"servers":[]},"settings":{}}`, addr, discovery), writer)
+	startBuilt(t, testConfig(addr, discovery), writer)
 	waitUntilHealthy(t, addr)
 }
 
@@ -126,10 +122,16 @@
 	defer hanging.Close()
 	discovery := startListingDiscovery(t, []string{hanging.Addr().String()})
 	addr := freeAddr(t)
-	known := testpeer.CompleteList(1, testpeer.Listed("a", hanging.Addr().String(), platform.StateReady))
-	c := startBuilt(t, fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1","known":%s,
-		"settings":{"Lanes":[{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":900000,"HardLimitUs":1000000}]}}`,
-		addr, discovery, known), io.Discard)
+	config := testConfig(addr, discovery)
+	config.Known = platform.NewEndpointList(1, true,
+		testpeer.Listed("a", hanging.Addr().String(), platform.StateReady))
+	config.Settings.Classes = []platform.ClassSettings{{
+		Name:               "pay",
+		Repeatability:      platform.RepeatabilityNonIdempotent,
+		LatencyObjectiveUs: 900_000,
+		MaxDeadlineUs:      deadline.Microseconds(),
+	}}
+	c := startBuilt(t, config, io.Discard)
 	waitUntilHealthy(t, addr)
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -140,7 +142,8 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Deadline-Ms: 60000\r\nContent-Length: 0\r\n\r\n")
+	fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: h\r\n%s: r\r\n%s: 60000\r\nContent-Length: 0\r\n\r\n",
+		platform.RequestIDHeader, platform.DeadlineHeader)
 	time.Sleep(time.Until(killAt.Add(-suspended * 4 / 5)))
 	c.Process.Signal(syscall.SIGSTOP) // suspended until SIGKILL
 	time.Sleep(time.Until(killAt))
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -97,14 +97,21 @@
 func (p *testPlatform) start(t *testing.T) *sidecarProcess {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Sprintf(`{"name":"t","listen":%q,"discovery":%q,"seed":"1",
-		"limits":{"cores":1,"memory_mb":64,"sockets":256},
-		"settings":{"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
-			{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],
-		"Permissions":{"MayCancel":true,"TryLimit":4}}}`, p.addr, p.discovery)
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	const objectiveUs = 2_000_000
+	writeConfig(t, config, platform.ConfigFile{
+		Name:      "t",
+		Listen:    p.addr,
+		Discovery: p.discovery,
+		Seed:      "1",
+		Limits:    platform.ConfigLimits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		Settings: platform.SettingsObject{
+			Classes: []platform.ClassSettings{
+				{Name: "look", Repeatability: platform.RepeatabilityIdempotent, LatencyObjectiveUs: objectiveUs},
+				{Name: "pay", Repeatability: platform.RepeatabilityNonIdempotent, LatencyObjectiveUs: objectiveUs},
+			},
+			Permissions: platform.Permissions{CancelAllowed: true, MaxAttempts: 4},
+		},
+	})
 	s := &sidecarProcess{Cmd: exec.Command(p.program), exited: make(chan error, 1)}
 	s.Env = []string{
 		platform.EnvConfig + "=" + config,
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -15,6 +15,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // bodyPattern is repeated in test bodies. Its length differs from that of every buffer, so that
@@ -91,7 +93,7 @@
 		fmt.Sscan(r.URL.Query().Get("seed"), &seed)
 		return writeBody(conn, seed, size)
 	})
-	s := startSidecarWithLimits(t, `{"memory_mb":64,"sockets":1024}`, e.Addr)
+	s := startSidecarWithLimits(t, platform.ConfigLimits{MemoryMB: 64, Sockets: 1024}, e.Addr)
 	before := heapInUse()
 	var begun, all sync.WaitGroup
 	begun.Add(responses)
@@ -145,7 +147,7 @@
 		io.WriteString(w, "hi")
 	}))
 	t.Cleanup(e.Close)
-	s := startSidecarWithLimits(t, `{"memory_mb":32}`, e.Listener.Addr().String())
+	s := startSidecarWithLimits(t, platform.ConfigLimits{MemoryMB: 32}, e.Listener.Addr().String())
 	for i, size := range []int64{0, 1, 64 << 10, 64<<10 + 1, 300_000, 1 << 20, 3 << 20, 32 << 20} {
 		for _, withLength := range []bool{true, false} {
 			r := s.newRequest(t, http.MethodPost, "/pay", fmt.Sprint("r", i, withLength), 60000)
@@ -232,7 +234,7 @@
 	t.Run("buffered", func(t *testing.T) {
 		// A body that the kernel's send buffer holds completely, 4 MB at most, is written before
 		// the reset is seen: its request may have run.
-		s := startSidecarWithLimits(t, `{"memory_mb":512}`, resetting, counting)
+		s := startSidecarWithLimits(t, platform.ConfigLimits{MemoryMB: 512}, resetting, counting)
 		for i := range 6 { // either endpoint may be the first
 			resp, err := readUploadResponse(s.startUpload(t, fmt.Sprint("buffered", i), length, length))
 			if err != nil || resp.StatusCode != http.StatusOK {
@@ -244,7 +246,7 @@
 		}
 	})
 	t.Run("reset by its endpoint", func(t *testing.T) {
-		s := startSidecarWithLimits(t, `{"memory_mb":32}`, resetting)
+		s := startSidecarWithLimits(t, platform.ConfigLimits{MemoryMB: 32}, resetting)
 		// The reset has to be seen before all that the client sends has been forwarded.
 		resp, err := readUploadResponse(s.startUpload(t, "streamed", length, length-1))
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
@@ -252,7 +254,7 @@
 		}
 	})
 	t.Run("aborted by its client", func(t *testing.T) {
-		s := startSidecarWithLimits(t, `{"memory_mb":32}`, counting)
+		s := startSidecarWithLimits(t, platform.ConfigLimits{MemoryMB: 32}, counting)
 		conn := s.startUpload(t, "aborted", 8<<20, 2<<20)
 		waitUntil(t, "it is in flight", func() bool { return s.metric(t, "sidecar_concurrent") > 0 })
 		conn.(*net.TCPConn).CloseWrite()
@@ -289,7 +291,7 @@
 			defer conn.Close()
 		}
 	}()
-	s := startSidecarWithLimits(t, `{"memory_mb":32}`, l.Addr().String())
+	s := startSidecarWithLimits(t, platform.ConfigLimits{MemoryMB: 32}, l.Addr().String())
 	resp, err := readUploadResponse(s.startUpload(t, "early", 8<<20, 8<<20-1))
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("%+v, %v", resp, err)
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -131,7 +131,8 @@
 	t.Run("sent after a dial that failed", func(t *testing.T) {
 		dead := newFullBacklogEndpoint(t)
 		addr, received := startDeadlineEndpoint(t, 0)
-		settings := strings.Replace(testSettings, `"DialTimeoutUs":5000000`, `"DialTimeoutUs":1000000`, 1)
+		settings := testSettings()
+		settings.Permissions.DialTimeoutUs = 1_000_000
 		s := testOptions{settings: settings, endpoints: listedAll(dead)}.start(t)
 		s.server.SetBodyMemory(0)
 		c, sentAt := s.sendUpload(t, longBody, clientTimeout)
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -34,7 +34,7 @@
 // waitForCapacity is a wait for capacity at one endpoint.
 func waitForCapacity(t *testing.T, o testOptions) waitCase {
 	e := startBlockingEndpoint(t)
-	o.settings = cmp.Or(o.settings, longWaitSettings)
+	o.settings = cmp.Or(o.settings, longWaitSettings())
 	o.endpoints = listedAll(e)
 	s := o.start(t)
 	for i := range initialCapacity {
@@ -51,11 +51,11 @@
 
 // waitForCapacityWithoutCancel is a wait for capacity where attempts must not be canceled.
 func waitForCapacityWithoutCancel(t *testing.T) waitCase {
-	return waitForCapacity(t, testOptions{settings: noCancelSettings})
+	return waitForCapacity(t, testOptions{settings: noCancelSettings()})
 }
 
 // waitForConnection is a wait for a connection to be established to the last of the endpoints.
-func waitForConnection(t *testing.T, settings string, before ...string) waitCase {
+func waitForConnection(t *testing.T, settings *platform.SettingsObject, before ...string) waitCase {
 	e := newFullBacklogEndpoint(t)
 	o := testOptions{
 		settings:  settings,
@@ -71,12 +71,12 @@
 func waitForRetryConnection(t *testing.T) waitCase {
 	refusing := newBlockingEndpoint(t)
 	refusing.Close()
-	return waitForConnection(t, longWaitSettings, refusing.addr())
+	return waitForConnection(t, longWaitSettings(), refusing.addr())
 }
 
 // waitForCapacityWithBody is a wait for capacity while the request's body is still being sent.
 func waitForCapacityWithBody(t *testing.T) waitCase {
-	w := waitForCapacity(t, testOptions{limits: `{"memory_mb":32}`})
+	w := waitForCapacity(t, testOptions{limits: platform.ConfigLimits{MemoryMB: 32}})
 	w.request = partialUpload
 	w.disconnects = []string{"fin", "rst", "half"} // bytes behind it would be the rest of the body
 	return w
@@ -157,8 +157,8 @@
 	"capacity, with an incomplete body": waitForCapacityWithBody,
 	"capacity, after SIGTERM":           waitForCapacityDuringShutdown,
 	"capacity, while superseded":        waitForCapacityWhileSuperseded,
-	"a connection":                      func(t *testing.T) waitCase { return waitForConnection(t, longWaitSettings) },
-	"a connection, no cancellation":     func(t *testing.T) waitCase { return waitForConnection(t, noCancelSettings) },
+	"a connection":                      func(t *testing.T) waitCase { return waitForConnection(t, longWaitSettings()) },
+	"a connection, no cancellation":     func(t *testing.T) waitCase { return waitForConnection(t, noCancelSettings()) },
 	"the connection of a retry":         waitForRetryConnection,
 	"the first list":                    waitForFirstList,
 	"a retry":                           waitForRetry,
@@ -218,8 +218,8 @@
 // stays connected is written completely.
 func TestBodyIsNotCompletedAfterClientDisconnect(t *testing.T) {
 	for name, c := range map[string]bodyDisconnectCase{
-		"buffered":       {limits: `{"memory_mb":512}`, sentBeforeDisconnect: bodyDisconnectSize},
-		"being received": {limits: `{"memory_mb":32}`, sentBeforeDisconnect: 1 << 20},
+		"buffered":       {limits: platform.ConfigLimits{MemoryMB: 512}, sentBeforeDisconnect: bodyDisconnectSize},
+		"being received": {limits: platform.ConfigLimits{MemoryMB: 32}, sentBeforeDisconnect: 1 << 20},
 	} {
 		for _, way := range []string{"fin", "rst"} {
 			t.Run(name+" "+way, func(t *testing.T) { t.Parallel(); c.runDisconnected(t, disconnects[way]) })
@@ -233,7 +233,7 @@
 
 // bodyDisconnectCase is one case of TestBodyIsNotCompletedAfterClientDisconnect.
 type bodyDisconnectCase struct {
-	limits               string
+	limits               platform.ConfigLimits
 	sentBeforeDisconnect int // bytes of the body
 }
 
@@ -277,7 +277,7 @@
 	second := startBlockingEndpoint(t)
 	s := testOptions{
 		limits:    c.limits,
-		settings:  longWaitSettings,
+		settings:  longWaitSettings(),
 		endpoints: listedAll(first, second),
 	}.start(t)
 	u := pendingUpload{
--- a/internal/sidecar/forwarding_test.go
+++ b/internal/sidecar/forwarding_test.go
@@ -192,7 +192,7 @@
 // Idle connections of clients must be closed when the limit is reached, and no request may be lost.
 func TestIdleClientConnectionsAreClosedAtTheLimit(t *testing.T) {
 	e := newEndpoint(t, respondWith(okResponse, true))
-	s := startSidecarWithLimits(t, `{"sockets":64}`, e.Addr)
+	s := startSidecarWithLimits(t, platform.ConfigLimits{Sockets: 64}, e.Addr)
 	for i := range 100 { // far over the limit
 		resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)).resp
 		if resp.StatusCode != http.StatusOK {
--- a/internal/sidecar/operations_test.go
+++ b/internal/sidecar/operations_test.go
@@ -74,7 +74,8 @@
 	case "fail":
 		io.WriteString(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	case "reject":
-		io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+		io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\n"+
+			platform.RejectedHeader+": "+platform.RejectedValue+"\r\nContent-Length: 0\r\n\r\n")
 	case "stream":
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n%s", strings.Repeat("x", 200_000))
 	case "hang":
@@ -146,7 +147,7 @@
 		io.WriteString(conn, okResponse)
 		return true
 	})
-	s := startSidecarWithLimits(t, `{"sockets":128}`, e.Addr)
+	s := startSidecarWithLimits(t, platform.ConfigLimits{Sockets: 128}, e.Addr)
 	var clients sync.WaitGroup
 	for i := range 40 {
 		clients.Go(func() { s.get(t, "/look", fmt.Sprint("r", i), 60000) })
@@ -208,7 +209,7 @@
 // that it has a successor. So the predecessor is notified first. Here that fails, and the process
 // is not ready yet when the failure is logged.
 func TestPredecessorIsNotifiedBeforeReady(t *testing.T) {
-	c := testOptions{settings: "{}", sharedDir: t.TempDir()}.config(t, "127.0.0.1:9")
+	c := testOptions{settings: &platform.SettingsObject{}, sharedDir: t.TempDir()}.config(t, "127.0.0.1:9")
 	readyAtNotification := make(chan error, 1)
 	var s *Sidecar
 	s, err := Start(c, slog.New(hookHandler{slog.DiscardHandler, func(message string) {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -96,7 +96,7 @@
 	e.blockPrefix = ""
 	defer close(e.release)
 	s := testOptions{
-		settings:  longWaitSettings,
+		settings:  longWaitSettings(),
 		endpoints: listedAll(e),
 		killDelay: 2 * time.Second,
 	}.start(t)
@@ -159,7 +159,7 @@
 	}()
 	defer close(e.release)
 	s := testOptions{
-		settings:  longWaitSettings,
+		settings:  longWaitSettings(),
 		endpoints: listedAll(e),
 		killDelay: 2 * time.Second,
 	}.start(t)
--- a/internal/sidecar/testclient_test.go
+++ b/internal/sidecar/testclient_test.go
@@ -9,14 +9,19 @@
 	"strings"
 	"testing"
 	"time"
+
+	"rowancart/internal/platform"
 )
 
 // Requests as text, in which ID stands for the id of the client.
 const (
-	lookRequest      = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\n\r\n"
-	pipelinedRequest = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: ID-next\r\nReq-Deadline-Ms: 600000\r\n\r\n"
-	payRequest       = "POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\n" +
+	lookRequest      = "GET /look HTTP/1.1\r\nHost: h\r\n" + idField + ": ID\r\n" + deadlineField + "\r\n"
+	pipelinedRequest = "GET /look HTTP/1.1\r\nHost: h\r\n" + idField + ": ID-next\r\n" + deadlineField + "\r\n"
+	payRequest       = "POST /pay HTTP/1.1\r\nHost: h\r\n" + idField + ": ID\r\n" + deadlineField +
 		"Content-Length: 2\r\n\r\nhi"
+
+	idField       = platform.RequestIDHeader
+	deadlineField = platform.DeadlineHeader + ": 600000\r\n"
 )
 
 // partialUpload is a request whose body is still being sent: some of it is unread while the request
@@ -25,7 +30,7 @@
 
 // uploadHead returns the head of a request with a body of so many bytes.
 func uploadHead(length int) string {
-	return fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: h\r\nReq-Id: ID\r\nReq-Deadline-Ms: 600000\r\n"+
+	return fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: h\r\n"+idField+": ID\r\n"+deadlineField+
 		"Content-Length: %d\r\n\r\n", length)
 }
 
--- a/internal/sidecar/testsidecar_test.go
+++ b/internal/sidecar/testsidecar_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"cmp"
 	"context"
+	"encoding/json"
 	"fmt"
 	"io"
 	"log/slog"
@@ -36,22 +37,53 @@
 
 // testSettings have one class of each kind: look is idempotent, book is idempotent with a key, and
 // pay is non-idempotent.
-const testSettings = `{"Lanes":[
-	{"Name":"look","Semantics":"read_like","OnTimeUs":2000000},
-	{"Name":"book","Semantics":"idempotency_key","Group":"cell","WindowUs":10000000,"OnTimeUs":2000000},
-	{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":2000000}],
-	"Permissions":{"MayCancel":true,"TryLimit":4,"RetryAfter":true,"MaxRetryAfterUs":2000000,
-		"DialTimeoutUs":5000000}}`
+func testSettings() *platform.SettingsObject {
+	const objectiveUs = 2_000_000
+	return &platform.SettingsObject{
+		Classes: []platform.ClassSettings{
+			{Name: "look", Repeatability: platform.RepeatabilityIdempotent, LatencyObjectiveUs: objectiveUs},
+			{
+				Name:               "book",
+				Repeatability:      platform.RepeatabilityKeyed,
+				KeyScope:           platform.KeyScopeCell,
+				KeyWindowUs:        10_000_000,
+				LatencyObjectiveUs: objectiveUs,
+			},
+			{Name: "pay", Repeatability: platform.RepeatabilityNonIdempotent, LatencyObjectiveUs: objectiveUs},
+		},
+		Permissions: platform.Permissions{
+			CancelAllowed:     true,
+			MaxAttempts:       4,
+			RetryAfterAllowed: true,
+			MaxRetryAfterUs:   2_000_000,
+			DialTimeoutUs:     5_000_000,
+		},
+	}
+}
 
 // longWaitSettings let requests wait for as long as a test takes.
-const longWaitSettings = `{"Lanes":[
-	{"Name":"look","Semantics":"read_like","OnTimeUs":60000000},
-	{"Name":"pay","Semantics":"non_idempotent","OnTimeUs":60000000}],
-	"Permissions":{"MayCancel":true,"TryLimit":4,"DialTimeoutUs":15000000},
-	"Rules":{"ColdUs":60000000,"ColdFrom":0.1,"ColdShare":0.000001}}`
+func longWaitSettings() *platform.SettingsObject {
+	const objectiveUs = 60_000_000
+	return &platform.SettingsObject{
+		Classes: []platform.ClassSettings{
+			{Name: "look", Repeatability: platform.RepeatabilityIdempotent, LatencyObjectiveUs: objectiveUs},
+			{Name: "pay", Repeatability: platform.RepeatabilityNonIdempotent, LatencyObjectiveUs: objectiveUs},
+		},
+		Permissions: platform.Permissions{CancelAllowed: true, MaxAttempts: 4, DialTimeoutUs: 15_000_000},
+		Rules: platform.EndpointBehaviour{
+			SlowStartWindowUs: 60_000_000,
+			SlowStartCapacity: 0.1,
+			SlowStartShare:    0.000001,
+		},
+	}
+}
 
 // noCancelSettings are longWaitSettings that forbid the cancellation of attempts.
-var noCancelSettings = strings.Replace(longWaitSettings, `"MayCancel":true`, `"MayCancel":false`, 1)
+func noCancelSettings() *platform.SettingsObject {
+	settings := longWaitSettings()
+	settings.Permissions.CancelAllowed = false
+	return settings
+}
 
 // initialCapacity is how many requests fill one endpoint of one sidecar with longWaitSettings
 // before anything is known of it.
@@ -69,11 +101,11 @@
 // nothing.
 func startSidecar(t *testing.T, addrs ...string) *testSidecar {
 	t.Helper()
-	return startSidecarWithLimits(t, "{}", addrs...)
+	return startSidecarWithLimits(t, platform.ConfigLimits{}, addrs...)
 }
 
-// startSidecarWithLimits is startSidecar with limits, in JSON.
-func startSidecarWithLimits(t *testing.T, limits string, addrs ...string) *testSidecar {
+// startSidecarWithLimits is startSidecar with limits.
+func startSidecarWithLimits(t *testing.T, limits platform.ConfigLimits, addrs ...string) *testSidecar {
 	t.Helper()
 	var endpoints []platform.Endpoint
 	for i, addr := range addrs {
@@ -85,13 +117,13 @@
 // startLongWaitSidecar starts a sidecar whose requests wait for as long as a test takes.
 func startLongWaitSidecar(t *testing.T, endpoints ...*blockingEndpoint) *testSidecar {
 	t.Helper()
-	return testOptions{settings: longWaitSettings, endpoints: listedAll(endpoints...)}.start(t)
+	return testOptions{settings: longWaitSettings(), endpoints: listedAll(endpoints...)}.start(t)
 }
 
 // testOptions are the parts of a configuration that differ between tests. Each has a default.
 type testOptions struct {
-	limits    string // in JSON
-	settings  string // in JSON; empty: testSettings
+	limits    platform.ConfigLimits
+	settings  *platform.SettingsObject // nil: testSettings
 	endpoints []platform.Endpoint
 	sharedDir string        // empty: none
 	killDelay time.Duration // after SIGTERM; 0: testTimeout
@@ -100,10 +132,19 @@
 // config returns the configuration of a sidecar that follows discovery at an address.
 func (o testOptions) config(t *testing.T, discovery string) Config {
 	t.Helper()
-	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","console":"127.0.0.1:0","discovery":%q,"seed":"7",
-		"limits":%s,"known":%s,"settings":%s}`, discovery, cmp.Or(o.limits, "{}"),
-		completeList(1, o.endpoints...), cmp.Or(o.settings, testSettings))
-	c, err := parseConfig([]byte(text), getenvFrom(map[string]string{platform.EnvSharedDir: o.sharedDir}))
+	text, err := json.Marshal(platform.ConfigFile{
+		Listen:    "127.0.0.1:0",
+		Discovery: discovery,
+		AdminAddr: "127.0.0.1:0",
+		Seed:      "7",
+		Limits:    o.limits,
+		Known:     platform.NewEndpointList(1, true, o.endpoints...),
+		Settings:  *cmp.Or(o.settings, testSettings()),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := parseConfig(text, getenvFrom(map[string]string{platform.EnvSharedDir: o.sharedDir}))
 	if err != nil {
 		t.Fatal(err)
 	}
