--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -52,14 +52,14 @@
 // the concurrency limit.
 func (b *Balancer) applyEndpointList(now time.Duration, l EndpointList) {
 	isFirst := b.listedCount == 0
-	touched, started := b.mergeEndpointList(l)
-	b.updateSubset(touched) // the times of trials depend on the size of the subset
-	introduce := b.introduceEndpoint
-	if isFirst {
-		introduce = b.introduceFirstEndpoint
-	}
+	changed, started := b.mergeEndpointList(l)
+	b.updateSubset(changed) // the times of trials depend on the size of the subset
 	for _, e := range started {
-		introduce(now, e)
+		if isFirst {
+			b.introduceFirstEndpoint(now, e)
+		} else {
+			b.introduceEndpoint(now, e)
+		}
 	}
 	if isFirst {
 		b.limiter.limit = b.concurrencyLimitFor(b.fleetCount())
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -93,12 +93,10 @@
 	return b.text.String()
 }
 
-// start starts a process and waits until its admin interface listens. It may not be ready yet.
-func (p *testPlatform) start(t *testing.T) *sidecarProcess {
-	t.Helper()
-	config := filepath.Join(t.TempDir(), "config.json")
-	const objectiveUs = 2_000_000
-	writeConfig(t, config, platform.ConfigFile{
+// config returns the configuration of the sidecar.
+func (p *testPlatform) config() platform.ConfigFile {
+	const latencyObjective = 2 * time.Second
+	return platform.ConfigFile{
 		Name:      "t",
 		Listen:    p.addr,
 		Discovery: p.discovery,
@@ -106,12 +104,21 @@
 		Limits:    platform.ConfigLimits{Cores: 1, MemoryMB: 64, Sockets: 256},
 		Settings: platform.SettingsObject{
 			Classes: []platform.ClassSettings{
-				{Name: "look", Repeatability: platform.RepeatabilityIdempotent, LatencyObjectiveUs: objectiveUs},
-				{Name: "pay", Repeatability: platform.RepeatabilityNonIdempotent, LatencyObjectiveUs: objectiveUs},
+				{Name: "look", Idempotency: platform.Idempotent,
+					LatencyObjectiveUs: latencyObjective.Microseconds()},
+				{Name: "pay", Idempotency: platform.NonIdempotent,
+					LatencyObjectiveUs: latencyObjective.Microseconds()},
 			},
 			Permissions: platform.Permissions{CancelAllowed: true, MaxAttempts: 4},
 		},
-	})
+	}
+}
+
+// start starts a process and waits until its admin interface listens. It may not be ready yet.
+func (p *testPlatform) start(t *testing.T) *sidecarProcess {
+	t.Helper()
+	config := filepath.Join(t.TempDir(), "config.json")
+	writeConfig(t, config, p.config())
 	s := &sidecarProcess{Cmd: exec.Command(p.program), exited: make(chan error, 1)}
 	s.Env = []string{
 		platform.EnvConfig + "=" + config,
--- a/internal/experiment/hclfile/expectations.go
+++ b/internal/experiment/hclfile/expectations.go
@@ -18,13 +18,13 @@
 // readExpectation reads a block of requirements.
 func (d *decoder) readExpectation(b *hcl.Block) {
 	x := expectation{position: b.DefRange}
-	var served, failed hcldecode.Share
+	var served, failed hcldecode.Fraction
 	d.Body(b.Body, hcldecode.Fields{"arm": &x.Variant, "rules_kept": &x.NoViolations, "served_in_time_over": &served,
 		"refused_or_failed_under": &failed, "attempts_under": &x.AttemptsBelow, "p99_under": &x.P99Below,
 		"fresh_peak_under": &x.WarmupPeakBelow, "resends_under": &x.RetriesBelow}, nil)
 	x.ServedInTimeAbove = float64(served)
 	x.FailedBelow = float64(failed)
-	x.Position = hcldecode.Where(b.DefRange)
+	x.Position = hcldecode.PlaceOf(b.DefRange).String()
 	d.expect = append(d.expect, x)
 }
 
@@ -33,10 +33,10 @@
 func (d *decoder) checkExpectations() {
 	for _, x := range d.expect {
 		if x.Variant != "" && !d.hasVariant(x.Variant) {
-			d.Fault(x.position, "expect: there is no arm %q", x.Variant)
+			d.Fault(x.position, "expect: arm %q is not defined", x.Variant)
 		}
 		if (x.Expectation == experiment.Expectation{Variant: x.Variant, Position: x.Position}) {
-			d.Fault(x.position, "expect: it asks for nothing")
+			d.Fault(x.position, "expect: must set at least one requirement")
 		}
 		d.experiment.Expect = append(d.experiment.Expect, x.Expectation)
 	}
--- a/internal/hcldecode/hcldecode.go
+++ b/internal/hcldecode/hcldecode.go
@@ -1,6 +1,5 @@
 // Package hcldecode decodes the bodies of HCL files into values, with units where they are
-// required, and collects all that is wrong: one line for each fault, with file, line, column and
-// reason.
+// required, and collects all faults of a file: a FaultList holds each with its place and message.
 package hcldecode
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Reader decodes bodies into values and collects what is wrong with them. Its zero value is ready
+// Reader decodes bodies into values and collects their faults. Its zero value is ready
 // for use.
 type Reader struct {
 	Vars   *hcl.EvalContext // variables and functions of expressions; nil: none
@@ -21,19 +20,19 @@
 	Places map[any]hcl.Range // by pointer to a value: the attribute that set it
 }
 
-// Fields maps the attributes of a body to pointers to their values. A name that ends in "!" is of a
+// Fields maps the attributes of a body to pointers to their values. A name that ends in "!" marks a
 // required attribute. See Reader.Body for the types of values.
 type Fields map[string]any
 
-// Blocks maps the types of a body's blocks to functions that decode them. The key "type name" is of
-// a block with one label.
+// Blocks maps the types of a body's blocks to functions that decode them. The key "type name" is
+// for blocks with one label.
 type Blocks map[string]func(b *hcl.Block)
 
-// Parse parses the text of a file that is called name in messages. It reports the first syntax
-// error only: others mostly follow from it.
+// Parse parses the text of a file that is called name in messages. Its error is a FaultList with
+// the first syntax error only: others mostly follow from it.
 func Parse(text []byte, name string) (hcl.Body, error) {
 	file, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
-	if err := Faults(diags[:min(len(diags), 1)]); err != nil {
+	if err := Faults(diags[:min(len(diags), 1)]).Err(); err != nil {
 		return nil, err
 	}
 	return file.Body, nil
@@ -43,8 +42,9 @@
 // there was no fault: after one the values need no further checks, which would mostly find its
 // consequences.
 //
-// A value is a *time.Duration, *Size, *Rate, *Share, *float64, *int, *bool or *string, or a pointer
-// to a slice of uint64, float64, time.Duration or string. Body panics if it is of another type.
+// A value is a *time.Duration, *Size, *Rate, *Fraction, *float64, *int, *bool or *string, or a
+// pointer to a slice of uint64, float64, time.Duration or string. Body panics if it is of another
+// type.
 func (r *Reader) Body(body hcl.Body, fields Fields, blocks Blocks) bool {
 	faultsBefore := len(r.Diags)
 	schema, decoders := newSchema(fields, blocks)
@@ -100,7 +100,7 @@
 // OneOf adds a fault if the value of an attribute is not one of those allowed.
 func OneOf[T ~string](r *Reader, at hcl.Range, name string, value T, allowed ...T) {
 	if !slices.Contains(allowed, value) {
-		r.Fault(at, "%s: %q is none of %s", name, string(value), Join(allowed))
+		r.Fault(at, "%s: %q is not one of %s", name, string(value), Join(allowed))
 	}
 }
 
@@ -112,47 +112,3 @@
 	}
 	return strings.Join(texts, ", ")
 }
-
-// Where formats the start of a range as file:line:column.
-func Where(at hcl.Range) string {
-	return fmt.Sprintf("%s:%d:%d", at.Filename, at.Start.Line, at.Start.Column)
-}
-
-// Faults returns an error with a line for each error among the diagnostics, in the file's order and
-// without repeats, or nil if there is none.
-func Faults(diags hcl.Diagnostics) error {
-	var faults []*hcl.Diagnostic
-	for _, d := range diags {
-		if d.Severity == hcl.DiagError {
-			faults = append(faults, d)
-		}
-	}
-	if len(faults) == 0 {
-		return nil
-	}
-	slices.SortStableFunc(faults, func(a, b *hcl.Diagnostic) int {
-		if a.Subject == nil || b.Subject == nil {
-			return 0
-		}
-		return a.Subject.Start.Byte - b.Subject.Start.Byte
-	})
-	var lines []string
-	for _, d := range faults {
-		if line := faultLine(d); !slices.Contains(lines, line) {
-			lines = append(lines, line)
-		}
-	}
-	return fmt.Errorf("%s", strings.Join(lines, "\n"))
-}
-
-// faultLine formats a diagnostic as one line.
-func faultLine(d *hcl.Diagnostic) string {
-	line := d.Summary
-	if d.Detail != "" {
-		line += ": " + strings.ReplaceAll(d.Detail, "\n", " ")
-	}
-	if d.Subject != nil {
-		line = Where(*d.Subject) + ": " + line
-	}
-	return line
-}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // The golden tests hold every name of the platform to literal text. Programs under test and their
-// stand-ins share this package: a wrong name would pass on both sides of any other test.
+// stand-ins share this package, so a wrong name would go unnoticed in any other test.
 
 const goldenList = `{"version":7,"full":true,"servers":[` +
 	`{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"Ready","weight":1,` +
@@ -37,9 +37,9 @@
 		read    EndpointList // without what is only written
 	}{
 		"list": {goldenList,
-			NewEndpointList(7, true, weighted(ready, 1), weighted(draining, 0.5)), NewEndpointList(7, true, ready, draining)},
-		"change":     {goldenChange, NewEndpointList(8, false, removed), NewEndpointList(8, false, removed)},
-		"empty list": {goldenEmptyList, NewEndpointList(0, true), NewEndpointList(0, true)},
+			CompleteList(7, weighted(ready, 1), weighted(draining, 0.5)), CompleteList(7, ready, draining)},
+		"change":     {goldenChange, Changes(8, removed), Changes(8, removed)},
+		"empty list": {goldenEmptyList, CompleteList(0), CompleteList(0)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := string(test.written.Text()); got != test.text {
@@ -83,11 +83,11 @@
 		Tier:      1,
 		Tiers:     []string{"front", "middle", "back"},
 		Classes: []ClassSettings{
-			{Name: "look", Repeatability: RepeatabilityIdempotent, KeyScope: KeyScopeAll, LatencyObjectiveUs: 1,
+			{Name: "look", Idempotency: Idempotent, KeyScope: KeyScopeAll, LatencyObjectiveUs: 1,
 				MaxDeadlineUs: 2, PriorityWeight: WriteOnly[float64]{5}},
-			{Name: "pay", Repeatability: RepeatabilityKeyed, KeyScope: KeyScopeZone, LatencyObjectiveUs: 3,
+			{Name: "pay", Idempotency: IdempotencyKeyed, KeyScope: KeyScopeZone, LatencyObjectiveUs: 3,
 				MaxDeadlineUs: 4, KeyWindowUs: 6},
-			{Name: "book", Repeatability: RepeatabilityNonIdempotent, KeyScope: KeyScopeCell, LatencyObjectiveUs: 7,
+			{Name: "book", Idempotency: NonIdempotent, KeyScope: KeyScopeCell, LatencyObjectiveUs: 7,
 				MaxDeadlineUs: 8},
 		},
 		Tenants:      []TenantSettings{{Name: "erie", Quota: 2.5, TrafficShare: WriteOnly[float64]{0.25}}},
@@ -102,7 +102,7 @@
 			ConnIdleUs:         11,
 			DialTimeoutUs:      12,
 		},
-		Rules: EndpointBehaviour{
+		Rules: EndpointBehavior{
 			PollIntervalUs:    13,
 			SlowStartWindowUs: 14,
 			DrainGraceUs:      15,
@@ -165,13 +165,22 @@
 		AdminAddr: "127.0.0.1:3",
 		Seed:      "1f",
 		Limits:    ConfigLimits{Cores: 0.5, MemoryMB: 64, Sockets: 128},
-		Known:     NewEndpointList(0, true),
+		Known:     CompleteList(0),
 		Settings:  goldenSettingsObject(),
 	}
 	text, err := json.Marshal(file)
 	if err != nil || string(text) != golden {
 		t.Errorf("written: %v\n%s, want\n%s", err, text, golden)
 	}
+	var raw RawConfigFile
+	if err := json.Unmarshal([]byte(golden), &raw); err != nil {
+		t.Fatal(err)
+	}
+	if raw.Name != "n" || raw.Listen != "127.0.0.1:1" || raw.Discovery != "127.0.0.1:2" ||
+		raw.AdminAddr != "127.0.0.1:3" || raw.Seed != "1f" || raw.Limits != file.Limits ||
+		string(raw.Known) != goldenEmptyList || string(raw.Settings) != goldenSettings {
+		t.Errorf("read raw: %+v", raw)
+	}
 	var read ConfigFile
 	if err := json.Unmarshal([]byte(golden), &read); err != nil {
 		t.Fatal(err)
@@ -201,6 +210,15 @@
 		{EndpointListPath, "/catalog/members"},
 		{WatchQuery(42), "watch=1&after=42"},
 		{SettingsField, "Config"},
+		{ListenField, "listen"},
+		{DiscoveryField, "discovery"},
+		{AdminAddrField, "console"},
+		{SeedField, "seed"},
+		{KnownField, "known"},
+		{ConfigSettingsField, "settings"},
+		{CoresField, "limits.cores"},
+		{MemoryMBField, "limits.memory_mb"},
+		{SocketsField, "limits.sockets"},
 		{EnvConfig, "ROUTER_CONFIG"},
 		{EnvName, "ROUTER_NAME"},
 		{EnvListen, "ROUTER_LISTEN"},
--- a/internal/sidecar/testsidecar_test.go
+++ b/internal/sidecar/testsidecar_test.go
@@ -41,15 +41,15 @@
 	const objectiveUs = 2_000_000
 	return &platform.SettingsObject{
 		Classes: []platform.ClassSettings{
-			{Name: "look", Repeatability: platform.RepeatabilityIdempotent, LatencyObjectiveUs: objectiveUs},
+			{Name: "look", Idempotency: platform.Idempotent, LatencyObjectiveUs: objectiveUs},
 			{
 				Name:               "book",
-				Repeatability:      platform.RepeatabilityKeyed,
+				Idempotency:        platform.IdempotencyKeyed,
 				KeyScope:           platform.KeyScopeCell,
 				KeyWindowUs:        10_000_000,
 				LatencyObjectiveUs: objectiveUs,
 			},
-			{Name: "pay", Repeatability: platform.RepeatabilityNonIdempotent, LatencyObjectiveUs: objectiveUs},
+			{Name: "pay", Idempotency: platform.NonIdempotent, LatencyObjectiveUs: objectiveUs},
 		},
 		Permissions: platform.Permissions{
 			CancelAllowed:     true,
@@ -66,11 +66,11 @@
 	const objectiveUs = 60_000_000
 	return &platform.SettingsObject{
 		Classes: []platform.ClassSettings{
-			{Name: "look", Repeatability: platform.RepeatabilityIdempotent, LatencyObjectiveUs: objectiveUs},
-			{Name: "pay", Repeatability: platform.RepeatabilityNonIdempotent, LatencyObjectiveUs: objectiveUs},
+			{Name: "look", Idempotency: platform.Idempotent, LatencyObjectiveUs: objectiveUs},
+			{Name: "pay", Idempotency: platform.NonIdempotent, LatencyObjectiveUs: objectiveUs},
 		},
 		Permissions: platform.Permissions{CancelAllowed: true, MaxAttempts: 4, DialTimeoutUs: 15_000_000},
-		Rules: platform.EndpointBehaviour{
+		Rules: platform.EndpointBehavior{
 			SlowStartWindowUs: 60_000_000,
 			SlowStartCapacity: 0.1,
 			SlowStartShare:    0.000001,
@@ -138,7 +138,7 @@
 		AdminAddr: "127.0.0.1:0",
 		Seed:      "7",
 		Limits:    o.limits,
-		Known:     platform.NewEndpointList(1, true, o.endpoints...),
+		Known:     platform.CompleteList(1, o.endpoints...),
 		Settings:  *cmp.Or(o.settings, testSettings()),
 	})
 	if err != nil {
