--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -42,7 +42,7 @@
 	content := readSnapshot(t, daemonStatePath, &got)
 	stored := decode(t, content)
 	pool := got.Pools[daemonPool]
-	checkLearned(t, pool.Memory.Learned, object(t, stored, "Pools", daemonPool, "Memory", "Learned"), 0)
+	checkLearnedState(t, pool.Memory.Learned, object(t, stored, "Pools", daemonPool, "Memory", "Learned"), 0)
 	checkEndpoints(t, pool.Memory.Endpoints, object(t, stored, "Pools", daemonPool, "Memory"), "Members")
 	checkEndpoints(t, pool.Roster, object(t, stored, "Pools", daemonPool), "Roster")
 	checkEncodedAsStored(t, got, content)
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	pool := written.Pools[daemonPool]
-	checkLearned(t, pool.Memory.Learned, stored, fadedSince(restored))
+	checkLearnedState(t, pool.Memory.Learned, stored, fadedSince(restored))
 	var content any
 	if _, err := snapshot.Read(path, time.Now(), time.Minute, &content); err != nil {
 		t.Fatal(err)
--- a/internal/compatibility/sidecar_test.go
+++ b/internal/compatibility/sidecar_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// sidecarDir stands for the folder that TMPDIR names, as a sidecar of that name had it while it
+	// sidecarDir is a copy of the directory that TMPDIR names, of a sidecar of that name while it
 	// served.
 	sidecarDir  = "testdata/sidecar"
 	sidecarName = "t"
-	disabledID  = "b-3/x" // disabled through the console of that sidecar
+	disabledID  = "b-3/x" // disabled through that sidecar's admin interface
 )
 
 // fadedSince returns how far, as a share, restored values may be from the stored ones by now:
@@ -27,8 +27,8 @@
 // second.
 func fadedSince(restored time.Time) float64 { return 0.001 + time.Since(restored).Seconds()/5 }
 
-// openShared returns a copy of the folder as the program finds it.
-func openShared(t *testing.T) *hotrestart.SharedDir {
+// openSharedDir returns a copy of the directory as the program finds it.
+func openSharedDir(t *testing.T) *hotrestart.SharedDir {
 	t.Helper()
 	shared, err := hotrestart.OpenSharedDir(copyTree(t, sidecarDir), sidecarName)
 	if err != nil {
@@ -40,12 +40,12 @@
 func readSidecarSnapshot(t *testing.T) (proxy.Snapshot, []byte) {
 	t.Helper()
 	var stored proxy.Snapshot
-	content := readSnapshot(t, openShared(t).SnapshotPath(), &stored)
+	content := readSnapshot(t, openSharedDir(t).SnapshotPath(), &stored)
 	return stored, content
 }
 
-// checkLearned checks every field of learned state against the stored JSON object of it.
-func checkLearned(t *testing.T, got balancer.LearnedState, learned map[string]any, tolerance float64) {
+// checkLearnedState checks every field of learned state against the stored JSON object of it.
+func checkLearnedState(t *testing.T, got balancer.LearnedState, learned map[string]any, tolerance float64) {
 	t.Helper()
 	checkNumbers(t, "learned state", learned, tolerance, map[string]float64{"Room": got.ConcurrencyLimit,
 		"Calls": got.RecentRequests, "LongCalls": got.SlowRecentRequests, "For": float64(got.Age)})
@@ -105,7 +105,7 @@
 func TestSidecarSnapshotIsReadAsStored(t *testing.T) {
 	got, content := readSidecarSnapshot(t)
 	stored := object(t, decode(t, content))
-	checkLearned(t, got.Learned, object(t, stored, "Learned"), 0)
+	checkLearnedState(t, got.Learned, object(t, stored, "Learned"), 0)
 	checkEndpoints(t, got.Endpoints, stored, "Members")
 	checkEncodedAsStored(t, got, content)
 	states := map[string]balancer.State{}
@@ -145,7 +145,7 @@
 	restored := time.Now()
 	pool.Restore(stored, 0)
 	learned := pool.Snapshot().Learned
-	checkLearned(t, learned, object(t, decode(t, content), "Learned"), fadedSince(restored))
+	checkLearnedState(t, learned, object(t, decode(t, content), "Learned"), fadedSince(restored))
 
 	inactive := map[string]balancer.InactiveReason{}
 	for _, status := range pool.Endpoints() {
@@ -190,11 +190,11 @@
 }
 
 func TestSidecarDisabledEndpointsAreRead(t *testing.T) {
-	disabled, err := openShared(t).Disabled()
+	disabled, err := openSharedDir(t).Disabled()
 	if err != nil || !slices.Equal(disabled.IDs, []string{disabledID}) || len(disabled.ForeignFiles) != 0 {
 		t.Errorf("%+v, %v", disabled, err)
 	}
-	shared := openShared(t)
+	shared := openSharedDir(t)
 	if err := shared.Enable(disabledID); err != nil {
 		t.Fatal(err)
 	}
