--- a/internal/experiment/speed/program.go
+++ b/internal/experiment/speed/program.go
@@ -202,7 +202,7 @@
 	}
 	responses := out.latency.TotalCount()
 	if responses == 0 {
-		return sample{}, errors.New("it answered nothing")
+		return sample{}, errors.New("no response")
 	}
 	out.rate = float64(responses) / time.Since(began).Seconds()
 	out.cpuPerResponse = (p.cpuTime() - cpuBefore) / time.Duration(responses)
