--- a/internal/experiment/speed/client.go
+++ b/internal/experiment/speed/client.go
@@ -13,13 +13,13 @@
 	"rowancart/internal/platform"
 )
 
-// clientGrace is for a response to the last request.
+// clientGrace is the time in which the last response must arrive.
 const clientGrace = 10 * time.Second
 
-// clientSerial makes request IDs unique over the measurements.
+// clientSerial makes request IDs unique across measurements.
 var clientSerial atomic.Int64
 
-// runClient sends one request after the other over one connection until the end. The sample has no
+// runClient sends requests over one connection, one at a time, until an instant. The sample has no
 // rate and no CPU time.
 func runClient(ctx context.Context, addr string, bodySize int, end time.Time, index int) (sample, error) {
 	s := sample{latency: newLatencyHistogram()}
--- a/internal/experiment/speed/config.go
+++ b/internal/experiment/speed/config.go
@@ -10,30 +10,30 @@
 	"rowancart/internal/platform"
 )
 
-// sidecarConfig returns the configuration of a program that serves as DEPLOY describes.
-func sidecarConfig(o Options, addr, discoveryAddr string, servers []string) ([]byte, error) {
+// sidecarConfig returns the configuration file of the sidecar, which the reverse proxy reads too.
+func sidecarConfig(o Options, a addresses) ([]byte, error) {
 	return json.Marshal(platform.ConfigFile{
 		Name:      "speed",
-		Listen:    addr,
-		Discovery: discoveryAddr,
+		Listen:    a.listen,
+		Discovery: a.discovery,
 		Seed:      "1",
 		Limits: platform.ConfigLimits{
 			Cores:    float64(o.Cores),
 			MemoryMB: sidecarMemoryMB,
 			Sockets:  sidecarSockets + 2*o.IdleConnections,
 		},
-		Known:    platform.CompleteList(1, listedEndpoints(servers)...),
+		Known:    platform.CompleteList(1, listedEndpoints(a.servers)...),
 		Settings: sidecarSettings(),
 	})
 }
 
-// Limits of a sidecar. Its sockets are without those for idle connections.
+// Limits of a sidecar. The sockets do not include those of idle connections.
 const (
 	sidecarMemoryMB = 192
 	sidecarSockets  = 4096
 )
 
-// listedEndpoints returns the servers as discovery lists them.
+// listedEndpoints returns the servers as entries of an endpoint list.
 func listedEndpoints(servers []string) []platform.Endpoint {
 	var endpoints []platform.Endpoint
 	for i, server := range servers {
@@ -48,8 +48,12 @@
 	return endpoints
 }
 
+// sidecarSettings returns the settings of a sidecar.
 func sidecarSettings() platform.SettingsObject {
-	const latencyObjective, connIdle = time.Second, 30 * time.Second
+	const (
+		latencyObjective = time.Second
+		connIdle         = 30 * time.Second
+	)
 	return platform.SettingsObject{
 		Classes: []platform.ClassSettings{
 			{Name: "get", Idempotency: platform.Idempotent,
--- a/internal/experiment/speed/program.go
+++ b/internal/experiment/speed/program.go
@@ -51,49 +51,76 @@
 	return programs, nil
 }
 
-// startProgram starts a program before the servers. Its standard error goes to a log in o.Dir.
-func startProgram(o Options, name string, servers []string, discoveryAddr string) (*program, error) {
-	addr, err := freeAddress()
-	if err != nil {
-		return nil, err
-	}
-	file := filepath.Join(o.Dir, name)
-	var args []string
-	var config []byte
-	env := append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(o.Cores))
+// programCommand is the command that starts a program, with the configuration file that it reads.
+type programCommand struct {
+	args       []string
+	env        []string // besides that of this process
+	config     []byte   // nil: the program has no file
+	configPath string
+}
+
+// addresses are those that a program is configured with.
+type addresses struct {
+	listen    string
+	discovery string
+	servers   []string
+}
+
+// newCommand returns the command of a program.
+func newCommand(o Options, name string, a addresses) (programCommand, error) {
+	path := filepath.Join(o.Dir, name)
 	switch name {
 	case sidecarProgram:
-		file += ".json"
-		config, err = sidecarConfig(o, addr, discoveryAddr, servers)
-		args = []string{o.Sidecar}
-		env = append(env, platform.EnvConfig+"="+file)
+		return newSidecarCommand(o, a, path+".json", o.Sidecar)
 	case reverseProxyProgram:
-		file += ".json"
-		config, err = sidecarConfig(o, addr, discoveryAddr, servers)
-		args = []string{o.Self, "lab", "reverse-proxy"}
-		env = append(env, platform.EnvConfig+"="+file)
+		return newSidecarCommand(o, a, path+".json", o.Self, "lab", "reverse-proxy")
 	case daemonProgram:
-		file += ".hcl"
-		config = daemonConfig(o, addr, servers)
-		args = []string{o.Self, "serve", file}
+		path += ".hcl"
+		return programCommand{
+			args:       []string{o.Self, "serve", path},
+			config:     daemonConfig(o, a.listen, a.servers),
+			configPath: path,
+		}, nil
 	case fastHTTPProgram:
-		args = append([]string{o.Self, "lab", "fasthttp", addr}, servers...)
+		return programCommand{args: append([]string{o.Self, "lab", "fasthttp", a.listen}, a.servers...)}, nil
 	default:
-		return nil, fmt.Errorf("program %q is none of %s", name, strings.Join(Programs, ", "))
+		return programCommand{}, fmt.Errorf("program %q is not one of %s", name, strings.Join(Programs, ", "))
 	}
+}
+
+// newSidecarCommand returns the command of a program that is configured as the sidecar is.
+func newSidecarCommand(o Options, a addresses, configPath string, args ...string) (programCommand, error) {
+	config, err := sidecarConfig(o, a)
+	return programCommand{
+		args:       args,
+		env:        []string{platform.EnvConfig + "=" + configPath},
+		config:     config,
+		configPath: configPath,
+	}, err
+}
+
+// startProgram starts a program that sends to the servers. Its standard error goes to a log in
+// o.Dir.
+func startProgram(o Options, name string, servers []string, discoveryAddr string) (*program, error) {
+	addr, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	if config != nil {
-		if err := os.WriteFile(file, config, 0o600); err != nil {
+	c, err := newCommand(o, name, addresses{listen: addr, discovery: discoveryAddr, servers: servers})
+	if err != nil {
+		return nil, err
+	}
+	if c.config != nil {
+		if err := os.WriteFile(c.configPath, c.config, 0o600); err != nil {
 			return nil, err
 		}
 	}
+	env := append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(o.Cores))
 	p := &program{name: name, addr: addr, exited: make(chan error, 1)}
-	return p, p.start(args, env, file+".log")
+	return p, p.start(c.args, append(env, c.env...), filepath.Join(o.Dir, name+".log"))
 }
 
-// start starts the process. It dies with this one.
+// start starts the process. The kernel kills it when this process exits.
 func (p *program) start(args, env []string, logFile string) error {
 	log, err := os.Create(logFile)
 	if err != nil {
@@ -101,7 +128,8 @@
 	}
 	defer log.Close()
 	p.cmd = exec.Command(args[0], args[1:]...)
-	p.cmd.Env, p.cmd.Stderr = env, log
+	p.cmd.Env = env
+	p.cmd.Stderr = log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return err
@@ -113,13 +141,13 @@
 	return nil
 }
 
-// kill ends the process and waits for its end.
+// kill kills the process and waits for its exit.
 func (p *program) kill() {
-	_ = p.cmd.Process.Kill() // it may have exited
+	_ = p.cmd.Process.Kill() // the process may have exited already
 	<-p.exited
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address with a port that is not in use.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -129,7 +157,7 @@
 	return l.Addr().String(), nil
 }
 
-// waitReady waits until the program responds to a health check, whatever its response is.
+// waitReady waits until the program responds to a health check, with any status.
 func (p *program) waitReady(ctx context.Context) error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(healthCheckInterval) {
 		resp, err := http.Get("http://" + p.addr + platform.HealthPath)
@@ -139,13 +167,13 @@
 		}
 		select {
 		case err := <-p.exited:
-			return fmt.Errorf("%s ended at once: %v", p.name, err)
+			return fmt.Errorf("%s exited before it was ready: %v", p.name, err)
 		case <-ctx.Done():
 			return ctx.Err()
 		default:
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s does not answer: %w", p.name, err)
+			return fmt.Errorf("%s does not respond: %w", p.name, err)
 		}
 	}
 }
@@ -159,7 +187,7 @@
 	total := time.Duration(0)
 	threads, _ := filepath.Glob(proc + "/task/*/schedstat")
 	for _, thread := range threads {
-		if text, err := os.ReadFile(thread); err == nil { // otherwise the thread has ended
+		if text, err := os.ReadFile(thread); err == nil { // otherwise the thread has exited
 			nanoseconds, _ := strconv.ParseInt(strings.Fields(string(text))[0], 10, 64)
 			total += time.Duration(nanoseconds)
 		}
@@ -179,10 +207,11 @@
 	return 0
 }
 
-// measure lets the clients send to the program for o.SampleTime.
+// measure measures the program under the load of all clients for o.SampleTime.
 func (p *program) measure(ctx context.Context, o Options) (sample, error) {
 	var clients errgroup.Group
-	began, cpuBefore := time.Now(), p.cpuTime()
+	began := time.Now()
+	cpuBefore := p.cpuTime()
 	end := began.Add(o.SampleTime)
 	results := make([]sample, o.Connections)
 	for i := range o.Connections {
--- a/internal/experiment/speed/servers.go
+++ b/internal/experiment/speed/servers.go
@@ -12,9 +12,9 @@
 	readBuffer   = 16 << 10 // bytes, of servers and clients
 )
 
-// serverGroup is a number of servers that respond to every request at once with 12 bytes. They do
-// not validate requests: the programs between are what is measured, and servers and clients must
-// cost as little as they can.
+// serverGroup is a group of servers that respond to every request at once with 12 bytes. They do
+// not validate requests: only the programs are measured, so servers and clients must use as little
+// CPU time as possible.
 type serverGroup struct {
 	addrs     []string
 	listeners []net.Listener
@@ -24,6 +24,7 @@
 	open map[net.Conn]bool
 }
 
+// newServerGroup starts n servers.
 func newServerGroup(n int) (*serverGroup, error) {
 	g := &serverGroup{open: map[net.Conn]bool{}}
 	for range n {
@@ -32,7 +33,8 @@
 			g.close()
 			return nil, err
 		}
-		g.addrs, g.listeners = append(g.addrs, l.Addr().String()), append(g.listeners, l)
+		g.addrs = append(g.addrs, l.Addr().String())
+		g.listeners = append(g.listeners, l)
 		g.serving.Go(func() { g.accept(l) })
 	}
 	return g, nil
@@ -52,7 +54,7 @@
 	}
 }
 
-// serve responds to the requests of a connection until it ends.
+// serve responds to the requests of a connection until it is closed.
 func (g *serverGroup) serve(nc net.Conn) {
 	defer nc.Close()
 	in := bufio.NewReaderSize(nc, readBuffer)
--- a/internal/experiment/speed/speed.go
+++ b/internal/experiment/speed/speed.go
@@ -1,6 +1,6 @@
-// Package speed measures how fast the programs forward requests, beside baselines in the same run.
-// Each program is a process with a limited number of cores, before the same servers and under the
-// same clients, and they are measured in turns.
+// Package speed measures how fast the programs forward requests, compared with baselines in the
+// same run. Each program is a process with a limited number of cores. All have the same servers and
+// the same clients, and are measured one after another in each round.
 package speed
 
 import (
@@ -16,18 +16,18 @@
 	"rowancart/internal/platform"
 )
 
-// Options say what is measured.
+// Options configure a measurement.
 type Options struct {
 	Programs        []string // of Programs
-	Servers         int      // which respond at once
+	Servers         int      // number of servers, which respond at once
 	Connections     int      // of clients, each with one request at a time
-	BodySize        int      // bytes that a request posts; 0: a GET
+	BodySize        int      // bytes of the body of a POST request; 0: GET requests
 	Cores           int      // of each program
 	Rounds          int      // in which each program is measured once
 	SampleTime      time.Duration
-	IdleConnections int    // further connections of clients, which send one request before the measurements
+	IdleConnections int    // additional client connections, which send one request before the measurements
 	Self            string // path of this program, which serves as the daemon and as the baselines
-	Sidecar         string // path of the platform's program
+	Sidecar         string // path of the sidecar program
 	Dir             string // for configurations and logs
 }
 
@@ -39,10 +39,10 @@
 	fastHTTPProgram     = "fasthttp"
 )
 
-// Programs are what can be compared.
+// Programs lists the programs that can be compared.
 var Programs = []string{sidecarProgram, daemonProgram, reverseProxyProgram, fastHTTPProgram}
 
-// Result is what was measured of one program: medians over its samples.
+// Result is the result of one program: medians over its samples.
 type Result struct {
 	Program  string
 	Rate     float64       // responses a second
@@ -103,8 +103,8 @@
 	return out, nil
 }
 
-// serveSilentDiscovery starts discovery whose watches send nothing until ctx ends. Its address is
-// Addr.
+// serveSilentDiscovery starts a discovery service that sends no updates until ctx ends. Its address
+// is Addr.
 func serveSilentDiscovery(ctx context.Context) (*http.Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,8 +141,8 @@
 	return idle, nil
 }
 
-// measureRounds measures each program once in each round, after one round that warms up. A
-// different program begins each round.
+// measureRounds measures each program once in each round, after one round for warming up. Each
+// round begins with another program.
 func measureRounds(ctx context.Context, o Options, programs []*program) error {
 	for round := range o.Rounds + 1 {
 		for i := range programs {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// result returns medians, because other programs on the machine disturb single samples.
+// result returns medians, since other programs on the machine disturb single samples.
 func (p *program) result() Result {
 	r := Result{Program: p.name, Memory: p.peakMemory()}
 	median := func(of func(s sample) float64) float64 {
@@ -176,7 +176,8 @@
 	}
 	r.Rate = median(func(s sample) float64 { return s.rate })
 	r.CPU = time.Duration(median(func(s sample) float64 { return float64(s.cpuPerResponse) }))
-	r.P50, r.P99 = percentile(50), percentile(99)
+	r.P50 = percentile(50)
+	r.P99 = percentile(99)
 	for _, s := range p.samples {
 		r.Failed += s.failed
 	}
--- a/internal/experiment/speed/text.go
+++ b/internal/experiment/speed/text.go
@@ -23,7 +23,7 @@
 	return tw.Flush()
 }
 
-// formatRatio returns a/b, or "-" where b was not measured.
+// formatRatio returns a/b, or "-" if b was not measured.
 func formatRatio(a, b float64) string {
 	if b == 0 {
 		return "-"
