--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package baseline implements textbook load-balancing policies to compare the project's own with.
-// Each has the interface of the decision module, balancer.Events and balancer.Host, never retries a
-// non-idempotent request that may have run, and retries what may be retried. They differ only in
-// how they choose an endpoint.
+// Package baseline implements textbook load-balancing policies, with which the project's own is
+// compared. Each has the interface of the decision module, balancer.Events and balancer.Host, and
+// retries all failed requests but non-idempotent ones that may have run. They differ only in how
+// they choose an endpoint.
 package baseline
 
 import (
@@ -24,36 +24,42 @@
 	costUpdated time.Duration
 }
 
-// request is a request that has not ended.
+// request is a request without a final response.
 type request struct {
 	balancer.Request
-	repeat     balancer.Idempotency
-	tried      []*endpoint // by attempt
-	mayHaveRun bool
+	idempotency balancer.Idempotency
+	tried       []*endpoint // by attempt
+	mayHaveRun  bool
 }
 
 // Policy is one instance of a policy. It is not safe for concurrent use.
 type Policy struct {
-	settings      balancer.Settings
-	host          balancer.Host
-	rng           *rand.Rand
-	choose        chooser
-	repeatability map[string]balancer.Idempotency // by class
-	endpoints     []*endpoint
-	ready         []*endpoint
-	byName        map[string]*endpoint
-	requests      map[string]*request
-	next          int // of round_robin
+	settings    balancer.Settings
+	host        balancer.Host
+	rng         *rand.Rand
+	choose      chooser
+	idempotency map[string]balancer.Idempotency // by class
+	endpoints   []*endpoint
+	ready       []*endpoint
+	byName      map[string]*endpoint
+	requests    map[string]*request
+	next        int // index for round_robin, plus a multiple of the number of candidates
 }
 
 var _ balancer.Events = (*Policy)(nil)
 
 // New returns an instance of the policy called name. For an unknown name the error lists the names.
 func New(name string, s balancer.Settings, h balancer.Host) (*Policy, error) {
-	p := &Policy{settings: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, 2)),
-		repeatability: map[string]balancer.Idempotency{}, byName: map[string]*endpoint{}, requests: map[string]*request{}}
+	p := &Policy{
+		settings:    s,
+		host:        h,
+		rng:         rand.New(rand.NewPCG(s.Seed, 2)),
+		idempotency: map[string]balancer.Idempotency{},
+		byName:      map[string]*endpoint{},
+		requests:    map[string]*request{},
+	}
 	for _, c := range s.Classes {
-		p.repeatability[c.Name] = c.Idempotency
+		p.idempotency[c.Name] = c.Idempotency
 	}
 	switch name {
 	case "random":
@@ -68,7 +74,7 @@
 	case "peak_ewma":
 		p.choose = p.powerOfTwo(peakEWMA)
 	default:
-		return nil, fmt.Errorf("policy %q is none of %v", name, Names)
+		return nil, fmt.Errorf("policy %q is not one of %v", name, Names)
 	}
 	return p, nil
 }
@@ -109,19 +115,19 @@
 	}
 }
 
-// Request implements balancer.Events. A request of an unknown class is taken for non-idempotent.
+// Request implements balancer.Events. A request of an unknown class is treated as non-idempotent.
 func (p *Policy) Request(now time.Duration, r balancer.Request) {
-	repeat, ok := p.repeatability[r.Class]
+	idempotency, ok := p.idempotency[r.Class]
 	if !ok {
-		repeat = balancer.NonIdempotent
+		idempotency = balancer.NonIdempotent
 	}
-	req := &request{Request: r, repeat: repeat}
+	req := &request{Request: r, idempotency: idempotency}
 	p.requests[r.ID] = req
 	p.attempt(now, req)
 }
 
-// attempt sends a request to an endpoint that it has not been sent to, if there is one, or ends it
-// if it may not be sent.
+// attempt sends a request, if possible to an endpoint to which it has not been sent. It finishes
+// the request if that may not be sent.
 func (p *Policy) attempt(now time.Duration, r *request) {
 	candidates := p.ready
 	if len(r.tried) > 0 {
@@ -141,20 +147,20 @@
 	p.host.Send(r.ID, e.ID, r.Deadline-now)
 }
 
-// maySend reports whether a request may be sent for the first time or once more.
+// maySend reports whether a request may be sent, for the first time or as a retry.
 func (p *Policy) maySend(r *request) bool {
 	if len(r.tried) == 0 {
 		return true
 	}
 	attemptsLeft := p.settings.MaxAttempts <= 0 || len(r.tried) < p.settings.MaxAttempts
-	return attemptsLeft && (r.repeat == balancer.Idempotent || !r.mayHaveRun)
+	return attemptsLeft && (r.idempotency == balancer.Idempotent || !r.mayHaveRun)
 }
 
-// finish gives a request that was not served its final response.
+// finish rejects or fails a request that was not served.
 func (p *Policy) finish(r *request) {
 	delete(p.requests, r.ID)
 	switch {
-	case r.repeat != balancer.Idempotent && r.mayHaveRun:
+	case r.idempotency != balancer.Idempotent && r.mayHaveRun:
 		p.host.Fail(r.ID, balancer.MayHaveRun)
 	case len(p.ready) == 0:
 		p.host.Reject(r.ID, balancer.NoEndpoint, 0)
@@ -176,14 +182,17 @@
 		delete(p.requests, o.ID)
 		return
 	}
-	switch o.Result {
-	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
-	default:
+	if !provablyNotRun(o.Result) {
 		r.mayHaveRun = true
 	}
 	p.attempt(now, r)
 }
 
+// provablyNotRun reports whether an attempt with this result did not run.
+func provablyNotRun(r balancer.Result) bool {
+	return r == balancer.Rejected || r == balancer.ConnectFailed || r == balancer.NotSent
+}
+
 // ClientDisconnected implements balancer.Events. The attempt in flight counts as outstanding until
 // its outcome.
 func (p *Policy) ClientDisconnected(time.Duration, string) {}
--- a/internal/experiment/baseline/choose.go
+++ b/internal/experiment/baseline/choose.go
@@ -11,8 +11,8 @@
 type chooser func(now time.Duration, candidates []*endpoint) *endpoint
 
 const (
-	costDecay   = 10 * time.Second // time constant with which peak_ewma forgets a peak, as in Finagle
-	failureCost = 1                // seconds that a failed attempt counts at least
+	costDecay   = 10 * time.Second // time constant of the moving average of peak_ewma, as in Finagle
+	failureCost = 1                // minimum latency of a failed attempt, in seconds
 )
 
 func (p *Policy) chooseRandom(_ time.Duration, candidates []*endpoint) *endpoint {
@@ -24,7 +24,7 @@
 	return candidates[p.next%len(candidates)]
 }
 
-// chooseLeastOutstanding begins at a random candidate, so that ties favour none.
+// chooseLeastOutstanding begins at a random candidate, so that ties are broken at random.
 func (p *Policy) chooseLeastOutstanding(_ time.Duration, candidates []*endpoint) *endpoint {
 	start := p.rng.IntN(len(candidates))
 	best := candidates[start]
@@ -36,7 +36,7 @@
 	return best
 }
 
-// powerOfTwo returns a chooser that draws two candidates and takes the one of lower cost.
+// powerOfTwo returns a chooser that draws two candidates and returns the one of lower cost.
 func (p *Policy) powerOfTwo(cost func(time.Duration, *endpoint) float64) chooser {
 	return func(now time.Duration, candidates []*endpoint) *endpoint {
 		a := candidates[p.rng.IntN(len(candidates))]
@@ -54,8 +54,8 @@
 	}
 }
 
-// peakEWMA returns the cost of an endpoint for peak_ewma. One of unknown latency is sent one
-// request at a time.
+// peakEWMA returns the cost of an endpoint for peak_ewma. An endpoint of unknown latency is sent
+// one request at a time.
 func peakEWMA(now time.Duration, e *endpoint) float64 {
 	cost := e.cost * decay(now-e.costUpdated)
 	if cost == 0 && e.outstanding > 0 {
@@ -64,8 +64,7 @@
 	return cost * float64(e.outstanding+1)
 }
 
-// updateCost adds an outcome to the endpoint's average. A latency above the average replaces it at
-// once.
+// updateCost adds an outcome to the endpoint's average. A latency above the average replaces it.
 func (e *endpoint) updateCost(now time.Duration, o balancer.Outcome) {
 	if o.Result == balancer.Canceled || o.Result == balancer.NotSent {
 		return
@@ -79,5 +78,5 @@
 	e.costUpdated = now
 }
 
-// decay returns what is left of a weight of 1 after a time.
+// decay returns the weight of an old average after a time.
 func decay(elapsed time.Duration) float64 { return math.Exp(-float64(elapsed) / float64(costDecay)) }
--- a/internal/experiment/speed/config_test.go
+++ b/internal/experiment/speed/config_test.go
@@ -67,11 +67,13 @@
 		args, env  []string
 		configPath string
 	}{
-		{sidecarProgram, []string{"/bin/sidecar"}, []string{platform.EnvConfig + "=/d/tuliprock.json"}, "/d/tuliprock.json"},
+		{sidecarProgram, []string{"/bin/sidecar"},
+			[]string{platform.EnvConfig + "=/d/tuliprock.json"}, "/d/tuliprock.json"},
 		{reverseProxyProgram, []string{"/bin/rowancart", "lab", "reverse-proxy"},
 			[]string{platform.EnvConfig + "=/d/reverse_proxy.json"}, "/d/reverse_proxy.json"},
 		{daemonProgram, []string{"/bin/rowancart", "serve", "/d/daemon.hcl"}, nil, "/d/daemon.hcl"},
-		{fastHTTPProgram, []string{"/bin/rowancart", "lab", "fasthttp", "127.0.0.1:1", "127.0.0.1:3", "127.0.0.1:4"}, nil, ""},
+		{fastHTTPProgram,
+			[]string{"/bin/rowancart", "lab", "fasthttp", "127.0.0.1:1", "127.0.0.1:3", "127.0.0.1:4"}, nil, ""},
 	} {
 		t.Run(c.program, func(t *testing.T) {
 			got, err := newCommand(o, c.program, testAddresses)
@@ -87,7 +89,8 @@
 		})
 	}
 	_, err := newCommand(o, "nginx", testAddresses)
-	if want := `program "nginx" is not one of tuliprock, daemon, reverse_proxy, fasthttp`; err == nil || err.Error() != want {
+	const want = `program "nginx" is not one of tuliprock, daemon, reverse_proxy, fasthttp`
+	if err == nil || err.Error() != want {
 		t.Errorf("unknown program: %v", err)
 	}
 }
--- a/internal/experiment/subsets/methods.go
+++ b/internal/experiment/subsets/methods.go
@@ -14,42 +14,45 @@
 	"rowancart/internal/subset"
 )
 
-// chooser returns the servers of each instance, after each change of the list of servers.
+// chooser returns the subset of each instance after a change of the list of servers.
 type chooser func(servers []string) [][]string
 
-// method is a way to choose subsets, for a number of instances and a size of subsets.
+// method is a method of choosing subsets, for a number of instances and a size of subsets.
 type method struct {
 	name       string
 	newChooser func(instances, size int) chooser
 }
 
-// methods are what is compared, the daemon's first.
+// methods are those that are compared. The first is that of the daemon.
 var methods = []method{
 	{"ring, numbered", func(instances, size int) chooser { return filtered(instances, size, subset.PositionOf) }},
-	{"ring, named", func(instances, size int) chooser { return filtered(instances, size, namedPlace) }},
+	{"ring, named", func(instances, size int) chooser { return filtered(instances, size, positionByName) }},
 	{"ring, forgetful", stateless(ringSubsets)},
 	{"rendezvous", stateless(rendezvousSubsets)},
 	{"rounds", stateless(roundSubsets)},
 }
 
-// stateless returns a newChooser whose choices depend on the present list only.
+// stateless returns a newChooser whose subsets depend on the present list only.
 func stateless(choose func(instances, size int, servers []string) [][]string) func(instances, size int) chooser {
 	return func(instances, size int) chooser {
 		return func(servers []string) [][]string { return choose(instances, size, servers) }
 	}
 }
 
-func namedPlace(i int) subset.Position { return subset.PositionOfName(memberName("instance", i)) }
+// positionByName returns the position of instance i if it has a name only.
+func positionByName(i int) subset.Position { return subset.PositionOfName(memberName("instance", i)) }
 
+// memberName returns the name of a server or an instance.
 func memberName(kind string, i int) string { return kind + "-" + strconv.Itoa(i) }
 
-// filtered is the daemon's method: each instance has a filter, which keeps servers that have not
-// moved far on the ring.
-func filtered(instances, size int, place func(int) subset.Position) chooser {
+// filtered is the daemon's method: each instance has a filter, which keeps servers of the earlier
+// subset that have not moved far on the ring.
+func filtered(instances, size int, position func(int) subset.Position) chooser {
 	filters := make([]*subset.Filter, instances)
 	subsets := make([]map[string]bool, instances)
 	for i := range filters {
-		filters[i], subsets[i] = subset.NewFilter(subset.Spec{Position: place(i), Size: size}), map[string]bool{}
+		filters[i] = subset.NewFilter(subset.Spec{Position: position(i), Size: size})
+		subsets[i] = map[string]bool{}
 	}
 	known := map[string]bool{}
 	return func(servers []string) [][]string {
@@ -69,7 +72,7 @@
 	}
 }
 
-// listChanges returns the changes from known to servers, and makes known the set of servers.
+// listChanges returns the changes from known to servers, and replaces known by the set of servers.
 func listChanges(known map[string]bool, servers []string) proxy.EndpointList {
 	var changes proxy.EndpointList
 	present := map[string]bool{}
@@ -89,7 +92,7 @@
 	return changes
 }
 
-// ringSubsets is the daemon's method without its memory of earlier subsets.
+// ringSubsets is the daemon's method without regard to earlier subsets.
 func ringSubsets(instances, size int, servers []string) [][]string {
 	var r subset.Ring
 	for _, s := range servers {
@@ -103,8 +106,8 @@
 }
 
 // rendezvousSubsets gives each instance the servers that score highest with its name (Thaler and
-// Ravishankar, 1996): a random subset that needs no number of the instance and changes as little as
-// possible.
+// Ravishankar, 1996): a random subset that does not depend on the index of the instance and changes
+// as little as possible.
 func rendezvousSubsets(instances, size int, servers []string) [][]string {
 	type scored struct {
 		score uint64
@@ -115,7 +118,7 @@
 	for i := range out {
 		salt := xxhash.Sum64String(memberName("instance", i))
 		for j, s := range servers {
-			// Mixed once more, because XOR with the salt alone orders the servers too much alike.
+			// XOR with the salt alone would give similar orders of servers to different instances.
 			x := (xxhash.Sum64String(s) ^ salt) * 0x9e3779b97f4a7c15
 			all[j] = scored{(x ^ x>>29) * 0xbf58476d1ce4e5b9, s}
 		}
@@ -128,7 +131,7 @@
 }
 
 // roundSubsets is deterministic subsetting as in "Site Reliability Engineering" (chapter 20):
-// instances go in rounds, each with a shuffled list of its own that is divided among its instances.
+// instances are divided into rounds, each with its own shuffled list, which its instances divide.
 func roundSubsets(instances, size int, servers []string) [][]string {
 	out := make([][]string, instances)
 	perRound := max(len(servers)/size, 1)
--- a/internal/experiment/subsets/subsets.go
+++ b/internal/experiment/subsets/subsets.go
@@ -1,6 +1,6 @@
-// Package subsets compares methods to choose which servers each instance of a fleet sends to: how
-// evenly instances are distributed over servers, and how much of a subset changes when a server or
-// an instance comes or goes.
+// Package subsets compares methods of choosing the servers to which each instance of a fleet sends:
+// how evenly instances are distributed over servers, and how much of a subset changes when a server
+// or an instance is added or removed.
 package subsets
 
 import (
@@ -11,19 +11,19 @@
 	"rowancart/internal/subset"
 )
 
-// Result is what was measured of one method.
+// Result is the result of one method.
 type Result struct {
 	Method       string
-	MinInstances float64 // on the server that has fewest, in multiples of the mean
-	MaxInstances float64 // on the server that has most
-	Replaced     float64 // mean servers that change for an instance when one is replaced by another
-	NewInstance  float64 // mean servers that change for an old instance when one is added
-	// ReplacedNeeded is the least that Replaced can be with any method.
+	MinInstances float64 // of the server with the fewest, relative to the mean
+	MaxInstances float64 // of the server with the most, relative to the mean
+	Replaced     float64 // mean number of servers that an instance adds when a server is replaced by another
+	NewInstance  float64 // mean number of servers that an instance adds when another instance is added
+	// ReplacedNeeded is the minimum of Replaced for any method.
 	ReplacedNeeded float64
 }
 
-// maxReplacements is how many servers are replaced, one after another. Replaced is the mean over
-// them.
+// maxReplacements is the number of servers that are replaced, one after another. Result.Replaced is
+// the mean over them.
 const maxReplacements = 5
 
 // Measure compares the methods for a fleet.
@@ -44,7 +44,7 @@
 func (m method) measure(instances, size int, servers []string) Result {
 	r := Result{Method: m.name, ReplacedNeeded: 2 * float64(size) / float64(len(servers))}
 	if size == len(servers) {
-		r.ReplacedNeeded = 1 // there is no other server to take the place of the one that goes
+		r.ReplacedNeeded = 1 // no other server can replace the removed one
 	}
 	choose := m.newChooser(instances, size)
 	subsets := choose(servers)
@@ -57,33 +57,37 @@
 		for _, next := range [][]string{removed, replaced} {
 			chosen := choose(next)
 			r.Replaced += meanAdded(subsets, chosen) / float64(replacements)
-			list, subsets = next, chosen
+			list = next
+			subsets = chosen
 		}
 	}
-	r.MinInstances, r.MaxInstances = spread(subsets, list)
+	r.MinInstances, r.MaxInstances = instanceRange(subsets, list)
 	return r
 }
 
-// spread returns the instances on the servers that have fewest and most, in multiples of the mean.
-func spread(subsets [][]string, servers []string) (least, most float64) {
-	load := map[string]int{}
+// instanceRange returns the smallest and the largest number of instances of a server, relative to
+// the mean.
+func instanceRange(subsets [][]string, servers []string) (smallest, largest float64) {
+	instancesOf := map[string]int{}
 	total := 0
 	for _, s := range subsets {
 		for _, id := range s {
-			load[id]++
+			instancesOf[id]++
 			total++
 		}
 	}
 	mean := float64(total) / float64(len(servers))
-	least = float64(len(subsets))
+	smallest = float64(len(subsets))
 	for _, id := range servers {
-		least, most = min(least, float64(load[id])/mean), max(most, float64(load[id])/mean)
+		ratio := float64(instancesOf[id]) / mean
+		smallest = min(smallest, ratio)
+		largest = max(largest, ratio)
 	}
-	return least, most
+	return smallest, largest
 }
 
-// meanAdded returns how many servers an instance has after a change that it did not have before, in
-// the mean over the instances before.
+// meanAdded returns the number of servers that a change adds to a subset, as the mean over the
+// instances before it.
 func meanAdded(before, after [][]string) float64 {
 	added := 0
 	for i, old := range before {
@@ -100,7 +104,7 @@
 	return float64(added) / float64(len(before))
 }
 
-// Report measures fleets of all these sizes and writes a table.
+// Report measures fleets of each size and writes a table.
 func Report(w io.Writer, instances, servers []int, size int) {
 	fmt.Fprintf(w, "%9s %6s %5s  %-15s %7s %7s %9s %9s\n", "instances", "boxes", "part", "way", "least", "most",
 		"replaced", "instance")
