--- a/internal/experiment/traffic/faults.go
+++ b/internal/experiment/traffic/faults.go
@@ -62,7 +62,8 @@
 		for _, server := range affected {
 			on := FaultEvent{At: f.At, Kind: f.Kind, Tier: t, Server: server, On: true, Fault: f}
 			off := on
-			off.At, off.On = f.End(), false
+			off.At = f.End()
+			off.On = false
 			out = append(out, alternate(on, rng)...)
 			out = append(out, off)
 		}
@@ -83,8 +84,8 @@
 	return out
 }
 
-// alternate returns the beginning of a fault, and for a NoisyNeighbour with a period the ends and
-// beginnings that follow at random intervals of that mean.
+// alternate returns the beginning of a fault. For a NoisyNeighbour with a period, ends and further
+// beginnings follow at random intervals of that mean.
 func alternate(on FaultEvent, rng *rand.Rand) []FaultEvent {
 	var out []FaultEvent
 	f := on.Fault
@@ -98,12 +99,12 @@
 	return out
 }
 
-// NumAffected returns how many of n servers a fraction is, one at least.
+// NumAffected returns the number of servers that are a fraction of n, at least one.
 func NumAffected(fraction float64, n int) int {
 	return min(max(int(math.Round(fraction*float64(n))), 1), n)
 }
 
-// fractionTolerance keeps rounding errors from deciding between kinds of the same deficit.
+// fractionTolerance prevents that rounding errors decide between kinds of equal deficits.
 const fractionTolerance = 1e-9
 
 // KindOf returns the kind of the server at an index of its tier. Kinds are assigned by largest
@@ -121,7 +122,8 @@
 		for k := range t.Kinds {
 			deficit := t.Kinds[k].Fraction/sum*float64(i+1) - assigned[k]
 			if deficit > largestDeficit+fractionTolerance {
-				best, largestDeficit = k, deficit
+				best = k
+				largestDeficit = deficit
 			}
 		}
 		assigned[best]++
--- a/internal/experiment/traffic/serverfaults.go
+++ b/internal/experiment/traffic/serverfaults.go
@@ -9,20 +9,20 @@
 // ServerFaults are the faults in force at one server. Rates are fractions of its requests. The zero
 // value is a server without faults.
 type ServerFaults struct {
-	FastErrorRate   float64 // answered 500 at once
-	BreakBeforeRate float64 // whose connection breaks before the request's last byte
-	BreakAfterRate  float64 // and after it
-	TruncateRate    float64 // whose response breaks off
+	FastErrorRate   float64 // that fail with 500 at once
+	BreakBeforeRate float64 // whose connection breaks before the last byte of the request
+	BreakAfterRate  float64 // whose connection breaks after the last byte of the request
+	TruncateRate    float64 // whose response is truncated
 	CorruptRate     float64 // whose response is not HTTP
 	ResponseDelay   time.Duration
 	Unresponsive    bool // the machine sends nothing
 	AcceptStalled   bool // new connections are not accepted
 
-	neighbourSlowdown float64 // how many times slower; 0: not in force
-	sharedSlowdown    float64 // the same
+	neighbourSlowdown float64 // factor; 0: not in force
+	sharedSlowdown    float64 // factor; 0: not in force
 }
 
-// Apply begins or ends a fault of a server. It ignores the kinds that end the server's process.
+// Apply begins or ends a fault of a server. It ignores kinds that end the process of the server.
 func (f *ServerFaults) Apply(event FaultEvent) {
 	size := 0.0
 	delay := time.Duration(0)
@@ -56,7 +56,7 @@
 	}
 }
 
-// Slowdown returns how many times slower the server is by all faults in force.
+// Slowdown returns the factor by which all faults in force slow the server down.
 func (f *ServerFaults) Slowdown() float64 {
 	total := 1.0
 	for _, factor := range [...]float64{f.neighbourSlowdown, f.sharedSlowdown} {
--- a/internal/experiment/traffic/traffic.go
+++ b/internal/experiment/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic draws what happens to a service in an experiment: the clients' requests, and
-// which servers the faults strike. It is the same for every variant, whatever the variant does.
+// Package traffic draws the inputs of a run: the clients' requests, and the servers that faults
+// affect. They are the same for every variant.
 package traffic
 
 import (
@@ -20,7 +20,7 @@
 	Patience         time.Duration // for which the client waits for one attempt
 	Work             float64       // seconds on a core of speed 1, over all tiers
 	DisconnectsAfter time.Duration // the client closes its connection after this; 0: it does not
-	Seed             uint64        // of later draws for the request
+	Seed             uint64        // of all later draws for the request
 }
 
 // Draw returns the requests of an experiment in the order of their arrival.
@@ -33,8 +33,12 @@
 	}
 	var out []Request
 	for _, at := range drawArrivalTimes(e, arrivals) {
-		r := Request{At: at, Class: drawClass(e.Site.Classes, rng), Tenant: drawTenant(e.Site.Tenants, rng),
-			Seed: rng.Uint64()}
+		r := Request{ // the order of the draws is part of the result
+			At:     at,
+			Class:  drawClass(e.Site.Classes, rng),
+			Tenant: drawTenant(e.Site.Tenants, rng),
+			Seed:   rng.Uint64(),
+		}
 		class := e.Site.Classes[r.Class]
 		r.Work = drawWork(class, rng)
 		patience := minPatience + (1-minPatience)*rng.Float64()
@@ -57,15 +61,18 @@
 	var out []time.Duration
 	steps := slices.Clone(e.Load.Steps)
 	slices.SortStableFunc(steps, func(a, b experiment.Step) int { return cmp.Compare(a.At, b.At) })
-	// Gaps of mean 1 are divided by the rate of the moment, so that a step takes effect within a gap,
-	// too. What is left of a gap at a step continues at the new rate.
-	gap, factor, nextStep := drawGap(e.Load.Process, rng), 1.0, 0
+	// Gaps have a mean of 1 and are divided by the current rate, so that a step takes effect within a
+	// gap: the remainder of the gap continues at the new rate.
+	gap := drawGap(e.Load.Process, rng)
+	factor := 1.0
+	nextStep := 0
 	for now := 0.0; ; {
 		for nextStep < len(steps) && steps[nextStep].At.Seconds() <= now {
 			factor = steps[nextStep].Factor
 			nextStep++
 		}
-		rate, end := e.Load.Rate*factor, e.Duration.Seconds()
+		rate := e.Load.Rate * factor
+		end := e.Duration.Seconds()
 		if nextStep < len(steps) {
 			end = min(end, steps[nextStep].At.Seconds())
 		}
@@ -91,11 +98,12 @@
 	return rng.ExpFloat64()
 }
 
+// drawClass draws the index of a class.
 func drawClass(classes []experiment.Class, rng *rand.Rand) int {
 	return drawWeighted(len(classes), func(i int) float64 { return classes[i].TrafficShare }, rng)
 }
 
-// drawTenant returns -1 if there are no tenants.
+// drawTenant draws the index of a tenant, -1 if there are none.
 func drawTenant(tenants []experiment.Tenant, rng *rand.Rand) int {
 	if len(tenants) == 0 {
 		return -1
@@ -103,7 +111,7 @@
 	return drawWeighted(len(tenants), func(i int) float64 { return tenants[i].TrafficShare }, rng)
 }
 
-// drawWeighted draws an index below n with a probability in proportion to its weight.
+// drawWeighted draws an index below n with a probability proportional to its weight.
 func drawWeighted(n int, weight func(int) float64, rng *rand.Rand) int {
 	sum := 0.0
 	for i := range n {
--- a/internal/experiment/virtual/attempt.go
+++ b/internal/experiment/virtual/attempt.go
@@ -60,7 +60,8 @@
 		return
 	}
 	a.ended = true
-	in, c := a.instance, a.call
+	in := a.instance
+	c := a.call
 	in.sim.cancel(a.timeout)
 	if r == balancer.OK || a.connReusable && (r == balancer.Errored || r == balancer.Rejected) {
 		a.releaseConn(now)
@@ -79,7 +80,7 @@
 	in.removeIfDone(c)
 }
 
-// closeConn closes the attempt's connection, which stops its work where servers notice that.
+// closeConn closes the attempt's connection, which stops its work if servers notice that.
 func (a *attempt) closeConn(now time.Duration) {
 	if !a.holdsConn {
 		return
@@ -106,6 +107,7 @@
 	}
 	a.holdsConn = false
 	if n := a.server; n.incarnation == a.serverIncarnation {
-		a.instance.idleConns[n] = append(a.instance.idleConns[n], idleConn{now, a.serverIncarnation})
+		conn := idleConn{since: now, serverIncarnation: a.serverIncarnation}
+		a.instance.idleConns[n] = append(a.instance.idleConns[n], conn)
 	}
 }
--- a/internal/experiment/virtual/call.go
+++ b/internal/experiment/virtual/call.go
@@ -21,16 +21,16 @@
 	origin      callOrigin
 
 	attempts   []*attempt
-	attemptBuf [2]*attempt // backs attempts, which are rarely more
-	ended      bool        // the final response was sent, or the client has left
+	attemptBuf [2]*attempt // backing array of attempts, which are rarely more
+	ended      bool        // the final response was sent, or the client has disconnected
 	outcome    invariant.Outcome
 	retryAfter time.Duration // with outcome; see retryAfterUnreachable
 }
 
-// callOrigin made a call.
+// callOrigin is the caller of a call: a client or a task.
 type callOrigin interface {
 	callEnded(now time.Duration, c *call)    // the final response has arrived
-	callTimedOut(now time.Duration, c *call) // the time that the origin waits is over
+	callTimedOut(now time.Duration, c *call) // the time for which the origin waits has passed
 }
 
 // retryAfterUnreachable marks a failure of a call that no instance received.
@@ -57,11 +57,12 @@
 
 // end sends the final response, which arrives at an instant.
 func (c *call) end(at time.Duration, outcome invariant.Outcome, retryAfter time.Duration) {
-	c.outcome, c.retryAfter = outcome, retryAfter
+	c.outcome = outcome
+	c.retryAfter = retryAfter
 	c.instance.sim.schedule(&c.instance.eventSource, at, c, responseArrives)
 }
 
-// sortCalls orders calls from a map, whose own order must not matter.
+// sortCalls sorts calls from a map, whose random order must not affect the result.
 func sortCalls(calls []*call) {
 	slices.SortFunc(calls, func(a, b *call) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/experiment/virtual/client.go
+++ b/internal/experiment/virtual/client.go
@@ -25,7 +25,7 @@
 	s.sendAttempt(now, &clientRequest{Request: request, sim: s, index: index})
 }
 
-// pickInstance returns the instance for the next attempt: of those that are up, if there are any.
+// pickInstance returns the instance for the next attempt, one that runs if there is any.
 func (s *simulation) pickInstance(r *clientRequest) *instance {
 	start := int((r.Seed + uint64(r.attempts)) % uint64(len(s.frontInstances)))
 	for i := range s.frontInstances {
@@ -42,8 +42,16 @@
 	in := s.pickInstance(r)
 	r.attempts++
 	deadline := min(now+r.Patience, r.At+site.Classes[r.Class].Deadline)
-	c := &call{id: attemptID(r.index, r.attempts), class: r.Class, tenant: r.Tenant, work: r.Work, deadline: deadline,
-		clientRetry: r.attempts > 1, instance: in, origin: r}
+	c := &call{
+		id:          attemptID(r.index, r.attempts),
+		class:       r.Class,
+		tenant:      r.Tenant,
+		work:        r.Work,
+		deadline:    deadline,
+		clientRetry: r.attempts > 1,
+		instance:    in,
+		origin:      r,
+	}
 	r.current = c
 	source := &in.eventSource
 	s.schedule(source, now+s.networkDelay(), c, callArrives)
@@ -52,11 +60,12 @@
 			if r.current == c {
 				r.current = nil
 				s.cancel(r.timeout)
-				in.clientLeft(now, c)
+				in.clientDisconnected(now, c)
 			}
 		})
 	}
-	// The client's own clock ends the attempt. The checker judges what the instance then owes it.
+	// The client ends the attempt by its own clock. Whether the instance violated a rule by its
+	// silence, the checker judges.
 	r.timeout = s.scheduleCancelable(source, deadline+site.Rules.ResponseSlack, c, clientTimesOut)
 }
 
@@ -83,10 +92,11 @@
 	}
 }
 
-// attemptEnded sends a retry where the client may, and otherwise counts the request's outcome.
+// attemptEnded sends a retry if the client may, and otherwise counts the outcome of the request.
 func (s *simulation) attemptEnded(now time.Duration, r *clientRequest, outcome invariant.Outcome,
 	retryAfter time.Duration) {
-	class, clients := &s.experiment.Site.Classes[r.Class], &s.experiment.Load.Clients
+	class := &s.experiment.Site.Classes[r.Class]
+	clients := &s.experiment.Load.Clients
 	r.current = nil
 	if outcome == invariant.Served {
 		result := counters.ServedInTime
@@ -96,12 +106,12 @@
 		s.recordOutcome(now, r, result)
 		return
 	}
-	harmless := class.Repeat == balancer.Idempotent || outcome == invariant.Rejected || retryAfter == retryAfterUnreachable
+	mayRetry := class.Repeat == balancer.Idempotent || outcome == invariant.Rejected || retryAfter == retryAfterUnreachable
 	wait := clients.RetryWait << (r.attempts - 1)
 	if clients.HonorRetryAfter {
 		wait = max(wait, retryAfter)
 	}
-	if harmless && r.attempts <= clients.Retries && now+wait < r.At+class.Deadline {
+	if mayRetry && r.attempts <= clients.Retries && now+wait < r.At+class.Deadline {
 		s.scheduleFunc(&s.eventSource, now+wait, func(now time.Duration) { s.sendAttempt(now, r) })
 		return
 	}
--- a/internal/experiment/virtual/discovery.go
+++ b/internal/experiment/virtual/discovery.go
@@ -62,8 +62,8 @@
 	})
 }
 
-// setDiscoverySilent begins or ends a time in which discovery notifies nobody. At its end the
-// missed changes follow.
+// setDiscoverySilent begins or ends a period in which discovery sends no notifications. At its end
+// it sends the changes that were missed.
 func (s *simulation) setDiscoverySilent(now time.Duration, silent bool) {
 	s.discoverySilent = silent
 	if silent {
--- a/internal/experiment/virtual/faults.go
+++ b/internal/experiment/virtual/faults.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// replaceServer drains a server, ends it after a time and starts a cold successor.
+// replaceServer drains a server, ends it after a time and starts a successor, which warms up.
 func (s *simulation) replaceServer(now time.Duration, source *eventSource, n *serverNode, drain time.Duration) {
 	n.model.Drain()
 	s.publishEndpoint(now, n.tier, n.endpoint(balancer.Draining))
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -10,7 +10,7 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// instance stands for a sidecar: it hosts one policy.
+// instance is an emulated sidecar, which hosts one policy.
 type instance struct {
 	eventSource
 	sim             *simulation
@@ -19,13 +19,13 @@
 	index           int
 	count           int // instances before the tier
 	policy          balancer.Events
-	discoverySpread float64             // from 0 to 1: its part of Discovery.Spread
-	notifiedAt      time.Duration       // of the latest notification, also of one that is still to come
+	discoverySpread float64             // from 0 to 1: its fraction of Discovery.Spread
+	notifiedAt      time.Duration       // of the latest notification, which may be in the future
 	missedChanges   []balancer.Endpoint // while discovery was silent
 	down            bool
 	incarnation     int // changes with each start and each kill
 	starts          int
-	calls           map[string]*call // by ID, until they and all their attempts have ended
+	calls           map[string]*call // by ID, until they and their attempts have ended
 	idleConns       map[*serverNode][]idleConn
 
 	learned   balancer.LearnedState // when it was killed
@@ -52,15 +52,17 @@
 	}
 }
 
-// start starts the process. It knows discovery's present list, and its learned state where the
-// variant says so.
+// start starts the process with the present endpoint list, and restores its learned state if the
+// variant does so.
 func (in *instance) start(now time.Duration) {
 	s := in.sim
 	in.starts++
 	in.incarnation++
 	in.down = false
-	in.calls, in.idleConns = map[string]*call{}, map[*serverNode][]idleConn{}
-	in.missedChanges, in.notifiedAt = nil, now
+	in.calls = map[string]*call{}
+	in.idleConns = map[*serverNode][]idleConn{}
+	in.missedChanges = nil
+	in.notifiedAt = now
 	seed := experiment.Seed(s.seed, in.name+" start "+strconv.Itoa(in.starts%10))
 	settings := s.variant.ApplyTo(s.experiment.Site.Settings(in.tier, in.index, in.count, seed))
 	if s.variant.Policy == experiment.DesignPolicy {
@@ -81,15 +83,16 @@
 	}
 }
 
-// kill ends the process. Its connections break, which clients see at once; servers go on with its
-// requests.
+// kill kills the process. Its connections break, which clients notice at once; servers continue to
+// process its requests.
 func (in *instance) kill(now time.Duration) {
 	if in.down {
 		return
 	}
 	in.down = true
 	if b, ok := in.policy.(*balancer.Balancer); ok {
-		in.learned, in.learnedAt = b.LearnedState(balancerEpoch+now), now
+		in.learned = b.LearnedState(balancerEpoch + now)
+		in.learnedAt = now
 	}
 	in.incarnation++
 	in.sim.checker.RecordKill(in.name)
@@ -112,7 +115,7 @@
 	}
 }
 
-// breakAttempts ends the attempts of a call whose instance has died.
+// breakAttempts ends the attempts of a call whose instance was killed.
 func (c *call) breakAttempts(now time.Duration) {
 	for _, a := range c.attempts {
 		if !a.ended {
@@ -133,8 +136,15 @@
 	c.digest = experiment.Seed(s.seed, c.id)
 	class := &s.experiment.Site.Classes[c.class]
 	policy := s.variant.ClassPolicy(class.Name)
-	s.checker.RecordRequest(now, invariant.Request{ID: c.id, Instance: in.name, Repeat: class.Repeat,
-		Deadline: c.deadline, Digest: 1, MaxAttempts: policy.MaxAttempts, NeverRerun: policy.NeverRerun})
+	s.checker.RecordRequest(now, invariant.Request{
+		ID:          c.id,
+		Instance:    in.name,
+		Repeat:      class.Repeat,
+		Deadline:    c.deadline,
+		Digest:      1,
+		MaxAttempts: policy.MaxAttempts,
+		NeverRerun:  policy.NeverRerun,
+	})
 	in.calls[c.id] = c
 	c.attempts = c.attemptBuf[:0]
 	if in.tier == 0 {
@@ -147,16 +157,15 @@
 	in.policy.Request(balancerEpoch+now, r)
 }
 
-// act implements actor: a timer of the policy is due. One that an earlier incarnation set is
-// ignored.
+// act implements actor: a timer of the policy is due. A timer of an earlier incarnation is ignored.
 func (in *instance) act(now time.Duration, incarnation int) {
 	if !in.down && in.incarnation == incarnation {
 		in.policy.Timer(balancerEpoch + now)
 	}
 }
 
-// clientLeft handles a client that has closed its connection.
-func (in *instance) clientLeft(now time.Duration, c *call) {
+// clientDisconnected handles a client that has closed its connection.
+func (in *instance) clientDisconnected(now time.Duration, c *call) {
 	if in.down || c.ended || in.calls[c.id] != c {
 		return
 	}
@@ -177,7 +186,7 @@
 	in.removeIfDone(c)
 }
 
-// removeIfDone forgets a call that has ended with all its attempts.
+// removeIfDone removes a call that has ended, and whose attempts have all ended.
 func (in *instance) removeIfDone(c *call) {
 	if !c.ended {
 		return
@@ -190,7 +199,7 @@
 	delete(in.calls, c.id)
 }
 
-// takeIdleConn takes an idle connection to a server, if there is one that is still open.
+// takeIdleConn takes an idle connection to a server. It returns false if none is open.
 func (in *instance) takeIdleConn(now time.Duration, n *serverNode) bool {
 	conns := in.idleConns[n]
 	if len(conns) == 0 {
@@ -202,13 +211,13 @@
 		in.idleConns[n] = conns[:len(conns)-1]
 		return true
 	}
-	// The one used last has been closed by the server: so have all others, which are older.
+	// The server has closed the connection that was used last, and so the others, which are older.
 	n.disconnect(conns)
 	in.idleConns[n] = nil
 	return false
 }
 
-// disconnect closes idle connections to the server. Those to an earlier incarnation broke with it.
+// disconnect closes idle connections to the server. Those to an earlier incarnation are broken.
 func (n *serverNode) disconnect(conns []idleConn) {
 	for _, c := range conns {
 		if c.serverIncarnation == n.incarnation {
--- a/internal/experiment/virtual/policyhost.go
+++ b/internal/experiment/virtual/policyhost.go
@@ -7,7 +7,7 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// policyHost carries out what an instance's policy asks for.
+// policyHost carries out the actions of an instance's policy.
 type policyHost instance
 
 var _ balancer.Host = (*policyHost)(nil)
@@ -15,14 +15,21 @@
 // Send implements balancer.Host.
 func (p *policyHost) Send(id, endpoint string, timeout time.Duration) {
 	in := (*instance)(p)
-	s, now := in.sim, in.sim.now
+	s := in.sim
+	now := s.now
 	c := in.calls[id]
 	if c == nil {
 		return
 	}
 	n := s.serverByName[endpoint]
-	a := &attempt{instance: in, instanceIncarnation: in.incarnation, call: c, number: len(c.attempts), server: n,
-		sentAt: now}
+	a := &attempt{
+		instance:            in,
+		instanceIncarnation: in.incarnation,
+		call:                c,
+		number:              len(c.attempts),
+		server:              n,
+		sentAt:              now,
+	}
 	c.attempts = append(c.attempts, a)
 	if in.tier == 0 {
 		s.counters.Attempts++
@@ -41,7 +48,8 @@
 
 // transmit sends an attempt over an idle connection, or over a new one.
 func (in *instance) transmit(now time.Duration, a *attempt) {
-	s, n := in.sim, a.server
+	s := in.sim
+	n := a.server
 	delay := s.networkDelay()
 	a.serverIncarnation = n.incarnation
 	if !in.takeIdleConn(now, n) {
@@ -54,7 +62,7 @@
 			return
 		}
 		a.newConn = true
-		delay *= 3 // a round trip for the connection comes first
+		delay *= 3 // with a round trip for the connection
 	}
 	a.holdsConn = true
 	if n.draws(n.faults.BreakBeforeRate) {
@@ -73,16 +81,16 @@
 }
 
 // Reject implements balancer.Host.
-func (p *policyHost) Reject(id string, why balancer.Reason, retryAfter time.Duration) {
+func (p *policyHost) Reject(id string, reason balancer.Reason, retryAfter time.Duration) {
 	in := (*instance)(p)
-	in.sim.counters.Reasons[why]++
+	in.sim.counters.Reasons[reason]++
 	in.respond(in.sim.now, in.calls[id], invariant.Rejected, retryAfter)
 }
 
 // Fail implements balancer.Host.
-func (p *policyHost) Fail(id string, why balancer.Reason) {
+func (p *policyHost) Fail(id string, reason balancer.Reason) {
 	in := (*instance)(p)
-	in.sim.counters.Reasons[why]++
+	in.sim.counters.Reasons[reason]++
 	in.respond(in.sim.now, in.calls[id], invariant.Failed, 0)
 }
 
--- a/internal/experiment/virtual/server.go
+++ b/internal/experiment/virtual/server.go
@@ -12,10 +12,10 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// startedLongAgo is the start of servers that are warm when the run begins.
+// startedLongAgo is the start of servers that have warmed up before the run.
 const startedLongAgo = time.Duration(-1)
 
-// fastErrorDelay is how long a server takes to answer a request that fails at once.
+// fastErrorDelay is the response time of a request that fails at once.
 const fastErrorDelay = time.Millisecond
 
 // serverNode is a server of the simulation: the model, the faults in force, and the instance that
@@ -93,8 +93,8 @@
 	}
 }
 
-// reschedule schedules an event for the model's next one. Events that come to be too early do no
-// harm.
+// reschedule schedules an event at the model's next one. An event that turns out to be too early
+// has no effect.
 func (n *serverNode) reschedule() {
 	next := n.model.NextEvent()
 	if next > n.sim.experiment.Duration+time.Hour || n.nextWakeup > n.sim.now && n.nextWakeup <= next {
@@ -129,8 +129,15 @@
 		work += tier.Server.ConnWork.Seconds()
 	}
 	n.countArrival(now)
-	n.sim.checker.RecordArrival(invariant.Arrival{ID: a.call.id, Server: n.name, FirstByte: now, LastByte: now, Digest: 1,
-		WarmingUp: n.model.CapacityFraction(now) < 1, Work: work})
+	n.sim.checker.RecordArrival(invariant.Arrival{
+		ID:        a.call.id,
+		Server:    n.name,
+		FirstByte: now,
+		LastByte:  now,
+		Digest:    1,
+		WarmingUp: n.model.CapacityFraction(now) < 1,
+		Work:      work,
+	})
 	if n.draws(n.faults.FastErrorRate) || n.model.DrawError() {
 		n.sim.scheduleFunc(&n.eventSource, now+fastErrorDelay, func(now time.Duration) {
 			n.respond(now, a, balancer.Errored)
@@ -159,7 +166,7 @@
 	case server.Admitted:
 		n.addTask(t)
 		if n.draws(n.faults.BreakAfterRate) {
-			a.sendResult(now, balancer.Reset) // the work goes on
+			a.sendResult(now, balancer.Reset) // the work continues
 		}
 	}
 }
@@ -180,7 +187,7 @@
 	a.sendResult(now+n.faults.ResponseDelay, r)
 }
 
-// crash ends the process. Its connections break, and its sidecar dies, too.
+// crash ends the process and that of its sidecar. Its connections break.
 func (n *serverNode) crash(now time.Duration) {
 	n.model.Crash()
 	tasks := n.tasks
--- a/internal/experiment/virtual/task.go
+++ b/internal/experiment/virtual/task.go
@@ -27,10 +27,12 @@
 	t := &task{attempt: a}
 	t.Owner = t
 	if n.sidecar != nil {
-		t.callsLeft, t.workAfterCalls = site.Tiers[n.tier].Calls, work/2
+		t.callsLeft = site.Tiers[n.tier].Calls
+		t.workAfterCalls = work / 2
 		t.Work = work - t.workAfterCalls
 	} else {
-		t.Work, t.offCPUTime = work, site.Classes[a.call.class].OffCPUTime
+		t.Work = work
+		t.offCPUTime = site.Classes[a.call.class].OffCPUTime
 	}
 	return t
 }
@@ -56,7 +58,8 @@
 	case t.callsLeft > 0:
 		n.callNextTier(now, t)
 	case t.workAfterCalls > 0:
-		t.Work, t.workAfterCalls = t.workAfterCalls, 0
+		t.Work = t.workAfterCalls
+		t.workAfterCalls = 0
 		n.model.Resume(&t.Job)
 		n.reschedule()
 	case t.offCPUTime > 0:
@@ -81,8 +84,8 @@
 	n.respond(now, t.attempt, r)
 }
 
-// callNextTier calls the next tier through the server's own instance. Servers pass on no deadline:
-// a call has the class's whole time.
+// callNextTier calls the next tier through the server's own instance. Servers do not propagate the
+// deadline: a call has the full time of its class.
 func (n *serverNode) callNextTier(now time.Duration, t *task) {
 	t.callsLeft--
 	t.callsMade++
@@ -116,6 +119,5 @@
 	n.reschedule()
 }
 
-// callTimedOut implements callOrigin. A server waits for its instance's response however long it
-// takes.
+// callTimedOut implements callOrigin. A server waits for its instance's response without a timeout.
 func (t *task) callTimedOut(time.Duration, *call) {}
--- a/internal/experiment/virtual/virtual.go
+++ b/internal/experiment/virtual/virtual.go
@@ -29,25 +29,25 @@
 
 // Options change how a simulation is set up. They do not change its result.
 type Options struct {
-	Shuffle  *rand.Rand // servers and instances are created in an order that it draws; nil: in their own
+	Shuffle  *rand.Rand // draws the order in which servers and instances are created; nil: their own
 	Progress func(now time.Duration)
 }
 
 const (
-	// balancerEpoch is the balancers' time at the start of the run. It is not 0 because to a balancer
-	// an endpoint that started at 0 started long ago.
+	// balancerEpoch is the balancers' time at the start of the run. It is not 0, since a balancer
+	// takes a start at 0 for one long ago.
 	balancerEpoch = 24 * time.Hour
 
 	dialTimeout       = 250 * time.Millisecond // of connections that are not accepted
 	maxLogs           = 100
 	progressInterval  = time.Second // of virtual time
-	eventsBetweenPoll = 4096        // between two looks at the context and the progress
+	eventsBetweenPoll = 4096        // between two checks of the context and of the progress
 )
 
 // simulation is one run. Everything in it runs on one goroutine.
 type simulation struct {
 	eventQueue
-	eventSource // of events that belong to no other source
+	eventSource // of events without another source
 	experiment  *experiment.Experiment
 	seed        uint64
 	variant     experiment.Variant
@@ -64,7 +64,7 @@
 	frontInstances []*instance
 	instances      []*instance // of all tiers, in the order of their first start
 
-	endpointLists   [][]balancer.Endpoint // by tier: what discovery knows
+	endpointLists   [][]balancer.Endpoint // by tier: as discovery lists them
 	discoverySilent bool
 	discoveryDelay  time.Duration // by a fault, beyond the site's
 
@@ -162,7 +162,8 @@
 			until = s.now
 		}
 		stats.Lifetime = until - n.addedAt
-		stats.WarmupPeak, stats.TimeToFullLoad = n.model.WarmupPeak(), n.timeToFullLoad()
+		stats.WarmupPeak = n.model.WarmupPeak()
+		stats.TimeToFullLoad = n.timeToFullLoad()
 		s.counters.Servers = append(s.counters.Servers, stats)
 	}
 	return &Result{Counters: s.counters, Verdicts: s.checker.Close(s.now), Elapsed: s.now, Events: s.events, Logs: s.logs}
