--- a/internal/experiment/hclfile/site.go
+++ b/internal/experiment/hclfile/site.go
@@ -81,7 +81,7 @@
 	hcldecode.OneOf(&d.Reader, b.DefRange, "spread", c.Distribution,
 		experiment.Exponential, experiment.LogNormal, experiment.Fixed)
 	if idempotency == nameNonIdempotent {
-		c.Repeat = balancer.NonIdempotent
+		c.Idempotency = balancer.NonIdempotent
 	}
 	c.CacheHitRatio = float64(hits)
 	if c.LatencyObjective > c.Deadline {
--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -15,7 +15,7 @@
 
 // recordRequest records a request at instance s with a deadline of one second.
 func recordRequest(checker *Checker, id string, e balancer.Idempotency) {
-	checker.RecordRequest(0, Request{ID: id, Instance: "s", Repeat: e, Deadline: time.Second, Digest: 1})
+	checker.RecordRequest(0, Request{ID: id, Instance: "s", Idempotency: e, Deadline: time.Second, Digest: 1})
 }
 
 // recordArrival records that the whole request arrived at once.
--- a/internal/experiment/invariant/requests.go
+++ b/internal/experiment/invariant/requests.go
@@ -22,11 +22,11 @@
 type Request struct {
 	ID          string
 	Instance    string // of the program under test that received it
-	Repeat      balancer.Idempotency
+	Idempotency balancer.Idempotency
 	Deadline    time.Duration
 	Digest      uint64 // of all that must reach servers unchanged
 	MaxAttempts int    // allowed by the class's policy; 0: no limit
-	NeverRerun  bool   // the class's policy forbids a retry after an attempt that may have run, whatever Repeat is
+	NeverRerun  bool   // the class's policy forbids a retry after an attempt that may have run, whatever Idempotency is
 }
 
 // request is a Request and what became of it.
@@ -108,7 +108,7 @@
 				id, r.Instance)
 		}
 	case Rejected:
-		if r.Repeat == balancer.NonIdempotent && r.mayHaveExecuted() {
+		if r.Idempotency == balancer.NonIdempotent && r.mayHaveExecuted() {
 			c.addViolation(RuleFalseRejection, now, "request %s at %s was refused and may have run", id, r.Instance)
 		}
 	}
--- a/internal/experiment/invariant/servers.go
+++ b/internal/experiment/invariant/servers.go
@@ -66,7 +66,7 @@
 		c.addViolation(RulePolicy, a.LastByte, "request %s reached %s after a run, which its policy forbids", a.ID,
 			a.Server)
 	}
-	if r.Repeat != balancer.NonIdempotent {
+	if r.Idempotency != balancer.NonIdempotent {
 		return
 	}
 	if earlier >= 0 {
--- a/internal/experiment/search/describe.go
+++ b/internal/experiment/search/describe.go
@@ -28,7 +28,7 @@
 		if c.CacheHitRatio > 0 {
 			fmt.Fprintf(&out, " hits %g of %v", c.CacheHitRatio, c.CacheHitWork)
 		}
-		if c.Repeat != balancer.Idempotent {
+		if c.Idempotency != balancer.Idempotent {
 			out.WriteString(" unsafe")
 		}
 	}
--- a/internal/experiment/search/site.go
+++ b/internal/experiment/search/site.go
@@ -170,7 +170,7 @@
 		c.OffCPUTime = d.logUniformTime(time.Millisecond, 200*time.Millisecond)
 	}
 	if d.bernoulli(0.35) {
-		c.Repeat, c.PriorityWeight = balancer.NonIdempotent, float64(1+d.IntN(10))
+		c.Idempotency, c.PriorityWeight = balancer.NonIdempotent, float64(1+d.IntN(10))
 	}
 	usual := time.Duration(3*missWork*float64(time.Second)) + c.OffCPUTime + 20*networkDelay + 20*time.Millisecond
 	c.Deadline = max(d.logUniformTime(2*usual, 20*usual).Truncate(time.Millisecond), 100*time.Millisecond)
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -56,7 +56,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name                 string
-	Repeat               balancer.Idempotency
+	Idempotency          balancer.Idempotency
 	TrafficShare         float64       // relative to the other classes
 	Work                 time.Duration // mean, on a core of speed 1, over all tiers
 	OffCPUTime           time.Duration // spent at the last tier without using a core
@@ -155,7 +155,7 @@
 		MaxRetryAfter:     maxRetryAfter,
 	}
 	for _, c := range s.Classes {
-		out.Classes = append(out.Classes, balancer.Class{Name: c.Name, Idempotency: c.Repeat,
+		out.Classes = append(out.Classes, balancer.Class{Name: c.Name, Idempotency: c.Idempotency,
 			LatencyObjective: c.LatencyObjective})
 	}
 	for _, t := range s.Tenants {
--- a/internal/experiment/testbed/client.go
+++ b/internal/experiment/testbed/client.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return attemptOutcome{outcome: invariant.Failed, connectFailed: true}
 	}
-	r.checker.RecordRequest(r.now(), invariant.Request{ID: m.id, Instance: s.name, Repeat: info.repeat,
+	r.checker.RecordRequest(r.now(), invariant.Request{ID: m.id, Instance: s.name, Idempotency: info.repeat,
 		Deadline: r.now() + m.patience, Digest: m.digest()})
 	outcome, replace := r.sendOn(ctx, c, m, s, pool)
 	if !replace {
@@ -121,7 +121,7 @@
 // runClient runs client n: its request at the intended time, and its retries.
 func (r *testRun) runClient(n int, c *traffic.Request) {
 	class := r.experiment.Site.Classes[c.Class]
-	info := requestInfo{classIndex: c.Class, work: c.Work, repeat: class.Repeat, deadline: class.Deadline}
+	info := requestInfo{classIndex: c.Class, work: c.Work, repeat: class.Idempotency, deadline: class.Deadline}
 	if c.Tenant >= 0 {
 		info.tenant = r.experiment.Site.Tenants[c.Tenant].Name
 	}
@@ -174,7 +174,7 @@
 		patience: patience,
 		retry:    retries > 0,
 	}
-	if class.Repeat != balancer.Idempotent {
+	if class.Idempotency != balancer.Idempotent {
 		m.method, m.body = http.MethodPost, []byte("return of household "+number)
 	}
 	return m
@@ -198,7 +198,7 @@
 func (r *testRun) retryWait(c *traffic.Request, class experiment.Class, out attemptOutcome,
 	retries int) (wait time.Duration, retry bool) {
 	clients := r.experiment.Load.Clients
-	harmless := class.Repeat == balancer.Idempotent || out.outcome == invariant.Rejected || out.connectFailed
+	harmless := class.Idempotency == balancer.Idempotent || out.outcome == invariant.Rejected || out.connectFailed
 	wait = clients.RetryWait << retries
 	if clients.HonorRetryAfter {
 		wait = max(wait, out.retryAfter)
--- a/internal/experiment/testbed/settings.go
+++ b/internal/experiment/testbed/settings.go
@@ -59,7 +59,7 @@
 	var settings []platform.ClassSettings
 	for _, c := range classes {
 		idempotency := platform.Idempotent
-		if c.Repeat == balancer.NonIdempotent {
+		if c.Idempotency == balancer.NonIdempotent {
 			idempotency = platform.NonIdempotent
 		}
 		settings = append(settings, platform.ClassSettings{
--- a/internal/experiment/testbed/violation_test.go
+++ b/internal/experiment/testbed/violation_test.go
@@ -232,7 +232,7 @@
 	lookup := experiment.Class{Name: "lookup", TrafficShare: 0.5, Work: 4 * time.Millisecond,
 		Distribution: experiment.Fixed, LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}
 	submit := lookup
-	submit.Name, submit.Repeat = "submit", balancer.NonIdempotent
+	submit.Name, submit.Idempotency = "submit", balancer.NonIdempotent
 	kind := experiment.Kind{Name: "std", Fraction: 1, Cores: 1, Speed: 1, Slots: 8, QueueLimit: 50}
 	tier := experiment.Tier{Name: "box", Servers: 4, WorkFraction: 1, Kinds: []experiment.Kind{kind},
 		Server: experiment.ServerSpec{InitialCapacity: 0.05, WarmupTime: 10 * time.Second}}
--- a/internal/experiment/virtual/client.go
+++ b/internal/experiment/virtual/client.go
@@ -96,7 +96,8 @@
 		s.recordOutcome(now, r, result)
 		return
 	}
-	harmless := class.Repeat == balancer.Idempotent || outcome == invariant.Rejected || retryAfter == retryAfterUnreachable
+	harmless := class.Idempotency == balancer.Idempotent || outcome == invariant.Rejected ||
+		retryAfter == retryAfterUnreachable
 	wait := clients.RetryWait << (r.attempts - 1)
 	if clients.HonorRetryAfter {
 		wait = max(wait, retryAfter)
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -133,7 +133,7 @@
 	c.digest = experiment.Seed(s.seed, c.id)
 	class := &s.experiment.Site.Classes[c.class]
 	policy := s.variant.ClassPolicy(class.Name)
-	s.checker.RecordRequest(now, invariant.Request{ID: c.id, Instance: in.name, Repeat: class.Repeat,
+	s.checker.RecordRequest(now, invariant.Request{ID: c.id, Instance: in.name, Idempotency: class.Idempotency,
 		Deadline: c.deadline, Digest: 1, MaxAttempts: policy.MaxAttempts, NeverRerun: policy.NeverRerun})
 	in.calls[c.id] = c
 	c.attempts = c.attemptBuf[:0]
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -23,10 +23,10 @@
 	}
 	spec := experiment.ServerSpec{InitialCapacity: 0.3, WarmupTime: 5 * time.Second, ConnWork: time.Millisecond,
 		ConnLimit: 500, ConnIdleTimeout: 10 * time.Second}
-	lookup := experiment.Class{Name: "lookup", Repeat: balancer.Idempotent, TrafficShare: 0.7,
+	lookup := experiment.Class{Name: "lookup", Idempotency: balancer.Idempotent, TrafficShare: 0.7,
 		Work: 40 * time.Millisecond, OffCPUTime: 10 * time.Millisecond, Distribution: experiment.Exponential,
 		LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}
-	submit := experiment.Class{Name: "submit", Repeat: balancer.NonIdempotent, TrafficShare: 0.3,
+	submit := experiment.Class{Name: "submit", Idempotency: balancer.NonIdempotent, TrafficShare: 0.3,
 		Work: 50 * time.Millisecond, Distribution: experiment.LogNormal, VariationCoefficient: 0.5,
 		LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 10}
 	return &experiment.Experiment{
