--- a/internal/experiment/testbed/client.go
+++ b/internal/experiment/testbed/client.go
@@ -18,17 +18,15 @@
 
 // requestInfo is what servers must know of a request to run it.
 type requestInfo struct {
-	classIndex int
-	work       float64 // seconds, over all tiers
-	repeat     balancer.Idempotency
-	tenant     string
-	deadline   time.Duration // the class's whole time
+	classIndex  int
+	work        float64 // seconds, over all tiers
+	idempotency balancer.Idempotency
+	tenant      string
+	deadline    time.Duration // the class's
 }
 
-// storeRequest stores what servers must know of a request.
-func (r *testRun) storeRequest(id string, info requestInfo) { r.requests.Store(id, info) }
-
-// requestInfo returns what storeRequest stored; the zero value for a request that no client sent.
+// requestInfo returns the info of a request that was sent; the zero value for a request that no
+// client sent.
 func (r *testRun) requestInfo(id string) requestInfo {
 	if info, ok := r.requests.Load(id); ok {
 		return info.(requestInfo)
@@ -38,42 +36,43 @@
 
 // attemptOutcome is how a client's attempt ended.
 type attemptOutcome struct {
-	outcome       invariant.Outcome
-	retryAfter    time.Duration
-	connectFailed bool // nothing was sent
-	clientLeft    bool
+	outcome            invariant.Outcome
+	retryAfter         time.Duration
+	connectFailed      bool // nothing was sent
+	unread             bool // the sidecar closed a reused connection without having read the request
+	clientDisconnected bool
 }
 
-// failed is the outcome of an attempt without a response.
-var failed = attemptOutcome{outcome: invariant.Failed}
-
 // send sends a request to a sidecar and waits for its end. A connection that closes without a
 // response before the sidecar had read the request is replaced once (PROTOCOL, Callers to
 // sidecars). When ctx ends, the client disconnects.
-func (r *testRun) send(ctx context.Context, m *request, info requestInfo, s *sidecar, pool *connPool) attemptOutcome {
-	c, err := pool.acquire()
+func (r *testRun) send(ctx context.Context, m *request, s *sidecar) attemptOutcome {
+	r.requests.Store(m.id, m.info)
+	c, err := s.conns.acquire()
 	if err != nil {
 		return attemptOutcome{outcome: invariant.Failed, connectFailed: true}
 	}
-	r.checker.RecordRequest(r.now(), invariant.Request{ID: m.id, Instance: s.name, Idempotency: info.repeat,
-		Deadline: r.now() + m.patience, Digest: m.digest()})
-	outcome, replace := r.sendOn(ctx, c, m, s, pool)
-	if !replace {
-		return outcome
+	r.checker.RecordRequest(r.now(), invariant.Request{
+		ID:          m.id,
+		Instance:    s.name,
+		Idempotency: m.info.idempotency,
+		Deadline:    r.now() + m.patience,
+		Digest:      m.digest(),
+	})
+	out := r.sendOn(ctx, c, m, s)
+	if !out.unread {
+		return out
 	}
-	if c, err = pool.dial(); err != nil {
+	if c, err = s.conns.dial(); err != nil {
 		r.checker.Waive(m.id)
 		return attemptOutcome{outcome: invariant.Failed, connectFailed: true}
 	}
-	outcome, _ = r.sendOn(ctx, c, m, s, pool) // a new connection is not replaced
-	return outcome
+	return r.sendOn(ctx, c, m, s)
 }
 
-// sendOn sends a request on a connection and waits for its end. It reports whether the request is
-// to be sent again because the sidecar closed the connection without having read it.
-func (r *testRun) sendOn(ctx context.Context, c *clientConn, m *request, s *sidecar,
-	pool *connPool) (out attemptOutcome, replace bool) {
-	wasUsed := c.used
+// sendOn sends a request on a connection to a sidecar and waits for its end.
+func (r *testRun) sendOn(ctx context.Context, c *clientConn, m *request, s *sidecar) attemptOutcome {
+	reused := c.used
 	deadline := time.Now().Add(m.patience + r.experiment.Site.Rules.ResponseSlack + timingSlack)
 	stop := context.AfterFunc(ctx, func() {
 		r.checker.Waive(m.id) // before the close, so that the close is no violation
@@ -81,26 +80,26 @@
 	})
 	resp, err := c.exchange(m, deadline)
 	if !stop() {
-		pool.closeConn(c)
-		return attemptOutcome{outcome: invariant.Failed, clientLeft: true}, false
+		s.conns.closeConn(c)
+		return attemptOutcome{outcome: invariant.Failed, clientDisconnected: true}
 	}
-	if err == nil && resp.keepsConn {
-		pool.release(c)
+	if err == nil && resp.reusable {
+		s.conns.release(c)
 	} else {
-		pool.closeConn(c)
+		s.conns.closeConn(c)
 	}
 	switch {
 	case err == nil:
-		return r.recordResponse(m, resp), false
+		return r.recordResponse(m, resp)
 	case errors.Is(err, errTimeout):
 		r.checker.RecordTimeout(m.id)
-		return failed, false
-	case !wasUsed || s.killed.Load():
+		return attemptOutcome{outcome: invariant.Failed}
+	case !reused || s.killed.Load():
 		r.checker.Waive(m.id) // TERMS, Failed and lost requests
-		return failed, false
+		return attemptOutcome{outcome: invariant.Failed}
 	}
-	isViolation := r.checker.RecordClosedConn(r.now(), m.id)
-	return failed, !isViolation
+	lost := r.checker.RecordClosedConn(r.now(), m.id)
+	return attemptOutcome{outcome: invariant.Failed, unread: !lost}
 }
 
 // recordResponse records a response and returns the outcome that it stands for.
@@ -118,99 +117,136 @@
 	return out
 }
 
-// runClient runs client n: its request at the intended time, and its retries.
-func (r *testRun) runClient(n int, c *traffic.Request) {
-	class := r.experiment.Site.Classes[c.Class]
-	info := requestInfo{classIndex: c.Class, work: c.Work, repeat: class.Idempotency, deadline: class.Deadline}
-	if c.Tenant >= 0 {
-		info.tenant = r.experiment.Site.Tenants[c.Tenant].Name
+// minPatience is the least time that a client waits for a response; with less left it gives up.
+const minPatience = time.Millisecond
+
+// client is one client: a request and its retries.
+type client struct {
+	run     *testRun
+	number  int
+	request *traffic.Request
+	class   experiment.Class
+	info    requestInfo
+}
+
+// newClient returns the client with a number that is to send a request.
+func (r *testRun) newClient(number int, request *traffic.Request) *client {
+	class := r.experiment.Site.Classes[request.Class]
+	c := &client{run: r, number: number, request: request, class: class, info: requestInfo{
+		classIndex:  request.Class,
+		work:        request.Work,
+		idempotency: class.Idempotency,
+		deadline:    class.Deadline,
+	}}
+	if request.Tenant >= 0 {
+		c.info.tenant = r.experiment.Site.Tenants[request.Tenant].Name
 	}
+	return c
+}
+
+// do sends the request at once, and its retries, and records the final outcome. Nothing is recorded
+// if the client disconnects or the run ends.
+func (c *client) do() {
 	for retries := 0; ; retries++ {
-		patience := min(c.Patience, c.At+class.Deadline-r.now())
-		if patience < time.Millisecond {
-			r.recordOutcome(class, c, counters.Failed)
+		patience := min(c.request.Patience, c.deadline()-c.run.now())
+		if patience < minPatience {
+			c.record(counters.Failed)
 			return
 		}
-		m := newRequest(n, c, class, info.tenant, patience, retries)
-		r.storeRequest(m.id, info)
-		out := r.sendClientRequest(c, m, info, retries)
-		if out.clientLeft || r.ctx.Err() != nil {
+		out := c.send(patience, retries)
+		if out.clientDisconnected || c.run.ctx.Err() != nil {
 			return
 		}
-		if out.outcome == invariant.Served {
-			outcome := counters.ServedInTime
-			if r.now()-c.At > class.LatencyObjective {
-				outcome = counters.ServedLate
-			}
-			r.recordOutcome(class, c, outcome)
+		retryAt := c.run.now() + c.retryWait(out, retries)
+		if !c.mayRetry(out, retries, retryAt) {
+			c.record(c.finalOutcome(out))
 			return
 		}
-		wait, retry := r.retryWait(c, class, out, retries)
-		if !retry {
-			outcome := counters.Failed
-			if out.outcome == invariant.Rejected {
-				outcome = counters.Rejected
-			}
-			r.recordOutcome(class, c, outcome)
-			return
-		}
-		select {
-		case <-time.After(wait):
-		case <-r.ctx.Done():
+		if !c.run.sleepUntil(retryAt) {
 			return
 		}
 	}
 }
 
-// newRequest returns the request of client n, or a retry of it.
-func newRequest(n int, c *traffic.Request, class experiment.Class, tenant string, patience time.Duration,
-	retries int) *request {
-	number := strconv.Itoa(n)
+// deadline returns the instant at which the client gives up.
+func (c *client) deadline() time.Duration { return c.request.At + c.class.Deadline }
+
+// send makes one attempt, at one of the sidecars before the first tier. A client that disconnects
+// early does so during its first attempt.
+func (c *client) send(patience time.Duration, retries int) attemptOutcome {
+	r := c.run
+	ctx := r.ctx
+	if c.request.DisconnectsAfter > 0 && retries == 0 {
+		disconnectAt := c.request.At + c.request.DisconnectsAfter
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(r.ctx, max(disconnectAt-r.now(), time.Millisecond))
+		defer cancel()
+	}
+	r.requestsSent.Add(1)
+	return r.send(ctx, c.newRequest(patience, retries), r.pickSidecar(c.request.Seed+uint64(retries)))
+}
+
+// newRequest returns the request as it is sent after a number of retries.
+func (c *client) newRequest(patience time.Duration, retries int) *request {
+	number := strconv.Itoa(c.number)
 	m := &request{
-		id:       strconv.FormatUint(c.Seed, 16) + "-" + number + "-" + strconv.Itoa(retries),
+		info:     c.info,
+		id:       strconv.FormatUint(c.request.Seed, 16) + "-" + number + "-" + strconv.Itoa(retries),
 		method:   http.MethodGet,
-		target:   "/" + class.Name + "/" + number,
-		tenant:   tenant,
+		target:   "/" + c.class.Name + "/" + number,
+		tenant:   c.info.tenant,
 		patience: patience,
 		retry:    retries > 0,
 	}
-	if class.Idempotency != balancer.Idempotent {
-		m.method, m.body = http.MethodPost, []byte("return of household "+number)
+	if c.class.Idempotency != balancer.Idempotent {
+		m.method = http.MethodPost
+		m.body = []byte("return of household " + number)
 	}
 	return m
 }
 
-// sendClientRequest sends a client's request to one of the sidecars before the first tier. A client
-// that leaves early does so during its first attempt.
-func (r *testRun) sendClientRequest(c *traffic.Request, m *request, info requestInfo, retries int) attemptOutcome {
-	s := r.pickSidecar(c.Seed + uint64(retries))
-	ctx := r.ctx
-	if c.DisconnectsAfter > 0 && retries == 0 {
-		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(r.ctx, max(c.At+c.DisconnectsAfter-r.now(), time.Millisecond))
-		defer cancel()
+// retryWait returns how long the client waits before its next retry.
+func (c *client) retryWait(out attemptOutcome, retries int) time.Duration {
+	clients := c.run.experiment.Load.Clients
+	wait := clients.RetryWait << retries
+	if clients.HonorRetryAfter {
+		wait = max(wait, out.retryAfter)
 	}
-	r.requestsSent.Add(1)
-	return r.send(ctx, m, info, s, s.conns)
+	return wait
 }
 
-// retryWait returns how long a client waits before its next retry, and whether it retries at all.
-func (r *testRun) retryWait(c *traffic.Request, class experiment.Class, out attemptOutcome,
-	retries int) (wait time.Duration, retry bool) {
-	clients := r.experiment.Load.Clients
-	harmless := class.Idempotency == balancer.Idempotent || out.outcome == invariant.Rejected || out.connectFailed
-	wait = clients.RetryWait << retries
-	if clients.HonorRetryAfter {
-		wait = max(wait, out.retryAfter)
+// mayRetry reports whether the client makes another attempt, which would begin at an instant.
+func (c *client) mayRetry(out attemptOutcome, retries int, at time.Duration) bool {
+	if out.outcome == invariant.Served || retries >= c.run.experiment.Load.Clients.Retries {
+		return false
+	}
+	hasNotRun := out.outcome == invariant.Rejected || out.connectFailed
+	return (c.class.Idempotency == balancer.Idempotent || hasNotRun) && at < c.deadline()
+}
+
+// finalOutcome returns the outcome of the request if this was its last attempt, which has just
+// ended.
+func (c *client) finalOutcome(out attemptOutcome) counters.Outcome {
+	switch out.outcome {
+	case invariant.Served:
+		if c.run.now()-c.request.At > c.class.LatencyObjective {
+			return counters.ServedLate
+		}
+		return counters.ServedInTime
+	case invariant.Rejected:
+		return counters.Rejected
+	default:
+		return counters.Failed
 	}
-	return wait, harmless && retries < clients.Retries && r.now()+wait < c.At+class.Deadline
 }
 
-func (r *testRun) recordOutcome(class experiment.Class, c *traffic.Request, outcome counters.Outcome) {
-	latency := r.now() - c.At
+// record counts the request with its final outcome.
+func (c *client) record(outcome counters.Outcome) {
+	r := c.run
+	latency := r.now() - c.request.At
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counters.Record(class, c.Class, c.Tenant, c.At, latency, outcome)
+	r.counters.Record(c.class, c.request.Class, c.request.Tenant, c.request.At, latency, outcome)
 }
 
 // pickSidecar returns the sidecar for the nth client: of those that are up, if there are any.
--- a/internal/experiment/testbed/clientconn.go
+++ b/internal/experiment/testbed/clientconn.go
@@ -30,6 +30,7 @@
 
 // request is a request as a client sends it.
 type request struct {
+	info     requestInfo
 	id       string
 	method   string
 	target   string
@@ -39,6 +40,7 @@
 	body     []byte
 }
 
+// digest returns the hash of what must reach servers unchanged.
 func (m *request) digest() uint64 { return digest(m.method, m.target, m.id, m.body) }
 
 // bytes returns the request as HTTP/1.1.
@@ -67,14 +69,14 @@
 	retryAfter time.Duration
 	body       []byte
 	truncated  bool // begun and incomplete, or not HTTP
-	keepsConn  bool // the connection may carry another request
+	reusable   bool // the connection may carry another request
 }
 
 // Errors of an exchange without a response.
 var (
 	errConnect = errors.New("no connection")
-	errTimeout = errors.New("no response within the time")
-	errClosed  = errors.New("closed without a response")
+	errTimeout = errors.New("no response before the deadline")
+	errClosed  = errors.New("connection closed without a response")
 )
 
 // clientConn is a client's connection to a sidecar. It carries one request at a time.
@@ -84,7 +86,7 @@
 	used   bool // has carried a request
 }
 
-// connPool holds one client's connections to one sidecar.
+// connPool holds the connections to one sidecar. It is safe for concurrent use.
 type connPool struct {
 	addr string
 
@@ -187,6 +189,6 @@
 		resp.truncated = true
 		return resp, nil
 	}
-	resp.keepsConn = !head.Close
+	resp.reusable = !head.Close
 	return resp, nil
 }
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -14,7 +14,7 @@
 
 const (
 	keepaliveInterval = 2 * time.Second         // of empty lines while nothing changes
-	oldAddressTime    = 1500 * time.Millisecond // for which watches at an old address go on (TERMS)
+	oldAddressTime    = 1500 * time.Millisecond // for which watches at an old address continue (TERMS)
 )
 
 // discoveryServer is discovery as one sidecar sees it, at an address of its own.
@@ -26,12 +26,20 @@
 	current []platform.Endpoint
 	changes []platform.Endpoint // changes[i] makes version i+1
 	changed chan struct{}       // closed at the next change, which makes a new one
-	server  *http.Server
+	servers []*http.Server      // at the present address, the last, and at earlier ones
 	addr    string
+
+	goroutines sync.WaitGroup // of the servers
 }
 
-func newDiscoveryServer(first []platform.Endpoint, onDelivered func(platform.Endpoint)) (*discoveryServer, error) {
-	d := &discoveryServer{onDelivered: onDelivered, current: slices.Clone(first), changed: make(chan struct{})}
+// newDiscoveryServer returns a server that serves a list of endpoints as version 0.
+func newDiscoveryServer(endpoints []platform.Endpoint,
+	onDelivered func(platform.Endpoint)) (*discoveryServer, error) {
+	d := &discoveryServer{
+		onDelivered: onDelivered,
+		current:     slices.Clone(endpoints),
+		changed:     make(chan struct{}),
+	}
 	return d, d.listen()
 }
 
@@ -45,16 +53,17 @@
 	mux.HandleFunc("GET "+platform.EndpointListPath, d.serve)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	d.mu.Lock()
-	d.server, d.addr = server, l.Addr().String()
-	d.mu.Unlock()
-	go func() { _ = server.Serve(l) }() // ends with close
+	defer d.mu.Unlock()
+	d.servers = append(d.servers, server)
+	d.addr = l.Addr().String()
+	d.goroutines.Go(func() { _ = server.Serve(l) }) // until the server is closed
 	return nil
 }
 
 // moveAddress moves to a new address. Connections to the old one are closed after a while.
 func (d *discoveryServer) moveAddress() error {
 	d.mu.Lock()
-	old := d.server
+	old := d.servers[len(d.servers)-1]
 	d.mu.Unlock()
 	if err := d.listen(); err != nil {
 		return err
@@ -63,12 +72,17 @@
 	return nil
 }
 
+// close ends the service at all addresses. It may be called twice.
 func (d *discoveryServer) close() {
 	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.server.Close()
+	for _, server := range d.servers {
+		server.Close()
+	}
+	d.mu.Unlock()
+	d.goroutines.Wait()
 }
 
+// address returns the present address.
 func (d *discoveryServer) address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,19 +120,19 @@
 func (d *discoveryServer) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get(platform.WatchParameter) == "" {
 		list := d.snapshot()
-		_, _ = w.Write(append(list.Text(), '\n')) // fails only if the sidecar has left
+		_, _ = w.Write(append(list.Text(), '\n')) // fails only if the sidecar has disconnected
 		d.delivered(list.Endpoints)
 		return
 	}
 	after, err := strconv.Atoi(r.URL.Query().Get(platform.VersionParameter))
 	if err != nil || after < 0 {
-		http.Error(w, platform.VersionParameter+": a version is wanted", http.StatusBadRequest)
+		http.Error(w, platform.VersionParameter+": want a version", http.StatusBadRequest)
 		return
 	}
 	d.serveWatch(w, r, after)
 }
 
-// serveWatch sends the changes after a version, and those to come, until the sidecar leaves.
+// serveWatch sends the changes after a version, and those to come, until the sidecar disconnects.
 func (d *discoveryServer) serveWatch(w http.ResponseWriter, r *http.Request, after int) {
 	flusher := http.NewResponseController(w)
 	keepalive := time.NewTicker(keepaliveInterval)
@@ -128,35 +142,50 @@
 		return
 	}
 	for {
-		changes, version, changed := d.changesAfter(after)
-		line := []byte("\n")
-		if len(changes) > 0 {
-			line = append(platform.Changes(int64(version), changes...).Text(), '\n')
-		}
-		after = version
-		if _, err := w.Write(line); err != nil || flusher.Flush() != nil {
+		event := d.eventAfter(after)
+		after = event.version
+		if _, err := w.Write(event.text()); err != nil || flusher.Flush() != nil {
 			return
 		}
-		d.delivered(changes)
+		d.delivered(event.changes)
 		select {
 		case <-r.Context().Done():
 			return
-		case <-changed:
+		case <-event.next:
 		case <-keepalive.C:
 		}
 	}
 }
 
-// changesAfter returns the changes after a version, the present version, and a channel that is
-// closed at the next change. A version from the future, which an earlier discovery server issued,
-// stands for the present one.
-func (d *discoveryServer) changesAfter(after int) (changes []platform.Endpoint, version int, changed <-chan struct{}) {
+// watchEvent is what a watch has to send.
+type watchEvent struct {
+	changes []platform.Endpoint
+	version int             // after the changes
+	next    <-chan struct{} // closed at the next change
+}
+
+// text returns the line that a watch sends; without changes, an empty one.
+func (e *watchEvent) text() []byte {
+	if len(e.changes) == 0 {
+		return []byte("\n")
+	}
+	return append(platform.Changes(int64(e.version), e.changes...).Text(), '\n')
+}
+
+// eventAfter returns the changes after a version. A version from the future, which an earlier
+// discovery server issued, stands for the present one.
+func (d *discoveryServer) eventAfter(after int) watchEvent {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	after = min(after, d.version)
-	return append([]platform.Endpoint{}, d.changes[after:d.version]...), d.version, d.changed
+	return watchEvent{
+		changes: slices.Clone(d.changes[after:d.version]),
+		version: d.version,
+		next:    d.changed,
+	}
 }
 
+// delivered reports entries that have been written to the sidecar.
 func (d *discoveryServer) delivered(entries []platform.Endpoint) {
 	for _, e := range entries {
 		d.onDelivered(e)
@@ -174,7 +203,7 @@
 	sidecars := slices.Clone(r.sidecars)
 	r.mu.Unlock()
 	for _, s := range sidecars {
-		if s.tier == tier {
+		if s.placement.tier == tier {
 			s.scheduleNotice(e, delay)
 		}
 	}
--- a/internal/experiment/testbed/exchange.go
+++ b/internal/experiment/testbed/exchange.go
@@ -2,12 +2,11 @@
 
 import (
 	"bufio"
-	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"time"
 
@@ -37,6 +36,7 @@
 	firstByte time.Duration
 	lastByte  time.Duration
 	work      float64 // seconds on a core of speed 1
+	closeConn bool    // as the request asks
 	faults    drawnFaults
 }
 
@@ -48,45 +48,79 @@
 	warmingUp    bool // no fault: the server is not at its full capacity
 }
 
+// errBreakBefore is the error of a request whose connection a fault breaks before its last byte.
+var errBreakBefore = errors.New("connection broken before the request's last byte")
+
 // serve handles the requests of one connection.
 func (s *emulatedServer) serve(nc net.Conn, crashed <-chan struct{}) {
 	defer s.removeConn(nc)
 	reader := bufio.NewReader(nc)
-	idleTimeout := s.run.experiment.Site.Tiers[s.tier].Server.ConnIdleTimeout
-	for newConn := true; ; newConn = false {
-		if idleTimeout > 0 {
-			_ = nc.SetReadDeadline(time.Now().Add(idleTimeout))
-		}
-		if _, err := reader.Peek(1); err != nil {
-			return
-		}
-		x := &exchange{server: s, conn: nc, crashed: crashed, firstByte: s.run.now()}
-		_ = nc.SetReadDeadline(time.Now().Add(requestReadTimeout))
-		req, err := http.ReadRequest(reader)
-		if err != nil {
-			return
-		}
-		if s.drawBreakBefore() {
+	connWork := s.run.experiment.Site.Tiers[s.tier].Server.ConnWork.Seconds()
+	for {
+		x, err := s.readExchange(nc, reader)
+		if errors.Is(err, errBreakBefore) {
 			resetConn(nc)
 			return
 		}
-		if x.body, err = io.ReadAll(io.LimitReader(req.Body, maxBody+1)); err != nil {
+		if err != nil {
 			return
 		}
-		x.lastByte = s.run.now()
-		x.method, x.target, x.id = req.Method, req.URL.RequestURI(), req.Header.Get(platform.RequestIDHeader)
-		x.class, _, _ = strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
-		x.setWork(newConn)
+		x.crashed = crashed
+		x.work += connWork
+		connWork = 0 // only the first request opens the connection
 		if !x.handle() {
 			resetConn(nc)
 			return
 		}
-		if req.Close {
+		if x.closeConn {
 			return
 		}
 	}
 }
 
+// readExchange reads the next request of a connection. It fails if the connection is idle for too
+// long.
+func (s *emulatedServer) readExchange(nc net.Conn, reader *bufio.Reader) (*exchange, error) {
+	tier := s.run.experiment.Site.Tiers[s.tier]
+	if tier.Server.ConnIdleTimeout > 0 {
+		_ = nc.SetReadDeadline(time.Now().Add(tier.Server.ConnIdleTimeout))
+	}
+	if _, err := reader.Peek(1); err != nil {
+		return nil, err
+	}
+	firstByte := s.run.now()
+	_ = nc.SetReadDeadline(time.Now().Add(requestReadTimeout))
+	req, err := http.ReadRequest(reader)
+	if err != nil {
+		return nil, err
+	}
+	if s.drawBreakBefore() {
+		return nil, errBreakBefore
+	}
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
+	if err != nil {
+		return nil, err
+	}
+	lastByte := s.run.now()
+	id := req.Header.Get(platform.RequestIDHeader)
+	class, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
+	info := s.run.requestInfo(id)
+	return &exchange{
+		server:    s,
+		conn:      nc,
+		method:    req.Method,
+		target:    req.URL.RequestURI(),
+		class:     class,
+		id:        id,
+		body:      body,
+		info:      info,
+		firstByte: firstByte,
+		lastByte:  lastByte,
+		work:      info.work * tier.WorkFraction,
+		closeConn: req.Close,
+	}, nil
+}
+
 // drawBreakBefore draws whether a connection breaks before a request's last byte.
 func (s *emulatedServer) drawBreakBefore() bool {
 	s.mu.Lock()
@@ -94,16 +128,6 @@
 	return s.draws(s.faults.BreakBeforeRate)
 }
 
-// setWork sets what the request needs.
-func (x *exchange) setWork(newConn bool) {
-	tier := &x.server.run.experiment.Site.Tiers[x.server.tier]
-	x.info = x.server.run.requestInfo(x.id)
-	x.work = x.info.work * tier.WorkFraction
-	if newConn {
-		x.work += tier.Server.ConnWork.Seconds()
-	}
-}
-
 // drawFaults draws the faults that strike a request.
 func (s *emulatedServer) drawFaults(lastByte time.Duration) drawnFaults {
 	s.mu.Lock()
@@ -128,145 +152,56 @@
 		s.waitResponsive(x.crashed)
 		return false
 	}
-	s.run.checker.RecordArrival(invariant.Arrival{ID: x.id, Server: s.name, FirstByte: x.firstByte, LastByte: x.lastByte,
-		Digest: digest(x.method, x.target, x.id, x.body), WarmingUp: x.faults.warmingUp, Work: x.work})
+	x.recordArrival()
 	if x.faults.fastError {
 		return x.writeResponse(http.StatusInternalServerError, nil)
 	}
-	done := make(chan struct{}, 1)
-	job := &server.Job{Owner: done, Work: x.work}
-	workAfterCalls := 0.0
-	if s.sidecar != nil {
-		workAfterCalls = x.work / 2
-		job.Work = x.work - workAfterCalls
-	}
-	switch x.admit(job) {
+	t := newTask(x)
+	switch x.admit(t.job) {
 	case server.Rejected:
 		return x.writeResponse(http.StatusServiceUnavailable, nil)
 	case server.Unavailable:
 		return false
 	}
 	if x.faults.breakConn {
-		resetConn(x.conn) // the work goes on
+		resetConn(x.conn) // the request is run all the same
 	}
-	status, ok := x.execute(job, done, workAfterCalls)
-	if !ok || !x.finish(job) || x.faults.breakConn {
+	status, ok := t.execute()
+	if !ok || !x.finish(t.job) || x.faults.breakConn {
 		return false
 	}
-	var body []byte
-	if status == http.StatusOK {
-		body = []byte(s.name + " made this for " + x.id + "\n")
-		s.run.checker.RecordServerResponse(s.name, x.id, xxhash.Sum64(body))
-	}
-	return x.writeResponse(status, body)
+	return x.writeResponse(status, x.responseBody(status))
 }
 
-// admit offers the job to the model. A server that falls over by it crashes.
-func (x *exchange) admit(job *server.Job) server.Admission {
-	s := x.server
-	s.mu.Lock()
-	now := s.advance()
-	admission := s.model.Admit(now, job, x.work)
-	s.stats.Arrivals++
-	if admission == server.Rejected {
-		s.stats.Rejected++
-	}
-	fellOver := admission == server.Unavailable && s.model.FellOver()
-	s.reschedule()
-	s.mu.Unlock()
-	switch {
-	case admission == server.Rejected:
-		s.run.checker.RecordRejection(now, s.name, x.id)
-	case fellOver:
-		s.run.checker.RecordOverload(now, s.name)
-		s.crash()
-	}
-	return admission
+// recordArrival reports the request to the checker.
+func (x *exchange) recordArrival() {
+	x.server.run.checker.RecordArrival(invariant.Arrival{
+		ID:        x.id,
+		Server:    x.server.name,
+		FirstByte: x.firstByte,
+		LastByte:  x.lastByte,
+		Digest:    digest(x.method, x.target, x.id, x.body),
+		WarmingUp: x.faults.warmingUp,
+		Work:      x.work,
+	})
 }
 
-// execute waits for the job's work, the calls to the next tier, the work after them, and the time
-// off the CPU. It returns the status of the response, and false if the process died or the run
-// ended before.
-func (x *exchange) execute(job *server.Job, done <-chan struct{}, workAfterCalls float64) (status int, ok bool) {
-	s := x.server
-	if !x.wait(done) {
-		return 0, false
-	}
-	if s.sidecar != nil {
-		for n := range s.run.experiment.Site.Tiers[s.tier].Calls {
-			if !x.callNextTier(n) {
-				return http.StatusInternalServerError, true
-			}
-		}
-	}
-	if workAfterCalls > 0 {
-		s.mu.Lock()
-		s.advance()
-		job.Work = workAfterCalls
-		s.model.Resume(job)
-		s.reschedule()
-		s.mu.Unlock()
-		if !x.wait(done) {
-			return 0, false
-		}
+// responseBody returns the body of the response to a request that has run, and reports it to the
+// checker if the request was served.
+func (x *exchange) responseBody(status int) []byte {
+	if status != http.StatusOK {
+		return nil
 	}
-	if s.sidecar == nil {
-		if offCPU := s.run.experiment.Site.Classes[x.info.classIndex].OffCPUTime; offCPU > 0 && !x.sleep(offCPU) {
-			return 0, false
-		}
-	}
-	return http.StatusOK, true
-}
-
-// wait waits for done. It reports false if the process died or the run ended before.
-func (x *exchange) wait(done <-chan struct{}) bool {
-	select {
-	case <-done:
-		return true
-	case <-x.crashed:
-	case <-x.server.run.ctx.Done():
-	}
-	return false
-}
-
-// sleep waits for a time. It reports false if the process died or the run ended before.
-func (x *exchange) sleep(d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return true
-	case <-x.crashed:
-	case <-x.server.run.ctx.Done():
-	}
-	return false
-}
-
-// finish frees the job's slot. It reports false if a crash had done so before.
-func (x *exchange) finish(job *server.Job) bool {
-	s := x.server
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.advance()
-	alive := !job.Finished()
-	s.model.Finish(job)
-	s.reschedule()
-	return alive
-}
-
-// callNextTier makes call n to the next tier through the server's own sidecar. Servers pass on no
-// deadline: a call has the class's whole time. It reports whether the call was served.
-func (x *exchange) callNextTier(n int) bool {
 	s := x.server
-	number := strconv.Itoa(n)
-	m := &request{id: x.id + "." + s.name + "." + number, method: x.method, target: "/" + x.class + "/" + number,
-		tenant: x.info.tenant, patience: x.info.deadline, body: x.body}
-	s.run.storeRequest(m.id, x.info)
-	return s.run.send(context.Background(), m, x.info, s.sidecar, s.sidecarConns).outcome == invariant.Served
+	body := []byte(s.name + " made this for " + x.id + "\n")
+	s.run.checker.RecordServerResponse(s.name, x.id, xxhash.Sum64(body))
+	return body
 }
 
-// drawnResponse is a response as the faults in force let it out.
+// drawnResponse is a response as the faults in force change it.
 type drawnResponse struct {
 	text         string
-	truncated    bool // the text breaks off
+	truncated    bool // the text is incomplete
 	corrupted    bool // the text is not HTTP
 	unresponsive bool // the machine sends nothing
 	delay        time.Duration
@@ -285,19 +220,13 @@
 		unresponsive: s.faults.Unresponsive,
 		delay:        s.faults.ResponseDelay,
 	}
-	inFlight, reports := s.model.LoadReport(s.run.now())
+	inFlight, hasReport := s.model.LoadReport(s.run.now())
 	s.mu.Unlock()
-	var b strings.Builder
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
-	if status == http.StatusServiceUnavailable {
-		b.WriteString(platform.RejectedHeader + ": " + platform.RejectedValue + "\r\n")
+	loadReport := ""
+	if hasReport {
+		loadReport = fmt.Sprintf("inflight=%.0f", inFlight)
 	}
-	if reports {
-		fmt.Fprintf(&b, "%s: inflight=%.0f\r\n", platform.LoadReportHeader, inFlight)
-	}
-	b.WriteString("\r\n")
-	b.Write(body)
-	r.text = b.String()
+	r.text = responseText(status, body, loadReport)
 	switch {
 	case r.corrupted:
 		r.text = "\x16\x03\x01 no HTTP at all\r\n\r\n"
@@ -307,8 +236,23 @@
 	return r
 }
 
-// writeResponse sends a response, as the faults in force let it. It reports whether the connection
-// may carry another request.
+// responseText returns a response as HTTP/1.1. An empty load report is left out.
+func responseText(status int, body []byte, loadReport string) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
+	if status == http.StatusServiceUnavailable {
+		b.WriteString(platform.RejectedHeader + ": " + platform.RejectedValue + "\r\n")
+	}
+	if loadReport != "" {
+		fmt.Fprintf(&b, "%s: %s\r\n", platform.LoadReportHeader, loadReport)
+	}
+	b.WriteString("\r\n")
+	b.Write(body)
+	return b.String()
+}
+
+// writeResponse sends a response, as the faults in force change it. It reports whether the
+// connection may carry another request.
 func (x *exchange) writeResponse(status int, body []byte) (reusable bool) {
 	r := x.drawResponse(status, body)
 	if r.unresponsive {
--- a/internal/experiment/testbed/faults.go
+++ b/internal/experiment/testbed/faults.go
@@ -94,7 +94,7 @@
 	return p.Reload(s.config())
 }
 
-// replaceServer drains a server, ends it after a time and starts a cold successor.
+// replaceServer drains a server, ends it after a time and starts a successor, which has to warm up.
 func (r *testRun) replaceServer(s *emulatedServer, drain time.Duration) {
 	s.mu.Lock()
 	s.model.Drain()
@@ -124,7 +124,7 @@
 }
 
 // addSuccessor creates a server in the place of another, with a sidecar that is yet to be started
-// if it makes calls.
+// if the servers of its tier call the next one.
 func (r *testRun) addSuccessor(s *emulatedServer) (*emulatedServer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,14 +132,10 @@
 	if err != nil {
 		return nil, err
 	}
-	sidecar, err := r.newServerSidecar(successor)
-	if err != nil {
-		return nil, err
-	}
 	r.servers[s.tier][s.index] = successor
 	r.allServers = append(r.allServers, successor)
-	if sidecar != nil {
-		r.sidecars = append(r.sidecars, sidecar)
+	if r.callsNextTier(s.tier) {
+		return successor, r.addServerSidecar(successor)
 	}
 	return successor, nil
 }
--- a/internal/experiment/testbed/improperpeer.go
+++ b/internal/experiment/testbed/improperpeer.go
@@ -14,7 +14,7 @@
 const (
 	oversizedBody  = 60 << 20         // bytes that an OversizedPeer sends (TERMS, Improper peers)
 	oversizedChunk = 64 << 10         // bytes of one write
-	extraPeerWait  = time.Second      // beyond the limit, to measure how late a connection ends
+	extraPeerWait  = time.Second      // beyond the limit, to measure by how much a connection ends too late
 	oversizedLimit = time.Duration(2) // times the other peers' limit
 )
 
@@ -22,7 +22,7 @@
 func (r *testRun) runImproperPeer(kind experiment.FaultKind, s *sidecar) {
 	nc, err := net.DialTimeout("tcp", s.addr, dialTimeout)
 	if err != nil {
-		return // a sidecar that is down owes no peer anything
+		return // nothing is required of a sidecar that is down
 	}
 	defer nc.Close()
 	connected := r.now()
--- a/internal/experiment/testbed/process.go
+++ b/internal/experiment/testbed/process.go
@@ -13,7 +13,6 @@
 	"syscall"
 	"time"
 
-	"rowancart/internal/experiment/invariant"
 	"rowancart/internal/platform"
 )
 
@@ -24,7 +23,7 @@
 	Scratch string // directory for configuration files and temporary files
 }
 
-// maxLogTail is in bytes.
+// maxLogTail is how many bytes of a program's output are kept for messages.
 const maxLogTail = 4 << 10
 
 // tail keeps the last maxLogTail bytes that are written to it. It is safe for concurrent use.
@@ -143,23 +142,24 @@
 )
 
 // Usage implements Instance.
-func (p *process) Usage() (u invariant.Usage, cpuTime time.Duration, ok bool) {
+func (p *process) Usage() (Usage, error) {
 	dir := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
-		return u, 0, false
+		return Usage{}, err
 	}
 	// The command's name, in parentheses, may contain spaces and parentheses.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= statResident {
-		return u, 0, false
+		return Usage{}, fmt.Errorf("%s/stat: %d fields", dir, len(fields))
 	}
 	user, _ := strconv.ParseInt(fields[statUserTime], 10, 64)
 	system, _ := strconv.ParseInt(fields[statSystemTime], 10, 64)
 	pages, _ := strconv.ParseInt(fields[statResident], 10, 64)
+	u := Usage{CPUTime: time.Duration(user+system) * cpuClockTick}
 	u.MemoryMB = float64(pages) * float64(os.Getpagesize()) / (1 << 20)
 	if open, err := os.ReadDir(dir + "/fd"); err == nil {
 		u.Descriptors = len(open)
 	}
-	return u, time.Duration(user+system) * cpuClockTick, true
+	return u, nil
 }
--- a/internal/experiment/testbed/program.go
+++ b/internal/experiment/testbed/program.go
@@ -13,7 +13,6 @@
 	"strings"
 	"time"
 
-	"rowancart/internal/experiment/invariant"
 	"rowancart/internal/platform"
 )
 
@@ -35,9 +34,15 @@
 	Done() <-chan struct{}
 	// ExitReason returns how the instance exited, with the end of its output. It must have exited.
 	ExitReason() string
-	// Usage returns what the instance uses, without Cores, and the CPU time that it has used; ok is
-	// false if that is not known.
-	Usage() (u invariant.Usage, cpuTime time.Duration, ok bool)
+	// Usage returns what the instance uses. It fails once the instance has exited.
+	Usage() (Usage, error)
+}
+
+// Usage is what an instance of a program uses.
+type Usage struct {
+	MemoryMB    float64
+	Descriptors int
+	CPUTime     time.Duration // used since its start
 }
 
 // Build runs the build line of root/deploy/balancer.toml, if there is one, and returns the run
@@ -47,23 +52,30 @@
 	if err != nil {
 		return "", err
 	}
-	lines := map[string]string{}
-	for line := range strings.SplitSeq(string(text), "\n") {
-		if key, value, ok := strings.Cut(line, " = "); ok {
-			lines[key], _ = strconv.Unquote(strings.TrimSpace(value)) // neither line is an array
-		}
-	}
-	if lines["run"] == "" {
+	settings := stringSettings(string(text))
+	if settings["run"] == "" {
 		return "", errors.New("deploy/balancer.toml: no run line")
 	}
-	if build := lines["build"]; build != "" {
+	if build := settings["build"]; build != "" {
 		cmd := exec.CommandContext(ctx, "/bin/sh", "-c", build)
 		cmd.Dir = root
 		if out, err := cmd.CombinedOutput(); err != nil {
 			return "", fmt.Errorf("build line of deploy/balancer.toml: %w\n%s", err, out)
 		}
 	}
-	return lines["run"], nil
+	return settings["run"], nil
+}
+
+// stringSettings returns the values of a deploy file that are strings. Values of other types are
+// empty.
+func stringSettings(deployFile string) map[string]string {
+	settings := map[string]string{}
+	for line := range strings.SplitSeq(deployFile, "\n") {
+		if key, value, ok := strings.Cut(line, " = "); ok {
+			settings[key], _ = strconv.Unquote(strings.TrimSpace(value))
+		}
+	}
+	return settings
 }
 
 const (
@@ -71,8 +83,8 @@
 	healthCheckInterval = 20 * time.Millisecond
 )
 
-// waitHealthy waits until a program answers a health check with 200. The error says why it does not
-// within the timeout.
+// waitHealthy waits until a program responds to a health check with 200. The error says why it did
+// not within the timeout.
 func waitHealthy(ctx context.Context, p Instance, addr, name string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -97,6 +109,7 @@
 	}
 }
 
+// checkHealth makes one health check.
 func checkHealth(client *http.Client, addr string) error {
 	resp, err := client.Get("http://" + addr + platform.HealthPath)
 	if err != nil {
--- a/internal/experiment/testbed/server.go
+++ b/internal/experiment/testbed/server.go
@@ -16,26 +16,29 @@
 )
 
 const (
-	// startedLongAgo is the start of servers that are warm when the run begins.
+	// startedLongAgo is the start of servers that have warmed up before the run begins.
 	startedLongAgo = time.Duration(-1)
 
-	acceptRetryWait = 10 * time.Millisecond // after an accept that failed, as for want of descriptors
+	// modelSeedName is part of the names from which the seeds of the models are derived. Another name
+	// would change what a run's seed draws.
+	modelSeedName = "box "
+
+	acceptRetryWait = 10 * time.Millisecond // after an accept that failed, as when no descriptor is free
 )
 
 // emulatedServer is the model of a server behind a listener. It reads HTTP/1.1 by itself, so that
-// it knows when a request's first and last byte arrived and can break connections wherever a fault
-// wants it.
+// it knows when a request's first and last byte arrived and can break connections where a fault
+// requires it.
 type emulatedServer struct {
-	run          *testRun
-	tier         int
-	index        int // in the tier
-	generation   int // number of predecessors
-	name         string
-	listener     net.Listener
-	sidecar      *sidecar // through which it calls the next tier; nil: it makes no calls
-	sidecarConns *connPool
-	addedAt      time.Duration
-	removedAt    time.Duration // 0: not removed
+	run        *testRun
+	tier       int
+	index      int // in the tier
+	generation int // number of predecessors
+	name       string
+	listener   net.Listener
+	sidecar    *sidecar // through which it calls the next tier; nil: it makes no calls
+	addedAt    time.Duration
+	removedAt  time.Duration // 0: not removed
 
 	mu           sync.Mutex
 	model        *server.Server
@@ -58,7 +61,7 @@
 	name := traffic.ServerName(t, index, generation)
 	l, err := net.Listen("tcp", r.serverAddrs.next())
 	if err != nil {
-		return nil, fmt.Errorf("box %s: %w", name, err)
+		return nil, fmt.Errorf("server %s: %w", name, err)
 	}
 	s := &emulatedServer{
 		run:        r,
@@ -68,7 +71,7 @@
 		name:       name,
 		listener:   l,
 		addedAt:    max(started, 0),
-		model:      server.New(kind, t.Server, r.experiment.Site.Rules, started, experiment.Rand(r.seed, "box "+name)),
+		model:      server.New(kind, t.Server, r.experiment.Site.Rules, started, experiment.Rand(r.seed, modelSeedName+name)),
 		stats:      counters.Server{Name: name, Kind: kind.Name, Cores: kind.Cores, AddedDuringRun: started >= 0},
 		rng:        experiment.Rand(r.seed, "faults of "+name),
 		conns:      map[net.Conn]bool{},
@@ -76,7 +79,7 @@
 		recovered:  make(chan struct{}),
 	}
 	s.timer = time.AfterFunc(time.Hour, s.onTimer)
-	r.group.Go(s.accept)
+	r.goroutines.Go(s.accept)
 	return s, nil
 }
 
@@ -98,6 +101,7 @@
 	return e
 }
 
+// draining reports whether the server is draining.
 func (s *emulatedServer) draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +119,8 @@
 	return now
 }
 
-// advanceTo moves the model to an instant and wakes the goroutines whose jobs are done. mu must be
-// held.
+// advanceTo moves the model to an instant and notifies the goroutines whose jobs are done. mu must
+// be held.
 func (s *emulatedServer) advanceTo(at time.Duration) {
 	s.finishedJobs = s.model.Advance(at, s.finishedJobs[:0])
 	for _, j := range s.finishedJobs {
@@ -131,6 +135,7 @@
 	}
 }
 
+// onTimer advances the model at its next event.
 func (s *emulatedServer) onTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,12 +144,12 @@
 }
 
 // accept accepts connections until the server is closed or the run ends.
-func (s *emulatedServer) accept() error {
+func (s *emulatedServer) accept() {
 	for {
 		nc, err := s.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
-				return nil
+				return
 			}
 			time.Sleep(acceptRetryWait)
 			continue
@@ -152,22 +157,19 @@
 		accepting := s.waitWhile(func(f *traffic.ServerFaults) bool { return f.Unresponsive || f.AcceptStalled }, nil)
 		if !accepting {
 			nc.Close()
-			return nil
+			return
 		}
 		crashed, ok := s.addConn(nc)
 		if !ok {
 			resetConn(nc)
 			continue
 		}
-		s.run.group.Go(func() error {
-			s.serve(nc, crashed)
-			return nil
-		})
+		s.run.goroutines.Go(func() { s.serve(nc, crashed) })
 	}
 }
 
 // addConn counts a connection, and returns the channel that is closed when the process dies. It
-// reports false if the model does not accept the connection.
+// reports false if the model rejects the connection.
 func (s *emulatedServer) addConn(nc net.Conn) (crashed <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +211,8 @@
 	}
 }
 
-// waitResponsive waits while the machine sends nothing, or until the process dies or the run ends.
+// waitResponsive waits while the machine sends nothing, but no longer than the process or the run
+// lasts.
 func (s *emulatedServer) waitResponsive(crashed <-chan struct{}) {
 	s.waitWhile(func(f *traffic.ServerFaults) bool { return f.Unresponsive }, crashed)
 }
@@ -240,7 +243,7 @@
 	}
 }
 
-// restart starts a crashed process again, cold.
+// restart starts a crashed process again, which has to warm up.
 func (s *emulatedServer) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,8 +259,8 @@
 	s.mu.Unlock()
 	s.listener.Close()
 	s.crash()
-	if s.sidecarConns != nil {
-		s.sidecarConns.close()
+	if s.sidecar != nil {
+		s.sidecar.conns.close()
 	}
 }
 
--- a/internal/experiment/testbed/settings.go
+++ b/internal/experiment/testbed/settings.go
@@ -15,15 +15,15 @@
 )
 
 // platformSettings returns a site's settings in the platform's form (WIRE, Read your settings), for
-// a sidecar before a tier.
+// the sidecar at a placement.
 func platformSettings(site experiment.Site, variant experiment.Variant,
-	tier, index, count int) platform.SettingsObject {
-	index, count = site.AssignedIndex(tier, index, count)
-	server := site.Tiers[tier].Server
+	at placement) platform.SettingsObject {
+	index, count := site.AssignedIndex(at.tier, at.index, at.count)
+	server := site.Tiers[at.tier].Server
 	settings := platform.SettingsObject{
 		Instances:    count,
 		Index:        index,
-		Tier:         tier,
+		Tier:         at.tier,
 		Classes:      classSettings(site.Classes),
 		Discovery:    platform.DiscoveryAutomatic,
 		ResolutionUs: resolution.Microseconds(),
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -4,86 +4,116 @@
 	"context"
 	"fmt"
 	"net"
+	"slices"
 	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"rowancart/internal/experiment"
-	"rowancart/internal/experiment/invariant"
 	"rowancart/internal/platform"
 )
 
 const (
-	usageInterval = 250 * time.Millisecond // between two measurements of a program's usage
-	cpuInterval   = time.Second            // at least, over which CPU time is averaged
+	serverSidecarPrefix = "beside-" // of the name of a server's sidecar; stored in reports
 
-	minTerminationTime   = 3 * time.Second        // that a program has to end in order, if all deadlines are shorter
+	minTerminationTime   = 3 * time.Second        // for a graceful shutdown, if all deadlines are shorter
 	terminationTimeSlack = 700 * time.Millisecond // beyond the longest deadline
 )
 
-// sidecar is an instance of the program under test, which may be started several times.
+// sidecar is an instance of the program under test with its name, address and discovery. The
+// program may be ended and started again.
 type sidecar struct {
 	run       *testRun
 	name      string
-	tier      int // to which it sends
-	index     int
-	count     int // sidecars before the tier
+	placement placement
 	addr      string
 	discovery *discoveryServer
-	conns     *connPool // of the clients; a server has its own
+	conns     *connPool // of the clients, or of the server that calls through it
 	starts    int
 
 	discoverySpread float64     // from 0 to 1: its part of Discovery.Spread
-	up              atomic.Bool // clients send to it
-	killed          atomic.Bool // by the test bed: the program owes no responses
+	up              atomic.Bool // running and healthy, so that clients send to it
+	killed          atomic.Bool // by the test bed: requests to it may stay without a response
 
 	mu         sync.Mutex
-	running    Instance // nil: none
-	cpuTime    time.Duration
-	cpuTimeAt  time.Duration // of the measurement of cpuTime; 0: none
-	lastNotice time.Time     // latest notification that is due
+	running    Instance  // nil: none
+	cpu        cpuMeter  // of running
+	lastNotice time.Time // when the latest scheduled notification is due
+}
+
+// placement says to which tier a sidecar sends, and which of how many sidecars before it this is.
+type placement struct {
+	tier  int
+	index int
+	count int
 }
 
 // newSidecar reserves an address for a sidecar and starts its discovery server. Its IP address is
 // used for no outgoing connections, so that its port stays free while it is down.
-func (r *testRun) newSidecar(name string, tier, index, count int) (*sidecar, error) {
-	l, err := net.Listen("tcp", r.sidecarAddrs.next())
+func (r *testRun) newSidecar(name string, at placement) (*sidecar, error) {
+	addr, err := reserveAddr(r.sidecarAddrs.next())
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	s := &sidecar{run: r, name: name, tier: tier, index: index, count: count, addr: l.Addr().String(),
-		discoverySpread: experiment.Rand(r.seed, "spread "+name).Float64()}
-	if err := l.Close(); err != nil {
+	discovery, err := newDiscoveryServer(r.listedServers(at.tier), func(e platform.Endpoint) {
+		state, _ := e.State.EndpointState() // known: this program has made the entry
+		r.checker.RecordNotification(r.now(), name, e.ID, state, e.StartedMs > 0)
+	})
+	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	s.conns = &connPool{addr: s.addr}
-	var first []platform.Endpoint
+	return &sidecar{
+		run:             r,
+		name:            name,
+		placement:       at,
+		addr:            addr,
+		discovery:       discovery,
+		conns:           &connPool{addr: addr},
+		discoverySpread: experiment.Rand(r.seed, "spread "+name).Float64(),
+	}, nil
+}
+
+// reserveAddr returns an address with a free port.
+func reserveAddr(addr string) (string, error) {
+	l, err := net.Listen("tcp", addr)
+	if err != nil {
+		return "", err
+	}
+	return l.Addr().String(), l.Close()
+}
+
+// listedServers returns the endpoint list of a tier as it is now.
+func (r *testRun) listedServers(tier int) []platform.Endpoint {
+	var listed []platform.Endpoint
 	for _, server := range r.servers[tier] {
 		if !server.draining() {
-			first = append(first, server.listedEndpoint(platform.StateReady))
+			listed = append(listed, server.listedEndpoint(platform.StateReady))
 		}
 	}
-	s.discovery, err = newDiscoveryServer(first, func(e platform.Endpoint) {
-		state, _ := e.State.EndpointState() // known: this program has made the entry
-		r.checker.RecordNotification(r.now(), name, e.ID, state, e.StartedMs > 0)
-	})
-	return s, err
+	return listed
 }
 
-// newServerSidecar creates the sidecar through which a server calls the next tier; nil if it makes
-// no calls.
-func (r *testRun) newServerSidecar(server *emulatedServer) (*sidecar, error) {
-	tier := r.experiment.Site.Tiers[server.tier]
-	if server.tier+1 >= len(r.experiment.Site.Tiers) || tier.Calls == 0 {
-		return nil, nil
-	}
-	s, err := r.newSidecar("beside-"+server.name, server.tier+1, server.index, tier.Servers)
+// callsNextTier reports whether the servers of a tier call the next one.
+func (r *testRun) callsNextTier(tier int) bool {
+	tiers := r.experiment.Site.Tiers
+	return tier+1 < len(tiers) && tiers[tier].Calls > 0
+}
+
+// addServerSidecar creates the sidecar through which a server calls the next tier. It is yet to be
+// started.
+func (r *testRun) addServerSidecar(server *emulatedServer) error {
+	s, err := r.newSidecar(serverSidecarPrefix+server.name, placement{
+		tier:  server.tier + 1,
+		index: server.index,
+		count: r.experiment.Site.Tiers[server.tier].Servers,
+	})
 	if err != nil {
-		return nil, err
+		return err
 	}
-	server.sidecar, server.sidecarConns = s, &connPool{addr: s.addr}
-	return s, nil
+	server.sidecar = s
+	r.sidecars = append(r.sidecars, s)
+	return nil
 }
 
 // config returns the program's configuration as of now.
@@ -101,7 +131,7 @@
 			Sockets:  limits.Descriptors,
 		},
 		Known:    s.discovery.snapshot(),
-		Settings: platformSettings(s.run.experiment.Site, s.run.variant, s.tier, s.index, s.count),
+		Settings: platformSettings(s.run.experiment.Site, s.run.variant, s.placement),
 	}
 }
 
@@ -114,18 +144,20 @@
 		return err
 	}
 	s.mu.Lock()
-	s.running, s.cpuTime, s.cpuTimeAt = p, 0, s.run.now()
+	s.running = p
+	s.cpu = cpuMeter{start: s.run.now()}
 	s.mu.Unlock()
 	if err := waitHealthy(ctx, p, s.addr, s.name, s.run.startTimeout); err != nil {
 		return err
 	}
 	s.killed.Store(false)
 	s.up.Store(true)
-	s.run.group.Go(func() error { s.watchExit(p); return nil })
+	s.run.goroutines.Go(func() { s.watchExit(p) })
 	return nil
 }
 
-// watchExit records a program that exits by itself.
+// watchExit waits until the program exits or the run ends, and records a program that exits by
+// itself.
 func (s *sidecar) watchExit(p Instance) {
 	select {
 	case <-p.Done():
@@ -138,7 +170,7 @@
 	}
 }
 
-// takeRunning returns the running program, if there is one, which the caller is to end.
+// takeRunning returns the running program, or nil. The caller must end it.
 func (s *sidecar) takeRunning() Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,19 +187,19 @@
 	if p == nil {
 		return
 	}
-	s.recordCost(p)
+	s.run.recordCost(p)
 	s.run.checker.RecordKill(s.name)
 	p.Kill()
 }
 
-// terminate ends the program by SIGTERM, and by SIGKILL if that takes too long. It must answer the
-// requests that it has.
+// terminate ends the program by SIGTERM, and by SIGKILL if that takes too long. It must respond to
+// the requests that it has.
 func (s *sidecar) terminate() {
 	p := s.takeRunning()
 	if p == nil {
 		return
 	}
-	s.recordCost(p)
+	s.run.recordCost(p)
 	s.up.Store(false)
 	p.Terminate()
 	longest := minTerminationTime
@@ -184,67 +216,9 @@
 	p.Kill()
 }
 
-// recordCost adds what a program has used to the costs.
-func (s *sidecar) recordCost(p Instance) {
-	usage, cpuTime, ok := p.Usage()
-	if !ok {
-		return
-	}
-	r := s.run
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.cost.CPUSeconds += cpuTime.Seconds()
-	r.cost.MemoryMB = max(r.cost.MemoryMB, usage.MemoryMB)
-	r.cost.Descriptors = max(r.cost.Descriptors, usage.Descriptors)
-}
-
-// monitorUsage measures and judges what programs use, until the run ends.
-func (r *testRun) monitorUsage() {
-	t := time.NewTicker(usageInterval)
-	defer t.Stop()
-	for {
-		select {
-		case <-r.ctx.Done():
-			return
-		case <-t.C:
-		}
-		for _, s := range r.allSidecars() {
-			usage, now, ok := s.measureUsage()
-			if !ok {
-				continue
-			}
-			r.checker.CheckUsage(now, usage, r.experiment.Site.Limits)
-			r.mu.Lock()
-			r.cost.MemoryMB = max(r.cost.MemoryMB, usage.MemoryMB)
-			r.cost.Descriptors = max(r.cost.Descriptors, usage.Descriptors)
-			r.mu.Unlock()
-		}
-	}
-}
-
+// allSidecars returns the sidecars that there are now, of all tiers.
 func (r *testRun) allSidecars() []*sidecar {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*sidecar(nil), r.sidecars...)
-}
-
-// measureUsage returns what the program uses now. Cores is set once CPU time has been measured over
-// cpuInterval.
-func (s *sidecar) measureUsage() (usage invariant.Usage, now time.Duration, ok bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.running == nil {
-		return usage, 0, false
-	}
-	usage, cpuTime, ok := s.running.Usage()
-	now = s.run.now()
-	elapsed := now - s.cpuTimeAt
-	if s.cpuTimeAt > 0 && elapsed >= cpuInterval {
-		usage.Cores = (cpuTime - s.cpuTime).Seconds() / elapsed.Seconds()
-	}
-	if s.cpuTimeAt <= 0 || elapsed >= cpuInterval {
-		s.cpuTime, s.cpuTimeAt = cpuTime, now
-	}
-	usage.Instance = s.name
-	return usage, now, ok
+	return slices.Clone(r.sidecars)
 }
--- a/internal/experiment/testbed/testbed.go
+++ b/internal/experiment/testbed/testbed.go
@@ -1,6 +1,6 @@
 // Package testbed runs an experiment on real sockets: emulated servers, discovery and clients on
-// loopback addresses, and the programs under test as child processes. It measures its own delays: a
-// run in which it was late is void.
+// loopback addresses, and the programs under test as child processes. It measures its own delays:
+// a run in which requests were sent too late is void.
 package testbed
 
 import (
@@ -27,6 +27,7 @@
 	defaultStartTimeout = 15 * time.Second
 	maxParallelStarts   = 8                      // of programs at the beginning
 	settleTime          = 300 * time.Millisecond // between the last health check and the first request
+	progressInterval    = time.Second            // between two reports of the progress
 	maxLateness         = 25 * time.Millisecond  // of the requests' sending (p99), beyond which a run is void
 
 	// Second bytes of the loopback addresses of sidecars and servers.
@@ -38,14 +39,14 @@
 	timingSlack = 50 * time.Millisecond
 )
 
-// Options say with what to run.
+// Options are the options of Run.
 type Options struct {
-	Program      Program
-	Progress     func(now time.Duration)
-	StartTimeout time.Duration // until a program must be healthy; 0: 15 s
+	Program      Program                 // the program under test
+	Progress     func(now time.Duration) // called about once a second with the run's time; nil: not called
+	StartTimeout time.Duration           // until a program must be healthy; 0: 15 s
 }
 
-// testRun is one run.
+// testRun is one run. It owns all that the run starts: shutDown ends it and waits for its end.
 type testRun struct {
 	variant      experiment.Variant
 	experiment   *experiment.Experiment
@@ -55,33 +56,29 @@
 	checker      *invariant.Checker
 	clock
 
-	group        *errgroup.Group // the goroutines that serve
-	ctx          context.Context // of the run
-	cancel       context.CancelCauseFunc
-	requests     sync.Map // of requestInfo, by request ID
-	requestsSent atomic.Int64
-	faults       sync.WaitGroup // the goroutines that apply them
+	ctx        context.Context // ends with the run
+	cancel     context.CancelCauseFunc
+	faults     sync.WaitGroup // goroutines that apply faults
+	goroutines sync.WaitGroup // of servers, the watchers of programs and the usage monitor
+
+	requests        sync.Map // of requestInfo, by request ID
+	requestsSent    atomic.Int64
+	discoveryFaults discoveryFaults
 
 	mu            sync.Mutex
 	counters      *counters.Counters
 	servers       [][]*emulatedServer // by tier and index: the present generation
-	allServers    []*emulatedServer
-	frontSidecars []*sidecar
-	sidecars      []*sidecar // of all tiers
+	allServers    []*emulatedServer   // of all generations
+	frontSidecars []*sidecar          // before the first tier
+	sidecars      []*sidecar          // of all tiers
 	serverAddrs   loopbackRange
 	sidecarAddrs  loopbackRange
 	cost          report.Cost
-
-	discoveryFaults discoveryFaults
 }
 
-// Run runs an experiment once. All that it started has ended when it returns. If ctx ends, it
-// returns what was measured up to then and the context's error.
-func Run(ctx context.Context, e *experiment.Experiment, variant experiment.Variant, seed uint64,
-	o Options) (report.Run, error) {
-	out := report.Run{Variant: variant, Seed: seed, Counters: counters.New(e)}
-	runCtx, cancel := context.WithCancelCause(context.Background())
-	group, groupCtx := errgroup.WithContext(runCtx)
+// newRun returns a run whose clock has started.
+func newRun(e *experiment.Experiment, variant experiment.Variant, seed uint64, o Options) *testRun {
+	ctx, cancel := context.WithCancelCause(context.Background())
 	r := &testRun{
 		variant:      variant,
 		experiment:   e,
@@ -89,30 +86,36 @@
 		program:      o.Program,
 		startTimeout: cmp.Or(o.StartTimeout, defaultStartTimeout),
 		checker:      invariant.New(e.Site.Rules, timingSlack),
-		group:        group,
-		ctx:          groupCtx,
+		ctx:          ctx,
 		cancel:       cancel,
-		counters:     out.Counters,
+		counters:     counters.New(e),
 		sidecarAddrs: loopbackRange{second: sidecarSubnet},
 		serverAddrs:  loopbackRange{second: serverSubnet},
 	}
 	r.clock.restart()
+	return r
+}
+
+// Run runs an experiment once. All that it started has ended when it returns. If ctx ends, it
+// returns what was measured up to then and the context's error.
+func Run(ctx context.Context, e *experiment.Experiment, variant experiment.Variant, seed uint64,
+	o Options) (report.Run, error) {
+	r := newRun(e, variant, seed, o)
+	out := report.Run{Variant: variant, Seed: seed, Counters: r.counters}
 	defer r.shutDown(nil)
-	stopFollowing := context.AfterFunc(ctx, func() { cancel(ctx.Err()) })
+	stopFollowing := context.AfterFunc(ctx, func() { r.cancel(ctx.Err()) })
 	defer stopFollowing()
 
 	if err := r.build(); err != nil {
 		return out, fmt.Errorf("arm %s: %w", variant.Name, err)
 	}
-	select {
-	case <-time.After(settleTime):
-	case <-runCtx.Done():
-		return out, context.Cause(runCtx)
+	if !r.sleepUntil(r.now() + settleTime) {
+		return out, context.Cause(r.ctx)
 	}
 	r.clock.restart()
-	group.Go(func() error { r.monitorUsage(); return nil })
+	r.goroutines.Go(r.monitorUsage)
 	out.Lateness = r.runLoad(o.Progress)
-	err := context.Cause(runCtx)
+	err := context.Cause(r.ctx)
 	if out.Lateness > maxLateness {
 		out.Void = fmt.Sprintf("the rig itself was late: its sendings by %v (p99)",
 			out.Lateness.Round(100*time.Microsecond))
@@ -127,7 +130,7 @@
 func (r *testRun) shutDown(reason error) {
 	r.cancel(reason)
 	r.stopAll()
-	_ = r.group.Wait() // its functions return no errors
+	r.goroutines.Wait()
 }
 
 // fail ends the run for a reason that is not the program's.
@@ -140,39 +143,37 @@
 // runLoad sends the clients' requests and applies the faults, and waits for the end of both. It
 // returns by how much requests were sent late (p99).
 func (r *testRun) runLoad(progress func(time.Duration)) time.Duration {
-	for _, event := range traffic.Timeline(r.experiment, r.seed) {
-		r.faults.Go(func() {
-			if r.sleepUntil(event.At) {
-				r.applyFault(event)
-			}
-		})
-	}
+	r.startFaults()
 	var clients sync.WaitGroup
-	var lateness []time.Duration
+	var late lateness
 	reported := time.Duration(0)
 	for n, request := range traffic.Draw(r.experiment, r.seed) {
 		if !r.sleepUntil(request.At) {
 			break
 		}
 		clients.Go(func() {
-			late := r.now() - request.At
-			r.mu.Lock()
-			lateness = append(lateness, late)
-			r.mu.Unlock()
-			r.runClient(n, &request)
+			late.add(r.now() - request.At)
+			r.newClient(n, &request).do()
 		})
-		if progress != nil && request.At-reported > time.Second {
+		if progress != nil && request.At-reported > progressInterval {
 			reported = request.At
 			progress(request.At)
 		}
 	}
 	clients.Wait()
 	r.faults.Wait()
-	slices.Sort(lateness)
-	if len(lateness) == 0 {
-		return 0
+	return late.p99()
+}
+
+// startFaults starts a goroutine for each step of a fault, which applies it at its time.
+func (r *testRun) startFaults() {
+	for _, event := range traffic.Timeline(r.experiment, r.seed) {
+		r.faults.Go(func() {
+			if r.sleepUntil(event.At) {
+				r.applyFault(event)
+			}
+		})
 	}
-	return lateness[len(lateness)*99/100]
 }
 
 // sleepUntil waits until an instant. It reports false if the run ended before.
@@ -194,12 +195,13 @@
 	}
 	starts, ctx := errgroup.WithContext(r.ctx)
 	starts.SetLimit(maxParallelStarts)
-	return errors.Join(r.buildSidecars(func(s *sidecar) {
-		r.sidecars = append(r.sidecars, s)
+	buildErr := r.buildSidecars(func(s *sidecar) {
 		starts.Go(func() error { return s.start(ctx) })
-	}), starts.Wait())
+	})
+	return errors.Join(buildErr, starts.Wait())
 }
 
+// buildServers creates the servers, which accept connections at once.
 func (r *testRun) buildServers() error {
 	site := r.experiment.Site
 	r.servers = make([][]*emulatedServer, len(site.Tiers))
@@ -220,21 +222,22 @@
 func (r *testRun) buildSidecars(start func(*sidecar)) error {
 	count := r.experiment.Site.Balancers
 	for i := range count {
-		s, err := r.newSidecar("balancer-"+strconv.Itoa(i), 0, i, count)
+		s, err := r.newSidecar("balancer-"+strconv.Itoa(i), placement{tier: 0, index: i, count: count})
 		if err != nil {
 			return err
 		}
 		r.frontSidecars = append(r.frontSidecars, s)
+		r.sidecars = append(r.sidecars, s)
 		start(s)
 	}
 	for _, server := range slices.Clone(r.allServers) {
-		s, err := r.newServerSidecar(server)
-		if err != nil {
-			return err
+		if !r.callsNextTier(server.tier) {
+			continue
 		}
-		if s != nil {
-			start(s)
+		if err := r.addServerSidecar(server); err != nil {
+			return err
 		}
+		start(server.sidecar)
 	}
 	return nil
 }
@@ -262,11 +265,8 @@
 	for _, s := range r.allServers {
 		stats := s.stats
 		stats.Busy = s.model.CoreSeconds()
-		until := s.removedAt
-		if until == 0 {
-			until = now
-		}
-		stats.Lifetime, stats.WarmupPeak = until-s.addedAt, s.model.WarmupPeak()
+		stats.Lifetime = cmp.Or(s.removedAt, now) - s.addedAt
+		stats.WarmupPeak = s.model.WarmupPeak()
 		r.counters.Servers = append(r.counters.Servers, stats)
 		if s.tier == 0 {
 			r.counters.Attempts += stats.Arrivals
--- a/internal/experiment/testbed/violation_test.go
+++ b/internal/experiment/testbed/violation_test.go
@@ -77,11 +77,11 @@
 func (p *proxy) Kill()                            { p.stop(); p.server.Close(); <-p.done }
 
 // Usage implements Instance. A proxy runs within the test process, so its usage is made up.
-func (p *proxy) Usage() (invariant.Usage, time.Duration, bool) {
+func (p *proxy) Usage() (Usage, error) {
 	if p.violation == "uses too much" {
-		return invariant.Usage{MemoryMB: 65}, 0, true
+		return Usage{MemoryMB: 65}, nil
 	}
-	return invariant.Usage{MemoryMB: 1}, 0, true
+	return Usage{MemoryMB: 1}, nil
 }
 
 func isNotReady(e platform.Endpoint) bool { return e.State != platform.StateReady }
