--- a/internal/experiment/testbed/testbed_test.go
+++ b/internal/experiment/testbed/testbed_test.go
@@ -23,12 +23,16 @@
 }
 
 // TestProgramsThatDoNotStart checks that a program that does not become healthy ends the run with
-// a message that says so, and is not left running.
+// a message that says so, and does not remain.
 func TestProgramsThatDoNotStart(t *testing.T) {
-	for _, c := range []struct{ name, line, want string }{
-		{"hangs", "echo $$ >pid; exec sleep 600", "balancer-0 was not healthy within 300ms"},
-		{"ends", "echo no room >&2; exit 4", "balancer-0 ended before it was healthy: exit status 4; it wrote: no room"},
-		{"is not there", "exec ./nothing", "balancer-0 ended before it was healthy: exit status 127"},
+	for _, c := range []struct {
+		name string
+		line string // of the program
+		want string // in the error
+	}{
+		{"is never healthy", "echo $$ >pid; exec sleep 600", "balancer-0 was not healthy within 300ms"},
+		{"exits", "echo no memory >&2; exit 4", "balancer-0 ended before it was healthy: exit status 4; it wrote: no memory"},
+		{"does not exist", "exec ./nothing", "balancer-0 ended before it was healthy: exit status 127"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -41,7 +45,7 @@
 			}
 			if pid, err := os.ReadFile(filepath.Join(dir, "pid")); err == nil {
 				if _, err := os.Stat("/proc/" + strings.TrimSpace(string(pid))); err == nil {
-					t.Errorf("process %s is left", pid)
+					t.Errorf("process %s remains", pid)
 				}
 			}
 		})
@@ -51,7 +55,7 @@
 // observedProgram is a violatingProgram that sends its proxy to the test.
 type observedProgram struct {
 	violatingProgram
-	proxy chan *proxy
+	proxy chan *violatingProxy
 }
 
 // Start implements Program.
@@ -64,18 +68,18 @@
 	return p, nil
 }
 
-// TestInterrupt checks that an interrupt ends all that was started, and that what had been measured
-// is returned.
+// TestInterrupt checks that an interrupt ends a run, and that what was measured until then is
+// returned. TestMain checks that nothing that was started remains.
 func TestInterrupt(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	e := smallExperiment()
 	e.Duration = time.Hour
-	program := observedProgram{violatingProgram("none"), make(chan *proxy, 1)}
+	program := observedProgram{violatingProgram(noViolation), make(chan *violatingProxy, 1)}
 	var once sync.Once
 	stopAfterOneSecond := func(time.Duration) {
 		once.Do(func() { // a second's requests have been sent, about 80
 			p := <-program.proxy
-			testpeer.WaitUntil(t, "most of the first second's requests were answered",
+			testpeer.WaitUntil(t, "most of the first second's requests have responses",
 				func() bool { return p.responses.Load() >= 50 })
 			stop()
 		})
