--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -4,8 +4,9 @@
 // follow. Each kind of decision has a file of its own; docs/design.md has the sources of the
 // policy.
 //
-// A weight is a latency ratio: latency over the baseline latency of requests like it. A deficit is
-// what an endpoint has been charged for the requests that it got.
+// A latency ratio is a latency over the baseline latency of requests like it. The weight of an
+// endpoint is its smoothed latency ratio. Its deficit is what it has been charged for the requests
+// that it got.
 
 import (
 	"math/rand/v2"
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -275,7 +275,7 @@
 }
 
 // Of two endpoints, one fails: the other must serve all requests, whichever had the lower deficit
-// before. Seeds, latencies and pauses vary, so that at times the failing one is the only one active.
+// before. Seeds, latencies and pauses vary: at times the failing one is the only one active.
 func TestOneFailingEndpointLosesNoRequests(t *testing.T) {
 	for _, mode := range []struct {
 		name   string
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -21,7 +21,7 @@
 	ID            string
 	State         State
 	Inactive      InactiveReason // empty for an endpoint in the ordinary selection
-	Weight        float64        // its latency ratio: latency over the baseline latency
+	Weight        float64        // its smoothed latency ratio: latency over the baseline latency
 	Errors        float64        // share of recent outcomes that were errors
 	InFlight      int            // attempts in flight
 	CapacityShare float64        // least share of its capacity that it has
