--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -1,7 +1,9 @@
 package main
 
 import (
+	"bufio"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -71,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := startBuilt(t, configWithoutEndpoints(addr, discovery), writer)
+	c := startBuilt(t, testConfig(addr, discovery), writer)
 	writer.Close()
 	waitUntilHealthy(t, addr)
 	reader.Close()
@@ -101,7 +103,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal(err)
 	}
-	startBuilt(t, configWithoutEndpoints(addr, discovery), writer)
+	startBuilt(t, testConfig(addr, discovery), writer)
 	waitUntilHealthy(t, addr)
 }
 
@@ -120,36 +122,34 @@
 	defer hanging.Close()
 	discovery := startListingDiscovery(t, []string{hanging.Addr().String()})
 	addr := freeAddr(t)
-	c := startBuilt(t, platform.ConfigFile{
-		Name:      "t",
-		Listen:    addr,
-		Discovery: discovery,
-		Seed:      "1",
-		Known:     platform.CompleteList(1, testpeer.Listed("a", hanging.Addr().String(), platform.StateReady)),
-		Settings: platform.SettingsObject{Classes: []platform.ClassSettings{{
-			Name:               "pay",
-			Idempotency:        platform.NonIdempotent,
-			LatencyObjectiveUs: (900 * time.Millisecond).Microseconds(),
-			MaxDeadlineUs:      deadline.Microseconds(),
-		}}},
-	}, io.Discard)
+	config := testConfig(addr, discovery)
+	config.Known = platform.CompleteList(1,
+		testpeer.Listed("a", hanging.Addr().String(), platform.StateReady))
+	config.Settings.Classes = []platform.ClassSettings{{
+		Name:               "pay",
+		Idempotency:        platform.NonIdempotent,
+		LatencyObjectiveUs: 900_000,
+		MaxDeadlineUs:      deadline.Microseconds(),
+	}}
+	c := startBuilt(t, config, io.Discard)
 	waitUntilHealthy(t, addr)
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	killAt := time.Now().Add(killDelay)
-	conn, err := testpeer.Dial(addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	request := testpeer.Request{Method: http.MethodPost, Path: "/pay", ID: "r", Deadline: time.Minute}
-	io.WriteString(conn, request.Text())
+	fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: h\r\n%s: r\r\n%s: 60000\r\nContent-Length: 0\r\n\r\n",
+		platform.RequestIDHeader, platform.DeadlineHeader)
 	time.Sleep(time.Until(killAt.Add(-suspended * 4 / 5)))
 	c.Process.Signal(syscall.SIGSTOP) // suspended until SIGKILL
 	time.Sleep(time.Until(killAt))
 	c.Process.Kill()
-	resp, err := conn.ReadResponse(testTimeout)
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("%+v, %v", resp, err)
 	}
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -93,10 +93,12 @@
 	return b.text.String()
 }
 
-// config returns the configuration of the sidecar.
-func (p *testPlatform) config() platform.ConfigFile {
-	const latencyObjective = 2 * time.Second
-	return platform.ConfigFile{
+// start starts a process and waits until its admin interface listens. It may not be ready yet.
+func (p *testPlatform) start(t *testing.T) *sidecarProcess {
+	t.Helper()
+	config := filepath.Join(t.TempDir(), "config.json")
+	const objectiveUs = 2_000_000
+	writeConfig(t, config, platform.ConfigFile{
 		Name:      "t",
 		Listen:    p.addr,
 		Discovery: p.discovery,
@@ -104,21 +106,12 @@
 		Limits:    platform.ConfigLimits{Cores: 1, MemoryMB: 64, Sockets: 256},
 		Settings: platform.SettingsObject{
 			Classes: []platform.ClassSettings{
-				{Name: "look", Idempotency: platform.Idempotent,
-					LatencyObjectiveUs: latencyObjective.Microseconds()},
-				{Name: "pay", Idempotency: platform.NonIdempotent,
-					LatencyObjectiveUs: latencyObjective.Microseconds()},
+				{Name: "look", Idempotency: platform.Idempotent, LatencyObjectiveUs: objectiveUs},
+				{Name: "pay", Idempotency: platform.NonIdempotent, LatencyObjectiveUs: objectiveUs},
 			},
 			Permissions: platform.Permissions{CancelAllowed: true, MaxAttempts: 4},
 		},
-	}
-}
-
-// start starts a process and waits until its admin interface listens. It may not be ready yet.
-func (p *testPlatform) start(t *testing.T) *sidecarProcess {
-	t.Helper()
-	config := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, config, p.config())
+	})
 	s := &sidecarProcess{Cmd: exec.Command(p.program), exited: make(chan error, 1)}
 	s.Env = []string{
 		platform.EnvConfig + "=" + config,
