--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"rowancart/internal/platform"
+	"rowancart/internal/testpeer"
 )
 
 const testTimeout = 20 * time.Second // no test should come near it
@@ -30,7 +31,7 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
 		if r.URL.RawQuery == "" {
-			io.WriteString(w, `{"version":1,"full":true,"servers":[]}`)
+			io.WriteString(w, testpeer.CompleteList(1))
 			return
 		}
 		w.(http.Flusher).Flush()
@@ -40,17 +41,6 @@
 	return s.Listener.Addr().String(), calls
 }
 
-// testConfig returns a configuration with default settings and no known endpoint.
-func testConfig(listen, discovery string) platform.ConfigFile {
-	return platform.ConfigFile{
-		Name:      "t",
-		Listen:    listen,
-		Discovery: discovery,
-		Seed:      "1",
-		Known:     platform.CompleteList(1),
-	}
-}
-
 // writeConfig writes a configuration file.
 func writeConfig(t *testing.T, path string, config platform.ConfigFile) {
 	t.Helper()
@@ -63,10 +53,18 @@
 	}
 }
 
-// writeTestConfig writes a configuration that listens on any port, with discovery at an address.
-func writeTestConfig(t *testing.T, path, discovery string) {
-	t.Helper()
-	writeConfig(t, path, testConfig("127.0.0.1:0", discovery))
+// anyLoopbackAddr lets the kernel choose a port.
+const anyLoopbackAddr = "127.0.0.1:0"
+
+// configWithoutEndpoints returns a configuration whose known endpoint list is empty.
+func configWithoutEndpoints(addr, discovery string) platform.ConfigFile {
+	return platform.ConfigFile{
+		Name:      "t",
+		Listen:    addr,
+		Discovery: discovery,
+		Seed:      "1",
+		Known:     platform.CompleteList(1),
+	}
 }
 
 // waitForCall waits until a fake discovery has been called.
@@ -116,7 +114,7 @@
 	first, firstCalled := startDiscovery(t)
 	second, secondCalled := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeTestConfig(t, path, first)
+	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, first))
 	ended := startProgram(t, path)
 	waitForCall(t, "the first discovery", firstCalled)
 
@@ -124,7 +122,7 @@
 		t.Fatal(err)
 	}
 	signalSelf(t, syscall.SIGHUP)
-	writeTestConfig(t, path, second)
+	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, second))
 	signalSelf(t, syscall.SIGHUP)
 	waitForCall(t, "the second discovery", secondCalled)
 
@@ -144,7 +142,7 @@
 	})
 	addr, called := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeTestConfig(t, path, addr)
+	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, addr))
 	ended := startProgram(t, path)
 	waitForCall(t, "discovery", called)
 	signalled := make(chan os.Signal, 1)
@@ -186,7 +184,7 @@
 	first, firstCalled := startDiscovery(t)
 	second, secondCalled := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeTestConfig(t, path, first)
+	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, first))
 	ended := startProgram(t, path)
 	waitForCall(t, "the first discovery", firstCalled)
 
@@ -195,7 +193,7 @@
 	}
 	signalSelf(t, syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond) // that the signal is handled first is likely; the test holds either way
-	writeTestConfig(t, path, second)
+	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, second))
 	waitForCall(t, "the second discovery", secondCalled)
 	signalSelf(t, syscall.SIGTERM)
 	requireCleanEnd(t, ended)
