--- a/internal/experiment/invariant/invariant.go
+++ b/internal/experiment/invariant/invariant.go
@@ -1,8 +1,9 @@
 // Package invariant judges a run from outside. Drivers report what clients, servers and discovery
-// saw; nothing that the program under test says of itself is used. Instants are passed in: the
+// observed; nothing that the program under test says of itself is used. Instants are passed in: the
 // package has no clock of its own.
 //
-// Names and details of rules are stored in reports.
+// Names of rules and details of violations are stored in reports, and therefore keep their words:
+// in details a server is a box, and a rejection a refusal.
 package invariant
 
 import (
@@ -21,8 +22,8 @@
 	RuleResponse           Rule = "answer"    // each request has one final response, before its client gives up
 	RuleDuplicate          Rule = "duplicate" // a non-idempotent request is retried only if no attempt can have run
 	RulePolicy             Rule = "policy"    // no more attempts or runs than the class's policy allows
-	RuleDrain              Rule = "drain"     // after a grace, nothing is sent to a server known to drain or be gone
-	RuleWarmup             Rule = "cold"      // no warming server is sent so much that it falls over
+	RuleDrain              Rule = "drain"     // after a grace, nothing is sent to a draining or removed server
+	RuleWarmup             Rule = "cold"      // no warming server is sent so much that it crashes
 	RuleForeignRequest     Rule = "foreign"   // servers receive only requests that a client sent, unchanged
 	RuleFabricatedResponse Rule = "invented"  // clients receive only responses that a server made for the request
 	RuleFalseRejection     Rule = "refusal"   // a request is rejected, which permits a retry, only if it cannot have run
@@ -42,8 +43,8 @@
 	Detail     string // of the first violation
 }
 
-// Checker collects reports and judges them. Its methods may be called from several goroutines.
-// Instants must not decrease by more than the driver's own delay.
+// Checker collects what drivers report and judges it. It is safe for concurrent use. Instants must
+// not decrease by more than the driver's own delay.
 type Checker struct {
 	rules experiment.Rules
 	slack time.Duration // added to each limit of time, for the driver's own delays; 0 in virtual time
@@ -77,7 +78,8 @@
 		v = &Verdict{Rule: rule, FirstAt: at, Detail: fmt.Sprintf(format, args...)}
 		c.verdicts[rule] = v
 	} else if at < v.FirstAt {
-		v.FirstAt, v.Detail = at, fmt.Sprintf(format, args...)
+		v.FirstAt = at
+		v.Detail = fmt.Sprintf(format, args...)
 	}
 	v.Violations++
 }
--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -18,12 +18,12 @@
 	checker.RecordRequest(0, Request{ID: id, Instance: "s", Idempotency: e, Deadline: time.Second, Digest: 1})
 }
 
-// recordArrival records that the whole request arrived at once.
+// recordArrival records that all of a request arrived at once.
 func recordArrival(checker *Checker, id, server string, at time.Duration) {
 	checker.RecordArrival(Arrival{ID: id, Server: server, FirstByte: at, LastByte: at, Digest: 1})
 }
 
-// history is what a checker is told, and the rule that it violates; empty: none.
+// history is what is recorded with a checker, and the rule that it violates; empty: none.
 type history struct {
 	name     string
 	violates Rule
@@ -116,33 +116,33 @@
 	{"closed before the request was read", "", func(t *testing.T, checker *Checker) {
 		recordRequest(checker, "r", balancer.Idempotent)
 		if checker.RecordClosedConn(ms, "r") {
-			t.Error("no server received it, and it counts as lost")
+			t.Error("no server received the request, and it is reported as lost")
 		}
 		checker.RecordResponse(5*ms, "r", Failed, 0)
 	}},
 	{"sent within the drain grace", "", func(_ *testing.T, checker *Checker) {
 		recordRequest(checker, "r", balancer.Idempotent)
-		checker.RecordNotification(0, "s", "a", balancer.Draining, false)
+		checker.RecordNotification(0, Notification{Instance: "s", Server: "a", State: balancer.Draining})
 		recordArrival(checker, "r", "a", 999*ms)
 		checker.RecordResponse(1000*ms, "r", Failed, 0)
 	}},
 	{"sent after the drain grace", RuleDrain, func(_ *testing.T, checker *Checker) {
 		recordRequest(checker, "r", balancer.Idempotent)
-		checker.RecordNotification(0, "s", "a", balancer.Draining, false)
+		checker.RecordNotification(0, Notification{Instance: "s", Server: "a", State: balancer.Draining})
 		// notified again: the first notification counts
-		checker.RecordNotification(500*ms, "s", "a", balancer.Draining, false)
+		checker.RecordNotification(500*ms, Notification{Instance: "s", Server: "a", State: balancer.Draining})
 		recordArrival(checker, "r", "a", 1001*ms)
 		checker.RecordResponse(1001*ms, "r", Failed, 0)
 	}},
 	{"sent after only another instance was notified", "", func(_ *testing.T, checker *Checker) {
 		recordRequest(checker, "r", balancer.Idempotent)
-		checker.RecordNotification(0, "other", "a", balancer.Removed, false)
+		checker.RecordNotification(0, Notification{Instance: "other", Server: "a", State: balancer.Removed})
 		recordArrival(checker, "r", "a", 1001*ms)
 		checker.RecordResponse(1001*ms, "r", Failed, 0)
 	}},
 	{"overloaded in slow start by notified instances", RuleWarmup, func(_ *testing.T, checker *Checker) {
 		recordRequest(checker, "r", balancer.Idempotent)
-		checker.RecordNotification(0, "s", "a", balancer.Ready, true)
+		checker.RecordNotification(0, Notification{Instance: "s", Server: "a", State: balancer.Ready, Started: true})
 		checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true,
 			Work: 3})
 		checker.RecordOverload(ms, "a")
@@ -156,10 +156,16 @@
 		checker.RecordResponse(5*ms, "r", Failed, 0)
 	}},
 	{"an improper peer served", RuleImproperPeer, func(_ *testing.T, checker *Checker) {
-		checker.RecordImproperPeer(0, ms, "sent nothing", true, true)
+		checker.RecordImproperPeer(ImproperPeer{Ended: ms, End: PeerServed, Sent: "sent nothing"})
 	}},
 	{"an improper peer disconnected in time", "", func(_ *testing.T, checker *Checker) {
-		checker.RecordImproperPeer(0, 2*time.Second, "sent nothing", true, false)
+		checker.RecordImproperPeer(ImproperPeer{Ended: 2 * time.Second, End: PeerDisconnected, Sent: "sent nothing"})
+	}},
+	{"an improper peer disconnected too late", RuleImproperPeer, func(_ *testing.T, checker *Checker) {
+		checker.RecordImproperPeer(ImproperPeer{Ended: 3001 * ms, End: PeerDisconnected, Sent: "sent nothing"})
+	}},
+	{"an improper peer still connected", RuleImproperPeer, func(_ *testing.T, checker *Checker) {
+		checker.RecordImproperPeer(ImproperPeer{Ended: 2 * time.Second, End: PeerConnected, Sent: "sent nothing"})
 	}},
 	{"too many descriptors", RuleLimits, func(_ *testing.T, checker *Checker) {
 		checker.CheckUsage(0, Usage{Instance: "s", Descriptors: 11}, experiment.Limits{Descriptors: 10})
@@ -194,6 +200,6 @@
 		checker.RecordResponse(at, id, Failed, 0)
 	}
 	if n := len(checker.requests); n > 4000 {
-		t.Errorf("%d requests are remembered, of 100 a second", n)
+		t.Errorf("%d requests are stored, of 100 a second", n)
 	}
 }
--- a/internal/experiment/invariant/programs.go
+++ b/internal/experiment/invariant/programs.go
@@ -9,19 +9,36 @@
 // cpuTolerance allows for the resolution of the kernel's CPU times, which is 10 ms.
 const cpuTolerance = 1.05
 
-// RecordImproperPeer records how a connection ended whose peer sent no proper request; sent
-// describes what it did send. The program responded or closed the connection at ended, or if
-// responded is false, it had done neither by then. Served says that the response was that of a
-// served request.
-func (c *Checker) RecordImproperPeer(connected, ended time.Duration, sent string, responded, served bool) {
+// PeerEnd is how the connection of a peer that sent no proper request ended.
+type PeerEnd int
+
+// The ends.
+const (
+	PeerConnected    PeerEnd = iota // it has not ended yet
+	PeerDisconnected                // by an error response, or a close
+	PeerServed                      // by the response of a served request
+)
+
+// ImproperPeer is the connection of a peer that sent no proper request.
+type ImproperPeer struct {
+	Connected time.Duration
+	Ended     time.Duration // or the latest observation, for PeerConnected
+	End       PeerEnd
+	Sent      string // what the peer did send, for the violation's detail: "sent nothing"
+}
+
+// RecordImproperPeer records how the connection of a peer ended that sent no proper request.
+func (c *Checker) RecordImproperPeer(p ImproperPeer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	limit := c.rules.ImproperPeerTimeout
+	duration := p.Ended - p.Connected
+	isLate := limit > 0 && duration > limit+c.slack
 	switch {
-	case served:
-		c.addViolation(RuleImproperPeer, ended, "a peer that %s was served", sent)
-	case !responded || limit > 0 && ended-connected > limit+c.slack:
-		c.addViolation(RuleImproperPeer, ended, "a peer that %s had no end after %v", sent, ended-connected)
+	case p.End == PeerServed:
+		c.addViolation(RuleImproperPeer, p.Ended, "a peer that %s was served", p.Sent)
+	case p.End == PeerConnected || isLate:
+		c.addViolation(RuleImproperPeer, p.Ended, "a peer that %s had no end after %v", p.Sent, duration)
 	}
 }
 
--- a/internal/experiment/invariant/requests.go
+++ b/internal/experiment/invariant/requests.go
@@ -15,7 +15,7 @@
 	Served Outcome = iota
 	Rejected
 	Failed
-	Truncated // begun and visibly cut short: a failure, but a response
+	Truncated // begun and incomplete: a failure, but a response
 )
 
 // Request is a request as its client sent it.
@@ -26,18 +26,40 @@
 	Deadline    time.Duration
 	Digest      uint64 // of all that must reach servers unchanged
 	MaxAttempts int    // allowed by the class's policy; 0: no limit
-	NeverRerun  bool   // the class's policy forbids a retry after an attempt that may have run, whatever Idempotency is
+	NeverRerun  bool   // the class's policy forbids a retry after an attempt that may have run
 }
 
 // request is a Request and what became of it.
 type request struct {
 	Request
-	answered   bool // has its final response, or was judged for the lack of one
-	waived     bool // no response is due: its instance was killed, or its client left
-	outcome    Outcome
+	finished   bool    // has its final response, or was judged for the lack of one
+	outcome    Outcome // if finished
+	waived     bool    // no response is due: its instance was killed, or its client disconnected
 	executions []execution
 }
 
+// finish sets the outcome of the request.
+func (r *request) finish(outcome Outcome) {
+	r.finished = true
+	r.outcome = outcome
+}
+
+// hasResponse reports whether a server made a response with this digest for the request.
+func (r *request) hasResponse(digest uint64) bool {
+	return slices.ContainsFunc(r.executions, func(e execution) bool {
+		return e.responseDigest == digest && e.responseDigest != 0
+	})
+}
+
+// mayHaveRunBy returns the first execution that may have run by an instant, nil if there is none.
+func (r *request) mayHaveRunBy(at time.Duration) *execution {
+	i := slices.IndexFunc(r.executions, func(e execution) bool { return e.mayHaveRunBy(at) })
+	if i < 0 {
+		return nil
+	}
+	return &r.executions[i]
+}
+
 // execution is the arrival of a request at a server, which runs it unless it rejects it.
 type execution struct {
 	server         string
@@ -49,17 +71,16 @@
 // mayHaveRunBy reports whether the execution was not yet rejected at an instant.
 func (e execution) mayHaveRunBy(at time.Duration) bool { return e.rejectedAt == 0 || e.rejectedAt > at }
 
-// mayHaveExecuted reports whether a server may have run the request.
-func (r *request) mayHaveExecuted() bool {
+// mayHaveRun reports whether a server may have run the request.
+func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.executions, func(e execution) bool { return e.rejectedAt == 0 })
 }
 
-// retention is how long a request is remembered after its deadline. Late duplicates arrive within
-// it.
+// retention is how long a request is stored after its deadline. Late duplicates arrive within it.
 const retention = 5 * time.Second
 
 // RecordRequest records that an instance has received a request: its last byte was written to an
-// accepted connection. Requests whose retention is over are forgotten.
+// accepted connection. It deletes requests whose retention is over.
 func (c *Checker) RecordRequest(now time.Duration, r Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,8 +97,8 @@
 
 // expire judges a request that no response can reach any more. mu must be held.
 func (c *Checker) expire(r *request) {
-	if !r.answered && !r.waived {
-		r.answered = true
+	if !r.finished && !r.waived {
+		r.finish(Failed)
 		c.addViolation(RuleResponse, r.Deadline, "request %s at %s was never answered", r.ID, r.Instance)
 	}
 }
@@ -91,41 +112,40 @@
 		c.addViolation(RuleResponse, now, "an answer came for %s, which was not asked", id)
 		return
 	}
-	if r.answered {
+	if r.finished {
 		c.addViolation(RuleResponse, now, "request %s at %s was answered twice", id, r.Instance)
 		return
 	}
-	r.answered, r.outcome = true, outcome
+	r.finish(outcome)
 	if latest := r.Deadline + c.rules.ResponseSlack + c.slack; now > latest && !r.waived {
 		c.addViolation(RuleResponse, now, "request %s at %s was answered %v after its deadline", id, r.Instance,
 			now-r.Deadline)
 	}
 	switch outcome {
 	case Served:
-		made := func(e execution) bool { return e.responseDigest == digest && e.responseDigest != 0 }
-		if !slices.ContainsFunc(r.executions, made) {
+		if !r.hasResponse(digest) {
 			c.addViolation(RuleFabricatedResponse, now, "request %s at %s was served with what no box made for it",
 				id, r.Instance)
 		}
 	case Rejected:
-		if r.Idempotency == balancer.NonIdempotent && r.mayHaveExecuted() {
+		if r.Idempotency == balancer.NonIdempotent && r.mayHaveRun() {
 			c.addViolation(RuleFalseRejection, now, "request %s at %s was refused and may have run", id, r.Instance)
 		}
 	}
 }
 
 // RecordClosedConn records that the program closed a connection without a response to a request
-// written to it. It reports whether the request is lost by that, which it is only if the program
-// had read it: a server has received it. Otherwise the request and the close crossed, and the
-// client may send it again.
+// written to it. It reports whether the request is lost. It is lost only if the program had read
+// it, which shows in that a server has received it. Otherwise the request and the close crossed,
+// and the client may send the request again.
 func (c *Checker) RecordClosedConn(now time.Duration, id string) (lost bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
-	if r == nil || r.answered || r.waived || len(r.executions) == 0 {
+	if r == nil || r.finished || r.waived || len(r.executions) == 0 {
 		return false
 	}
-	r.answered, r.outcome = true, Failed
+	r.finish(Failed)
 	c.addViolation(RuleResponse, now, "request %s at %s was lost: its connection ended without an answer", id,
 		r.Instance)
 	return true
@@ -141,7 +161,7 @@
 	}
 }
 
-// Waive records that no response to a request is due any more, because its client has left.
+// Waive records that no response to a request is due any more, because its client has disconnected.
 func (c *Checker) Waive(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,8 +170,8 @@
 	}
 }
 
-// RecordKill records that an instance was killed. It owes no responses to its requests, and its
-// successor has no notifications.
+// RecordKill records that an instance was killed. No response to its requests is due any more, and
+// its successor begins without notifications.
 func (c *Checker) RecordKill(instance string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/experiment/invariant/servers.go
+++ b/internal/experiment/invariant/servers.go
@@ -1,7 +1,6 @@
 package invariant
 
 import (
-	"slices"
 	"time"
 
 	"rowancart/balancer"
@@ -43,42 +42,53 @@
 			a.ID)
 	}
 	key := instanceServer{r.Instance, a.Server}
-	if at, ok := c.drainingSince[key]; ok && a.FirstByte > at+c.rules.DrainGrace+c.slack {
-		c.addViolation(RuleDrain, a.FirstByte, "%s got request %s from %s %v after the telling", a.Server, a.ID, r.Instance,
-			a.FirstByte-at)
-	}
+	c.checkDrain(key, a)
 	if a.WarmingUp {
 		c.recordWork(a, c.notifiedOfStart[key])
 	}
-	c.checkRetry(r, a)
+	c.checkPolicy(r, a)
+	if r.Idempotency == balancer.NonIdempotent {
+		c.checkDuplicate(r, a)
+	}
 	r.executions = append(r.executions, execution{server: a.Server, at: a.LastByte})
 }
 
-// checkRetry checks that a request which arrives once more was allowed to be sent once more. mu
-// must be held.
-func (c *Checker) checkRetry(r *request, a Arrival) {
+// checkDrain checks that the instance was still allowed to send to the server. mu must be held.
+func (c *Checker) checkDrain(key instanceServer, a Arrival) {
+	notifiedAt, ok := c.drainingSince[key]
+	if ok && a.FirstByte > notifiedAt+c.rules.DrainGrace+c.slack {
+		c.addViolation(RuleDrain, a.FirstByte, "%s got request %s from %s %v after the telling", a.Server, a.ID,
+			key.instance, a.FirstByte-notifiedAt)
+	}
+}
+
+// checkPolicy checks that the class's policy allows an arrival after those before it. mu must be
+// held.
+func (c *Checker) checkPolicy(r *request, a Arrival) {
 	if r.MaxAttempts > 0 && len(r.executions) >= r.MaxAttempts {
 		c.addViolation(RulePolicy, a.LastByte, "request %s reached a box %d times, and %d attempts are allowed", a.ID,
 			len(r.executions)+1, r.MaxAttempts)
 	}
-	earlier := slices.IndexFunc(r.executions, func(e execution) bool { return e.mayHaveRunBy(a.FirstByte) })
-	if r.NeverRerun && earlier >= 0 {
+	if r.NeverRerun && r.mayHaveRunBy(a.FirstByte) != nil {
 		c.addViolation(RulePolicy, a.LastByte, "request %s reached %s after a run, which its policy forbids", a.ID,
 			a.Server)
 	}
-	if r.Idempotency != balancer.NonIdempotent {
-		return
-	}
-	if earlier >= 0 {
+}
+
+// checkDuplicate checks that no earlier attempt of a non-idempotent request can have run, and that
+// no response says so. mu must be held.
+func (c *Checker) checkDuplicate(r *request, a Arrival) {
+	if earlier := r.mayHaveRunBy(a.FirstByte); earlier != nil {
 		c.addViolation(RuleDuplicate, a.LastByte, "request %s reached %s after %s, where it may have run", a.ID, a.Server,
-			r.executions[earlier].server)
+			earlier.server)
 	}
-	if r.answered && r.outcome == Rejected {
+	if r.finished && r.outcome == Rejected {
 		c.addViolation(RuleFalseRejection, a.LastByte, "request %s reached %s though it had been refused", a.ID, a.Server)
 	}
 }
 
-// recordWork adds to the work that arrived at a warming server within the window. mu must be held.
+// recordWork adds an arrival to the work that reached a warming server within the overload window.
+// Notified says whether its sender had been notified of the server's start. mu must be held.
 func (c *Checker) recordWork(a Arrival, notified bool) {
 	recent := append(c.recentWork[a.Server], workArrival{a.LastByte, a.Work, notified})
 	for len(recent) > 0 && recent[0].at <= a.LastByte-c.rules.OverloadWindow {
@@ -113,15 +123,22 @@
 	}
 }
 
-// RecordNotification records that an instance has been notified of a server's state. Started says
-// that the notification is of a start.
-func (c *Checker) RecordNotification(now time.Duration, instance, server string, state balancer.State, started bool) {
+// Notification is a change of the endpoint list that an instance has been notified of.
+type Notification struct {
+	Instance string
+	Server   string
+	State    balancer.State
+	Started  bool // it has the instant of the server's start
+}
+
+// RecordNotification records that an instance has been notified of a server's state.
+func (c *Checker) RecordNotification(now time.Duration, n Notification) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	key := instanceServer{instance, server}
-	if state == balancer.Ready {
+	key := instanceServer{n.Instance, n.Server}
+	if n.State == balancer.Ready {
 		delete(c.drainingSince, key)
-		c.notifiedOfStart[key] = c.notifiedOfStart[key] || started
+		c.notifiedOfStart[key] = c.notifiedOfStart[key] || n.Started
 		return
 	}
 	if _, ok := c.drainingSince[key]; !ok { // the first notification counts
@@ -133,7 +150,8 @@
 // notified of the server's start for an overload to be a violation of theirs.
 const notifiedWorkFraction = 2.0 / 3
 
-// RecordOverload records that a warming server has fallen over.
+// RecordOverload records that a warming server has crashed under its load. This is a violation if
+// the instances that sent the load knew of the server's start.
 func (c *Checker) RecordOverload(now time.Duration, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/experiment/testbed/clientconn.go
+++ b/internal/experiment/testbed/clientconn.go
@@ -161,6 +161,12 @@
 	p.all, p.idle = nil, nil
 }
 
+// isTimeout reports whether an error says that a deadline of a connection has passed.
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
 // exchange sends a request and reads its response until the deadline. Without a response the error
 // is errTimeout or errClosed.
 func (c *clientConn) exchange(m *request, deadline time.Time) (response, error) {
@@ -171,7 +177,7 @@
 		return response{}, errClosed
 	}
 	if _, err := c.reader.Peek(1); err != nil {
-		if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
+		if isTimeout(err) {
 			return response{}, errTimeout
 		}
 		return response{}, errClosed
--- a/internal/experiment/testbed/improperpeer.go
+++ b/internal/experiment/testbed/improperpeer.go
@@ -2,12 +2,12 @@
 
 import (
 	"bufio"
-	"errors"
 	"net"
 	"net/http"
 	"time"
 
 	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/invariant"
 	"rowancart/internal/platform"
 )
 
@@ -39,7 +39,7 @@
 		go writeOversized(nc, class) // ends with the connection
 	}
 	_ = nc.SetReadDeadline(time.Now().Add(limit + extraPeerWait))
-	responded, served := readPeerEnd(nc)
+	end := readPeerEnd(nc)
 	if s.killed.Load() || r.ctx.Err() != nil {
 		return
 	}
@@ -47,7 +47,7 @@
 	if kind == experiment.OversizedPeer { // the checker knows the other peers' limit only
 		ended = connected + (ended-connected)/oversizedLimit
 	}
-	r.checker.RecordImproperPeer(connected, ended, sent, responded, served)
+	r.checker.RecordImproperPeer(invariant.ImproperPeer{Connected: connected, Ended: ended, End: end, Sent: sent})
 }
 
 // writeOversized writes a request with a body that is too large.
@@ -64,15 +64,19 @@
 	}
 }
 
-// readPeerEnd waits for a response or a close until the connection's deadline, and reports whether
-// one came, and whether it was the response of a served request.
-func readPeerEnd(nc net.Conn) (responded, served bool) {
+// readPeerEnd waits for a response or a close until the connection's deadline, and returns how the
+// connection ended.
+func readPeerEnd(nc net.Conn) invariant.PeerEnd {
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
-	if err == nil {
-		defer resp.Body.Close()
-		return true, resp.StatusCode < http.StatusBadRequest
+	if isTimeout(err) {
+		return invariant.PeerConnected
 	}
-	ne := net.Error(nil)
-	timedOut := errors.As(err, &ne) && ne.Timeout()
-	return !timedOut, false
+	if err != nil {
+		return invariant.PeerDisconnected
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode < http.StatusBadRequest {
+		return invariant.PeerServed
+	}
+	return invariant.PeerDisconnected
 }
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"rowancart/internal/experiment"
+	"rowancart/internal/experiment/invariant"
 	"rowancart/internal/platform"
 )
 
@@ -58,7 +59,12 @@
 	}
 	discovery, err := newDiscoveryServer(r.listedServers(at.tier), func(e platform.Endpoint) {
 		state, _ := e.State.EndpointState() // known: this program has made the entry
-		r.checker.RecordNotification(r.now(), name, e.ID, state, e.StartedMs > 0)
+		r.checker.RecordNotification(r.now(), invariant.Notification{
+			Instance: name,
+			Server:   e.ID,
+			State:    state,
+			Started:  e.StartedMs > 0,
+		})
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
--- a/internal/experiment/virtual/discovery.go
+++ b/internal/experiment/virtual/discovery.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"rowancart/balancer"
+	"rowancart/internal/experiment/invariant"
 )
 
 // publishEndpoint changes the endpoint list of a tier and notifies every instance before it, each
@@ -47,6 +48,11 @@
 	}
 }
 
+// notification returns what the checker records of a change that the instance is notified of.
+func (in *instance) notification(e balancer.Endpoint) invariant.Notification {
+	return invariant.Notification{Instance: in.name, Server: e.ID, State: e.State, Started: e.Started > 0}
+}
+
 // notifyInstance notifies an instance of a change after its delay, in the order of the changes.
 func (s *simulation) notifyInstance(now time.Duration, in *instance, e balancer.Endpoint) {
 	discovery := s.experiment.Site.Discovery
@@ -57,7 +63,7 @@
 		if in.down || in.incarnation != incarnation {
 			return
 		}
-		s.checker.RecordNotification(now, in.name, e.ID, e.State, e.Started > 0)
+		s.checker.RecordNotification(now, in.notification(e))
 		in.policy.EndpointList(balancerEpoch+now, balancer.EndpointList{Entries: []balancer.Endpoint{e}})
 	})
 }
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -70,7 +70,7 @@
 	}
 	list := s.endpointLists[in.tier]
 	for _, e := range list {
-		s.checker.RecordNotification(now, in.name, e.ID, e.State, e.Started > 0)
+		s.checker.RecordNotification(now, in.notification(e))
 	}
 	in.policy.EndpointList(balancerEpoch+now, balancer.EndpointList{Complete: true, Entries: list})
 	if b, ok := in.policy.(*balancer.Balancer); ok && s.variant.RestoreLearnedState && in.starts > 1 {
