--- a/internal/experiment/counters/counters.go
+++ b/internal/experiment/counters/counters.go
@@ -24,7 +24,7 @@
 	numOutcomes
 )
 
-// String returns the outcome's name in reports.
+// String returns the outcome's name in reports, whose words it keeps.
 func (o Outcome) String() string {
 	return [...]string{"served_in_time", "late", "refused", "failed"}[o]
 }
@@ -65,7 +65,7 @@
 	Cores      int
 	Lifetime   time.Duration // from its start, or that of the run, to its end
 
-	// AddedDuringRun is true for a server that started cold during the run.
+	// AddedDuringRun is true for a server that started during the run, and so had to warm up.
 	AddedDuringRun bool
 	// WarmupPeak is the most work that it was sent within Rules.OverloadWindow while it warmed up, in
 	// multiples of its capacity at the time.
@@ -79,6 +79,7 @@
 // warm-up are in Seconds only.
 type Counters struct {
 	warmup          time.Duration
+	priorityWeights []float64 // by index in Site.Classes
 	Total           Counts
 	Classes         []Counts // by index in Site.Classes
 	Tenants         []Counts // by index in Site.Tenants
@@ -105,46 +106,75 @@
 
 // New returns empty counters for an experiment.
 func New(e *experiment.Experiment) *Counters {
-	return &Counters{
+	c := &Counters{
 		warmup:  e.Warmup,
 		Classes: make([]Counts, len(e.Site.Classes)),
 		Tenants: make([]Counts, len(e.Site.Tenants)),
 		Latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 		Reasons: map[balancer.Reason]int64{},
 	}
+	for _, class := range e.Site.Classes {
+		c.priorityWeights = append(c.priorityWeights, class.PriorityWeight)
+	}
+	return c
 }
 
-// Record counts one request of a class that was to be sent at the instant at and ended after
-// latency. tenantIndex is negative for a request without a tenant.
-func (c *Counters) Record(class experiment.Class, classIndex, tenantIndex int, at, latency time.Duration,
-	outcome Outcome) {
-	served := outcome <= ServedLate
-	micros := min(max(latency.Microseconds(), 1), maxLatencyMicros)
-	second := c.growTo(at)
-	c.Seconds[second][outcome]++
-	if served {
-		if c.latencyBySecond[second] == nil {
-			c.latencyBySecond[second] = hdrhistogram.New(1, maxLatencyMicros, significantDigitsSecond)
-		}
-		_ = c.latencyBySecond[second].RecordValue(micros) // within the range
+// Request is a client's request that has ended.
+type Request struct {
+	Class   int           // index in Site.Classes
+	Tenant  int           // index in Site.Tenants; negative: none
+	At      time.Duration // intended time of sending
+	Latency time.Duration // from At to the end
+	Outcome Outcome
+}
+
+// isServed reports whether the request was served, in time or late.
+func (r *Request) isServed() bool { return r.Outcome == ServedInTime || r.Outcome == ServedLate }
+
+// Record counts a request.
+func (c *Counters) Record(r Request) {
+	c.recordInSecond(&r)
+	if r.At >= c.warmup {
+		c.recordInTotals(&r)
 	}
-	if at < c.warmup {
+}
+
+// recordInSecond counts a request in the second in which it was to be sent.
+func (c *Counters) recordInSecond(r *Request) {
+	second := c.growTo(r.At)
+	c.Seconds[second][r.Outcome]++
+	if !r.isServed() {
 		return
 	}
-	c.Total[outcome]++
-	c.Classes[classIndex][outcome]++
-	if tenantIndex >= 0 {
-		c.Tenants[tenantIndex][outcome]++
+	if c.latencyBySecond[second] == nil {
+		c.latencyBySecond[second] = hdrhistogram.New(1, maxLatencyMicros, significantDigitsSecond)
 	}
-	c.OfferedWeight += class.PriorityWeight
-	if outcome == ServedInTime {
-		c.ServedWeight += class.PriorityWeight
+	recordLatency(c.latencyBySecond[second], r.Latency)
+}
+
+// recordInTotals counts a request in all but the counts by second.
+func (c *Counters) recordInTotals(r *Request) {
+	c.Total[r.Outcome]++
+	c.Classes[r.Class][r.Outcome]++
+	if r.Tenant >= 0 {
+		c.Tenants[r.Tenant][r.Outcome]++
+	}
+	weight := c.priorityWeights[r.Class]
+	c.OfferedWeight += weight
+	if r.Outcome == ServedInTime {
+		c.ServedWeight += weight
 	}
-	if served {
-		_ = c.Latency.RecordValue(micros) // within the range
+	if r.isServed() {
+		recordLatency(c.Latency, r.Latency)
 	}
 }
 
+// recordLatency adds a latency to a histogram; one out of its range is moved to the nearest bound.
+func recordLatency(h *hdrhistogram.Histogram, latency time.Duration) {
+	micros := min(max(latency.Microseconds(), 1), maxLatencyMicros)
+	_ = h.RecordValue(micros) // within the range
+}
+
 // growTo makes sure that there are counts for the second of an instant, whose index it returns.
 func (c *Counters) growTo(at time.Duration) int {
 	second := int(at / time.Second)
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -36,7 +36,7 @@
 				outcome = counters.Failed
 			}
 			at, latency := time.Duration(i)*20*time.Millisecond, time.Duration(i+1)*time.Millisecond
-			c.Record(e.Site.Classes[0], 0, -1, at, latency, outcome)
+			c.Record(counters.Request{Tenant: -1, At: at, Latency: latency, Outcome: outcome})
 		}
 		c.Requests, c.Attempts = 100, 120
 		drain := invariant.Verdict{Rule: invariant.RuleDrain, Violations: 1, FirstAt: time.Duration(2-seed) * time.Second,
--- a/internal/experiment/testbed/client.go
+++ b/internal/experiment/testbed/client.go
@@ -243,10 +243,16 @@
 // record counts the request with its final outcome.
 func (c *client) record(outcome counters.Outcome) {
 	r := c.run
-	latency := r.now() - c.request.At
+	ended := counters.Request{
+		Class:   c.request.Class,
+		Tenant:  c.request.Tenant,
+		At:      c.request.At,
+		Latency: r.now() - c.request.At,
+		Outcome: outcome,
+	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counters.Record(c.class, c.request.Class, c.request.Tenant, c.request.At, latency, outcome)
+	r.counters.Record(ended)
 }
 
 // pickSidecar returns the sidecar for the nth client: of those that are up, if there are any.
--- a/internal/experiment/virtual/client.go
+++ b/internal/experiment/virtual/client.go
@@ -114,5 +114,5 @@
 }
 
 func (s *simulation) recordOutcome(now time.Duration, r *clientRequest, outcome counters.Outcome) {
-	s.counters.Record(s.experiment.Site.Classes[r.Class], r.Class, r.Tenant, r.At, now-r.At, outcome)
+	s.counters.Record(counters.Request{Class: r.Class, Tenant: r.Tenant, At: r.At, Latency: now - r.At, Outcome: outcome})
 }
