--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -11,11 +11,11 @@
 	NoisyNeighbour     FaultKind = "neighbour"     // another program takes Size of a machine, on and off every Period
 	SharedSlowdown     FaultKind = "shared_slow"   // all servers are Size times slower
 	RollingDeploy      FaultKind = "deploy"        // servers are drained for Period and replaced, in batches of Size
-	Crash              FaultKind = "crash"         // the process dies and restarts cold
+	Crash              FaultKind = "crash"         // the process exits and is started again, with a warm-up
 	Unresponsive       FaultKind = "vanish"        // the machine sends nothing for a while
 	BreakBeforeRequest FaultKind = "break_before"  // connections break before a request's last byte, with probability Size
-	BreakAfterRequest  FaultKind = "break_after"   // and after it, with the request running
-	TruncateResponse   FaultKind = "break_answer"  // and within the response
+	BreakAfterRequest  FaultKind = "break_after"   // connections break after it, with the request running
+	TruncateResponse   FaultKind = "break_answer"  // connections break within the response
 	CorruptResponse    FaultKind = "garble_answer" // the response is not HTTP
 	SlowResponse       FaultKind = "slow_answer"   // the response takes Period longer
 	StallAccept        FaultKind = "stall_accept"  // new connections are not accepted
@@ -51,16 +51,16 @@
 	Count    int           // of peers, or of disrupted sidecars
 }
 
-// End is when the fault is over.
+// End returns when the fault is over.
 func (f Fault) End() time.Duration { return f.At + f.Duration }
 
-// maxNeighbourShare keeps a noisy neighbour from taking a machine completely.
-const maxNeighbourShare = 0.99
+// maxNeighbourFraction is the largest fraction of a machine that a noisy neighbour takes.
+const maxNeighbourFraction = 0.99
 
 // Slowdown returns how many times slower a NoisyNeighbour or a SharedSlowdown makes a server.
 func (f Fault) Slowdown() float64 {
 	if f.Kind == NoisyNeighbour {
-		return 1 / (1 - min(f.Size, maxNeighbourShare))
+		return 1 / (1 - min(f.Size, maxNeighbourFraction))
 	}
 	return f.Size
 }
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -30,8 +30,8 @@
 // Rules are the parameters of the invariants.
 type Rules struct {
 	ResponseSlack       time.Duration // a final response is in time up to this long after the deadline
-	DrainGrace          time.Duration // an instance notified that a server drains or is gone may send to it for this long
-	WarmupOverload      float64       // a warming server falls over when sent more than this multiple of its capacity
+	DrainGrace          time.Duration // for which an instance may send to a server after it was notified of its drain
+	WarmupOverload      float64       // a warming server crashes when sent more than this multiple of its capacity
 	OverloadWindow      time.Duration // within this time
 	ImproperPeerTimeout time.Duration // a peer that sends no proper request must be disconnected within this time
 }
@@ -76,7 +76,7 @@
 	Quota        float64 // requests a second
 }
 
-// Tier is a set of servers that do the same.
+// Tier is a set of servers with the same function.
 type Tier struct {
 	Name         string
 	Servers      int
@@ -125,34 +125,45 @@
 	CancelStopsWork bool    // canceling an attempt stops its work
 }
 
-// AssignedIndex returns the index and the number of instances that the settings of an instance
-// before a tier name.
-func (s Site) AssignedIndex(tier, index, count int) (assigned, total int) {
-	if tier == 0 && s.ConfiguredBalancers > 0 {
-		return index % s.ConfiguredBalancers, s.ConfiguredBalancers
+// Placement says to which tier an instance sends, and which of how many instances before it this
+// is.
+type Placement struct {
+	Tier  int
+	Index int
+	Count int
+}
+
+// ConfiguredPlacement returns the placement that an instance's settings name.
+func (s Site) ConfiguredPlacement(p Placement) Placement {
+	if p.Tier == 0 && s.ConfiguredBalancers > 0 {
+		p.Index %= s.ConfiguredBalancers
+		p.Count = s.ConfiguredBalancers
 	}
-	return index, count
+	return p
 }
 
-// maxRetryAfter is the longest Retry-After that the design may send in an experiment.
-const maxRetryAfter = 2 * time.Second
+// Settings of the design that are the same in all experiments.
+const (
+	MaxRetryAfter = 2 * time.Second // longest Retry-After that an instance may send
+	Resolution    = time.Millisecond
+)
 
-// Settings returns the balancer's settings for instance index of count before a tier.
-func (s Site) Settings(tier, index, count int, seed uint64) balancer.Settings {
-	index, count = s.AssignedIndex(tier, index, count)
-	server := s.Tiers[tier].Server
+// Settings returns the balancer's settings for an instance.
+func (s Site) Settings(p Placement, seed uint64) balancer.Settings {
+	p = s.ConfiguredPlacement(p)
+	server := s.Tiers[p.Tier].Server
 	out := balancer.Settings{
 		Seed:              seed,
-		Instances:         count,
-		Index:             index,
-		Tier:              tier,
-		TiersBelow:        len(s.Tiers) - 1 - tier,
+		Instances:         p.Count,
+		Index:             p.Index,
+		Tier:              p.Tier,
+		TiersBelow:        len(s.Tiers) - 1 - p.Tier,
 		MaxAttempts:       s.MaxAttempts,
 		CancelAllowed:     true,
-		Resolution:        time.Millisecond,
+		Resolution:        Resolution,
 		SlowStartCapacity: server.InitialCapacity,
 		SlowStartWindow:   server.WarmupTime,
-		MaxRetryAfter:     maxRetryAfter,
+		MaxRetryAfter:     MaxRetryAfter,
 	}
 	for _, c := range s.Classes {
 		out.Classes = append(out.Classes, balancer.Class{Name: c.Name, Idempotency: c.Idempotency,
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -203,7 +203,7 @@
 	sidecars := slices.Clone(r.sidecars)
 	r.mu.Unlock()
 	for _, s := range sidecars {
-		if s.placement.tier == tier {
+		if s.placement.Tier == tier {
 			s.scheduleNotice(e, delay)
 		}
 	}
--- a/internal/experiment/testbed/settings.go
+++ b/internal/experiment/testbed/settings.go
@@ -8,32 +8,29 @@
 	"rowancart/internal/platform"
 )
 
-const (
-	maxRetryAfter   = 2 * time.Second
-	sidecarDialTime = 250 * time.Millisecond // in which a sidecar's connection to a server must be established
-	resolution      = time.Millisecond
-)
+// sidecarDialTimeout is within which a sidecar's connection to a server must be established.
+const sidecarDialTimeout = 250 * time.Millisecond
 
 // platformSettings returns a site's settings in the platform's form (WIRE, Read your settings), for
 // the sidecar at a placement.
 func platformSettings(site experiment.Site, variant experiment.Variant,
-	at placement) platform.SettingsObject {
-	index, count := site.AssignedIndex(at.tier, at.index, at.count)
-	server := site.Tiers[at.tier].Server
+	at experiment.Placement) platform.SettingsObject {
+	at = site.ConfiguredPlacement(at)
+	server := site.Tiers[at.Tier].Server
 	settings := platform.SettingsObject{
-		Instances:    count,
-		Index:        index,
-		Tier:         at.tier,
+		Instances:    at.Count,
+		Index:        at.Index,
+		Tier:         at.Tier,
 		Classes:      classSettings(site.Classes),
 		Discovery:    platform.DiscoveryAutomatic,
-		ResolutionUs: resolution.Microseconds(),
+		ResolutionUs: experiment.Resolution.Microseconds(),
 		Permissions: platform.Permissions{
 			CancelAllowed:     true,
 			RetryAfterAllowed: true,
 			MaxAttempts:       site.MaxAttempts,
-			MaxRetryAfterUs:   maxRetryAfter.Microseconds(),
+			MaxRetryAfterUs:   experiment.MaxRetryAfter.Microseconds(),
 			ConnIdleUs:        server.ConnIdleTimeout.Microseconds(),
-			DialTimeoutUs:     sidecarDialTime.Microseconds(),
+			DialTimeoutUs:     sidecarDialTimeout.Microseconds(),
 		},
 		Rules: platform.EndpointBehavior{
 			SlowStartCapacity: server.InitialCapacity,
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -27,7 +27,7 @@
 type sidecar struct {
 	run       *testRun
 	name      string
-	placement placement
+	placement experiment.Placement
 	addr      string
 	discovery *discoveryServer
 	conns     *connPool // of the clients, or of the server that calls through it
@@ -43,21 +43,14 @@
 	lastNotice time.Time // when the latest scheduled notification is due
 }
 
-// placement says to which tier a sidecar sends, and which of how many sidecars before it this is.
-type placement struct {
-	tier  int
-	index int
-	count int
-}
-
 // newSidecar reserves an address for a sidecar and starts its discovery server. Its IP address is
 // used for no outgoing connections, so that its port stays free while it is down.
-func (r *testRun) newSidecar(name string, at placement) (*sidecar, error) {
+func (r *testRun) newSidecar(name string, at experiment.Placement) (*sidecar, error) {
 	addr, err := reserveAddr(r.sidecarAddrs.next())
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	discovery, err := newDiscoveryServer(r.listedServers(at.tier), func(e platform.Endpoint) {
+	discovery, err := newDiscoveryServer(r.listedServers(at.Tier), func(e platform.Endpoint) {
 		state, _ := e.State.EndpointState() // known: this program has made the entry
 		r.checker.RecordNotification(r.now(), invariant.Notification{
 			Instance: name,
@@ -109,10 +102,10 @@
 // addServerSidecar creates the sidecar through which a server calls the next tier. It is yet to be
 // started.
 func (r *testRun) addServerSidecar(server *emulatedServer) error {
-	s, err := r.newSidecar(serverSidecarPrefix+server.name, placement{
-		tier:  server.tier + 1,
-		index: server.index,
-		count: r.experiment.Site.Tiers[server.tier].Servers,
+	s, err := r.newSidecar(serverSidecarPrefix+server.name, experiment.Placement{
+		Tier:  server.tier + 1,
+		Index: server.index,
+		Count: r.experiment.Site.Tiers[server.tier].Servers,
 	})
 	if err != nil {
 		return err
--- a/internal/experiment/testbed/testbed.go
+++ b/internal/experiment/testbed/testbed.go
@@ -222,7 +222,7 @@
 func (r *testRun) buildSidecars(start func(*sidecar)) error {
 	count := r.experiment.Site.Balancers
 	for i := range count {
-		s, err := r.newSidecar("balancer-"+strconv.Itoa(i), placement{tier: 0, index: i, count: count})
+		s, err := r.newSidecar("balancer-"+strconv.Itoa(i), experiment.Placement{Tier: 0, Index: i, Count: count})
 		if err != nil {
 			return err
 		}
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -62,7 +62,8 @@
 	in.calls, in.idleConns = map[string]*call{}, map[*serverNode][]idleConn{}
 	in.missedChanges, in.notifiedAt = nil, now
 	seed := experiment.Seed(s.seed, in.name+" start "+strconv.Itoa(in.starts%10))
-	settings := s.variant.ApplyTo(s.experiment.Site.Settings(in.tier, in.index, in.count, seed))
+	placement := experiment.Placement{Tier: in.tier, Index: in.index, Count: in.count}
+	settings := s.variant.ApplyTo(s.experiment.Site.Settings(placement, seed))
 	if s.variant.Policy == experiment.DesignPolicy {
 		in.policy = balancer.New(balancerEpoch+now, settings, (*policyHost)(in))
 	} else {
