--- a/internal/experiment/search/site.go
+++ b/internal/experiment/search/site.go
@@ -192,7 +192,7 @@
 		c.OffCPUTime = d.logUniformTime(time.Millisecond, 200*time.Millisecond)
 	}
 	if d.bernoulli(0.35) {
-		c.Repeat = balancer.NonIdempotent
+		c.Idempotency = balancer.NonIdempotent
 		c.PriorityWeight = float64(1 + d.IntN(10))
 	}
 	expected := time.Duration(3*missWork*float64(time.Second)) + c.OffCPUTime + 20*networkDelay + 20*time.Millisecond
--- a/internal/experiment/virtual/client.go
+++ b/internal/experiment/virtual/client.go
@@ -106,7 +106,8 @@
 		s.recordOutcome(now, r, result)
 		return
 	}
-	mayRetry := class.Repeat == balancer.Idempotent || outcome == invariant.Rejected || retryAfter == retryAfterUnreachable
+	mayRetry := class.Idempotency == balancer.Idempotent || outcome == invariant.Rejected ||
+		retryAfter == retryAfterUnreachable
 	wait := clients.RetryWait << (r.attempts - 1)
 	if clients.HonorRetryAfter {
 		wait = max(wait, retryAfter)
@@ -123,5 +124,5 @@
 }
 
 func (s *simulation) recordOutcome(now time.Duration, r *clientRequest, outcome counters.Outcome) {
-	s.counters.Record(s.experiment.Site.Classes[r.Class], r.Class, r.Tenant, r.At, now-r.At, outcome)
+	s.counters.Record(counters.Request{Class: r.Class, Tenant: r.Tenant, At: r.At, Latency: now - r.At, Outcome: outcome})
 }
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -64,7 +64,8 @@
 	in.missedChanges = nil
 	in.notifiedAt = now
 	seed := experiment.Seed(s.seed, in.name+" start "+strconv.Itoa(in.starts%10))
-	settings := s.variant.ApplyTo(s.experiment.Site.Settings(in.tier, in.index, in.count, seed))
+	placement := experiment.Placement{Tier: in.tier, Index: in.index, Count: in.count}
+	settings := s.variant.ApplyTo(s.experiment.Site.Settings(placement, seed))
 	if s.variant.Policy == experiment.DesignPolicy {
 		in.policy = balancer.New(balancerEpoch+now, settings, (*policyHost)(in))
 	} else {
@@ -72,7 +73,7 @@
 	}
 	list := s.endpointLists[in.tier]
 	for _, e := range list {
-		s.checker.RecordNotification(now, in.name, e.ID, e.State, e.Started > 0)
+		s.checker.RecordNotification(now, in.notification(e))
 	}
 	in.policy.EndpointList(balancerEpoch+now, balancer.EndpointList{Complete: true, Entries: list})
 	if b, ok := in.policy.(*balancer.Balancer); ok && s.variant.RestoreLearnedState && in.starts > 1 {
@@ -139,7 +140,7 @@
 	s.checker.RecordRequest(now, invariant.Request{
 		ID:          c.id,
 		Instance:    in.name,
-		Repeat:      class.Repeat,
+		Idempotency: class.Idempotency,
 		Deadline:    c.deadline,
 		Digest:      1,
 		MaxAttempts: policy.MaxAttempts,
