--- a/internal/experiment/server/server_test.go
+++ b/internal/experiment/server/server_test.go
@@ -9,7 +9,7 @@
 	"rowancart/internal/experiment"
 )
 
-// station runs one server alone: requests arrive at random and compute once.
+// station runs a single server, at which requests arrive at random and compute once.
 type station struct {
 	kind    experiment.Kind
 	rate    float64 // arrivals a second
@@ -64,14 +64,16 @@
 	return func(r *rand.Rand) float64 { return r.ExpFloat64() * mean }
 }
 
-func within(t *testing.T, what string, got, want, tolerance float64) {
+// checkWithin checks that a result is within a relative tolerance.
+func checkWithin(t *testing.T, what string, got, want, tolerance float64) {
 	t.Helper()
 	if math.Abs(got-want) > tolerance*want {
 		t.Errorf("%s: %.5f, want %.5f within %g%%", what, got, want, 100*tolerance)
 	}
 }
 
-const plenty = 1 << 30
+// unlimited is a number of slots or of places in the queue that no test reaches.
+const unlimited = 1 << 30
 
 // TestAgainstClosedForms compares mean values with the closed forms, which are those of Kleinrock,
 // Queueing Systems I (1975): M/M/1 3.2, M/M/c 3.5, M/M/c/K 3.6, M/G/1 5.6 (Pollaczek and Khinchin)
@@ -80,24 +82,24 @@
 	const n = 600_000
 	t.Run("M/M/1", func(t *testing.T) {
 		t.Parallel()
-		s := station{kind: experiment.Kind{Cores: 1, Speed: 2, Slots: 1, QueueLimit: plenty}, rate: 14,
+		s := station{kind: experiment.Kind{Cores: 1, Speed: 2, Slots: 1, QueueLimit: unlimited}, rate: 14,
 			work: exponential(0.1), count: n}
 		s.run(t)
 		rho, mu := 0.7, 20.0
-		within(t, "mean wait", s.waits, rho/(mu*(1-rho)), 0.03)
+		checkWithin(t, "mean wait", s.waits, rho/(mu*(1-rho)), 0.03)
 	})
 	t.Run("M/D/1", func(t *testing.T) {
 		t.Parallel()
-		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: plenty}, rate: 8,
+		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: 1, QueueLimit: unlimited}, rate: 8,
 			work: func(*rand.Rand) float64 { return 0.1 }, count: n}
 		s.run(t)
 		rho, mu := 0.8, 10.0
-		within(t, "mean wait", s.waits, rho/(2*mu*(1-rho)), 0.03)
+		checkWithin(t, "mean wait", s.waits, rho/(2*mu*(1-rho)), 0.03)
 	})
 	t.Run("M/M/c", func(t *testing.T) {
 		t.Parallel()
 		const c, lambda, mu = 4, 30.0, 10.0
-		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, QueueLimit: plenty}, rate: lambda,
+		s := station{kind: experiment.Kind{Cores: c, Speed: 1, Slots: c, QueueLimit: unlimited}, rate: lambda,
 			work: exponential(1 / mu), count: n}
 		s.run(t)
 		a := lambda / mu
@@ -107,7 +109,7 @@
 			term *= a / float64(k+1)
 		}
 		erlangC := term / (1 - a/c) / (sum + term/(1-a/c))
-		within(t, "mean wait", s.waits, erlangC/(c*mu-lambda), 0.03)
+		checkWithin(t, "mean wait", s.waits, erlangC/(c*mu-lambda), 0.03)
 	})
 	t.Run("M/M/c/K", func(t *testing.T) {
 		t.Parallel()
@@ -120,23 +122,23 @@
 			p *= lambda / (float64(min(i, c)) * mu)
 			sum += p
 		}
-		within(t, "loss", s.lost, p/sum, 0.03)
+		checkWithin(t, "loss", s.lost, p/sum, 0.03)
 	})
 	t.Run("M/G/1 processor sharing", func(t *testing.T) {
 		t.Parallel()
-		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: plenty, QueueLimit: 0}, rate: 6,
-			work: func(r *rand.Rand) float64 { // two sorts of very different size, mean 0.1
+		s := station{kind: experiment.Kind{Cores: 1, Speed: 1, Slots: unlimited, QueueLimit: 0}, rate: 6,
+			work: func(r *rand.Rand) float64 { // two kinds of very different size, mean 0.1
 				if r.Float64() < 0.1 {
 					return 0.55
 				}
 				return 0.05
 			}, count: n}
 		s.run(t)
-		within(t, "mean time", s.latency, 0.1/(1-0.6), 0.03)
+		checkWithin(t, "mean time", s.latency, 0.1/(1-0.6), 0.03)
 	})
 }
 
-// newTestServer returns a warm server of one core.
+// newTestServer returns a server of one core that has warmed up.
 func newTestServer(slots, queueLimit int, spec experiment.ServerSpec) *Server {
 	kind := experiment.Kind{Cores: 1, Speed: 1, Slots: slots, QueueLimit: queueLimit}
 	return New(kind, spec, experiment.Rules{}, -1, experiment.Rand(1, "b"))
@@ -144,7 +146,7 @@
 
 func job(work float64) *Job { return &Job{Work: work} }
 
-// ends runs a server until an instant and returns when each job's work was done.
+// ends runs a server until an instant and returns the instant at which each job was done.
 func ends(server *Server, until time.Duration) []time.Duration {
 	var at []time.Duration
 	for next := server.NextEvent(); next <= until; next = server.NextEvent() {
@@ -169,7 +171,7 @@
 	if done := server.Advance(100*time.Millisecond, nil); len(done) != 1 || done[0] != first {
 		t.Fatalf("done: %v", done)
 	}
-	// first calls the next tier: its slot is not second's yet.
+	// The first job calls the next tier and keeps its slot.
 	server.Advance(time.Second, nil)
 	if server.SlotsUsed() != 1 || server.InFlight() != 2 {
 		t.Fatalf("in flight %d, in slots %d", server.InFlight(), server.SlotsUsed())
@@ -188,10 +190,10 @@
 	kind := experiment.Kind{Cores: 1, Speed: 1, Slots: 10, QueueLimit: 100}
 	server := New(kind, spec, rules, 0, experiment.Rand(1, "b"))
 	server.Admit(0, job(0.25), 0.25)
-	// Attained work is the integral of 0.25 + 0.1875 t: 0.25 at t = 0.781 s, less what small steps
-	// leave.
+	// The work done is the integral of 0.25 + 0.1875 t: 0.25 at t = 0.781 s, but for the error of the
+	// steps.
 	if at := ends(server, 2*time.Second); len(at) != 1 || math.Abs(at[0].Seconds()-0.781) > 0.02 {
-		t.Fatalf("a server in slow start is done at %v", at)
+		t.Fatalf("a server that warms up is done at %v", at)
 	}
 	now := 2 * time.Second // capacity 0.625: a budget of 2.5 s of work a second
 	for i := range 3 {
@@ -205,14 +207,14 @@
 	server.Crash()
 	server.Restart(10 * time.Second)
 	if server.Down() || server.Overloaded() || server.CapacityFraction(10*time.Second) != 0.25 {
-		t.Fatal("not back in slow start")
+		t.Fatal("not warming up after a restart")
 	}
 	server.Advance(20*time.Second, nil)
 	for range 10 {
 		server.Admit(20*time.Second, job(1), 1)
 	}
 	if server.Overloaded() {
-		t.Fatal("a warm server was overloaded")
+		t.Fatal("a server was overloaded after its warm-up")
 	}
 }
 
@@ -228,12 +230,12 @@
 		t.Fatalf("collapsed %v after %v", server.Collapsed(), at)
 	}
 	at = ends(server, 10*time.Second)
-	// 0.1 s of the second job is left, then three of 0.3 s, at half speed.
+	// 0.1 s of the second job remain, then three jobs of 0.3 s, at half speed.
 	if len(at) != 4 || at[0] != 700*time.Millisecond || at[3] != 2500*time.Millisecond {
 		t.Fatalf("ends at %v", at)
 	}
 	if server.Collapsed() {
-		t.Fatal("collapsed after its recovery")
+		t.Fatal("still collapsed after the recovery")
 	}
 }
 
@@ -244,14 +246,14 @@
 		server.Admit(0, j, 1)
 	}
 	if !server.Connect() || server.Connect() {
-		t.Fatal("the limit of connections does not hold")
+		t.Fatal("the connection limit is not applied")
 	}
 	server.Crash()
 	for _, j := range jobs {
 		if !j.Finished() {
-			t.Error("a job outlived the crash")
+			t.Error("a job has not finished after the crash")
 		}
-		server.Finish(j) // late: the driver may not know yet
+		server.Finish(j) // the driver may not know of the crash yet
 	}
 	if server.Admit(0, job(1), 1) != Unavailable || server.Connect() || server.InFlight() != 0 {
 		t.Error("a crashed server accepts work")
@@ -272,7 +274,7 @@
 	checkReport(10*ms, 0)
 	server.Admit(10*ms, job(9), 9)
 	server.Admit(10*ms, job(9), 9)
-	checkReport(120*ms, 0) // refreshed at 100 ms, not yet here
+	checkReport(120*ms, 0) // refreshed at 100 ms, visible from 150 ms on
 	checkReport(160*ms, 2)
 	server.Admit(160*ms, job(9), 9)
 	checkReport(240*ms, 2)
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -1,9 +1,11 @@
 package virtual
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"math/rand/v2"
+	"slices"
 	"strconv"
 	"testing"
 	"time"
@@ -15,8 +17,8 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// calm is a service of two tiers with capacity to spare.
-func calm() *experiment.Experiment {
+// spareCapacity is an experiment with a service of two tiers that has more capacity than it needs.
+func spareCapacity() *experiment.Experiment {
 	kinds := []experiment.Kind{
 		{Name: "fast", Fraction: 1, Cores: 2, Speed: 1.4, Slots: 16, QueueLimit: 200},
 		{Name: "slow", Fraction: 1, Cores: 2, Speed: 0.8, Slots: 16, QueueLimit: 200},
@@ -72,15 +74,15 @@
 	return out
 }
 
-func TestCalmServesAll(t *testing.T) {
+func TestSpareCapacityServesAlmostAllInTime(t *testing.T) {
 	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
 		t.Run(policy, func(t *testing.T) {
-			r := run(t, calm(), policy, 1, nil)
+			r := run(t, spareCapacity(), policy, 1, nil)
 			if b := violations(r); len(b) > 0 {
-				t.Errorf("rules broken: %v", b)
+				t.Errorf("violations: %v", b)
 			}
-			if share := r.Counters.Total.Fraction(counters.ServedInTime); share < 0.99 {
-				t.Errorf("served in time: %.4f of %d", share, r.Counters.Total.Offered())
+			if fraction := r.Counters.Total.Fraction(counters.ServedInTime); fraction < 0.99 {
+				t.Errorf("served in time: %.4f of %d", fraction, r.Counters.Total.Offered())
 			}
 			if n := r.Counters.Total.Offered(); n < 1600 || n > 2000 {
 				t.Errorf("offered %d, want about 1800", n)
@@ -89,9 +91,9 @@
 	}
 }
 
-// withAllFaults is calm with every fault that can be run in virtual time.
+// withAllFaults is spareCapacity with every fault that can be run in virtual time.
 func withAllFaults() *experiment.Experiment {
-	e := calm()
+	e := spareCapacity()
 	e.Duration = 30 * time.Second
 	for kind, has := range experiment.FaultKinds {
 		if !has {
@@ -100,18 +102,14 @@
 		f := experiment.Fault{Kind: kind, At: 5 * time.Second, Duration: 10 * time.Second, Fraction: 0.2, Size: 0.3,
 			Period: time.Second}
 		if kind == experiment.SharedSlowdown {
-			f.Size, f.Duration, f.Fraction = 1.5, 3*time.Second, 1
+			f.Size = 1.5
+			f.Duration = 3 * time.Second
+			f.Fraction = 1
 		}
 		e.Faults = append(e.Faults, f)
 	}
-	// A map's order must not choose the faults' draws.
-	for i := range e.Faults {
-		for j := range i {
-			if e.Faults[i].Kind < e.Faults[j].Kind {
-				e.Faults[i], e.Faults[j] = e.Faults[j], e.Faults[i]
-			}
-		}
-	}
+	// The random order of the map must not affect the draws of the faults.
+	slices.SortFunc(e.Faults, func(a, b experiment.Fault) int { return cmp.Compare(a.Kind, b.Kind) })
 	return e
 }
 
@@ -126,91 +124,97 @@
 	}
 	first := text(5, nil)
 	if again := text(5, nil); again != first {
-		t.Error("two plays of one seed differ")
+		t.Error("two runs of one seed differ")
 	}
 	for s := range uint64(3) {
 		if other := text(5, rand.New(rand.NewPCG(s, 9))); other != first {
-			t.Errorf("another order of making parties (%d) makes another result", s)
+			t.Errorf("the order of creation %d changes the result", s)
 		}
 	}
 	if text(6, nil) == first {
-		t.Error("another seed makes the same result")
+		t.Error("another seed gives the same result")
 	}
 }
 
-// TestRulesUnderFaults checks that under every fault the design and the baselines, which may serve
-// fewer requests, keep every rule that they must. Baselines have no slow start, so RuleWarmup is
-// the design's alone.
-func TestRulesUnderFaults(t *testing.T) {
+// TestNoViolationsUnderFaults checks that under all faults the design and the baselines, which may
+// serve fewer requests, violate no rule. Baselines have no slow start, so that RuleWarmup holds for
+// the design only.
+func TestNoViolationsUnderFaults(t *testing.T) {
 	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
-		r := run(t, withAllFaults(), policy, 3, nil)
-		b := violations(r)
-		if policy != experiment.DesignPolicy {
-			delete(b, invariant.RuleWarmup)
-		}
-		if len(b) > 0 {
-			t.Errorf("%s: rules broken: %v", policy, b)
-		}
-		if n := r.Counters.Total; n.Offered() == n[counters.ServedInTime] {
-			t.Errorf("%s: the faults changed nothing", policy)
-		}
+		t.Run(policy, func(t *testing.T) {
+			r := run(t, withAllFaults(), policy, 3, nil)
+			b := violations(r)
+			if policy != experiment.DesignPolicy {
+				delete(b, invariant.RuleWarmup)
+			}
+			if len(b) > 0 {
+				t.Errorf("violations: %v", b)
+			}
+			if n := r.Counters.Total; n.Offered() == n[counters.ServedInTime] {
+				t.Error("the faults had no effect")
+			}
+		})
 	}
 }
 
 func TestEveryFaultHasAnEffect(t *testing.T) {
-	base := run(t, calm(), "random", 2, nil)
+	base := run(t, spareCapacity(), "random", 2, nil)
 	for kind, has := range experiment.FaultKinds {
 		if !has || kind == experiment.DiscoveryDelay || kind == experiment.DiscoverySilence {
 			continue
 		}
-		e := calm()
-		e.Load.Clients.Retries = 0
-		f := experiment.Fault{Kind: kind, At: 4 * time.Second, Duration: 12 * time.Second, Fraction: 0.6, Size: 0.9,
-			Period: 400 * time.Millisecond}
-		if kind == experiment.SharedSlowdown {
-			f.Size = 6
-		}
-		e.Faults = []experiment.Fault{f}
-		r := run(t, e, "random", 2, nil)
-		got, calm := r.Counters, base.Counters
-		if got.Quantile(0.99) <= calm.Quantile(0.99) &&
-			got.Total.Fraction(counters.ServedInTime) >= calm.Total.Fraction(counters.ServedInTime) &&
-			got.Attempts <= calm.Attempts {
-			t.Errorf("%s: nothing is worse than without the fault", kind)
-		}
+		t.Run(string(kind), func(t *testing.T) {
+			e := spareCapacity()
+			e.Load.Clients.Retries = 0
+			f := experiment.Fault{Kind: kind, At: 4 * time.Second, Duration: 12 * time.Second, Fraction: 0.6, Size: 0.9,
+				Period: 400 * time.Millisecond}
+			if kind == experiment.SharedSlowdown {
+				f.Size = 6
+			}
+			e.Faults = []experiment.Fault{f}
+			r := run(t, e, "random", 2, nil)
+			got := r.Counters
+			want := base.Counters
+			if got.Quantile(0.99) <= want.Quantile(0.99) &&
+				got.Total.Fraction(counters.ServedInTime) >= want.Total.Fraction(counters.ServedInTime) &&
+				got.Attempts <= want.Attempts {
+				t.Error("the result is not worse than without the fault")
+			}
+		})
 	}
 }
 
-// TestCrashInNextTierFreesSlots lets the servers die that a server in the tier above holds a slot
-// for: its requests end, and the slots are freed.
+// TestCrashInNextTierFreesSlots crashes servers that process calls of the first tier: the requests
+// there end, and their slots are released.
 func TestCrashInNextTierFreesSlots(t *testing.T) {
-	e := calm()
+	e := spareCapacity()
 	e.Load.Clients = experiment.Clients{}
 	e.Faults = []experiment.Fault{{Kind: experiment.Crash, At: 8 * time.Second, Duration: time.Minute, Tier: "back",
 		Fraction: 1}}
 	r := run(t, e, "round_robin", 4, nil)
 	if b := violations(r); len(b) > 0 {
-		t.Errorf("rules broken: %v", b)
+		t.Errorf("violations: %v", b)
 	}
 	if r.Counters.Total[counters.Failed]+r.Counters.Total[counters.Rejected] == 0 {
-		t.Error("all was served with no server left in the last tier")
+		t.Error("all requests were served without a server in the last tier")
 	}
 }
 
 func TestUnknownPolicy(t *testing.T) {
 	variant := experiment.Variant{Name: "x", Policy: "best"}
-	if _, err := Run(context.Background(), calm(), variant, 1, Options{}); err == nil {
-		t.Error("a policy of no known name was played")
+	if _, err := Run(context.Background(), spareCapacity(), variant, 1, Options{}); err == nil {
+		t.Error("an unknown policy was accepted")
 	}
 }
 
 func BenchmarkRun(b *testing.B) {
-	for _, size := range []struct{ balancers, boxes int }{{10, 100}, {100, 1000}} {
-		b.Run(strconv.Itoa(size.balancers)+"x"+strconv.Itoa(size.boxes), func(b *testing.B) {
-			e := calm()
+	for _, size := range []struct{ balancers, servers int }{{10, 100}, {100, 1000}} {
+		b.Run(strconv.Itoa(size.balancers)+"x"+strconv.Itoa(size.servers), func(b *testing.B) {
+			e := spareCapacity()
 			e.Site.Tiers = e.Site.Tiers[1:]
-			e.Site.Tiers[0].Servers, e.Site.Balancers = size.boxes, size.balancers
-			e.Load.Rate = 25 * float64(size.boxes)
+			e.Site.Tiers[0].Servers = size.servers
+			e.Site.Balancers = size.balancers
+			e.Load.Rate = 25 * float64(size.servers)
 			e.Site.Rules.WarmupOverload = 0
 			requests := 0
 			for b.Loop() {
