--- a/internal/experiment/report/compare.go
+++ b/internal/experiment/report/compare.go
@@ -10,11 +10,11 @@
 type Difference struct {
 	Point, Variant, Metric string
 	A, B                   float64
-	Noise                  float64 // half width of the 95% interval of the difference; NaN with fewer than two repeats
+	Noise                  float64 // half width of the 95% interval of the difference; NaN with fewer than two runs
 }
 
-// Significant reports whether the difference is more than the repeats' noise. Without repeats none
-// is.
+// Significant reports whether the difference exceeds the noise between runs. It does not
+// with fewer than two runs.
 func (d Difference) Significant() bool { return !math.IsNaN(d.Noise) && math.Abs(d.B-d.A) > d.Noise }
 
 // studentQuantiles are the 97.5% quantiles of Student's t distribution for 1 to 10 degrees of
@@ -36,8 +36,8 @@
 	return studentQuantileMany
 }
 
-// Compare returns the differences between two runs of one experiment, variant by variant. Noise is
-// taken from the variance of the repeats (Welch's interval).
+// Compare returns the differences between two reports of one experiment, variant by variant. Noise
+// is taken from the variance between runs (Welch's interval).
 func Compare(a, b *Report) ([]Difference, error) {
 	if a.Experiment != b.Experiment {
 		return nil, fmt.Errorf("%q and %q are different experiments", a.Experiment, b.Experiment)
@@ -59,6 +59,7 @@
 	return out, nil
 }
 
+// comparePoints returns the differences of the variants that two points have in common.
 func comparePoints(a, b Point) []Difference {
 	var out []Difference
 	for _, x := range a.Variants {
@@ -82,22 +83,23 @@
 // metrics are what is compared, by their printed names.
 var metrics = []struct {
 	name string
-	of   func(Repeat) float64
+	of   func(RunSummary) float64
 }{
-	{"served in time", func(r Repeat) float64 { return r.ServedInTime }},
-	{"late", func(r Repeat) float64 { return r.ServedLate }},
-	{"refused", func(r Repeat) float64 { return r.Rejected }},
-	{"failed", func(r Repeat) float64 { return r.Failed }},
-	{"worth", func(r Repeat) float64 { return r.ServedWeight }},
-	{"p50 ms", func(r Repeat) float64 { return r.P50 }},
-	{"p99 ms", func(r Repeat) float64 { return r.P99 }},
-	{"attempts a request", func(r Repeat) float64 { return r.AttemptsPerRequest }},
+	{"served in time", func(r RunSummary) float64 { return r.ServedInTime }},
+	{"late", func(r RunSummary) float64 { return r.ServedLate }},
+	{"refused", func(r RunSummary) float64 { return r.Rejected }},
+	{"failed", func(r RunSummary) float64 { return r.Failed }},
+	{"worth", func(r RunSummary) float64 { return r.ServedWeight }},
+	{"p50 ms", func(r RunSummary) float64 { return r.P50 }},
+	{"p99 ms", func(r RunSummary) float64 { return r.P99 }},
+	{"attempts a request", func(r RunSummary) float64 { return r.AttemptsPerRequest }},
 }
 
+// compareVariants returns the differences of a variant in two points.
 func compareVariants(point string, a, b Variant) []Difference {
 	var out []Difference
 	for _, m := range metrics {
-		x, y := newSample(a.Repeats, m.of), newSample(b.Repeats, m.of)
+		x, y := newSample(a.Runs, m.of), newSample(b.Runs, m.of)
 		out = append(out, Difference{Point: point, Variant: a.Name, Metric: m.name, A: x.mean, B: y.mean,
 			Noise: welchInterval(x, y)})
 	}
@@ -107,19 +109,24 @@
 	return out
 }
 
-// sample describes the values of one metric in the repeats that are not void.
-type sample struct{ mean, variance, n float64 }
+// sample describes the values of one metric in the runs that are not void.
+type sample struct {
+	mean     float64
+	variance float64
+	n        float64 // number of values
+}
 
-func newSample(repeats []Repeat, of func(Repeat) float64) sample {
+// newSample returns the mean and the variance of one metric.
+func newSample(runs []RunSummary, of func(RunSummary) float64) sample {
 	var s sample
-	for _, r := range repeats {
+	for _, r := range runs {
 		if r.Void == "" {
 			s.n++
 			s.mean += (of(r) - s.mean) / s.n
 		}
 	}
 	squares := 0.0
-	for _, r := range repeats {
+	for _, r := range runs {
 		if r.Void == "" {
 			squares += (of(r) - s.mean) * (of(r) - s.mean)
 		}
--- a/internal/experiment/report/html.go
+++ b/internal/experiment/report/html.go
@@ -54,6 +54,7 @@
 	}{r, shown})
 }
 
+// newPointView draws the charts of a point.
 func (r *Report) newPointView(p Point) (pointView, error) {
 	view := pointView{Point: p.Point}
 	var err error
@@ -73,6 +74,7 @@
 	return view, nil
 }
 
+// colors are those of a chart's series, in turn.
 var colors = []color.Color{
 	color.RGBA{0x2e, 0x7d, 0x32, 0xff}, color.RGBA{0xf9, 0xa8, 0x25, 0xff}, color.RGBA{0x15, 0x65, 0xc0, 0xff},
 	color.RGBA{0xc6, 0x28, 0x28, 0xff}, color.RGBA{0x6a, 0x1b, 0x9a, 0xff}, color.RGBA{0x45, 0x5a, 0x64, 0xff},
@@ -89,34 +91,30 @@
 		return "", nil
 	}
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "s", "requests a second"
+	p.X.Label.Text = "s"
+	p.Y.Label.Text = "requests a second"
 	p.Y.Min = 0
-	repeats := float64(max(len(v.Repeats), 1))
+	runs := float64(max(len(v.Runs), 1))
 	highest := 1.0
 	for _, s := range v.Seconds {
-		highest = max(highest, float64(s.ServedInTime+s.ServedLate+s.Rejected+s.Failed)/repeats)
+		highest = max(highest, float64(s.total())/runs)
 	}
 	for _, f := range r.Faults {
 		if err := shadeFault(p, f, highest); err != nil {
 			return "", err
 		}
 	}
-	for i, series := range []struct {
-		name string
-		of   func(Second) int64
-	}{
-		{"in time", func(s Second) int64 { return s.ServedInTime }}, {"late", func(s Second) int64 { return s.ServedLate }},
-		{"refused", func(s Second) int64 { return s.Rejected }}, {"failed", func(s Second) int64 { return s.Failed }},
-	} {
+	for i, series := range outcomeSeries {
 		var xy plotter.XYs
 		for t, s := range v.Seconds {
-			xy = append(xy, plotter.XY{X: float64(t) + 0.5, Y: float64(series.of(s)) / repeats})
+			xy = append(xy, plotter.XY{X: float64(t) + 0.5, Y: float64(series.of(s)) / runs})
 		}
 		line, err := plotter.NewLine(xy)
 		if err != nil {
 			return "", err
 		}
-		line.Color, line.Width = colors[i], vg.Points(1.5)
+		line.Color = colors[i]
+		line.Width = vg.Points(1.5)
 		p.Add(line)
 		p.Legend.Add(series.name, line)
 	}
@@ -124,6 +122,17 @@
 	return svg(p, plotWidth, plotHeight)
 }
 
+// outcomeSeries are the lines of an outcome chart, by their names in it.
+var outcomeSeries = []struct {
+	name string
+	of   func(Second) int64
+}{
+	{"in time", func(s Second) int64 { return s.ServedInTime }},
+	{"late", func(s Second) int64 { return s.ServedLate }},
+	{"refused", func(s Second) int64 { return s.Rejected }},
+	{"failed", func(s Second) int64 { return s.Failed }},
+}
+
 // shadeFault shades the time of a fault up to a height, and labels it.
 func shadeFault(p *plot.Plot, f FaultSpan, height float64) error {
 	corners := plotter.XYs{{X: f.FromS, Y: 0}, {X: f.ToS, Y: 0}, {X: f.ToS, Y: height}, {X: f.FromS, Y: height}}
@@ -131,7 +140,8 @@
 	if err != nil {
 		return err
 	}
-	shade.Color, shade.LineStyle.Width = color.RGBA{0xee, 0xee, 0xee, 0xff}, 0
+	shade.Color = color.RGBA{0xee, 0xee, 0xee, 0xff}
+	shade.LineStyle.Width = 0
 	p.Add(shade)
 	label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: f.FromS, Y: height}}, Labels: []string{f.Kind}})
 	if err != nil {
@@ -154,12 +164,14 @@
 		if err != nil {
 			return "", err
 		}
-		bars.Color, bars.LineStyle.Width = colors[i%len(colors)], 0
+		bars.Color = colors[i%len(colors)]
+		bars.LineStyle.Width = 0
 		bars.Offset = width * vg.Length(float64(i)-float64(len(variants)-1)/2)
 		p.Add(bars)
 		p.Legend.Add(v.Name, bars)
 	}
-	p.Legend.Top, p.Legend.Left = true, true
+	p.Legend.Top = true
+	p.Legend.Left = true
 	return svg(p, plotWidth, plotHeight)
 }
 
@@ -172,7 +184,8 @@
 		return "", nil
 	}
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "box", "busy share of its cores"
+	p.X.Label.Text = "box"
+	p.Y.Label.Text = "busy share of its cores"
 	p.Y.Min = 0
 	var values plotter.Values
 	for _, s := range v.Servers[:min(len(v.Servers), maxServersShown)] {
@@ -182,7 +195,8 @@
 	if err != nil {
 		return "", err
 	}
-	bars.Color, bars.LineStyle.Width = colors[2], 0
+	bars.Color = colors[2]
+	bars.LineStyle.Width = 0
 	p.Add(bars)
 	return svg(p, plotWidth, plotHeight/2)
 }
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -19,8 +19,8 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// Version is that of the JSON form, which docs/lab.md describes. It grows when a field changes its
-// meaning.
+// Version is the version of the JSON form, which docs/lab.md describes. It increases when the
+// meaning of a field changes.
 const Version = 1
 
 // Report is the result of an experiment.
@@ -63,7 +63,7 @@
 	P999 float64 `json:"p999"`
 }
 
-// Rule is the verdict on one rule, over all repeats.
+// Rule is the verdict on one rule, over all runs.
 type Rule struct {
 	Rule       string  `json:"rule"`
 	Violations int     `json:"broken"`
@@ -71,8 +71,8 @@
 	Detail     string  `json:"detail"` // of the first violation
 }
 
-// Repeat is one run of a variant. Outcomes are fractions of Offered.
-type Repeat struct {
+// RunSummary is one run of a variant. Outcomes are fractions of Offered.
+type RunSummary struct {
 	Seed               uint64  `json:"seed"`
 	Offered            int64   `json:"offered"`
 	ServedInTime       float64 `json:"served_in_time"`
@@ -86,26 +86,52 @@
 	Void               string  `json:"void,omitempty"`
 }
 
-// Second counts the requests that were to be sent within one second, over all repeats.
+// Outcomes are numbers of requests by outcome. Types that embed it have its fields in their JSON
+// form.
+type Outcomes struct {
+	ServedInTime int64 `json:"served_in_time"`
+	ServedLate   int64 `json:"late"`
+	Rejected     int64 `json:"refused"`
+	Failed       int64 `json:"failed"`
+}
+
+// newOutcomes returns the outcomes of counts.
+func newOutcomes(c counters.Counts) Outcomes {
+	return Outcomes{
+		ServedInTime: c[counters.ServedInTime],
+		ServedLate:   c[counters.ServedLate],
+		Rejected:     c[counters.Rejected],
+		Failed:       c[counters.Failed],
+	}
+}
+
+// total returns the number of requests.
+func (o Outcomes) total() int64 { return o.ServedInTime + o.ServedLate + o.Rejected + o.Failed }
+
+// plus returns the sums of two numbers of requests.
+func (o Outcomes) plus(other Outcomes) Outcomes {
+	return Outcomes{
+		ServedInTime: o.ServedInTime + other.ServedInTime,
+		ServedLate:   o.ServedLate + other.ServedLate,
+		Rejected:     o.Rejected + other.Rejected,
+		Failed:       o.Failed + other.Failed,
+	}
+}
+
+// Second counts the requests that were to be sent within one second, over all runs.
 type Second struct {
-	ServedInTime int64   `json:"served_in_time"`
-	ServedLate   int64   `json:"late"`
-	Rejected     int64   `json:"refused"`
-	Failed       int64   `json:"failed"`
-	P99          float64 `json:"p99_ms"` // mean over the repeats
+	Outcomes
+	P99 float64 `json:"p99_ms"` // mean over the runs
 }
 
 // Group counts the requests of a class or a tenant.
 type Group struct {
-	Name         string `json:"name"`
-	Offered      int64  `json:"offered"`
-	ServedInTime int64  `json:"served_in_time"`
-	ServedLate   int64  `json:"late"`
-	Rejected     int64  `json:"refused"`
-	Failed       int64  `json:"failed"`
+	Name    string `json:"name"`
+	Offered int64  `json:"offered"`
+	Outcomes
 }
 
-// Server is what one server did in the first repeat.
+// Server is what one server did in the first run that counts.
 type Server struct {
 	Name     string  `json:"name"`
 	Kind     string  `json:"kind"`
@@ -122,21 +148,18 @@
 	Descriptors int     `json:"descriptors"`
 }
 
-// Variant is the result of one variant over all repeats.
+// Variant is the result of one variant over all runs.
 type Variant struct {
-	Name               string        `json:"name"`
-	Policy             string        `json:"policy"`
-	Offered            int64         `json:"offered"`
-	ServedInTime       int64         `json:"served_in_time"`
-	ServedLate         int64         `json:"late"`
-	Rejected           int64         `json:"refused"`
-	Failed             int64         `json:"failed"`
-	ServedWeight       float64       `json:"worth"` // as in Repeat
+	Name    string `json:"name"`
+	Policy  string `json:"policy"`
+	Offered int64  `json:"offered"`
+	Outcomes
+	ServedWeight       float64       `json:"worth"` // as in RunSummary
 	LatencyMs          Latency       `json:"latency_ms"`
 	AttemptsPerRequest float64       `json:"attempts_per_request"`
 	RetriesPerRequest  float64       `json:"resends_per_request,omitempty"` // attempts beyond the first, in virtual time
 	Rules              []Rule        `json:"rules"`
-	Repeats            []Repeat      `json:"repeats"`
+	Runs               []RunSummary  `json:"repeats"` // by seed
 	Classes            []Group       `json:"classes"`
 	Tenants            []Group       `json:"tenants,omitempty"`
 	Seconds            []Second      `json:"seconds"`
@@ -144,13 +167,13 @@
 	AddedServers       *AddedServers `json:"fresh,omitempty"`
 	Reasons            Reasons       `json:"why,omitempty"` // of rejections and failures by all instances, in virtual time
 	Cost               *Cost         `json:"cost,omitempty"`
-	LatenessMs         float64       `json:"lateness_ms,omitempty"` // of the test bed's sending, p99 of the worst repeat
-	Log                []string      `json:"log,omitempty"`         // of the first repeat
+	LatenessMs         float64       `json:"lateness_ms,omitempty"` // of the test bed's sending, p99 of the worst run
+	Log                []string      `json:"log,omitempty"`         // of the first run that counts
 
 	totals totals
 }
 
-// AddedServers is what became of servers that were added during the runs, over all repeats.
+// AddedServers is what became of servers that were added during the runs, over all runs.
 type AddedServers struct {
 	Servers int `json:"boxes"`
 	// WarmupPeak is the most that any one was sent within Rules.OverloadWindow, in multiples of its
@@ -183,23 +206,35 @@
 	Verdicts []invariant.Verdict
 	Cost     *Cost
 	Lateness time.Duration // of the driver's sending (p99)
-	Void     string        // why the run does not count; empty if it does
+	Void     string        // reason for which the run does not count; empty if it does
 	Log      []string
 }
 
 // minFaultSpan is the shortest time for which a fault is shown.
 const minFaultSpan = 100 * time.Millisecond
 
-// New returns a report without results.
-func New(e *experiment.Experiment, virtual bool) *Report {
-	r := &Report{Version: Version, Experiment: e.Name, Question: e.Question, Seeds: e.Seeds, Virtual: virtual,
-		Settings: e.Settings, DurationS: e.Duration.Seconds(), WarmupS: e.Warmup.Seconds()}
+// New returns a report without results, of runs on sockets.
+func New(e *experiment.Experiment) *Report {
+	r := &Report{
+		Version:    Version,
+		Experiment: e.Name,
+		Question:   e.Question,
+		Seeds:      e.Seeds,
+		Settings:   e.Settings,
+		DurationS:  e.Duration.Seconds(),
+		WarmupS:    e.Warmup.Seconds(),
+	}
 	if len(e.Seeds) > 0 {
 		r.Seed = e.Seeds[0]
 	}
 	for _, f := range e.Faults {
 		end := max(f.End(), f.At+minFaultSpan)
-		r.Faults = append(r.Faults, FaultSpan{string(f.Kind), f.Tier, f.At.Seconds(), end.Seconds()})
+		r.Faults = append(r.Faults, FaultSpan{
+			Kind:  string(f.Kind),
+			Tier:  f.Tier,
+			FromS: f.At.Seconds(),
+			ToS:   end.Seconds(),
+		})
 	}
 	return r
 }
@@ -216,6 +251,7 @@
 // Fraction returns n as a fraction of the offered requests.
 func (v *Variant) Fraction(n int64) float64 { return ratio(float64(n), float64(v.Offered)) }
 
+// milliseconds returns a duration as a number of milliseconds.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // ratio returns a/b, or 0 if b is 0.
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -13,12 +13,12 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// newTestReport returns a report of two repeats of one variant: of 100 requests of the first,
+// newTestReport returns a report of two runs of one variant: of 100 requests of the first,
 // served are in time and the others failed; of the second, one more is in time. Each violates a
-// rule once. A third repeat is void.
+// rule once. A third run is void.
 func newTestReport(t *testing.T, served int) (*experiment.Experiment, *Report) {
 	t.Helper()
-	e := &experiment.Experiment{Name: "x", Question: "<why>?", Seeds: []uint64{1, 2}, Duration: 2 * time.Second,
+	e := &experiment.Experiment{Name: "x", Question: "<reason>?", Seeds: []uint64{1, 2}, Duration: 2 * time.Second,
 		Site:     experiment.Site{Classes: []experiment.Class{{Name: "c", PriorityWeight: 1}}},
 		Variants: []experiment.Variant{{Name: "a", Policy: "random"}},
 		Faults:   []experiment.Fault{{Kind: experiment.Crash, At: time.Second, Duration: time.Second}},
@@ -45,7 +45,8 @@
 			Verdicts: []invariant.Verdict{{Rule: invariant.RuleResponse}, drain}})
 	}
 	runs = append(runs, Run{Variant: e.Variants[0], Seed: 3, Counters: counters.New(e), Void: "late"})
-	r := New(e, true)
+	r := New(e)
+	r.Virtual = true
 	r.Variants = Summarise(e, runs)
 	return e, r
 }
@@ -53,7 +54,7 @@
 func TestSummary(t *testing.T) {
 	e, r := newTestReport(t, 90)
 	a := r.Variants[0]
-	if a.Offered != 200 || a.ServedInTime != 181 || a.Failed != 19 || a.AttemptsPerRequest != 1.2 || len(a.Repeats) != 3 {
+	if a.Offered != 200 || a.ServedInTime != 181 || a.Failed != 19 || a.AttemptsPerRequest != 1.2 || len(a.Runs) != 3 {
 		t.Errorf("%+v", a)
 	}
 	if a.LatencyMs.P50 < 44 || a.LatencyMs.P50 > 47 {
@@ -85,15 +86,15 @@
 	if err := r.HTML(&page); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"<svg", "&lt;why&gt;", "crash", "drain", "90.50%"} {
+	for _, want := range []string{"<svg", "&lt;reason&gt;", "crash", "drain", "90.50%"} {
 		if !strings.Contains(page.String(), want) {
 			t.Errorf("the page lacks %q", want)
 		}
 	}
-	for _, outside := range []string{"http://", "https://", "<script", "<link"} {
+	for _, external := range []string{"http://", "https://", "<script", "<link"} {
 		for line := range strings.SplitSeq(page.String(), "\n") {
-			if strings.Contains(line, outside) && !strings.Contains(line, "www.w3.org") { // a namespace is not an address
-				t.Errorf("the page has a part from outside: %.80s", line)
+			if strings.Contains(line, external) && !strings.Contains(line, "www.w3.org") { // a namespace is not an address
+				t.Errorf("the page loads an external resource: %.80s", line)
 			}
 		}
 	}
@@ -125,7 +126,7 @@
 		return out
 	}
 	if got := significant(a, b); len(got) != 0 {
-		t.Errorf("two alike differ in %v", got)
+		t.Errorf("two equal reports differ in %v", got)
 	}
 	if got := strings.Join(significant(a, c), ", "); got != "served in time, failed, worth, p50 ms, p99 ms" {
 		t.Errorf("half served differs in %s", got)
--- a/internal/experiment/report/summary.go
+++ b/internal/experiment/report/summary.go
@@ -22,9 +22,9 @@
 	return out
 }
 
-// addRun adds one run. A void one is listed among the repeats and does not count otherwise.
+// addRun adds one run. A void one is listed among the runs and does not count otherwise.
 func (v *Variant) addRun(run Run) {
-	v.Repeats = append(v.Repeats, newRepeat(run))
+	v.Runs = append(v.Runs, newRunSummary(run))
 	v.LatenessMs = max(v.LatenessMs, milliseconds(run.Lateness))
 	if run.Void != "" {
 		return
@@ -40,8 +40,9 @@
 	v.addCost(run.Cost)
 }
 
-func newRepeat(run Run) Repeat {
-	r := Repeat{Seed: run.Seed, Void: run.Void}
+// newRunSummary returns the summary of one run.
+func newRunSummary(run Run) RunSummary {
+	r := RunSummary{Seed: run.Seed, Void: run.Void}
 	if c := run.Counters; c != nil {
 		r.Offered = c.Total.Offered()
 		r.ServedInTime = c.Total.Fraction(counters.ServedInTime)
@@ -56,6 +57,7 @@
 	return r
 }
 
+// addReasons adds the reasons for which requests of a run were not served.
 func (v *Variant) addReasons(c *counters.Counters) {
 	for reason, n := range c.Reasons {
 		if v.Reasons == nil {
@@ -83,17 +85,15 @@
 	}
 }
 
+// addSeconds adds a run's counts by second.
 func (v *Variant) addSeconds(c *counters.Counters) {
 	for i, counts := range c.Seconds {
 		if i == len(v.Seconds) {
 			v.Seconds = append(v.Seconds, Second{})
 		}
 		s := &v.Seconds[i]
-		s.ServedInTime += counts[counters.ServedInTime]
-		s.ServedLate += counts[counters.ServedLate]
-		s.Rejected += counts[counters.Rejected]
-		s.Failed += counts[counters.Failed]
-		s.P99 += (milliseconds(c.P99OfSecond(i)) - s.P99) / float64(len(v.Repeats))
+		s.Outcomes = s.plus(newOutcomes(counts))
+		s.P99 += (milliseconds(c.P99OfSecond(i)) - s.P99) / float64(len(v.Runs))
 	}
 }
 
@@ -123,11 +123,17 @@
 func (v *Variant) setFirstRun(run Run) {
 	v.Log = run.Log
 	for _, s := range run.Counters.Servers {
-		load := ratio(s.Busy, s.Lifetime.Seconds()*float64(s.Cores))
-		v.Servers = append(v.Servers, Server{s.Name, s.Kind, s.Arrivals, s.Rejected, load})
+		v.Servers = append(v.Servers, Server{
+			Name:     s.Name,
+			Kind:     s.Kind,
+			Arrivals: s.Arrivals,
+			Rejected: s.Rejected,
+			Load:     ratio(s.Busy, s.Lifetime.Seconds()*float64(s.Cores)),
+		})
 	}
 }
 
+// addCost adds what the programs under test used in a run.
 func (v *Variant) addCost(c *Cost) {
 	if c == nil {
 		return
@@ -144,10 +150,7 @@
 func (v *Variant) finish(e *experiment.Experiment) {
 	t := &v.totals
 	v.Offered = t.outcomes.Offered()
-	v.ServedInTime = t.outcomes[counters.ServedInTime]
-	v.ServedLate = t.outcomes[counters.ServedLate]
-	v.Rejected = t.outcomes[counters.Rejected]
-	v.Failed = t.outcomes[counters.Failed]
+	v.Outcomes = newOutcomes(t.outcomes)
 	v.ServedWeight = ratio(t.servedWeight, t.offeredWeight)
 	v.AttemptsPerRequest = t.attemptsPerRequest()
 	v.RetriesPerRequest = t.retriesPerRequest()
@@ -163,7 +166,7 @@
 	}
 }
 
+// newGroup returns the counts of a class or a tenant.
 func newGroup(name string, c counters.Counts) Group {
-	return Group{name, c.Offered(), c[counters.ServedInTime], c[counters.ServedLate], c[counters.Rejected],
-		c[counters.Failed]}
+	return Group{Name: name, Offered: c.Offered(), Outcomes: newOutcomes(c)}
 }
--- a/internal/experiment/report/text.go
+++ b/internal/experiment/report/text.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// writeServerNotes writes why requests were not served and what became of added servers.
+// writeServerNotes writes the reasons for which requests were not served and what became of added
+// servers.
 func (v *Variant) writeServerNotes(w io.Writer) {
 	if len(v.Reasons) > 0 {
 		fmt.Fprintf(w, "  %s, not served: %v\n", v.Name, v.Reasons)
@@ -71,7 +72,7 @@
 	}
 }
 
-// writeRuleNotes writes violated rules, void repeats and costs.
+// writeRuleNotes writes violated rules, void runs and costs.
 func (v *Variant) writeRuleNotes(w io.Writer) {
 	for _, rule := range v.Rules {
 		if rule.Violations > 0 {
@@ -79,9 +80,9 @@
 				rule.Detail)
 		}
 	}
-	for _, repeat := range v.Repeats {
-		if repeat.Void != "" {
-			fmt.Fprintf(w, "  %s, seed %d is void: %s\n", v.Name, repeat.Seed, repeat.Void)
+	for _, run := range v.Runs {
+		if run.Void != "" {
+			fmt.Fprintf(w, "  %s, seed %d is void: %s\n", v.Name, run.Seed, run.Void)
 		}
 	}
 	if c := v.Cost; c != nil {
--- a/internal/experiment/report/totals.go
+++ b/internal/experiment/report/totals.go
@@ -58,7 +58,7 @@
 	t.latency.Merge(latency)
 }
 
-// addTimeToFullLoad adds an added server's time until it carried an even share.
+// addTimeToFullLoad adds the time until an added server received as many requests as the others.
 func (t *totals) addTimeToFullLoad(seconds float64) {
 	i, _ := slices.BinarySearch(t.timesToFullLoad, seconds)
 	t.timesToFullLoad = slices.Insert(t.timesToFullLoad, i, seconds)
--- a/internal/experiment/report/totals_test.go
+++ b/internal/experiment/report/totals_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// On sockets nobody counts how many requests had an attempt.
+// On sockets the number of requests with an attempt is not counted.
 func TestRetriesAreUnknownWithoutSentRequests(t *testing.T) {
 	sum := newTotals(&experiment.Site{Classes: make([]experiment.Class, 1)})
 	sum.add(newTestRun(time.Millisecond, 3, 0))
--- a/internal/experiment/runner/drivers.go
+++ b/internal/experiment/runner/drivers.go
@@ -24,7 +24,7 @@
 	// it less often makes them faster by half.
 	gcPercent = 400
 
-	// maxVoidRuns is how often a run on sockets is made in which the test bed was late.
+	// maxVoidRuns is how often a run on sockets is made until the test bed is not late in it.
 	maxVoidRuns = 3
 )
 
@@ -33,7 +33,8 @@
 	return min(now.Seconds()/j.experiment.Duration.Seconds(), 1)
 }
 
-// runInVirtualTime runs jobs on all cores. They share nothing, so their order does not matter.
+// runInVirtualTime runs jobs on all cores. They have no state in common, so their order does not
+// matter.
 func runInVirtualTime(ctx context.Context, jobs []*job, o Options) error {
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	group, ctx := errgroup.WithContext(ctx)
@@ -51,8 +52,13 @@
 			if err != nil {
 				return err
 			}
-			j.run = report.Run{Variant: j.variant, Seed: j.seed, Counters: result.Counters, Verdicts: result.Verdicts,
-				Log: result.Logs}
+			j.run = report.Run{
+				Variant:  j.variant,
+				Seed:     j.seed,
+				Counters: result.Counters,
+				Verdicts: result.Verdicts,
+				Log:      result.Logs,
+			}
 			j.complete = true
 			mu.Lock()
 			defer mu.Unlock()
@@ -97,8 +103,10 @@
 	for range maxVoidRuns {
 		progress(0)
 		var err error
-		j.run, err = testbed.Run(ctx, j.experiment, j.variant, j.seed, testbed.Options{Program: program,
-			Progress: func(now time.Duration) { progress(j.progress(now)) }})
+		j.run, err = testbed.Run(ctx, j.experiment, j.variant, j.seed, testbed.Options{
+			Program:  program,
+			Progress: func(now time.Duration) { progress(j.progress(now)) },
+		})
 		if errors.Is(err, context.Canceled) && ctx.Err() != nil {
 			j.complete = j.run.Counters.Total.Offered() > 0
 			return err
--- a/internal/experiment/runner/golden_test.go
+++ b/internal/experiment/runner/golden_test.go
@@ -61,7 +61,7 @@
 }
 
 // The same experiment, seed and program give the same bytes in virtual time. The golden files were
-// recorded before the code was renamed: what they hold changes only with a decision.
+// recorded before the code was renamed. They change only with what the Balancer decides.
 func TestVirtualTimeResultsAreAsRecorded(t *testing.T) {
 	for _, path := range shippedExperiments(t) {
 		relative := strings.TrimPrefix(filepath.ToSlash(path), "../../../experiments/")
--- a/internal/experiment/runner/runner.go
+++ b/internal/experiment/runner/runner.go
@@ -12,19 +12,20 @@
 
 // Options say how to run an experiment.
 type Options struct {
-	Virtual bool
+	Virtual bool     // in virtual time; else on sockets
 	Seeds   []uint64 // in place of the file's
 	Variant string   // run only this one; empty: all
 	Root    string   // of the repository whose deploy file starts the design's program
 	Self    string   // path of this program, which serves as the reverse proxy baseline
-	// Progress is called with the number of runs that are done, their total, and how much of the
-	// current one is done, from 0 to 1. It may be called from several goroutines.
-	Progress func(done, all int, part float64)
+	// Progress is called with the number of runs that are done, their total, and which fraction of
+	// the current one is done. It may be called from several goroutines.
+	Progress func(done, total int, fraction float64)
 }
 
-func (o Options) reportProgress(done, all int, part float64) {
+// reportProgress calls Progress, if it is set.
+func (o Options) reportProgress(done, total int, fraction float64) {
 	if o.Progress != nil {
-		o.Progress(done, all, part)
+		o.Progress(done, total, fraction)
 	}
 }
 
@@ -38,22 +39,19 @@
 	complete   bool // run holds a result
 }
 
-// stoppedMessage is in the report of a run that was interrupted.
+// stoppedMessage is in the report of an experiment that was interrupted.
 const stoppedMessage = "it was interrupted; the figures are of what had been played"
 
-// Run runs all points of an experiment and reports. When ctx ends, the report holds what was
-// measured until then and says that it was stopped.
+// Run runs all points of an experiment and returns the report. When ctx ends, the report holds what
+// was measured until then and says that the experiment was stopped.
 func Run(ctx context.Context, points []hclfile.Point, o Options) (*report.Report, error) {
 	for i := range points {
-		e := &points[i].Experiment
-		if o.Seeds != nil {
-			e.Seeds = o.Seeds
-		}
-		if err := selectVariants(e, o); err != nil {
+		if err := o.applyTo(&points[i].Experiment); err != nil {
 			return nil, err
 		}
 	}
-	r := report.New(&points[0].Experiment, o.Virtual)
+	r := report.New(&points[0].Experiment)
+	r.Virtual = o.Virtual
 	jobs := newJobs(points)
 	driver := runOnSockets
 	if o.Virtual {
@@ -71,6 +69,14 @@
 	return r, nil
 }
 
+// applyTo restricts an experiment to the seeds and variants that are to be run.
+func (o Options) applyTo(e *experiment.Experiment) error {
+	if o.Seeds != nil {
+		e.Seeds = o.Seeds
+	}
+	return selectVariants(e, o)
+}
+
 // newJobs returns the jobs of all points. Variants of one seed follow each other, so that
 // disturbances of the machine affect them alike.
 func newJobs(points []hclfile.Point) []*job {
--- a/internal/experiment/runner/select.go
+++ b/internal/experiment/runner/select.go
@@ -8,7 +8,7 @@
 )
 
 // selectVariants removes the variants that are not to be run, and the expectations of only those.
-// It is an error if no variant is left, or if a fault cannot be injected.
+// It fails if no variant remains, or if a fault cannot be injected.
 func selectVariants(e *experiment.Experiment, o Options) error {
 	selected := slices.DeleteFunc(slices.Clone(e.Variants), func(v experiment.Variant) bool { return !o.selects(v) })
 	if len(selected) == 0 {
@@ -28,8 +28,13 @@
 
 // selects reports whether a variant is to be run.
 func (o Options) selects(v experiment.Variant) bool {
-	isWanted := o.Variant == "" || o.Variant == v.Name
-	return isWanted && canRun(v, o.Virtual)
+	if o.Variant != "" && o.Variant != v.Name {
+		return false
+	}
+	if o.Virtual {
+		return canRunInVirtualTime(v)
+	}
+	return canRunOnSockets(v)
 }
 
 // concerns reports whether an expectation is about a variant.
@@ -43,10 +48,14 @@
 	for _, v := range e.Variants {
 		names = append(names, v.Name)
 	}
+	how := "on sockets"
+	if o.Virtual {
+		how = "in virtual time"
+	}
 	if o.Variant != "" {
-		return fmt.Errorf("%s: no arm %q can be played so; there are %v", e.Name, o.Variant, names)
+		return fmt.Errorf("%s: no arm %q can be run %s; the arms are %v", e.Name, o.Variant, how, names)
 	}
-	return fmt.Errorf("%s: none of the arms %v can be played so", e.Name, names)
+	return fmt.Errorf("%s: none of the arms %v can be run %s", e.Name, names, how)
 }
 
 // checkVirtualFaults returns an error if a fault cannot be injected in virtual time.
@@ -59,11 +68,13 @@
 	return nil
 }
 
-// canRun reports whether a variant can be run in virtual time, or else on sockets.
-func canRun(v experiment.Variant, virtual bool) bool {
-	socketsOnly := v.Policy == experiment.ReverseProxyPolicy || v.Command != ""
-	if virtual {
-		return !socketsOnly
-	}
-	return socketsOnly || v.Policy == experiment.DesignPolicy
+// canRunInVirtualTime reports whether a variant is a policy of this program, which needs no process
+// of its own.
+func canRunInVirtualTime(v experiment.Variant) bool {
+	return v.Policy != experiment.ReverseProxyPolicy && v.Command == ""
+}
+
+// canRunOnSockets reports whether there is a program for a variant.
+func canRunOnSockets(v experiment.Variant) bool {
+	return v.Policy == experiment.ReverseProxyPolicy || v.Command != "" || v.Policy == experiment.DesignPolicy
 }
