--- a/internal/experiment/hclfile/decode.go
+++ b/internal/experiment/hclfile/decode.go
@@ -20,7 +20,7 @@
 }
 
 // once returns a function that reads a block, and reports a second block of the same type as a
-// fault. Seen holds the places of the blocks that were read.
+// fault. Seen holds the places of the blocks that were read, by their type.
 func (d *decoder) once(seen map[string]hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
 	return func(b *hcl.Block) {
 		if first, ok := seen[b.Type]; ok {
@@ -56,11 +56,8 @@
 		"arm name":        d.readVariant,
 		"expect":          d.readExpectation,
 	})
-	start := hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}
-	for _, required := range []string{"experiment", "site", "load"} {
-		if _, found := d.seen[required]; !found && ok {
-			d.Fault(start, "the file has no block %q", required)
-		}
+	if ok {
+		d.checkRequiredBlocks(name)
 	}
 	if len(e.Variants) == 0 {
 		e.Variants = []experiment.Variant{{Name: "design", Policy: experiment.DesignPolicy}}
@@ -70,6 +67,16 @@
 	return p, hcldecode.Faults(d.Diags).Err()
 }
 
+// checkRequiredBlocks reports blocks that the file called name lacks.
+func (d *decoder) checkRequiredBlocks(name string) {
+	start := hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}
+	for _, required := range []string{"experiment", "site", "load"} {
+		if _, found := d.seen[required]; !found {
+			d.Fault(start, "the file has no block %q", required)
+		}
+	}
+}
+
 // checkFaultKinds reports kinds of faults that cannot run in virtual time.
 func (d *decoder) checkFaultKinds() {
 	if !d.experiment.Virtual {
@@ -120,13 +127,20 @@
 	return out
 }
 
+// readExperiment reads a block "experiment".
 func (d *decoder) readExperiment(b *hcl.Block) {
 	e := d.experiment
 	e.Name = b.Labels[0]
 	var seeds []uint64
 	repeats := 0
-	ok := d.Body(b.Body, hcldecode.Fields{"question!": &e.Question, "duration!": &e.Duration, "warmup": &e.Warmup,
-		"seeds": &seeds, "repeats": &repeats, "virtual": &e.Virtual}, nil)
+	ok := d.Body(b.Body, hcldecode.Fields{
+		"question!": &e.Question,
+		"duration!": &e.Duration,
+		"warmup":    &e.Warmup,
+		"seeds":     &seeds,
+		"repeats":   &repeats,
+		"virtual":   &e.Virtual,
+	}, nil)
 	switch {
 	case repeats > 0 && len(seeds) > 0:
 		d.Fault(b.DefRange, "experiment: seeds and repeats cannot be combined")
--- a/internal/experiment/hclfile/expectations.go
+++ b/internal/experiment/hclfile/expectations.go
@@ -15,13 +15,20 @@
 	position hcl.Range
 }
 
-// readExpectation reads a block of requirements.
+// readExpectation reads a block "expect".
 func (d *decoder) readExpectation(b *hcl.Block) {
 	x := expectation{position: b.DefRange}
 	var served, failed hcldecode.Fraction
-	d.Body(b.Body, hcldecode.Fields{"arm": &x.Variant, "rules_kept": &x.NoViolations, "served_in_time_over": &served,
-		"refused_or_failed_under": &failed, "attempts_under": &x.AttemptsBelow, "p99_under": &x.P99Below,
-		"fresh_peak_under": &x.WarmupPeakBelow, "resends_under": &x.RetriesBelow}, nil)
+	d.Body(b.Body, hcldecode.Fields{
+		"arm":                     &x.Variant,
+		"rules_kept":              &x.NoViolations,
+		"served_in_time_over":     &served,
+		"refused_or_failed_under": &failed,
+		"attempts_under":          &x.AttemptsBelow,
+		"p99_under":               &x.P99Below,
+		"fresh_peak_under":        &x.WarmupPeakBelow,
+		"resends_under":           &x.RetriesBelow,
+	}, nil)
 	x.ServedInTimeAbove = float64(served)
 	x.FailedBelow = float64(failed)
 	x.Position = hcldecode.PlaceOf(b.DefRange).String()
@@ -42,6 +49,7 @@
 	}
 }
 
+// hasVariant reports whether a variant of this name has been read.
 func (d *decoder) hasVariant(name string) bool {
 	return slices.ContainsFunc(d.experiment.Variants, func(v experiment.Variant) bool { return v.Name == name })
 }
--- a/internal/experiment/hclfile/hclfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -40,6 +40,7 @@
 	return parse(text, name, name, set)
 }
 
+// parse reads the text of the file at a path, which is called name in messages.
 func parse(text []byte, name, path string, set map[string]string) ([]Point, error) {
 	own, err := hcldecode.Parse(text, name)
 	if err != nil {
@@ -55,13 +56,19 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, fixed := set[vars.sweep]; vars.sweep == "" || fixed {
-		p, err := decodePoint(body, name, vars.values)
-		if err != nil {
-			return nil, err
-		}
-		return []Point{p}, nil
+	_, isSet := set[vars.sweep]
+	if vars.sweep != "" && !isSet {
+		return decodeSweep(body, name, vars)
+	}
+	p, err := decodePoint(body, name, vars.values)
+	if err != nil {
+		return nil, err
 	}
+	return []Point{p}, nil
+}
+
+// decodeSweep reads one experiment for each value of the sweep.
+func decodeSweep(body hcl.Body, name string, vars *variables) ([]Point, error) {
 	var out []Point
 	for _, v := range vars.sweepValues {
 		vars.values[vars.sweep] = cty.StringVal(v)
@@ -88,7 +95,9 @@
 	r := &hcldecode.Reader{}
 	vars := &variables{values: map[string]cty.Value{}}
 	content, _, diags := body.PartialContent(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{
-		{Type: "vars"}, {Type: "sweep", LabelNames: []string{"variable"}}}})
+		{Type: "vars"},
+		{Type: "sweep", LabelNames: []string{"variable"}},
+	}})
 	r.Diags = append(r.Diags, diags...)
 	for _, b := range content.Blocks {
 		switch b.Type {
@@ -111,6 +120,7 @@
 	return vars, hcldecode.Faults(r.Diags).Err()
 }
 
+// readValues reads a block "vars".
 func (vars *variables) readValues(r *hcldecode.Reader, b *hcl.Block) {
 	attrs, diags := b.Body.JustAttributes()
 	r.Diags = append(r.Diags, diags...)
@@ -121,6 +131,7 @@
 	}
 }
 
+// readSweep reads a block "sweep".
 func (vars *variables) readSweep(r *hcldecode.Reader, b *hcl.Block) {
 	if vars.sweep != "" {
 		r.Fault(b.DefRange, "sweep: variable %s is already swept", vars.sweep)
@@ -131,6 +142,7 @@
 	r.Body(b.Body, hcldecode.Fields{"values!": &vars.sweepValues}, nil)
 }
 
+// joinOrNone returns names as a list for a message.
 func joinOrNone(names []string) string {
 	if len(names) == 0 {
 		return "none"
--- a/internal/experiment/hclfile/hclfile_test.go
+++ b/internal/experiment/hclfile/hclfile_test.go
@@ -46,15 +46,19 @@
 }
 
 // replaceInValid returns the valid file with a part replaced.
-func replaceInValid(old, new string) string {
+func replaceInValid(old, replacement string) string {
 	if !strings.Contains(validFile, old) {
 		panic(fmt.Sprintf("the valid file has no %q", old))
 	}
-	return strings.Replace(validFile, old, new, 1)
+	return strings.Replace(validFile, old, replacement, 1)
 }
 
-// faultCases are invalid files, and the whole error for each.
-var faultCases = []struct{ name, text, want string }{
+// faultCases are invalid files, and the complete error for each.
+var faultCases = []struct {
+	name string
+	text string
+	want string
+}{
 	{"duration without a unit", replaceInValid(`"10ms"`, `10`),
 		`x.hcl:7:16: work: must be a duration with its unit, such as "250ms"`},
 	{
@@ -140,7 +144,7 @@
 	},
 	{
 		"fault that needs sockets in virtual time",
-		strings.Replace(validFile, `"10s"`, "\"10s\"\n  virtual  = true", 1) +
+		replaceInValid(`"10s"`, "\"10s\"\n  virtual  = true") +
 			"fault \"half_peer\" {\n  at = \"1s\"\n}\n",
 		`x.hcl:1:1: experiment: fault half_peer cannot run in virtual time`,
 	},
@@ -162,12 +166,14 @@
 }
 
 func TestVariablesAndSweeps(t *testing.T) {
-	text := strings.Replace(
-		validFile,
-		`"5/s"`,
-		"var.rate",
-		1,
-	) + "vars {\n  rate = \"7/s\"\n}\nsweep \"rate\" {\n  values = [\"8/s\", \"9/s\"]\n}\n"
+	const varsAndSweep = `vars {
+  rate = "7/s"
+}
+sweep "rate" {
+  values = ["8/s", "9/s"]
+}
+`
+	text := replaceInValid(`"5/s"`, "var.rate") + varsAndSweep
 	points, err := Parse([]byte(text), "x.hcl", nil)
 	if err != nil || len(points) != 2 || points[0].Load.Rate != 8 || points[1].Value != "rate=9/s" {
 		t.Errorf("swept: %+v, %v", points, err)
@@ -188,7 +194,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		points, err := Parse([]byte(text), "x.hcl", nil)
 		if err == nil && len(points) > 0 && (len(points[0].Site.Tiers) == 0 || points[0].Duration <= 0) {
-			t.Error("a file that cannot be run was accepted")
+			t.Error("accepted a file that cannot be run")
 		}
 	})
 }
--- a/internal/experiment/hclfile/include.go
+++ b/internal/experiment/hclfile/include.go
@@ -46,6 +46,7 @@
 	return append(out, body), nil
 }
 
+// baseNames returns the last elements of paths.
 func baseNames(paths []string) []string {
 	var out []string
 	for _, p := range paths {
--- a/internal/experiment/hclfile/include_test.go
+++ b/internal/experiment/hclfile/include_test.go
@@ -24,62 +24,88 @@
 }
 `
 
-func TestFilesIncludeOthers(t *testing.T) {
-	const head = "experiment \"x\" {\n  question = \"?\"\n  duration = \"1s\"\n}\n"
-	for _, c := range []struct {
-		name  string
-		files map[string]string
-		want  string // the start of the error; empty: the file is valid
-		n     int    // balancers
-	}{
-		{"variables of the including file replace others", map[string]string{
-			"x.hcl":       head + "vars {\n  n = 7\n}\ninclude \"sites/s.hcl\" {}\n",
-			"sites/s.hcl": "vars {\n  n = 3\n}\n" + siteAndLoad}, "", 7},
-		{"paths are relative to the including file", map[string]string{"x.hcl": head + "include \"sites/a.hcl\" {}\n",
-			"sites/a.hcl": "include \"b.hcl\" {}\n", "sites/b.hcl": "vars {\n  n = 3\n}\n" + siteAndLoad}, "", 3},
-		{
-			"fault in an included file",
-			map[string]string{"x.hcl": head + "include \"s.hcl\" {}\n", "s.hcl": "vars {\n  n = 3\n}\n" + siteAndLoad +
-				"fault \"crush\" {\n  at = \"1s\"\n}\n",
-			},
-			`s.hcl:18:7: fault: "crush" is not one of`, 0},
-		{
-			"cycle",
-			map[string]string{"x.hcl": head +
-				"include \"a.hcl\" {}\n", "a.hcl": "\ninclude \"b.hcl\" {}\n", "b.hcl": "include \"a.hcl\" {}\n",
-			},
-			`b.hcl:1:1: include: a.hcl includes itself: x.hcl > a.hcl > b.hcl > a.hcl`, 0},
-		{
-			"missing file",
-			map[string]string{"x.hcl": head + "include \"a.hcl\" {}\n"},
-			`x.hcl:5:1: include: open `,
-			0,
+// head is the start of a file that includes others; varsOfThree gives n a value.
+const (
+	head        = "experiment \"x\" {\n  question = \"?\"\n  duration = \"1s\"\n}\n"
+	varsOfThree = "vars {\n  n = 3\n}\n"
+	varsOfSeven = "vars {\n  n = 7\n}\n"
+)
+
+// includeCases are files of which x.hcl is loaded.
+var includeCases = []struct {
+	name      string
+	files     map[string]string // by path
+	wantError string            // its start; empty: the file is valid
+	balancers int
+}{
+	{
+		name: "variables of the including file replace others",
+		files: map[string]string{
+			"x.hcl":       head + varsOfSeven + "include \"sites/s.hcl\" {}\n",
+			"sites/s.hcl": varsOfThree + siteAndLoad,
+		},
+		balancers: 7,
+	},
+	{
+		name: "paths are relative to the including file",
+		files: map[string]string{
+			"x.hcl":       head + "include \"sites/a.hcl\" {}\n",
+			"sites/a.hcl": "include \"b.hcl\" {}\n",
+			"sites/b.hcl": varsOfThree + siteAndLoad,
+		},
+		balancers: 3,
+	},
+	{
+		name: "fault in an included file",
+		files: map[string]string{
+			"x.hcl": head + "include \"s.hcl\" {}\n",
+			"s.hcl": varsOfThree + siteAndLoad + "fault \"crush\" {\n  at = \"1s\"\n}\n",
 		},
-		{
-			"duplicate site",
-			map[string]string{"x.hcl": head + "vars {\n  n = 7\n}\ninclude \"s.hcl\" {}\n" +
-				siteAndLoad, "s.hcl": siteAndLoad},
-			`x.hcl:9:1: site: already defined at s.hcl:1:1`,
-			0,
+		wantError: `s.hcl:18:7: fault: "crush" is not one of`,
+	},
+	{
+		name: "cycle",
+		files: map[string]string{
+			"x.hcl": head + "include \"a.hcl\" {}\n",
+			"a.hcl": "\ninclude \"b.hcl\" {}\n",
+			"b.hcl": "include \"a.hcl\" {}\n",
 		},
-	} {
+		wantError: `b.hcl:1:1: include: a.hcl includes itself: x.hcl > a.hcl > b.hcl > a.hcl`,
+	},
+	{
+		name:      "missing file",
+		files:     map[string]string{"x.hcl": head + "include \"a.hcl\" {}\n"},
+		wantError: `x.hcl:5:1: include: open `,
+	},
+	{
+		name: "duplicate site",
+		files: map[string]string{
+			"x.hcl": head + varsOfSeven + "include \"s.hcl\" {}\n" + siteAndLoad,
+			"s.hcl": siteAndLoad,
+		},
+		wantError: `x.hcl:9:1: site: already defined at s.hcl:1:1`,
+	},
+}
+
+func TestFilesIncludeOthers(t *testing.T) {
+	for _, c := range includeCases {
 		t.Run(c.name, func(t *testing.T) {
 			points, err := Load(filepath.Join(writeFiles(t, c.files), "x.hcl"), nil)
 			switch {
-			case c.want != "":
-				if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-					t.Errorf("got %v, want %s", err, c.want)
+			case c.wantError != "":
+				if err == nil || !strings.HasPrefix(err.Error(), c.wantError) {
+					t.Errorf("got %v, want %s", err, c.wantError)
 				}
 			case err != nil:
 				t.Error(err)
-			case points[0].Site.Balancers != c.n:
-				t.Errorf("%d balancers, want %d", points[0].Site.Balancers, c.n)
+			case points[0].Site.Balancers != c.balancers:
+				t.Errorf("%d balancers, want %d", points[0].Site.Balancers, c.balancers)
 			}
 		})
 	}
 }
 
-// writeFiles writes files, by their paths, into a new folder and returns its path.
+// writeFiles writes files, by their paths, into a new directory and returns its path.
 func writeFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/experiment/hclfile/load.go
+++ b/internal/experiment/hclfile/load.go
@@ -12,28 +12,21 @@
 	"rowancart/internal/hcldecode"
 )
 
+// readLoad reads a block "load".
 func (d *decoder) readLoad(b *hcl.Block) {
 	l := &d.experiment.Load
 	var rate hcldecode.Rate
-	var disconnect hcldecode.Fraction
-	minPatience := hcldecode.Fraction(1)
 	process := string(l.Process)
-	ok := d.Body(b.Body, hcldecode.Fields{"rate": &rate, "process": &process, "recorded": &l.Recorded}, hcldecode.Blocks{
-		"step": func(b *hcl.Block) {
-			s := experiment.Step{Factor: 1}
-			d.Body(b.Body, hcldecode.Fields{"at!": &s.At, "factor!": &s.Factor}, nil)
-			l.Steps = append(l.Steps, s)
-		},
-		"clients": func(b *hcl.Block) {
-			c := &l.Clients
-			d.Body(b.Body, hcldecode.Fields{"patience_least": &minPatience, "retries": &c.Retries,
-				"retry_wait": &c.RetryWait, "heed": &c.HonorRetryAfter, "leave": &disconnect}, nil)
-		},
+	ok := d.Body(b.Body, hcldecode.Fields{
+		"rate":     &rate,
+		"process":  &process,
+		"recorded": &l.Recorded,
+	}, hcldecode.Blocks{
+		"step":    d.readStep,
+		"clients": d.readClients,
 	})
 	l.Rate = float64(rate)
 	l.Process = experiment.ArrivalProcess(process)
-	l.Clients.MinPatience = float64(minPatience)
-	l.Clients.DisconnectRate = float64(disconnect)
 	hcldecode.OneOf(&d.Reader, b.DefRange, "process", l.Process,
 		experiment.Poisson, experiment.Steady, experiment.Recorded)
 	switch {
@@ -45,6 +38,30 @@
 	}
 }
 
+// readStep reads a block "step" of the load.
+func (d *decoder) readStep(b *hcl.Block) {
+	s := experiment.Step{Factor: 1}
+	d.Body(b.Body, hcldecode.Fields{"at!": &s.At, "factor!": &s.Factor}, nil)
+	d.experiment.Load.Steps = append(d.experiment.Load.Steps, s)
+}
+
+// readClients reads a block "clients" of the load.
+func (d *decoder) readClients(b *hcl.Block) {
+	c := &d.experiment.Load.Clients
+	minPatience := hcldecode.Fraction(c.MinPatience)
+	disconnect := hcldecode.Fraction(c.DisconnectRate)
+	d.Body(b.Body, hcldecode.Fields{
+		"patience_least": &minPatience,
+		"retries":        &c.Retries,
+		"retry_wait":     &c.RetryWait,
+		"heed":           &c.HonorRetryAfter,
+		"leave":          &disconnect,
+	}, nil)
+	c.MinPatience = float64(minPatience)
+	c.DisconnectRate = float64(disconnect)
+}
+
+// readFault reads a block "fault".
 func (d *decoder) readFault(b *hcl.Block) {
 	e := d.experiment
 	f := experiment.Fault{Kind: experiment.FaultKind(b.Labels[0]), Size: 1, Count: 1, Period: time.Second}
@@ -53,8 +70,15 @@
 		d.Fault(b.LabelRanges[0], "fault: %q is not one of %s", string(f.Kind), hcldecode.Join(kinds))
 	}
 	fraction := hcldecode.Fraction(1)
-	d.Body(b.Body, hcldecode.Fields{"at!": &f.At, "for": &f.Duration, "tier": &f.Tier, "part": &fraction,
-		"size": &f.Size, "period": &f.Period, "count": &f.Count}, nil)
+	d.Body(b.Body, hcldecode.Fields{
+		"at!":    &f.At,
+		"for":    &f.Duration,
+		"tier":   &f.Tier,
+		"part":   &fraction,
+		"size":   &f.Size,
+		"period": &f.Period,
+		"count":  &f.Count,
+	}, nil)
 	f.Fraction = float64(fraction)
 	if f.Tier != "" && e.Site.TierIndex(f.Tier) < 0 {
 		d.Fault(b.DefRange, "fault: tier %q is not defined before it", f.Tier)
--- a/internal/experiment/hclfile/variant.go
+++ b/internal/experiment/hclfile/variant.go
@@ -19,8 +19,12 @@
 // readVariant reads a block "arm".
 func (d *decoder) readVariant(b *hcl.Block) {
 	v := experiment.Variant{Name: b.Labels[0], Policy: experiment.DesignPolicy}
-	d.Body(b.Body, hcldecode.Fields{"policy": &v.Policy, "run": &v.Command, "cold_share": &v.SlowStartShare,
-		"snapshot": &v.RestoreLearnedState}, hcldecode.Blocks{
+	d.Body(b.Body, hcldecode.Fields{
+		"policy":     &v.Policy,
+		"run":        &v.Command,
+		"cold_share": &v.SlowStartShare,
+		"snapshot":   &v.RestoreLearnedState,
+	}, hcldecode.Blocks{
 		"retry_budget": func(b *hcl.Block) { d.RetryBudget(b, &v.RetryBudget) },
 		"class name":   func(b *hcl.Block) { v.Classes = append(v.Classes, d.readClassPolicy(b)) },
 	})
@@ -32,14 +36,22 @@
 	d.experiment.Variants = append(d.experiment.Variants, v)
 }
 
+// readClassPolicy reads a block "class" of an arm.
 func (d *decoder) readClassPolicy(b *hcl.Block) experiment.ClassPolicy {
 	p := experiment.ClassPolicy{Class: b.Labels[0]}
-	queue, retry := -1, retryAfterRun
-	d.Body(b.Body, hcldecode.Fields{"attempt_timeout": &p.AttemptTimeout, "attempts": &p.MaxAttempts, "retry": &retry,
-		"copy_after": &p.HedgeAfter, "copy_percentile": &p.HedgePercentile, "queue": &queue}, nil)
+	queue := -1
+	retry := retryAfterRun
+	d.Body(b.Body, hcldecode.Fields{
+		"attempt_timeout": &p.AttemptTimeout,
+		"attempts":        &p.MaxAttempts,
+		"retry":           &retry,
+		"copy_after":      &p.HedgeAfter,
+		"copy_percentile": &p.HedgePercentile,
+		"queue":           &queue,
+	}, nil)
 	hcldecode.OneOf(&d.Reader, b.DefRange, "retry", retry, retryNotRun, retryAfterRun)
 	p.NeverRerun = retry == retryNotRun
-	switch { // in a file 0 is no queue, and no number is no limit
+	switch { // in a file 0 stands for no queue; without the attribute there is no limit
 	case queue == 0:
 		p.QueueLimit = -1
 	case queue > 0:
