--- a/internal/experiment/roundrobin/roundrobin.go
+++ b/internal/experiment/roundrobin/roundrobin.go
@@ -1,6 +1,6 @@
 // Package roundrobin is the baseline on sockets: net/http/httputil's ReverseProxy, which sends to
-// the endpoints in turn. It has the configuration and the discovery of DEPLOY, so that experiments
-// can start it in the sidecar's place.
+// the endpoints in turn. It reads the configuration file and the discovery of the platform (DEPLOY),
+// so that experiments can start it in place of the sidecar.
 package roundrobin
 
 import (
@@ -21,6 +21,7 @@
 	"sync"
 	"time"
 
+	"rowancart/internal/logkey"
 	"rowancart/internal/platform"
 )
 
@@ -32,12 +33,13 @@
 	maxListSize       = 4 << 20 // bytes of one message of discovery
 )
 
-// endpoints holds the endpoints that are ready, and whose turn it is.
+// endpoints holds the endpoints that are ready, and which one is next.
 type endpoints struct {
-	mu      sync.Mutex
-	ready   []platform.Endpoint
-	last    int   // number of requests so far
-	version int64 // of the last message; used by the watch's goroutine only
+	mu       sync.Mutex
+	ready    []platform.Endpoint
+	requests int // that endpoints were chosen for
+
+	version int64 // of the last message; for the goroutine of watchUntilDone only
 }
 
 // apply applies a message of discovery.
@@ -58,17 +60,18 @@
 	}
 }
 
-// next returns the address of the endpoint whose turn it is, empty if there is none.
+// next returns the address of the next endpoint in turn, empty if none is ready.
 func (e *endpoints) next() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.ready) == 0 {
 		return ""
 	}
-	e.last++
-	return e.ready[e.last%len(e.ready)].Addr
+	e.requests++
+	return e.ready[e.requests%len(e.ready)].Addr
 }
 
+// readConfig reads the configuration file at a path.
 func readConfig(path string) (platform.ConfigFile, error) {
 	var c platform.ConfigFile
 	text, err := os.ReadFile(path)
@@ -82,7 +85,8 @@
 	return c, nil
 }
 
-// Serve serves with the configuration file at path until ctx ends.
+// Serve serves with the configuration file at path until ctx ends. It starts one goroutine, for the
+// watch on the endpoint list, which has ended when Serve returns.
 func Serve(ctx context.Context, path string, logger *slog.Logger) error {
 	config, err := readConfig(path)
 	if err != nil {
@@ -90,14 +94,12 @@
 	}
 	e := &endpoints{}
 	e.apply(config.Known)
-	mux := http.NewServeMux()
-	mux.HandleFunc(platform.HealthPath, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
-	mux.Handle("/", newProxy(e, time.Duration(config.Settings.Permissions.ConnIdleUs)*time.Microsecond))
+	idleTimeout := time.Duration(config.Settings.Permissions.ConnIdleUs) * time.Microsecond
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	server := &http.Server{Handler: newHandler(e, idleTimeout), ReadHeaderTimeout: readHeaderTimeout}
 	var watch sync.WaitGroup
 	watch.Go(func() { e.watchUntilDone(ctx, config.Discovery, logger) })
 	defer watch.Wait()
@@ -109,29 +111,47 @@
 	return nil
 }
 
+// newHandler returns a handler that responds to health checks and forwards all other requests.
+func newHandler(e *endpoints, endpointIdleTimeout time.Duration) http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc(platform.HealthPath, func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = io.WriteString(w, "ok\n") // fails only if the client has disconnected
+	})
+	mux.Handle("/", newProxy(e, endpointIdleTimeout))
+	return mux
+}
+
 // newProxy returns a proxy that sends to the endpoints in turn. It closes idle connections a little
 // before the endpoints do.
 func newProxy(e *endpoints, endpointIdleTimeout time.Duration) *httputil.ReverseProxy {
 	return &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
 			in := r.In.URL
-			r.Out.URL = &url.URL{Scheme: "http", Host: e.next(), Path: in.Path, RawPath: in.RawPath, RawQuery: in.RawQuery}
+			r.Out.URL = &url.URL{
+				Scheme:   "http",
+				Host:     e.next(),
+				Path:     in.Path,
+				RawPath:  in.RawPath,
+				RawQuery: in.RawQuery,
+			}
 			if client, _, err := net.SplitHostPort(r.In.RemoteAddr); err == nil {
 				r.Out.Header.Set("X-Forwarded-For", client)
 			}
 		},
-		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: endpointIdleTimeout * 9 / 10,
-			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext},
-		ErrorLog: log.New(io.Discard, "", 0), // experiments count its errors from outside
+		Transport: &http.Transport{
+			MaxIdleConnsPerHost: maxIdleConns,
+			IdleConnTimeout:     endpointIdleTimeout * 9 / 10,
+			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		},
+		ErrorLog: log.New(io.Discard, "", 0), // experiments count failures from outside
 	}
 }
 
-// watchUntilDone watches the endpoint list until ctx ends. It opens a watch again when it has
-// ended.
+// watchUntilDone watches the endpoint list until ctx ends. It opens a new watch when one has ended.
 func (e *endpoints) watchUntilDone(ctx context.Context, addr string, logger *slog.Logger) {
 	for ctx.Err() == nil {
 		if err := e.watch(ctx, addr); err != nil && ctx.Err() == nil {
-			logger.Warn("watch ended", "err", err)
+			logger.Warn("watch ended", logkey.Err, err)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/experiment/roundrobin/roundrobin_test.go
+++ b/internal/experiment/roundrobin/roundrobin_test.go
@@ -11,7 +11,7 @@
 		return platform.Endpoint{ID: id, Addr: "addr-" + id, State: state}
 	}
 	var e endpoints
-	expect := func(step string, want ...string) {
+	expectNext := func(step string, want ...string) {
 		t.Helper()
 		got := map[string]int{}
 		for range 2 * len(want) {
@@ -28,12 +28,12 @@
 	}
 	e.apply(platform.CompleteList(1, endpoint("a", platform.StateReady), endpoint("b", platform.StateReady),
 		endpoint("c", platform.StateDraining)))
-	expect("complete list", "addr-a", "addr-b")
+	expectNext("complete list", "addr-a", "addr-b")
 	e.apply(platform.Changes(2, endpoint("a", platform.StateDraining), endpoint("c", platform.StateReady),
 		endpoint("d", platform.StateReady)))
-	expect("changes", "addr-b", "addr-c", "addr-d")
+	expectNext("changes", "addr-b", "addr-c", "addr-d")
 	e.apply(platform.CompleteList(3, endpoint("d", platform.StateReady)))
-	expect("second complete list", "addr-d")
+	expectNext("second complete list", "addr-d")
 	if e.version != 3 {
 		t.Errorf("version %d, want 3", e.version)
 	}
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	serverSidecarPrefix = "beside-" // of the name of a server's sidecar; stored in reports
+	serverSidecarPrefix = "beside-" // of the name of a server's sidecar, which reports and seeds have
 
 	minTerminationTime   = 3 * time.Second        // for a graceful shutdown, if all deadlines are shorter
 	terminationTimeSlack = 700 * time.Millisecond // beyond the longest deadline
