--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -169,24 +169,30 @@
 	p.places["second_copy"] = b.DefRange
 }
 
+// Requirements of attributes, in messages.
+const (
+	positiveDuration = "must be above 0s"
+	positiveRate     = "must be above 0/s"
+	positiveCount    = "must be at least 1"
+)
+
 // checkPolicyBlock validates the attributes that do not depend on the route of a policy.
 func (d *decoder) checkPolicyBlock(p *policyBlock) {
-	const aboveZeroSeconds, aboveZeroRate, atLeastOne = "must be above 0s", "must be above 0/s", "must be at least 1"
 	for _, required := range []struct {
-		name     string
-		positive bool
-		reason   string
+		name        string
+		positive    bool
+		requirement string
 	}{
-		{"client_waits", p.ClientTimeout > 0, aboveZeroSeconds},
-		{"request_timeout", p.RequestTimeout > 0, aboveZeroSeconds},
-		{"attempt_timeout", p.AttemptTimeout > 0, aboveZeroSeconds},
-		{"attempts", p.MaxAttempts > 0, atLeastOne},
-		{"rate", p.rate > 0, aboveZeroRate},
-		{"concurrency", p.Concurrency > 0, atLeastOne},
-		{"tenant_rate", p.tenantRate > 0, aboveZeroRate},
+		{"client_waits", p.ClientTimeout > 0, positiveDuration},
+		{"request_timeout", p.RequestTimeout > 0, positiveDuration},
+		{"attempt_timeout", p.AttemptTimeout > 0, positiveDuration},
+		{"attempts", p.MaxAttempts > 0, positiveCount},
+		{"rate", p.rate > 0, positiveRate},
+		{"concurrency", p.Concurrency > 0, positiveCount},
+		{"tenant_rate", p.tenantRate > 0, positiveRate},
 	} {
 		if at, ok := p.places[required.name]; ok && !required.positive {
-			d.Fault(at, "%s: %s", required.name, required.reason)
+			d.Fault(at, "%s: %s", required.name, required.requirement)
 			p.valid = false
 		}
 	}
