--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -169,30 +169,30 @@
 	p.places["second_copy"] = b.DefRange
 }
 
-// Requirements of attributes, in messages.
+// Faults of attributes that must not be zero.
 const (
-	positiveDuration = "must be above 0s"
-	positiveRate     = "must be above 0/s"
-	positiveCount    = "must be at least 1"
+	zeroDuration = "0s is not a positive duration"
+	zeroRate     = "0/s is not a positive rate"
+	zeroCount    = "0 is not a positive number"
 )
 
 // checkPolicyBlock validates the attributes that do not depend on the route of a policy.
 func (d *decoder) checkPolicyBlock(p *policyBlock) {
 	for _, required := range []struct {
-		name        string
-		positive    bool
-		requirement string
+		name     string
+		positive bool
+		fault    string
 	}{
-		{"client_waits", p.ClientTimeout > 0, positiveDuration},
-		{"request_timeout", p.RequestTimeout > 0, positiveDuration},
-		{"attempt_timeout", p.AttemptTimeout > 0, positiveDuration},
-		{"attempts", p.MaxAttempts > 0, positiveCount},
-		{"rate", p.rate > 0, positiveRate},
-		{"concurrency", p.Concurrency > 0, positiveCount},
-		{"tenant_rate", p.tenantRate > 0, positiveRate},
+		{"client_waits", p.ClientTimeout > 0, zeroDuration},
+		{"request_timeout", p.RequestTimeout > 0, zeroDuration},
+		{"attempt_timeout", p.AttemptTimeout > 0, zeroDuration},
+		{"attempts", p.MaxAttempts > 0, zeroCount},
+		{"rate", p.rate > 0, zeroRate},
+		{"concurrency", p.Concurrency > 0, zeroCount},
+		{"tenant_rate", p.tenantRate > 0, zeroRate},
 	} {
 		if at, ok := p.places[required.name]; ok && !required.positive {
-			d.Fault(at, "%s: %s", required.name, required.requirement)
+			d.Fault(at, "%s: %s", required.name, required.fault)
 			p.valid = false
 		}
 	}
