--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -24,7 +24,7 @@
 	Question string
 	Duration time.Duration // requests arrive for this long; the run ends when all have ended
 	Warmup   time.Duration // requests that arrive in it are run and judged, but not counted
-	Seeds    []uint64      // one repeat for each
+	Seeds    []uint64      // one run of each variant for each
 	Virtual  bool          // in virtual time unless asked otherwise
 	Site     Site
 	Load     Load
@@ -34,7 +34,7 @@
 	Settings map[string]string // values of the file's variables
 }
 
-// Variant is one of the programs or policies compared.
+// Variant is one of the programs or policies that are compared.
 type Variant struct {
 	Name    string
 	Policy  string // DesignPolicy, ReverseProxyPolicy or one of baseline.Names
@@ -72,9 +72,11 @@
 
 // ApplyTo returns s with the variant's policies. It changes the classes of s in place.
 func (v Variant) ApplyTo(s balancer.Settings) balancer.Settings {
-	s.SlowStartShare, s.RetryBudget = v.SlowStartShare, v.RetryBudget
+	s.SlowStartShare = v.SlowStartShare
+	s.RetryBudget = v.RetryBudget
 	for i := range s.Classes {
-		class, policy := &s.Classes[i], v.ClassPolicy(s.Classes[i].Name)
+		class := &s.Classes[i]
+		policy := v.ClassPolicy(class.Name)
 		class.AttemptTimeout = policy.AttemptTimeout
 		class.MaxAttempts = policy.MaxAttempts
 		class.NeverRerun = policy.NeverRerun
@@ -90,7 +92,7 @@
 type Expectation struct {
 	Variant           string  // empty: every variant
 	NoViolations      bool    // no invariant is violated
-	ServedInTimeAbove float64 // fraction of requests, over all repeats
+	ServedInTimeAbove float64 // fraction of requests, over all runs
 	FailedBelow       float64 // fraction of requests rejected or failed
 	AttemptsBelow     float64 // attempts per request
 	P99Below          time.Duration
--- a/internal/experiment/invariant/servers.go
+++ b/internal/experiment/invariant/servers.go
@@ -155,7 +155,7 @@
 func (c *Checker) RecordOverload(now time.Duration, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	notified, total := 0.0, 0.0
+	var notified, total float64
 	for _, w := range c.recentWork[server] {
 		total += w.work
 		if w.notified {
--- a/internal/experiment/roundrobin/roundrobin.go
+++ b/internal/experiment/roundrobin/roundrobin.go
@@ -1,6 +1,6 @@
 // Package roundrobin is the baseline on sockets: net/http/httputil's ReverseProxy, which sends to
-// the endpoints in turn. It reads the configuration file and the discovery of the platform (DEPLOY),
-// so that experiments can start it in place of the sidecar.
+// the endpoints in turn. It has the platform's configuration file and discovery (DEPLOY), so that
+// experiments can start it in place of the sidecar.
 package roundrobin
 
 import (
--- a/internal/experiment/testbed/clientconn.go
+++ b/internal/experiment/testbed/clientconn.go
@@ -158,7 +158,8 @@
 	for c := range p.all {
 		c.Close()
 	}
-	p.all, p.idle = nil, nil
+	p.all = nil
+	p.idle = nil
 }
 
 // isTimeout reports whether an error says that a deadline of a connection has passed.
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -14,6 +14,7 @@
 
 const (
 	keepaliveInterval = 2 * time.Second         // of empty lines while nothing changes
+	noticeInterval    = time.Millisecond        // at least, between notifications, which keeps their order
 	oldAddressTime    = 1500 * time.Millisecond // for which watches at an old address continue (TERMS)
 )
 
@@ -214,11 +215,12 @@
 	discovery := s.run.experiment.Site.Discovery
 	delay := discovery.Delay + extra + time.Duration(s.discoverySpread*float64(discovery.Spread))
 	s.mu.Lock()
-	at := time.Now().Add(delay)
-	if !at.After(s.lastNotice) {
-		at = s.lastNotice.Add(time.Millisecond)
-	}
+	at := max(s.run.now()+delay, s.lastNotice+noticeInterval)
 	s.lastNotice = at
 	s.mu.Unlock()
-	time.AfterFunc(time.Until(at), func() { s.discovery.publish(e) })
+	s.run.goroutines.Go(func() {
+		if s.run.sleepUntil(at) {
+			s.discovery.publish(e)
+		}
+	})
 }
--- a/internal/experiment/testbed/discoveryfaults.go
+++ b/internal/experiment/testbed/discoveryfaults.go
@@ -40,13 +40,20 @@
 	f.delay = delay
 }
 
-// setSilent begins or ends a time in which nothing is published. It returns what was withheld, to
-// be published now if the time ends.
-func (f *discoveryFaults) setSilent(silent bool) (released []notice) {
+// silence begins a time in which nothing is published.
+func (f *discoveryFaults) silence() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silent = silent
-	released = f.withheld
+	f.silent = true
+}
+
+// resume ends the time in which nothing is published. It returns what was withheld, which is to be
+// published now.
+func (f *discoveryFaults) resume() []notice {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.silent = false
+	released := f.withheld
 	f.withheld = nil
 	return released
 }
--- a/internal/experiment/testbed/discoveryfaults_test.go
+++ b/internal/experiment/testbed/discoveryfaults_test.go
@@ -11,15 +11,16 @@
 	if delay, withheld := f.intercept(notice{tier: 1}); delay != time.Second || withheld {
 		t.Errorf("before the silence: delay %v, withheld %v", delay, withheld)
 	}
-	if released := f.setSilent(true); len(released) != 0 {
-		t.Errorf("the silence releases %+v", released)
+	f.silence()
+	if len(f.withheld) != 0 {
+		t.Errorf("withheld when the silence begins: %+v", f.withheld)
 	}
 	for tier := range 3 {
 		if _, withheld := f.intercept(notice{tier: tier}); !withheld {
 			t.Errorf("notice %d is not withheld", tier)
 		}
 	}
-	released := f.setSilent(false)
+	released := f.resume()
 	if len(released) != 3 {
 		t.Fatalf("released: %+v", released)
 	}
@@ -28,7 +29,10 @@
 			t.Errorf("released: %+v, not in order", released)
 		}
 	}
-	if _, withheld := f.intercept(notice{}); withheld {
-		t.Error("withheld after the silence")
+	if delay, withheld := f.intercept(notice{}); delay != time.Second || withheld {
+		t.Errorf("after the silence: delay %v, withheld %v", delay, withheld)
+	}
+	if released := f.resume(); len(released) != 0 {
+		t.Errorf("released twice: %+v", released)
 	}
 }
--- a/internal/experiment/testbed/faults.go
+++ b/internal/experiment/testbed/faults.go
@@ -8,7 +8,8 @@
 	"rowancart/internal/platform"
 )
 
-// applyFault carries out one step of a fault. It blocks while the step lasts.
+// applyFault carries out one step of a fault, and returns when the step is over. Each step has a
+// goroutine of its own.
 func (r *testRun) applyFault(event traffic.FaultEvent) {
 	switch event.Kind {
 	case experiment.DiscoveryDelay:
@@ -18,7 +19,11 @@
 		}
 		r.discoveryFaults.setDelay(delay)
 	case experiment.DiscoverySilence:
-		for _, n := range r.discoveryFaults.setSilent(event.On) {
+		if event.On {
+			r.discoveryFaults.silence()
+			return
+		}
+		for _, n := range r.discoveryFaults.resume() {
 			r.publish(n.tier, n.entry)
 		}
 	case experiment.SilentPeer, experiment.PartialRequestPeer, experiment.OversizedPeer:
@@ -39,25 +44,37 @@
 	case event.Kind == experiment.RollingDeploy:
 		r.replaceServer(s, event.Fault.Period)
 	case event.Kind == experiment.Crash && event.On:
-		s.crash()
-		if s.sidecar != nil {
-			s.sidecar.kill()
-		}
-		r.publish(s.tier, s.listedEndpoint(platform.StateRemoved))
+		r.crashServer(s)
 	case event.Kind == experiment.Crash:
 		s.restart()
-		if s.sidecar != nil {
-			if err := s.sidecar.start(r.ctx); err != nil {
-				r.fail(err)
-				return
-			}
-		}
-		r.publish(s.tier, s.listedEndpoint(platform.StateReady))
+		r.announce(s)
 	default:
 		s.applyFault(event)
 	}
 }
 
+// crashServer ends a server's process and that of its sidecar, and removes the server from the
+// endpoint list.
+func (r *testRun) crashServer(s *emulatedServer) {
+	s.crash()
+	if s.sidecar != nil {
+		s.sidecar.kill()
+	}
+	r.publish(s.tier, s.listedEndpoint(platform.StateRemoved))
+}
+
+// announce starts the sidecar of a server that has started, and adds the server to the endpoint
+// list.
+func (r *testRun) announce(s *emulatedServer) {
+	if s.sidecar != nil {
+		if err := s.sidecar.start(r.ctx); err != nil {
+			r.fail(err)
+			return
+		}
+	}
+	r.publish(s.tier, s.listedEndpoint(platform.StateReady))
+}
+
 // disruptSidecar kills, terminates or reloads a sidecar of the first tier. One that has ended is
 // started again after the fault's duration.
 func (r *testRun) disruptSidecar(event traffic.FaultEvent, s *sidecar) {
@@ -114,13 +131,7 @@
 		r.fail(err)
 		return
 	}
-	if successor.sidecar != nil {
-		if err := successor.sidecar.start(r.ctx); err != nil {
-			r.fail(err)
-			return
-		}
-	}
-	r.publish(successor.tier, successor.listedEndpoint(platform.StateReady))
+	r.announce(successor)
 }
 
 // addSuccessor creates a server in the place of another, with a sidecar that is yet to be started
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -38,9 +38,9 @@
 	killed          atomic.Bool // by the test bed: requests to it may stay without a response
 
 	mu         sync.Mutex
-	running    Instance  // nil: none
-	cpu        cpuMeter  // of running
-	lastNotice time.Time // when the latest scheduled notification is due
+	running    Instance      // nil: none
+	cpu        cpuMeter      // of running
+	lastNotice time.Duration // when the latest scheduled notification is due
 }
 
 // newSidecar reserves an address for a sidecar and starts its discovery server. Its IP address is
--- a/internal/experiment/testbed/testbed.go
+++ b/internal/experiment/testbed/testbed.go
@@ -1,6 +1,10 @@
 // Package testbed runs an experiment on real sockets: emulated servers, discovery and clients on
 // loopback addresses, and the programs under test as child processes. It measures its own delays:
 // a run in which requests were sent too late is void.
+//
+// Run owns all goroutines. Those of the clients and of the faults end by themselves; those of the
+// servers, of discovery and of the programs' watchers end when Run cancels the run's context and
+// closes the listeners and connections. Run waits for all of them.
 package testbed
 
 import (
--- a/internal/experiment/testbed/violatingproxy_test.go
+++ b/internal/experiment/testbed/violatingproxy_test.go
@@ -60,6 +60,9 @@
 	done      chan struct{}
 	ctx       context.Context // ends with the proxy
 	stop      context.CancelFunc
+
+	draining atomic.Bool   // Terminate was called
+	drained  chan struct{} // closed when the graceful shutdown has ended
 }
 
 // violatingProgram is a Program whose instances are proxies with a violation.
@@ -81,8 +84,14 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	p := &violatingProxy{violation: violation(v), done: make(chan struct{}), ctx: ctx, stop: stop}
-	p.endpoints = c.Known.Endpoints
+	p := &violatingProxy{
+		violation: violation(v),
+		endpoints: c.Known.Endpoints,
+		done:      make(chan struct{}),
+		ctx:       ctx,
+		stop:      stop,
+		drained:   make(chan struct{}),
+	}
 	p.server = &http.Server{Handler: p, ReadHeaderTimeout: proxyHeaderTimeout}
 	if p.violation == keepsImproperPeers {
 		p.server.ReadHeaderTimeout = 0
@@ -91,16 +100,28 @@
 		defer close(p.done)
 		go p.pollEndpoints(ctx, c.Discovery)
 		_ = p.server.Serve(l)
+		if p.draining.Load() {
+			<-p.drained
+		}
 	}()
 	return p, nil
 }
 
 func (p *violatingProxy) Reload(platform.ConfigFile) error { return nil }
-func (p *violatingProxy) Terminate()                       { p.Kill() }
 func (p *violatingProxy) Done() <-chan struct{}            { return p.done }
 func (p *violatingProxy) ExitReason() string               { return "its server was closed" }
 func (p *violatingProxy) Kill()                            { p.stop(); p.server.Close(); <-p.done }
 
+// Terminate implements Instance. It responds to the requests that have been read.
+func (p *violatingProxy) Terminate() {
+	p.draining.Store(true)
+	go func() {
+		_ = p.server.Shutdown(p.ctx) // fails only if Kill ends it
+		p.stop()
+		close(p.drained)
+	}()
+}
+
 // Usage implements Instance. A proxy runs within the test process, so its usage is made up.
 func (p *violatingProxy) Usage() (Usage, error) {
 	if p.violation == exceedsMemory {
