--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -1,8 +1,10 @@
 // Package report summarises runs and writes the results: as JSON, as text for a terminal and as one
 // HTML page without external resources.
 //
-// The names of JSON fields are those of stored reports and must not change. All but the counts by
-// second leave out the requests of the warm-up.
+// The names of JSON fields, and the words of the text and the page, are those of stored reports and
+// must not change: refused (rejected), worth (served priority weight), box (server), fresh (added
+// during the run), broken (violated). All but the counts by second exclude the requests of the
+// warm-up.
 package report
 
 import (
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestFormsOfTheReport(t *testing.T) {
+func TestWrittenReportIsReadBack(t *testing.T) {
 	_, r := newTestReport(t, 90)
 	dir := t.TempDir()
 	if err := r.Write(dir); err != nil {
@@ -82,7 +82,39 @@
 	if err != nil || back.Variants[0].ServedInTime != 181 {
 		t.Fatalf("read back: %+v, %v", back, err)
 	}
-	var page, text bytes.Buffer
+	b, err := json.Marshal(r)
+	if err != nil || !strings.HasPrefix(string(b), `{"version":1,"experiment":"x"`) {
+		t.Errorf("JSON: %.60s, %v", b, err)
+	}
+}
+
+// TestOutcomesStandInJSON checks that embedding Outcomes adds its fields where stored reports have
+// them.
+func TestOutcomesStandInJSON(t *testing.T) {
+	outcomes := Outcomes{ServedInTime: 1, ServedLate: 2, Rejected: 3, Failed: 4}
+	for _, c := range []struct {
+		value any
+		want  string
+	}{
+		{Second{Outcomes: outcomes, P99: 5}, `{"served_in_time":1,"late":2,"refused":3,"failed":4,"p99_ms":5}`},
+		{Group{Name: "c", Offered: 10, Outcomes: outcomes},
+			`{"name":"c","offered":10,"served_in_time":1,"late":2,"refused":3,"failed":4}`},
+	} {
+		got, err := json.Marshal(c.value)
+		if err != nil || string(got) != c.want {
+			t.Errorf("got %s, %v, want %s", got, err, c.want)
+		}
+	}
+	got, err := json.Marshal(Variant{Name: "a", Policy: "p", Offered: 10, Outcomes: outcomes})
+	want := `{"name":"a","policy":"p","offered":10,"served_in_time":1,"late":2,"refused":3,"failed":4,"worth":0,`
+	if err != nil || !strings.HasPrefix(string(got), want) {
+		t.Errorf("got %s, %v, want it to begin with %s", got, err, want)
+	}
+}
+
+func TestPage(t *testing.T) {
+	_, r := newTestReport(t, 90)
+	var page bytes.Buffer
 	if err := r.HTML(&page); err != nil {
 		t.Fatal(err)
 	}
@@ -98,14 +130,15 @@
 			}
 		}
 	}
+}
+
+func TestText(t *testing.T) {
+	_, r := newTestReport(t, 90)
+	var text bytes.Buffer
 	r.Text(&text)
 	if !strings.Contains(text.String(), `a breaks "drain" 2 times`) {
 		t.Errorf("the text:\n%s", &text)
 	}
-	b, err := json.Marshal(r)
-	if err != nil || !strings.HasPrefix(string(b), `{"version":1,"experiment":"x"`) {
-		t.Errorf("JSON: %.60s, %v", b, err)
-	}
 }
 
 func TestCompareSeparatesNoise(t *testing.T) {
