--- a/internal/experiment/testbed/client.go
+++ b/internal/experiment/testbed/client.go
@@ -98,7 +98,12 @@
 		r.checker.Waive(m.id) // TERMS, Failed and lost requests
 		return attemptOutcome{outcome: invariant.Failed}
 	}
-	lost := r.checker.RecordClosedConn(r.now(), m.id)
+	closedAt := r.now()
+	if s.hasExited() { // watchExit records the crash, which includes the requests in flight
+		r.checker.Waive(m.id)
+		return attemptOutcome{outcome: invariant.Failed}
+	}
+	lost := r.checker.RecordClosedConn(closedAt, m.id)
 	return attemptOutcome{outcome: invariant.Failed, unread: !lost}
 }
 
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -20,6 +20,8 @@
 
 	minTerminationTime   = 3 * time.Second        // for a graceful shutdown, if all deadlines are shorter
 	terminationTimeSlack = 700 * time.Millisecond // beyond the longest deadline
+
+	exitNoticeTime = 200 * time.Millisecond // between the end of a program's connections and the notice of its exit
 )
 
 // sidecar is an instance of the program under test with its name, address and discovery. The
@@ -169,6 +171,23 @@
 	}
 }
 
+// hasExited reports whether the program has exited. It waits for exitNoticeTime: the connections of
+// a process are closed before its parent is notified of its exit.
+func (s *sidecar) hasExited() bool {
+	s.mu.Lock()
+	p := s.running
+	s.mu.Unlock()
+	if p == nil { // it is being ended by the test bed
+		return false
+	}
+	select {
+	case <-p.Done():
+		return true
+	case <-time.After(exitNoticeTime):
+		return false
+	}
+}
+
 // takeRunning returns the running program, or nil. The caller must end it.
 func (s *sidecar) takeRunning() Instance {
 	s.mu.Lock()
