--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -93,7 +93,11 @@
 		fmt.Sscan(r.URL.Query().Get("seed"), &seed)
 		return writeBody(conn, seed, size)
 	})
-	s := startSidecarWithLimits(t, platform.ConfigLimits{MemoryMB: 64, Sockets: 1024}, e.Addr)
+	s := testOptions{
+		limits:    platform.ConfigLimits{MemoryMB: 64, Sockets: 1024},
+		settings:  longWaitSettings(), // on a busy machine the responses begin late, one after the other
+		endpoints: []platform.Endpoint{listed("a", e.Addr, platform.StateReady)},
+	}.start(t)
 	before := heapInUse()
 	var begun, all sync.WaitGroup
 	begun.Add(responses)
