--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -59,11 +59,11 @@
 // configWithoutEndpoints returns a configuration whose known endpoint list is empty.
 func configWithoutEndpoints(addr, discovery string) platform.ConfigFile {
 	return platform.ConfigFile{
-		Name:      "t",
-		Listen:    addr,
-		Discovery: discovery,
-		Seed:      "1",
-		Known:     platform.CompleteList(1),
+		Name:           "t",
+		Listen:         addr,
+		Discovery:      discovery,
+		Seed:           "1",
+		KnownEndpoints: platform.CompleteList(1),
 	}
 }
 
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -121,11 +121,11 @@
 	discovery := startListingDiscovery(t, []string{hanging.Addr().String()})
 	addr := freeAddr(t)
 	c := startBuilt(t, platform.ConfigFile{
-		Name:      "t",
-		Listen:    addr,
-		Discovery: discovery,
-		Seed:      "1",
-		Known:     platform.CompleteList(1, testpeer.Listed("a", hanging.Addr().String(), platform.StateReady)),
+		Name:           "t",
+		Listen:         addr,
+		Discovery:      discovery,
+		Seed:           "1",
+		KnownEndpoints: platform.CompleteList(1, testpeer.Listed("a", hanging.Addr().String(), platform.StateReady)),
 		Settings: platform.SettingsObject{Classes: []platform.ClassSettings{{
 			Name:               "pay",
 			Idempotency:        platform.NonIdempotent,
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -318,7 +318,7 @@
 	case source.Platform != "":
 		client := watch.New(watch.Options{
 			Addr:     source.Platform,
-			OnUpdate: func(update platform.EndpointList) { p.updateEndpoints(watch.PoolList(update)) },
+			OnUpdate: func(update platform.EndpointList) { p.updateEndpoints(watch.ProxyEndpointList(update)) },
 			Log:      p.log,
 		})
 		p.watcher = startWatcher(p.runCtx, client.Run)
--- a/internal/discovery/watch/poollist.go
+++ b/internal/discovery/watch/poollist.go
@@ -5,8 +5,8 @@
 	"rowancart/internal/proxy"
 )
 
-// PoolList returns a valid message in the form that a pool is updated with.
-func PoolList(message platform.EndpointList) proxy.EndpointList {
+// ProxyEndpointList returns a valid message in the form that a pool is updated with.
+func ProxyEndpointList(message platform.EndpointList) proxy.EndpointList {
 	list := proxy.EndpointList{Complete: message.Complete}
 	for _, e := range message.Endpoints {
 		state, _ := e.State.EndpointState() // known: the message is valid
--- a/internal/experiment/roundrobin/roundrobin.go
+++ b/internal/experiment/roundrobin/roundrobin.go
@@ -81,7 +81,7 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		return c, fmt.Errorf("%s: %w", path, err)
 	}
-	c.Known.Complete = true
+	c.KnownEndpoints.Complete = true
 	return c, nil
 }
 
@@ -93,7 +93,7 @@
 		return err
 	}
 	e := &endpoints{}
-	e.apply(config.Known)
+	e.apply(config.KnownEndpoints)
 	idleTimeout := time.Duration(config.Settings.Permissions.ConnIdleUs) * time.Microsecond
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
--- a/internal/experiment/speed/config.go
+++ b/internal/experiment/speed/config.go
@@ -22,8 +22,8 @@
 			MemoryMB: sidecarMemoryMB,
 			Sockets:  sidecarSockets + 2*o.IdleConnections,
 		},
-		Known:    platform.CompleteList(1, listedEndpoints(a.servers)...),
-		Settings: sidecarSettings(),
+		KnownEndpoints: platform.CompleteList(1, listedEndpoints(a.servers)...),
+		Settings:       sidecarSettings(),
 	})
 }
 
--- a/internal/experiment/testbed/settings.go
+++ b/internal/experiment/testbed/settings.go
@@ -32,7 +32,7 @@
 			ConnIdleUs:        server.ConnIdleTimeout.Microseconds(),
 			DialTimeoutUs:     sidecarDialTimeout.Microseconds(),
 		},
-		Rules: platform.EndpointBehavior{
+		EndpointBehavior: platform.EndpointBehavior{
 			SlowStartCapacity: server.InitialCapacity,
 			SlowStartWindowUs: server.WarmupTime.Microseconds(),
 			SlowStartShare:    variant.SlowStartShare,
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -131,8 +131,8 @@
 			MemoryMB: limits.MemoryMB,
 			Sockets:  limits.Descriptors,
 		},
-		Known:    s.discovery.snapshot(),
-		Settings: platformSettings(s.run.experiment.Site, s.run.variant, s.placement),
+		KnownEndpoints: s.discovery.snapshot(),
+		Settings:       platformSettings(s.run.experiment.Site, s.run.variant, s.placement),
 	}
 }
 
--- a/internal/experiment/testbed/violatingproxy_test.go
+++ b/internal/experiment/testbed/violatingproxy_test.go
@@ -86,7 +86,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p := &violatingProxy{
 		violation: violation(v),
-		endpoints: c.Known.Endpoints,
+		endpoints: c.KnownEndpoints.Endpoints,
 		done:      make(chan struct{}),
 		ctx:       ctx,
 		stop:      stop,
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -102,7 +102,7 @@
 			ConnIdleUs:         11,
 			DialTimeoutUs:      12,
 		},
-		Rules: EndpointBehavior{
+		EndpointBehavior: EndpointBehavior{
 			PollIntervalUs:    13,
 			SlowStartWindowUs: 14,
 			DrainGraceUs:      15,
@@ -159,14 +159,14 @@
 		`"limits":{"cores":0.5,"memory_mb":64,"sockets":128},` +
 		`"known":` + goldenEmptyList + `,"settings":` + goldenSettings + `}`
 	file := ConfigFile{
-		Name:      "n",
-		Listen:    "127.0.0.1:1",
-		Discovery: "127.0.0.1:2",
-		AdminAddr: "127.0.0.1:3",
-		Seed:      "1f",
-		Limits:    ConfigLimits{Cores: 0.5, MemoryMB: 64, Sockets: 128},
-		Known:     CompleteList(0),
-		Settings:  goldenSettingsObject(),
+		Name:           "n",
+		Listen:         "127.0.0.1:1",
+		Discovery:      "127.0.0.1:2",
+		AdminAddr:      "127.0.0.1:3",
+		Seed:           "1f",
+		Limits:         ConfigLimits{Cores: 0.5, MemoryMB: 64, Sockets: 128},
+		KnownEndpoints: CompleteList(0),
+		Settings:       goldenSettingsObject(),
 	}
 	text, err := json.Marshal(file)
 	if err != nil || string(text) != golden {
@@ -178,7 +178,7 @@
 	}
 	if raw.Name != "n" || raw.Listen != "127.0.0.1:1" || raw.Discovery != "127.0.0.1:2" ||
 		raw.AdminAddr != "127.0.0.1:3" || raw.Seed != "1f" || raw.Limits != file.Limits ||
-		string(raw.Known) != goldenEmptyList || string(raw.Settings) != goldenSettings {
+		string(raw.KnownEndpoints) != goldenEmptyList || string(raw.Settings) != goldenSettings {
 		t.Errorf("read raw: %+v", raw)
 	}
 	var read ConfigFile
@@ -188,8 +188,8 @@
 	file.Settings.Classes[0].PriorityWeight.Value = 0 // what is only written
 	file.Settings.Tenants[0].TrafficShare.Value = 0
 	file.Settings.Permissions.HealthCheckAllowed.Value = false
-	file.Settings.Rules.OverloadMultiple.Value = 0
-	file.Settings.Rules.OverloadWindowUs.Value = 0
+	file.Settings.EndpointBehavior.OverloadMultiple.Value = 0
+	file.Settings.EndpointBehavior.OverloadWindowUs.Value = 0
 	if !reflect.DeepEqual(read, file) {
 		t.Errorf("read: %+v, want %+v", read, file)
 	}
@@ -214,7 +214,7 @@
 		{DiscoveryField, "discovery"},
 		{AdminAddrField, "console"},
 		{SeedField, "seed"},
-		{KnownField, "known"},
+		{KnownEndpointsField, "known"},
 		{ConfigSettingsField, "settings"},
 		{CoresField, "limits.cores"},
 		{MemoryMBField, "limits.memory_mb"},
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -42,7 +42,7 @@
 		Settings:    object.balancerSettings(),
 		ConnIdle:    microseconds(object.Permissions.ConnIdleUs),
 		DialTimeout: microseconds(object.Permissions.DialTimeoutUs),
-		DrainGrace:  microseconds(object.Rules.DrainGraceUs),
+		DrainGrace:  microseconds(object.EndpointBehavior.DrainGraceUs),
 	}
 	switch object.Discovery {
 	case DiscoveryAutomatic, "":
@@ -72,13 +72,13 @@
 		Index:             c.Index,
 		Tier:              c.Tier,
 		TiersBelow:        max(len(c.Tiers)-1-c.Tier, 0),
-		PollInterval:      microseconds(c.Rules.PollIntervalUs),
+		PollInterval:      microseconds(c.EndpointBehavior.PollIntervalUs),
 		MaxAttempts:       c.Permissions.MaxAttempts,
 		CancelAllowed:     c.Permissions.CancelAllowed,
 		Resolution:        microseconds(c.ResolutionUs),
-		SlowStartCapacity: c.Rules.SlowStartCapacity,
-		SlowStartShare:    c.Rules.SlowStartShare,
-		SlowStartWindow:   microseconds(c.Rules.SlowStartWindowUs),
+		SlowStartCapacity: c.EndpointBehavior.SlowStartCapacity,
+		SlowStartShare:    c.EndpointBehavior.SlowStartShare,
+		SlowStartWindow:   microseconds(c.EndpointBehavior.SlowStartWindowUs),
 	}
 	if c.Permissions.RetryAfterAllowed {
 		s.MaxRetryAfter = microseconds(c.Permissions.MaxRetryAfterUs)
@@ -128,11 +128,11 @@
 		{"Permissions.MaxRetryAfterUs", float64(c.Permissions.MaxRetryAfterUs)},
 		{"Permissions.ConnIdleUs", float64(c.Permissions.ConnIdleUs)},
 		{"Permissions.DialTimeoutUs", float64(c.Permissions.DialTimeoutUs)},
-		{"Rules.AskWithinUs", float64(c.Rules.PollIntervalUs)},
-		{"Rules.ColdUs", float64(c.Rules.SlowStartWindowUs)},
-		{"Rules.DrainGraceUs", float64(c.Rules.DrainGraceUs)},
-		{"Rules.ColdFrom", c.Rules.SlowStartCapacity},
-		{"Rules.ColdShare", c.Rules.SlowStartShare},
+		{"Rules.AskWithinUs", float64(c.EndpointBehavior.PollIntervalUs)},
+		{"Rules.ColdUs", float64(c.EndpointBehavior.SlowStartWindowUs)},
+		{"Rules.DrainGraceUs", float64(c.EndpointBehavior.DrainGraceUs)},
+		{"Rules.ColdFrom", c.EndpointBehavior.SlowStartCapacity},
+		{"Rules.ColdShare", c.EndpointBehavior.SlowStartShare},
 	}
 	for _, a := range amounts {
 		if a.value < 0 {
--- a/internal/platform/settingsobject.go
+++ b/internal/platform/settingsobject.go
@@ -3,16 +3,16 @@
 // SettingsObject is the JSON form of the settings, under the platform's names. Times are in
 // microseconds.
 type SettingsObject struct {
-	Instances    int              `json:"NInstances"`
-	Index        int              `json:"Me"`
-	Tier         int              `json:"Tier"`
-	Tiers        []string         `json:"Tiers"`
-	Classes      []ClassSettings  `json:"Lanes"`
-	Tenants      []TenantSettings `json:"Accounts"`
-	Discovery    string           `json:"Discovery"` // a discovery mode
-	ResolutionUs int64            `json:"ResolutionUs"`
-	Permissions  Permissions      `json:"Permissions"`
-	Rules        EndpointBehavior `json:"Rules"`
+	Instances        int              `json:"NInstances"`
+	Index            int              `json:"Me"`
+	Tier             int              `json:"Tier"`
+	Tiers            []string         `json:"Tiers"`
+	Classes          []ClassSettings  `json:"Lanes"`
+	Tenants          []TenantSettings `json:"Accounts"`
+	Discovery        string           `json:"Discovery"` // a discovery mode
+	ResolutionUs     int64            `json:"ResolutionUs"`
+	Permissions      Permissions      `json:"Permissions"`
+	EndpointBehavior EndpointBehavior `json:"Rules"`
 }
 
 // Discovery modes.
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -77,7 +77,7 @@
 	if c.Settings, err = parseSettings(file.Settings, file.Seed); err != nil {
 		return c, err
 	}
-	c.KnownEndpoints, err = parseKnownEndpoints(file.Known)
+	c.KnownEndpoints, err = parseKnownEndpoints(file.KnownEndpoints)
 	return c, err
 }
 
@@ -103,7 +103,7 @@
 	}
 	list, err := platform.ParseEndpointList(text)
 	if err != nil {
-		return list, &platform.FieldError{Field: platform.KnownField, Err: err}
+		return list, &platform.FieldError{Field: platform.KnownEndpointsField, Err: err}
 	}
 	return list, nil
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -127,7 +127,7 @@
 		WaitForSubscribe: c.Settings.SubscribeRequired,
 		Version:          c.KnownEndpoints.Version,
 		DrainGrace:       c.Settings.DrainGrace,
-		OnUpdate:         func(list platform.EndpointList) { s.pool.UpdateEndpoints(watch.PoolList(list)) },
+		OnUpdate:         func(list platform.EndpointList) { s.pool.UpdateEndpoints(watch.ProxyEndpointList(list)) },
 		OnCurrent: func() {
 			s.pool.MarkListCurrent()
 			s.readiness.markListReceived()
@@ -136,7 +136,7 @@
 	})
 	known := c.KnownEndpoints
 	known.Complete = true // a complete list: the latest that the platform had
-	s.pool = proxy.New(c.Settings.Settings, watch.PoolList(known), proxy.Options{
+	s.pool = proxy.New(c.Settings.Settings, watch.ProxyEndpointList(known), proxy.Options{
 		IdleTimeout: c.Settings.ConnIdle,
 		DialTimeout: c.Settings.DialTimeout,
 		MaxConns:    c.Limits.maxConns(processesAlone),
--- a/internal/sidecar/testsidecar_test.go
+++ b/internal/sidecar/testsidecar_test.go
@@ -70,7 +70,7 @@
 			{Name: "pay", Idempotency: platform.NonIdempotent, LatencyObjectiveUs: objectiveUs},
 		},
 		Permissions: platform.Permissions{CancelAllowed: true, MaxAttempts: 4, DialTimeoutUs: 15_000_000},
-		Rules: platform.EndpointBehavior{
+		EndpointBehavior: platform.EndpointBehavior{
 			SlowStartWindowUs: 60_000_000,
 			SlowStartCapacity: 0.1,
 			SlowStartShare:    0.000001,
@@ -133,13 +133,13 @@
 func (o testOptions) config(t *testing.T, discovery string) Config {
 	t.Helper()
 	text, err := json.Marshal(platform.ConfigFile{
-		Listen:    "127.0.0.1:0",
-		Discovery: discovery,
-		AdminAddr: "127.0.0.1:0",
-		Seed:      "7",
-		Limits:    o.limits,
-		Known:     platform.CompleteList(1, o.endpoints...),
-		Settings:  *cmp.Or(o.settings, testSettings()),
+		Listen:         "127.0.0.1:0",
+		Discovery:      discovery,
+		AdminAddr:      "127.0.0.1:0",
+		Seed:           "7",
+		Limits:         o.limits,
+		KnownEndpoints: platform.CompleteList(1, o.endpoints...),
+		Settings:       *cmp.Or(o.settings, testSettings()),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -203,7 +203,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.pool.UpdateEndpoints(watch.PoolList(list))
+	s.pool.UpdateEndpoints(watch.ProxyEndpointList(list))
 }
 
 // waitForInFlight waits until exactly so many requests are in flight in the balancer. The metric
--- a/internal/soak/sidecars_test.go
+++ b/internal/soak/sidecars_test.go
@@ -68,7 +68,7 @@
 			DialTimeoutUs:     (250 * time.Millisecond).Microseconds(),
 			ConnIdleUs:        (3 * time.Second).Microseconds(),
 		},
-		Rules: platform.EndpointBehavior{
+		EndpointBehavior: platform.EndpointBehavior{
 			SlowStartCapacity: initialShare,
 			SlowStartWindowUs: warmupDuration.Microseconds(),
 			DrainGraceUs:      drainGrace.Microseconds(),
