--- a/internal/platform/configfile.go
+++ b/internal/platform/configfile.go
@@ -2,34 +2,36 @@
 
 import "encoding/json"
 
-// ConfigFile is the JSON form of a sidecar's configuration file, for those that write one.
+// ConfigFile is the JSON form of a sidecar's configuration file, for programs that write one. The
+// sidecar itself reads a RawConfigFile.
 type ConfigFile struct {
 	Name           string         `json:"name"`
-	Listen         string         `json:"listen"`            // host:port on which clients connect
-	Discovery      string         `json:"discovery"`         // host:port of discovery
-	AdminAddr      string         `json:"console,omitempty"` // host:port on which operators connect
-	Seed           string         `json:"seed"`              // hexadecimal
+	Listen         string         `json:"listen"`            // host:port for clients
+	Discovery      string         `json:"discovery"`         // host:port of endpoint discovery
+	AdminAddr      string         `json:"console,omitempty"` // host:port for operators
+	Seed           string         `json:"seed"`              // random seed, in hexadecimal
 	Limits         ConfigLimits   `json:"limits"`
-	KnownEndpoints EndpointList   `json:"known,omitzero"` // the latest list that the platform had
+	KnownEndpoints EndpointList   `json:"known,omitzero"` // the platform's latest list when the file was written
 	Settings       SettingsObject `json:"settings"`
 }
 
-// ConfigLimits are the limits in a ConfigFile; 0 stands for no limit.
+// ConfigLimits are the resource limits in a ConfigFile; 0 means that a limit is not set.
 type ConfigLimits struct {
 	Cores    float64 `json:"cores,omitempty"`
 	MemoryMB int     `json:"memory_mb,omitempty"`
 	Sockets  int     `json:"sockets,omitempty"`
 }
 
-// RawConfigFile is a ConfigFile as a sidecar reads it. Its endpoint list and its settings are
-// parsed by ParseEndpointList and ParseSettings, so that an error can name the field that it is in.
+// RawConfigFile is a ConfigFile as a sidecar reads it, with its endpoint list and its settings not
+// decoded yet. ParseEndpointList and ParseSettings decode them, so that an error can name the
+// invalid field.
 type RawConfigFile struct {
 	ConfigFile
 	KnownEndpoints json.RawMessage `json:"known"`
 	Settings       json.RawMessage `json:"settings"`
 }
 
-// Names of the fields of a ConfigFile, for errors.
+// Names of the fields of a ConfigFile, for error messages.
 const (
 	ListenField         = "listen"
 	DiscoveryField      = "discovery"
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,6 +1,7 @@
-// Package platform holds the names of the platform's protocol: what stands on the wire, in the
-// sidecar's configuration and in its environment. It is the only place that spells them. Everywhere
-// else the code uses the terms of the field, which stand beside each name here:
+// Package platform defines the names that the platform's protocol uses on the wire, in the
+// sidecar's configuration file and in its environment. Other packages refer to them through the
+// constants and types of this one, and use the usual terms of the field. The table lists the term
+// for each name:
 //
 //	on the wire            in the code
 //	Req-Id                 request id
@@ -47,9 +48,9 @@
 //	console                admin address
 //	sockets                descriptors
 //
-// The types of JSON messages serve both directions: sidecars decode them, and stand-ins for the
-// platform, in tests and experiments, write them. Fields that only stand-ins need are WriteOnly.
-// Golden tests hold every form to literal text.
+// The types of JSON messages are used in both directions: sidecars decode them, and the fake
+// platforms of tests and experiments encode them. Fields that only the fake platforms need are of
+// type WriteOnly. Golden tests compare the encoding of every type with literal text.
 //
-// The simulator's line protocol, which uses other names for the same events, is package wire.
+// Package wire implements the simulator's line protocol, which has other names for the same events.
 package platform
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -8,7 +8,7 @@
 	"rowancart/internal/netaddr"
 )
 
-// State is the name that an endpoint's state has on the wire.
+// State is the name of an endpoint state on the wire.
 type State string
 
 // The states of endpoints.
@@ -18,7 +18,7 @@
 	StateRemoved  State = "Gone"
 )
 
-// EndpointState returns the state that the name stands for, and whether it is known.
+// EndpointState returns the balancer's term for the state. It reports false if the name is unknown.
 func (s State) EndpointState() (state balancer.State, ok bool) {
 	switch s {
 	case StateReady:
@@ -31,16 +31,16 @@
 	return 0, false
 }
 
-// Endpoint is one entry of a message from discovery.
+// Endpoint is one entry of an EndpointList.
 type Endpoint struct {
 	ID        string             `json:"id"`
-	Addr      string             `json:"addr"` // host:port; may be missing for an endpoint that is removed
+	Addr      string             `json:"addr"` // host:port; may be empty if the endpoint is removed
 	Zone      string             `json:"zone"`
 	Kind      string             `json:"kind"`
 	Cell      int                `json:"cell"`
 	State     State              `json:"state"`
 	Weight    WriteOnly[float64] `json:"weight"`
-	StartedMs int64              `json:"started_ms"` // Unix time of the process's start, in ms; 0: long ago
+	StartedMs int64              `json:"started_ms"` // Unix time at which the process started, in ms; 0: long ago
 }
 
 // EndpointList is a message from discovery: the complete list, or the entries that have changed.
@@ -50,25 +50,25 @@
 	Endpoints []Endpoint `json:"servers"`
 }
 
-// CompleteList returns the message with the complete list of a version.
+// CompleteList returns a message with the complete list at a version.
 func CompleteList(version int64, endpoints ...Endpoint) EndpointList {
 	list := Changes(version, endpoints...)
 	list.Complete = true
 	return list
 }
 
-// Changes returns the message with the entries that have changed up to a version.
+// Changes returns a message with changed entries. The version is that of the list after them.
 func Changes(version int64, endpoints ...Endpoint) EndpointList {
 	return EndpointList{
 		Version:   &version,
-		Endpoints: append([]Endpoint{}, endpoints...), // a message without endpoints has an empty array
+		Endpoints: append([]Endpoint{}, endpoints...), // never nil: its JSON form is an array even if it is empty
 	}
 }
 
-// Text returns the message as discovery sends it.
+// Text returns the JSON text of the message, as discovery sends it.
 func (l EndpointList) Text() []byte {
 	text, err := json.Marshal(l)
-	if err != nil { // a weight that is not a number; all other fields have a JSON form
+	if err != nil { // the only value without a JSON form is a weight that is infinite or NaN
 		panic(err)
 	}
 	return text
@@ -84,7 +84,7 @@
 	if list.Version == nil {
 		return EndpointList{}, &FieldError{Field: "version", Err: errMissing}
 	}
-	if list.Endpoints == nil { // must not be taken for a list without any endpoint
+	if list.Endpoints == nil { // a missing list must not be taken for an empty one
 		return EndpointList{}, &FieldError{Field: "servers", Err: errMissing}
 	}
 	for _, endpoint := range list.Endpoints {
@@ -98,7 +98,7 @@
 // validate returns an error that names the first invalid field.
 func (e Endpoint) validate() error {
 	if _, ok := e.State.EndpointState(); !ok {
-		return &FieldError{Field: "state", Err: fmt.Errorf("%q of %q is unknown", string(e.State), e.ID)}
+		return &FieldError{Field: "state", Err: fmt.Errorf("unknown state %q of endpoint %q", string(e.State), e.ID)}
 	}
 	if e.ID == "" {
 		return &FieldError{Field: "id", Err: errMissing}
--- a/internal/platform/endpointlist_test.go
+++ b/internal/platform/endpointlist_test.go
@@ -32,7 +32,7 @@
 		_, err := ParseEndpointList([]byte(text))
 		var invalid *FieldError
 		if !errors.As(err, &invalid) || invalid.Field != field {
-			t.Errorf("%s: %v, want an error of field %q", text, err, field)
+			t.Errorf("%s: %v, want an error for field %q", text, err, field)
 		}
 	}
 }
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -2,11 +2,11 @@
 
 import "errors"
 
-// errMissing says that a field is not there, or empty.
+// errMissing means that a field is absent or empty.
 var errMissing = errors.New("missing")
 
-// FieldError says which field of a message, or of the settings, is invalid. It names the field as
-// it stands on the wire.
+// FieldError reports an invalid field of a message or of the settings, by the field's name on the
+// wire.
 type FieldError struct {
 	Field string
 	Err   error
@@ -15,5 +15,5 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the reason why the field is invalid.
 func (e *FieldError) Unwrap() error { return e.Err }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -9,8 +9,9 @@
 	"rowancart/balancer"
 )
 
-// The golden tests hold every name of the platform to literal text. Programs under test and their
-// stand-ins share this package, so a wrong name would go unnoticed in any other test.
+// The golden tests compare every name of the platform with literal text. In all other tests the
+// program under test and the fake platform both use this package, so a wrong name would go
+// unnoticed.
 
 const goldenList = `{"version":7,"full":true,"servers":[` +
 	`{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"Ready","weight":1,` +
@@ -34,7 +35,7 @@
 	for name, test := range map[string]struct {
 		text    string
 		written EndpointList
-		read    EndpointList // without what is only written
+		read    EndpointList // without values of type WriteOnly, which are not decoded
 	}{
 		"list": {goldenList,
 			CompleteList(7, weighted(ready, 1), weighted(draining, 0.5)), CompleteList(7, ready, draining)},
@@ -60,7 +61,7 @@
 		"Gone":        balancer.Removed,
 	} {
 		if state, ok := name.EndpointState(); !ok || state != want {
-			t.Errorf("%s stands for state %v, %v, want %v", name, state, ok, want)
+			t.Errorf("%s: state %v, known %v, want state %v", name, state, ok, want)
 		}
 	}
 }
@@ -75,7 +76,7 @@
 	`"Rules":{"AskWithinUs":13,"ColdUs":14,"DrainGraceUs":15,"ColdFrom":0.5,"ColdShare":0.75,` +
 	`"FallMultiple":4,"TipAfterUs":16}}`
 
-// goldenSettingsObject returns what goldenSettings is written from.
+// goldenSettingsObject returns the object whose JSON form is goldenSettings.
 func goldenSettingsObject() SettingsObject {
 	return SettingsObject{
 		Instances: 4,
@@ -185,7 +186,7 @@
 	if err := json.Unmarshal([]byte(golden), &read); err != nil {
 		t.Fatal(err)
 	}
-	file.Settings.Classes[0].PriorityWeight.Value = 0 // what is only written
+	file.Settings.Classes[0].PriorityWeight.Value = 0 // WriteOnly values are not decoded
 	file.Settings.Tenants[0].TrafficShare.Value = 0
 	file.Settings.Permissions.HealthCheckAllowed.Value = false
 	file.Settings.EndpointBehavior.OverloadMultiple.Value = 0
@@ -233,7 +234,7 @@
 	}
 }
 
-// Fields that no sidecar uses may hold anything, as unknown ones may.
+// Fields that no sidecar uses may have any JSON value, as unknown fields may.
 func TestUnusedFieldsAreNotDecoded(t *testing.T) {
 	for _, value := range []string{`null`, `1e999`, `"heavy"`, `true`, `[1]`, `{"a":[]}`} {
 		list := `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"Ready","weight":` + value +
--- a/internal/platform/headers.go
+++ b/internal/platform/headers.go
@@ -6,10 +6,10 @@
 const (
 	RequestIDHeader      = "Req-Id"
 	TenantHeader         = "Req-Owner"
-	DeadlineHeader       = "Req-Deadline-Ms" // how long the sender waits for the response, in milliseconds
-	ClientRetryHeader    = "Req-Retry"       // ClientRetryValue on a client's retry
+	DeadlineHeader       = "Req-Deadline-Ms" // how long the sender waits for the response, in ms
+	ClientRetryHeader    = "Req-Retry"       // ClientRetryValue if the request is a retry by the client
 	IdempotencyKeyHeader = "Idempotency-Key"
-	RejectedHeader       = "Srv-Declined" // RejectedValue on a response to a request that the endpoint has not begun
+	RejectedHeader       = "Srv-Declined" // RejectedValue if the endpoint rejected the request before it ran
 	LoadReportHeader     = "Srv-Load"     // name=value pairs, separated by commas
 )
 
@@ -19,18 +19,18 @@
 	RejectedValue    = "1"
 )
 
-// HealthPath is the path at which a sidecar says whether it is ready.
+// HealthPath is the path at which a sidecar reports whether it is ready.
 const HealthPath = "/_health"
 
-// The path of endpoint discovery, and the parameters of a watch.
+// The path of endpoint discovery, and the query parameters of a watch.
 const (
 	EndpointListPath = "/catalog/members"
-	WatchParameter   = "watch" // WatchValue
+	WatchParameter   = "watch" // always WatchValue
 	WatchValue       = "1"
-	VersionParameter = "after" // the version after which changes are wanted
+	VersionParameter = "after" // version after which changes are requested
 )
 
-// WatchQuery returns the query of a watch for the changes after a version.
+// WatchQuery returns the query string of a watch for the changes after a version.
 func WatchQuery(version int64) string {
 	return WatchParameter + "=" + WatchValue + "&" + VersionParameter + "=" + strconv.FormatInt(version, 10)
 }
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -8,20 +8,20 @@
 	"rowancart/balancer"
 )
 
-// Settings are those of the balancer, and those of a host that has connections of its own.
+// Settings are the balancer's settings and those of a program that manages connections itself.
 type Settings struct {
 	balancer.Settings
-	ConnIdle    time.Duration // an endpoint closes a connection that has been idle for this long; 0: unknown
-	DialTimeout time.Duration // a connection not established by then has failed; 0: no such limit
-	MaxDeadline time.Duration // deadline of all classes; 0: none is set
-	DrainGrace  time.Duration // draining endpoints may still be sent requests for this long; 0: unknown
+	ConnIdle    time.Duration // endpoints close connections that have been idle for this long; 0: unknown
+	DialTimeout time.Duration // time limit for establishing a connection; 0: no limit
+	MaxDeadline time.Duration // the longest maximum deadline of any class; 0: none is set
+	DrainGrace  time.Duration // how long a draining endpoint may still be sent requests; 0: unknown
 }
 
-// SettingsField is the name of the field of the simulator's message that has a SettingsObject.
+// SettingsField is the field of the simulator's start message that contains a SettingsObject.
 const SettingsField = "Config"
 
-// ParseSettings decodes a SettingsObject, which has the same form in the simulator and in the
-// deployment. Fields that are not there have the value 0.
+// ParseSettings decodes and validates a SettingsObject, whose JSON form is the same in simulations
+// and in deployments. Missing fields have the value 0.
 func ParseSettings(text []byte) (Settings, error) {
 	s, err := parseSettings(text)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return s, nil
 }
 
-// balancerSettings returns the balancer's settings except discovery, classes and tenants.
+// balancerSettings returns the balancer's settings except the discovery mode, classes and tenants.
 func (c *SettingsObject) balancerSettings() balancer.Settings {
 	s := balancer.Settings{
 		Instances:         c.Instances,
@@ -86,7 +86,7 @@
 	return s
 }
 
-// parse returns the balancer's form of a class.
+// parse converts a class to its form in package balancer.
 func (c ClassSettings) parse() (balancer.Class, error) {
 	class := balancer.Class{Name: c.Name, KeyWindow: microseconds(c.KeyWindowUs),
 		LatencyObjective: microseconds(c.LatencyObjectiveUs)}
@@ -113,10 +113,10 @@
 	return class, nil
 }
 
-// validate rejects negative amounts. The balancer would take a negative time, count or share for an
-// absent one, or apply the reverse of a rule.
+// validate rejects negative numbers. The balancer would treat a negative time, count or share as
+// not set, or apply a rule in reverse.
 func (c *SettingsObject) validate() error {
-	amounts := []struct {
+	numbers := []struct {
 		field string
 		value float64
 	}{
@@ -134,19 +134,21 @@
 		{"Rules.ColdFrom", c.EndpointBehavior.SlowStartCapacity},
 		{"Rules.ColdShare", c.EndpointBehavior.SlowStartShare},
 	}
-	for _, a := range amounts {
-		if a.value < 0 {
-			return &FieldError{Field: a.field, Err: fmt.Errorf("%v is negative", a.value)}
+	for _, n := range numbers {
+		if n.value < 0 {
+			return &FieldError{Field: n.field, Err: fmt.Errorf("%v is negative", n.value)}
 		}
 	}
 	for _, class := range c.Classes {
 		if class.LatencyObjectiveUs < 0 || class.MaxDeadlineUs < 0 || class.KeyWindowUs < 0 {
-			return &FieldError{Field: "Lanes", Err: fmt.Errorf("class %q has a negative time", class.Name)}
+			return &FieldError{Field: "Lanes",
+				Err: fmt.Errorf("class %q has a negative OnTimeUs, HardLimitUs or WindowUs", class.Name)}
 		}
 	}
 	for _, tenant := range c.Tenants {
 		if tenant.Quota < 0 {
-			return &FieldError{Field: "Accounts", Err: fmt.Errorf("tenant %q has a quota of %v/s", tenant.Name, tenant.Quota)}
+			return &FieldError{Field: "Accounts",
+				Err: fmt.Errorf("tenant %q has a negative quota of %v/s", tenant.Name, tenant.Quota)}
 		}
 	}
 	return nil
--- a/internal/platform/settingsobject.go
+++ b/internal/platform/settingsobject.go
@@ -1,12 +1,12 @@
 package platform
 
-// SettingsObject is the JSON form of the settings, under the platform's names. Times are in
-// microseconds.
+// SettingsObject is the JSON form of Settings, under the platform's names. Fields whose names end
+// in Us are in microseconds.
 type SettingsObject struct {
 	Instances        int              `json:"NInstances"`
 	Index            int              `json:"Me"`
-	Tier             int              `json:"Tier"`
-	Tiers            []string         `json:"Tiers"`
+	Tier             int              `json:"Tier"`  // index of the instance's tier in Tiers
+	Tiers            []string         `json:"Tiers"` // names of all tiers, from the clients on
 	Classes          []ClassSettings  `json:"Lanes"`
 	Tenants          []TenantSettings `json:"Accounts"`
 	Discovery        string           `json:"Discovery"` // a discovery mode
@@ -18,7 +18,7 @@
 // Discovery modes.
 const (
 	DiscoveryAutomatic = "automatic" // the default
-	DiscoverySubscribe = "subscribe" // lists come only to those that subscribe
+	DiscoverySubscribe = "subscribe" // endpoint lists are sent only to instances that subscribe
 )
 
 // ClassSettings are the settings of one class of requests.
@@ -39,7 +39,8 @@
 	NonIdempotent    = "non_idempotent"
 )
 
-// Values of ClassSettings.KeyScope: among which endpoints an idempotency key is known.
+// Values of ClassSettings.KeyScope: which endpoints together drop duplicates of a request with an
+// idempotency key.
 const (
 	KeyScopeAll  = "all" // the default
 	KeyScopeZone = "zone"
@@ -53,7 +54,7 @@
 	TrafficShare WriteOnly[float64] `json:"Share"`
 }
 
-// Permissions are what a sidecar may do, and how long its connections live.
+// Permissions are what a sidecar is permitted to do, and the timeouts of its connections.
 type Permissions struct {
 	CancelAllowed      bool            `json:"MayCancel"`
 	HealthCheckAllowed WriteOnly[bool] `json:"MayProbe"`
@@ -64,14 +65,14 @@
 	DialTimeoutUs      int64           `json:"DialTimeoutUs"`
 }
 
-// EndpointBehavior is what a sidecar can rely on in endpoints and discovery.
+// EndpointBehavior is the behavior of endpoints and of discovery that a sidecar can rely on.
 type EndpointBehavior struct {
 	PollIntervalUs    int64   `json:"AskWithinUs"`
 	SlowStartWindowUs int64   `json:"ColdUs"`
 	DrainGraceUs      int64   `json:"DrainGraceUs"`
 	SlowStartCapacity float64 `json:"ColdFrom"`
-	SlowStartShare    float64 `json:"ColdShare"` // our own field: the platform does not send it
+	SlowStartShare    float64 `json:"ColdShare"` // an extension of this project: the platform does not send it
 
-	OverloadMultiple WriteOnly[float64] `json:"FallMultiple"` // of its capacity, under which an endpoint collapses
-	OverloadWindowUs WriteOnly[int64]   `json:"TipAfterUs"`   // for which it bears that load
+	OverloadMultiple WriteOnly[float64] `json:"FallMultiple"` // load that makes an endpoint collapse, in capacities
+	OverloadWindowUs WriteOnly[int64]   `json:"TipAfterUs"`   // how long an endpoint withstands that load
 }
--- a/internal/platform/writeonly.go
+++ b/internal/platform/writeonly.go
@@ -2,8 +2,9 @@
 
 import "encoding/json"
 
-// WriteOnly is a field that the platform sends and that no sidecar uses. Stand-ins for the platform
-// write its value; decoding skips whatever JSON value stands there, as for an unknown field.
+// WriteOnly is the type of a field that the platform sends and no sidecar uses. The fake platforms
+// of tests and experiments encode its value; decoding ignores any JSON value, as it does for an
+// unknown field.
 type WriteOnly[T any] struct{ Value T }
 
 // MarshalJSON implements json.Marshaler.
