--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -8,16 +8,17 @@
 	"rowancart/internal/platform"
 )
 
-// field is one name=value of a line.
+// field is one field of a line, name=value.
 type field struct{ key, value []byte }
 
-// splitFields parses the fields of a line, which is rest, of the message called name.
+// splitFields splits rest, which is a line of the message name without that name, into fields. The
+// settings in a msgStart extend to the end of the line, since they may contain tabs.
 func (r *Reader) splitFields(rest []byte, name string) error {
 	r.fields = r.fields[:0]
 	for len(rest) > 0 {
 		key, after, ok := bytes.Cut(rest, []byte("="))
 		if !ok || len(key) == 0 || bytes.IndexByte(key, '\t') >= 0 {
-			return fmt.Errorf("%s has a part that is not name=value", name)
+			return fmt.Errorf("%s has a field that is not name=value", name)
 		}
 		value := after
 		if name == msgStart && string(key) == platform.SettingsField {
@@ -30,7 +31,7 @@
 	return nil
 }
 
-// field returns a field of the current line, and whether the line has it.
+// field returns the value of a field of the current line, and whether the line has that field.
 func (r *Reader) field(key string) ([]byte, bool) {
 	for i := range r.fields {
 		if string(r.fields[i].key) == key {
@@ -48,10 +49,10 @@
 	optional
 )
 
-// maxDigits is the length of the largest uint64.
+// maxDigits is the number of decimal digits of the largest uint64.
 const maxDigits = 20
 
-// unsigned returns a field as a number. An optional one that is missing is 0.
+// unsigned returns a field as an unsigned number, or 0 if it is optional and missing.
 func (r *Reader) unsigned(key string, p presence) (uint64, error) {
 	value, ok := r.field(key)
 	if !ok {
@@ -61,26 +62,26 @@
 		return 0, nil
 	}
 	if len(value) == 0 || len(value) > maxDigits {
-		return 0, fmt.Errorf("%s=%.40q is not a number", key, value)
+		return 0, fmt.Errorf("%s=%.40q is not an unsigned 64-bit number", key, value)
 	}
 	n := uint64(0)
 	for _, c := range value {
 		if c < '0' || c > '9' || n > (1<<64-1-uint64(c-'0'))/10 {
-			return 0, fmt.Errorf("%s=%.40q is not a number", key, value)
+			return 0, fmt.Errorf("%s=%.40q is not an unsigned 64-bit number", key, value)
 		}
 		n = n*10 + uint64(c-'0')
 	}
 	return n, nil
 }
 
-// maxMicros is the longest time.Duration in microseconds.
+// maxMicros is the longest time.Duration, in microseconds.
 const maxMicros = int64(1<<63-1) / int64(time.Microsecond)
 
-// micros returns a field that is in microseconds.
+// micros returns a field in microseconds as a time.Duration.
 func (r *Reader) micros(key string, p presence) (time.Duration, error) {
 	n, err := r.unsigned(key, p)
 	if err == nil && n > uint64(maxMicros) {
-		err = fmt.Errorf("%s is too large a time", key)
+		err = fmt.Errorf("%s exceeds the longest time.Duration", key)
 	}
 	return time.Duration(n) * time.Microsecond, err
 }
@@ -89,76 +90,77 @@
 func (r *Reader) integer(key string, p presence) (int, error) {
 	n, err := r.unsigned(key, p)
 	if err == nil && n > 1<<63-1 {
-		err = fmt.Errorf("%s is too large", key)
+		err = fmt.Errorf("%s exceeds the range of int", key)
 	}
 	return int(n), err
 }
 
-// values reads several fields of the current line and keeps the first error in err.
-type values struct {
+// fieldParser parses the fields of the current line. It keeps the first error in err, so that a
+// caller can parse several fields before it checks for an error.
+type fieldParser struct {
 	r   *Reader
 	err error
 }
 
-// fail sets a new error unless there is one.
-func (v *values) fail(format string, args ...any) {
-	v.setError(fmt.Errorf(format, args...))
+// fail records a new error unless there was one before.
+func (f *fieldParser) fail(format string, args ...any) {
+	f.setError(fmt.Errorf(format, args...))
 }
 
-// setError sets the error unless there is one.
-func (v *values) setError(err error) {
-	if v.err == nil {
-		v.err = err
+// setError records err unless there was an error before.
+func (f *fieldParser) setError(err error) {
+	if f.err == nil {
+		f.err = err
 	}
 }
 
-// integer returns a field as an int.
-func (v *values) integer(key string, p presence) int {
-	n, err := v.r.integer(key, p)
-	v.setError(err)
+// integer is like Reader.integer, and records the error.
+func (f *fieldParser) integer(key string, p presence) int {
+	n, err := f.r.integer(key, p)
+	f.setError(err)
 	return n
 }
 
-// micros returns a field that is in microseconds.
-func (v *values) micros(key string, p presence) time.Duration {
-	d, err := v.r.micros(key, p)
-	v.setError(err)
+// micros is like Reader.micros, and records the error.
+func (f *fieldParser) micros(key string, p presence) time.Duration {
+	d, err := f.r.micros(key, p)
+	f.setError(err)
 	return d
 }
 
-// bytes returns a field; one that is required must not be empty. The bytes are valid until the next
-// line is read.
-func (v *values) bytes(key string, p presence) []byte {
-	value, ok := v.r.field(key)
+// bytes returns the value of a field, which must not be empty if the field is required. The bytes
+// are valid until the next line is read.
+func (f *fieldParser) bytes(key string, p presence) []byte {
+	value, ok := f.r.field(key)
 	if p == required && len(value) == 0 {
 		if ok {
-			v.fail("%s is empty", key)
+			f.fail("%s is empty", key)
 		} else {
-			v.fail("%s is missing", key)
+			f.fail("%s is missing", key)
 		}
 	}
 	return value
 }
 
-// text returns a field as a string.
-func (v *values) text(key string, p presence) string { return string(v.bytes(key, p)) }
+// text is like bytes, and returns a string.
+func (f *fieldParser) text(key string, p presence) string { return string(f.bytes(key, p)) }
 
-// id reads the request ID.
-func (v *values) id() string { return v.text(fieldRequestID, required) }
+// id parses the request ID.
+func (f *fieldParser) id() string { return f.text(fieldRequestID, required) }
 
 // maxInterned is the largest number of strings that intern remembers.
 const maxInterned = 1 << 16
 
-// intern returns a field with few different values, such as a class or an endpoint. Equal values
-// give the same string, which saves an allocation.
-func (v *values) intern(key string, p presence) string {
-	value := v.bytes(key, p)
-	if s, ok := v.r.interned[string(value)]; ok {
+// intern is like text, for fields with few distinct values, such as a class or an endpoint. It
+// returns the same string for equal values, which saves an allocation.
+func (f *fieldParser) intern(key string, p presence) string {
+	value := f.bytes(key, p)
+	if s, ok := f.r.interned[string(value)]; ok {
 		return s
 	}
 	s := string(value)
-	if len(v.r.interned) < maxInterned {
-		v.r.interned[s] = s
+	if len(f.r.interned) < maxInterned {
+		f.r.interned[s] = s
 	}
 	return s
 }
--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -6,98 +6,99 @@
 	"rowancart/balancer"
 )
 
-// maxLists is how many endpoint lists a batch may refer to: list numbers run from 0 to 15.
+// maxLists is the number of endpoint lists that messages can refer to. Lists are numbered from 0 to
+// 15.
 const maxLists = 16
 
-// listReader collects endpoint lists. A list has its number until another list gets it, also in
-// later batches, and any instance may be referred to it.
-type listReader struct {
-	byNumber [maxLists]*[]balancer.Endpoint // nil: that number was never used
-	current  *[]balancer.Endpoint           // the list that is being read
-	missing  int                            // entries of current still to come
+// listStore holds the endpoint lists that were read. A list is stored under its number until
+// another list replaces it, also across batches, and messages for any instance may refer to it.
+type listStore struct {
+	byNumber  [maxLists]*[]balancer.Endpoint // nil: no list had that number
+	current   *[]balancer.Endpoint           // the list that is being read
+	remaining int                            // entries of current that have not been read yet
 }
 
-// beginList begins the list that the following entries belong to.
+// beginList begins a list, whose entries follow in messages of their own.
 func (r *Reader) beginList() error {
-	number, err := r.integer(fieldList, required)
+	number, err := r.integer(fieldListNumber, required)
 	if err != nil {
 		return err
 	}
-	entries, err := r.integer(fieldEntries, required)
+	entries, err := r.integer(fieldEntryCount, required)
 	if err != nil {
 		return err
 	}
 	if number < 0 || number >= maxLists || entries < 0 {
-		return errors.New(msgBeginList + " with a number out of range")
+		return errors.New(msgBeginList + " with a list number or a number of entries out of range")
 	}
 	list := []balancer.Endpoint{}
 	r.lists.byNumber[number] = &list
 	r.lists.current = &list
-	r.lists.missing = entries
+	r.lists.remaining = entries
 	return nil
 }
 
 // addListEntry appends an endpoint to the current list.
 func (r *Reader) addListEntry() error {
-	if r.lists.missing == 0 {
-		return errors.New(msgListEntry + " without a " + msgBeginList + " that counts it")
+	if r.lists.remaining == 0 {
+		return errors.New(msgListEntry + " that no " + msgBeginList + " announced")
 	}
-	v := values{r: r}
+	f := fieldParser{r: r}
 	e := balancer.Endpoint{
-		ID:      v.intern(fieldEndpoint, required),
-		Zone:    v.intern(fieldZone, optional),
-		Kind:    v.intern(fieldKind, optional),
-		Cell:    v.integer(fieldCell, optional),
-		Started: v.micros(fieldStarted, optional),
-		State:   v.state(),
+		ID:      f.intern(fieldEndpoint, required),
+		Zone:    f.intern(fieldZone, optional),
+		Kind:    f.intern(fieldKind, optional),
+		Cell:    f.integer(fieldCell, optional),
+		Started: f.micros(fieldStarted, optional),
+		State:   f.state(),
 	}
-	r.lists.missing--
+	r.lists.remaining--
 	*r.lists.current = append(*r.lists.current, e)
-	return v.err
+	return f.err
 }
 
-// states are the states of an endpoint by their names.
-var states = map[string]balancer.State{
+// statesByName maps the simulator's names to the states of an endpoint.
+var statesByName = map[string]balancer.State{
 	"ready":    balancer.Ready,
 	"draining": balancer.Draining,
 	"gone":     balancer.Removed,
 }
 
-// state reads the state of an endpoint.
-func (v *values) state() balancer.State {
-	name := v.bytes(fieldState, required)
-	state, ok := states[string(name)]
+// state parses the state of an endpoint.
+func (f *fieldParser) state() balancer.State {
+	name := f.bytes(fieldState, required)
+	state, ok := statesByName[string(name)]
 	if !ok {
-		v.fail("%s has an unknown %s %q", msgListEntry, fieldState, name)
+		f.fail("%s has an unknown %s %q", msgListEntry, fieldState, name)
 	}
 	return state
 }
 
-// endpointList reads a msgEndpointList: a reference to a complete list or to changes, or the report
-// that discovery failed.
-func (v *values) endpointList() balancer.EndpointList {
-	mode := v.text(fieldListMode, required)
-	v.integer(fieldVersion, optional)
+// endpointList parses a msgEndpointList, which refers to a complete list or to a list of changes,
+// or reports that discovery failed.
+func (f *fieldParser) endpointList() balancer.EndpointList {
+	mode := f.text(fieldListMode, required)
+	f.integer(fieldVersion, optional)
 	switch mode {
 	case modeFailed:
 		return balancer.EndpointList{Failed: true}
 	case modeComplete, modeFull:
-		return balancer.EndpointList{Complete: true, Entries: v.listEntries()}
+		return balancer.EndpointList{Complete: true, Entries: f.listEntries()}
 	case modeChanges:
-		return balancer.EndpointList{Entries: v.listEntries()}
+		return balancer.EndpointList{Entries: f.listEntries()}
 	}
-	v.fail("%s has an unknown %s %q", msgEndpointList, fieldListMode, mode)
+	f.fail("%s has an unknown %s %q", msgEndpointList, fieldListMode, mode)
 	return balancer.EndpointList{}
 }
 
 // listEntries returns the entries of the list that the current line refers to.
-func (v *values) listEntries() []balancer.Endpoint {
-	number := v.integer(fieldList, required)
-	lists := &v.r.lists.byNumber
-	if v.err == nil && (number < 0 || number >= maxLists || lists[number] == nil) {
-		v.fail("%s names list %d, which was never given", msgEndpointList, number)
+func (f *fieldParser) listEntries() []balancer.Endpoint {
+	number := f.integer(fieldListNumber, required)
+	lists := &f.r.lists.byNumber
+	if f.err == nil && (number < 0 || number >= maxLists || lists[number] == nil) {
+		f.fail("%s refers to list %d, which was never sent", msgEndpointList, number)
 	}
-	if v.err != nil {
+	if f.err != nil {
 		return nil
 	}
 	return *lists[number]
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -1,16 +1,17 @@
 package wire
 
-// The names of the simulator, each next to the term of package balancer.
+// The simulator's names. The name of each constant uses the term of package balancer. Fields whose
+// names end in Us are in microseconds.
 
-// Messages that the Reader accepts. Messages of any other name belong to a later protocol and are
-// skipped.
+// Names of the messages that the Reader handles. It skips messages with other names, which belong
+// to later versions of the protocol.
 const (
 	msgBeginBatch     = "CLOCK"
 	msgEndBatch       = "GO"
-	msgSelectInstance = "SWITCH_TO" // names the instance that the following messages are for
+	msgSelectInstance = "SWITCH_TO" // selects the instance that receives the following messages
 
-	msgBeginList = "LEDGER"   // begins an endpoint list, whose entries follow
-	msgListEntry = "ENDPOINT" // one entry of the list begun last
+	msgBeginList = "LEDGER"   // begins an endpoint list; its entries follow
+	msgListEntry = "ENDPOINT" // one entry of the list that was begun last
 
 	msgStart         = "START"
 	msgStop          = "SHUTDOWN"
@@ -24,9 +25,9 @@
 	msgText          = "MESSAGE" // free text, which is ignored
 )
 
-// Messages of a Reply.
+// Names of the messages in a Reply.
 const (
-	msgActionsOf = "ON_BEHALF" // names the instance whose actions follow
+	msgActionsOf = "ON_BEHALF" // selects the instance whose actions follow
 	msgSend      = "DISPATCH"
 	msgCancel    = "STOP_ATTEMPT"
 	msgReject    = "SAY_NO"
@@ -37,43 +38,43 @@
 	msgEndReply  = "FINISHED"
 )
 
-// Fields of messages in both directions. Those whose names end in Us are in microseconds.
+// Names of fields in both directions.
 const (
-	fieldInstance  = "Sidecar"
+	fieldInstance  = "Sidecar" // index of an instance
 	fieldRequestID = "Rid"
 	fieldAttempt   = "N"
-	fieldEndpoint  = "Endpoint" // its ID
+	fieldEndpoint  = "Endpoint" // ID of an endpoint
 	fieldTimer     = "Mark"     // number of a timer
 )
 
-// Fields of messages that the Reader accepts.
+// Names of fields that the Reader handles.
 const (
-	fieldNow  = "AtTimeUs"   // of msgBeginBatch
-	fieldSeed = "RandomSeed" // of msgStart, which also has platform.SettingsField
+	fieldNow  = "AtTimeUs"   // time of a batch
+	fieldSeed = "RandomSeed" // in msgStart, which also has the field platform.SettingsField
 
-	fieldList     = "Ref"   // number of an endpoint list
-	fieldEntries  = "Hosts" // number of entries of a list
-	fieldListMode = "Mode"  // one of the modes of a list below
-	fieldVersion  = "Gen"   // version of a list, which is not used
+	fieldListNumber = "Ref"   // number of an endpoint list
+	fieldEntryCount = "Hosts" // number of entries in a list
+	fieldListMode   = "Mode"  // one of modeFailed to modeChanges
+	fieldVersion    = "Gen"   // version of a list; not used
 
 	fieldZone    = "Zone"
 	fieldKind    = "Sku"
 	fieldCell    = "Pack"
 	fieldStarted = "LastStartUs"
-	fieldState   = "Phase" // a key of states
+	fieldState   = "Phase" // a key of statesByName
 
 	fieldClass      = "Band"
 	fieldTenant     = "Team"
 	fieldDeadline   = "ValidUntilUs"
-	fieldAttributes = "Attrs" // bits, see attrClientRetry
+	fieldAttributes = "Attrs" // bit set, see attrClientRetry
 
 	fieldLatency    = "SpentUs"
 	fieldFinal      = "DoneFlag"
-	fieldResult     = "StateCode" // a key of results
+	fieldResult     = "StateCode" // a key of resultsByName
 	fieldLoadReport = "Load"
 )
 
-// Fields of messages of a Reply.
+// Names of fields in a Reply.
 const (
 	fieldTimeout    = "PatienceUs"
 	fieldRetryAfter = "RetryInUs"
@@ -82,10 +83,10 @@
 	fieldText       = "Words"
 )
 
-// Modes of an endpoint list.
+// Modes of a msgEndpointList.
 const (
-	modeFailed   = "X" // discovery failed: there is no list
+	modeFailed   = "X" // discovery failed; there is no list
 	modeComplete = "C" // all endpoints
-	modeFull     = "F" // all endpoints, too
+	modeFull     = "F" // all endpoints, like modeComplete
 	modeChanges  = "D" // only the endpoints that have changed
 )
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -8,27 +8,27 @@
 	"rowancart/balancer"
 )
 
-// Reply collects the actions of one batch. Its Host method returns the balancer.Host of an
-// instance. It is not safe for concurrent use. The zero value is an empty reply.
+// Reply collects the actions that answer one batch. Its Host method returns the balancer.Host of an
+// instance. A Reply is not safe for concurrent use. The zero value is an empty reply.
 type Reply struct {
-	buf      []byte
-	instance int  // of the action written last
-	started  bool // an action has been written
+	buf        []byte
+	instance   int  // instance of the latest action
+	hasActions bool // whether an action has been written
 }
 
-// Bytes ends the reply and returns it. The bytes are valid until the next action, which starts a
-// new reply.
+// Bytes completes the reply and returns it. The bytes are valid until the next action, which begins
+// a new reply.
 func (r *Reply) Bytes() []byte {
 	out := append(r.buf, msgEndReply+"\n"...)
 	r.buf = out[:0]
-	r.started = false
+	r.hasActions = false
 	return out
 }
 
-// Host returns the host that writes an instance's actions into the reply.
+// Host returns a host that writes the actions of an instance into the reply.
 func (r *Reply) Host(instance int) *Host { return &Host{r, instance} }
 
-// Host writes one instance's actions into a Reply. It implements balancer.Host.
+// Host writes the actions of one instance into a Reply. It implements balancer.Host.
 type Host struct {
 	reply    *Reply
 	instance int
@@ -36,34 +36,34 @@
 
 var _ balancer.Host = (*Host)(nil)
 
-// begin begins an action. It names the instance first if that is not the one of the action before.
+// begin begins an action. It selects the instance first unless the previous action selected it.
 func (h *Host) begin(action string) {
 	r := h.reply
-	if !r.started || r.instance != h.instance {
+	if !r.hasActions || r.instance != h.instance {
 		r.buf = append(r.buf, msgActionsOf+"\t"+fieldInstance+"="...)
 		r.buf = strconv.AppendInt(r.buf, int64(h.instance), 10)
 		r.buf = append(r.buf, '\n')
-		r.started = true
+		r.hasActions = true
 		r.instance = h.instance
 	}
 	r.buf = append(r.buf, action...)
 }
 
-// appendKey writes the key of a field.
+// appendKey appends the name of a field.
 func (h *Host) appendKey(key string) {
 	h.reply.buf = append(h.reply.buf, '\t')
 	h.reply.buf = append(h.reply.buf, key...)
 	h.reply.buf = append(h.reply.buf, '=')
 }
 
-// text writes a field.
+// text appends a field.
 func (h *Host) text(key, value string) *Host {
 	h.appendKey(key)
 	h.reply.buf = append(h.reply.buf, value...)
 	return h
 }
 
-// number writes a field that is a number.
+// number appends a field that is a number.
 func (h *Host) number(key string, n int64) *Host {
 	h.appendKey(key)
 	h.reply.buf = strconv.AppendInt(h.reply.buf, n, 10)
@@ -73,13 +73,13 @@
 // end ends an action.
 func (h *Host) end() { h.reply.buf = append(h.reply.buf, '\n') }
 
-// roundUpToMicros returns a time in microseconds. It rounds up, because a timeout or a timer
-// must not be early.
+// roundUpToMicros returns a time in microseconds. It rounds up, because timeouts and timers must
+// not expire early.
 func roundUpToMicros(d time.Duration) int64 {
 	return int64((d + time.Microsecond - 1) / time.Microsecond)
 }
 
-// Send implements balancer.Host. A timeout of 0 stands for none.
+// Send implements balancer.Host. A timeout of 0 means no timeout.
 func (h *Host) Send(id, endpoint string, timeout time.Duration) {
 	h.begin(msgSend)
 	h.text(fieldRequestID, id).text(fieldEndpoint, endpoint)
@@ -117,13 +117,13 @@
 	h.number(fieldSubscribed, 1).end()
 }
 
-// Timer implements balancer.Host. A Balancer has one timer, whose number is 0.
+// Timer implements balancer.Host. A balancer has a single timer, which has the number 0.
 func (h *Host) Timer(at time.Duration) {
 	h.begin(msgSetTimer)
 	h.number(fieldTimerAt, roundUpToMicros(at)).number(fieldTimer, 0).end()
 }
 
-// singleLine replaces what would end a line or a field.
+// singleLine replaces the characters that would end a line or a field.
 var singleLine = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
 // Log implements balancer.Host: it writes the text of the event.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,9 +1,9 @@
-// Package wire reads and writes the simulator's line protocol: batches of events in, one reply a
-// batch out. It translates and validates; every decision is the balancer's.
+// Package wire implements the simulator's line protocol: it reads batches of events and writes one
+// reply for each batch. It only translates and validates; package balancer makes all decisions.
 //
-// A line is a message name followed by fields, all separated by tabs; a field is name=value.
-// Message and field names are the simulator's. names.go has them next to the terms of package
-// balancer, and nothing outside this package uses them.
+// Each line is one message: its name and its fields, separated by tabs. A field is name=value. The
+// names are the simulator's. They are defined in names.go, next to the terms of package balancer,
+// and not used outside this package.
 package wire
 
 import (
@@ -18,18 +18,18 @@
 	"rowancart/internal/platform"
 )
 
-// Handler receives the events of the batches, in order. A method that returns an error ends
-// Reader.Run.
+// Handler receives the events of all batches, in order. Reader.Run ends with the first error that a
+// method returns.
 type Handler interface {
 	Start(instance int, s balancer.Settings) error
 	Stop(instance int) error
-	// Instance returns the receiver of the instance's events.
+	// Instance returns the receiver of an instance's events.
 	Instance(instance int) (balancer.Events, error)
-	// EndBatch is called when all messages of a batch have been handled and its reply is due.
+	// EndBatch is called after all messages of a batch, when the reply has to be sent.
 	EndBatch() error
 }
 
-// readBufferSize is the size of the Reader's buffer in bytes. A longer line is copied.
+// readBufferSize is the size of the Reader's buffer, in bytes. Only longer lines are copied.
 const readBufferSize = 1 << 16
 
 // Reader decodes batches. It is not safe for concurrent use.
@@ -38,25 +38,25 @@
 	longLine   []byte // holds a line that is longer than the buffer of in
 	lineNumber int
 	fields     []field           // of the current line
-	interned   map[string]string // see values.intern
+	interned   map[string]string // see fieldParser.intern
 
 	inBatch          bool
 	now              time.Duration // of the current batch
-	instance         int           // selected last
-	instanceSelected bool          // in the current batch
-	lists            listReader
+	instance         int           // the instance selected last
+	instanceSelected bool          // whether the current batch has selected an instance
+	lists            listStore
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, readBufferSize), interned: map[string]string{}}
 }
 
-// Now returns the time of the batch being read.
+// Now returns the time of the current batch.
 func (r *Reader) Now() time.Duration { return r.now }
 
-// Run handles batches until the end of input, which it reports as nil, or the first error. Errors
-// name the line.
+// Run handles batches until the end of input, at which it returns nil, or the first error. Errors
+// include the line number.
 func (r *Reader) Run(h Handler) error {
 	for {
 		line, err := r.readLine()
@@ -88,7 +88,7 @@
 		line = r.longLine
 	}
 	if err == io.EOF && len(line) > 0 {
-		return nil, errors.New("the last line has no end")
+		return nil, errors.New("no newline at the end of input")
 	}
 	if err != nil {
 		return nil, err
@@ -101,15 +101,16 @@
 	name, rest, _ := bytes.Cut(line, []byte("\t"))
 	if len(name) == 0 {
 		if len(line) > 0 {
-			return errors.New("a line without a message name")
+			return errors.New("no message name")
 		}
 		return nil
 	}
 	if err := r.splitFields(rest, string(name)); err != nil {
 		return err
 	}
-	if missing := r.lists.missing; missing > 0 && string(name) != msgListEntry {
-		return fmt.Errorf("%s where %d more %s lines are due", name, missing, msgListEntry)
+	if remaining := r.lists.remaining; remaining > 0 && string(name) != msgListEntry {
+		return fmt.Errorf("%s before the endpoint list is complete: %d more %s lines expected", name, remaining,
+			msgListEntry)
 	}
 	if string(name) == msgBeginBatch {
 		return r.beginBatch()
@@ -120,7 +121,7 @@
 	return r.handleMessage(name, h)
 }
 
-// beginBatch begins a batch. Its time is never earlier than that of the batch before.
+// beginBatch begins a batch. Its time must not be earlier than that of the previous batch.
 func (r *Reader) beginBatch() error {
 	if r.inBatch {
 		return errors.New(msgBeginBatch + " within a batch")
@@ -130,7 +131,7 @@
 		return err
 	}
 	if now < r.now {
-		return errors.New(msgBeginBatch + " runs backwards")
+		return errors.New(msgBeginBatch + " with a time before that of the previous batch")
 	}
 	r.now = now
 	r.inBatch = true
@@ -157,10 +158,10 @@
 		}
 		return r.handleInstanceMessage(string(name), h)
 	}
-	return nil // a message of a later protocol
+	return nil // a message of a later version of the protocol
 }
 
-// selectInstance selects the instance that the following messages of the batch are for.
+// selectInstance selects the instance that receives the following messages of the batch.
 func (r *Reader) selectInstance() error {
 	instance, err := r.integer(fieldInstance, required)
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -55,21 +55,23 @@
 	r.add("%v stream %s %d", now, id, n)
 }
 
-func (r *recorder) Outcome(now time.Duration, o balancer.Outcome)   { r.add("%v outcome %+v", now, o) }
-func (r *recorder) ClientDisconnected(now time.Duration, id string) { r.add("%v left %s", now, id) }
-func (r *recorder) Timer(now time.Duration)                         { r.add("%v timer", now) }
+func (r *recorder) Outcome(now time.Duration, o balancer.Outcome) { r.add("%v outcome %+v", now, o) }
+func (r *recorder) ClientDisconnected(now time.Duration, id string) {
+	r.add("%v disconnected %s", now, id)
+}
+func (r *recorder) Timer(now time.Duration) { r.add("%v timer", now) }
 
-// read handles the batches of text.
+// read runs a Reader on text and returns what its Handler recorded.
 func read(text string) (*recorder, error) {
 	r := &recorder{started: map[int]balancer.Settings{}}
 	return r, NewReader(strings.NewReader(text)).Run(r)
 }
 
-// head begins a batch and starts instance 3.
-const head = "CLOCK\tAtTimeUs=1000\nSWITCH_TO\tSidecar=3\nSTART\tRandomSeed=9\tConfig={}\n"
+// startInstance3 begins a batch and starts instance 3.
+const startInstance3 = "CLOCK\tAtTimeUs=1000\nSWITCH_TO\tSidecar=3\nSTART\tRandomSeed=9\tConfig={}\n"
 
 func TestEventsAreRead(t *testing.T) {
-	r, err := read(head +
+	r, err := read(startInstance3 +
 		"LEDGER\tRef=0\tHosts=1\nENDPOINT\tSku=big\tPhase=ready\tScale=1.5\tEndpoint=h:1\tPack=2\tLastStartUs=7\tZone=z\n" +
 		"REGISTRY\tMode=C\tGen=41\tRef=0\nREGISTRY\tMode=X\tGen=41\n" +
 		"CALL\tRid=r1\tBand=c\tTeam=t\tRouteKey=5\tValidUntilUs=2000\tEstimateUs=50\tAttrs=3\tLater=x\n" +
@@ -88,7 +90,7 @@
 		"1ms request {ID:r1 Class:c Tenant:t Deadline:2ms ClientRetry:true Streamed:false}",
 		"1ms request {ID:r2 Class:c Tenant: Deadline:2ms ClientRetry:false Streamed:false}",
 		"1ms outcome {ID:r1 Attempt:0 Endpoint:h:1 Result:0 Latency:5µs Final:true}",
-		"1ms stream r2 1", "1ms left r2", "1ms timer"}
+		"1ms stream r2 1", "1ms disconnected r2", "1ms timer"}
 	if !reflect.DeepEqual(r.events, want) {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(r.events, "\n"), strings.Join(want, "\n"))
 	}
@@ -122,13 +124,14 @@
 	}
 }
 
-// Each name of a result and of a state stands for one term of package balancer.
+// Each of the simulator's names for a result or a state is translated to the term of package
+// balancer.
 func TestResultsAndStatesAreRead(t *testing.T) {
 	for name, want := range map[string]balancer.Result{"Ok": balancer.OK, "Failed": balancer.Errored,
 		"QueueFull": balancer.Rejected, "TimedOut": balancer.TimedOut, "ConnectError": balancer.ConnectFailed,
 		"ResetByPeer": balancer.Reset, "Canceled": balancer.Canceled, "Ignored": balancer.NotSent} {
 		t.Run(name, func(t *testing.T) {
-			r, err := read(head + "ATTEMPT_END\tRid=r\tN=2\tEndpoint=h\tStateCode=" + name + "\tSpentUs=1\nGO\n")
+			r, err := read(startInstance3 + "ATTEMPT_END\tRid=r\tN=2\tEndpoint=h\tStateCode=" + name + "\tSpentUs=1\nGO\n")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -142,7 +145,7 @@
 	for name, want := range map[string]balancer.State{"ready": balancer.Ready, "draining": balancer.Draining,
 		"gone": balancer.Removed} {
 		t.Run(name, func(t *testing.T) {
-			r, err := read(head + "LEDGER\tRef=15\tHosts=1\nENDPOINT\tPhase=" + name + "\tEndpoint=h\n" +
+			r, err := read(startInstance3 + "LEDGER\tRef=15\tHosts=1\nENDPOINT\tPhase=" + name + "\tEndpoint=h\n" +
 				"REGISTRY\tMode=D\tGen=1\tRef=15\nGO\n")
 			if err != nil {
 				t.Fatal(err)
@@ -159,20 +162,20 @@
 	for _, c := range []struct{ name, text, want string }{
 		{"an event outside a batch", "BELL\tMark=1\n", "line 1: BELL outside a batch"},
 		{"a batch within a batch", "CLOCK\tAtTimeUs=1\nCLOCK\tAtTimeUs=2\n", "line 2: CLOCK within a batch"},
-		{"a clock that runs backwards",
+		{"a time before that of the previous batch",
 			"CLOCK\tAtTimeUs=2\nGO\nCLOCK\tAtTimeUs=1\n",
-			"line 3: CLOCK runs backwards"},
-		{"a clock without a time", "CLOCK\n", "line 1: AtTimeUs is missing"},
-		{"a part without a value", head + "BELL\tMark\n", "line 4: BELL has a part that is not name=value"},
-		{"a part without a name", head + "BELL\t=5\n", "line 4: BELL has a part that is not name=value"},
-		{"a line without a name", head + "\tMark=1\n", "line 4: a line without a message name"},
+			"line 3: CLOCK with a time before that of the previous batch"},
+		{"a batch without a time", "CLOCK\n", "line 1: AtTimeUs is missing"},
+		{"a field without a value", startInstance3 + "BELL\tMark\n", "line 4: BELL has a field that is not name=value"},
+		{"a field without a name", startInstance3 + "BELL\t=5\n", "line 4: BELL has a field that is not name=value"},
+		{"a line without a name", startInstance3 + "\tMark=1\n", "line 4: no message name"},
 		{"an event before SWITCH_TO", "CLOCK\tAtTimeUs=1\nBELL\tMark=1\n", "line 2: BELL before any SWITCH_TO"},
 		{"an instance never started",
 			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=4\nBELL\tMark=1\n",
 			"line 3: BELL: never started"},
 		{"an instance that is no number",
 			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=x\n",
-			`line 2: Sidecar="x" is not a number`},
+			`line 2: Sidecar="x" is not an unsigned 64-bit number`},
 		{"START without a seed",
 			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=1\nSTART\tConfig={}\n",
 			"line 3: RandomSeed is missing"},
@@ -187,46 +190,46 @@
 				"START\tRandomSeed=1\tConfig={\"Lanes\":[{}]}\n",
 			`line 3: Config: class "" has unknown Semantics ""`},
 		{"an unknown list",
-			head + "REGISTRY\tMode=F\tGen=1\tRef=3\n",
-			"line 4: REGISTRY names list 3, which was never given"},
+			startInstance3 + "REGISTRY\tMode=F\tGen=1\tRef=3\n",
+			"line 4: REGISTRY refers to list 3, which was never sent"},
 		{"a list number out of range",
-			head + "LEDGER\tRef=16\tHosts=0\n",
-			"line 4: LEDGER with a number out of range"},
+			startInstance3 + "LEDGER\tRef=16\tHosts=0\n",
+			"line 4: LEDGER with a list number or a number of entries out of range"},
 		{"an unknown mode",
-			head + "REGISTRY\tMode=Q\tGen=1\tRef=0\n",
+			startInstance3 + "REGISTRY\tMode=Q\tGen=1\tRef=0\n",
 			`line 4: REGISTRY has an unknown Mode "Q"`},
 		{"a list that is too short",
-			head + "LEDGER\tRef=0\tHosts=2\nENDPOINT\tPhase=ready\tEndpoint=h\nGO\n",
-			"line 6: GO where 1 more ENDPOINT lines are due"},
+			startInstance3 + "LEDGER\tRef=0\tHosts=2\nENDPOINT\tPhase=ready\tEndpoint=h\nGO\n",
+			"line 6: GO before the endpoint list is complete: 1 more ENDPOINT lines expected"},
 		{"an entry without a list",
-			head + "ENDPOINT\tPhase=ready\tEndpoint=h\n",
-			"line 4: ENDPOINT without a LEDGER that counts it"},
+			startInstance3 + "ENDPOINT\tPhase=ready\tEndpoint=h\n",
+			"line 4: ENDPOINT that no LEDGER announced"},
 		{"an entry without a phase",
-			head + "LEDGER\tRef=0\tHosts=1\nENDPOINT\tEndpoint=h\n",
+			startInstance3 + "LEDGER\tRef=0\tHosts=1\nENDPOINT\tEndpoint=h\n",
 			"line 5: Phase is missing"},
-		{"a CALL without an id", head + "CALL\tBand=c\tValidUntilUs=5\n", "line 4: Rid is missing"},
-		{"a CALL with an empty id", head + "CALL\tRid=\tBand=c\tValidUntilUs=5\n", "line 4: Rid is empty"},
-		{"a CALL without a deadline", head + "CALL\tRid=r\tBand=c\n", "line 4: ValidUntilUs is missing"},
+		{"a CALL without an id", startInstance3 + "CALL\tBand=c\tValidUntilUs=5\n", "line 4: Rid is missing"},
+		{"a CALL with an empty id", startInstance3 + "CALL\tRid=\tBand=c\tValidUntilUs=5\n", "line 4: Rid is empty"},
+		{"a CALL without a deadline", startInstance3 + "CALL\tRid=r\tBand=c\n", "line 4: ValidUntilUs is missing"},
 		{"a negative number",
-			head + "CALL\tRid=r\tBand=c\tValidUntilUs=-5\n",
-			`line 4: ValidUntilUs="-5" is not a number`},
+			startInstance3 + "CALL\tRid=r\tBand=c\tValidUntilUs=-5\n",
+			`line 4: ValidUntilUs="-5" is not an unsigned 64-bit number`},
 		{"a number that is too large",
-			head + "CALL\tRid=r\tBand=c\tValidUntilUs=99999999999999999999\n",
-			`line 4: ValidUntilUs="99999999999999999999" is not a number`},
+			startInstance3 + "CALL\tRid=r\tBand=c\tValidUntilUs=99999999999999999999\n",
+			`line 4: ValidUntilUs="99999999999999999999" is not an unsigned 64-bit number`},
 		{"a time that is too large",
-			head + "CALL\tRid=r\tBand=c\tValidUntilUs=9999999999999999999\n",
-			"line 4: ValidUntilUs is too large a time"},
+			startInstance3 + "CALL\tRid=r\tBand=c\tValidUntilUs=9999999999999999999\n",
+			"line 4: ValidUntilUs exceeds the longest time.Duration"},
 		{"an unknown outcome",
-			head + "ATTEMPT_END\tRid=r\tN=0\tEndpoint=h\tStateCode=Huh\tSpentUs=1\n",
+			startInstance3 + "ATTEMPT_END\tRid=r\tN=0\tEndpoint=h\tStateCode=Huh\tSpentUs=1\n",
 			`line 4: unknown StateCode "Huh"`},
 		{"an outcome without a number",
-			head + "ATTEMPT_END\tRid=r\tEndpoint=h\tStateCode=Ok\tSpentUs=1\n",
+			startInstance3 + "ATTEMPT_END\tRid=r\tEndpoint=h\tStateCode=Ok\tSpentUs=1\n",
 			"line 4: N is missing"},
-		{"a load that is no pair",
-			head + "CHECKED\tEndpoint=h\tStateCode=Ok\tSpentUs=1\tLoad=active\n",
-			`line 4: Load has a part "active" that is not name:value`},
-		{"input that ends in a batch", head, "line 4: input ends within a batch"},
-		{"a last line without its end", head + "GO", "line 4: the last line has no end"},
+		{"a load report without a number",
+			startInstance3 + "CHECKED\tEndpoint=h\tStateCode=Ok\tSpentUs=1\tLoad=active\n",
+			`line 4: Load has an element "active" that is not name:number`},
+		{"input that ends in a batch", startInstance3, "line 4: input ends within a batch"},
+		{"a last line without a newline", startInstance3 + "GO", "line 4: no newline at the end of input"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := read(c.text)
@@ -237,8 +240,8 @@
 	}
 }
 
-// TestReplyIsWrittenAndParsed compares a reply with its literal text, and parses its lines with the
-// Reader's own splitFields.
+// TestReplyIsWrittenAndParsed compares a reply with literal text, and checks that the Reader's
+// splitFields parses its lines.
 func TestReplyIsWrittenAndParsed(t *testing.T) {
 	var r Reply
 	a := r.Host(3)
@@ -281,13 +284,14 @@
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(head + "GO\n")
+	f.Add(startInstance3 + "GO\n")
 	f.Add("CLOCK\tAtTimeUs=8412250\nGO\n\n")
-	f.Add(head + "LEDGER\tRef=0\tHosts=1\nENDPOINT\tPhase=ready\tEndpoint=h\nREGISTRY\tMode=D\tGen=1\tRef=0\nGO\n")
-	f.Add(head + "CHECKED\tEndpoint=h:1\tStateCode=Ok\tSpentUs=3\tLoad=active:2.5,waiting:1\nGO\n")
-	f.Fuzz(func(t *testing.T, text string) { // any text is either read or an error, never a panic
+	f.Add(startInstance3 +
+		"LEDGER\tRef=0\tHosts=1\nENDPOINT\tPhase=ready\tEndpoint=h\nREGISTRY\tMode=D\tGen=1\tRef=0\nGO\n")
+	f.Add(startInstance3 + "CHECKED\tEndpoint=h:1\tStateCode=Ok\tSpentUs=3\tLoad=active:2.5,waiting:1\nGO\n")
+	f.Fuzz(func(t *testing.T, text string) { // any text is either read or results in an error, never in a panic
 		if _, err := read(text); err != nil && err.Error() == "" {
-			t.Error("an error without a text")
+			t.Error("error with an empty message")
 		}
 	})
 }
