--- a/internal/discovery/file/errors.go
+++ b/internal/discovery/file/errors.go
@@ -2,17 +2,17 @@
 
 import "errors"
 
-// blockName is the name of the block that configures the file. Errors that concern the document and
-// none of its fields begin with it.
+// blockName is the name of the configuration block for the file. It is the Path of errors in the
+// document as a whole.
 const blockName = "roster"
 
-// Causes of a FieldError.
+// Causes of FieldErrors.
 var (
 	ErrMissing      = errors.New("missing")
 	ErrTrailingData = errors.New("data after the list")
 )
 
-// FieldError says which field of a document is invalid, by its path, as in "endpoints[2].id".
+// FieldError reports an invalid field of a document by its path, as in "endpoints[2].id".
 type FieldError struct {
 	Path string
 	Err  error
@@ -21,5 +21,5 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Path + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the reason why the field is invalid.
 func (e *FieldError) Unwrap() error { return e.Err }
--- a/internal/discovery/file/follow.go
+++ b/internal/discovery/file/follow.go
@@ -1,5 +1,5 @@
-// Package file is endpoint discovery by a file that others write: a JSON document with the complete
-// list of endpoints,
+// Package file implements endpoint discovery from a file that other programs write: a JSON document
+// with the complete list of endpoints,
 //
 //	{"endpoints": [{"id": "a", "address": "127.0.0.1:8080", "zone": "z", "kind": "k", "cell": 1,
 //	                "state": "draining", "started_ms": 1800000000000}]}
@@ -18,11 +18,12 @@
 	"rowancart/internal/proxy"
 )
 
-// Follow passes the list in a file, and each later one, to onUpdate, until ctx ends. While the file
-// can't be read or is invalid, the list before it stays in use.
+// Follow reads the endpoint list from a file, at once and whenever the file changes, and passes it
+// to onUpdate, until ctx ends. While the file cannot be read or is invalid, the previous list stays
+// in use.
 //
-// onStatus is called with the error of a file that can't be read, is invalid or can't be watched,
-// and with nil for each valid one, before onUpdate. All calls come from the goroutine of Follow.
+// Follow calls onStatus with an error if the file cannot be read, is invalid or cannot be watched,
+// and with nil before each call of onUpdate. All calls are made by the goroutine of Follow.
 func Follow(ctx context.Context, path string, onUpdate func(proxy.EndpointList), onStatus func(error),
 	log *slog.Logger) {
 	apply := func(text []byte) {
--- a/internal/discovery/file/follow_test.go
+++ b/internal/discovery/file/follow_test.go
@@ -11,13 +11,13 @@
 	"rowancart/internal/testpeer"
 )
 
-// recorder records the calls of Follow.
+// recorder records the calls that Follow makes.
 type recorder struct {
 	lists    chan proxy.EndpointList
 	statuses chan error
 }
 
-// startFollow lets Follow run until the end of the test.
+// startFollow runs Follow until the end of the test.
 func startFollow(t *testing.T, path string) *recorder {
 	t.Helper()
 	r := &recorder{lists: make(chan proxy.EndpointList, 100), statuses: make(chan error, 100)}
@@ -53,7 +53,7 @@
 	}
 }
 
-// expectEndpoint waits for the next list, which must consist of one endpoint.
+// expectEndpoint waits for the next list, which must consist of the endpoint with the given id.
 func (r *recorder) expectEndpoint(t *testing.T, when, id string) {
 	t.Helper()
 	testpeer.WaitUntil(t, "a list "+when, func() bool { return len(r.lists) > 0 })
@@ -85,7 +85,7 @@
 	r.expectNoError(t, "for a later list")
 	r.expectEndpoint(t, "for a later list", "b")
 	if len(r.lists) > 0 {
-		t.Errorf("a further list: %+v", <-r.lists)
+		t.Errorf("unexpected further list: %+v", <-r.lists)
 	}
 }
 
--- a/internal/discovery/file/list.go
+++ b/internal/discovery/file/list.go
@@ -12,8 +12,8 @@
 	"rowancart/internal/proxy"
 )
 
-// The types of the file's form are aliases of unnamed types, so that errors of the decoder name a
-// field by its path in the file and not by a type of this program.
+// The types of the document are aliases of unnamed types, so that the decoder's errors name a field
+// by its path in the file and not by a Go type.
 type (
 	document = struct {
 		Endpoints []entry `json:"endpoints"`
@@ -24,24 +24,24 @@
 		Zone      string `json:"zone"`
 		Kind      string `json:"kind"`
 		Cell      int    `json:"cell"`
-		State     string `json:"state"`      // a key of states
-		StartedMs int64  `json:"started_ms"` // Unix time of the process's start, in ms
+		State     string `json:"state"`      // a key of statesByName
+		StartedMs int64  `json:"started_ms"` // Unix time at which the process started, in ms
 	}
 )
 
-// states maps the names of states in a file. An entry without a state is ready.
-var states = map[string]balancer.State{
+// statesByName maps the names of states in a file to states. An endpoint without a state is ready.
+var statesByName = map[string]balancer.State{
 	"":         balancer.Ready,
 	"ready":    balancer.Ready,
 	"draining": balancer.Draining,
 }
 
-// ParseEndpointList parses the text of a file into a complete endpoint list. One invalid entry
-// makes the entire text invalid. So does an unknown field, and a text that ends early: a file that
-// is half written must not pass for a list without endpoints.
+// ParseEndpointList parses the text of a file, which is a complete endpoint list. One invalid entry
+// makes the entire text invalid, and so does an unknown field or a truncated document: a file that
+// is only partly written must not be taken for a list without endpoints.
 //
-// Errors are FieldErrors, as in "endpoints[2].id: missing". Those of the whole document name the
-// block that configures the file.
+// Errors are FieldErrors, as in "endpoints[2].id: missing". An error in the document as a whole
+// begins with the name of the configuration block for the file.
 func ParseEndpointList(text []byte) (proxy.EndpointList, error) {
 	entries, err := decode(text)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return list, nil
 }
 
-// decode returns the entries of a text that is one document and nothing else.
+// decode returns the entries in a text, which must be exactly one document.
 func decode(text []byte) ([]entry, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -76,8 +76,8 @@
 	return d.Endpoints, nil
 }
 
-// validate returns an error that names the first invalid field of the entry at a path. Its ID must
-// not be among the seen ones.
+// validate returns an error that names the first invalid field of the entry at a path. The entry's
+// ID must not be in seen, which holds the IDs of earlier entries.
 func validate(e entry, path string, seen map[string]bool) error {
 	if e.ID == "" {
 		return &FieldError{path + ".id", ErrMissing}
@@ -85,7 +85,7 @@
 	if seen[e.ID] {
 		return &FieldError{path + ".id", fmt.Errorf("%q is listed twice", e.ID)}
 	}
-	if _, ok := states[e.State]; !ok {
+	if _, ok := statesByName[e.State]; !ok {
 		return &FieldError{path + ".state", fmt.Errorf("%q is neither ready nor draining", e.State)}
 	}
 	if err := netaddr.Check(e.Address); err != nil {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// endpointOf returns the endpoint of a valid entry.
+// endpointOf converts a valid entry to a proxy.Endpoint.
 func endpointOf(e entry) proxy.Endpoint {
 	return proxy.Endpoint{
 		ID:        e.ID,
@@ -102,7 +102,7 @@
 		Zone:      e.Zone,
 		Kind:      e.Kind,
 		Cell:      e.Cell,
-		State:     states[e.State],
+		State:     statesByName[e.State],
 		StartedMs: e.StartedMs,
 	}
 }
--- a/internal/discovery/file/list_test.go
+++ b/internal/discovery/file/list_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if empty, err := ParseEndpointList([]byte(`{"endpoints": []}`)); err != nil || !empty.Complete {
-		t.Errorf("an empty list: %+v, %v", empty, err)
+		t.Errorf("empty list: %+v, %v", empty, err)
 	}
 }
 
@@ -61,7 +61,7 @@
 			t.Errorf("%s: error of type %T, want a FieldError", test.text, err)
 		}
 		if list.Complete || list.Endpoints != nil {
-			t.Errorf("%s: a list along with an error: %+v", test.text, list)
+			t.Errorf("%s: list returned along with an error: %+v", test.text, list)
 		}
 	}
 }
--- a/internal/discovery/watch/backoff.go
+++ b/internal/discovery/watch/backoff.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// watchTiming says how long a Client waits for discovery, and how long between two attempts.
+// watchTiming holds the timeouts of a Client, and the time that it waits between two watches.
 type watchTiming struct {
-	// responseTimeout is the time for a complete list to arrive, for a watch to begin, and for a
-	// message or line that has begun to be complete.
+	// responseTimeout is the time limit for a complete list to arrive, for the response to a watch to
+	// begin, and for a message or empty line of a watch to be complete after its first byte.
 	responseTimeout time.Duration
-	// idleTimeout is how long a watch may deliver nothing after a message or an empty line.
+	// idleTimeout is the time limit for the next message or empty line of a watch to begin.
 	idleTimeout time.Duration
-	// minBackoff and maxBackoff bound the backoff between two watches, before jitter.
+	// minBackoff and maxBackoff are the limits of the backoff between two watches, before jitter.
 	minBackoff, maxBackoff time.Duration
-	// stableAfter is how long a watch that delivered something must have lasted for its end to reset
-	// the backoff.
+	// stableAfter is how long a watch that has delivered a message or an empty line must have lasted
+	// for the backoff to be reset when it ends.
 	stableAfter time.Duration
 }
 
 const (
 	defaultDrainGrace = time.Second
 	firstBackoff      = 50 * time.Millisecond
-	// watchIdleTimeout allows for the empty line that comes every 2 s while nothing changes.
+	// watchIdleTimeout is longer than the 2 s between empty lines while nothing changes.
 	watchIdleTimeout = 2500 * time.Millisecond
 )
 
-// localAgentTiming returns the timing for an agent on this machine, which responds at once. A lost
-// watch has to be replaced within the drain grace (0 means the default), so the bounds are
-// fractions of it: half of it for a response, a fifth between two watches.
+// localAgentTiming returns the timing for a discovery agent on this machine, which responds at
+// once. A lost watch has to be replaced within the drain grace (0: the default). Therefore the
+// response timeout is half of the drain grace, and the maximum backoff is a fifth of it.
 func localAgentTiming(drainGrace time.Duration) watchTiming {
 	const responseFraction, backoffFraction = 0.5, 0.2
 	grace := float64(cmp.Or(drainGrace, defaultDrainGrace))
@@ -43,19 +43,19 @@
 	}
 }
 
-// sharedServiceTiming is the timing for one service of bounded capacity that serves the calls of
-// all instances one after the other.
+// sharedServiceTiming is the timing for a discovery service of limited capacity that is shared by
+// all instances and serves one call at a time.
 var sharedServiceTiming = watchTiming{
-	// A call is queued for up to 2 s. One that is canceled sooner is served nevertheless, and has to
-	// be made again.
+	// The service queues a call for up to 2 s. A call that is canceled before that is served
+	// nevertheless, and has to be repeated.
 	responseTimeout: 2500 * time.Millisecond,
 	idleTimeout:     watchIdleTimeout,
 	minBackoff:      firstBackoff,
-	// Where calls come faster than they are served, the service rejects most of them, and hardly any
-	// instance is served.
+	// The maximum limits the rate of calls while they fail. If calls arrive faster than they are
+	// served, the service rejects most of them, and hardly any instance is served.
 	maxBackoff: 1600 * time.Millisecond,
-	// A watch that ends right after its start must not reset the backoff: all instances would call
-	// again at once.
+	// A watch that ends right after its start must not reset the backoff, because all instances would
+	// call again at once.
 	stableAfter: time.Second,
 }
 
@@ -69,9 +69,9 @@
 	return &backoff{min: t.minBackoff, max: t.maxBackoff, next: t.minBackoff}
 }
 
-// nextDelay returns the time to wait before the next attempt, and doubles the one after it up to
-// the maximum. The jitter is half of the backoff either way: all instances lose their watches at
-// the same time, and must not come back at the same time.
+// nextDelay returns the time to wait before the next watch, and doubles the backoff, up to its
+// maximum. The jitter is plus or minus half of the backoff: all instances lose their watches at the
+// same time, and must not reopen them at the same time.
 func (b *backoff) nextDelay() time.Duration {
 	delay := time.Duration(float64(b.next) * (0.5 + rand.Float64()))
 	b.next = min(2*b.next, b.max)
--- a/internal/discovery/watch/backoff_test.go
+++ b/internal/discovery/watch/backoff_test.go
@@ -31,11 +31,11 @@
 
 func TestBackoffDoublesUpToItsMaximum(t *testing.T) {
 	b := newBackoff(watchTiming{minBackoff: 50 * time.Millisecond, maxBackoff: 160 * time.Millisecond})
-	for range 2 { // the second time after a reset
+	for range 2 { // the second round follows a reset
 		for _, want := range []time.Duration{50, 100, 160, 160} {
 			want *= time.Millisecond
 			if got := b.nextDelay(); got < want/2 || got > want*3/2 {
-				t.Errorf("delay %v, want %v and up to half of it more or less", got, want)
+				t.Errorf("delay %v, want %v plus or minus at most half of it", got, want)
 			}
 		}
 		b.reset()
--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -1,9 +1,9 @@
 // Package watch is a client of the platform's endpoint discovery: it fetches an endpoint list
-// over HTTP, and then follows the changes of that list on a watch.
+// over HTTP, and then receives the changes of that list through a watch.
 //
-// The list is the response to GET of platform.EndpointListPath. A watch is the same with
-// platform.WatchQuery: a response without an end that carries one JSON message for each change
-// after a version, and an empty line at least every 2 s while nothing changes.
+// A GET of platform.EndpointListPath returns the list. A GET of the same path with
+// platform.WatchQuery opens a watch: its response does not end, and its body has one JSON message
+// for each change after a version, and an empty line at least every 2 s while nothing changes.
 package watch
 
 import (
@@ -17,37 +17,40 @@
 	"rowancart/internal/platform"
 )
 
-// warningInterval is the least time between two warnings about discovery. While it is down,
-// attempts fail many times a second.
+// warningInterval is the minimum time between two warnings about discovery. While discovery is
+// down, watches fail many times a second.
 const warningInterval = 10 * time.Second
 
 // Options configure a Client.
 type Options struct {
 	// Addr is the host:port of discovery.
 	Addr string
-	// WaitForSubscribe says that no watch is opened before the first call of Subscribe. From then on
-	// there is always one, or an attempt at one. It also says that discovery is one service shared by
-	// all instances, which sets the timing of attempts.
+	// WaitForSubscribe means that no watch is opened before the first call of Subscribe. After that
+	// call the Client keeps a watch open, as it otherwise does from the start. WaitForSubscribe also
+	// means that discovery is one service shared by all instances, and sets the timeouts and the
+	// backoff for such a service.
 	WaitForSubscribe bool
-	// Version is that of the endpoint list that is known already; nil: the complete list is fetched.
+	// Version is the version of the endpoint list that the caller has; nil: the Client fetches the
+	// complete list.
 	Version *int64
-	// DrainGrace is how long a draining endpoint may still be sent requests; 0: one second.
+	// DrainGrace is how long a draining endpoint may still be sent requests; 0: one second. It
+	// sets the timing unless WaitForSubscribe does.
 	DrainGrace time.Duration
 
-	// OnUpdate is passed each message, by the goroutine of Run.
+	// OnUpdate is called with each message, by the goroutine of Run.
 	OnUpdate func(platform.EndpointList)
-	// OnCurrent is called after each message or empty line of a watch, by the goroutine of Run: the
-	// endpoint list is up to date. It may be nil.
+	// OnCurrent is called after each message or empty line of a watch, by the goroutine of Run. Each
+	// call confirms that the endpoint list is up to date. OnCurrent may be nil.
 	OnCurrent func()
 	Log       *slog.Logger
 }
 
 // Client follows the endpoint list of one discovery address.
 //
-// An instance counts as notified of a change from the moment at which discovery has it, whether or
-// not a watch is open, and requests to a draining endpoint have to end within the drain grace of
-// that moment. A watch that delivers nothing is therefore cancelled and the next one opened well
-// within the grace.
+// The platform considers an instance notified of a change as soon as discovery has the change,
+// whether or not the instance has a watch open. Requests to a draining endpoint have to end within
+// the drain grace after that moment. The Client therefore cancels a watch that delivers nothing,
+// and opens the next one, well within the drain grace.
 type Client struct {
 	httpClient *http.Client
 	timing     watchTiming
@@ -55,15 +58,15 @@
 	onCurrent  func()
 	log        *slog.Logger
 
-	subscribed    chan struct{} // closed by the first Subscribe; nil if Run doesn't wait for one
+	subscribed    chan struct{} // closed by the first Subscribe; nil if Run does not wait for it
 	subscribeOnce sync.Once
 
 	mu          sync.Mutex
 	addr        string             // guarded by mu
-	addrChanged bool               // guarded by mu; since the current or latest watch was started
-	cancelWatch context.CancelFunc // guarded by mu; of the current or latest watch
+	addrChanged bool               // guarded by mu; whether addr has changed since the latest watch was started
+	cancelWatch context.CancelFunc // guarded by mu; cancels the latest watch
 
-	// The fields below belong to the goroutine of Run.
+	// Only the goroutine of Run uses the fields below.
 
 	version     *int64 // of the latest message; nil: the complete list has to be fetched
 	lastWarning time.Time
@@ -72,7 +75,7 @@
 // New returns a Client that does nothing until Run is called.
 func New(o Options) *Client {
 	c := &Client{
-		// A watch holds its connection to the end, so there is none to reuse.
+		// No connection can be reused: a watch occupies its connection until it ends.
 		httpClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 		timing:     localAgentTiming(o.DrainGrace),
 		onUpdate:   o.OnUpdate,
@@ -88,17 +91,17 @@
 	return c
 }
 
-// Subscribe lets Run open watches from now on, if it waits for that. It doesn't block and may be
-// called more than once.
+// Subscribe allows Run to open watches if Options.WaitForSubscribe is set. It does not block and
+// may be called more than once.
 func (c *Client) Subscribe() {
 	if c.subscribed != nil {
 		c.subscribeOnce.Do(func() { close(c.subscribed) })
 	}
 }
 
-// SetAddress changes the address of discovery. The watch at the old address is cancelled, and the
-// complete list is fetched from the new one: its versions need not have anything to do with those
-// of the old one.
+// SetAddress changes the address of discovery. It cancels the watch at the old address. Run then
+// fetches the complete list from the new address, because versions at the two addresses may be
+// unrelated.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,8 +115,8 @@
 	}
 }
 
-// Run keeps a watch open until ctx ends. While there is none the latest endpoint list stays in use;
-// the next watch delivers what has changed since.
+// Run keeps a watch open until ctx ends. While no watch is open, the latest endpoint list stays in
+// use; the next watch delivers the changes since then.
 func (c *Client) Run(ctx context.Context) {
 	if c.subscribed != nil {
 		select {
@@ -137,7 +140,7 @@
 	}
 }
 
-// warn logs the error that ended a watch, unless it has logged within the last warningInterval.
+// warn logs the error that ended a watch, at most once per warningInterval.
 func (c *Client) warn(err error) {
 	if time.Since(c.lastWarning) > warningInterval {
 		c.lastWarning = time.Now()
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -11,9 +11,9 @@
 	"rowancart/internal/testpeer"
 )
 
-const patience = testpeer.WaitTimeout
+const waitTimeout = testpeer.WaitTimeout
 
-// The helpers of package testpeer that tests here use most.
+// Short names for helpers of package testpeer.
 var (
 	completeList = testpeer.CompleteList
 	changes      = testpeer.Changes
@@ -25,33 +25,33 @@
 	noResponse = testpeer.NoResponse
 )
 
-// testClient is a running Client of a scripted discovery.
+// testClient is a running Client of a scripted discovery server.
 type testClient struct {
 	*Client
 	updates chan platform.EndpointList
-	calls   chan string // queries that discovery was called with
+	calls   chan string // query strings of the calls to discovery
 }
 
-// startClient runs a client that knows a version, after configure (nil: nothing) has changed it.
-// Discovery responds to its calls with one step each.
+// startClient starts a client whose endpoint list has the given version, after configure, if it is
+// not nil, has changed the client. Discovery responds to each call with the next of steps.
 func startClient(t *testing.T, version int64, configure func(*Client), steps ...testpeer.Step) *testClient {
 	t.Helper()
 	addr, calls := startDiscovery(t, steps...)
 	c := &testClient{updates: make(chan platform.EndpointList, 100), calls: calls}
 	c.Client = New(Options{Addr: addr, Version: &version, OnUpdate: func(l platform.EndpointList) { c.updates <- l },
 		Log: slog.New(slog.DiscardHandler)})
-	c.timing.idleTimeout, c.timing.responseTimeout = patience, patience
+	c.timing.idleTimeout, c.timing.responseTimeout = waitTimeout, waitTimeout
 	if configure != nil {
 		configure(c.Client)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), 2*patience)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*waitTimeout)
 	t.Cleanup(cancel)
 	go c.Run(ctx)
 	return c
 }
 
-// startDiscovery starts a fake discovery that responds to its calls with one step each. It returns
-// its address and the queries of its calls.
+// startDiscovery starts a fake discovery server that responds to each call with the next of steps.
+// It returns the server's address and the query strings of the calls.
 func startDiscovery(t *testing.T, steps ...testpeer.Step) (addr string, calls chan string) {
 	t.Helper()
 	discovery := &testpeer.ScriptedDiscovery{Steps: steps, Calls: make(chan string, 100)}
@@ -67,10 +67,10 @@
 		select {
 		case got := <-c.calls:
 			if got != want {
-				t.Errorf("called with %q, want %q", got, want)
+				t.Errorf("discovery was called with query %q, want %q", got, want)
 			}
-		case <-time.After(patience):
-			t.Fatalf("never called with %q", want)
+		case <-time.After(waitTimeout):
+			t.Fatalf("discovery was never called with query %q", want)
 		}
 	}
 }
@@ -83,8 +83,8 @@
 			if *list.Version != want {
 				t.Errorf("version %d, want %d", *list.Version, want)
 			}
-		case <-time.After(patience):
-			t.Fatalf("version %d never came", want)
+		case <-time.After(waitTimeout):
+			t.Fatalf("version %d was not received", want)
 		}
 	}
 }
@@ -97,14 +97,14 @@
 	c.expectCalls(t, "watch=1&after=41", "watch=1&after=44")
 }
 
-// One Subscribe is enough: a watch that ends is reopened, whether or not there are further calls of
-// Subscribe.
+// After a single call of Subscribe, each watch that ends is reopened, whether or not Subscribe is
+// called again.
 func TestWatchesBeginWithSubscribe(t *testing.T) {
 	c := startClient(t, 41, func(c *Client) { c.subscribed = make(chan struct{}) },
 		respond(changes(42)+"\n"), respond(changes(43)+"\n"), stayOpen(changes(44)+"\n"))
 	select {
 	case query := <-c.calls:
-		t.Fatalf("called with %q before Subscribe", query)
+		t.Fatalf("discovery was called with query %q before Subscribe", query)
 	default:
 	}
 	c.Subscribe()
@@ -114,7 +114,7 @@
 	c.expectCalls(t, "watch=1&after=41", "watch=1&after=42", "watch=1&after=43")
 }
 
-// Versions at the new address may have nothing to do with those of the old one.
+// The versions at the old and the new address may be unrelated, so the complete list is fetched.
 func TestSetAddressRefetchesList(t *testing.T) {
 	c := startClient(t, 41, nil, stayOpen(changes(42)+"\n"))
 	c.expectVersions(t, 42)
@@ -125,7 +125,8 @@
 	c.expectCalls(t, "", "watch=1&after=7")
 }
 
-// A reload may change the address at any point of a watch. The watch at the old one ends at once.
+// A reload may change the address at any point of a watch. The watch at the old address ends at
+// once.
 func TestSetAddressAtAnyPointOfAWatch(t *testing.T) {
 	for name, step := range map[string]testpeer.Step{
 		"before the headers": noResponse(),
--- a/internal/discovery/watch/drain_test.go
+++ b/internal/discovery/watch/drain_test.go
@@ -14,13 +14,13 @@
 	"rowancart/internal/platform"
 )
 
-// The tests of this file measure, in synctest bubbles, how long it takes until a client is notified
-// of a drain.
+// The tests of this file run in synctest bubbles and measure the time until a client is notified of
+// a drain.
 
-// drainObserver is a running client that notes when it was notified of the drain.
+// drainObserver is a running client that records when it was notified of the drain.
 type drainObserver struct {
 	notified atomic.Int64 // Unix time in ns; 0: not yet
-	stop     func()       // ends the client and its discovery
+	stop     func()       // ends the client and the discovery server
 }
 
 func (o *drainObserver) notifiedAt() time.Time { return time.Unix(0, o.notified.Load()) }
@@ -30,8 +30,8 @@
 	return o.notified.Load() != 0 && !o.notifiedAt().After(deadline)
 }
 
-// observeDrain starts a client of a handler that serves as discovery, over connections in memory.
-// Connections fail while refuses returns true.
+// observeDrain starts a discovery server with the handler discovery, and a client connected to it
+// through in-memory connections. Connections are refused while refuses returns true.
 func observeDrain(t *testing.T, options Options, discovery http.Handler, refuses func() bool) *drainObserver {
 	observer := &drainObserver{}
 	version := int64(41)
@@ -72,7 +72,7 @@
 	return observer
 }
 
-// pipeListener is a net.Listener of connections in memory.
+// pipeListener is a net.Listener of in-memory connections.
 type pipeListener chan net.Conn
 
 func (l pipeListener) Accept() (net.Conn, error) {
@@ -85,10 +85,10 @@
 func (l pipeListener) Close() error   { return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// agent is discovery on the client's own machine.
+// agent is a fake discovery agent on the client's machine.
 type agent struct {
-	refusesWhenDown bool // connections; else it accepts them and doesn't respond
-	// firstWatch writes the beginning of the first watch, which then stalls; nil: it is healthy.
+	refusesWhenDown bool // refuses connections while it is down; if false, accepts them without a response
+	// firstWatch writes the beginning of the first watch, which then stalls; nil: no watch stalls.
 	firstWatch func(w http.ResponseWriter)
 	down       atomic.Bool
 	draining   atomic.Bool
@@ -114,7 +114,7 @@
 	a.serveWatch(w, r)
 }
 
-// serveWatch looks every 100 ms whether there is a drain to report, and writes an empty line every
+// serveWatch checks every 100 ms whether there is a drain to report, and writes an empty line every
 // 2 s.
 func (a *agent) serveWatch(w http.ResponseWriter, r *http.Request) {
 	reported := false
@@ -136,15 +136,17 @@
 	<-r.Context().Done()
 }
 
-// drainCase is a state of agent and watch in which an endpoint starts to drain.
+// drainCase is a state of the agent and its watches in which an endpoint begins to drain.
 type drainCase struct {
 	agent func() *agent
-	// drain brings the drain about and returns when the grace, of a length that it is passed, begins.
+	// drain starts the drain and returns the instant at which the drain grace begins. It is passed
+	// the length of the grace.
 	drain func(a *agent, grace time.Duration) time.Time
 }
 
-// drainOnStalledWatch is a drain that the first watch does not deliver, since it stalls after its
-// beginning. A watch that has been stalled for 6 s counts as one that has notified.
+// drainOnStalledWatch is a drain that the first watch does not deliver, because it stalls after the
+// given beginning. A watch that has been stalled for 6 s counts as having notified the client, so
+// the drain grace ends at that instant.
 func drainOnStalledWatch(beginning string) drainCase {
 	const bound = 6 * time.Second
 	return drainCase{
@@ -158,7 +160,8 @@
 	}
 }
 
-// drainAtOutage is a drain that begins when an outage of the agent ends.
+// drainAtOutage is a drain that begins when an outage of the agent ends. The outage starts after
+// the time begin.
 func drainAtOutage(newAgent func() *agent, begin, length time.Duration) drainCase {
 	return drainCase{newAgent, func(a *agent, _ time.Duration) time.Time {
 		time.Sleep(begin)
@@ -184,14 +187,14 @@
 		"stalled after a line":                         drainOnStalledWatch(changes(41) + "\n"),
 		"discovery down for long, calls hang":          drainAtOutage(hanging, 3*time.Second, 8*time.Second),
 		"discovery down for long, connections refused": drainAtOutage(refusing, 0, 9*time.Second),
-		// The outage begins right before a line is due.
+		// The outage begins just before the next empty line is due.
 		"discovery down for some seconds": drainAtOutage(hanging, 1900*time.Millisecond, 2*time.Second),
 	}
 }
 
-// An instance counts as notified of what the agent has whether or not a watch is open, and requests
-// have to end within the drain grace after that. However a watch stalled, or discovery was down,
-// the client is notified well within the grace.
+// The platform considers an instance notified as soon as the agent has the change, whether or not a
+// watch is open, and requests have to end within the drain grace after that. However a watch
+// stalls, and however long discovery is down, the client must be notified within the grace.
 func TestClientIsNotifiedOfDrainWithinGrace(t *testing.T) {
 	for _, setting := range []time.Duration{0, 800 * time.Millisecond, 2 * time.Second} {
 		grace := setting
@@ -209,7 +212,7 @@
 						time.Sleep(20 * time.Second)
 						observer.stop()
 						if !observer.wasNotifiedBy(graceBegins.Add(grace)) {
-							t.Errorf("notified %v after the grace of %v began", observer.notifiedAt().Sub(graceBegins), grace)
+							t.Errorf("notified %v after the drain grace of %v began", observer.notifiedAt().Sub(graceBegins), grace)
 						}
 					})
 				}
--- a/internal/discovery/watch/poollist.go
+++ b/internal/discovery/watch/poollist.go
@@ -5,11 +5,11 @@
 	"rowancart/internal/proxy"
 )
 
-// ProxyEndpointList returns a valid message in the form that a pool is updated with.
+// ProxyEndpointList converts a valid message to the type with which proxy.Pool is updated.
 func ProxyEndpointList(message platform.EndpointList) proxy.EndpointList {
 	list := proxy.EndpointList{Complete: message.Complete}
 	for _, e := range message.Endpoints {
-		state, _ := e.State.EndpointState() // known: the message is valid
+		state, _ := e.State.EndpointState() // the state is known, because the message is valid
 		list.Endpoints = append(list.Endpoints, proxy.Endpoint{
 			ID:        e.ID,
 			Addr:      e.Addr,
--- a/internal/discovery/watch/sharedservice_test.go
+++ b/internal/discovery/watch/sharedservice_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// sharedService is discovery as one service for all instances: it serves one call after the other,
-// takes a while for each, and rejects calls while its queue is full. Until it stalls, a watch is
-// opened at once and stays healthy.
+// sharedService is a fake discovery service shared by all instances. It serves one call at a time,
+// each for serviceTime, and rejects calls while its queue is full. Before it stalls, it opens
+// watches at once, and they stay healthy.
 type sharedService struct {
-	stalled  chan struct{} // closed: watches that are open deliver nothing any more
+	stalled  chan struct{} // closed: open watches deliver nothing any more
 	serving  chan struct{} // capacity 1: a semaphore held by the call that is being served
 	queued   atomic.Int32
-	rejected atomic.Int32 // calls
+	rejected atomic.Int32 // number of rejected calls
 }
 
 const (
-	serviceQueueLimit = 8 // the last one waits for 2 s
+	serviceQueueLimit = 8 // the last call in the queue waits for 2 s
 	serviceTime       = 250 * time.Millisecond
 	rejectionTime     = 35 * time.Millisecond
 )
@@ -40,7 +40,7 @@
 		return
 	}
 	s.serving <- struct{}{}
-	time.Sleep(serviceTime) // also for a call that was canceled meanwhile
+	time.Sleep(serviceTime) // spent even if the call has been canceled
 	<-s.serving
 	s.queued.Add(-1)
 	w.Write([]byte(drainMessage + "\n"))
@@ -65,8 +65,9 @@
 	}
 }
 
-// All instances lose their watches together and call one service anew. Their attempts must not keep
-// it from serving: each is notified of a drain within 6 s of the stall and the grace.
+// All instances lose their watches at the same time and call the shared service again. These calls
+// must not overload it: each instance has to be notified of a drain within 6 s plus the drain grace
+// after its watch stalled.
 func TestRetriesDoNotOverloadASharedService(t *testing.T) {
 	const instances, bound = 13, 6*time.Second + defaultDrainGrace
 	for range 20 { // the jitter of backoffs is random
@@ -83,7 +84,7 @@
 			for _, o := range observers {
 				o.stop()
 			}
-			time.Sleep(3 * time.Second) // calls that were canceled are served all the same
+			time.Sleep(3 * time.Second) // calls that were canceled are still served
 			for i, o := range observers {
 				if !o.wasNotifiedBy(stalledAt.Add(bound)) {
 					t.Errorf("instance %d was notified of a drain %v after its watch stalled", i, o.notifiedAt().Sub(stalledAt))
@@ -93,7 +94,7 @@
 	}
 }
 
-// While a shared service rejects all calls, an instance makes few of them, and it still makes some.
+// While a shared service rejects all calls, an instance calls it rarely, but does not stop calling.
 func TestBackoffBoundsCallsToARejectingSharedService(t *testing.T) {
 	const outage, minCalls, maxCalls = 30 * time.Second, 12, 45
 	for range 20 { // the jitter of backoffs is random
@@ -104,7 +105,7 @@
 			o := observeDrain(t, Options{WaitForSubscribe: true}, s, func() bool { return false })
 			time.Sleep(outage)
 			o.stop()
-			time.Sleep(time.Second) // a call that was canceled is rejected all the same
+			time.Sleep(time.Second) // a call that was canceled is still rejected
 			if n := s.rejected.Load(); n < minCalls || n > maxCalls {
 				t.Errorf("%d calls in %v, want between %d and %d", n, outage, minCalls, maxCalls)
 			}
@@ -112,7 +113,8 @@
 	}
 }
 
-// breakingWatches is discovery whose watches deliver an empty line and end after a lifetime.
+// breakingWatches is a fake discovery service whose watches deliver one empty line and end after
+// lifetime.
 type breakingWatches struct {
 	lifetime time.Duration
 	calls    atomic.Int32
@@ -129,14 +131,16 @@
 	}
 }
 
-// Only a watch of a shared service that has lasted for a second resets the backoff.
+// With a shared service, only a watch that has lasted for a second resets the backoff.
 func TestOnlyStableWatchesOfASharedServiceResetBackoff(t *testing.T) {
 	const duration = time.Minute
 	const stableAfter = time.Second
 	const margin = 100 * time.Millisecond
-	// With a reset, the next watch follows after the least backoff and its jitter.
+	// If the backoff is reset, the next watch follows after the minimum backoff plus up to half of it
+	// as jitter.
 	const resetInterval = stableAfter + margin + firstBackoff*3/2
-	// Without, the backoff is the greatest from the sixth on, of which jitter may take half.
+	// If it is not reset, it is at its maximum of 1600 ms from the sixth watch on, minus at most half
+	// of it by jitter.
 	const growingCalls = 6
 	const grownInterval = stableAfter - margin + 1600*time.Millisecond/2
 	for name, test := range map[string]struct {
--- a/internal/discovery/watch/stream.go
+++ b/internal/discovery/watch/stream.go
@@ -9,18 +9,18 @@
 	"io"
 )
 
-// maxMessageBytes bounds a complete list, and a message of a watch.
+// maxMessageBytes is the maximum size of a complete list and of a message of a watch.
 const maxMessageBytes = 4 << 20
 
-var errMessageTooLong = fmt.Errorf("an object of more than %d bytes", maxMessageBytes)
+var errMessageTooLong = fmt.Errorf("message exceeds %d bytes", maxMessageBytes)
 
-// messageReader splits the body of a watch into JSON objects. An object takes one line, or several
-// where it is indented. There are empty lines while nothing changes.
+// messageReader splits the body of a watch into messages, which are JSON objects. A message takes
+// one line, or several lines if its JSON is indented. Empty lines are sent while nothing changes.
 type messageReader struct {
 	source    io.Reader
-	onStart   func() // called when the first byte of a message or an empty line has arrived
-	started   bool   // whether onStart was called for what is being read
-	remaining int    // bytes that what is being read may still have
+	onStart   func() // called when the first byte of a message or empty line arrives
+	started   bool   // whether onStart was called for the current message or line
+	remaining int    // bytes that the current message may still have
 	buffered  *bufio.Reader
 }
 
@@ -30,8 +30,8 @@
 	return r
 }
 
-// Read implements io.Reader for the buffer: it reads from the source, counts bytes and notices the
-// first one.
+// Read implements io.Reader for buffered. It reads from the source, limits the size of a message,
+// and calls onStart at its first byte.
 func (r *messageReader) Read(p []byte) (int, error) {
 	n, err := r.source.Read(p)
 	if r.remaining -= n; r.remaining < 0 {
@@ -43,7 +43,7 @@
 	return n, err
 }
 
-// start calls onStart, once for what is being read.
+// start calls onStart unless it was called for the current message or line.
 func (r *messageReader) start() {
 	if !r.started {
 		r.started = true
@@ -51,12 +51,12 @@
 	}
 }
 
-// next returns the next object, or nothing for an empty line. An object that breaks off before the
-// end of its last line is dropped: the next watch delivers that change again. Text that is no JSON
-// is returned as far as needed to see that, for the parser to reject.
+// next returns the next message, or nil for an empty line. It drops a message that ends before the
+// newline of its last line, because the next watch delivers that change again. If the text is not
+// JSON, next returns the lines up to the point where that is certain, and the parser rejects them.
 func (r *messageReader) next() ([]byte, error) {
 	r.started, r.remaining = false, maxMessageBytes
-	if r.buffered.Buffered() > 0 { // it has arrived together with the message before it
+	if r.buffered.Buffered() > 0 { // its first byte has arrived together with the previous message
 		r.start()
 	}
 	var text []byte
@@ -79,17 +79,17 @@
 	}
 }
 
-// isIncompleteJSON reports whether text is the valid beginning of a JSON value that goes on.
+// isIncompleteJSON reports whether text is the beginning of a valid JSON value, but not all of it.
 func isIncompleteJSON(text []byte) bool {
 	return errors.Is(json.NewDecoder(bytes.NewReader(text)).Decode(new(json.RawMessage)), io.ErrUnexpectedEOF)
 }
 
-// braceNesting tracks how deep in braces the end of a JSON text is. It scans each line of an
-// indented object once, where decoding the text anew after each line would take quadratic time.
+// braceNesting tracks the nesting depth of braces at the end of a JSON text. It scans each line of
+// an indented object only once. Decoding the whole text after each line would take quadratic time.
 type braceNesting struct {
 	depth     int
 	inString  bool
-	isEscaped bool // the next byte, by a backslash
+	isEscaped bool // whether a backslash escapes the next byte
 }
 
 func (n *braceNesting) scan(line []byte) {
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -10,21 +10,21 @@
 	"rowancart/internal/platform"
 )
 
-// One watch, of which a watchdog bounds each phase. When the watchdog expires it cancels the watch,
-// and Run starts the next one:
+// A watch has the phases below. A watchdog timer limits the duration of each phase. When the
+// watchdog expires, it cancels the watch, and Run starts the next one.
 //
 //	phase      ends with                       time limit
-//	listing    the complete list               responseTimeout; if no version is known
-//	opening    the first byte of the response  responseTimeout; connecting is part of it
+//	listing    the complete list               responseTimeout; only if no version is known
+//	opening    the first byte of the response  responseTimeout; includes connecting
 //	receiving  the end of a message or line    responseTimeout, from its first byte
 //	idle       the first byte of the next one  idleTimeout
 //
-// Where the watchdog expires just as something arrives, the next watch starts after the latest
-// version that was applied: nothing is missed, at the cost of a call.
+// If the watchdog expires just as data arrives, the next watch starts after the latest version that
+// was applied. No change is missed; the cost is one more call.
 
-// startWatch returns the context of a new watch, its cancel function, and the address to watch. A
-// SetAddress that follows cancels that context: one critical section both reads the address and
-// registers the cancel function.
+// startWatch returns the context of a new watch, its cancel function, and the address to watch. It
+// reads the address and registers the cancel function in one critical section, so that any later
+// SetAddress cancels the context.
 func (c *Client) startWatch(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	ctx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
@@ -37,9 +37,9 @@
 	return ctx, cancel, c.addr
 }
 
-// watch runs one watch to its end, after it has fetched the complete list if there is no version to
-// start from. It reports whether the watch delivered anything, and returns the error that ended it,
-// which is never nil.
+// watch runs one watch until it ends. If no version is known, it fetches the complete list first.
+// It reports whether the watch delivered a message or an empty line, and returns the error that
+// ended the watch, which is never nil.
 func (c *Client) watch(ctx context.Context) (received bool, err error) {
 	ctx, cancel, addr := c.startWatch(ctx)
 	defer cancel()
@@ -84,14 +84,14 @@
 	defer body.Close()
 	text, err := io.ReadAll(io.LimitReader(body, maxMessageBytes))
 	if err != nil {
-		return fmt.Errorf("list: %w", err)
+		return fmt.Errorf("endpoint list: %w", err)
 	}
 	return c.applyMessage(text)
 }
 
-// StatusError says that discovery responded with a status other than 200.
+// StatusError reports that discovery responded with a status other than 200.
 type StatusError struct {
-	Query  string // with its question mark; empty: the complete list was asked for
+	Query  string // with its question mark; empty: the request was for the complete list
 	Status string
 }
 
@@ -100,8 +100,8 @@
 	return platform.EndpointListPath + e.Query + ": " + e.Status
 }
 
-// get calls discovery and returns the body of a 200 response, which the caller must close. The
-// error for another status is a *StatusError.
+// get calls discovery and returns the body of a response with status 200, which the caller must
+// close. The error for any other status is a *StatusError.
 func (c *Client) get(ctx context.Context, addr, query string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+platform.EndpointListPath+query, nil)
 	if err != nil {
@@ -118,10 +118,11 @@
 	return resp.Body, nil
 }
 
-// applyMessage passes one message to onUpdate. A message that can't be read, or whose changes are
-// to an older list than the known one, means that something may have been missed: the complete list
-// is fetched before the next watch. The version changes only where the message is passed on, by the
-// same goroutine.
+// applyMessage validates a message, passes it to onUpdate and adopts its version. After an invalid
+// message, or one with changes of a version older than the known one, changes may have been missed.
+// The known version is then discarded, so that the complete list is fetched before the next watch.
+// A version is adopted only along with a call of onUpdate, in the same goroutine, so that it is
+// that of the latest list passed on.
 func (c *Client) applyMessage(text []byte) error {
 	list, err := platform.ParseEndpointList(text)
 	if err == nil {
@@ -136,11 +137,12 @@
 	return nil
 }
 
-// checkVersion returns an error if the list consists of changes that don't follow the known
-// version.
+// checkVersion returns an error if the list consists of changes and its version is older than the
+// known one, or none is known.
 func (c *Client) checkVersion(list platform.EndpointList) error {
 	if list.Complete || c.version != nil && *list.Version >= *c.version {
 		return nil
 	}
-	return &platform.FieldError{Field: "version", Err: fmt.Errorf("%d does not follow", *list.Version)}
+	return &platform.FieldError{Field: "version",
+		Err: fmt.Errorf("changes of version %d do not follow the known version", *list.Version)}
 }
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -14,11 +14,11 @@
 	"rowancart/internal/testpeer"
 )
 
-// drainMessage is the change that no interruption of a watch may hide.
+// drainMessage is a change that has to be delivered however a watch is interrupted.
 var drainMessage = changes(42, listed("a", "127.0.0.1:1", platform.StateDraining))
 
-// However a watch stalls or breaks, it is reopened, and the next one delivers what it would have
-// delivered.
+// A watch that stalls or breaks at any point is followed by another one, which delivers the changes
+// that the first one did not.
 func TestInterruptedWatchIsReopened(t *testing.T) {
 	type steps = []testpeer.Step
 	type calls = []string
@@ -50,7 +50,7 @@
 		"a list without a response":       {unknown, steps{none, list41, drained}, calls{list, list, after41}},
 		"a list that stalls":              {unknown, steps{stalledLine, list41, drained}, calls{list, list, after41}},
 		"a list, then a stalled watch":    {unknown, steps{list41, none, drained}, calls{list, after41, after41}},
-		"two in a row, then a reset":      {41, steps{none, stalled, resets, drained}, calls{after41, after41, after41}},
+		"two stalls, then a reset":        {41, steps{none, stalled, resets, drained}, calls{after41, after41, after41}},
 		"a list that is malformed":        {unknown, steps{malformed, list41, drained}, calls{list, list, after41}},
 		"a line too long, never complete": {41, steps{tooLong, drained}, calls{after41, after41}},
 	} {
@@ -78,8 +78,8 @@
 	c.expectVersions(t, 8)
 }
 
-// A watch that breaks off within an object leaves list and version as they were: only what is
-// missing is delivered again.
+// A watch that ends within a message does not change the endpoint list or its version: the next
+// watch delivers the whole message.
 func TestIncompleteLineIsDropped(t *testing.T) {
 	line := changes(42, listed("a", "127.0.0.1:1", platform.StateDraining))
 	for _, cut := range []int{1, len(line) / 2, len(line) - 1, len(line)} {
@@ -89,8 +89,8 @@
 	}
 }
 
-// After a malformed message something may be missing: the complete list is fetched, and the old one
-// stays in use until then.
+// After a malformed message, changes may have been missed: the complete list is fetched, and the
+// old list stays in use until then.
 func TestMalformedMessageRefetchesList(t *testing.T) {
 	for name, line := range map[string]string{
 		"no JSON":            "{nonsense",
@@ -110,7 +110,8 @@
 	}
 }
 
-// Lists may come indented, as a response or on a watch, in whatever pieces.
+// The JSON of a complete list or of a message of a watch may be indented, and several messages may
+// arrive at once.
 func TestIndentedListsAreRead(t *testing.T) {
 	indent := func(text string) string {
 		var b bytes.Buffer
@@ -134,7 +135,7 @@
 	c := New(Options{Addr: server.Listener.Addr().String()})
 	_, err := c.get(t.Context(), c.addr, "?"+platform.WatchQuery(7))
 	if status := (*StatusError)(nil); !errors.As(err, &status) {
-		t.Fatalf("%v is no StatusError", err)
+		t.Fatalf("%v is not a StatusError", err)
 	}
 	if want := "/catalog/members?watch=1&after=7: 404 Not Found"; err.Error() != want {
 		t.Errorf("%q, want %q", err, want)
