--- a/internal/subset/filter.go
+++ b/internal/subset/filter.go
@@ -9,47 +9,48 @@
 	"rowancart/internal/proxy"
 )
 
-// Filter turns the updates of an endpoint list into updates for one instance, with its subset of
-// the endpoints only.
+// Filter reduces the updates of an endpoint list to updates for one instance, which contain only
+// the endpoints in its subset.
 //
 // An endpoint that leaves the subset while it is ready is delivered as balancer.Removed: it gets no
-// new requests, and those in flight complete. A draining endpoint of the subset stays delivered
-// until the list removes it, and another endpoint replaces it at once.
+// new requests, and those in flight complete. When an endpoint in the subset begins to drain,
+// another one replaces it at once. The draining endpoint is still delivered, until the list removes
+// it.
 //
 // A Filter is not safe for concurrent use.
 type Filter struct {
 	spec        Spec
-	specChanged bool            // since the latest update
-	added       map[string]bool // ready endpoints that are new since the latest update
-	ring        Ring            // ready endpoints
-	all         map[string]proxy.Endpoint
-	delivered   map[string]proxy.Endpoint // as they were delivered to the instance
+	specChanged bool                      // whether spec was changed since the latest update
+	added       map[string]bool           // endpoints added to ring since the subset was last selected
+	ring        Ring                      // ready endpoints
+	all         map[string]proxy.Endpoint // the complete list, by id
+	delivered   map[string]proxy.Endpoint // endpoints as last delivered to the instance, by id
 }
 
 // Spec determines the subset of an instance.
 type Spec struct {
 	Position  Position
-	Size      int // endpoints; 0: all
-	Instances int // of the fleet, if known: with few instances, subsets are larger, so that they cover all endpoints
+	Size      int // number of endpoints; 0: all
+	Instances int // of the fleet, if known: few instances get larger subsets, so that these cover all endpoints
 }
 
-// minInstancesPerEndpoint is the number of subsets to which each endpoint belongs at least, if the
-// number of instances is known.
+// minInstancesPerEndpoint is the minimum number of subsets that contain an endpoint, on average, if
+// the number of instances is known.
 const minInstancesPerEndpoint = 3
 
-// SizeOf returns the size of the subset of n endpoints.
+// SizeOf returns the size of the subset if there are n endpoints.
 func (s Spec) SizeOf(n int) int {
 	if s.Size == 0 {
 		return n
 	}
 	if s.Instances > 1 {
-		covering := (minInstancesPerEndpoint*n + s.Instances - 1) / s.Instances
-		return min(max(s.Size, covering), n)
+		minSize := (minInstancesPerEndpoint*n + s.Instances - 1) / s.Instances
+		return min(max(s.Size, minSize), n)
 	}
 	return min(s.Size, n)
 }
 
-// NewFilter returns a filter without any endpoints.
+// NewFilter returns a filter with an empty endpoint list.
 func NewFilter(s Spec) *Filter {
 	return &Filter{
 		spec:      s,
@@ -59,14 +60,14 @@
 	}
 }
 
-// SetSpec changes the subset. The change is part of the result of the next Apply.
+// SetSpec changes the subset. The next Apply delivers the change.
 func (f *Filter) SetSpec(s Spec) {
 	f.specChanged = f.specChanged || s != f.spec
 	f.spec = s
 }
 
-// Apply records an update of the endpoint list and returns the update for the instance, which is
-// complete if the other is.
+// Apply records an update of the endpoint list and returns the resulting update for the instance.
+// If update is a complete list, the result is complete too.
 func (f *Filter) Apply(update proxy.EndpointList) proxy.EndpointList {
 	f.record(update)
 	if f.spec.Size == 0 && !f.specChanged {
@@ -77,13 +78,13 @@
 	out := proxy.EndpointList{Complete: update.Complete, Unlisted: f.ring.Len() - len(selected)}
 	out.Endpoints = f.updateDelivered(selected, update.Complete)
 	out.Endpoints = append(out.Endpoints, f.deliverNew(selected)...)
-	if update.Complete { // a complete list does not contain removed endpoints
+	if update.Complete { // complete lists contain no removed endpoints
 		out.Endpoints = slices.DeleteFunc(out.Endpoints, func(e proxy.Endpoint) bool { return e.State == balancer.Removed })
 	}
 	return out
 }
 
-// Endpoints returns all endpoints of the list, sorted by id.
+// Endpoints returns all endpoints of the list, in the subset or not, sorted by id.
 func (f *Filter) Endpoints() []proxy.Endpoint {
 	return slices.SortedFunc(maps.Values(f.all), func(x, y proxy.Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 }
@@ -121,7 +122,7 @@
 	f.all[e.ID] = e
 }
 
-// deliverAll records that an update is delivered unchanged.
+// deliverAll records that an update is delivered to the instance unchanged.
 func (f *Filter) deliverAll(update proxy.EndpointList) {
 	clear(f.added)
 	if update.Complete {
@@ -137,7 +138,7 @@
 	}
 }
 
-// selectEndpoints returns the ids of the subset after the latest update.
+// selectEndpoints selects the subset after the latest update, and returns the ids of its endpoints.
 func (f *Filter) selectEndpoints() map[string]bool {
 	size := f.spec.SizeOf(f.ring.Len())
 	var ids []string
@@ -157,8 +158,8 @@
 	return selected
 }
 
-// updateDelivered returns the delivered endpoints that have changed or are removed for the
-// instance; if complete, also those that have not changed.
+// updateDelivered returns the entries for endpoints that were delivered earlier: those that have
+// changed or have left the subset; if complete, also the unchanged ones.
 func (f *Filter) updateDelivered(selected map[string]bool, complete bool) []proxy.Endpoint {
 	var updates []proxy.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(f.delivered)) {
@@ -178,7 +179,7 @@
 	return updates
 }
 
-// deliverNew returns the endpoints of the subset that are not delivered yet.
+// deliverNew returns the entries for endpoints in the subset that were not delivered yet.
 func (f *Filter) deliverNew(selected map[string]bool) []proxy.Endpoint {
 	var updates []proxy.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(selected)) {
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -1,13 +1,13 @@
-// Package subset selects the endpoints to which one instance of a fleet sends, so that it has few
-// connections and all endpoints get about the same number of instances. It is pure: no I/O, no
-// clock, and no communication between instances.
+// Package subset selects the endpoints to which one instance of a fleet sends requests, so that the
+// instance has few connections and all endpoints receive requests from about the same number of
+// instances. The package does no I/O, uses no clock, and needs no communication between instances.
 //
-// Ready endpoints are on a ring in the order of their hashes, at equal distances. An instance has a
-// position on the ring, and its subset is the endpoints that follow. Positions are computed from
-// the instance's index by a low-discrepancy sequence, which spreads any number of instances evenly,
-// and does not move them when others are added. The position of an instance without an index is the
-// hash of its name. The method is that of Ward, Wankadia and Guliani,
-// "Reinventing Backend Subsetting at Google" (ACM Queue 20(5), 2022).
+// Ready endpoints are placed on a ring at equal distances, in the order of their hashes. Each
+// instance has a position on the ring, and its subset consists of the endpoints that follow that
+// position. A low-discrepancy sequence maps the instance's index to its position. It spreads any
+// number of instances evenly, and does not move them when others are added. The position of an
+// instance without an index is the hash of its name. The method is that of Ward, Wankadia and
+// Guliani, "Reinventing Backend Subsetting at Google" (ACM Queue 20(5), 2022).
 package subset
 
 import (
@@ -21,15 +21,16 @@
 // Position is a position on the ring: a fraction of its length, in units of 2^-64.
 type Position uint64
 
-// PositionOf returns the position of the instance with an index, from 0. It is the van der Corput
-// sequence in base 2, of which any number of first members is spread evenly.
+// PositionOf returns the position of the instance with the given index, which starts at 0. The
+// positions are the van der Corput sequence in base 2: for any n, its first n members are spread
+// evenly.
 func PositionOf(index int) Position { return Position(bits.Reverse64(uint64(index))) }
 
-// PositionOfName returns the position of an instance that has a name and no index. Such instances
-// are spread at random.
+// PositionOfName returns the position of an instance that has a name but no index. Such instances
+// are spread randomly rather than evenly.
 func PositionOfName(name string) Position { return Position(xxhash.Sum64String(name)) }
 
-// Ring is a set of endpoints. Its zero value is empty and ready for use.
+// Ring is the ring of endpoints. The zero value is an empty ring, ready for use.
 type Ring struct {
 	members []member // sorted by hash, and by id among equal hashes
 }
@@ -43,14 +44,15 @@
 	return cmp.Or(cmp.Compare(m.hash, other.hash), cmp.Compare(m.id, other.id))
 }
 
-// find returns the member for an endpoint, and the index at which it is or would be inserted.
+// find returns the member for an endpoint, the index at which it is or would be inserted, and
+// whether it is on the ring.
 func (r *Ring) find(id string) (m member, index int, found bool) {
 	m = member{xxhash.Sum64String(id), id}
 	index, found = slices.BinarySearchFunc(r.members, m, member.compare)
 	return m, index, found
 }
 
-// Add adds an endpoint. It reports whether it is new.
+// Add adds an endpoint. It reports whether the endpoint is new.
 func (r *Ring) Add(id string) bool {
 	m, index, found := r.find(id)
 	if !found {
@@ -59,7 +61,7 @@
 	return !found
 }
 
-// Remove removes an endpoint. It reports whether it was on the ring.
+// Remove removes an endpoint. It reports whether the endpoint was on the ring.
 func (r *Ring) Remove(id string) bool {
 	_, index, found := r.find(id)
 	if found {
@@ -71,7 +73,7 @@
 // Len returns the number of endpoints.
 func (r *Ring) Len() int { return len(r.members) }
 
-// From returns the size endpoints that follow a position, or all if there are fewer.
+// From returns the endpoints that follow a position: size of them, or all if there are fewer.
 func (r *Ring) From(p Position, size int) []string {
 	none := func(string) bool { return false }
 	return r.Select(p, size, none, none)
@@ -81,7 +83,7 @@
 type candidate struct {
 	id       string
 	rank     rank
-	distance int // twice the distance from the subset's middle, in endpoints
+	distance int // twice the distance from the middle of the subset, in endpoints
 }
 
 // compareCandidates orders candidates by rank, and within a rank by distance.
@@ -93,17 +95,18 @@
 type rank int
 
 const (
-	rankAdded    rank = iota // new on the ring, and inside
-	rankSelected             // in the subset before, and inside or close to it
-	rankInside               // inside: one of the endpoints that follow the position
+	rankAdded    rank = iota // new on the ring, and within the range of From
+	rankSelected             // in the earlier subset, and within the range of From or close to it
+	rankInRange              // within the range of From
 )
 
-// Select is like From for an instance that already has a subset. Endpoints of that subset stay in
-// it until they are more than half of size outside. An endpoint that is added or removed shifts all
-// that follow it by one; without this tolerance every subset would change, and instances would be
-// spread no more evenly. Selected and added report whether an endpoint is in the subset, and
-// whether it is new on the ring: new endpoints come first, so that they get as many instances as
-// others.
+// Select is like From for an instance that already has a subset. An endpoint stays in the subset
+// until it is outside the range of From by more than half of size. An endpoint that is added or
+// removed shifts all endpoints after it by one. Without this tolerance every subset would change,
+// and instances would not be spread more evenly.
+//
+// Selected reports whether an endpoint is in the earlier subset. Added reports whether it is new on
+// the ring: new endpoints are selected first, so that they get as many instances as the others.
 func (r *Ring) Select(p Position, size int, selected, added func(id string) bool) []string {
 	size = min(size, len(r.members))
 	if size == 0 {
@@ -118,8 +121,8 @@
 	return ids
 }
 
-// candidates returns the endpoints that may belong to a subset, in the order of the ring. They are
-// at least size.
+// candidates returns the endpoints that may belong to a subset, in the order of the ring. There are
+// at least size of them.
 func (r *Ring) candidates(p Position, size int, selected, added func(id string) bool) []candidate {
 	n := len(r.members)
 	tolerance := min(size/2, (n-size)/2)
@@ -128,14 +131,14 @@
 	for i := -tolerance; i < size+tolerance; i++ {
 		id := r.members[(int(first)+i+n)%n].id
 		c := candidate{id: id, distance: max(2*i-size+1, size-1-2*i)}
-		inside := i >= 0 && i < size
+		inRange := i >= 0 && i < size
 		switch {
-		case inside && added(id):
+		case inRange && added(id):
 			c.rank = rankAdded
 		case selected(id):
 			c.rank = rankSelected
-		case inside:
-			c.rank = rankInside
+		case inRange:
+			c.rank = rankInRange
 		default:
 			continue
 		}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -22,7 +22,7 @@
 	return &r
 }
 
-// subsetAt returns the subset of an instance at a position.
+// subsetAt returns the subset of an instance at position p.
 func subsetAt(r *Ring, p Position, size int) map[string]bool {
 	ids := map[string]bool{}
 	for _, id := range r.From(p, size) {
@@ -31,8 +31,9 @@
 	return ids
 }
 
-// The numbers of instances per endpoint differ by no more than the logarithm of all instances,
-// whatever the numbers: the discrepancy of the van der Corput sequence.
+// For any numbers of endpoints and instances, the number of instances per endpoint differs from its
+// mean by no more than about the logarithm of the number of instances. This is the discrepancy of
+// the van der Corput sequence.
 func TestInstancesAreSpreadEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 300).Draw(t, "endpoints")
@@ -59,8 +60,8 @@
 	})
 }
 
-// After any updates, an instance that gets only those of its filter knows exactly its subset of the
-// ready endpoints, and the draining ones that were in it.
+// After any sequence of updates, an instance that receives only what its filter delivers knows
+// exactly its subset of the ready endpoints, and the draining endpoints that were in the subset.
 func TestFilterDeliversTheSubset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 6).Draw(t, "size")
@@ -83,7 +84,7 @@
 			ready := listed.count(balancer.Ready)
 			got := known.count(balancer.Ready)
 			if want := min(cmp.Or(size, ready), ready); got != want || out.Unlisted != ready-got {
-				t.Fatalf("%d of %d ready endpoints are known, want %d; unlisted: %d", got, ready, want, out.Unlisted)
+				t.Fatalf("%d of %d ready endpoints delivered, want %d; unlisted: %d", got, ready, want, out.Unlisted)
 			}
 		}
 	})
@@ -132,25 +133,26 @@
 	return update
 }
 
-// checkKnown checks that an instance knows endpoints as they are listed, and the draining ones that
-// it knew before but no others.
+// checkKnown checks that an instance knows endpoints as they are listed, and that it knows exactly
+// those draining endpoints that it knew before.
 func checkKnown(t *rapid.T, listed, before, known endpointMap, size int) {
 	for id, e := range known {
 		if listed[id] != e {
-			t.Fatalf("%s is known as %v, but listed as %v", id, e, listed[id])
+			t.Fatalf("endpoint %s is known as %v, but listed as %v", id, e, listed[id])
 		}
 		if _, wasKnown := before[id]; e.State != balancer.Ready && !wasKnown && size > 0 {
-			t.Fatalf("%s is draining and was not in the subset", id)
+			t.Fatalf("endpoint %s is draining and was not in the subset, but is known", id)
 		}
 	}
 	for id, e := range before {
 		if _, isKnown := known[id]; !isKnown && listed[id].ID == id && listed[id].State == balancer.Draining {
-			t.Fatalf("%s, known as %v, is draining and no longer known", id, e)
+			t.Fatalf("endpoint %s, known before as %v, is draining and no longer known", id, e)
 		}
 	}
 }
 
-// With 3 instances and 60 endpoints, subsets of 5 would leave most endpoints without an instance.
+// With 3 instances and 60 endpoints, subsets of 5 endpoints would leave most endpoints without an
+// instance.
 func TestSubsetsOfFewInstancesAreLarger(t *testing.T) {
 	for _, c := range []struct {
 		name                             string
@@ -175,10 +177,10 @@
 type fleet struct {
 	filters   []*Filter
 	subsets   []map[string]bool
-	additions int // of endpoints to subsets
+	additions int // number of additions of an endpoint to a subset
 }
 
-// newFleet returns instances that have subsets of that size.
+// newFleet returns a fleet whose instances have subsets of the given size.
 func newFleet(instances, size int) *fleet {
 	f := &fleet{}
 	for i := range instances {
@@ -213,8 +215,8 @@
 	return instances
 }
 
-// Half of all endpoints are replaced one after another: subsets change by little more than
-// necessary, and stay spread evenly.
+// While half of all endpoints are replaced one after another, subsets change little more than
+// necessary, and endpoints stay in similar numbers of subsets.
 func TestRollingReplacementChangesFewSubsets(t *testing.T) {
 	const instances, n, size = 60, 120, 10
 	f := newFleet(instances, size)
@@ -228,14 +230,15 @@
 		f.apply(proxy.Endpoint{ID: fmt.Sprintf("endpoint-%d", i), State: balancer.Removed})
 		f.apply(proxy.Endpoint{ID: fmt.Sprintf("new-%d", i)})
 	}
-	// Each replacement removes an endpoint from its instances, size*instances/n of them, which get
-	// another, and adds one to as many: two additions for each of them.
+	// Each replacement removes an endpoint from the subsets of size*instances/n instances, which each
+	// get another endpoint, and adds the new endpoint to as many subsets. These are two additions for
+	// each of these instances.
 	if needed := instances * (n / 2) * 2 * size / n; f.additions > needed*3/2 {
-		t.Errorf("%d additions, %d are needed", f.additions, needed)
+		t.Errorf("%d additions to subsets, but only %d are needed", f.additions, needed)
 	}
 	instancesOf := f.instancesOf()
 	if len(instancesOf) != n {
-		t.Errorf("%d of %d endpoints are in a subset", len(instancesOf), n)
+		t.Errorf("%d of %d endpoints are in any subset", len(instancesOf), n)
 	}
 	for id, got := range instancesOf {
 		if got > 3*instances*size/n {
