--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -28,7 +28,7 @@
 	b.recordRequest(now)
 	req := &request{Request: r, class: c, arrivedAt: now, giveUpAt: b.giveUpBefore(r.Deadline)}
 	b.openRequest(req)
-	b.retryTokens.earn(now)
+	b.retryTokens.deposit(now)
 	isOverQuota := b.chargeQuota(now, req)
 	switch {
 	case b.missesDeadline(now, req):
--- a/balancer/class_test.go
+++ b/balancer/class_test.go
@@ -11,8 +11,8 @@
 	"rowancart/balancer"
 )
 
-// newHarnessWithClass returns a harness whose class "read" is changed, warmed up with responses
-// of 10 ms.
+// newHarnessWithClass returns a harness in which change was applied to the class "read", and whose
+// Balancer has learned a latency of 10 ms from 60 responses.
 func newHarnessWithClass(t *testing.T, change func(c *balancer.Class)) *harness {
 	t.Helper()
 	s := testSettings()
@@ -34,12 +34,12 @@
 		mayHaveRun, _ := h.request("read")
 		h.finish(mayHaveRun, balancer.Reset)
 		if to := h.sentTo[mayHaveRun]; len(to) != 1 || h.countActions("reject "+mayHaveRun) != 1 {
-			t.Errorf("after an attempt that may have run: sent to %v, %v", to, h.actions)
+			t.Errorf("after an attempt that may have run: sent to %v, want no retry; actions %v", to, h.actions)
 		}
 		notRun, _ := h.request("read")
 		h.finish(notRun, balancer.ConnectFailed)
 		if to := h.sentTo[notRun]; len(to) != 2 {
-			t.Errorf("after an attempt that did not run: sent to %v, %v", to, h.actions)
+			t.Errorf("after an attempt that did not run: sent to %v, want one retry; actions %v", to, h.actions)
 		}
 	})
 	t.Run("MaxAttempts", func(t *testing.T) {
@@ -48,7 +48,7 @@
 		h.finish(id, balancer.Reset)
 		h.finish(id, balancer.Reset)
 		if n := len(h.sentTo[id]); n != 2 || h.countActions("reject "+id) != 1 {
-			t.Errorf("%d attempts where 2 are allowed: %v", n, h.actions)
+			t.Errorf("%d attempts, want 2 and then a rejection; actions %v", n, h.actions)
 		}
 	})
 	for limit, want := range map[int]int{-1: 20, 3: 17} {
@@ -56,11 +56,11 @@
 			s := testSettings()
 			s.Classes[0].QueueLimit = limit
 			h := newHarness(t, s, "a")
-			for range 26 { // the first concurrency limit is 6
+			for range 26 { // the initial concurrency limit is 6
 				h.request("read")
 			}
 			if n := h.countActions("reject"); n != want {
-				t.Errorf("%d of 20 rejected at once, want %d", n, want)
+				t.Errorf("%d of the 20 requests beyond the limit were rejected at once, want %d", n, want)
 			}
 		})
 	}
@@ -92,14 +92,14 @@
 	}
 }
 
-// A request keeps the class that it came with, while requests that come after Configure get the new
-// one.
+// Configure keeps the learned state. A request in flight keeps the class that it arrived with, and
+// requests that arrive later get the new one.
 func TestConfigureKeepsLearnedStateAndRequestsInFlight(t *testing.T) {
 	h := newHarnessWithClass(t, func(*balancer.Class) {})
 	h.serve(60, map[string]time.Duration{"a": 60 * ms, "b": 10 * ms, "c": 10 * ms})
 	h.b.Configure(h.now, testSettings())
 	if counts := h.serve(12, evenLatency(ms, "a", "b", "c")); counts["a"] > 1 { // a trial may be due
-		t.Errorf("of the next 12 requests, the slow endpoint gets %d", counts["a"])
+		t.Errorf("the slow endpoint got %d of the 12 requests after Configure, want at most 1", counts["a"])
 	}
 	before, _ := h.request("read")
 	s := testSettings()
@@ -109,35 +109,37 @@
 	h.finish(before, balancer.Reset)
 	h.finish(after, balancer.Reset)
 	if len(h.sentTo[before]) != 2 || len(h.sentTo[after]) != 1 || h.countActions("fail "+after) != 1 {
-		t.Errorf("idempotent when it came: sent to %v; non-idempotent: %v", h.sentTo[before], h.sentTo[after])
+		t.Errorf("arrived as idempotent: sent to %v, want a retry; as non-idempotent: %v, want none",
+			h.sentTo[before], h.sentTo[after])
 	}
 	h.finish(before, balancer.OK)
 	s.Classes = []balancer.Class{{Name: "other", Work: "read", Idempotency: balancer.Idempotent,
 		LatencyObjective: 2 * time.Second}}
 	h.b.Configure(h.now, s)
 	if id, to := h.request("other"); to == "" {
-		t.Errorf("%s was not sent", id)
+		t.Errorf("%s, of a class that Configure added, was not sent", id)
 	}
-	if id, _ := h.request("bill"); h.countActions("send "+id) != 1 { // of a class that is not in the settings: sent once
-		t.Errorf("%v", h.actions)
+	if id, _ := h.request("bill"); h.countActions("send "+id) != 1 { // its class is not in the settings
+		t.Errorf("a request of an unknown class was not sent once; actions %v", h.actions)
 	}
 }
 
-// policyRequest is a request of policyTest, with what has to hold for it.
+// policyRequest is what a policyTest knows of a request.
 type policyRequest struct {
 	class       string
-	maxAttempts int    // of its class when it came
+	maxAttempts int    // of its class when it arrived
 	runs        int    // attempts that may have run
-	finished    []bool // by attempt
+	finished    []bool // by number of attempt
 }
 
-// policyTest runs random events under random policies of the classes.
+// policyTest reports random events to a Balancer while the policies of its classes change at
+// random.
 type policyTest struct {
 	*rapid.T
 	h        *harness
 	settings balancer.Settings
 	requests map[string]*policyRequest
-	ids      []string // of the requests, in order
+	ids      []string // of the requests, in order of arrival
 }
 
 // drawSettings returns settings with random policies.
@@ -153,7 +155,7 @@
 	return s
 }
 
-// step reports one random event.
+// step does one random thing: it makes a request, waits, changes the settings or ends attempts.
 func (p *policyTest) step() {
 	switch rapid.IntRange(0, 5).Draw(p.T, "step") {
 	case 0, 1:
@@ -173,7 +175,7 @@
 	}
 }
 
-// finishAttempts ends some of the attempts of a request that are in flight.
+// finishAttempts ends some of the attempts in flight of a request, with random results.
 func (p *policyTest) finishAttempts(id string) {
 	req := p.requests[id]
 	for n, ep := range p.h.sentTo[id] {
@@ -194,15 +196,15 @@
 	}
 }
 
-// check checks the rules on all requests.
+// check fails the test if a request has more runs, attempts or final answers than allowed.
 func (p *policyTest) check() {
 	for id, req := range p.requests {
 		sentTo := p.h.sentTo[id]
 		if req.class == "bill" && (req.runs > 1 || req.runs == 1 && len(req.finished) < len(sentTo)) {
-			p.Fatalf("%s is non-idempotent, ran %d times and was sent to %v", id, req.runs, sentTo)
+			p.Fatalf("non-idempotent request %s may have run in %d attempts, and was sent to %v", id, req.runs, sentTo)
 		}
 		if len(sentTo) > req.maxAttempts {
-			p.Fatalf("%s: %d attempts where %d are allowed", id, len(sentTo), req.maxAttempts)
+			p.Fatalf("%s: %d attempts, want at most %d", id, len(sentTo), req.maxAttempts)
 		}
 		if answers := p.h.finalAnswers(id); len(answers) > 1 {
 			p.Fatalf("%s: more than one final answer: %v", id, answers)
@@ -211,7 +213,7 @@
 }
 
 // Whatever the policies, the outcomes and the changes of settings: a non-idempotent request runs at
-// most once, no request has more attempts than its limit, and each gets one final answer.
+// most once, no request has more attempts than its limit, and none gets more than one final answer.
 func TestRulesHoldUnderEveryClassPolicy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSettings(t)
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -16,34 +16,34 @@
 	latency["d"] = 400 * ms
 	h.serve(60, latency)
 	if n := h.serve(200, latency)["d"]; n > 10 {
-		t.Errorf("a slow endpoint got %d of 200 requests", n)
+		t.Errorf("the slow endpoint got %d of 200 requests, want at most 10", n)
 	}
 	latency["d"] = 50 * ms
 	h.serve(200, latency)
 	if n := h.serve(200, latency)["d"]; n < 35 {
-		t.Errorf("a recovered endpoint got %d of 200 requests", n)
+		t.Errorf("the recovered endpoint got %d of 200 requests, want at least 35", n)
 	}
 }
 
-// A hung endpoint must not get requests until the first of them has timed out.
+// A hung endpoint must be ejected long before the first request to it times out.
 func TestHungEndpointIsEjectedWithinAFewLatencies(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "hung")
 	latency := evenLatency(50*ms, "a", "b", "c", "hung")
 	h.serve(100, latency)
-	caught := 0
+	toHung := 0
 	start := h.now
 	for range 200 {
 		id, ep := h.request("read")
 		if ep == "hung" {
-			caught++
+			toHung++
 			h.advance(20 * ms)
 			continue
 		}
 		h.advance(20 * ms)
 		h.finish(id, balancer.OK)
 	}
-	if trials := int((h.now - start) / (500 * ms)); caught > 5+trials {
-		t.Errorf("a hung endpoint got %d of 200 requests", caught)
+	if trials := int((h.now - start) / (500 * ms)); toHung > 5+trials {
+		t.Errorf("the hung endpoint got %d of 200 requests, want at most 5 and its trials", toHung)
 	}
 }
 
@@ -58,23 +58,24 @@
 			attempts = append(attempts, h.now)
 			h.finish(id, balancer.ConnectFailed)
 			if n := len(h.sentTo[id]); n != 2 || h.sentTo[id][1] == "down" {
-				t.Fatalf("after a failed connection the request went to %v", h.sentTo[id])
+				t.Fatalf("after a failed connection the attempts went to %v, want one retry at another endpoint", h.sentTo[id])
 			}
 		}
 		h.advance(20 * ms)
 		h.finish(id, balancer.OK)
 	}
 	if len(attempts) < 4 || len(attempts) > 12 {
-		t.Errorf("an unreachable endpoint got %d attempts in 20 s", len(attempts))
+		t.Errorf("the unreachable endpoint got %d attempts in 20 s, want 4 to 12", len(attempts))
 	}
 	for i := 3; i < len(attempts); i++ { // the backoff grows up to its limit
 		if wait := attempts[i] - attempts[i-1]; wait < 500*ms {
-			t.Errorf("trial %d came after %v", i, wait)
+			t.Errorf("trial %d came after %v, want at least 500ms", i, wait)
 		}
 	}
 }
 
-// Trials must be fewer than an even share of the instance's requests.
+// An instance with little traffic must send an ejected endpoint fewer trials than an even share of
+// its requests.
 func TestQuietInstancesDoNotOverloadAnEjectedEndpoint(t *testing.T) {
 	names := []string{"slow"}
 	latency := map[string]time.Duration{"slow": 900 * ms}
@@ -84,7 +85,7 @@
 	}
 	h := newHarness(t, testSettings(), names...)
 	slow := 0
-	for range 400 { // two requests a second, an even share is one to each every 10 s
+	for range 400 { // at two requests a second, an even share is one request every 10 s
 		id, ep := h.request("read")
 		if ep == "slow" {
 			slow++
@@ -94,7 +95,7 @@
 		h.advance(500*ms - min(latency[ep], 400*ms))
 	}
 	if slow > 14 {
-		t.Errorf("the slow endpoint got %d of 400 requests; an even share is 20", slow)
+		t.Errorf("the slow endpoint got %d of 400 requests, want at most 14; an even share is 20", slow)
 	}
 }
 
@@ -113,13 +114,13 @@
 	}
 	for _, ep := range []string{"a", "b", "c", "d"} {
 		if counts[ep] < 14 {
-			t.Errorf("%s got %d of 80 requests that all failed in the tier below: %v", ep, counts[ep], counts)
+			t.Errorf("%s got %d of 80 requests that all failed in the tier below, want at least 14: %v", ep, counts[ep], counts)
 		}
 	}
 }
 
-// Incident i40577d: the quick errors of an endpoint in a middle tier must not be attributed to the
-// tier below, nor make the endpoint look fast.
+// Incident i40577d: an endpoint of a middle tier answered quickly with errors. These must not be
+// attributed to the tier below, nor make the endpoint look fast.
 func TestFastFailingEndpointAttractsNoRequests(t *testing.T) {
 	s := testSettings()
 	s.TiersBelow = 1
@@ -142,12 +143,12 @@
 		h.finish(id, balancer.OK)
 	}
 	if toFailing > 30 {
-		t.Errorf("a failing endpoint got %d of 400 requests", toFailing)
+		t.Errorf("the failing endpoint got %d of 400 requests, want at most 30", toFailing)
 	}
 }
 
-// An endpoint that does not respond is ejected before its attempts time out and before its weight
-// has grown.
+// An endpoint that does not respond must be ejected when its first attempt straggles: before any
+// attempt times out, and before its weight alone would eject it.
 func TestUnresponsiveEndpointIsEjectedAtItsFirstStraggler(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(600*ms), "a", "b", "c", "d")
 	h.serve(200, evenLatency(50*ms, "a", "b", "c", "d"))
@@ -158,19 +159,19 @@
 			h.finish(id, balancer.OK)
 		}
 	}
-	h.advance(200 * ms) // past three times 50 ms; one sample of 3 would leave its weight within twice the smallest
+	h.advance(200 * ms) // beyond 3 times 50 ms; a single sample of 3 leaves its weight within twice the smallest
 	if counts := h.serve(6, evenLatency(50*ms, "a", "b", "c")); counts["d"] > 0 {
-		t.Errorf("an unresponsive endpoint got %d requests", counts["d"])
+		t.Errorf("the unresponsive endpoint got %d of 6 requests, want none", counts["d"])
 	}
 }
 
-// A canceled attempt is no sample of its endpoint, neither a good one nor a bad one.
+// A canceled attempt must count neither for nor against its endpoint.
 func TestCanceledAttemptIsNoSample(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	latency := evenLatency(50*ms, "a", "b")
 	h.serve(100, latency)
 	canceled := 0
-	for range 40 { // requests to b alone are canceled, early
+	for range 40 { // only the requests to b are canceled, after 1 ms
 		id, ep := h.request("read")
 		if ep == "b" {
 			h.advance(ms)
@@ -183,15 +184,16 @@
 		h.finish(id, balancer.OK)
 	}
 	if canceled == 0 || canceled > 24 {
-		t.Errorf("b got %d of 40 requests, which were canceled early: it must neither look fast nor be ejected", canceled)
+		t.Errorf("b got %d of 40 requests, want 1 to 24: canceled attempts must not make it look fast or slow", canceled)
 	}
 	if counts := h.serve(60, latency); counts["b"] < 20 {
-		t.Errorf("requests after attempts were canceled: %v", counts)
+		t.Errorf("requests by endpoint after the cancellations: %v, want at least 20 to b", counts)
 	}
 }
 
-// Seen in runs in which one server failed quickly: its own errors were part of those that they were
-// compared with, so that one of four had to fail six requests in a row before it was ejected.
+// An endpoint's errors must be compared with those of the other endpoints only. When its own were
+// among them, one of four endpoints that failed fast had to fail six requests in a row before it
+// was ejected.
 func TestErrorsOfOneEndpointAreAttributedToIt(t *testing.T) {
 	s := testSettings()
 	s.TiersBelow = 1
@@ -201,7 +203,7 @@
 	failed := 0
 	for i := range 100 {
 		id, ep := h.request("bill")
-		if i >= 40 && ep == "d" { // until then the latency of the class is learned
+		if i >= 40 && ep == "d" { // the first 40 requests teach the latency of the class
 			failed++
 			h.advance(ms)
 			h.finish(id, balancer.Errored)
@@ -211,18 +213,19 @@
 		h.finish(id, balancer.OK)
 	}
 	if failed < 2 || failed > 4 {
-		t.Errorf("d failed %d of 60 requests; an even share is fifteen", failed)
+		t.Errorf("d failed %d of 60 requests, want 2 to 4; an even share is 15", failed)
 	}
 }
 
-// An instance that sends to an endpoint every few seconds cannot wait for three errors in
-// fifteen outcomes. Where the others have none, the second error after eight good outcomes is
-// attributed to the endpoint. Where all fail equally, no number of errors is.
+// An instance that sends to an endpoint only every few seconds cannot wait for three errors in
+// fifteen outcomes. If the other endpoints have no errors, the second error after eight successes
+// must be attributed to the endpoint. If all endpoints fail equally often, errors must never be
+// attributed to one of them.
 func TestErrorsAreAttributedToAnEndpointByTheOdds(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		fails       func(n int, ep string) bool
-		least, most int // of 42 requests, that go to endpoint a
+		name           string
+		fails          func(n int, ep string) bool
+		minToA, maxToA int // bounds of how many of 42 requests go to endpoint a
 	}{
 		{"one endpoint fails", func(_ int, ep string) bool { return ep == "a" }, 0, 4},
 		{"a third of all requests fails in the tier below", func(n int, _ string) bool { return n%3 == 0 }, 4, 42},
@@ -236,7 +239,7 @@
 			for n := range 90 {
 				id, ep := h.request("read")
 				h.advance(200 * ms)
-				if n < 48 || !c.fails(n, ep) { // the first 48 are the good outcomes of all
+				if n < 48 || !c.fails(n, ep) { // the first 48 requests succeed, at all endpoints
 					h.finish(id, balancer.OK)
 				} else {
 					h.finish(id, balancer.Errored)
@@ -245,14 +248,15 @@
 					toA++
 				}
 			}
-			if toA < c.least || toA > c.most {
-				t.Errorf("%d of 42 requests go to endpoint a, want %d to %d", toA, c.least, c.most)
+			if toA < c.minToA || toA > c.maxToA {
+				t.Errorf("%d of 42 requests went to endpoint a, want %d to %d", toA, c.minToA, c.maxToA)
 			}
 		})
 	}
 }
 
-// In a class of quick and slow requests, a slow response after quick ones is no straggler.
+// In a class that mixes fast and slow requests, a slow response after fast ones must not make its
+// endpoint look unresponsive.
 func TestSlowResponseAmongQuickOnesIsNotUnresponsive(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newSeededHarness(t, testSettings(), seed, "a", "b")
@@ -265,7 +269,7 @@
 			}
 			for _, s := range h.b.EndpointStatuses(h.now) {
 				if s.Inactive == balancer.InactiveUnresponsive {
-					t.Fatalf("seed %d, request %d: %s is ejected as unresponsive after %v at %s", seed, n, s.ID, 42*ms, ep)
+					t.Fatalf("seed %d, request %d: %s was ejected as unresponsive after %v at %s", seed, n, s.ID, 42*ms, ep)
 				}
 			}
 			h.finish(id, balancer.OK)
@@ -274,8 +278,9 @@
 	}
 }
 
-// Of two endpoints, one fails: the other must serve all requests, whichever had the lower deficit
-// before. Seeds, latencies and pauses vary: at times the failing one is the only one active.
+// If one of two endpoints fails, the other must serve all requests, whichever had the lower deficit
+// before. Seeds, latencies and the number of earlier requests vary, so that the failing endpoint is
+// sometimes the only active one.
 func TestOneFailingEndpointLosesNoRequests(t *testing.T) {
 	for _, mode := range []struct {
 		name   string
@@ -289,12 +294,12 @@
 		{"resets after accept", balancer.Reset, ms, map[string]int{"read": 0}},
 		{"fails fast", balancer.Errored, ms, map[string]int{"read": 0}},
 	} {
-		for class, most := range mode.lost {
+		for class, maxLost := range mode.lost {
 			t.Run(mode.name+", "+class, func(t *testing.T) {
 				for seed := range uint64(30) {
 					lost := requestsLostToFailingEndpoint(t, seed, class, mode.result, mode.after)
-					if lost > most {
-						t.Errorf("seed %d: %d of 60 requests were lost, at most %d may be", seed, lost, most)
+					if lost > maxLost {
+						t.Errorf("seed %d: %d of 60 requests were lost, want at most %d", seed, lost, maxLost)
 					}
 				}
 			})
@@ -302,8 +307,8 @@
 	}
 }
 
-// requestsLostToFailingEndpoint returns how many of 60 requests are not served where one of two
-// endpoints ends every attempt with a result after a time.
+// requestsLostToFailingEndpoint returns how many of 60 requests are not served when one of two
+// endpoints ends every attempt with the given result after the given time.
 func requestsLostToFailingEndpoint(t *testing.T, seed uint64, class string, result balancer.Result,
 	after time.Duration) (lost int) {
 	h := newSeededHarness(t, testSettings(), 7+seed, "a", "b")
@@ -332,8 +337,8 @@
 	return lost
 }
 
-// While all connections are refused, a request is answered at once after few attempts. The first
-// endpoint that responds again is used.
+// While all endpoints refuse connections, a request must be answered at once, after few attempts.
+// Once an endpoint responds again, it must be used.
 func TestOutageOfAllEndpointsTakesFewAttempts(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 0
@@ -348,12 +353,12 @@
 			}
 		}
 		if !slices.Contains(h.actions, "reject "+id) {
-			t.Fatalf("%s has no answer", id)
+			t.Fatalf("%s was not rejected", id)
 		}
 		h.advance(30 * ms)
 	}
 	if sends := h.countActions("send"); sends > 100*5 {
-		t.Errorf("100 requests brought %d attempts", sends)
+		t.Errorf("100 requests took %d attempts, want at most 500", sends)
 	}
 	id, ep := h.request("read")
 	h.advance(ms)
@@ -362,7 +367,7 @@
 		h.advance(30 * ms)
 		id, again := h.request("read")
 		if len(h.sentTo[id]) != 1 {
-			t.Fatalf("after %s has responded, a request is not sent", ep)
+			t.Fatalf("after %s has responded, a request was not sent exactly once", ep)
 		}
 		h.advance(ms)
 		if again == ep {
@@ -371,7 +376,7 @@
 		}
 		h.finish(id, balancer.ConnectFailed)
 		if to := h.sentTo[id]; len(to) != 2 || to[1] != ep {
-			t.Errorf("after a failed trial the request goes to %v, while %s responds", to, ep)
+			t.Errorf("after a failed trial the attempts went to %v, want the retry at %s, which responds", to, ep)
 		} else {
 			h.finish(id, balancer.OK)
 		}
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -28,20 +28,20 @@
 			id, first := h.request("read")
 			h.advance(8 * ms)
 			if n := len(h.sentTo[id]); n != 1 {
-				t.Errorf("%d sent before the hedged request was due", n)
+				t.Errorf("%d attempts before the hedged request was due, want 1", n)
 			}
 			h.advance(100 * ms)
 			if to := h.sentTo[id]; len(to) != 2 || to[1] == first {
-				t.Fatalf("sent to %v", to)
+				t.Fatalf("sent to %v, want a hedged request to another endpoint", to)
 			}
-			// The hedged request fails: the first attempt goes on.
+			// After the hedged request has failed, the first attempt must continue.
 			h.finish(id, balancer.Reset)
 			if n := h.countActions("reject") + h.countActions("fail"); n != 0 {
-				t.Errorf("given up with an attempt in flight: %v", h.actions)
+				t.Errorf("the request was given up with an attempt in flight: %v", h.actions)
 			}
 			h.b.Outcome(h.now, balancer.Outcome{ID: id, Endpoint: first, Result: balancer.OK, Latency: 100 * ms, Final: true})
 			if h.countActions("send") != 2 || h.countActions("cancel") != 0 {
-				t.Errorf("actions %v", h.actions)
+				t.Errorf("actions %v, want 2 sends and no cancel", h.actions)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 			h.b.Outcome(h.now, balancer.Outcome{ID: id, Attempt: last, Endpoint: h.sentTo[id][last], Result: balancer.OK,
 				Latency: 10 * ms})
 			if last != 1 || h.countActions("cancel "+id+" 0") != 1 {
-				t.Fatalf("the slower attempt is still in flight: %v", h.actions)
+				t.Fatalf("want 2 attempts, the slower one canceled; actions %v", h.actions)
 			}
 			h.b.Outcome(h.now, balancer.Outcome{ID: id, Endpoint: "a", Result: balancer.Canceled, Latency: 25 * ms, Final: true})
 			continue
@@ -68,7 +68,7 @@
 		h.finishAll(id)
 	}
 	if 4*counts["a"] > 3*min(counts["b"], counts["c"]) {
-		t.Errorf("hedging hides that a is slow: %v", counts)
+		t.Errorf("hedging hides that a is slow: requests by endpoint %v", counts)
 	}
 }
 
@@ -84,7 +84,7 @@
 		id, _ := h.request(class)
 		h.advance(100 * ms)
 		if n := len(h.sentTo[id]); n != 1 {
-			t.Errorf("%s: %d attempts", class, n)
+			t.Errorf("%s: %d attempts, want 1", class, n)
 		}
 	}
 	s.RetryBudget = balancer.RetryBudget{PerRequest: 0.01, Burst: 2}
@@ -94,6 +94,6 @@
 		h.advance(50 * ms)
 	}
 	if n := h.countActions("send"); n != 11 {
-		t.Errorf("%d sends of 10 requests with a budget for one hedged request", n)
+		t.Errorf("%d sends of 10 requests with a budget for one hedged request, want 11", n)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// Retries of three tiers and of clients multiply: each Balancer may add a tenth.
+// Retries of clients and of three tiers multiply, so that each Balancer may add only a tenth to its
+// requests.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
 	h.serve(50, evenLatency(50*ms, "a", "b", "c", "d"))
@@ -37,7 +38,7 @@
 		}
 	}
 	if retries := h.countActions("send") - before - requests; retries > requests/10+10 || retries < 5 {
-		t.Errorf("%d retries of %d requests that all failed", retries, requests)
+		t.Errorf("%d retries of %d requests that all failed, want 5 to a tenth of the requests plus 10", retries, requests)
 	}
 }
 
@@ -48,27 +49,27 @@
 	h := newHarness(t, s, "fast", "slow")
 	latency := map[string]time.Duration{"fast": 20 * ms, "slow": 30 * ms}
 	h.serve(200, latency)
-	again := 0
+	retried := 0
 	for range 30 {
-		h.serve(11, latency) // earns a retry, and moves the deficits on
+		h.serve(11, latency) // earns a retry token, and changes the deficits
 		id, _ := h.request("read")
 		h.advance(10 * ms)
 		h.finish(id, balancer.Errored)
 		if to := h.sentTo[id]; len(to) == 2 {
-			if again++; to[0] == to[1] {
-				t.Fatalf("%s went to %v", id, to)
+			if retried++; to[0] == to[1] {
+				t.Fatalf("%s was retried at the same endpoint: %v", id, to)
 			}
 			h.advance(latency[to[1]])
 			h.finish(id, balancer.OK)
 		}
 	}
-	if again < 10 {
-		t.Errorf("%d of 30 requests were retried", again)
+	if retried < 10 {
+		t.Errorf("%d of 30 requests were retried, want at least 10", retried)
 	}
 }
 
-// An attempt that was not sent, since its endpoint was disabled while the connection was being
-// established, costs the endpoint nothing: the retry is exempt from the budget.
+// An attempt that was not sent, for example because its endpoint was disabled while the connection
+// was being established, adds no load to the endpoint: the retry is exempt from the budget.
 func TestUnsentAttemptIsExemptFromTheBudget(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 0
@@ -97,8 +98,9 @@
 	}
 }
 
-// The window of a key begins when the first attempt that may have run is sent, not when the last
-// byte of its body is. A retry is written well before the window ends.
+// The window of an idempotency key begins when the Balancer sends the first attempt that may have
+// run, not when the last byte of its body is written. A retry must be written well before the
+// window ends.
 func TestRetryDeadlineCountsFromTheFirstSend(t *testing.T) {
 	keyed := balancer.Class{Name: "keyed", Idempotency: balancer.IdempotencyKeyed, KeyWindow: time.Second,
 		LatencyObjective: 10 * time.Second}
@@ -108,23 +110,23 @@
 	b.EndpointList(0, balancer.EndpointList{Complete: true, Entries: []balancer.Endpoint{{ID: "a"}, {ID: "b"}}})
 	b.Request(0, balancer.Request{ID: "r", Class: "keyed", Deadline: 20 * time.Second, Streamed: true})
 	if at := b.RetryDeadline("r"); at != 0 {
-		t.Errorf("a retry deadline of %v before an attempt may have run, want none", at)
+		t.Errorf("retry deadline %v before an attempt may have run, want 0", at)
 	}
 	b.RequestWritten(700*ms, "r", 0)
 	b.Outcome(800*ms, balancer.Outcome{ID: "r", Endpoint: h.sent[0], Result: balancer.Reset})
 	if at := b.RetryDeadline("r"); at != 850*ms {
-		t.Errorf("a retry deadline of %v, want 850ms", at)
+		t.Errorf("retry deadline %v, want 850ms", at)
 	}
 	if len(h.sent) != 2 {
-		t.Fatalf("sent %q", h.sent)
+		t.Fatalf("attempts went to %q, want 2 attempts", h.sent)
 	}
 	b.Outcome(860*ms, balancer.Outcome{ID: "r", Attempt: 1, Endpoint: h.sent[1], Result: balancer.NotSent})
 	if len(h.sent) != 2 {
-		t.Errorf("a retry at the end of the window: %q", h.sent)
+		t.Errorf("a retry was sent at the end of the window: attempts went to %q", h.sent)
 	}
 }
 
-// sendRecorder is a host that records the endpoints of attempts.
+// sendRecorder is a Host that records the endpoint of each attempt.
 type sendRecorder struct{ sent []string }
 
 func (h *sendRecorder) Send(_, endpoint string, _ time.Duration)      { h.sent = append(h.sent, endpoint) }
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -4,30 +4,31 @@
 
 import "time"
 
-// RetryBudget is a budget for attempts beyond the first, hedged requests included, over all
-// requests of a Balancer: without one, retries would multiply the load of failing endpoints. The
-// zero value allows a tenth of the requests, and at most 10 saved up.
+// RetryBudget limits the attempts beyond the first, hedged requests included, over all requests of
+// a Balancer: without a limit, retries would multiply the load of failing endpoints. Each of these
+// attempts takes a token. The zero value earns a tenth of a token per request and saves up at most
+// 10.
 type RetryBudget struct {
-	PerRequest float64 // earned by each request
-	PerSecond  float64 // earned each second, so that a quiet client has some
-	Burst      float64 // largest number saved up
+	PerRequest float64 // tokens earned by each request
+	PerSecond  float64 // tokens earned each second, so that a client with few requests can retry too
+	Burst      float64 // largest number of tokens saved up
 }
 
-// The budget where none is given.
+// The budget that a zero RetryBudget stands for.
 const (
 	defaultTokensPerRequest = 0.1
 	defaultTokenBurst       = 10.0
 )
 
-// retryBucket is the token bucket of a RetryBudget. It starts half full with the first request.
+// retryBucket is the token bucket of a RetryBudget. It is half full at the first request.
 type retryBucket struct {
 	RetryBudget
 	tokenBucket
 	started bool
 }
 
-// earn adds the tokens of a request, and of the time since the last one.
-func (r *retryBucket) earn(now time.Duration) {
+// deposit adds the tokens that a request earns, and those earned by time since the last request.
+func (r *retryBucket) deposit(now time.Duration) {
 	budget := r.RetryBudget
 	if budget == (RetryBudget{}) {
 		budget = RetryBudget{PerRequest: defaultTokensPerRequest, Burst: defaultTokenBurst}
--- a/balancer/retrybudget_test.go
+++ b/balancer/retrybudget_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Over any length of time, what is spent stays under what was earned and what may be saved up.
+// Over any length of time, no more tokens are spent than were earned, plus the initial tokens: half
+// the burst.
 func TestRetryBudgetStaysWithinWhatWasEarned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := retryBucket{RetryBudget: RetryBudget{PerRequest: rapid.Float64Range(0, 1).Draw(t, "per request"),
@@ -20,7 +21,7 @@
 			if requests == 0 {
 				began = now
 			}
-			r.earn(now)
+			r.deposit(now)
 			requests++
 			for range rapid.IntRange(0, 5).Draw(t, "wanted") {
 				if r.hasToken() {
@@ -30,8 +31,8 @@
 			}
 		}
 		earned := r.PerRequest*float64(requests) + r.PerSecond*(now-began).Seconds()
-		if most := r.Burst/2 + earned; float64(spent) > most+1e-6 {
-			t.Fatalf("%d spent of %v", spent, most)
+		if maxSpent := r.Burst/2 + earned; float64(spent) > maxSpent+1e-6 {
+			t.Fatalf("%d tokens were spent, want at most %v", spent, maxSpent)
 		}
 	})
 }
@@ -40,13 +41,13 @@
 	var r retryBucket
 	n := 0
 	for range 1000 {
-		r.earn(time.Second)
+		r.deposit(time.Second)
 		if r.hasToken() {
 			r.takeToken()
 			n++
 		}
 	}
 	if n < 100 || n > 106 {
-		t.Errorf("%d retries of 1000 requests", n)
+		t.Errorf("%d retries of 1000 requests, want 100 to 106", n)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -20,12 +20,12 @@
 	}
 	for i, n := range answers {
 		if n < 1000 {
-			t.Errorf("only %d answers of kind %d: the simulations test too little", n, i)
+			t.Errorf("only %d answers of kind %d, want at least 1000: the simulations test too little", n, i)
 		}
 	}
 	for _, reason := range balancer.Reasons {
 		if reason != balancer.QueueFull && reason != balancer.NoEndpoint && reasons[reason] < 20 {
-			t.Errorf("only %d answers say %s: the simulations test too little", reasons[reason], reason)
+			t.Errorf("only %d answers with reason %s, want 20 or more: the simulations test too little", reasons[reason], reason)
 		}
 	}
 }
@@ -34,11 +34,11 @@
 	for seed := range uint64(5) {
 		a, b := simulate(t, seed, 500).actions, simulate(t, seed, 500).actions
 		if len(a) != len(b) || len(a) == 0 {
-			t.Fatalf("seed %d: %d and %d actions", seed, len(a), len(b))
+			t.Fatalf("seed %d: %d actions in one run and %d in the other", seed, len(a), len(b))
 		}
 		for i := range a {
 			if a[i] != b[i] {
-				t.Fatalf("seed %d: %q, then %q", seed, a[i], b[i])
+				t.Fatalf("seed %d: action %q in one run and %q in the other", seed, a[i], b[i])
 			}
 		}
 	}
--- a/balancer/tokenbucket_test.go
+++ b/balancer/tokenbucket_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestTokenBucketRefills checks deposits, the refill by time, and the limit of both.
+// TestTokenBucketRefills checks deposits, the refill by time, and that the burst limits both.
 func TestTokenBucketRefills(t *testing.T) {
 	for _, c := range []struct {
 		name                               string
@@ -29,14 +29,14 @@
 	}
 }
 
-// TestTokenBucketGivesWholeTokens checks that a part of a token is none.
+// TestTokenBucketGivesWholeTokens checks that a fraction of a token cannot be taken.
 func TestTokenBucketGivesWholeTokens(t *testing.T) {
 	bucket := tokenBucket{tokens: 1.9}
 	if !bucket.hasToken() {
-		t.Error("a bucket with 1.9 tokens has none")
+		t.Error("a bucket with 1.9 tokens has no token to take")
 	}
 	bucket.takeToken()
 	if bucket.hasToken() {
-		t.Errorf("a bucket with %v tokens has one", bucket.tokens)
+		t.Errorf("a bucket with %v tokens has a token to take", bucket.tokens)
 	}
 }
