--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Outlier ejection: what the end of an attempt shows of its endpoint, and when an endpoint is taken
-// out of the active set. The trials by which it returns are in trials.go.
+// Outlier ejection: how the result of an attempt counts for or against its endpoint, and when an
+// endpoint is taken out of the active set. It returns by a trial: see trials.go.
 
 import (
 	"math"
@@ -9,33 +9,32 @@
 )
 
 const (
-	// Smoothing of a weight. With many samples, each leaves weightSmoothing (the paper's alpha) of the
-	// weight before it: maxSampleRetention of the samples before it, and all of the prior ones. With
-	// time, samples decay to 1/e in sampleMemory, and no faster than in minSampleMemory, however many
-	// come.
+	// weightSmoothing (alpha in the paper) is the share of an endpoint's weight that a new sample
+	// retains once there are many samples. maxSampleRetention is the share of the sum of older samples
+	// that this takes: it is lower, because the priorSamples samples in the weight never decay.
 	weightSmoothing    = 0.95
 	maxSampleRetention = 1 - 1/(1/(1-weightSmoothing)-priorSamples)
-	sampleMemory       = 10 * time.Second
-	minSampleMemory    = time.Second
-
-	// An endpoint is ejected as slow beyond maxActiveWeightRatio (the paper's factor) times the
-	// smallest active weight, and beyond highUtilizationTolerance times that at high utilization.
-	maxActiveWeightRatio     = 2.0
-	highUtilizationTolerance = 2.0
-
-	// An endpoint is ejected for errors of its own once these are ejectionOdds times as likely to come
-	// from an endpoint that fails as from one that is like the others. One that fails has a share
-	// of errors of minFailingErrorShare and failingErrorMultiple times that of the others, but of no
-	// more than maxFailingErrorShare. Outcomes decay to 1/e in outcomeMemory.
-	ejectionOdds         = 10.0
-	minFailingErrorShare = 0.3
-	failingErrorMultiple = 2
-	maxFailingErrorShare = 0.9
-	outcomeMemory        = 20 * time.Second
+	sampleMemory       = 10 * time.Second // samples decay to 1/e within this time, or faster if there are many
+	minSampleMemory    = time.Second      // samples never decay to 1/e faster than this, however many there are
+
+	// An active endpoint is ejected as slow when its weight exceeds the smallest active weight by more
+	// than this factor.
+	maxActiveWeightRatio     = 2.0 // the factor in the paper
+	highUtilizationTolerance = 2.0 // multiplies maxActiveWeightRatio at high utilization
+
+	// An endpoint is ejected for its errors when its recent outcomes are more than
+	// ejectionLikelihoodRatio times as likely for a failing endpoint as for one that fails as often as
+	// the others. A failing endpoint is assumed to have failingErrorMultiple times the error share of
+	// the others, but no less than minFailingErrorShare and no more than maxFailingErrorShare.
+	ejectionLikelihoodRatio = 10.0
+	minFailingErrorShare    = 0.3
+	failingErrorMultiple    = 2
+	maxFailingErrorShare    = 0.9
+	outcomeMemory           = 20 * time.Second // outcomes decay to 1/e in this time
 )
 
-// evaluateAttempt turns the end of an attempt into a sample of its endpoint, and ejects the
-// endpoint if the attempt shows it to be an outlier.
+// evaluateAttempt updates what is known of an endpoint from the result of an attempt, and ejects
+// the endpoint if it has become an outlier.
 func (b *Balancer) evaluateAttempt(
 	now time.Duration, req *request, a *attempt, r Result, latency time.Duration,
 ) {
@@ -48,12 +47,12 @@
 		b.evaluateError(now, req, a, latencyRatio)
 	case Reset, ConnectFailed:
 		b.recordConnectionFailure(now, a.endpoint, r)
-		b.sampleFailure(now, req, a, failure{result: r, latencyRatio: latencyRatio, isOwn: true})
+		b.sampleFailure(now, req, a, failure{result: r, latencyRatio: latencyRatio, isEndpointFault: true})
 	case Rejected, TimedOut:
 		b.sampleFailure(now, req, a, failure{result: r, latencyRatio: latencyRatio})
 	case Canceled:
 		if req.hedged && !a.trial && latencyRatio > a.endpoint.weight() {
-			b.addSample(now, a.endpoint, latencyRatio) // the hedged request was quicker, which must count
+			b.addSample(now, a.endpoint, latencyRatio) // it was slower than the other attempt: that must count
 		}
 		b.abandonTrial(now, a)
 	case NotSent:
@@ -61,26 +60,27 @@
 	}
 }
 
-// failure is an attempt that ended without success, as evidence against its endpoint.
+// failure describes an attempt that failed.
 type failure struct {
-	result       Result
-	latencyRatio float64
-	isOwn        bool // attributed to the endpoint itself, which is ejected at once
+	result          Result
+	latencyRatio    float64
+	isEndpointFault bool // attributed to the endpoint, which is therefore ejected at once
 }
 
-// evaluateError evaluates an attempt that its endpoint answered with an error. Where the endpoints
-// depend on a tier below and fail no more than each other, an error says nothing about this one.
+// evaluateError evaluates an attempt that its endpoint answered with an error. If the endpoints
+// depend on a tier below and this one does not fail more often than the others, the error is
+// attributed to that tier and is not a sample of the endpoint.
 func (b *Balancer) evaluateError(now time.Duration, req *request, a *attempt, latencyRatio float64) {
 	b.recordOutcome(now, a.endpoint, errorOutcome)
-	isOwn := b.failsMoreThanOthers(a.endpoint)
-	if b.settings.TiersBelow > 0 && !isOwn {
+	isEndpointFault := b.failsMoreThanOthers(a.endpoint)
+	if b.settings.TiersBelow > 0 && !isEndpointFault {
 		b.abandonTrial(now, a)
 		return
 	}
-	b.sampleFailure(now, req, a, failure{result: Errored, latencyRatio: latencyRatio, isOwn: isOwn})
+	b.sampleFailure(now, req, a, failure{result: Errored, latencyRatio: latencyRatio, isEndpointFault: isEndpointFault})
 }
 
-// sampleSuccess takes the latency of a good response as a sample of its endpoint.
+// sampleSuccess adds the latency of a successful response as a sample of its endpoint.
 func (b *Balancer) sampleSuccess(now time.Duration, a *attempt, latencyRatio float64) {
 	if a.isPendingTrial() {
 		b.finishTrial(now, a.endpoint, latencyRatio)
@@ -89,18 +89,19 @@
 	}
 }
 
-// sampleFailure takes a failure as a sample of at least the time that was left until the deadline:
-// a fast error must not look like a fast response. It ejects the endpoint if the failure is its
-// own, or if no other endpoint is active that it could be compared with.
+// sampleFailure adds a failure as a sample of its endpoint. The sample is no shorter than the time
+// from sending the attempt to the request's deadline: a fast error must not look like a fast
+// response. The endpoint is ejected if the failure is attributed to it, or if it is the only active
+// endpoint.
 func (b *Balancer) sampleFailure(now time.Duration, req *request, a *attempt, f failure) {
 	e := a.endpoint
-	untilDeadline := (req.Deadline - a.sentAt).Seconds() / b.expectedLatency(req)
-	latencyRatio := min(max(f.latencyRatio, untilDeadline), maxLatencyRatio)
+	deadlineRatio := (req.Deadline - a.sentAt).Seconds() / b.expectedLatency(req)
+	latencyRatio := min(max(f.latencyRatio, deadlineRatio), maxLatencyRatio)
 	if a.isPendingTrial() {
 		b.failTrial(now, e, latencyRatio)
 	} else {
 		b.addSample(now, e, latencyRatio)
-		if e.active && (f.isOwn || b.isLastActive()) {
+		if e.active && (f.isEndpointFault || b.isOnlyActive()) {
 			b.eject(now, e, InactiveFailing)
 		}
 	}
@@ -110,19 +111,20 @@
 	}
 }
 
-// inactiveReasonAfter returns the reason for which an endpoint is inactive once an attempt has
-// failed. A rejection leaves it as it was.
-func inactiveReasonAfter(r Result, before InactiveReason) InactiveReason {
+// inactiveReasonAfter returns the reason for which an endpoint is inactive after a failed attempt.
+// A rejection does not change the reason.
+func inactiveReasonAfter(r Result, previous InactiveReason) InactiveReason {
 	switch r {
 	case ConnectFailed:
 		return InactiveUnreachable
 	case Rejected:
-		return before
+		return previous
 	}
 	return InactiveFailing
 }
 
-// recordSuccess updates all estimates that a good response is a sample of.
+// recordSuccess updates everything that is learned from a successful response, except for the
+// endpoint's weight.
 func (b *Balancer) recordSuccess(
 	now time.Duration, req *request, e *endpoint, latency time.Duration, latencyRatio float64,
 ) {
@@ -134,33 +136,36 @@
 	e.kind.observe(latencyRatio)
 }
 
-// isLastActive reports whether a single endpoint is active while others wait for their trials. It
-// has no other to be compared with, so one that fails would pass for the best.
-func (b *Balancer) isLastActive() bool {
+// isOnlyActive reports whether a single endpoint is active while others wait for their trials.
+// Since its weight cannot be compared with any other, it would look like the best endpoint even if
+// it fails.
+func (b *Balancer) isOnlyActive() bool {
 	return len(b.activeHeap.endpoints) == 1 && len(b.trialHeap.endpoints) > 0
 }
 
-// failsMoreThanOthers weighs an endpoint's errors against those of the others: it reports whether
-// the odds are that the endpoint fails by itself, rather than that it shows by chance what all show
-// while a tier below fails. A quiet instance sends to an endpoint too seldom to wait for a share of
-// errors: where the others have none, one or two errors are enough.
+// failsMoreThanOthers reports whether an endpoint's errors are its own, rather than errors of a
+// tier below that hit this endpoint more often than the others by chance. It is a likelihood-ratio
+// test, since an instance with little traffic sends an endpoint too few requests to measure a share
+// of errors: if the others have none, one or two errors are enough.
 func (b *Balancer) failsMoreThanOthers(e *endpoint) bool {
 	others := b.outcomes
 	if e.inSubset {
 		others = others.minus(e.outcomes.outcomeCounts).atLeastZero()
 	}
-	usual := (others.errors + 0.5) / (others.total + 1)
-	own := min(max(minFailingErrorShare, failingErrorMultiple*usual), maxFailingErrorShare)
+	othersErrorShare := (others.errors + 0.5) / (others.total + 1)
+	failingErrorShare := min(max(minFailingErrorShare, failingErrorMultiple*othersErrorShare), maxFailingErrorShare)
 	errors := e.outcomes.errors
 	successes := e.outcomes.total - errors
-	odds := errors*math.Log(own/usual) + successes*math.Log((1-own)/(1-usual))
-	return own > usual && odds > math.Log(ejectionOdds)
+	logLikelihoodRatio := errors*math.Log(failingErrorShare/othersErrorShare) +
+		successes*math.Log((1-failingErrorShare)/(1-othersErrorShare))
+	return failingErrorShare > othersErrorShare && logLikelihoodRatio > math.Log(ejectionLikelihoodRatio)
 }
 
-// recordConnectionFailure records a reset or failed connection. One reset may be the network's and
-// says nothing about the endpoint. Two without a response in between show that it went down, so
-// that it warms up when it is back. If one were enough, a warm endpoint would get a warming one's
-// traffic, and the others the rest of its own.
+// recordConnectionFailure records a connection that was reset or not established. A single reset
+// may be caused by the network and does not show that the endpoint is down. A second failure
+// without a response in between does, and the endpoint warms up when it is back. If one reset were
+// enough, an endpoint that is still warm would get only the traffic of a warming one, and the
+// others would have to take the rest.
 func (b *Balancer) recordConnectionFailure(now time.Duration, e *endpoint, r Result) {
 	if e.connection.isDown() {
 		e.Started = max(e.Started, now)
@@ -171,7 +176,8 @@
 	}
 }
 
-// addSample smooths the weight and ejects the endpoint if it has become too slow.
+// addSample updates an endpoint's weight with a latency ratio, and ejects the endpoint if it has
+// become too slow.
 func (b *Balancer) addSample(now time.Duration, e *endpoint, latencyRatio float64) {
 	e.samples.add(now, latencyRatio/e.kind.weight)
 	b.updateHeaps(e)
@@ -180,15 +186,15 @@
 	}
 }
 
-// isTooSlow reports whether an endpoint's weight is too far beyond the smallest active one. More is
-// tolerated at high utilization: each endpoint ejected then loads the others, which slow down as
-// well and are then ejected themselves.
+// isTooSlow reports whether an endpoint's weight exceeds the smallest active weight by too large a
+// factor. A larger factor is tolerated at high utilization: each ejection then adds load to the
+// other endpoints, which would slow down and be ejected in turn.
 func (b *Balancer) isTooSlow(e *endpoint) bool {
-	most := maxActiveWeightRatio
+	maxRatio := maxActiveWeightRatio
 	if b.isHighlyUtilized() {
-		most *= highUtilizationTolerance
+		maxRatio *= highUtilizationTolerance
 	}
-	return e.weight() > most*b.smallestActiveWeight()
+	return e.weight() > maxRatio*b.smallestActiveWeight()
 }
 
 // eject takes an endpoint out of the active set until a trial succeeds.
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -1,13 +1,13 @@
 package balancer
 
-// Hedged requests: a second attempt while a first one is slow.
+// Hedged requests: a second attempt while the first one is slow.
 
 import "time"
 
-const minHedgeSamples = 20.0 // responses after which the latency quantile of a class is known
+const minHedgeSamples = 20.0 // responses before the estimate of a class's latency quantile is used
 
-// hedgeDelay returns how long the first attempt may be in flight before a hedged request is due; 0:
-// none is.
+// hedgeDelay returns how long the first attempt may be in flight before a hedged request is sent, 0
+// if none is to be sent.
 func (c *class) hedgeDelay() time.Duration {
 	switch {
 	case c.Idempotency != Idempotent:
@@ -18,14 +18,14 @@
 	return c.HedgeAfter
 }
 
-// hedge sends a second attempt while the first is in flight, to another endpoint and within the
-// retry budget. At high utilization it sends none: that would add to the overload that makes
-// responses slow.
+// hedge sends a second attempt to another endpoint while the first is in flight, if the retry
+// budget allows it. At high utilization it sends none, since that would add to the overload that
+// makes responses slow.
 func (b *Balancer) hedge(now time.Duration, req *request) {
 	req.hedgeAt = 0
 	req.hedging = true
 	hasSpareCapacity := float64(b.limiter.inFlight) < highUtilization*b.effectiveConcurrencyLimit()
-	if req.inFlight() == 1 && hasSpareCapacity && b.reasonAgainstRetry(now, req, takesToken) == "" {
+	if req.inFlight() == 1 && hasSpareCapacity && b.retryDenialReason(now, req, takesToken) == "" {
 		if e := b.selectInSubset(now, req); e != nil && !req.wasSentTo(e) {
 			req.hedged = true
 			b.retryTokens.takeToken()
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	maxBudgetExemptAttempts = 3 // attempts of one request that may be exempt from the retry budget
+	maxBudgetExemptAttempts = 3 // attempts of a request whose retry may be exempt from the retry budget
 
-	// keyWindowMargin is the least time between a retry and the end of its key's window: the host may
-	// be delayed for that long between reading its clock and writing.
-	keyWindowMargin = 150 * time.Millisecond
+	// minKeyWindowMargin is the shortest time between a retry and the end of its key's window: the
+	// host may be delayed for that long between reading its clock and writing the request.
+	minKeyWindowMargin = 150 * time.Millisecond
 )
 
-// budgetUse says whether an attempt after the first needs a token of the retry budget.
+// budgetUse says whether a retry needs a token of the retry budget.
 type budgetUse int
 
 const (
@@ -24,9 +24,10 @@
 	exemptFromBudget
 )
 
-// retry sends a request again whose last attempt has ended without success, or answers it.
+// retry sends a request again after its last attempt has failed. If that is not allowed, it rejects
+// or fails the request.
 func (b *Balancer) retry(now time.Duration, req *request, budget budgetUse) {
-	if reason := b.reasonAgainstRetry(now, req, budget); reason != "" {
+	if reason := b.retryDenialReason(now, req, budget); reason != "" {
 		b.rejectOrFail(req, reason)
 		return
 	}
@@ -36,17 +37,16 @@
 	b.dispatch(now, req)
 }
 
-// reasonAgainstRetry returns the reason for which a request may not be sent once more, empty if it
-// may: its effect, the number of attempts, the budget or the time. Without these limits retries
-// would multiply from tier to tier.
-func (b *Balancer) reasonAgainstRetry(now time.Duration, req *request, budget budgetUse) Reason {
-	most := cmp.Or(req.class.MaxAttempts, b.settings.MaxAttempts)
+// retryDenialReason returns the reason for which a request may not be sent again, or "" if it may.
+// Without limits on attempts, the budget and the time, retries would multiply from tier to tier.
+func (b *Balancer) retryDenialReason(now time.Duration, req *request, budget budgetUse) Reason {
+	maxAttempts := cmp.Or(req.class.MaxAttempts, b.settings.MaxAttempts)
 	switch {
 	case b.readyCount == 0:
 		return NoEndpoint
 	case !b.mayAttemptAnywhere(now, req):
 		return MayHaveRun
-	case most > 0 && len(req.attempts) >= most:
+	case maxAttempts > 0 && len(req.attempts) >= maxAttempts:
 		return AttemptsExhausted
 	case budget == takesToken && !b.retryTokens.hasToken():
 		return RetryBudgetSpent
@@ -57,8 +57,9 @@
 }
 
 // retryBudgetUse returns whether the retry after an attempt that has just ended needs a token. The
-// budget limits what endpoints that fail get on top of the requests. An attempt that was not sent
-// costs them nothing, and a trial is the Balancer's own choice: these are exempt, a few times.
+// budget limits the load that retries add to failing endpoints. An attempt that was not sent adds
+// none, and a trial while other endpoints are active is the Balancer's own choice: the retry after
+// either is exempt, up to maxBudgetExemptAttempts attempts of the request.
 func (b *Balancer) retryBudgetUse(req *request, a *attempt, r Result) budgetUse {
 	wasNotSent := r == ConnectFailed || r == NotSent
 	wasOptionalTrial := a.trial && b.hasActiveEndpoint()
@@ -69,13 +70,14 @@
 }
 
 // canMeetDeadline reports whether a response would be in time if it took the given share of the
-// expected latency.
+// latency that is expected of the fastest active endpoint.
 func (b *Balancer) canMeetDeadline(now time.Duration, req *request, share float64) bool {
 	return now+seconds(b.expectedLatency(req)*b.smallestActiveWeight()*share) <= req.giveUpAt
 }
 
-// mayAttemptAnywhere reports whether some ready endpoint may get the request once more. One is as
-// good as another, unless duplicates are dropped within a group of endpoints: then all are checked.
+// mayAttemptAnywhere reports whether the request may be sent again to at least one ready endpoint.
+// The first ready endpoint stands for all, unless duplicates are dropped only within a group of
+// endpoints: then each is checked.
 func (b *Balancer) mayAttemptAnywhere(now time.Duration, req *request) bool {
 	isReady := func(e *endpoint) bool { return e.State == Ready }
 	mayAttempt := func(e *endpoint) bool { return isReady(e) && b.mayAttemptAt(now, req, e) }
@@ -96,8 +98,8 @@
 	return c.Idempotency == IdempotencyKeyed && c.KeyScope != KeyScopeAll
 }
 
-// mayAttemptAt reports whether a request that is sent to an endpoint now cannot take effect twice.
-// Only a hedged request is sent while another attempt is in flight.
+// mayAttemptAt reports whether a request may be sent to an endpoint now without the risk that it
+// takes effect twice. Only a hedged request may be sent while another attempt is in flight.
 func (b *Balancer) mayAttemptAt(now time.Duration, req *request, e *endpoint) bool {
 	for i := range req.attempts {
 		a := &req.attempts[i]
@@ -111,8 +113,8 @@
 	return true
 }
 
-// mayRunAgainAt reports whether a request may run at an endpoint after an attempt that may have
-// run: it is idempotent, or the endpoint would drop it by its idempotency key.
+// mayRunAgainAt reports whether a request may be sent to an endpoint after an earlier attempt that
+// may have run: it is idempotent, or the endpoint would drop the duplicate by its idempotency key.
 func (b *Balancer) mayRunAgainAt(now time.Duration, c *class, earlier *attempt, e *endpoint) bool {
 	if c.NeverRerun {
 		return false
@@ -127,7 +129,7 @@
 	return false
 }
 
-// covers reports whether one endpoint drops the duplicates of requests that another has received.
+// covers reports whether an endpoint drops duplicates of requests that the receiver has received.
 func (s KeyScope) covers(receiver, e *endpoint) bool {
 	switch s {
 	case KeyScopeZone:
@@ -138,38 +140,38 @@
 	return true
 }
 
-// keyWindowMargin returns how long before the end of a key's window the last retry may be decided.
+// keyWindowMargin returns how long before the end of a key's window the last retry must be sent.
 func (b *Balancer) keyWindowMargin() time.Duration {
-	return max(2*b.settings.Resolution, keyWindowMargin)
+	return max(2*b.settings.Resolution, minKeyWindowMargin)
 }
 
-// RetryDeadline returns the instant by which a retry of a request has to have been written, however
-// long its connection takes: a duplicate takes effect after the window of its key. It is 0 where
-// there is no such instant.
+// RetryDeadline returns the instant by which the host must have written a retry of a request,
+// including the time to connect: a duplicate that arrives after its key's window takes effect. It
+// is 0 if a retry has no such limit.
 func (b *Balancer) RetryDeadline(id string) time.Duration {
 	req := b.requests[id]
 	if req == nil || req.class.Idempotency != IdempotencyKeyed {
 		return 0
 	}
 	for i := range req.attempts {
-		if a := &req.attempts[i]; a.mayHaveRun { // the first one decides: its window ends first
+		if a := &req.attempts[i]; a.mayHaveRun { // the earliest such attempt: its window ends first
 			return a.startedAt + req.class.KeyWindow - b.keyWindowMargin()
 		}
 	}
 	return 0
 }
 
-// mayReject reports whether a rejection, which promises the client that a retry of its own is
-// harmless, would be true.
+// mayReject reports whether the request may be rejected: a rejection tells the client that a retry
+// of its own is harmless.
 func (r *request) mayReject() bool {
 	return r.class.mayBeRetriedByClient() || !slices.ContainsFunc(r.attempts, attempt.runsOrMayHaveRun)
 }
 
-// runsOrMayHaveRun reports whether the endpoint may have run the request, or may do so yet.
+// runsOrMayHaveRun reports whether the endpoint may have run the request or may still run it.
 func (a attempt) runsOrMayHaveRun() bool { return a.inFlight || a.mayHaveRun }
 
-// mayBeRetriedByClient reports whether a client may retry whatever has run: at any endpoint a
-// duplicate is harmless or dropped.
+// mayBeRetriedByClient reports whether a client may retry a request even after an attempt has run,
+// because a duplicate is harmless or dropped at every endpoint.
 func (c *class) mayBeRetriedByClient() bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotencyKeyed && c.KeyScope == KeyScopeAll
 }
--- a/balancer/straggling.go
+++ b/balancer/straggling.go
@@ -1,25 +1,22 @@
 package balancer
 
-// Stragglers: when an attempt has been in flight for too long, and what that shows of its endpoint.
+// Stragglers: when an attempt has been in flight for too long, and what follows for its endpoint.
 
 import "time"
 
 const (
-	// An attempt straggles once it has been in flight for stragglingRatio times its expected latency,
-	// for that and stragglingDeviations times the usual deviation, and for minStragglingShare of the
-	// latency objective: initialMinStragglingShare until the class has minStragglingSamples responses.
-	// No attempt straggles within stragglingResolutions times the resolution of the clock.
-	stragglingRatio           = 3.0
-	stragglingDeviations      = 6.0
-	minStragglingShare        = 0.05
-	initialMinStragglingShare = 0.25
-	minStragglingSamples      = 10.0
-	stragglingResolutions     = 3
+	// An attempt is straggling once the time that it has been in flight reaches all of these bounds.
+	stragglingRatio           = 3.0  // times its expected latency
+	stragglingDeviations      = 6.0  // mean deviations of the latency, beyond its expected latency
+	minStragglingShare        = 0.05 // share of the latency objective
+	initialMinStragglingShare = 0.25 // used instead while there are fewer than minStragglingSamples responses
+	minStragglingSamples      = 10.0 // responses of a class
+	minStragglingResolutions  = 3    // times Settings.Resolution
 )
 
-// stragglingDelay returns how long an attempt may be in flight before it counts as straggling. A
-// class may be a mixture of quick and slow requests, and its first responses may all be quick:
-// neither must make an endpoint look unresponsive.
+// stragglingDelay returns how long an attempt may be in flight before it counts as straggling. An
+// endpoint must not look unresponsive because a class mixes fast and slow requests, or because the
+// first responses of a class were all fast.
 func (b *Balancer) stragglingDelay(req *request, e *endpoint) time.Duration {
 	c := req.class
 	weight := max(e.weight(), 1)
@@ -29,11 +26,11 @@
 		weight*expected+stragglingDeviations*c.latency.deviation,
 		c.minStragglingDelay(),
 	)
-	return max(seconds(delay), stragglingResolutions*b.settings.Resolution)
+	return max(seconds(delay), minStragglingResolutions*b.settings.Resolution)
 }
 
-// minStragglingDelay returns for how many seconds no attempt of the class is straggling, whatever
-// its latencies have been.
+// minStragglingDelay returns the shortest straggling delay of the class, in seconds, whatever its
+// latencies have been.
 func (c *class) minStragglingDelay() float64 {
 	share := minStragglingShare
 	if c.latency.samples < minStragglingSamples {
@@ -42,8 +39,9 @@
 	return share * c.LatencyObjective.Seconds()
 }
 
-// handleStraggler takes the age of a straggling attempt as a sample. It ejects an endpoint that has
-// not responded since the attempt was sent: a hang shows after a few latencies, not after a
+// handleStraggler adds the age of a straggling attempt as a sample of its endpoint, and schedules
+// the next check of the attempt for twice that age. It ejects an endpoint that has sent no response
+// since the attempt was sent, so that a hang is detected after a few latencies and not only by a
 // timeout.
 func (b *Balancer) handleStraggler(now time.Duration, req *request, a *attempt) {
 	e := a.endpoint
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -1,13 +1,14 @@
 package balancer
 
-// Timers: what is due by time alone, and when the Balancer has to check it.
+// Timers: what the Balancer does only because time has passed, and when it has to wake up for it.
 
 import (
 	"slices"
 	"time"
 )
 
-// Timer implements Events. Timers cannot be canceled: one before the next wake-up is stale.
+// Timer implements Events. Timers cannot be canceled, so that one that fires before the next
+// wake-up is stale and is ignored.
 func (b *Balancer) Timer(now time.Duration) {
 	if b.nextWakeUp == 0 || now < b.nextWakeUp {
 		return
@@ -22,7 +23,7 @@
 	}
 }
 
-// scheduleWakeUp makes sure that there is a Timer event by the given instant.
+// scheduleWakeUp makes sure that a Timer event is requested for the given instant or earlier.
 func (b *Balancer) scheduleWakeUp(at time.Duration) {
 	if b.nextWakeUp == 0 || at < b.nextWakeUp {
 		b.nextWakeUp = at
@@ -30,7 +31,7 @@
 	}
 }
 
-// nextCheckAt returns when a request has to be checked again.
+// nextCheckAt returns the next instant at which something may be due for a request.
 func (b *Balancer) nextCheckAt(req *request) time.Duration {
 	at := req.giveUpAt
 	if req.queued {
@@ -47,8 +48,8 @@
 	return at
 }
 
-// runDueTimers does what is due: it subscribes, gives requests up, hedges them and handles
-// straggling attempts.
+// runDueTimers does whatever is due: it subscribes to discovery, gives up on requests, hedges
+// them, handles straggling attempts and sends queued requests.
 func (b *Balancer) runDueTimers(now time.Duration) {
 	if b.subscription.isDue(now) {
 		b.subscription.dueAt = 0
@@ -71,7 +72,8 @@
 	b.dispatchQueue(now)
 }
 
-// giveUp answers a request that can no longer be in time, or has waited for capacity for too long.
+// giveUp rejects or fails a request that can no longer be answered in time or has waited for
+// capacity for too long.
 func (b *Balancer) giveUp(now time.Duration, req *request) {
 	if len(req.attempts) == 0 {
 		b.log(now, LogEvent{Kind: CapacityExhausted, QueuedRequests: len(b.queue)})
@@ -79,7 +81,8 @@
 	b.rejectOrFail(req, b.queueTimeoutReason(req))
 }
 
-// jitter spreads a time by a quarter both ways, so that instances do not act at the same time.
+// jitter changes a duration at random by up to a quarter either way, so that instances do not act
+// at the same time.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*b.rng.Float64()))
 }
--- a/balancer/tokenbucket.go
+++ b/balancer/tokenbucket.go
@@ -9,14 +9,15 @@
 	refilledAt time.Duration
 }
 
-// refill adds a deposit and the tokens of the time since the last refill, up to the burst.
+// refill adds a deposit and the tokens earned by time since the last refill. The bucket holds at
+// most burst tokens.
 func (t *tokenBucket) refill(now time.Duration, deposit, perSecond, burst float64) {
 	t.tokens = min(t.tokens+deposit+perSecond*(now-t.refilledAt).Seconds(), burst)
 	t.refilledAt = now
 }
 
-// hasToken reports whether a whole token is left.
+// hasToken reports whether at least one whole token is left.
 func (t *tokenBucket) hasToken() bool { return t.tokens >= 1 }
 
-// takeToken takes one token.
+// takeToken takes one token, which must be there: see hasToken.
 func (t *tokenBucket) takeToken() { t.tokens-- }
