--- a/balancer/class_test.go
+++ b/balancer/class_test.go
@@ -11,8 +11,8 @@
 	"rowancart/balancer"
 )
 
-// newHarnessWithClass returns a harness in which change was applied to the class "read", and whose
-// Balancer has learned a latency of 10 ms from 60 responses.
+// newHarnessWithClass returns a harness with an ample retry budget in which change was applied to
+// the class "read". Its Balancer has learned a latency of 10 ms from 60 responses.
 func newHarnessWithClass(t *testing.T, change func(c *balancer.Class)) *harness {
 	t.Helper()
 	s := testSettings()
@@ -120,7 +120,7 @@
 		t.Errorf("%s, of a class that Configure added, was not sent", id)
 	}
 	if id, _ := h.request("bill"); h.countActions("send "+id) != 1 { // its class is not in the settings
-		t.Errorf("a request of an unknown class was not sent once; actions %v", h.actions)
+		t.Errorf("a request of an unknown class: want 1 attempt; actions %v", h.actions)
 	}
 }
 
@@ -129,7 +129,7 @@
 	class       string
 	maxAttempts int    // of its class when it arrived
 	runs        int    // attempts that may have run
-	finished    []bool // by number of attempt
+	finished    []bool // by attempt number
 }
 
 // policyTest reports random events to a Balancer while the policies of its classes change at
@@ -201,7 +201,8 @@
 	for id, req := range p.requests {
 		sentTo := p.h.sentTo[id]
 		if req.class == "bill" && (req.runs > 1 || req.runs == 1 && len(req.finished) < len(sentTo)) {
-			p.Fatalf("non-idempotent request %s may have run in %d attempts, and was sent to %v", id, req.runs, sentTo)
+			p.Fatalf("non-idempotent %s: %d attempts may have run, sent to %v, want at most one and no attempt after it",
+				id, req.runs, sentTo)
 		}
 		if len(sentTo) > req.maxAttempts {
 			p.Fatalf("%s: %d attempts, want at most %d", id, len(sentTo), req.maxAttempts)
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -1,7 +1,7 @@
 package balancer
 
 // Outlier ejection: how the result of an attempt counts for or against its endpoint, and when an
-// endpoint is taken out of the active set. It returns by a trial: see trials.go.
+// endpoint is taken out of the active set. A trial returns it: see trials.go.
 
 import (
 	"math"
@@ -9,16 +9,17 @@
 )
 
 const (
-	// weightSmoothing (alpha in the paper) is the share of an endpoint's weight that a new sample
-	// retains once there are many samples. maxSampleRetention is the share of the sum of older samples
-	// that this takes: it is lower, because the priorSamples samples in the weight never decay.
+	// weightSmoothing (alpha in the paper) is the factor by which an endpoint's weight decays with
+	// each new sample, once there are many. maxSampleRetention is the factor for the sum of the
+	// samples alone that has this effect. It is lower, because the priorSamples samples that are part
+	// of the weight never decay.
 	weightSmoothing    = 0.95
 	maxSampleRetention = 1 - 1/(1/(1-weightSmoothing)-priorSamples)
 	sampleMemory       = 10 * time.Second // samples decay to 1/e within this time, or faster if there are many
 	minSampleMemory    = time.Second      // samples never decay to 1/e faster than this, however many there are
 
-	// An active endpoint is ejected as slow when its weight exceeds the smallest active weight by more
-	// than this factor.
+	// An active endpoint is ejected as slow when its weight is more than maxActiveWeightRatio times
+	// the smallest active weight.
 	maxActiveWeightRatio     = 2.0 // the factor in the paper
 	highUtilizationTolerance = 2.0 // multiplies maxActiveWeightRatio at high utilization
 
@@ -52,7 +53,7 @@
 		b.sampleFailure(now, req, a, failure{result: r, latencyRatio: latencyRatio})
 	case Canceled:
 		if req.hedged && !a.trial && latencyRatio > a.endpoint.weight() {
-			b.addSample(now, a.endpoint, latencyRatio) // it was slower than the other attempt: that must count
+			b.addSample(now, a.endpoint, latencyRatio) // otherwise hedging would hide that the endpoint is slow
 		}
 		b.abandonTrial(now, a)
 	case NotSent:
@@ -89,10 +90,10 @@
 	}
 }
 
-// sampleFailure adds a failure as a sample of its endpoint. The sample is no shorter than the time
-// from sending the attempt to the request's deadline: a fast error must not look like a fast
-// response. The endpoint is ejected if the failure is attributed to it, or if it is the only active
-// endpoint.
+// sampleFailure adds a failure as a sample of its endpoint. The sample is at least the time from
+// sending the attempt to the request's deadline, up to maxLatencyRatio times the expected latency:
+// a fast error must not look like a fast response. The endpoint is ejected if the failure is
+// attributed to it, or if it is the only active one while others wait for their trials.
 func (b *Balancer) sampleFailure(now time.Duration, req *request, a *attempt, f failure) {
 	e := a.endpoint
 	deadlineRatio := (req.Deadline - a.sentAt).Seconds() / b.expectedLatency(req)
@@ -101,7 +102,7 @@
 		b.failTrial(now, e, latencyRatio)
 	} else {
 		b.addSample(now, e, latencyRatio)
-		if e.active && (f.isEndpointFault || b.isOnlyActive()) {
+		if e.active && (f.isEndpointFault || b.hasSingleActiveEndpoint()) {
 			b.eject(now, e, InactiveFailing)
 		}
 	}
@@ -124,7 +125,7 @@
 }
 
 // recordSuccess updates everything that is learned from a successful response, except for the
-// endpoint's weight.
+// endpoint's own samples.
 func (b *Balancer) recordSuccess(
 	now time.Duration, req *request, e *endpoint, latency time.Duration, latencyRatio float64,
 ) {
@@ -136,10 +137,10 @@
 	e.kind.observe(latencyRatio)
 }
 
-// isOnlyActive reports whether a single endpoint is active while others wait for their trials.
-// Since its weight cannot be compared with any other, it would look like the best endpoint even if
-// it fails.
-func (b *Balancer) isOnlyActive() bool {
+// hasSingleActiveEndpoint reports whether a single endpoint is active while others wait for their
+// trials. Since its weight cannot be compared with any other, it would look like the best endpoint
+// even if it fails.
+func (b *Balancer) hasSingleActiveEndpoint() bool {
 	return len(b.activeHeap.endpoints) == 1 && len(b.trialHeap.endpoints) > 0
 }
 
@@ -163,9 +164,9 @@
 
 // recordConnectionFailure records a connection that was reset or not established. A single reset
 // may be caused by the network and does not show that the endpoint is down. A second failure
-// without a response in between does, and the endpoint warms up when it is back. If one reset were
-// enough, an endpoint that is still warm would get only the traffic of a warming one, and the
-// others would have to take the rest.
+// without a successful response in between does, and the endpoint warms up when it is back. If one
+// reset were enough, an endpoint that is still warm would get only the traffic of a warming one,
+// and the others would have to take the rest.
 func (b *Balancer) recordConnectionFailure(now time.Duration, e *endpoint, r Result) {
 	if e.connection.isDown() {
 		e.Started = max(e.Started, now)
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -43,7 +43,7 @@
 		h.finish(id, balancer.OK)
 	}
 	if trials := int((h.now - start) / (500 * ms)); toHung > 5+trials {
-		t.Errorf("the hung endpoint got %d of 200 requests, want at most 5 and its trials", toHung)
+		t.Errorf("the hung endpoint got %d of 200 requests, want at most 5 plus one trial every 500 ms", toHung)
 	}
 }
 
@@ -203,7 +203,7 @@
 	failed := 0
 	for i := range 100 {
 		id, ep := h.request("bill")
-		if i >= 40 && ep == "d" { // the first 40 requests teach the latency of the class
+		if i >= 40 && ep == "d" { // the latency of the class is learned from the first 40 requests
 			failed++
 			h.advance(ms)
 			h.finish(id, balancer.Errored)
@@ -221,7 +221,7 @@
 // fifteen outcomes. If the other endpoints have no errors, the second error after eight successes
 // must be attributed to the endpoint. If all endpoints fail equally often, errors must never be
 // attributed to one of them.
-func TestErrorsAreAttributedToAnEndpointByTheOdds(t *testing.T) {
+func TestErrorsAreAttributedToAnEndpointByLikelihoodRatio(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		fails          func(n int, ep string) bool
@@ -365,12 +365,12 @@
 	h.finish(id, balancer.OK)
 	for range 5 {
 		h.advance(30 * ms)
-		id, again := h.request("read")
+		id, next := h.request("read")
 		if len(h.sentTo[id]) != 1 {
 			t.Fatalf("after %s has responded, a request was not sent exactly once", ep)
 		}
 		h.advance(ms)
-		if again == ep {
+		if next == ep {
 			h.finish(id, balancer.OK)
 			continue
 		}
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -6,8 +6,8 @@
 
 const minHedgeSamples = 20.0 // responses before the estimate of a class's latency quantile is used
 
-// hedgeDelay returns how long the first attempt may be in flight before a hedged request is sent, 0
-// if none is to be sent.
+// hedgeDelay returns how long the first attempt may be in flight before a hedged request is due, 0
+// if none will be.
 func (c *class) hedgeDelay() time.Duration {
 	switch {
 	case c.Idempotency != Idempotent:
@@ -18,8 +18,8 @@
 	return c.HedgeAfter
 }
 
-// hedge sends a second attempt to another endpoint while the first is in flight, if the retry
-// budget allows it. At high utilization it sends none, since that would add to the overload that
+// hedge sends a second attempt to another endpoint while the first is in flight, if the limits on
+// retries allow it. At high utilization it sends none, since that would add to the overload that
 // makes responses slow.
 func (b *Balancer) hedge(now time.Duration, req *request) {
 	req.hedgeAt = 0
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	maxBudgetExemptAttempts = 3 // attempts of a request whose retry may be exempt from the retry budget
+	maxBudgetExemptAttempts = 3 // attempts of a request after which a retry may be exempt from the retry budget
 
 	// minKeyWindowMargin is the shortest time between a retry and the end of its key's window: the
 	// host may be delayed for that long between reading its clock and writing the request.
 	minKeyWindowMargin = 150 * time.Millisecond
 )
 
-// budgetUse says whether a retry needs a token of the retry budget.
+// budgetUse says whether an attempt after the first, a retry or a hedged request, needs a token of
+// the retry budget.
 type budgetUse int
 
 const (
@@ -24,8 +25,8 @@
 	exemptFromBudget
 )
 
-// retry sends a request again after its last attempt has failed. If that is not allowed, it rejects
-// or fails the request.
+// retry sends a request again, or queues it, after its last attempt has failed. If that is not
+// allowed, it rejects or fails the request.
 func (b *Balancer) retry(now time.Duration, req *request, budget budgetUse) {
 	if reason := b.retryDenialReason(now, req, budget); reason != "" {
 		b.rejectOrFail(req, reason)
@@ -37,8 +38,9 @@
 	b.dispatch(now, req)
 }
 
-// retryDenialReason returns the reason for which a request may not be sent again, or "" if it may.
-// Without limits on attempts, the budget and the time, retries would multiply from tier to tier.
+// retryDenialReason returns the reason for which a request may not be sent again, or "" if it may:
+// no endpoint is ready, the request might take effect twice, or it has reached the limit on
+// attempts, budget or time. Without these limits, retries would multiply from tier to tier.
 func (b *Balancer) retryDenialReason(now time.Duration, req *request, budget budgetUse) Reason {
 	maxAttempts := cmp.Or(req.class.MaxAttempts, b.settings.MaxAttempts)
 	switch {
@@ -59,7 +61,7 @@
 // retryBudgetUse returns whether the retry after an attempt that has just ended needs a token. The
 // budget limits the load that retries add to failing endpoints. An attempt that was not sent adds
 // none, and a trial while other endpoints are active is the Balancer's own choice: the retry after
-// either is exempt, up to maxBudgetExemptAttempts attempts of the request.
+// either is exempt, unless the request has had more than maxBudgetExemptAttempts attempts.
 func (b *Balancer) retryBudgetUse(req *request, a *attempt, r Result) budgetUse {
 	wasNotSent := r == ConnectFailed || r == NotSent
 	wasOptionalTrial := a.trial && b.hasActiveEndpoint()
@@ -76,8 +78,8 @@
 }
 
 // mayAttemptAnywhere reports whether the request may be sent again to at least one ready endpoint.
-// The first ready endpoint stands for all, unless duplicates are dropped only within a group of
-// endpoints: then each is checked.
+// The answer is the same for all ready endpoints, unless duplicates are dropped only within a group
+// of endpoints: then each is checked.
 func (b *Balancer) mayAttemptAnywhere(now time.Duration, req *request) bool {
 	isReady := func(e *endpoint) bool { return e.State == Ready }
 	mayAttempt := func(e *endpoint) bool { return isReady(e) && b.mayAttemptAt(now, req, e) }
@@ -140,14 +142,14 @@
 	return true
 }
 
-// keyWindowMargin returns how long before the end of a key's window the last retry must be sent.
+// keyWindowMargin returns the time that must be left of a key's window when a retry is sent.
 func (b *Balancer) keyWindowMargin() time.Duration {
 	return max(2*b.settings.Resolution, minKeyWindowMargin)
 }
 
 // RetryDeadline returns the instant by which the host must have written a retry of a request,
-// including the time to connect: a duplicate that arrives after its key's window takes effect. It
-// is 0 if a retry has no such limit.
+// however long it takes to connect: a duplicate that arrives after its key's window takes effect.
+// It is 0 if a retry has no such limit.
 func (b *Balancer) RetryDeadline(id string) time.Duration {
 	req := b.requests[id]
 	if req == nil || req.class.Idempotency != IdempotencyKeyed {
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -6,8 +6,8 @@
 
 // RetryBudget limits the attempts beyond the first, hedged requests included, over all requests of
 // a Balancer: without a limit, retries would multiply the load of failing endpoints. Each of these
-// attempts takes a token. The zero value earns a tenth of a token per request and saves up at most
-// 10.
+// attempts takes a token, except for the few retries that retryBudgetUse exempts. The zero value
+// earns a tenth of a token per request and saves up at most 10.
 type RetryBudget struct {
 	PerRequest float64 // tokens earned by each request
 	PerSecond  float64 // tokens earned each second, so that a client with few requests can retry too
@@ -27,7 +27,7 @@
 	started bool
 }
 
-// deposit adds the tokens that a request earns, and those earned by time since the last request.
+// deposit adds the tokens for a request, and those for the time since the last request.
 func (r *retryBucket) deposit(now time.Duration) {
 	budget := r.RetryBudget
 	if budget == (RetryBudget{}) {
--- a/balancer/retrybudget_test.go
+++ b/balancer/retrybudget_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Over any length of time, no more tokens are spent than were earned, plus the initial tokens: half
-// the burst.
+// From the first request on, no more tokens are spent than the initial half of the burst and the
+// tokens earned.
 func TestRetryBudgetStaysWithinWhatWasEarned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := retryBucket{RetryBudget: RetryBudget{PerRequest: rapid.Float64Range(0, 1).Draw(t, "per request"),
--- a/balancer/straggling.go
+++ b/balancer/straggling.go
@@ -5,13 +5,13 @@
 import "time"
 
 const (
-	// An attempt is straggling once the time that it has been in flight reaches all of these bounds.
+	// An attempt is straggling once it has been in flight for the longest of these times.
 	stragglingRatio           = 3.0  // times its expected latency
 	stragglingDeviations      = 6.0  // mean deviations of the latency, beyond its expected latency
-	minStragglingShare        = 0.05 // share of the latency objective
-	initialMinStragglingShare = 0.25 // used instead while there are fewer than minStragglingSamples responses
-	minStragglingSamples      = 10.0 // responses of a class
-	minStragglingResolutions  = 3    // times Settings.Resolution
+	minStragglingShare        = 0.05 // at least this share of the latency objective
+	initialMinStragglingShare = 0.25 // instead of minStragglingShare, until there are minStragglingSamples responses
+	minStragglingSamples      = 10.0 // responses to requests of the class's kind of work
+	minStragglingResolutions  = 3    // at least this multiple of Settings.Resolution, the resolution of the clock
 )
 
 // stragglingDelay returns how long an attempt may be in flight before it counts as straggling. An
@@ -39,10 +39,10 @@
 	return share * c.LatencyObjective.Seconds()
 }
 
-// handleStraggler adds the age of a straggling attempt as a sample of its endpoint, and schedules
-// the next check of the attempt for twice that age. It ejects an endpoint that has sent no response
-// since the attempt was sent, so that a hang is detected after a few latencies and not only by a
-// timeout.
+// handleStraggler schedules the next check of a straggling attempt for twice its age. If the
+// endpoint is active, the age is added as a sample, and the endpoint is ejected unless it has sent
+// a successful response since the attempt was sent: a hang is then detected after a few latencies
+// and not only by a timeout.
 func (b *Balancer) handleStraggler(now time.Duration, req *request, a *attempt) {
 	e := a.endpoint
 	isUnresponsive := e.connection.respondedAt < a.sentAt
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Timer implements Events. Timers cannot be canceled, so that one that fires before the next
-// wake-up is stale and is ignored.
+// Timer implements Events. Timers cannot be canceled: one that fires before the next wake-up is
+// stale and is ignored.
 func (b *Balancer) Timer(now time.Duration) {
 	if b.nextWakeUp == 0 || now < b.nextWakeUp {
 		return
--- a/balancer/tokenbucket.go
+++ b/balancer/tokenbucket.go
@@ -9,8 +9,8 @@
 	refilledAt time.Duration
 }
 
-// refill adds a deposit and the tokens earned by time since the last refill. The bucket holds at
-// most burst tokens.
+// refill adds a deposit and the tokens for the time since the last refill. The bucket holds at most
+// burst tokens.
 func (t *tokenBucket) refill(now time.Duration, deposit, perSecond, burst float64) {
 	t.tokens = min(t.tokens+deposit+perSecond*(now-t.refilledAt).Seconds(), burst)
 	t.refilledAt = now
