--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Admission: which requests are rejected at once, which wait for capacity, and for how long.
+// Admission: which requests are rejected at once, which wait for capacity, and how long they wait.
 
 import (
 	"cmp"
@@ -9,19 +9,19 @@
 )
 
 const (
-	highUtilization    = 0.6 // share of the concurrency limit from which capacity may be short
-	shortCapacityRatio = 1.5 // recent latency ratio from which it is, in tolerated ratios
-	highRateMultiple   = 1.3 // multiple of all quotas from which the rate of requests is high
+	highUtilization   = 0.6 // share of the concurrency limit in use above which utilization is high
+	slowResponseRatio = 1.5 // recent latency ratio above which responses are slow, as a multiple of the tolerated ratio
+	highRateMultiple  = 1.3 // rate of requests that is high, as a multiple of the sum of all quotas
 
-	maxQueueWaitShare = 0.05 // share of the mean latency objective that a request waits at most
-	minTimeLeftShare  = 0.6  // share of its expected latency that a request must have left to wait
+	maxQueueWaitShare = 0.05 // longest wait, as a share of the mean latency objective times the tolerated ratio
+	minTimeLeftShare  = 0.6  // time that a request must have left to join a queue, as a share of its expected latency
 
-	quotaBurst       = 1.0                    // seconds of a tenant's quota that may be used at once
+	quotaBurst       = 1.0                    // largest burst of a tenant, in seconds of its quota
 	rejectRetryAfter = 300 * time.Millisecond // Retry-After of a rejection
 )
 
 // Request implements Events. A request is rejected at once if it cannot be answered in time, or if
-// it is over its tenant's quota while capacity is short or the rate of requests is high. Otherwise
+// its tenant is over its quota while capacity is short or the rate of requests is high. Otherwise
 // it is sent, or waits for capacity.
 func (b *Balancer) Request(now time.Duration, r Request) {
 	c := b.classOf(now, r)
@@ -41,19 +41,20 @@
 	}
 }
 
-// missesDeadline reports whether a new request cannot be answered in time. While others are
-// queued, it would have to wait behind them.
+// missesDeadline reports whether a new request cannot be answered in time. If other requests are
+// queued, it would have to wait behind them, and its expected latency is checked as well.
 func (b *Balancer) missesDeadline(now time.Duration, req *request) bool {
 	return now >= req.giveUpAt || len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftShare)
 }
 
-// isRateHigh reports whether requests come at a higher rate than the quotas of all tenants together
-// allow. Quiet instances see that before endpoints are at their capacity.
+// isRateHigh reports whether requests arrive at a higher rate than the quotas of all tenants allow
+// together. A low-traffic instance can detect that before endpoints reach their capacity.
 func (b *Balancer) isRateHigh(now time.Duration) bool {
 	return b.rate.perSecond(now) > highRateMultiple*b.tenants.quota
 }
 
-// classOf returns the class of a request. One that is not in the settings is non-idempotent.
+// classOf returns the class of a request. A class that is not in the settings is added as
+// non-idempotent.
 func (b *Balancer) classOf(now time.Duration, r Request) *class {
 	c := b.classes[r.Class]
 	if c == nil {
@@ -64,14 +65,15 @@
 	return c
 }
 
-// giveUpBefore returns the instant from which no response would reach the client before its
-// deadline.
+// giveUpBefore returns the time after which no response could reach the client before its deadline,
+// given how late events and timers may be.
 func (b *Balancer) giveUpBefore(deadline time.Duration) time.Duration {
 	return deadline - max(b.settings.Resolution, time.Millisecond)
 }
 
-// chargeQuota charges a request to its tenant's quota and reports whether it is over it. Only the
-// first tier can know: in a tier below, one request of a client becomes several.
+// chargeQuota charges a request to the quota of its tenant and reports whether the tenant is over
+// its quota. Only the first tier applies quotas: tiers below may get several requests for one
+// request of a client.
 func (b *Balancer) chargeQuota(now time.Duration, req *request) bool {
 	t := b.tenants.byName[req.Tenant]
 	if t == nil || t.Quota <= 0 || b.settings.Tier > 0 {
@@ -82,21 +84,21 @@
 	if !t.hasToken() {
 		return true
 	}
-	if !req.ClientRetry { // the client's first attempt was charged
+	if !req.ClientRetry { // the original request was charged
 		t.takeToken()
 	}
 	return false
 }
 
-// isCapacityShort reports whether requests wait, or the concurrency limit is in use and responses
-// are slow.
+// isCapacityShort reports whether requests are queued, or much of the concurrency limit is in use
+// and responses are slow.
 func (b *Balancer) isCapacityShort() bool {
-	responsesAreSlow := b.limiter.recentLatencyRatio > shortCapacityRatio*b.toleratedRatio()
+	responsesAreSlow := b.limiter.recentLatencyRatio > slowResponseRatio*b.toleratedRatio()
 	return len(b.queue) > 0 || b.isHighlyUtilized() && responsesAreSlow
 }
 
-// enqueue puts a request into the queue for capacity, or rejects it if its class has as many there
-// as its queue limit allows.
+// enqueue adds a request to the queue for capacity, unless it is there already. It rejects a new
+// request whose class has reached its queue limit.
 func (b *Balancer) enqueue(now time.Duration, req *request) {
 	if !req.queued {
 		if !req.isRetry() && b.isQueueFull(req.class) {
@@ -107,10 +109,10 @@
 		b.queue = append(b.queue, req)
 	}
 	b.scheduleWakeUp(b.nextCheckAt(req))
-	b.scheduleWarming(now)
+	b.scheduleWarmingWakeUps(now)
 }
 
-// isQueueFull reports whether no more requests of a class may wait.
+// isQueueFull reports whether a class has reached its queue limit.
 func (b *Balancer) isQueueFull(c *class) bool {
 	if c.QueueLimit <= 0 {
 		return c.QueueLimit < 0
@@ -124,7 +126,8 @@
 	return waiting >= c.QueueLimit
 }
 
-// dispatchQueue sends queued requests while there is capacity, oldest first. Retries need none.
+// dispatchQueue sends queued requests, oldest first: first attempts while there is capacity, and
+// all retries, which need none.
 func (b *Balancer) dispatchQueue(now time.Duration) {
 	capacityUsedUp := false
 	for _, req := range b.queue {
@@ -138,20 +141,21 @@
 	b.queue = slices.DeleteFunc(b.queue, func(req *request) bool { return !req.queued })
 }
 
-// queueDeadline returns until when a request may wait for capacity. The wait is the same for all
-// classes: otherwise those with the shortest latency objective would starve in overload.
+// queueDeadline returns the time until which a request may wait for capacity. The longest wait is
+// the same for all classes: otherwise the classes with the shortest latency objective would starve
+// in overload.
 func (b *Balancer) queueDeadline(req *request) time.Duration {
 	switch {
 	case req.isRetry():
 		return req.giveUpAt
-	case b.readyCount == 0: // an endpoint that is listed by then can still respond in time
+	case b.readyCount == 0: // an endpoint that becomes ready by then can still respond in time
 		return req.giveUpAt - seconds(b.expectedLatency(req))
 	}
 	maxWait := seconds(maxQueueWaitShare * b.toleratedRatio() * b.meanObjective)
 	return min(req.giveUpAt, req.arrivedAt+maxWait)
 }
 
-// queueTimeoutReason returns the reason for an answer to a request that has waited for too long.
+// queueTimeoutReason returns the reason given to a request that has waited for too long.
 func (b *Balancer) queueTimeoutReason(req *request) Reason {
 	switch {
 	case b.readyCount == 0:
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -9,49 +9,50 @@
 )
 
 const (
-	// Before anything is known, the limit is initialLimitPerEndpoint attempts for each endpoint of
-	// this instance, and limitHeadroomDeviations standard deviations of what chance adds at one of
-	// many.
+	// The initial limit is this instance's share of initialLimitPerEndpoint attempts per endpoint,
+	// plus limitHeadroomDeviations standard deviations of the random variation at one of many
+	// instances.
 	initialLimitPerEndpoint = 6.0
 	limitHeadroomDeviations = 3.0
 
-	// The limit is cut while the recent latency ratio is beyond congestionThreshold (1.8 is usual
-	// under load) times the tolerated one. A cut leaves at least minLimitCutShare of it and is
-	// followed by another after half a latency at the earliest.
+	// The limit is cut while the recent latency ratio is above congestionThreshold times the tolerated
+	// ratio (under load, 1.8 times is usual). A cut leaves at least minLimitCutShare of the limit. The
+	// next cut follows after half the recent latency at the earliest.
 	congestionThreshold = 2.0
 	minLimitCutShare    = 0.5
 
-	// With each response at the limit it grows by limitGrowthGain times what the recent latency ratio
-	// is short of limitGrowthThreshold.
+	// With each response while the limit is used up, it grows by limitGrowthGain times the difference
+	// by which the recent latency ratio is below limitGrowthThreshold.
 	limitGrowthGain      = 0.2
 	limitGrowthThreshold = 1.5
 
-	// The recent latency ratio decays to 1/e in latencyRatioMemory, and each response counts with
-	// minLatencyRatioGain at least. One response shows no more than maxLimitSampleRatio.
+	// The influence of a response on the recent latency ratio decays to 1/e in latencyRatioMemory.
+	// Each new response has a gain of at least minLatencyRatioGain, and its latency ratio is capped at
+	// maxLimitSampleRatio times the tolerated ratio.
 	latencyRatioMemory  = 2 * time.Second
 	minLatencyRatioGain = 0.05
 	maxLimitSampleRatio = 4.0
 
-	// responseObjectiveShare is the share of the latency objective that responses may take.
+	// responseObjectiveShare is the share of the latency objective that congested responses may take.
 	responseObjectiveShare = 0.5
 )
 
-// concurrencyLimiter counts the attempts in flight against a limit, which follows the latency
-// ratios of the responses. What a client takes to send or to read does not count: the limit is for
-// what makes endpoints slow.
+// concurrencyLimiter counts the attempts in flight against a limit that adapts to the latency
+// ratios of the responses. An attempt does not count while the client sends the body or reads the
+// response, since the limit is for what makes endpoints slow.
 type concurrencyLimiter struct {
-	inFlight           int           // attempts in flight that count
-	limit              float64       // how many may be
+	inFlight           int           // attempts in flight that count against the limit
+	limit              float64       // limit of inFlight
 	scaledReadyCount   int           // ready endpoints when the limit was last scaled
-	recentLatencyRatio float64       // decayed mean over recent responses
-	updatedAt          time.Duration // latest response
-	nextCutAt          time.Duration // the limit is not cut before
+	recentLatencyRatio float64       // decaying mean of the latency ratios of responses
+	updatedAt          time.Duration // time of the latest response
+	nextCutAt          time.Duration // time before which the limit is not cut again
 }
 
 // newConcurrencyLimiter returns a limiter that has seen no response.
 func newConcurrencyLimiter() concurrencyLimiter { return concurrencyLimiter{recentLatencyRatio: 1} }
 
-// start counts an attempt from now on.
+// start counts an attempt against the limit, unless it is counted already.
 func (l *concurrencyLimiter) start(a *attempt) {
 	if !a.countsToLimit {
 		a.countsToLimit = true
@@ -59,7 +60,7 @@
 	}
 }
 
-// end no longer counts an attempt.
+// end stops counting an attempt.
 func (l *concurrencyLimiter) end(a *attempt) {
 	if a.countsToLimit {
 		a.countsToLimit = false
@@ -67,31 +68,33 @@
 	}
 }
 
-// recordLatencyRatio adds the latency ratio of a response. At a quiet instance, which has few, the
-// latest counts most.
+// recordLatencyRatio updates the recent latency ratio with that of a response. At a low-traffic
+// instance, where responses are few, the latest one has most of the weight.
 func (l *concurrencyLimiter) recordLatencyRatio(now time.Duration, latencyRatio float64) {
 	gain := 1 - decay(now-l.updatedAt, latencyRatioMemory)
 	l.updatedAt = now
 	l.recentLatencyRatio += (latencyRatio - l.recentLatencyRatio) * max(gain, minLatencyRatioGain)
 }
 
-// cut shrinks the limit to a part of what is used, by how far the recent latency ratio is beyond
-// the threshold, but not below the least.
+// cut reduces the limit to a share of the attempts in flight, or of the limit if that is lower. The
+// share is the threshold over the recent latency ratio, but at least minLimitCutShare. The limit
+// does not fall below least.
 func (l *concurrencyLimiter) cut(used, threshold, least float64) {
 	share := max(minLimitCutShare, threshold/l.recentLatencyRatio)
 	l.limit = max(min(l.limit, used)*share, least)
 }
 
-// grow raises the limit by how far responses are from being slow.
+// grow raises the limit in proportion to how far the recent latency ratio is below
+// limitGrowthThreshold times the tolerated ratio.
 func (l *concurrencyLimiter) grow(toleratedRatio float64) {
 	headroom := max(limitGrowthThreshold*toleratedRatio-l.recentLatencyRatio, 0)
 	l.limit += limitGrowthGain * toleratedRatio * headroom
 }
 
-// updateConcurrencyLimit adapts the limit to a response: down while it is in use and recent
-// responses are slow, up while it is used up and they hardly are. It guards against endpoints that
-// collapse under overload. The attempt that has just ended counts as in flight here, since a quiet
-// instance seldom has another.
+// updateConcurrencyLimit adapts the limit after a response: it cuts the limit if recent responses
+// are slow and much of it is in use, and raises it if they are quick and it is used up. This
+// prevents endpoints from collapsing under overload. The attempt that has just ended counts as in
+// flight here, since a low-traffic instance seldom has another one.
 func (b *Balancer) updateConcurrencyLimit(now time.Duration, latencyRatio float64) {
 	tolerated := b.toleratedRatio()
 	b.limiter.recordLatencyRatio(now, min(latencyRatio, maxLimitSampleRatio*tolerated))
@@ -108,8 +111,8 @@
 	}
 }
 
-// scaleConcurrencyLimit scales the limit with the number of ready endpoints: those that take new
-// work must not get the part of those that do not.
+// scaleConcurrencyLimit scales the limit with the number of ready endpoints, so that the ready ones
+// do not get the load of those that take no new requests.
 func (b *Balancer) scaleConcurrencyLimit() {
 	if b.readyCount == 0 {
 		return
@@ -119,24 +122,25 @@
 	b.limiter.scaledReadyCount = b.readyCount
 }
 
-// effectiveConcurrencyLimit returns the limit without the part of the endpoints that fail, which
-// the others must not get.
+// effectiveConcurrencyLimit returns the limit without the share of the endpoints that are ejected
+// for failures, so that the others do not get their load.
 func (b *Balancer) effectiveConcurrencyLimit() float64 {
 	working := b.concurrencyLimitFor(b.subsetSize - b.failingCount)
 	return max(b.limiter.limit*working/b.concurrencyLimitFor(b.subsetSize), 1)
 }
 
-// concurrencyLimitFor returns the instance's part of what a number of endpoints can take, and an
-// allowance for chance: with requests that come at random, one instance has more than its part in
-// flight far sooner than all together have more than theirs.
+// concurrencyLimitFor returns this instance's share of the initial limit of a number of endpoints,
+// plus an allowance for random variation: when requests arrive at random, a single instance exceeds
+// its share far sooner than all instances together exceed the whole limit.
 func (b *Balancer) concurrencyLimitFor(endpoints int) float64 {
-	part := initialLimitPerEndpoint * b.endpointsPerInstance(endpoints)
-	all := initialLimitPerEndpoint * float64(max(endpoints, 1))
-	return part + limitHeadroomDeviations*(math.Sqrt(part)-part/math.Sqrt(all))
+	share := initialLimitPerEndpoint * b.endpointsPerInstance(endpoints)
+	whole := initialLimitPerEndpoint * float64(max(endpoints, 1))
+	return share + limitHeadroomDeviations*(math.Sqrt(share)-share/math.Sqrt(whole))
 }
 
-// endpointsPerInstance returns how many of the endpoints there are for this instance alone. Behind
-// the first tier instances are many and each has little to send: there it is all of them.
+// endpointsPerInstance returns the number of endpoints divided by the number of instances, at least
+// 1. Behind the first tier it returns all endpoints: there the instances are many, and each has few
+// requests to send.
 func (b *Balancer) endpointsPerInstance(endpoints int) float64 {
 	n := float64(endpoints)
 	if b.settings.Tier == 0 {
@@ -145,25 +149,26 @@
 	return max(n, 1)
 }
 
-// toleratedRatio returns how many times the usual latency ratios are tolerated: as many as leave
-// latencies well within the latency objective, of which each tier has its part. Where the objective
-// is long, a wait is better than a rejection.
+// toleratedRatio returns the factor by which the thresholds for latency ratios are raised, at least
+// 1. With it, latencies stay well within the latency objective, which all tiers share equally. If
+// the objective is long, a wait is better than a rejection.
 func (b *Balancer) toleratedRatio() float64 {
 	tiers := float64(1 + b.settings.Tier + b.settings.TiersBelow)
 	return max(responseObjectiveShare*b.meanObjective/b.typicalLatency()/tiers/congestionThreshold, 1)
 }
 
-// isHighlyUtilized reports whether much of the concurrency limit is in use.
+// isHighlyUtilized reports whether more than highUtilization of the concurrency limit is in use.
 func (b *Balancer) isHighlyUtilized() bool {
 	return float64(b.limiter.inFlight) > highUtilization*b.effectiveConcurrencyLimit()
 }
 
-// hasCapacity reports whether one more attempt may go to an endpoint: the limit is not used up, or
-// others use more than their part of it and the endpoint has some of its own part left.
+// hasCapacity reports whether another attempt may be sent to an endpoint: either the concurrency
+// limit is not used up, or other endpoints use more than their equal share of it and this active
+// endpoint is still within its own share.
 func (b *Balancer) hasCapacity(e *endpoint) bool {
 	limit := b.effectiveConcurrencyLimit()
-	part := limit / float64(max(len(b.activeHeap.endpoints), 1))
+	share := limit / float64(max(len(b.activeHeap.endpoints), 1))
 	isWithinLimit := float64(b.limiter.inFlight) < limit
-	isWithinPart := e.active && float64(e.inFlight+1) <= part
-	return isWithinLimit || isWithinPart
+	isWithinShare := e.active && float64(e.inFlight+1) <= share
+	return isWithinLimit || isWithinShare
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -56,7 +56,7 @@
 	b.updateSubset(changed) // the times of trials depend on the size of the subset
 	for _, e := range started {
 		if isFirst {
-			b.introduceFirstEndpoint(now, e)
+			b.introduceInitialEndpoint(now, e)
 		} else {
 			b.introduceEndpoint(now, e)
 		}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Selection of the endpoint for an attempt: a due trial, else the active endpoint with the lowest
-// deficit.
+// Selection of the endpoint for an attempt: the endpoint of a due trial if there is one, otherwise
+// the active endpoint with the lowest deficit.
 
 import (
 	"math"
@@ -9,12 +9,12 @@
 )
 
 const (
-	priorSamples          = 3.0  // samples that its kind's weight counts as, besides an endpoint's own
-	inFlightCharge        = 1.0  // charge for each attempt in flight, in weights, on top of the deficit
-	tiersBelowWeightShare = 0.7  // share of the smallest weight that tiers below cause, not the endpoint
-	maxDeficitLag         = 2.0  // weights that an endpoint passed over for its load may fall behind
-	maxLatencyRatio       = 20.0 // largest latency ratio that one sample can show
-	riskyTrialBackoffs    = 2    // backoffs for which a risky trial waits for an idempotent request
+	priorSamples          = 3.0  // number of samples that the weight of the kind counts as in an endpoint's weight
+	inFlightCharge        = 1.0  // added to the deficit for each attempt in flight, as a multiple of the weight
+	tiersBelowWeightShare = 0.7  // share of the smallest active weight that is attributed to the tiers below
+	maxDeficitLag         = 2.0  // limit of the lag of a deficit, as a multiple of the weight of the charged endpoint
+	maxLatencyRatio       = 20.0 // upper limit of the latency ratio of one sample
+	riskyTrialBackoffs    = 2    // number of backoffs for which a due risky trial waits for an idempotent request
 )
 
 // hasLowerDeficit orders the active heap.
@@ -22,8 +22,8 @@
 	return x.deficit < y.deficit || x.deficit == y.deficit && x.subsetIndex < y.subsetIndex
 }
 
-// hasSoonerTrial orders the trial heap. Endpoints with their trial in flight come last, of these
-// the ones with the fewest attempts in flight first.
+// hasSoonerTrial orders the trial heap by the time of the next trial. Endpoints whose trial is in
+// flight come last, in the order of their number of attempts in flight.
 func hasSoonerTrial(x, y *endpoint) bool {
 	switch {
 	case x.trial.inFlight != y.trial.inFlight:
@@ -36,13 +36,14 @@
 	return x.subsetIndex < y.subsetIndex
 }
 
-// hasLowerWeight orders endpoints of one kind.
+// hasLowerWeight orders endpoints of one kind. The weight of the kind, a factor of all their
+// weights, does not affect the order.
 func hasLowerWeight(x, y *endpoint) bool {
 	return x.samples.weight(1) < y.samples.weight(1)
 }
 
-// mayReceive reports whether an endpoint may get a request: it is ready, its slow start allows a
-// further send, and the request cannot take effect twice.
+// mayReceive reports whether a request may be sent to an endpoint: the endpoint is ready, its slow
+// start allows another send now, and the request cannot take effect twice.
 func (b *Balancer) mayReceive(now time.Duration, req *request, e *endpoint) bool {
 	if e.State != Ready {
 		return false
@@ -51,7 +52,8 @@
 	return !isPaced && b.mayAttemptAt(now, req, e)
 }
 
-// selectForDispatch returns the endpoint for the next attempt, nil if there is none with capacity.
+// selectForDispatch returns the endpoint for the next attempt of a request, nil if there is none or
+// the one selected for a first attempt has no capacity. Retries need no capacity.
 func (b *Balancer) selectForDispatch(now time.Duration, req *request) *endpoint {
 	e := b.selectInSubset(now, req)
 	if !req.isRetry() {
@@ -60,22 +62,22 @@
 		}
 		return e
 	}
-	if e == nil && !b.subsetIsAll { // the key scope of a retry may lie outside the subset
+	if e == nil && !b.subsetIsAll { // endpoints in the key scope may all be outside the subset
 		active := candidates{endpoints: b.endpoints, active: true}
 		return b.selectEndpoint(now, req, active, candidates{endpoints: b.endpoints})
 	}
 	return e
 }
 
-// selectInSubset returns the endpoint of the subset that is to get the request, nil if there is
+// selectInSubset selects an endpoint of the subset for the request. It returns nil if there is
 // none.
 func (b *Balancer) selectInSubset(now time.Duration, req *request) *endpoint {
 	return b.selectEndpoint(now, req, candidates{heap: &b.activeHeap}, candidates{heap: &b.trialHeap})
 }
 
-// selectEndpoint chooses a due trial, else the lowest deficit. If the request was sent to all
-// active endpoints before, it chooses the soonest trial, even of an endpoint whose trial is in
-// flight.
+// selectEndpoint selects the endpoint of a due trial, otherwise the active endpoint with the lowest
+// charge. If no endpoint is active, or a retry has already been sent to all active ones, it selects
+// the endpoint with the soonest trial, even if that trial is in flight.
 func (b *Balancer) selectEndpoint(now time.Duration, req *request, active, inactive candidates) *endpoint {
 	if due := b.selectDueTrial(now, req, inactive); due != nil {
 		return due
@@ -93,9 +95,9 @@
 	return b.selectAnyInactive(now, req, inactive)
 }
 
-// selectDueTrial returns the endpoint whose trial is due first, nil if none is. The search stops at
-// a candidate that is no better than the one found: those below it in the heap are no better
-// either.
+// selectDueTrial returns the endpoint whose trial is due first, nil if no trial is due. The search
+// does not descend below a candidate that is no better than the best one so far, since the
+// endpoints below it in the heap are no better either.
 func (b *Balancer) selectDueTrial(now time.Duration, req *request, inactive candidates) *endpoint {
 	var due *endpoint
 	inactive.visit(func(e *endpoint) bool {
@@ -111,8 +113,9 @@
 }
 
 // selectLowestDeficit returns the active endpoint with the lowest charge, nil if none may receive
-// the request, and whether any is active. Attempts in flight are charged on top of the deficit, so
-// that overload or a hang is seen before its responses are.
+// the request, and whether any endpoint is active. The charge is the deficit and an amount for each
+// attempt in flight, so that an endpoint that is overloaded or hangs gets fewer requests even
+// before its late responses arrive.
 func (b *Balancer) selectLowestDeficit(now time.Duration, req *request, active candidates) (*endpoint, bool) {
 	var best *endpoint
 	lowest := math.Inf(1)
@@ -140,7 +143,8 @@
 	return best, anyActive
 }
 
-// selectSoonestTrial returns the endpoint whose trial is the next, due or not.
+// selectSoonestTrial returns the endpoint with the soonest trial, due or not, nil if the request
+// may be the trial of none.
 func (b *Balancer) selectSoonestTrial(now time.Duration, req *request, inactive candidates) *endpoint {
 	var soonest *endpoint
 	inactive.visit(func(e *endpoint) bool {
@@ -155,8 +159,9 @@
 	return soonest
 }
 
-// selectAnyInactive returns some inactive endpoint, even one that the request was sent to before or
-// whose trial is risky: better than none.
+// selectAnyInactive returns any inactive endpoint that may receive the request, nil if there is
+// none. As a last resort it also returns an endpoint that the request was sent to before or whose
+// trial is risky.
 func (b *Balancer) selectAnyInactive(now time.Duration, req *request, inactive candidates) *endpoint {
 	var found *endpoint
 	inactive.visit(func(e *endpoint) bool {
@@ -168,32 +173,33 @@
 	return found
 }
 
-// mayBeTrial reports whether a request may be an endpoint's trial.
+// mayBeTrial reports whether a request may be the trial of an endpoint.
 func (b *Balancer) mayBeTrial(now time.Duration, req *request, e *endpoint) bool {
-	isTooRisky := req.isLostByFailure() && e.isRiskyTrial(now)
+	isTooRisky := req.isLostIfAttemptFails() && e.isRiskyTrial(now)
 	return !isTooRisky && !req.wasSentTo(e) && b.mayReceive(now, req, e)
 }
 
-// isLostByFailure reports whether a request whose attempt fails is lost, since it may not be sent
-// again once it may have run.
-func (r *request) isLostByFailure() bool {
+// isLostIfAttemptFails reports whether a request cannot be retried after a failed attempt that may
+// have run it.
+func (r *request) isLostIfAttemptFails() bool {
 	return r.class.Idempotency != Idempotent || r.class.NeverRerun
 }
 
-// isRiskyTrial reports whether a request that may not be sent again is likely to be lost at a
-// trial: the endpoint failed requests that it had accepted. Idempotent requests are its trial
-// first.
+// isRiskyTrial reports whether a request that cannot be retried would probably be lost as the trial
+// of the endpoint, because the endpoint failed requests after accepting them. Until
+// riskyTrialBackoffs backoffs after the trial is due, only requests that can be retried may be the
+// trial.
 func (e *endpoint) isRiskyTrial(now time.Duration) bool {
 	failed := e.inactiveReason == InactiveFailing || e.inactiveReason == InactiveUnresponsive
 	return failed && now < e.trial.nextAt+riskyTrialBackoffs*e.trial.backoff
 }
 
-// chargeDeficit adds the expected cost of a request to an active endpoint's deficit.
+// chargeDeficit adds the expected cost of a request to the deficit of an active endpoint.
 func (b *Balancer) chargeDeficit(req *request, e *endpoint) {
 	weight := e.weight()
 	before := e.deficit
 	charge := weight
-	if b.settings.TiersBelow > 0 { // the time of the tiers below must not make slow machines look fast
+	if b.settings.TiersBelow > 0 { // the latency of tiers below hides differences in speed
 		charge -= tiersBelowWeightShare * min(b.smallestActiveWeight(), weight)
 	}
 	e.deficit += charge * b.expectedLatency(req) / b.typicalLatency()
@@ -201,8 +207,9 @@
 	b.raiseLowestDeficits(before - b.zeroDeficit(e) + b.deficitBase - maxDeficitLag*weight)
 }
 
-// raiseLowestDeficits raises the deficits of active endpoints that are below a floor: an endpoint
-// that was passed over for its load must not get all requests until it has caught up.
+// raiseLowestDeficits raises the deficits of active endpoints to at least floor. An endpoint that
+// was not selected for a while because of its load would otherwise get all requests until its
+// deficit has caught up.
 func (b *Balancer) raiseLowestDeficits(floor float64) {
 	heap := &b.activeHeap
 	for len(heap.endpoints) > 0 && heap.endpoints[0].deficit < floor {
@@ -211,8 +218,8 @@
 	}
 }
 
-// expectedLatency returns what a request takes at an endpoint without load, in seconds, by its
-// class.
+// expectedLatency returns the latency of requests of this class at an endpoint without load, in
+// seconds. Before the first response it is a quarter of the latency objective, at least 1 ms.
 func (b *Balancer) expectedLatency(req *request) float64 {
 	c := req.class
 	if c.latency.samples == 0 || c.latency.baseline <= 0 {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,6 +1,7 @@
 package balancer
 
-// Slow start: how soon and how often an endpoint that is new or has restarted gets requests.
+// Slow start: when an endpoint that is new or has restarted gets its first request, and how often
+// it gets requests while it warms up.
 
 import (
 	"cmp"
@@ -10,34 +11,36 @@
 )
 
 const (
-	// A warming endpoint is sent defaultSlowStartShare times its share of the traffic, by its
-	// capacity. Where no endpoint is warm, each good response raises that by slowStartSpeedUpStep, up
-	// to maxSlowStartSpeedUp times.
+	// A warming endpoint gets defaultSlowStartShare times its fair share of the traffic, in proportion
+	// to its present capacity. While no endpoint is warm, each good response multiplies that rate by
+	// slowStartSpeedUpStep, up to maxSlowStartSpeedUp times the rate.
 	defaultSlowStartShare = 1.5
 	slowStartSpeedUpStep  = 1.25
 	maxSlowStartSpeedUp   = 10.0
 
-	minCapacityShare = 0.05 // capacity that an endpoint has at least, whatever the settings say
-	minFollowedRate  = 0.2  // requests a second from which the recent rate is followed
+	minCapacityShare = 0.05 // lower limit of an endpoint's capacity share, whatever the settings say
+	minRecentRate    = 0.2  // requests per second; a lower recent rate counts as this, or as a lower slow rate
 
-	goldenRatio = 0.6180339887 // its multiples spread evenly over a range, however many there are
+	goldenRatio = 0.6180339887 // its multiples modulo 1 spread evenly over the range from 0 to 1, whatever their number
 )
 
-// introduceFirstEndpoint introduces an endpoint of the first list: it is active if it is warm.
-func (b *Balancer) introduceFirstEndpoint(now time.Duration, e *endpoint) {
+// introduceInitialEndpoint initializes an endpoint of the first endpoint list. It is active at once
+// if it is warm.
+func (b *Balancer) introduceInitialEndpoint(now time.Duration, e *endpoint) {
 	e.active = b.isWarm(now, e)
 	b.resetEndpoint(now, e)
 }
 
-// introduceEndpoint puts a new or restarted endpoint outside the active set until its first trial.
+// introduceEndpoint initializes a new or restarted endpoint, which stays outside the active set
+// until its first trial succeeds.
 func (b *Balancer) introduceEndpoint(now time.Duration, e *endpoint) {
 	e.active = false
 	b.resetEndpoint(now, e)
 }
 
-// resetEndpoint forgets what was known of an endpoint that is new or has restarted, and times its
-// first trial and its first send. An endpoint that warms up waits for it even if it is the only
-// one, since all instances have waited for that endpoint.
+// resetEndpoint discards the samples of a new or restarted endpoint and schedules its first trial
+// and its first send. Requests wait for the first send to a warming endpoint even if it is the only
+// one: all instances have requests waiting for that endpoint, and must not send them all at once.
 func (b *Balancer) resetEndpoint(now time.Duration, e *endpoint) {
 	e.inactiveReason = InactiveNew
 	e.trial.backoff = b.initialBackoff(now)
@@ -54,18 +57,19 @@
 }
 
 // firstTrialDelay returns the time until the first trial of an endpoint, which is at an offset
-// within this instance's send interval. All instances see the endpoint at once, and with random
-// offsets alone some would send to it together: their indexes spread them as the golden ratio
-// spreads a range. An instance that does not know its index (-1) draws from the whole interval.
+// within this instance's send interval. All instances learn of the endpoint at the same time, and
+// with random offsets alone some would send to it together. Multiples of the golden ratio by the
+// indexes of the instances spread the offsets evenly. An instance that does not know its index (-1)
+// draws its offset at random from the whole interval.
 func (b *Balancer) firstTrialDelay(now time.Duration, e *endpoint) time.Duration {
-	spread := float64(max(b.settings.Instances*min(b.settings.Index+1, 1), 1))
-	offset := math.Mod(float64(max(b.settings.Index, 0))*goldenRatio+b.rng.Float64()/spread, 1)
+	slots := float64(max(b.settings.Instances*min(b.settings.Index+1, 1), 1))
+	offset := math.Mod(float64(max(b.settings.Index, 0))*goldenRatio+b.rng.Float64()/slots, 1)
 	wait := seconds(offset * b.sendInterval(now).Seconds())
 	return max(wait, b.slowStartInterval(now, e, offset))
 }
 
-// rescheduleFirstTrials times the first trials of warming endpoints anew, once the rate of requests
-// is known that they depend on.
+// rescheduleFirstTrials schedules the first trials of warming endpoints again once the rate of
+// requests, on which their time depends, is known.
 func (b *Balancer) rescheduleFirstTrials(now time.Duration) {
 	for _, e := range b.warming {
 		isUntried := e.inactiveReason == InactiveNew && e.samples.count == 0
@@ -75,10 +79,11 @@
 	}
 }
 
-// isWarm reports whether an endpoint has its whole capacity by now.
+// isWarm reports whether an endpoint has reached its full capacity.
 func (b *Balancer) isWarm(now time.Duration, e *endpoint) bool { return b.capacityShare(now, e) >= 1 }
 
-// capacityShare returns the share of its capacity that an endpoint has at least by now.
+// capacityShare returns the least share of its full capacity that an endpoint has by now. It rises
+// linearly from SlowStartCapacity to 1 over SlowStartWindow.
 func (b *Balancer) capacityShare(now time.Duration, e *endpoint) float64 {
 	started := e.startedAt()
 	if started <= 0 || now-started >= b.settings.SlowStartWindow {
@@ -88,25 +93,26 @@
 	return max(b.settings.SlowStartCapacity+(1-b.settings.SlowStartCapacity)*age, minCapacityShare)
 }
 
-// slowStartInterval returns the time in which a warming endpoint's part of this instance's traffic
-// comes to a number of sends, trials included: 1 for the time between two sends. It guards against
-// all instances together overloading the endpoint. The part grows with the capacity between two
-// sends: by the capacity at the last send alone, quiet instances would leave the endpoint at what
-// it could do when it started.
+// slowStartInterval returns the time over which this instance may send a number of requests, trials
+// included, to a warming endpoint: for sends = 1, the time between two sends. It prevents all
+// instances together from overloading the endpoint. The interval allows for the capacity that
+// the endpoint gains before the next send: from the capacity at the last send alone, low-traffic
+// instances would keep sending at the rate that the endpoint could take when it started.
 func (b *Balancer) slowStartInterval(now time.Duration, e *endpoint, sends float64) time.Duration {
 	share := cmp.Or(b.settings.SlowStartShare, defaultSlowStartShare)
-	due := sends * b.sendInterval(now).Seconds() / (share * max(e.slowStart.speedUp, 1))
+	warmInterval := sends * b.sendInterval(now).Seconds() / (share * max(e.slowStart.speedUp, 1))
 	capacity := b.capacityShare(now, e)
 	if capacity == 1 {
-		return seconds(due)
+		return seconds(warmInterval)
 	}
-	rise := max(1-b.settings.SlowStartCapacity, 0) / b.settings.SlowStartWindow.Seconds()
-	return seconds(2 * due / (capacity + math.Sqrt(capacity*capacity+2*rise*due)))
+	capacityGain := max(1-b.settings.SlowStartCapacity, 0) / b.settings.SlowStartWindow.Seconds()
+	return seconds(2 * warmInterval / (capacity + math.Sqrt(capacity*capacity+2*capacityGain*warmInterval)))
 }
 
-// speedUpSlowStart gives a warming endpoint more of the traffic while no endpoint is warm and its
-// responses are not those of a busy one: otherwise its share would leave it idle under light load.
-// Warm endpoints that were ejected as slow count as warm: their load is what it would get.
+// speedUpSlowStart raises a warming endpoint's share of the traffic while no endpoint is warm and
+// its latencies show no congestion: otherwise the endpoint would be idle under light load while
+// requests wait. Warm endpoints that were ejected as slow still count as warm, since the extra
+// requests would come from their share.
 func (b *Balancer) speedUpSlowStart(now time.Duration, e *endpoint, latencyRatio float64) {
 	isReadyAndWarm := func(o *endpoint) bool { return o.State == Ready && b.isWarm(now, o) }
 	switch capacity := b.capacityShare(now, e); {
@@ -119,17 +125,19 @@
 	}
 }
 
-// sendInterval returns the time between two sends of this instance to one endpoint when all get the
-// same. A quiet instance goes by its slow rate: just after a request its recent rate is too high,
-// and many instances would send to an endpoint that is new to all at the same time.
+// sendInterval returns the time between two sends of this instance to the same endpoint if all
+// endpoints of the subset get equally many requests. A low-traffic instance uses its slow rate:
+// just after a request its recent rate is too high, and many instances would then send to a new
+// endpoint at the same time.
 func (b *Balancer) sendInterval(now time.Duration) time.Duration {
-	slow := b.rate.slowPerSecond(now)
-	lower := min(b.rate.perSecond(now), slow)
-	return seconds(float64(b.subsetSize) / max(lower, min(slow, minFollowedRate)))
+	slowRate := b.rate.slowPerSecond(now)
+	lowerRate := min(b.rate.perSecond(now), slowRate)
+	return seconds(float64(b.subsetSize) / max(lowerRate, min(slowRate, minRecentRate)))
 }
 
-// scheduleWarming wakes the Balancer when an endpoint that warms up may get its next send.
-func (b *Balancer) scheduleWarming(now time.Duration) {
+// scheduleWarmingWakeUps schedules a wake-up for each time at which a warming endpoint may get its
+// next send.
+func (b *Balancer) scheduleWarmingWakeUps(now time.Duration) {
 	b.warming = slices.DeleteFunc(b.warming, func(e *endpoint) bool {
 		return e.slowStart.nextSendAt <= now || e.State == Removed
 	})
--- a/balancer/trials.go
+++ b/balancer/trials.go
@@ -1,36 +1,37 @@
 package balancer
 
-// Trials of inactive endpoints: when the next one is due, and what its end decides.
+// Trials of inactive endpoints: when the next one is due, and what follows from its result.
 
 import "time"
 
 const (
-	// An ejected endpoint waits minTrialBackoff (the paper's b_min) at least for its first trial. The
-	// backoff doubles up to maxTrialBackoffMultiple times the first.
+	// The first backoff of an ejected endpoint is at least minTrialBackoff (the paper's b_min). Each
+	// failed trial doubles the backoff, up to maxTrialBackoffMultiple times the first one.
 	minTrialBackoff         = 500 * time.Millisecond
 	maxTrialBackoffMultiple = 8
 )
 
-// initialBackoff returns the first backoff of an ejected endpoint. It is one send interval at
-// least: quiet instances would otherwise send an ejected endpoint nothing but trials.
+// initialBackoff returns the first backoff of an ejected endpoint. It is at least one send
+// interval: with a shorter one, a trial would be due at almost every request of a low-traffic
+// instance.
 func (b *Balancer) initialBackoff(now time.Duration) time.Duration {
 	return max(minTrialBackoff, b.sendInterval(now))
 }
 
-// scheduleTrial sets the next trial of an inactive endpoint.
+// scheduleTrial schedules the next trial of an inactive endpoint.
 func (b *Balancer) scheduleTrial(now time.Duration, e *endpoint) {
 	e.trial.nextAt = now + b.jitter(e.trial.backoff)
 	b.updateHeaps(e)
 }
 
-// backOffTrial doubles the backoff after a trial that failed, and sets the next trial.
+// backOffTrial doubles the backoff after a failed trial and schedules the next trial.
 func (b *Balancer) backOffTrial(now time.Duration, e *endpoint) {
 	e.trial.backoff = min(2*e.trial.backoff, maxTrialBackoffMultiple*b.initialBackoff(now))
 	b.scheduleTrial(now, e)
 }
 
-// finishTrial ends a trial with a good response: the endpoint is active again unless it is too
-// slow.
+// finishTrial ends a trial that got a good response. The endpoint becomes active unless it is still
+// too slow in comparison with the active endpoints.
 func (b *Balancer) finishTrial(now time.Duration, e *endpoint, latencyRatio float64) {
 	b.restartSamples(now, e, latencyRatio)
 	if b.hasActiveEndpoint() && b.isTooSlow(e) {
@@ -40,14 +41,14 @@
 	b.activate(e)
 }
 
-// failTrial ends a trial that failed.
+// failTrial ends a failed trial.
 func (b *Balancer) failTrial(now time.Duration, e *endpoint, latencyRatio float64) {
 	b.restartSamples(now, e, latencyRatio)
 	b.backOffTrial(now, e)
 }
 
-// abandonTrial ends an attempt that is no sample of its endpoint. If it was a trial, another is
-// due. A trial that was canceled because it straggled has failed.
+// abandonTrial ends an attempt that gives no sample of its endpoint. If the attempt was a trial,
+// another one is scheduled. A trial that was straggling counts as failed, so the backoff doubles.
 func (b *Balancer) abandonTrial(now time.Duration, a *attempt) {
 	if !a.trial {
 		return
@@ -60,13 +61,13 @@
 	}
 }
 
-// restartSamples replaces the samples of an endpoint by that of its trial, which has ended.
+// restartSamples replaces the samples of an endpoint by the sample of the trial that has ended.
 func (b *Balancer) restartSamples(now time.Duration, e *endpoint, latencyRatio float64) {
 	e.trial.inFlight = false
 	e.samples.restart(now, latencyRatio/e.kind.weight)
 }
 
-// activate puts an endpoint into the active set. The lowest deficit becomes the zero of all, and
+// activate adds an endpoint to the active set. The lowest active deficit becomes the new zero, and
 // the endpoint starts one request above it.
 func (b *Balancer) activate(e *endpoint) {
 	if b.hasActiveEndpoint() {
