--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -10,9 +10,9 @@
 	"rowancart/balancer"
 )
 
-// Incident i35432f: in an overload servers collapsed within two seconds, before an instance with
-// few attempts in flight had used up its concurrency limit. A rate beyond all quotas together
-// shows at once: then requests over quota are rejected.
+// Incident i35432f: under overload, servers collapsed within two seconds, before an instance with
+// few attempts in flight had used up its concurrency limit. A rate of requests above the sum of all
+// quotas can be detected at once. From then on, requests over quota are rejected.
 func TestOverQuotaIsRejectedWhenTheRateExceedsAllQuotas(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -25,7 +25,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
 			s.Instances = 10
-			// Together 8 requests a second at one of ten instances.
+			// The sum of the quotas is 8 requests per second for one of ten instances.
 			s.Tenants = []balancer.Tenant{{Name: "over", Quota: 20}, {Name: "idle", Quota: 60}}
 			h := newHarness(t, s, "a", "b", "c")
 			for range 10 * c.perSecond {
@@ -37,7 +37,7 @@
 				h.advance(time.Second/time.Duration(c.perSecond) - 10*ms)
 			}
 			if n := h.countActions("reject "); n > 0 != c.isRejected {
-				t.Errorf("%d of %d requests are rejected, sent at %d a second", n, 10*c.perSecond, c.perSecond)
+				t.Errorf("%d of %d requests were rejected at %d requests per second", n, 10*c.perSecond, c.perSecond)
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 		h.requestFor("read", "big")
 	}
 	if h.countActions("reject") > 0 {
-		t.Fatal("rejected with capacity to spare")
+		t.Fatal("a request was rejected while capacity was left")
 	}
 	h.requestFor("read", "small")
 	h.requestFor("read", "big")
@@ -66,18 +66,19 @@
 		}
 	}
 	if len(rejected) == 0 {
-		t.Fatal("nothing over the quota was rejected")
+		t.Fatal("no request was rejected although its tenant was over its quota")
 	}
 	for i := 12; i <= h.requestCount; i++ {
 		if small := i%2 == 1; small && rejected["r"+strconv.Itoa(i)] {
-			t.Errorf("r%d is within its quota and was rejected", i)
+			t.Errorf("r%d was rejected although its tenant was within its quota", i)
 		}
 	}
 }
 
-// The small tenant sends as much as its quota allows, and by chance sometimes more than an
-// instance's part of it. While latencies are as always, ten attempts in flight at one of thirteen
-// instances are no shortage, and nothing is rejected; once latencies rise, something is.
+// The small tenant sends as many requests as its quota allows, and by chance sometimes more than
+// one instance's share of the quota. While latencies are unchanged, ten attempts in flight at one
+// of thirteen instances do not mean that capacity is short, and no request is rejected. Requests
+// are rejected once latencies rise.
 func TestOverQuotaIsAcceptedWhileResponsesAreQuick(t *testing.T) {
 	s := testSettings()
 	s.Instances = 13
@@ -103,12 +104,12 @@
 		before := h.countActions("reject")
 		run(latency, 100)
 		if n := h.countActions("reject") - before; n < fewest || fewest == 0 && n > 0 {
-			t.Errorf("latency %v: %d of 100 rejected", latency, n)
+			t.Errorf("latency %v: %d of 100 requests were rejected", latency, n)
 		}
 	}
 }
 
-// The class with the shortest latency objective must not be the only one rejected in overload.
+// Under overload, the class with the shortest latency objective must not be the only one rejected.
 func TestNoClassStarvesInTheQueue(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LatencyObjective = 500 * ms
@@ -117,7 +118,7 @@
 	served := map[string]int{}
 	class := map[string]string{}
 	var finished []string
-	for i := range 1500 { // a hundred requests a second, one response every 40 ms
+	for i := range 1500 { // a hundred requests per second, one response every 40 ms
 		id, _ := h.request([]string{"read", "bill"}[i%2])
 		class[id] = []string{"read", "bill"}[i%2]
 		h.advance(10 * ms)
@@ -135,7 +136,7 @@
 		}
 	}
 	if served["read"] < served["bill"]/3 {
-		t.Errorf("served %v", served)
+		t.Errorf("requests served by class: %v, want at least a third as many of read as of bill", served)
 	}
 }
 
@@ -144,22 +145,21 @@
 	id, _ := h.request("bill")
 	h.advance(100 * ms)
 	if len(h.actions) > 0 {
-		t.Fatalf("acted at once: %v", h.actions)
+		t.Fatalf("the request did not wait: actions %v", h.actions)
 	}
 	h.advance(5 * time.Second)
 	if !slices.Equal(h.actions, []string{"reject " + id}) {
-		t.Errorf("actions %v", h.actions)
+		t.Errorf("actions %v, want one rejection and nothing else", h.actions)
 	}
 	id, _ = h.request("bill")
 	h.b.EndpointList(h.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new"}}})
 	if len(h.sentTo[id]) != 1 {
-		t.Error("a queued request did not go to the first endpoint that came")
+		t.Error("a queued request was not sent to the first endpoint that was listed")
 	}
 }
 
-// While others wait, a request that cannot be answered in time is rejected rather than sent to
-// fail.
-func TestRequestWithoutTimeIsRejectedWhileOthersWait(t *testing.T) {
+// While other requests wait, a request that cannot be answered in time is rejected at once.
+func TestRequestWithTooLittleTimeIsRejectedWhileOthersWait(t *testing.T) {
 	h := newHarness(t, testSettings(), "a")
 	h.serve(100, map[string]time.Duration{"a": 200 * ms})
 	for h.countActions("reject") == 0 {
@@ -169,16 +169,16 @@
 	}
 	h.b.Request(h.now, balancer.Request{ID: "short", Class: "read", Deadline: h.now + 60*ms})
 	if h.actions[len(h.actions)-1] != "reject short" {
-		t.Errorf("last action %q", h.actions[len(h.actions)-1])
+		t.Errorf("last action %q, want the rejection of the short request", h.actions[len(h.actions)-1])
 	}
 }
 
-// With a long latency objective, a wait is better than a rejection.
-func TestRequestWithTimeIsNotRejectedInAShortOverload(t *testing.T) {
+// If the latency objective is long, a wait is better than a rejection.
+func TestRequestWithLongObjectiveIsNotRejectedInAShortOverload(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(20*time.Second), "a", "b")
 	h.overload(30*ms, 20*ms, 3*time.Second, "a", "b")
-	h.overload(6*ms, 20*ms, 4*time.Second, "a", "b") // two thirds more than the two can do
+	h.overload(6*ms, 20*ms, 4*time.Second, "a", "b") // two thirds more than the two endpoints can serve
 	if n := h.countActions("reject"); n > 0 {
-		t.Errorf("%d were rejected; the last of them would have waited for three seconds of 20", n)
+		t.Errorf("%d requests were rejected, of which the last would have waited for 3 s of 20 s", n)
 	}
 }
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -9,14 +9,14 @@
 	"rowancart/balancer"
 )
 
-// Incident h36c04c: a burst tipped the servers into collapse while instances with a few requests
-// a second smoothed twenty latencies before any of them lowered its limit.
-func TestQuietInstanceSoonSeesCongestion(t *testing.T) {
+// Incident h36c04c: a burst made the servers collapse, because instances with a few requests per
+// second lowered their limits only after twenty slow responses.
+func TestLowTrafficInstanceSoonDetectsCongestion(t *testing.T) {
 	s := testSettingsWithObjective(700 * ms)
 	s.Instances = 10
 	h := newHarness(t, s, "a", "b", "c", "d")
 	due := map[string]time.Duration{}
-	// run sends requests for n half seconds and returns the most in flight.
+	// run sends requests for n half seconds and returns the largest number in flight.
 	run := func(latency time.Duration, n int) (mostInFlight int) {
 		for range n * 50 {
 			if h.now%(125*ms) < 10*ms {
@@ -33,32 +33,32 @@
 	run(200*ms, 40)
 	run(1200*ms, 4) // two seconds of responses six times as slow
 	if n := run(1200*ms, 2); n > 6 {
-		t.Errorf("%d requests of ten are in flight after two seconds of slow responses", n)
+		t.Errorf("%d requests in flight after two seconds of slow responses, want at most 6 of ten", n)
 	}
 }
 
-// Incident i2b2df6 and many overloaded days: servers collapsed while the concurrency limit still
-// grew.
+// Incident i2b2df6 and many overloads: servers collapsed while the concurrency limit was still
+// growing.
 func TestOverloadDoesNotCongestEndpoints(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(80*ms), "a", "b")
 	h.overload(30*ms, 20*ms, 3*time.Second, "a", "b")
 	if h.countActions("reject") > 0 {
-		t.Fatal("rejected at a third of what the endpoints can do")
+		t.Fatal("a request was rejected at a third of the load that the endpoints can serve")
 	}
 	most, answered := h.overload(5*ms, 20*ms, 6*time.Second, "a", "b")
 	if most > 5 {
-		t.Errorf("an endpoint that serves one request at a time had %d in flight", most)
+		t.Errorf("an endpoint that serves one request at a time had %d in flight, want at most 5", most)
 	}
 	if answered < 540 {
-		t.Errorf("%d requests answered of the 600 that could be", answered)
+		t.Errorf("%d requests were answered, want at least 540 of the 600 that the endpoints can serve", answered)
 	}
 	if h.countActions("reject") < 400 {
-		t.Errorf("only %d rejected of twice the load", h.countActions("reject"))
+		t.Errorf("%d requests were rejected at twice the load, want at least 400", h.countActions("reject"))
 	}
 }
 
-// Incidents i72d39d and i2623e0: instances of the first tier that each admit what the endpoints
-// can take tip them into collapse in two seconds.
+// Incidents i72d39d and i2623e0: when each instance of the first tier admitted as many requests as
+// all endpoints can take, the endpoints collapsed in two seconds.
 func TestInstancesOfTheFirstTierShareTheConcurrencyLimit(t *testing.T) {
 	sends := func(instances, tier int) int {
 		s := testSettings()
@@ -73,27 +73,27 @@
 	alone := sends(1, 0)
 	four := sends(4, 0)
 	below := sends(4, 1)
-	if four > alone/2 || four < alone/4 { // its part, and what chance needs beyond it
-		t.Errorf("alone an instance sends %d requests at once, as one of four %d", alone, four)
+	if four > alone/2 || four < alone/4 { // its share, plus the allowance for random variation
+		t.Errorf("a single instance sent %d requests at once, one of four instances %d", alone, four)
 	}
 	if below != alone {
-		t.Errorf("behind the first tier an instance sends %d requests at once, alone %d", below, alone)
+		t.Errorf("an instance behind the first tier sent %d requests at once, a single instance %d", below, alone)
 	}
 }
 
-// At the start of the standard days the first responses are those of the smallest requests. With
-// these as the baseline every later response looked slow, and requests were rejected with
-// capacity to spare.
+// At the start of the standard runs, the first responses are those of the smallest requests. When
+// these became the baseline, every later response looked slow, and requests were rejected while
+// capacity was left.
 func TestQuickFirstResponsesAreNotTheBaseline(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
 	due := map[string]time.Duration{}
 	seen, n := 0, 0
-	begun := h.now
-	for ; h.now < begun+6*time.Second; h.advance(ms) {
+	startedAt := h.now
+	for ; h.now < startedAt+6*time.Second; h.advance(ms) {
 		h.finishDue(due)
 		for made := 0; len(due)+made < 22; made++ {
-			if _, ep := h.request("read"); ep == "" && h.now > begun+3*time.Second {
-				t.Fatalf("no capacity for request %d after %v", h.requestCount, h.now-begun)
+			if _, ep := h.request("read"); ep == "" && h.now > startedAt+3*time.Second {
+				t.Fatalf("request %d was not sent at once %v after the start", h.requestCount, h.now-startedAt)
 			}
 		}
 		for ; seen < len(h.actions); seen++ {
@@ -105,25 +105,26 @@
 	}
 }
 
-// A lower tier that slows down must not leave a quiet instance with hardly any limit.
+// When a tier below slows down, the limit of a low-traffic instance must not become too small.
 func TestFewSlowResponsesDoNotShrinkTheConcurrencyLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	h.serve(60, evenLatency(50*ms, "a", "b"))
 	h.serve(60, evenLatency(300*ms, "a", "b"))
 	for range 9 {
 		if _, ep := h.request("read"); ep == "" {
-			t.Fatal("a request found no capacity with fewer than nine in flight")
+			t.Fatal("a request was not sent while fewer than nine were in flight")
 		}
 	}
 }
 
-// Incident i2b2df6: the limit still grew while latencies were one and a half times the baseline.
+// Incident i2b2df6: the limit was still growing while latencies were one and a half times the
+// baseline.
 func TestConcurrencyLimitStopsGrowingWhileResponsesSlowDown(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(200*ms), "a", "b")
 	h.serve(60, evenLatency(50*ms, "a", "b"))
 	due := map[string]time.Duration{}
 	most, seen := 0, len(h.actions)
-	for begun := h.now; h.now < begun+4*time.Second; h.advance(ms) {
+	for startedAt := h.now; h.now < startedAt+4*time.Second; h.advance(ms) {
 		h.finishDue(due)
 		h.request("read")
 		for ; seen < len(h.actions); seen++ {
@@ -134,14 +135,13 @@
 		most = max(most, len(due))
 	}
 	if most < 8 || most > 24 {
-		t.Errorf("%d requests in flight at most; the first limit is twelve", most)
+		t.Errorf("at most %d requests were in flight, want 8 to 24; the initial limit is twelve", most)
 	}
 }
 
-// Seen on the standard days and at the start of recorded ones: the load of an ordinary day
-// raises latencies to nearly twice the baseline. That is no congestion, and nothing must be
-// rejected for it.
-func TestOrdinaryLoadIsNoCongestion(t *testing.T) {
+// In the standard runs and at the start of recorded ones, normal load raises latencies to nearly
+// twice the baseline. That is not congestion, and no request may be rejected for it.
+func TestNormalLoadIsNotTakenForCongestion(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c", "d")
 	baseline := 100 * ms
 	h.serve(100, evenLatency(baseline, "a", "b", "c", "d"))
@@ -159,13 +159,13 @@
 		}
 	}
 	if n := h.countActions("reject"); n > 0 {
-		t.Errorf("%d of 600 requests were rejected", n)
+		t.Errorf("%d of 600 requests were rejected, want none", n)
 	}
 }
 
-// Seen on a day of upgrades during a release: of four endpoints two drained and one failed; the
-// last one got all requests and collapsed under them.
-func TestConcurrencyLimitFollowsTheReadyEndpoints(t *testing.T) {
+// During upgrades and a release, two of four endpoints were draining and one was failing. The last
+// one got all requests and collapsed.
+func TestConcurrencyLimitScalesWithTheReadyEndpoints(t *testing.T) {
 	list := func(h *harness, states ...balancer.State) {
 		l := balancer.EndpointList{}
 		for i, s := range states {
@@ -198,7 +198,7 @@
 			h := start()
 			c.change(h)
 			if n := h.measureCapacity(); n < c.least || n > c.most {
-				t.Errorf("capacity for %d requests, and for %d before, want %d to %d", n, all, c.least, c.most)
+				t.Errorf("capacity for %d requests (%d before), want %d to %d", n, all, c.least, c.most)
 			}
 			if err := h.b.CheckIndex(); err != nil {
 				t.Error(err)
@@ -208,7 +208,7 @@
 	}
 }
 
-// failRequestsOfE2 answers requests at endpoint e2 with errors until it has been ejected.
+// failRequestsOfE2 answers four requests at endpoint e2 with errors, so that it is ejected.
 func failRequestsOfE2(h *harness) {
 	for failed := 0; failed < 4; {
 		id, ep := h.request("read")
@@ -222,79 +222,78 @@
 	}
 }
 
-// Seen on a day of upgrades with endpoints disabled: attempts that hung at two overloaded
-// endpoints used up the limit, and a third, which responded at once, stood idle while
-// requests were rejected.
-func TestHungAttemptsLeaveAHealthyEndpointItsPart(t *testing.T) {
+// During upgrades with endpoints disabled, attempts that hung at two overloaded endpoints used up
+// the limit. A third endpoint, which responded at once, was idle while requests were rejected.
+func TestHungAttemptsLeaveAHealthyEndpointItsShare(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(40*ms), "a", "b", "c")
 	h.serve(100, map[string]time.Duration{"a": 10 * ms, "b": 10 * ms, "c": 400 * ms})
 	trial, ep := h.request("read")
-	for ep != "c" { // which was ejected as slow, and gets its trial
+	for ep != "c" { // it was ejected as slow and gets a trial
 		h.advance(10 * ms)
 		h.finish(trial, balancer.OK)
 		h.advance(10 * ms)
 		trial, ep = h.request("read")
 	}
-	for ep != "" { // meanwhile a and b get all that the limit allows, and do not respond
+	for ep != "" { // a and b get as many requests as the limit allows, and do not respond
 		_, ep = h.request("read")
 	}
 	h.advance(5 * ms)
 	h.finish(trial, balancer.OK)
 	for i := range 3 {
 		if _, ep := h.request("read"); ep != "c" {
-			t.Fatalf("request %d goes to %q", i+1, ep)
+			t.Fatalf("request %d was sent to %q, want c", i+1, ep)
 		}
 	}
 }
 
 // A thirteenth of the limit for sixteen endpoints is seven attempts. An instance with a mean of
-// five has more than that in flight at times by chance alone, when the others have less: its
-// limit allows for that, but not where it is the only instance.
-func TestConcurrencyLimitAllowsForChanceAtOneOfManyInstances(t *testing.T) {
+// five in flight sometimes exceeds seven by chance alone, while others have fewer. The limit of one
+// of many instances allows for that, but not the limit of a single instance.
+func TestConcurrencyLimitAllowsForRandomVariationAtOneOfManyInstances(t *testing.T) {
 	for _, c := range []struct {
-		name                             string
-		instances, endpoints, fits, over int
+		name                                 string
+		instances, endpoints, least, tooMany int
 	}{
 		{"one of 13 instances", 13, 16, 12, 16},
 		{"the only instance", 1, 2, 12, 13},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarnessOfInstance(t, c.instances, c.endpoints)
-			for range c.over {
+			for range c.tooMany {
 				h.request("read")
 			}
-			if n := h.countActions("send "); n < c.fits || n >= c.over {
-				t.Errorf("%d requests in flight, want %d and fewer than %d", n, c.fits, c.over)
+			if n := h.countActions("send "); n < c.least || n >= c.tooMany {
+				t.Errorf("%d requests in flight, want at least %d and fewer than %d", n, c.least, c.tooMany)
 			}
 		})
 	}
 }
 
-// Seen on a day with long bodies: clients that read or sent slowly used up the limit, and half
-// of the other requests were rejected with endpoints idle.
+// With long bodies, clients that read or sent slowly used up the limit, and half of the other
+// requests were rejected while endpoints were idle.
 func TestSlowClientsDoNotUseTheConcurrencyLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	h.serve(40, evenLatency(10*ms, "a", "b"))
 	for range 50 { // responses that are being read
 		id, _ := h.request("read")
 		if len(h.sentTo[id]) == 0 {
-			t.Fatalf("%s is not sent", id)
+			t.Fatalf("%s was not sent while clients were reading responses", id)
 		}
 		h.advance(10 * ms)
 		h.b.StreamStarted(h.now, id, 0)
 	}
 	for range 50 { // bodies that are being sent
 		if id := h.requestStreamed("bill"); len(h.sentTo[id]) == 0 {
-			t.Fatalf("%s is not sent", id)
+			t.Fatalf("%s was not sent while clients were sending bodies", id)
 		}
 	}
 	h.advance(10 * time.Second)
 	if id, _ := h.request("read"); len(h.sentTo[id]) == 0 {
-		t.Error("with nothing but slow clients, a request is not sent")
+		t.Error("a request was not sent although only slow clients had requests in flight")
 	}
 	for _, s := range h.b.EndpointStatuses(h.now) {
 		if s.Inactive != "" || s.InFlight < 40 {
-			t.Errorf("%+v: inactive, or without its part of them", s)
+			t.Errorf("%+v: want an active endpoint with at least 40 requests in flight", s)
 		}
 	}
 }
--- a/balancer/concurrencylimiter_test.go
+++ b/balancer/concurrencylimiter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// An attempt counts once, however often it is started or ended.
+// An attempt is counted once, however often it is started or ended.
 func TestConcurrencyLimiterCountsAnAttemptOnce(t *testing.T) {
 	l := newConcurrencyLimiter()
 	var first, second attempt
@@ -14,13 +14,13 @@
 		change func()
 		want   int
 	}{
-		{"end one that was not started", func() { l.end(&first) }, 0},
-		{"start one", func() { l.start(&first) }, 1},
-		{"start it again", func() { l.start(&first) }, 1},
-		{"start another", func() { l.start(&second) }, 2},
-		{"end one", func() { l.end(&first) }, 1},
-		{"end it again", func() { l.end(&first) }, 1},
-		{"end the other", func() { l.end(&second) }, 0},
+		{"end an attempt that was not started", func() { l.end(&first) }, 0},
+		{"start the first", func() { l.start(&first) }, 1},
+		{"start the first again", func() { l.start(&first) }, 1},
+		{"start the second", func() { l.start(&second) }, 2},
+		{"end the first", func() { l.end(&first) }, 1},
+		{"end the first again", func() { l.end(&first) }, 1},
+		{"end the second", func() { l.end(&second) }, 0},
 	} {
 		step.change()
 		if l.inFlight != step.want {
@@ -29,14 +29,14 @@
 	}
 }
 
-// A response after a pause counts more than one of many in a row.
+// A response after a pause has a higher weight than a response that follows another at once.
 func TestConcurrencyLimiterSmoothsLatencyRatios(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		gap  time.Duration
 		want float64
 	}{
-		{"at once", 0, 1 + minLatencyRatioGain},
+		{"without a pause", 0, 1 + minLatencyRatioGain},
 		{"after latencyRatioMemory", latencyRatioMemory, 2 - decay(latencyRatioMemory, latencyRatioMemory)},
 		{"after an hour", time.Hour, 2},
 	} {
@@ -53,19 +53,19 @@
 
 func TestConcurrencyLimiterCut(t *testing.T) {
 	for _, c := range []struct {
-		name                              string
-		limit, ratio, used, least, wanted float64
+		name                            string
+		limit, ratio, used, least, want float64
 	}{
-		{"by how slow responses are", 20, 2.5, 20, 1, 16},
+		{"in proportion to slow responses", 20, 2.5, 20, 1, 16},
 		{"by half at most", 20, 40, 20, 1, 10},
-		{"from what is used", 20, 2.5, 10, 1, 8},
+		{"relative to the attempts in flight", 20, 2.5, 10, 1, 8},
 		{"not below the least", 20, 40, 20, 15, 15},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := concurrencyLimiter{limit: c.limit, recentLatencyRatio: c.ratio}
 			l.cut(c.used, 2, c.least)
-			if l.limit != c.wanted {
-				t.Errorf("limit %v, want %v", l.limit, c.wanted)
+			if l.limit != c.want {
+				t.Errorf("limit %v, want %v", l.limit, c.want)
 			}
 		})
 	}
@@ -73,8 +73,8 @@
 
 func TestConcurrencyLimiterGrow(t *testing.T) {
 	for _, c := range []struct {
-		name                     string
-		ratio, tolerated, wanted float64
+		name                   string
+		ratio, tolerated, want float64
 	}{
 		{"quick responses", 1, 1, 10 + limitGrowthGain*0.5},
 		{"responses at the threshold", limitGrowthThreshold, 1, 10},
@@ -84,8 +84,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := concurrencyLimiter{limit: 10, recentLatencyRatio: c.ratio}
 			l.grow(c.tolerated)
-			if !near(l.limit, c.wanted, 1e-12) {
-				t.Errorf("limit %v, want %v", l.limit, c.wanted)
+			if !near(l.limit, c.want, 1e-12) {
+				t.Errorf("limit %v, want %v", l.limit, c.want)
 			}
 		})
 	}
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -8,13 +8,13 @@
 	"rowancart/balancer"
 )
 
-func TestRequestsFollowSpeed(t *testing.T) {
+func TestFasterEndpointsGetMoreRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), "fast", "slow")
 	latency := map[string]time.Duration{"fast": 40 * ms, "slow": 60 * ms}
 	h.serve(100, latency)
 	counts := h.serve(400, latency)
 	if f, s := counts["fast"], counts["slow"]; f < s*5/4 || f > s*2 {
-		t.Errorf("fast got %d requests and slow %d, want between 1.25 and 2 times as many", f, s)
+		t.Errorf("fast got %d requests and slow %d, want 1.25 to 2 times as many for fast", f, s)
 	}
 }
 
@@ -23,19 +23,19 @@
 	counts := h.serve(400, evenLatency(50*ms, "a", "b", "c", "d"))
 	for ep, n := range counts {
 		if n < 90 || n > 110 {
-			t.Errorf("%s got %d of 400 requests", ep, n)
+			t.Errorf("%s got %d of 400 requests, want 90 to 110", ep, n)
 		}
 	}
 }
 
-// Incident ha74963: machines of a third of the speed got half as many requests as fast ones, and
-// collapsed: most of a latency was spent in the tiers below, which all endpoints counts. There an
-// endpoint is charged for the latency that it adds itself.
+// Incident ha74963: machines with a third of the speed got half as many requests as fast ones and
+// collapsed. Most of each latency came from the tiers below, which is the same for all endpoints.
+// With tiers below, an endpoint is charged only for the latency that it adds itself.
 func TestLatencyOfTiersBelowDoesNotEqualizeRequests(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		tiersBelow  int
-		least, most float64 // requests to fast endpoints over those to slow ones
+		least, most float64 // requests to fast endpoints, as a multiple of those to slow ones
 	}{
 		{"no tier below", 0, 1.2, 1.9},
 		{"one tier below", 1, 2.2, 4.5},
@@ -54,29 +54,29 @@
 				h.finish(id, balancer.OK)
 			}
 			if got := counts["fast"] / counts["slow"]; got < c.least || got > c.most {
-				t.Errorf("fast endpoints get %.2f times the requests of slow ones, want %v to %v", got, c.least, c.most)
+				t.Errorf("fast endpoints got %.2f times the requests of slow ones, want %v to %v", got, c.least, c.most)
 			}
 		})
 	}
 }
 
-func TestSoonestTrialIsSelectedWithNoneActive(t *testing.T) {
+func TestSoonestTrialIsSelectedWithoutActiveEndpoints(t *testing.T) {
 	h := newHarness(t, testSettings(), "only")
 	id, _ := h.request("read")
 	h.finish(id, balancer.ConnectFailed) // ejected, so that no endpoint is active for the retry
 	if len(h.sentTo[id]) != 2 {
-		t.Fatalf("actions %v", h.actions)
+		t.Fatalf("the request was not retried at the inactive endpoint: actions %v", h.actions)
 	}
 	h.advance(30 * ms)
 	h.finish(id, balancer.OK)
 	if _, ep := h.request("read"); ep != "only" {
-		t.Error("a trial that succeeded with no endpoint active did not make its endpoint active")
+		t.Error("a successful trial did not make the only endpoint active")
 	}
 }
 
-// At a quiet instance, which sends to an endpoint every few seconds, the weight of the kind stands
-// in until there are samples.
-func TestKindWeightStandsInForFewSamples(t *testing.T) {
+// A low-traffic instance sends to each endpoint only every few seconds. Until it has enough samples
+// of an endpoint, it uses the weight of the endpoint's kind.
+func TestKindWeightIsUsedWhileSamplesAreFew(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s)
 	l := balancer.EndpointList{Complete: true}
@@ -100,11 +100,11 @@
 		}
 	}
 	if slow > 20 {
-		t.Errorf("slow machines got %d of 60 requests after three samples each", slow)
+		t.Errorf("slow endpoints got %d of 60 requests after three samples each, want at most 20", slow)
 	}
 }
 
-func TestOneFastEndpointDoesNotEjectTheOthers(t *testing.T) {
+func TestVeryFastEndpointDoesNotGetAllOthersEjected(t *testing.T) {
 	h := newHarness(t, testSettings(), "fastest", "b", "c", "d", "e", "f")
 	latency := map[string]time.Duration{"fastest": 2 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms, "e": 50 * ms,
 		"f": 50 * ms}
@@ -116,6 +116,6 @@
 		}
 	}
 	if others < 2 {
-		t.Errorf("only %d endpoints besides the fastest one are in use", others)
+		t.Errorf("%d endpoints besides the fastest one got more than one request, want at least 2", others)
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,7 +8,7 @@
 	"rowancart/balancer"
 )
 
-// Twenty instances see the start of an endpoint at the same time.
+// All twenty instances learn at the same time that an endpoint has started.
 func TestSlowStartDoesNotOverloadAnEndpoint(t *testing.T) {
 	const instances, perSecond = 20, 5.0
 	names := []string{}
@@ -16,10 +16,11 @@
 		names = append(names, "e"+strconv.Itoa(i))
 	}
 	got := [12]int{} // requests to the warming endpoint, by the second since its start
-	for c := range instances {
+	for instance := range instances {
 		s := testSettings()
 		h := newHarness(t, s, names...)
-		h.b = balancer.New(h.now, balancer.Settings{Seed: uint64(c), Instances: instances, Index: c, MaxAttempts: 4,
+		h.b = balancer.New(h.now, balancer.Settings{Seed: uint64(instance), Instances: instances, Index: instance,
+			MaxAttempts:       4,
 			Resolution:        ms,
 			SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second, Classes: s.Classes}, h)
 		l := balancer.EndpointList{Complete: true}
@@ -45,20 +46,20 @@
 			}
 		}
 	}
-	even := instances * perSecond / 10 // requests a second to each endpoint
-	for at := range 11 {               // nor when it counts as warm at last (incident id93449)
+	even := instances * perSecond / 10 // requests per second to each endpoint at equal shares
+	for at := range 11 {               // up to the time at which it counts as warm (incident id93449)
 		warm := min(0.3+0.7*float64(at+1)/9, 1)
 		if n := float64(got[at]); n > even*warm*2+4 {
-			t.Errorf("second %d: a warming endpoint got %v requests, an even share is %v", at, n, even*warm)
+			t.Errorf("second %d: the warming endpoint got %v requests, its share by its capacity is %v", at, n, even*warm)
 		}
 	}
 	if got[0] == 0 && got[1] == 0 && got[2] == 0 || got[10] < int(even/2) {
-		t.Errorf("a warming endpoint did not come into use: %v", got)
+		t.Errorf("the warming endpoint got too few requests; by the second since its start: %v", got)
 	}
 }
 
-// The rate of sends to an endpoint that warms up stays near its share of the traffic, whatever the
-// rate of requests.
+// The rate of sends to a warming endpoint stays near its share of the traffic, whatever the rate of
+// requests.
 func TestSlowStartPacesSends(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c")
 	latency := evenLatency(20*ms, "a", "b", "c", "new")
@@ -66,12 +67,12 @@
 	h.b.EndpointList(h.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new", Started: h.now}}})
 	sent := h.serve(150, latency)["new"]
 	if sent == 0 || sent > 150/4*2/3 {
-		t.Errorf("a warming endpoint of four got %d of 150 requests", sent)
+		t.Errorf("a warming endpoint, one of four, got %d of 150 requests, want 1 to 24", sent)
 	}
 }
 
 // requestsAfterResets returns how many of 60 requests go to c, one of three equal endpoints, after
-// a number of requests in a row were reset there.
+// the connections of a number of consecutive requests to c were reset.
 func requestsAfterResets(t *testing.T, resets int) int {
 	t.Helper()
 	h := newHarness(t, testSettings(), "a", "b", "c")
@@ -91,25 +92,24 @@
 	return h.serve(60, latency)["c"]
 }
 
-// An endpoint with two resets and no response in between went down: it warms up when it is back,
-// whatever the list says.
+// An endpoint with two resets and no response in between was down, so it warms up when it is back,
+// whatever the endpoint list says.
 func TestSlowStartFollowsRepeatedResets(t *testing.T) {
 	if n := requestsAfterResets(t, 2); n > 60/3*2/3 {
-		t.Errorf("an endpoint that went down got %d of 60 requests", n)
+		t.Errorf("an endpoint that was down got %d of 60 requests, want at most 13", n)
 	}
 }
 
-// Seen in a run in which the network broke one connection in thirty: each reset put an endpoint
-// into slow start, requests found no endpoint with capacity and were rejected, and the load
-// moved to the other endpoints.
+// When the network broke one connection in thirty, each reset put an endpoint into slow start. Its
+// load moved to the other endpoints, and requests were rejected because no endpoint had capacity.
 func TestSlowStartDoesNotFollowOneReset(t *testing.T) {
 	if n := requestsAfterResets(t, 1); n < 60/3*2/3 {
-		t.Errorf("an endpoint with one broken connection got %d of 60 requests", n)
+		t.Errorf("an endpoint with one broken connection got %d of 60 requests, want at least 13", n)
 	}
 }
 
-// An endpoint that warms up while no endpoint is warm gets all requests if its responses are
-// those of an endpoint that is not busy, but not if it slows down.
+// While no endpoint is warm, a warming endpoint gets nearly all requests if its responses are
+// quick, but not if it slows down.
 func TestSlowStartSpeedsUpWithoutWarmEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -130,22 +130,22 @@
 			}
 			h.b.EndpointList(h.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "a", Started: h.now}}})
 			sent := 0
-			begun := h.now
+			start := h.now
 			h.serveSteadily(20*ms, 3*time.Second, func(string) time.Duration { return c.latency }, func(string) {
-				if h.now >= begun+2*time.Second {
+				if h.now >= start+2*time.Second {
 					sent++
 				}
 			})
 			if sent < c.least || sent > c.most {
-				t.Errorf("%d of 50 requests were sent, want %d to %d", sent, c.least, c.most)
+				t.Errorf("%d of 50 requests were sent in the third second, want %d to %d", sent, c.least, c.most)
 			}
 		})
 	}
 }
 
-// Seen at one instance at 90% load: the warm endpoints looked slow under the load and were ejected,
-// the warming one was the only one active, and it got ten times its share as if there were no warm
-// ones. The load that it would get is theirs.
+// At one instance at 90% load, the warm endpoints looked slow and were ejected. The warming
+// endpoint, now the only active one, got ten times its share, as if there were no warm endpoints.
+// The extra requests belong to the ejected warm endpoints.
 func TestSlowStartDoesNotSpeedUpForEjectedEndpoints(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c")
 	h.serve(300, evenLatency(20*ms, "a", "b", "c"))
@@ -154,22 +154,22 @@
 	sent := map[string]int{}
 	h.serveSteadily(10*ms, 3*time.Second, func(ep string) time.Duration { return latency[ep] },
 		func(ep string) { sent[ep]++ })
-	// A quarter of 300 requests, times the share of 1.5 and a capacity that goes from 0.3 to 0.53:
-	// about 50.
+	// A quarter of 300 requests, times the share of 1.5 and a capacity that rises from 0.3 to 0.53,
+	// is about 50.
 	if sent["new"] == 0 || sent["new"] > 60 {
-		t.Errorf("the warming endpoint was sent %d of 300 requests in 3 s: %v", sent["new"], sent)
+		t.Errorf("the warming endpoint got %d of 300 requests in 3 s, want 1 to 60: %v", sent["new"], sent)
 	}
 }
 
-// Many quiet instances that are notified of a new endpoint must not all send it their next request.
-func TestQuietInstancesDoNotAllSendToANewEndpoint(t *testing.T) {
+// Low-traffic instances that learn of a new endpoint must not all send it their next request.
+func TestLowTrafficInstancesDoNotAllSendToANewEndpoint(t *testing.T) {
 	sentToNew := 0
 	for instance := range 100 {
 		s := testSettings()
 		s.Instances = 100
 		s.Index = instance
 		h := newSeededHarness(t, s, uint64(instance), "a", "b", "c")
-		requestSeldom := func(n int) {
+		requestRarely := func(n int) {
 			for range n {
 				h.advance(time.Duration(25+(instance+n)%10) * time.Second)
 				id, ep := h.request("read")
@@ -180,20 +180,20 @@
 				h.finish(id, balancer.OK)
 			}
 		}
-		requestSeldom(4)
+		requestRarely(4)
 		h.b.EndpointList(h.now, balancer.EndpointList{Entries: []balancer.Endpoint{{ID: "new"}}})
-		requestSeldom(1)
+		requestRarely(1)
 	}
-	if sentToNew > 45 {
-		t.Errorf("%d of 100 instances sent their next request to the new endpoint; an even share is a quarter", sentToNew)
+	if sentToNew > 45 { // an equal share is 25
+		t.Errorf("%d of 100 instances sent their next request to the new endpoint, want at most 45", sentToNew)
 	}
 }
 
-// An instance that sends to each endpoint every four seconds sends to a warming one again when that
-// has half of its capacity. By the capacity at its start alone, it would wait until the endpoint is
-// warm. All instances together stay within one and a half times the endpoint's share by its
-// capacity.
-func TestSlowStartShareGrowsBetweenTheSendsOfQuietInstances(t *testing.T) {
+// An instance that sends to each endpoint every four seconds sends to a warming endpoint again when
+// that has reached half of its capacity. If the interval depended on the capacity at the start
+// alone, the instance would wait until the endpoint is warm. All instances together stay within one
+// and a half times the endpoint's share by its capacity.
+func TestSlowStartIntervalAllowsForTheCapacityGained(t *testing.T) {
 	const instances, warmUp = 13, 9
 	early, all := 0, 0
 	for seed := range uint64(instances) {
@@ -222,24 +222,24 @@
 			}
 		}
 	}
-	// At its whole capacity the endpoint would get a request from each instance every 4 s: 29 in nine
-	// seconds. Its mean capacity is 0.65 of that, times the share of 1.5.
+	// At its full capacity the endpoint would get a request from each instance every 4 s: 29 in 9 s.
+	// Its mean capacity is 0.65 of that, and its share is 1.5, so it should get about 28.
 	if all < 20 || all > 32 {
-		t.Errorf("%d requests to an endpoint that warms up in 9 s, want about 28", all)
+		t.Errorf("an endpoint that warms up in 9 s got %d requests in that time, want 20 to 32", all)
 	}
-	if early > 9 {
-		t.Errorf("%d of them in the first third, in which it has capacity for a quarter of all", early)
+	if early > 9 { // it has capacity for a quarter of all in the first third
+		t.Errorf("the endpoint got %d requests in the first third of the time, want at most 9", early)
 	}
 }
 
-// Instances with the same seed and traffic draw the same random numbers: by these alone, all would
-// send to a new endpoint for the first time at the same instant. By their indexes they spread over
-// a send interval, also if all start at once, as after a mass restart, and have the endpoint in
-// their first list, before they know their own rate of requests.
-func TestInstancesOfOneSeedTryANewEndpointAtDifferentTimes(t *testing.T) {
+// Instances with the same seed and traffic draw the same random numbers. With these alone, all of
+// them would first send to a new endpoint at the same time. Their indexes spread these first sends
+// over a send interval. That also holds if all instances start at once, as after a mass restart,
+// and have the endpoint in their first list, before they know their own rate of requests.
+func TestInstancesWithTheSameSeedTryANewEndpointAtDifferentTimes(t *testing.T) {
 	const instances = 20
 	for _, startTogether := range []bool{false, true} {
-		first := map[time.Duration]int{} // instances, by the tenth of a second of their first send to it
+		first := map[time.Duration]int{} // number of instances by the time of their first send to it, to 0.1 s
 		for i := range instances {
 			s := testSettings()
 			s.Instances = instances
@@ -278,7 +278,7 @@
 			all += n
 		}
 		if all != instances || most > 3 {
-			t.Errorf("started together %v: %d of %d instances sent to the new endpoint, at most %d in one tenth of a second: %v",
+			t.Errorf("started together %v: %d of %d instances sent to the new endpoint, %d (at most 3) within 0.1 s: %v",
 				startTogether, all, instances, most, first)
 		}
 	}
