--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -12,7 +12,7 @@
 	priorSamples          = 3.0  // number of samples that the weight of the kind counts as in an endpoint's weight
 	inFlightCharge        = 1.0  // added to the deficit for each attempt in flight, as a multiple of the weight
 	tiersBelowWeightShare = 0.7  // share of the smallest active weight that is attributed to the tiers below
-	maxDeficitLag         = 2.0  // limit of the lag of a deficit, as a multiple of the weight of the charged endpoint
+	maxDeficitLag         = 2.0  // how far a deficit may be behind the one just charged, as a multiple of its weight
 	maxLatencyRatio       = 20.0 // upper limit of the latency ratio of one sample
 	riskyTrialBackoffs    = 2    // number of backoffs for which a due risky trial waits for an idempotent request
 )
@@ -115,7 +115,7 @@
 // selectLowestDeficit returns the active endpoint with the lowest charge, nil if none may receive
 // the request, and whether any endpoint is active. The charge is the deficit and an amount for each
 // attempt in flight, so that an endpoint that is overloaded or hangs gets fewer requests even
-// before its late responses arrive.
+// before its slow responses arrive.
 func (b *Balancer) selectLowestDeficit(now time.Duration, req *request, active candidates) (*endpoint, bool) {
 	var best *endpoint
 	lowest := math.Inf(1)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -19,7 +19,7 @@
 	maxSlowStartSpeedUp   = 10.0
 
 	minCapacityShare = 0.05 // lower limit of an endpoint's capacity share, whatever the settings say
-	minRecentRate    = 0.2  // requests per second; a lower recent rate counts as this, or as a lower slow rate
+	minRecentRate    = 0.2  // requests per second; lower limit of the recent rate while the slow rate is higher
 
 	goldenRatio = 0.6180339887 // its multiples modulo 1 spread evenly over the range from 0 to 1, whatever their number
 )
