--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	highUtilization   = 0.6 // share of the concurrency limit in use above which utilization is high
+	highUtilization   = 0.6 // share of the concurrency limit in use above which capacity may be short
 	slowResponseRatio = 1.5 // recent latency ratio above which responses are slow, as a multiple of the tolerated ratio
-	highRateMultiple  = 1.3 // rate of requests that is high, as a multiple of the sum of all quotas
+	highRateMultiple  = 1.3 // rate of requests above which it is high, as a multiple of the sum of all quotas
 
 	maxQueueWaitShare = 0.05 // longest wait, as a share of the mean latency objective times the tolerated ratio
 	minTimeLeftShare  = 0.6  // time that a request must have left to join a queue, as a share of its expected latency
@@ -47,8 +47,9 @@
 	return now >= req.giveUpAt || len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftShare)
 }
 
-// isRateHigh reports whether requests arrive at a higher rate than the quotas of all tenants allow
-// together. A low-traffic instance can detect that before endpoints reach their capacity.
+// isRateHigh reports whether requests arrive at more than highRateMultiple times the rate that the
+// quotas of all tenants allow together. A low-traffic instance can detect that before endpoints
+// reach their capacity.
 func (b *Balancer) isRateHigh(now time.Duration) bool {
 	return b.rate.perSecond(now) > highRateMultiple*b.tenants.quota
 }
@@ -65,7 +66,7 @@
 	return c
 }
 
-// giveUpBefore returns the time after which no response could reach the client before its deadline,
+// giveUpBefore returns the time from which no response could reach the client before its deadline,
 // given how late events and timers may be.
 func (b *Balancer) giveUpBefore(deadline time.Duration) time.Duration {
 	return deadline - max(b.settings.Resolution, time.Millisecond)
@@ -155,7 +156,7 @@
 	return min(req.giveUpAt, req.arrivedAt+maxWait)
 }
 
-// queueTimeoutReason returns the reason given to a request that has waited for too long.
+// queueTimeoutReason returns the reason in the answer to a request that has waited for too long.
 func (b *Balancer) queueTimeoutReason(req *request) Reason {
 	switch {
 	case b.readyCount == 0:
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -66,7 +66,7 @@
 		}
 	}
 	if len(rejected) == 0 {
-		t.Fatal("no request was rejected although its tenant was over its quota")
+		t.Fatal("no request was rejected although tenant big was over its quota")
 	}
 	for i := 12; i <= h.requestCount; i++ {
 		if small := i%2 == 1; small && rejected["r"+strconv.Itoa(i)] {
@@ -158,7 +158,8 @@
 	}
 }
 
-// While other requests wait, a request that cannot be answered in time is rejected at once.
+// While other requests wait, a request that cannot be answered in time is rejected, instead of
+// being sent only to miss its deadline.
 func TestRequestWithTooLittleTimeIsRejectedWhileOthersWait(t *testing.T) {
 	h := newHarness(t, testSettings(), "a")
 	h.serve(100, map[string]time.Duration{"a": 200 * ms})
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -16,13 +16,15 @@
 	limitHeadroomDeviations = 3.0
 
 	// The limit is cut while the recent latency ratio is above congestionThreshold times the tolerated
-	// ratio (under load, 1.8 times is usual). A cut leaves at least minLimitCutShare of the limit. The
-	// next cut follows after half the recent latency at the earliest.
+	// ratio (a recent latency ratio of 1.8 is usual under load). A cut leaves at least
+	// minLimitCutShare of the limit or of the attempts in flight, whichever is lower. The next cut
+	// follows after half the recent latency at the earliest.
 	congestionThreshold = 2.0
 	minLimitCutShare    = 0.5
 
-	// With each response while the limit is used up, it grows by limitGrowthGain times the difference
-	// by which the recent latency ratio is below limitGrowthThreshold.
+	// Each response that ends while the limit is used up raises it by limitGrowthGain times the amount
+	// by which the recent latency ratio is below limitGrowthThreshold. Both constants are multiplied
+	// by the tolerated ratio.
 	limitGrowthGain      = 0.2
 	limitGrowthThreshold = 1.5
 
@@ -33,7 +35,8 @@
 	minLatencyRatioGain = 0.05
 	maxLimitSampleRatio = 4.0
 
-	// responseObjectiveShare is the share of the latency objective that congested responses may take.
+	// responseObjectiveShare is the share of the latency objective that latencies at the congestion
+	// threshold may take, over all tiers together.
 	responseObjectiveShare = 0.5
 )
 
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -9,8 +9,8 @@
 	"rowancart/balancer"
 )
 
-// Incident h36c04c: a burst made the servers collapse, because instances with a few requests per
-// second lowered their limits only after twenty slow responses.
+// Incident h36c04c: a burst made the servers collapse. Instances with a few requests per second
+// smoothed latencies over twenty responses, so that none of them lowered its limit in time.
 func TestLowTrafficInstanceSoonDetectsCongestion(t *testing.T) {
 	s := testSettingsWithObjective(700 * ms)
 	s.Instances = 10
@@ -93,7 +93,7 @@
 		h.finishDue(due)
 		for made := 0; len(due)+made < 22; made++ {
 			if _, ep := h.request("read"); ep == "" && h.now > startedAt+3*time.Second {
-				t.Fatalf("request %d was not sent at once %v after the start", h.requestCount, h.now-startedAt)
+				t.Fatalf("request %d, made %v after the start, found no capacity", h.requestCount, h.now-startedAt)
 			}
 		}
 		for ; seen < len(h.actions); seen++ {
@@ -135,7 +135,7 @@
 		most = max(most, len(due))
 	}
 	if most < 8 || most > 24 {
-		t.Errorf("at most %d requests were in flight, want 8 to 24; the initial limit is twelve", most)
+		t.Errorf("the most requests in flight were %d, want 8 to 24; the initial limit is twelve", most)
 	}
 }
 
--- a/balancer/concurrencylimiter_test.go
+++ b/balancer/concurrencylimiter_test.go
@@ -56,7 +56,7 @@
 		name                            string
 		limit, ratio, used, least, want float64
 	}{
-		{"in proportion to slow responses", 20, 2.5, 20, 1, 16},
+		{"by the threshold over the recent latency ratio", 20, 2.5, 20, 1, 16},
 		{"by half at most", 20, 40, 20, 1, 10},
 		{"relative to the attempts in flight", 20, 2.5, 10, 1, 8},
 		{"not below the least", 20, 40, 20, 15, 15},
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	priorSamples          = 3.0  // number of samples that the weight of the kind counts as in an endpoint's weight
+	priorSamples          = 3.0  // the kind's weight counts as this many samples in the mean for an endpoint's weight
 	inFlightCharge        = 1.0  // added to the deficit for each attempt in flight, as a multiple of the weight
 	tiersBelowWeightShare = 0.7  // share of the smallest active weight that is attributed to the tiers below
-	maxDeficitLag         = 2.0  // how far a deficit may be behind the one just charged, as a multiple of its weight
+	maxDeficitLag         = 2.0  // limit of a deficit's lag behind that of the endpoint just selected, in weights of that
 	maxLatencyRatio       = 20.0 // upper limit of the latency ratio of one sample
 	riskyTrialBackoffs    = 2    // number of backoffs for which a due risky trial waits for an idempotent request
 )
@@ -23,7 +23,7 @@
 }
 
 // hasSoonerTrial orders the trial heap by the time of the next trial. Endpoints whose trial is in
-// flight come last, in the order of their number of attempts in flight.
+// flight come last, those with the fewest attempts in flight first.
 func hasSoonerTrial(x, y *endpoint) bool {
 	switch {
 	case x.trial.inFlight != y.trial.inFlight:
@@ -76,8 +76,9 @@
 }
 
 // selectEndpoint selects the endpoint of a due trial, otherwise the active endpoint with the lowest
-// charge. If no endpoint is active, or a retry has already been sent to all active ones, it selects
-// the endpoint with the soonest trial, even if that trial is in flight.
+// score. If no endpoint is active, or a request was already sent to all active ones, it selects the
+// endpoint with the soonest trial, even if that trial is in flight. Failing that, it selects an
+// active endpoint again, then any inactive one.
 func (b *Balancer) selectEndpoint(now time.Duration, req *request, active, inactive candidates) *endpoint {
 	if due := b.selectDueTrial(now, req, inactive); due != nil {
 		return due
@@ -112,10 +113,10 @@
 	return due
 }
 
-// selectLowestDeficit returns the active endpoint with the lowest charge, nil if none may receive
-// the request, and whether any endpoint is active. The charge is the deficit and an amount for each
-// attempt in flight, so that an endpoint that is overloaded or hangs gets fewer requests even
-// before its slow responses arrive.
+// selectLowestDeficit returns the active endpoint with the lowest score, nil if none may receive
+// the request, and whether any endpoint is active. The score is the deficit plus inFlightCharge
+// weights for each attempt in flight, so that an endpoint that is overloaded or hangs gets fewer
+// requests even before its responses, or their absence, show it.
 func (b *Balancer) selectLowestDeficit(now time.Duration, req *request, active candidates) (*endpoint, bool) {
 	var best *endpoint
 	lowest := math.Inf(1)
@@ -129,14 +130,14 @@
 		if !b.mayReceive(now, req, e) {
 			return true
 		}
-		charge := deficit + inFlightCharge*e.weight()*float64(e.inFlight)
-		if req.wasSentTo(e) {
-			charge += maxLatencyRatio
+		score := deficit + inFlightCharge*e.weight()*float64(e.inFlight)
+		if req.wasSentTo(e) { // prefer endpoints that the request was not sent to before
+			score += maxLatencyRatio
 		}
-		isFirstOfEquals := charge == lowest && best != nil && e.subsetIndex < best.subsetIndex
-		if charge < lowest || isFirstOfEquals {
+		isFirstOfEquals := score == lowest && best != nil && e.subsetIndex < best.subsetIndex
+		if score < lowest || isFirstOfEquals {
 			best = e
-			lowest = charge
+			lowest = score
 		}
 		return true
 	})
@@ -160,8 +161,8 @@
 }
 
 // selectAnyInactive returns any inactive endpoint that may receive the request, nil if there is
-// none. As a last resort it also returns an endpoint that the request was sent to before or whose
-// trial is risky.
+// none. This is the last resort of selectEndpoint: unlike for a trial, the endpoint may be one that
+// the request was sent to before, or one whose trial is risky.
 func (b *Balancer) selectAnyInactive(now time.Duration, req *request, inactive candidates) *endpoint {
 	var found *endpoint
 	inactive.visit(func(e *endpoint) bool {
@@ -179,16 +180,16 @@
 	return !isTooRisky && !req.wasSentTo(e) && b.mayReceive(now, req, e)
 }
 
-// isLostIfAttemptFails reports whether a request cannot be retried after a failed attempt that may
-// have run it.
+// isLostIfAttemptFails reports whether a request may be lost if an attempt that may have run it
+// fails: it is not idempotent, or its class forbids a second run.
 func (r *request) isLostIfAttemptFails() bool {
 	return r.class.Idempotency != Idempotent || r.class.NeverRerun
 }
 
-// isRiskyTrial reports whether a request that cannot be retried would probably be lost as the trial
-// of the endpoint, because the endpoint failed requests after accepting them. Until
-// riskyTrialBackoffs backoffs after the trial is due, only requests that can be retried may be the
-// trial.
+// isRiskyTrial reports whether a request for which isLostIfAttemptFails holds would probably be
+// lost as the trial of the endpoint, because the endpoint failed requests after accepting them.
+// Until riskyTrialBackoffs backoffs after the trial is due, only idempotent requests that may run
+// again may be the trial.
 func (e *endpoint) isRiskyTrial(now time.Duration) bool {
 	failed := e.inactiveReason == InactiveFailing || e.inactiveReason == InactiveUnresponsive
 	return failed && now < e.trial.nextAt+riskyTrialBackoffs*e.trial.backoff
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -13,13 +13,13 @@
 const (
 	// A warming endpoint gets defaultSlowStartShare times its fair share of the traffic, in proportion
 	// to its present capacity. While no endpoint is warm, each good response multiplies that rate by
-	// slowStartSpeedUpStep, up to maxSlowStartSpeedUp times the rate.
+	// slowStartSpeedUpStep, up to maxSlowStartSpeedUp times the initial rate.
 	defaultSlowStartShare = 1.5
 	slowStartSpeedUpStep  = 1.25
 	maxSlowStartSpeedUp   = 10.0
 
 	minCapacityShare = 0.05 // lower limit of an endpoint's capacity share, whatever the settings say
-	minRecentRate    = 0.2  // requests per second; lower limit of the recent rate while the slow rate is higher
+	minRecentRate    = 0.2  // requests per second; lower limit of the recent rate while the long-term rate is higher
 
 	goldenRatio = 0.6180339887 // its multiples modulo 1 spread evenly over the range from 0 to 1, whatever their number
 )
@@ -56,11 +56,12 @@
 	b.updateHeaps(e)
 }
 
-// firstTrialDelay returns the time until the first trial of an endpoint, which is at an offset
-// within this instance's send interval. All instances learn of the endpoint at the same time, and
-// with random offsets alone some would send to it together. Multiples of the golden ratio by the
-// indexes of the instances spread the offsets evenly. An instance that does not know its index (-1)
-// draws its offset at random from the whole interval.
+// firstTrialDelay returns the time until the first trial of an endpoint. It is an offset within
+// this instance's send interval, or longer if slow start requires it. All instances learn of the
+// endpoint at the same time, and with random offsets alone some would send to it together. Each
+// instance therefore starts from its index times the golden ratio, modulo 1, which spreads the
+// offsets evenly. An instance that does not know its index (-1) draws its offset from the whole
+// interval.
 func (b *Balancer) firstTrialDelay(now time.Duration, e *endpoint) time.Duration {
 	slots := float64(max(b.settings.Instances*min(b.settings.Index+1, 1), 1))
 	offset := math.Mod(float64(max(b.settings.Index, 0))*goldenRatio+b.rng.Float64()/slots, 1)
@@ -96,8 +97,8 @@
 // slowStartInterval returns the time over which this instance may send a number of requests, trials
 // included, to a warming endpoint: for sends = 1, the time between two sends. It prevents all
 // instances together from overloading the endpoint. The interval allows for the capacity that
-// the endpoint gains before the next send: from the capacity at the last send alone, low-traffic
-// instances would keep sending at the rate that the endpoint could take when it started.
+// the endpoint gains before the next send. If only the capacity at the last send counted,
+// low-traffic instances would keep to the rate that the endpoint could take when it started.
 func (b *Balancer) slowStartInterval(now time.Duration, e *endpoint, sends float64) time.Duration {
 	share := cmp.Or(b.settings.SlowStartShare, defaultSlowStartShare)
 	warmInterval := sends * b.sendInterval(now).Seconds() / (share * max(e.slowStart.speedUp, 1))
@@ -105,14 +106,15 @@
 	if capacity == 1 {
 		return seconds(warmInterval)
 	}
-	capacityGain := max(1-b.settings.SlowStartCapacity, 0) / b.settings.SlowStartWindow.Seconds()
-	return seconds(2 * warmInterval / (capacity + math.Sqrt(capacity*capacity+2*capacityGain*warmInterval)))
+	capacityPerSecond := max(1-b.settings.SlowStartCapacity, 0) / b.settings.SlowStartWindow.Seconds()
+	// warmInterval = capacity*t + capacityPerSecond*t*t/2, solved for t
+	return seconds(2 * warmInterval / (capacity + math.Sqrt(capacity*capacity+2*capacityPerSecond*warmInterval)))
 }
 
 // speedUpSlowStart raises a warming endpoint's share of the traffic while no endpoint is warm and
 // its latencies show no congestion: otherwise the endpoint would be idle under light load while
 // requests wait. Warm endpoints that were ejected as slow still count as warm, since the extra
-// requests would come from their share.
+// requests would come from their share. A response that shows congestion ends the speed-up.
 func (b *Balancer) speedUpSlowStart(now time.Duration, e *endpoint, latencyRatio float64) {
 	isReadyAndWarm := func(o *endpoint) bool { return o.State == Ready && b.isWarm(now, o) }
 	switch capacity := b.capacityShare(now, e); {
@@ -126,13 +128,13 @@
 }
 
 // sendInterval returns the time between two sends of this instance to the same endpoint if all
-// endpoints of the subset get equally many requests. A low-traffic instance uses its slow rate:
-// just after a request its recent rate is too high, and many instances would then send to a new
-// endpoint at the same time.
+// endpoints of the subset get equally many requests. A low-traffic instance uses its long-term
+// rate: just after a request its recent rate is too high, and many instances would then send to a
+// new endpoint at the same time.
 func (b *Balancer) sendInterval(now time.Duration) time.Duration {
-	slowRate := b.rate.slowPerSecond(now)
-	lowerRate := min(b.rate.perSecond(now), slowRate)
-	return seconds(float64(b.subsetSize) / max(lowerRate, min(slowRate, minRecentRate)))
+	longTermRate := b.rate.slowPerSecond(now)
+	lowerRate := min(b.rate.perSecond(now), longTermRate)
+	return seconds(float64(b.subsetSize) / max(lowerRate, min(longTermRate, minRecentRate)))
 }
 
 // scheduleWarmingWakeUps schedules a wake-up for each time at which a warming endpoint may get its
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -19,10 +19,16 @@
 	for instance := range instances {
 		s := testSettings()
 		h := newHarness(t, s, names...)
-		h.b = balancer.New(h.now, balancer.Settings{Seed: uint64(instance), Instances: instances, Index: instance,
+		h.b = balancer.New(h.now, balancer.Settings{
+			Seed:              uint64(instance),
+			Instances:         instances,
+			Index:             instance,
 			MaxAttempts:       4,
 			Resolution:        ms,
-			SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second, Classes: s.Classes}, h)
+			SlowStartCapacity: 0.3,
+			SlowStartWindow:   9 * time.Second,
+			Classes:           s.Classes,
+		}, h)
 		l := balancer.EndpointList{Complete: true}
 		for _, id := range names {
 			l.Entries = append(l.Entries, balancer.Endpoint{ID: id})
@@ -47,7 +53,7 @@
 		}
 	}
 	even := instances * perSecond / 10 // requests per second to each endpoint at equal shares
-	for at := range 11 {               // up to the time at which it counts as warm (incident id93449)
+	for at := range 11 {               // nor may it be overloaded once it is warm, after 9 s (incident id93449)
 		warm := min(0.3+0.7*float64(at+1)/9, 1)
 		if n := float64(got[at]); n > even*warm*2+4 {
 			t.Errorf("second %d: the warming endpoint got %v requests, its share by its capacity is %v", at, n, even*warm)
@@ -145,7 +151,8 @@
 
 // At one instance at 90% load, the warm endpoints looked slow and were ejected. The warming
 // endpoint, now the only active one, got ten times its share, as if there were no warm endpoints.
-// The extra requests belong to the ejected warm endpoints.
+// The extra requests would have come from the share of the ejected endpoints, so these still count
+// as warm.
 func TestSlowStartDoesNotSpeedUpForEjectedEndpoints(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c")
 	h.serve(300, evenLatency(20*ms, "a", "b", "c"))
@@ -223,7 +230,7 @@
 		}
 	}
 	// At its full capacity the endpoint would get a request from each instance every 4 s: 29 in 9 s.
-	// Its mean capacity is 0.65 of that, and its share is 1.5, so it should get about 28.
+	// Its mean capacity is 0.65 of that, and it gets 1.5 times its share: about 28.
 	if all < 20 || all > 32 {
 		t.Errorf("an endpoint that warms up in 9 s got %d requests in that time, want 20 to 32", all)
 	}
@@ -278,7 +285,7 @@
 			all += n
 		}
 		if all != instances || most > 3 {
-			t.Errorf("started together %v: %d of %d instances sent to the new endpoint, %d (at most 3) within 0.1 s: %v",
+			t.Errorf("started together %v: %d of %d instances tried the new endpoint, %d in the same 0.1 s, want at most 3: %v",
 				startTogether, all, instances, most, first)
 		}
 	}
--- a/balancer/trials.go
+++ b/balancer/trials.go
@@ -5,13 +5,13 @@
 import "time"
 
 const (
-	// The first backoff of an ejected endpoint is at least minTrialBackoff (the paper's b_min). Each
+	// The first backoff of an inactive endpoint is at least minTrialBackoff (the paper's b_min). Each
 	// failed trial doubles the backoff, up to maxTrialBackoffMultiple times the first one.
 	minTrialBackoff         = 500 * time.Millisecond
 	maxTrialBackoffMultiple = 8
 )
 
-// initialBackoff returns the first backoff of an ejected endpoint. It is at least one send
+// initialBackoff returns the first backoff of an inactive endpoint. It is at least one send
 // interval: with a shorter one, a trial would be due at almost every request of a low-traffic
 // instance.
 func (b *Balancer) initialBackoff(now time.Duration) time.Duration {
