--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -50,7 +50,7 @@
 // isRateHigh reports whether requests come at a higher rate than the quotas of all tenants together
 // allow. Quiet instances see that before endpoints are at their capacity.
 func (b *Balancer) isRateHigh(now time.Duration) bool {
-	return b.rate.perSecond(now) > highRateMultiple*b.tenants.quota
+	return b.requestRate.perSecond(now) > highRateMultiple*b.tenants.quota
 }
 
 // classOf returns the class of a request. One that is not in the settings is non-idempotent.
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,14 +1,14 @@
-// Package balancer makes the decisions of a client-side load balancer: which endpoint gets a
-// request, when to retry or hedge it, when to queue it and when to reject it.
+// Package balancer makes the decisions of a client-side load balancer: which endpoint a request is
+// sent to, and when a request is retried, hedged, queued or rejected.
 //
-// The package has no transport, no clock and no goroutine. A host (a sidecar, a proxy, a test) owns
-// all of these: it creates a Balancer with New, reports what happens through the methods of Events
-// and carries out what the Balancer asks for through Host, in that order. Host methods are called
-// from within the event methods and must not call back into the Balancer. A Balancer is not
-// safe for concurrent use.
+// The package has no transport, no clock and no goroutine. These belong to a host, such as a
+// sidecar, a proxy or a test. The host creates a Balancer with New and reports events through the
+// methods of Events. The Balancer calls the methods of Host from within those methods; the host
+// carries out these actions in the order of the calls. Host methods must not call back into the
+// Balancer. A Balancer is not safe for concurrent use.
 //
-// Instants are readings of any clock that never runs backwards, given as a time.Duration since an
-// arbitrary zero. The same settings and the same events at the same instants give the same actions.
+// An instant is the reading of a monotonic clock, as a time.Duration since an arbitrary zero. The
+// same settings and the same events at the same instants result in the same actions.
 package balancer
 
 import "time"
@@ -16,57 +16,59 @@
 // Events is the interface through which a host reports what happens. *Balancer implements it.
 // Events must be reported in the order in which they happened.
 type Events interface {
-	// EndpointList reports a message from service discovery. The first one follows New directly.
+	// EndpointList reports a message from service discovery. The host reports the first one directly
+	// after New.
 	EndpointList(now time.Duration, l EndpointList)
-	// Request reports a request that wants exactly one final answer: the success of an attempt, or
-	// Host.Reject or Host.Fail.
+	// Request reports a new request. Each request gets exactly one final answer: the response of a
+	// successful attempt, Host.Reject or Host.Fail.
 	Request(now time.Duration, r Request)
-	// StreamStarted reports that attempt n of a request has begun to stream its response to the
-	// client.
+	// StreamStarted reports that the host has begun to stream the response of attempt n to the client.
 	StreamStarted(now time.Duration, id string, n int)
-	// Outcome reports the end of an attempt; every Send gets exactly one.
+	// Outcome reports the end of an attempt. The host reports exactly one for each Host.Send.
 	Outcome(now time.Duration, o Outcome)
-	// ClientDisconnected reports that the client no longer waits for an answer.
+	// ClientDisconnected reports that the client of a request no longer waits for an answer.
 	ClientDisconnected(now time.Duration, id string)
-	// Timer reports that the instant of a Host.Timer has been reached.
+	// Timer reports that the instant given to Host.Timer has been reached.
 	Timer(now time.Duration)
 }
 
 // Host carries out a Balancer's decisions.
 type Host interface {
-	// Send starts the next attempt of a request; attempts are numbered from 0. The attempt ends as
-	// TimedOut after timeout, or at the request's deadline if that comes first.
+	// Send starts the next attempt of a request. Attempts are numbered from 0. The host ends the
+	// attempt as TimedOut after timeout, or at the request's deadline if that comes first.
 	Send(id, endpoint string, timeout time.Duration)
-	// Cancel stops waiting for attempt n, whose Outcome is still reported.
+	// Cancel cancels attempt n. The host still reports its Outcome.
 	Cancel(id string, n int)
-	// Reject gives a request its final answer: that a retry by the client is harmless, best after
-	// retryAfter (0: no Retry-After).
+	// Reject answers a request with an error that tells the client that a retry is harmless.
+	// retryAfter is the recommended wait before it; 0 means no Retry-After.
 	Reject(id string, reason Reason, retryAfter time.Duration)
-	// Fail gives a request its final answer, which leaves open whether it took effect.
+	// Fail answers a request with an error that leaves open whether the request took effect.
 	Fail(id string, reason Reason)
-	// Subscribe subscribes to discovery. The host reports the present list and all changes from then
-	// on.
+	// Subscribe subscribes to service discovery. The host reports the current list and all later
+	// changes.
 	Subscribe()
-	// Timer requests a Timer event at the given instant or soon after. Timers are not canceled.
+	// Timer requests an Events.Timer call at the given instant or soon after. Timers are never
+	// canceled.
 	Timer(at time.Duration)
-	// Log records an event for the people on call.
+	// Log logs an event for the operators.
 	Log(e LogEvent)
 }
 
-// Idempotency says what a duplicate of a request of a class does.
+// Idempotency states what effect a duplicate of a request has.
 type Idempotency int
 
-// The kinds of classes, from harmless duplicates to harmful ones.
+// The levels of idempotency, from harmless duplicates to harmful ones.
 const (
-	Idempotent       Idempotency = iota // may run any number of times
-	IdempotencyKeyed                    // duplicates are dropped within a group of endpoints, for a while
-	NonIdempotent                       // must never run twice
+	Idempotent       Idempotency = iota // a request may run any number of times
+	IdempotencyKeyed                    // the endpoints of a KeyScope drop duplicates during KeyWindow
+	NonIdempotent                       // a request must not run twice
 )
 
-// KeyScope says which endpoints together drop duplicates of a request with an idempotency key.
+// KeyScope is the group of endpoints that share their record of idempotency keys, so that a
+// duplicate sent to any of them is dropped.
 type KeyScope int
 
-// The groups of endpoints, from wide to narrow.
+// The scopes, from wide to narrow.
 const (
 	KeyScopeAll  KeyScope = iota // all endpoints
 	KeyScopeZone                 // the endpoints of one zone
@@ -78,106 +80,107 @@
 	Name             string
 	Idempotency      Idempotency
 	KeyScope         KeyScope      // for IdempotencyKeyed
-	KeyWindow        time.Duration // for IdempotencyKeyed: how long duplicates are dropped, from the first send
-	LatencyObjective time.Duration // time within which a response is wanted
-
-	Work           string        // classes of one kind of work share their latency estimate; empty: Name
-	AttemptTimeout time.Duration // an attempt ends as TimedOut after this time; 0: with the request
-	MaxAttempts    int           // attempts allowed for a request, hedged ones included; 0: Settings.MaxAttempts
-	NeverRerun     bool          // no retry once the request may have run, even if it is idempotent
-	HedgeAfter     time.Duration // an Idempotent request without a response for this long is hedged; 0: never
-	HedgeQuantile  float64       // or after this quantile of latencies, once they are known; 0: HedgeAfter
-	QueueLimit     int           // requests that may wait for capacity; 0: any number, below 0: none
+	KeyWindow        time.Duration // for IdempotencyKeyed: how long after the first send duplicates are dropped
+	LatencyObjective time.Duration // time within which the client wants a response
+
+	Work           string        // classes with the same Work share one latency estimate; empty: Name
+	AttemptTimeout time.Duration // an attempt ends as TimedOut after this time; 0: at the request's deadline
+	MaxAttempts    int           // attempts allowed for a request, including hedged ones; 0: Settings.MaxAttempts
+	NeverRerun     bool          // no retry of a request that may have run, even if it is idempotent
+	HedgeAfter     time.Duration // an Idempotent request is hedged after this time without a response; 0: never
+	HedgeQuantile  float64       // or after this quantile of the class's latencies, once known; 0: HedgeAfter
+	QueueLimit     int           // requests that may wait for capacity; 0: no limit; negative: none
 }
 
-// Tenant is one of the parties whose requests the endpoints serve.
+// Tenant is a party whose requests count against one quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second within its quota, over all balancers of the tier
+	Quota float64 // requests per second, over all balancers of the tier
 }
 
-// Settings apply until Configure is called. Zero values are legal everywhere.
+// Settings are the settings of a Balancer until Configure replaces them. Each field may be zero.
 type Settings struct {
-	Seed       uint64 // spreads choices that would otherwise be the same in every balancer
-	Instances  int    // balancers that send to these endpoints, this one included
-	Index      int    // of this one among them, from 0; -1: not known
+	Seed       uint64 // seed of the random choices; differs between balancers so that they choose differently
+	Instances  int    // number of balancers that send to these endpoints, including this one
+	Index      int    // index of this balancer among them, from 0; -1: unknown
 	Tier       int    // number of tiers between the clients and this balancer
 	TiersBelow int    // number of tiers that the endpoints themselves depend on
 	Classes    []Class
 	Tenants    []Tenant
 
-	SubscribeRequired bool          // discovery reports nothing without a subscription
-	PollInterval      time.Duration // longest time between two polls of discovery without a subscription
+	SubscribeRequired bool          // service discovery reports nothing without a subscription
+	PollInterval      time.Duration // without a subscription: longest time between two polls of discovery
 
 	MaxAttempts   int           // attempts allowed for a request; 0: no limit
-	RetryBudget   RetryBudget   // attempts beyond the first, over all requests
+	RetryBudget   RetryBudget   // limits the attempts beyond the first, over all requests
 	CancelAllowed bool          // Host.Cancel may be called
-	MaxRetryAfter time.Duration // the longest Retry-After that clients honor; 0: it does not reach them
+	MaxRetryAfter time.Duration // longest Retry-After that clients honor; 0: Retry-After does not reach them
 
-	Resolution        time.Duration // how late events and timers may be
-	SlowStartCapacity float64       // share of its capacity that an endpoint starts with at least
-	SlowStartWindow   time.Duration // an endpoint has warmed up after this time at the latest
+	Resolution        time.Duration // longest delay of events and timers
+	SlowStartCapacity float64       // least share of its full capacity that an endpoint has when it starts
+	SlowStartWindow   time.Duration // time after which a started endpoint has warmed up at the latest
 
-	// SlowStartShare is the rate of sends to an endpoint that warms up, as a share of its capacity by
-	// then; 0: 1.5. Below 1, all balancers together stay within what the endpoint can take, whatever
-	// their number and the rate of requests.
+	// SlowStartShare scales the rate of requests to a warming endpoint: 1 is an even share of the
+	// traffic times the share of its capacity that the endpoint has by then. 0 means 1.5. Below 1, all
+	// balancers together stay within the endpoint's capacity, whatever their number and the rate of
+	// requests.
 	SlowStartShare float64
 }
 
-// State is the state of an endpoint by service discovery.
+// State is the state of an endpoint as reported by service discovery.
 type State int
 
 // The states of an endpoint.
 const (
-	Ready    State = iota // takes requests
-	Draining              // takes no new requests
-	Removed               // is no longer listed
+	Ready    State = iota // accepts requests
+	Draining              // accepts no new requests
+	Removed               // no longer listed
 )
 
-// Endpoint is an entry of discovery's list.
+// Endpoint is an entry of an endpoint list.
 type Endpoint struct {
 	ID      string
 	State   State
 	Zone    string
 	Kind    string        // endpoints of one kind have the same size and speed, as far as discovery knows
-	Cell    int           // endpoints of one cell share their record of idempotency keys
+	Cell    int           // see KeyScopeCell: the endpoints of one cell share their record of idempotency keys
 	Started time.Duration // instant of the latest start; 0: long ago
 }
 
-// EndpointList is a message from discovery.
+// EndpointList is a message from service discovery.
 type EndpointList struct {
-	Failed   bool // a poll failed or a subscription broke: nothing is known of endpoints
-	Complete bool // endpoints not listed are removed; otherwise only the listed ones have changed
+	Failed   bool // a poll or a subscription failed; the message says nothing about endpoints
+	Complete bool // endpoints that are not in Entries are removed; if false, they are unchanged
 	Entries  []Endpoint
-	Unlisted int // ready endpoints of other balancers that are not listed to this one
+	Unlisted int // ready endpoints that only other balancers get in their lists
 }
 
-// Request is a request of a client. It gets one final answer.
+// Request is a request from a client.
 type Request struct {
 	ID          string
 	Class       string
 	Tenant      string
 	Deadline    time.Duration // instant at which the client stops waiting
-	ClientRetry bool          // marked by the client as its own retry
-	Streamed    bool          // its body may take long to send: RequestWritten reports its end
+	ClientRetry bool          // the client has marked the request as a retry of its own
+	Streamed    bool          // the body may take long to send; the host reports its end with RequestWritten
 }
 
-// Result is how an attempt ended.
+// Result states how an attempt ended.
 type Result int
 
 // The results. Only Rejected, ConnectFailed and NotSent prove that the request did not run.
 const (
 	OK            Result = iota
 	Errored              // the endpoint answered with an error
-	Rejected             // the endpoint rejected the request without looking at it
-	TimedOut             // no response in time
+	Rejected             // the endpoint rejected the request without processing it
+	TimedOut             // no response within the timeout or before the deadline
 	ConnectFailed        // no connection was established
 	Reset                // the connection broke
-	Canceled             // ended by Cancel
-	NotSent              // the Send was not carried out
+	Canceled             // ended by Host.Cancel
+	NotSent              // the host did not carry out the Host.Send
 )
 
-// mayHaveRun reports whether an attempt with this result leaves it open that the request has run.
+// mayHaveRun reports whether the request may have run if an attempt ended with this result.
 func (r Result) mayHaveRun() bool { return r != Rejected && r != ConnectFailed && r != NotSent }
 
 // Outcome is the end of an attempt.
@@ -186,6 +189,6 @@
 	Attempt  int
 	Endpoint string
 	Result   Result
-	Latency  time.Duration // since the Send
-	Final    bool          // the request has its final answer
+	Latency  time.Duration // since Host.Send
+	Final    bool          // the client has its final answer, so that the request needs no further attempt
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,37 +1,36 @@
 package balancer
 
-// The Balancer type: the events that a host reports (api.go has the interface) and the actions that
-// follow. Each kind of decision has a file of its own; docs/design.md has the sources of the
-// policy.
+// The Balancer type, and how it sends requests and handles the end of their attempts. The interface
+// is in api.go, and each kind of decision is in a file of its own. docs/design.md has the sources
+// of the policy.
 //
-// A latency ratio is a latency over the baseline latency of requests like it. The weight of an
-// endpoint is its smoothed latency ratio. Its deficit is what it has been charged for the requests
-// that it got.
+// The latency ratio of a response is its latency divided by the baseline latency, without load, of
+// requests of the same kind of work. The weight of an endpoint is its smoothed latency ratio. The
+// deficit of an endpoint is the sum of the charges for the requests sent to it.
 
 import (
 	"math/rand/v2"
 	"time"
 )
 
-// Balancer decides for one instance of a service that sends requests to the endpoints. New returns
-// one.
+// Balancer balances the requests that one instance sends to a set of endpoints. New returns one.
 type Balancer struct {
-	settings Settings
-	host     Host
-	rng      *rand.Rand // the number of draws is part of the decisions
-	loggedAt map[LogKind]time.Duration
+	settings     Settings
+	host         Host
+	rng          *rand.Rand // actions depend on the number and the order of draws
+	lastLoggedAt map[LogKind]time.Duration
 
 	classSet
 	tenants tenantSet
 
 	endpointSet
-	wantedSubsetSize float64 // by the rate of requests
+	targetSubsetSize float64 // endpoints that the rate of requests calls for
 	subscription     subscription
 
 	requestSet
-	queue      []*request // waiting for capacity, in order of arrival
-	rate       rateEstimator
-	nextWakeUp time.Duration
+	queue        []*request // waiting for capacity, in order of arrival
+	requestRate  rateEstimator
+	nextWakeUpAt time.Duration
 
 	limiter     concurrencyLimiter
 	retryTokens retryBucket
@@ -39,17 +38,17 @@
 
 var _ Events = (*Balancer)(nil)
 
-// New returns a Balancer that starts at now and has learned nothing.
+// New returns a Balancer that starts at now, without learned state.
 func New(now time.Duration, s Settings, h Host) *Balancer {
 	b := &Balancer{
-		settings:    s,
-		host:        h,
-		rng:         rand.New(rand.NewPCG(s.Seed, 1)),
-		loggedAt:    map[LogKind]time.Duration{},
-		endpointSet: newEndpointSet(),
-		requestSet:  newRequestSet(),
-		rate:        rateEstimator{startedAt: now, updatedAt: now},
-		limiter:     newConcurrencyLimiter(),
+		settings:     s,
+		host:         h,
+		rng:          rand.New(rand.NewPCG(s.Seed, 1)),
+		lastLoggedAt: map[LogKind]time.Duration{},
+		endpointSet:  newEndpointSet(),
+		requestSet:   newRequestSet(),
+		requestRate:  rateEstimator{startedAt: now, updatedAt: now},
+		limiter:      newConcurrencyLimiter(),
 	}
 	b.applySettings(now, s)
 	if s.SubscribeRequired {
@@ -58,9 +57,9 @@
 	return b
 }
 
-// Configure replaces the settings, but for Seed and SubscribeRequired. All learned state stays:
-// that of classes and tenants by their names. A request in flight keeps the class that it came
-// with.
+// Configure replaces the settings, except Seed and SubscribeRequired. All learned state is kept;
+// classes and tenants are matched by name. Requests in flight keep the class settings with which
+// they arrived.
 func (b *Balancer) Configure(now time.Duration, s Settings) {
 	s.Seed = b.settings.Seed
 	s.SubscribeRequired = b.settings.SubscribeRequired
@@ -69,8 +68,8 @@
 	b.dispatchQueue(now)
 }
 
-// Outcome implements Events: the attempt's end is a sample of its endpoint, and the request may be
-// retried.
+// Outcome implements Events. It evaluates the endpoint by the attempt, and retries or answers the
+// request if the attempt was not successful.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	req := b.requests[o.ID]
 	a := req.attemptInFlight(o.Attempt)
@@ -95,7 +94,8 @@
 	b.dispatchQueue(now)
 }
 
-// dispatch sends a request to the endpoint selected, or queues it.
+// dispatch sends a request to the selected endpoint. If none can be selected, it queues the
+// request, or answers it if the operators have disabled all endpoints.
 func (b *Balancer) dispatch(now time.Duration, req *request) {
 	if !b.mustQueue(req) {
 		if e := b.selectForDispatch(now, req); e != nil {
@@ -103,14 +103,14 @@
 			return
 		}
 	}
-	if b.allDisabled() { // only the operators could end the wait
+	if b.allDisabled() { // waiting is of no use until an operator enables one
 		b.rejectOrFail(req, NoEndpoint)
 		return
 	}
 	b.enqueue(now, req)
 }
 
-// mustQueue reports whether a request has to wait behind others. Retries do not.
+// mustQueue reports whether a new request has to wait behind queued ones. Retries do not wait.
 func (b *Balancer) mustQueue(req *request) bool {
 	return !req.isRetry() && !req.queued && len(b.queue) > 0
 }
@@ -130,7 +130,7 @@
 		trial:        !e.active,
 	}
 	if req.Streamed {
-		a.stragglingAt = req.Deadline // its endpoint does not have all of it yet
+		a.stragglingAt = req.Deadline // until RequestWritten: the endpoint is still receiving the body
 	}
 	if e.active {
 		b.chargeDeficit(req, e)
@@ -142,7 +142,8 @@
 	b.host.Send(req.ID, e.ID, req.attemptTimeout(now))
 }
 
-// recordAttempt adds an attempt to its request, and times what may follow from it.
+// recordAttempt adds an attempt to its request, and schedules the hedged request and the check for
+// straggling.
 func (b *Balancer) recordAttempt(now time.Duration, req *request, a attempt) {
 	req.attempts = append(req.attempts, a)
 	req.queued = false
@@ -158,7 +159,7 @@
 }
 
 // rejectOrFail gives a request its final answer: a rejection if a retry by the client is harmless,
-// else a failure.
+// otherwise a failure.
 func (b *Balancer) rejectOrFail(req *request, reason Reason) {
 	if req.mayReject() {
 		b.host.Reject(req.ID, reason, min(b.jitter(rejectRetryAfter), b.settings.MaxRetryAfter))
@@ -168,7 +169,7 @@
 	b.closeRequest(req)
 }
 
-// outageReason returns NoEndpoint while no endpoint is ready, else no reason.
+// outageReason returns NoEndpoint if no endpoint is ready, otherwise no reason.
 func (b *Balancer) outageReason() Reason {
 	if b.readyCount == 0 {
 		return NoEndpoint
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -53,16 +53,16 @@
 
 // start counts an attempt from now on.
 func (l *concurrencyLimiter) start(a *attempt) {
-	if !a.countsToLimit {
-		a.countsToLimit = true
+	if !a.countsTowardLimit {
+		a.countsTowardLimit = true
 		l.inFlight++
 	}
 }
 
 // end no longer counts an attempt.
 func (l *concurrencyLimiter) end(a *attempt) {
-	if a.countsToLimit {
-		a.countsToLimit = false
+	if a.countsTowardLimit {
+		a.countsTowardLimit = false
 		l.inFlight--
 	}
 }
@@ -101,7 +101,7 @@
 	used := float64(b.limiter.inFlight + 1)
 	switch {
 	case isCongested && used > highUtilization*limit && now >= b.limiter.nextCutAt:
-		b.limiter.cut(used, threshold, b.endpointsPerInstance(b.fleetCount()))
+		b.limiter.cut(used, threshold, b.endpointsPerInstance(b.totalEndpointCount()))
 		b.limiter.nextCutAt = now + seconds(b.limiter.recentLatencyRatio*b.typicalLatency()/2)
 	case used+1 > limit:
 		b.limiter.grow(tolerated)
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -1,19 +1,19 @@
 package balancer
 
-// What is known of one endpoint. No decision is made in this file.
+// The state of one endpoint. No decision is made in this file.
 
 import "time"
 
-// endpoint is all that is known of one endpoint.
+// endpoint is a known endpoint: its entry in the endpoint list, and its state at this Balancer.
 type endpoint struct {
 	Endpoint
 	kind    *endpointKind
 	listing listing
 
-	active         bool // in the ordinary selection
+	active         bool // selected by deficit; inactive endpoints get only trials
 	inactiveReason InactiveReason
-	trial          trialSchedule // while not active
-	deficit        float64       // charges for the requests that it got
+	trial          trialSchedule // while inactive
+	deficit        float64       // charges for the requests sent to it, on top of endpointSet.deficitBaseFor
 	inFlight       int           // attempts in flight
 
 	samples    sampleMean
@@ -21,37 +21,38 @@
 	connection connectionHistory
 	slowStart  slowStart
 
-	inSubset       bool           // this instance sends to it
-	subsetIndex    int            // the lower one is selected first among equals
-	countedFailing bool           // counted in endpointSet.failingCount
-	heapIndexes    [heapSlots]int // in the heaps that it is in, from 1
+	inSubset       bool           // this instance sends requests to it
+	subsetIndex    int            // decides between endpoints that are otherwise equal: the lowest goes first
+	countedFailing bool           // included in endpointSet.failingCount
+	heapIndexes    [heapSlots]int // its position in each heap, from 1; 0: not in the heap
 }
 
-// weight returns the endpoint's weight: that of its kind, moved by the endpoint's own samples. A
-// quiet instance has so few samples of an endpoint that by these alone a slow machine would look
-// like one that got a few heavy requests.
+// weight returns the weight of the endpoint: the weight of its kind, adjusted by the endpoint's own
+// samples. These alone would not do at a low-traffic instance: they are so few that a slow machine
+// would look like one that got a few expensive requests.
 func (e *endpoint) weight() float64 { return e.samples.weight(e.kind.weight) }
 
-// startedAt returns when the endpoint began to warm up: at its latest start, or when the operators
-// enabled it, since it may have restarted while it was disabled.
+// startedAt returns the instant at which the endpoint began to warm up: the later of its latest
+// start and its latest Enable, since it may have restarted while it was disabled.
 func (e *endpoint) startedAt() time.Duration { return max(e.Started, e.slowStart.enabledAt) }
 
-// listing is what the endpoint lists have said of an endpoint.
+// listing is what the endpoint lists contained about an endpoint.
 type listing struct {
-	state     State // whatever the operators do
-	index     int   // among all endpoints that were ever listed
-	namedIn   int   // latest list version that named it
-	changedIn int   // latest list version that changed it
+	state            State // latest listed state, regardless of Disable
+	index            int   // order of the first listing among all endpoints
+	listedInVersion  int   // latest list version that had an entry for it
+	changedInVersion int   // latest list version that changed its entry or removed it
 }
 
-// sampleMean is a decaying mean of an endpoint's latency ratios, each over the weight of its kind.
+// sampleMean is a decaying mean of an endpoint's samples. A sample is a latency ratio divided by
+// the weight of the endpoint's kind.
 type sampleMean struct {
-	sum       float64       // of the samples, decayed
-	count     float64       // how many samples the sum is worth
+	sum       float64       // decayed sum of the samples
+	count     float64       // decayed number of the samples
 	updatedAt time.Duration // latest sample
 }
 
-// add adds a sample to the older ones, which decay.
+// add decays the earlier samples and adds a new one.
 func (m *sampleMean) add(now time.Duration, sample float64) {
 	gap := now - m.updatedAt
 	retained := max(min(decay(gap, sampleMemory), maxSampleRetention), decay(gap, minSampleMemory))
@@ -60,33 +61,35 @@
 	m.updatedAt = now
 }
 
-// restart replaces the samples by a single one.
+// restart replaces all samples with a single one.
 func (m *sampleMean) restart(now time.Duration, sample float64) {
 	*m = sampleMean{sum: sample, count: 1, updatedAt: now}
 }
 
-// weight returns the mean as a multiple of the kind's weight, which counts as priorSamples samples.
+// weight returns the mean of the samples times the kind's weight. The mean includes priorSamples
+// samples of 1, which stand for the kind's weight.
 func (m sampleMean) weight(kindWeight float64) float64 {
 	return kindWeight * (priorSamples + m.sum) / (priorSamples + m.count)
 }
 
-// outcomeHistory is the recent responses of an endpoint and the errors among them.
+// outcomeHistory counts the recent responses of an endpoint and the errors among them.
 type outcomeHistory struct {
 	outcomeCounts
 	updatedAt time.Duration // latest outcome
 }
 
-// trialSchedule is when an inactive endpoint gets its next trial.
+// trialSchedule determines when an inactive endpoint gets its next trial.
 type trialSchedule struct {
-	backoff  time.Duration // wait between trials
+	backoff  time.Duration // wait before the next trial, before jitter
 	nextAt   time.Duration
-	inFlight bool // the single trial is in flight
+	inFlight bool // a trial is in flight; there is at most one at a time
 }
 
-// isDue reports whether the next request may be the trial.
+// isDue reports whether the next request may be sent as a trial.
 func (s trialSchedule) isDue(now time.Duration) bool { return !s.inFlight && now >= s.nextAt }
 
-// remaining returns the time until the next trial, 0 once it is due, and -1 while one is in flight.
+// remaining returns the time until the next trial: 0 once it is due, and -1 while a trial is in
+// flight.
 func (s trialSchedule) remaining(now time.Duration) time.Duration {
 	if s.inFlight {
 		return -1
@@ -94,7 +97,7 @@
 	return max(s.nextAt-now, 0)
 }
 
-// connectionHistory is what an endpoint's connections have shown of its being up.
+// connectionHistory shows whether an endpoint is up, by its latest response and connection reset.
 type connectionHistory struct {
 	respondedAt time.Duration // latest response; 0: none
 	resetAt     time.Duration // latest connection reset; 0: none
@@ -103,9 +106,9 @@
 // isDown reports whether the endpoint has not responded since its latest reset.
 func (h connectionHistory) isDown() bool { return h.resetAt > h.respondedAt }
 
-// slowStart is the pace of the sends to an endpoint that warms up.
+// slowStart paces the requests to a warming endpoint.
 type slowStart struct {
 	enabledAt  time.Duration // latest Enable
-	nextSendAt time.Duration // next send
-	speedUp    float64       // times as often as the endpoint's capacity alone would allow
+	nextSendAt time.Duration // earliest instant of the next send
+	speedUp    float64       // factor by which sends are more frequent than its capacity alone allows
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,17 +1,17 @@
 package balancer
 
-// The endpoint list: how service discovery and the operators change it, and what changes with it.
+// Changes of the endpoint list, by service discovery and by the operators, and their effects.
 
 import (
 	"slices"
 	"time"
 )
 
-// minSubscribeBackoff is the least wait before Host.Subscribe is called again after a failure.
+// minSubscribeBackoff is the shortest wait before Host.Subscribe is called again after a failure.
 const minSubscribeBackoff = 500 * time.Millisecond
 
-// EndpointList implements Events. From the event that lists an endpoint as draining on, it gets no
-// new request.
+// EndpointList implements Events. An endpoint gets no new requests from the moment at which it is
+// listed as draining.
 func (b *Balancer) EndpointList(now time.Duration, l EndpointList) {
 	if l.Failed {
 		b.scheduleSubscribe(now)
@@ -22,8 +22,8 @@
 	b.applyEndpointList(now, l)
 }
 
-// scheduleSubscribe sets the time of the next Host.Subscribe after a failure: with jitter, and
-// within the poll interval.
+// scheduleSubscribe schedules the next Host.Subscribe after a failure, with jitter and within the
+// poll interval.
 func (b *Balancer) scheduleSubscribe(now time.Duration) {
 	if !b.settings.SubscribeRequired {
 		return
@@ -33,27 +33,27 @@
 	b.scheduleWakeUp(b.subscription.dueAt)
 }
 
-// subscription is the state of the subscription to discovery.
+// subscription is the state of the subscription to service discovery.
 type subscription struct {
-	dueAt   time.Duration // next Host.Subscribe; 0: none is due
-	backoff time.Duration // wait before it
+	dueAt   time.Duration // next Host.Subscribe; 0: none is scheduled
+	backoff time.Duration // wait before it, before jitter
 }
 
-// backOff doubles the backoff, up to a longest one.
+// backOff doubles the backoff, up to the given longest one.
 func (s *subscription) backOff(longest time.Duration) {
 	longest = max(longest, minSubscribeBackoff)
 	s.backoff = min(max(2*s.backoff, minSubscribeBackoff), longest)
 }
 
-// isDue reports whether Host.Subscribe is to be called by now.
+// isDue reports whether Host.Subscribe is due.
 func (s subscription) isDue(now time.Duration) bool { return s.dueAt > 0 && now >= s.dueAt }
 
-// applyEndpointList merges a list and adapts the subset, the slow start of what has started, and
-// the concurrency limit.
+// applyEndpointList merges a list, then updates the subset, the slow start of endpoints that are
+// new or have restarted, and the concurrency limit.
 func (b *Balancer) applyEndpointList(now time.Duration, l EndpointList) {
 	isFirst := b.listedCount == 0
 	changed, started := b.mergeEndpointList(l)
-	b.updateSubset(changed) // the times of trials depend on the size of the subset
+	b.updateSubset(changed) // first: the times of trials depend on the size of the subset
 	for _, e := range started {
 		if isFirst {
 			b.introduceFirstEndpoint(now, e)
@@ -62,21 +62,22 @@
 		}
 	}
 	if isFirst {
-		b.limiter.limit = b.concurrencyLimitFor(b.fleetCount())
+		b.limiter.limit = b.concurrencyLimitFor(b.totalEndpointCount())
 	}
 	b.scaleConcurrencyLimit()
 	b.dispatchQueue(now)
 }
 
-// Disable takes an endpoint out of service for the operators, whatever the list says. Its attempts
-// in flight go on.
+// Disable takes an endpoint out of service at the request of the operators, regardless of its
+// listed state. Its attempts in flight are not canceled.
 func (b *Balancer) Disable(now time.Duration, id string) {
 	b.disabled[id] = true
 	b.reapplyListedState(now, id)
 }
 
-// Enable ends Disable: the list applies to the endpoint again. It may have restarted meanwhile, so
-// it goes through slow start. Its trial is due at once, since the operators wait for its result.
+// Enable reverts Disable: the listed state of the endpoint applies again. The endpoint goes through
+// slow start, since it may have restarted while it was disabled. Its trial is due at once, since
+// the operators wait for the result.
 func (b *Balancer) Enable(now time.Duration, id string) {
 	if !b.disabled[id] {
 		return
@@ -91,8 +92,8 @@
 	b.reapplyListedState(now, id)
 }
 
-// reapplyListedState applies the listed state of an endpoint that the operators have disabled or
-// enabled.
+// reapplyListedState applies the listed state of an endpoint again after the operators have
+// disabled or enabled it.
 func (b *Balancer) reapplyListedState(now time.Duration, id string) {
 	if e := b.byID[id]; e != nil {
 		entry := e.Endpoint
@@ -101,7 +102,7 @@
 	}
 }
 
-// allDisabled reports whether the list has ready endpoints and the operators have disabled all of
+// allDisabled reports whether endpoints are listed as ready, but the operators have disabled all of
 // them.
 func (b *Balancer) allDisabled() bool {
 	return b.readyCount == 0 && slices.ContainsFunc(b.endpoints, func(e *endpoint) bool {
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	maxRemovedEndpoints = 16 // removed endpoints that are retained at most, besides as many as are listed
-	maxSortedInserts    = 64 // beyond so many changes, sorting all endpoints costs less than inserting each
+	maxRemovedEndpoints = 16 // removed endpoints that are retained, in addition to as many as are listed
+	maxSortedInserts    = 64 // with more changes, sorting all endpoints costs less than inserting each one
 )
 
-// endpointSet is the endpoints known, the subset of them that this instance sends to, and the heaps
-// in which the subset is searched.
+// endpointSet contains the known endpoints, the subset to which this instance sends requests, and
+// the heaps for selection from the subset.
 type endpointSet struct {
-	endpoints     []*endpoint // in order of insertion; removed ones are dropped now and then
+	endpoints     []*endpoint // in order of insertion; may contain removed ones, see dropRemoved
 	byID          map[string]*endpoint
 	kindByName    map[string]*endpointKind
 	kinds         []*endpointKind
-	disabled      map[string]bool // IDs that the operators have disabled, listed or not
+	disabled      map[string]bool // IDs that the operators have disabled; they need not be listed
 	listedCount   int             // endpoints that are not removed
-	readyCount    int             // endpoints that are neither draining nor removed
-	unlistedCount int             // ready endpoints that only other instances send to
-	listVersion   int             // counts the endpoint lists applied
+	readyCount    int             // endpoints that are neither draining, disabled nor removed
+	unlistedCount int             // ready endpoints that are listed only to other instances
+	listVersion   int             // number of endpoint lists applied
 
-	subset       []*endpoint   // endpoints that this instance sends to, unless all are
+	subset       []*endpoint   // endpoints that this instance sends to; nil if subsetIsAll
 	subsetIsAll  bool          // the subset is all ready endpoints
-	subsetSize   int           // endpoints in the subset
-	readyByKind  []*endpoint   // all ready endpoints, sorted, while the subset is a part of them
+	subsetSize   int           // number of endpoints in the subset
+	readyByKind  []*endpoint   // all ready endpoints, sorted by compareByKind; nil if subsetIsAll
 	activeHeap   endpointHeap  // active endpoints of the subset, by deficit
-	trialHeap    endpointHeap  // the others of the subset, by the time of their trial
-	deficitBase  float64       // deficit that counts as 0 in the subset
-	outcomes     outcomeCounts // of the subset's endpoints together
-	failingCount int           // endpoints of the subset that are ejected for failures
-	warming      []*endpoint   // endpoints whose next send may have to wait for nextSendAt
+	trialHeap    endpointHeap  // inactive endpoints of the subset, by the time of their next trial
+	deficitBase  float64       // deficit that counts as 0 for endpoints in the subset
+	outcomes     outcomeCounts // sum over the endpoints of the subset
+	failingCount int           // endpoints of the subset that are inactive as InactiveFailing
+	warming      []*endpoint   // endpoints whose next send may have to wait for slowStart.nextSendAt
 }
 
 // newEndpointSet returns an empty set.
@@ -50,8 +50,8 @@
 	}
 }
 
-// mergeEndpointList applies a list to the endpoints. It returns those that were changed or removed,
-// and of them those that are new or have restarted.
+// mergeEndpointList applies a list to the endpoints. It returns the endpoints that were added,
+// changed or removed, and those among them that are new or have restarted.
 func (s *endpointSet) mergeEndpointList(l EndpointList) (changed, started []*endpoint) {
 	s.listVersion++
 	for _, entry := range l.Entries {
@@ -67,11 +67,11 @@
 	if l.Complete {
 		changed = append(changed, s.markUnlistedRemoved()...)
 	}
-	s.forgetRemoved(changed)
+	s.dropRemoved(changed)
 	return changed, started
 }
 
-// endpointFor returns the endpoint with an ID, a new one if need be.
+// endpointFor returns the endpoint with an ID. It adds the endpoint if it is unknown.
 func (s *endpointSet) endpointFor(id string) *endpoint {
 	e := s.byID[id]
 	if e == nil {
@@ -86,15 +86,15 @@
 	return e
 }
 
-// entryMerge is what an entry of a list changes at its endpoint.
+// entryMerge states what the entry of a list has changed at its endpoint.
 type entryMerge struct {
-	isChanged bool // the entry differs from the one before
+	isChanged bool // the entry differs from the previous one
 	isStarted bool // the endpoint is new or has restarted
 }
 
 // mergeEntry applies an entry of a list to its endpoint.
 func (s *endpointSet) mergeEntry(e *endpoint, entry Endpoint) entryMerge {
-	e.listing.namedIn = s.listVersion
+	e.listing.listedInVersion = s.listVersion
 	e.listing.state = entry.State
 	if s.disabled[entry.ID] && entry.State == Ready {
 		entry.State = Draining
@@ -109,11 +109,11 @@
 	e.kind = s.kindFor(entry.Kind)
 	s.countState(e.State, entry.State)
 	e.Endpoint = entry
-	e.listing.changedIn = s.listVersion
+	e.listing.changedInVersion = s.listVersion
 	return merge
 }
 
-// kindFor returns the kind with a name, a new one if need be.
+// kindFor returns the kind with a name. It adds the kind if it is unknown.
 func (s *endpointSet) kindFor(name string) *endpointKind {
 	k := s.kindByName[name]
 	if k == nil {
@@ -124,22 +124,24 @@
 	return k
 }
 
-// markUnlistedRemoved marks the endpoints that a complete list did not name, and returns them.
+// markUnlistedRemoved marks the endpoints that are not in the latest, complete list as removed, and
+// returns them.
 func (s *endpointSet) markUnlistedRemoved() []*endpoint {
 	var removed []*endpoint
 	for _, e := range s.endpoints {
-		if e.listing.namedIn != s.listVersion && e.State != Removed {
+		if e.listing.listedInVersion != s.listVersion && e.State != Removed {
 			s.countState(e.State, Removed)
 			e.State = Removed
-			e.listing.changedIn = s.listVersion
+			e.listing.changedInVersion = s.listVersion
 			removed = append(removed, e)
 		}
 	}
 	return removed
 }
 
-// forgetRemoved drops removed endpoints: from the index at once, from the slice now and then.
-func (s *endpointSet) forgetRemoved(changed []*endpoint) {
+// dropRemoved deletes removed endpoints from byID at once, and from the slice of endpoints when
+// enough have accumulated.
+func (s *endpointSet) dropRemoved(changed []*endpoint) {
 	for _, e := range changed {
 		if e.State == Removed {
 			delete(s.byID, e.ID)
@@ -150,13 +152,13 @@
 	}
 }
 
-// countState updates the counts of listed and ready endpoints for a change of one endpoint's state.
+// countState updates the counts of listed and ready endpoints after one endpoint changed its state.
 func (s *endpointSet) countState(before, after State) {
 	s.addToCounts(before, -1)
 	s.addToCounts(after, 1)
 }
 
-// addToCounts adds a number of endpoints in a state to the counts.
+// addToCounts adds n endpoints in the given state to the counts of listed and ready endpoints.
 func (s *endpointSet) addToCounts(state State, n int) {
 	if state != Removed {
 		s.listedCount += n
@@ -166,16 +168,16 @@
 	}
 }
 
-// fleetCount returns how many endpoints there are for all instances together.
-func (s *endpointSet) fleetCount() int { return s.listedCount + s.unlistedCount }
+// totalEndpointCount returns the number of endpoints that all instances together send to.
+func (s *endpointSet) totalEndpointCount() int { return s.listedCount + s.unlistedCount }
 
-// addToSubset puts an endpoint into the subset at an index, with all that is counted there. It may
-// be in the subset already, at another index.
+// addToSubset puts an endpoint into the subset at an index, and adds it to the subset's counts. An
+// endpoint that is already in the subset only gets the new index.
 func (s *endpointSet) addToSubset(e *endpoint, index int) {
 	if !e.inSubset {
-		deficit := e.deficit - s.zeroDeficit(e)
+		deficit := e.deficit - s.deficitBaseFor(e)
 		e.inSubset = true
-		e.deficit = deficit + s.zeroDeficit(e)
+		e.deficit = deficit + s.deficitBaseFor(e)
 		s.subsetSize++
 		s.outcomes = s.outcomes.plus(e.outcomes.outcomeCounts)
 	}
@@ -183,13 +185,13 @@
 	s.updateHeaps(e)
 }
 
-// removeFromSubset takes an endpoint out of the subset, with all that is counted there. One that is
-// not in it stays out.
+// removeFromSubset takes an endpoint out of the subset and out of the subset's counts. It also
+// accepts endpoints that are not in the subset.
 func (s *endpointSet) removeFromSubset(e *endpoint) {
 	if e.inSubset {
-		deficit := e.deficit - s.zeroDeficit(e)
+		deficit := e.deficit - s.deficitBaseFor(e)
 		e.inSubset = false
-		e.deficit = deficit + s.zeroDeficit(e)
+		e.deficit = deficit + s.deficitBaseFor(e)
 		s.subsetSize--
 		s.outcomes = s.outcomes.minus(e.outcomes.outcomeCounts)
 	}
@@ -197,7 +199,8 @@
 	s.updateHeaps(e)
 }
 
-// updateMembership puts a ready endpoint into the subset of all, and takes another out.
+// updateMembership puts an endpoint into a subset of all ready endpoints if it is ready, and
+// otherwise takes it out.
 func (s *endpointSet) updateMembership(e *endpoint) {
 	if e.State == Ready {
 		s.addToSubset(e, e.listing.index)
@@ -206,10 +209,10 @@
 	}
 }
 
-// replaceSubset makes a part of the endpoints the subset.
+// replaceSubset replaces the subset with the given endpoints.
 func (s *endpointSet) replaceSubset(subset []*endpoint) {
 	const notInSubset = -1
-	for _, e := range s.subsetCandidates() { // the heaps go by indexes that are about to change
+	for _, e := range s.subsetCandidates() { // the heaps are ordered by indexes that are about to change
 		s.activeHeap.remove(e)
 		s.trialHeap.remove(e)
 		e.subsetIndex = notInSubset
@@ -229,7 +232,8 @@
 	}
 }
 
-// subsetCandidates returns endpoints among which are all of the subset, in its order.
+// subsetCandidates returns a list that contains all endpoints of the subset, in the subset's order,
+// and possibly others.
 func (s *endpointSet) subsetCandidates() []*endpoint {
 	if s.subsetIsAll {
 		return s.endpoints
@@ -237,17 +241,17 @@
 	return s.subset
 }
 
-// zeroDeficit returns the deficit that counts as 0. When it rises, all deficits of the subset drop
-// together; those of other endpoints stay.
-func (s *endpointSet) zeroDeficit(e *endpoint) float64 {
+// deficitBaseFor returns the deficit that counts as 0 for an endpoint. It is deficitBase in the
+// subset, so that raising deficitBase lowers all deficits of the subset at once, and 0 outside.
+func (s *endpointSet) deficitBaseFor(e *endpoint) float64 {
 	if e.inSubset {
 		return s.deficitBase
 	}
 	return 0
 }
 
-// updateHeaps moves an endpoint to where it belongs in all heaps. It must be called after any
-// change of what they are ordered by.
+// updateHeaps moves an endpoint to its right place in all heaps. It must be called after each
+// change of a value by which they are ordered.
 func (s *endpointSet) updateHeaps(e *endpoint) {
 	switch {
 	case !e.inSubset:
@@ -266,7 +270,8 @@
 	s.updateFailingCount(e)
 }
 
-// updateFailingCount counts an endpoint while it is ejected for failures.
+// updateFailingCount includes an endpoint in failingCount while it is in the subset and inactive as
+// InactiveFailing.
 func (s *endpointSet) updateFailingCount(e *endpoint) {
 	isFailing := e.inSubset && !e.active && e.inactiveReason == InactiveFailing
 	switch {
@@ -278,13 +283,13 @@
 	e.countedFailing = isFailing
 }
 
-// recordOutcome counts a response of an endpoint.
+// recordOutcome adds the outcome of a response to an endpoint's decaying counts.
 func (s *endpointSet) recordOutcome(now time.Duration, e *endpoint, outcome outcomeCounts) {
 	retained := decay(now-e.outcomes.updatedAt, outcomeMemory)
 	s.setOutcomes(now, e, e.outcomes.times(retained).plus(outcome))
 }
 
-// setOutcomes sets an endpoint's outcomes as of now, and the sum over the subset with them.
+// setOutcomes sets an endpoint's outcomes as of now, and updates the sum over the subset.
 func (s *endpointSet) setOutcomes(now time.Duration, e *endpoint, o outcomeCounts) {
 	if e.inSubset {
 		s.outcomes = s.outcomes.plus(o).minus(e.outcomes.outcomeCounts)
@@ -295,7 +300,7 @@
 // useAllEndpoints makes the subset all ready endpoints.
 func (s *endpointSet) useAllEndpoints(changed []*endpoint) {
 	if !s.subsetIsAll {
-		for _, e := range s.subset { // endpoints that are removed may no longer be in s.endpoints
+		for _, e := range s.subset { // endpoints that were removed may be missing in s.endpoints
 			s.updateMembership(e)
 		}
 		s.subsetIsAll = true
@@ -308,14 +313,14 @@
 	}
 }
 
-// updateReadyByKind brings the sorted list of ready endpoints up to date.
+// updateReadyByKind updates the sorted list of ready endpoints after the given ones have changed.
 func (s *endpointSet) updateReadyByKind(changed []*endpoint) {
 	if s.subsetIsAll || s.readyByKind == nil {
 		changed = s.endpoints
 	}
 	notReady := func(e *endpoint) bool { return e.State != Ready }
 	s.readyByKind = slices.DeleteFunc(s.readyByKind, func(e *endpoint) bool {
-		return notReady(e) || len(changed) > 0 && e.listing.changedIn == s.listVersion
+		return notReady(e) || len(changed) > 0 && e.listing.changedInVersion == s.listVersion
 	})
 	if len(changed) > maxSortedInserts {
 		s.readyByKind = append(s.readyByKind, changed...)
@@ -331,30 +336,30 @@
 	}
 }
 
-// compareByKind orders endpoints by kind, and those of one kind by their ID.
+// compareByKind orders endpoints by kind, and endpoints of the same kind by ID.
 func compareByKind(x, y *endpoint) int {
 	return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.ID, y.ID))
 }
 
-// hasActiveEndpoint reports whether an endpoint of the subset is active.
+// hasActiveEndpoint reports whether any endpoint of the subset is active.
 func (s *endpointSet) hasActiveEndpoint() bool { return len(s.activeHeap.endpoints) > 0 }
 
-// smallestActiveWeight returns the smallest weight of an active endpoint, 1 if there is none.
+// smallestActiveWeight returns the smallest weight of the active endpoints, 1 if there are none.
 func (s *endpointSet) smallestActiveWeight() float64 {
 	if !s.hasActiveEndpoint() {
 		return 1
 	}
-	least := math.Inf(1)
+	smallest := math.Inf(1)
 	for _, k := range s.kinds {
 		if len(k.activeByWeight.endpoints) > 0 {
-			least = min(least, k.activeByWeight.endpoints[0].weight())
+			smallest = min(smallest, k.activeByWeight.endpoints[0].weight())
 		}
 	}
-	return least
+	return smallest
 }
 
-// trackWarming records an endpoint whose next send may have to wait, so that queued requests wait
-// for it.
+// trackWarming records an endpoint whose next send may have to wait, so that a timer is set for it
+// while requests are queued.
 func (s *endpointSet) trackWarming(e *endpoint) {
 	if !slices.Contains(s.warming, e) {
 		s.warming = append(s.warming, e)
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -69,7 +69,7 @@
 }
 
 // TestSubsetMembershipMovesCountsAndDeficits checks that an endpoint's outcomes are counted while
-// it is in the subset, and that its deficit is kept relative to zeroDeficit.
+// it is in the subset, and that its deficit is kept relative to deficitBaseFor.
 func TestSubsetMembershipMovesCountsAndDeficits(t *testing.T) {
 	s := newEndpointSet()
 	changed, _ := s.mergeEndpointList(EndpointList{Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// StreamStarted implements Events. The response goes to the client from here on, and the request
-// has no time limit any more.
+// StreamStarted implements Events. From here on the host passes the response to the client, and the
+// request no longer has a time limit.
 func (b *Balancer) StreamStarted(now time.Duration, id string, n int) {
 	req := b.requests[id]
 	if a := req.attemptInFlight(n); a != nil {
@@ -24,8 +24,9 @@
 	}
 }
 
-// RequestWritten reports that the last byte of an attempt of a streamed request has been sent. The
-// endpoint's latency begins here: it does not include the time that sending the body took.
+// RequestWritten reports that the last byte of a streamed request has been sent in attempt n. The
+// endpoint's latency is measured from here, so that it does not include the time that sending the
+// body took.
 func (b *Balancer) RequestWritten(now time.Duration, id string, n int) {
 	req := b.requests[id]
 	a := req.attemptInFlight(n)
@@ -38,8 +39,8 @@
 	b.scheduleWakeUp(a.stragglingAt)
 }
 
-// CapDeadlines reports the latest instant at which an answer is of use: no request waits for
-// longer.
+// CapDeadlines limits the deadlines of all requests without a final answer to latest, after which
+// an answer would be of no use.
 func (b *Balancer) CapDeadlines(now, latest time.Duration) {
 	for _, req := range b.unanswered {
 		if req.Deadline > latest {
--- a/balancer/logevent.go
+++ b/balancer/logevent.go
@@ -1,30 +1,29 @@
 package balancer
 
-// Log events: what is logged of the decisions. No decision is made in this
-// file.
+// Log events: the decisions that are logged. No decision is made in this file.
 
 import (
 	"fmt"
 	"time"
 )
 
-// logInterval is the least time between two log events of one kind.
+// logInterval is the minimum time between two log events of the same kind.
 const logInterval = 10 * time.Second
 
-// LogKind says what a LogEvent reports.
+// LogKind is the kind of a LogEvent.
 type LogKind int
 
-// The kinds of log events, each with the field of LogEvent that it fills in.
+// The kinds of log events. Each names the field of LogEvent that is set.
 const (
-	EndpointUnresponsive LogKind = iota // an endpoint was ejected because it does not respond: Endpoint
-	CapacityExhausted                   // requests time out in the queue for capacity: QueuedRequests
+	EndpointUnresponsive LogKind = iota // an endpoint was ejected because it does not respond; sets Endpoint
+	CapacityExhausted                   // requests time out in the queue for capacity; sets QueuedRequests
 )
 
-// LogEvent is an event for the people on call. Events of one kind are logged at most once in 10
+// LogEvent is an event for the operators. Events of the same kind are logged at most once in 10
 // seconds.
 type LogEvent struct {
 	Kind           LogKind
-	Endpoint       string // its ID
+	Endpoint       string // ID of the endpoint
 	QueuedRequests int
 }
 
@@ -40,11 +39,11 @@
 	return fmt.Sprintf("LogKind(%d)", e.Kind)
 }
 
-// log passes an event to the host unless one of its kind was logged within logInterval.
+// log passes an event to the host unless one of the same kind was logged within logInterval.
 func (b *Balancer) log(now time.Duration, e LogEvent) {
-	if at, ok := b.loggedAt[e.Kind]; ok && now-at < logInterval {
+	if at, ok := b.lastLoggedAt[e.Kind]; ok && now-at < logInterval {
 		return
 	}
-	b.loggedAt[e.Kind] = now
+	b.lastLoggedAt[e.Kind] = now
 	b.host.Log(e)
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// attempt is one Host.Send.
+// attempt is an attempt of a request, started by one Host.Send.
 type attempt struct {
-	endpoint      *endpoint
-	startedAt     time.Duration // Host.Send
-	sentAt        time.Duration // the same, or when a streamed request was written
-	stragglingAt  time.Duration // when it counts as straggling
-	inFlight      bool          // no outcome yet
-	mayHaveRun    bool          // it ended, and the request may have run
-	trial         bool          // its endpoint was not active
-	straggling    bool          // has been in flight for longer than expected
-	streaming     bool          // its response is being streamed to the client
-	countsToLimit bool          // its endpoint has all of the request, and has not begun to respond
+	endpoint          *endpoint
+	startedAt         time.Duration // instant of Host.Send
+	sentAt            time.Duration // the same; for a streamed request, the instant of RequestWritten
+	stragglingAt      time.Duration // instant of the next check for straggling
+	inFlight          bool          // has no outcome yet
+	mayHaveRun        bool          // has ended, and the request may have run
+	trial             bool          // its endpoint was inactive when it was sent
+	straggling        bool          // was found to be straggling
+	streaming         bool          // its response is being streamed to the client
+	countsTowardLimit bool          // the endpoint has the whole request and has not begun to respond
 }
 
 // isPendingTrial reports whether the attempt is a trial whose endpoint is still inactive.
 func (a *attempt) isPendingTrial() bool { return a.trial && !a.endpoint.active }
 
-// request is a request with its attempts.
+// request is a request with its class and its attempts.
 type request struct {
 	Request
 	class           *class
 	arrivedAt       time.Duration
-	giveUpAt        time.Duration // a response after this is of no use
+	giveUpAt        time.Duration // a response after this instant would reach the client too late
 	attempts        []attempt
-	answered        bool          // has its final answer
-	queued          bool          // waits for capacity
-	hedgeAt         time.Duration // a hedged request is due; 0: none is
-	hedging         bool          // one is being sent
-	hedged          bool          // one was sent
-	unansweredIndex int           // in Balancer.unanswered
+	answered        bool          // the client has its final answer, or has disconnected
+	queued          bool          // is waiting in Balancer.queue
+	hedgeAt         time.Duration // instant at which a hedged request is due; 0: none is
+	hedging         bool          // a hedged request is being sent right now
+	hedged          bool          // a hedged request was sent
+	unansweredIndex int           // its index in requestSet.unanswered, until answered
 }
 
-// isRetry reports whether the next attempt of the request is not its first.
+// isRetry reports whether the next attempt of the request will not be its first.
 func (r *request) isRetry() bool { return len(r.attempts) > 0 }
 
-// attemptTimeout returns how long an attempt that is sent now may take.
+// attemptTimeout returns the timeout of an attempt that is sent at now.
 func (r *request) attemptTimeout(now time.Duration) time.Duration {
 	timeout := r.Deadline - now
 	if limit := r.class.AttemptTimeout; limit > 0 {
@@ -51,7 +51,7 @@
 	return max(timeout, time.Microsecond)
 }
 
-// attemptInFlight returns attempt n if it is in flight, else nil. The request may be nil.
+// attemptInFlight returns attempt n if it is in flight, otherwise nil. The request may be nil.
 func (r *request) attemptInFlight(n int) *attempt {
 	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].inFlight {
 		return nil
@@ -59,7 +59,7 @@
 	return &r.attempts[n]
 }
 
-// inFlight counts the attempts in flight.
+// inFlight returns the number of attempts in flight.
 func (r *request) inFlight() int {
 	n := 0
 	for i := range r.attempts {
@@ -70,30 +70,29 @@
 	return n
 }
 
-// wasSentTo reports whether an attempt went to the endpoint.
+// wasSentTo reports whether any attempt was sent to the endpoint.
 func (r *request) wasSentTo(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
 
-// requestSet is the requests without a final answer, or with an attempt in flight.
+// requestSet contains the requests that have no final answer or have an attempt in flight.
 type requestSet struct {
 	requests   map[string]*request
-	unanswered []*request // without a final answer, in no order
+	unanswered []*request // requests without a final answer, in no particular order
 }
 
 // newRequestSet returns an empty set.
 func newRequestSet() requestSet { return requestSet{requests: map[string]*request{}} }
 
-// openRequest records a new request.
+// openRequest adds a new request.
 func (s *requestSet) openRequest(req *request) {
 	req.unansweredIndex = len(s.unanswered)
 	s.requests[req.ID] = req
 	s.unanswered = append(s.unanswered, req)
 }
 
-// closeRequest marks a request as answered and cancels its attempts in flight, except for one that
-// streams. It forgets the request once none is in
-// flight.
+// closeRequest marks a request as answered and cancels its attempts in flight, except for one whose
+// response is being streamed. It removes the request once no attempt is in flight.
 func (b *Balancer) closeRequest(req *request) {
 	if !req.answered {
 		req.answered = true
@@ -110,7 +109,7 @@
 	}
 }
 
-// removeUnanswered removes a request from the unanswered ones. The last one gets its index.
+// removeUnanswered removes a request from unanswered and moves the last request to its index.
 func (s *requestSet) removeUnanswered(req *request) {
 	last := len(s.unanswered) - 1
 	moved := s.unanswered[last]
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -119,7 +119,7 @@
 	anyActive := false
 	active.visit(func(e *endpoint) bool {
 		anyActive = true
-		deficit := e.deficit - b.zeroDeficit(e)
+		deficit := e.deficit - b.deficitBaseFor(e)
 		if deficit > lowest {
 			return false
 		}
@@ -198,7 +198,7 @@
 	}
 	e.deficit += charge * b.expectedLatency(req) / b.typicalLatency()
 	b.updateHeaps(e)
-	b.raiseLowestDeficits(before - b.zeroDeficit(e) + b.deficitBase - maxDeficitLag*weight)
+	b.raiseLowestDeficits(before - b.deficitBaseFor(e) + b.deficitBase - maxDeficitLag*weight)
 }
 
 // raiseLowestDeficits raises the deficits of active endpoints that are below a floor: an endpoint
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -45,7 +45,7 @@
 	e.samples.sum = 0
 	e.samples.count = 0
 	e.slowStart.speedUp = 1
-	e.deficit = b.zeroDeficit(e) + b.rng.Float64()
+	e.deficit = b.deficitBaseFor(e) + b.rng.Float64()
 	if !b.isWarm(now, e) {
 		e.slowStart.nextSendAt = e.trial.nextAt
 		b.trackWarming(e)
@@ -123,8 +123,8 @@
 // same. A quiet instance goes by its slow rate: just after a request its recent rate is too high,
 // and many instances would send to an endpoint that is new to all at the same time.
 func (b *Balancer) sendInterval(now time.Duration) time.Duration {
-	slow := b.rate.slowPerSecond(now)
-	lower := min(b.rate.perSecond(now), slow)
+	slow := b.requestRate.slowPerSecond(now)
+	lower := min(b.requestRate.perSecond(now), slow)
 	return seconds(float64(b.subsetSize) / max(lower, min(slow, minFollowedRate)))
 }
 
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -72,9 +72,9 @@
 func (b *Balancer) LearnedState(now time.Duration) LearnedState {
 	l := LearnedState{
 		ConcurrencyLimit:   b.limiter.limit,
-		RecentRequests:     b.rate.recent * sampleDecay(now-b.rate.updatedAt),
-		SlowRecentRequests: b.rate.slow * decay(now-b.rate.updatedAt, slowRateMemory),
-		Age:                now - b.rate.startedAt,
+		RecentRequests:     b.requestRate.recent * sampleDecay(now-b.requestRate.updatedAt),
+		SlowRecentRequests: b.requestRate.slow * decay(now-b.requestRate.updatedAt, slowRateMemory),
+		Age:                now - b.requestRate.startedAt,
 	}
 	for _, e := range b.latencies {
 		if e.samples > 0 {
@@ -123,7 +123,7 @@
 	b.rescheduleFirstTrials(now)
 	b.restoreEndpoints(now, l.Endpoints, age)
 	if l.ConcurrencyLimit > 0 && areValid(l.ConcurrencyLimit) && b.limiter.inFlight == 0 {
-		b.limiter.limit = max(l.ConcurrencyLimit, b.endpointsPerInstance(b.fleetCount()))
+		b.limiter.limit = max(l.ConcurrencyLimit, b.endpointsPerInstance(b.totalEndpointCount()))
 	}
 }
 
@@ -163,12 +163,12 @@
 // restoreRate restores the rate of requests. Without it a successor would take itself for a very
 // quiet instance, and would delay the trials of new endpoints accordingly.
 func (b *Balancer) restoreRate(now time.Duration, l LearnedState, age time.Duration) {
-	if l.Age <= 0 || !areValid(l.RecentRequests, l.SlowRecentRequests) || now-b.rate.startedAt > l.Age {
+	if l.Age <= 0 || !areValid(l.RecentRequests, l.SlowRecentRequests) || now-b.requestRate.startedAt > l.Age {
 		return
 	}
-	b.rate.recent += l.RecentRequests * sampleDecay(age)
-	b.rate.slow += l.SlowRecentRequests * decay(age, slowRateMemory)
-	b.rate.startedAt = now - l.Age
+	b.requestRate.recent += l.RecentRequests * sampleDecay(age)
+	b.requestRate.slow += l.SlowRecentRequests * decay(age, slowRateMemory)
+	b.requestRate.startedAt = now - l.Age
 }
 
 // isValid reports whether a Balancer can have learned such numbers.
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -1,11 +1,11 @@
 package balancer
 
-// What a Balancer reports of its endpoints. No decision is made in this file.
+// The status of the endpoints, as a Balancer reports it. No decision is made in this file.
 
 import "time"
 
-// Counts returns how many endpoints are listed, and how many of the ready ones are not in the
-// ordinary selection: disabled by the operators, or inactive. Its cost does not grow with the list.
+// Counts returns the number of listed endpoints, and how many of those that are listed as ready get
+// no regular requests, for any InactiveReason. Its cost does not depend on the length of the list.
 func (b *Balancer) Counts() (listed, unselectable int) {
 	unselectable = b.readyCount - len(b.activeHeap.endpoints)
 	for id := range b.disabled {
@@ -20,13 +20,13 @@
 type EndpointStatus struct {
 	ID            string
 	State         State
-	Inactive      InactiveReason // empty for an endpoint in the ordinary selection
-	Weight        float64        // its smoothed latency ratio: latency over the baseline latency
+	Inactive      InactiveReason // why it gets no regular requests; empty: it does
+	Weight        float64        // smoothed latency ratio: latency divided by the baseline latency
 	Errors        float64        // share of recent outcomes that were errors
 	InFlight      int            // attempts in flight
-	CapacityShare float64        // least share of its capacity that it has
-	SinceResponse time.Duration  // since its latest response; below 0: no response yet
-	NextTrial     time.Duration  // until its trial, while inactive; below 0: its trial is in flight
+	CapacityShare float64        // share of its full capacity that it has at least; below 1 during slow start
+	SinceResponse time.Duration  // time since its latest response; below 0: no response yet
+	NextTrial     time.Duration  // while inactive: time until its next trial; below 0: a trial is in flight
 }
 
 // EndpointStatuses returns the status of all endpoints, in order of insertion.
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -1,7 +1,8 @@
 package balancer
 
-// Subsetting: which endpoints this instance sends to. Many quiet instances would otherwise send to
-// each endpoint too seldom to learn its latency, and open a connection for nearly every request.
+// Subsetting: which endpoints this instance sends to. Without it, each of many low-traffic
+// instances would send to each endpoint too seldom to learn its latency, and would open a
+// connection for nearly every request.
 
 import (
 	"math"
@@ -9,41 +10,42 @@
 )
 
 const (
-	// A subset is so large that this instance sends to each of its endpoints every subsetSendInterval,
-	// that each endpoint is in the subsets of minSubsetsPerEndpoint instances, and that it has
-	// minSubsetSize endpoints.
+	// A subset has as many endpoints as this instance can send one request each in
+	// subsetSendInterval, or more if needed for each endpoint to be in the subsets of
+	// minSubsetsPerEndpoint instances and for the subset to have minSubsetSize endpoints.
 	subsetSendInterval    = time.Second
 	minSubsetsPerEndpoint = 6.0
 	minSubsetSize         = 4.0
 
-	// The wanted size follows the rate of requests once that needs more than subsetGrowth times the
-	// size, or for less than subsetShrink times. Otherwise it would change with each request.
+	// The target size is updated only when the rate of requests calls for more than subsetGrowth
+	// times or less than subsetShrink times that size. Otherwise it would change with each request.
 	subsetGrowth = 1.5
 	subsetShrink = 0.5
 )
 
-// recordRequest counts a request and adapts the wanted size of the subset to the rate.
+// recordRequest counts a request and adapts the target size of the subset to the rate of requests.
 func (b *Balancer) recordRequest(now time.Duration) {
-	first := b.rate.recent == 0
-	b.rate.observe(now)
-	wanted := b.rate.perSecond(now) * subsetSendInterval.Seconds()
-	if wanted > subsetGrowth*b.wantedSubsetSize || wanted < subsetShrink*b.wantedSubsetSize {
-		b.wantedSubsetSize = wanted
+	isFirst := b.requestRate.recent == 0
+	b.requestRate.observe(now)
+	wanted := b.requestRate.perSecond(now) * subsetSendInterval.Seconds()
+	if wanted > subsetGrowth*b.targetSubsetSize || wanted < subsetShrink*b.targetSubsetSize {
+		b.targetSubsetSize = wanted
 		b.updateSubset(nil)
 	}
-	if first { // the lists before it could not time trials by the rate
+	if isFirst { // earlier endpoint lists had to schedule trials before the rate was known
 		b.rescheduleFirstTrials(now)
 	}
 }
 
-// updateSubset chooses the subset. Subsets are even steps through the list, sorted by kind and
-// begun at an offset by the instance's index: all endpoints are in as many subsets, and all subsets
-// have the same mix of kinds. The work depends on the number of endpoints changed.
+// updateSubset chooses the subset: endpoints at even steps through all ready ones, sorted by kind,
+// from an offset that depends on the instance's index. Each endpoint is then in about equally many
+// subsets, and all subsets have the same mix of kinds. The cost depends on the number of changed
+// endpoints.
 func (b *Balancer) updateSubset(changed []*endpoint) {
 	ready := float64(b.readyCount)
 	instances := float64(max(b.settings.Instances, 1))
-	even := minSubsetsPerEndpoint * (ready + float64(b.unlistedCount)) / instances
-	size := math.Floor(max(b.wantedSubsetSize, minSubsetSize, even))
+	coveringSize := minSubsetsPerEndpoint * (ready + float64(b.unlistedCount)) / instances
+	size := math.Floor(max(b.targetSubsetSize, minSubsetSize, coveringSize))
 	if 2*size >= ready {
 		b.useAllEndpoints(changed)
 		return
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -9,10 +9,10 @@
 
 // Timer implements Events. Timers cannot be canceled: one before the next wake-up is stale.
 func (b *Balancer) Timer(now time.Duration) {
-	if b.nextWakeUp == 0 || now < b.nextWakeUp {
+	if b.nextWakeUpAt == 0 || now < b.nextWakeUpAt {
 		return
 	}
-	b.nextWakeUp = 0
+	b.nextWakeUpAt = 0
 	b.runDueTimers(now)
 	if b.subscription.dueAt > 0 {
 		b.scheduleWakeUp(b.subscription.dueAt)
@@ -24,8 +24,8 @@
 
 // scheduleWakeUp makes sure that there is a Timer event by the given instant.
 func (b *Balancer) scheduleWakeUp(at time.Duration) {
-	if b.nextWakeUp == 0 || at < b.nextWakeUp {
-		b.nextWakeUp = at
+	if b.nextWakeUpAt == 0 || at < b.nextWakeUpAt {
+		b.nextWakeUpAt = at
 		b.host.Timer(at)
 	}
 }
--- a/balancer/trials.go
+++ b/balancer/trials.go
@@ -73,6 +73,6 @@
 		b.deficitBase = b.activeHeap.endpoints[0].deficit
 	}
 	e.active = true
-	e.deficit = b.zeroDeficit(e) + e.weight()
+	e.deficit = b.deficitBaseFor(e) + e.weight()
 	b.updateHeaps(e)
 }
