--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -9,7 +9,8 @@
 	"rowancart/balancer"
 )
 
-// Settings that no site has, such as negative ones, must leave every request with one final answer.
+// With settings that no deployment uses, such as negative numbers, each request must still get
+// exactly one final answer.
 func TestUnusualSettingsAreHarmless(t *testing.T) {
 	for name, s := range map[string]balancer.Settings{
 		"zero values": {},
@@ -27,16 +28,17 @@
 			for i := 1; i <= h.requestCount; i++ {
 				id := "r" + strconv.Itoa(i)
 				if answers := h.finalAnswers(id); len(answers) != 1 {
-					t.Errorf("%s has the answers %q", id, answers)
+					t.Errorf("request %s got the final answers %q, want exactly one", id, answers)
 				}
 			}
 		})
 	}
 }
 
-// When the host has to end, requests that would wait for longer get their answer by then: a
-// rejection if nothing can have run, else a failure. Attempts in flight are canceled. Requests with
-// an earlier deadline are left alone.
+// CapDeadlines is used when the host has to stop at a given instant. Requests with a later deadline
+// must be answered by then: with a rejection if a retry by the client is harmless, otherwise with a
+// failure. Their attempts in flight must be canceled. Requests with an earlier deadline must not be
+// affected.
 func TestCapDeadlinesEndsWaits(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(20*time.Second), "a")
 	idempotent, _ := h.request("read")
@@ -48,20 +50,20 @@
 		}
 	}
 	if len(queued) == 0 {
-		t.Fatal("nothing waits for capacity")
+		t.Fatal("no request is queued for capacity")
 	}
-	h.b.CapDeadlines(h.now, h.now+10*time.Second) // all of them have 5 s
+	h.b.CapDeadlines(h.now, h.now+10*time.Second) // no effect: all deadlines are in 5 s
 	at := h.now + time.Second
 	h.b.CapDeadlines(h.now, at)
 	h.advance(at - 2*ms - h.now)
 	if n := h.countActions("reject") + h.countActions("fail"); n != 0 {
-		t.Fatalf("%d requests were given up early: %q", n, h.actions)
+		t.Fatalf("%d requests were answered before the limit: %q", n, h.actions)
 	}
 	h.advance(2 * ms)
 	for _, want := range append([]string{"reject " + idempotent, "cancel " + idempotent + " 0", "fail " + nonIdempotent,
 		"cancel " + nonIdempotent + " 0"}, withPrefix("reject ", queued)...) {
 		if !slices.Contains(h.actions, want) {
-			t.Errorf("no %q in %q", want, h.actions)
+			t.Errorf("action %q is missing in %q", want, h.actions)
 		}
 	}
 }
@@ -74,16 +76,16 @@
 	return prefixed
 }
 
-// The latency of a streamed request is measured from the last byte of its body, which may take
-// seconds to send.
+// The latency of a streamed request is measured from the last byte of its body. If it included the
+// seconds that sending the body can take, the endpoint's weight would rise.
 func TestLatencyBeginsWithTheLastByteWritten(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b")
 	h.serve(40, evenLatency(10*ms, "a", "b"))
-	maxWeight := func() (most float64) {
+	maxWeight := func() (highest float64) {
 		for _, s := range h.b.EndpointStatuses(h.now) {
-			most = max(most, s.Weight)
+			highest = max(highest, s.Weight)
 		}
-		return most
+		return highest
 	}
 	before := maxWeight()
 	for range 10 {
@@ -95,16 +97,16 @@
 		h.finish(id, balancer.OK)
 	}
 	if after := maxWeight(); after > 1.5*before {
-		t.Errorf("weights rise from %v to %v", before, after)
+		t.Errorf("the highest weight rose from %v to %v, want at most 1.5 times as much", before, after)
 	}
 	id := h.requestStreamed("bill")
 	h.b.RequestWritten(h.now, id, 0)
 	h.advance(4 * time.Second)
 	for _, s := range h.b.EndpointStatuses(h.now) {
 		if s.ID == h.sentTo[id][0] && s.Inactive == "" {
-			t.Errorf("an endpoint that does not respond to a request with its body is active: %+v", s)
+			t.Errorf("the endpoint got the whole body and did not respond for 4 s, but is still active: %+v", s)
 		}
 	}
-	h.b.RequestWritten(h.now, "unknown", 0) // an unknown request has no effect
+	h.b.RequestWritten(h.now, "unknown", 0) // unknown requests and attempts have no effect
 	h.b.RequestWritten(h.now, id, 7)
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -28,8 +28,8 @@
 }
 
 // weight returns the weight of the endpoint: the weight of its kind, adjusted by the endpoint's own
-// samples. These alone would not do at a low-traffic instance: they are so few that a slow machine
-// would look like one that got a few expensive requests.
+// samples. A low-traffic instance has so few of these that, by them alone, a slow machine would
+// look like one that got a few expensive requests.
 func (e *endpoint) weight() float64 { return e.samples.weight(e.kind.weight) }
 
 // startedAt returns the instant at which the endpoint began to warm up: the later of its latest
@@ -39,7 +39,7 @@
 // listing is what the endpoint lists contained about an endpoint.
 type listing struct {
 	state            State // latest listed state, regardless of Disable
-	index            int   // order of the first listing among all endpoints
+	index            int   // sequence number, in the order of listing
 	listedInVersion  int   // latest list version that had an entry for it
 	changedInVersion int   // latest list version that changed its entry or removed it
 }
@@ -82,7 +82,7 @@
 type trialSchedule struct {
 	backoff  time.Duration // wait before the next trial, before jitter
 	nextAt   time.Duration
-	inFlight bool // a trial is in flight; there is at most one at a time
+	inFlight bool // a trial is in flight, so that none is due
 }
 
 // isDue reports whether the next request may be sent as a trial.
--- a/balancer/endpoint_test.go
+++ b/balancer/endpoint_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// A weight without samples is the kind's. With many it is the mean of the samples.
+// Without samples, the weight is the kind's weight. With many, it is the kind's weight times their
+// mean.
 func TestSampleMeanWeight(t *testing.T) {
 	var m sampleMean
 	if got := m.weight(1.5); got != 1.5 {
@@ -46,7 +47,7 @@
 	}
 }
 
-// Samples count less with the time and with the samples that have come since.
+// A sample counts less with time and with each later sample.
 func TestSampleMeanDecays(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -63,7 +64,7 @@
 			m.restart(time.Hour, 1)
 			m.add(time.Hour+c.gap, 1)
 			if !near(m.count, c.want, 1e-12) || m.sum != m.count || m.updatedAt != time.Hour+c.gap {
-				t.Errorf("%+v, want a count of %v", m, c.want)
+				t.Errorf("mean %+v, want the count %v, an equal sum and the time of the second sample", m, c.want)
 			}
 		})
 	}
@@ -73,7 +74,7 @@
 	m := sampleMean{sum: 40, count: 20, updatedAt: time.Minute}
 	m.restart(time.Hour, 2.5)
 	if m != (sampleMean{sum: 2.5, count: 1, updatedAt: time.Hour}) {
-		t.Errorf("%+v, want the one sample", m)
+		t.Errorf("mean %+v after restart, want only the one sample", m)
 	}
 }
 
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -9,8 +9,8 @@
 	"rowancart/balancer"
 )
 
-// Whatever the lists say, a disabled endpoint gets no new attempt: no first one, no trial and no
-// retry.
+// A disabled endpoint gets no new attempts, neither first ones nor retries nor trials, whatever
+// state the endpoint lists give it.
 func TestDisabledEndpointGetsNothingWhateverTheListSays(t *testing.T) {
 	ready := func(id string) balancer.Endpoint { return balancer.Endpoint{ID: id} }
 	for name, lists := range map[string][]balancer.EndpointList{
@@ -27,7 +27,7 @@
 			h := newHarness(t, testSettings(), "a", "b")
 			h.serve(20, evenLatency(10*ms, "a", "b"))
 			h.b.Disable(h.now, "a")
-			h.b.Disable(h.now, "a") // once more changes nothing
+			h.b.Disable(h.now, "a") // repeating it has no effect
 			for _, l := range lists {
 				h.advance(10 * ms)
 				h.b.EndpointList(h.now, l)
@@ -35,40 +35,40 @@
 			for i := range 20 {
 				id, _ := h.request("read")
 				h.advance(10 * ms)
-				if i%4 == 0 { // b fails: the retry and b's trial come later
+				if i%4 == 0 { // b fails; the retry and b's trial follow
 					h.finish(id, balancer.Reset)
 					h.advance(3 * time.Second)
 				}
 				h.finish(id, balancer.OK)
 				if slices.Contains(h.sentTo[id], "a") {
-					t.Fatalf("%s went to a disabled endpoint", id)
+					t.Fatalf("request %s was sent to the disabled endpoint", id)
 				}
 				if err := h.b.CheckIndex(); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if listed, unselectable := h.b.Counts(); listed != 2 || unselectable < 1 {
-				t.Errorf("%d listed, %d of them not selectable", listed, unselectable)
+				t.Errorf("%d endpoints listed and %d unselectable, want 2 and at least 1", listed, unselectable)
 			}
 			h.actions = nil
 			h.b.Enable(h.now, "a")
-			h.request("read") // or a queued one is sent there
+			h.request("read") // this one or a queued one is sent to a
 			if !slices.ContainsFunc(h.actions, func(action string) bool { return strings.HasSuffix(action, " a") }) {
-				t.Errorf("enabled again, it gets no request at once: %v", h.actions)
+				t.Errorf("the endpoint gets no request at once after it is enabled: %v", h.actions)
 			}
 		})
 	}
 }
 
-// A quiet instance must not delay the trial of an endpoint that is enabled again for a minute, and
-// must not overload the endpoint, which may have restarted.
+// A low-traffic instance must not delay the trial of an endpoint for a minute after the endpoint is
+// enabled again. It must not overload the endpoint either, which may have restarted.
 func TestEnabledEndpointHasItsTrialAtOnceAndWarmsUp(t *testing.T) {
 	s := testSettings()
 	s.Instances = 8
 	h := newHarness(t, s, "a", "b", "c", "d")
-	quiet := evenLatency(10*ms, "a", "b", "c", "d")
+	latencies := evenLatency(10*ms, "a", "b", "c", "d")
 	for range 30 {
-		h.serve(1, quiet)
+		h.serve(1, latencies)
 		h.advance(2 * time.Second)
 	}
 	h.b.Disable(h.now, "a")
@@ -76,18 +76,18 @@
 	h.b.Enable(h.now, "a")
 	first, ep := h.request("bill")
 	if ep != "a" {
-		t.Fatalf("the first request went to %s", ep)
+		t.Fatalf("the first request was sent to %q, want a", ep)
 	}
 	h.advance(10 * ms)
 	h.finish(first, balancer.OK)
-	for range 10 { // all at once
+	for range 10 { // at the same instant
 		if _, ep := h.request("read"); ep == "a" {
-			t.Error("a warming endpoint was sent a second request right after its first")
+			t.Error("the warming endpoint got a second request right after its first")
 		}
 	}
 	for _, status := range h.b.EndpointStatuses(h.now) {
 		if status.ID == "a" && status.CapacityShare > 0.5 {
-			t.Errorf("it counts as warm: %+v", status)
+			t.Errorf("the enabled endpoint skips slow start: %+v", status)
 		}
 	}
 }
@@ -99,20 +99,20 @@
 	h.b.Disable(h.now, "b")
 	rejected, ep := h.request("bill")
 	if ep != "" || h.countActions("reject "+rejected) != 1 {
-		t.Errorf("a new request: sent to %q, %v", ep, h.actions)
+		t.Errorf("a new request was sent to %q, want a rejection: %v", ep, h.actions)
 	}
-	h.finish(inFlight, balancer.OK) // attempts in flight go on
+	h.finish(inFlight, balancer.OK) // attempts in flight are not canceled
 	if n := h.countActions("cancel"); n != 0 {
-		t.Errorf("%d attempts canceled", n)
+		t.Errorf("%d attempts in flight were canceled", n)
 	}
 	h.b.Enable(h.now, "a")
 	if _, ep := h.request("read"); ep != "a" {
-		t.Errorf("with one enabled again, a request goes to %q", ep)
+		t.Errorf("after a was enabled, a request was sent to %q, want a", ep)
 	}
 
-	empty := newHarness(t, testSettings()) // nothing listed is not all disabled: an endpoint may still come
+	empty := newHarness(t, testSettings()) // an empty list differs: an endpoint may still be listed in time
 	if id, _ := empty.request("read"); empty.countActions("reject "+id) != 0 {
-		t.Error("rejected with none disabled")
+		t.Error("a request was rejected at once though no endpoint is listed or disabled")
 	}
 }
 
@@ -124,11 +124,11 @@
 	h.b.EndpointList(h.now, balancer.EndpointList{Failed: true})
 	h.advance(5 * time.Second)
 	if n := h.countActions("subscribe"); n != 2 {
-		t.Errorf("subscribed %d times, want 2", n)
+		t.Errorf("Subscribe was called %d times, want 2", n)
 	}
 }
 
-// Restored errors must still count after the first response.
+// Errors restored from learned state must not be dropped by the first responses.
 func TestRestoreOfErrors(t *testing.T) {
 	h := newHarnessOfInstance(t, 1, 2)
 	h.b.Restore(h.now, balancer.LearnedState{Endpoints: []balancer.LearnedEndpoint{{ID: "e00", Sum: 4, Samples: 4,
@@ -140,7 +140,7 @@
 	}
 	for _, e := range h.b.LearnedState(h.now).Endpoints {
 		if e.ID == "e00" && e.Errors < 1 {
-			t.Errorf("of two errors in four outcomes, %v are left after four responses", e.Errors)
+			t.Errorf("%v of two restored errors are left after four responses, want at least 1", e.Errors)
 		}
 	}
 }
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -16,8 +16,8 @@
 	return list
 }
 
-// TestMergeEndpointList checks what a merge counts, and which endpoints it reports as changed and
-// as started.
+// TestMergeEndpointList checks the counts of endpoints after a merge, and which endpoints the merge
+// reports as changed and as started.
 func TestMergeEndpointList(t *testing.T) {
 	s := newEndpointSet()
 	s.disabled["d"] = true
@@ -29,16 +29,17 @@
 	}{
 		{"the first list", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "d"}}},
 			[]string{"a", "b", "d"}, []string{"a", "b", "d"}, 3, 2},
-		{"the same again", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "d"}}},
+		{"the same list", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "d"}}},
 			[]string{}, []string{}, 3, 2},
 		{"a draining endpoint", EndpointList{Entries: []Endpoint{{ID: "b", State: Draining}}},
 			[]string{"b"}, []string{}, 3, 1},
 		{"a restart", EndpointList{Entries: []Endpoint{{ID: "b", Started: time.Second}}}, []string{"b"}, []string{"b"}, 3, 2},
 		{"another kind", EndpointList{Entries: []Endpoint{{ID: "b", Started: time.Second, Kind: "k"}}}, []string{"b"},
 			[]string{}, 3, 2},
-		{"a complete list without two", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}}}, []string{"b",
+		{"a complete list without b and d", EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}}}, []string{"b",
 			"d"}, []string{}, 1, 1},
-		{"one is listed again", EndpointList{Entries: []Endpoint{{ID: "b"}}}, []string{"b"}, []string{"b"}, 2, 2},
+		{"a removed endpoint is listed again", EndpointList{Entries: []Endpoint{{ID: "b"}}},
+			[]string{"b"}, []string{"b"}, 2, 2},
 	} {
 		changed, started := s.mergeEndpointList(step.list)
 		if got := ids(changed); !slices.Equal(got, step.changed) {
@@ -54,22 +55,24 @@
 	}
 }
 
-// TestRemovedEndpointsAreDropped checks that the set does not grow with endpoints that come and go.
+// TestRemovedEndpointsAreDropped checks that the set does not grow without limit when endpoints are
+// added and removed.
 func TestRemovedEndpointsAreDropped(t *testing.T) {
 	s := newEndpointSet()
 	for i := range 1000 {
 		s.mergeEndpointList(EndpointList{Complete: true, Entries: []Endpoint{{ID: strconv.Itoa(i)}}})
 	}
 	if n := len(s.endpoints); n > 2+maxRemovedEndpoints {
-		t.Errorf("%d endpoints are known where one is listed", n)
+		t.Errorf("the set retains %d endpoints though only one is listed", n)
 	}
 	if e := s.byID["999"]; len(s.byID) != 1 || e == nil || e.listing.index != 999 {
-		t.Errorf("by ID: %v", s.byID)
+		t.Errorf("byID is %v, want only endpoint 999 with index 999", s.byID)
 	}
 }
 
-// TestSubsetMembershipMovesCountsAndDeficits checks that an endpoint's outcomes are counted while
-// it is in the subset, and that its deficit is kept relative to deficitBaseFor.
+// TestSubsetMembershipMovesCountsAndDeficits checks that an endpoint's outcomes are included in the
+// subset's sum only while it is in the subset, and that its deficit relative to deficitBaseFor does
+// not change when it is moved.
 func TestSubsetMembershipMovesCountsAndDeficits(t *testing.T) {
 	s := newEndpointSet()
 	changed, _ := s.mergeEndpointList(EndpointList{Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}})
@@ -81,19 +84,19 @@
 	s.deficitBase = 10
 	s.replaceSubset([]*endpoint{b, a})
 	if s.subsetSize != 2 || s.outcomes != a.outcomes.outcomeCounts || a.deficit != 12 || a.subsetIndex != 1 {
-		t.Errorf("in the subset: size %d, outcomes %+v, deficit %v, index %d", s.subsetSize, s.outcomes, a.deficit,
+		t.Errorf("with a in the subset: size %d, outcomes %+v, deficit %v, index %d", s.subsetSize, s.outcomes, a.deficit,
 			a.subsetIndex)
 	}
 	if got := ids(s.activeHeap.endpoints); !slices.Equal(got, []string{"a"}) {
-		t.Errorf("active: %v", got)
+		t.Errorf("active endpoints %v, want [a]", got)
 	}
 	s.replaceSubset([]*endpoint{b})
 	if s.subsetSize != 1 || s.outcomes != (outcomeCounts{}) || a.deficit != 2 || a.inSubset ||
 		len(s.activeHeap.endpoints) != 0 {
-		t.Errorf("outside: size %d, outcomes %+v, deficit %v", s.subsetSize, s.outcomes, a.deficit)
+		t.Errorf("with a outside the subset: size %d, outcomes %+v, deficit %v", s.subsetSize, s.outcomes, a.deficit)
 	}
 	s.useAllEndpoints(nil)
 	if s.subsetSize != 3 || !s.subsetIsAll {
-		t.Errorf("all: size %d", s.subsetSize)
+		t.Errorf("with all endpoints in the subset: size %d, want 3", s.subsetSize)
 	}
 }
--- a/balancer/logevent_test.go
+++ b/balancer/logevent_test.go
@@ -24,12 +24,12 @@
 		{LogEvent{Kind: 7}, "LogKind(7)"},
 	} {
 		if got := c.event.String(); got != c.want {
-			t.Errorf("%+v: text %q, want %q", c.event, got, c.want)
+			t.Errorf("event %+v has the text %q, want %q", c.event, got, c.want)
 		}
 	}
 }
 
-// One event of each kind is passed on in an interval, whatever its fields.
+// At most one event of each kind is passed to the host in an interval, whatever its fields.
 func TestLogEventsAreLimitedByKind(t *testing.T) {
 	r := &logRecorder{}
 	b := New(0, Settings{}, r)
--- a/balancer/requests_test.go
+++ b/balancer/requests_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// checkUnanswered checks the unanswered requests of a set, and that each knows its index.
+// checkUnanswered checks the unanswered requests of a set and the index stored in each.
 func checkUnanswered(t *testing.T, s *requestSet, want ...string) {
 	t.Helper()
 	var got []string
 	for i, req := range s.unanswered {
 		if req.unansweredIndex != i {
-			t.Errorf("%s is at index %d, and its own index is %d", req.ID, i, req.unansweredIndex)
+			t.Errorf("request %s is at index %d, but its unansweredIndex is %d", req.ID, i, req.unansweredIndex)
 		}
 		got = append(got, req.ID)
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("unanswered: %v, want %v", got, want)
+		t.Errorf("unanswered requests %v, want %v", got, want)
 	}
 }
 
@@ -32,9 +32,9 @@
 	}
 	checkUnanswered(t, &s, "a", "b", "c")
 	if s.requests["b"] != b {
-		t.Errorf("by ID: %v", s.requests)
+		t.Errorf("request b is not stored by its ID: %v", s.requests)
 	}
-	s.removeUnanswered(a) // the last one gets its index
+	s.removeUnanswered(a) // the last one moves to its index
 	checkUnanswered(t, &s, "c", "b")
 	s.removeUnanswered(b)
 	checkUnanswered(t, &s, "c")
@@ -42,7 +42,8 @@
 	checkUnanswered(t, &s)
 }
 
-// cancelRecorder is a Host that records the attempts that are canceled.
+// cancelRecorder is a Host that records canceled attempts. Other calls panic, since the embedded
+// Host is nil.
 type cancelRecorder struct {
 	Host
 	canceled []int
@@ -50,8 +51,8 @@
 
 func (r *cancelRecorder) Cancel(_ string, n int) { r.canceled = append(r.canceled, n) }
 
-// A closed request is removed with the end of its last attempt. Attempts in flight are canceled,
-// but for one whose response is being streamed, and where canceling is not allowed.
+// A closed request is removed as soon as no attempt is in flight. If canceling is allowed, attempts
+// in flight are canceled, except for one whose response is being streamed.
 func TestCloseRequest(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -74,16 +75,16 @@
 			req.queued = true
 			b.openRequest(req)
 			b.closeRequest(req)
-			b.closeRequest(req) // once more changes nothing
+			b.closeRequest(req) // repeating it has no effect
 			if !req.answered || req.queued {
-				t.Errorf("answered: %v, queued: %v", req.answered, req.queued)
+				t.Errorf("closed request: answered %v, queued %v, want true and false", req.answered, req.queued)
 			}
 			if !slices.Equal(host.canceled, c.canceled) {
-				t.Errorf("canceled %v, want %v", host.canceled, c.canceled)
+				t.Errorf("canceled attempts %v, want %v", host.canceled, c.canceled)
 			}
 			checkUnanswered(t, &b.requestSet)
 			if kept := b.requests["r"] != nil; kept != c.kept {
-				t.Errorf("still known: %v, want %v", kept, c.kept)
+				t.Errorf("request kept: %v, want %v", kept, c.kept)
 			}
 		})
 	}
@@ -105,7 +106,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.req.attemptInFlight(c.n); got != c.want {
-				t.Errorf("attempt %p, want %p", got, c.want)
+				t.Errorf("got attempt %p, want %p", got, c.want)
 			}
 		})
 	}
@@ -114,9 +115,9 @@
 func TestRequestAttemptTimeout(t *testing.T) {
 	const now = time.Hour
 	for _, c := range []struct {
-		name              string
-		untilDeadline, of time.Duration // the request's deadline, the class's attempt timeout
-		want              time.Duration
+		name                        string
+		untilDeadline, classTimeout time.Duration // time until the deadline; AttemptTimeout of the class
+		want                        time.Duration
 	}{
 		{"to the deadline", time.Second, 0, time.Second},
 		{"the class's timeout", time.Second, 300 * time.Millisecond, 300 * time.Millisecond},
@@ -126,7 +127,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			req := newTestRequest("r")
 			req.Deadline = now + c.untilDeadline
-			req.class.AttemptTimeout = c.of
+			req.class.AttemptTimeout = c.classTimeout
 			if got := req.attemptTimeout(now); got != c.want {
 				t.Errorf("timeout %v, want %v", got, c.want)
 			}
@@ -138,7 +139,7 @@
 	for result, want := range map[Result]bool{OK: true, Errored: true, Rejected: false, TimedOut: true,
 		ConnectFailed: false, Reset: true, Canceled: true, NotSent: false} {
 		if got := result.mayHaveRun(); got != want {
-			t.Errorf("result %v may have run: %v, want %v", result, got, want)
+			t.Errorf("mayHaveRun of result %v is %v, want %v", result, got, want)
 		}
 	}
 }
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -15,16 +15,16 @@
 	}
 	var short subscription
 	if short.backOff(0); short.backoff != minSubscribeBackoff {
-		t.Errorf("backoff %v where the poll interval is shorter, want %v", short.backoff, minSubscribeBackoff)
+		t.Errorf("backoff is %v with a longest backoff of 0, want %v", short.backoff, minSubscribeBackoff)
 	}
 }
 
 func TestSubscriptionIsDue(t *testing.T) {
 	if (subscription{}).isDue(time.Hour) {
-		t.Error("due though none was scheduled")
+		t.Error("Subscribe is due though none was scheduled")
 	}
 	s := subscription{dueAt: time.Minute}
 	if s.isDue(time.Minute-1) || !s.isDue(time.Minute) {
-		t.Error("not due from its time on")
+		t.Error("Subscribe is due before dueAt, or not due at dueAt")
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -10,47 +10,48 @@
 	"rowancart/balancer"
 )
 
-// subsetUsage is which endpoints the instances of a fleet use.
+// subsetUsage counts the endpoints that instances use, and the instances that use each endpoint.
 type subsetUsage struct {
-	instances    map[string]int // that use an endpoint, by its ID
-	fewest, most int            // endpoints that one instance uses
+	instances    map[string]int // number of instances that use an endpoint, by endpoint ID
+	fewest, most int            // number of endpoints that a single instance uses
 }
 
-// measureSubsets returns which endpoints instances use that have one request a second each.
+// measureSubsets returns the endpoint usage of instances that have one request per second each.
 func measureSubsets(t *testing.T, instances, endpoints int) subsetUsage {
 	names := []string{}
 	for i := range endpoints {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
 	usage := subsetUsage{instances: map[string]int{}, fewest: endpoints}
-	for c := range instances {
+	for index := range instances {
 		s := testSettings()
 		s.Instances = instances
-		s.Index = c
+		s.Index = index
 		h := newHarness(t, s, names...)
-		own := map[string]bool{}
+		used := map[string]bool{}
 		for range 40 {
 			id, ep := h.request("read")
-			own[ep] = true
+			used[ep] = true
 			h.advance(50 * ms)
 			h.finish(id, balancer.OK)
 			h.advance(950 * ms)
 		}
-		for ep := range own {
+		for ep := range used {
 			usage.instances[ep]++
 		}
-		usage.fewest = min(usage.fewest, len(own))
-		usage.most = max(usage.most, len(own))
+		usage.fewest = min(usage.fewest, len(used))
+		usage.most = max(usage.most, len(used))
 	}
 	return usage
 }
 
-// In runs at full size, 420 instances with two requests a second each sent to each of 80 servers
-// every 40 s: none noticed that a server slowed down, and nearly every request opened a connection.
-func TestManyQuietInstancesUseSubsets(t *testing.T) {
+// In full-size runs without subsets, 420 instances with two requests per second each sent to each
+// of 80 servers only every 40 s. None of them noticed that a server slowed down, and nearly every
+// request opened a connection.
+func TestManyLowTrafficInstancesUseSubsets(t *testing.T) {
 	usage := measureSubsets(t, 200, 60)
 	if usage.fewest < 4 || usage.most > 12 {
-		t.Errorf("instances use %d to %d of 60 endpoints", usage.fewest, usage.most)
+		t.Errorf("instances use %d to %d of 60 endpoints each, want 4 to 12", usage.fewest, usage.most)
 	}
 	lowest, highest := 200, 0
 	for _, n := range usage.instances {
@@ -58,37 +59,38 @@
 		highest = max(highest, n)
 	}
 	if len(usage.instances) < 60 || float64(highest) > 1.3*float64(lowest) {
-		t.Errorf("%d endpoints are in use, by %d to %d instances", len(usage.instances), lowest, highest)
+		t.Errorf("%d of 60 endpoints are used, by %d to %d instances each", len(usage.instances), lowest, highest)
 	}
 }
 
-// With few instances, one subset more or less with an endpoint would be an imbalance of its own.
+// With few instances, each endpoint would be in few subsets, and a difference of a single subset
+// between two endpoints would unbalance their load.
 func TestFewInstancesUseAllEndpoints(t *testing.T) {
 	usage := measureSubsets(t, 6, 12)
 	if len(usage.instances) != 12 || usage.fewest != 12 {
-		t.Errorf("an instance among few uses %d of 12 endpoints, all together %d", usage.fewest, len(usage.instances))
+		t.Errorf("an instance uses only %d of 12 endpoints, all together %d", usage.fewest, len(usage.instances))
 	}
 }
 
-// Sixteen instances with one request a second each could spread over all of 32 endpoints, and
-// send to each twice a minute. With twelve each they have enough samples, and every endpoint
-// still is in as many subsets as the others, so that none depends on one instance.
-func TestQuietInstancesUseFewerEndpointsMoreOften(t *testing.T) {
+// If sixteen instances with one request per second each used all of 32 endpoints, each would send
+// to an endpoint only twice a minute. With twelve endpoints each, they get enough samples, and all
+// endpoints are still in about equally many subsets, so that none depends on a single instance.
+func TestLowTrafficInstancesUseFewerEndpointsMoreOften(t *testing.T) {
 	usage := measureSubsets(t, 16, 32)
 	if usage.fewest < 10 || usage.most > 13 {
-		t.Errorf("instances use %d to %d of 32 endpoints", usage.fewest, usage.most)
+		t.Errorf("instances use %d to %d of 32 endpoints each, want 10 to 13", usage.fewest, usage.most)
 	}
 	for ep, n := range usage.instances {
 		if n < 4 || n > 8 {
-			t.Errorf("%d instances use %s", n, ep)
+			t.Errorf("%d instances use endpoint %s, want 4 to 8", n, ep)
 		}
 	}
 	if len(usage.instances) < 32 {
-		t.Errorf("only %d endpoints are in use", len(usage.instances))
+		t.Errorf("only %d of 32 endpoints are used", len(usage.instances))
 	}
 }
 
-// listOf returns a list of endpoints in one state.
+// listOf returns an endpoint list that gives all endpoints the same state.
 func listOf(state balancer.State, ids ...string) (l balancer.EndpointList) {
 	for _, id := range ids {
 		l.Entries = append(l.Entries, balancer.Endpoint{ID: id, State: state})
@@ -96,13 +98,13 @@
 	return l
 }
 
-// After each sequence of lists, requests come at one of thirteen instances, and every request that
-// an endpoint could serve is sent.
+// After each sequence of unusual endpoint lists, one of thirteen instances must send each request
+// to an endpoint that is listed and ready, and must not reject any.
 func TestUnusualListsOfALargeFleet(t *testing.T) {
 	many := endpointIDs(1000)
 	for name, c := range map[string]struct {
 		lists  []balancer.EndpointList
-		listed []string // in the end
+		listed []string // ready endpoints after all lists
 	}{
 		"none, then all again": {[]balancer.EndpointList{{Complete: true}, listOf(balancer.Ready,
 			endpointIDs(16)...)}, endpointIDs(16)},
@@ -116,18 +118,18 @@
 			endpointIDs(16)},
 	} {
 		for _, gap := range []time.Duration{100 * ms, 10 * time.Second} {
-			t.Run(fmt.Sprintf("%s, a request each %v", name, gap), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, a request every %v", name, gap), func(t *testing.T) {
 				h := newHarnessOfInstance(t, 13, 16)
-				requestEach(h, gap, 20)
+				makeRequests(h, gap, 20)
 				for _, l := range c.lists {
 					h.b.EndpointList(h.now, l)
 				}
 				rejected := h.countActions("reject")
 				before := h.requestCount
-				requestEach(h, gap, 20)
+				makeRequests(h, gap, 20)
 				for n := before + 1; n <= h.requestCount; n++ {
 					if to := h.sentTo[fmt.Sprint("r", n)]; len(to) == 0 || !slices.Contains(c.listed, to[0]) {
-						t.Errorf("request %d went to %v", n-before, to)
+						t.Errorf("request %d was sent to %v, want a listed endpoint", n-before, to)
 					}
 				}
 				if n := h.countActions("reject") - rejected; n > 0 {
@@ -141,8 +143,8 @@
 	}
 }
 
-// requestEach makes n requests with a gap after each, and finishes those that are sent.
-func requestEach(h *harness, gap time.Duration, n int) {
+// makeRequests makes n requests with a gap after each, and finishes those that are sent at once.
+func makeRequests(h *harness, gap time.Duration, n int) {
 	for range n {
 		id, ep := h.request("read")
 		if h.advance(100 * ms); ep != "" {
