--- a/balancer/api.go
+++ b/balancer/api.go
@@ -3,9 +3,9 @@
 //
 // The package has no transport, no clock and no goroutine. These belong to a host, such as a
 // sidecar, a proxy or a test. The host creates a Balancer with New and reports events through the
-// methods of Events. The Balancer calls the methods of Host from within those methods; the host
-// carries out these actions in the order of the calls. Host methods must not call back into the
-// Balancer. A Balancer is not safe for concurrent use.
+// methods of Events and RequestWritten. The Balancer calls the methods of Host only from within New
+// and its own methods; the host carries out these actions in the order of the calls. Host methods
+// must not call back into the Balancer. A Balancer is not safe for concurrent use.
 //
 // An instant is the reading of a monotonic clock, as a time.Duration since an arbitrary zero. The
 // same settings and the same events at the same instants result in the same actions.
@@ -87,9 +87,9 @@
 	AttemptTimeout time.Duration // an attempt ends as TimedOut after this time; 0: at the request's deadline
 	MaxAttempts    int           // attempts allowed for a request, including hedged ones; 0: Settings.MaxAttempts
 	NeverRerun     bool          // no retry of a request that may have run, even if it is idempotent
-	HedgeAfter     time.Duration // an Idempotent request is hedged after this time without a response; 0: never
-	HedgeQuantile  float64       // or after this quantile of the class's latencies, once known; 0: HedgeAfter
-	QueueLimit     int           // requests that may wait for capacity; 0: no limit; negative: none
+	HedgeAfter     time.Duration // time without a response until an Idempotent request is hedged; 0: see HedgeQuantile
+	HedgeQuantile  float64       // replaces HedgeAfter by this quantile of the class's latencies, once known; 0: not used
+	QueueLimit     int           // requests that may wait for capacity; 0: no limit; below 0: no request may wait
 }
 
 // Tenant is a party whose requests count against one quota.
@@ -98,7 +98,8 @@
 	Quota float64 // requests per second, over all balancers of the tier
 }
 
-// Settings are the settings of a Balancer until Configure replaces them. Each field may be zero.
+// Settings are the settings of a Balancer. Configure replaces them, except Seed and
+// SubscribeRequired. Each field may be zero.
 type Settings struct {
 	Seed       uint64 // seed of the random choices; differs between balancers so that they choose differently
 	Instances  int    // number of balancers that send to these endpoints, including this one
@@ -122,8 +123,8 @@
 
 	// SlowStartShare scales the rate of requests to a warming endpoint: 1 is an even share of the
 	// traffic times the share of its capacity that the endpoint has by then. 0 means 1.5. Below 1, all
-	// balancers together stay within the endpoint's capacity, whatever their number and the rate of
-	// requests.
+	// balancers together stay within the capacity that the endpoint has by then, whatever their number
+	// and the rate of requests.
 	SlowStartShare float64
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -4,9 +4,10 @@
 // is in api.go, and each kind of decision is in a file of its own. docs/design.md has the sources
 // of the policy.
 //
-// The latency ratio of a response is its latency divided by the baseline latency, without load, of
-// requests of the same kind of work. The weight of an endpoint is its smoothed latency ratio. The
-// deficit of an endpoint is the sum of the charges for the requests sent to it.
+// The latency ratio of a response is its latency divided by the baseline latency, which is the
+// latency without load of requests of the same kind of work. The weight of an endpoint is its
+// smoothed latency ratio. The deficit of an endpoint is the sum of the charges for the requests
+// sent to it.
 
 import (
 	"math/rand/v2"
@@ -28,7 +29,7 @@
 	subscription     subscription
 
 	requestSet
-	queue        []*request // waiting for capacity, in order of arrival
+	queue        []*request // requests waiting for an endpoint, in the order in which they were queued
 	requestRate  rateEstimator
 	nextWakeUpAt time.Duration
 
@@ -68,8 +69,9 @@
 	b.dispatchQueue(now)
 }
 
-// Outcome implements Events. It evaluates the endpoint by the attempt, and retries or answers the
-// request if the attempt was not successful.
+// Outcome implements Events. It takes the end of the attempt as a sample of its endpoint, unless
+// the response was already being streamed. If the attempt failed, the request has no final answer
+// and none of its attempts is in flight, it retries or answers the request.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	req := b.requests[o.ID]
 	a := req.attemptInFlight(o.Attempt)
@@ -94,8 +96,9 @@
 	b.dispatchQueue(now)
 }
 
-// dispatch sends a request to the selected endpoint. If none can be selected, it queues the
-// request, or answers it if the operators have disabled all endpoints.
+// dispatch sends a request to the selected endpoint. If there is none, or if the request has to
+// wait behind queued ones, it queues the request. It answers the request at once if the operators
+// have disabled all endpoints, or if the queue limit of its class is reached.
 func (b *Balancer) dispatch(now time.Duration, req *request) {
 	if !b.mustQueue(req) {
 		if e := b.selectForDispatch(now, req); e != nil {
@@ -110,7 +113,8 @@
 	b.enqueue(now, req)
 }
 
-// mustQueue reports whether a new request has to wait behind queued ones. Retries do not wait.
+// mustQueue reports whether a new request has to wait behind queued ones. Retries do not wait for
+// others.
 func (b *Balancer) mustQueue(req *request) bool {
 	return !req.isRetry() && !req.queued && len(b.queue) > 0
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -80,7 +80,7 @@
 
 // trialSchedule determines when an inactive endpoint gets its next trial.
 type trialSchedule struct {
-	backoff  time.Duration // wait before the next trial, before jitter
+	backoff  time.Duration // wait before the next trial, without jitter
 	nextAt   time.Duration
 	inFlight bool // a trial is in flight, so that none is due
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// minSubscribeBackoff is the shortest wait before Host.Subscribe is called again after a failure.
+// minSubscribeBackoff is the smallest backoff, without jitter, between a failure and the next
+// Host.Subscribe.
 const minSubscribeBackoff = 500 * time.Millisecond
 
 // EndpointList implements Events. An endpoint gets no new requests from the moment at which it is
@@ -22,8 +23,8 @@
 	b.applyEndpointList(now, l)
 }
 
-// scheduleSubscribe schedules the next Host.Subscribe after a failure, with jitter and within the
-// poll interval.
+// scheduleSubscribe schedules the next Host.Subscribe after a failure, with jitter. The backoff is
+// at most half the poll interval, but not below minSubscribeBackoff.
 func (b *Balancer) scheduleSubscribe(now time.Duration) {
 	if !b.settings.SubscribeRequired {
 		return
@@ -36,10 +37,10 @@
 // subscription is the state of the subscription to service discovery.
 type subscription struct {
 	dueAt   time.Duration // next Host.Subscribe; 0: none is scheduled
-	backoff time.Duration // wait before it, before jitter
+	backoff time.Duration // wait until dueAt, without jitter
 }
 
-// backOff doubles the backoff, up to the given longest one.
+// backOff doubles the backoff, up to longest, but not below minSubscribeBackoff.
 func (s *subscription) backOff(longest time.Duration) {
 	longest = max(longest, minSubscribeBackoff)
 	s.backoff = min(max(2*s.backoff, minSubscribeBackoff), longest)
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -52,7 +52,7 @@
 			}
 			h.actions = nil
 			h.b.Enable(h.now, "a")
-			h.request("read") // this one or a queued one is sent to a
+			h.request("read") // this request or a queued one is sent to endpoint a
 			if !slices.ContainsFunc(h.actions, func(action string) bool { return strings.HasSuffix(action, " a") }) {
 				t.Errorf("the endpoint gets no request at once after it is enabled: %v", h.actions)
 			}
@@ -76,7 +76,7 @@
 	h.b.Enable(h.now, "a")
 	first, ep := h.request("bill")
 	if ep != "a" {
-		t.Fatalf("the first request was sent to %q, want a", ep)
+		t.Fatalf("the first request was sent to %q, want endpoint a", ep)
 	}
 	h.advance(10 * ms)
 	h.finish(first, balancer.OK)
@@ -107,12 +107,12 @@
 	}
 	h.b.Enable(h.now, "a")
 	if _, ep := h.request("read"); ep != "a" {
-		t.Errorf("after a was enabled, a request was sent to %q, want a", ep)
+		t.Errorf("after endpoint a was enabled, a request was sent to %q, want endpoint a", ep)
 	}
 
-	empty := newHarness(t, testSettings()) // an empty list differs: an endpoint may still be listed in time
+	empty := newHarness(t, testSettings()) // with an empty list, requests wait: an endpoint may be listed in time
 	if id, _ := empty.request("read"); empty.countActions("reject "+id) != 0 {
-		t.Error("a request was rejected at once though no endpoint is listed or disabled")
+		t.Error("a request was rejected at once with an empty endpoint list, want it queued")
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	for _, e := range h.b.LearnedState(h.now).Endpoints {
 		if e.ID == "e00" && e.Errors < 1 {
-			t.Errorf("%v of two restored errors are left after four responses, want at least 1", e.Errors)
+			t.Errorf("%v of two errors in four restored outcomes are left after four responses, want at least 1", e.Errors)
 		}
 	}
 }
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -35,7 +35,7 @@
 	trialHeap    endpointHeap  // inactive endpoints of the subset, by the time of their next trial
 	deficitBase  float64       // deficit that counts as 0 for endpoints in the subset
 	outcomes     outcomeCounts // sum over the endpoints of the subset
-	failingCount int           // endpoints of the subset that are inactive as InactiveFailing
+	failingCount int           // endpoints of the subset that are inactive with the reason InactiveFailing
 	warming      []*endpoint   // endpoints whose next send may have to wait for slowStart.nextSendAt
 }
 
@@ -168,7 +168,8 @@
 	}
 }
 
-// totalEndpointCount returns the number of endpoints that all instances together send to.
+// totalEndpointCount returns the number of endpoints of all instances together: those listed to
+// this one, and the ready ones that are listed only to others.
 func (s *endpointSet) totalEndpointCount() int { return s.listedCount + s.unlistedCount }
 
 // addToSubset puts an endpoint into the subset at an index, and adds it to the subset's counts. An
@@ -270,8 +271,8 @@
 	s.updateFailingCount(e)
 }
 
-// updateFailingCount includes an endpoint in failingCount while it is in the subset and inactive as
-// InactiveFailing.
+// updateFailingCount includes an endpoint in failingCount while it is in the subset and inactive
+// with the reason InactiveFailing.
 func (s *endpointSet) updateFailingCount(e *endpoint) {
 	isFailing := e.inSubset && !e.active && e.inactiveReason == InactiveFailing
 	switch {
@@ -300,7 +301,7 @@
 // useAllEndpoints makes the subset all ready endpoints.
 func (s *endpointSet) useAllEndpoints(changed []*endpoint) {
 	if !s.subsetIsAll {
-		for _, e := range s.subset { // endpoints that were removed may be missing in s.endpoints
+		for _, e := range s.subset { // endpoints that were removed may no longer be in s.endpoints
 			s.updateMembership(e)
 		}
 		s.subsetIsAll = true
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -84,8 +84,8 @@
 	s.deficitBase = 10
 	s.replaceSubset([]*endpoint{b, a})
 	if s.subsetSize != 2 || s.outcomes != a.outcomes.outcomeCounts || a.deficit != 12 || a.subsetIndex != 1 {
-		t.Errorf("with a in the subset: size %d, outcomes %+v, deficit %v, index %d", s.subsetSize, s.outcomes, a.deficit,
-			a.subsetIndex)
+		t.Errorf("with endpoint a in the subset: size %d, outcomes %+v, deficit %v, index %d", s.subsetSize, s.outcomes,
+			a.deficit, a.subsetIndex)
 	}
 	if got := ids(s.activeHeap.endpoints); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("active endpoints %v, want [a]", got)
@@ -93,7 +93,7 @@
 	s.replaceSubset([]*endpoint{b})
 	if s.subsetSize != 1 || s.outcomes != (outcomeCounts{}) || a.deficit != 2 || a.inSubset ||
 		len(s.activeHeap.endpoints) != 0 {
-		t.Errorf("with a outside the subset: size %d, outcomes %+v, deficit %v", s.subsetSize, s.outcomes, a.deficit)
+		t.Errorf("with endpoint a outside the subset: size %d, outcomes %+v, deficit %v", s.subsetSize, s.outcomes, a.deficit)
 	}
 	s.useAllEndpoints(nil)
 	if s.subsetSize != 3 || !s.subsetIsAll {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,6 +1,7 @@
 package balancer
 
-// Events that only update a request and its attempts. No decision is made in this file.
+// Events that update a request and its attempts, and call the code that decides what follows. No
+// decision is made in this file.
 
 import "time"
 
--- a/balancer/logevent.go
+++ b/balancer/logevent.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Log events: the decisions that are logged. No decision is made in this file.
+// Log events: what a Balancer reports to the operators. No decision is made in this file.
 
 import (
 	"fmt"
--- a/balancer/reason.go
+++ b/balancer/reason.go
@@ -24,10 +24,10 @@
 // InactiveReason states why an endpoint gets no regular requests.
 type InactiveReason string
 
-// The reasons for which an endpoint is inactive. Their values appear in status responses and logs.
+// The reasons for which an endpoint is inactive. Their values appear in the daemon's status.
 const (
 	InactiveNew           InactiveReason = "new"       // its first trial has not succeeded yet
-	InactiveSlow          InactiveReason = "slow"      // its weight is too far above the smallest one
+	InactiveSlow          InactiveReason = "slow"      // its weight is too far above the smallest active one
 	InactiveUnresponsive  InactiveReason = "silent"    // it does not respond
 	InactiveUnreachable   InactiveReason = "unreached" // connections to it cannot be established
 	InactiveFailing       InactiveReason = "failing"   // attempts at it fail
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -91,8 +91,9 @@
 	s.unanswered = append(s.unanswered, req)
 }
 
-// closeRequest marks a request as answered and cancels its attempts in flight, except for one whose
-// response is being streamed. It removes the request once no attempt is in flight.
+// closeRequest marks a request as answered. If canceling is allowed, it cancels the attempts in
+// flight, except for one whose response is being streamed. It removes the request once no attempt
+// is in flight.
 func (b *Balancer) closeRequest(req *request) {
 	if !req.answered {
 		req.answered = true
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -29,7 +29,7 @@
 	NextTrial     time.Duration  // while inactive: time until its next trial; below 0: a trial is in flight
 }
 
-// EndpointStatuses returns the status of all endpoints, in order of insertion.
+// EndpointStatuses returns the status of all listed endpoints, in order of insertion.
 func (b *Balancer) EndpointStatuses(now time.Duration) []EndpointStatus {
 	var statuses []EndpointStatus
 	for _, e := range b.endpoints {
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -15,7 +15,7 @@
 	}
 	var short subscription
 	if short.backOff(0); short.backoff != minSubscribeBackoff {
-		t.Errorf("backoff is %v with a longest backoff of 0, want %v", short.backoff, minSubscribeBackoff)
+		t.Errorf("backoff is %v where the poll interval allows less, want %v", short.backoff, minSubscribeBackoff)
 	}
 }
 
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// A subset has as many endpoints as this instance can send one request each in
-	// subsetSendInterval, or more if needed for each endpoint to be in the subsets of
-	// minSubsetsPerEndpoint instances and for the subset to have minSubsetSize endpoints.
+	// A subset has about as many endpoints as this instance sends requests in subsetSendInterval. It
+	// has more where each endpoint would otherwise be in the subsets of fewer than
+	// minSubsetsPerEndpoint instances, or the subset would have fewer than minSubsetSize endpoints. If
+	// that is at least half of the ready endpoints, the subset is all of them.
 	subsetSendInterval    = time.Second
 	minSubsetsPerEndpoint = 6.0
 	minSubsetSize         = 4.0
@@ -39,8 +40,8 @@
 
 // updateSubset chooses the subset: endpoints at even steps through all ready ones, sorted by kind,
 // from an offset that depends on the instance's index. Each endpoint is then in about equally many
-// subsets, and all subsets have the same mix of kinds. The cost depends on the number of changed
-// endpoints.
+// subsets, and all subsets have the same mix of kinds. Only changed endpoints are sorted in again,
+// so that a small change of a long list needs no full sort.
 func (b *Balancer) updateSubset(changed []*endpoint) {
 	ready := float64(b.readyCount)
 	instances := float64(max(b.settings.Instances, 1))
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -143,7 +143,8 @@
 	}
 }
 
-// makeRequests makes n requests with a gap after each, and finishes those that are sent at once.
+// makeRequests makes n requests with a gap after each, and finishes those that are sent without
+// waiting in the queue.
 func makeRequests(h *harness, gap time.Duration, n int) {
 	for range n {
 		id, ep := h.request("read")
