--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -51,7 +51,7 @@
 // quotas of all tenants allow together. A low-traffic instance can detect that before endpoints
 // reach their capacity.
 func (b *Balancer) isRateHigh(now time.Duration) bool {
-	return b.rate.perSecond(now) > highRateMultiple*b.tenants.quota
+	return b.requestRate.perSecond(now) > highRateMultiple*b.tenants.quota
 }
 
 // classOf returns the class of a request. A class that is not in the settings is added as
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -123,7 +123,7 @@
 	anyActive := false
 	active.visit(func(e *endpoint) bool {
 		anyActive = true
-		deficit := e.deficit - b.zeroDeficit(e)
+		deficit := e.deficit - b.deficitBaseFor(e)
 		if deficit > lowest {
 			return false
 		}
@@ -205,7 +205,7 @@
 	}
 	e.deficit += charge * b.expectedLatency(req) / b.typicalLatency()
 	b.updateHeaps(e)
-	b.raiseLowestDeficits(before - b.zeroDeficit(e) + b.deficitBase - maxDeficitLag*weight)
+	b.raiseLowestDeficits(before - b.deficitBaseFor(e) + b.deficitBase - maxDeficitLag*weight)
 }
 
 // raiseLowestDeficits raises the deficits of active endpoints to at least floor. An endpoint that
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -48,7 +48,7 @@
 	e.samples.sum = 0
 	e.samples.count = 0
 	e.slowStart.speedUp = 1
-	e.deficit = b.zeroDeficit(e) + b.rng.Float64()
+	e.deficit = b.deficitBaseFor(e) + b.rng.Float64()
 	if !b.isWarm(now, e) {
 		e.slowStart.nextSendAt = e.trial.nextAt
 		b.trackWarming(e)
@@ -132,8 +132,8 @@
 // rate: just after a request its recent rate is too high, and many instances would then send to a
 // new endpoint at the same time.
 func (b *Balancer) sendInterval(now time.Duration) time.Duration {
-	longTermRate := b.rate.slowPerSecond(now)
-	lowerRate := min(b.rate.perSecond(now), longTermRate)
+	longTermRate := b.requestRate.slowPerSecond(now)
+	lowerRate := min(b.requestRate.perSecond(now), longTermRate)
 	return seconds(float64(b.subsetSize) / max(lowerRate, min(longTermRate, minRecentRate)))
 }
 
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -10,10 +10,10 @@
 // Timer implements Events. Timers cannot be canceled: one that fires before the next wake-up is
 // stale and is ignored.
 func (b *Balancer) Timer(now time.Duration) {
-	if b.nextWakeUp == 0 || now < b.nextWakeUp {
+	if b.nextWakeUpAt == 0 || now < b.nextWakeUpAt {
 		return
 	}
-	b.nextWakeUp = 0
+	b.nextWakeUpAt = 0
 	b.runDueTimers(now)
 	if b.subscription.dueAt > 0 {
 		b.scheduleWakeUp(b.subscription.dueAt)
@@ -25,8 +25,8 @@
 
 // scheduleWakeUp makes sure that a Timer event is requested for the given instant or earlier.
 func (b *Balancer) scheduleWakeUp(at time.Duration) {
-	if b.nextWakeUp == 0 || at < b.nextWakeUp {
-		b.nextWakeUp = at
+	if b.nextWakeUpAt == 0 || at < b.nextWakeUpAt {
+		b.nextWakeUpAt = at
 		b.host.Timer(at)
 	}
 }
