--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -19,10 +19,10 @@
 func (*recordingHost) Timer(time.Duration)                           {}
 func (*recordingHost) Log(balancer.LogEvent)                         {}
 
-// BenchmarkModule measures events by the number of endpoints: request is a request and its outcome
+// BenchmarkEvents measures events by the number of endpoints: request is a request and its outcome
 // without load, change is a list of one endpoint that drains or is ready again, and complete is a
 // complete list in which nothing has changed.
-func BenchmarkModule(b *testing.B) {
+func BenchmarkEvents(b *testing.B) {
 	settings := balancer.Settings{Instances: 1, Resolution: time.Millisecond, Classes: []balancer.Class{{Name: "c",
 		LatencyObjective: time.Second}}}
 	for _, n := range []int{10, 1_000, 100_000} {
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	slowRateMemory       = time.Minute      // memory of the slow rate of requests
-	minSlowRequests      = 0.5              // requests that the slow rate counts at least
+	longTermRateMemory   = time.Minute      // memory of the slow rate of requests
+	minLongTermRequests  = 0.5              // requests that the slow rate counts at least
 	kindWeightGain       = 0.03             // gain of a kind's weight per response
 	meanGain             = 0.05             // gain of the mean latency per response
-	meanMemory           = 0.5              // seconds that the mean goes back at least
+	minMeanMemory        = 0.5              // seconds that the mean goes back at least
 	baselineFallGain     = 0.02             // gain of the baseline per response while the mean is below it
 	baselineRiseTime     = 60 * time.Second // over which the baseline follows a higher mean
 	baselineLearningTime = 1.5              // seconds until the baseline is known: the first responses are the quick ones
@@ -29,12 +29,12 @@
 	startedAt time.Duration // nothing was counted before
 	updatedAt time.Duration // latest request
 	recent    float64       // requests as of updatedAt, decayed with sampleMemory
-	slow      float64       // the same, decayed with slowRateMemory
+	longTerm  float64       // the same, decayed with longTermRateMemory
 }
 
 // observe counts a request.
 func (r *rateEstimator) observe(now time.Duration) {
-	r.slow = r.slow*decay(now-r.updatedAt, slowRateMemory) + 1
+	r.longTerm = r.longTerm*decay(now-r.updatedAt, longTermRateMemory) + 1
 	r.recent = r.recent*decay(now-r.updatedAt, sampleMemory) + 1
 	r.updatedAt = now
 }
@@ -45,11 +45,11 @@
 	return r.recent * decay(now-r.updatedAt, sampleMemory) / (covered * sampleMemory.Seconds())
 }
 
-// slowPerSecond returns the rate over a longer time. It is never 0.
-func (r *rateEstimator) slowPerSecond(now time.Duration) float64 {
-	covered := 1 - decay(now-r.startedAt+time.Second, slowRateMemory)
-	requests := max(r.slow*decay(now-r.updatedAt, slowRateMemory), minSlowRequests)
-	return requests / (covered * slowRateMemory.Seconds())
+// longTermPerSecond returns the rate over a longer time. It is never 0.
+func (r *rateEstimator) longTermPerSecond(now time.Duration) float64 {
+	covered := 1 - decay(now-r.startedAt+time.Second, longTermRateMemory)
+	requests := max(r.longTerm*decay(now-r.updatedAt, longTermRateMemory), minLongTermRequests)
+	return requests / (covered * longTermRateMemory.Seconds())
 }
 
 // latencyEstimator estimates what requests of one kind of work take. Latencies are in seconds.
@@ -71,14 +71,14 @@
 	}
 	gap := now - l.updatedAt
 	l.updatedAt = now
-	gain := max(1/l.samples, min(meanGain, gap.Seconds()/meanMemory))
+	gain := max(1/l.samples, min(meanGain, gap.Seconds()/minMeanMemory))
 	l.deviation += (math.Abs(latency-l.mean) - l.deviation) * gain
 	l.mean += (latency - l.mean) * gain
 	switch {
 	case l.samples < baselineSamples || (now-l.firstAt).Seconds() < baselineLearningTime:
 		l.baseline = l.mean
 	case l.mean < l.baseline:
-		l.baseline += (l.mean - l.baseline) * min(baselineFallGain, gap.Seconds()/meanMemory)
+		l.baseline += (l.mean - l.baseline) * min(baselineFallGain, gap.Seconds()/minMeanMemory)
 	default:
 		l.baseline += (l.mean - l.baseline) * min(gap.Seconds()/baselineRiseTime.Seconds(), 1)
 	}
--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -26,7 +26,7 @@
 	if got := rate.perSecond(start); got != 0 {
 		t.Errorf("%v requests a second before the first", got)
 	}
-	if got := rate.slowPerSecond(start); got <= 0 {
+	if got := rate.longTermPerSecond(start); got <= 0 {
 		t.Errorf("the slow rate is %v before the first request; it is never 0", got)
 	}
 	now := start
@@ -34,11 +34,11 @@
 		now += 250 * time.Millisecond
 		rate.observe(now)
 	}
-	if recent, slow := rate.perSecond(now), rate.slowPerSecond(now); !near(recent, 4, 0.05) || !near(slow, 4, 0.05) {
+	if recent, slow := rate.perSecond(now), rate.longTermPerSecond(now); !near(recent, 4, 0.05) || !near(slow, 4, 0.05) {
 		t.Errorf("rates %v and %v, want 4", recent, slow)
 	}
 	now += 30 * time.Second
-	if recent, slow := rate.perSecond(now), rate.slowPerSecond(now); recent > 0.3 || slow < 2 || slow > 3 {
+	if recent, slow := rate.perSecond(now), rate.longTermPerSecond(now); recent > 0.3 || slow < 2 || slow > 3 {
 		t.Errorf("rates %v and %v half a minute after the last request", recent, slow)
 	}
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -75,7 +75,7 @@
 	*s = classSet{classes: map[string]*class{}}
 	for _, c := range settings {
 		s.meanObjective += c.LatencyObjective.Seconds() / float64(len(settings))
-		added := &class{Class: c, latency: s.latencyOf(cmp.Or(c.Work, c.Name), earlier.latencies)}
+		added := &class{Class: c, latency: s.latencyFor(cmp.Or(c.Work, c.Name), earlier.latencies)}
 		if known := earlier.classes[c.Name]; known != nil {
 			added.quantile = known.quantile
 		}
@@ -83,9 +83,9 @@
 	}
 }
 
-// latencyOf returns the estimator for a kind of work: that of another class, or else the earlier
+// latencyFor returns the estimator for a kind of work: that of another class, or else the earlier
 // one, or else a new one.
-func (s *classSet) latencyOf(work string, earlier []*latencyEstimator) *latencyEstimator {
+func (s *classSet) latencyFor(work string, earlier []*latencyEstimator) *latencyEstimator {
 	if shared := findLatency(s.latencies, work); shared != nil {
 		return shared
 	}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -123,7 +123,7 @@
 // same. A quiet instance goes by its slow rate: just after a request its recent rate is too high,
 // and many instances would send to an endpoint that is new to all at the same time.
 func (b *Balancer) sendInterval(now time.Duration) time.Duration {
-	slow := b.rate.slowPerSecond(now)
+	slow := b.rate.longTermPerSecond(now)
 	lower := min(b.rate.perSecond(now), slow)
 	return seconds(float64(b.subsetSize) / max(lower, min(slow, minFollowedRate)))
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -16,17 +16,17 @@
 // The tags here and below are the names in stored snapshots, which outlive a change of the names in
 // the code.
 type LearnedState struct {
-	Works              []LearnedWork     `json:"Works"`
-	Kinds              []LearnedKind     `json:"Kinds"`
-	Endpoints          []LearnedEndpoint `json:"Endpoints"`
-	ConcurrencyLimit   float64           `json:"Room"`      // attempts that may be in flight
-	RecentRequests     float64           `json:"Calls"`     // decayed count of requests, as of now
-	SlowRecentRequests float64           `json:"LongCalls"` // the same over the latest minutes
-	Age                time.Duration     `json:"For"`       // since the Balancer's start
+	Latencies        []LearnedLatency  `json:"Works"`
+	Kinds            []LearnedKind     `json:"Kinds"`
+	Endpoints        []LearnedEndpoint `json:"Endpoints"`
+	ConcurrencyLimit float64           `json:"Room"`      // attempts that may be in flight
+	RecentRequests   float64           `json:"Calls"`     // decayed count of requests, as of now
+	LongTermRequests float64           `json:"LongCalls"` // the same over the latest minutes
+	Age              time.Duration     `json:"For"`       // since the Balancer's start
 }
 
-// LearnedWork is the latency of requests of one kind of work.
-type LearnedWork struct {
+// LearnedLatency is the learned latency of requests of one kind of work.
+type LearnedLatency struct {
 	Name            string        `json:"Name"`
 	BaselineLatency float64       `json:"Calm"` // seconds, without load
 	MeanLatency     float64       `json:"Mean"` // seconds, recently
@@ -71,14 +71,14 @@
 // LearnedState returns what has been learned by now.
 func (b *Balancer) LearnedState(now time.Duration) LearnedState {
 	l := LearnedState{
-		ConcurrencyLimit:   b.limiter.limit,
-		RecentRequests:     b.rate.recent * sampleDecay(now-b.rate.updatedAt),
-		SlowRecentRequests: b.rate.slow * decay(now-b.rate.updatedAt, slowRateMemory),
-		Age:                now - b.rate.startedAt,
+		ConcurrencyLimit: b.limiter.limit,
+		RecentRequests:   b.rate.recent * sampleDecay(now-b.rate.updatedAt),
+		LongTermRequests: b.rate.longTerm * decay(now-b.rate.updatedAt, longTermRateMemory),
+		Age:              now - b.rate.startedAt,
 	}
 	for _, e := range b.latencies {
 		if e.samples > 0 {
-			l.Works = append(l.Works, LearnedWork{Name: e.work, BaselineLatency: e.baseline, MeanLatency: e.mean,
+			l.Latencies = append(l.Latencies, LearnedLatency{Name: e.work, BaselineLatency: e.baseline, MeanLatency: e.mean,
 				Samples: e.samples, Age: now - e.firstAt})
 		}
 	}
@@ -113,8 +113,8 @@
 // that warm up or have been used are left alone. Endpoints that were ejected wait for a trial,
 // unless that would leave none active.
 func (b *Balancer) Restore(now time.Duration, l LearnedState, age time.Duration) {
-	for _, work := range l.Works {
-		b.restoreLatency(now, work)
+	for _, latency := range l.Latencies {
+		b.restoreLatency(now, latency)
 	}
 	for _, kind := range l.Kinds {
 		b.restoreKind(kind)
@@ -128,21 +128,21 @@
 }
 
 // restoreLatency restores the latency of requests of one kind of work.
-func (b *Balancer) restoreLatency(now time.Duration, work LearnedWork) {
-	e := findLatency(b.latencies, work.Name)
-	if e == nil || e.samples != 0 || !work.isValid() {
+func (b *Balancer) restoreLatency(now time.Duration, learned LearnedLatency) {
+	e := findLatency(b.latencies, learned.Name)
+	if e == nil || e.samples != 0 || !learned.isValid() {
 		return
 	}
-	e.baseline = work.BaselineLatency
-	e.mean = work.MeanLatency
-	e.samples = work.Samples
-	e.firstAt = max(now-work.Age, 0)
+	e.baseline = learned.BaselineLatency
+	e.mean = learned.MeanLatency
+	e.samples = learned.Samples
+	e.firstAt = max(now-learned.Age, 0)
 	e.updatedAt = now
 }
 
 // isValid reports whether a Balancer can have learned such numbers.
-func (w LearnedWork) isValid() bool {
-	return areValid(w.BaselineLatency, w.MeanLatency, w.Samples) && w.BaselineLatency > 0 && w.Age >= 0
+func (l LearnedLatency) isValid() bool {
+	return areValid(l.BaselineLatency, l.MeanLatency, l.Samples) && l.BaselineLatency > 0 && l.Age >= 0
 }
 
 // restoreKind restores the weight of the endpoints of one kind.
@@ -163,11 +163,11 @@
 // restoreRate restores the rate of requests. Without it a successor would take itself for a very
 // quiet instance, and would delay the trials of new endpoints accordingly.
 func (b *Balancer) restoreRate(now time.Duration, l LearnedState, age time.Duration) {
-	if l.Age <= 0 || !areValid(l.RecentRequests, l.SlowRecentRequests) || now-b.rate.startedAt > l.Age {
+	if l.Age <= 0 || !areValid(l.RecentRequests, l.LongTermRequests) || now-b.rate.startedAt > l.Age {
 		return
 	}
 	b.rate.recent += l.RecentRequests * sampleDecay(age)
-	b.rate.slow += l.SlowRecentRequests * decay(age, slowRateMemory)
+	b.rate.longTerm += l.LongTermRequests * decay(age, longTermRateMemory)
 	b.rate.startedAt = now - l.Age
 }
 
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -54,7 +54,7 @@
 	b.EndpointList(now, learnedList)
 	b.Restore(now, l, time.Second)
 	got := b.LearnedState(now)
-	if len(got.Works) != 1 || got.Works[0].BaselineLatency != l.Works[0].BaselineLatency ||
+	if len(got.Latencies) != 1 || got.Latencies[0].BaselineLatency != l.Latencies[0].BaselineLatency ||
 		got.ConcurrencyLimit != l.ConcurrencyLimit {
 		t.Errorf("restored %+v of %+v", got, l)
 	}
@@ -93,7 +93,7 @@
 		b := New(now, learnedSettings, h)
 		b.EndpointList(now, learnedList)
 		l := LearnedState{ConcurrencyLimit: number.Draw(t, "limit"),
-			Works: []LearnedWork{{Name: "look", BaselineLatency: number.Draw(t, "baseline"), MeanLatency: number.Draw(t,
+			Latencies: []LearnedLatency{{Name: "look", BaselineLatency: number.Draw(t, "baseline"), MeanLatency: number.Draw(t,
 				"mean"), Samples: number.Draw(t, "n"),
 				Age: time.Duration(rapid.Int64().Draw(t, "age of work"))}},
 			Kinds: []LearnedKind{{Weight: number.Draw(t, "w"), Samples: number.Draw(t, "of kind")}}}
--- a/internal/compatibility/sidecar_test.go
+++ b/internal/compatibility/sidecar_test.go
@@ -48,8 +48,8 @@
 func checkLearnedState(t *testing.T, got balancer.LearnedState, learned map[string]any, tolerance float64) {
 	t.Helper()
 	checkNumbers(t, "learned state", learned, tolerance, map[string]float64{"Room": got.ConcurrencyLimit,
-		"Calls": got.RecentRequests, "LongCalls": got.SlowRecentRequests, "For": float64(got.Age)})
-	for name, length := range map[string]int{"Works": len(got.Works), "Kinds": len(got.Kinds),
+		"Calls": got.RecentRequests, "LongCalls": got.LongTermRequests, "For": float64(got.Age)})
+	for name, length := range map[string]int{"Works": len(got.Latencies), "Kinds": len(got.Kinds),
 		"Endpoints": len(got.Endpoints)} {
 		if stored, _ := learned[name].([]any); len(stored) != length || length == 0 {
 			t.Fatalf("%s: %d, stored are %d", name, length, len(stored))
@@ -60,7 +60,7 @@
 			t.Errorf("%s is %q, stored is %q", field, name, stored[field])
 		}
 	}
-	for i, work := range got.Works {
+	for i, work := range got.Latencies {
 		stored := object(t, learned, "Works", i)
 		checkName(stored, "Name", work.Name)
 		checkNumbers(t, "work "+work.Name, stored, tolerance, map[string]float64{"Calm": work.BaselineLatency,
@@ -138,7 +138,7 @@
 func TestPoolRestoresStoredSidecarSnapshot(t *testing.T) {
 	stored, content := readSidecarSnapshot(t)
 	pool := newPool(t, stored.Endpoints)
-	if learned := pool.Snapshot().Learned; learned.Works != nil || learned.Kinds != nil {
+	if learned := pool.Snapshot().Learned; learned.Latencies != nil || learned.Kinds != nil {
 		t.Fatalf("a new pool has learned %+v", learned)
 	}
 	pool.Disable(disabledID)
