--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -1,6 +1,10 @@
 package balancer
 
-// Decaying means and the estimators built of them. No decision is made in this file.
+// Exponentially decaying means, and the estimators built from them. This file makes no
+// load-balancing decisions.
+//
+// The memory of a decaying value is the time constant of its decay. The gain of an estimate is the
+// weight of a new sample in it.
 
 import (
 	"math"
@@ -8,28 +12,28 @@
 )
 
 const (
-	longTermRateMemory   = time.Minute      // memory of the slow rate of requests
-	minLongTermRequests  = 0.5              // requests that the slow rate counts at least
-	kindWeightGain       = 0.03             // gain of a kind's weight per response
-	meanGain             = 0.05             // gain of the mean latency per response
-	minMeanMemory        = 0.5              // seconds that the mean goes back at least
-	baselineFallGain     = 0.02             // gain of the baseline per response while the mean is below it
-	baselineRiseTime     = 60 * time.Second // over which the baseline follows a higher mean
-	baselineLearningTime = 1.5              // seconds until the baseline is known: the first responses are the quick ones
-	baselineSamples      = 10               // responses that it takes as well
+	longTermRateMemory   = time.Minute      // memory of the long-term request rate
+	minLongTermRequests  = 0.5              // lowest count for the long-term rate, so that it is never 0
+	minKindWeightGain    = 0.03             // lowest gain of a kind's weight per response
+	meanGain             = 0.05             // highest gain of the mean latency, or 1/samples if that is higher
+	minMeanMemory        = 0.5              // lowest memory of the mean latency, in seconds
+	baselineFallGain     = 0.02             // highest gain of the baseline per response while the mean is below it
+	baselineRiseTime     = 60 * time.Second // memory of the baseline while the mean is above it
+	baselineLearningTime = 1.5              // seconds for which the baseline equals the mean: fast responses arrive first
+	baselineSamples      = 10               // responses for which it equals the mean as well
 )
 
-// decay returns the share of a sample that is retained after some time: 1/e after the memory.
+// decay returns the share of a sample that is retained after the elapsed time: 1/e after memory.
 func decay(elapsed, memory time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / memory.Seconds())
 }
 
 // rateEstimator estimates the rate of requests from two decaying counts.
 type rateEstimator struct {
-	startedAt time.Duration // nothing was counted before
-	updatedAt time.Duration // latest request
-	recent    float64       // requests as of updatedAt, decayed with sampleMemory
-	longTerm  float64       // the same, decayed with longTermRateMemory
+	startedAt time.Duration // start of counting
+	updatedAt time.Duration // time of the latest request
+	recent    float64       // count of requests as of updatedAt, decayed with sampleMemory
+	longTerm  float64       // count of requests as of updatedAt, decayed with longTermRateMemory
 }
 
 // observe counts a request.
@@ -39,32 +43,35 @@
 	r.updatedAt = now
 }
 
-// perSecond returns the recent rate. The time before the start, without requests, does not count.
+// perSecond returns the recent rate in requests per second. It averages over no more than the time
+// since the start plus one second, so that the estimate is not too low soon after the start.
 func (r *rateEstimator) perSecond(now time.Duration) float64 {
 	covered := 1 - decay(now-r.startedAt+time.Second, sampleMemory)
 	return r.recent * decay(now-r.updatedAt, sampleMemory) / (covered * sampleMemory.Seconds())
 }
 
-// longTermPerSecond returns the rate over a longer time. It is never 0.
+// longTermPerSecond returns the long-term rate in requests per second. It is never 0.
 func (r *rateEstimator) longTermPerSecond(now time.Duration) float64 {
 	covered := 1 - decay(now-r.startedAt+time.Second, longTermRateMemory)
 	requests := max(r.longTerm*decay(now-r.updatedAt, longTermRateMemory), minLongTermRequests)
 	return requests / (covered * longTermRateMemory.Seconds())
 }
 
-// latencyEstimator estimates what requests of one kind of work take. Latencies are in seconds.
+// latencyEstimator estimates the latency of one kind of work, in seconds. It counts responses as
+// samples.
 type latencyEstimator struct {
 	work      string
-	firstAt   time.Duration // first response
-	updatedAt time.Duration // latest response
+	firstAt   time.Duration // time of the first response
+	updatedAt time.Duration // time of the latest response
 	samples   float64
-	baseline  float64 // without load
-	mean      float64 // recently
-	deviation float64 // mean deviation from the mean, recently
+	baseline  float64 // latency without load
+	mean      float64 // recent mean latency
+	deviation float64 // recent mean absolute deviation from the mean
 }
 
-// observe adds the latency of a response. The baseline rises by time alone: an overload must not
-// pass for what requests take without load.
+// observe adds the latency of a response. The baseline follows a lower mean with each response,
+// but a higher mean only with time, however many responses there are: the latency under overload
+// must not be taken for the latency without load.
 func (l *latencyEstimator) observe(now time.Duration, latency float64) {
 	if l.samples++; l.samples == 1 {
 		l.firstAt = now
@@ -87,8 +94,9 @@
 // quantileEstimator estimates a quantile of the latencies of responses, in seconds.
 type quantileEstimator struct{ latency float64 }
 
-// observe adds the latency of a response. The estimate begins at twice the mean and is never below
-// the mean.
+// observe adds the latency of a response: it moves the estimate up or down by steps in such a
+// proportion that it settles at the quantile. The estimate starts at twice the mean and never falls
+// below the mean.
 func (q *quantileEstimator) observe(latency, mean, quantile float64) {
 	step := meanGain * mean
 	switch {
@@ -101,10 +109,10 @@
 	}
 }
 
-// outcomeCounts are decayed counts of responses and of the errors among them.
+// outcomeCounts holds decayed counts of responses and of the errors among them.
 type outcomeCounts struct{ errors, total float64 }
 
-// The outcomes of single attempts.
+// The counts of a single attempt.
 var (
 	errorOutcome   = outcomeCounts{errors: 1, total: 1}
 	successOutcome = outcomeCounts{total: 1}
@@ -120,23 +128,23 @@
 	return outcomeCounts{errors: o.errors - other.errors, total: o.total - other.total}
 }
 
-// times returns the counts times the share of them that is retained.
+// times returns the counts multiplied by the share that is retained of them.
 func (o outcomeCounts) times(retained float64) outcomeCounts {
 	return outcomeCounts{errors: o.errors * retained, total: o.total * retained}
 }
 
-// atLeastZero returns the counts with 0 for those below it. Differences of sums may be, by
-// rounding.
+// atLeastZero returns the counts with negative ones replaced by 0. Rounding can make the difference
+// of two sums negative.
 func (o outcomeCounts) atLeastZero() outcomeCounts {
 	return outcomeCounts{errors: max(o.errors, 0), total: max(o.total, 0)}
 }
 
-// errorShare returns the share of errors, 0 while there is less than one outcome.
+// errorShare returns the share of errors among the outcomes. A total below 1 counts as 1.
 func (o outcomeCounts) errorShare() float64 { return o.errors / max(o.total, 1) }
 
-// endpointKind pools the samples of the endpoints of one kind.
+// endpointKind aggregates the responses of all endpoints of one kind as samples.
 type endpointKind struct {
-	weight         float64 // latency ratio, mean over its endpoints
+	weight         float64 // mean latency ratio over its endpoints
 	samples        float64
 	activeByWeight endpointHeap // its active endpoints in the subset, by weight
 }
@@ -144,7 +152,7 @@
 // observe adds the latency ratio of a response.
 func (k *endpointKind) observe(latencyRatio float64) {
 	k.samples++
-	k.weight += (latencyRatio - k.weight) * max(1/(k.samples+2), kindWeightGain)
+	k.weight += (latencyRatio - k.weight) * max(1/(k.samples+2), minKindWeightGain)
 }
 
 // seconds converts a number of seconds to a duration.
--- a/balancer/heap.go
+++ b/balancer/heap.go
@@ -1,8 +1,9 @@
 package balancer
 
-// Heaps in which endpoints are searched. No decision is made in this file.
+// Heaps that order endpoints for selection. This file makes no load-balancing decisions.
 
-// The slots of endpoint.heapIndexes.
+// Indexes into endpoint.heapIndexes, one for each heap that an endpoint can be in. heapSlots is
+// their number.
 const (
 	activeHeapSlot = iota
 	trialHeapSlot
@@ -10,15 +11,15 @@
 	heapSlots
 )
 
-// endpointHeap is a binary heap of endpoints. Each endpoint has its own index in it, so that it can
-// be moved without a search.
+// endpointHeap is a binary heap of endpoints. Each endpoint stores its index in the heap, so that
+// it can be moved or removed without a search.
 type endpointHeap struct {
-	slot      int // of endpoint.heapIndexes
+	slot      int // index into endpoint.heapIndexes
 	less      func(x, y *endpoint) bool
 	endpoints []*endpoint
 }
 
-// put adds an endpoint, or moves one that is in the heap to where it belongs now.
+// put adds an endpoint, or restores the position of one that is already in the heap.
 func (h *endpointHeap) put(e *endpoint) {
 	i := e.heapIndexes[h.slot] - 1
 	if i < 0 {
@@ -29,14 +30,14 @@
 	h.fix(i)
 }
 
-// remove takes an endpoint out if it is in the heap.
+// remove removes an endpoint if it is in the heap.
 func (h *endpointHeap) remove(e *endpoint) {
 	if i := e.heapIndexes[h.slot] - 1; i >= 0 {
 		h.removeAt(i)
 	}
 }
 
-// removeAt takes the endpoint at an index out.
+// removeAt removes the endpoint at index i.
 func (h *endpointHeap) removeAt(i int) {
 	e := h.endpoints[i]
 	last := len(h.endpoints) - 1
@@ -49,14 +50,14 @@
 	}
 }
 
-// swap swaps the endpoints at two indexes.
+// swap swaps the endpoints at indexes i and j.
 func (h *endpointHeap) swap(i, j int) {
 	h.endpoints[i], h.endpoints[j] = h.endpoints[j], h.endpoints[i]
 	h.endpoints[i].heapIndexes[h.slot] = i + 1
 	h.endpoints[j].heapIndexes[h.slot] = j + 1
 }
 
-// fix restores the heap after the endpoint at i has changed.
+// fix restores the heap order after the endpoint at index i has changed.
 func (h *endpointHeap) fix(i int) {
 	for i > 0 && h.less(h.endpoints[i], h.endpoints[(i-1)/2]) {
 		h.swap(i, (i-1)/2)
@@ -77,8 +78,8 @@
 	}
 }
 
-// visit passes the endpoint at i and those below it to descend. Where descend returns false, the
-// endpoints below are not visited.
+// visit calls descend for the endpoint at index i and for those below it in the heap. It skips the
+// endpoints below one for which descend returns false.
 func (h *endpointHeap) visit(i int, descend func(e *endpoint) bool) {
 	if i < len(h.endpoints) && descend(h.endpoints[i]) {
 		h.visit(2*i+1, descend)
@@ -86,17 +87,17 @@
 	}
 }
 
-// candidates are the endpoints that a selection chooses from: those of a heap, or else the active
-// or the inactive ones of a list. It is a struct, not a func or an interface, so that a selection
-// allocates nothing.
+// candidates holds the endpoints that a selection chooses from: either all endpoints of a heap, or,
+// if heap is nil, the endpoints of a list that are active or inactive, as the field active says. It
+// is a struct rather than a func or an interface, so that a selection allocates nothing.
 type candidates struct {
 	heap      *endpointHeap
 	endpoints []*endpoint
 	active    bool
 }
 
-// visit passes the candidates to descend. Where descend returns false, the endpoints below in a
-// heap are not visited.
+// visit calls descend for each candidate. In a heap, it skips the endpoints below one for which
+// descend returns false; in a list, it ignores the result.
 func (c candidates) visit(descend func(e *endpoint) bool) {
 	if c.heap != nil {
 		c.heap.visit(0, descend)
--- a/balancer/heap_test.go
+++ b/balancer/heap_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestHeapKeepsTheLowestFirst checks the heap against a plain list under random changes of
-// membership and order.
+// TestHeapKeepsTheLowestFirst compares the heap with a list while endpoints are added, removed and
+// moved at random.
 func TestHeapKeepsTheLowestFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heap := endpointHeap{slot: activeHeapSlot, less: hasLowerDeficit}
@@ -32,22 +32,22 @@
 				members = append(members, e)
 			}
 			if len(heap.endpoints) != len(members) {
-				t.Fatalf("the heap has %d members, and %d are", len(heap.endpoints), len(members))
+				t.Fatalf("the heap has %d endpoints, want %d", len(heap.endpoints), len(members))
 			}
 			for _, m := range members {
 				if hasLowerDeficit(m, heap.endpoints[0]) {
-					t.Fatalf("%s is first, before %s", heap.endpoints[0].ID, m.ID)
+					t.Fatalf("endpoint %s is first in the heap, but %s has a lower deficit", heap.endpoints[0].ID, m.ID)
 				}
 				if heap.endpoints[m.heapIndexes[activeHeapSlot]-1] != m {
-					t.Fatalf("%s does not know its index", m.ID)
+					t.Fatalf("the stored heap index of endpoint %s is not its position", m.ID)
 				}
 			}
 		}
 	})
 }
 
-// TestHeapVisitStopsWhereDescendReturnsFalse checks that the endpoints below one for which descend
-// returns false are not visited.
+// TestHeapVisitStopsWhereDescendReturnsFalse checks that visit skips the endpoints below one for
+// which descend returns false.
 func TestHeapVisitStopsWhereDescendReturnsFalse(t *testing.T) {
 	heap := endpointHeap{slot: trialHeapSlot, less: hasSoonerTrial}
 	for i := range 7 {
@@ -59,11 +59,12 @@
 		return e.trial.nextAt < 1
 	})
 	if visited != 3 {
-		t.Errorf("%d endpoints visited; the first and the two below it are right", visited)
+		t.Errorf("%d endpoints visited, want 3: the first and the two below it", visited)
 	}
 }
 
-// TestCandidatesOfAListAreThoseOfOneState checks the candidates of a list.
+// TestCandidatesOfAListAreThoseOfOneState checks that the candidates of a list are its active or
+// its inactive endpoints, without removed ones.
 func TestCandidatesOfAListAreThoseOfOneState(t *testing.T) {
 	removed := &endpoint{active: true}
 	removed.State = Removed
@@ -77,7 +78,7 @@
 			return false
 		})
 		if !slices.Equal(got, []*endpoint{want}) {
-			t.Errorf("active %v: %d candidates", want.active, len(got))
+			t.Errorf("active %v: %d candidates, want the single endpoint in that state", want.active, len(got))
 		}
 	}
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Classes of one kind of work share what it takes. A change of the classes keeps what was learned
-// of the work and of classes that stay.
+// TestClassSetApply checks that classes of one kind of work share its latency estimator, and that
+// new settings keep the estimates of kinds of work and classes that stay.
 func TestClassSetApply(t *testing.T) {
 	var s classSet
 	s.applyClasses([]Class{
@@ -19,7 +19,7 @@
 	}
 	lookup, pay := s.classes["look"].latency, s.classes["pay"].latency
 	if s.classes["browse"].latency != lookup || pay == lookup || pay.work != "pay" {
-		t.Error("classes do not share the latency of their work, and of that alone")
+		t.Error("classes of one kind of work do not share a latency estimator, or those of different kinds do")
 	}
 	s.classes["pay"].quantile.latency = 0.25
 
@@ -29,13 +29,13 @@
 		{Name: "new", LatencyObjective: time.Second},
 	})
 	if s.classes["pay"].latency != pay || s.classes["pay"].quantile.latency != 0.25 {
-		t.Error("what was learned of a class that stays is lost")
+		t.Error("class pay, which stays, has lost its latency or its quantile")
 	}
 	if s.classes["search"].latency != lookup {
-		t.Error("what was learned of a kind of work is lost")
+		t.Error("the kind of work lookup, which stays, has lost its latency")
 	}
 	if added := s.classes["new"]; added.latency.samples != 0 || added.latency == lookup || added.latency == pay {
-		t.Error("a new class begins with another's latency")
+		t.Error("a new class starts with the latency of another")
 	}
 	if s.classes["look"] != nil || s.classes["browse"] != nil || len(s.latencies) != 3 ||
 		!near(s.meanObjective, 1, 1e-12) {
@@ -54,7 +54,8 @@
 	}
 }
 
-// One slow response moves the estimates of a class no further than maxLatencyRatio times the mean.
+// TestClassObserveLimitsOutliers checks that a very slow response counts as no more than
+// maxLatencyRatio times the mean.
 func TestClassObserveLimitsOutliers(t *testing.T) {
 	c := &class{latency: &latencyEstimator{}}
 	now := time.Duration(0)
@@ -71,12 +72,13 @@
 	}
 }
 
-// A change of the settings leaves a tenant what it may still send, within its new quota.
+// TestTenantSetApply checks that a tenant keeps its tokens when the settings change, up to its new
+// quota.
 func TestTenantSetApply(t *testing.T) {
 	var s tenantSet
 	s.apply(time.Second, []Tenant{{Name: "large", Quota: 40}, {Name: "small", Quota: 8}}, 4)
 	if s.quota != 12 {
-		t.Errorf("quota of this instance %v, want a quarter of 48", s.quota)
+		t.Errorf("quota of this instance %v, want 12, a quarter of 48", s.quota)
 	}
 	large := s.byName["large"]
 	if large.tokens != 10 || large.refilledAt != time.Second {
@@ -89,7 +91,7 @@
 		t.Errorf("a tenant that stays has %v tokens as of %v, want 6 as of 1s", large.tokens, large.refilledAt)
 	}
 	if s.byName["small"] != nil || s.byName["new"].tokens != 1 || s.quota != 21 {
-		t.Errorf("tenants %v, quota %v", s.byName, s.quota)
+		t.Errorf("tenants %v and quota %v, want no small, 1 token for new and a quota of 21", s.byName, s.quota)
 	}
 
 	s.apply(time.Hour, []Tenant{{Name: "large", Quota: 8}}, 0)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Learned state: what a Balancer passes to that of a successor, which would otherwise have to learn
-// it again. No decision is made in this file.
+// Learned state, which a process passes on to its successor so that the successor's Balancer need
+// not learn it again. This file makes no load-balancing decisions.
 
 import (
 	"maps"
@@ -10,52 +10,53 @@
 	"time"
 )
 
-// LearnedState is what a Balancer has learned. It holds no instants: clocks differ from process to
-// process.
+// LearnedState is what a Balancer has learned: about each kind of work, each kind of endpoint and
+// each endpoint. It contains ages instead of instants, because the clocks of two processes differ.
 //
-// The tags here and below are the names in stored snapshots, which outlive a change of the names in
-// the code.
+// The JSON tags of this and the other learned types are the names in stored snapshots. They must
+// not change when fields are renamed.
 type LearnedState struct {
 	Latencies        []LearnedLatency  `json:"Works"`
 	Kinds            []LearnedKind     `json:"Kinds"`
 	Endpoints        []LearnedEndpoint `json:"Endpoints"`
-	ConcurrencyLimit float64           `json:"Room"`      // attempts that may be in flight
-	RecentRequests   float64           `json:"Calls"`     // decayed count of requests, as of now
-	LongTermRequests float64           `json:"LongCalls"` // the same over the latest minutes
-	Age              time.Duration     `json:"For"`       // since the Balancer's start
+	ConcurrencyLimit float64           `json:"Room"`      // highest number of attempts in flight
+	RecentRequests   float64           `json:"Calls"`     // decayed count of recent requests
+	LongTermRequests float64           `json:"LongCalls"` // decayed count of requests over the last minutes
+	Age              time.Duration     `json:"For"`       // time since the start of the Balancer
 }
 
-// LearnedLatency is the learned latency of requests of one kind of work.
+// LearnedLatency is the learned latency of one kind of work, from a number of responses (Samples).
 type LearnedLatency struct {
 	Name            string        `json:"Name"`
-	BaselineLatency float64       `json:"Calm"` // seconds, without load
-	MeanLatency     float64       `json:"Mean"` // seconds, recently
+	BaselineLatency float64       `json:"Calm"` // latency without load, in seconds
+	MeanLatency     float64       `json:"Mean"` // recent mean latency, in seconds
 	Samples         float64       `json:"Samples"`
-	Age             time.Duration `json:"For"` // since the first response
+	Age             time.Duration `json:"For"` // time since the first response
 }
 
-// LearnedKind is the weight of the endpoints of one kind.
+// LearnedKind is the weight of one kind of endpoint, from a number of responses (Samples).
 type LearnedKind struct {
 	Name    string  `json:"Name"`
 	Weight  float64 `json:"W"` // mean latency ratio
 	Samples float64 `json:"Samples"`
 }
 
-// LearnedEndpoint is how one endpoint compares with its kind.
+// LearnedEndpoint describes how one endpoint compares with its kind. Its sums and counts are
+// decayed up to the time of LearnedState.
 type LearnedEndpoint struct {
 	ID       string  `json:"ID"`
-	Sum      float64 `json:"Sum"`      // of its samples, decayed, as of now
-	Samples  float64 `json:"Samples"`  // as of now
-	Errors   float64 `json:"Errors"`   // among the recent outcomes
-	Outcomes float64 `json:"Outcomes"` // decayed count, as of now
+	Sum      float64 `json:"Sum"`      // sum of its samples: latency ratios divided by the weight of its kind
+	Samples  float64 `json:"Samples"`  // count of its samples
+	Errors   float64 `json:"Errors"`   // count of errors among its outcomes
+	Outcomes float64 `json:"Outcomes"` // count of its outcomes
 	Active   bool    `json:"Active"`
 }
 
-// maxLearnedNumber is beyond anything that a Balancer can learn.
+// maxLearnedNumber is above any number that a Balancer can learn.
 const maxLearnedNumber = 1e12
 
-// areValid reports whether a Balancer can have learned such numbers. Others, from a damaged file,
-// must not be restored.
+// areValid reports whether a Balancer can have learned the numbers. Other numbers come from a
+// damaged file and must not be restored.
 func areValid(numbers ...float64) bool {
 	for _, n := range numbers {
 		if math.IsNaN(n) || n < 0 || n > maxLearnedNumber {
@@ -65,10 +66,11 @@
 	return true
 }
 
-// sampleDecay returns the share of a sample that is retained after some time.
+// sampleDecay returns the share of a sample that is retained after the elapsed time.
 func sampleDecay(elapsed time.Duration) float64 { return decay(max(elapsed, 0), sampleMemory) }
 
-// LearnedState returns what has been learned by now.
+// LearnedState returns what the Balancer has learned. It includes only endpoints that are ready and
+// warm.
 func (b *Balancer) LearnedState(now time.Duration) LearnedState {
 	l := LearnedState{
 		ConcurrencyLimit: b.limiter.limit,
@@ -95,7 +97,7 @@
 	return l
 }
 
-// learned returns what has been learned of the endpoint by now.
+// learned returns what has been learned about the endpoint.
 func (e *endpoint) learned(now time.Duration) LearnedEndpoint {
 	retained := sampleDecay(now - e.samples.updatedAt)
 	return LearnedEndpoint{
@@ -108,10 +110,10 @@
 	}
 }
 
-// Restore restores the learned state of another Balancer as it was before the given age, as far
-// as this one has learned nothing itself. It is meant to follow the first EndpointList. Endpoints
-// that warm up or have been used are left alone. Endpoints that were ejected wait for a trial,
-// unless that would leave none active.
+// Restore restores the learned state of another Balancer, saved the given age ago. It is meant to
+// be called after the first EndpointList. It does not replace what this Balancer has learned
+// itself, and skips endpoints that are warming or have been used. Endpoints that were inactive are
+// ejected until a trial succeeds, but one endpoint always stays active.
 func (b *Balancer) Restore(now time.Duration, l LearnedState, age time.Duration) {
 	for _, latency := range l.Latencies {
 		b.restoreLatency(now, latency)
@@ -127,7 +129,7 @@
 	}
 }
 
-// restoreLatency restores the latency of requests of one kind of work.
+// restoreLatency restores the latency of one kind of work.
 func (b *Balancer) restoreLatency(now time.Duration, learned LearnedLatency) {
 	e := findLatency(b.latencies, learned.Name)
 	if e == nil || e.samples != 0 || !learned.isValid() {
@@ -140,7 +142,7 @@
 	e.updatedAt = now
 }
 
-// isValid reports whether a Balancer can have learned such numbers.
+// isValid reports whether a Balancer can have learned these numbers.
 func (l LearnedLatency) isValid() bool {
 	return areValid(l.BaselineLatency, l.MeanLatency, l.Samples) && l.BaselineLatency > 0 && l.Age >= 0
 }
@@ -160,8 +162,8 @@
 	}
 }
 
-// restoreRate restores the rate of requests. Without it a successor would take itself for a very
-// quiet instance, and would delay the trials of new endpoints accordingly.
+// restoreRate restores the rate of requests. Without it, a successor would behave like an instance
+// that gets hardly any requests, and would delay the trials of new endpoints accordingly.
 func (b *Balancer) restoreRate(now time.Duration, l LearnedState, age time.Duration) {
 	if l.Age <= 0 || !areValid(l.RecentRequests, l.LongTermRequests) || now-b.rate.startedAt > l.Age {
 		return
@@ -171,15 +173,17 @@
 	b.rate.startedAt = now - l.Age
 }
 
-// isValid reports whether a Balancer can have learned such numbers.
+// isValid reports whether a Balancer can have learned these numbers.
 func (l LearnedEndpoint) isValid() bool { return areValid(l.Sum, l.Samples, l.Errors, l.Outcomes) }
 
-// mayRestore reports whether learned state applies to an endpoint: it is warm and was not used yet.
+// mayRestore reports whether learned state applies to an endpoint: it is ready and warm and has no
+// samples yet.
 func (b *Balancer) mayRestore(now time.Duration, e *endpoint) bool {
 	return e.State == Ready && e.samples.count == 0 && b.isWarm(now, e)
 }
 
-// restoreEndpoints restores how endpoints compare with their kinds, and which were ejected.
+// restoreEndpoints restores the samples and outcomes of endpoints, and ejects those that were
+// inactive.
 func (b *Balancer) restoreEndpoints(now time.Duration, learned []LearnedEndpoint, age time.Duration) {
 	retained := sampleDecay(age)
 	active := len(b.activeHeap.endpoints)
@@ -189,7 +193,7 @@
 			continue
 		}
 		e.samples = sampleMean{sum: l.Sum * retained, count: l.Samples * retained, updatedAt: now}
-		errors := min(l.Errors, l.Outcomes) // older snapshots have no outcomes
+		errors := min(l.Errors, l.Outcomes) // older snapshots have errors but no outcomes
 		b.setOutcomes(now, e, outcomeCounts{errors: errors, total: l.Outcomes}.times(retained))
 		b.updateHeaps(e)
 		if !l.Active && e.active && e.inSubset && active > 1 {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// recordingHost is a Host that only records sends. Other calls panic, since the embedded Host is
-// nil.
+// recordingHost is a Host that records sends and ignores timers. Other calls panic, since the
+// embedded Host is nil.
 type recordingHost struct {
 	Host
 	sent map[string]string
 }
 
-func (s *recordingHost) Send(id, endpoint string, _ time.Duration) { s.sent[id] = endpoint }
-func (s *recordingHost) Timer(time.Duration)                       {}
+func (h *recordingHost) Send(id, endpoint string, _ time.Duration) { h.sent[id] = endpoint }
+func (h *recordingHost) Timer(time.Duration)                       {}
 
 var (
 	learnedSettings = Settings{Classes: []Class{{Name: "look", LatencyObjective: time.Second}},
@@ -24,8 +24,8 @@
 	learnedList = EndpointList{Complete: true, Entries: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 )
 
-// learnState returns what a Balancer learns from three endpoints, of which c is slow, and the
-// time by then.
+// learnState returns what a Balancer learns from 200 requests to three endpoints, of which c is
+// slow, and the time after the last one.
 func learnState(t *testing.T) (LearnedState, time.Duration) {
 	t.Helper()
 	h := &recordingHost{sent: map[string]string{}}
@@ -56,15 +56,15 @@
 	got := b.LearnedState(now)
 	if len(got.Latencies) != 1 || got.Latencies[0].BaselineLatency != l.Latencies[0].BaselineLatency ||
 		got.ConcurrencyLimit != l.ConcurrencyLimit {
-		t.Errorf("restored %+v of %+v", got, l)
+		t.Errorf("state %+v after the restore of %+v", got, l)
 	}
 	if c := b.byID["c"]; c.active || !b.byID["a"].active || !b.byID["b"].active {
-		t.Errorf("active: a %v, b %v, c %v", b.byID["a"].active, b.byID["b"].active, c.active)
+		t.Errorf("active: a %v, b %v, c %v; want a and b only", b.byID["a"].active, b.byID["b"].active, c.active)
 	}
 	for _, id := range []string{"1", "2", "3", "4"} {
 		b.Request(now, Request{ID: id, Class: "look", Deadline: now + 5*time.Second})
 		if h.sent[id] == "c" {
-			t.Errorf("request %s goes to the slow endpoint", id)
+			t.Errorf("request %s was sent to the slow endpoint c", id)
 		}
 	}
 }
@@ -77,14 +77,15 @@
 		{ID: "c"}}})
 	b.Restore(now, l, time.Second)
 	if a := b.byID["a"]; a.samples.count != 0 {
-		t.Errorf("the restarted endpoint has %g samples", a.samples.count)
+		t.Errorf("endpoint a, which has just restarted, has %g samples, want 0", a.samples.count)
 	}
 	if !b.byID["c"].active {
-		t.Error("the only warm endpoint is ejected")
+		t.Error("endpoint c, the only warm one, is ejected")
 	}
 }
 
-// Whatever the learned state, the weights stay valid and requests are sent.
+// TestRestoreWithstandsInvalidState checks that weights stay valid and requests are sent after the
+// restore of any learned state, such as that of a damaged file.
 func TestRestoreWithstandsInvalidState(t *testing.T) {
 	number := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), -1, 0, 1e300}))
 	rapid.Check(t, func(t *rapid.T) {
@@ -105,22 +106,22 @@
 		b.Restore(now, l, time.Duration(rapid.Int64().Draw(t, "age")))
 		for _, e := range b.endpoints {
 			if w := e.weight(); math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !areValid(e.outcomes.errors, e.samples.count) {
-				t.Fatalf("%s has weight %g of %+v", e.ID, w, l)
+				t.Fatalf("endpoint %s has weight %g after the restore of %+v", e.ID, w, l)
 			}
 		}
 		b.Request(now, Request{ID: "1", Class: "look", Deadline: now + time.Hour})
 		if h.sent["1"] == "" {
-			t.Fatalf("nothing is sent after %+v", l)
+			t.Fatalf("the request is not sent after the restore of %+v", l)
 		}
 	})
 }
 
-// Seen in a run with process handovers during a release: endpoints that were new to a successor
-// waited for their trials as at an instance with a request every few seconds, and the others were
-// overloaded meanwhile.
+// TestRestoreOfTheRequestRate guards against successors that do not know the request rate. In a
+// run with process handovers during a release, a successor delayed the trials of new endpoints as
+// if it got a request only every few seconds, and the other endpoints were overloaded meanwhile.
 func TestRestoreOfTheRequestRate(t *testing.T) {
 	l, now := learnState(t)
-	longest := func(restore bool) (wait time.Duration) {
+	longestDelay := func(restore bool) (delay time.Duration) {
 		for seed := range uint64(20) {
 			s := learnedSettings
 			s.Seed = seed
@@ -130,11 +131,12 @@
 				b.Restore(now, l, time.Second)
 			}
 			b.EndpointList(now, EndpointList{Entries: []Endpoint{{ID: "fresh"}}})
-			wait = max(wait, b.byID["fresh"].trial.nextAt-now)
+			delay = max(delay, b.byID["fresh"].trial.nextAt-now)
 		}
-		return wait
+		return delay
 	}
-	if with, without := longest(true), longest(false); with > time.Second || without < 5*with {
-		t.Errorf("the trial is due after up to %v, and up to %v without learned state", with, without)
+	if with, without := longestDelay(true), longestDelay(false); with > time.Second || without < 5*with {
+		t.Errorf("the trial is due after %v with learned state and %v without, want at most 1s and at least 5 times that",
+			with, without)
 	}
 }
