--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -200,7 +200,7 @@
 			if n := h.measureCapacity(); n < c.least || n > c.most {
 				t.Errorf("capacity for %d requests, and for %d before, want %d to %d", n, all, c.least, c.most)
 			}
-			if err := h.b.CheckIndex(); err != nil {
+			if err := h.b.CheckEndpointSet(); err != nil {
 				t.Error(err)
 			}
 			h.advance(time.Second)
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -43,7 +43,7 @@
 				if slices.Contains(h.sentTo[id], "a") {
 					t.Fatalf("%s went to a disabled endpoint", id)
 				}
-				if err := h.b.CheckIndex(); err != nil {
+				if err := h.b.CheckEndpointSet(); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// CheckIndex compares the counts and the heaps with what a walk over all endpoints finds.
-func (b *Balancer) CheckIndex() error {
+// CheckEndpointSet compares the counts and the heaps with what a walk over all endpoints finds.
+func (b *Balancer) CheckEndpointSet() error {
 	if err := b.checkCounts(); err != nil {
 		return err
 	}
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -289,7 +289,7 @@
 		}
 	}
 	sim.openIDs = open
-	if err := sim.b.CheckIndex(); err != nil {
+	if err := sim.b.CheckEndpointSet(); err != nil {
 		sim.t.Fatalf("%v: %v", sim.now, err)
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -133,7 +133,7 @@
 				if n := h.countActions("reject") - rejected; n > 0 {
 					t.Errorf("%d requests were rejected", n)
 				}
-				if err := h.b.CheckIndex(); err != nil {
+				if err := h.b.CheckEndpointSet(); err != nil {
 					t.Error(err)
 				}
 			})
