--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,27 +7,27 @@
 	"rowancart/balancer"
 )
 
-// printer is a host that only prints what it is asked to do. A real one would send, set timers
-// and answer clients.
-type printer struct{}
+// printingHost is a host that prints the calls of the Balancer. A real host sends requests, sets
+// timers and answers clients.
+type printingHost struct{}
 
-func (printer) Send(id, endpoint string, timeout time.Duration) {
+func (printingHost) Send(id, endpoint string, timeout time.Duration) {
 	fmt.Println("send", id, "to", endpoint)
 }
-func (printer) Cancel(id string, n int) { fmt.Println("cancel", id, n) }
-func (printer) Reject(id string, reason balancer.Reason, retryAfter time.Duration) {
+func (printingHost) Cancel(id string, n int) { fmt.Println("cancel", id, n) }
+func (printingHost) Reject(id string, reason balancer.Reason, retryAfter time.Duration) {
 	fmt.Println("reject", id, reason)
 }
-func (printer) Fail(id string, reason balancer.Reason) { fmt.Println("fail", id) }
-func (printer) Subscribe()                             { fmt.Println("subscribe") }
-func (printer) Timer(at time.Duration)                 {}
-func (printer) Log(e balancer.LogEvent)                { fmt.Println(e) }
+func (printingHost) Fail(id string, reason balancer.Reason) { fmt.Println("fail", id) }
+func (printingHost) Subscribe()                             { fmt.Println("subscribe") }
+func (printingHost) Timer(at time.Duration)                 {}
+func (printingHost) Log(e balancer.LogEvent)                { fmt.Println(e) }
 
 func Example() {
 	b := balancer.New(0, balancer.Settings{
 		Instances: 1, MaxAttempts: 3, CancelAllowed: true, Resolution: time.Millisecond,
 		Classes: []balancer.Class{{Name: "lookup", Idempotency: balancer.Idempotent, LatencyObjective: time.Second}},
-	}, printer{})
+	}, printingHost{})
 	b.EndpointList(0, balancer.EndpointList{Complete: true, Entries: []balancer.Endpoint{{ID: "10.0.0.1:80"}}})
 
 	now := 5 * time.Millisecond
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// CheckEndpointSet compares the counts and the heaps with what a walk over all endpoints finds.
+// CheckEndpointSet checks that the counts and the heaps of the endpoint set agree with its
+// endpoints.
 func (b *Balancer) CheckEndpointSet() error {
 	if err := b.checkCounts(); err != nil {
 		return err
@@ -33,7 +34,7 @@
 	return nil
 }
 
-// checkCounts compares the counts of endpoints and outcomes with a walk.
+// checkCounts checks that the counts of endpoints and outcomes agree with the endpoints.
 func (b *Balancer) checkCounts() error {
 	var size, listed, ready, failing int
 	var outcomes outcomeCounts
@@ -55,26 +56,27 @@
 		}
 	}
 	if size != b.subsetSize || listed != b.listedCount || ready != b.readyCount || failing != b.failingCount {
-		return fmt.Errorf("subset of %d, %d listed, %d ready, %d failing; a walk counts %d, %d, %d, %d",
+		return fmt.Errorf("%d endpoints in the subset, %d listed, %d ready, %d failing; want %d, %d, %d, %d",
 			b.subsetSize, b.listedCount, b.readyCount, b.failingCount, size, listed, ready, failing)
 	}
 	if math.Abs(outcomes.errors-b.outcomes.errors) > 1e-6 || math.Abs(outcomes.total-b.outcomes.total) > 1e-6 {
-		return fmt.Errorf("outcomes %+v; a walk counts %+v", b.outcomes, outcomes)
+		return fmt.Errorf("outcomes of the subset %+v, want %+v", b.outcomes, outcomes)
 	}
 	return nil
 }
 
-// check compares a heap with the endpoints that should be in it, and checks its order.
+// check checks that the heap contains the wanted endpoints in heap order.
 func (h *endpointHeap) check(want []*endpoint) error {
 	if len(want) != len(h.endpoints) {
-		return fmt.Errorf("heap %d has %d endpoints, and a walk finds %d", h.slot, len(h.endpoints), len(want))
+		return fmt.Errorf("heap %d has %d endpoints, want %d", h.slot, len(h.endpoints), len(want))
 	}
 	for i, e := range h.endpoints {
 		if e.heapIndexes[h.slot] != i+1 || !slices.Contains(want, e) {
-			return fmt.Errorf("heap %d has %s at %d, whose own index is %d", h.slot, e.ID, i+1, e.heapIndexes[h.slot])
+			return fmt.Errorf("heap %d: endpoint %s at index %d has the stored index %d or does not belong in the heap",
+				h.slot, e.ID, i+1, e.heapIndexes[h.slot])
 		}
 		if i > 0 && h.less(e, h.endpoints[(i-1)/2]) {
-			return fmt.Errorf("heap %d has %s below %s", h.slot, e.ID, h.endpoints[(i-1)/2].ID)
+			return fmt.Errorf("heap %d: endpoint %s is below %s, but sorts before it", h.slot, e.ID, h.endpoints[(i-1)/2].ID)
 		}
 	}
 	return nil
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -14,12 +14,13 @@
 
 const ms = time.Millisecond
 
-// harness is a Host that records the actions of a Balancer, with methods that report events to it.
+// harness is a Host that records the actions of its Balancer. Its methods simulate clients and
+// endpoints: they report events to the Balancer.
 type harness struct {
 	t            *testing.T
 	now          time.Duration
 	b            *balancer.Balancer
-	actions      []string // all actions but timers, in order
+	actions      []string // all actions except timers and logs, in order
 	sentTo       map[string][]string
 	sentAt       map[string]time.Duration
 	timers       []time.Duration
@@ -55,12 +56,12 @@
 			{Name: "bill", Idempotency: balancer.NonIdempotent, LatencyObjective: 2 * time.Second}}}
 }
 
-// testSettingsWithObjective returns testSettings with another latency objective, on which the
-// tolerated latency ratio and the straggling delay depend.
-func testSettingsWithObjective(within time.Duration) balancer.Settings {
+// testSettingsWithObjective returns testSettings with another latency objective, which determines
+// the tolerated latency ratio and the straggling delay.
+func testSettingsWithObjective(objective time.Duration) balancer.Settings {
 	s := testSettings()
 	for i := range s.Classes {
-		s.Classes[i].LatencyObjective = within
+		s.Classes[i].LatencyObjective = objective
 	}
 	return s
 }
@@ -81,7 +82,7 @@
 	return h
 }
 
-// newHarnessOfInstance returns the harness of one of a number of instances that send to the same
+// newHarnessOfInstance returns a harness for one of several instances that send to the same
 // endpoints.
 func newHarnessOfInstance(t *testing.T, instances, endpoints int) *harness {
 	s := testSettings()
@@ -89,7 +90,7 @@
 	return newHarness(t, s, endpointIDs(endpoints)...)
 }
 
-// endpointIDs returns a number of endpoint IDs.
+// endpointIDs returns n endpoint IDs.
 func endpointIDs(n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
@@ -98,7 +99,7 @@
 	return ids
 }
 
-// advance lets time pass and fires the timers that fall due.
+// advance advances the time by d in steps of 1 ms and fires the timers that are due.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += ms
@@ -115,7 +116,8 @@
 	}
 }
 
-// request makes a request and returns its ID and the endpoint that it went to, if any.
+// request makes a request and returns its ID and the endpoint that it was sent to, or "" if it was
+// not sent.
 func (h *harness) request(class string) (id, ep string) {
 	id = h.requestFor(class, "")
 	if len(h.sentTo[id]) > 0 {
@@ -124,7 +126,7 @@
 	return id, ep
 }
 
-// requestFor makes a request of a tenant and returns its ID. The request need not have been sent.
+// requestFor makes a request of a tenant and returns its ID, whether or not the request was sent.
 func (h *harness) requestFor(class, tenant string) string {
 	h.requestCount++
 	id := "r" + strconv.Itoa(h.requestCount)
@@ -148,7 +150,8 @@
 		Final:   result == balancer.OK})
 }
 
-// finishDue ends the requests whose instant has come with success, in order of their IDs.
+// finishDue finishes the requests that are due with success, in order of their IDs, and deletes
+// them from due, which holds their finish times.
 func (h *harness) finishDue(due map[string]time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(due)) {
 		if h.now >= due[id] {
@@ -158,7 +161,8 @@
 	}
 }
 
-// finishAll reports the outcomes of all attempts of a request, the latest with success.
+// finishAll reports the outcomes of all attempts of a request: success for the latest, Canceled for
+// the others.
 func (h *harness) finishAll(id string) {
 	for n, ep := range h.sentTo[id] {
 		o := balancer.Outcome{ID: id, Attempt: n, Endpoint: ep, Result: balancer.Canceled,
@@ -170,18 +174,18 @@
 	}
 }
 
-// countActions counts the actions that begin with a prefix.
+// countActions counts the actions that start with a prefix.
 func (h *harness) countActions(prefix string) int {
 	n := 0
-	for _, d := range h.actions {
-		if strings.HasPrefix(d, prefix) {
+	for _, action := range h.actions {
+		if strings.HasPrefix(action, prefix) {
 			n++
 		}
 	}
 	return n
 }
 
-// finalAnswers returns the final answers that a request got.
+// finalAnswers returns the rejections and failures that a request got.
 func (h *harness) finalAnswers(id string) []string {
 	var answers []string
 	for _, action := range h.actions {
@@ -192,7 +196,7 @@
 	return answers
 }
 
-// evenLatency returns one latency for all the endpoints, for serve.
+// evenLatency returns an argument for serve in which all endpoints have the same latency.
 func evenLatency(latency time.Duration, endpoints ...string) map[string]time.Duration {
 	latencies := map[string]time.Duration{}
 	for _, ep := range endpoints {
@@ -201,8 +205,8 @@
 	return latencies
 }
 
-// serve makes requests one after another, each endpoint with a latency of its own, and returns
-// how many went to each.
+// serve makes requests one after another, and finishes each with success after the latency of its
+// endpoint. It returns how many requests each endpoint got.
 func (h *harness) serve(requests int, latency map[string]time.Duration) map[string]int {
 	counts := map[string]int{}
 	for range requests {
@@ -214,14 +218,14 @@
 	return counts
 }
 
-// serveSteadily makes a request at even intervals for a while, and finishes each after the
-// latency of its endpoint. It calls sent for each send.
-func (h *harness) serveSteadily(every, lasting time.Duration, latency func(ep string) time.Duration,
-	sent func(ep string)) {
+// serveSteadily makes requests at an even interval for some time, and finishes each attempt with
+// success after the latency of its endpoint. It calls onSend for each send.
+func (h *harness) serveSteadily(interval, duration time.Duration, latency func(ep string) time.Duration,
+	onSend func(ep string)) {
 	due := map[string]time.Duration{}
 	seen := len(h.actions)
-	for begun := h.now; h.now < begun+lasting; {
-		if h.now%every == 0 {
+	for start := h.now; h.now < start+duration; {
+		if h.now%interval == 0 {
 			h.request("read")
 		}
 		h.advance(ms)
@@ -229,28 +233,30 @@
 		for ; seen < len(h.actions); seen++ {
 			if f := strings.Fields(h.actions[seen]); f[0] == "send" {
 				due[f[1]] = h.now + latency(f[2])
-				sent(f[2])
+				onSend(f[2])
 			}
 		}
 	}
 }
 
-// overload makes a request at even intervals for a while. Each endpoint works on one request at
-// a time. It returns the most requests that an endpoint had in the second half of that time, and
-// how many were answered.
-func (h *harness) overload(gap, work, long time.Duration, endpoints ...string) (most, answered int) {
+// overload makes requests at an even interval for some time. Each endpoint works on one request at
+// a time, for the service time. It returns the longest queue of an endpoint, including the request
+// in service, in the second half of the time, and the number of answered requests.
+func (h *harness) overload(
+	interval, serviceTime, duration time.Duration, endpoints ...string,
+) (longestQueue, answered int) {
 	queue := map[string][]string{}
 	busy := map[string]time.Duration{}
-	begun := h.now
-	for h.now < begun+long {
+	start := h.now
+	for h.now < start+duration {
 		if id, ep := h.request("read"); ep != "" {
 			queue[ep] = append(queue[ep], id)
 		}
-		for next := h.now + gap; h.now < next; {
+		for next := h.now + interval; h.now < next; {
 			sent := len(h.actions)
 			h.advance(ms)
 			for _, ep := range endpoints {
-				if busy[ep] += ms; busy[ep] >= work || len(queue[ep]) == 0 {
+				if busy[ep] += ms; busy[ep] >= serviceTime || len(queue[ep]) == 0 {
 					busy[ep] = 0
 					if len(queue[ep]) > 0 {
 						id := queue[ep][0]
@@ -260,22 +266,22 @@
 					}
 				}
 			}
-			for _, d := range h.actions[sent:] { // queued requests that were sent since
-				if f := strings.Fields(d); f[0] == "send" && !slices.Contains(queue[f[2]], f[1]) {
+			for _, action := range h.actions[sent:] { // the Balancer's queued requests that were sent meanwhile
+				if f := strings.Fields(action); f[0] == "send" && !slices.Contains(queue[f[2]], f[1]) {
 					queue[f[2]] = append(queue[f[2]], f[1])
 				}
 			}
 			for _, ep := range endpoints {
-				if h.now > begun+long/2 {
-					most = max(most, len(queue[ep]))
+				if h.now > start+duration/2 {
+					longestQueue = max(longestQueue, len(queue[ep]))
 				}
 			}
 		}
 	}
-	return most, answered
+	return longestQueue, answered
 }
 
-// measureCapacity returns how many requests may be in flight at once before one is queued.
+// measureCapacity returns how many requests are sent at once before one is queued.
 func (h *harness) measureCapacity() int {
 	before := h.countActions("send ")
 	var ids []string
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -10,7 +10,7 @@
 	"rowancart/balancer"
 )
 
-// answerSlack is how long after the deadline a final answer may come.
+// answerSlack is how long after the deadline of a request its final answer may come.
 const answerSlack = 20 * ms
 
 // simulatedAttempt is the simulation's record of an attempt.
@@ -19,7 +19,7 @@
 	sentAt, endsAt time.Duration
 	result         balancer.Result
 	inFlight       bool
-	mayHaveRun     bool // ended, and nothing proves that it did not run
+	mayHaveRun     bool // it has ended, and its result does not prove that it did not run
 	canceled       bool
 }
 
@@ -28,27 +28,28 @@
 	balancer.Request
 	class    balancer.Class
 	attempts []*simulatedAttempt
-	ended    bool // has its final answer, or its client has disconnected
-	notified bool // the Balancer was notified of that before this step
+	ended    bool // it has its final answer, or its client has disconnected
+	notified bool // the Balancer knows that it has ended, or is being told
 }
 
-// simulation simulates the clients, discovery and endpoints of one Balancer, and checks the rules.
+// simulation is a Host that simulates the clients, service discovery and endpoints of one Balancer,
+// and checks that the Balancer keeps the rules for sends and answers.
 type simulation struct {
 	t            testing.TB
 	rng          *rand.Rand
 	settings     balancer.Settings
 	now          time.Duration
 	b            *balancer.Balancer
-	listed       map[string]balancer.Endpoint // as last reported
-	drainedAt    map[string]time.Duration     // when a drain or removal was reported
+	listed       map[string]balancer.Endpoint // endpoints as last reported to the Balancer
+	drainedAt    map[string]time.Duration     // when an endpoint was reported as draining or removed
 	requests     map[string]*simulatedRequest
 	openIDs      []string
 	timers       []time.Duration
-	warmingSends map[string][]time.Duration // sends to warming endpoints
+	warmingSends map[string][]time.Duration // times of the sends to each warming endpoint
 	requestCount int
-	ending       bool // nothing new comes
+	ending       bool // no more requests and changes are simulated
 	sends        int
-	answers      [3]int // served, rejected, failed
+	answers      [3]int // number of successes, rejections and failures
 	reasons      map[balancer.Reason]int
 	actions      []string
 }
@@ -58,7 +59,7 @@
 	req := sim.requests[id]
 	e := sim.listed[ep]
 	if req == nil || e.ID == "" {
-		sim.t.Fatalf("%v: Send of %s to %s, one of them unknown", sim.now, id, ep)
+		sim.t.Fatalf("%v: Send of request %s to endpoint %s, one of which is unknown", sim.now, id, ep)
 	}
 	sim.checkSend(req, e)
 	if e.Started > 0 && sim.now-e.Started < sim.settings.SlowStartWindow {
@@ -68,29 +69,30 @@
 	req.attempts = append(req.attempts, sim.drawAttempt(e, timeout))
 }
 
-// checkSend checks that a request may be sent to an endpoint.
+// checkSend checks that a request may be sent to an endpoint: it has not ended, has attempts left,
+// has none in flight and cannot take effect twice, and the endpoint is not draining.
 func (sim *simulation) checkSend(req *simulatedRequest, e balancer.Endpoint) {
 	if req.notified {
-		sim.t.Fatalf("%v: Send of %s, which has ended", sim.now, req.ID)
+		sim.t.Fatalf("%v: Send of request %s, which has ended", sim.now, req.ID)
 	}
 	if at, ok := sim.drainedAt[e.ID]; ok && sim.now > at {
-		sim.t.Fatalf("%v: Send to %s, which drained at %v", sim.now, e.ID, at)
+		sim.t.Fatalf("%v: Send to endpoint %s, which has been draining or removed since %v", sim.now, e.ID, at)
 	}
 	if sim.settings.MaxAttempts > 0 && len(req.attempts) >= sim.settings.MaxAttempts {
-		sim.t.Fatalf("%v: attempt %d of %s", sim.now, len(req.attempts), req.ID)
+		sim.t.Fatalf("%v: Send of attempt %d of request %s exceeds the allowed attempts", sim.now, len(req.attempts), req.ID)
 	}
 	for _, a := range req.attempts {
 		if a.inFlight {
-			sim.t.Fatalf("%v: two attempts of %s in flight", sim.now, req.ID)
+			sim.t.Fatalf("%v: Send of request %s while another attempt of it is in flight", sim.now, req.ID)
 		}
 		if a.mayHaveRun && sim.mayTakeEffectTwice(req.class, a, e) {
-			sim.t.Fatalf("%v: %s may take effect twice at %s", sim.now, req.ID, e.ID)
+			sim.t.Fatalf("%v: Send of request %s, which may take effect a second time at endpoint %s", sim.now, req.ID, e.ID)
 		}
 	}
 }
 
-// mayTakeEffectTwice reports whether a request of a class takes effect at an endpoint after an
-// attempt that ran.
+// mayTakeEffectTwice reports whether a request of a class can take effect at an endpoint although
+// an earlier attempt has run.
 func (sim *simulation) mayTakeEffectTwice(c balancer.Class, earlier *simulatedAttempt, e balancer.Endpoint) bool {
 	switch {
 	case c.Idempotency == balancer.Idempotent:
@@ -107,7 +109,7 @@
 	return false
 }
 
-// drawAttempt returns an attempt with a random end.
+// drawAttempt returns an attempt with a random result and end time.
 func (sim *simulation) drawAttempt(e balancer.Endpoint, timeout time.Duration) *simulatedAttempt {
 	a := &simulatedAttempt{endpoint: e, sentAt: sim.now, inFlight: true,
 		endsAt: sim.now + time.Duration(1+sim.rng.IntN(300))*ms}
@@ -130,15 +132,15 @@
 
 func (sim *simulation) Cancel(id string, n int) {
 	if !sim.settings.CancelAllowed {
-		sim.t.Fatalf("%v: Cancel is not allowed", sim.now)
+		sim.t.Fatalf("%v: Cancel, which the settings do not allow", sim.now)
 	}
 	req := sim.requests[id]
 	if req == nil || n < 0 || n >= len(req.attempts) {
-		sim.t.Fatalf("%v: Cancel of %s/%d, which was never sent", sim.now, id, n)
+		sim.t.Fatalf("%v: Cancel of request %s, attempt %d, which was never sent", sim.now, id, n)
 	}
 	if a := req.attempts[n]; a.inFlight && !a.canceled {
 		a.canceled = true
-		if sim.rng.IntN(4) > 0 || a.endsAt > sim.now+50*ms { // else another outcome is on its way
+		if sim.rng.IntN(4) > 0 || a.endsAt > sim.now+50*ms { // else the attempt's own result comes first
 			a.result = balancer.Canceled
 			a.endsAt = sim.now
 		}
@@ -152,7 +154,7 @@
 	for _, a := range req.attempts {
 		if (a.inFlight || a.mayHaveRun) && (req.class.Idempotency == balancer.NonIdempotent ||
 			req.class.Idempotency == balancer.IdempotencyKeyed && req.class.KeyScope != balancer.KeyScopeAll) {
-			sim.t.Fatalf("%v: %s is rejected though it may have run", sim.now, id)
+			sim.t.Fatalf("%v: Reject of request %s, which may have run", sim.now, id)
 		}
 	}
 }
@@ -162,7 +164,7 @@
 	sim.answers[2]++
 }
 
-// checkReason checks a reason against what the simulation has seen.
+// checkReason checks that the reason of a rejection or failure applies to the request.
 func (sim *simulation) checkReason(req *simulatedRequest, reason balancer.Reason) {
 	var ready, failed, mayHaveRun, inFlight bool
 	for _, e := range sim.listed {
@@ -173,18 +175,18 @@
 		mayHaveRun = mayHaveRun || a.mayHaveRun
 		inFlight = inFlight || a.inFlight
 	}
-	holds := map[balancer.Reason]bool{
+	applies := map[balancer.Reason]bool{
 		balancer.NoEndpoint:        !ready,
 		balancer.NoCapacity:        ready && len(req.attempts) == 0,
 		balancer.OverQuota:         req.Tenant != "t2" && len(req.attempts) == 0,
-		balancer.DeadlineTooClose:  true, // by the Balancer's own estimate of the latency
+		balancer.DeadlineTooClose:  true, // depends on the Balancer's estimate of the latency
 		balancer.RetryBudgetSpent:  failed && !inFlight,
 		balancer.AttemptsExhausted: len(req.attempts) >= sim.settings.MaxAttempts && !inFlight,
 		balancer.MayHaveRun:        mayHaveRun && req.class.Idempotency != balancer.Idempotent,
 	}
-	if !holds[reason] {
-		sim.t.Fatalf("%v: %s gets the reason %q after %d attempts, which does not hold", sim.now, req.ID, reason,
-			len(req.attempts))
+	if !applies[reason] {
+		sim.t.Fatalf("%v: request %s got the reason %q after %d attempts, but the reason does not apply", sim.now, req.ID,
+			reason, len(req.attempts))
 	}
 	sim.reasons[reason]++
 }
@@ -194,10 +196,10 @@
 	sim.actions = append(sim.actions, fmt.Sprintf("%v answer %s", sim.now, id))
 	req := sim.requests[id]
 	if req == nil || req.notified {
-		sim.t.Fatalf("%v: a second answer to %s", sim.now, id)
+		sim.t.Fatalf("%v: answer to request %s, which has ended or is unknown", sim.now, id)
 	}
 	if !req.ended && sim.now > req.Deadline+answerSlack {
-		sim.t.Fatalf("%v: the answer to %s comes after its deadline at %v", sim.now, id, req.Deadline)
+		sim.t.Fatalf("%v: answer to request %s after %v, its deadline, plus slack", sim.now, id, req.Deadline)
 	}
 	req.ended = true
 	req.notified = true
@@ -210,8 +212,8 @@
 
 func (sim *simulation) Log(balancer.LogEvent) {}
 
-// startBalancer starts a new incarnation of the Balancer, which does not know the requests of an
-// earlier one.
+// startBalancer starts a Balancer, as after a restart of its process: it does not know the requests
+// of the one before.
 func (sim *simulation) startBalancer(seed uint64) {
 	sim.requests = map[string]*simulatedRequest{}
 	sim.openIDs = nil
@@ -227,7 +229,7 @@
 	sim.b.EndpointList(sim.now, l)
 }
 
-// changeEndpoint reports a random change of one endpoint, or a failure of discovery.
+// changeEndpoint reports a random change of one endpoint, or a failure of service discovery.
 func (sim *simulation) changeEndpoint() {
 	if sim.rng.IntN(10) == 0 {
 		sim.b.EndpointList(sim.now, balancer.EndpointList{Failed: true})
@@ -270,7 +272,7 @@
 	sim.b.Request(sim.now, r)
 }
 
-// step simulates one step of time.
+// step simulates one step of time and the events in it, and checks the endpoint set.
 func (sim *simulation) step() {
 	sim.now += max(sim.settings.Resolution, ms)
 	for range sim.rng.IntN(4) {
@@ -294,7 +296,7 @@
 	}
 }
 
-// fireTimers reports the timers that are due.
+// fireTimers reports and removes the timers that are due.
 func (sim *simulation) fireTimers() {
 	due := 0
 	for i := 0; i < len(sim.timers); i++ {
@@ -310,8 +312,8 @@
 	}
 }
 
-// stepRequest simulates one step of a request, and reports whether it is still open: without a
-// final answer, or with an attempt in flight.
+// stepRequest simulates one step of a request, and reports whether the request is still open: it
+// has no final answer yet, or an attempt in flight.
 func (sim *simulation) stepRequest(req *simulatedRequest) (open bool) {
 	if !sim.ending && !req.ended && sim.rng.IntN(400) == 0 {
 		req.ended = true
@@ -325,12 +327,13 @@
 		open = open || a.inFlight
 	}
 	if !req.ended && sim.now > req.Deadline+answerSlack {
-		sim.t.Fatalf("%v: no answer to %s by %v", sim.now, req.ID, req.Deadline)
+		sim.t.Fatalf("%v: no answer to request %s by %v, its deadline, plus slack", sim.now, req.ID, req.Deadline)
 	}
 	return open || !req.ended
 }
 
-// finishAttempt reports the outcome of an attempt, sometimes twice, which must be harmless.
+// finishAttempt reports the outcome of an attempt. It sometimes reports the outcome twice, which
+// must be harmless.
 func (sim *simulation) finishAttempt(req *simulatedRequest, n int) {
 	a := req.attempts[n]
 	a.inFlight = false
@@ -349,7 +352,7 @@
 	}
 }
 
-// mayHaveRun reports whether a result leaves it open that the request has run.
+// mayHaveRun reports whether the request may have run in an attempt with this result.
 func mayHaveRun(r balancer.Result) bool {
 	return r != balancer.Rejected && r != balancer.ConnectFailed && r != balancer.NotSent
 }
@@ -366,11 +369,11 @@
 		Resolution:        time.Duration(1+rng.IntN(5)) * ms,
 		SlowStartCapacity: 0.3, SlowStartWindow: 9 * time.Second,
 		Tenants: []balancer.Tenant{{Name: "t0", Quota: 100}, {Name: "t1", Quota: 5}}}
-	for i, effect := range []balancer.Idempotency{balancer.Idempotent, balancer.IdempotencyKeyed,
+	for i, idempotency := range []balancer.Idempotency{balancer.Idempotent, balancer.IdempotencyKeyed,
 		balancer.IdempotencyKeyed, balancer.IdempotencyKeyed, balancer.NonIdempotent} {
-		sim.settings.Classes = append(sim.settings.Classes, balancer.Class{Name: "c" + strconv.Itoa(i), Idempotency: effect,
-			KeyScope: balancer.KeyScope(max(i-1, 0) % 3), KeyWindow: time.Duration(100+rng.IntN(400)) * ms,
-			LatencyObjective: 400 * ms,
+		sim.settings.Classes = append(sim.settings.Classes, balancer.Class{Name: "c" + strconv.Itoa(i),
+			Idempotency: idempotency, KeyScope: balancer.KeyScope(max(i-1, 0) % 3),
+			KeyWindow: time.Duration(100+rng.IntN(400)) * ms, LatencyObjective: 400 * ms,
 		})
 	}
 	for i := range 8 {
@@ -381,7 +384,9 @@
 	return sim
 }
 
-// simulate reports random legal events. A violation is fatal.
+// simulate runs a simulation with random valid events for a number of steps, then without new
+// requests until all have ended. For every third seed, the Balancer is restarted halfway. A
+// violation of a rule fails the test.
 func simulate(t testing.TB, seed uint64, steps int) *simulation {
 	sim := newSimulation(t, seed)
 	for i := range steps {
@@ -391,14 +396,14 @@
 		}
 	}
 	sim.ending = true
-	for range 3000 { // let everything end
+	for range 3000 { // at most so many steps until all requests have ended
 		if len(sim.openIDs) == 0 {
 			break
 		}
 		sim.step()
 	}
 	if len(sim.openIDs) > 0 {
-		t.Fatalf("%d requests never ended", len(sim.openIDs))
+		t.Fatalf("%d requests are still open after 3000 further steps", len(sim.openIDs))
 	}
 	return sim
 }
