--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -20,7 +20,7 @@
 	baselineFallGain     = 0.02             // highest gain of the baseline per response while the mean is below it
 	baselineRiseTime     = 60 * time.Second // memory of the baseline while the mean is above it
 	baselineLearningTime = 1.5              // seconds for which the baseline equals the mean: fast responses arrive first
-	baselineSamples      = 10               // responses for which it equals the mean as well
+	baselineSamples      = 10               // responses for which the baseline equals the mean as well
 )
 
 // decay returns the share of a sample that is retained after the elapsed time: 1/e after memory.
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -66,7 +66,8 @@
 	return true
 }
 
-// sampleDecay returns the share of a sample that is retained after the elapsed time.
+// sampleDecay returns the share of a sample that is retained after the elapsed time. A negative
+// time counts as 0.
 func sampleDecay(elapsed time.Duration) float64 { return decay(max(elapsed, 0), sampleMemory) }
 
 // LearnedState returns what the Balancer has learned. It includes only endpoints that are ready and
