--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -15,12 +15,12 @@
 	longTermRateMemory   = time.Minute      // memory of the long-term request rate
 	minLongTermRequests  = 0.5              // lowest count for the long-term rate, so that it is never 0
 	minKindWeightGain    = 0.03             // lowest gain of a kind's weight per response
-	meanGain             = 0.05             // highest gain of the mean latency, or 1/samples if that is higher
-	minMeanMemory        = 0.5              // lowest memory of the mean latency, in seconds
+	meanGain             = 0.05             // highest gain of the mean latency after 1/meanGain samples, and quantile step
+	minMeanMemory        = 0.5              // lowest memory of the mean latency and of a falling baseline, in seconds
 	baselineFallGain     = 0.02             // highest gain of the baseline per response while the mean is below it
 	baselineRiseTime     = 60 * time.Second // memory of the baseline while the mean is above it
 	baselineLearningTime = 1.5              // seconds for which the baseline equals the mean: fast responses arrive first
-	baselineSamples      = 10               // responses for which the baseline equals the mean as well
+	baselineSamples      = 10               // responses for which the baseline equals the mean, if they take longer
 )
 
 // decay returns the share of a sample that is retained after the elapsed time: 1/e after memory.
@@ -57,8 +57,8 @@
 	return requests / (covered * longTermRateMemory.Seconds())
 }
 
-// latencyEstimator estimates the latency of one kind of work, in seconds. It counts responses as
-// samples.
+// latencyEstimator estimates the latency of one kind of work, in seconds, from a number of
+// responses (samples).
 type latencyEstimator struct {
 	work      string
 	firstAt   time.Duration // time of the first response
@@ -94,9 +94,9 @@
 // quantileEstimator estimates a quantile of the latencies of responses, in seconds.
 type quantileEstimator struct{ latency float64 }
 
-// observe adds the latency of a response: it moves the estimate up or down by steps in such a
-// proportion that it settles at the quantile. The estimate starts at twice the mean and never falls
-// below the mean.
+// observe adds the latency of a response. A slower response raises the estimate in proportion to
+// quantile, any other lowers it in proportion to 1-quantile, so that the estimate settles at the
+// quantile. It starts at twice the mean and never falls below the mean.
 func (q *quantileEstimator) observe(latency, mean, quantile float64) {
 	step := meanGain * mean
 	switch {
@@ -112,7 +112,7 @@
 // outcomeCounts holds decayed counts of responses and of the errors among them.
 type outcomeCounts struct{ errors, total float64 }
 
-// The counts of a single attempt.
+// The counts of a single response.
 var (
 	errorOutcome   = outcomeCounts{errors: 1, total: 1}
 	successOutcome = outcomeCounts{total: 1}
@@ -139,12 +139,13 @@
 	return outcomeCounts{errors: max(o.errors, 0), total: max(o.total, 0)}
 }
 
-// errorShare returns the share of errors among the outcomes. A total below 1 counts as 1.
+// errorShare returns the share of errors among the responses. A total below 1 counts as 1.
 func (o outcomeCounts) errorShare() float64 { return o.errors / max(o.total, 1) }
 
-// endpointKind aggregates the responses of all endpoints of one kind as samples.
+// endpointKind holds the weight estimated from the responses of all endpoints of one kind, and the
+// number of those responses (samples).
 type endpointKind struct {
-	weight         float64 // mean latency ratio over its endpoints
+	weight         float64 // recent mean latency ratio of the responses of its endpoints
 	samples        float64
 	activeByWeight endpointHeap // its active endpoints in the subset, by weight
 }
--- a/balancer/estimators_test.go
+++ b/balancer/estimators_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestRateEstimatorFollowsTheRate checks the recent and the long-term rate while requests arrive at
-// even intervals, and after the last one.
+// regular intervals, and after the last one.
 func TestRateEstimatorFollowsTheRate(t *testing.T) {
 	start := time.Hour
 	rate := rateEstimator{startedAt: start, updatedAt: start}
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -56,8 +56,8 @@
 			{Name: "bill", Idempotency: balancer.NonIdempotent, LatencyObjective: 2 * time.Second}}}
 }
 
-// testSettingsWithObjective returns testSettings with another latency objective, which determines
-// the tolerated latency ratio and the straggling delay.
+// testSettingsWithObjective returns testSettings with another latency objective, on which the
+// tolerated latency ratio and the straggling delay depend.
 func testSettingsWithObjective(objective time.Duration) balancer.Settings {
 	s := testSettings()
 	for i := range s.Classes {
@@ -150,8 +150,8 @@
 		Final:   result == balancer.OK})
 }
 
-// finishDue finishes the requests that are due with success, in order of their IDs, and deletes
-// them from due, which holds their finish times.
+// finishDue reports success for each request whose time in due has come, in order of their IDs, and
+// deletes it from due.
 func (h *harness) finishDue(due map[string]time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(due)) {
 		if h.now >= due[id] {
@@ -218,8 +218,9 @@
 	return counts
 }
 
-// serveSteadily makes requests at an even interval for some time, and finishes each attempt with
-// success after the latency of its endpoint. It calls onSend for each send.
+// serveSteadily makes requests at a regular interval for some time, and finishes each with success
+// after the latency of the endpoint of its latest attempt. It calls onSend for each send. Requests
+// that would finish later stay open.
 func (h *harness) serveSteadily(interval, duration time.Duration, latency func(ep string) time.Duration,
 	onSend func(ep string)) {
 	due := map[string]time.Duration{}
@@ -239,9 +240,9 @@
 	}
 }
 
-// overload makes requests at an even interval for some time. Each endpoint works on one request at
-// a time, for the service time. It returns the longest queue of an endpoint, including the request
-// in service, in the second half of the time, and the number of answered requests.
+// overload makes requests at a regular interval for some time. Each endpoint works on one request
+// at a time, for the service time. It returns the longest queue of an endpoint, including the
+// request in service, in the second half of the time, and the number of answered requests.
 func (h *harness) overload(
 	interval, serviceTime, duration time.Duration, endpoints ...string,
 ) (longestQueue, answered int) {
--- a/balancer/heap.go
+++ b/balancer/heap.go
@@ -87,9 +87,10 @@
 	}
 }
 
-// candidates holds the endpoints that a selection chooses from: either all endpoints of a heap, or,
-// if heap is nil, the endpoints of a list that are active or inactive, as the field active says. It
-// is a struct rather than a func or an interface, so that a selection allocates nothing.
+// candidates holds the endpoints that a selection chooses from: all endpoints of heap or, if heap
+// is nil, those in endpoints that are not removed and are active or not, as the field active
+// requires. It is a struct rather than a func or an interface, so that a selection allocates
+// nothing.
 type candidates struct {
 	heap      *endpointHeap
 	endpoints []*endpoint
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -13,7 +13,7 @@
 type class struct {
 	Class
 	latency  *latencyEstimator // shared by all classes of one kind of work
-	quantile quantileEstimator // estimates HedgeQuantile
+	quantile quantileEstimator // estimates the latency at HedgeQuantile
 }
 
 // observe adds the latency of a response, in seconds. It limits outliers to maxLatencyRatio times
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -15,7 +15,8 @@
 		{Name: "pay", LatencyObjective: 2 * time.Second},
 	})
 	if len(s.classes) != 3 || len(s.latencies) != 2 || !near(s.meanObjective, 2, 1e-12) {
-		t.Fatalf("%d classes, %d kinds of work, mean objective %v", len(s.classes), len(s.latencies), s.meanObjective)
+		t.Fatalf("%d classes, %d kinds of work, mean objective %v; want 3, 2 and 2",
+			len(s.classes), len(s.latencies), s.meanObjective)
 	}
 	lookup, pay := s.classes["look"].latency, s.classes["pay"].latency
 	if s.classes["browse"].latency != lookup || pay == lookup || pay.work != "pay" {
@@ -39,7 +40,8 @@
 	}
 	if s.classes["look"] != nil || s.classes["browse"] != nil || len(s.latencies) != 3 ||
 		!near(s.meanObjective, 1, 1e-12) {
-		t.Errorf("%d classes, %d kinds of work, mean objective %v", len(s.classes), len(s.latencies), s.meanObjective)
+		t.Errorf("%d classes, %d kinds of work, mean objective %v; want 3 without look and browse, 3 and 1",
+			len(s.classes), len(s.latencies), s.meanObjective)
 	}
 }
 
@@ -72,8 +74,8 @@
 	}
 }
 
-// TestTenantSetApply checks that a tenant keeps its tokens when the settings change, up to its new
-// quota.
+// TestTenantSetApply checks that a tenant keeps its tokens when the settings change, up to this
+// instance's part of its new quota.
 func TestTenantSetApply(t *testing.T) {
 	var s tenantSet
 	s.apply(time.Second, []Tenant{{Name: "large", Quota: 40}, {Name: "small", Quota: 8}}, 4)
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -29,7 +29,7 @@
 	class    balancer.Class
 	attempts []*simulatedAttempt
 	ended    bool // it has its final answer, or its client has disconnected
-	notified bool // the Balancer knows that it has ended, or is being told
+	notified bool // the Balancer has ended it, or has been or is being told that it has ended
 }
 
 // simulation is a Host that simulates the clients, service discovery and endpoints of one Balancer,
@@ -70,7 +70,8 @@
 }
 
 // checkSend checks that a request may be sent to an endpoint: it has not ended, has attempts left,
-// has none in flight and cannot take effect twice, and the endpoint is not draining.
+// has none in flight and cannot take effect twice, and the endpoint was not reported as draining or
+// removed before now.
 func (sim *simulation) checkSend(req *simulatedRequest, e balancer.Endpoint) {
 	if req.notified {
 		sim.t.Fatalf("%v: Send of request %s, which has ended", sim.now, req.ID)
@@ -79,7 +80,7 @@
 		sim.t.Fatalf("%v: Send to endpoint %s, which has been draining or removed since %v", sim.now, e.ID, at)
 	}
 	if sim.settings.MaxAttempts > 0 && len(req.attempts) >= sim.settings.MaxAttempts {
-		sim.t.Fatalf("%v: Send of attempt %d of request %s exceeds the allowed attempts", sim.now, len(req.attempts), req.ID)
+		sim.t.Fatalf("%v: Send after %d attempts of request %s, which reach MaxAttempts", sim.now, len(req.attempts), req.ID)
 	}
 	for _, a := range req.attempts {
 		if a.inFlight {
@@ -199,7 +200,7 @@
 		sim.t.Fatalf("%v: answer to request %s, which has ended or is unknown", sim.now, id)
 	}
 	if !req.ended && sim.now > req.Deadline+answerSlack {
-		sim.t.Fatalf("%v: answer to request %s after %v, its deadline, plus slack", sim.now, id, req.Deadline)
+		sim.t.Fatalf("%v: answer to request %s later than its deadline %v plus answerSlack", sim.now, id, req.Deadline)
 	}
 	req.ended = true
 	req.notified = true
@@ -313,7 +314,7 @@
 }
 
 // stepRequest simulates one step of a request, and reports whether the request is still open: it
-// has no final answer yet, or an attempt in flight.
+// has not ended, or has an attempt in flight.
 func (sim *simulation) stepRequest(req *simulatedRequest) (open bool) {
 	if !sim.ending && !req.ended && sim.rng.IntN(400) == 0 {
 		req.ended = true
@@ -327,7 +328,7 @@
 		open = open || a.inFlight
 	}
 	if !req.ended && sim.now > req.Deadline+answerSlack {
-		sim.t.Fatalf("%v: no answer to request %s by %v, its deadline, plus slack", sim.now, req.ID, req.Deadline)
+		sim.t.Fatalf("%v: no answer to request %s within its deadline %v plus answerSlack", sim.now, req.ID, req.Deadline)
 	}
 	return open || !req.ended
 }
@@ -385,8 +386,8 @@
 }
 
 // simulate runs a simulation with random valid events for a number of steps, then without new
-// requests until all have ended. For every third seed, the Balancer is restarted halfway. A
-// violation of a rule fails the test.
+// requests, endpoint changes and disconnects until no request is open. For every third seed, the
+// Balancer is restarted halfway. A violation of a rule fails the test.
 func simulate(t testing.TB, seed uint64, steps int) *simulation {
 	sim := newSimulation(t, seed)
 	for i := range steps {
@@ -396,7 +397,7 @@
 		}
 	}
 	sim.ending = true
-	for range 3000 { // at most so many steps until all requests have ended
+	for range 3000 { // enough steps for all requests to end
 		if len(sim.openIDs) == 0 {
 			break
 		}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -19,9 +19,9 @@
 	Latencies        []LearnedLatency  `json:"Works"`
 	Kinds            []LearnedKind     `json:"Kinds"`
 	Endpoints        []LearnedEndpoint `json:"Endpoints"`
-	ConcurrencyLimit float64           `json:"Room"`      // highest number of attempts in flight
-	RecentRequests   float64           `json:"Calls"`     // decayed count of recent requests
-	LongTermRequests float64           `json:"LongCalls"` // decayed count of requests over the last minutes
+	ConcurrencyLimit float64           `json:"Room"`      // limit on the number of attempts in flight
+	RecentRequests   float64           `json:"Calls"`     // decayed count of recent requests, as of the time of the state
+	LongTermRequests float64           `json:"LongCalls"` // the same over the last minutes
 	Age              time.Duration     `json:"For"`       // time since the start of the Balancer
 }
 
@@ -41,8 +41,8 @@
 	Samples float64 `json:"Samples"`
 }
 
-// LearnedEndpoint describes how one endpoint compares with its kind. Its sums and counts are
-// decayed up to the time of LearnedState.
+// LearnedEndpoint describes how one endpoint compares with its kind. Its sum and counts are
+// decayed, as of the time of the state.
 type LearnedEndpoint struct {
 	ID       string  `json:"ID"`
 	Sum      float64 `json:"Sum"`      // sum of its samples: latency ratios divided by the weight of its kind
@@ -112,9 +112,13 @@
 }
 
 // Restore restores the learned state of another Balancer, saved the given age ago. It is meant to
-// be called after the first EndpointList. It does not replace what this Balancer has learned
-// itself, and skips endpoints that are warming or have been used. Endpoints that were inactive are
-// ejected until a trial succeeds, but one endpoint always stays active.
+// be called after the first EndpointList.
+//
+// Kinds of work, kinds and endpoints for which this Balancer has samples keep their own state.
+// Warming endpoints get no samples, but their first trials are rescheduled by the restored rate.
+// The request counts are added to this Balancer's own, and the concurrency limit is replaced if no
+// attempt is in flight. Endpoints that were inactive are ejected until a trial succeeds, except the
+// last active one.
 func (b *Balancer) Restore(now time.Duration, l LearnedState, age time.Duration) {
 	for _, latency := range l.Latencies {
 		b.restoreLatency(now, latency)
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -106,7 +106,7 @@
 		b.Restore(now, l, time.Duration(rapid.Int64().Draw(t, "age")))
 		for _, e := range b.endpoints {
 			if w := e.weight(); math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !areValid(e.outcomes.errors, e.samples.count) {
-				t.Fatalf("endpoint %s has weight %g after the restore of %+v", e.ID, w, l)
+				t.Fatalf("endpoint %s has weight %g or invalid counts after the restore of %+v", e.ID, w, l)
 			}
 		}
 		b.Request(now, Request{ID: "1", Class: "look", Deadline: now + time.Hour})
@@ -136,7 +136,7 @@
 		return delay
 	}
 	if with, without := longestDelay(true), longestDelay(false); with > time.Second || without < 5*with {
-		t.Errorf("the trial is due after %v with learned state and %v without, want at most 1s and at least 5 times that",
+		t.Errorf("longest trial delay %v with learned state and %v without; want at most 1s, and 5 times as long without",
 			with, without)
 	}
 }
