--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -132,7 +132,7 @@
 // rate: just after a request its recent rate is too high, and many instances would then send to a
 // new endpoint at the same time.
 func (b *Balancer) sendInterval(now time.Duration) time.Duration {
-	longTermRate := b.requestRate.slowPerSecond(now)
+	longTermRate := b.requestRate.longTermPerSecond(now)
 	lowerRate := min(b.requestRate.perSecond(now), longTermRate)
 	return seconds(float64(b.subsetSize) / max(lowerRate, min(longTermRate, minRecentRate)))
 }
