--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -69,12 +69,12 @@
 }
 
 // endpointCounts are numbers of endpoints that are read without a lock.
-type endpointCounts struct{ listed, avoided atomic.Int64 }
+type endpointCounts struct{ listed, unselectable atomic.Int64 }
 
 // set replaces the numbers.
-func (c *endpointCounts) set(listed, avoided int) {
+func (c *endpointCounts) set(listed, unselectable int) {
 	c.listed.Store(int64(listed))
-	c.avoided.Store(int64(avoided))
+	c.unselectable.Store(int64(unselectable))
 }
 
 // New returns a Pool with the endpoints given as the first list of its Balancer. Its calls are
@@ -124,8 +124,8 @@
 		now = p.clock.now()
 		next(now)
 	}
-	listed, avoided := p.balancer.Counts()
-	p.counts.set(listed, avoided)
+	listed, unselectable := p.balancer.Counts()
+	p.counts.set(listed, unselectable)
 	p.timer.reset(now)
 }
 
@@ -166,17 +166,17 @@
 
 // Gauges are the numbers of a Pool that can be read at any time without waiting for its lock.
 type Gauges struct {
-	Dispatches int64 // requests written completely, so far
-	Listed     int   // endpoints
-	Avoided    int   // of them, disabled or not chosen by the Balancer at present
+	RequestsWritten int64 // requests written completely, so far
+	Listed          int   // endpoints
+	Unselectable    int   // of them, disabled or not chosen by the Balancer at present
 }
 
 // Gauges returns the numbers as of the latest event. It takes no lock that requests take.
 func (p *Pool) Gauges() Gauges {
 	return Gauges{
-		Dispatches: p.conns.RequestsWritten(),
-		Listed:     int(p.counts.listed.Load()),
-		Avoided:    int(p.counts.avoided.Load()),
+		RequestsWritten: p.conns.RequestsWritten(),
+		Listed:          int(p.counts.listed.Load()),
+		Unselectable:    int(p.counts.unselectable.Load()),
 	}
 }
 
