--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -8,24 +8,24 @@
 	"rowancart/internal/connpool"
 )
 
-// attempt is one attempt of a call, made by the Balancer's Send. It is in flight until its outcome
-// has been reported, which happens exactly once.
+// attempt is one attempt of a call. Each Send of the Balancer creates one. It is in flight until
+// its outcome is reported to the Balancer, which happens exactly once.
 type attempt struct {
 	control  connpool.Attempt
 	call     *Call
-	number   int // from 0
+	number   int // within the call, starting at 0
 	endpoint string
-	sentAt   time.Duration // Send, or the end of a long request's writing; Pool.mu guards it
+	sentAt   time.Duration // when Send was called or a streamed request was fully written; guarded by Pool.mu
 }
 
-// newAttempt adds an attempt to a call. p.mu must be held.
+// newAttempt creates the next attempt of a call. p.mu must be held.
 func (p *Pool) newAttempt(c *Call, endpoint string, timeout time.Duration) *attempt {
 	now := p.clock.now()
 	a := &attempt{call: c, number: len(c.attempts), endpoint: endpoint, sentAt: now}
 	a.control.ClientDisconnected = c.ClientDisconnected
 	a.control.Deadline = time.Now().Add(min(timeout, c.Deadline-now))
-	if retryBy := p.balancer.RetryDeadline(c.ID); retryBy > 0 {
-		a.control.WriteBy = time.Now().Add(retryBy - now)
+	if writeBy := p.balancer.RetryDeadline(c.ID); writeBy > 0 {
+		a.control.WriteBy = time.Now().Add(writeBy - now)
 	}
 	if c.Streamed {
 		a.control.OnRequestWritten = func() {
@@ -37,7 +37,8 @@
 	return a
 }
 
-// runInlineAttempt makes an attempt in the goroutine of Do, which can make the next one after it.
+// runInlineAttempt runs an attempt in the goroutine of Do. Afterwards that goroutine can run the
+// next attempt of the call.
 func (p *Pool) runInlineAttempt(a *attempt) {
 	response, err := p.conns.RoundTrip(&a.control, a.endpoint, a.call.message)
 	p.handleEvent(func(now time.Duration) {
@@ -48,14 +49,15 @@
 	})
 }
 
-// runAttempt makes an attempt in a goroutine that is not in Do.
+// runAttempt runs an attempt in a goroutine other than that of Do.
 func (p *Pool) runAttempt(a *attempt) {
 	response, err := p.conns.RoundTrip(&a.control, a.endpoint, a.call.message)
 	p.handleEvent(func(now time.Duration) { p.endAttempt(now, a, response, err) })
 }
 
-// runAbandonedAttempt runs an attempt that was passed to the goroutine in Do just before the call
-// got its result. It ends as canceled, and is reported like any other.
+// runAbandonedAttempt runs the attempt, if any, that was passed to the goroutine in Do just before
+// the call got its result. The attempt is already canceled; it is run so that its outcome is
+// reported to the Balancer.
 func (p *Pool) runAbandonedAttempt(c *Call) {
 	select {
 	case a := <-c.inlineAttempts:
@@ -64,11 +66,12 @@
 	}
 }
 
-// endAttempt handles what RoundTrip has returned for an attempt. p.mu must be held.
+// endAttempt handles the response or error that RoundTrip returned for an attempt. p.mu must be
+// held.
 func (p *Pool) endAttempt(now time.Duration, a *attempt, response Response, err error) {
 	result := attemptResult(err)
 	if result == balancer.NotSent && a.clientDisconnected() {
-		p.handleClientDisconnect(now, a.call) // otherwise the Balancer would send the request to another endpoint
+		p.handleClientDisconnect(now, a.call) // otherwise the Balancer would retry at another endpoint
 	}
 	if response.Stream != nil {
 		p.startStream(now, a, response)
@@ -77,12 +80,12 @@
 	p.reportOutcome(now, a, result, response)
 }
 
-// clientDisconnected reports whether the client is known to have disconnected.
+// clientDisconnected reports whether the client has disconnected, or false if that is unknown.
 func (a *attempt) clientDisconnected() bool {
 	return a.control.ClientDisconnected != nil && a.control.ClientDisconnected()
 }
 
-// resultByKind maps each kind of failure to the Balancer's result.
+// resultByKind maps each kind of connpool failure to the result that is reported to the Balancer.
 var resultByKind = map[connpool.FailureKind]balancer.Result{
 	connpool.NotSent:       balancer.NotSent,
 	connpool.ConnectFailed: balancer.ConnectFailed,
@@ -93,7 +96,8 @@
 	connpool.Canceled:      balancer.Canceled,
 }
 
-// attemptResult returns the Balancer's result for an error of RoundTrip or of a Stream's close.
+// attemptResult returns the result to report to the Balancer for an error that RoundTrip returned
+// or that a Stream reported when it was closed.
 func attemptResult(err error) balancer.Result {
 	if err == nil {
 		return balancer.OK
@@ -104,19 +108,19 @@
 			return result
 		}
 	}
-	return balancer.Reset // unreachable: connpool returns no other error. Reset assumes that the request may have run
+	return balancer.Reset // unreachable, since connpool returns only *Error; Reset: the request may have run
 }
 
-// provesNotRun reports whether a result proves that the request has not run.
+// provesNotRun reports whether a result proves that the endpoint has not run the request.
 func provesNotRun(r balancer.Result) bool {
 	return r == balancer.Rejected || r == balancer.ConnectFailed || r == balancer.NotSent
 }
 
-// startStream passes on a response that is still arriving. The attempt ends with it. p.mu must be
-// held.
+// startStream finishes the call with a response whose body is still arriving. The attempt stays in
+// flight until the stream is closed. p.mu must be held.
 func (p *Pool) startStream(now time.Duration, a *attempt, response Response) {
 	c := a.call
-	if c.finished { // nobody will read it
+	if c.finished { // nobody reads the response
 		response.Stream.Discard()
 		p.deferred.push(func(now time.Duration) { p.reportOutcome(now, a, balancer.Canceled, Response{}) })
 		return
@@ -128,8 +132,9 @@
 	p.events.StreamStarted(now, c.ID, a.number)
 }
 
-// reportOutcome reports how an attempt ended to the Balancer. A complete response is passed on
-// first; one that arrives after the call has its result is dropped. p.mu must be held.
+// reportOutcome reports to the Balancer how an attempt ended. Before that, a complete response
+// becomes the result of the call, or is dropped if the call already has a result. p.mu must be
+// held.
 func (p *Pool) reportOutcome(now time.Duration, a *attempt, r balancer.Result, response Response) {
 	c := a.call
 	c.attemptsInFlight--
@@ -145,8 +150,8 @@
 	p.removeIfDone(c)
 }
 
-// finishNotReplayable finishes a call whose attempt failed with this result and whose body cannot
-// be sent again. p.mu must be held.
+// finishNotReplayable finishes a call whose attempt failed with result r and whose body cannot be
+// sent again. p.mu must be held.
 func (p *Pool) finishNotReplayable(c *Call, r balancer.Result) {
 	kind := Failed
 	if provesNotRun(r) {
@@ -155,8 +160,8 @@
 	p.finishUnserved(c.ID, Result{Kind: kind, Reason: BodyNotReplayable})
 }
 
-// reportRequestWritten reports that a request with a long body has been written completely: its
-// latency counts from here. p.mu must be held.
+// reportRequestWritten reports to the Balancer that a streamed request has been written completely.
+// The latency of the attempt is measured from this instant. p.mu must be held.
 func (p *Pool) reportRequestWritten(now time.Duration, a *attempt) {
 	a.sentAt = now
 	p.balancer.RequestWritten(now, a.call.ID, a.number)
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -9,7 +9,7 @@
 	"rowancart/internal/connpool"
 )
 
-// The result that the Balancer is notified of decides whether a failed attempt may be retried.
+// The Balancer decides by the reported result whether it may retry after a failed attempt.
 func TestAttemptErrorsBecomeResults(t *testing.T) {
 	cause := errors.New("cause")
 	for want, err := range map[balancer.Result]error{
@@ -23,10 +23,10 @@
 		balancer.Canceled:      fmt.Errorf("wrapped: %w", &connpool.Error{Kind: connpool.Canceled, Err: cause}),
 	} {
 		if got := attemptResult(err); got != want {
-			t.Errorf("%v: result %v, want %v", err, got, want)
+			t.Errorf("attempt error %v: got result %v, want %v", err, got, want)
 		}
 	}
 	if got := attemptResult(cause); got != balancer.Reset {
-		t.Errorf("an untyped error: result %v", got)
+		t.Errorf("error that is not a *connpool.Error: got result %v, want Reset", got)
 	}
 }
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -6,64 +6,67 @@
 	"rowancart/balancer"
 )
 
-// ResultKind is the kind of a call's result.
+// ResultKind says how a call ended.
 type ResultKind int
 
-// The kinds. Only Rejected and Duplicate promise that the request has not run for this call.
+// The kinds of results. Only Rejected and Duplicate guarantee that no endpoint has run the request
+// of this call.
 const (
-	Served    ResultKind = iota // an endpoint's response
+	Served    ResultKind = iota // an endpoint has responded
 	Rejected                    // the request has not run and may be sent again
-	Failed                      // the request may have run
-	Duplicate                   // the request's id is or was in use
+	Failed                      // the request was not served, but may have run
+	Duplicate                   // a request with this id is in progress or was received recently
 )
 
-// BodyNotReplayable is the reason for a request that is not served since its attempt failed after
-// more of its body had been sent than is buffered. It complements the Balancer's reasons.
+// BodyNotReplayable is the reason for not serving a request whose attempt failed after more of its
+// body had been read than is buffered, so that it cannot be retried. The Balancer's own reasons are
+// in package balancer.
 const BodyNotReplayable balancer.Reason = "body_gone"
 
-// Result is the one result of a call.
+// Result is the result of a call. Each call has exactly one.
 type Result struct {
 	Kind       ResultKind
-	Reason     balancer.Reason // for Rejected and Failed; empty if the client disconnected or the Pool was closed
-	RetryAfter time.Duration   // for Rejected; 0: no advice
-	Response   Response        // for Served
+	Reason     balancer.Reason // if Rejected or Failed; empty if the client disconnected or the Pool was closed
+	RetryAfter time.Duration   // if Rejected: when the client should retry; 0: unspecified
+	Response   Response        // if Served
 }
 
-// Call is a request that a server has read, on its way through a Pool. NewCall makes one.
+// Call is a client's request that a Pool forwards to endpoints, in one or more attempts. NewCall
+// returns one.
 //
-// It is in progress from startCall until it has its result and none of its attempts is in flight:
-// only then may the buffers of its body be reused.
+// A call is in progress from startCall until it has its result and none of its attempts is in
+// flight. Only then may the buffers of its body be reused.
 type Call struct {
 	balancer.Request
 
-	// ClientDisconnected reports whether the client has disconnected; nil: unknown. It must not
-	// block.
+	// ClientDisconnected reports whether the client has disconnected. It must not block. It is nil
+	// if that cannot be determined.
 	ClientDisconnected func() bool
 
 	message        *RequestMessage
-	results        chan Result   // of capacity 1: sending the one result never blocks
-	inlineAttempts chan *attempt // of capacity 1: passes an attempt to the goroutine in Do
+	results        chan Result   // receives the only result; has capacity 1, so that sending never blocks
+	inlineAttempts chan *attempt // passes attempts to the goroutine in Do; has capacity 1
 
-	// Pool.mu guards these:
-	finished         bool // has its result
-	canRunInline     bool // the goroutine in Do waits and may make an attempt, which can be canceled when a result is due
+	// The following fields are guarded by Pool.mu.
+	finished         bool // the call has its result
+	canRunInline     bool // Do is waiting and attempts can be canceled, so Do may run one without delaying a result
 	attempts         []*attempt
 	attemptsInFlight int
 }
 
-// NewCall returns a call of a request as the Balancer sees it and of the message that endpoints
-// get.
+// NewCall returns a call. r describes the request to the Balancer, and m is the message that is
+// sent to endpoints.
 func NewCall(r balancer.Request, m *RequestMessage) *Call {
 	return &Call{Request: r, message: m, results: make(chan Result, 1), inlineAttempts: make(chan *attempt, 1)}
 }
 
-// Do carries out a call and returns its result: Failed if the client disconnected or the Pool was
-// closed, when nobody waits for a result any more.
+// Do executes a call and returns its result. The result is Failed if the client disconnects or the
+// Pool is closed, since nobody waits for a response then.
 func (p *Pool) Do(c *Call) Result {
 	p.handleEvent(func(now time.Duration) { p.startCall(now, c) })
 	for {
 		select {
-		case r := <-c.results: // a result takes precedence over another attempt
+		case r := <-c.results: // checked first: no attempt may start once there is a result
 			p.runAbandonedAttempt(c)
 			return r
 		default:
@@ -85,9 +88,9 @@
 	p.handleEvent(func(now time.Duration) { p.handleClientDisconnect(now, c) })
 }
 
-// startCall passes a call to the Balancer. A call whose id is or was in use gets Duplicate: every
-// request has an id of its own, and a duplicate must neither disturb the first request nor reach an
-// endpoint. p.mu must be held.
+// startCall passes a call to the Balancer. If a request with the same id is in progress or was
+// received recently, the result is Duplicate instead: every request has a unique id, and a
+// duplicate must neither interfere with the first request nor reach an endpoint. p.mu must be held.
 func (p *Pool) startCall(now time.Duration, c *Call) {
 	if !p.calls.add(c) {
 		c.results <- Result{Kind: Duplicate}
@@ -110,7 +113,7 @@
 	p.removeIfDone(c)
 }
 
-// finishCall sets the result of a call unless it has one. p.mu must be held.
+// finishCall sets the result of a call unless it already has one. p.mu must be held.
 func (p *Pool) finishCall(c *Call, r Result) {
 	if c.finished {
 		return
@@ -119,8 +122,8 @@
 	p.removeIfDone(c)
 }
 
-// finishUnserved sets a result that is not an endpoint's response, and logs it, unless the call has
-// a result. p.mu must be held.
+// finishUnserved finishes a call that no endpoint has served, and logs it, unless the call already
+// has a result. p.mu must be held.
 func (p *Pool) finishUnserved(id string, r Result) {
 	c := p.calls.get(id)
 	if c == nil || c.finished {
@@ -130,8 +133,9 @@
 	p.finishCall(c, r)
 }
 
-// setResult sets the result of a call, which must not have one. It is the only place that does so.
-// Attempts whose request has not been written completely are canceled. p.mu must be held.
+// setResult sets the result of a call that has none yet, and cancels the attempts whose request has
+// not been written completely. Apart from Duplicate, results are set nowhere else. p.mu must be
+// held.
 func (p *Pool) setResult(c *Call, r Result) {
 	c.finished = true
 	c.canRunInline = false
@@ -141,8 +145,8 @@
 	}
 }
 
-// removeIfDone removes a call that has its result and no attempt in flight. No attempt can follow:
-// Send makes none for a call that is not in progress. p.mu must be held.
+// removeIfDone removes a call that has its result and no attempt in flight. No attempt can start
+// after that, since Send ignores calls that are not in progress. p.mu must be held.
 func (p *Pool) removeIfDone(c *Call) {
 	isDone := c.finished && c.attemptsInFlight == 0
 	if !isDone || !p.calls.contains(c) {
--- a/internal/proxy/callset.go
+++ b/internal/proxy/callset.go
@@ -1,13 +1,14 @@
 package proxy
 
-// callSet is the calls of a Pool that are in progress, and the ids of recent ones. Pool.mu guards
-// it.
+// callSet holds the calls that are in progress and the ids of recent calls. It is guarded by
+// Pool.mu.
 type callSet struct {
 	byID      map[string]*Call
 	recentIDs recentIDs
 }
 
-// add adds a call and reports whether its id is new. A call whose id is or was in use is not added.
+// add adds a call and returns true. If a call with the same id is in progress or recent, it returns
+// false and does not add the call.
 func (s *callSet) add(c *Call) bool {
 	if !s.recentIDs.add(c.ID) || s.byID[c.ID] != nil {
 		return false
@@ -16,13 +17,13 @@
 	return true
 }
 
-// get returns the call in progress that has this id, or nil.
+// get returns the call in progress with the given id, or nil.
 func (s *callSet) get(id string) *Call { return s.byID[id] }
 
 // contains reports whether a call is in progress.
 func (s *callSet) contains(c *Call) bool { return s.byID[c.ID] == c }
 
-// remove removes a call. Its id stays in use.
+// remove removes a call. Its id remains among the recent ids, so that it cannot be reused soon.
 func (s *callSet) remove(c *Call) { delete(s.byID, c.ID) }
 
 // size returns the number of calls in progress.
--- a/internal/proxy/callset_test.go
+++ b/internal/proxy/callset_test.go
@@ -7,28 +7,28 @@
 	"rowancart/balancer"
 )
 
-// A duplicate must neither replace the first call nor count as one in progress, before and after
-// the first call has ended.
+// A duplicate must neither replace the first call nor count as a call in progress, whether the
+// first call is still in progress or has ended.
 func TestCallSetRejectsDuplicateIDs(t *testing.T) {
 	s := callSet{byID: map[string]*Call{}}
 	first := NewCall(balancer.Request{ID: "r1"}, nil)
 	duplicate := NewCall(balancer.Request{ID: "r1"}, nil)
 	if !s.add(first) || s.add(duplicate) {
-		t.Error("of two calls with one id, not the first alone was added")
+		t.Error("of two calls with the same id, the first and only the first should have been added")
 	}
 	if s.get("r1") != first || !s.contains(first) || s.contains(duplicate) || s.size() != 1 {
-		t.Errorf("after a duplicate: call %p of %d is in progress, want %p", s.get("r1"), s.size(), first)
+		t.Errorf("after a duplicate: call r1 is %p of %d calls in progress, want only %p", s.get("r1"), s.size(), first)
 	}
 	s.remove(first)
 	if s.get("r1") != nil || s.contains(first) || s.size() != 0 {
-		t.Errorf("%d calls are in progress after the removal", s.size())
+		t.Errorf("%d calls are in progress after the only call was removed, want 0", s.size())
 	}
 	if s.add(duplicate) {
 		t.Error("the id of a call that has ended was accepted again")
 	}
 }
 
-// An id that was forgotten as recent is still in use while its call is in progress.
+// The id of a call in progress must be rejected even after it was dropped from the recent ids.
 func TestCallSetRejectsIDOfCallInProgressHoweverOld(t *testing.T) {
 	s := callSet{byID: map[string]*Call{}}
 	s.add(NewCall(balancer.Request{ID: "old"}, nil))
@@ -44,13 +44,13 @@
 	var r recentIDs
 	for i := range 10 * idsPerGeneration {
 		if !r.add(fmt.Sprint(i)) {
-			t.Fatalf("new id %d is reported as known", i)
+			t.Fatalf("id %d is new, but add reported it as known", i)
 		}
 		if i >= idsPerGeneration && r.add(fmt.Sprint(i-idsPerGeneration+1)) {
-			t.Fatalf("after %d ids, id %d is forgotten", i, i-idsPerGeneration+1)
+			t.Fatalf("after id %d was added, id %d is no longer known", i, i-idsPerGeneration+1)
 		}
 	}
 	if n := len(r.current) + len(r.previous); n > 2*idsPerGeneration {
-		t.Errorf("%d ids are kept", n)
+		t.Errorf("%d ids are kept, more than two generations", n)
 	}
 }
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// clockEpoch is the reading of a clock at its start. It is well above zero, so that 0 means long
-// ago and starts of endpoints before this process's own have instants too.
+// clockEpoch is the instant at which a clock starts. It is well above zero, so that endpoints that
+// started before this process have positive instants too. An instant of 0 means long ago.
 const clockEpoch = 24 * time.Hour
 
-// maxClockDrift is by how much the wall clock may drift from the monotonic clock. A larger
-// difference is a step of the wall clock.
+// maxClockDrift bounds how far the wall clock may drift from the monotonic clock. A larger
+// difference means that the wall clock was stepped.
 const maxClockDrift = time.Second
 
-// clock gives instants: a monotonic reading since its start.
+// clock measures instants. An instant is clockEpoch plus the monotonic time since the clock's
+// start.
 type clock struct {
 	started time.Time
-	wall    func() time.Time // the wall clock; nil: time.Now
+	wall    func() time.Time // reads the wall clock; nil: time.Now
 }
 
-// now returns the present instant.
+// now returns the current instant.
 func (c clock) now() time.Duration { return clockEpoch + time.Since(c.started) }
 
-// time returns an instant as a time with a monotonic reading.
+// time converts an instant to a time.Time with a monotonic clock reading.
 func (c clock) time(instant time.Duration) time.Time { return c.started.Add(instant - clockEpoch) }
 
-// instant converts a Unix time in milliseconds, by the offset that the wall clock had at the
-// clock's start. If the wall clock was stepped since, it is unknown whether the time was read
-// before or after the step: instant returns the later of the two conversions.
+// instant converts a Unix time in milliseconds to an instant, using the offset between the wall
+// clock and the monotonic clock at the clock's start. If the wall clock was stepped since then, it
+// is unknown whether the Unix time was read before or after the step. In that case, instant
+// converts it with the original and with the current offset and returns the later instant.
 func (c clock) instant(unixMs int64) time.Duration {
 	now, wall := c.now(), time.Now()
 	if c.wall != nil {
--- a/internal/proxy/clock_test.go
+++ b/internal/proxy/clock_test.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// The same start must always be the same instant, or an old start would be taken for a restart.
+// The same start time must always convert to the same instant. Otherwise a known start would be
+// mistaken for a restart.
 func TestStartTimesBecomeInstants(t *testing.T) {
 	c := clock{started: time.Now()}
 	at := c.started.UnixMilli()
 	if c.instant(0) != 0 {
-		t.Errorf("long ago: %v", c.instant(0))
+		t.Errorf("Unix time 0, which means long ago: got instant %v, want 0", c.instant(0))
 	}
 	if got := c.instant(at - 2000); got != clockEpoch-2*time.Second {
-		t.Errorf("two seconds before the start: %v", got)
+		t.Errorf("two seconds before the clock's start: got instant %v, want clockEpoch-2s", got)
 	}
 	if got := c.instant(1); got != 0 {
-		t.Errorf("years ago: %v", got)
+		t.Errorf("years before the clock's start: got instant %v, want 0", got)
 	}
 	if now := c.now(); now < clockEpoch {
-		t.Errorf("now: %v", now)
+		t.Errorf("current instant is %v, want at least clockEpoch", now)
 	}
 }
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -7,12 +7,13 @@
 	"rowancart/balancer"
 )
 
-// ErrUnknownEndpoint says that no endpoint of that id is listed, or was when it was disabled.
+// ErrUnknownEndpoint is the error of an operator's command for an endpoint that is neither listed
+// nor disabled.
 var ErrUnknownEndpoint = errors.New("no such endpoint is listed")
 
-// Endpoint is an endpoint as endpoint discovery lists it.
+// Endpoint is an entry of the endpoint list, which comes from endpoint discovery.
 //
-// The tags are the names in stored snapshots.
+// The JSON tags are the field names in stored snapshots.
 type Endpoint struct {
 	ID        string         `json:"ID"`
 	Addr      string         `json:"Addr"`
@@ -20,14 +21,15 @@
 	Kind      string         `json:"Kind"`
 	Cell      int            `json:"Cell"`
 	State     balancer.State `json:"State"`
-	StartedMs int64          `json:"StartedMs"` // Unix time of the latest start; 0: long ago
+	StartedMs int64          `json:"StartedMs"` // Unix time of the latest start, in ms; 0: long ago
 }
 
-// EndpointList is an update from endpoint discovery: the complete list, or what has changed.
+// EndpointList is an update from endpoint discovery: the complete endpoint list, or only the
+// entries that have changed. A complete list removes the endpoints that it does not contain.
 type EndpointList struct {
 	Complete  bool
 	Endpoints []Endpoint
-	Unlisted  int // ready endpoints that are never listed to this instance
+	Unlisted  int // number of ready endpoints outside this instance's subset, which are not listed
 }
 
 // UpdateEndpoints applies an update from endpoint discovery.
@@ -35,13 +37,13 @@
 	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, l) })
 }
 
-// applyEndpointList passes an update to the connection pool and the Balancer. The connection pool
-// comes first: what the Balancer decides by the new list must find it up to date. p.mu must be
-// held.
+// applyEndpointList applies an update to the connection pool and then to the Balancer. The
+// connection pool comes first because the Balancer may start attempts based on the new list at
+// once, and those need up-to-date connections. p.mu must be held.
 func (p *Pool) applyEndpointList(now time.Duration, l EndpointList) {
 	update := balancer.EndpointList{Complete: l.Complete, Unlisted: l.Unlisted}
 	for _, e := range l.Endpoints {
-		update.Entries = append(update.Entries, p.endpoints.entry(now, e))
+		update.Entries = append(update.Entries, p.endpoints.balancerEndpoint(now, e))
 		if e.State == balancer.Removed {
 			p.removeEndpoint(e.ID)
 			continue
@@ -58,7 +60,8 @@
 	p.events.EndpointList(now, update)
 }
 
-// MarkListCurrent reports that endpoint discovery has just confirmed the list in force.
+// MarkListCurrent records that endpoint discovery has just confirmed that the endpoint list is up
+// to date.
 func (p *Pool) MarkListCurrent() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,8 +74,8 @@
 	p.conns.RemoveEndpoint(id)
 }
 
-// updateConns sets the address and start of a listed endpoint in the connection pool, and whether
-// it takes new requests. p.mu must be held.
+// updateConns updates a listed endpoint in the connection pool: its address, its start time, and
+// whether it accepts new requests. p.mu must be held.
 func (p *Pool) updateConns(id string) {
 	if e, isListed := p.endpoints.listed[id]; isListed {
 		p.conns.SetEndpoint(id, e.Addr, p.endpoints.acceptsRequests(id))
@@ -80,8 +83,9 @@
 	}
 }
 
-// Disable takes an endpoint out of service for operators: once it has returned, no new attempt goes
-// there. An endpoint that is not listed may be disabled too; it stays disabled when it is listed.
+// Disable takes an endpoint out of service on behalf of an operator. Once Disable has returned, no
+// new attempt is sent to the endpoint. An endpoint that is not listed can be disabled as well; it
+// stays disabled when it is listed later.
 func (p *Pool) Disable(id string) {
 	p.handleEvent(func(now time.Duration) {
 		p.endpoints.disabled[id] = true
@@ -107,15 +111,15 @@
 	return isListed
 }
 
-// EndpointStatus is the state of one endpoint.
+// EndpointStatus describes the current state of one endpoint.
 type EndpointStatus struct {
 	balancer.EndpointStatus
 	Addr        string
-	IdleConns   int    // connections that wait for their next request
-	LastFailure string // how the latest failed attempt failed, until one succeeds
+	IdleConns   int    // open connections that carry no request
+	LastFailure string // error of the latest failed attempt; empty if none has failed since the latest success
 }
 
-// Endpoints returns the state of all endpoints, in the order in which they were first listed.
+// Endpoints returns the status of all endpoints, in the order in which they were first listed.
 func (p *Pool) Endpoints() []EndpointStatus {
 	statuses, addrs := p.endpointStatuses()
 	out := make([]EndpointStatus, len(statuses))
@@ -127,8 +131,8 @@
 }
 
 // endpointStatuses returns the Balancer's status of all endpoints, and their addresses by id. The
-// state of their connections is read after it, without p.mu, so that requests do not wait for the
-// reports of operators.
+// caller reads the state of the connections afterwards, without p.mu, so that status queries by
+// operators do not delay requests.
 func (p *Pool) endpointStatuses() (statuses []balancer.EndpointStatus, addrs map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/endpointset.go
+++ b/internal/proxy/endpointset.go
@@ -7,11 +7,11 @@
 	"rowancart/balancer"
 )
 
-// endpointSet is the endpoints of a Pool as they are listed, those that operators have disabled,
-// and when the listed ones started. Pool.mu guards it.
+// endpointSet holds the endpoint list of a Pool, the endpoints that operators have disabled, and
+// the start times of endpoints. It is guarded by Pool.mu.
 type endpointSet struct {
 	listed   map[string]Endpoint
-	disabled map[string]bool // ids, listed or not
+	disabled map[string]bool // ids, including those of endpoints that are not listed
 	starts   startTimes
 }
 
@@ -23,21 +23,22 @@
 	}
 }
 
-// entry returns an endpoint of a list as the Balancer takes it, and notes its start.
-func (s *endpointSet) entry(now time.Duration, e Endpoint) balancer.Endpoint {
+// balancerEndpoint converts an entry of an endpoint list to the Balancer's type, and records the
+// endpoint's start time.
+func (s *endpointSet) balancerEndpoint(now time.Duration, e Endpoint) balancer.Endpoint {
 	return balancer.Endpoint{
 		ID: e.ID, State: e.State, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
 		Started: s.starts.instant(now, e.ID, e.StartedMs),
 	}
 }
 
-// set adds a listed endpoint, or replaces the one of its id.
+// set adds an endpoint to the listed ones, or replaces the one with the same id.
 func (s *endpointSet) set(e Endpoint) { s.listed[e.ID] = e }
 
-// remove removes an endpoint from those that are listed. It stays disabled if it is.
+// remove removes an endpoint from the listed ones. If it is disabled, it stays so.
 func (s *endpointSet) remove(id string) { delete(s.listed, id) }
 
-// idsNotIn returns the ids of the endpoints that are listed here and not in a complete list.
+// idsNotIn returns the ids of the listed endpoints that are missing from a new complete list.
 func (s *endpointSet) idsNotIn(list []Endpoint) []string {
 	missing := maps.Clone(s.listed)
 	for _, e := range list {
@@ -50,25 +51,25 @@
 	return ids
 }
 
-// acceptsRequests reports whether an endpoint takes new requests.
+// acceptsRequests reports whether new requests may be sent to an endpoint.
 func (s *endpointSet) acceptsRequests(id string) bool {
 	e, isListed := s.listed[id]
 	return isListed && e.State == balancer.Ready && !s.disabled[id]
 }
 
-// startTime returns when an endpoint started, as a time with a monotonic reading.
+// startTime returns when an endpoint started, as a time.Time with a monotonic clock reading.
 func (s *endpointSet) startTime(id string) time.Time {
 	return s.starts.clock.time(s.starts.byID[id].at)
 }
 
-// isSameProcess reports whether an endpoint of an earlier list is listed now at the same address
-// and with the same start.
+// isSameProcess reports whether an endpoint from an earlier list is still listed with the same
+// address and start time, which means that it is still the same process.
 func (s *endpointSet) isSameProcess(earlier Endpoint) bool {
 	current, isListed := s.listed[earlier.ID]
 	return isListed && earlier.Addr == current.Addr && earlier.StartedMs == current.StartedMs
 }
 
-// addrs returns the addresses of the listed endpoints by id.
+// addrs returns the addresses of the listed endpoints, by id.
 func (s *endpointSet) addrs() map[string]string {
 	addrs := make(map[string]string, len(s.listed))
 	for id, e := range s.listed {
--- a/internal/proxy/endpointset_test.go
+++ b/internal/proxy/endpointset_test.go
@@ -39,11 +39,12 @@
 		t.Errorf("missing %q, want a and c", missing)
 	}
 	if len(s.listed) != 3 {
-		t.Errorf("%d endpoints are listed, want 3", len(s.listed))
+		t.Errorf("%d endpoints are listed after idsNotIn, want 3", len(s.listed))
 	}
 }
 
-// An endpoint with another address or start is another process, of which nothing is known.
+// An endpoint whose address or start time has changed is a new process, so the learned state of the
+// old one must not be used for it.
 func TestEndpointSetTellsProcessesApart(t *testing.T) {
 	s := newEndpointSet(clock{started: time.Now()})
 	current := Endpoint{ID: "a", Addr: "127.0.0.1:1", StartedMs: 5}
--- a/internal/proxy/eventqueue.go
+++ b/internal/proxy/eventqueue.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// eventQueue holds the events that arose while another one was handled, the oldest first. Pool.mu
-// guards it.
+// eventQueue is a FIFO queue of the events that occurred while another event was being handled. It
+// is guarded by Pool.mu.
 type eventQueue struct{ events []func(now time.Duration) }
 
 // push adds an event.
 func (q *eventQueue) push(event func(now time.Duration)) { q.events = append(q.events, event) }
 
-// pop removes the oldest event and returns it, or nil if there is none.
+// pop removes and returns the oldest event, or returns nil if the queue is empty.
 func (q *eventQueue) pop() func(now time.Duration) {
 	if len(q.events) == 0 {
 		return nil
--- a/internal/proxy/eventqueue_test.go
+++ b/internal/proxy/eventqueue_test.go
@@ -9,8 +9,8 @@
 	"rowancart/balancer"
 )
 
-// Events that arise during an event, or during one of those, are handled before handleEvent
-// returns, in the order in which they arose.
+// Events that are deferred while an event is handled, including a deferred one, are handled before
+// handleEvent returns, in the order in which they were deferred.
 func TestDeferredEventsAreHandledInOrder(t *testing.T) {
 	p := New(balancer.Settings{}, EndpointList{}, Options{Log: slog.New(slog.DiscardHandler)})
 	var handled []string
@@ -30,6 +30,6 @@
 		t.Errorf("handled %q, want %q", handled, want)
 	}
 	if p.deferred.pop() != nil {
-		t.Error("an event is left")
+		t.Error("a deferred event was not handled")
 	}
 }
--- a/internal/proxy/eventtimer.go
+++ b/internal/proxy/eventtimer.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// idleTimerInterval is what the timer is set to while the Balancer has requested no instant.
+// idleTimerInterval is the initial setting of the timer, before the Balancer has requested an
+// instant.
 const idleTimerInterval = time.Hour
 
-// eventTimer serves all instants at which the Balancer wants a Timer event with one time.Timer. The
-// timer is set to the earliest instant or to an earlier one, so that it fires too early at worst.
+// eventTimer uses a single time.Timer for all instants at which the Balancer has requested a Timer
+// event. The timer is set to the earliest of these instants or to an earlier time: it may fire too
+// early, but never too late.
 //
-// Pool.mu guards it.
+// It is guarded by Pool.mu.
 type eventTimer struct {
 	timer    *time.Timer
 	deadline time.Duration   // the instant that timer is set to
-	instants []time.Duration // requested by the Balancer and not yet taken, sorted
+	instants []time.Duration // requested by the Balancer and not yet due, sorted
 }
 
-// newEventTimer returns a running eventTimer that calls fire in a goroutine of its own.
+// newEventTimer returns a running eventTimer. It calls fire in a separate goroutine.
 func newEventTimer(now time.Duration, fire func()) eventTimer {
 	return eventTimer{timer: time.AfterFunc(idleTimerInterval, fire), deadline: now + idleTimerInterval}
 }
 
-// request adds an instant.
+// request adds an instant at which the Balancer wants a Timer event.
 func (t *eventTimer) request(at time.Duration) {
 	i, _ := slices.BinarySearch(t.instants, at)
 	t.instants = slices.Insert(t.instants, i, at)
 }
 
-// takeDue removes the instants up to now and returns how many there were.
+// takeDue removes all instants up to and including now, and returns how many it removed.
 func (t *eventTimer) takeDue(now time.Duration) int {
 	due, _ := slices.BinarySearch(t.instants, now+1)
 	t.instants = slices.Delete(t.instants, 0, due)
 	return due
 }
 
-// reset sets the timer to the earliest instant, unless it is set to an earlier one that is still to
-// come.
+// reset sets the timer to the earliest requested instant, unless it is already set to an earlier
+// time that is still in the future.
 func (t *eventTimer) reset(now time.Duration) {
 	if len(t.instants) == 0 {
 		return
@@ -50,5 +52,5 @@
 	}
 }
 
-// stop stops the timer for good.
+// stop stops the timer permanently.
 func (t *eventTimer) stop() { t.timer.Stop() }
--- a/internal/proxy/eventtimer_test.go
+++ b/internal/proxy/eventtimer_test.go
@@ -22,7 +22,7 @@
 		timer.request(at)
 	}
 	if want := []time.Duration{2, 2, 5, 9}; !slices.Equal(timer.instants, want) {
-		t.Errorf("instants %v, want %v", timer.instants, want)
+		t.Errorf("requested instants are %v, want %v", timer.instants, want)
 	}
 	for _, row := range []struct {
 		now  time.Duration
@@ -54,16 +54,16 @@
 			timer.request(step.request)
 		}
 		if timer.reset(step.now); timer.deadline != step.want {
-			t.Errorf("%s: set to %v, want %v", step.name, timer.deadline, step.want)
+			t.Errorf("%s: timer is set to %v, want %v", step.name, timer.deadline, step.want)
 		}
 	}
 	timer.takeDue(10 * hour)
 	if timer.reset(10 * hour); timer.deadline != 20*hour {
-		t.Errorf("after the due instants were taken: set to %v, want 20h", timer.deadline)
+		t.Errorf("after the due instants were taken: timer is set to %v, want 20h", timer.deadline)
 	}
 }
 
-// rearmingEvents requests a timer that is due at once, each time one fires.
+// rearmingEvents requests a new Timer event that is due at once whenever it receives one.
 type rearmingEvents struct {
 	balancer.Events
 	host  balancer.Host
@@ -75,8 +75,8 @@
 	r.host.Timer(now)
 }
 
-// A timer that is requested while another one fires must wait for the next event, or other events
-// are never handled.
+// An instant that is requested during a Timer event must be left for a later event, even if it is
+// due at once. Otherwise other events would never be handled.
 func TestTimerDueAtOnceDoesNotBlockOtherEvents(t *testing.T) {
 	p := New(balancer.Settings{}, EndpointList{}, Options{Log: slog.New(slog.DiscardHandler)})
 	r := &rearmingEvents{host: host{p}}
@@ -85,6 +85,6 @@
 	r.host.Timer(clockEpoch + 1)
 	p.fireDueTimers(p.clock.now())
 	if r.fired != 2 || len(p.timer.instants) != 2 {
-		t.Errorf("%d timers fired, %d wait", r.fired, len(p.timer.instants))
+		t.Errorf("%d Timer events, %d instants still requested; want 2 and 2", r.fired, len(p.timer.instants))
 	}
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -17,7 +17,7 @@
 	"rowancart/internal/testpeer"
 )
 
-// What tests here use most.
+// Short names for the parts of package testpeer that are used most in these tests.
 const (
 	waitTimeout = testpeer.WaitTimeout
 	okResponse  = testpeer.OKResponse
@@ -28,7 +28,7 @@
 	waitUntil     = testpeer.WaitUntil
 )
 
-// testClasses are the classes of test calls.
+// testClasses are the request classes of test calls.
 var testClasses = []balancer.Class{
 	{Name: "idempotent", LatencyObjective: time.Minute},
 	{Name: "non-idempotent", Idempotency: balancer.NonIdempotent, LatencyObjective: time.Minute},
@@ -41,16 +41,16 @@
 	dialer *blockingDialer
 }
 
-// newTestPool runs a Pool with endpoints at the addresses given, named a, b, ...
+// newTestPool runs a Pool with one endpoint for each address. Their ids are a, b, and so on.
 func newTestPool(t *testing.T, s balancer.Settings, addrs ...string) testPool {
 	t.Helper()
 	s.Classes = testClasses
-	known := EndpointList{Complete: true}
+	initial := EndpointList{Complete: true}
 	for i, addr := range addrs {
-		known.Endpoints = append(known.Endpoints, Endpoint{ID: string(rune('a' + i)), Addr: addr})
+		initial.Endpoints = append(initial.Endpoints, Endpoint{ID: string(rune('a' + i)), Addr: addr})
 	}
 	dialer := &blockingDialer{}
-	p := New(s, known, Options{
+	p := New(s, initial, Options{
 		IdleTimeout: time.Minute, DialTimeout: waitTimeout, MaxConns: 100, Log: slog.New(slog.DiscardHandler),
 		dialContext: dialer.dial,
 	})
@@ -61,7 +61,8 @@
 	return testPool{p, dialer}
 }
 
-// stopTimer stops the Pool's timer, before its first call: the test fires due timers itself.
+// stopTimer stops the Pool's timer, so that the test calls fireDueTimers itself. It must be called
+// before the Pool's first call.
 func (p testPool) stopTimer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,7 +70,7 @@
 	p.timer.timer = time.AfterFunc(time.Hour, func() {})
 }
 
-// newTestCall returns a call with a deadline after wait.
+// newTestCall returns a call whose deadline is wait from now.
 func (p testPool) newTestCall(id, class string, wait time.Duration) *Call {
 	m := &RequestMessage{
 		Method: http.MethodPost, URL: &url.URL{Path: "/c"}, Host: "api.internal",
@@ -78,26 +79,28 @@
 	return NewCall(balancer.Request{ID: id, Class: class, Deadline: p.Now() + wait}, m)
 }
 
-// doAsync carries out a call and sends its result.
+// doAsync executes a call in a new goroutine, and sends its result on the returned channel.
 func (p testPool) doAsync(c *Call) <-chan Result {
 	result := make(chan Result, 1)
 	go func() { result <- p.Do(c) }()
 	return result
 }
 
-// blockingDialer can block the next dial once its connection is established.
+// blockingDialer can delay the return of the next dial after its connection was established.
 type blockingDialer struct {
 	mu   sync.Mutex
-	next *blockedDial // nil: none is to be blocked
+	next *blockedDial // applies to the next dial; nil: do not block it
 }
 
-// blockedDial is a dial that sends its connection to connected and waits for release to be closed.
+// blockedDial is a dial that sends its connection on connected and then waits until release is
+// closed.
 type blockedDial struct {
 	connected chan net.Conn
 	release   chan bool
 }
 
-// blockNext makes the next dial wait until release is closed, even if it is canceled meanwhile.
+// blockNext makes the next dial wait until release is closed, even if the dial is canceled
+// meanwhile.
 func (d *blockingDialer) blockNext() (connected <-chan net.Conn, release chan<- bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,38 +129,38 @@
 	peers []*testpeer.FakeEndpoint
 
 	mu       sync.Mutex
-	received map[string][]string // request ids by endpoint
+	received map[string][]string // request ids, by endpoint name
 }
 
-// newTestEndpoints starts n endpoints, named a, b, ..., that pass each connection with a request to
-// serve.
+// newTestEndpoints starts n endpoints, named a, b, and so on. For each request, they call serve
+// with the connection and the request's id.
 func newTestEndpoints(t *testing.T, n int, serve func(nc net.Conn, id string) bool) *testEndpoints {
-	f := &testEndpoints{received: map[string][]string{}}
+	e := &testEndpoints{received: map[string][]string{}}
 	for i := range n {
 		name := string(rune('a' + i))
-		e := startEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
+		peer := startEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 			id := r.Header.Get(platform.RequestIDHeader)
-			f.mu.Lock()
-			f.received[name] = append(f.received[name], id)
-			f.mu.Unlock()
+			e.mu.Lock()
+			e.received[name] = append(e.received[name], id)
+			e.mu.Unlock()
 			return serve(nc, id)
 		})
-		f.addrs = append(f.addrs, e.Addr)
-		f.peers = append(f.peers, e)
+		e.addrs = append(e.addrs, peer.Addr)
+		e.peers = append(e.peers, peer)
 	}
-	return f
+	return e
 }
 
 // receivedBy returns the ids of the requests that an endpoint has received.
-func (f *testEndpoints) receivedBy(name string) []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Clone(f.received[name])
+func (e *testEndpoints) receivedBy(name string) []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return slices.Clone(e.received[name])
 }
 
-// nameOf returns an endpoint's name by its address.
-func (f *testEndpoints) nameOf(addr string) string {
-	return string(rune('a' + slices.Index(f.addrs, addr)))
+// nameOf returns the name of the endpoint with the given address.
+func (e *testEndpoints) nameOf(addr string) string {
+	return string(rune('a' + slices.Index(e.addrs, addr)))
 }
 
 // respondOK writes a complete response, and reports whether the connection stays open.
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -7,9 +7,9 @@
 	"rowancart/internal/logkey"
 )
 
-// host carries out the Balancer's actions. The Balancer calls it while it handles an event, so p.mu
-// is held. No method blocks or calls the Balancer back: what would be another event is deferred
-// until the present one has been handled.
+// host implements the Balancer's actions. The Balancer calls its methods while it handles an event,
+// so p.mu is held. No method blocks or calls back into the Balancer: an event that results from an
+// action is queued until the current event has been handled.
 type host struct{ *Pool }
 
 var _ balancer.Host = host{}
@@ -18,7 +18,7 @@
 func (h host) Send(id, endpoint string, timeout time.Duration) {
 	c := h.calls.get(id)
 	if c == nil {
-		return // not a call of this Pool: there is no attempt to report either
+		return // there is no such call in progress, and so no attempt whose outcome would be reported
 	}
 	a := h.newAttempt(c, endpoint, timeout)
 	switch {
@@ -26,8 +26,8 @@
 		h.deferred.push(func(now time.Duration) { h.reportOutcome(now, a, balancer.NotSent, Response{}) })
 	case c.canRunInline:
 		c.canRunInline = false
-		c.inlineAttempts <- a // does not block: Do takes each attempt before it can run the next one
-	default: // a hedged request, or an attempt that can't be canceled and must not delay the result
+		c.inlineAttempts <- a // does not block: canRunInline is not set again before Do has received a
+	default: // a hedged request, or an attempt that can't be canceled and so would delay the result in Do
 		go h.runAttempt(a)
 	}
 }
--- a/internal/proxy/hostlog_test.go
+++ b/internal/proxy/hostlog_test.go
@@ -8,7 +8,7 @@
 	"rowancart/balancer"
 )
 
-// TestLogEventsHaveAttributes checks the log lines of the Balancer's events.
+// TestLogEventsHaveAttributes checks the log lines that are written for the Balancer's log events.
 func TestLogEventsHaveAttributes(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -32,7 +32,7 @@
 			log := slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{ReplaceAttr: withoutTime}))
 			host{&Pool{log: log}}.Log(c.event)
 			if out.String() != c.want {
-				t.Errorf("line %q, want %q", out.String(), c.want)
+				t.Errorf("got log line %q, want %q", out.String(), c.want)
 			}
 		})
 	}
--- a/internal/proxy/keywindow_test.go
+++ b/internal/proxy/keywindow_test.go
@@ -11,8 +11,9 @@
 	"rowancart/balancer"
 )
 
-// The connection of a retry of an idempotency-keyed call is established after the window of the
-// key: not a byte of the retry may be sent, since endpoints no longer recognize the key.
+// A retry with an idempotency key must not be sent after the key's window, when endpoints no longer
+// recognize the key. Here the connection for the retry is established only after the window has
+// ended.
 func TestNoRetryIsWrittenAfterTheKeyWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	var requests atomic.Int32
@@ -41,9 +42,9 @@
 	result := p.doAsync(p.newTestCall("r", "keyed", waitTimeout))
 	<-blocked
 	<-connected
-	time.Sleep(time.Until(start.Add(2 * window))) // the connection is established late
+	time.Sleep(time.Until(start.Add(2 * window))) // the dial ends after the window
 	close(release)
 	if r := <-result; r.Kind == Served || requests.Load() != 1 {
-		t.Errorf("%d requests, result %+v", requests.Load(), r)
+		t.Errorf("endpoints received %d requests, result is %+v; want 1 request and no response", requests.Load(), r)
 	}
 }
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -2,10 +2,10 @@
 
 import "rowancart/internal/connpool"
 
-// Users of a Pool exchange with it what package connpool writes to endpoints and reads from them.
-// With these names they need not import that package.
+// The aliases below let users of a Pool refer to the messages and limits of package connpool
+// without importing it.
 
-// The limits of messages.
+// The maximum sizes of messages, in bytes.
 const (
 	MaxBody         = connpool.MaxBody
 	MaxHead         = connpool.MaxHead
@@ -13,12 +13,12 @@
 )
 
 type (
-	// RequestMessage is a request as endpoints get it.
+	// RequestMessage is a request in the form in which it is sent to endpoints.
 	RequestMessage = connpool.Request
-	// Upload is the part of a request's body that follows its beginning.
+	// Upload is the part of a request's body that follows the part in RequestMessage.Body.
 	Upload = connpool.Upload
 	// Response is an endpoint's response.
 	Response = connpool.Response
-	// Stream is the rest of a response that is passed on while it arrives.
+	// Stream is the rest of a response body that is forwarded while it arrives.
 	Stream = connpool.Stream
 )
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -1,7 +1,8 @@
-// Package proxy hosts one Balancer for one pool of endpoints: the lock under which it handles one
-// event after the other, the calls and attempts in flight, and the connections over which attempts
-// are made. Servers pass calls to it, and endpoint discovery passes endpoint lists. It carries out
-// what the Balancer decides and decides nothing itself.
+// Package proxy forwards requests to a pool of endpoints. A Pool runs one Balancer. It passes
+// events to the Balancer one at a time, under a lock, and carries out the Balancer's decisions; it
+// makes no balancing decisions itself. It tracks the calls and attempts in flight and owns the
+// connections to endpoints. Servers pass calls to a Pool, and endpoint discovery passes endpoint
+// lists to it.
 package proxy
 
 import (
@@ -15,20 +16,20 @@
 	"rowancart/internal/connpool"
 )
 
-// Options are what a Pool needs besides the Balancer's settings.
+// Options configure a Pool, except for its Balancer, which balancer.Settings configure.
 type Options struct {
-	IdleTimeout time.Duration // after which endpoints close an idle connection; 0: unknown
-	DialTimeout time.Duration // after which a dial has failed; 0: the connection pool's default
-	MaxConns    int           // connections open at once
-	Quarantine  time.Duration // between a response and the reuse of its connection, in which a second response shows
-	PassThrough bool          // responses below 500 are passed on as they are; else only 200 is, with its type
-	Subscribe   func()        // subscribes to all changes of the endpoint list, for good; it must not block
+	IdleTimeout time.Duration // after which endpoints close an idle connection; 0: the connection pool's default
+	DialTimeout time.Duration // after which a dial fails; 0: the connection pool's default
+	MaxConns    int           // maximum number of open connections, including idle ones and dials in progress
+	Quarantine  time.Duration // wait before a connection is reused, during which a second response is detected
+	PassThrough bool          // forward all responses below 500; else only 200, with only its Content-Type header
+	Subscribe   func()        // subscribes permanently to all changes of the endpoint list; must not block
 	Log         *slog.Logger
 
-	dialContext connpool.DialFunc // of tests; nil: a net.Dialer
+	dialContext connpool.DialFunc // set by tests; nil: use a net.Dialer
 }
 
-// connOptions returns the options of the connection pool.
+// connOptions returns the options for the connection pool.
 func (o Options) connOptions() connpool.Options {
 	return connpool.Options{
 		IdleTimeout: o.IdleTimeout,
@@ -40,8 +41,9 @@
 	}
 }
 
-// Pool owns a Balancer. Every event is handled under the Pool's lock by the goroutine in which it
-// occurs: no request waits for another goroutine to be scheduled.
+// Pool runs a Balancer and executes calls. Every event is handled under the Pool's lock, in the
+// goroutine in which it occurs, so that no request has to wait until another goroutine is
+// scheduled.
 type Pool struct {
 	clock     clock
 	done      chan struct{} // closed when Run ends
@@ -49,37 +51,37 @@
 	subscribe func()
 	log       *slog.Logger
 
-	// mu serializes events: handleEvent holds it during an event, including all actions of the
-	// Balancer, so that nothing comes between the Balancer's choice of an endpoint and its Send. It is
-	// also held to read a consistent state. It is never held during I/O or any wait. connpool's locks
-	// may be taken while it is held, but not the other way round.
+	// mu serializes events. handleEvent holds it while an event is handled, including all actions
+	// of the Balancer, so that nothing changes between the Balancer's choice of an endpoint and its
+	// Send. It is also held to read a consistent state. It is never held during I/O or while
+	// waiting. Lock order: connpool's locks may be acquired while mu is held, but not the reverse.
 	mu            sync.Mutex
-	events        balancer.Events    // the Balancer as a receiver of events; tests replace it
-	balancer      *balancer.Balancer // the same Balancer, for all else
-	cancelAllowed bool               // attempts may be canceled, see canRunInline of Call
+	events        balancer.Events    // the Balancer's event handlers; tests replace them
+	balancer      *balancer.Balancer // the same Balancer, for all other methods
+	cancelAllowed bool               // attempts may be canceled, see Call.canRunInline
 	closed        bool
-	finalDeadline time.Duration // by which all calls have to have their results; 0: their own deadlines hold
+	finalDeadline time.Duration // upper bound for the deadlines of all calls; 0: none
 	calls         callSet
 	endpoints     endpointSet
 	timer         eventTimer
 	deferred      eventQueue
 	unserved      unservedLog
 
-	counts endpointCounts // written under mu at the end of each event, read without it
+	counts endpointCounts // written with mu held at the end of each event, read without mu
 }
 
-// endpointCounts are numbers of endpoints that are read without a lock.
+// endpointCounts are numbers of endpoints that can be read without a lock.
 type endpointCounts struct{ listed, unselectable atomic.Int64 }
 
-// set replaces the numbers.
+// set replaces both numbers.
 func (c *endpointCounts) set(listed, unselectable int) {
 	c.listed.Store(int64(listed))
 	c.unselectable.Store(int64(unselectable))
 }
 
-// New returns a Pool with the endpoints given as the first list of its Balancer. Its calls are
-// carried out from now on; Run maintains its connections and closes it.
-func New(s balancer.Settings, known EndpointList, o Options) *Pool {
+// New returns a Pool whose Balancer receives initial as its first endpoint list. The Pool executes
+// calls at once. Run must be called to maintain its connections and to close it.
+func New(s balancer.Settings, initial EndpointList, o Options) *Pool {
 	c := clock{started: time.Now()}
 	p := &Pool{
 		clock:         c,
@@ -93,14 +95,14 @@
 		unserved:      unservedLog{log: o.Log, byReason: map[balancer.Reason]*unservedCount{}},
 	}
 	p.timer = newEventTimer(p.clock.now(), func() { p.handleEvent(p.fireDueTimers) })
-	p.balancer = balancer.New(p.clock.now(), s, host{p}) // may request timers
+	p.balancer = balancer.New(p.clock.now(), s, host{p}) // may call host.Timer, so p.timer has to be set
 	p.events = p.balancer
-	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, known) })
+	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, initial) })
 	return p
 }
 
-// Run maintains the connections until ctx is done and closes the Pool: calls that have no result by
-// then get Failed, and no further event is handled.
+// Run maintains the connections until ctx is done, then closes the Pool. Calls that have no result
+// by then get the result Failed, and no further event is handled.
 func (p *Pool) Run(ctx context.Context) {
 	p.conns.Run(ctx)
 	p.mu.Lock()
@@ -110,8 +112,8 @@
 	close(p.done)
 }
 
-// handleEvent handles an event and those that arise from it. It must not be called while mu is
-// held.
+// handleEvent handles an event and the events that were deferred meanwhile. It must not be called
+// while mu is held.
 func (p *Pool) handleEvent(event func(now time.Duration)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,19 +131,21 @@
 	p.timer.reset(now)
 }
 
-// fireDueTimers reports the instants of the timer that have come. One that is requested meanwhile
-// waits for the next event, so that timers can't keep other events out. p.mu must be held.
+// fireDueTimers sends the Balancer one Timer event for each due instant. Instants that are
+// requested meanwhile are left for a later event, even if they are already due, so that timers
+// cannot starve other events. p.mu must be held.
 func (p *Pool) fireDueTimers(now time.Duration) {
 	for range p.timer.takeDue(now) {
 		p.events.Timer(now)
 	}
 }
 
-// Now returns the present instant by the clock of all instants that the Balancer sees.
+// Now returns the current instant on the Pool's clock. All instants that are passed to the Balancer
+// are measured on this clock.
 func (p *Pool) Now() time.Duration { return p.clock.now() }
 
-// SetFinalDeadline sets the instant by which all calls, those still to come included, have to have
-// their results: the process ends then.
+// SetFinalDeadline sets the instant by which every call must have its result, because the process
+// ends then. It also applies to calls that start later.
 func (p *Pool) SetFinalDeadline(at time.Duration) {
 	p.handleEvent(func(now time.Duration) {
 		p.finalDeadline = at
@@ -149,9 +153,9 @@
 	})
 }
 
-// Configure replaces the settings and the options of connections, except PassThrough; Subscribe and
-// Log stay too. All learned state is kept, and calls that were started before keep the classes that
-// they came with (see balancer.Balancer.Configure).
+// Configure replaces the Balancer's settings and the options of the connection pool. The options
+// PassThrough, Subscribe and Log do not change. All learned state is kept, and calls that have
+// already started keep their class as it was (see balancer.Balancer.Configure).
 func (p *Pool) Configure(s balancer.Settings, o Options) {
 	p.conns.Configure(o.connOptions())
 	p.handleEvent(func(now time.Duration) {
@@ -160,18 +164,18 @@
 	})
 }
 
-// SetMaxConns sets how many connections to endpoints may be open at once. Idle ones beyond that are
-// closed.
+// SetMaxConns sets the maximum number of open connections to endpoints. Idle connections above the
+// maximum are closed.
 func (p *Pool) SetMaxConns(n int) { p.conns.SetMaxConns(n) }
 
-// Gauges are the numbers of a Pool that can be read at any time without waiting for its lock.
+// Gauges are metrics of a Pool that can be read at any time without waiting for its lock.
 type Gauges struct {
-	RequestsWritten int64 // requests written completely, so far
-	Listed          int   // endpoints
-	Unselectable    int   // of them, disabled or not chosen by the Balancer at present
+	RequestsWritten int64 // total number of requests written completely
+	Listed          int   // listed endpoints
+	Unselectable    int   // ready endpoints that are disabled or that the Balancer does not select at present
 }
 
-// Gauges returns the numbers as of the latest event. It takes no lock that requests take.
+// Gauges returns the metrics as of the latest event. It acquires no lock that requests need.
 func (p *Pool) Gauges() Gauges {
 	return Gauges{
 		RequestsWritten: p.conns.RequestsWritten(),
@@ -180,15 +184,15 @@
 	}
 }
 
-// Stats are a Pool's numbers at one moment.
+// Stats are the numbers of a Pool's calls, endpoints and connections at one moment.
 type Stats struct {
-	Calls       int `json:"calls"`       // in flight
-	Ready       int `json:"ready"`       // endpoints that take new requests
-	Draining    int `json:"draining"`    // endpoints that do not
-	Connections int `json:"connections"` // open to endpoints, idle ones included
+	Calls       int `json:"calls"`       // in progress
+	Ready       int `json:"ready"`       // endpoints that accept new requests
+	Draining    int `json:"draining"`    // endpoints that do not, since they are draining or disabled
+	Connections int `json:"connections"` // open connections to endpoints, including idle ones and dials in progress
 }
 
-// Stats returns the present numbers.
+// Stats returns the current numbers.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -9,15 +9,15 @@
 	"rowancart/balancer"
 )
 
-// Snapshot is what a Pool passes to its successor.
+// Snapshot is the state that a Pool passes to the Pool of a later process.
 //
-// The tags are the names in stored snapshots.
+// The JSON tags are the field names in stored snapshots.
 type Snapshot struct {
 	Learned   balancer.LearnedState `json:"Learned"`
 	Endpoints []Endpoint            `json:"Members"`
 }
 
-// Snapshot returns the present state, endpoints in the order of their ids.
+// Snapshot returns the current state, with the endpoints sorted by id.
 func (p *Pool) Snapshot() Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,9 +29,9 @@
 	}
 }
 
-// Restore takes over the learned state of an earlier Pool, from a snapshot of this age. The
-// endpoint list alone says which endpoints there are: what was learned of an endpoint is dropped if
-// it is not listed any more, has another address now, or has restarted since.
+// Restore restores the learned state of an earlier Pool from a snapshot that was taken age ago. It
+// does not restore the endpoint list. The learned state of an endpoint is dropped if the endpoint
+// is no longer listed, or if its address or start time has changed since.
 func (p *Pool) Restore(s Snapshot, age time.Duration) {
 	p.handleEvent(func(now time.Duration) {
 		earlier := map[string]Endpoint{}
--- a/internal/proxy/starttimes.go
+++ b/internal/proxy/starttimes.go
@@ -3,59 +3,64 @@
 import "time"
 
 const (
-	// maxListingDelay is how long after its start an endpoint is listed at the latest, while endpoint
+	// maxListingDelay bounds the time from an endpoint's start until it is listed, while endpoint
 	// discovery works.
 	maxListingDelay = 10 * time.Second
 
-	// minPrunedStarts is by how many startTimes may exceed twice the listed endpoints before it is
-	// pruned.
-	minPrunedStarts = 100
+	// pruneMargin is the number of entries that startTimes may hold beyond twice the number of
+	// listed endpoints before it is pruned.
+	pruneMargin = 100
 )
 
-// startTimes converts the starts of endpoints from wall time, as they are listed, to instants. The
-// wall clock may be stepped at any time, here or where the start was read, and slow start lasts a
-// span of real time: where the clocks disagree, an endpoint counts as started when its start was
-// first listed. An endpoint that is taken for warmed up too soon could be overloaded by all
-// instances together.
+// startTimes converts the listed start times of endpoints from wall-clock time to instants.
 //
-// Pool.mu guards it.
+// Slow start lasts a fixed span of real time, but the wall clock may be stepped at any time, on
+// this machine or on the one that read the start time. If a start time contradicts this process's
+// clock or earlier lists, the endpoint counts as started when that start time was first listed. An
+// endpoint must not be treated as warmed up too soon, because all instances together could overload
+// it.
+//
+// It is guarded by Pool.mu.
 type startTimes struct {
 	clock         clock
 	byID          map[string]listedStart
-	listCurrentAt time.Duration // when the list was last known to be up to date; 0: never
+	listCurrentAt time.Duration // when discovery last confirmed that the list is up to date; 0: never
 }
 
-// listedStart is a start as it was listed, and the instant that it was given then. The same start
-// must always become the same instant, or an old start would be taken for a restart.
+// listedStart is a start time as it was listed, and the instant to which it was converted at that
+// time. The same start time must always convert to the same instant; a different instant would be
+// mistaken for a restart.
 type listedStart struct {
 	unixMs int64
 	at     time.Duration
 }
 
-// instant returns when an endpoint started that is listed with this Unix time, 0 for long ago.
+// instant returns the instant at which an endpoint started. unixMs is its listed start time, where
+// 0 means long ago, as it does in the result.
 func (s *startTimes) instant(now time.Duration, id string, unixMs int64) time.Duration {
 	if unixMs <= 0 {
 		delete(s.byID, id)
 		return 0
 	}
-	known, isKnown := s.byID[id]
-	if isKnown && known.unixMs == unixMs {
-		return known.at
+	previous, hasPrevious := s.byID[id]
+	if hasPrevious && previous.unixMs == unixMs {
+		return previous.at
 	}
-	at := max(s.clock.instant(unixMs), known.at)
+	at := max(s.clock.instant(unixMs), previous.at)
 	inFuture := at > now
-	setBack := isKnown && unixMs < known.unixMs
+	clockSetBack := hasPrevious && unixMs < previous.unixMs
 	listedTooLate := at < s.listCurrentAt-maxListingDelay
-	if inFuture || setBack || listedTooLate {
+	if inFuture || clockSetBack || listedTooLate {
 		at = now
 	}
 	s.byID[id] = listedStart{unixMs, at}
 	return at
 }
 
-// prune forgets the endpoints that are not listed, once most are not.
+// prune removes the entries of endpoints that are not listed. It does nothing while there are few
+// of them (see pruneMargin).
 func (s *startTimes) prune(listed map[string]Endpoint) {
-	if len(s.byID) <= 2*len(listed)+minPrunedStarts {
+	if len(s.byID) <= 2*len(listed)+pruneMargin {
 		return
 	}
 	for id := range s.byID {
--- a/internal/proxy/starttimes_test.go
+++ b/internal/proxy/starttimes_test.go
@@ -8,8 +8,9 @@
 	"rowancart/balancer"
 )
 
-// The wall clock is wrong: an endpoint's start lies in the future, and one that has restarted seems
-// to have started long ago. The window of slow start begins when the start is first listed.
+// If the wall clock is wrong, the start time of an endpoint may be in the future, or an endpoint
+// that has just restarted may seem to have started long ago. In both cases, the window of slow
+// start begins when the start time is first listed.
 func TestSlowStartLastsARealTimeSpan(t *testing.T) {
 	const window = 500 * time.Millisecond
 	settings := func(window time.Duration) balancer.Settings {
@@ -31,23 +32,23 @@
 	ahead := newTestPool(t, settings(window))
 	start(ahead, now.Add(time.Hour))
 	if w := capacityShare(ahead, "a"); w >= 1 {
-		t.Errorf("a start in the future was listed: capacity share %v", w)
+		t.Errorf("start time in the future: capacity share %v, want less than 1", w)
 	}
-	time.Sleep(2 * window) // its window passes
+	time.Sleep(2 * window) // slow start ends
 	if w := capacityShare(ahead, "a"); w != 1 {
-		t.Errorf("after its window: capacity share %v", w)
+		t.Errorf("after the window of slow start: capacity share %v, want 1", w)
 	}
 
 	back := newTestPool(t, settings(time.Minute))
 	start(back, now)
-	start(back, now.Add(-time.Hour)) // restarted, after the clock was set back
+	start(back, now.Add(-time.Hour)) // a restart, after the wall clock was set back
 	if w := capacityShare(back, "a"); w >= 1 {
-		t.Errorf("a restart was listed by a clock that was set back: capacity share %v", w)
+		t.Errorf("restart after the wall clock was set back: capacity share %v, want less than 1", w)
 	}
 }
 
-// The wall clock is stepped by an hour while this process runs, here alone or everywhere: an
-// endpoint that has just started never counts as one that started long ago.
+// The wall clock is stepped while this process runs, on this machine only or on all machines. An
+// endpoint that has just started must not count as one that started long ago.
 func TestWallClockStepMakesNoEndpointOld(t *testing.T) {
 	steps := map[string]time.Duration{"forward": time.Hour, "back": -time.Hour, "by seconds": 3 * time.Second}
 	for name, step := range steps {
@@ -58,36 +59,37 @@
 			listed := time.Now().Add(listedBy).UnixMilli()
 			at := starts.instant(now, "a", listed)
 			if age := now - at; age < 0 || age > time.Second {
-				t.Errorf("%s, %s: it counts as %v old", name, where, age)
+				t.Errorf("clock stepped %s, %s: a new endpoint counts as started %v ago", name, where, age)
 			}
 			if again := starts.instant(now+time.Minute, "a", listed); again != at {
-				t.Errorf("%s, %s: the same start became another instant, %v later", name, where, again-at)
+				t.Errorf("clock stepped %s, %s: the instant of an unchanged start time moved by %v", name, where, again-at)
 			}
 		}
 	}
 }
 
-// The clock was wrong when this process started: an endpoint that discovery did not list a moment
-// ago has not started an hour ago. An endpoint of the first list may have.
+// If the wall clock was wrong when this process started, a new endpoint may seem to have started an
+// hour ago. That cannot be true if discovery did not list it a moment ago, so it counts as just
+// started. It can be true of an endpoint in the first list.
 func TestNewlyListedEndpointIsNotOld(t *testing.T) {
 	c := clock{started: time.Now().Add(-time.Minute)}
 	starts := startTimes{clock: c, byID: map[string]listedStart{}}
 	now := c.now()
 	hourAgo := time.Now().Add(-time.Hour).UnixMilli()
 	if age := now - starts.instant(now, "first", hourAgo); age < time.Minute {
-		t.Errorf("an endpoint of the first list counts as %v old", age)
+		t.Errorf("an endpoint in the first list counts as started %v ago, want at least 1m", age)
 	}
 	starts.listCurrentAt = now
 	if age := now - starts.instant(now, "new", hourAgo); age != 0 {
-		t.Errorf("a new endpoint counts as %v old", age)
+		t.Errorf("a new endpoint counts as started %v ago, want 0", age)
 	}
 	if age := now - starts.instant(now, "first", hourAgo); age < time.Minute {
-		t.Errorf("an endpoint that was listed before counts as %v old", age)
+		t.Errorf("an endpoint that was listed before counts as started %v ago, want at least 1m", age)
 	}
 	for i := range 500 {
 		starts.instant(now, fmt.Sprint(i), hourAgo)
 	}
 	if starts.prune(map[string]Endpoint{"first": {}}); len(starts.byID) != 1 {
-		t.Errorf("%d starts are kept, and one endpoint is listed", len(starts.byID))
+		t.Errorf("%d start times are kept for one listed endpoint, want 1", len(starts.byID))
 	}
 }
--- a/internal/proxy/unservedlog.go
+++ b/internal/proxy/unservedlog.go
@@ -8,12 +8,12 @@
 	"rowancart/internal/logkey"
 )
 
-// unservedLogInterval is the least time between two log lines about requests that were not served
-// for the same reason: log lines must not come as fast as requests.
+// unservedLogInterval is the minimum time between two log lines for the same reason. It keeps the
+// number of log lines from growing with the request rate.
 const unservedLogInterval = 10 * time.Second
 
-// unservedLog logs requests that were not served: one line for each reason and interval, with the
-// number of requests that it stands for. Pool.mu guards it.
+// unservedLog logs requests that were not served: at most one line per reason and interval, with
+// the number of requests since the previous line. It is guarded by Pool.mu.
 type unservedLog struct {
 	log      *slog.Logger
 	byReason map[balancer.Reason]*unservedCount
@@ -21,12 +21,12 @@
 
 // unservedCount counts the requests that were not served for one reason.
 type unservedCount struct {
-	requests int           // since the latest line
-	loggedAt time.Duration // when the latest line was written; 0: never
+	requests int           // since the latest log line
+	loggedAt time.Duration // when the latest log line was written; 0: never
 }
 
-// record counts a request that was not served, and writes a line unless one for the same reason was
-// written recently.
+// record counts a request that was not served. It writes a log line unless one for the same reason
+// was written less than unservedLogInterval ago.
 func (l *unservedLog) record(now time.Duration, requestID string, reason balancer.Reason) {
 	count := l.byReason[reason]
 	if count == nil {
--- a/internal/proxy/unservedlog_test.go
+++ b/internal/proxy/unservedlog_test.go
@@ -9,8 +9,8 @@
 	"rowancart/balancer"
 )
 
-// There is one line for each reason and interval. It counts the requests since the line before it
-// and names the latest.
+// There is at most one line per reason and interval. It has the number of requests since the
+// previous line with that reason, and the id of the latest one.
 func TestUnservedRequestsAreLoggedAtBoundedRate(t *testing.T) {
 	var lines bytes.Buffer
 	withoutTime := func(_ []string, a slog.Attr) slog.Attr {
@@ -34,6 +34,6 @@
 level=WARN msg="requests not served" reason=body_gone count=3 request_id=r5
 `
 	if got := lines.String(); got != want {
-		t.Errorf("log:\n%swant:\n%s", got, want)
+		t.Errorf("got log lines:\n%swant:\n%s", got, want)
 	}
 }
