--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -8,7 +8,7 @@
 	"rowancart/internal/connpool"
 )
 
-// attempt is one attempt of a call. Each Send of the Balancer creates one. It is in flight until
+// attempt is one attempt of a call. host.Send creates it. It is in flight until
 // its outcome is reported to the Balancer, which happens exactly once.
 type attempt struct {
 	control  connpool.Attempt
@@ -80,7 +80,8 @@
 	p.reportOutcome(now, a, result, response)
 }
 
-// clientDisconnected reports whether the client has disconnected, or false if that is unknown.
+// clientDisconnected reports whether the client has disconnected. It returns false if that is
+// unknown.
 func (a *attempt) clientDisconnected() bool {
 	return a.control.ClientDisconnected != nil && a.control.ClientDisconnected()
 }
@@ -108,7 +109,9 @@
 			return result
 		}
 	}
-	return balancer.Reset // unreachable, since connpool returns only *Error; Reset: the request may have run
+	// Not reached: connpool returns only an *Error of a known kind. Reset is the safe result, since
+	// it assumes that the request may have run.
+	return balancer.Reset
 }
 
 // provesNotRun reports whether a result proves that the endpoint has not run the request.
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -9,10 +9,10 @@
 // ResultKind says how a call ended.
 type ResultKind int
 
-// The kinds of results. Only Rejected and Duplicate guarantee that no endpoint has run the request
-// of this call.
+// The kinds of results. Only Rejected and Duplicate guarantee that this call has not made any
+// endpoint run the request.
 const (
-	Served    ResultKind = iota // an endpoint has responded
+	Served    ResultKind = iota // an endpoint has served the request, see Response
 	Rejected                    // the request has not run and may be sent again
 	Failed                      // the request was not served, but may have run
 	Duplicate                   // a request with this id is in progress or was received recently
@@ -27,7 +27,7 @@
 type Result struct {
 	Kind       ResultKind
 	Reason     balancer.Reason // if Rejected or Failed; empty if the client disconnected or the Pool was closed
-	RetryAfter time.Duration   // if Rejected: when the client should retry; 0: unspecified
+	RetryAfter time.Duration   // if Rejected: after which the client should retry; 0: unspecified
 	Response   Response        // if Served
 }
 
@@ -66,7 +66,7 @@
 	p.handleEvent(func(now time.Duration) { p.startCall(now, c) })
 	for {
 		select {
-		case r := <-c.results: // checked first: no attempt may start once there is a result
+		case r := <-c.results: // checked first: a result takes precedence over another attempt
 			p.runAbandonedAttempt(c)
 			return r
 		default:
@@ -122,8 +122,8 @@
 	p.removeIfDone(c)
 }
 
-// finishUnserved finishes a call that no endpoint has served, and logs it, unless the call already
-// has a result. p.mu must be held.
+// finishUnserved finishes a call that no endpoint has served, and records it in the log of unserved
+// requests, unless the call already has a result. p.mu must be held.
 func (p *Pool) finishUnserved(id string, r Result) {
 	c := p.calls.get(id)
 	if c == nil || c.finished {
@@ -134,8 +134,8 @@
 }
 
 // setResult sets the result of a call that has none yet, and cancels the attempts whose request has
-// not been written completely. Apart from Duplicate, results are set nowhere else. p.mu must be
-// held.
+// not been written completely. All results are set here, except Duplicate in startCall and
+// the result Failed that Do returns when the Pool is closed. p.mu must be held.
 func (p *Pool) setResult(c *Call, r Result) {
 	c.finished = true
 	c.canRunInline = false
--- a/internal/proxy/call_test.go
+++ b/internal/proxy/call_test.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// callPastDeadline is a call with an attempt in flight whose deadline has passed, as the Balancer
-// measures it.
+// callPastDeadline is a call that the Balancer will time out at the next Timer event. Its attempt
+// is still in flight.
 type callPastDeadline struct {
 	pool     testPool
 	endpoint *testpeer.FakeEndpoint
@@ -157,8 +157,8 @@
 	respond  chan bool // the endpoint responds once this is closed
 }
 
-// newCallPastDeadline starts a call and waits until its deadline has passed. The Pool's timer has
-// not fired: the test fires it.
+// newCallPastDeadline starts a call and waits until the Balancer's time-out for it is due. The
+// Pool's timer is stopped; the test calls fireDueTimers instead.
 func newCallPastDeadline(t *testing.T, s balancer.Settings, class string) callPastDeadline {
 	t.Helper()
 	received, respond := make(chan bool, 1), make(chan bool)
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -3,7 +3,8 @@
 import "time"
 
 // clockEpoch is the instant at which a clock starts. It is well above zero, so that endpoints that
-// started before this process have positive instants too. An instant of 0 means long ago.
+// started up to that long before this process have positive instants too. Earlier starts become 0,
+// which means long ago.
 const clockEpoch = 24 * time.Hour
 
 // maxClockDrift bounds how far the wall clock may drift from the monotonic clock. A larger
@@ -33,10 +34,10 @@
 		wall = c.wall()
 	}
 	byStartOffset := clockEpoch + time.Duration(unixMs-c.started.UnixMilli())*time.Millisecond
-	byPresentOffset := now + time.Duration(unixMs-wall.UnixMilli())*time.Millisecond
-	wasStepped := (byPresentOffset - byStartOffset).Abs() > maxClockDrift
+	byCurrentOffset := now + time.Duration(unixMs-wall.UnixMilli())*time.Millisecond
+	wasStepped := (byCurrentOffset - byStartOffset).Abs() > maxClockDrift
 	if wasStepped {
-		return max(byStartOffset, byPresentOffset, 0)
+		return max(byStartOffset, byCurrentOffset, 0)
 	}
 	return max(byStartOffset, 0)
 }
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -29,7 +29,7 @@
 type EndpointList struct {
 	Complete  bool
 	Endpoints []Endpoint
-	Unlisted  int // number of ready endpoints outside this instance's subset, which are not listed
+	Unlisted  int // number of ready endpoints outside this instance's subset (see package subset)
 }
 
 // UpdateEndpoints applies an update from endpoint discovery.
--- a/internal/proxy/eventqueue.go
+++ b/internal/proxy/eventqueue.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// eventQueue is a FIFO queue of the events that occurred while another event was being handled. It
-// is guarded by Pool.mu.
+// eventQueue is a FIFO queue of events that were deferred until the current event has been handled.
+// It is guarded by Pool.mu.
 type eventQueue struct{ events []func(now time.Duration) }
 
 // push adds an event.
--- a/internal/proxy/eventqueue_test.go
+++ b/internal/proxy/eventqueue_test.go
@@ -9,8 +9,8 @@
 	"rowancart/balancer"
 )
 
-// Events that are deferred while an event is handled, including a deferred one, are handled before
-// handleEvent returns, in the order in which they were deferred.
+// Events that are deferred while another event is handled, which may itself be a deferred one, are
+// handled before handleEvent returns, in the order in which they were deferred.
 func TestDeferredEventsAreHandledInOrder(t *testing.T) {
 	p := New(balancer.Settings{}, EndpointList{}, Options{Log: slog.New(slog.DiscardHandler)})
 	var handled []string
--- a/internal/proxy/eventtimer.go
+++ b/internal/proxy/eventtimer.go
@@ -17,7 +17,7 @@
 type eventTimer struct {
 	timer    *time.Timer
 	deadline time.Duration   // the instant that timer is set to
-	instants []time.Duration // requested by the Balancer and not yet due, sorted
+	instants []time.Duration // requested by the Balancer and not yet removed by takeDue, sorted
 }
 
 // newEventTimer returns a running eventTimer. It calls fire in a separate goroutine.
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -61,8 +61,8 @@
 	return testPool{p, dialer}
 }
 
-// stopTimer stops the Pool's timer, so that the test calls fireDueTimers itself. It must be called
-// before the Pool's first call.
+// stopTimer stops the Pool's timer, so that timers fire only when the test calls fireDueTimers. It
+// must be called before the Pool's first call.
 func (p testPool) stopTimer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/keywindow_test.go
+++ b/internal/proxy/keywindow_test.go
@@ -11,9 +11,9 @@
 	"rowancart/balancer"
 )
 
-// A retry with an idempotency key must not be sent after the key's window, when endpoints no longer
-// recognize the key. Here the connection for the retry is established only after the window has
-// ended.
+// No byte of a retry with an idempotency key may be sent after the key's window, when endpoints no
+// longer recognize the key. Here the connection for the retry is established only after the window
+// has ended.
 func TestNoRetryIsWrittenAfterTheKeyWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	var requests atomic.Int32
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -5,7 +5,8 @@
 // The aliases below let users of a Pool refer to the messages and limits of package connpool
 // without importing it.
 
-// The maximum sizes of messages, in bytes.
+// Size limits in bytes: MaxBody for a body that is buffered, MaxHead for a message head, and
+// MaxStreamedBody for a body that is streamed.
 const (
 	MaxBody         = connpool.MaxBody
 	MaxHead         = connpool.MaxHead
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -18,10 +18,10 @@
 
 // Options configure a Pool, except for its Balancer, which balancer.Settings configure.
 type Options struct {
-	IdleTimeout time.Duration // after which endpoints close an idle connection; 0: the connection pool's default
+	IdleTimeout time.Duration // after which endpoints close an idle connection; 0: unknown, use connpool's default
 	DialTimeout time.Duration // after which a dial fails; 0: the connection pool's default
 	MaxConns    int           // maximum number of open connections, including idle ones and dials in progress
-	Quarantine  time.Duration // wait before a connection is reused, during which a second response is detected
+	Quarantine  time.Duration // minimum time from a response to its connection's reuse, to detect a second response
 	PassThrough bool          // forward all responses below 500; else only 200, with only its Content-Type header
 	Subscribe   func()        // subscribes permanently to all changes of the endpoint list; must not block
 	Log         *slog.Logger
@@ -56,7 +56,7 @@
 	// Send. It is also held to read a consistent state. It is never held during I/O or while
 	// waiting. Lock order: connpool's locks may be acquired while mu is held, but not the reverse.
 	mu            sync.Mutex
-	events        balancer.Events    // the Balancer's event handlers; tests replace them
+	events        balancer.Events    // the Balancer as the receiver of events; tests replace it
 	balancer      *balancer.Balancer // the same Balancer, for all other methods
 	cancelAllowed bool               // attempts may be canceled, see Call.canRunInline
 	closed        bool
@@ -95,7 +95,8 @@
 		unserved:      unservedLog{log: o.Log, byReason: map[balancer.Reason]*unservedCount{}},
 	}
 	p.timer = newEventTimer(p.clock.now(), func() { p.handleEvent(p.fireDueTimers) })
-	p.balancer = balancer.New(p.clock.now(), s, host{p}) // may call host.Timer, so p.timer has to be set
+	// p.timer must be set before this call, because balancer.New may call host.Timer.
+	p.balancer = balancer.New(p.clock.now(), s, host{p})
 	p.events = p.balancer
 	p.handleEvent(func(now time.Duration) { p.applyEndpointList(now, initial) })
 	return p
@@ -172,7 +173,7 @@
 type Gauges struct {
 	RequestsWritten int64 // total number of requests written completely
 	Listed          int   // listed endpoints
-	Unselectable    int   // ready endpoints that are disabled or that the Balancer does not select at present
+	Unselectable    int   // ready endpoints that are disabled or not in the Balancer's ordinary selection
 }
 
 // Gauges returns the metrics as of the latest event. It acquires no lock that requests need.
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -30,8 +30,9 @@
 }
 
 // Restore restores the learned state of an earlier Pool from a snapshot that was taken age ago. It
-// does not restore the endpoint list. The learned state of an endpoint is dropped if the endpoint
-// is no longer listed, or if its address or start time has changed since.
+// does not restore the endpoints themselves: only endpoint discovery determines which endpoints
+// exist. The learned state of an endpoint is dropped if the endpoint is no longer listed, or if its
+// address or start time has changed since.
 func (p *Pool) Restore(s Snapshot, age time.Duration) {
 	p.handleEvent(func(now time.Duration) {
 		earlier := map[string]Endpoint{}
--- a/internal/proxy/starttimes.go
+++ b/internal/proxy/starttimes.go
@@ -57,8 +57,8 @@
 	return at
 }
 
-// prune removes the entries of endpoints that are not listed. It does nothing while there are few
-// of them (see pruneMargin).
+// prune removes the entries of endpoints that are not listed, once there are more entries than
+// twice the number of listed endpoints plus pruneMargin.
 func (s *startTimes) prune(listed map[string]Endpoint) {
 	if len(s.byID) <= 2*len(listed)+pruneMargin {
 		return
--- a/internal/proxy/starttimes_test.go
+++ b/internal/proxy/starttimes_test.go
@@ -31,19 +31,19 @@
 
 	ahead := newTestPool(t, settings(window))
 	start(ahead, now.Add(time.Hour))
-	if w := capacityShare(ahead, "a"); w >= 1 {
-		t.Errorf("start time in the future: capacity share %v, want less than 1", w)
+	if share := capacityShare(ahead, "a"); share >= 1 {
+		t.Errorf("start time in the future: capacity share %v, want less than 1", share)
 	}
 	time.Sleep(2 * window) // slow start ends
-	if w := capacityShare(ahead, "a"); w != 1 {
-		t.Errorf("after the window of slow start: capacity share %v, want 1", w)
+	if share := capacityShare(ahead, "a"); share != 1 {
+		t.Errorf("after the window of slow start: capacity share %v, want 1", share)
 	}
 
 	back := newTestPool(t, settings(time.Minute))
 	start(back, now)
 	start(back, now.Add(-time.Hour)) // a restart, after the wall clock was set back
-	if w := capacityShare(back, "a"); w >= 1 {
-		t.Errorf("restart after the wall clock was set back: capacity share %v, want less than 1", w)
+	if share := capacityShare(back, "a"); share >= 1 {
+		t.Errorf("restart after the wall clock was set back: capacity share %v, want less than 1", share)
 	}
 }
 
@@ -69,8 +69,9 @@
 }
 
 // If the wall clock was wrong when this process started, a new endpoint may seem to have started an
-// hour ago. That cannot be true if discovery did not list it a moment ago, so it counts as just
-// started. It can be true of an endpoint in the first list.
+// hour ago. That cannot be true if the list was confirmed a moment ago and did not contain the
+// endpoint, so the endpoint counts as just started. It can be true of an endpoint in the first
+// list.
 func TestNewlyListedEndpointIsNotOld(t *testing.T) {
 	c := clock{started: time.Now().Add(-time.Minute)}
 	starts := startTimes{clock: c, byID: map[string]listedStart{}}
--- a/internal/proxy/unservedlog.go
+++ b/internal/proxy/unservedlog.go
@@ -8,8 +8,8 @@
 	"rowancart/internal/logkey"
 )
 
-// unservedLogInterval is the minimum time between two log lines for the same reason. It keeps the
-// number of log lines from growing with the request rate.
+// unservedLogInterval is the minimum time between two log lines about unserved requests with the
+// same reason. It keeps the number of log lines from growing with the request rate.
 const unservedLogInterval = 10 * time.Second
 
 // unservedLog logs requests that were not served: at most one line per reason and interval, with
