--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -9,20 +9,23 @@
 )
 
 const (
-	highUtilization   = 0.6 // share of the concurrency limit in use above which capacity may be short
-	slowResponseRatio = 1.5 // recent latency ratio above which responses are slow, as a multiple of the tolerated ratio
-	highRateMultiple  = 1.3 // rate of requests above which it is high, as a multiple of the sum of all quotas
+	highUtilization = 0.6 // share of the concurrency limit in use above which capacity may be short
+	// Responses are slow if the recent latency ratio is above this multiple of the tolerated ratio.
+	slowResponseRatio = 1.5
+	highRateMultiple  = 1.3 // multiple of the sum of all quotas above which the request rate is high
 
-	maxQueueWaitShare = 0.05 // longest wait, as a share of the mean latency objective times the tolerated ratio
-	minTimeLeftShare  = 0.6  // time that a request must have left to join a queue, as a share of its expected latency
+	// The longest wait is this share of the mean latency objective times the tolerated ratio.
+	maxQueueWaitShare = 0.05
+	// A request joins a queue only if its time left is at least this share of its expected latency.
+	minTimeLeftShare = 0.6
 
 	quotaBurst       = 1.0                    // largest burst of a tenant, in seconds of its quota
 	rejectRetryAfter = 300 * time.Millisecond // Retry-After of a rejection
 )
 
 // Request implements Events. A request is rejected at once if it cannot be answered in time, or if
-// its tenant is over its quota while capacity is short or the rate of requests is high. Otherwise
-// it is sent, or waits for capacity.
+// its tenant is over its quota while capacity is short or the request rate is high. Otherwise it
+// is sent, or waits for capacity.
 func (b *Balancer) Request(now time.Duration, r Request) {
 	c := b.classOf(now, r)
 	b.recordRequest(now)
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -10,8 +10,8 @@
 	"rowancart/balancer"
 )
 
-// Incident i35432f: under overload, servers collapsed within two seconds, before an instance with
-// few attempts in flight had used up its concurrency limit. A rate of requests above the sum of all
+// Incident i35432f: under overload, endpoints collapsed within two seconds, before an instance with
+// few attempts in flight had used up its concurrency limit. A request rate above the sum of all
 // quotas can be detected at once. From then on, requests over quota are rejected.
 func TestOverQuotaIsRejectedWhenTheRateExceedsAllQuotas(t *testing.T) {
 	for _, c := range []struct {
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -95,16 +95,16 @@
 // Tenant is a party whose requests count against one quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests per second, over all balancers of the tier
+	Quota float64 // requests per second, over all instances of the tier
 }
 
 // Settings are the settings of a Balancer. Configure replaces them, except Seed and
 // SubscribeRequired. Each field may be zero.
 type Settings struct {
-	Seed       uint64 // seed of the random choices; differs between balancers so that they choose differently
-	Instances  int    // number of balancers that send to these endpoints, including this one
-	Index      int    // index of this balancer among them, from 0; -1: unknown
-	Tier       int    // number of tiers between the clients and this balancer
+	Seed       uint64 // seed of the random choices; differs between instances so that they choose differently
+	Instances  int    // number of balancer instances that send to these endpoints, including this one
+	Index      int    // index of this instance among them, from 0; -1: unknown
+	Tier       int    // number of tiers between the clients and this instance
 	TiersBelow int    // number of tiers that the endpoints themselves depend on
 	Classes    []Class
 	Tenants    []Tenant
@@ -121,10 +121,10 @@
 	SlowStartCapacity float64       // least share of its full capacity that an endpoint has when it starts
 	SlowStartWindow   time.Duration // time after which a started endpoint has warmed up at the latest
 
-	// SlowStartShare scales the rate of requests to a warming endpoint: 1 is an even share of the
+	// SlowStartShare scales the request rate of a warming endpoint: 1 is an equal share of the
 	// traffic times the share of its capacity that the endpoint has by then. 0 means 1.5. Below 1, all
-	// balancers together stay within the capacity that the endpoint has by then, whatever their number
-	// and the rate of requests.
+	// instances together stay within the capacity that the endpoint has by then, whatever their number
+	// and the request rate.
 	SlowStartShare float64
 }
 
@@ -153,7 +153,7 @@
 	Failed   bool // a poll or a subscription failed; the message says nothing about endpoints
 	Complete bool // endpoints that are not in Entries are removed; if false, they are unchanged
 	Entries  []Endpoint
-	Unlisted int // ready endpoints that only other balancers get in their lists
+	Unlisted int // ready endpoints that only other instances get in their lists
 }
 
 // Request is a request from a client.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,8 +1,8 @@
 package balancer
 
-// The Balancer type, and how it sends requests and handles the end of their attempts. The interface
-// is in api.go, and each kind of decision is in a file of its own. docs/design.md has the sources
-// of the policy.
+// The Balancer type: how it sends requests and handles the end of their attempts. The interface is
+// in api.go, and each kind of decision is in a file of its own. docs/design.md has the sources of
+// the policy.
 //
 // The latency ratio of a response is its latency divided by the baseline latency, which is the
 // latency without load of requests of the same kind of work. The weight of an endpoint is its
@@ -25,7 +25,7 @@
 	tenants tenantSet
 
 	endpointSet
-	targetSubsetSize float64 // endpoints that the rate of requests calls for
+	targetSubsetSize float64 // endpoints that the request rate calls for
 	subscription     subscription
 
 	requestSet
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -95,7 +95,7 @@
 }
 
 // updateConcurrencyLimit adapts the limit after a response: it cuts the limit if recent responses
-// are slow and much of it is in use, and raises it if they are quick and it is used up. This
+// are slow and much of it is in use, and raises it if they are fast and it is used up. This
 // prevents endpoints from collapsing under overload. The attempt that has just ended counts as in
 // flight here, since a low-traffic instance seldom has another one.
 func (b *Balancer) updateConcurrencyLimit(now time.Duration, latencyRatio float64) {
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -9,7 +9,7 @@
 	"rowancart/balancer"
 )
 
-// Incident h36c04c: a burst made the servers collapse. Instances with a few requests per second
+// Incident h36c04c: a burst made the endpoints collapse. Instances with a few requests per second
 // smoothed latencies over twenty responses, so that none of them lowered its limit in time.
 func TestLowTrafficInstanceSoonDetectsCongestion(t *testing.T) {
 	s := testSettingsWithObjective(700 * ms)
@@ -37,7 +37,7 @@
 	}
 }
 
-// Incident i2b2df6 and many overloads: servers collapsed while the concurrency limit was still
+// Incident i2b2df6 and many overloads: endpoints collapsed while the concurrency limit was still
 // growing.
 func TestOverloadDoesNotCongestEndpoints(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(80*ms), "a", "b")
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -15,8 +15,11 @@
 	// of the weight never decay.
 	weightSmoothing    = 0.95
 	maxSampleRetention = 1 - 1/(1/(1-weightSmoothing)-priorSamples)
-	sampleMemory       = 10 * time.Second // samples decay to 1/e within this time, or faster if there are many
-	minSampleMemory    = time.Second      // samples never decay to 1/e faster than this, however many there are
+
+	// Samples decay to 1/e within sampleMemory, or faster if there are many. However many there are,
+	// this takes at least minSampleMemory.
+	sampleMemory    = 10 * time.Second
+	minSampleMemory = time.Second
 
 	// An active endpoint is ejected as slow when its weight is more than maxActiveWeightRatio times
 	// the smallest active weight.
@@ -53,7 +56,8 @@
 		b.sampleFailure(now, req, a, failure{result: r, latencyRatio: latencyRatio})
 	case Canceled:
 		if req.hedged && !a.trial && latencyRatio > a.endpoint.weight() {
-			b.addSample(now, a.endpoint, latencyRatio) // otherwise hedging would hide that the endpoint is slow
+			// Without this sample, hedging would hide that the endpoint is slow.
+			b.addSample(now, a.endpoint, latencyRatio)
 		}
 		b.abandonTrial(now, a)
 	case NotSent:
@@ -78,7 +82,9 @@
 		b.abandonTrial(now, a)
 		return
 	}
-	b.sampleFailure(now, req, a, failure{result: Errored, latencyRatio: latencyRatio, isEndpointFault: isEndpointFault})
+	b.sampleFailure(now, req, a, failure{
+		result: Errored, latencyRatio: latencyRatio, isEndpointFault: isEndpointFault,
+	})
 }
 
 // sampleSuccess adds the latency of a successful response as a sample of its endpoint.
@@ -146,15 +152,17 @@
 
 // failsMoreThanOthers reports whether an endpoint's errors are its own, rather than errors of a
 // tier below that hit this endpoint more often than the others by chance. It is a likelihood-ratio
-// test, since an instance with little traffic sends an endpoint too few requests to measure a share
-// of errors: if the others have none, one or two errors are enough.
+// test, since a low-traffic instance sends an endpoint too few requests to measure a share of
+// errors: if the others have none, one or two errors are enough.
 func (b *Balancer) failsMoreThanOthers(e *endpoint) bool {
 	others := b.outcomes
 	if e.inSubset {
 		others = others.minus(e.outcomes.outcomeCounts).atLeastZero()
 	}
 	othersErrorShare := (others.errors + 0.5) / (others.total + 1)
-	failingErrorShare := min(max(minFailingErrorShare, failingErrorMultiple*othersErrorShare), maxFailingErrorShare)
+	failingErrorShare := min(
+		max(minFailingErrorShare, failingErrorMultiple*othersErrorShare), maxFailingErrorShare,
+	)
 	errors := e.outcomes.errors
 	successes := e.outcomes.total - errors
 	logLikelihoodRatio := errors*math.Log(failingErrorShare/othersErrorShare) +
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// An instance with little traffic must send an ejected endpoint fewer trials than an even share of
-// its requests.
+// A low-traffic instance must send an ejected endpoint fewer trials than an equal share of its
+// requests.
 func TestQuietInstancesDoNotOverloadAnEjectedEndpoint(t *testing.T) {
 	names := []string{"slow"}
 	latency := map[string]time.Duration{"slow": 900 * ms}
@@ -85,7 +85,7 @@
 	}
 	h := newHarness(t, testSettings(), names...)
 	slow := 0
-	for range 400 { // at two requests a second, an even share is one request every 10 s
+	for range 400 { // at two requests a second, an equal share is one request every 10 s
 		id, ep := h.request("read")
 		if ep == "slow" {
 			slow++
@@ -95,7 +95,7 @@
 		h.advance(500*ms - min(latency[ep], 400*ms))
 	}
 	if slow > 14 {
-		t.Errorf("the slow endpoint got %d of 400 requests, want at most 14; an even share is 20", slow)
+		t.Errorf("the slow endpoint got %d of 400 requests, want at most 14; an equal share is 20", slow)
 	}
 }
 
@@ -213,7 +213,7 @@
 		h.finish(id, balancer.OK)
 	}
 	if failed < 2 || failed > 4 {
-		t.Errorf("d failed %d of 60 requests, want 2 to 4; an even share is 15", failed)
+		t.Errorf("d failed %d of 60 requests, want 2 to 4; an equal share is 15", failed)
 	}
 }
 
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The state of one endpoint. No decision is made in this file.
+// The state of one endpoint. This file makes no load-balancing decisions.
 
 import "time"
 
@@ -28,8 +28,8 @@
 }
 
 // weight returns the weight of the endpoint: the weight of its kind, adjusted by the endpoint's own
-// samples. A low-traffic instance has so few of these that, by them alone, a slow machine would
-// look like one that got a few expensive requests.
+// samples. A low-traffic instance has so few of these that, by them alone, a slow endpoint
+// would look like one that got a few expensive requests.
 func (e *endpoint) weight() float64 { return e.samples.weight(e.kind.weight) }
 
 // startedAt returns the instant at which the endpoint began to warm up: the later of its latest
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Changes of the endpoint list, by service discovery and by the operators, and their effects.
+// Endpoint list: how service discovery and the operators change it, and the effects of the changes.
 
 import (
 	"slices"
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -1,6 +1,7 @@
 package balancer
 
-// The set of known endpoints, its subset and its heaps. No decision is made in this file.
+// The set of known endpoints, its subset and its heaps. This file makes no load-balancing
+// decisions.
 
 import (
 	"cmp"
--- a/balancer/estimators.go
+++ b/balancer/estimators.go
@@ -28,7 +28,7 @@
 	return math.Exp(-elapsed.Seconds() / memory.Seconds())
 }
 
-// rateEstimator estimates the rate of requests from two decaying counts.
+// rateEstimator estimates the request rate from two decaying counts.
 type rateEstimator struct {
 	startedAt time.Duration // start of counting
 	updatedAt time.Duration // time of the latest request
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Events that update a request and its attempts, and call the code that decides what follows. No
-// decision is made in this file.
+// Events that update a request and its attempts, and call the code that decides what follows.
+// This file makes no load-balancing decisions.
 
 import "time"
 
--- a/balancer/logevent.go
+++ b/balancer/logevent.go
@@ -1,6 +1,7 @@
 package balancer
 
-// Log events: what a Balancer reports to the operators. No decision is made in this file.
+// Log events: what a Balancer reports to the operators. This file makes no load-balancing
+// decisions.
 
 import (
 	"fmt"
--- a/balancer/reason.go
+++ b/balancer/reason.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Reason states why a request gets a final answer that does not come from an endpoint. No decision
-// is made in this file.
+// Reason states why a request gets a final answer that does not come from an endpoint. This file
+// makes no load-balancing decisions.
 type Reason string
 
 // The reasons. Their values are on the wire and in logs.
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The requests and attempts in flight. No decision is made in this file.
+// The requests and attempts in flight. This file makes no load-balancing decisions.
 
 import (
 	"slices"
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	maxBudgetExemptAttempts = 3 // attempts of a request after which a retry may be exempt from the retry budget
+	// A retry may be exempt from the retry budget after at most this many attempts of its request.
+	maxBudgetExemptAttempts = 3
 
 	// minKeyWindowMargin is the shortest time between a retry and the end of its key's window: the
 	// host may be delayed for that long between reading its clock and writing the request.
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The budget for retries and hedged requests. No decision is made in this file.
+// The budget for retries and hedged requests. This file makes no load-balancing decisions.
 
 import "time"
 
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -9,12 +9,18 @@
 )
 
 const (
-	priorSamples          = 3.0  // the kind's weight counts as this many samples in the mean for an endpoint's weight
-	inFlightCharge        = 1.0  // added to the deficit for each attempt in flight, as a multiple of the weight
-	tiersBelowWeightShare = 0.7  // share of the smallest active weight that is attributed to the tiers below
-	maxDeficitLag         = 2.0  // limit of a deficit's lag behind that of the endpoint just selected, in weights of that
-	maxLatencyRatio       = 20.0 // upper limit of the latency ratio of one sample
-	riskyTrialBackoffs    = 2    // number of backoffs for which a due risky trial waits for an idempotent request
+	// The kind's weight counts as priorSamples samples in the mean for an endpoint's weight.
+	priorSamples = 3.0
+	// Each attempt in flight adds inFlightCharge times the weight to the deficit in the score.
+	inFlightCharge = 1.0
+	// The tiers below are assumed to cause this share of the smallest active weight.
+	tiersBelowWeightShare = 0.7
+	// A deficit lags behind that of the endpoint just selected by at most maxDeficitLag times the
+	// weight of that endpoint.
+	maxDeficitLag   = 2.0
+	maxLatencyRatio = 20.0 // upper limit of the latency ratio of one sample
+	// A due risky trial waits for an idempotent request for this number of backoffs.
+	riskyTrialBackoffs = 2
 )
 
 // hasLowerDeficit orders the active heap.
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Incident ha74963: machines with a third of the speed got half as many requests as fast ones and
+// Incident ha74963: endpoints with a third of the speed got half as many requests as fast ones and
 // collapsed. Most of each latency came from the tiers below and was the same for all endpoints.
 // With tiers below, an endpoint is charged only for the latency that it adds itself.
 func TestLatencyOfTiersBelowDoesNotEqualizeRequests(t *testing.T) {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -36,7 +36,7 @@
 // tenantSet holds the tenants in the settings.
 type tenantSet struct {
 	byName map[string]*tenant
-	quota  float64 // this instance's part of all tenants' quotas, in requests per second
+	quota  float64 // this instance's share of all tenants' quotas, in requests per second
 }
 
 // tenant is a tenant and the token bucket that enforces its quota.
@@ -45,8 +45,8 @@
 	tokenBucket
 }
 
-// apply replaces the tenants. Each instance gets an equal part of a tenant's quota. A tenant that
-// was there before keeps its tokens, up to this instance's part of its new quota.
+// apply replaces the tenants. Each instance gets an equal share of a tenant's quota. A tenant that
+// was there before keeps its tokens, up to this instance's share of its new quota.
 func (s *tenantSet) apply(now time.Duration, settings []Tenant, instances int) {
 	previous := s.byName
 	s.byName = map[string]*tenant{}
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -75,7 +75,7 @@
 }
 
 // TestTenantSetApply checks that a tenant keeps its tokens when the settings change, up to this
-// instance's part of its new quota.
+// instance's share of its new quota.
 func TestTenantSetApply(t *testing.T) {
 	var s tenantSet
 	s.apply(time.Second, []Tenant{{Name: "large", Quota: 40}, {Name: "small", Quota: 8}}, 4)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -11,17 +11,23 @@
 )
 
 const (
-	// A warming endpoint gets defaultSlowStartShare times its fair share of the traffic, in proportion
-	// to its present capacity. While no endpoint is warm, each good response multiplies that rate by
-	// slowStartSpeedUpStep, up to maxSlowStartSpeedUp times the initial rate.
+	// A warming endpoint gets defaultSlowStartShare times its equal share of the traffic, in
+	// proportion to its present capacity. While no endpoint is warm, each successful response that
+	// shows no congestion multiplies that rate by slowStartSpeedUpStep, up to maxSlowStartSpeedUp
+	// times the initial rate.
 	defaultSlowStartShare = 1.5
 	slowStartSpeedUpStep  = 1.25
 	maxSlowStartSpeedUp   = 10.0
 
 	minCapacityShare = 0.05 // lower limit of an endpoint's capacity share, whatever the settings say
-	minRecentRate    = 0.2  // requests per second; lower limit of the recent rate while the long-term rate is higher
 
-	goldenRatio = 0.6180339887 // its multiples modulo 1 spread evenly over the range from 0 to 1, whatever their number
+	// minRecentRate is the lower limit of the recent rate while the long-term rate is higher, in
+	// requests per second.
+	minRecentRate = 0.2
+
+	// The multiples of goldenRatio modulo 1 spread evenly over the range from 0 to 1, whatever their
+	// number.
+	goldenRatio = 0.6180339887
 )
 
 // introduceInitialEndpoint initializes an endpoint of the first endpoint list. It is active at once
@@ -69,8 +75,8 @@
 	return max(wait, b.slowStartInterval(now, e, offset))
 }
 
-// rescheduleFirstTrials schedules the first trials of warming endpoints again once the rate of
-// requests, on which their time depends, is known.
+// rescheduleFirstTrials schedules the first trials of warming endpoints again once the request
+// rate, on which their time depends, is known.
 func (b *Balancer) rescheduleFirstTrials(now time.Duration) {
 	for _, e := range b.warming {
 		isUntried := e.inactiveReason == InactiveNew && e.samples.count == 0
@@ -108,7 +114,8 @@
 	}
 	capacityPerSecond := max(1-b.settings.SlowStartCapacity, 0) / b.settings.SlowStartWindow.Seconds()
 	// warmInterval = capacity*t + capacityPerSecond*t*t/2, solved for t
-	return seconds(2 * warmInterval / (capacity + math.Sqrt(capacity*capacity+2*capacityPerSecond*warmInterval)))
+	return seconds(2 * warmInterval /
+		(capacity + math.Sqrt(capacity*capacity+2*capacityPerSecond*warmInterval)))
 }
 
 // speedUpSlowStart raises a warming endpoint's share of the traffic while no endpoint is warm and
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -52,20 +52,20 @@
 			}
 		}
 	}
-	even := instances * perSecond / 10 // requests per second to each endpoint at equal shares
+	equalRate := instances * perSecond / 10 // requests per second to each endpoint at equal shares
 	for at := range 11 {               // nor may it be overloaded once it is warm, after 9 s (incident id93449)
 		warm := min(0.3+0.7*float64(at+1)/9, 1)
-		if n := float64(got[at]); n > even*warm*2+4 {
-			t.Errorf("second %d: the warming endpoint got %v requests, its share by its capacity is %v", at, n, even*warm)
+		if n := float64(got[at]); n > equalRate*warm*2+4 {
+			t.Errorf("second %d: the warming endpoint got %v requests, its share by its capacity is %v", at, n, equalRate*warm)
 		}
 	}
-	if got[0] == 0 && got[1] == 0 && got[2] == 0 || got[10] < int(even/2) {
+	if got[0] == 0 && got[1] == 0 && got[2] == 0 || got[10] < int(equalRate/2) {
 		t.Errorf("the warming endpoint got too few requests; by the second since its start: %v", got)
 	}
 }
 
-// The rate of sends to a warming endpoint stays near its share of the traffic, whatever the rate of
-// requests.
+// The rate of sends to a warming endpoint stays near its share of the traffic, whatever the
+// request rate.
 func TestSlowStartPacesSends(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c")
 	latency := evenLatency(20*ms, "a", "b", "c", "new")
@@ -115,7 +115,7 @@
 }
 
 // While no endpoint is warm, a warming endpoint gets nearly all requests if its responses are
-// quick, but not if it slows down.
+// fast, but not if it slows down.
 func TestSlowStartSpeedsUpWithoutWarmEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -242,7 +242,7 @@
 // Instances with the same seed and traffic draw the same random numbers. With these alone, all of
 // them would first send to a new endpoint at the same time. Their indexes spread these first sends
 // over a send interval. That also holds if all instances start at once, as after a mass restart,
-// and have the endpoint in their first list, before they know their own rate of requests.
+// and have the endpoint in their first list, before they know their own request rate.
 func TestInstancesWithTheSameSeedTryANewEndpointAtDifferentTimes(t *testing.T) {
 	const instances = 20
 	for _, startTogether := range []bool{false, true} {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// restoreRate restores the rate of requests. Without it, a successor would behave like an instance
+// restoreRate restores the request rate. Without it, a successor would behave like an instance
 // that gets hardly any requests, and would delay the trials of new endpoints accordingly.
 func (b *Balancer) restoreRate(now time.Duration, l LearnedState, age time.Duration) {
 	if l.Age <= 0 || !areValid(l.RecentRequests, l.LongTermRequests) || now-b.requestRate.startedAt > l.Age {
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -1,6 +1,7 @@
 package balancer
 
-// The status of the endpoints, as a Balancer reports it. No decision is made in this file.
+// The status of the endpoints, as a Balancer reports it. This file makes no load-balancing
+// decisions.
 
 import "time"
 
--- a/balancer/straggling.go
+++ b/balancer/straggling.go
@@ -9,9 +9,9 @@
 	stragglingRatio           = 3.0  // times its expected latency
 	stragglingDeviations      = 6.0  // mean deviations of the latency, beyond its expected latency
 	minStragglingShare        = 0.05 // at least this share of the latency objective
-	initialMinStragglingShare = 0.25 // instead of minStragglingShare, until there are minStragglingSamples responses
+	initialMinStragglingShare = 0.25 // minStragglingShare for the first minStragglingSamples responses
 	minStragglingSamples      = 10.0 // responses to requests of the class's kind of work
-	minStragglingResolutions  = 3    // at least this multiple of Settings.Resolution, the resolution of the clock
+	minStragglingResolutions  = 3    // times Settings.Resolution, the longest delay of events and timers
 )
 
 // stragglingDelay returns how long an attempt may be in flight before it counts as straggling. An
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -18,13 +18,13 @@
 	minSubsetsPerEndpoint = 6.0
 	minSubsetSize         = 4.0
 
-	// The target size is updated only when the rate of requests calls for more than subsetGrowth
+	// The target size is updated only when the request rate calls for more than subsetGrowth
 	// times or less than subsetShrink times that size. Otherwise it would change with each request.
 	subsetGrowth = 1.5
 	subsetShrink = 0.5
 )
 
-// recordRequest counts a request and adapts the target size of the subset to the rate of requests.
+// recordRequest counts a request and adapts the target size of the subset to the request rate.
 func (b *Balancer) recordRequest(now time.Duration) {
 	isFirst := b.requestRate.recent == 0
 	b.requestRate.observe(now)
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -46,8 +46,8 @@
 }
 
 // In full-size runs without subsets, 420 instances with two requests per second each sent to each
-// of 80 servers only every 40 s. None of them noticed that a server slowed down, and nearly every
-// request opened a connection.
+// of 80 endpoints only every 40 s. None of them noticed that an endpoint slowed down, and nearly
+// every request opened a connection.
 func TestManyLowTrafficInstancesUseSubsets(t *testing.T) {
 	usage := measureSubsets(t, 200, 60)
 	if usage.fewest < 4 || usage.most > 12 {
--- a/balancer/tokenbucket.go
+++ b/balancer/tokenbucket.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// tokenBucket is a token bucket that refills with time and by deposits. No decision is made in this
-// file.
+// tokenBucket is a token bucket that refills with time and by deposits. This file makes no
+// load-balancing decisions.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
--- a/balancer/trials.go
+++ b/balancer/trials.go
@@ -30,8 +30,8 @@
 	b.scheduleTrial(now, e)
 }
 
-// finishTrial ends a trial that got a good response. The endpoint becomes active unless it is still
-// too slow in comparison with the active endpoints.
+// finishTrial ends a trial that got a successful response. The endpoint becomes active unless it is
+// still too slow in comparison with the active endpoints.
 func (b *Balancer) finishTrial(now time.Duration, e *endpoint, latencyRatio float64) {
 	b.restartSamples(now, e, latencyRatio)
 	if b.hasActiveEndpoint() && b.isTooSlow(e) {
