--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// reservation is what reserveConn grants: an idle connection, or the right to dial one.
+// reservation is the result of reserveConn: an idle connection and its quarantine, or the endpoint,
+// address and timeout with which the caller has to dial a new connection.
 type reservation struct {
-	conn       *conn         // nil: dial
-	quarantine time.Duration // of conn, counted from its idleSince
+	conn       *conn         // nil: none is idle
+	quarantine time.Duration // how long conn must not be used, counted from its idleSince
 
 	endpoint    *endpointConns
 	addr        string
 	dialTimeout time.Duration
 }
 
-// acquireConn returns an idle connection to the endpoint, once its quarantine is over, or else
-// dials one. The error is an errNoConnection if none could be tried, else that of the dial.
+// acquireConn returns an idle connection to the endpoint, after waiting for its quarantine to end,
+// or dials a new one if none is idle. The error is an errNoConnection if no dial was attempted,
+// otherwise it is the error of the dial.
 func (p *Pool) acquireConn(a *Attempt, id string) (*conn, error) {
 	r, err := p.reserveConn(id)
 	if err != nil {
@@ -29,9 +31,10 @@
 	return p.dialConn(a, r)
 }
 
-// reserveConn takes an idle connection. One in quarantine is taken if there is no other: a short
-// wait costs less than a new connection. With none idle it counts a new connection as open, which
-// its caller has to dial.
+// reserveConn takes an idle connection out of the pool. It takes one that is in quarantine if there
+// is no other, because a short wait costs less than a new connection. If no connection is idle, it
+// counts a new one as open, which the caller has to dial. At the connection limit, it first closes
+// the oldest idle connection to another endpoint.
 func (p *Pool) reserveConn(id string) (reservation, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +57,8 @@
 	return reservation{endpoint: e, addr: e.addr, dialTimeout: p.dialTimeout}, nil
 }
 
-// dialConn dials the connection that a reservation counts as open.
+// dialConn dials the connection that reserveConn has counted as open, and corrects the count if the
+// dial fails.
 func (p *Pool) dialConn(a *Attempt, r reservation) (*conn, error) {
 	c, err := p.dialReserved(a, r)
 	if err != nil {
@@ -65,14 +69,15 @@
 	return c, err
 }
 
-// dialReserved dials until the dial timeout, the attempt's deadline or its cancellation. No lock is
-// held meanwhile: checkBeforeWrite finds what changes during the dial.
+// dialReserved dials a connection. The dial ends at the dial timeout, at the attempt's deadline or
+// when the attempt is canceled. No lock is held during the dial: checkBeforeWrite detects what has
+// changed meanwhile.
 func (p *Pool) dialReserved(a *Attempt, r reservation) (*conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
 	defer cancel()
 	ctx, cancelDial := context.WithTimeout(ctx, r.dialTimeout)
 	defer cancelDial()
-	if !a.setInProgress(cancelableWait{cancelDial}) {
+	if !a.setInProgress(cancelCloser{cancelDial}) {
 		return nil, context.Canceled
 	}
 	nc, err := p.dialWithRetry(ctx, r.addr)
@@ -87,8 +92,8 @@
 	return c, nil
 }
 
-// waitForQuarantine returns when the quarantine of an idle connection is over or the attempt is
-// canceled, which the next setInProgress reports. No lock is held meanwhile.
+// waitForQuarantine blocks until the quarantine of an idle connection ends or the attempt is
+// canceled. The next call of setInProgress reports a cancellation. No lock is held during the wait.
 func (p *Pool) waitForQuarantine(a *Attempt, c *conn, quarantine time.Duration) {
 	until := c.idleSince.Add(quarantine)
 	if !time.Now().Before(until) {
@@ -96,7 +101,7 @@
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
-	if a.setInProgress(cancelableWait{cancel}) {
+	if a.setInProgress(cancelCloser{cancel}) {
 		p.waitUntilDone(ctx)
 	}
 }
--- a/internal/connpool/acquire_test.go
+++ b/internal/connpool/acquire_test.go
@@ -18,21 +18,21 @@
 	e := startEndpoint(t, respondWith(okResponse, keepConn))
 	p := newTestPool(t, e.Addr)
 	p.dialTimeout = time.Nanosecond
-	if r := getOnce(t, p); r != ConnectFailed {
-		t.Errorf("dial timed out: %v", r)
+	if kind := getOnce(t, p); kind != ConnectFailed {
+		t.Errorf("dial timed out: outcome %v, want connect failed", kind)
 	}
 	e.Listener.Close()
 	p.dialTimeout = waitTimeout
-	if r := getOnce(t, p); r != ConnectFailed {
-		t.Errorf("refused: %v", r)
+	if kind := getOnce(t, p); kind != ConnectFailed {
+		t.Errorf("dial refused: outcome %v, want connect failed", kind)
 	}
 	if p.openConns != 0 {
-		t.Errorf("%d connections are counted as open", p.openConns)
+		t.Errorf("%d connections are counted as open, want 0", p.openConns)
 	}
 }
 
-// That this process has no connection left is not a failure of the endpoint: reported as one, it
-// would count against the endpoint's weight.
+// If the connection limit is reached, or the endpoint is not listed, nothing is sent. That is not a
+// failure of the endpoint. Reported as one, it would count against the endpoint's weight.
 func TestNoConnectionAvailableIsNotSent(t *testing.T) {
 	received, release := make(chan bool), make(chan bool)
 	e := startEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -45,20 +45,20 @@
 	p.maxConns = 1
 	first := getAsync(t, p, attemptWithin(waitTimeout))
 	<-received
-	if r := getOnce(t, p); r != NotSent {
-		t.Errorf("all connections in use: %v", r)
+	if kind := getOnce(t, p); kind != NotSent {
+		t.Errorf("all connections in use: outcome %v, want not sent", kind)
 	}
 	close(release)
-	if r := <-first; r != succeeded {
-		t.Errorf("the attempt that had the connection: %v", r)
+	if kind := <-first; kind != succeeded {
+		t.Errorf("the attempt that has the connection: outcome %v", kind)
 	}
-	if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "unlisted", newRequest("/c")); r != NotSent {
-		t.Errorf("not listed: %v", r)
+	if kind, _ := roundTrip(t, p, attemptWithin(waitTimeout), "unlisted", newRequest("/c")); kind != NotSent {
+		t.Errorf("endpoint not listed: outcome %v, want not sent", kind)
 	}
 }
 
-// What changes while a connection is dialed must be checked once it is established: the Balancer's
-// choice may be out of date.
+// The endpoint, the client and the attempt must be checked after a dial, before anything is sent:
+// during the dial, the Balancer's choice may have become out of date.
 func TestNothingSentOnConnEstablishedTooLate(t *testing.T) {
 	for name, row := range map[string]struct {
 		change func(p *Pool, a *Attempt, e *testpeer.FakeEndpoint)
@@ -99,22 +99,22 @@
 			<-connected
 			row.change(p, a, e)
 			close(release)
-			if r := <-ended; r != row.want {
-				t.Errorf("outcome %v, want %v", r, row.want)
+			if kind := <-ended; kind != row.want {
+				t.Errorf("outcome %v, want %v", kind, row.want)
 			}
 			want := 0
 			if row.want == succeeded {
 				want = 1
 			}
 			if n, open := int(e.Requests.Load()), p.Counts().Open; n != want || open != want {
-				t.Errorf("%d requests were received, %d connections are open, want %d", n, open, want)
+				t.Errorf("%d requests were received, %d connections are open, want %d of each", n, open, want)
 			}
 		})
 	}
 }
 
-// A new connection that its endpoint resets before a byte was sent has carried nothing, and a
-// non-idempotent request may be sent to another endpoint.
+// If the endpoint resets a new connection before a byte is sent, the request has not run. It may be
+// sent to another endpoint even if it is not idempotent.
 func TestNewConnBrokenAtOnceIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,14 +133,13 @@
 	accepted.Close()
 	waitUntil(t, "the reset arrives", func() bool { return testpeer.HasUnreadData(nc) })
 	close(release)
-	if r := <-ended; r != ConnectFailed {
-		t.Errorf("outcome %v", r)
+	if kind := <-ended; kind != ConnectFailed {
+		t.Errorf("outcome %v, want connect failed", kind)
 	}
 }
 
-// The endpoint closes an idle connection when a request is about to be written to it: nothing was
-// written, and any request, idempotent or not, is sent on another connection within the same
-// attempt.
+// An endpoint closes an idle connection just before a request is written to it. Since nothing was
+// written, the same attempt sends the request on another connection, idempotent or not.
 func TestIdleConnClosedBeforeFirstByteIsReplaced(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
@@ -155,31 +154,32 @@
 			p := newTestPool(t, e.Addr)
 			req := newRequest("/c")
 			req.Method = method
-			if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != succeeded {
-				t.Fatalf("first: %v", r)
+			if kind, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); kind != succeeded {
+				t.Fatalf("first request: outcome %v", kind)
 			}
 			c := p.endpoints["a"].idle[0]
 			a := attemptWithin(waitTimeout)
 			var once sync.Once
-			a.ClientDisconnected = func() bool { // between the choice of the connection and the first byte
+			a.ClientDisconnected = func() bool { // called after the connection is chosen and before the first byte is written
 				once.Do(func() {
 					close(closeNow)
 					waitUntil(t, "the close arrives", c.hasPendingInput)
 				})
 				return false
 			}
-			if r, _ := roundTrip(t, p, a, "a", req); r != succeeded {
-				t.Errorf("outcome %v", r)
+			if kind, _ := roundTrip(t, p, a, "a", req); kind != succeeded {
+				t.Errorf("second request: outcome %v", kind)
 			}
 			if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 2 {
-				t.Errorf("%d requests on %d connections", n, c)
+				t.Errorf("%d requests were received on %d connections, want 2 on 2", n, c)
 			}
 		})
 	}
 }
 
-// A late second response must not be taken for the response to the next request: a connection is in
-// quarantine before it is reused, and is not reused if anything has arrived meanwhile.
+// If an endpoint sends a second response to a request, it must not be taken for the response to the
+// next request. So a connection is reused only after its quarantine, and only if nothing has
+// arrived on it meanwhile.
 func TestLateSecondResponseIsDropped(t *testing.T) {
 	for name, second := range map[string]bool{"a second response arrives": true, "nothing arrives": false} {
 		t.Run(name, func(t *testing.T) {
@@ -202,21 +202,21 @@
 			waiting, endWait := make(chan bool), make(chan bool)
 			p.waitUntilDone = func(ctx context.Context) {
 				if end, _ := ctx.Deadline(); time.Until(end) < waitTimeout/2 {
-					t.Error("the quarantine ends too soon")
+					t.Error("the wait is shorter than half of the quarantine")
 				}
 				waiting <- true
 				<-endWait
 			}
 			kind, resp := roundTrip(t, p, attemptWithin(waitTimeout), "a", newRequest("/x"))
 			if kind != succeeded || string(resp.Body) != "x" {
-				t.Fatalf("x: outcome %v, body %q", kind, resp.Body)
+				t.Fatalf("request for x: outcome %v, body %q", kind, resp.Body)
 			}
 			c := p.endpoints["a"].idle[0]
 			ended := make(chan bool)
 			go func() {
 				kind, resp := roundTrip(t, p, attemptWithin(waitTimeout), "a", newRequest("/y"))
 				if kind != succeeded || string(resp.Body) != "y" {
-					t.Errorf("y: outcome %v, body %q", kind, resp.Body)
+					t.Errorf("request for y: outcome %v, body %q", kind, resp.Body)
 				}
 				close(ended)
 			}()
@@ -234,21 +234,21 @@
 				want = 2
 			}
 			if n, open := e.Connections.Load(), p.Counts().Open; open != 1 || n != want {
-				t.Errorf("%d of %d connections are open, want 1 of %d", open, n, want)
+				t.Errorf("%d of %d connections are still open, want 1 of %d", open, n, want)
 			}
 		})
 	}
 }
 
-// Of several idle connections the most recently used one past its quarantine is taken, and with
-// none such the one whose quarantine ends first.
+// Of several idle connections, the most recently used one past its quarantine is taken or, if all
+// are in quarantine, the one whose quarantine ends first.
 func TestConnsPastQuarantineAreUsedFirst(t *testing.T) {
 	p := New(Options{MaxConns: 100, Quarantine: time.Hour})
 	p.SetEndpoint("a", "127.0.0.1:1", true)
 	now := time.Now()
 	for _, row := range []struct {
 		ages []time.Duration // in hours
-		want int             // index of the connection
+		want int             // index of the connection that is taken
 	}{
 		{[]time.Duration{3, 2, 0}, 1},
 		{[]time.Duration{2, 0, 0}, 0},
@@ -270,19 +270,19 @@
 		p.idlePolicy.maxIdle = 100 * time.Hour
 		want := e.idle[row.want]
 		if r, err := p.reserveConn("a"); r.conn != want || err != nil {
-			t.Errorf("%v: another connection was taken, %v", row.ages, err)
+			t.Errorf("idle for %v hours: another connection was taken, or error %v", row.ages, err)
 		}
 	}
 }
 
-// An attempt that is canceled while its connection is in quarantine ends at once, and nothing is
-// sent.
+// An attempt that is canceled while it waits for the end of a quarantine ends at once, and nothing
+// is sent.
 func TestAttemptCanceledDuringQuarantine(t *testing.T) {
 	e := startEndpoint(t, respondWith(okResponse, keepConn))
 	p := newTestPool(t, e.Addr)
 	p.idlePolicy.quarantine = waitTimeout
-	if r := getOnce(t, p); r != succeeded {
-		t.Fatal(r)
+	if kind := getOnce(t, p); kind != succeeded {
+		t.Fatal(kind)
 	}
 	for name, cancel := range map[string]func(a *Attempt){
 		"canceled": (*Attempt).Cancel, "canceled unless written": (*Attempt).CancelUnlessWritten,
@@ -290,22 +290,22 @@
 		a := attemptWithin(waitTimeout)
 		wait := p.waitUntilDone
 		p.waitUntilDone = func(ctx context.Context) { cancel(a); wait(ctx) }
-		if r, _ := roundTrip(t, p, a, "a", newRequest("/c")); r != Canceled {
-			t.Errorf("%s: outcome %v", name, r)
+		if kind, _ := roundTrip(t, p, a, "a", newRequest("/c")); kind != Canceled {
+			t.Errorf("%s: outcome %v, want canceled", name, kind)
 		}
 		p.waitUntilDone = wait
 		if n, open := e.Requests.Load(), p.Counts().Open; open != 0 || n != 1 {
-			t.Errorf("%s: %d connections are open, %d requests were received", name, open, n)
+			t.Errorf("%s: %d connections are open, want 0; %d requests were received, want 1", name, open, n)
 		}
-		if r := getOnce(t, p); r != succeeded {
-			t.Fatal(r)
+		if kind := getOnce(t, p); kind != succeeded {
+			t.Fatal(kind)
 		}
 		e.Requests.Store(1)
 	}
 }
 
-// A dial that fails for a reason of this machine says nothing about the endpoint: it is retried,
-// and is not counted as a failure of the endpoint if it keeps failing.
+// A dial that fails with a local error, such as a lack of file descriptors, says nothing about the
+// endpoint. It is retried and, if it keeps failing, not counted as a failure of the endpoint.
 func TestLocalDialErrorsAreNotEndpointFailures(t *testing.T) {
 	for _, failure := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
@@ -324,16 +324,16 @@
 				return dial(ctx, network, addr)
 			}
 			if kind := getOnce(t, p); kind != succeeded {
-				t.Errorf("three times: %v", kind)
+				t.Errorf("after three failed dials: outcome %v", kind)
 			}
 			p.closeAllIdle()
 			failing = 1 << 30
 			kind, _ := roundTrip(t, p, attemptWithin(100*time.Millisecond), "a", newRequest("/c"))
 			if _, lastFailure := p.EndpointStatus("a"); kind != NotSent || lastFailure != "" {
-				t.Errorf("at each dial: %v, endpoint status %q", kind, lastFailure)
+				t.Errorf("if all dials fail: outcome %v, want not sent; failure of the endpoint %q, want none", kind, lastFailure)
 			}
 			if open := p.Counts().Open; open != 0 {
-				t.Errorf("%d connections are counted as open", open)
+				t.Errorf("%d connections are counted as open, want 0", open)
 			}
 		})
 	}
--- a/internal/connpool/attempt.go
+++ b/internal/connpool/attempt.go
@@ -7,24 +7,23 @@
 	"time"
 )
 
-// Attempt is the control of one attempt: its deadline, its callbacks and its cancellation. The
-// caller of RoundTrip sets the exported fields before and may cancel the attempt from any goroutine
-// at any time.
+// Attempt controls one attempt: it holds the deadline, the callbacks and the cancellation state.
+// The caller of RoundTrip sets the exported fields before the call, and may cancel the attempt from
+// any goroutine at any time.
 //
-// An attempt is canceled once and for good. Whatever is in progress then (a dial, the wait for a
-// quarantine, an exchange) is closed under mu, and whatever would follow is prevented by
-// setInProgress under mu. So there is no moment at which a cancellation finds nothing to close and
-// the attempt continues.
+// A cancellation is final. It closes whatever is in progress (a dial, the wait for the end of a
+// quarantine, or an exchange), and from then on setInProgress reports that the attempt must not
+// begin another step. Both happen under mu, so a cancellation between two steps is not lost.
 type Attempt struct {
 	Deadline           time.Time
-	WriteBy            time.Time   // by when the request must have been written completely; zero: by Deadline
+	WriteBy            time.Time   // deadline for writing the complete request; zero: Deadline applies
 	OnRequestWritten   func()      // called when a request with an Upload has been written completely; may be nil
-	ClientDisconnected func() bool // reports whether the client has disconnected; nil: unknown. It must not block
+	ClientDisconnected func() bool // reports whether the client has disconnected; must not block. nil: unknown
 
-	mu             sync.Mutex // held for the transitions below and for Close, which doesn't block
+	mu             sync.Mutex // guards the fields below; held while inProgress is closed, which doesn't block
 	canceled       bool
 	requestWritten bool      // the request has been written completely: from now on it may run
-	inProgress     io.Closer // nil: nothing that could be canceled
+	inProgress     io.Closer // closed by a cancellation; nil: nothing is in progress that could be canceled
 }
 
 // Cancel cancels the attempt. What is in progress ends at once.
@@ -34,9 +33,9 @@
 	a.cancelLocked()
 }
 
-// CancelUnlessWritten cancels the attempt if its request has not been written completely. Nobody
-// waits for the response any more, and a request that the endpoint has not received may be
-// abandoned whether or not running requests may be canceled.
+// CancelUnlessWritten cancels the attempt if its request has not been written completely. It is
+// called when nobody waits for the response any more. A request that the endpoint has not received
+// completely may be abandoned, even if requests that are running must not be canceled.
 func (a *Attempt) CancelUnlessWritten() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -45,7 +44,7 @@
 	}
 }
 
-// cancelLocked ends what is in progress. mu must be held.
+// cancelLocked cancels the attempt and closes what is in progress. mu must be held.
 func (a *Attempt) cancelLocked() {
 	a.canceled = true
 	if a.inProgress != nil {
@@ -53,15 +52,15 @@
 	}
 }
 
-// markRequestWritten notes that the request has been written completely.
+// markRequestWritten records that the request has been written completely.
 func (a *Attempt) markRequestWritten() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requestWritten = true
 }
 
-// setInProgress sets what a cancellation closes, or nil, and reports whether the attempt continues.
-// If it returns false the attempt was canceled before, and c has not been closed.
+// setInProgress sets what a cancellation closes, nil for nothing, and reports whether the attempt
+// may continue. If it returns false, the attempt has been canceled already and c was not closed.
 func (a *Attempt) setInProgress(c io.Closer) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,8 +79,8 @@
 	return a.ClientDisconnected != nil && a.ClientDisconnected()
 }
 
-// limitWrites makes writes to the connection fail from WriteBy on. It returns
-// errRetryDeadlinePassed if WriteBy has passed.
+// limitWrites sets the connection's write deadline to WriteBy, if there is one. It returns
+// errRetryDeadlinePassed if WriteBy has passed or the connection is closed.
 func (a *Attempt) limitWrites(c *conn) error {
 	if a.WriteBy.IsZero() {
 		return nil
@@ -92,9 +91,9 @@
 	return nil
 }
 
-// failure returns the error of an attempt that failed in this way, or of a canceled one: the
-// failure of an exchange whose connection was closed by a cancellation says nothing about the
-// endpoint.
+// failure returns the *Error of an attempt that failed. If the attempt was canceled, the kind is
+// Canceled instead of the one given: the failure of an exchange whose connection was closed by a
+// cancellation says nothing about the endpoint.
 func (a *Attempt) failure(kind FailureKind, cause error) error {
 	if a.isCanceled() {
 		kind = Canceled
@@ -102,11 +101,11 @@
 	return &Error{Kind: kind, Err: cause}
 }
 
-// cancelableWait is a wait that ends with its context. Its Close ends it.
-type cancelableWait struct{ context.CancelFunc }
+// cancelCloser makes a dial or a wait that ends with its context an io.Closer for setInProgress.
+type cancelCloser struct{ context.CancelFunc }
 
-// Close implements io.Closer.
-func (w cancelableWait) Close() error {
-	w.CancelFunc()
+// Close cancels the context.
+func (c cancelCloser) Close() error {
+	c.CancelFunc()
 	return nil
 }
--- a/internal/connpool/attempt_test.go
+++ b/internal/connpool/attempt_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A cancellation closes what is in progress, and nothing may follow it: there is no moment between
-// two steps of an attempt at which it is lost.
+// A cancellation closes what is in progress and prevents every later step, so it is not lost if it
+// comes between two steps of an attempt.
 func TestCancelClosesWhatIsInProgress(t *testing.T) {
 	for name, cancel := range map[string]func(*Attempt){
 		"cancel": (*Attempt).Cancel, "cancel unless written": (*Attempt).CancelUnlessWritten,
@@ -16,18 +16,18 @@
 		a := attemptWithin(waitTimeout)
 		ctx, cancelWait := context.WithCancel(context.Background())
 		defer cancelWait()
-		if !a.setInProgress(cancelableWait{cancelWait}) {
-			t.Errorf("%s: the attempt does not continue before it", name)
+		if !a.setInProgress(cancelCloser{cancelWait}) {
+			t.Errorf("%s: the attempt may not continue before the cancellation", name)
 		}
 		if cancel(a); ctx.Err() == nil {
-			t.Errorf("%s: what was in progress was not closed", name)
+			t.Errorf("%s: the context in progress was not canceled", name)
 		}
 		if a.setInProgress(nil) {
-			t.Errorf("%s: the attempt continues after it", name)
+			t.Errorf("%s: the attempt may continue after the cancellation", name)
 		}
 		var failure *Error
 		if err := a.failure(Reset, errConnClosed); !errors.As(err, &failure) || failure.Kind != Canceled {
-			t.Errorf("%s: a failure after it is %v", name, err)
+			t.Errorf("%s: a failure after the cancellation is %v, want the kind canceled", name, err)
 		}
 	}
 }
@@ -37,10 +37,10 @@
 	a.markRequestWritten()
 	a.CancelUnlessWritten()
 	if !a.setInProgress(nil) {
-		t.Error("an attempt whose request was written was canceled")
+		t.Error("CancelUnlessWritten canceled an attempt whose request was written")
 	}
 	if a.Cancel(); a.setInProgress(nil) {
-		t.Error("an attempt continues after Cancel")
+		t.Error("the attempt may continue after Cancel")
 	}
 }
 
@@ -54,17 +54,17 @@
 		writeBy time.Time
 		want    error
 	}{
-		"no limit": {time.Time{}, nil},
-		"to come":  {time.Now().Add(time.Minute), nil},
-		"passed":   {time.Now().Add(-time.Millisecond), errRetryDeadlinePassed},
+		"none":   {time.Time{}, nil},
+		"future": {time.Now().Add(time.Minute), nil},
+		"past":   {time.Now().Add(-time.Millisecond), errRetryDeadlinePassed},
 	} {
 		a := &Attempt{WriteBy: row.writeBy}
 		if got := a.limitWrites(c); !errors.Is(got, row.want) {
-			t.Errorf("%s: %v, want %v", name, got, row.want)
+			t.Errorf("WriteBy %s: error %v, want %v", name, got, row.want)
 		}
 	}
 	client.Close()
 	if err := (&Attempt{WriteBy: time.Now().Add(time.Minute)}).limitWrites(c); !errors.Is(err, errRetryDeadlinePassed) {
-		t.Errorf("closed connection: %v", err)
+		t.Errorf("closed connection: %v, want errRetryDeadlinePassed", err)
 	}
 }
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// conn is one connection to an endpoint. It carries one exchange at a time and belongs to the
-// attempt that acquired it, then to its Stream if the response is streamed. While it is idle it
-// belongs to the Pool, under its mu.
+// conn is one connection to an endpoint. It carries one exchange at a time. It belongs to the
+// attempt that acquired it and then, if the response is streamed, to the Stream. While it is idle,
+// it belongs to the Pool, whose mu guards it.
 type conn struct {
 	net.Conn
 	rawConn     syscall.RawConn
-	readLimit   *io.LimitedReader // bounds the bytes that reader may still take
+	readLimit   *io.LimitedReader // limits how many more bytes reader may read
 	reader      *bufio.Reader
 	writeBuffer []byte // reused from one request to the next
 
 	endpoint    *endpointConns
 	dialedAddr  string
 	connectedAt time.Time
-	idleSince   time.Time // zero: never idle, so that this is its first exchange
+	idleSince   time.Time // zero: it has not been idle yet, so it carries its first exchange
 }
 
 func newConn(nc net.Conn, e *endpointConns, addr string) (*conn, error) {
@@ -40,9 +40,9 @@
 // isReused reports whether the connection has carried an exchange before the present one.
 func (c *conn) isReused() bool { return !c.idleSince.IsZero() }
 
-// hasPendingInput reports whether anything has arrived on a connection on which nothing is
-// expected: an end of stream, a reset, or bytes without a request. It prevents writes to a
-// connection that the endpoint has closed, which would end as a reset. It does not block.
+// hasPendingInput reports whether anything has arrived on a connection while no response is due: an
+// end of stream, a reset, or data. It is checked before writes, because a write to a connection
+// that the endpoint has closed would end in a reset. It does not block.
 func (c *conn) hasPendingInput() bool {
 	isEmpty := false
 	err := c.rawConn.Control(func(fd uintptr) {
@@ -56,12 +56,12 @@
 	return err != nil || !isEmpty
 }
 
-// bodySource is a connection as http1 reads bodies from it.
+// bodySource is the http1.Source that reads bodies from a connection.
 type bodySource struct{ *conn }
 
 // Buffered implements http1.Source.
 func (s bodySource) Buffered() []byte {
-	b, _ := s.reader.Peek(s.reader.Buffered()) // does not read from the connection, so it can't fail
+	b, _ := s.reader.Peek(s.reader.Buffered()) // peeks only at what is buffered, so it can't fail
 	return b
 }
 
--- a/internal/connpool/endpoints.go
+++ b/internal/connpool/endpoints.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// endpointConns is what a Pool knows of one endpoint. The Pool's mu guards it.
+// endpointConns is a Pool's state for one endpoint. The Pool's mu guards it.
 //
-// An endpoint that is removed and listed again gets a new endpointConns. Connections of the old one
-// are closed after their exchange, since its accepting is false from then on.
+// An endpoint that is removed and set again gets a new endpointConns. In the old one, accepting
+// stays false, so that its connections in use are closed after their exchange.
 type endpointConns struct {
 	addr        string
-	accepting   bool      // whether the endpoint takes new requests, so that connections are worth keeping
-	listedStart time.Time // the endpoint's start as it was listed
-	startedAt   time.Time // the same, or the time of the listing if that was earlier
-	lastFailure string    // how the latest attempt that failed did so; empty once one has succeeded
+	accepting   bool      // whether the endpoint takes new requests; if not, its connections are not kept
+	listedStart time.Time // the endpoint's start time according to the endpoint list
+	startedAt   time.Time // listedStart, or the time at which it was set if it was in the future then
+	lastFailure string    // error text of the latest failed attempt; cleared when a connection becomes idle
 	idle        idleConns
 }
 
-// isCurrent reports whether a connection leads to the endpoint as it is now, at its present address
-// and since its latest start, and whether the endpoint takes new requests. A connection from before
-// a restart has no process at the other end, even if no close was received: the machine may have
-// failed. The Pool's mu must be held.
+// isCurrent reports whether the endpoint takes new requests and the connection leads to its present
+// address and was established after its latest start. A connection from before a restart has no
+// process at the other end, even if no close was received: the machine may have failed. The Pool's
+// mu must be held.
 func (e *endpointConns) isCurrent(c *conn) bool {
 	return e.accepting && e.addr == c.dialedAddr && !c.connectedAt.Before(e.startedAt)
 }
 
-// SetEndpoint sets an endpoint's address and whether it takes new requests. Idle connections to an
-// old address, or to an endpoint that takes no new requests, are closed.
+// SetEndpoint adds an endpoint, or updates its address and whether it takes new requests. Idle
+// connections to an old address, or to an endpoint that takes no new requests, are closed.
 func (p *Pool) SetEndpoint(id, addr string, accepting bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,9 +40,9 @@
 	e.accepting = accepting
 }
 
-// SetStartTime sets when an endpoint started. Idle connections from before that are closed. A start
-// in the future counts as one at this moment: otherwise a clock that is ahead would prevent the use
-// of all connections.
+// SetStartTime sets when an endpoint started, if that is later than its known start. Idle
+// connections that were established before are closed. A start in the future is taken as the
+// present time: otherwise a clock that is ahead would prevent the use of all connections.
 func (p *Pool) SetStartTime(id string, start time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,14 +70,14 @@
 	}
 }
 
-// Counts are the numbers of a Pool at one moment.
+// Counts are the numbers of a Pool's endpoints and connections at one moment.
 type Counts struct {
 	Accepting int // endpoints that take new requests
 	Draining  int // endpoints that do not
 	Open      int // connections that are open or being dialed, idle ones included
 }
 
-// Counts returns the present numbers.
+// Counts returns the present numbers of endpoints and connections.
 func (p *Pool) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,8 +92,9 @@
 	return counts
 }
 
-// EndpointStatus returns how many connections to an endpoint are idle, and how the latest failed
-// attempt there failed. The failure is empty if no attempt has failed since the latest success.
+// EndpointStatus returns how many connections to an endpoint are idle, and the error text of the
+// latest failed attempt. The text is empty if no attempt has failed since a connection to the
+// endpoint last became idle after a complete response.
 func (p *Pool) EndpointStatus(id string) (idle int, lastFailure string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +104,7 @@
 	return 0, ""
 }
 
-// recordFailure notes how an attempt at an endpoint failed.
+// recordFailure records the error of a failed attempt for EndpointStatus.
 func (p *Pool) recordFailure(id string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connpool/errors.go
+++ b/internal/connpool/errors.go
@@ -5,19 +5,19 @@
 	"fmt"
 )
 
-// FailureKind says what is known of an attempt that failed.
+// FailureKind says what is known about a failed attempt.
 type FailureKind int
 
 // The kinds of failure. NotSent, ConnectFailed and Declined prove that the request has not run.
 const (
-	// NotSent: no byte was sent, or the client's body ended early. It is not a failure of the
-	// endpoint.
+	// NotSent: no byte was sent, or the request body could not be read completely from the client.
+	// It is not a failure of the endpoint.
 	NotSent FailureKind = iota + 1
 	// ConnectFailed: no connection was established, or it broke before the request was written
 	// completely.
 	ConnectFailed
-	// Declined: the endpoint responded that it has not run the request, or responded before the
-	// request's last byte was written and so can't have run it.
+	// Declined: the endpoint responded that it has not run the request, or it responded before the
+	// request's last byte was written, so it can't have run it.
 	Declined
 	// ErrorStatus: the endpoint responded with a status that is not a success.
 	ErrorStatus
@@ -58,7 +58,7 @@
 // isEndpointFailure reports whether an attempt's error counts as a failure of the endpoint.
 func isEndpointFailure(err error) bool {
 	if err == nil {
-		return false // errors.As would allocate for each success
+		return false // avoids the allocation in errors.As for each success
 	}
 	var failure *Error
 	return errors.As(err, &failure) && failure.Kind != Canceled && failure.Kind != NotSent
@@ -78,29 +78,29 @@
 	return fmt.Sprintf("response status %d", e.Status)
 }
 
-// errNoConnection says that no connection to the endpoint was tried. That is not a failure of the
-// endpoint.
-var errNoConnection = errors.New("no connection was tried")
+// errNoConnection says that no connection to the endpoint was attempted. That is not a failure of
+// the endpoint.
+var errNoConnection = errors.New("no connection was attempted")
 
-// The kinds of errNoConnection.
+// The reasons for errNoConnection.
 var (
 	errNotAccepting = fmt.Errorf("%w: endpoint accepts no new requests", errNoConnection)
-	errConnLimit    = fmt.Errorf("%w: maximum number of connections is open", errNoConnection)
+	errConnLimit    = fmt.Errorf("%w: connection limit is reached and no connection is idle", errNoConnection)
 )
 
 // The causes of failed attempts.
 var (
-	errEndpointRemoved     = errors.New("endpoint was removed or drained before anything was sent")
+	errEndpointNotCurrent  = errors.New("endpoint was removed, drained, moved or restarted before anything was sent")
 	errRetryDeadlinePassed = errors.New("retry deadline passed before anything was sent")
 	errClientDisconnected  = errors.New("client disconnected before anything was sent")
 	errStaleConn           = errors.New("connection was closed, or received input, before anything was sent")
 	errWriteFailed         = errors.New("connection broke before the request was written completely")
 	errEarlyResponse       = errors.New("input arrived before the request was written completely")
-	errUploadFailed        = errors.New("client's request body ended early")
+	errUploadFailed        = errors.New("request body could not be read completely from the client")
 	errConnClosed          = errors.New("connection is closed")
 	errDeclined            = errors.New("endpoint declined the request")
 	errResponseTooLong     = errors.New("response is longer than the maximum")
 	errTooManyInterim      = errors.New("too many interim responses")
-	errStreamUnfinished    = errors.New("response was closed before its end")
+	errStreamUnfinished    = errors.New("response stream was closed before the end of the response")
 	errAttemptCanceled     = errors.New("attempt was canceled")
 )
--- a/internal/connpool/errors_test.go
+++ b/internal/connpool/errors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestStatusErrorSaysStatusAndTime(t *testing.T) {
+func TestStatusErrorText(t *testing.T) {
 	for _, row := range []struct {
 		err  *StatusError
 		want string
@@ -15,30 +15,30 @@
 		{&StatusError{Status: 413, Early: true}, "response status 413 before the request was written completely"},
 	} {
 		if got := (&Error{Kind: ErrorStatus, Err: row.err}).Error(); got != row.want {
-			t.Errorf("%q, want %q", got, row.want)
+			t.Errorf("error text %q, want %q", got, row.want)
 		}
 	}
 }
 
-// Only what an endpoint did is shown as its latest failure.
+// Failures that the endpoint did not cause must not be shown as its latest failure.
 func TestEndpointFailures(t *testing.T) {
 	for kind, want := range map[FailureKind]bool{
 		NotSent: false, ConnectFailed: true, Declined: true, ErrorStatus: true, TimedOut: true, Reset: true, Canceled: false,
 	} {
 		err := fmt.Errorf("wrapped: %w", &Error{Kind: kind, Err: errConnClosed})
 		if got := isEndpointFailure(err); got != want {
-			t.Errorf("%v: endpoint failure %v, want %v", kind, got, want)
+			t.Errorf("%v: counts as an endpoint failure: %v, want %v", kind, got, want)
 		}
 		if !errors.Is(err, errConnClosed) {
-			t.Errorf("%v: the cause is lost", kind)
+			t.Errorf("%v: the error does not wrap its cause", kind)
 		}
 	}
 	if isEndpointFailure(nil) || isEndpointFailure(errConnClosed) {
-		t.Error("no error, or an untyped one, is an endpoint failure")
+		t.Error("nil, or an error that is not an *Error, counts as an endpoint failure")
 	}
 	for _, err := range []error{errNotAccepting, errConnLimit} {
 		if !errors.Is(err, errNoConnection) {
-			t.Errorf("%v is not an errNoConnection", err)
+			t.Errorf("%v does not wrap errNoConnection", err)
 		}
 	}
 }
--- a/internal/connpool/exchange.go
+++ b/internal/connpool/exchange.go
@@ -11,23 +11,23 @@
 	"rowancart/internal/platform"
 )
 
-// earlyResponseTimeout is how long the reading of a response may take that arrived before the
-// request was written completely.
+// earlyResponseTimeout limits how long reading a response may take if it arrived before the request
+// was written completely.
 const earlyResponseTimeout = 200 * time.Millisecond
 
-// exchangeResult is how an exchange ended.
+// exchangeResult is the outcome of an exchange.
 type exchangeResult struct {
 	response Response
-	err      error // an *Error
+	err      error // nil or an *Error
 	reusable bool  // the connection can carry another exchange
 }
 
-// RoundTrip sends a request to an endpoint once and returns its response, or an *Error that says
+// RoundTrip sends a request to an endpoint once and returns the response, or an *Error that says
 // how the attempt failed.
 //
 // If the attempt was canceled or its deadline has passed, its connection is closed before RoundTrip
-// returns, so that a retry is never in flight at the same time. A Response with a Stream owns the
-// connection from then on.
+// returns, so that this attempt and a retry are never in flight at the same time. If the response
+// has a Stream, the Stream owns the connection from then on.
 func (p *Pool) RoundTrip(a *Attempt, endpoint string, req *Request) (Response, error) {
 	for {
 		c, err := p.acquireConn(a, endpoint)
@@ -41,7 +41,7 @@
 		result := p.exchange(c, a, req)
 		wasClosedWhileIdle := c.isReused() && errors.Is(result.err, errStaleConn)
 		if wasClosedWhileIdle && a.setInProgress(nil) {
-			p.closeConn(c) // nothing was sent on it: the attempt continues on another connection
+			p.closeConn(c) // nothing was sent on it, so the attempt continues on another connection
 			continue
 		}
 		return p.endExchange(c, a, endpoint, result)
@@ -70,7 +70,7 @@
 	return result.response, result.err
 }
 
-// acquireFailure returns the error of an attempt that got no connection.
+// acquireFailure returns the *Error of an attempt that got no connection.
 func (p *Pool) acquireFailure(a *Attempt, endpoint string, err error) error {
 	if errors.Is(err, errNoConnection) {
 		return &Error{Kind: NotSent, Err: err}
@@ -92,16 +92,16 @@
 }
 
 // checkBeforeWrite returns an error if a request may not be written to a connection now. It is the
-// last check before the first byte: while the connection was dialed, or its quarantine passed, the
-// endpoint may have been removed, drained or disabled, it may have closed the connection or begun
-// to write, the time for a retry may have passed, and the client may have disconnected. What
-// changes after this check counts as a change after the request was sent.
+// last check before the first byte is written. During the dial or the wait for the end of a
+// quarantine, the endpoint may have been removed, drained or disabled, it may have closed the
+// connection or sent data, the retry deadline may have passed, and the client may have
+// disconnected. What changes after this check counts as a change after the request was sent.
 //
-// Only the check of the endpoint takes mu. ClientDisconnected and the check of the socket follow
-// without it.
+// Only the check of the endpoint holds the Pool's mu. ClientDisconnected is called and the socket
+// is checked without it.
 func (p *Pool) checkBeforeWrite(c *conn, a *Attempt) error {
 	if !p.isCurrent(c) {
-		return errEndpointRemoved
+		return errEndpointNotCurrent
 	}
 	if err := a.limitWrites(c); err != nil {
 		return err
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// exchange writes the request and reads the response, completely or, if it is long, its beginning.
+// exchange writes the request and reads the response. If the body of the response is long or
+// arrives slowly, it reads only the beginning, and the response has a Stream.
 func (p *Pool) exchange(c *conn, a *Attempt, req *Request) exchangeResult {
 	if err := p.checkBeforeWrite(c, a); err != nil {
 		return exchangeResult{err: a.unsentFailure(err)}
@@ -139,7 +140,8 @@
 	return result
 }
 
-// evaluateResponse returns a response as the client gets it, or the *Error that it stands for.
+// evaluateResponse returns a response as it is passed on to the client, or an *Error if the
+// response means that the attempt failed.
 func (p *Pool) evaluateResponse(r Response) (Response, error) {
 	switch {
 	case isDeclined(r):
@@ -154,16 +156,16 @@
 	return r, nil
 }
 
-// unsentFailure returns the error of an attempt of which no byte was sent.
+// unsentFailure returns the *Error of an attempt that has not sent a byte.
 func (a *Attempt) unsentFailure(err error) error {
-	if errors.Is(err, errStaleConn) { // a new connection that broke at once, or on which input came without a request
+	if errors.Is(err, errStaleConn) { // a new connection that broke, or received data, before a request was sent on it
 		return a.failure(ConnectFailed, err)
 	}
 	return a.failure(NotSent, err)
 }
 
-// readFailure returns the error of an attempt whose request was written completely and of which no
-// complete response was read.
+// readFailure returns the *Error of an attempt whose request was written completely, but whose
+// response could not be read.
 func (a *Attempt) readFailure(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return a.failure(TimedOut, err)
@@ -172,11 +174,11 @@
 }
 
 // resolvePartialWrite returns the result of an attempt whose request was not written completely. An
-// endpoint runs a request once its last byte has arrived, so the request has not run, unless the
-// endpoint says otherwise in an early response.
+// endpoint does not run a request before its last byte has arrived. So the request has not run,
+// unless the endpoint has sent an early response that reports success.
 func (p *Pool) resolvePartialWrite(c *conn, a *Attempt, req *Request, writeErr error) (Response, error) {
 	if errors.Is(writeErr, errUploadFailed) {
-		return Response{}, &Error{Kind: NotSent, Err: writeErr} // says nothing about the endpoint
+		return Response{}, &Error{Kind: NotSent, Err: writeErr} // not a failure of the endpoint
 	}
 	if req.Upload == nil || a.isCanceled() {
 		return Response{}, a.failure(ConnectFailed, writeErr)
@@ -205,18 +207,18 @@
 	return received.response, err
 }
 
-// isSuccess reports whether a response of this status is passed on to the client.
+// isSuccess reports whether a response with this status is passed on to the client.
 func (p *Pool) isSuccess(status int) bool {
 	return status == http.StatusOK || p.passThrough && status < http.StatusInternalServerError
 }
 
-// isDeclined reports whether a response says that the endpoint has not run the request.
+// isDeclined reports whether a response states that the endpoint has not run the request.
 func isDeclined(r Response) bool {
 	isUnavailable := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout
 	return isUnavailable && r.Header.Get(platform.RejectedHeader) == platform.RejectedValue
 }
 
-// retainContentType deletes all headers but Content-Type.
+// retainContentType deletes all headers except Content-Type.
 func retainContentType(h http.Header) {
 	maps.DeleteFunc(h, func(name string, _ []string) bool { return name != "Content-Type" })
 }
--- a/internal/connpool/exchange_test.go
+++ b/internal/connpool/exchange_test.go
@@ -22,7 +22,7 @@
 	for name, row := range map[string]struct {
 		response string
 		want     FailureKind
-		then     testpeer.AfterResponse
+		after    testpeer.AfterResponse
 	}{
 		"200":                          {okResponse, succeeded, keepConn},
 		"200 in chunks":                {chunked + "2\r\nhi\r\n0\r\n\r\n", succeeded, keepConn},
@@ -43,7 +43,7 @@
 		"not HTTP":                     {"\x00\x01\r\n\r\n", Reset, keepConn},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := startEndpoint(t, respondWith(row.response, row.then))
+			e := startEndpoint(t, respondWith(row.response, row.after))
 			kind, resp := roundTrip(t, newTestPool(t, e.Addr), attemptWithin(waitTimeout), "a", newRequest("/c"))
 			if kind != row.want {
 				t.Errorf("outcome %v, want %v", kind, row.want)
@@ -56,14 +56,14 @@
 				t.Errorf("body %q, want %q", resp.Body, wantBody)
 			}
 			if n := e.Requests.Load(); n != 1 {
-				t.Errorf("the request was received %d times", n)
+				t.Errorf("the request was received %d times, want once", n)
 			}
 		})
 	}
 }
 
 // A response of unknown length may never end. It is streamed up to the maximum length and then
-// fails; a pool that passes responses through has no maximum.
+// fails. A pool that passes responses through has no maximum.
 func TestEndlessResponseIsCutOff(t *testing.T) {
 	for _, passThrough := range []bool{false, true} {
 		t.Run(fmt.Sprintf("pass through %v", passThrough), func(t *testing.T) {
@@ -80,7 +80,7 @@
 			p.passThrough = passThrough
 			kind, resp := roundTrip(t, p, attemptWithin(waitTimeout), "a", newRequest("/c"))
 			if kind != succeeded || resp.Stream == nil {
-				t.Fatalf("outcome %v, %d bytes and no stream", kind, len(resp.Body))
+				t.Fatalf("outcome %v, %d bytes; want success with a stream", kind, len(resp.Body))
 			}
 			var ended FailureKind
 			resp.Stream.NotifyClose(func(err error) { ended = kindOf(t, err) })
@@ -90,16 +90,17 @@
 				want = nil
 			}
 			if !errors.Is(err, want) {
-				t.Errorf("after %d bytes %v, want %v", n, err, want)
+				t.Errorf("error after %d bytes: %v, want %v", n, err, want)
 			}
 			if resp.Stream.Close(); !passThrough && (n > MaxStreamedBody || ended != Reset) {
-				t.Errorf("%d bytes passed, ended %v", n, ended)
+				t.Errorf("%d bytes were passed on before the stream ended with %v, want reset at the maximum", n, ended)
 			}
 		})
 	}
 }
 
-// A request whose last byte was not written can't have run.
+// A request whose last byte was not written can't have run, so a reset while it is written is a
+// ConnectFailed.
 func TestResetWhileWritingIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,18 +111,18 @@
 		nc, err := l.Accept()
 		if err == nil {
 			io.ReadFull(nc, make([]byte, 10))
-			nc.Close() // with bytes unread: a reset
+			nc.Close() // resets the connection, because bytes are unread
 		}
 	}()
 	req := newRequest("/c")
 	req.Method, req.Body = http.MethodPost, make([]byte, 64<<20) // more than socket buffers hold
 	if r, _ := roundTrip(t, newTestPool(t, l.Addr().String()), attemptWithin(waitTimeout), "a", req); r != ConnectFailed {
-		t.Errorf("outcome %v", r)
+		t.Errorf("outcome %v, want connect failed", r)
 	}
 }
 
-// The connection must be closed before RoundTrip returns: the next attempt would be in flight at
-// the same time.
+// If an attempt times out or is canceled, its connection must be closed before RoundTrip returns.
+// Otherwise, the next attempt would be in flight at the same time.
 func TestTimeoutAndCancelCloseTheConn(t *testing.T) {
 	for _, want := range []FailureKind{TimedOut, Canceled} {
 		t.Run(want.String(), func(t *testing.T) {
@@ -139,20 +140,21 @@
 			} else {
 				go func() { <-received; a.Cancel() }()
 			}
-			if r, _ := roundTrip(t, p, a, "a", newRequest("/c")); r != want {
-				t.Errorf("outcome %v, want %v", r, want)
+			if kind, _ := roundTrip(t, p, a, "a", newRequest("/c")); kind != want {
+				t.Errorf("outcome %v, want %v", kind, want)
 			}
 			if p.openConns != 0 {
 				t.Error("the connection is still open")
 			}
 			if err := <-closed; err == nil {
-				t.Error("the endpoint could read more")
+				t.Error("the endpoint read more data instead of the end of the connection")
 			}
 		})
 	}
 }
 
-// net/http's Transport would resend such requests by itself.
+// If a reused connection breaks after a request was written, the request may have run, so it must
+// not be resent. net/http's Transport would resend such requests by itself.
 func TestRequestOnBrokenReusedConnIsNotResent(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
@@ -167,20 +169,20 @@
 			req := newRequest("/c")
 			req.Method = method
 			req.Header.Set(platform.IdempotencyKeyHeader, "k")
-			if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != succeeded {
-				t.Fatalf("first: %v", r)
+			if kind, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); kind != succeeded {
+				t.Fatalf("first request: outcome %v", kind)
 			}
-			if r, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); r != Reset {
-				t.Errorf("on a broken connection: %v", r)
+			if kind, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", req); kind != Reset {
+				t.Errorf("request on a broken connection: outcome %v, want reset", kind)
 			}
 			if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
-				t.Errorf("%d requests on %d connections", n, c)
+				t.Errorf("%d requests were received on %d connections, want 2 on 1", n, c)
 			}
 		})
 	}
 }
 
-// CancelUnlessWritten does not cancel an attempt whose request has been written completely.
+// CancelUnlessWritten must not cancel an attempt whose request has been written completely.
 func TestWrittenRequestIsNotCanceled(t *testing.T) {
 	received, release := make(chan bool), make(chan bool)
 	e := startEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -200,7 +202,7 @@
 	})
 	a.CancelUnlessWritten()
 	close(release)
-	if r := <-ended; r != succeeded {
-		t.Errorf("outcome %v", r)
+	if kind := <-ended; kind != succeeded {
+		t.Errorf("outcome %v, want success", kind)
 	}
 }
--- a/internal/connpool/helpers_test.go
+++ b/internal/connpool/helpers_test.go
@@ -14,7 +14,7 @@
 	"rowancart/internal/testpeer"
 )
 
-// What tests here use most.
+// Short names for parts of testpeer that these tests use often.
 const (
 	waitTimeout = testpeer.WaitTimeout
 	okResponse  = testpeer.OKResponse
@@ -28,7 +28,7 @@
 	waitUntil     = testpeer.WaitUntil
 )
 
-// newTestPool returns a Pool with endpoints at the addresses given, named a, b, ...
+// newTestPool returns a Pool with endpoints named a, b, ... at the given addresses.
 func newTestPool(t *testing.T, addrs ...string) *Pool {
 	t.Helper()
 	p := New(Options{IdleTimeout: time.Minute, DialTimeout: waitTimeout, MaxConns: 100})
@@ -47,15 +47,15 @@
 	}
 }
 
-// succeeded is the kind of an attempt that did not fail.
+// succeeded is what kindOf returns for an attempt that did not fail.
 const succeeded FailureKind = 0
 
-// kindOf returns the kind of an attempt's error.
+// kindOf returns the kind of an attempt's error, which must be nil or an *Error.
 func kindOf(t *testing.T, err error) FailureKind {
 	t.Helper()
 	var failure *Error
 	if err != nil && !errors.As(err, &failure) {
-		t.Errorf("untyped error %v", err)
+		t.Errorf("error %v is not an *Error", err)
 	}
 	if failure == nil {
 		return succeeded
@@ -63,22 +63,22 @@
 	return failure.Kind
 }
 
-// roundTrip makes an attempt and returns how it ended.
+// roundTrip makes an attempt and returns its outcome and the response.
 func roundTrip(t *testing.T, p *Pool, a *Attempt, id string, req *Request) (FailureKind, Response) {
 	t.Helper()
 	resp, err := p.RoundTrip(a, id, req)
 	return kindOf(t, err), resp
 }
 
-// getOnce makes an attempt at endpoint a with a request without a body.
+// getOnce sends a GET request to endpoint a and returns the outcome of the attempt.
 func getOnce(t *testing.T, p *Pool) FailureKind {
 	t.Helper()
 	kind, _ := roundTrip(t, p, attemptWithin(waitTimeout), "a", newRequest("/c"))
 	return kind
 }
 
-// getAsync makes the given attempt at endpoint a with a request without a body, and sends how it
-// ended.
+// getAsync sends a GET request to endpoint a in a new goroutine, which sends the attempt's outcome
+// to the channel.
 func getAsync(t *testing.T, p *Pool, a *Attempt) <-chan FailureKind {
 	ended := make(chan FailureKind, 1)
 	go func() {
@@ -88,13 +88,13 @@
 	return ended
 }
 
-// attemptWithin returns an attempt whose deadline is after timeout.
+// attemptWithin returns an attempt whose deadline is timeout from now.
 func attemptWithin(timeout time.Duration) *Attempt {
 	return &Attempt{Deadline: time.Now().Add(timeout)}
 }
 
-// blockNextDial makes the next dial wait once its connection is established, until release is
-// closed, even if it is canceled meanwhile.
+// blockNextDial makes the next dial return only after release is closed, even if the dial is
+// canceled meanwhile. The connection is sent to connected once it is established.
 func blockNextDial(p *Pool) (connected <-chan net.Conn, release chan<- bool) {
 	established, blocked := make(chan net.Conn, 1), make(chan bool)
 	dial := p.dial
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -8,7 +8,7 @@
 // sweepInterval is the time between two checks of all idle connections.
 const sweepInterval = 100 * time.Millisecond
 
-// Run closes idle connections that are closed at the other end or have been idle for too long,
+// Run closes idle connections that the endpoint has closed or that have been idle for too long,
 // until ctx is done. Then it closes all idle connections and returns.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
@@ -24,7 +24,7 @@
 	}
 }
 
-// closeUnusableIdle closes the idle connections that may not be reused.
+// closeUnusableIdle closes the idle connections that must not be reused.
 func (p *Pool) closeUnusableIdle(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,8 +42,8 @@
 	}
 }
 
-// usableLocked reports whether an idle connection may carry another request. The policy learns from
-// one that the endpoint has closed. mu must be held.
+// usableLocked reports whether an idle connection may carry another request. If the endpoint has
+// closed it, the idle policy learns from how long it had been idle. mu must be held.
 func (p *Pool) usableLocked(c *conn, now time.Time) bool {
 	idleFor := now.Sub(c.idleSince)
 	if c.hasPendingInput() {
@@ -53,9 +53,10 @@
 	return p.idlePolicy.allowsReuse(idleFor)
 }
 
-// releaseConn makes a connection idle, for the next attempt, unless its endpoint has changed
-// meanwhile or too many are open. A response has been read from it completely, so the endpoint's
-// latest failure is forgotten.
+// releaseConn makes a connection idle, so that another attempt can use it. It closes the connection
+// instead if the endpoint has changed meanwhile or more connections are open than allowed. A
+// response has been read from the connection completely, so the endpoint's latest failure is
+// cleared.
 func (p *Pool) releaseConn(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,8 +76,8 @@
 	p.closeLocked(c)
 }
 
-// closeLocked closes a connection. An idle one has to be removed from its idleConns by the caller.
-// mu must be held: the close and the count change together.
+// closeLocked closes a connection. The caller has to remove an idle one from its idleConns. mu must
+// be held, so that the close and the change of the count are one step.
 func (p *Pool) closeLocked(c *conn) {
 	c.Close()
 	p.openConns--
@@ -87,8 +88,8 @@
 	p.closeIdleUnlessLocked(e, func(*conn) bool { return false })
 }
 
-// closeIdleUnlessLocked closes an endpoint's idle connections but for those that isUsable reports
-// as usable. mu must be held.
+// closeIdleUnlessLocked closes those of an endpoint's idle connections for which isUsable returns
+// false. mu must be held.
 func (p *Pool) closeIdleUnlessLocked(e *endpointConns, isUsable func(*conn) bool) {
 	e.idle.removeIf(func(c *conn) bool {
 		if isUsable(c) {
@@ -99,8 +100,8 @@
 	})
 }
 
-// evictOldestIdleLocked closes the connection that has been idle longest, of all endpoints, and
-// reports whether there was one. mu must be held.
+// evictOldestIdleLocked closes the connection that has been idle longest among those of all
+// endpoints, and reports whether there was one. mu must be held.
 func (p *Pool) evictOldestIdleLocked() bool {
 	var oldest *endpointConns
 	for _, e := range p.endpoints {
--- a/internal/connpool/idleconns.go
+++ b/internal/connpool/idleconns.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-// idleConns is the idle connections to one endpoint, in the order in which they became idle. The
-// Pool's mu guards it.
-//
-// The connections in quarantine are the last ones.
+// idleConns is the list of idle connections to one endpoint, in the order in which they became
+// idle, so the connections in quarantine come last. The Pool's mu guards it.
 type idleConns []*conn
 
 // add adds a connection that has just become idle.
 func (l *idleConns) add(c *conn) { *l = append(*l, c) }
 
-// takeBest removes and returns the connection that is best reused: the most recently used one past
-// its quarantine, or else the one whose quarantine ends first. There must be one.
+// takeBest removes and returns the best connection to reuse: the most recently used one past its
+// quarantine or, if all are in quarantine, the one whose quarantine ends first. The list must not
+// be empty.
 func (l *idleConns) takeBest(now time.Time, quarantine time.Duration) *conn {
 	mostRecent := len(*l) - 1
 	i := max(mostRecent-l.countQuarantined(now, quarantine), 0)
@@ -24,14 +23,15 @@
 	return c
 }
 
-// takeOldest removes and returns the connection that has been idle longest. There must be one.
+// takeOldest removes and returns the connection that has been idle longest. The list must not be
+// empty.
 func (l *idleConns) takeOldest() *conn {
 	oldest := (*l)[0]
 	*l = slices.Delete(*l, 0, 1)
 	return oldest
 }
 
-// removeIf removes the connections for which remove returns true, and calls it once for each.
+// removeIf calls remove once for each connection and removes those for which it returns true.
 func (l *idleConns) removeIf(remove func(*conn) bool) { *l = slices.DeleteFunc(*l, remove) }
 
 // countQuarantined returns how many connections are in quarantine.
--- a/internal/connpool/idleconns_test.go
+++ b/internal/connpool/idleconns_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newIdleConns returns connections that have been idle for these times, the longest first.
+// newIdleConns returns connections that have been idle for the given times, which must decrease.
 func newIdleConns(now time.Time, idleFor ...time.Duration) idleConns {
 	var l idleConns
 	for _, d := range idleFor {
@@ -20,11 +20,11 @@
 	now := time.Now()
 	for name, row := range map[string]struct {
 		idleFor []time.Duration
-		want    int // index of the connection
+		want    int // index of the connection that is taken
 	}{
 		"the most recent past quarantine":     {[]time.Duration{time.Second, quarantine, quarantine - 1}, 1},
 		"none in quarantine":                  {[]time.Duration{3 * time.Second, 2 * time.Second}, 1},
-		"all in quarantine: the one due next": {[]time.Duration{quarantine - 1, time.Millisecond}, 0},
+		"all in quarantine: the first to end": {[]time.Duration{quarantine - 1, time.Millisecond}, 0},
 		"only one":                            {[]time.Duration{0}, 0},
 	} {
 		l := newIdleConns(now, row.idleFor...)
@@ -34,7 +34,7 @@
 			t.Errorf("%s: took the connection idle for %v", name, now.Sub(got.idleSince))
 		}
 		if !slices.Equal(l, rest) {
-			t.Errorf("%s: %d connections are left, or in another order", name, len(l))
+			t.Errorf("%s: %d connections are left, not the other ones in their order", name, len(l))
 		}
 	}
 }
@@ -45,11 +45,11 @@
 	want := slices.Clone(l)
 	for i := range want {
 		if got := l.takeOldest(); got != want[i] {
-			t.Errorf("take %d: the connection idle for %v", i+1, now.Sub(got.idleSince))
+			t.Errorf("call %d: took the connection idle for %v", i+1, now.Sub(got.idleSince))
 		}
 	}
 	if len(l) != 0 {
-		t.Errorf("%d connections are left", len(l))
+		t.Errorf("%d connections are left, want 0", len(l))
 	}
 }
 
--- a/internal/connpool/idlepolicy_test.go
+++ b/internal/connpool/idlepolicy_test.go
@@ -19,16 +19,16 @@
 
 func TestIdlePolicyLearnsFromCloses(t *testing.T) {
 	const timeout, quarantine = 30 * time.Second, 20 * time.Millisecond
-	const soon = quarantine + sweepInterval // a close found by then may have come during the quarantine
+	const ignoredUpTo = quarantine + sweepInterval // a close found by then may have come during the quarantine
 	for name, row := range map[string]struct {
 		closes []time.Duration
 		want   time.Duration
 	}{
 		"none":                  {nil, 27 * time.Second},
-		"during the quarantine": {[]time.Duration{soon}, 27 * time.Second},
+		"during the quarantine": {[]time.Duration{ignoredUpTo}, 27 * time.Second},
 		"early":                 {[]time.Duration{time.Second}, 500 * time.Millisecond},
-		"earlier and later":     {[]time.Duration{time.Second, soon * 5, time.Minute}, 300 * time.Millisecond},
-		"very early":            {[]time.Duration{soon + 1}, minMaxIdle},
+		"earlier and later":     {[]time.Duration{time.Second, ignoredUpTo * 5, time.Minute}, 300 * time.Millisecond},
+		"very early":            {[]time.Duration{ignoredUpTo + 1}, minMaxIdle},
 		"late":                  {[]time.Duration{time.Minute}, 27 * time.Second},
 	} {
 		var p idlePolicy
@@ -37,12 +37,13 @@
 			p.observeClose(idleFor)
 		}
 		if p.maxIdle != row.want {
-			t.Errorf("%s: connections are reused for %v, want %v", name, p.maxIdle, row.want)
+			t.Errorf("closes %s: connections are reused for %v, want %v", name, p.maxIdle, row.want)
 		}
 	}
 }
 
-// A reload of the configuration forgets what was learned only if the endpoints' timeout changes.
+// A reload of the configuration keeps the learned maximum idle time unless the endpoints' timeout
+// changes.
 func TestIdlePolicyKeepsLearnedMaximumUntilTimeoutChanges(t *testing.T) {
 	var p idlePolicy
 	p.configure(30*time.Second, 0)
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -2,11 +2,11 @@
 // exchange at a time on each: it dials, writes a request, reads the response and reuses the
 // connection for the next request.
 //
-// It never retries. A request of which a single byte has been written ends as a response or as an
-// *Error, whose kind says what is known: whether the request can have run, and what ended it. The
-// Balancer decides whether to retry. net/http's Transport is not used because it resends some
-// requests by itself when a reused connection breaks, which would be a second attempt that the
-// Balancer did not decide on, and because it dials spare connections.
+// It never retries a request. Once a byte of a request has been written, the attempt ends with a
+// response or an *Error, whose kind says what is known: whether the request can have run, and why
+// the attempt failed. The Balancer decides whether to retry. net/http's Transport is not used
+// because it resends some requests by itself when a reused connection breaks, which would be a
+// second attempt that the Balancer did not decide on, and because it dials spare connections.
 package connpool
 
 import (
@@ -25,32 +25,32 @@
 // Options configure a Pool.
 type Options struct {
 	IdleTimeout time.Duration // after which endpoints close an idle connection; 0: 15 s
-	DialTimeout time.Duration // after which a dial has failed; 0: 250 ms
-	MaxConns    int           // connections open at once, idle ones and dials included
-	Quarantine  time.Duration // between a response and the reuse of its connection, see Pool
-	PassThrough bool          // whether all responses with a status below 500 are successes; else only 200 is
-	DialContext DialFunc      // opens connections; nil: a net.Dialer
+	DialTimeout time.Duration // after which a dial fails; 0: 250 ms
+	MaxConns    int           // maximum number of open connections, including idle ones and dials in progress
+	Quarantine  time.Duration // minimum time between a response and the reuse of its connection, see Pool
+	PassThrough bool          // whether every status below 500 is a success; otherwise only 200 is
+	DialContext DialFunc      // opens connections; nil: that of a net.Dialer
 }
 
 // DialFunc opens a TCP connection to an address. Its signature is that of net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Pool has the connections to the endpoints that were set with SetEndpoint.
+// Pool manages the connections to the endpoints that were set with SetEndpoint.
 //
-// A connection that has carried a complete response becomes idle and is in quarantine at first: an
-// endpoint that sends a second response sends it soon after the first, and it must not be taken for
-// the response to the next request. The most recently used connection past its quarantine is reused
-// first.
+// A connection that has carried a complete response becomes idle, and no request is written to it
+// until its quarantine ends. A faulty endpoint that sends a second response does so soon after the
+// first, and the second must not be taken for the response to the next request. The most recently
+// used connection past its quarantine is reused first.
 type Pool struct {
 	dial            DialFunc
 	waitUntilDone   func(ctx context.Context) // blocks until ctx is done; tests replace it
 	passThrough     bool
 	requestsWritten atomic.Int64
 
-	// mu guards the fields below, those of every endpointConns, and the idleSince of connections. It
-	// is held for bookkeeping and for the calls that don't block (the close of a connection, the
-	// check for pending input), never while a connection is dialed, read or written, nor while an
-	// attempt waits. No other lock of this package is taken while it is held.
+	// mu guards the fields below, the fields of every endpointConns, and the idleSince of every
+	// connection. It is held for bookkeeping and for calls that don't block (closing a connection,
+	// checking it for pending input), but never while a connection is dialed, read or written, or
+	// while an attempt waits. No other lock of this package is taken while mu is held.
 	mu          sync.Mutex
 	dialTimeout time.Duration
 	maxConns    int
@@ -74,8 +74,9 @@
 	return p
 }
 
-// Configure replaces the timeouts and limits; PassThrough and DialContext stay as they were in New.
-// What was learned from the endpoints' closes is kept until IdleTimeout changes.
+// Configure replaces the timeouts and limits. It ignores PassThrough and DialContext, which stay as
+// they were in New. The maximum idle time that was learned from endpoints' closes is kept until
+// IdleTimeout changes.
 func (p *Pool) Configure(o Options) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +92,8 @@
 }
 
 // SetMaxConns sets how many connections may be open at once. Idle connections beyond that are
-// closed, the oldest first; those in use are closed when their exchange ends.
+// closed, starting with the one that has been idle longest. If that is not enough, connections in
+// use are closed when their exchange ends.
 func (p *Pool) SetMaxConns(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connpool/requesthead.go
+++ b/internal/connpool/requesthead.go
@@ -8,42 +8,44 @@
 	"rowancart/internal/platform"
 )
 
-// perAttemptHeaders are the headers that are written for each attempt, or never.
+// perAttemptHeaders are the headers that are not copied from Request.Header: appendHead sets them
+// anew for each attempt, or omits them.
 var perAttemptHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true, platform.DeadlineHeader: true,
 }
 
-// appendHead appends the request's head, with the time for which this side waits for the response.
+// appendHead appends the request's head. Its deadline header tells the endpoint how long this side
+// waits for the response: timeout, in milliseconds, at least 1.
 func (r *Request) appendHead(b []byte, timeout time.Duration) []byte {
-	text := func(parts ...string) {
+	appendText := func(parts ...string) {
 		for _, s := range parts {
 			b = append(b, s...)
 		}
 	}
-	text(r.Method, " ", r.URL.RequestURI(), " HTTP/1.1\r\nHost: ", r.Host, "\r\n")
-	for name, values := range r.Header { // the order of different names means nothing (RFC 9110, section 5.3)
+	appendText(r.Method, " ", r.URL.RequestURI(), " HTTP/1.1\r\nHost: ", r.Host, "\r\n")
+	for name, values := range r.Header { // order matters only within a name (RFC 9110, section 5.3)
 		if perAttemptHeaders[name] {
 			continue
 		}
 		for _, v := range values {
-			text(name, ": ", v, "\r\n")
+			appendText(name, ": ", v, "\r\n")
 		}
 	}
 	switch length := r.bodyLength(); {
 	case length < 0:
-		text("Transfer-Encoding: chunked\r\n")
+		appendText("Transfer-Encoding: chunked\r\n")
 	case length > 0 || expectsBody(r.Method):
-		text("Content-Length: ")
+		appendText("Content-Length: ")
 		b = strconv.AppendInt(b, length, 10)
-		text("\r\n")
+		appendText("\r\n")
 	}
-	text(platform.DeadlineHeader, ": ")
+	appendText(platform.DeadlineHeader, ": ")
 	b = strconv.AppendInt(b, max(timeout.Milliseconds(), 1), 10)
 	return append(b, "\r\n\r\n"...)
 }
 
-// expectsBody reports whether requests of a method have a Content-Length even if it is 0 (RFC 9110,
-// section 8.6).
+// expectsBody reports whether a request of this method has a Content-Length even if that is 0 (RFC
+// 9110, section 8.6).
 func expectsBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/connpool/response.go
+++ b/internal/connpool/response.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	maxInterimResponses = 8                     // 1xx responses before the final one
-	minBodyGrowth       = 4 << 10               // bytes by which the buffer of a body of unknown length grows at least
+	maxInterimResponses = 8                     // 1xx responses after which reading a response fails
+	minBodyGrowth       = 4 << 10               // minimum growth, in bytes, of the buffer for a body of unknown length
 	streamAfter         = 50 * time.Millisecond // after which a body of unknown length that has not ended is streamed
 )
 
-// The requests by which net/http knows whether a response is one to HEAD, which has no body.
+// The requests that tell http.ReadResponse whether the response is one to HEAD, which has no body.
 var (
 	headRequest = &http.Request{Method: http.MethodHead}
 	getRequest  = &http.Request{Method: http.MethodGet}
@@ -29,10 +29,11 @@
 type responseReader struct {
 	pool     *Pool
 	conn     *conn
-	deadline time.Time // of the response's end, unless it is streamed
+	deadline time.Time // by which the complete response must have been read, unless it is streamed
 }
 
-// receivedResponse is a response that was read, completely or up to its Stream.
+// receivedResponse is a response that was read completely, or up to the part that is left to its
+// Stream.
 type receivedResponse struct {
 	response Response
 	isLast   bool // no other response can be read from the connection
@@ -44,8 +45,8 @@
 	isLast bool  // the endpoint closes the connection after the response
 }
 
-// read reads a response completely, or the beginning of one that is long or slow to arrive. A
-// response that is not passed on to the client is read completely or not at all.
+// read reads a response completely, or only the beginning of one that is long or arrives slowly.
+// The body of a response that is not passed on to the client is read completely or not at all.
 func (r responseReader) read(method string) (receivedResponse, error) {
 	c := r.conn
 	c.readLimit.N = MaxHead
@@ -55,7 +56,7 @@
 		}
 		buffered, _ := c.reader.Peek(c.reader.Buffered())
 		if head, ok := http1.ParseResponse(buffered); ok {
-			_, _ = c.reader.Discard(head.Size) // is buffered, so it can't fail
+			_, _ = c.reader.Discard(head.Size) // can't fail, because the head is buffered
 			return r.readBody(Response{Status: head.Status, Header: head.Header}, bodyFraming{length: int64(head.BodyLength)})
 		}
 	}
@@ -66,8 +67,8 @@
 	return r.readBody(Response{Status: head.StatusCode, Header: head.Header}, framingOf(head, method))
 }
 
-// readResponseHead reads the head of a response that http1 leaves to net/http. The Body of what it
-// returns must not be read: http1 reads it from the connection.
+// readResponseHead uses net/http to read the head of a response that http1.ParseResponse does not
+// parse. The Body of the result must not be read: an http1.Body reads it from the connection.
 func (c *conn) readResponseHead(method string) (*http.Response, error) {
 	req := getRequest
 	if method == http.MethodHead {
@@ -96,14 +97,15 @@
 	return bodyFraming{length: head.ContentLength, isLast: head.Close}
 }
 
-// readBody reads a body of known length if it is short, and streams a long one.
+// readBody reads a body of up to MaxBody bytes and streams a longer one. If the response is not
+// passed on to the client, it does not read a body that is or may be longer.
 func (r responseReader) readBody(resp Response, f bodyFraming) (receivedResponse, error) {
 	r.conn.readLimit.N = math.MaxInt64
 	body := http1.NewBody(bodySource{r.conn}, f.length)
 	mayBeLong := f.length > MaxBody || f.length < 0
 	switch {
 	case mayBeLong && !r.pool.isSuccess(resp.Status):
-		return receivedResponse{response: resp, isLast: true}, nil // its body is not read
+		return receivedResponse{response: resp, isLast: true}, nil // the body is not read
 	case f.length > r.pool.maxBodyLength():
 		return receivedResponse{}, errResponseTooLong
 	case f.length > MaxBody:
@@ -118,7 +120,8 @@
 	return receivedResponse{response: resp, isLast: f.isLast}, nil
 }
 
-// readBodyOfUnknownLength reads a body that ends soon, and streams any other: it may be long.
+// readBodyOfUnknownLength reads a body that ends before streamAfter has passed and within MaxBody
+// bytes, and streams any other.
 func (r responseReader) readBodyOfUnknownLength(
 	resp Response, body *http1.Body, f bodyFraming,
 ) (receivedResponse, error) {
--- a/internal/connpool/stream.go
+++ b/internal/connpool/stream.go
@@ -16,15 +16,15 @@
 	pool       *Pool
 	body       *http1.Body
 	lastOnConn bool            // the endpoint closes the connection after this response
-	remaining  int64           // bytes that may still arrive
+	remaining  int64           // bytes that may still be read, before Read returns errResponseTooLong
 	onClose    func(err error) // see NotifyClose
-	readErr    error           // of the latest failed Read; nil: none
+	readErr    error           // of the latest Read that failed; nil: none failed
 	closed     atomic.Bool
 }
 
-// NotifyClose sets the function that Close calls, once, with nil if the response was read to its
-// end and with an *Error of kind Reset or Canceled if it was not. NotifyClose must be called before
-// the Stream is passed to its reader.
+// NotifyClose sets the function that Close calls, once: with nil if the response was read to its
+// end, otherwise with an *Error of kind Reset or Canceled. NotifyClose must be called before the
+// Stream is passed to its reader.
 func (s *Stream) NotifyClose(onClose func(err error)) { s.onClose = onClose }
 
 // Ended reports whether the response was read to its end.
@@ -46,12 +46,12 @@
 	return n, err
 }
 
-// Cancel ends a Read in progress and makes all later ones fail, since the client has disconnected.
-// It may be called from any goroutine.
+// Cancel ends a Read in progress and makes all later ones fail. It is called when the client has
+// disconnected, and may be called from any goroutine.
 func (s *Stream) Cancel() { s.conn.Close() }
 
-// Close ends the stream. Its connection is reused for the next request if the response was read to
-// its end.
+// Close ends the stream. If the response was read to its end and the endpoint keeps the connection
+// open, the connection is reused for another request, otherwise it is closed.
 func (s *Stream) Close() error {
 	if s.closed.Swap(true) {
 		return nil
@@ -73,7 +73,7 @@
 	return !s.lastOnConn && s.conn.reader.Buffered() == 0 && s.conn.SetDeadline(time.Time{}) == nil
 }
 
-// outcome returns nil for a response that was read to its end, else an *Error.
+// outcome returns nil if the response was read to its end, otherwise an *Error.
 func (s *Stream) outcome() error {
 	switch {
 	case s.Ended():
@@ -84,8 +84,8 @@
 	return &Error{Kind: Canceled, Err: errStreamUnfinished}
 }
 
-// Discard closes the connection of a response that nobody will read, without the notification. It
-// is called instead of Close.
+// Discard closes the connection of a response that nobody will read. It is called instead of Close,
+// and does not call the function set with NotifyClose.
 func (s *Stream) Discard() {
 	if s.closed.Swap(true) {
 		return
--- a/internal/connpool/upload.go
+++ b/internal/connpool/upload.go
@@ -11,15 +11,17 @@
 )
 
 // uploadCheckInterval is the time between two checks of the client's deadline while an endpoint
-// reads nothing.
+// does not read the upload.
 const uploadCheckInterval = 100 * time.Millisecond
 
-// writeUploadRequest writes a request with a long body. What is read from the client is written at
-// once, so that a slow endpoint slows its client down and nothing accumulates here.
+// writeUploadRequest writes a request that has an Upload. Data that is read from the client is
+// written before more is read, so that a slow endpoint slows the client down and no data
+// accumulates in this process. If a part of the body was still to be read from the client, the
+// attempt's deadline becomes the client's, which is known only once the body has been sent.
 func (c *conn) writeUploadRequest(a *Attempt, req *Request) error {
 	upload := req.Upload
 	if upload.Remaining != nil && upload.consumed.Load() {
-		return errUploadFailed // another attempt has read it
+		return errUploadFailed // another attempt has read from it
 	}
 	timeout := time.Until(a.Deadline)
 	if upload.Remaining != nil {
@@ -34,8 +36,8 @@
 	}
 	if upload.Remaining != nil {
 		a.Deadline = req.clientDeadline()
-		// An error means that the attempt was canceled, which the read of the response finds. The
-		// request has been written and may run, so this is not a failed write.
+		// An error means that the attempt was canceled, and reading the response then fails too. The
+		// request has been written and may run, so the error must not be reported as a failed write.
 		_ = c.SetDeadline(a.Deadline)
 	}
 	return nil
@@ -65,16 +67,17 @@
 	conn    *conn
 	request *Request
 	upload  *Upload
-	buffer  []byte // one of http1.Buffers: a piece of the body, with space for its chunk framing
+	buffer  []byte // one of http1.Buffers: holds a piece of the body, with space for its chunk framing
 }
 
-// piece returns the part of the buffer that a piece of the body is read into.
+// piece returns the part of the buffer that holds a piece of the body, without the space for chunk
+// framing.
 func (w *uploadWriter) piece() []byte {
 	return w.buffer[http1.ChunkHead : http1.ChunkHead+http1.BufferSize]
 }
 
-// framedPiece returns the first n bytes of piece as they are written: as a chunk if the length of
-// the body is unknown.
+// framedPiece returns the first n bytes of piece in the form in which they are written: framed as a
+// chunk if the length of the body is unknown, otherwise as they are.
 func (w *uploadWriter) framedPiece(n int) []byte {
 	if w.upload.Length < 0 {
 		return http1.AppendChunkFraming(w.buffer, n)
@@ -82,7 +85,7 @@
 	return w.piece()[:n]
 }
 
-// writeBuffered writes a buffered part of the body.
+// writeBuffered writes a part of the body that is in memory.
 func (w *uploadWriter) writeBuffered(body []byte) error {
 	for len(body) > 0 {
 		n := copy(w.piece(), body)
@@ -94,8 +97,8 @@
 	return nil
 }
 
-// writeRemaining reads the rest of the body from the client and writes it. From its first read on,
-// the request can't be sent again.
+// writeRemaining reads the rest of the body from the client and writes it. Once it has begun to
+// read, the request can't be sent again.
 func (w *uploadWriter) writeRemaining() error {
 	if w.conn.hasPendingInput() {
 		return errEarlyResponse
@@ -120,7 +123,7 @@
 	}
 }
 
-// writeEnd writes what follows the last piece.
+// writeEnd writes the last chunk, which ends the body, if the length of the body is unknown.
 func (w *uploadWriter) writeEnd() error {
 	if w.upload.Length >= 0 {
 		return nil
@@ -128,8 +131,8 @@
 	return w.conn.writeAll([]byte(http1.LastChunk))
 }
 
-// writePiece writes the first n bytes of piece, which were just read from the client, unless the
-// endpoint has responded or closed meanwhile.
+// writePiece writes the first n bytes of piece, which have just been read from the client. It
+// returns errEarlyResponse if the endpoint has responded or closed the connection meanwhile.
 func (w *uploadWriter) writePiece(n int) error {
 	if w.conn.hasPendingInput() {
 		return errEarlyResponse
@@ -150,9 +153,9 @@
 	return nil
 }
 
-// stallDeadline returns until when the endpoint has to read a piece whose write began at start. It
-// has to be computed again during the write, since the client's deadline is not fixed before the
-// client has sent all of its body.
+// stallDeadline returns the time by which the endpoint must have read a piece whose write began at
+// start. It has to be computed again during the write, because the client's deadline is not fixed
+// until the client has sent the complete body.
 func (w *uploadWriter) stallDeadline(start time.Time) time.Time {
 	return earlier(start.Add(http1.MaxReadIdle), w.request.clientDeadline())
 }
--- a/internal/connpool/write.go
+++ b/internal/connpool/write.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// maxCoalescedBody is the length up to which a body is copied behind its head, so that both are
-// written at once.
+// maxCoalescedBody is the length, in bytes, up to which a body is copied into the buffer of the
+// head, so that both are written in one call.
 const maxCoalescedBody = 4 << 10
 
-// writeRequest writes a request completely, or returns errWriteFailed, errEarlyResponse or
-// errUploadFailed.
+// writeRequest writes a request completely, or returns an error that wraps errWriteFailed,
+// errEarlyResponse or errUploadFailed.
 func (c *conn) writeRequest(a *Attempt, req *Request) error {
 	if req.Upload != nil {
 		return c.writeUploadRequest(a, req)
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// writeAll writes all of b. Its error is errWriteFailed.
+// writeAll writes all of b, or returns an error that wraps errWriteFailed.
 func (c *conn) writeAll(b []byte) error {
 	if n, err := c.Write(b); n != len(b) {
 		return fmt.Errorf("%w: %w", errWriteFailed, err)
