--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -8,7 +8,7 @@
 // reservation is the result of reserveConn: an idle connection and its quarantine, or the endpoint,
 // address and timeout with which the caller has to dial a new connection.
 type reservation struct {
-	conn       *conn         // nil: none is idle
+	conn       *conn         // nil: none is usable
 	quarantine time.Duration // how long conn must not be used, counted from its idleSince
 
 	endpoint    *endpointConns
@@ -17,8 +17,9 @@
 }
 
 // acquireConn returns an idle connection to the endpoint, after waiting for its quarantine to end,
-// or dials a new one if none is idle. The error is an errNoConnection if no dial was attempted,
-// otherwise it is the error of the dial.
+// or dials a new one if none is idle. The error wraps errNoConnection if the endpoint accepts no
+// requests or the connection limit is reached. Otherwise it says why no connection was established;
+// it is context.Canceled if the attempt was canceled before the dial.
 func (p *Pool) acquireConn(a *Attempt, id string) (*conn, error) {
 	r, err := p.reserveConn(id)
 	if err != nil {
@@ -34,7 +35,8 @@
 // reserveConn takes an idle connection out of the pool. It takes one that is in quarantine if there
 // is no other, because a short wait costs less than a new connection. If no connection is idle, it
 // counts a new one as open, which the caller has to dial. At the connection limit, it first closes
-// the oldest idle connection to another endpoint.
+// the connection to any other endpoint that has been idle longest; the error is errConnLimit if
+// there is none.
 func (p *Pool) reserveConn(id string) (reservation, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connpool/acquire_test.go
+++ b/internal/connpool/acquire_test.go
@@ -50,7 +50,7 @@
 	}
 	close(release)
 	if kind := <-first; kind != succeeded {
-		t.Errorf("the attempt that has the connection: outcome %v", kind)
+		t.Errorf("the attempt that has the connection: outcome %v, want success", kind)
 	}
 	if kind, _ := roundTrip(t, p, attemptWithin(waitTimeout), "unlisted", newRequest("/c")); kind != NotSent {
 		t.Errorf("endpoint not listed: outcome %v, want not sent", kind)
@@ -222,7 +222,7 @@
 			}()
 			<-waiting
 			if n := e.Requests.Load(); n != 1 {
-				t.Errorf("%d requests were received before the end of the quarantine", n)
+				t.Errorf("%d requests were received before the end of the quarantine, want 1", n)
 			}
 			if sendSecond <- second; second {
 				waitUntil(t, "the second response arrives", c.hasPendingInput)
@@ -270,7 +270,7 @@
 		p.idlePolicy.maxIdle = 100 * time.Hour
 		want := e.idle[row.want]
 		if r, err := p.reserveConn("a"); r.conn != want || err != nil {
-			t.Errorf("idle for %v hours: another connection was taken, or error %v", row.ages, err)
+			t.Errorf("ages %v (1ns stands for 1 h): another connection was taken, or none with error %v", row.ages, err)
 		}
 	}
 }
--- a/internal/connpool/attempt.go
+++ b/internal/connpool/attempt.go
@@ -101,7 +101,8 @@
 	return &Error{Kind: kind, Err: cause}
 }
 
-// cancelCloser makes a dial or a wait that ends with its context an io.Closer for setInProgress.
+// cancelCloser adapts a context's cancel function to io.Closer, so that a cancellation of the
+// attempt can end a dial or a wait (see setInProgress).
 type cancelCloser struct{ context.CancelFunc }
 
 // Close cancels the context.
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -41,8 +41,8 @@
 func (c *conn) isReused() bool { return !c.idleSince.IsZero() }
 
 // hasPendingInput reports whether anything has arrived on a connection while no response is due: an
-// end of stream, a reset, or data. It is checked before writes, because a write to a connection
-// that the endpoint has closed would end in a reset. It does not block.
+// end of stream, a reset, or data. It is checked before a connection is reused or written to: a
+// write to a connection that the endpoint has closed would end in a reset. It does not block.
 func (c *conn) hasPendingInput() bool {
 	isEmpty := false
 	err := c.rawConn.Control(func(fd uintptr) {
--- a/internal/connpool/dial.go
+++ b/internal/connpool/dial.go
@@ -23,7 +23,7 @@
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EPERM, syscall.EACCES,
 }
 
-// isLocalDialError reports whether a dial failed because of this machine, not of the endpoint.
+// isLocalDialError reports whether a dial failed because of this machine rather than the endpoint.
 func isLocalDialError(err error) bool {
 	for _, localErr := range localDialErrors {
 		if errors.Is(err, localErr) {
--- a/internal/connpool/endpoints.go
+++ b/internal/connpool/endpoints.go
@@ -10,8 +10,8 @@
 	addr        string
 	accepting   bool      // whether the endpoint takes new requests; if not, its connections are not kept
 	listedStart time.Time // the endpoint's start time according to the endpoint list
-	startedAt   time.Time // listedStart, or the time at which it was set if it was in the future then
-	lastFailure string    // error text of the latest failed attempt; cleared when a connection becomes idle
+	startedAt   time.Time // listedStart or, if that was in the future when SetStartTime was called, the time of the call
+	lastFailure string    // error text of the endpoint's latest failure; cleared when a connection becomes idle
 	idle        idleConns
 }
 
@@ -93,8 +93,9 @@
 }
 
 // EndpointStatus returns how many connections to an endpoint are idle, and the error text of the
-// latest failed attempt. The text is empty if no attempt has failed since a connection to the
-// endpoint last became idle after a complete response.
+// latest RoundTrip that counts as a failure of the endpoint, which NotSent and Canceled do not. The
+// text is empty if there was none since a connection to the endpoint last became idle after a
+// complete response.
 func (p *Pool) EndpointStatus(id string) (idle int, lastFailure string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +105,7 @@
 	return 0, ""
 }
 
-// recordFailure records the error of a failed attempt for EndpointStatus.
+// recordFailure records an error that counts as a failure of the endpoint, for EndpointStatus.
 func (p *Pool) recordFailure(id string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connpool/errors.go
+++ b/internal/connpool/errors.go
@@ -16,8 +16,8 @@
 	// ConnectFailed: no connection was established, or it broke before the request was written
 	// completely.
 	ConnectFailed
-	// Declined: the endpoint responded that it has not run the request, or it responded before the
-	// request's last byte was written, so it can't have run it.
+	// Declined: the endpoint responded that it has not run the request, or it responded, other than
+	// with a complete 200, before the request's last byte was written, and so can't have run it.
 	Declined
 	// ErrorStatus: the endpoint responded with a status that is not a success.
 	ErrorStatus
@@ -90,7 +90,7 @@
 
 // The causes of failed attempts.
 var (
-	errEndpointNotCurrent  = errors.New("endpoint was removed, drained, moved or restarted before anything was sent")
+	errEndpointNotCurrent  = errors.New("endpoint removed, drained, disabled, moved or restarted before anything was sent")
 	errRetryDeadlinePassed = errors.New("retry deadline passed before anything was sent")
 	errClientDisconnected  = errors.New("client disconnected before anything was sent")
 	errStaleConn           = errors.New("connection was closed, or received input, before anything was sent")
--- a/internal/connpool/exchange.go
+++ b/internal/connpool/exchange.go
@@ -39,8 +39,8 @@
 			return Response{}, a.failure(ConnectFailed, errConnClosed)
 		}
 		result := p.exchange(c, a, req)
-		wasClosedWhileIdle := c.isReused() && errors.Is(result.err, errStaleConn)
-		if wasClosedWhileIdle && a.setInProgress(nil) {
+		reusedConnIsStale := c.isReused() && errors.Is(result.err, errStaleConn)
+		if reusedConnIsStale && a.setInProgress(nil) {
 			p.closeConn(c) // nothing was sent on it, so the attempt continues on another connection
 			continue
 		}
@@ -93,9 +93,9 @@
 
 // checkBeforeWrite returns an error if a request may not be written to a connection now. It is the
 // last check before the first byte is written. During the dial or the wait for the end of a
-// quarantine, the endpoint may have been removed, drained or disabled, it may have closed the
-// connection or sent data, the retry deadline may have passed, and the client may have
-// disconnected. What changes after this check counts as a change after the request was sent.
+// quarantine, the endpoint may have been removed, drained, disabled, moved or restarted, it may
+// have closed the connection or sent data, the retry deadline may have passed, and the client may
+// have disconnected. What changes after this check counts as a change after the request was sent.
 //
 // Only the check of the endpoint holds the Pool's mu. ClientDisconnected is called and the socket
 // is checked without it.
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// exchange writes the request and reads the response. If the body of the response is long or
-// arrives slowly, it reads only the beginning, and the response has a Stream.
+// exchange writes the request and reads the response. The response has a Stream if its body is
+// longer than MaxBody, or of unknown length and slow to end.
 func (p *Pool) exchange(c *conn, a *Attempt, req *Request) exchangeResult {
 	if err := p.checkBeforeWrite(c, a); err != nil {
 		return exchangeResult{err: a.unsentFailure(err)}
@@ -174,8 +174,8 @@
 }
 
 // resolvePartialWrite returns the result of an attempt whose request was not written completely. An
-// endpoint does not run a request before its last byte has arrived. So the request has not run,
-// unless the endpoint has sent an early response that reports success.
+// endpoint does not run a request before its last byte has arrived. So the request counts as not
+// run, unless a complete early response with status 200 was read.
 func (p *Pool) resolvePartialWrite(c *conn, a *Attempt, req *Request, writeErr error) (Response, error) {
 	if errors.Is(writeErr, errUploadFailed) {
 		return Response{}, &Error{Kind: NotSent, Err: writeErr} // not a failure of the endpoint
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -8,8 +8,8 @@
 // sweepInterval is the time between two checks of all idle connections.
 const sweepInterval = 100 * time.Millisecond
 
-// Run closes idle connections that the endpoint has closed or that have been idle for too long,
-// until ctx is done. Then it closes all idle connections and returns.
+// Run closes idle connections on which a close or data has arrived, and those that have been idle
+// for too long, until ctx is done. Then it closes all idle connections and returns.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -43,7 +43,8 @@
 }
 
 // usableLocked reports whether an idle connection may carry another request. If the endpoint has
-// closed it, the idle policy learns from how long it had been idle. mu must be held.
+// closed it, or sent data on it, the idle policy learns from how long it had been idle. mu must be
+// held.
 func (p *Pool) usableLocked(c *conn, now time.Time) bool {
 	idleFor := now.Sub(c.idleSince)
 	if c.hasPendingInput() {
--- a/internal/connpool/idleconns_test.go
+++ b/internal/connpool/idleconns_test.go
@@ -34,7 +34,7 @@
 			t.Errorf("%s: took the connection idle for %v", name, now.Sub(got.idleSince))
 		}
 		if !slices.Equal(l, rest) {
-			t.Errorf("%s: %d connections are left, not the other ones in their order", name, len(l))
+			t.Errorf("%s: the %d connections that are left are not the other ones in their previous order", name, len(l))
 		}
 	}
 }
--- a/internal/connpool/idlepolicy.go
+++ b/internal/connpool/idlepolicy.go
@@ -4,10 +4,11 @@
 
 const (
 	// maxIdleFraction is the fraction of the endpoints' idle timeout up to which an idle connection
-	// is reused. Later, the endpoint may close it while a request is on its way, which would be lost.
+	// is reused. After that, the endpoint may close it while a request is on its way, and the request
+	// would be lost.
 	maxIdleFraction = 0.9
 
-	// minMaxIdle is the lower bound of maxIdle, however early endpoints have closed connections.
+	// minMaxIdle limits how far early closes by endpoints reduce maxIdle.
 	minMaxIdle = 100 * time.Millisecond
 )
 
--- a/internal/connpool/idlepolicy_test.go
+++ b/internal/connpool/idlepolicy_test.go
@@ -50,7 +50,7 @@
 	p.observeClose(time.Second)
 	p.configure(30*time.Second, time.Millisecond)
 	if p.maxIdle != 500*time.Millisecond || p.quarantine != time.Millisecond {
-		t.Errorf("same timeout: %+v", p)
+		t.Errorf("same timeout: policy %+v, want maxIdle 500ms and quarantine 1ms", p)
 	}
 	if p.configure(20*time.Second, 0); p.maxIdle != 18*time.Second {
 		t.Errorf("new timeout: connections are reused for %v, want 18s", p.maxIdle)
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -47,8 +47,8 @@
 	passThrough     bool
 	requestsWritten atomic.Int64
 
-	// mu guards the fields below, the fields of every endpointConns, and the idleSince of every
-	// connection. It is held for bookkeeping and for calls that don't block (closing a connection,
+	// mu guards the fields below, the fields of every endpointConns, and the idleSince of idle
+	// connections. It is held for bookkeeping and for calls that don't block (closing a connection,
 	// checking it for pending input), but never while a connection is dialed, read or written, or
 	// while an attempt waits. No other lock of this package is taken while mu is held.
 	mu          sync.Mutex
--- a/internal/connpool/response.go
+++ b/internal/connpool/response.go
@@ -45,8 +45,9 @@
 	isLast bool  // the endpoint closes the connection after the response
 }
 
-// read reads a response completely, or only the beginning of one that is long or arrives slowly.
-// The body of a response that is not passed on to the client is read completely or not at all.
+// read reads a response completely or, if its body is longer than MaxBody, or of unknown length and
+// slow to end, only the beginning. The body of a response that is not passed on to the client is
+// read completely or not at all.
 func (r responseReader) read(method string) (receivedResponse, error) {
 	c := r.conn
 	c.readLimit.N = MaxHead
@@ -121,7 +122,7 @@
 }
 
 // readBodyOfUnknownLength reads a body that ends before streamAfter has passed and within MaxBody
-// bytes, and streams any other.
+// bytes, and streams any other, because it may be long.
 func (r responseReader) readBodyOfUnknownLength(
 	resp Response, body *http1.Body, f bodyFraming,
 ) (receivedResponse, error) {
--- a/internal/connpool/stream.go
+++ b/internal/connpool/stream.go
@@ -16,7 +16,7 @@
 	pool       *Pool
 	body       *http1.Body
 	lastOnConn bool            // the endpoint closes the connection after this response
-	remaining  int64           // bytes that may still be read, before Read returns errResponseTooLong
+	remaining  int64           // bytes that may still be read; beyond them, Read returns errResponseTooLong
 	onClose    func(err error) // see NotifyClose
 	readErr    error           // of the latest Read that failed; nil: none failed
 	closed     atomic.Bool
@@ -50,8 +50,8 @@
 // disconnected, and may be called from any goroutine.
 func (s *Stream) Cancel() { s.conn.Close() }
 
-// Close ends the stream. If the response was read to its end and the endpoint keeps the connection
-// open, the connection is reused for another request, otherwise it is closed.
+// Close ends the stream. If the response was read to its end and the connection can carry another
+// exchange, the connection returns to the pool. Otherwise it is closed.
 func (s *Stream) Close() error {
 	if s.closed.Swap(true) {
 		return nil
--- a/internal/connpool/write.go
+++ b/internal/connpool/write.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxCoalescedBody is the length, in bytes, up to which a body is copied into the buffer of the
-// head, so that both are written in one call.
+// maxCoalescedBody is the length, in bytes, up to which a body is copied behind its head into
+// writeBuffer, so that both are written at once from one buffer. A longer body is not copied.
 const maxCoalescedBody = 4 << 10
 
 // writeRequest writes a request completely, or returns an error that wraps errWriteFailed,
