--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	equalRate := instances * perSecond / 10 // requests per second to each endpoint at equal shares
-	for at := range 11 {               // nor may it be overloaded once it is warm, after 9 s (incident id93449)
+	for at := range 11 {                    // nor may it be overloaded once it is warm, after 9 s (incident id93449)
 		warm := min(0.3+0.7*float64(at+1)/9, 1)
 		if n := float64(got[at]); n > equalRate*warm*2+4 {
 			t.Errorf("second %d: the warming endpoint got %v requests, its share by its capacity is %v", at, n, equalRate*warm)
