--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -14,9 +14,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files from what this program does")
+var update = flag.Bool("update", false, "overwrite the golden files with the current output")
 
-// The simulated time of the conversation, in microseconds.
+// The simulated time between two batches, in microseconds, and the number of batches.
 const (
 	batchInterval     = 20_000
 	conversationSteps = 120
@@ -30,24 +30,24 @@
 	`"Permissions":{"MayCancel":true,"RetryAfter":true,"TryLimit":4,"MaxRetryAfterUs":2000000},` +
 	`"Rules":{"AskWithinUs":1000000,"ColdFrom":0.3,"ColdUs":4000000,"DrainGraceUs":1000000}}`
 
-// conversation is the simulator's side of the protocol: it draws requests, and answers the
-// actions of one reply with events of later batches.
+// conversation is a fake simulator: it generates random requests, and schedules events for later
+// batches in response to the actions of a reply.
 type conversation struct {
-	random  *rand.Rand
-	now     int64
-	calls   int
-	pending []event // of later batches
-	out     *bytes.Buffer
+	random   *rand.Rand
+	now      int64 // simulated time, in microseconds
+	requests int   // number of requests so far
+	pending  []event
+	out      *bytes.Buffer // all lines in both directions
 }
 
-// event is a line that is due at an instant.
+// event is a line to be sent to an instance in the first batch at or after the time at.
 type event struct {
 	at       int64
 	instance string
 	line     string
 }
 
-// schedule adds an event of an instance, after a delay.
+// schedule adds an event for an instance after a delay.
 func (c *conversation) schedule(delay int64, instance, format string, args ...any) {
 	c.pending = append(c.pending, event{c.now + delay, instance, fmt.Sprintf(format, args...)})
 }
@@ -60,14 +60,15 @@
 	c.writeList(&b, step)
 	for _, instance := range []string{"0", "1"} {
 		fmt.Fprintf(&b, "SWITCH_TO\tSidecar=%s\n", instance)
-		c.writeDue(&b, instance)
+		c.writeDueEvents(&b, instance)
 		c.writeRequests(&b)
 	}
 	b.WriteString("GO\n")
 	return b.String()
 }
 
-// writeList writes the start of both instances, and the changes of their endpoint list.
+// writeList writes the start of both instances and the endpoint list in step 0, and changes of the
+// list in steps 30 and 60.
 func (c *conversation) writeList(b *strings.Builder, step int) {
 	var entries []string
 	mode := "D"
@@ -97,8 +98,8 @@
 	}
 }
 
-// writeDue writes the scheduled events of an instance that are due.
-func (c *conversation) writeDue(b *strings.Builder, instance string) {
+// writeDueEvents writes the scheduled events of an instance that are due.
+func (c *conversation) writeDueEvents(b *strings.Builder, instance string) {
 	isDue := func(e event) bool { return e.at <= c.now && e.instance == instance }
 	due := slices.DeleteFunc(slices.Clone(c.pending), func(e event) bool { return !isDue(e) })
 	c.pending = slices.DeleteFunc(c.pending, isDue)
@@ -108,19 +109,20 @@
 	}
 }
 
-// writeRequests writes between none and five new requests.
+// writeRequests writes zero to five new requests.
 func (c *conversation) writeRequests(b *strings.Builder) {
 	for range c.random.IntN(6) {
-		c.calls++
+		c.requests++
 		class := []string{"look", "look", "book", "pay"}[c.random.IntN(4)]
 		tenant := []string{"acme", "erie"}[c.random.IntN(2)]
-		fmt.Fprintf(b, "CALL\tRid=r%d\tBand=%s\tTeam=%s\tValidUntilUs=%d\tAttrs=%d\n", c.calls, class, tenant,
+		fmt.Fprintf(b, "CALL\tRid=r%d\tBand=%s\tTeam=%s\tValidUntilUs=%d\tAttrs=%d\n", c.requests, class, tenant,
 			c.now+100_000+c.random.Int64N(900_000), 2*c.random.IntN(2))
 	}
 }
 
-// answer schedules the events that follow from a reply.
-func (c *conversation) answer(reply string, attempts map[string]int) {
+// handleReply schedules the events that follow from lines of a reply, and counts the attempts of
+// each request in attempts.
+func (c *conversation) handleReply(reply string, attempts map[string]int) {
 	instance := ""
 	for line := range strings.Lines(reply) {
 		name, rest, _ := strings.Cut(strings.TrimSpace(line), "\t")
@@ -161,7 +163,7 @@
 		id, delay, done, endpoint, code, number)
 }
 
-// run runs the conversation with a simhost and returns all bytes of both sides.
+// run runs the conversation with simhost and returns all lines in both directions.
 func (c *conversation) run(t *testing.T) []byte {
 	t.Helper()
 	in, toHost := io.Pipe()
@@ -186,7 +188,7 @@
 				t.Fatal(err, <-result)
 			}
 			c.out.WriteString(line)
-			c.answer(line, attempts)
+			c.handleReply(line, attempts)
 		}
 	}
 	toHost.Close()
@@ -196,7 +198,7 @@
 	return c.out.Bytes()
 }
 
-// The bytes on the simulator's wire, and with them every decision of two balancers, are those of
+// The text in both directions, and therefore every decision of the two balancers, is the same as in
 // the recorded conversation.
 func TestConversationIsAsRecorded(t *testing.T) {
 	const path = "testdata/conversation.golden"
@@ -217,8 +219,8 @@
 	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
 	for i := range min(len(gotLines), len(wantLines)) {
 		if gotLines[i] != wantLines[i] {
-			t.Fatalf("line %d: %q, recorded is %q", i+1, gotLines[i], wantLines[i])
+			t.Fatalf("line %d: %q, want %q as recorded", i+1, gotLines[i], wantLines[i])
 		}
 	}
-	t.Fatalf("%d lines, recorded are %d", len(gotLines), len(wantLines))
+	t.Fatalf("%d lines, want %d as recorded", len(gotLines), len(wantLines))
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Simhost runs balancers for the simulator: it reads batches of events on standard input and writes
-// one reply a batch to standard output. The balancers share no state, and every decision is theirs.
+// Simhost runs one balancer for each instance in the simulator. It reads batches of events from
+// standard input and writes one reply for each batch to standard output. The balancers share no
+// state, and simhost itself makes no decisions.
 package main
 
 import (
@@ -24,18 +25,18 @@
 	}
 }
 
-// run handles the batches of in until it ends, and writes the replies to out.
+// run handles the batches that it reads from in, until its end, and writes the replies to out.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	return reader.Run(&host{out: out, reader: reader, balancers: map[int]*balancer.Balancer{}})
 }
 
-// host is a wire.Handler that owns the balancers of all instances.
+// host implements wire.Handler with one balancer for each instance.
 type host struct {
 	out       io.Writer
 	reader    *wire.Reader
 	reply     wire.Reply                 // of the current batch
-	balancers map[int]*balancer.Balancer // by instance, while it runs
+	balancers map[int]*balancer.Balancer // of the running instances, by instance index
 }
 
 var _ wire.Handler = (*host)(nil)
@@ -59,7 +60,7 @@
 func (h *host) Instance(instance int) (balancer.Events, error) {
 	b, ok := h.balancers[instance]
 	if !ok {
-		return nil, fmt.Errorf("instance %d was never started", instance)
+		return nil, fmt.Errorf("instance %d is not running", instance)
 	}
 	return b, nil
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// start begins a batch in which instance 3 starts and is sent a list of one endpoint.
+// start begins a batch in which instance 3 starts and receives a list of one endpoint.
 const start = "CLOCK\tAtTimeUs=1000\nSWITCH_TO\tSidecar=3\nSTART\tRandomSeed=9\tConfig={\"Lanes\":[{\"Name\":\"c\"," +
 	"\"Semantics\":\"read_like\",\"OnTimeUs\":1000000}]}\nLEDGER\tRef=0\tHosts=1\nENDPOINT\tPhase=ready\tEndpoint=h:1\n" +
 	"REGISTRY\tMode=C\tGen=1\tRef=0\n"
@@ -34,11 +34,11 @@
 	}
 }
 
-func TestAStoppedInstanceIsUnknown(t *testing.T) {
+func TestMessageForStoppedInstanceIsAnError(t *testing.T) {
 	for _, after := range []string{"BELL\tMark=0\n", "SHUTDOWN\n"} {
 		var out bytes.Buffer
 		err := run(strings.NewReader(start+"SHUTDOWN\n"+after), &out)
-		if err == nil || !strings.Contains(err.Error(), "never started") {
+		if err == nil || !strings.Contains(err.Error(), "is not running") {
 			t.Errorf("%q after SHUTDOWN: %v", after, err)
 		}
 		if out.Len() > 0 {
