--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -33,8 +33,8 @@
 	// Version is the version of the endpoint list that the caller has; nil: the Client fetches the
 	// complete list.
 	Version *int64
-	// DrainGrace is how long a draining endpoint may still be sent requests; 0: one second. It
-	// sets the timing unless WaitForSubscribe does.
+	// DrainGrace is how long a draining endpoint may still be sent requests; 0: one second. The
+	// timeouts and the backoff depend on it unless WaitForSubscribe is set.
 	DrainGrace time.Duration
 
 	// OnUpdate is called with each message, by the goroutine of Run.
--- a/internal/discovery/watch/drain_test.go
+++ b/internal/discovery/watch/drain_test.go
@@ -25,7 +25,7 @@
 
 func (o *drainObserver) notifiedAt() time.Time { return time.Unix(0, o.notified.Load()) }
 
-// wasNotifiedBy reports whether the client was notified by a time.
+// wasNotifiedBy reports whether the client was notified by the deadline.
 func (o *drainObserver) wasNotifiedBy(deadline time.Time) bool {
 	return o.notified.Load() != 0 && !o.notifiedAt().After(deadline)
 }
--- a/internal/platform/configfile.go
+++ b/internal/platform/configfile.go
@@ -6,9 +6,9 @@
 // sidecar itself reads a RawConfigFile.
 type ConfigFile struct {
 	Name           string         `json:"name"`
-	Listen         string         `json:"listen"`            // host:port for clients
+	Listen         string         `json:"listen"`            // host:port on which the sidecar accepts clients
 	Discovery      string         `json:"discovery"`         // host:port of endpoint discovery
-	AdminAddr      string         `json:"console,omitempty"` // host:port for operators
+	AdminAddr      string         `json:"console,omitempty"` // host:port of the admin interface
 	Seed           string         `json:"seed"`              // random seed, in hexadecimal
 	Limits         ConfigLimits   `json:"limits"`
 	KnownEndpoints EndpointList   `json:"known,omitzero"` // the platform's latest list when the file was written
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -37,7 +37,7 @@
 //	  MayProbe               health checks allowed (not used)
 //	  TryLimit               maximum attempts
 //	  ConnIdleUs             connection idle timeout
-//	Rules                  endpoint behaviour
+//	Rules                  endpoint behavior
 //	  AskWithinUs            poll interval
 //	  ColdUs                 slow-start window
 //	  ColdFrom               slow-start capacity
--- a/internal/platform/headers.go
+++ b/internal/platform/headers.go
@@ -9,7 +9,7 @@
 	DeadlineHeader       = "Req-Deadline-Ms" // how long the sender waits for the response, in ms
 	ClientRetryHeader    = "Req-Retry"       // ClientRetryValue if the request is a retry by the client
 	IdempotencyKeyHeader = "Idempotency-Key"
-	RejectedHeader       = "Srv-Declined" // RejectedValue if the endpoint rejected the request before it ran
+	RejectedHeader       = "Srv-Declined" // RejectedValue if the endpoint rejected the request without running it
 	LoadReportHeader     = "Srv-Load"     // name=value pairs, separated by commas
 )
 
--- a/internal/platform/settingsobject.go
+++ b/internal/platform/settingsobject.go
@@ -73,6 +73,9 @@
 	SlowStartCapacity float64 `json:"ColdFrom"`
 	SlowStartShare    float64 `json:"ColdShare"` // an extension of this project: the platform does not send it
 
-	OverloadMultiple WriteOnly[float64] `json:"FallMultiple"` // load that makes an endpoint collapse, in capacities
-	OverloadWindowUs WriteOnly[int64]   `json:"TipAfterUs"`   // how long an endpoint withstands that load
+	// An endpoint whose load is OverloadMultiple times its capacity withstands it for OverloadWindowUs
+	// before it collapses.
+
+	OverloadMultiple WriteOnly[float64] `json:"FallMultiple"`
+	OverloadWindowUs WriteOnly[int64]   `json:"TipAfterUs"`
 }
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -28,7 +28,7 @@
 	case msgHealthCheck:
 		return r.validateHealthCheck()
 	}
-	return nil // msgText
+	return nil // msgText is ignored
 }
 
 func (r *Reader) handleEndpointList(events balancer.Events) error {
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -11,8 +11,8 @@
 // field is one field of a line, name=value.
 type field struct{ key, value []byte }
 
-// splitFields splits rest, which is a line of the message name without that name, into fields. The
-// settings in a msgStart extend to the end of the line, since they may contain tabs.
+// splitFields splits rest, the part of a line after the message name, into fields. The settings in
+// a msgStart extend to the end of the line, since they may contain tabs.
 func (r *Reader) splitFields(rest []byte, name string) error {
 	r.fields = r.fields[:0]
 	for len(rest) > 0 {
@@ -102,26 +102,26 @@
 	err error
 }
 
-// fail records a new error unless there was one before.
+// fail records a new error unless one is recorded already.
 func (f *fieldParser) fail(format string, args ...any) {
 	f.setError(fmt.Errorf(format, args...))
 }
 
-// setError records err unless there was an error before.
+// setError records err unless an error is recorded already.
 func (f *fieldParser) setError(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
-// integer is like Reader.integer, and records the error.
+// integer returns a field as an int, and records an error.
 func (f *fieldParser) integer(key string, p presence) int {
 	n, err := f.r.integer(key, p)
 	f.setError(err)
 	return n
 }
 
-// micros is like Reader.micros, and records the error.
+// micros returns a field in microseconds as a time.Duration, and records an error.
 func (f *fieldParser) micros(key string, p presence) time.Duration {
 	d, err := f.r.micros(key, p)
 	f.setError(err)
@@ -142,7 +142,8 @@
 	return value
 }
 
-// text is like bytes, and returns a string.
+// text returns the value of a field as a string. Like bytes, it requires a value if the field is
+// required.
 func (f *fieldParser) text(key string, p presence) string { return string(f.bytes(key, p)) }
 
 // id parses the request ID.
