--- a/internal/discovery/file/follow.go
+++ b/internal/discovery/file/follow.go
@@ -19,11 +19,12 @@
 )
 
 // Follow reads the endpoint list from a file, at once and whenever the file changes, and passes it
-// to onUpdate, until ctx ends. While the file cannot be read or is invalid, the previous list stays
-// in use.
+// to onUpdate. While the file cannot be read or is invalid, the previous list stays in use. Follow
+// returns when ctx ends, or at once if the file cannot be watched.
 //
-// Follow calls onStatus with an error if the file cannot be read, is invalid or cannot be watched,
-// and with nil before each call of onUpdate. All calls are made by the goroutine of Follow.
+// Follow calls onStatus with an error if the file cannot be read at first, is invalid or cannot be
+// watched, and with nil before each call of onUpdate. A file that cannot be read later counts as
+// unchanged. All calls are made by the goroutine of Follow.
 func Follow(ctx context.Context, path string, onUpdate func(proxy.EndpointList), onStatus func(error),
 	log *slog.Logger) {
 	apply := func(text []byte) {
--- a/internal/discovery/watch/client.go
+++ b/internal/discovery/watch/client.go
@@ -18,23 +18,23 @@
 )
 
 // warningInterval is the minimum time between two warnings about discovery. While discovery is
-// down, watches fail many times a second.
+// down, watches may fail several times a second.
 const warningInterval = 10 * time.Second
 
 // Options configure a Client.
 type Options struct {
 	// Addr is the host:port of discovery.
 	Addr string
-	// WaitForSubscribe means that no watch is opened before the first call of Subscribe. After that
-	// call the Client keeps a watch open, as it otherwise does from the start. WaitForSubscribe also
-	// means that discovery is one service shared by all instances, and sets the timeouts and the
-	// backoff for such a service.
+	// WaitForSubscribe delays the first watch until Subscribe is called. If it is false, the first
+	// watch is opened at once. From then on the Client always has a watch open or tries to open one.
+	// WaitForSubscribe also means that discovery is one service shared by all instances, and selects
+	// the timeouts and the backoff for such a service.
 	WaitForSubscribe bool
 	// Version is the version of the endpoint list that the caller has; nil: the Client fetches the
 	// complete list.
 	Version *int64
 	// DrainGrace is how long a draining endpoint may still be sent requests; 0: one second. The
-	// timeouts and the backoff depend on it unless WaitForSubscribe is set.
+	// response timeout and the limits of the backoff depend on it unless WaitForSubscribe is set.
 	DrainGrace time.Duration
 
 	// OnUpdate is called with each message, by the goroutine of Run.
@@ -48,9 +48,10 @@
 // Client follows the endpoint list of one discovery address.
 //
 // The platform considers an instance notified of a change as soon as discovery has the change,
-// whether or not the instance has a watch open. Requests to a draining endpoint have to end within
-// the drain grace after that moment. The Client therefore cancels a watch that delivers nothing,
-// and opens the next one, well within the drain grace.
+// whether or not the instance has a watch open. No request may be sent to a draining endpoint later
+// than the drain grace after that moment. The Client therefore cancels a watch that has delivered
+// nothing for 2.5 s. If discovery is a local agent, the response timeout and the maximum backoff
+// are fractions of the drain grace, so that a lost watch is replaced well within it.
 type Client struct {
 	httpClient *http.Client
 	timing     watchTiming
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -32,8 +32,9 @@
 	calls   chan string // query strings of the calls to discovery
 }
 
-// startClient starts a client whose endpoint list has the given version, after configure, if it is
-// not nil, has changed the client. Discovery responds to each call with the next of steps.
+// startClient starts a client that has the endpoint list of the given version. If configure is not
+// nil, it is called before Run to change the client. Discovery responds to each call with the next
+// of steps.
 func startClient(t *testing.T, version int64, configure func(*Client), steps ...testpeer.Step) *testClient {
 	t.Helper()
 	addr, calls := startDiscovery(t, steps...)
--- a/internal/discovery/watch/drain_test.go
+++ b/internal/discovery/watch/drain_test.go
@@ -145,8 +145,8 @@
 }
 
 // drainOnStalledWatch is a drain that the first watch does not deliver, because it stalls after the
-// given beginning. A watch that has been stalled for 6 s counts as having notified the client, so
-// the drain grace ends at that instant.
+// given beginning. The platform treats a watch that has been stalled for 6 s as having delivered
+// the drain. This case is stricter: the drain grace ends, rather than begins, 6 s after the drain.
 func drainOnStalledWatch(beginning string) drainCase {
 	const bound = 6 * time.Second
 	return drainCase{
@@ -161,10 +161,10 @@
 }
 
 // drainAtOutage is a drain that begins when an outage of the agent ends. The outage starts after
-// the time begin.
-func drainAtOutage(newAgent func() *agent, begin, length time.Duration) drainCase {
+// delay and lasts for length.
+func drainAtOutage(newAgent func() *agent, delay, length time.Duration) drainCase {
 	return drainCase{newAgent, func(a *agent, _ time.Duration) time.Time {
-		time.Sleep(begin)
+		time.Sleep(delay)
 		a.down.Store(true)
 		time.Sleep(length)
 		a.draining.Store(true)
@@ -193,7 +193,7 @@
 }
 
 // The platform considers an instance notified as soon as the agent has the change, whether or not a
-// watch is open, and requests have to end within the drain grace after that. However a watch
+// watch is open, and no request may be sent later than the drain grace after that. However a watch
 // stalls, and however long discovery is down, the client must be notified within the grace.
 func TestClientIsNotifiedOfDrainWithinGrace(t *testing.T) {
 	for _, setting := range []time.Duration{0, 800 * time.Millisecond, 2 * time.Second} {
--- a/internal/discovery/watch/sharedservice_test.go
+++ b/internal/discovery/watch/sharedservice_test.go
@@ -139,8 +139,8 @@
 	// If the backoff is reset, the next watch follows after the minimum backoff plus up to half of it
 	// as jitter.
 	const resetInterval = stableAfter + margin + firstBackoff*3/2
-	// If it is not reset, it is at its maximum of 1600 ms from the sixth watch on, minus at most half
-	// of it by jitter.
+	// If it is not reset, it is at its maximum of 1600 ms from the sixth watch on, which jitter
+	// shortens by at most half.
 	const growingCalls = 6
 	const grownInterval = stableAfter - margin + 1600*time.Millisecond/2
 	for name, test := range map[string]struct {
--- a/internal/discovery/watch/stream.go
+++ b/internal/discovery/watch/stream.go
@@ -51,9 +51,10 @@
 	}
 }
 
-// next returns the next message, or nil for an empty line. It drops a message that ends before the
-// newline of its last line, because the next watch delivers that change again. If the text is not
-// JSON, next returns the lines up to the point where that is certain, and the parser rejects them.
+// next returns the next message, or nil for an empty line. If the body ends before the newline of a
+// message's last line, next returns an error and drops the message, because the next watch delivers
+// that change again. A first line that is not the beginning of a JSON value is returned alone, for
+// the parser to reject. After such a beginning, next only counts braces until they are balanced.
 func (r *messageReader) next() ([]byte, error) {
 	r.started, r.remaining = false, maxMessageBytes
 	if r.buffered.Buffered() > 0 { // its first byte has arrived together with the previous message
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -121,8 +121,8 @@
 // applyMessage validates a message, passes it to onUpdate and adopts its version. After an invalid
 // message, or one with changes of a version older than the known one, changes may have been missed.
 // The known version is then discarded, so that the complete list is fetched before the next watch.
-// A version is adopted only along with a call of onUpdate, in the same goroutine, so that it is
-// that of the latest list passed on.
+// The version is set only together with a call of onUpdate, by the same goroutine: a known version
+// is always that of the latest message passed to onUpdate.
 func (c *Client) applyMessage(text []byte) error {
 	list, err := platform.ParseEndpointList(text)
 	if err == nil {
@@ -144,5 +144,5 @@
 		return nil
 	}
 	return &platform.FieldError{Field: "version",
-		Err: fmt.Errorf("changes of version %d do not follow the known version", *list.Version)}
+		Err: fmt.Errorf("changes of version %d do not apply to the endpoint list in use", *list.Version)}
 }
--- a/internal/platform/configfile.go
+++ b/internal/platform/configfile.go
@@ -15,7 +15,8 @@
 	Settings       SettingsObject `json:"settings"`
 }
 
-// ConfigLimits are the resource limits in a ConfigFile; 0 means that a limit is not set.
+// ConfigLimits are the resource limits in a ConfigFile. If a limit is 0, the sidecar uses its
+// default.
 type ConfigLimits struct {
 	Cores    float64 `json:"cores,omitempty"`
 	MemoryMB int     `json:"memory_mb,omitempty"`
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,7 +1,7 @@
 // Package platform defines the names that the platform's protocol uses on the wire, in the
 // sidecar's configuration file and in its environment. Other packages refer to them through the
-// constants and types of this one, and use the usual terms of the field. The table lists the term
-// for each name:
+// constants and types of this one, and otherwise use the usual terms of load balancing. The table
+// lists the names with the terms for them:
 //
 //	on the wire            in the code
 //	Req-Id                 request id
@@ -9,7 +9,7 @@
 //	Req-Deadline-Ms        client timeout, attempt timeout
 //	Req-Retry              client retry
 //	Idempotency-Key        idempotency key
-//	Srv-Declined           rejected by the endpoint before it ran
+//	Srv-Declined           rejected by the endpoint without running the request
 //	Srv-Load               load report
 //	servers, members       endpoint list
 //	full                   complete
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -18,7 +18,7 @@
 	StateRemoved  State = "Gone"
 )
 
-// EndpointState returns the balancer's term for the state. It reports false if the name is unknown.
+// EndpointState returns the balancer.State of that name; ok is false if the name is unknown.
 func (s State) EndpointState() (state balancer.State, ok bool) {
 	switch s {
 	case StateReady:
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -8,5 +8,5 @@
 	EnvDiscovery = "ROUTER_DISCOVERY" // used if the file has no "discovery"
 	EnvAdminAddr = "ROUTER_CONSOLE"   // overrides "console" in the file
 	EnvAcceptFD  = "ROUTER_ACCEPT_FD" // file descriptor of the inherited listening socket
-	EnvSharedDir = "TMPDIR"           // directory shared by all processes of one sidecar
+	EnvSharedDir = "TMPDIR"           // parent of the directory that all processes of one sidecar share
 )
--- a/internal/platform/settingsobject.go
+++ b/internal/platform/settingsobject.go
@@ -6,7 +6,7 @@
 	Instances        int              `json:"NInstances"`
 	Index            int              `json:"Me"`
 	Tier             int              `json:"Tier"`  // index of the instance's tier in Tiers
-	Tiers            []string         `json:"Tiers"` // names of all tiers, from the clients on
+	Tiers            []string         `json:"Tiers"` // names of all tiers, beginning with the one that clients send to
 	Classes          []ClassSettings  `json:"Lanes"`
 	Tenants          []TenantSettings `json:"Accounts"`
 	Discovery        string           `json:"Discovery"` // a discovery mode
@@ -39,8 +39,8 @@
 	NonIdempotent    = "non_idempotent"
 )
 
-// Values of ClassSettings.KeyScope: which endpoints together drop duplicates of a request with an
-// idempotency key.
+// Values of ClassSettings.KeyScope: which endpoints share their record of idempotency keys, so that
+// each of them drops a duplicate request.
 const (
 	KeyScopeAll  = "all" // the default
 	KeyScopeZone = "zone"
--- a/internal/subset/filter.go
+++ b/internal/subset/filter.go
@@ -14,14 +14,14 @@
 //
 // An endpoint that leaves the subset while it is ready is delivered as balancer.Removed: it gets no
 // new requests, and those in flight complete. When an endpoint in the subset begins to drain,
-// another one replaces it at once. The draining endpoint is still delivered, until the list removes
-// it.
+// another one replaces it at once. The draining endpoint stays in the instance's list until the
+// endpoint list removes it.
 //
 // A Filter is not safe for concurrent use.
 type Filter struct {
 	spec        Spec
 	specChanged bool                      // whether spec was changed since the latest update
-	added       map[string]bool           // endpoints added to ring since the subset was last selected
+	added       map[string]bool           // endpoints added to ring by the current update
 	ring        Ring                      // ready endpoints
 	all         map[string]proxy.Endpoint // the complete list, by id
 	delivered   map[string]proxy.Endpoint // endpoints as last delivered to the instance, by id
@@ -29,13 +29,15 @@
 
 // Spec determines the subset of an instance.
 type Spec struct {
-	Position  Position
-	Size      int // number of endpoints; 0: all
-	Instances int // of the fleet, if known: few instances get larger subsets, so that these cover all endpoints
+	Position Position
+	Size     int // number of endpoints; 0: all
+	// Instances is the number of instances of the fleet, if known. If it is small, but more than 1,
+	// subsets are larger than Size, so that together they cover all endpoints.
+	Instances int
 }
 
-// minInstancesPerEndpoint is the minimum number of subsets that contain an endpoint, on average, if
-// the number of instances is known.
+// minInstancesPerEndpoint is the minimum number of instances for each endpoint, on average, if
+// several instances are known. Each of 2 or 3 instances gets all endpoints.
 const minInstancesPerEndpoint = 3
 
 // SizeOf returns the size of the subset if there are n endpoints.
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -95,18 +95,20 @@
 type rank int
 
 const (
-	rankAdded    rank = iota // new on the ring, and within the range of From
-	rankSelected             // in the earlier subset, and within the range of From or close to it
-	rankInRange              // within the range of From
+	rankAdded    rank = iota // new on the ring, and in the range of the position (see Select)
+	rankSelected             // in the earlier subset, and in the range or close to it
+	rankInRange              // in the range
 )
 
-// Select is like From for an instance that already has a subset. An endpoint stays in the subset
-// until it is outside the range of From by more than half of size. An endpoint that is added or
-// removed shifts all endpoints after it by one. Without this tolerance every subset would change,
-// and instances would not be spread more evenly.
+// Select is like From for an instance that already has a subset. The range of a position is the
+// size endpoints that follow it. An endpoint of the earlier subset is preferred while it is outside
+// that range by at most half of size, or at most half of the endpoints that are outside, if these
+// are fewer. An endpoint that is added or removed shifts all endpoints after it by one. Without
+// this tolerance every subset would change, and instances would not be spread more evenly.
 //
-// Selected reports whether an endpoint is in the earlier subset. Added reports whether it is new on
-// the ring: new endpoints are selected first, so that they get as many instances as the others.
+// The function selected reports whether an endpoint is in the earlier subset, and added whether it
+// is new on the ring. New endpoints in the range come first, so that they get as many instances as
+// the others.
 func (r *Ring) Select(p Position, size int, selected, added func(id string) bool) []string {
 	size = min(size, len(r.members))
 	if size == 0 {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -133,8 +133,9 @@
 	return update
 }
 
-// checkKnown checks that an instance knows endpoints as they are listed, and that it knows exactly
-// those draining endpoints that it knew before.
+// checkKnown checks that an instance knows endpoints as they are listed, that it still knows the
+// listed draining endpoints that it knew before, and, unless size is 0 (all endpoints), that it
+// knows no other draining ones.
 func checkKnown(t *rapid.T, listed, before, known endpointMap, size int) {
 	for id, e := range known {
 		if listed[id] != e {
@@ -216,7 +217,8 @@
 }
 
 // While half of all endpoints are replaced one after another, subsets change little more than
-// necessary, and endpoints stay in similar numbers of subsets.
+// necessary. Each endpoint stays in at least one subset, and in at most three times the mean number
+// of subsets.
 func TestRollingReplacementChangesFewSubsets(t *testing.T) {
 	const instances, n, size = 60, 120, 10
 	f := newFleet(instances, size)
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -114,14 +114,15 @@
 	}
 }
 
-// integer returns a field as an int, and records an error.
+// integer returns a field as an int. It records an error if the field is invalid, or required and
+// missing.
 func (f *fieldParser) integer(key string, p presence) int {
 	n, err := f.r.integer(key, p)
 	f.setError(err)
 	return n
 }
 
-// micros returns a field in microseconds as a time.Duration, and records an error.
+// micros returns a field in microseconds as a time.Duration. It records the same errors as integer.
 func (f *fieldParser) micros(key string, p presence) time.Duration {
 	d, err := f.r.micros(key, p)
 	f.setError(err)
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -54,7 +54,7 @@
 
 	fieldListNumber = "Ref"   // number of an endpoint list
 	fieldEntryCount = "Hosts" // number of entries in a list
-	fieldListMode   = "Mode"  // one of modeFailed to modeChanges
+	fieldListMode   = "Mode"  // modeFailed, modeComplete, modeFull or modeChanges
 	fieldVersion    = "Gen"   // version of a list; not used
 
 	fieldZone    = "Zone"
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -41,7 +41,7 @@
 
 func (r *recorder) Instance(i int) (balancer.Events, error) {
 	if _, ok := r.started[i]; !ok {
-		return nil, errors.New("never started")
+		return nil, errors.New("not running")
 	}
 	return r, nil
 }
@@ -170,9 +170,9 @@
 		{"a field without a name", startInstance3 + "BELL\t=5\n", "line 4: BELL has a field that is not name=value"},
 		{"a line without a name", startInstance3 + "\tMark=1\n", "line 4: no message name"},
 		{"an event before SWITCH_TO", "CLOCK\tAtTimeUs=1\nBELL\tMark=1\n", "line 2: BELL before any SWITCH_TO"},
-		{"an instance never started",
+		{"an instance that is not running",
 			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=4\nBELL\tMark=1\n",
-			"line 3: BELL: never started"},
+			"line 3: BELL: not running"},
 		{"an instance that is no number",
 			"CLOCK\tAtTimeUs=1\nSWITCH_TO\tSidecar=x\n",
 			`line 2: Sidecar="x" is not an unsigned 64-bit number`},
