--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,6 +1,7 @@
-// Package platform holds the names of the platform's protocol: what stands on the wire, in the
-// sidecar's configuration and in its environment. It is the only place that spells them. Everywhere
-// else the code uses the terms of the field, which stand beside each name here:
+// Package platform defines the names that the platform's protocol uses on the wire, in the
+// sidecar's configuration file and in its environment. Other packages refer to them through the
+// constants and types of this one, and otherwise use the usual terms of load balancing. The table
+// lists the names with the terms for them:
 //
 //	on the wire            in the code
 //	Req-Id                 request id
@@ -8,7 +9,7 @@
 //	Req-Deadline-Ms        client timeout, attempt timeout
 //	Req-Retry              client retry
 //	Idempotency-Key        idempotency key
-//	Srv-Declined           rejected by the endpoint before it ran
+//	Srv-Declined           rejected by the endpoint without running the request
 //	Srv-Load               load report
 //	servers, members       endpoint list
 //	full                   complete
@@ -36,7 +37,7 @@
 //	  MayProbe               health checks allowed (not used)
 //	  TryLimit               maximum attempts
 //	  ConnIdleUs             connection idle timeout
-//	Rules                  endpoint behaviour
+//	Rules                  endpoint behavior
 //	  AskWithinUs            poll interval
 //	  ColdUs                 slow-start window
 //	  ColdFrom               slow-start capacity
@@ -47,9 +48,9 @@
 //	console                admin address
 //	sockets                descriptors
 //
-// The types of JSON messages serve both directions: sidecars decode them, and stand-ins for the
-// platform, in tests and experiments, write them. Fields that only stand-ins need are WriteOnly.
-// Golden tests hold every form to literal text.
+// The types of JSON messages are used in both directions: sidecars decode them, and the fake
+// platforms of tests and experiments encode them. Fields that only the fake platforms need are of
+// type WriteOnly. Golden tests compare the encoding of every type with literal text.
 //
-// The simulator's line protocol, which uses other names for the same events, is package wire.
+// Package wire implements the simulator's line protocol, which has other names for the same events.
 package platform
