--- a/internal/connpool/upload.go
+++ b/internal/connpool/upload.go
@@ -70,14 +70,14 @@
 
 // piece returns the part of the buffer that a piece of the body is read into.
 func (w *uploadWriter) piece() []byte {
-	return w.buffer[http1.ChunkHead : http1.ChunkHead+http1.BufferSize]
+	return w.buffer[http1.ChunkHeadSize : http1.ChunkHeadSize+http1.BufferSize]
 }
 
 // framedPiece returns the first n bytes of piece as they are written: as a chunk if the length of
 // the body is unknown.
 func (w *uploadWriter) framedPiece(n int) []byte {
 	if w.upload.Length < 0 {
-		return http1.AppendChunkFraming(w.buffer, n)
+		return http1.FrameChunk(w.buffer, n)
 	}
 	return w.piece()[:n]
 }
@@ -154,7 +154,7 @@
 // has to be computed again during the write, since the client's deadline is not fixed before the
 // client has sent all of its body.
 func (w *uploadWriter) stallDeadline(start time.Time) time.Time {
-	return earlier(start.Add(http1.MaxReadIdle), w.request.clientDeadline())
+	return earlier(start.Add(http1.StreamIdleTimeout), w.request.clientDeadline())
 }
 
 // earlier returns the earlier of two times.
--- a/internal/http1/body_test.go
+++ b/internal/http1/body_test.go
@@ -129,9 +129,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var text, want bytes.Buffer
 		for _, data := range rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 1, 300), 0, 20).Draw(t, "chunks") {
-			b := make([]byte, ChunkHead+len(data)+ChunkTail)
-			copy(b[ChunkHead:], data)
-			text.Write(AppendChunkFraming(b, len(data)))
+			b := make([]byte, ChunkHeadSize+len(data)+ChunkTailSize)
+			copy(b[ChunkHeadSize:], data)
+			text.Write(FrameChunk(b, len(data)))
 			want.Write(data)
 		}
 		text.WriteString(LastChunk + "next")
--- a/internal/http1/chunkencoder.go
+++ b/internal/http1/chunkencoder.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// The maximum lengths of a chunk's framing, in bytes.
+// The space that FrameChunk needs around the data of a chunk, in bytes.
 const (
-	ChunkHead = 8 + 2 // before the data: the size in hexadecimal, CR LF
-	ChunkTail = 2     // after the data: CR LF
+	ChunkHeadSize = 8 + 2 // before the data: up to eight hexadecimal digits, CR LF
+	ChunkTailSize = 2     // after the data: CR LF
 )
 
-// LastChunk ends a chunked body that has no trailers.
+// LastChunk ends a chunked body that has no trailer fields.
 const LastChunk = "0\r\n\r\n"
 
 // BufferSize is the maximum number of bytes of a streamed body that are buffered between its two
 // connections.
 const BufferSize = 32 << 10
 
-// MaxReadIdle is how long a peer may neither send nor receive a byte of a streamed body. A peer may
-// need seconds for a part of it.
-const MaxReadIdle = 12 * time.Second
+// StreamIdleTimeout is the time within which a peer must send or receive the next part of a
+// streamed body. A slow peer may need seconds for one part.
+const StreamIdleTimeout = 12 * time.Second
 
-// Buffers has buffers for streamed bodies: *[]byte with space for a chunk of BufferSize bytes and
-// its framing.
+// Buffers is a pool of buffers for streamed bodies. Its values are of type *[]byte and have space
+// for a chunk of BufferSize bytes and its framing.
 var Buffers = sync.Pool{New: newBuffer}
 
 func newBuffer() any {
-	b := make([]byte, ChunkHead+BufferSize+ChunkTail)
+	b := make([]byte, ChunkHeadSize+BufferSize+ChunkTailSize)
 	return &b
 }
 
-// AppendChunkFraming makes a chunk of the n bytes of data that start at b[ChunkHead], and returns
-// the part of b that is the chunk. There must be ChunkTail bytes after the data.
-func AppendChunkFraming(b []byte, n int) []byte {
-	head := strconv.AppendUint(make([]byte, 0, ChunkHead), uint64(n), 16)
+// FrameChunk writes the framing of a chunk around the n bytes of data that start at
+// b[ChunkHeadSize], and returns the part of b that is the chunk. b must have ChunkTailSize bytes
+// after the data.
+func FrameChunk(b []byte, n int) []byte {
+	head := strconv.AppendUint(make([]byte, 0, ChunkHeadSize), uint64(n), 16)
 	head = append(head, "\r\n"...)
-	start := ChunkHead - len(head)
+	start := ChunkHeadSize - len(head)
 	copy(b[start:], head)
-	copy(b[ChunkHead+n:], "\r\n")
-	return b[start : ChunkHead+n+ChunkTail]
+	copy(b[ChunkHeadSize+n:], "\r\n")
+	return b[start : ChunkHeadSize+n+ChunkTailSize]
 }
--- a/internal/httpserver/responsestream.go
+++ b/internal/httpserver/responsestream.go
@@ -72,7 +72,7 @@
 func (c *conn) copyStream(response *proxy.Response, framing bodyFraming) bool {
 	buffer := http1.Buffers.Get().(*[]byte)
 	defer http1.Buffers.Put(buffer)
-	data := (*buffer)[http1.ChunkHead : len(*buffer)-http1.ChunkTail]
+	data := (*buffer)[http1.ChunkHeadSize : len(*buffer)-http1.ChunkTailSize]
 	n := copy(data, response.Body)
 	unsent := response.Body[n:] // what of the body was read with its head
 	for ended := false; ; {
@@ -99,13 +99,13 @@
 	}
 }
 
-// writeStreamPart writes the output, the next n bytes of a body, which start at http1.ChunkHead in
-// the buffer, and the tail. It reports whether all was written.
+// writeStreamPart writes the output, the next n bytes of a body, and the tail. The bytes of the
+// body start at http1.ChunkHeadSize in the buffer. It reports whether everything was written.
 func (c *conn) writeStreamPart(buffer []byte, n int, framing bodyFraming, tail string) bool {
-	data := buffer[http1.ChunkHead : http1.ChunkHead+n]
+	data := buffer[http1.ChunkHeadSize : http1.ChunkHeadSize+n]
 	switch {
 	case n > 0 && framing == framedByChunks:
-		c.output = append(c.output, http1.AppendChunkFraming(buffer, n)...)
+		c.output = append(c.output, http1.FrameChunk(buffer, n)...)
 	case len(c.output) > 0:
 		c.output = append(c.output, data...)
 	}
@@ -120,12 +120,13 @@
 	return true
 }
 
-// writePart writes a part of a response. A client may take http1.MaxReadIdle to read it.
+// writePart writes a part of a response. The client has http1.StreamIdleTimeout to read
+// it.
 func (c *conn) writePart(part []byte) bool {
 	if len(part) == 0 {
 		return true
 	}
-	if c.netConn.Conn.SetWriteDeadline(deadlineAfter(http1.MaxReadIdle)) != nil {
+	if c.netConn.Conn.SetWriteDeadline(deadlineAfter(http1.StreamIdleTimeout)) != nil {
 		return false
 	}
 	c.writeDeadlineSet = time.Time{}
