--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -18,7 +18,7 @@
 // Route implements httpserver.Router. One generation decides the route, the limits and the pool of
 // a request, and stays in use until the request has been answered.
 func (l *listener) Route(r *http.Request) (httpserver.Target, *httpserver.Rejection) {
-	if err := route.Check(r.URL.EscapedPath()); err != nil {
+	if err := route.CheckPath(r.URL.EscapedPath()); err != nil {
 		rejection := &httpserver.Rejection{Status: http.StatusBadRequest, Message: err.Error(), Close: true}
 		return httpserver.Target{}, rejection
 	}
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -31,7 +31,7 @@
 	if strings.Contains(strings.TrimSuffix(m.Path, "/*"), "*") {
 		return pathError(`%q has a star elsewhere than in a last "/*"`, m.Path)
 	}
-	return Check(strings.TrimSuffix(m.Path, "*"))
+	return CheckPath(strings.TrimSuffix(m.Path, "*"))
 }
 
 // isHostPattern reports whether a pattern is empty, a name in lower case, or "*." and such a name.
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -5,11 +5,13 @@
 // maxDecodings is how many times a server may decode a path before it removes the dot segments.
 const maxDecodings = 2
 
-// Check returns a *SyntaxError for an ambiguous path, as encoded in the request: an endpoint might
-// interpret it as the path of a route other than the one found for it. RFC 3986 (6.2.2) calls some
-// of these forms equivalent, and servers disagree on all of them: dot segments, empty segments,
-// backslashes, encoded separators and encoded letters.
-func Check(escaped string) error {
+// CheckPath returns a *SyntaxError if a path, as encoded in the request, is ambiguous: an endpoint
+// might interpret it as the path of a route other than the one found for it.
+//
+// Ambiguous paths contain dot segments, empty segments, backslashes, encoded separators or encoded
+// letters. RFC 3986 (6.2.2) defines some of these as equivalent to other forms, but servers
+// disagree on all of them.
+func CheckPath(escaped string) error {
 	if err := checkSegments(escaped); err != nil {
 		return err
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -177,12 +177,12 @@
 func TestAmbiguousPathsAreRejected(t *testing.T) {
 	for _, path := range append(ambiguousPaths, "//a", "/a//b", "/a%2Fb", "/a%5Cb", "/a\\b", "/%61", "/a%2Db", "/a/%7E") {
 		var syntax *SyntaxError
-		if err := Check(path); !errors.As(err, &syntax) || syntax.Field != FieldPath {
+		if err := CheckPath(path); !errors.As(err, &syntax) || syntax.Field != FieldPath {
 			t.Errorf("%q: %v, want a SyntaxError of the path", path, err)
 		}
 	}
 	for _, path := range []string{"/", "/a", "/a/", "/a.b/c..d/...", "/a/%20%C3%A4", "/a;v=1/b", "/~a/-_"} {
-		if err := Check(path); err != nil {
+		if err := CheckPath(path); err != nil {
 			t.Errorf("%q: %v", path, err)
 		}
 	}
@@ -207,7 +207,7 @@
 		f.Add(path)
 	}
 	f.Fuzz(func(t *testing.T, path string) {
-		if Check(path) != nil {
+		if CheckPath(path) != nil {
 			return
 		}
 		u, err := url.ParseRequestURI(path)
