--- a/internal/httpserver/accept.go
+++ b/internal/httpserver/accept.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// Backoff after a failure to accept a connection. A client's deadline may be a few tenths of a
-	// second, so the longest backoff is a small part of that.
+	// Bounds of the backoff after a failed accept. A client's deadline may be as short as a few
+	// tenths of a second, so the maximum is a small fraction of that.
 	minAcceptBackoff = 2 * time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
 
-	// acceptLogInterval is the minimum time between two log lines about failures to accept.
+	// acceptLogInterval is the minimum time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
 )
 
-// finalAcceptErrors are the errors after which a listener can never accept again: it is closed, its
-// deadline has passed, or its descriptor is not a listening socket. All other errors are transient:
-// a lack of descriptors or memory, a firewall's rule, and errors of the connection's network, which
-// accept(2) says to treat like EAGAIN.
+// finalAcceptErrors are the errors after which a listener can never accept again: it is closed,
+// its deadline has passed, or its descriptor is not a listening socket. All other errors are
+// transient: a lack of descriptors or memory, a firewall rule, and pending network errors of the
+// new connection, which accept(2) says to treat like EAGAIN.
 var finalAcceptErrors = []error{
 	net.ErrClosed, os.ErrDeadlineExceeded, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT,
 }
@@ -35,18 +35,19 @@
 	return slices.ContainsFunc(finalAcceptErrors, func(final error) bool { return errors.Is(err, final) })
 }
 
-// acceptBackoff is the backoff between failures to accept. It is used by one goroutine.
+// acceptBackoff computes the delays between the retries of a failing accept. It is not safe for
+// concurrent use.
 type acceptBackoff struct {
 	log      *slog.Logger
 	next     time.Duration
-	loggedAt time.Time // zero: never
+	loggedAt time.Time // time of the latest log line; zero: never logged
 }
 
-// reset ends a series of failures: a connection was accepted.
+// reset returns to the minimum backoff after a connection was accepted.
 func (b *acceptBackoff) reset() { b.next = 0 }
 
-// wait waits before the next attempt and returns true, or returns false at once after a final
-// error.
+// wait sleeps for the backoff that follows err and returns true. If err is final, it returns false
+// at once.
 func (b *acceptBackoff) wait(err error) bool {
 	if isFinalAcceptError(err) {
 		return false
@@ -66,8 +67,9 @@
 	backoff acceptBackoff
 }
 
-// NewRetryingListener returns a listener whose Accept fails only if l can never accept again. It is
-// for servers that end at the first error. Accept must not be called concurrently.
+// NewRetryingListener returns a listener whose Accept fails only if l can never accept again. It
+// is for servers that stop at the first error of Accept, as net/http's does. Accept must not be
+// called concurrently.
 func NewRetryingListener(l net.Listener, log *slog.Logger) net.Listener {
 	return &retryingListener{Listener: l, backoff: acceptBackoff{log: log}}
 }
--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -13,7 +13,8 @@
 	"rowancart/internal/platform"
 )
 
-// failingListener fails to accept with each of its errors, in order, and accepts from then on.
+// failingListener fails to accept with each of its errors in order. After that, it accepts
+// connections.
 type failingListener struct {
 	net.Listener
 	mu       sync.Mutex
@@ -32,7 +33,7 @@
 	return l.Listener.Accept()
 }
 
-// listenFailing returns a listener on loopback that fails with the errors first.
+// listenFailing returns a loopback listener whose first accepts fail with the given errors.
 func listenFailing(t *testing.T, failures ...error) *failingListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,22 +44,23 @@
 	return &failingListener{Listener: l, failures: failures}
 }
 
-// transientAcceptErrors are the transient errors of accept(2): of the process, of the machine, and
-// pending errors of a connection's network, which it says to treat like EAGAIN.
+// transientAcceptErrors are the transient errors that accept(2) lists: those of the process and
+// the machine, and pending network errors of the new connection, which it says to treat like
+// EAGAIN.
 var transientAcceptErrors = []error{
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
 	syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.EOPNOTSUPP, syscall.ENETUNREACH,
 }
 
-// A failed accept must not end the server, whatever the error, nor delay a client for long.
+// Transient errors of accept must neither end the server nor delay a client for long.
 func TestServeRetriesFailedAccepts(t *testing.T) {
 	inner := listenFailing(t, transientAcceptErrors...)
 	l := NewListener(inner, 10)
 	served := make(chan error, 1)
 	go func() { served <- New(nil, "test", "h", slog.New(slog.DiscardHandler)).Serve(l) }()
 	began := time.Now()
-	client := http.Client{Timeout: patience}
+	client := http.Client{Timeout: waitTimeout}
 	resp, err := client.Get("http://" + inner.Addr().String() + platform.HealthPath)
 	if err != nil {
 		t.Fatal(err)
@@ -69,12 +71,12 @@
 	}
 	l.Close()
 	if err := <-served; err == nil {
-		t.Error("no error from the server of a closed listener")
+		t.Error("Serve returned no error after its listener was closed")
 	}
 }
 
-// Servers that end at the first error of a listener, as net/http's does, survive transient errors
-// as well.
+// A retrying listener hides transient errors from servers that stop at the first error, as
+// net/http's does.
 func TestRetryingListenerReturnsOnlyFinalErrors(t *testing.T) {
 	inner := listenFailing(t, transientAcceptErrors...)
 	l := NewRetryingListener(inner, slog.New(slog.DiscardHandler))
@@ -90,6 +92,6 @@
 	nc.Close()
 	l.Close()
 	if _, err := l.Accept(); !isFinalAcceptError(err) {
-		t.Errorf("closed listener: %v", err)
+		t.Errorf("Accept of a closed listener returned %v, want a final error", err)
 	}
 }
--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -27,13 +27,13 @@
 			return
 		}
 		defer nc.Close()
-		respondToEach(nc, []byte(served))
+		respondToEach(nc, []byte(okResponse))
 	}()
 	return endpoint.Addr().String()
 }
 
-// respondToEach writes response whenever the end of a request's head has been read, until the
-// connection ends.
+// respondToEach writes response after each request head that it has read, until the connection
+// ends.
 func respondToEach(nc net.Conn, response []byte) {
 	buf, n := make([]byte, 4<<10), 0
 	for {
@@ -70,7 +70,7 @@
 				if id >= 0 { // a repeated id would be rejected
 					strconv.AppendInt(request[id:id], int64(10_000_000+n), 10)
 				}
-				client.SetDeadline(time.Now().Add(patience))
+				client.SetDeadline(time.Now().Add(waitTimeout))
 				if _, err := client.Write(request); err != nil {
 					b.Fatal(err)
 				}
@@ -86,13 +86,13 @@
 	}
 }
 
-// BenchmarkReadBody reads bodies off a connection in memory.
+// BenchmarkReadBody reads request bodies from an in-memory connection.
 func BenchmarkReadBody(b *testing.B) {
 	text := "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 20000\r\n\r\n" + strings.Repeat("x", 20000)
 	in := strings.NewReader(text)
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
-	c := &conn{server: &Server{}, reader: connReader{Conn: &trickleConn{text: in, size: 16 << 10}}}
+	c := &conn{server: &Server{}, reader: connReader{Conn: &piecewiseConn{text: in, size: 16 << 10}}}
 	for b.Loop() {
 		in.Seek(0, io.SeekStart)
 		head, err := c.reader.readHead()
--- a/internal/httpserver/bodybuffers.go
+++ b/internal/httpserver/bodybuffers.go
@@ -3,24 +3,24 @@
 import "sync"
 
 const (
-	bodyBufferSize    = 64 << 10 // bytes
-	minBodyBuffers    = 16       // in the pool, however small its limit
-	bodyQuotaDivisor  = 4        // one body may use a quarter of all buffers
-	maxFreeBuffers    = 16       // cached for reuse
-	defaultBodyMemory = 8 << 20  // bytes
+	bodyBufferSize    = 64 << 10 // bytes of one buffer
+	minBodyBuffers    = 16       // minimum of bodyBufferPool.limit
+	bodyQuotaDivisor  = 4        // one body may use a quarter of bodyBufferPool.limit
+	maxFreeBuffers    = 16       // maximum number of buffers kept for reuse
+	defaultBodyMemory = 8 << 20  // bytes of all buffers in use
 )
 
-// bodyBufferPool provides the buffers of long bodies, for all connections together, and limits how
-// many are in use.
+// bodyBufferPool provides the buffers for the long request bodies of all connections, and limits
+// how many buffers are in use.
 type bodyBufferPool struct {
 	mu    sync.Mutex // guards the fields below
-	limit int        // of inUse
-	inUse int
-	free  [][]byte
+	limit int        // maximum of inUse
+	inUse int        // buffers that get has returned and put has not received
+	free  [][]byte   // kept for reuse
 }
 
-// setLimit sets how many bytes may be in use. Buffers in use beyond that stay until they are
-// returned.
+// setLimit sets how many bytes of buffers may be in use. Buffers that are in use beyond a lower
+// limit stay valid until they are returned.
 func (p *bodyBufferPool) setLimit(bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/httpserver/bodypace.go
+++ b/internal/httpserver/bodypace.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	minBodyRate  = 48 << 10                // bytes a second, on average over a body
-	maxBodyPause = 2200 * time.Millisecond // between two reads of a body
+	minBodyRate  = 48 << 10                // minimum average rate of a body, in bytes per second
+	maxBodyPause = 2200 * time.Millisecond // maximum time between two reads of a body
 
-	// incompleteRequestTimeout leaves time to respond within the 3 s that a client may take for a
-	// complete request.
+	// incompleteRequestTimeout leaves time to respond within the 3 s that a client may take to send
+	// a complete request.
 	incompleteRequestTimeout = 2800 * time.Millisecond
 )
 
-// bodyPace computes the read deadlines of a body from what has been received so far.
+// bodyPace computes the read deadlines of a body from the number of bytes received so far.
 type bodyPace struct {
-	allowance    time.Duration // how far a long body may be behind minBodyRate
+	allowance    time.Duration // extra time for a long body, beyond the time it takes at minBodyRate
 	requestStart time.Time     // when the connection was accepted, or the first byte of the request was read
 	bodyStart    time.Time
-	lastRead     time.Time
-	received     int64 // bytes
+	lastRead     time.Time // when the latest read returned
+	received     int64     // bytes
 }
 
-// nextDeadline returns the time by which more of the body must arrive. A slow start is allowed
-// until incompleteRequestTimeout; after that, a client may pause for maxBodyPause at most.
+// nextDeadline returns the time by which more of the body must arrive. It is never earlier than
+// incompleteRequestTimeout after the start of the request, which allows for a slow start. After
+// that, the client must keep up with minBodyRate and may pause for maxBodyPause at most.
 func (p *bodyPace) nextDeadline() time.Time {
 	deadline := p.bodyStart.Add(time.Duration(p.received) * time.Second / minBodyRate)
 	if p.received >= proxy.MaxBody {
--- a/internal/httpserver/bodypace_test.go
+++ b/internal/httpserver/bodypace_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// secondsAfter returns the instant so many seconds after start.
+// secondsAfter returns the time that is the given number of seconds after start.
 func secondsAfter(start time.Time, seconds float64) time.Time {
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// A client may take 2 s for a head and send its body at 64 kB a second, in pieces; the connection
-// of one that sends no complete request must be closed within 3 s.
+// A client may take 2 s to send the head of a request, and may send the body in pieces at 64 kB
+// per second. If the request stays incomplete, the connection must be closed within 3 s.
 func TestBodyPace(t *testing.T) {
 	requestStart := time.Unix(1_800_000_000, 0)
 	for _, row := range []struct {
@@ -45,7 +45,7 @@
 			p.lastRead = now
 		}
 		if allowed != row.allowed {
-			t.Errorf("%s: allowed %v, after %d bytes", row.name, allowed, p.received)
+			t.Errorf("%s: allowed is %v after %d bytes", row.name, allowed, p.received)
 		}
 	}
 	for _, received := range []int64{0, 4, 30_000} {
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -14,11 +14,11 @@
 
 const (
 	bufferIdleTimeout = time.Second            // an idle connection frees its buffers after this time
-	lingerTimeout     = 500 * time.Millisecond // for the client to read an error before its connection is closed
-	maxLingerBytes    = 256 << 10              // read and discarded meanwhile, of what a rejected client still sends
+	lingerTimeout     = 500 * time.Millisecond // time for the client to read an error before its connection is closed
+	maxLingerBytes    = 256 << 10              // bytes that are read and discarded during lingerTimeout
 )
 
-// conn serves one connection of a client, one request after the other. Its goroutine owns all
+// conn serves the requests of one client connection, one after the other. Its goroutine owns all
 // fields, with two exceptions: the disconnectWatcher is also called from a timer, and while a pool
 // serves a request, the pool queries the socket and reads a streamed body from the reader.
 type conn struct {
@@ -31,9 +31,9 @@
 	lastRequest bool // the current request is the last: its response closes the connection
 
 	requestStart time.Time // when the connection was accepted, or the first byte of its current request was read
-	requestRead  bool      // the head of its current request has been read
+	headRead     bool      // the current request's head has been read, so a response is due
 
-	writeDeadlineSet time.Time // when the write deadline was set last
+	writeDeadlineSet time.Time // when the write deadline was last set
 }
 
 // newConn returns a conn for an accepted connection.
@@ -55,7 +55,7 @@
 	defer nc.Close()
 	c := newConn(s, nc)
 	defer func() {
-		if value := recover(); value != nil { // a fault in one request must not end the process
+		if value := recover(); value != nil { // a panic in one request must not end the process
 			s.log.Error("request panicked", "panic", value, "stack", string(debug.Stack()))
 			c.respondAfterPanic()
 		}
@@ -68,7 +68,7 @@
 		if !c.serveRequest() {
 			return
 		}
-		if !c.reader.hasData() { // otherwise its next request has begun
+		if !c.reader.hasData() { // otherwise the next request is already buffered
 			l.setState(nc, http.StateIdle)
 		}
 		if !c.waitForData() || !c.startRequest() {
@@ -78,10 +78,11 @@
 }
 
 // respondAfterPanic responds to the request whose handling has panicked, unless its response has
-// begun. The request may have been run by an endpoint, so the status must not invite a retry.
+// begun. An endpoint may have processed the request, so the status must not be one that promises
+// clients a safe retry.
 func (c *conn) respondAfterPanic() {
 	_ = c.disconnect.stop()
-	if !c.requestRead || c.netConn.hasWrittenSinceRead() {
+	if !c.headRead || c.netConn.hasWrittenSinceRead() {
 		return
 	}
 	c.reject(nil, closingRejection(http.StatusBadGateway, http.StatusText(http.StatusBadGateway)))
@@ -95,8 +96,8 @@
 }
 
 // waitForData waits for the first byte of the next request and reports whether it has been read. A
-// connection that is idle for longer than bufferIdleTimeout frees its buffers: there may be
-// thousands of idle connections.
+// connection that is idle for longer than bufferIdleTimeout frees its buffers, because there may
+// be thousands of idle connections.
 func (c *conn) waitForData() bool {
 	c.reader.startRequest()
 	if c.reader.hasData() {
@@ -120,12 +121,12 @@
 // serveRequest reads one request and writes its response. It reports whether the connection can
 // carry another request.
 func (c *conn) serveRequest() bool {
-	c.requestRead = false
+	c.headRead = false
 	r, err := c.readRequestHead()
 	if err != nil {
 		return c.rejectHead(r, err)
 	}
-	c.requestRead = true
+	c.headRead = true
 	body, rejection := c.readBody(r)
 	if rejection != nil {
 		return c.reject(r, rejection)
@@ -147,7 +148,7 @@
 	if !errors.As(err, &rejection) {
 		return false
 	}
-	c.requestRead = true
+	c.headRead = true
 	return c.reject(r, rejection)
 }
 
@@ -161,15 +162,15 @@
 	return c.writeResponse(r, responseHead{http.StatusOK, plainTextHeader()}, []byte("ok\n"))
 }
 
-// rejectUnread rejects a request whose body may not have been read to its end: then the connection
-// is closed.
+// rejectUnread rejects a request whose body may not have been read to its end. If it has not, the
+// connection is closed.
 func (c *conn) rejectUnread(r *http.Request, body receivedBody, rejection *Rejection) bool {
 	body.release()
 	rejection.Close = rejection.Close || body.streamed != nil
 	return c.reject(r, rejection)
 }
 
-// forwarding is a routed request on its way through a pool.
+// forwarding is the state of a routed request while its pool serves it.
 type forwarding struct {
 	request *http.Request
 	target  Target
@@ -189,7 +190,7 @@
 	if rejection := c.server.completeMessage(f.message, r, &f.target, body); rejection != nil {
 		return c.rejectUnread(r, body, rejection)
 	}
-	f.call = newCall(r, &f.target, f.message, c.reader.arrivedAt)
+	f.call = newCall(r, &f.target, f.message, c.reader.earliestSentAt)
 	// A request that has just been read may have waited in the kernel's queues, so its client may
 	// have disconnected already.
 	f.call.ClientDisconnected = c.isDisconnected
@@ -204,8 +205,8 @@
 // isDisconnected reports whether the client has disconnected.
 func (c *conn) isDisconnected() bool { return c.socket.isDisconnected() }
 
-// forwardStreamed is forward for a request with a long body: the pool reads the rest of it from the
-// connection.
+// forwardStreamed does the same as forward for a request with a long body. The pool reads the rest
+// of the body from the connection.
 func (c *conn) forwardStreamed(f *forwarding) bool {
 	body, streamed := f.body, f.body.streamed
 	upload, err := streamed.bufferAhead()
@@ -220,7 +221,7 @@
 	}
 	pool := f.target.Pool
 	f.call.Streamed = true
-	f.call.Deadline = pool.Now() - time.Since(c.reader.arrivedAt) + f.message.ClientTimeout
+	f.call.Deadline = pool.Now() - time.Since(c.reader.earliestSentAt) + f.message.ClientTimeout
 	if upload.Remaining != nil {
 		f.call.Deadline = pool.Now() + f.message.ClientTimeout + streamed.timeLimit()
 	}
@@ -242,9 +243,9 @@
 	return c.writeResult(f.request, f.outcome.Result)
 }
 
-// do passes a call to its pool and waits for the result, while it watches whether the client
-// disconnects. The response is written even to a client that has: one that has closed only its
-// sending side may still read it.
+// do passes a call to its pool and waits for the result. It notifies the pool if the client
+// disconnects meanwhile. The response is written even then, because a client that has closed only
+// its sending side may still read it.
 func (c *conn) do(pool *proxy.Pool, call *proxy.Call) proxy.Result {
 	c.disconnect.start(func() { pool.ClientDisconnected(call) })
 	result := pool.Do(call)
@@ -258,12 +259,12 @@
 // returns false. Closing a connection with unread data would reset it, and the client would lose
 // the response.
 func (c *conn) lingeringClose() bool {
-	if half, ok := c.netConn.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+	if halfCloser, ok := c.netConn.Conn.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
 		_ = c.netConn.SetReadDeadline(deadlineAfter(lingerTimeout))
 		_, _ = io.CopyN(io.Discard, c.netConn, maxLingerBytes)
 	}
 	return false
 }
 
-// deadlineAfter returns the instant d from now.
+// deadlineAfter returns the current time plus d.
 func deadlineAfter(d time.Duration) time.Time { return time.Now().Add(d) }
--- a/internal/httpserver/connection_test.go
+++ b/internal/httpserver/connection_test.go
@@ -7,14 +7,13 @@
 	"rowancart/internal/platform"
 )
 
-// panickingRouter is a faulty router.
+// panickingRouter panics on every request.
 type panickingRouter struct{}
 
 // Route implements Router.
-func (panickingRouter) Route(*http.Request) (Target, *Rejection) { panic("planted by a test") }
+func (panickingRouter) Route(*http.Request) (Target, *Rejection) { panic("injected by a test") }
 
-// A request that was read gets its one response, also if its handling panics, and the process goes
-// on.
+// A request whose handling panics must still get a response, and the server must go on serving.
 func TestPanicIsAnsweredWithBadGateway(t *testing.T) {
 	inner := listen(t)
 	startServer(t, NewListener(inner, 10), panickingRouter{})
@@ -24,13 +23,13 @@
 	requireStatus(t, connect(t, inner, healthRequest), http.StatusOK)
 }
 
-// A response closes its connection if the client or the server ends it. A draining server answers
-// pipelined requests first.
+// A response closes its connection if the request could not be parsed, if the client asks for the
+// close, or if the server is draining and no pipelined request follows.
 func TestLastRequestOfConnection(t *testing.T) {
 	type state struct {
 		request  *http.Request
 		draining bool
-		buffered string // behind the request
+		buffered string // data received after the request
 	}
 	keepsOpen := &http.Request{}
 	for name, row := range map[string]struct {
@@ -51,16 +50,16 @@
 		}
 		c := &conn{server: s, reader: connReader{buf: []byte(row.buffered), end: len(row.buffered)}}
 		if c.decideLastRequest(row.request); c.lastRequest != row.want {
-			t.Errorf("%s: last %v, want %v", name, c.lastRequest, row.want)
+			t.Errorf("%s: lastRequest is %v, want %v", name, c.lastRequest, row.want)
 		}
-		c.lastRequest = true // once decided, it stays so
+		c.lastRequest = true // a later request must not reset it
 		if c.decideLastRequest(keepsOpen); !c.lastRequest {
-			t.Errorf("%s: the decision is undone", name)
+			t.Errorf("%s: a later request has reset lastRequest", name)
 		}
 	}
 }
 
-// Up to two empty lines before a request are skipped, however they arrive.
+// Up to two empty lines before a request are skipped. A third one is an error.
 func TestEmptyLinesBeforeRequestAreSkipped(t *testing.T) {
 	inner := listen(t)
 	startServer(t, NewListener(inner, 10), nil)
--- a/internal/httpserver/connreader.go
+++ b/internal/httpserver/connreader.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	initialBufferSize    = 4 << 10 // bytes: enough for most heads, and affordable for each connection
-	maxLeadingEmptyLines = 2       // before a request
+	initialBufferSize    = 4 << 10 // bytes; holds most heads, and is small enough for every connection
+	maxLeadingEmptyLines = 2       // maximum number before a request
 
-	// Data that was unread for minUnreadWait may be followed by data that was sent with it, and has
-	// waited in the client's own buffers. A read that blocks for longer than maxBurstGap waits for
-	// the client to send, not for those buffers.
+	// If data has been unread for minUnreadWait, the client may have sent more data at the same
+	// time, which has waited in the client's own buffers. A read for that data blocks for
+	// maxBurstGap at most. A read that blocks for longer waits for the client to send.
 	minUnreadWait = 20 * time.Millisecond
 	maxBurstGap   = 5 * time.Millisecond
 )
 
 // Errors of reading heads.
 var (
-	errHeadTooLong = errors.New("the head is too long") // longer than proxy.MaxHead
+	errHeadTooLong = errors.New("the head is too long") // it exceeds proxy.MaxHead
 	errBareLF      = errors.New("a line that does not end with CR LF")
 )
 
@@ -38,27 +38,27 @@
 	socket socket // of Conn
 
 	buf   []byte
-	start int // of the data in buf that is not consumed
-	end   int // of the data in buf
+	start int // index of the first byte in buf that is not consumed
+	end   int // index after the last byte of data in buf
 
-	latestAt  time.Time // when the latest data that was read had arrived
-	arrivedAt time.Time // when the request's latest data can have been sent at the earliest; zero: none was read
-	delayed   bool      // the request's data was unread for minUnreadWait or longer
+	lastArrivedAt  time.Time // when the latest data that was read had arrived
+	earliestSentAt time.Time // earliest time at which the request's latest data can have been sent; zero: none was read
+	delayed        bool      // the request's data was unread for minUnreadWait or longer
 }
 
-// startRequest resets the arrival times, unless the beginning of the next request is buffered
-// already.
+// startRequest prepares for the next request. It resets the recorded times, unless the beginning
+// of that request is already buffered.
 func (r *connReader) startRequest() {
 	if r.hasData() {
-		r.delayed = time.Since(r.arrivedAt) >= minUnreadWait
+		r.delayed = time.Since(r.earliestSentAt) >= minUnreadWait
 		return
 	}
-	r.arrivedAt = time.Time{}
+	r.earliestSentAt = time.Time{}
 	r.delayed = false
 }
 
-// Read implements net.Conn and records when the data arrived: it may have been unread while the
-// connection waited to be accepted or the previous request was served.
+// Read implements net.Conn and records when the data arrived. That may be long before the read:
+// the data waits while the connection waits to be accepted or the previous request is served.
 func (r *connReader) Read(p []byte) (int, error) {
 	began := time.Now()
 	n, err := r.Conn.Read(p)
@@ -66,14 +66,14 @@
 		return n, err
 	}
 	now, age := time.Now(), r.socket.unreadAge()
-	r.latestAt = now.Add(-age)
+	r.lastArrivedAt = now.Add(-age)
 	sentLater := now.Sub(began) > maxBurstGap
 	switch {
-	case r.arrivedAt.IsZero():
-		r.arrivedAt = r.latestAt
+	case r.earliestSentAt.IsZero():
+		r.earliestSentAt = r.lastArrivedAt
 		r.delayed = age >= minUnreadWait
 	case !r.delayed || sentLater:
-		r.arrivedAt = r.latestAt
+		r.earliestSentAt = r.lastArrivedAt
 		r.delayed = false
 	}
 	return n, err
@@ -82,10 +82,10 @@
 // buffered returns the data that has been read and not consumed. It is valid until the next read.
 func (r *connReader) buffered() []byte { return r.buf[r.start:r.end] }
 
-// hasData reports whether data has been read that is not consumed.
+// hasData reports whether data has been read and not consumed.
 func (r *connReader) hasData() bool { return r.start < r.end }
 
-// hasCompleteHead reports whether a complete head has been read.
+// hasCompleteHead reports whether a complete head is buffered.
 func (r *connReader) hasCompleteHead() bool { return bytes.Contains(r.buffered(), endOfHead) }
 
 // release frees the buffer. No data may be buffered.
@@ -95,8 +95,8 @@
 	r.end = 0
 }
 
-// readFirstByte waits for data without a buffer, so that an idle connection needs none, and
-// allocates one once data has arrived. It reports whether it has.
+// readFirstByte waits for data without a buffer, so that an idle connection uses no memory for
+// one. Once data has arrived, it allocates a buffer. It reports whether data has arrived.
 func (r *connReader) readFirstByte() bool {
 	var first [1]byte
 	if n, _ := r.Read(first[:]); n == 0 {
@@ -107,7 +107,7 @@
 	return true
 }
 
-// fill reads more data behind what is buffered.
+// fill reads more data and appends it to the buffered data.
 func (r *connReader) fill() error {
 	if !r.hasData() {
 		r.start, r.end = 0, 0
@@ -123,8 +123,8 @@
 	return err
 }
 
-// makeSpace moves the data to the beginning of the buffer, or enlarges the buffer if it is there
-// already.
+// makeSpace moves the data to the beginning of the buffer. If the data is already there, it
+// enlarges the buffer.
 func (r *connReader) makeSpace() {
 	if r.start > 0 {
 		r.end = copy(r.buf, r.buffered())
@@ -137,8 +137,8 @@
 // readHead waits for a complete head and consumes it with its empty line. The head is valid until
 // the next read.
 func (r *connReader) readHead() ([]byte, error) {
-	// scanned is how much of the data has been searched for the end of the head. That end may begin
-	// a few bytes before it.
+	// scanned is the number of bytes that have been searched for the end of the head. The last few
+	// of them are searched again, because they may be the beginning of that end.
 	for emptyLines, scanned := 0, 0; ; {
 		// Some clients send an empty line after a body (RFC 9112, 2.2).
 		for bytes.HasPrefix(r.buffered(), crlf) && emptyLines < maxLeadingEmptyLines {
@@ -152,7 +152,7 @@
 			r.start += size
 			return data[:size], nil
 		}
-		if bytes.Contains(data[max(scanned-1, 0):], []byte("\n\n")) { // some servers end the head here
+		if bytes.Contains(data[max(scanned-1, 0):], []byte("\n\n")) { // some servers take this for the end of the head
 			return nil, errBareLF
 		}
 		if scanned = len(data); scanned >= proxy.MaxHead {
--- a/internal/httpserver/connrejector.go
+++ b/internal/httpserver/connrejector.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	maxConcurrentRejections = 64                     // other connections are closed without a response
+	maxConcurrentRejections = 64                     // beyond that, connections are closed without a response
 	rejectionTimeout        = 200 * time.Millisecond // for reading the request and writing the response
-	maxRejectedBytes        = 64 << 10               // read of what the client has sent
+	maxRejectedBytes        = 64 << 10               // bytes that are read and discarded after the response
 
 	overloadResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\n" +
 		"Content-Type: text/plain; charset=utf-8\r\nContent-Length: 21\r\n\r\ntoo many connections\n"
 )
 
-// connRejector responds with 503 to connections beyond the limit, so that their clients can retry
-// elsewhere at once. Waiting in the kernel's queue would use up their deadlines.
+// connRejector responds with 503 on connections beyond the limit, so that their clients can retry
+// elsewhere at once. Waiting in the kernel's accept queue would use up their deadlines.
 type connRejector struct {
 	slots   chan struct{}  // holds a value for each rejection in progress
 	running sync.WaitGroup // rejections in progress
@@ -54,7 +54,7 @@
 		return
 	}
 	// Closing a connection with unread data would reset it, and the client would lose the response.
-	if half, ok := nc.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+	if halfCloser, ok := nc.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
 		_, _ = io.CopyN(io.Discard, nc, maxRejectedBytes)
 	}
 }
--- a/internal/httpserver/disconnect.go
+++ b/internal/httpserver/disconnect.go
@@ -8,12 +8,12 @@
 // disconnectPollInterval is the time between two checks whether a client is still connected.
 const disconnectPollInterval = 100 * time.Millisecond
 
-// disconnectWatcher detects a client that disconnects before it has its response. It serves one
-// request after the other.
+// disconnectWatcher detects a client that disconnects before it has received its response. It is
+// reused for all requests of a connection.
 //
 // It polls the state of the socket and reads nothing. A read would detect a disconnect sooner, but
-// not behind data that the client has pipelined, nor while reading is paused because an endpoint is
-// slow to accept a body: the end of the stream is hidden behind unread data.
+// only if no unread data precedes the end of the stream. There is unread data if the client has
+// pipelined a request, or while reading is paused because an endpoint is slow to accept a body.
 type disconnectWatcher struct {
 	socket socket
 
@@ -54,8 +54,8 @@
 	}
 }
 
-// stop ends the watch. It reports whether a disconnect was detected: then nothing more may be read
-// from the connection.
+// stop ends the watch. It reports whether a disconnect was detected. After a disconnect, nothing
+// more may be read from the connection.
 func (w *disconnectWatcher) stop() (disconnected bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/httpserver/disconnect_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -8,14 +8,14 @@
 	"rowancart/internal/testpeer"
 )
 
-// watchedConn is a connection, both ends of it, and the watcher of the server's end.
+// watchedConn is the two ends of a connection and a watcher of the server's end.
 type watchedConn struct {
 	watcher *disconnectWatcher
 	server  *net.TCPConn
 	client  *net.TCPConn
 }
 
-// newWatchedConn returns an idle connection that no request is in progress on.
+// newWatchedConn returns an idle connection without a request in progress.
 func newWatchedConn(t *testing.T) watchedConn {
 	t.Helper()
 	idle := acceptIdle(t)
@@ -26,7 +26,7 @@
 	}
 }
 
-// However a client disconnects, it is detected; one that stays connected is not taken for
+// Every kind of disconnect must be detected. A client that stays connected must not be reported as
 // disconnected, whatever it sends.
 func TestDisconnectIsDetected(t *testing.T) {
 	sendAhead := func(client *net.TCPConn) { io.WriteString(client, "unread bytes") }
@@ -36,7 +36,7 @@
 		client.SetLinger(0)
 		client.Close()
 	}
-	// A close with the response unread would be a reset.
+	// Closing with the response unread would send a reset.
 	readResponse := func(client *net.TCPConn) { io.ReadFull(client, make([]byte, len(idleResponse))) }
 	for name, row := range map[string]struct {
 		actions      []func(*net.TCPConn)
@@ -60,21 +60,21 @@
 				act(conn.client)
 			}
 			if row.disconnected {
-				until(t, "the disconnect is detected", conn.watcher.socket.isDisconnected)
+				waitUntil(t, "the disconnect is detected", conn.watcher.socket.isDisconnected)
 				return
 			}
 			if len(row.actions) > 0 {
-				until(t, "the bytes arrive", func() bool { return testpeer.HasUnreadData(conn.server) })
+				waitUntil(t, "the bytes arrive", func() bool { return testpeer.HasUnreadData(conn.server) })
 			}
 			if conn.watcher.socket.isDisconnected() {
-				t.Error("taken for disconnected")
+				t.Error("a connected client is reported as disconnected")
 			}
 		})
 	}
 }
 
-// Once a response has been written, the client's disconnect must not be notified: it would cancel
-// the next request's attempt.
+// Once the watch of a request has been stopped, a disconnect must not be notified: the
+// notification would cancel the attempt of the next request.
 func TestNoDisconnectIsNotifiedAfterStop(t *testing.T) {
 	conn := newWatchedConn(t)
 	w := conn.watcher
@@ -82,10 +82,10 @@
 	w.start(func() { notified++ })
 	conn.client.SetLinger(0)
 	conn.client.Close()
-	until(t, "the disconnect is detected", w.socket.isDisconnected)
+	waitUntil(t, "the disconnect is detected", w.socket.isDisconnected)
 	w.stop()
 	atStop := notified
-	w.poll() // as the previous request's timer may still do
+	w.poll() // the timer of the previous request may still do so
 	if notified != atStop {
 		t.Error("notified after stop")
 	}
--- a/internal/httpserver/drain.go
+++ b/internal/httpserver/drain.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	newConnTimeout    = 2 * time.Second // for the first byte on a new connection, while draining
+	newConnTimeout    = 2 * time.Second // time for the first byte on a new connection while draining
 	drainPollInterval = 10 * time.Millisecond
 
-	// minDrainAccept is how long connections are accepted at least once Drain has begun to close
-	// idle ones: a client whose request crosses such a close retries it on a new connection.
+	// minDrainAccept is the minimum time for which connections are accepted after Drain has begun
+	// to close idle ones. A client that sends a request just as its connection is closed retries it
+	// on a new connection.
 	minDrainAccept = 150 * time.Millisecond
-	// maxDrainAccept is how long connections are accepted at most, if clients keep connecting.
+	// maxDrainAccept is the maximum of that time if clients keep connecting.
 	maxDrainAccept = 3 * minDrainAccept
-	// emptyQueueAfter is how long an accept must have blocked to show that no connection is queued.
+	// emptyQueueAfter is how long an accept must have blocked to show that the kernel's queue is
+	// empty.
 	emptyQueueAfter = 20 * time.Millisecond
 	// lastAcceptMargin is how long before its deadline Drain stops accepting.
 	lastAcceptMargin = 50 * time.Millisecond
 
-	// drainIdleFactor bounds how long connections stay open for another request while draining:
-	// this many times as long as they may be idle.
+	// drainIdleFactor bounds how long a drain keeps connections open for another request: this many
+	// times the maxIdle of Drain.
 	drainIdleFactor = 3
 )
 
@@ -30,7 +32,7 @@
 	return l.Listener.Close()
 }
 
-// Abort closes all connections, also those with a request in progress.
+// Abort closes all connections, including those with a request in progress.
 func (l *Listener) Abort() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,14 +41,14 @@
 	}
 }
 
-// Drain closes all idle connections and then the listener, and returns once all connections have
-// ended, each with the response to its last request. Connections in the kernel's queue are served
+// Drain closes all idle connections and then the listener. It returns once all connections have
+// ended, each after the response to its last request. Connections in the kernel's queue are served
 // too: unless the listener is paused, it is closed only once its queue is empty.
 //
-// A connection that was active within maxIdle stays open for its next request, whose response
-// closes it: no request can cross that close. This ends after drainIdleFactor times maxIdle, when
-// idle connections are closed at once. After deadline, unless it is zero, all connections are
-// aborted.
+// A connection that was active within maxIdle stays open for its next request, and the response to
+// that request closes it, so that the client cannot send a request just as its connection is
+// closed. After drainIdleFactor times maxIdle, idle connections are closed at once. After
+// deadline, unless it is zero, all connections are aborted.
 func (l *Listener) Drain(maxIdle time.Duration, deadline time.Time) error {
 	var err error
 	start := time.Now()
@@ -81,35 +83,35 @@
 	now := time.Now()
 	elapsed := now.Sub(start)
 	switch {
-	case l.isPaused(): // another process accepts
+	case l.isPaused(): // another process accepts the connections
 		return true
 	case !deadline.IsZero() && now.After(deadline.Add(-lastAcceptMargin)):
 		return true
-	case l.waitsForSlot(): // a connection may be queued
+	case l.waitsForSlot(): // connections may be waiting in the kernel's queue
 		return false
-	case elapsed >= maxDrainAccept: // clients that keep connecting must not delay the end
+	case elapsed >= maxDrainAccept: // clients that keep connecting must not delay the drain
 		return true
 	}
 	return elapsed >= minDrainAccept && l.isQueueEmpty(now)
 }
 
-// isPaused reports whether Pause is in force. The caller must hold l.mu.
+// isPaused reports whether the listener is paused. The caller must hold l.mu.
 func (l *Listener) isPaused() bool { return l.resumed != nil }
 
-// waitsForSlot reports whether nothing is accepted because all slots are in use. The caller must
+// waitsForSlot reports whether Accept is blocked because all slots are in use. The caller must
 // hold l.mu.
 func (l *Listener) waitsForSlot() bool {
 	return l.slots != nil && len(l.slots) == cap(l.slots) && l.acceptingSince.IsZero()
 }
 
-// isQueueEmpty reports whether an accept has blocked for so long that no connection can be queued.
-// The caller must hold l.mu.
+// isQueueEmpty reports whether an accept has blocked for so long that no connection can be in the
+// kernel's queue. The caller must hold l.mu.
 func (l *Listener) isQueueEmpty(now time.Time) bool {
 	return !l.acceptingSince.IsZero() && now.Sub(l.acceptingSince) >= emptyQueueAfter
 }
 
-// closeIdle closes the connections that have been idle for at least minIdle, and those that have
-// been new for longer than newConnTimeout. It returns how many are open.
+// closeIdle closes the connections that have been idle for at least minIdle, and new connections
+// that have sent nothing for longer than newConnTimeout. It returns how many connections are open.
 func (l *Listener) closeIdle(minIdle time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/httpserver/drain_test.go
+++ b/internal/httpserver/drain_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-// listen returns a listener on loopback.
+// listen returns a loopback listener.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := io.WriteString(nc, text); err != nil {
 		t.Fatal(err)
 	}
@@ -66,28 +66,27 @@
 	}
 }
 
-// A connection in the kernel's queue is served, though all slots were in use when the shutdown
-// began.
+// A connection in the kernel's queue is served even if all slots are in use when the drain begins.
 func TestDrainServesQueuedConnection(t *testing.T) {
 	const slots = 2
 	inner := listen(t)
 	l := NewWaitingListener(inner, slots, slots)
 	s := startServer(t, l, nil)
-	for range slots { // they send nothing
+	for range slots { // connections on which nothing is sent
 		connect(t, inner, "")
 	}
-	until(t, "all slots are in use", func() bool {
+	waitUntil(t, "all slots are in use", func() bool {
 		open, _ := l.Counts()
 		return open == slots
 	})
 	queued := connect(t, inner, healthRequest)
 	s.StartDraining()
-	go l.Drain(0, time.Now().Add(patience/2))
+	go l.Drain(0, time.Now().Add(waitTimeout/2))
 	requireStatus(t, queued, http.StatusOK)
 }
 
-// A client whose request crosses the close of its connection retries it on a new one, which is
-// still accepted.
+// A client that sends a request just as the drain closes its idle connection retries the request
+// on a new connection, which must still be accepted.
 func TestDrainAcceptsRetryAfterClose(t *testing.T) {
 	inner := listen(t)
 	l := NewListener(inner, 10)
@@ -96,9 +95,9 @@
 	requireStatus(t, idle, http.StatusOK)
 	s.StartDraining()
 	drained := make(chan error, 1)
-	go func() { drained <- l.Drain(0, time.Now().Add(patience/2)) }()
+	go func() { drained <- l.Drain(0, time.Now().Add(waitTimeout/2)) }()
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
-		t.Error("the idle connection is not closed")
+		t.Error("the drain has not closed the idle connection")
 	}
 	requireStatus(t, connect(t, inner, healthRequest), http.StatusOK)
 	if err := <-drained; err != nil {
@@ -106,7 +105,7 @@
 	}
 }
 
-// A drain ends also if Accept is no longer called.
+// A drain ends even if Accept is not called.
 func TestDrainEndsWithoutAcceptLoop(t *testing.T) {
 	l := NewListener(listen(t), 10)
 	drained := make(chan error, 1)
@@ -116,8 +115,8 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
-		t.Error("the drain does not end")
+	case <-time.After(waitTimeout):
+		t.Error("the drain has not ended")
 		l.Close()
 	}
 }
--- a/internal/httpserver/helpers_test.go
+++ b/internal/httpserver/helpers_test.go
@@ -2,13 +2,13 @@
 
 import "rowancart/internal/testpeer"
 
-// The helpers of package testpeer that tests here use most.
+// Short names for helpers of package testpeer.
 const (
-	patience = testpeer.WaitTimeout
-	served   = testpeer.OKResponse
+	waitTimeout = testpeer.WaitTimeout
+	okResponse  = testpeer.OKResponse
 )
 
 var (
-	newEndpoint = testpeer.StartEndpoint
-	until       = testpeer.WaitUntil
+	startEndpoint = testpeer.StartEndpoint
+	waitUntil     = testpeer.WaitUntil
 )
--- a/internal/httpserver/listener.go
+++ b/internal/httpserver/listener.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// Listener accepts the connections of clients and limits their number: beyond the limit it closes
-// the connection that has been idle for longest, and Drain closes all as they become idle.
+// Listener accepts client connections and limits their number. Beyond the limit, it closes the
+// connection that has been idle for longest. Drain closes all connections as they become idle.
 //
 // It never closes a connection on which a request has just been read. The server may be about to
-// read the next request on a connection that is marked idle, so only that read itself may end the
-// connection: see trackedConn.
+// read the next request on a connection that is still marked idle. The listener therefore only
+// interrupts that read, and the connection ends if the read has returned no data: see trackedConn.
 type Listener struct {
 	net.Listener
 
 	rejector  *connRejector // rejects connections beyond maxConns; nil: they are served
-	slots     chan struct{} // holds a value for each open connection; nil: there may be any number
+	slots     chan struct{} // holds a value for each open connection; nil: there is no such limit
 	closed    chan struct{} // closed with the listener
 	closeOnce sync.Once     // closes closed
 
 	mu             sync.Mutex // guards the fields below, and the state of each connection
 	maxConns       int
 	conns          map[*trackedConn]bool
-	rejected       int           // connections, in total
+	rejected       int           // total number of rejected connections
 	resumed        chan struct{} // closed by Resume; nil while the listener is not paused
-	acceptingSince time.Time     // when the accept in progress began; zero: none is
+	acceptingSince time.Time     // when the accept in progress began; zero: no accept is in progress
 }
 
 // NewListener returns a Listener that closes idle connections while there are more than maxConns.
@@ -36,16 +36,17 @@
 	return &Listener{Listener: l, maxConns: maxConns, conns: map[*trackedConn]bool{}, closed: make(chan struct{})}
 }
 
-// NewWaitingListener is like NewListener, and has no more than slots connections open at once.
-// Others wait in the kernel's queue, where they need no file descriptor and are not lost.
+// NewWaitingListener returns a Listener like that of NewListener which has no more than slots
+// connections open at once. Further connections wait in the kernel's queue, where they need no
+// file descriptor and are not lost.
 func NewWaitingListener(l net.Listener, maxConns, slots int) *Listener {
 	waiting := NewListener(l, maxConns)
 	waiting.slots = make(chan struct{}, slots)
 	return waiting
 }
 
-// NewSheddingListener is like NewListener, and rejects a connection at once, with 503, if maxConns
-// are open and none of them is idle.
+// NewSheddingListener returns a Listener like that of NewListener which rejects a new connection
+// at once, with 503, if maxConns are open and none of them is idle.
 func NewSheddingListener(l net.Listener, maxConns int) *Listener {
 	shedding := NewListener(l, maxConns)
 	shedding.rejector = newConnRejector()
@@ -88,10 +89,11 @@
 	}
 }
 
-// setAcceptDeadline sets when the accept in progress ends. The caller must hold l.mu.
+// setAcceptDeadline sets the time at which the accept in progress is interrupted. The caller must
+// hold l.mu.
 func (l *Listener) setAcceptDeadline(deadline time.Time) {
 	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = d.SetDeadline(deadline) // fails if the listener is closed, as accepting will
+		_ = d.SetDeadline(deadline) // fails if the listener is closed; the next accept then fails too
 	}
 }
 
@@ -129,7 +131,7 @@
 	}
 }
 
-// acquireSlot waits for a slot, and returns net.ErrClosed if the listener is closed meanwhile.
+// acquireSlot waits for a slot. It returns net.ErrClosed if the listener is closed meanwhile.
 func (l *Listener) acquireSlot() error {
 	if l.slots == nil {
 		return nil
@@ -158,20 +160,21 @@
 		l.setAccepting(time.Now())
 		nc, err := l.Listener.Accept()
 		l.setAccepting(time.Time{})
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // which Pause causes
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // Pause has interrupted the accept
 			return nc, err
 		}
 	}
 }
 
-// setAccepting records when the accept in progress began, zero for none.
+// setAccepting records when the accept in progress began. Zero means that no accept is in
+// progress.
 func (l *Listener) setAccepting(since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.acceptingSince = since
 }
 
-// register adds a connection to those that are open, or returns nil if it must be rejected.
+// register adds a connection to the open ones. It returns nil if the connection must be rejected.
 func (l *Listener) register(nc net.Conn) *trackedConn {
 	c := &trackedConn{Conn: nc, listener: l, state: http.StateNew, since: time.Now()}
 	l.mu.Lock()
@@ -185,7 +188,7 @@
 	return c
 }
 
-// setState records that a connection is active, idle or closed. A closed one is removed.
+// setState records that a connection is active, idle or closed. A closed connection is removed.
 func (l *Listener) setState(c *trackedConn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,8 +203,8 @@
 	}
 }
 
-// enforceMaxConns closes the connection that has been idle for longest if too many are open. It
-// reports whether the limit holds then. The caller must hold l.mu.
+// enforceMaxConns closes the connection that has been idle for longest if more than maxConns are
+// open. It returns false if too many are open and none of them is idle. The caller must hold l.mu.
 func (l *Listener) enforceMaxConns() bool {
 	if len(l.conns) <= l.maxConns {
 		return true
--- a/internal/httpserver/listener_test.go
+++ b/internal/httpserver/listener_test.go
@@ -10,17 +10,17 @@
 	"rowancart/internal/testpeer"
 )
 
-// idleResponse is what was written to a connection from acceptIdle, and its client has not read.
+// idleResponse is the response on a connection from acceptIdle. The client has not read it.
 const idleResponse = "response"
 
-// idleConn is a connection that is idle after a response: its listener and its two ends.
+// idleConn is the listener and the two ends of a connection that is idle after a response.
 type idleConn struct {
 	listener *Listener
 	server   *trackedConn
 	client   net.Conn
 }
 
-// acceptIdle returns an idle connection.
+// acceptIdle returns a connection that is idle after a response.
 func acceptIdle(t *testing.T) idleConn {
 	t.Helper()
 	l := NewListener(listen(t), 100)
@@ -44,8 +44,8 @@
 	return idleConn{l, c, client}
 }
 
-// Seen under overload with few file descriptors: connections were closed between the read of a
-// request and the moment at which the server marked them active.
+// A connection must not be closed between the read of a request and the moment at which the server
+// marks the connection active. This happened under overload with few file descriptors.
 func TestConnectionWithRequestReadIsNotClosed(t *testing.T) {
 	conn := acceptIdle(t)
 	io.WriteString(conn.client, "re")
@@ -55,7 +55,7 @@
 	conn.listener.closeIdle(0)
 	io.WriteString(conn.client, "st")
 	if n, err := io.ReadFull(conn.server, make([]byte, 2)); n != 2 || err != nil {
-		t.Errorf("the rest of the request: %d bytes, %v", n, err)
+		t.Errorf("read of the rest of the request: %d bytes, %v", n, err)
 	}
 }
 
@@ -68,14 +68,14 @@
 	}()
 	conn.listener.closeIdle(0)
 	if err := <-read; err != io.EOF {
-		t.Errorf("the read in progress: %v", err)
+		t.Errorf("the read in progress returned %v, want EOF", err)
 	}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	if err := conn.server.SetReadDeadline(deadline); err != nil { // as the server does before each read
 		t.Fatal(err)
 	}
 	if _, err := conn.server.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the next read: %v", err)
+		t.Errorf("the next read returned %v, want EOF", err)
 	}
 }
 
@@ -86,25 +86,25 @@
 	recent.listener.closeIdle(0)
 	io.WriteString(recent.client, "r")
 	if n, err := recent.server.Read(make([]byte, 1)); n != 1 || err != nil {
-		t.Errorf("its first byte: %d, %v", n, err)
+		t.Errorf("read of the first byte of a new connection: %d bytes, %v", n, err)
 	}
 	old := acceptIdle(t)
 	old.server.state = http.StateNew
 	old.server.since = time.Now().Add(-2 * newConnTimeout)
 	old.listener.closeIdle(0)
 	if _, err := old.server.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("after the timeout: %v", err)
+		t.Errorf("read after newConnTimeout returned %v, want EOF", err)
 	}
 }
 
-// Seen in the same overload, with half a core: a request that has arrived but was not read yet must
-// not be lost.
+// A request that has arrived but has not been read must not be lost when its connection is closed.
+// This happened under overload with few file descriptors and half a CPU core.
 func TestArrivedRequestIsReadBeforeClose(t *testing.T) {
 	conn := acceptIdle(t)
 	io.WriteString(conn.client, "request")
-	until(t, "the request arrives", func() bool { return testpeer.HasUnreadData(conn.server.Conn.(*net.TCPConn)) })
+	waitUntil(t, "the request arrives", func() bool { return testpeer.HasUnreadData(conn.server.Conn.(*net.TCPConn)) })
 	conn.listener.closeIdle(0)
 	if n, err := conn.server.Read(make([]byte, 7)); n == 0 || err != nil {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("read of the request: %d bytes, %v", n, err)
 	}
 }
--- a/internal/httpserver/proxystatus.go
+++ b/internal/httpserver/proxystatus.go
@@ -7,11 +7,12 @@
 	"rowancart/balancer"
 )
 
-// proxyStatusHeader names the error for which a proxy has generated a response itself (RFC 9209).
+// proxyStatusHeader is the header in which a proxy names the error for which it has generated a
+// response itself (RFC 9209).
 const proxyStatusHeader = "Proxy-Status"
 
-// proxyErrorTypes are RFC 9209's error types (2.3) for the reasons of package balancer. The reason
-// itself goes into the details.
+// proxyErrorTypes maps the reasons of package balancer to the error types of RFC 9209 (2.3). The
+// reason itself is written into the details.
 var proxyErrorTypes = map[balancer.Reason]string{
 	balancer.NoEndpoint:        "destination_unavailable",
 	balancer.NoCapacity:        "connection_limit_reached",
@@ -23,11 +24,11 @@
 	balancer.MayHaveRun:        "connection_terminated",
 }
 
-// limitErrorType is RFC 9209's error type of a request that exceeds a configured limit.
+// limitErrorType is the error type of RFC 9209 for a request that exceeds a configured limit.
 const limitErrorType = "http_request_denied"
 
-// setProxyStatus sets Proxy-Status, unless there is no error type. Apart from spaces, the details
-// must consist of characters that need no escape in a quoted string.
+// setProxyStatus sets Proxy-Status, unless errorType is empty. Spaces in the details are replaced.
+// All other characters of the details must need no escape in a quoted string.
 func (s *Server) setProxyStatus(h http.Header, errorType, details string) {
 	if errorType == "" {
 		return
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	maxRequestIDLength = 256 // bytes
-	maxClientTimeout   = time.Hour
+	maxRequestIDLength = 256       // bytes
+	maxClientTimeout   = time.Hour // maximum deadline that a client may send
 
 	// networkAllowance is the part of a client's deadline that is reserved for transfer: 0.4 ms in
-	// this process (p99), and the round trip on the network.
+	// this process (p99) and the round-trip time on the network.
 	networkAllowance = 10 * time.Millisecond
 )
 
-// readRequestHead reads and validates the head of a request. The error is a *Rejection if the head
-// is not acceptable; the request is nil then if it could not be parsed. Any other error means that
-// the connection was closed or timed out.
+// readRequestHead reads and validates the head of a request. If the head is not acceptable, the
+// error is a *Rejection, and the request is nil if it could not be parsed. Any other error means
+// that the connection was closed or timed out.
 func (c *conn) readRequestHead() (*http.Request, error) {
 	head, err := c.reader.readHead()
 	switch {
@@ -52,7 +52,8 @@
 	return r, nil
 }
 
-// parseHead parses the head of a request, and rejects one that servers could interpret differently.
+// parseHead parses the head of a request. It rejects a head that different servers could interpret
+// differently.
 func parseHead(head []byte) (*http.Request, *Rejection) {
 	if r := http1.ParseRequest(head); r != nil { // a simple head, which is unambiguous
 		return r, nil
@@ -67,15 +68,15 @@
 	return r, nil
 }
 
-// framingFields counts the fields of a head that decide the request's framing and host.
+// framingFields counts the fields of a head that determine the request's framing and host.
 type framingFields struct {
 	hosts             int
 	contentLengths    int
 	transferEncodings int
-	chunked           bool // the last Transfer-Encoding is "chunked" alone
+	chunked           bool // the value of the last Transfer-Encoding is exactly "chunked"
 }
 
-// count counts a field if it decides the framing or the host.
+// count counts a field if it determines the framing or the host.
 func (f *framingFields) count(name, value []byte) {
 	switch {
 	case bytes.EqualFold(name, []byte("Host")):
@@ -114,14 +115,13 @@
 // isControl reports whether a character is a control character other than a tab.
 func isControl(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
-// hasAmbiguousHost reports whether the host is missing or named more than once. HTTP/1.0 requires
-// none.
+// hasAmbiguousHost reports whether Host is missing or repeated. HTTP/1.0 does not require it.
 func (f *framingFields) hasAmbiguousHost(version string) bool {
 	isMissing := f.hosts == 0 && version != "HTTP/1.0"
 	return isMissing || f.hosts > 1
 }
 
-// hasAmbiguousLength reports whether the body's length is given more than once.
+// hasAmbiguousLength reports whether more than one field determines the length of the body.
 func (f *framingFields) hasAmbiguousLength() bool {
 	return f.contentLengths > 1 || f.contentLengths > 0 && f.transferEncodings > 0
 }
@@ -148,15 +148,15 @@
 	return nil
 }
 
-// invalidHostChars are the printable ASCII characters that no host and port contains.
+// invalidHostChars are the printable ASCII characters that are invalid in a host and port.
 const invalidHostChars = `"#/<>?@\^` + "`{|}"
 
-// isHostChar reports whether a byte may be in a host and port.
+// isHostChar reports whether a byte is valid in a host and port.
 func isHostChar(c byte) bool {
 	return c > ' ' && c < 0x7f && strings.IndexByte(invalidHostChars, c) < 0
 }
 
-// validateHost rejects what cannot be a host and port.
+// validateHost rejects a Host with characters that are invalid in a host and port.
 func validateHost(host string) *Rejection {
 	for i := range len(host) {
 		if !isHostChar(host[i]) {
@@ -181,8 +181,9 @@
 // Error implements error.
 func (e *headerError) Error() string { return e.header + ": " + e.problem }
 
-// checkMethod returns an error if a request does not have the form that its class requires: GET
-// without a body for idempotent requests, POST for all others.
+// checkMethod returns an error unless a request has the form that its class requires: GET without
+// a body for idempotent requests, POST for all others. A target with AnyMethod accepts all
+// requests.
 func (t *Target) checkMethod(method string, body receivedBody) error {
 	isBodilessGet := method == http.MethodGet && body.isEmpty()
 	switch {
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// completeMessage completes the message that endpoints get, which has the body already, or rejects
+// completeMessage completes the message for the endpoints, which already has the body. It rejects
 // a request whose method or headers are not acceptable.
 func (s *Server) completeMessage(m *proxy.RequestMessage, r *http.Request, target *Target,
 	body receivedBody) *Rejection {
@@ -212,7 +213,7 @@
 		return closingRejection(http.StatusBadRequest, err.Error())
 	}
 	if target.Idempotency == balancer.IdempotencyKeyed && r.Header.Get(platform.IdempotencyKeyHeader) == "" {
-		// Without a key the endpoints could not recognize a retry.
+		// Without a key, the endpoints could not recognize a retry.
 		err := &headerError{platform.IdempotencyKeyHeader, "missing"}
 		return closingRejection(http.StatusBadRequest, err.Error())
 	}
@@ -228,8 +229,9 @@
 	return nil
 }
 
-// newCall returns the call that a pool is to serve, for a complete message. The time of a call
-// without a streamed body counts from the instant at which the request was received.
+// newCall returns the call with which a pool serves a complete message. The client's timeout
+// starts at received, the time at which the request was received. For a request with a streamed
+// body, the caller replaces the deadline.
 func newCall(r *http.Request, target *Target, m *proxy.RequestMessage, received time.Time) *proxy.Call {
 	return proxy.NewCall(balancer.Request{
 		ID:          m.Header.Get(platform.RequestIDHeader),
@@ -253,8 +255,8 @@
 	return id, nil
 }
 
-// clientTimeout returns how long a request may be served: until the client's deadline or, if the
-// client sends none, the target's default, less the time on the network and at most the target's
+// clientTimeout returns how long a request may be served. That is the client's deadline or, if the
+// client sends none, the target's default, less networkAllowance. It is at most the target's
 // maximum.
 func clientTimeout(h http.Header, target *Target) (time.Duration, error) {
 	timeout := target.DefaultTimeout
@@ -277,7 +279,7 @@
 	return timeout, nil
 }
 
-// singleValue returns the value of a header that must be there exactly once and not be empty.
+// singleValue returns the value of a header that must occur exactly once and not be empty.
 func singleValue(values []string, name string) (string, error) {
 	if len(values) != 1 || values[0] == "" {
 		return "", &headerError{name, "exactly one is wanted"}
--- a/internal/httpserver/request_test.go
+++ b/internal/httpserver/request_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// A class decides which methods and bodies are allowed, unless the router has done so.
+// The class of a request determines which methods and bodies are allowed, unless the router has
+// checked them.
 func TestMethodFitsClass(t *testing.T) {
 	empty, data, streamed := receivedBody{}, receivedBody{data: []byte("x")}, receivedBody{streamed: &streamedBody{}}
 	for _, row := range []struct {
@@ -87,22 +88,23 @@
 	}
 }
 
-// trickleConn is a connection on which a text arrives in pieces of size bytes.
-type trickleConn struct {
+// piecewiseConn is a connection on which a text arrives in pieces of size bytes.
+type piecewiseConn struct {
 	net.Conn
 	text io.Reader
 	size int
 }
 
-func (c *trickleConn) Read(b []byte) (int, error) { return c.text.Read(b[:min(len(b), c.size)]) }
+func (c *piecewiseConn) Read(b []byte) (int, error) { return c.text.Read(b[:min(len(b), c.size)]) }
 
-func (c *trickleConn) SetReadDeadline(time.Time) error { return nil }
+func (c *piecewiseConn) SetReadDeadline(time.Time) error { return nil }
 
 // readRequests reads requests from a text that arrives in pieces of size bytes, until one is
-// rejected or incomplete. It returns their heads and bodies; the last head may have no body.
+// rejected or incomplete. It returns their heads and bodies. There may be no body for the last
+// head.
 func readRequests(t *testing.T, text string, size int) (heads, bodies []string) {
 	t.Helper()
-	c := &conn{server: &Server{}, reader: connReader{Conn: &trickleConn{text: strings.NewReader(text), size: size}}}
+	c := &conn{server: &Server{}, reader: connReader{Conn: &piecewiseConn{text: strings.NewReader(text), size: size}}}
 	for {
 		head, err := c.reader.readHead()
 		if err != nil {
@@ -110,7 +112,7 @@
 		}
 		r, rejection := parseHead(head)
 		if rejection == nil && validateHead(head) != nil {
-			t.Fatalf("%q is parsed though it must be rejected", head)
+			t.Fatalf("%q is parsed, but validateHead rejects it", head)
 		}
 		if rejection != nil || r.ContentLength < 0 || r.ContentLength > proxy.MaxBody {
 			return heads, bodies
@@ -132,7 +134,7 @@
 			text = strings.TrimPrefix(text, "\r\n")
 		}
 		if !strings.HasPrefix(text, head) {
-			t.Fatalf("head %d %q does not begin where the request before it ends", i, head)
+			t.Fatalf("head %d %q does not begin where the previous request ends", i, head)
 		}
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
@@ -144,13 +146,14 @@
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil || string(body) != bodies[i] {
-			t.Fatalf("body %d: %q, to net/http %q, %v", i, bodies[i], body, err)
+			t.Fatalf("body %d: %q, but net/http reads %q, %v", i, bodies[i], body, err)
 		}
 		text = text[len(bodies[i]):]
 	}
 }
 
-// In whatever pieces a text arrives, the same requests are read, and net/http reads the same ones.
+// The requests that are read must not depend on the pieces in which a text arrives, and net/http
+// must read the same ones.
 func FuzzFraming(f *testing.F) {
 	f.Add("GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n", 3)
 	f.Add("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhelloGET /b HTTP/1.1\r\nHost: h\r\n\r\n", 1)
--- a/internal/httpserver/requestbody.go
+++ b/internal/httpserver/requestbody.go
@@ -17,11 +17,11 @@
 	errBodyAbandoned = errors.New("the body was abandoned")
 )
 
-// bodyMemory is a pool of memory for bodies longer than initialBufferSize: *[]byte of proxy.MaxBody
-// bytes.
-var bodyMemory = sync.Pool{New: func() any { b := make([]byte, proxy.MaxBody); return &b }}
+// prefixPool is a pool of buffers for bodies longer than initialBufferSize, or the beginning of
+// such bodies. Its values are of type *[]byte and have a length of proxy.MaxBody bytes.
+var prefixPool = sync.Pool{New: func() any { b := make([]byte, proxy.MaxBody); return &b }}
 
-// bodySource reads a body's bytes, framing included, from a connection, and sets the connection's
+// bodySource reads a body, including its framing, from a connection, and sets the connection's
 // read deadlines. It implements http1.Source.
 type bodySource struct {
 	reader *connReader
@@ -44,7 +44,8 @@
 	return err
 }
 
-// Read implements http1.Source. It reads into p without a copy if nothing is buffered.
+// Read implements http1.Source. If nothing is buffered, it reads from the connection directly into
+// p.
 func (s *bodySource) Read(p []byte) (int, error) {
 	if n := copy(p, s.Buffered()); n > 0 {
 		s.Discard(n)
@@ -61,17 +62,18 @@
 	return n, err
 }
 
-// requestBody is the body of the request that is being served, read from the connection as it
-// arrives. It may be read in another goroutine than the connection's, which ends that with abandon.
+// requestBody is the body of the request that is being served. It is read from the connection as
+// it arrives. A goroutine other than the connection's may read it, until the connection's
+// goroutine calls abandon.
 type requestBody struct {
 	mu        sync.Mutex // held during a read; guards the fields below
 	source    bodySource
 	decoder   *http1.Body
 	abandoned bool
-	err       error // of the read that failed; the client's fault
+	err       error // of a failed read, caused by the client; all later reads return it
 }
 
-// newRequestBody returns a body of length bytes, or of the length http1.Chunked.
+// newRequestBody returns a body of length bytes, or a chunked body if length is http1.Chunked.
 func (c *conn) newRequestBody(length int64) *requestBody {
 	now := time.Now()
 	pace := bodyPace{allowance: c.server.bodyTimeout, requestStart: c.requestStart, bodyStart: now, lastRead: now}
@@ -117,11 +119,11 @@
 	return n, nil
 }
 
-// abandon ends all reads, including one in progress. It reports whether the body was read to its
-// end, and the error of reading it.
+// abandon makes all reads fail, including one in progress. It reports whether the body was read to
+// its end, and returns the error of reading it.
 func (b *requestBody) abandon() (ended bool, err error) {
 	if !b.mu.TryLock() { // a read is in progress
-		_ = b.source.reader.Conn.SetReadDeadline(time.Unix(1, 0)) // the next read sets a deadline of its own
+		_ = b.source.reader.Conn.SetReadDeadline(time.Unix(1, 0)) // any later read sets its own deadline
 		b.mu.Lock()
 	}
 	b.abandoned = true
@@ -129,17 +131,18 @@
 	return b.ended(), b.err
 }
 
-// receivedBody is a request's body as far as readBody has read it.
+// receivedBody is a request's body: the data that readBody has read and, of a long body, the
+// source of the rest.
 type receivedBody struct {
 	data        []byte
-	releaseData func()        // returns data to bodyMemory; nil if data is not from there
+	releaseData func()        // returns data to prefixPool; nil if data is not from there
 	streamed    *streamedBody // nil if data is all of the body
 }
 
 // isEmpty reports whether the body has no bytes.
 func (b receivedBody) isEmpty() bool { return len(b.data) == 0 && b.streamed == nil }
 
-// release returns the memory of the data. The data must not be used any more.
+// release returns the memory of data to its pool. After that, data must not be used.
 func (b receivedBody) release() {
 	if b.releaseData != nil {
 		b.releaseData()
@@ -151,8 +154,8 @@
 	if size <= initialBufferSize {
 		return receivedBody{data: make([]byte, size)}
 	}
-	memory := bodyMemory.Get().(*[]byte)
-	return receivedBody{data: (*memory)[:size], releaseData: func() { bodyMemory.Put(memory) }}
+	memory := prefixPool.Get().(*[]byte)
+	return receivedBody{data: (*memory)[:size], releaseData: func() { prefixPool.Put(memory) }}
 }
 
 // bodyRejection returns the rejection of a request whose body could not be read.
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -11,12 +11,12 @@
 	"rowancart/internal/proxy"
 )
 
-// writeDeadlineReuse is the age up to which a write deadline serves the next response as well:
-// setting one costs more than a small response.
+// writeDeadlineReuse is the time for which later responses reuse a write deadline, because setting
+// a deadline costs more than writing a small response.
 const writeDeadlineReuse = time.Second
 
-// resultStatuses are the statuses of a pool's results. Only a rejection is 503, and nothing is 429:
-// both promise clients that the request has not run.
+// resultStatuses maps the kinds of a pool's results to statuses. Only a rejection is 503, and
+// nothing is 429, because both statuses promise clients that the request has not been processed.
 var resultStatuses = map[proxy.ResultKind]int{
 	proxy.Served:    http.StatusOK,
 	proxy.Rejected:  http.StatusServiceUnavailable,
@@ -24,13 +24,14 @@
 	proxy.Duplicate: http.StatusConflict,
 }
 
-// responseHead is what the head of a response says, but for its framing.
+// responseHead is the content of a response's head, except for the fields of its framing.
 type responseHead struct {
 	status int
 	header http.Header
 }
 
-// connectionHeaders are the headers that this package writes itself: a response's own are dropped.
+// connectionHeaders are the headers that this package writes itself. They are not copied from a
+// response's header.
 var connectionHeaders = map[string]bool{
 	"Content-Length":    true,
 	"Connection":        true,
@@ -43,7 +44,7 @@
 	return http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 }
 
-// setRetryAfter sets Retry-After, unless it is 0.
+// setRetryAfter sets Retry-After, unless retryAfter is 0.
 func (s *Server) setRetryAfter(h http.Header, retryAfter time.Duration) {
 	switch {
 	case retryAfter <= 0:
@@ -55,8 +56,9 @@
 }
 
 // reject writes a rejection and reports whether the connection can carry another request. r is nil
-// if the request could not be parsed. A malformed request closes its connection: what follows,
-// which may be the rest of a body or a request smuggled in one, is never read as a request.
+// if the request could not be parsed. A malformed request closes its connection, so that the data
+// after it, which may be the rest of a body or a request smuggled in one, is never read as a
+// request.
 func (c *conn) reject(r *http.Request, rejection *Rejection) bool {
 	h := plainTextHeader()
 	c.server.setRetryAfter(h, rejection.RetryAfter)
@@ -96,8 +98,8 @@
 	c.lastRequest = c.lastRequest || clientCloses || c.server.Draining() && !c.hasPipelinedRequest()
 }
 
-// hasPipelinedRequest reports whether the client has sent data behind the current request. A
-// draining server answers that too: it has been accepted.
+// hasPipelinedRequest reports whether the client has sent data after the current request. A
+// draining server responds to that data too, because the connection has already received it.
 func (c *conn) hasPipelinedRequest() bool { return c.reader.hasData() || c.socket.hasUnreadBytes() }
 
 // statusAllowsBody reports whether a response of a status may have a body (RFC 9110, 6.4.1).
@@ -114,7 +116,7 @@
 	answersHead := r != nil && r.Method == http.MethodHead
 	if statusAllowsBody(head.status) {
 		c.output = append(c.output, "Content-Length: "...)
-		if length := head.header.Get("Content-Length"); answersHead && length != "" { // of the body that GET would have
+		if length := head.header.Get("Content-Length"); answersHead && length != "" { // of the body in the response to a GET
 			c.output = append(c.output, length...)
 		} else {
 			c.output = strconv.AppendInt(c.output, int64(len(body)), 10)
@@ -141,8 +143,8 @@
 	return true
 }
 
-// writeOutput writes the output and a body: a short one in the same write. It reports whether both
-// were written.
+// writeOutput writes the output and a body. A short body is written together with the output. It
+// reports whether both were written.
 func (c *conn) writeOutput(body []byte) bool {
 	if len(body) <= initialBufferSize {
 		c.output = append(c.output, body...)
@@ -155,15 +157,15 @@
 	return err == nil
 }
 
-// appendHead begins the output with a response's head, up to the fields of its framing. r is nil if
-// the request could not be parsed.
+// appendHead resets the output and appends a response's head, except for the fields of its framing
+// and the empty line. r is nil if the request could not be parsed.
 func (c *conn) appendHead(r *http.Request, head responseHead) {
 	c.output = append(c.output[:0], "HTTP/1.1 "...)
 	c.output = strconv.AppendInt(c.output, int64(head.status), 10)
 	c.output = append(c.output, ' ')
 	c.output = append(c.output, http.StatusText(head.status)...)
 	c.output = append(c.output, "\r\nDate: "...)
-	if date := head.header["Date"]; len(date) == 1 { // the endpoint's own
+	if date := head.header["Date"]; len(date) == 1 { // set by the endpoint
 		c.output = append(c.output, date[0]...)
 	} else {
 		c.output = append(c.output, formattedDate.at(time.Now())...)
@@ -178,7 +180,7 @@
 	}
 }
 
-// sliceWriter appends to a slice what is written to it.
+// sliceWriter is a writer that appends to a slice.
 type sliceWriter struct{ b *[]byte }
 
 // Write implements io.Writer.
@@ -193,7 +195,7 @@
 	return len(s), nil
 }
 
-// dateCache formats the value of Date once a second. It is safe for concurrent use.
+// dateCache caches the value of Date, which changes once a second. It is safe for concurrent use.
 type dateCache struct{ latest atomic.Pointer[dateText] }
 
 // dateText is the formatted date of one second.
@@ -204,7 +206,7 @@
 
 var formattedDate dateCache
 
-// at returns the formatted date of an instant.
+// at returns the value of Date for the time now.
 func (d *dateCache) at(now time.Time) string {
 	latest := d.latest.Load()
 	if latest == nil || latest.second != now.Unix() {
--- a/internal/httpserver/response_test.go
+++ b/internal/httpserver/response_test.go
@@ -21,8 +21,8 @@
 type poolRouter struct{ pool *proxy.Pool }
 
 func (r poolRouter) Route(*http.Request) (Target, *Rejection) {
-	return Target{Pool: r.pool, Class: "all", Idempotency: balancer.Idempotent, DefaultTimeout: patience, AnyMethod: true,
-		DefaultID: "x"}, nil
+	return Target{Pool: r.pool, Class: "all", Idempotency: balancer.Idempotent, DefaultTimeout: waitTimeout,
+		AnyMethod: true, DefaultID: "x"}, nil
 }
 
 // newPool returns a pool with one endpoint.
@@ -33,8 +33,9 @@
 		Subscribe: func() {}})
 }
 
-// connectToServer starts a server in front of one endpoint and returns a client's connection to it.
-// Server and connection end with the test.
+// connectToServer starts a server that forwards to one endpoint, and returns a client's connection
+// to the server and the server's listener. The server and the connection are closed when the test
+// ends.
 func connectToServer(tb testing.TB, endpointAddr string) (net.Conn, *Listener) {
 	tb.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,8 +61,8 @@
 	return client, listener
 }
 
-// serveFixedPath answers a request by its path: /none without a body, /same as not modified, /big
-// with 9000 bytes.
+// serveFixedPath responds to /none with 204, to /same with 304 and to /big with a body of 9000
+// bytes.
 func serveFixedPath(nc net.Conn, r *http.Request, _ int) bool {
 	response := map[string]string{
 		"/none": "204 No Content\r\n\r\n",
@@ -77,7 +78,7 @@
 	return true
 }
 
-// expectContinue reads the interim response 100.
+// expectContinue reads the interim response 100 and fails the test on any other.
 func expectContinue(t *testing.T, in *bufio.Reader) {
 	t.Helper()
 	if line, err := in.ReadString('\n'); err != nil || line != "HTTP/1.1 100 Continue\r\n" {
@@ -87,7 +88,7 @@
 }
 
 func TestResponseFramingFitsRequest(t *testing.T) {
-	client, listener := connectToServer(t, newEndpoint(t, serveFixedPath).Addr)
+	client, listener := connectToServer(t, startEndpoint(t, serveFixedPath).Addr)
 	in := bufio.NewReader(client)
 	for i, row := range []struct {
 		method, path, fields string
@@ -115,7 +116,7 @@
 		body, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode != row.status || resp.ContentLength != row.length || resp.Close != row.close ||
 			resp.Header.Get("Date") == "" || row.method != "HEAD" && int64(len(body)) != row.length {
-			t.Errorf("%s: %d, length %d, %d bytes, close %v, %v", name, resp.StatusCode, resp.ContentLength, len(body),
+			t.Errorf("%s: status %d, length %d, %d bytes, close %v, %v", name, resp.StatusCode, resp.ContentLength, len(body),
 				resp.Close, err)
 		}
 	}
--- a/internal/httpserver/responsestream.go
+++ b/internal/httpserver/responsestream.go
@@ -21,7 +21,8 @@
 	framedByClose                     // the end of the connection
 )
 
-// responseFraming returns the framing of a response's body of length bytes, below 0 if unknown.
+// responseFraming returns the framing of a response body of length bytes. A negative length is
+// unknown.
 func responseFraming(r *http.Request, length int64) bodyFraming {
 	switch {
 	case length >= 0:
@@ -32,18 +33,18 @@
 	return framedByClose
 }
 
-// streamResponse forwards a response as it arrives: what is read from the endpoint is written at
-// once, and only then more is read. It reports whether the connection can carry another request. A
-// truncated response closes its connection before the end that its framing announces, so that the
-// client can detect it.
+// streamResponse forwards a response as it arrives: data that is read from the endpoint is written
+// before more is read. It reports whether the connection can carry another request. If the
+// response is truncated, the connection is closed before the end that the framing announces, so
+// that the client can detect the truncation.
 func (c *conn) streamResponse(r *http.Request, response *proxy.Response) bool {
 	defer response.Stream.Close()
 	framing := responseFraming(r, response.Length)
 	c.decideLastRequest(r)
 	if framing == framedByClose {
 		c.lastRequest = true
-		// Only a reset shows the client that such a response was truncated, by an endpoint, this
-		// process or a signal to it.
+		// Only a reset shows the client that such a response was truncated, whether by an endpoint,
+		// by this process or by a signal that ends this process.
 		c.resetOnClose()
 	}
 	c.appendHead(r, responseHead{response.Status, response.Header})
@@ -67,14 +68,14 @@
 	return !c.lastRequest
 }
 
-// copyStream writes the output and then a response's body, to its end. It reports whether all of it
-// was written.
+// copyStream writes the output and then the whole body of a response. It reports whether
+// everything was written.
 func (c *conn) copyStream(response *proxy.Response, framing bodyFraming) bool {
 	buffer := http1.Buffers.Get().(*[]byte)
 	defer http1.Buffers.Put(buffer)
 	data := (*buffer)[http1.ChunkHeadSize : len(*buffer)-http1.ChunkTailSize]
 	n := copy(data, response.Body)
-	unsent := response.Body[n:] // what of the body was read with its head
+	unsent := response.Body[n:] // the part of the body that was read with the head and is not written yet
 	for ended := false; ; {
 		tail := ""
 		if ended && framing == framedByChunks {
@@ -137,12 +138,12 @@
 // resetOnClose makes the close of the connection a reset, until closeNormally.
 func (c *conn) resetOnClose() { c.setLinger(0) }
 
-// closeNormally undoes resetOnClose.
+// closeNormally makes the close of the connection a normal one again.
 func (c *conn) closeNormally() { c.setLinger(-1) }
 
 // setLinger sets the connection's SO_LINGER, as net.TCPConn.SetLinger does.
 func (c *conn) setLinger(seconds int) {
 	if tcp, ok := c.netConn.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(seconds) // fails if the connection is closed, as the next write will
+		_ = tcp.SetLinger(seconds) // fails if the connection is closed; the next write then fails too
 	}
 }
--- a/internal/httpserver/router.go
+++ b/internal/httpserver/router.go
@@ -10,15 +10,16 @@
 
 // Router decides which pool serves a request.
 type Router interface {
-	// Route returns the target of a request, or a rejection if no pool serves it. The request's
-	// body has been read, or the beginning of a long one.
+	// Route returns the target of a request, or a rejection if no pool serves it. It is called
+	// after the request's body, or the beginning of a long one, has been read.
 	Route(r *http.Request) (Target, *Rejection)
 }
 
-// Target is the pool that a request was routed to, and what that pool must know of it.
+// Target is the pool that a request is routed to, and the parameters with which that pool serves
+// it.
 type Target struct {
 	Pool        *proxy.Pool
-	Class       string // as the pool's settings name it
+	Class       string // name of a class in the pool's settings
 	Idempotency balancer.Idempotency
 	Tenant      string
 
@@ -34,7 +35,7 @@
 
 // Outcome is how a routed request ended.
 type Outcome struct {
-	Forwarded bool         // the request was passed to the pool
+	Forwarded bool         // whether the request was passed to the pool
 	Result    proxy.Result // the pool's result; of kind Failed unless Forwarded
 }
 
@@ -52,8 +53,8 @@
 // Error implements error.
 func (r *Rejection) Error() string { return r.Message }
 
-// closingRejection returns a rejection that closes the connection: for a request whose end is not
-// known for certain, so that the next request might begin anywhere.
+// closingRejection returns a rejection that closes the connection. It is for a request whose end
+// is uncertain: the beginning of the next request is then unknown.
 func closingRejection(status int, message string) *Rejection {
 	return &Rejection{Status: status, Message: message, Close: true}
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,5 +1,5 @@
-// Package httpserver serves clients that speak HTTP/1.1. It reads a request, routes it to a pool by
-// the Router, passes it to that pool and writes the one response.
+// Package httpserver serves HTTP/1.1 clients. It reads a request, asks the Router for the pool
+// that serves it, passes it to that pool and writes the response.
 //
 // Each connection has one goroutine, which reads a request, waits for the pool's result, writes the
 // response and reads the next request. A Listener tracks the connections and closes idle ones; it
@@ -14,11 +14,12 @@
 
 // Time limits on a client's connection.
 const (
-	// requestHeadTimeout is more than the 2 s that a client may take for a head, and leaves time to
-	// respond within the 3 s that it may take for a complete request.
+	// requestHeadTimeout is more than the 2 s that a client may take to send a head. It leaves time
+	// to respond within the 3 s that a client may take to send a complete request.
 	requestHeadTimeout = 2500 * time.Millisecond
 
-	// defaultBodyTimeout is how far a long body may be behind the minimum rate.
+	// defaultBodyTimeout is the extra time for a long body, beyond the time it takes at
+	// minBodyRate.
 	defaultBodyTimeout = 800 * time.Millisecond
 
 	writeTimeout = 5 * time.Second
@@ -29,17 +30,17 @@
 // otherwise.
 type Server struct {
 	router      Router
-	name        string // in Proxy-Status
-	defaultHost string // used where an HTTP/1.0 client names no host
+	name        string // the name of this server in Proxy-Status
+	defaultHost string // forwarded as Host if an HTTP/1.0 client sends none
 	log         *slog.Logger
 	bodyTimeout time.Duration
-	bodyBuffers bodyBufferPool // for long bodies
+	bodyBuffers bodyBufferPool // for long request bodies
 	draining    atomic.Bool
 
-	roundRetryAfter bool // to whole seconds
+	roundRetryAfter bool // Retry-After is rounded up to whole seconds
 }
 
-// New returns a server. It calls itself name in Proxy-Status, and forwards host as the Host of a
+// New returns a server. name is its name in Proxy-Status. host is forwarded as the Host of a
 // request that has none.
 func New(router Router, name, host string, log *slog.Logger) *Server {
 	s := &Server{router: router, name: name, defaultHost: host, log: log, bodyTimeout: defaultBodyTimeout}
@@ -51,18 +52,18 @@
 // platform's clients also read fractions. It must be called before Serve.
 func (s *Server) RoundRetryAfter() { s.roundRetryAfter = true }
 
-// SetBodyMemory sets how many bytes of long bodies are buffered at once, over all connections. The
-// rest is streamed to the endpoint as it arrives.
+// SetBodyMemory sets how many bytes of long request bodies may be buffered at once, over all
+// connections. The rest is streamed to the endpoint as it arrives.
 func (s *Server) SetBodyMemory(bytes int) { s.bodyBuffers.setLimit(bytes) }
 
-// SetBodyTimeout sets how far a long body may be behind the minimum rate. It must be called before
-// Serve.
+// SetBodyTimeout sets the extra time for a long body, beyond the time it takes at the minimum
+// rate. It must be called before Serve.
 func (s *Server) SetBodyTimeout(d time.Duration) { s.bodyTimeout = d }
 
-// StartDraining makes responses close their connections from now on.
+// StartDraining makes each response close its connection from now on.
 func (s *Server) StartDraining() { s.draining.Store(true) }
 
-// Draining reports whether responses close their connections.
+// Draining reports whether each response closes its connection.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
 // StopDraining undoes StartDraining.
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -17,8 +17,8 @@
 // wait for an error or a close.
 const incompleteRequestLimit = 3 * time.Second
 
-// pipeListener is a listener whose connections live in memory, so that time in a synctest bubble
-// covers them.
+// pipeListener is a listener of in-memory connections, whose deadlines follow the fake clock of a
+// synctest bubble.
 type pipeListener chan net.Conn
 
 func (l pipeListener) Accept() (net.Conn, error) {
@@ -39,8 +39,8 @@
 	return Target{}, &Rejection{Status: http.StatusNotFound, Message: "no pool serves it"}
 }
 
-// serveInMemory starts a server that runs until the test ends, and returns a function that connects
-// to it.
+// serveInMemory starts a server on a pipeListener that runs until the test ends, and returns a
+// function that connects to it.
 func serveInMemory(t *testing.T) (connect func() net.Conn) {
 	t.Helper()
 	pipes := make(pipeListener)
@@ -51,7 +51,7 @@
 	t.Cleanup(func() {
 		close(pipes)
 		if err := <-served; !errors.Is(err, net.ErrClosed) {
-			t.Errorf("the server ended with %v", err)
+			t.Errorf("Serve returned %v, want net.ErrClosed", err)
 		}
 		listener.Abort()
 	})
@@ -63,8 +63,8 @@
 	}
 }
 
-// Seen with many misbehaving clients: those that sent nothing, or half of a request, occupied
-// nearly all connections, and other clients waited seconds to be accepted.
+// Clients that send nothing or an incomplete request must time out. Many such clients once
+// occupied nearly all connections, and other clients waited seconds to be accepted.
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	for name, text := range map[string]string{
 		"nothing":     "",
@@ -87,7 +87,8 @@
 	}
 }
 
-// After a slow head, both timeouts together must not exceed the limit.
+// If the head and the body are both slow, their timeouts together must not exceed
+// incompleteRequestLimit.
 func TestSlowHeadAndSlowBodyTimeOutTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := serveInMemory(t)()
--- a/internal/httpserver/socket.go
+++ b/internal/httpserver/socket.go
@@ -15,7 +15,7 @@
 	tcpInfoLastDataRecv = 52
 	tcpInfoSize         = tcpInfoLastDataRecv + 4
 
-	// maxUnreadAge is the longest plausible age of unread data. An older one is taken for unknown.
+	// maxUnreadAge is the longest plausible age of unread data. A higher age is treated as unknown.
 	maxUnreadAge = time.Minute
 )
 
@@ -27,7 +27,8 @@
 )
 
 // socket queries the kernel for the state of a connection. It consumes no data, so it can be used
-// while another goroutine reads or writes. Nothing is known of the zero socket.
+// while another goroutine reads or writes. The zero socket has no connection, and its state is
+// unknown.
 type socket struct {
 	rawConn syscall.RawConn // nil: the connection cannot be queried
 }
@@ -45,8 +46,8 @@
 	return socket{rawConn}
 }
 
-// unreadAge returns the time since data was last received. Data that was just read has waited in
-// the kernel for at least that long. It is 0 where that is unknown.
+// unreadAge returns the time since data was last received, or 0 if that is unknown. Data that was
+// just read has waited in the kernel for at least that long.
 func (s socket) unreadAge() time.Duration {
 	if s.rawConn == nil {
 		return 0
@@ -58,13 +59,13 @@
 	return age
 }
 
-// unreadBytes returns how many bytes have been received and not read, 0 where that is unknown.
+// unreadBytes returns how many bytes have been received and not read, or 0 if that is unknown.
 func (s socket) unreadBytes() int64 {
 	if s.rawConn == nil {
 		return 0
 	}
 	var n int32
-	_ = s.rawConn.Control(func(fd uintptr) { // where it fails, n stays 0
+	_ = s.rawConn.Control(func(fd uintptr) { // if it fails, n stays 0
 		_, _, _ = syscall.Syscall(syscall.SYS_IOCTL, fd, syscall.TIOCINQ, uintptr(unsafe.Pointer(&n)))
 	})
 	return int64(max(n, 0))
@@ -80,8 +81,8 @@
 	return err == nil && n > 0
 }
 
-// isDisconnected reports whether the peer has closed its side of the connection or reset it, or the
-// connection was closed on this side, at the end of the process.
+// isDisconnected reports whether the peer has closed its side of the connection or reset it. It is
+// also true if this side has closed the connection, at the end of the process.
 func (s socket) isDisconnected() bool {
 	if s.rawConn == nil {
 		return false
@@ -91,8 +92,8 @@
 	return disconnected || err != nil
 }
 
-// sinceLastData returns the time since a TCP connection last received data, to the ms, or 0 if the
-// descriptor is not a TCP socket.
+// sinceLastData returns the time since a TCP connection last received data, in whole
+// milliseconds. It returns 0 if the descriptor is not a TCP socket.
 func sinceLastData(fd uintptr) time.Duration {
 	var info [tcpInfoSize]byte
 	size := uint32(len(info))
@@ -118,8 +119,8 @@
 	return state != tcpEstablished && state != tcpSynReceived
 }
 
-// isAtEnd reports whether a read would return the end of the stream or an error. Unlike the TCP
-// state, this works for connections of any kind, but only where no data is unread.
+// isAtEnd reports whether a read would return the end of the stream or an error. Unlike
+// isTCPClosing, it works for connections of any kind, but only if there is no unread data.
 func isAtEnd(fd uintptr) bool {
 	n, err := peekByte(fd)
 	if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR) {
--- a/internal/httpserver/socket_test.go
+++ b/internal/httpserver/socket_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A socket reports what is unread, and consumes nothing of it.
+// A socket reports unread data without consuming it.
 func TestSocketReportsUnreadBytes(t *testing.T) {
 	conn := newWatchedConn(t)
 	s := conn.watcher.socket
@@ -15,20 +15,21 @@
 	}
 	const text = "unread"
 	io.WriteString(conn.client, text)
-	until(t, "the bytes arrive", func() bool { return s.unreadBytes() == int64(len(text)) })
+	waitUntil(t, "the bytes arrive", func() bool { return s.unreadBytes() == int64(len(text)) })
 	if !s.hasUnreadBytes() {
 		t.Error("unread bytes are not reported")
 	}
 	read := make([]byte, len(text))
 	if _, err := io.ReadFull(conn.server, read); err != nil || string(read) != text {
-		t.Errorf("%q, %v", read, err)
+		t.Errorf("read %q, %v", read, err)
 	}
 	if s.hasUnreadBytes() || s.unreadBytes() != 0 {
 		t.Errorf("%d bytes unread after all were read", s.unreadBytes())
 	}
 }
 
-// Nothing is known of a connection that has no file descriptor; it is not taken for disconnected.
+// The state of a connection without a file descriptor is unknown. It must not be reported as
+// disconnected.
 func TestSocketWithoutDescriptorIsUnknown(t *testing.T) {
 	client, server := net.Pipe()
 	client.Close()
--- a/internal/httpserver/streamedbody.go
+++ b/internal/httpserver/streamedbody.go
@@ -7,25 +7,25 @@
 	"rowancart/internal/proxy"
 )
 
-// streamedBody is a request's body that is longer than proxy.MaxBody. Its beginning has been read;
-// the rest is buffered as far as there is memory, and read from the connection while it is
-// forwarded.
+// streamedBody is a request's body that is longer than proxy.MaxBody. Its beginning has been read.
+// The rest is buffered as far as the limit of the buffers allows. What is not buffered is read
+// from the connection while the body is forwarded.
 type streamedBody struct {
 	*requestBody
-	length        int64 // bytes; below 0: unknown
+	length        int64 // bytes; negative: unknown
 	prefixLength  int   // bytes that readBody has read
 	buffers       *bodyBufferPool
 	socket        socket    // of the connection
-	receivedAhead int64     // bytes, before the rest is streamed
-	sentAt        time.Time // when the last byte arrived; zero: not known to have
+	receivedAhead int64     // bytes received before the rest is streamed
+	sentAt        time.Time // result of lastByteSentAt, once the last byte is known to have arrived; zero before
 
 	releaseOnce sync.Once
 	buffered    [][]byte // from buffers; not changed after bufferAhead
 }
 
-// bufferAhead reads the body as far as its quota of the buffers allows, and returns what a pool is
-// to forward: the complete body buffered, or some of it and a reader of the rest. A body of known
-// length that exceeds the quota is not buffered at all.
+// bufferAhead buffers the body as far as its quota of the buffers allows, and returns the upload
+// that a pool forwards: the complete buffered body, or its buffered part and a reader of the rest.
+// A body of known length that exceeds the quota is not buffered at all.
 func (b *streamedBody) bufferAhead() (*proxy.Upload, error) {
 	maxBuffers := b.buffers.maxPerBody()
 	total := int64(b.prefixLength)
@@ -47,8 +47,9 @@
 }
 
 // lastByteSentAt returns the earliest time at which the client can have sent the last byte of the
-// body, now if it can't have. While there is unread data, the rest may have been sent right after
-// the latest read: some of it may still be in the client's own buffers.
+// body, or the current time if the client cannot have sent it yet. While there is unread data, the
+// rest may have been sent right after the latest read, because some of it may still be in the
+// client's own buffers.
 func (b *streamedBody) lastByteSentAt() time.Time {
 	reader := b.source.reader
 	unread := b.socket.unreadBytes()
@@ -56,21 +57,21 @@
 	switch {
 	case !b.sentAt.IsZero():
 	case b.ended():
-		b.sentAt = reader.latestAt
+		b.sentAt = reader.lastArrivedAt
 	case b.hasArrived(unread):
 		b.sentAt = time.Now().Add(-b.socket.unreadAge())
 	case unread > 0 && isStreaming:
-		return reader.latestAt
+		return reader.lastArrivedAt
 	case unread > 0:
-		return reader.arrivedAt
+		return reader.earliestSentAt
 	default:
 		return time.Now()
 	}
 	return b.sentAt
 }
 
-// hasArrived reports whether the last byte of a body of known length has been received, with this
-// many bytes unread.
+// hasArrived reports whether the last byte of a body of known length has arrived, given the number
+// of unread bytes in the socket.
 func (b *streamedBody) hasArrived(unread int64) bool {
 	missing := b.length - b.source.pace.received - int64(len(b.source.reader.buffered()))
 	return b.length >= 0 && missing <= unread
--- a/internal/httpserver/trackedconn.go
+++ b/internal/httpserver/trackedconn.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// finalReadTimeout is the timeout of the last read from a connection that is about to be closed:
-// for a request that has arrived already.
+// finalReadTimeout is the timeout of the last read from a connection that is about to be closed.
+// The read returns the data of a request that has already arrived.
 const finalReadTimeout = 20 * time.Millisecond
 
 // trackedConn is a client's connection that its Listener can close without losing a request.
@@ -24,8 +24,8 @@
 
 	// listener.mu guards the fields below.
 	state          http.ConnState // StateNew until the first request
-	since          time.Time      // when it became new or idle
-	readSinceWrite bool           // data has been read since the last write: a request or the beginning of one
+	since          time.Time      // when the connection was accepted or became idle
+	readSinceWrite bool           // a request, or the beginning of one, has been read since the last write
 	closing        bool           // the next read that returns no data ends the connection
 }
 
@@ -66,7 +66,7 @@
 	defer c.listener.mu.Unlock()
 	if n > 0 {
 		c.readSinceWrite = true
-		if c.closing { // a request has arrived before the close: it is served
+		if c.closing { // a request has arrived before the close, so it is served
 			c.closing = false
 			return n, c.Conn.SetReadDeadline(time.Time{})
 		}
@@ -77,8 +77,9 @@
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. The server sets a deadline right after it has marked a
-// connection idle. That must not undo startClosing.
+// SetReadDeadline implements net.Conn. While the connection is closing, it does nothing: the
+// server sets a deadline right after it has marked a connection idle, and that must not undo
+// startClosing.
 func (c *trackedConn) SetReadDeadline(t time.Time) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
