--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -21,23 +21,23 @@
 	Read(p []byte) (int, error)
 }
 
-// The lengths of bodies without Content-Length.
+// Values for the length of a body without Content-Length.
 const (
 	Chunked    = -1 // the chunked transfer coding
 	UntilClose = -2 // the body ends with the connection
 )
 
-// Body reads one body to its end and not a byte further. A Read that fails with a timeout may be
-// called again.
+// Body reads one body to its end and not a byte further. After a timeout, Read may be called
+// again.
 type Body struct {
 	source     Source
-	remaining  int64 // bytes; or Chunked, or UntilClose
+	remaining  int64 // bytes; or Chunked or UntilClose
 	chunks     chunkDecoder
-	framingErr error // an ErrFraming, after which the decoder can't continue
+	framingErr error // an ErrFraming, after which the decoder cannot continue
 	ended      bool
 }
 
-// NewBody returns a body of length bytes, or of the lengths Chunked and UntilClose.
+// NewBody returns a body of length bytes. length may also be Chunked or UntilClose.
 func NewBody(source Source, length int64) *Body {
 	return &Body{source: source, remaining: length, ended: length == 0}
 }
@@ -73,7 +73,7 @@
 	return n, errorWithoutData(n, err)
 }
 
-// readChunked reads from a chunked body, at most to the end of a chunk.
+// readChunked reads from a chunked body, at most up to the end of the current chunk.
 func (b *Body) readChunked(p []byte) (int, error) {
 	for !b.chunks.inData() {
 		if err := b.decodeFraming(); err != nil {
@@ -90,15 +90,15 @@
 	}
 	n, err := b.source.Read(p[:min(int64(len(p)), b.chunks.remaining)])
 	b.chunks.consumeData(n)
-	// Decoding the framing after the data now reports the end of a body that has been received
-	// completely. An error in the framing is returned by the next read.
+	// Decode the framing after the data now, so that Ended is true as soon as the data of a
+	// completely received body has been read. The next read returns an error in the framing.
 	if n > 0 && !b.chunks.inData() && len(b.source.Buffered()) > 0 {
 		_ = b.decodeFraming()
 	}
 	return n, errorWithoutData(n, unexpectedEOF(err))
 }
 
-// decodeFraming consumes the framing that is buffered.
+// decodeFraming decodes and consumes the buffered framing.
 func (b *Body) decodeFraming() error {
 	if b.framingErr != nil {
 		return b.framingErr
@@ -110,7 +110,8 @@
 	return err
 }
 
-// errorWithoutData returns err if no data was read. Otherwise the next read returns it.
+// errorWithoutData returns err if no data was read. Otherwise it returns nil, and the next read
+// returns the error.
 func errorWithoutData(n int, err error) error {
 	if n > 0 {
 		return nil
--- a/internal/http1/body_test.go
+++ b/internal/http1/body_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// pieceSource is a Source on which a text arrives in pieces, with a timeout before each.
+// pieceSource is a Source to which a text arrives in pieces, each of them after a timeout.
 type pieceSource struct {
-	text     string // what has not arrived
+	text     string // the part that has not arrived
 	nextSize func() int
 	buf      []byte
 	timedOut bool
@@ -47,7 +47,7 @@
 	return n, nil
 }
 
-// readBody reads a body that arrives in pieces, and returns it and the text after it. The text is
+// readBody reads a body that arrives in pieces, and returns it and the text after it. That text is
 // empty if the body could not be read.
 func readBody(text string, length int64, nextSize func() int) (body, rest string, err error) {
 	s := &pieceSource{text: text, nextSize: nextSize}
@@ -74,7 +74,7 @@
 		text    string
 		length  int64
 		body    string
-		rest    string // what follows the body; "" for an error
+		rest    string // the text after the body; empty for an error
 		wantErr error
 	}{
 		"length":                          {"hello, next", 5, "hello", ", next", nil},
@@ -123,8 +123,8 @@
 	}
 }
 
-// Data that is encoded in chunks is decoded to the same data, in whatever pieces it arrives, and no
-// byte after the body is read.
+// A chunked body must be decoded to the data that was encoded, whatever the pieces in which it
+// arrives, and no byte after the body may be read.
 func TestChunkedRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text, want bytes.Buffer
@@ -142,8 +142,8 @@
 	})
 }
 
-// The standard library interprets what is accepted here in the same way: no endpoint can interpret
-// it differently.
+// The standard library must decode each body that is accepted here to the same data. Otherwise an
+// endpoint could interpret the body differently.
 func FuzzChunks(f *testing.F) {
 	for _, seed := range []string{"5\r\nhello\r\n0\r\n\r\n", "1;a=b\r\nx\r\n0\r\nA: b\r\n\r\n", "a\r\n", "0\r\n\r\n",
 		"1\r\naX0\r\n\r\n"} {
@@ -156,12 +156,12 @@
 		}
 		want, err := io.ReadAll(httputil.NewChunkedReader(strings.NewReader(text)))
 		if err != nil || string(want) != body {
-			t.Errorf("%q: %q, by net/http %q, %v", text, body, want, err)
+			t.Errorf("%q is decoded to %q, by net/http to %q, %v", text, body, want, err)
 		}
 	})
 }
 
-// A body that has been received completely has ended as soon as its data is read.
+// A completely received body must report its end as soon as its data has been read.
 func TestCompleteBodyEndsWithItsData(t *testing.T) {
 	s := &pieceSource{buf: []byte("2\r\nhi\r\n0\r\n\r\n")}
 	b := NewBody(s, Chunked)
--- a/internal/http1/chunkdecoder.go
+++ b/internal/http1/chunkdecoder.go
@@ -7,21 +7,21 @@
 
 // Limits of the chunked transfer coding.
 const (
-	maxChunkLine   = 4 << 10 // bytes of a chunk's size and its extensions
-	maxTrailers    = 8 << 10 // bytes of all trailer fields
-	maxChunkDigits = 16      // of a chunk's size
+	maxChunkLine   = 4 << 10 // bytes of the line with a chunk's size and extensions
+	maxTrailers    = 8 << 10 // bytes of all trailer fields together
+	maxChunkDigits = 16      // digits of a chunk's size
 	maxChunkSize   = 1 << 40 // bytes
 )
 
-// ErrFraming says that a body violates the chunked transfer coding. The errors that wrap it say in
-// what way.
+// ErrFraming means that a body violates the chunked transfer coding. The errors that wrap it
+// describe the violation.
 var ErrFraming = errors.New("invalid chunked coding")
 
 var (
-	errChunkSize    = fmt.Errorf("%w: chunk size is not a hexadecimal number", ErrFraming)
-	errChunkEnd     = fmt.Errorf("%w: chunk does not end where its size says", ErrFraming)
-	errChunkLine    = fmt.Errorf("%w: malformed line", ErrFraming)
-	errLongOverhead = fmt.Errorf("%w: chunk extensions or trailer fields are too long", ErrFraming)
+	errChunkSize      = fmt.Errorf("%w: chunk size is not a hexadecimal number", ErrFraming)
+	errChunkEnd       = fmt.Errorf("%w: chunk data is not followed by CR LF", ErrFraming)
+	errChunkLine      = fmt.Errorf("%w: malformed chunk or trailer line", ErrFraming)
+	errFramingTooLong = fmt.Errorf("%w: chunk extensions or trailer fields are too long", ErrFraming)
 )
 
 // chunkState is what the decoder expects next.
@@ -31,28 +31,28 @@
 	inChunkSize       chunkState = iota // hexadecimal digits
 	inChunkSizePad                      // white space between the size and an extension
 	inChunkExtensions                   // any text up to the end of the line
-	inChunkData                         // remaining bytes of data
+	inChunkData                         // chunkDecoder.remaining bytes of data
 	afterChunkData                      // CR LF, and then inChunkSize
-	inTrailers                          // lines up to an empty one
+	inTrailers                          // trailer fields, up to an empty line
 	afterBody                           // nothing: the body has ended
 )
 
 // chunkDecoder decodes the framing of the chunked transfer coding (RFC 9112, section 7.1), byte by
-// byte. It is strict: whatever servers might interpret in different ways is an error. It decodes
-// the framing only; its caller reads the data in between.
+// byte. It is strict: framing that servers might interpret in different ways is an error. It
+// decodes the framing only. Its caller reads the data of the chunks.
 type chunkDecoder struct {
 	state     chunkState
 	size      int64  // of the chunk whose line is being decoded, in bytes
-	remaining int64  // bytes of data before the next framing
+	remaining int64  // bytes of the current chunk's data that have not been read
 	length    int    // bytes decoded of the current line, or of all trailer fields
-	previous  byte   // the previous byte of the line; 0: none
+	previous  byte   // the previous byte of the line; 0 at its beginning
 	trailer   []byte // the current trailer line
 }
 
 // ended reports whether the body has ended.
 func (d *chunkDecoder) ended() bool { return d.state == afterBody }
 
-// inData reports whether data comes next.
+// inData reports whether the next byte is data of a chunk.
 func (d *chunkDecoder) inData() bool { return d.state == inChunkData }
 
 // enter changes to a state that begins with a new line.
@@ -70,7 +70,8 @@
 }
 
 // decodeFraming decodes the framing at the beginning of buf, up to data, the end of the body or the
-// end of buf. It returns the number of bytes consumed, without a byte that is in error.
+// end of buf. It returns the number of bytes consumed, which does not include a byte that caused
+// an error.
 func (d *chunkDecoder) decodeFraming(buf []byte) (n int, err error) {
 	for n < len(buf) && !d.inData() && !d.ended() {
 		if err := d.decodeByte(buf[n]); err != nil {
@@ -85,7 +86,7 @@
 func (d *chunkDecoder) decodeByte(b byte) error {
 	d.length++
 	if d.length > d.maxLength() {
-		return errLongOverhead
+		return errFramingTooLong
 	}
 	previous := d.previous
 	d.previous = b
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// maxLength returns the maximum of length in the present state.
+// maxLength returns the maximum of length in the current state.
 func (d *chunkDecoder) maxLength() int {
 	if d.state == inTrailers {
 		return maxTrailers
@@ -150,7 +151,8 @@
 	return 0, false
 }
 
-// decodeSizePad decodes a byte after white space that follows a size: only an extension may come.
+// decodeSizePad decodes a byte after white space that follows a size. Only more white space or an
+// extension is valid.
 func (d *chunkDecoder) decodeSizePad(b byte) error {
 	switch b {
 	case ' ', '\t':
@@ -174,8 +176,8 @@
 	return nil
 }
 
-// endSizeLine ends the line of a size: data follows, or the trailer fields after the last chunk,
-// whose size is 0.
+// endSizeLine ends the line with a chunk's size. The data of the chunk follows. After the last
+// chunk, whose size is 0, the trailer fields follow.
 func (d *chunkDecoder) endSizeLine() {
 	d.remaining = d.size
 	if d.remaining > 0 {
@@ -198,8 +200,8 @@
 	return nil
 }
 
-// decodeTrailers decodes a byte of the trailer fields, whose lines must have the form of fields.
-// They are ignored.
+// decodeTrailers decodes a byte of the trailer fields. Their lines must have the form of fields,
+// and their content is ignored.
 func (d *chunkDecoder) decodeTrailers(b byte) error {
 	switch {
 	case b == '\n':
@@ -227,7 +229,8 @@
 	return nil
 }
 
-// isFieldLine reports whether a line has a colon after its first byte, with no white space before.
+// isFieldLine reports whether a line has a colon that follows at least one byte and no white
+// space.
 func isFieldLine(line []byte) bool {
 	for i, b := range line {
 		if b == ':' && i > 0 {
@@ -240,5 +243,5 @@
 	return false
 }
 
-// isTextByte reports whether a byte is not a control character, or is a tab.
+// isTextByte reports whether a byte is a tab or not a control character.
 func isTextByte(b byte) bool { return b >= ' ' && b != 0x7f || b == '\t' }
--- a/internal/http1/chunkencoder.go
+++ b/internal/http1/chunkencoder.go
@@ -15,8 +15,8 @@
 // LastChunk ends a chunked body that has no trailer fields.
 const LastChunk = "0\r\n\r\n"
 
-// BufferSize is the maximum number of bytes of a streamed body that are buffered between its two
-// connections.
+// BufferSize is the maximum number of bytes of a streamed body that are buffered between the
+// client's and the endpoint's connection.
 const BufferSize = 32 << 10
 
 // StreamIdleTimeout is the time within which a peer must send or receive the next part of a
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -17,13 +17,13 @@
 // fields is the parsed fields of a head.
 type fields struct {
 	header        http.Header
-	contentLength int // below 0: there is no Content-Length
+	contentLength int // negative: there is no Content-Length
 
-	values []string // space for the values that are still to be parsed
+	values []string // preallocated space for the values of the remaining lines
 }
 
 // parseFields parses the field lines of a head (RFC 9112, section 5), up to and including its empty
-// line. It is not ok if one of them does not have the simplest form.
+// line. ok is false if one of them does not have the simplest form.
 func parseFields(lines string) (f fields, ok bool) {
 	if lines != "\r\n" && !strings.HasSuffix(lines, "\r\n\r\n") {
 		return fields{}, false
@@ -68,8 +68,8 @@
 	return true
 }
 
-// setContentLength sets the value of Content-Length. It reports false if the value is not a number,
-// or not the first one.
+// setContentLength sets the value of Content-Length. It reports false if the value is not a
+// number, or if Content-Length is repeated.
 func (f *fields) setContentLength(value string) bool {
 	if f.contentLength >= 0 {
 		return false
@@ -79,7 +79,8 @@
 	return ok
 }
 
-// parseField parses a field line that is not one of specialFields. The name is in canonical form.
+// parseField parses a field line and returns the name in canonical form. ok is false for one of
+// specialFields, and for a line that does not have the simplest form.
 func parseField(line string) (name, value string, ok bool) {
 	name, value, ok = strings.Cut(line, ":")
 	if !ok || !isToken(name) || !isText(value) {
@@ -92,7 +93,7 @@
 	return name, strings.Trim(value, " \t"), true
 }
 
-// parseDigits parses a number that consists of one to maxDigits digits.
+// parseDigits parses a number of one to maxDigits decimal digits.
 func parseDigits(s string) (n int, ok bool) {
 	if s == "" || len(s) > maxDigits {
 		return 0, false
--- a/internal/http1/heads_test.go
+++ b/internal/http1/heads_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// requests are complete heads of requests. Those of the simplest form are marked.
+// requests are heads of requests. ParseRequest parses those that are marked simple.
 var requests = []struct {
 	text   string
 	simple bool
@@ -36,7 +36,7 @@
 	{"GET /  HTTP/1.1\r\nHost: h\r\n\r\n", false},
 }
 
-// responses are responses. Those with a complete head of the simplest form are marked.
+// responses are responses. ParseResponse parses the heads of those that are marked simple.
 var responses = []struct {
 	text   string
 	simple bool
@@ -67,7 +67,7 @@
 	}
 	want, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
-		t.Fatalf("%q is parsed; net/http: %v", text, err)
+		t.Fatalf("%q is parsed, but net/http returns the error %v", text, err)
 	}
 	want.Body = nil
 	r.Body = nil
@@ -87,15 +87,15 @@
 	}
 	want, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 	if err != nil {
-		t.Fatalf("%q is parsed; net/http: %v", text, err)
+		t.Fatalf("%q is parsed, but net/http returns the error %v", text, err)
 	}
 	d := cmp.Diff(want.Header, head.Header)
 	if d != "" || want.StatusCode != head.Status || want.ContentLength != int64(head.BodyLength) || want.Close {
-		t.Fatalf("%q: %d with %d bytes, net/http: %d with %d, close %v; %s", text, head.Status, head.BodyLength,
+		t.Fatalf("%q: status %d, %d bytes; net/http: status %d, %d bytes, close %v; %s", text, head.Status, head.BodyLength,
 			want.StatusCode, want.ContentLength, want.Close, d)
 	}
 	if !strings.HasSuffix(text[:head.Size], "\r\n\r\n") {
-		t.Fatalf("%q: a head of %d bytes", text, head.Size)
+		t.Fatalf("%q: a head of %d bytes does not end with an empty line", text, head.Size)
 	}
 	return true
 }
--- a/internal/http1/hopbyhop.go
+++ b/internal/http1/hopbyhop.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// hopByHopHeaders are the headers that concern one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// RemoveHopByHop deletes from h the headers that concern one connection only, including those that
-// Connection names, and returns h. The names in except, in canonical form, are kept even if
-// Connection names them.
+// RemoveHopByHop deletes from h the headers that apply to a single connection, including those
+// that Connection names, and returns h. The headers in except, which must be canonical names, are
+// kept even if Connection names them.
 func RemoveHopByHop(h http.Header, except ...string) http.Header {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -2,6 +2,8 @@
 // framing of bodies. It does no I/O of its own: bodies are read through a Source.
 //
 // ParseRequest and ParseResponse parse only the simplest form of a head, which nearly all messages
-// have. They interpret it as net/http would, and leave every other form to net/http. They exist
-// because parsing heads is a tenth of the cost of a request.
+// have: version 1.1 and unfolded ASCII field lines, none of which net/http interprets or changes
+// except Host and Content-Length. They return the same result as net/http, and their callers use
+// net/http for every other form. They exist because parsing heads is a tenth of the cost of a
+// request.
 package http1
--- a/internal/http1/responsehead.go
+++ b/internal/http1/responsehead.go
@@ -16,8 +16,8 @@
 
 // ParseResponse parses the head of a response at the beginning of data.
 //
-// It is not ok if the head is incomplete or does not have the simplest form, or if the body's
-// length does not follow from Content-Length alone (RFC 9112, section 6.3).
+// ok is false if the head is incomplete or does not have the simplest form, or if Content-Length
+// alone does not determine the length of the body (RFC 9112, section 6.3).
 func ParseResponse(data []byte) (head ResponseHead, ok bool) {
 	end := bytes.Index(data, []byte("\r\n\r\n"))
 	if end < 0 {
--- a/internal/ratelimit/flow.go
+++ b/internal/ratelimit/flow.go
@@ -6,12 +6,12 @@
 	"golang.org/x/time/rate"
 )
 
-// flow is traffic with limits of its own: a route's, one tenant's, or that of all tenants which are
-// not tracked.
+// flow is the state of a set of requests that have common limits: the requests of the route, of
+// one tenant, or of all tenants that are not tracked.
 type flow struct {
-	tenant   string // empty if it is not one tenant's
-	bucket   *rate.Limiter
-	inFlight int
+	tenant   string        // empty if the flow is not that of a single tenant
+	bucket   *rate.Limiter // nil: the rate is not limited
+	inFlight int           // requests
 }
 
 // setRate changes the rate of a flow. A rate of zero removes the limit.
@@ -33,8 +33,8 @@
 	f.bucket.SetBurstAt(now, burst)
 }
 
-// takeToken takes a token, or returns the delay until there is one. The reservation is nil if the
-// flow has no rate.
+// takeToken takes a token, or returns the delay until one is available. The token is nil if the
+// rate is not limited or no token is available.
 func (f *flow) takeToken(now time.Time) (token *rate.Reservation, delay time.Duration) {
 	if f.bucket == nil {
 		return nil, 0
@@ -47,11 +47,12 @@
 	return token, 0
 }
 
-// isFull reports whether a flow has as many requests in flight as a limit allows. Zero: no limit.
+// isFull reports whether a flow has as many requests in flight as concurrency allows. Zero means
+// no limit.
 func (f *flow) isFull(concurrency int) bool { return concurrency > 0 && f.inFlight >= concurrency }
 
-// isUnused reports whether a flow is equal to a new one: no request is in flight, and the bucket is
-// full.
+// isUnused reports whether a flow has the state of a new one: no request is in flight, and the
+// bucket is full.
 func (f *flow) isUnused(now time.Time) bool {
 	isBucketFull := f.bucket == nil || f.bucket.TokensAt(now) >= float64(f.bucket.Burst())
 	return f.inFlight == 0 && isBucketFull
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,6 +1,6 @@
-// Package ratelimit admits or rejects the requests of a route by their rate and their concurrency,
-// for the route and for each of its tenants. It has no clock and no goroutine: the time is passed
-// in, always from the same clock.
+// Package ratelimit admits or rejects the requests of a route. It limits their rate and their
+// concurrency, for the route as a whole and for each of its tenants. It has no clock and starts no
+// goroutine: callers pass in the time, always from the same clock.
 package ratelimit
 
 import (
@@ -10,19 +10,19 @@
 	"golang.org/x/time/rate"
 )
 
-// Rate is the rate and the burst of a token bucket. Zero: no limit.
+// Rate is the rate and the burst of a token bucket. A rate of zero means no limit.
 type Rate struct {
 	PerSecond float64
-	Burst     int // 0: the requests of one second, and at least 1
+	Burst     int // 0: the number of requests in one second, and at least 1
 }
 
-// Limits are the limits of a route's traffic. Zero: no limit.
+// Limits are the limits of a route's requests. Zero means no limit.
 type Limits struct {
 	Rate              Rate
 	Concurrency       int
 	TenantRate        Rate
 	TenantConcurrency int
-	Tenants           int // tracked separately; all others have one common quota. 0: DefaultTenants
+	Tenants           int // maximum number that are tracked separately; all others share one quota. 0: DefaultTenants
 }
 
 // hasTenantLimits reports whether tenants have limits of their own.
@@ -30,13 +30,13 @@
 	return l.TenantRate.PerSecond > 0 || l.TenantConcurrency > 0
 }
 
-// DefaultTenants is how many tenants are tracked if Limits.Tenants is 0.
+// DefaultTenants is the maximum number of tenants that are tracked if Limits.Tenants is 0.
 const DefaultTenants = 10000
 
-// Limit names a limit of a route's traffic.
+// Limit names one of the limits of a route's requests.
 type Limit string
 
-// The limits.
+// The values of Limit.
 const (
 	None              Limit = ""
 	RouteRate         Limit = "route rate"
@@ -45,20 +45,20 @@
 	TenantConcurrency Limit = "tenant concurrency"
 )
 
-// Exceeded is the limit for which a request was rejected. It is zero, with the limit None, for a
-// request that was admitted.
+// Exceeded is the limit that a rejected request exceeds. For an admitted request it is the zero
+// value, whose limit is None.
 type Exceeded struct {
 	Limit      Limit
 	RetryAfter time.Duration // until the rate admits a request again; 0 if the limit is not a rate
 }
 
-// Limiter limits the traffic of one route. It is not safe for concurrent use.
+// Limiter limits the requests of one route. It is not safe for concurrent use.
 type Limiter struct {
 	limits    Limits
 	route     flow
-	untracked flow // of all tenants beyond Limits.Tenants
-	tenants   map[string]*list.Element
-	recent    *list.List // of *flow: the tenants, the most recently used first
+	untracked flow                     // common to all tenants that are not tracked
+	tenants   map[string]*list.Element // elements of lru, by tenant
+	lru       *list.List               // values of type *flow: the tracked tenants, the most recently used first
 }
 
 // Permit is the admission of one request. It must be passed to Release when the request ends.
@@ -66,13 +66,13 @@
 
 // New returns a limiter that has admitted nothing yet.
 func New(limits Limits) *Limiter {
-	l := &Limiter{tenants: map[string]*list.Element{}, recent: list.New()}
+	l := &Limiter{tenants: map[string]*list.Element{}, lru: list.New()}
 	l.Configure(time.Time{}, limits)
 	return l
 }
 
-// Configure changes the limits. Requests in flight still count, and unused tokens remain up to the
-// new burst.
+// Configure changes the limits. Requests in flight still count, and unused tokens are kept, up to
+// the new burst.
 func (l *Limiter) Configure(now time.Time, limits Limits) {
 	if limits.Tenants == 0 {
 		limits.Tenants = DefaultTenants
@@ -80,13 +80,13 @@
 	l.limits = limits
 	l.route.setRate(now, limits.Rate)
 	l.untracked.setRate(now, limits.TenantRate)
-	for e := l.recent.Front(); e != nil; e = e.Next() {
+	for e := l.lru.Front(); e != nil; e = e.Next() {
 		e.Value.(*flow).setRate(now, limits.TenantRate)
 	}
 }
 
-// Acquire admits a request, or returns the limit that it exceeds. A rejected request counts for no
-// limit. A request without a tenant counts for the route alone.
+// Acquire admits a request, or returns the limit that it exceeds. A rejected request does not
+// count against any limit. A request without a tenant counts only against the limits of the route.
 func (l *Limiter) Acquire(now time.Time, tenant string) (Permit, Exceeded) {
 	var t *flow
 	if tenant != "" && l.limits.hasTenantLimits() {
@@ -108,8 +108,8 @@
 	return Permit{t}, Exceeded{}
 }
 
-// takeTokens takes a token of the tenant, unless nil, and of the route. If one of them has none, it
-// takes neither and returns the rate that is exceeded.
+// takeTokens takes a token of the tenant, unless tenant is nil, and one of the route. If either
+// has none, it takes neither and returns the rate that is exceeded.
 func (l *Limiter) takeTokens(now time.Time, tenant *flow) Exceeded {
 	var tenantToken *rate.Reservation
 	if tenant != nil {
@@ -127,7 +127,7 @@
 	return Exceeded{}
 }
 
-// Release ends a request that was admitted.
+// Release must be called when an admitted request ends.
 func (l *Limiter) Release(p Permit) {
 	l.route.inFlight--
 	if p.tenant != nil {
@@ -136,30 +136,31 @@
 }
 
 // Usage returns how many requests are in flight, and how many tenants are tracked.
-func (l *Limiter) Usage() (inFlight, tenants int) { return l.route.inFlight, l.recent.Len() }
+func (l *Limiter) Usage() (inFlight, tenants int) { return l.route.inFlight, l.lru.Len() }
 
-// tenantFlow returns the flow of a tenant, and tracks the tenant from now on.
+// tenantFlow returns the flow of a tenant, and begins to track the tenant if it is not tracked
+// yet.
 //
-// If too many are tracked, the least recently used one is dropped, provided that this changes
-// nothing for it: it has no request in flight and all its tokens. Otherwise the new tenant uses one
-// flow with all others that are not tracked. So a client that invents tenant names gets one quota
-// for all of them, and uses no memory.
+// If the maximum number of tenants is tracked, the least recently used one is dropped, provided
+// that its flow is unused: no request is in flight, and no token is missing. Otherwise the new
+// tenant is not tracked, and shares one flow with all other tenants that are not tracked. So a
+// client that invents tenant names gets one quota for all of them, and uses no memory.
 func (l *Limiter) tenantFlow(now time.Time, tenant string) *flow {
 	if e := l.tenants[tenant]; e != nil {
-		l.recent.MoveToFront(e)
+		l.lru.MoveToFront(e)
 		return e.Value.(*flow)
 	}
-	for l.recent.Len() >= l.limits.Tenants {
-		oldest := l.recent.Back()
+	for l.lru.Len() >= l.limits.Tenants {
+		oldest := l.lru.Back()
 		f := oldest.Value.(*flow)
 		if !f.isUnused(now) {
 			return &l.untracked
 		}
-		l.recent.Remove(oldest)
+		l.lru.Remove(oldest)
 		delete(l.tenants, f.tenant)
 	}
 	f := &flow{tenant: tenant}
 	f.setRate(now, l.limits.TenantRate)
-	l.tenants[tenant] = l.recent.PushFront(f)
+	l.tenants[tenant] = l.lru.PushFront(f)
 	return f
 }
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -10,8 +10,8 @@
 
 var start = time.Unix(1000, 0)
 
-// A request over a limit is rejected, and one that arrives after RetryAfter or a release is
-// admitted.
+// A request that exceeds a limit must be rejected. A request after RetryAfter, or after a release,
+// must be admitted.
 func TestEachLimitRejects(t *testing.T) {
 	for limit, limits := range map[Limit]Limits{
 		RouteRate:         {Rate: Rate{PerSecond: 10, Burst: 2}},
@@ -24,7 +24,7 @@
 		for i := range 2 {
 			p, exceeded := l.Acquire(start, "a")
 			if exceeded.Limit != None {
-				t.Fatalf("%s: request %d is rejected for the %s", limit, i, exceeded.Limit)
+				t.Fatalf("%s: request %d is rejected for exceeding the %s", limit, i, exceeded.Limit)
 			}
 			permit = p
 		}
@@ -32,31 +32,31 @@
 		isOfRoute := limit == RouteRate || limit == RouteConcurrency
 		_, exceeded := l.Acquire(start, "a")
 		if exceeded.Limit != limit || (exceeded.RetryAfter > 0) != isRate {
-			t.Errorf("%s: rejected for %+v", limit, exceeded)
+			t.Errorf("%s: request over the limit: %+v", limit, exceeded)
 		}
 		if _, other := l.Acquire(start, "b"); (other.Limit != None) != isOfRoute {
-			t.Errorf("%s: another tenant is rejected for %q", limit, other.Limit)
+			t.Errorf("%s: request of another tenant exceeds %q", limit, other.Limit)
 		}
 		if exceeded.RetryAfter == 0 {
 			l.Release(permit)
 		}
 		if _, exceeded := l.Acquire(start.Add(exceeded.RetryAfter), "a"); exceeded.Limit != None {
-			t.Errorf("%s: still rejected for %q after the delay or a release", limit, exceeded.Limit)
+			t.Errorf("%s: request after the delay or a release still exceeds %q", limit, exceeded.Limit)
 		}
 	}
 }
 
-// A request that the route's limit rejects must not take a token of the tenant.
+// A request that exceeds the rate of the route must not take a token of its tenant.
 func TestRejectedRequestUsesNoToken(t *testing.T) {
 	l := New(Limits{Rate: Rate{PerSecond: 1, Burst: 1}, TenantRate: Rate{PerSecond: 0.001, Burst: 2}})
 	l.Acquire(start, "a")
 	for range 5 {
 		if _, exceeded := l.Acquire(start, "a"); exceeded.Limit != RouteRate {
-			t.Fatalf("rejected for the %s", exceeded.Limit)
+			t.Fatalf("request over the rate of the route exceeds %q", exceeded.Limit)
 		}
 	}
 	if _, exceeded := l.Acquire(start.Add(time.Second), "a"); exceeded.Limit != None {
-		t.Errorf("rejected for the %s", exceeded.Limit)
+		t.Errorf("request with tokens available exceeds %q", exceeded.Limit)
 	}
 }
 
@@ -79,7 +79,8 @@
 	l.Release(permit)
 }
 
-// While the only tracked tenant has a request in flight, all other tenants have one quota.
+// While the only tenant that can be tracked has a request in flight, all other tenants share one
+// quota.
 func TestUntrackedTenantsHaveOneQuota(t *testing.T) {
 	l := New(Limits{TenantConcurrency: 1, Tenants: 1})
 	l.Acquire(start, "first")
@@ -99,7 +100,7 @@
 	}
 	l.Configure(start, Limits{Concurrency: 3, TenantRate: Rate{PerSecond: 1, Burst: 4}})
 	if _, exceeded := l.Acquire(start, "a"); exceeded.Limit != RouteConcurrency {
-		t.Errorf("three of three in flight: %q", exceeded.Limit)
+		t.Errorf("request with three of three in flight exceeds %q", exceeded.Limit)
 	}
 	for _, p := range permits {
 		l.Release(p)
@@ -112,15 +113,15 @@
 		}
 	}
 	if admitted != 4 {
-		t.Errorf("%d admitted, with a burst of 4", admitted)
+		t.Errorf("%d requests admitted, with a burst of 4", admitted)
 	}
 	l.Configure(start, Limits{})
 	if _, exceeded := l.Acquire(start, "a"); exceeded.Limit != None {
-		t.Errorf("without limits: %q", exceeded.Limit)
+		t.Errorf("request without limits exceeds %q", exceeded.Limit)
 	}
 }
 
-// drawLimits draws limits of each tenant and of the route's concurrency.
+// drawLimits draws the limits of each tenant and the concurrency limit of the route.
 func drawLimits(t *rapid.T) Limits {
 	return Limits{
 		Concurrency:       rapid.IntRange(1, 5).Draw(t, "concurrency"),
@@ -133,8 +134,8 @@
 	}
 }
 
-// In any order of arrivals and ends, never more requests are in flight than allowed, and never more
-// are admitted in any time than rate and burst allow.
+// Whatever the order in which requests arrive and end, the number in flight must never exceed the
+// concurrency limits, and the number admitted must never exceed the rate and the burst.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := drawLimits(t)
@@ -162,18 +163,19 @@
 			inFlight = append(inFlight, request{p, tenant})
 			tenantInFlight[tenant]++
 			admitted[tenant]++
-			// A tenant may have requests in a flow of its own and in the common one: twice as many.
+			// A tenant may have requests in its own flow and in that of the untracked tenants, so each limit
+			// may be used twice.
 			if len(inFlight) > limits.Concurrency || tenantInFlight[tenant] > 2*limits.TenantConcurrency {
-				t.Fatalf("%d in flight, %d of %s", len(inFlight), tenantInFlight[tenant], tenant)
+				t.Fatalf("%d requests in flight, %d of tenant %s", len(inFlight), tenantInFlight[tenant], tenant)
 			}
 			elapsed := now.Sub(start)
 			allowed := float64(limits.TenantRate.Burst) + limits.TenantRate.PerSecond*elapsed.Seconds() + 1e-6
 			if float64(admitted[tenant]) > 2*allowed {
-				t.Fatalf("%d of %s in %v", admitted[tenant], tenant, elapsed)
+				t.Fatalf("%d requests of tenant %s admitted in %v", admitted[tenant], tenant, elapsed)
 			}
 		}
 		if n, _ := l.Usage(); n != len(inFlight) {
-			t.Fatalf("%d counted in flight, %d are", n, len(inFlight))
+			t.Fatalf("Usage returns %d requests in flight, want %d", n, len(inFlight))
 		}
 	})
 }
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// SyntaxError is the error of an ambiguous or invalid path, and of an invalid pattern.
+// SyntaxError is the error for an ambiguous or invalid path, and for an invalid host or path
+// pattern.
 type SyntaxError struct {
 	Field   string // FieldHost or FieldPath
 	Problem string
@@ -17,12 +18,12 @@
 // Error implements error.
 func (e *SyntaxError) Error() string { return e.Field + ": " + e.Problem }
 
-// hostError returns the error of a host pattern.
+// hostError returns a *SyntaxError for a host pattern.
 func hostError(format string, args ...any) error {
 	return &SyntaxError{Field: FieldHost, Problem: fmt.Sprintf(format, args...)}
 }
 
-// pathError returns the error of a path or a path pattern.
+// pathError returns a *SyntaxError for a path or a path pattern.
 func pathError(format string, args ...any) error {
 	return &SyntaxError{Field: FieldPath, Problem: fmt.Sprintf(format, args...)}
 }
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -1,6 +1,6 @@
 // Package route finds the route of a request, and rejects ambiguous paths: those that an endpoint
-// could interpret as the path of a different route. It does no I/O, has no clock, and its tables
-// are immutable.
+// could interpret as the path of a different route. It does no I/O and uses no clock, and its
+// tables are immutable.
 package route
 
 import (
@@ -9,12 +9,13 @@
 	"strings"
 )
 
-// Match is the condition of a route. An empty field matches all requests.
+// Match is the condition that a request must meet to use a route. An empty field matches all
+// requests.
 type Match struct {
 	Host    string            // "forms.example", or "*.example" for the names below it; lower case, without a port
 	Path    string            // "/a/b", or "/a/*" for all paths below /a/
-	Methods []string          // any of them
-	Headers map[string]string // all of them, with exactly these values; names in canonical form
+	Methods []string          // the method must be one of them
+	Headers map[string]string // all are required, with exactly these values; names in canonical form
 }
 
 // Header returns the value of a request's header by its canonical name, or "" if there is none.
@@ -23,13 +24,13 @@
 // Check returns a *SyntaxError if a host or path pattern is invalid.
 func (m Match) Check() error {
 	if !isHostPattern(m.Host) {
-		return hostError(`%q is neither a name in lower case nor such as "*.example"`, m.Host)
+		return hostError(`%q is neither a lower-case host name nor a pattern such as "*.example"`, m.Host)
 	}
 	if m.Path == "" {
 		return nil
 	}
 	if strings.Contains(strings.TrimSuffix(m.Path, "/*"), "*") {
-		return pathError(`%q has a star elsewhere than in a last "/*"`, m.Path)
+		return pathError(`%q contains "*" in a place other than a final "/*"`, m.Path)
 	}
 	return CheckPath(strings.TrimSuffix(m.Path, "*"))
 }
@@ -44,16 +45,16 @@
 // Overlaps reports whether some request meets both conditions and neither is more specific.
 func (m Match) Overlaps(other Match) bool {
 	if m.Host != other.Host || m.pathPattern() != other.pathPattern() {
-		return false // different patterns of the same length match no common request
+		return false // one pattern is more specific, or no request matches both
 	}
 	if m.hasMethods() != other.hasMethods() || len(m.Headers) != len(other.Headers) {
-		return false // one of them is more specific
+		return false // one condition is more specific
 	}
 	return m.hasCommonMethod(other) && !m.hasContradictingHeader(other)
 }
 
-// hasCommonMethod reports whether some method meets both conditions, which both list methods or
-// both do not.
+// hasCommonMethod reports whether some method meets both conditions. Both must list methods, or
+// neither.
 func (m Match) hasCommonMethod(other Match) bool {
 	isInOther := func(method string) bool { return slices.Contains(other.Methods, method) }
 	return !m.hasMethods() || slices.ContainsFunc(m.Methods, isInOther)
@@ -69,7 +70,7 @@
 	return false
 }
 
-// pathPattern returns the path pattern, which for an empty Path is that of all paths.
+// pathPattern returns the path pattern. An empty Path is equivalent to "/*".
 func (m Match) pathPattern() string { return cmp.Or(m.Path, "/*") }
 
 func (m Match) hasMethods() bool { return len(m.Methods) > 0 }
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// checkEncodedCharacters returns an error for an encoded separator, and for an encoded character
-// that needs no encoding. The percent-encoding must be valid.
+// checkEncodedCharacters returns an error if a separator is encoded, or a character that needs no
+// encoding. The percent-encoding must be valid.
 func checkEncodedCharacters(escaped string) error {
 	_, encoded, found := strings.Cut(escaped, "%")
 	for found {
@@ -41,8 +41,9 @@
 }
 
 // FirstSegment returns the first segment of a path, for routes that depend on that segment alone.
-// It returns a *SyntaxError if the segment is ambiguous, or if an endpoint could interpret the
-// other segments, which are forwarded unchanged, as leading out of it.
+// It returns a *SyntaxError if the segment is ambiguous. The other segments are forwarded
+// unchanged, so it also returns one if an endpoint could interpret them as a path outside of the
+// first segment.
 func FirstSegment(escaped string) (string, error) {
 	if err := checkSegments(escaped); err != nil {
 		return "", err
@@ -54,8 +55,9 @@
 	return first, nil
 }
 
-// checkSegments returns an error for an invalid path, and for dot segments in any encoding: some
-// servers remove them, some after they have decoded the path once or twice, and some do not.
+// checkSegments returns an error for an invalid path, and for dot segments in any encoding. Some
+// servers remove dot segments, some do so after they have decoded the path once or twice, and some
+// keep them.
 func checkSegments(escaped string) error {
 	if err := checkEncoding(escaped); err != nil {
 		return err
@@ -117,7 +119,7 @@
 	return string(out)
 }
 
-// isSeparator reports whether some servers separate segments at a character.
+// isSeparator reports whether some servers take a character for a separator of segments.
 func isSeparator(c byte) bool { return c == '/' || c == '\\' }
 
 func isSeparatorRune(c rune) bool { return c < 0x80 && isSeparator(byte(c)) }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -55,7 +55,7 @@
 	}
 	other := New(table[8:]).Find(Request{"strict.test", "/x", "POST", plain})
 	if other.Index != noMatch || !slices.Equal(other.Allowed, []string{"DELETE", "GET", "PUT"}) {
-		t.Errorf("other method: %+v", other)
+		t.Errorf("request with a method that is not allowed: %+v", other)
 	}
 	unknown := New(table[8:]).Find(Request{"strict.test", "/y", "POST", plain})
 	if unknown.Index != noMatch || len(unknown.Allowed) != 0 {
@@ -63,7 +63,8 @@
 	}
 }
 
-// drawMatch draws a match of few possible values, so that many match the same requests.
+// drawMatch draws a match from few possible values, so that many matches apply to the same
+// requests.
 func drawMatch(t *rapid.T) Match {
 	return Match{
 		Host:    rapid.SampledFrom([]string{"", "a.b", "*.b", "*.a.b"}).Draw(t, "host"),
@@ -74,7 +75,8 @@
 	}
 }
 
-// matches reports whether a request meets the condition of a match: the table finds this by lookup.
+// matches reports whether a request meets the condition of a match. Unlike a table, it uses no
+// lookup.
 func matches(m Match, r Request) bool {
 	if !matchesHost(m.Host, r.Host) || !matchesPath(m.pathPattern(), r.Path) {
 		return false
@@ -102,7 +104,7 @@
 	return path == pattern
 }
 
-// isMoreSpecific reports whether x is more specific than y, both of which match the same request.
+// isMoreSpecific reports whether x is more specific than y. Both must match the same request.
 func isMoreSpecific(x, y Match) bool {
 	rank := func(m Match) []int {
 		host, path := 3*len(m.Host), 3*len(m.pathPattern())
@@ -117,8 +119,8 @@
 	return slices.Compare(rank(x), rank(y)) > 0
 }
 
-// A table finds the same match as a search through all of them. If none overlap, one of those that
-// match a request is always more specific than the others.
+// A table must find the same match as a search through all matches. If no matches overlap, one of
+// those that apply to a request must always be more specific than the others.
 func TestTableFindsMostSpecificMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Match
@@ -200,8 +202,8 @@
 	}
 }
 
-// A path that is accepted means the same to servers that decode it, to those that remove dot
-// segments, and to those that do neither.
+// Servers that decode a path, servers that remove dot segments, and servers that do neither must
+// all interpret an accepted path in the same way.
 func FuzzCheck(f *testing.F) {
 	for _, path := range append(ambiguousPaths, "/a/b", "/a;b/%20") {
 		f.Add(path)
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -12,18 +12,19 @@
 // hostRoutes are the routes of one host pattern.
 type hostRoutes struct {
 	exact  map[string][]entry // by path
-	prefix map[string][]entry // by the path up to and including the slash before the star
+	prefix map[string][]entry // by the pattern without its final star
 }
 
-// entry is a match and its index. The entries of one path are in order, the most specific first.
+// entry is a match and its index. The entries of one path are sorted, with the most specific
+// first.
 type entry struct {
 	Match
 	index int
 }
 
-// Request is what the route of a request depends on.
+// Request is the part of a request that determines its route.
 type Request struct {
-	Host   string // as the client names it, with or without a port
+	Host   string // as the client sent it, with or without a port
 	Path   string // decoded
 	Method string
 	Header Header
@@ -31,15 +32,15 @@
 
 // Result is the outcome of a search.
 type Result struct {
-	Index   int      // of the match; below 0: there is none
-	Allowed []string // the methods with which the request would match, in order, if there is no match
+	Index   int      // of the match; negative: there is none
+	Allowed []string // without a match: the methods with which the request would match, sorted
 }
 
-// noMatch is the index of no match.
+// noMatch is the index that stands for no match.
 const noMatch = -1
 
-// New returns a table of matches, which must have passed Check and must not overlap. Find returns
-// indices of them.
+// New returns a table of matches, which must have passed Match.Check and must not overlap. Find
+// returns an index into matches.
 func New(matches []Match) *Table {
 	t := &Table{hosts: map[string]*hostRoutes{}}
 	for index, m := range matches {
@@ -57,7 +58,7 @@
 	return t
 }
 
-// add adds an entry.
+// add adds an entry under its path pattern.
 func (r *hostRoutes) add(e entry) {
 	path := e.pathPattern()
 	if prefix, isPrefix := strings.CutSuffix(path, "*"); isPrefix {
@@ -74,8 +75,8 @@
 	}
 }
 
-// compareEntries orders entries of one path: those with methods first, then by the number of
-// headers, the most first.
+// compareEntries orders the entries of one path: entries with methods come first, then those with
+// more headers.
 func compareEntries(x, y entry) int {
 	switch {
 	case x.hasMethods() && !y.hasMethods():
@@ -86,9 +87,10 @@
 	return cmp.Compare(len(y.Headers), len(x.Headers))
 }
 
-// Find returns the most specific match: by host first, an exact one before the longest pattern;
-// then by path, an exact one before the longest prefix; then one with methods before one without;
-// then by the number of headers.
+// Find returns the most specific match of a request. It compares the hosts first: an exact host
+// precedes a pattern, and a longer pattern precedes a shorter one. Then it compares the paths: an
+// exact path precedes a prefix, and a longer prefix precedes a shorter one. Then a match with
+// methods precedes one without, and a match with more headers precedes one with fewer.
 func (t *Table) Find(r Request) Result {
 	var allowed []string
 	host := normalizeHost(r.Host)
@@ -111,16 +113,17 @@
 	return Result{Index: noMatch, Allowed: slices.Compact(allowed)}
 }
 
-// normalizeHost returns a Host without its port and trailing dot, in lower case.
+// normalizeHost returns a Host in lower case, without its port and a trailing dot.
 func normalizeHost(host string) string {
-	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") { // not of an IPv6 address
+	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") { // not in an IPv6 address
 		host = host[:i]
 	}
 	return strings.TrimSuffix(strings.ToLower(host), ".")
 }
 
-// find is Table.Find among the routes of one host pattern, of which there may be none. It appends
-// the methods of entries that would match with a different method to allowed.
+// find returns the index of the most specific match among the routes of one host pattern. r is nil
+// if there are none. To allowed, it appends the methods of entries that would match with a
+// different method.
 func (r *hostRoutes) find(request *Request, allowed *[]string) (index int) {
 	if r == nil {
 		return noMatch
@@ -137,8 +140,8 @@
 	return noMatch
 }
 
-// firstMatch returns the index of the first entry whose methods and headers match. It appends the
-// methods of entries before it of which only the method does not match to allowed.
+// firstMatch returns the index of the first entry whose methods and headers match. To allowed, it
+// appends the methods of the entries before it that would match with a different method.
 func firstMatch(entries []entry, request *Request, allowed *[]string) (index int) {
 	for i := range entries {
 		e := &entries[i]
