--- a/internal/httpserver/bodypace.go
+++ b/internal/httpserver/bodypace.go
@@ -17,7 +17,7 @@
 
 // bodyPace computes the read deadlines of a body from the number of bytes received so far.
 type bodyPace struct {
-	allowance    time.Duration // extra time for a long body, beyond the time it takes at minBodyRate
+	gracePeriod  time.Duration // extra time for a long body, beyond the time it takes at minBodyRate
 	requestStart time.Time     // when the connection was accepted, or the first byte of the request was read
 	bodyStart    time.Time
 	lastRead     time.Time // when the latest read returned
@@ -30,7 +30,7 @@
 func (p *bodyPace) nextDeadline() time.Time {
 	deadline := p.bodyStart.Add(time.Duration(p.received) * time.Second / minBodyRate)
 	if p.received >= proxy.MaxBody {
-		deadline = deadline.Add(p.allowance)
+		deadline = deadline.Add(p.gracePeriod)
 	}
 	if pauseEnd := p.lastRead.Add(maxBodyPause); pauseEnd.Before(deadline) {
 		deadline = pauseEnd
--- a/internal/httpserver/bodypace_test.go
+++ b/internal/httpserver/bodypace_test.go
@@ -31,7 +31,7 @@
 		{"with a long pause", 0, 1 << 20, 2.5, 3, false},
 	} {
 		now := secondsAfter(requestStart, row.bodyStart)
-		p := bodyPace{allowance: defaultBodyTimeout, requestStart: requestStart, bodyStart: now, lastRead: now}
+		p := bodyPace{gracePeriod: defaultBodyGracePeriod, requestStart: requestStart, bodyStart: now, lastRead: now}
 		allowed := true
 		for i := range row.pieces {
 			if i > 0 {
@@ -50,8 +50,8 @@
 	}
 	for _, received := range []int64{0, 4, 30_000} {
 		bodyStart := secondsAfter(requestStart, 2)
-		p := bodyPace{allowance: defaultBodyTimeout, requestStart: requestStart, bodyStart: bodyStart, lastRead: bodyStart,
-			received: received}
+		p := bodyPace{gracePeriod: defaultBodyGracePeriod, requestStart: requestStart, bodyStart: bodyStart,
+			lastRead: bodyStart, received: received}
 		if deadline := p.nextDeadline(); deadline.After(secondsAfter(requestStart, 3)) {
 			t.Errorf("a client that stops after %d bytes times out after %v", received, deadline.Sub(requestStart))
 		}
--- a/internal/httpserver/requestbody.go
+++ b/internal/httpserver/requestbody.go
@@ -76,7 +76,7 @@
 // newRequestBody returns a body of length bytes, or a chunked body if length is http1.Chunked.
 func (c *conn) newRequestBody(length int64) *requestBody {
 	now := time.Now()
-	pace := bodyPace{allowance: c.server.bodyTimeout, requestStart: c.requestStart, bodyStart: now, lastRead: now}
+	pace := bodyPace{gracePeriod: c.server.bodyGracePeriod, requestStart: c.requestStart, bodyStart: now, lastRead: now}
 	b := &requestBody{source: bodySource{reader: &c.reader, pace: pace}}
 	b.decoder = http1.NewBody(&b.source, length)
 	return b
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -18,9 +18,9 @@
 	// to respond within the 3 s that a client may take to send a complete request.
 	requestHeadTimeout = 2500 * time.Millisecond
 
-	// defaultBodyTimeout is the extra time for a long body, beyond the time it takes at
+	// defaultBodyGracePeriod is the extra time for a long body, beyond the time it takes at
 	// minBodyRate.
-	defaultBodyTimeout = 800 * time.Millisecond
+	defaultBodyGracePeriod = 800 * time.Millisecond
 
 	writeTimeout = 5 * time.Second
 	idleTimeout  = 5 * time.Minute
@@ -29,13 +29,13 @@
 // Server serves the connections of clients. Its methods are safe for concurrent use unless they say
 // otherwise.
 type Server struct {
-	router      Router
-	name        string // the name of this server in Proxy-Status
-	defaultHost string // forwarded as Host if an HTTP/1.0 client sends none
-	log         *slog.Logger
-	bodyTimeout time.Duration
-	bodyBuffers bodyBufferPool // for long request bodies
-	draining    atomic.Bool
+	router          Router
+	name            string // the name of this server in Proxy-Status
+	defaultHost     string // forwarded as Host if an HTTP/1.0 client sends none
+	log             *slog.Logger
+	bodyGracePeriod time.Duration
+	bodyBuffers     bodyBufferPool // for long request bodies
+	draining        atomic.Bool
 
 	roundRetryAfter bool // Retry-After is rounded up to whole seconds
 }
@@ -43,7 +43,7 @@
 // New returns a server. name is its name in Proxy-Status. host is forwarded as the Host of a
 // request that has none.
 func New(router Router, name, host string, log *slog.Logger) *Server {
-	s := &Server{router: router, name: name, defaultHost: host, log: log, bodyTimeout: defaultBodyTimeout}
+	s := &Server{router: router, name: name, defaultHost: host, log: log, bodyGracePeriod: defaultBodyGracePeriod}
 	s.bodyBuffers.setLimit(defaultBodyMemory)
 	return s
 }
@@ -56,9 +56,9 @@
 // connections. The rest is streamed to the endpoint as it arrives.
 func (s *Server) SetBodyMemory(bytes int) { s.bodyBuffers.setLimit(bytes) }
 
-// SetBodyTimeout sets the extra time for a long body, beyond the time it takes at the minimum
+// SetBodyGracePeriod sets the extra time for a long body, beyond the time it takes at the minimum
 // rate. It must be called before Serve.
-func (s *Server) SetBodyTimeout(d time.Duration) { s.bodyTimeout = d }
+func (s *Server) SetBodyGracePeriod(d time.Duration) { s.bodyGracePeriod = d }
 
 // StartDraining makes each response close its connection from now on.
 func (s *Server) StartDraining() { s.draining.Store(true) }
--- a/internal/httpserver/streamedbody.go
+++ b/internal/httpserver/streamedbody.go
@@ -106,5 +106,5 @@
 		length = b.length
 	}
 	pace := &b.source.pace
-	return pace.allowance + maxBodyPause + time.Duration(length-pace.received)*time.Second/minBodyRate
+	return pace.gracePeriod + maxBodyPause + time.Duration(length-pace.received)*time.Second/minBodyRate
 }
--- a/internal/sidecar/malformed_test.go
+++ b/internal/sidecar/malformed_test.go
@@ -103,7 +103,7 @@
 func TestUnfinishedBodyTimesOut(t *testing.T) {
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecar(t, e.Addr)
-	s.server.SetBodyTimeout(100 * time.Millisecond)
+	s.server.SetBodyGracePeriod(100 * time.Millisecond)
 	for name, fields := range map[string]string{"valid": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
 		conn := s.dial(t)
 		io.WriteString(conn, "POST /look HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 9\r\n\r\nhalf")
