--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -22,8 +22,8 @@
 	// minBodyRate.
 	defaultBodyGracePeriod = 800 * time.Millisecond
 
-	writeTimeout = 5 * time.Second
-	idleTimeout  = 5 * time.Minute
+	writeTimeout = 5 * time.Second // minimum time for a client to read a response that is not streamed
+	idleTimeout  = 5 * time.Minute // limit on waiting for the next request after bufferIdleTimeout
 )
 
 // Server serves the connections of clients. Its methods are safe for concurrent use unless they say
