--- a/internal/http1/body_test.go
+++ b/internal/http1/body_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// pieceSource is a Source to which a text arrives in pieces, each of them after a timeout.
+// pieceSource is a Source that returns a text in pieces, with a timeout before each.
 type pieceSource struct {
 	text     string // the part that has not arrived
 	nextSize func() int
--- a/internal/http1/chunkdecoder.go
+++ b/internal/http1/chunkdecoder.go
@@ -18,7 +18,7 @@
 var ErrFraming = errors.New("invalid chunked coding")
 
 var (
-	errChunkSize      = fmt.Errorf("%w: chunk size is not a hexadecimal number", ErrFraming)
+	errChunkSize      = fmt.Errorf("%w: chunk size is not a hexadecimal number or is too large", ErrFraming)
 	errChunkEnd       = fmt.Errorf("%w: chunk data is not followed by CR LF", ErrFraming)
 	errChunkLine      = fmt.Errorf("%w: malformed chunk or trailer line", ErrFraming)
 	errFramingTooLong = fmt.Errorf("%w: chunk extensions or trailer fields are too long", ErrFraming)
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// isFieldLine reports whether a line has a colon that follows at least one byte and no white
-// space.
+// isFieldLine reports whether a line begins with a field name, which has no white space, and a
+// colon.
 func isFieldLine(line []byte) bool {
 	for i, b := range line {
 		if b == ':' && i > 0 {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -2,8 +2,10 @@
 // framing of bodies. It does no I/O of its own: bodies are read through a Source.
 //
 // ParseRequest and ParseResponse parse only the simplest form of a head, which nearly all messages
-// have: version 1.1 and unfolded ASCII field lines, none of which net/http interprets or changes
-// except Host and Content-Length. They return the same result as net/http, and their callers use
-// net/http for every other form. They exist because parsing heads is a tenth of the cost of a
-// request.
+// have. A head of that form has version HTTP/1.1 and unfolded ASCII fields. A request has a target
+// in origin form and exactly one Host. Apart from Host and at most one Content-Length, there is no
+// field that net/http interprets or changes.
+//
+// They return the same result as net/http, and their callers use net/http for every other form.
+// They exist because parsing heads is a tenth of the cost of a request.
 package http1
--- a/internal/httpserver/accept.go
+++ b/internal/httpserver/accept.go
@@ -35,8 +35,8 @@
 	return slices.ContainsFunc(finalAcceptErrors, func(final error) bool { return errors.Is(err, final) })
 }
 
-// acceptBackoff computes the delays between the retries of a failing accept. It is not safe for
-// concurrent use.
+// acceptBackoff waits between the retries of a failing accept, and logs the failures. It is not
+// safe for concurrent use.
 type acceptBackoff struct {
 	log      *slog.Logger
 	next     time.Duration
--- a/internal/httpserver/bodybuffers.go
+++ b/internal/httpserver/bodybuffers.go
@@ -7,7 +7,7 @@
 	minBodyBuffers    = 16       // minimum of bodyBufferPool.limit
 	bodyQuotaDivisor  = 4        // one body may use a quarter of bodyBufferPool.limit
 	maxFreeBuffers    = 16       // maximum number of buffers kept for reuse
-	defaultBodyMemory = 8 << 20  // bytes of all buffers in use
+	defaultBodyMemory = 8 << 20  // maximum bytes of all buffers in use
 )
 
 // bodyBufferPool provides the buffers for the long request bodies of all connections, and limits
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -14,8 +14,8 @@
 
 const (
 	bufferIdleTimeout = time.Second            // an idle connection frees its buffers after this time
-	lingerTimeout     = 500 * time.Millisecond // time for the client to read an error before its connection is closed
-	maxLingerBytes    = 256 << 10              // bytes that are read and discarded during lingerTimeout
+	lingerTimeout     = 500 * time.Millisecond // time for the client to read the last response before the close
+	maxLingerBytes    = 256 << 10              // maximum bytes that are read and discarded during lingerTimeout
 )
 
 // conn serves the requests of one client connection, one after the other. Its goroutine owns all
@@ -31,7 +31,7 @@
 	lastRequest bool // the current request is the last: its response closes the connection
 
 	requestStart time.Time // when the connection was accepted, or the first byte of its current request was read
-	headRead     bool      // the current request's head has been read, so a response is due
+	responseDue  bool      // the current request's head has been read or rejected, so it must get a response
 
 	writeDeadlineSet time.Time // when the write deadline was last set
 }
@@ -82,7 +82,7 @@
 // clients a safe retry.
 func (c *conn) respondAfterPanic() {
 	_ = c.disconnect.stop()
-	if !c.headRead || c.netConn.hasWrittenSinceRead() {
+	if !c.responseDue || c.netConn.hasWrittenSinceRead() {
 		return
 	}
 	c.reject(nil, closingRejection(http.StatusBadGateway, http.StatusText(http.StatusBadGateway)))
@@ -121,12 +121,12 @@
 // serveRequest reads one request and writes its response. It reports whether the connection can
 // carry another request.
 func (c *conn) serveRequest() bool {
-	c.headRead = false
+	c.responseDue = false
 	r, err := c.readRequestHead()
 	if err != nil {
 		return c.rejectHead(r, err)
 	}
-	c.headRead = true
+	c.responseDue = true
 	body, rejection := c.readBody(r)
 	if rejection != nil {
 		return c.reject(r, rejection)
@@ -148,7 +148,7 @@
 	if !errors.As(err, &rejection) {
 		return false
 	}
-	c.headRead = true
+	c.responseDue = true
 	return c.reject(r, rejection)
 }
 
@@ -205,8 +205,8 @@
 // isDisconnected reports whether the client has disconnected.
 func (c *conn) isDisconnected() bool { return c.socket.isDisconnected() }
 
-// forwardStreamed does the same as forward for a request with a long body. The pool reads the rest
-// of the body from the connection.
+// forwardStreamed passes a request with a long body to its pool and writes the pool's response.
+// The pool reads the part of the body that is not buffered from the connection.
 func (c *conn) forwardStreamed(f *forwarding) bool {
 	body, streamed := f.body, f.body.streamed
 	upload, err := streamed.bufferAhead()
--- a/internal/httpserver/connreader.go
+++ b/internal/httpserver/connreader.go
@@ -14,8 +14,9 @@
 	maxLeadingEmptyLines = 2       // maximum number before a request
 
 	// If data has been unread for minUnreadWait, the client may have sent more data at the same
-	// time, which has waited in the client's own buffers. A read for that data blocks for
-	// maxBurstGap at most. A read that blocks for longer waits for the client to send.
+	// time, which has waited in the client's own buffers. A read of such data is assumed to block
+	// for maxBurstGap at most. If a read blocks for longer, its data is assumed to have been sent
+	// later.
 	minUnreadWait = 20 * time.Millisecond
 	maxBurstGap   = 5 * time.Millisecond
 )
@@ -46,8 +47,9 @@
 	delayed        bool      // the request's data was unread for minUnreadWait or longer
 }
 
-// startRequest prepares for the next request. It resets the recorded times, unless the beginning
-// of that request is already buffered.
+// startRequest prepares for the next request. It resets earliestSentAt and delayed. If the
+// beginning of that request is already buffered, it keeps earliestSentAt and computes delayed from
+// it.
 func (r *connReader) startRequest() {
 	if r.hasData() {
 		r.delayed = time.Since(r.earliestSentAt) >= minUnreadWait
--- a/internal/httpserver/connrejector.go
+++ b/internal/httpserver/connrejector.go
@@ -10,7 +10,7 @@
 const (
 	maxConcurrentRejections = 64                     // beyond that, connections are closed without a response
 	rejectionTimeout        = 200 * time.Millisecond // for reading the request and writing the response
-	maxRejectedBytes        = 64 << 10               // bytes that are read and discarded after the response
+	maxRejectedBytes        = 64 << 10               // maximum bytes that are read and discarded after the response
 
 	overloadResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\n" +
 		"Content-Type: text/plain; charset=utf-8\r\nContent-Length: 21\r\n\r\ntoo many connections\n"
--- a/internal/httpserver/disconnect_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -85,7 +85,7 @@
 	waitUntil(t, "the disconnect is detected", w.socket.isDisconnected)
 	w.stop()
 	atStop := notified
-	w.poll() // the timer of the previous request may still do so
+	w.poll() // the timer of the previous request may still call it
 	if notified != atStop {
 		t.Error("notified after stop")
 	}
--- a/internal/httpserver/drain.go
+++ b/internal/httpserver/drain.go
@@ -13,7 +13,8 @@
 	// to close idle ones. A client that sends a request just as its connection is closed retries it
 	// on a new connection.
 	minDrainAccept = 150 * time.Millisecond
-	// maxDrainAccept is the maximum of that time if clients keep connecting.
+	// maxDrainAccept is the time after which the listener is closed even if clients keep
+	// connecting, unless all slots are in use.
 	maxDrainAccept = 3 * minDrainAccept
 	// emptyQueueAfter is how long an accept must have blocked to show that the kernel's queue is
 	// empty.
@@ -42,13 +43,17 @@
 }
 
 // Drain closes all idle connections and then the listener. It returns once all connections have
-// ended, each after the response to its last request. Connections in the kernel's queue are served
-// too: unless the listener is paused, it is closed only once its queue is empty.
+// ended, each after the response to its last request.
 //
-// A connection that was active within maxIdle stays open for its next request, and the response to
-// that request closes it, so that the client cannot send a request just as its connection is
-// closed. After drainIdleFactor times maxIdle, idle connections are closed at once. After
-// deadline, unless it is zero, all connections are aborted.
+// Connections in the kernel's queue are served too: the listener is closed once its queue is
+// empty, but no later than lastAcceptMargin before deadline and, while slots are free, than
+// maxDrainAccept after the start. A paused listener is closed at once.
+//
+// A connection that was active within maxIdle stays open for its next request. If
+// Server.StartDraining has been called, the response to that request closes it, so the client
+// cannot send a request just as its connection is closed. After drainIdleFactor times maxIdle,
+// idle connections are closed at once. After deadline, unless it is zero, all connections are
+// aborted.
 func (l *Listener) Drain(maxIdle time.Duration, deadline time.Time) error {
 	var err error
 	start := time.Now()
--- a/internal/httpserver/listener.go
+++ b/internal/httpserver/listener.go
@@ -19,7 +19,7 @@
 	net.Listener
 
 	rejector  *connRejector // rejects connections beyond maxConns; nil: they are served
-	slots     chan struct{} // holds a value for each open connection; nil: there is no such limit
+	slots     chan struct{} // holds a value for each open connection and the accept in progress; nil: no limit
 	closed    chan struct{} // closed with the listener
 	closeOnce sync.Once     // closes closed
 
@@ -160,7 +160,7 @@
 		l.setAccepting(time.Now())
 		nc, err := l.Listener.Accept()
 		l.setAccepting(time.Time{})
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // Pause has interrupted the accept
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // Pause causes this error, and accepting is then retried
 			return nc, err
 		}
 	}
--- a/internal/httpserver/proxystatus.go
+++ b/internal/httpserver/proxystatus.go
@@ -27,8 +27,8 @@
 // limitErrorType is the error type of RFC 9209 for a request that exceeds a configured limit.
 const limitErrorType = "http_request_denied"
 
-// setProxyStatus sets Proxy-Status, unless errorType is empty. Spaces in the details are replaced.
-// All other characters of the details must need no escape in a quoted string.
+// setProxyStatus sets Proxy-Status, unless errorType is empty. Spaces in the details become
+// underscores. All other characters of the details must need no escape in a quoted string.
 func (s *Server) setProxyStatus(h http.Header, errorType, details string) {
 	if errorType == "" {
 		return
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -73,7 +73,7 @@
 	hosts             int
 	contentLengths    int
 	transferEncodings int
-	chunked           bool // the value of the last Transfer-Encoding is exactly "chunked"
+	chunked           bool // the last Transfer-Encoding names "chunked" alone, in any case
 }
 
 // count counts a field if it determines the framing or the host.
@@ -126,7 +126,7 @@
 	return f.contentLengths > 1 || f.contentLengths > 0 && f.transferEncodings > 0
 }
 
-// hasUnknownEncoding reports whether there is a transfer coding other than "chunked".
+// hasUnknownEncoding reports whether the transfer coding is anything but a single "chunked".
 func (f *framingFields) hasUnknownEncoding() bool {
 	return f.transferEncodings > 1 || f.transferEncodings > 0 && !f.chunked
 }
@@ -230,14 +230,14 @@
 }
 
 // newCall returns the call with which a pool serves a complete message. The client's timeout
-// starts at received, the time at which the request was received. For a request with a streamed
-// body, the caller replaces the deadline.
-func newCall(r *http.Request, target *Target, m *proxy.RequestMessage, received time.Time) *proxy.Call {
+// starts at sentAt, the earliest time at which the client can have sent the latest data of the
+// request. For a request with a streamed body, the caller replaces the deadline.
+func newCall(r *http.Request, target *Target, m *proxy.RequestMessage, sentAt time.Time) *proxy.Call {
 	return proxy.NewCall(balancer.Request{
 		ID:          m.Header.Get(platform.RequestIDHeader),
 		Class:       target.Class,
 		Tenant:      target.Tenant,
-		Deadline:    target.Pool.Now() - time.Since(received) + m.ClientTimeout,
+		Deadline:    target.Pool.Now() - time.Since(sentAt) + m.ClientTimeout,
 		ClientRetry: r.Header.Get(platform.ClientRetryHeader) == platform.ClientRetryValue,
 	}, m)
 }
--- a/internal/httpserver/requestbody.go
+++ b/internal/httpserver/requestbody.go
@@ -17,9 +17,9 @@
 	errBodyAbandoned = errors.New("the body was abandoned")
 )
 
-// prefixPool is a pool of buffers for bodies longer than initialBufferSize, or the beginning of
+// bodyDataPool is a pool of buffers for bodies longer than initialBufferSize, or the beginning of
 // such bodies. Its values are of type *[]byte and have a length of proxy.MaxBody bytes.
-var prefixPool = sync.Pool{New: func() any { b := make([]byte, proxy.MaxBody); return &b }}
+var bodyDataPool = sync.Pool{New: func() any { b := make([]byte, proxy.MaxBody); return &b }}
 
 // bodySource reads a body, including its framing, from a connection, and sets the connection's
 // read deadlines. It implements http1.Source.
@@ -70,7 +70,7 @@
 	source    bodySource
 	decoder   *http1.Body
 	abandoned bool
-	err       error // of a failed read, caused by the client; all later reads return it
+	err       error // of a failed read; later reads return it too
 }
 
 // newRequestBody returns a body of length bytes, or a chunked body if length is http1.Chunked.
@@ -135,7 +135,7 @@
 // source of the rest.
 type receivedBody struct {
 	data        []byte
-	releaseData func()        // returns data to prefixPool; nil if data is not from there
+	releaseData func()        // returns data to bodyDataPool; nil if data is not from there
 	streamed    *streamedBody // nil if data is all of the body
 }
 
@@ -154,8 +154,8 @@
 	if size <= initialBufferSize {
 		return receivedBody{data: make([]byte, size)}
 	}
-	memory := prefixPool.Get().(*[]byte)
-	return receivedBody{data: (*memory)[:size], releaseData: func() { prefixPool.Put(memory) }}
+	memory := bodyDataPool.Get().(*[]byte)
+	return receivedBody{data: (*memory)[:size], releaseData: func() { bodyDataPool.Put(memory) }}
 }
 
 // bodyRejection returns the rejection of a request whose body could not be read.
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -30,8 +30,8 @@
 	header http.Header
 }
 
-// connectionHeaders are the headers that this package writes itself. They are not copied from a
-// response's header.
+// connectionHeaders are the headers that this package writes itself. They are excluded when the
+// rest of a response's header is written.
 var connectionHeaders = map[string]bool{
 	"Content-Length":    true,
 	"Connection":        true,
@@ -99,7 +99,8 @@
 }
 
 // hasPipelinedRequest reports whether the client has sent data after the current request. A
-// draining server responds to that data too, because the connection has already received it.
+// draining server serves that request too, because the client has already sent it on this
+// connection.
 func (c *conn) hasPipelinedRequest() bool { return c.reader.hasData() || c.socket.hasUnreadBytes() }
 
 // statusAllowsBody reports whether a response of a status may have a body (RFC 9110, 6.4.1).
@@ -113,10 +114,10 @@
 	now := time.Now()
 	c.decideLastRequest(r)
 	c.appendHead(r, head)
-	answersHead := r != nil && r.Method == http.MethodHead
+	isHeadRequest := r != nil && r.Method == http.MethodHead
 	if statusAllowsBody(head.status) {
 		c.output = append(c.output, "Content-Length: "...)
-		if length := head.header.Get("Content-Length"); answersHead && length != "" { // of the body in the response to a GET
+		if length := head.header.Get("Content-Length"); isHeadRequest && length != "" { // of the body that GET would get
 			c.output = append(c.output, length...)
 		} else {
 			c.output = strconv.AppendInt(c.output, int64(len(body)), 10)
@@ -124,7 +125,7 @@
 		c.output = append(c.output, "\r\n"...)
 	}
 	c.output = append(c.output, "\r\n"...)
-	if answersHead || !statusAllowsBody(head.status) {
+	if isHeadRequest || !statusAllowsBody(head.status) {
 		body = nil
 	}
 	return c.setWriteDeadline(now) && c.writeOutput(body) && !c.lastRequest
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -22,7 +22,7 @@
 	// minBodyRate.
 	defaultBodyGracePeriod = 800 * time.Millisecond
 
-	writeTimeout = 5 * time.Second // minimum time for a client to read a response that is not streamed
+	writeTimeout = 5 * time.Second // a client has at least this long to read a response that is not streamed
 	idleTimeout  = 5 * time.Minute // limit on waiting for the next request after bufferIdleTimeout
 )
 
@@ -31,7 +31,7 @@
 type Server struct {
 	router          Router
 	name            string // the name of this server in Proxy-Status
-	defaultHost     string // forwarded as Host if an HTTP/1.0 client sends none
+	defaultHost     string // forwarded as Host if a request has an empty one or, in HTTP/1.0, none
 	log             *slog.Logger
 	bodyGracePeriod time.Duration
 	bodyBuffers     bodyBufferPool // for long request bodies
@@ -41,7 +41,7 @@
 }
 
 // New returns a server. name is its name in Proxy-Status. host is forwarded as the Host of a
-// request that has none.
+// request that has none or an empty one.
 func New(router Router, name, host string, log *slog.Logger) *Server {
 	s := &Server{router: router, name: name, defaultHost: host, log: log, bodyGracePeriod: defaultBodyGracePeriod}
 	s.bodyBuffers.setLimit(defaultBodyMemory)
@@ -60,10 +60,11 @@
 // rate. It must be called before Serve.
 func (s *Server) SetBodyGracePeriod(d time.Duration) { s.bodyGracePeriod = d }
 
-// StartDraining makes each response close its connection from now on.
+// StartDraining makes responses close their connections from now on, unless a pipelined request
+// follows.
 func (s *Server) StartDraining() { s.draining.Store(true) }
 
-// Draining reports whether each response closes its connection.
+// Draining reports whether StartDraining is in effect.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
 // StopDraining undoes StartDraining.
--- a/internal/httpserver/streamedbody.go
+++ b/internal/httpserver/streamedbody.go
@@ -48,8 +48,8 @@
 
 // lastByteSentAt returns the earliest time at which the client can have sent the last byte of the
 // body, or the current time if the client cannot have sent it yet. While there is unread data, the
-// rest may have been sent right after the latest read, because some of it may still be in the
-// client's own buffers.
+// rest may have been sent right after the data that was read last, because some of it may still be
+// in the client's own buffers.
 func (b *streamedBody) lastByteSentAt() time.Time {
 	reader := b.source.reader
 	unread := b.socket.unreadBytes()
--- a/internal/httpserver/trackedconn.go
+++ b/internal/httpserver/trackedconn.go
@@ -10,7 +10,7 @@
 )
 
 // finalReadTimeout is the timeout of the last read from a connection that is about to be closed.
-// The read returns the data of a request that has already arrived.
+// If a request has already arrived, the read returns its data.
 const finalReadTimeout = 20 * time.Millisecond
 
 // trackedConn is a client's connection that its Listener can close without losing a request.
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -142,9 +142,10 @@
 // yet.
 //
 // If the maximum number of tenants is tracked, the least recently used one is dropped, provided
-// that its flow is unused: no request is in flight, and no token is missing. Otherwise the new
-// tenant is not tracked, and shares one flow with all other tenants that are not tracked. So a
-// client that invents tenant names gets one quota for all of them, and uses no memory.
+// that its flow is unused (no request is in flight, and no token is missing), so that dropping it
+// changes nothing for that tenant. Otherwise the new tenant is not tracked, and shares one flow
+// with all other tenants that are not tracked. So a client that invents tenant names gets one
+// quota for all of them, and uses no memory.
 func (l *Limiter) tenantFlow(now time.Time, tenant string) *flow {
 	if e := l.tenants[tenant]; e != nil {
 		l.lru.MoveToFront(e)
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -52,11 +52,11 @@
 	l.Acquire(start, "a")
 	for range 5 {
 		if _, exceeded := l.Acquire(start, "a"); exceeded.Limit != RouteRate {
-			t.Fatalf("request over the rate of the route exceeds %q", exceeded.Limit)
+			t.Fatalf("request over the rate of the route exceeds the %s", exceeded.Limit)
 		}
 	}
 	if _, exceeded := l.Acquire(start.Add(time.Second), "a"); exceeded.Limit != None {
-		t.Errorf("request with tokens available exceeds %q", exceeded.Limit)
+		t.Errorf("request with tokens available exceeds the %s", exceeded.Limit)
 	}
 }
 
@@ -135,7 +135,8 @@
 }
 
 // Whatever the order in which requests arrive and end, the number in flight must never exceed the
-// concurrency limits, and the number admitted must never exceed the rate and the burst.
+// concurrency limits, and the number admitted since the start must never exceed what the rate and
+// the burst allow in that time.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := drawLimits(t)
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -45,7 +45,7 @@
 // Overlaps reports whether some request meets both conditions and neither is more specific.
 func (m Match) Overlaps(other Match) bool {
 	if m.Host != other.Host || m.pathPattern() != other.pathPattern() {
-		return false // one pattern is more specific, or no request matches both
+		return false // one is more specific or, with the same length, no request matches both
 	}
 	if m.hasMethods() != other.hasMethods() || len(m.Headers) != len(other.Headers) {
 		return false // one condition is more specific
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -9,8 +9,8 @@
 // might interpret it as the path of a route other than the one found for it.
 //
 // Ambiguous paths contain dot segments, empty segments, backslashes, encoded separators or encoded
-// letters. RFC 3986 (6.2.2) defines some of these as equivalent to other forms, but servers
-// disagree on all of them.
+// characters that need no encoding. RFC 3986 (6.2.2) defines some of these as equivalent to other
+// forms, but servers disagree on all of them.
 func CheckPath(escaped string) error {
 	if err := checkSegments(escaped); err != nil {
 		return err
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -204,7 +204,7 @@
 
 // Servers that decode a path, servers that remove dot segments, and servers that do neither must
 // all interpret an accepted path in the same way.
-func FuzzCheck(f *testing.F) {
+func FuzzCheckPath(f *testing.F) {
 	for _, path := range append(ambiguousPaths, "/a/b", "/a;b/%20") {
 		f.Add(path)
 	}
