--- a/internal/connpool/upload.go
+++ b/internal/connpool/upload.go
@@ -73,14 +73,14 @@
 // piece returns the part of the buffer that holds a piece of the body, without the space for chunk
 // framing.
 func (w *uploadWriter) piece() []byte {
-	return w.buffer[http1.ChunkHead : http1.ChunkHead+http1.BufferSize]
+	return w.buffer[http1.ChunkHeadSize : http1.ChunkHeadSize+http1.BufferSize]
 }
 
 // framedPiece returns the first n bytes of piece in the form in which they are written: framed as a
 // chunk if the length of the body is unknown, otherwise as they are.
 func (w *uploadWriter) framedPiece(n int) []byte {
 	if w.upload.Length < 0 {
-		return http1.AppendChunkFraming(w.buffer, n)
+		return http1.FrameChunk(w.buffer, n)
 	}
 	return w.piece()[:n]
 }
@@ -157,7 +157,7 @@
 // start. It has to be computed again during the write, because the client's deadline is not fixed
 // until the client has sent the complete body.
 func (w *uploadWriter) stallDeadline(start time.Time) time.Time {
-	return earlier(start.Add(http1.MaxReadIdle), w.request.clientDeadline())
+	return earlier(start.Add(http1.StreamIdleTimeout), w.request.clientDeadline())
 }
 
 // earlier returns the earlier of two times.
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,5 +1,5 @@
-// Package httpserver serves clients that speak HTTP/1.1. It reads a request, routes it to a pool by
-// the Router, passes it to that pool and writes the one response.
+// Package httpserver serves HTTP/1.1 clients. It reads a request, asks the Router for the pool
+// that serves it, passes it to that pool and writes the response.
 //
 // Each connection has one goroutine, which reads a request, waits for the pool's result, writes the
 // response and reads the next request. A Listener tracks the connections and closes idle ones; it
@@ -14,35 +14,36 @@
 
 // Time limits on a client's connection.
 const (
-	// requestHeadTimeout is more than the 2 s that a client may take for a head, and leaves time to
-	// respond within the 3 s that it may take for a complete request.
+	// requestHeadTimeout is more than the 2 s that a client may take to send a head. It leaves time
+	// to respond within the 3 s that a client may take to send a complete request.
 	requestHeadTimeout = 2500 * time.Millisecond
 
-	// defaultBodyTimeout is how far a long body may be behind the minimum rate.
-	defaultBodyTimeout = 800 * time.Millisecond
+	// defaultBodyGracePeriod is the extra time for a long body, beyond the time it takes at
+	// minBodyRate.
+	defaultBodyGracePeriod = 800 * time.Millisecond
 
-	writeTimeout = 5 * time.Second
-	idleTimeout  = 5 * time.Minute
+	writeTimeout = 5 * time.Second // a client has at least this long to read a response that is not streamed
+	idleTimeout  = 5 * time.Minute // limit on waiting for the next request after bufferIdleTimeout
 )
 
 // Server serves the connections of clients. Its methods are safe for concurrent use unless they say
 // otherwise.
 type Server struct {
-	router      Router
-	name        string // in Proxy-Status
-	defaultHost string // used where an HTTP/1.0 client names no host
-	log         *slog.Logger
-	bodyTimeout time.Duration
-	bodyBuffers bodyBufferPool // for long bodies
-	draining    atomic.Bool
+	router          Router
+	name            string // the name of this server in Proxy-Status
+	defaultHost     string // forwarded as Host if a request has an empty one or, in HTTP/1.0, none
+	log             *slog.Logger
+	bodyGracePeriod time.Duration
+	bodyBuffers     bodyBufferPool // for long request bodies
+	draining        atomic.Bool
 
-	roundRetryAfter bool // to whole seconds
+	roundRetryAfter bool // Retry-After is rounded up to whole seconds
 }
 
-// New returns a server. It calls itself name in Proxy-Status, and forwards host as the Host of a
-// request that has none.
+// New returns a server. name is its name in Proxy-Status. host is forwarded as the Host of a
+// request that has none or an empty one.
 func New(router Router, name, host string, log *slog.Logger) *Server {
-	s := &Server{router: router, name: name, defaultHost: host, log: log, bodyTimeout: defaultBodyTimeout}
+	s := &Server{router: router, name: name, defaultHost: host, log: log, bodyGracePeriod: defaultBodyGracePeriod}
 	s.bodyBuffers.setLimit(defaultBodyMemory)
 	return s
 }
@@ -51,18 +52,19 @@
 // platform's clients also read fractions. It must be called before Serve.
 func (s *Server) RoundRetryAfter() { s.roundRetryAfter = true }
 
-// SetBodyMemory sets how many bytes of long bodies are buffered at once, over all connections. The
-// rest is streamed to the endpoint as it arrives.
+// SetBodyMemory sets how many bytes of long request bodies may be buffered at once, over all
+// connections. The rest is streamed to the endpoint as it arrives.
 func (s *Server) SetBodyMemory(bytes int) { s.bodyBuffers.setLimit(bytes) }
 
-// SetBodyTimeout sets how far a long body may be behind the minimum rate. It must be called before
-// Serve.
-func (s *Server) SetBodyTimeout(d time.Duration) { s.bodyTimeout = d }
+// SetBodyGracePeriod sets the extra time for a long body, beyond the time it takes at the minimum
+// rate. It must be called before Serve.
+func (s *Server) SetBodyGracePeriod(d time.Duration) { s.bodyGracePeriod = d }
 
-// StartDraining makes responses close their connections from now on.
+// StartDraining makes responses close their connections from now on, unless a pipelined request
+// follows.
 func (s *Server) StartDraining() { s.draining.Store(true) }
 
-// Draining reports whether responses close their connections.
+// Draining reports whether StartDraining is in effect.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
 // StopDraining undoes StartDraining.
