--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -72,7 +72,7 @@
 	ErrorRate      float64 `json:"errors"`             // of recent outcomes, from 0 to 1
 	InFlight       int     `json:"in_flight"`
 	IdleConns      int     `json:"idle_connections"`
-	Warmth         float64 `json:"warmth"`
+	CapacityShare  float64 `json:"warmth"`
 	SinceResponse  string  `json:"answered_ago,omitempty"` // absent: it has never responded
 	LastFailure    string  `json:"fault,omitempty"`        // of the latest attempt, until one succeeds
 }
@@ -164,7 +164,7 @@
 		ErrorRate:      roundThousandths(e.Errors),
 		InFlight:       e.InFlight,
 		IdleConns:      e.IdleConns,
-		Warmth:         roundThousandths(e.CapacityShare),
+		CapacityShare:  roundThousandths(e.CapacityShare),
 		LastFailure:    e.LastFailure,
 	}
 	if e.State != balancer.Ready {
