--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	adminHeaderTimeout = 5 * time.Second // for the head of a request to the admin interface
-	maxEndpointsListed = 1000            // endpoints of a pool in one status
-	adminListenerName  = "admin"         // in the log
+	adminHeaderTimeout = 5 * time.Second // for reading the header of a request to the admin interface
+	maxEndpointsListed = 1000            // endpoints per pool in one status response
+	adminListenerName  = "admin"         // the listener's name in the log
 )
 
-// Values in the status and in labels of metrics.
+// Values in the status and in metric labels.
 const (
 	endpointReady    = "ready"
 	endpointDraining = "draining"
 	trialInFlight    = "under way"
 )
 
-// Status is the daemon's state as the admin interface shows it. The names of its JSON members are
-// part of the interface; docs/daemon.md maps them to the terms used here.
+// Status is the daemon's state as the admin interface reports it. The JSON keys are part of that
+// interface; docs/daemon.md maps them to the terms used here.
 type Status struct {
 	File                string           `json:"file"`
 	Generation          int              `json:"generation"`
-	DrainingGenerations int              `json:"draining_generations"` // older ones with requests in flight
+	DrainingGenerations int              `json:"draining_generations"` // older ones that are still in use
 	Reloads             ReloadStatus     `json:"reloads"`
 	Warnings            []string         `json:"warnings,omitempty"`
 	Listeners           []ListenerStatus `json:"listeners"`
@@ -46,35 +46,35 @@
 type ListenerStatus struct {
 	Name                string `json:"name"`
 	Address             string `json:"address"`
-	Removed             bool   `json:"ending,omitempty"` // draining: the configuration no longer has it
+	Removed             bool   `json:"ending,omitempty"` // it is draining: a reload removed it
 	Connections         int    `json:"connections"`
-	RejectedConnections int    `json:"turned_away"` // for which the limit left no capacity
+	RejectedConnections int    `json:"turned_away"` // rejected because of the connection limit
 }
 
 // PoolStatus is the state of a pool.
 type PoolStatus struct {
 	Name    string `json:"name"`
-	Removed bool   `json:"ending,omitempty"` // draining: the configuration no longer has it, or another of its name
+	Removed bool   `json:"ending,omitempty"` // it is draining: a reload removed or replaced it
 	proxy.Stats
-	SourceError string           `json:"roster_error,omitempty"` // for which the present endpoint list is not in force
-	Endpoints   []EndpointStatus `json:"endpoints"`              // at most maxEndpointsListed of them
-	Unlisted    int              `json:"endpoints_unlisted,omitempty"`
+	SourceError string           `json:"roster_error,omitempty"`       // why the source's current list is not in force
+	Endpoints   []EndpointStatus `json:"endpoints"`                    // at most maxEndpointsListed
+	Unlisted    int              `json:"endpoints_unlisted,omitempty"` // number left out of Endpoints
 }
 
 // EndpointStatus is the state of an endpoint.
 type EndpointStatus struct {
 	ID             string  `json:"id"`
 	Address        string  `json:"address"`
-	State          string  `json:"state"`              // endpointReady or endpointDraining, as listed
-	InactiveReason string  `json:"out,omitempty"`      // for which it gets no requests but trials
-	NextTrial      string  `json:"trial_in,omitempty"` // a duration, or trialInFlight
-	Weight         float64 `json:"weight"`             // its smoothed latency ratio
-	ErrorRate      float64 `json:"errors"`             // of recent outcomes, from 0 to 1
+	State          string  `json:"state"`              // endpointReady or endpointDraining
+	InactiveReason string  `json:"out,omitempty"`      // why it gets no requests except trials
+	NextTrial      string  `json:"trial_in,omitempty"` // the time until it, or trialInFlight
+	Weight         float64 `json:"weight"`             // smoothed ratio of its latency to the baseline latency
+	ErrorRate      float64 `json:"errors"`             // share of recent outcomes that were errors, from 0 to 1
 	InFlight       int     `json:"in_flight"`
 	IdleConns      int     `json:"idle_connections"`
-	CapacityShare  float64 `json:"warmth"`
-	SinceResponse  string  `json:"answered_ago,omitempty"` // absent: it has never responded
-	LastFailure    string  `json:"fault,omitempty"`        // of the latest attempt, until one succeeds
+	CapacityShare  float64 `json:"warmth"`                 // during slow start: share of its capacity, from 0 to 1
+	SinceResponse  string  `json:"answered_ago,omitempty"` // absent if it has never responded
+	LastFailure    string  `json:"fault,omitempty"`        // of the latest failed attempt; absent once one succeeds
 }
 
 // RouteStatus is the state of a route.
@@ -83,16 +83,16 @@
 	Class    string `json:"class"`
 	Pool     string `json:"pool"`
 	InFlight int    `json:"under_way"`
-	Tenants  int    `json:"tenants"` // tracked separately at present
+	Tenants  int    `json:"tenants"` // that are currently tracked
 }
 
 // Status returns the daemon's state.
 func (d *Daemon) Status() Status { return d.status((*pool).status) }
 
-// Summary returns the daemon's state without those of its endpoints.
+// Summary returns the daemon's state without the state of each endpoint.
 func (d *Daemon) Summary() Status { return d.status((*pool).summary) }
 
-// status returns the daemon's state, with the state of each pool as poolStatus returns it.
+// status returns the daemon's state. It calls poolStatus for the state of each pool.
 func (d *Daemon) status(poolStatus func(*pool) PoolStatus) Status {
 	d.reloadMu.Lock()
 	pools, current := slices.Clone(d.pools), d.current
@@ -123,7 +123,7 @@
 	return s
 }
 
-// status returns the state of a listener. The caller must hold Daemon.mu.
+// status returns the listener's state. The caller must hold Daemon.mu.
 func (l *listener) status() ListenerStatus {
 	open, rejected := l.conns.Counts()
 	return ListenerStatus{
@@ -135,12 +135,12 @@
 	}
 }
 
-// summary returns the state of a pool without those of its endpoints.
+// summary returns the pool's state without the state of each endpoint.
 func (p *pool) summary() PoolStatus {
 	return PoolStatus{Name: p.name, Stats: p.proxy.Stats(), SourceError: p.source.get()}
 }
 
-// status returns the state of a pool.
+// status returns the pool's state, including that of its endpoints.
 func (p *pool) status() PoolStatus {
 	s := p.summary()
 	for _, e := range p.proxy.Endpoints() {
@@ -153,7 +153,7 @@
 	return s
 }
 
-// endpointStatus returns the state of an endpoint.
+// endpointStatus converts the status of an endpoint to the form of the admin interface.
 func endpointStatus(e proxy.EndpointStatus) EndpointStatus {
 	s := EndpointStatus{
 		ID:             e.ID,
@@ -185,8 +185,8 @@
 
 func roundThousandths(x float64) float64 { return math.Round(x*1000) / 1000 }
 
-// serveAdmin serves the admin interface. The function that it returns closes it and waits for all
-// goroutines of the daemon.
+// serveAdmin starts serving the admin interface. The returned function closes the interface and
+// waits for all goroutines of the daemon.
 func (d *Daemon) serveAdmin() (stop func()) {
 	server := &http.Server{Handler: d.adminHandler(), ReadHeaderTimeout: adminHeaderTimeout}
 	d.log.Info("listening", logkey.Listener, adminListenerName, logkey.Addr, d.admin.Addr().String())
--- a/internal/daemon/admin_test.go
+++ b/internal/daemon/admin_test.go
@@ -10,7 +10,7 @@
 
 func TestAdminInterface(t *testing.T) {
 	e := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
-	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
+	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "read", "one", ""))
 	s.request(http.MethodGet, "/x")
 	testpeer.WaitUntil(t, "the request is counted, which happens after its response is written", func() bool {
 		metrics := s.requestAdmin(http.MethodGet, "/metrics").body
@@ -18,7 +18,7 @@
 	})
 	for path, wants := range map[string][]string{
 		"/healthz": {"ok"},
-		"/status":  {`"generation": 1`, `"name": "one"`, `"ready": 1`, `"class": "look"`},
+		"/status":  {`"generation": 1`, `"name": "one"`, `"ready": 1`, `"class": "read"`},
 		"/metrics": {
 			`rowancart_answers_total{kind="served",route="x"} 1`,
 			`rowancart_endpoints{pool="one",state="ready"} 1`,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,13 +1,13 @@
-// Package daemon runs one installation: many listeners, routes and pools from one configuration
-// file, replaced as a unit at each reload. It connects HTTP servers, pools and endpoint sources and
-// makes no decision of its own: package route finds routes, package ratelimit enforces limits, and
-// package balancer selects endpoints.
+// Package daemon runs the load balancer as a daemon. One configuration file defines any number of
+// listeners, routes and pools, and a reload replaces all of them as a unit. The package connects
+// HTTP servers, pools and endpoint sources; the decisions are made elsewhere: package route finds
+// routes, package ratelimit enforces limits, and package balancer selects endpoints.
 //
 // # Locks
 //
-// Daemon.reloadMu serializes all changes of the configuration in force. Daemon.mu guards what each
-// request reads. A routeLimiter and a pool have locks of their own. They are acquired in this
-// order: reloadMu, mu, routeLimiter.mu.
+// Daemon.reloadMu serializes all changes of the configuration in force. Daemon.mu guards the state
+// that each request reads. Each routeLimiter and each pool has locks of its own. Locks are acquired
+// in the order reloadMu, mu, routeLimiter.mu.
 package daemon
 
 import (
@@ -33,15 +33,15 @@
 	"rowancart/internal/logkey"
 )
 
-// shutdownAccept is how long new connections are accepted after the signal to stop: clients go on
-// opening them for a while.
-const shutdownAccept = 600 * time.Millisecond
+// shutdownAcceptPeriod is how long the daemon goes on accepting connections after it was told to
+// stop, because clients open new connections until they learn that it is stopping.
+const shutdownAcceptPeriod = 600 * time.Millisecond
 
-// Daemon is one installation. New opens its listeners; Run serves, then drains, and returns once
-// all goroutines have ended.
+// Daemon serves the listeners of one configuration file. New opens the listeners. Run serves, then
+// drains, and returns once all goroutines have ended.
 type Daemon struct {
 	log      *slog.Logger
-	seed     uint64 // of the balancers
+	seed     uint64 // random seed of the balancers, and prefix of the request ids
 	source   configSource
 	metrics  *metrics
 	onApply  func(*config.Config) // may be nil
@@ -49,19 +49,19 @@
 	handover handover
 
 	requestIDs requestIDs
-	restored   restoredSnapshot // zero once Run has begun
+	restored   restoredSnapshot // learned state for the first pools; zero once Run has started them
 	snapshots  snapshotWriter
 
-	runCtx context.Context // ends the pools; nil before Run; guarded by reloadMu
+	runCtx context.Context // stops the pools when it ends; nil before Run; guarded by reloadMu
 	tasks  errgroup.Group  // goroutines that must have ended before Run returns
 
-	reloadMu sync.Mutex // one reload at a time; guards the fields below it
+	reloadMu sync.Mutex // held during a reload; guards the fields up to mu
 	stopping bool
-	pools    []*pool // those of all generations that have users
+	pools    []*pool // of all generations that have users
 	retired  retiredGenerations
 
-	// mu guards the fields below it. A request finds its route, limits and pool while it is held
-	// once. Current and reloads are written under reloadMu as well, and may be read under either.
+	// mu guards the fields below it. A request acquires it once, to find its route, limits and pool.
+	// Writing current or reloads requires reloadMu as well; reading them requires either lock.
 	mu        sync.RWMutex
 	current   *generation
 	limiters  limiterSet
@@ -69,19 +69,20 @@
 	reloads   ReloadStatus
 }
 
-// Options are what a daemon needs beside its configuration.
+// Options are the settings of a daemon that are not in its configuration file.
 type Options struct {
 	ConfigPath string
-	LookupEnv  func(string) (string, bool) // resolves the variables that the configuration names
+	LookupEnv  func(string) (string, bool) // looks up environment variables that the configuration uses
 	Log        *slog.Logger
-	OnApply    func(*config.Config) // called with each configuration put in force, the first included; may be nil
+	OnApply    func(*config.Config) // called with each configuration that is put in force, including the first; may be nil
 
-	Predecessor    *successor.Predecessor // has open sockets for this process; nil: there is none
-	NewSuccessor   func() *exec.Cmd       // the command of a successor
-	HandoverSignal <-chan os.Signal       // each value starts a handover; nil: there is never one
+	Predecessor    *successor.Predecessor // provides its open sockets; nil if there is none
+	NewSuccessor   func() *exec.Cmd       // returns the command that starts a successor
+	HandoverSignal <-chan os.Signal       // each value starts a handover; nil disables handovers
 }
 
-// New reads the configuration and opens its listeners. They accept connections once Run is called.
+// New reads the configuration and opens its listeners. They accept connections only once Run is
+// called.
 func New(o Options) (*Daemon, error) {
 	source := configSource{path: o.ConfigPath, lookupEnv: o.LookupEnv}
 	c, err := source.load()
@@ -106,7 +107,7 @@
 	d.metrics = newMetrics(d)
 	d.logWarnings(c)
 	d.restored = restoreSnapshot(c, d.log)
-	opened, err := d.openAll(c)
+	opened, err := d.openInitialListeners(c)
 	if err != nil {
 		return nil, err
 	}
@@ -115,9 +116,9 @@
 	return d, nil
 }
 
-// openAll opens the listeners of the first configuration, its admin interface included: all or,
-// with an error, none.
-func (d *Daemon) openAll(c *config.Config) (opened []*listener, err error) {
+// openInitialListeners opens the listeners of the first configuration, including that of the admin
+// interface. If one of them cannot be opened, it closes the others and returns the error.
+func (d *Daemon) openInitialListeners(c *config.Config) (opened []*listener, err error) {
 	opened, err = d.openListeners(c)
 	if err != nil || c.Admin == "" {
 		return opened, err
@@ -140,13 +141,13 @@
 type exitReason int
 
 const (
-	exitStopped    exitReason = iota // the context ended
-	exitHandedOver                   // a successor serves
+	exitStopped    exitReason = iota // the context was canceled
+	exitHandedOver                   // a successor has taken over
 )
 
-// Run serves until ctx ends or a successor serves, and then drains: it returns once all accepted
-// requests have been answered or the configured timeout has passed. Each value on hup, and each
-// change of the file, is a reload.
+// Run serves until ctx ends or a successor has taken over. It then drains: it returns once all
+// accepted requests have been answered, or after the configured timeout. Each value from hup and
+// each change of the configuration file causes a reload.
 func (d *Daemon) Run(ctx context.Context, hup <-chan os.Signal) error {
 	runCtx, stopServing := context.WithCancel(context.Background())
 	defer stopServing()
@@ -168,15 +169,15 @@
 	}
 	reason := d.handleEvents(ctx, hup, fileChanged)
 	stopWatching()
-	acceptFor := shutdownAccept
+	acceptFor := shutdownAcceptPeriod
 	if reason == exitHandedOver {
-		acceptFor = 0 // the successor accepts
+		acceptFor = 0 // the successor accepts new connections
 	}
 	return d.drain(stopServing, saverDone, acceptFor)
 }
 
-// start runs the pools and listeners of the first configuration. It returns the configuration's
-// text.
+// start starts the pools and listeners of the first configuration, and returns the text of that
+// configuration.
 func (d *Daemon) start(runCtx context.Context) []byte {
 	d.reloadMu.Lock()
 	defer d.reloadMu.Unlock()
@@ -193,18 +194,18 @@
 	return d.current.config.Text
 }
 
-// watchConfig watches the configuration file until ctx ends. The channel receives a value after
-// changes of its text.
+// watchConfig watches the configuration file until ctx ends. The returned channel receives a value
+// after the text has changed. The argument text is what was read last.
 func (d *Daemon) watchConfig(ctx context.Context, text []byte) <-chan struct{} {
 	changed := make(chan struct{}, 1)
 	d.tasks.Go(func() error {
 		err := filewatch.File(ctx, d.source.path, text, func([]byte) {
 			select {
 			case changed <- struct{}{}:
-			default: // a reload is pending already
+			default: // a reload is already pending
 			}
 		})
-		if err != nil { // signals still reload it
+		if err != nil { // the file can still be reloaded by signal
 			d.log.Error("configuration file not watched", logkey.Path, d.source.path, logkey.Err, err)
 		}
 		return nil
@@ -212,13 +213,13 @@
 	return changed
 }
 
-// handleEvents reloads, hands over and removes unused generations, until ctx ends or a successor
-// serves.
+// handleEvents handles reloads, handovers and unused generations until ctx ends or a successor has
+// taken over.
 func (d *Daemon) handleEvents(ctx context.Context, hup <-chan os.Signal, fileChanged <-chan struct{}) exitReason {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-d.handover.served:
+		case <-d.handover.completed:
 			return exitHandedOver
 		case <-d.handover.signal:
 			if d.handover.begin() {
@@ -230,7 +231,7 @@
 		case <-d.handover.failed:
 			d.handover.reset()
 		case <-hup:
-			_ = d.Reload() // the log and the status have its error
+			_ = d.Reload() // the error is in the log and the status
 		case <-fileChanged:
 			_ = d.reloadFor(reloadFileChanged)
 		case <-d.retired.unused:
@@ -240,8 +241,8 @@
 	return exitStopped
 }
 
-// drain stops accepting after acceptFor, waits until all accepted requests have been answered, and
-// then stops the rest.
+// drain accepts connections for another acceptFor, but for at most half of the drain timeout. It
+// then waits until all accepted requests have been answered, and stops the rest of the daemon.
 func (d *Daemon) drain(stopServing context.CancelFunc, saverDone <-chan struct{}, acceptFor time.Duration) error {
 	d.reloadMu.Lock()
 	d.stopping = true
@@ -263,8 +264,8 @@
 	return errors.Join(err, d.tasks.Wait())
 }
 
-// ignoreClosed returns nil for the errors of a server that was closed on purpose, and err for
-// others.
+// ignoreClosed returns nil if err says that a listener or server was closed, which is done on
+// purpose, and otherwise err.
 func ignoreClosed(err error) error {
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed) {
 		return nil
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -16,60 +16,62 @@
 	"rowancart/internal/route"
 )
 
-// generation is one configuration that is in force, or that was in force when a request arrived
-// that is still in flight. It is immutable but for the count of its users.
+// generation is a configuration that is in force, or one that was replaced but is still in use by
+// requests or listeners. Apart from the count of its users it is immutable.
 //
-// A generation is current, then retired when the next one is applied, and removed once it has no
-// users. Its users are the daemon while it is current, each request that it routed, and each
-// listener that the next generation has removed, until that has drained.
+// The current generation is retired when the next one is applied, and removed once it has no users.
+// Its users are the daemon, while the generation is current, each request that it routed, until the
+// request has been answered, and each listener that the next generation removed, until the listener
+// has drained.
 type generation struct {
 	number int
 	config *config.Config
 	pools  map[string]*pool       // by name
-	tables map[string]*routeTable // by listener
+	tables map[string]*routeTable // by listener name
 	users  atomic.Int64
-	unused chan<- struct{} // receives a value when the last use has ended
+	unused chan<- struct{} // receives a value when the last user has released the generation
 }
 
 // routeTable finds the routes of one listener.
 type routeTable struct {
 	*route.Table
-	entries []*routeEntry // by the index that the table returns
+	entries []*routeEntry // by the index that Table.Find returns
 }
 
-// routeEntry is a route of a generation with the pool, limits and metrics of its requests.
+// routeEntry is a route of a generation, with the route's pool, limiter and metrics.
 type routeEntry struct {
 	config.Route
 	pool    *pool
-	class   string // name of the route's class in the pool
+	class   string // name of the route's class within the pool, as className returns it
 	limiter *routeLimiter
 	metrics *routeMetrics
 }
 
-// acquire adds a user. The generation must have one already.
+// acquire adds a user. The generation must already have one, unless it is new.
 func (g *generation) acquire() { g.users.Add(1) }
 
-// release removes a user. The daemon removes a generation that has lost its last user.
+// release removes a user. If it was the last one, the daemon is notified, which then removes the
+// generation.
 func (g *generation) release() {
 	if g.users.Add(-1) > 0 {
 		return
 	}
 	select {
 	case g.unused <- struct{}{}:
-	default: // notified already
+	default: // a notification is already pending
 	}
 }
 
-// className returns the name of a route's class in its pool. Classes that differ in any way have
-// different names, so that a request in flight keeps the class with which it arrived, whatever a
-// reload makes of the route.
+// className returns the name of a route's class within its pool. The name contains a hash of all
+// settings of the class, so that two versions of a class have different names: a request in flight
+// keeps the class that it had on arrival, even if a reload changes the class of the route.
 func className(r config.Route) string {
 	return fmt.Sprintf("%s~%016x", r.Class.Name, xxhash.Sum64String(fmt.Sprintf("%+v", r.BalancerClass(""))))
 }
 
-// apply puts a configuration in force. What it needs is ready before the first request is routed by
-// it: pools are configured with its classes, and listeners are open. The caller must hold
-// d.reloadMu, except before Run.
+// apply puts a configuration in force. Before the first request is routed by it, its pools have its
+// classes, and the listeners that it adds are open: those are passed in opened. The caller must
+// hold d.reloadMu, except before Run.
 func (d *Daemon) apply(c *config.Config, opened []*listener) {
 	old := d.current
 	g := newGeneration(c, old, d.retired.unused)
@@ -101,8 +103,8 @@
 	}
 }
 
-// newGeneration returns the generation of a configuration that follows old, which is nil for the
-// first. It has one user: the daemon, while it is current.
+// newGeneration returns the generation of a configuration. It follows the generation old, which is
+// nil for the first. Its one user is the daemon, which releases it when the next one is applied.
 func newGeneration(c *config.Config, old *generation, unused chan<- struct{}) *generation {
 	g := &generation{
 		number: 1,
@@ -118,18 +120,18 @@
 	return g
 }
 
-// addPools gives a generation its pools: those of the generation before it where they serve the
-// same endpoints, else new ones.
+// addPools sets the pools of the generation g. It reuses a pool of the previous generation, old, if
+// canReusePool allows that, and creates a new one otherwise.
 func (d *Daemon) addPools(g, old *generation) {
 	for _, pc := range g.config.Pools {
 		var p *pool
 		if old != nil {
 			p = old.pools[pc.Name]
 		}
-		if p == nil || !servesSameEndpoints(p.settings.config.Source, pc.Source) {
+		if p == nil || !canReusePool(p.settings.config.Source, pc.Source) {
 			p = d.newPool(pc, g)
 			d.pools = append(d.pools, p)
-			if d.runCtx != nil { // otherwise Run starts it
+			if d.runCtx != nil { // otherwise Run starts the pool
 				d.startPool(p)
 			}
 		}
@@ -137,7 +139,7 @@
 	}
 }
 
-// newRouteTable returns the table of a listener's routes. The caller must hold d.mu.
+// newRouteTable returns the table of the routes that a listener serves. The caller must hold d.mu.
 func (d *Daemon) newRouteTable(g *generation, listener string) *routeTable {
 	t := &routeTable{}
 	var matches []route.Match
@@ -158,9 +160,9 @@
 	return t
 }
 
-// configurePools configures each pool for all generations that have users. The newest decides all
-// but the classes, which are those of all of them. The caller must hold d.reloadMu, except before
-// Run.
+// configurePools configures each pool for all generations that have users. A pool gets the classes
+// of all these generations, and its other settings from the newest. The caller must hold
+// d.reloadMu, except before Run.
 func (d *Daemon) configurePools(newest *generation) {
 	classes := classesByPool(append([]*generation{newest}, d.retired.generations...))
 	for _, p := range d.pools {
@@ -168,8 +170,9 @@
 	}
 }
 
-// classesByPool returns the classes of each pool in some generations, sorted by name: their order
-// must not depend on that of the generations, since the balancer sums over classes in it.
+// classesByPool returns the classes of each pool in the given generations. They are sorted by name
+// because the balancer computes sums over the classes in this order, which must therefore not
+// depend on the order of the generations.
 func classesByPool(generations []*generation) map[*pool][]balancer.Class {
 	byName := map[*pool]map[string]balancer.Class{}
 	for _, g := range generations {
@@ -189,11 +192,11 @@
 	return sorted
 }
 
-// retiredGenerations are the generations that are no longer in force and have users.
-// Daemon.reloadMu guards them.
+// retiredGenerations are the generations that are no longer in force but still have users. It is
+// guarded by Daemon.reloadMu.
 type retiredGenerations struct {
 	generations []*generation
-	unused      chan struct{} // receives a value when a generation has lost its last user
+	unused      chan struct{} // receives a value when the last user of a generation has released it
 }
 
 func newRetiredGenerations() retiredGenerations {
@@ -210,16 +213,16 @@
 	return len(r.generations) < before
 }
 
-// hasPool reports whether one of the generations has a pool.
+// hasPool reports whether one of the generations uses p.
 func (r *retiredGenerations) hasPool(p *pool) bool {
 	return slices.ContainsFunc(r.generations, func(g *generation) bool { return g.hasPool(p) })
 }
 
-// hasPool reports whether the generation has a pool.
+// hasPool reports whether the generation uses p, and not another pool of the same name.
 func (g *generation) hasPool(p *pool) bool { return g.pools[p.name] == p }
 
-// removeUnusedGenerations removes retired generations without users, and stops the pools that only
-// they had.
+// removeUnusedGenerations removes retired generations without users, and stops the pools that no
+// other generation uses.
 func (d *Daemon) removeUnusedGenerations() {
 	d.reloadMu.Lock()
 	defer d.reloadMu.Unlock()
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -10,16 +10,17 @@
 	"rowancart/internal/logkey"
 )
 
-// handover is a daemon's part in process handovers: it inherits sockets from a predecessor, and
-// starts a successor at a signal. All but inherit is for the goroutine of Run.
+// handover is the state of a daemon's process handovers: the daemon inherits sockets from a
+// predecessor, and starts a successor on request. Only inherit may be called from goroutines other
+// than that of Run.
 type handover struct {
-	predecessor  *successor.Predecessor // nil: there is none
+	predecessor  *successor.Predecessor // nil if there is none
 	newSuccessor func() *exec.Cmd
 	signal       <-chan os.Signal // each value requests a handover
 
 	inProgress bool
-	served     chan struct{} // closed when a successor serves
-	failed     chan struct{} // receives a value when a successor has not got to serve
+	completed  chan struct{} // closed once a successor serves
+	failed     chan struct{} // receives a value when a successor could not take over
 }
 
 func newHandover(o Options) handover {
@@ -27,12 +28,12 @@
 		predecessor:  o.Predecessor,
 		newSuccessor: o.NewSuccessor,
 		signal:       o.HandoverSignal,
-		served:       make(chan struct{}),
+		completed:    make(chan struct{}),
 		failed:       make(chan struct{}, 1),
 	}
 }
 
-// inherit returns the predecessor's socket for an address, or nil if there is none.
+// inherit returns the predecessor's socket for an address, or nil if there is no such socket.
 func (h *handover) inherit(address string) (net.Listener, error) {
 	if h.predecessor == nil {
 		return nil, nil
@@ -40,7 +41,7 @@
 	return h.predecessor.Listener(address)
 }
 
-// notifyPredecessor notifies the predecessor, if there is one, that this process serves.
+// notifyPredecessor tells the predecessor, if there is one, that this process is serving.
 func (h *handover) notifyPredecessor() error {
 	if h.predecessor == nil {
 		return nil
@@ -48,7 +49,7 @@
 	return h.predecessor.Ready()
 }
 
-// begin begins a handover and returns true, or returns false if one is in progress.
+// begin marks a handover as in progress. It returns false if one already is.
 func (h *handover) begin() bool {
 	if h.inProgress {
 		return false
@@ -57,11 +58,11 @@
 	return true
 }
 
-// reset ends a handover that has failed, so that the next signal begins another.
+// reset marks a failed handover as ended, so that the next signal can start another.
 func (h *handover) reset() { h.inProgress = false }
 
-// handOver starts a successor with the open sockets and waits until it serves. If it does not
-// within the configured timeout, this process goes on serving.
+// handOver starts a successor, passes it the open sockets and waits until it serves. If the
+// successor fails, or does not serve within the configured timeout, this process goes on serving.
 func (d *Daemon) handOver(ctx context.Context) {
 	d.saveSnapshot(saveForSuccessor)
 	d.mu.RLock()
@@ -79,10 +80,11 @@
 		return
 	}
 	d.log.Info("handover completed", logkey.PID, s.Pid)
-	close(d.handover.served)
+	close(d.handover.completed)
 }
 
-// openSockets returns the sockets that a successor inherits, by address. The caller must hold d.mu.
+// openSockets returns the sockets that a successor inherits, by their configured address. The
+// caller must hold d.mu.
 func (d *Daemon) openSockets() map[string]net.Listener {
 	sockets := map[string]net.Listener{}
 	for _, l := range d.listeners {
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -56,10 +56,10 @@
 admin {
   listen = "127.0.0.1:0"
 }
-` + limitsBlock + `class "look" {
+` + limitsBlock + `class "read" {
   effect = "safe"
 }
-class "pay" {
+class "write" {
   effect = "unsafe"
 }
 `
@@ -203,7 +203,7 @@
 }
 
 // responds returns a function that reports whether the response to a GET request has a body.
-func (s *testDaemon) responds(path, want string) func() bool {
+func (s *testDaemon) hasBody(path, want string) func() bool {
 	return func() bool { return s.request(http.MethodGet, path).body == want }
 }
 
--- a/internal/daemon/limiters.go
+++ b/internal/daemon/limiters.go
@@ -8,7 +8,8 @@
 	"rowancart/internal/ratelimit"
 )
 
-// routeLimiter limits the traffic of a route, across generations.
+// routeLimiter enforces the limits of a route. Reloads change the limits but keep the limiter, as
+// long as the route exists. It is safe for concurrent use.
 type routeLimiter struct {
 	mu      sync.Mutex
 	limiter *ratelimit.Limiter
@@ -32,19 +33,18 @@
 	l.limiter.Configure(now, limits)
 }
 
-// usage returns how many requests are in flight, and how many tenants are tracked.
+// usage returns the numbers of requests in flight and of tracked tenants.
 func (l *routeLimiter) usage() (inFlight, tenants int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limiter.Usage()
 }
 
-// limiterSet has the limiters of all routes, by the route's name. A route that a reload leaves in
-// place keeps its limiter.
+// limiterSet maps the name of each route to its limiter. A route keeps its limiter across reloads.
 type limiterSet map[string]*routeLimiter
 
-// update makes the limiters those of the routes given, and returns the names of routes that are no
-// longer among them.
+// update applies the limits of the given routes, adds limiters for new routes, and deletes those of
+// routes that no longer exist. It returns the names of the deleted ones.
 func (s limiterSet) update(now time.Time, routes []config.Route) (removed []string) {
 	configured := map[string]bool{}
 	for _, r := range routes {
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -16,58 +16,60 @@
 	"rowancart/internal/logkey"
 )
 
-// errSocketInUse means that another process serves at a unix socket of the configuration.
+// errSocketInUse means that another process accepts connections on a configured unix socket.
 var errSocketInUse = errors.New("another process serves there")
 
-// listener is an address at which clients are served.
+// listener accepts and serves the connections of clients at one address.
 type listener struct {
-	name    string // changes with the configuration; guarded by Daemon.mu
+	name    string // a reload may change it; guarded by Daemon.mu
 	address string
 	conns   *httpserver.Listener
 	server  *httpserver.Server
 	daemon  *Daemon
 
-	// lastGeneration is the last generation that had the listener: its connections are served by that
-	// until they end. It is nil while the configuration has the listener, and guarded by Daemon.mu.
+	// lastGeneration is nil while the configuration contains the listener. After a reload has removed
+	// the listener, it is the last generation that had it, which routes the requests on the remaining
+	// connections. It is guarded by Daemon.mu.
 	lastGeneration *generation
 }
 
-// isRemoved reports whether the configuration no longer has the listener, which drains since. The
-// caller must hold Daemon.mu.
+// isRemoved reports whether a reload has removed the listener, which is then draining. The caller
+// must hold Daemon.mu.
 func (l *listener) isRemoved() bool { return l.lastGeneration != nil }
 
-// listenerSet has all listeners, those included that drain since a reload has removed them.
+// listenerSet contains all listeners, including those that a reload removed and that are draining.
 type listenerSet []*listener
 
-// named returns the listener of a name that the configuration has, or nil.
-func (s listenerSet) named(name string) *listener {
-	return s.first(func(l *listener) bool { return l.name == name && !l.isRemoved() })
+// byName returns the configured listener with that name, or nil.
+func (s listenerSet) byName(name string) *listener {
+	return s.find(func(l *listener) bool { return l.name == name && !l.isRemoved() })
 }
 
-// at returns the listener at an address that the configuration has, or nil.
-func (s listenerSet) at(address string) *listener {
-	return s.first(func(l *listener) bool { return l.address == address && !l.isRemoved() })
+// byAddress returns the configured listener with that address, or nil.
+func (s listenerSet) byAddress(address string) *listener {
+	return s.find(func(l *listener) bool { return l.address == address && !l.isRemoved() })
 }
 
-// first returns the first listener that meets a condition, or nil.
-func (s listenerSet) first(meets func(*listener) bool) *listener {
-	i := slices.IndexFunc(s, meets)
+// find returns the first listener for which matches returns true, or nil.
+func (s listenerSet) find(matches func(*listener) bool) *listener {
+	i := slices.IndexFunc(s, matches)
 	if i < 0 {
 		return nil
 	}
 	return s[i]
 }
 
-// without returns the listeners but for one, which has ended. It may reuse s.
-func (s listenerSet) without(ended *listener) listenerSet {
-	return slices.DeleteFunc(s, func(l *listener) bool { return l == ended })
+// without returns the set without one listener. It may modify s.
+func (s listenerSet) without(drained *listener) listenerSet {
+	return slices.DeleteFunc(s, func(l *listener) bool { return l == drained })
 }
 
-// Addr returns the address at which the listener of that name is open, or nil if there is none.
+// Addr returns the actual address of the configured listener with that name, or nil if there is
+// none.
 func (d *Daemon) Addr(name string) net.Addr {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	l := d.listeners.named(name)
+	l := d.listeners.byName(name)
 	if l == nil {
 		return nil
 	}
@@ -82,7 +84,7 @@
 	return d.admin.Addr()
 }
 
-// listen opens an address of the configuration, or inherits the predecessor's socket for it.
+// listen opens a socket for a configured address, or inherits the predecessor's socket for it.
 func (d *Daemon) listen(address string) (net.Listener, error) {
 	if l, err := d.handover.inherit(address); l != nil || err != nil {
 		return l, err
@@ -101,13 +103,13 @@
 	return net.Listen("unix", path)
 }
 
-// openListeners opens the listeners of a configuration that are not open yet: all or, with an
-// error, none.
+// openListeners opens the listeners of a configuration that are not open yet. If one of them cannot
+// be opened, it closes the others and returns the error.
 func (d *Daemon) openListeners(c *config.Config) (opened []*listener, err error) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for _, want := range c.Listeners {
-		if d.listeners.at(want.Address) != nil {
+		if d.listeners.byAddress(want.Address) != nil {
 			continue
 		}
 		socket, err := d.listen(want.Address)
@@ -115,12 +117,12 @@
 			closeListeners(opened)
 			return nil, fmt.Errorf("listener %q: %w", want.Name, err)
 		}
-		opened = append(opened, d.newListener(want, socket, connsPerListener(c)))
+		opened = append(opened, d.newListener(want, socket, maxConnsPerListener(c)))
 	}
 	return opened, nil
 }
 
-// newListener returns a listener that does not serve yet.
+// newListener returns a listener that does not accept connections until startListener is called.
 func (d *Daemon) newListener(c config.Listener, socket net.Listener, maxConns int) *listener {
 	l := &listener{name: c.Name, address: c.Address, daemon: d}
 	l.conns = httpserver.NewSheddingListener(socket, maxConns)
@@ -129,8 +131,9 @@
 	return l
 }
 
-// connsPerListener returns how many client connections each listener may have open.
-func connsPerListener(c *config.Config) int { return c.Limits.MaxConns / len(c.Listeners) }
+// maxConnsPerListener returns how many client connections each listener may have open. The limit on
+// all client connections is divided evenly.
+func maxConnsPerListener(c *config.Config) int { return c.Limits.MaxConns / len(c.Listeners) }
 
 func closeListeners(listeners []*listener) {
 	for _, l := range listeners {
@@ -138,8 +141,8 @@
 	}
 }
 
-// startListener serves a listener's connections. The server retries failures to accept, with a
-// backoff.
+// startListener starts serving a listener's connections. If accepting fails, the server retries
+// with a backoff.
 func (d *Daemon) startListener(l *listener) {
 	d.tasks.Go(func() error {
 		err := ignoreClosed(l.server.Serve(l.conns))
@@ -151,9 +154,9 @@
 	d.log.Info("listening", logkey.Listener, l.name, logkey.Addr, l.conns.Addr().String())
 }
 
-// updateListeners makes the listeners those of the configuration, and returns those that it no
-// longer has, whose last generation is the one that it replaces. The caller must hold d.reloadMu
-// and d.mu.
+// updateListeners adds the opened listeners and updates the existing ones to the configuration. It
+// returns the listeners that the configuration no longer contains, whose last generation is the one
+// that is being replaced. The caller must hold d.reloadMu and d.mu.
 func (d *Daemon) updateListeners(c *config.Config, opened []*listener, replaced *generation) (removed []*listener) {
 	d.listeners = append(d.listeners, opened...)
 	for _, l := range d.listeners {
@@ -163,17 +166,17 @@
 		i := slices.IndexFunc(c.Listeners, func(want config.Listener) bool { return want.Address == l.address })
 		if i < 0 {
 			l.lastGeneration = replaced
-			replaced.acquire() // it still has a user: apply releases it later
+			replaced.acquire() // allowed, since it still has a user: apply releases it afterwards
 			removed = append(removed, l)
 			continue
 		}
 		l.name = c.Listeners[i].Name
-		l.conns.SetMaxConns(connsPerListener(c))
+		l.conns.SetMaxConns(maxConnsPerListener(c))
 	}
 	return removed
 }
 
-// drainRemoved drains a listener that the configuration no longer has.
+// drainRemoved starts draining a listener that the configuration no longer contains.
 func (d *Daemon) drainRemoved(l *listener) {
 	l.server.StartDraining()
 	d.tasks.Go(func() error {
@@ -186,8 +189,8 @@
 	})
 }
 
-// drainListeners waits until all listeners have answered the requests that they accepted.
-// Connections open at the timeout are aborted.
+// drainListeners drains all listeners and waits until they have answered the requests that they
+// accepted. It aborts connections that are still open at the timeout.
 func (d *Daemon) drainListeners(listeners []*listener, timeout <-chan time.Time) error {
 	var all errgroup.Group
 	for _, l := range listeners {
--- a/internal/daemon/listeners_test.go
+++ b/internal/daemon/listeners_test.go
@@ -15,7 +15,7 @@
 // All accepted requests are answered before the daemon ends.
 func TestStopAnswersAcceptedRequests(t *testing.T) {
 	e := newGatedEndpoint(t, testpeer.OKResponse)
-	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
+	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "read", "one", ""))
 	var requests sync.WaitGroup
 	requests.Go(func() {
 		if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK {
@@ -44,7 +44,7 @@
 		nc.Read(make([]byte, 1))
 		return false
 	})
-	s := startDaemon(t, poolBlock("one", hangs.Addr)+routeBlock("x", "/x", "look", "one", ""))
+	s := startDaemon(t, poolBlock("one", hangs.Addr)+routeBlock("x", "/x", "read", "one", ""))
 	nc, err := net.Dial("tcp", s.Addr("front").String())
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	const maxConns, active = 16, 6 // the balancer's concurrency limit begins with 6
 	e := newGatedEndpoint(t, testpeer.OKResponse)
 	head := strings.Replace(configHead, limitsBlock, "limits {\n  connections = 16\n  stop_within = \"1s\"\n}\n", 1)
-	s := startDaemonWithConfig(t, head+poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
+	s := startDaemonWithConfig(t, head+poolBlock("one", e.Addr)+routeBlock("x", "/x", "read", "one", ""))
 	var requests sync.WaitGroup
 	for range active {
 		requests.Go(func() { s.request(http.MethodGet, "/x") })
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -13,18 +13,20 @@
 	"rowancart/internal/ratelimit"
 )
 
-// metrics are the daemon's counters. Label values come from the configuration alone, so that
-// clients cannot create more time series.
+// metrics are the daemon's counters and histograms. No label value comes from a request, so that
+// clients cannot add time series.
 type metrics struct {
 	registry *prometheus.Registry
 	results  *prometheus.CounterVec
 	limited  *prometheus.CounterVec
 	unserved *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
-	weighted *prometheus.CounterVec // results, multiplied by the priority weights of their classes
+
+	// weightedResults counts each result with the priority weight of its class.
+	weightedResults *prometheus.CounterVec
 }
 
-// resultLabels are the values of the label "kind".
+// resultLabels maps each kind of result to the value of the label "kind".
 var resultLabels = map[proxy.ResultKind]string{
 	proxy.Served:    "served",
 	proxy.Rejected:  "refused",
@@ -32,8 +34,9 @@
 	proxy.Duplicate: "duplicate",
 }
 
-// resultLabelInvalid is the label "kind" of requests that were not forwarded to a pool.
-const resultLabelInvalid = "improper"
+// resultLabelNotForwarded is the value of the label "kind" for requests that were rejected before
+// they were passed to a pool.
+const resultLabelNotForwarded = "improper"
 
 func newMetrics(d *Daemon) *metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
@@ -54,43 +57,43 @@
 			Help:    "Time from a request's arrival to its final answer, by route.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 15),
 		}, []string{"route"}),
-		weighted: counter("rowancart_worth_total", "Worth of final answers as their classes state it, by route and kind.",
-			"route", "kind"),
+		weightedResults: counter("rowancart_worth_total",
+			"Worth of final answers as their classes state it, by route and kind.", "route", "kind"),
 	}
-	m.registry.MustRegister(m.results, m.unserved, m.limited, m.latency, m.weighted, &statusCollector{d})
+	m.registry.MustRegister(m.results, m.unserved, m.limited, m.latency, m.weightedResults, &statusCollector{d})
 	return m
 }
 
-// routeMetrics are the counters of one route, looked up once.
+// routeMetrics are the counters of one route, with its labels resolved in advance.
 type routeMetrics struct {
-	all      *metrics
-	route    string
-	weight   float64 // added to weighted for each result
-	results  map[proxy.ResultKind]prometheus.Counter
-	weighted map[proxy.ResultKind]prometheus.Counter
-	invalid  prometheus.Counter
-	unserved map[balancer.Reason]prometheus.Counter
-	latency  prometheus.Observer
+	metrics         *metrics
+	route           string
+	weight          float64 // priority weight: what each result adds to weightedResults
+	results         map[proxy.ResultKind]prometheus.Counter
+	weightedResults map[proxy.ResultKind]prometheus.Counter
+	notForwarded    prometheus.Counter
+	unserved        map[balancer.Reason]prometheus.Counter
+	latency         prometheus.Observer
 }
 
-// forRoute returns the counters of a route whose class has that priority weight.
+// forRoute returns the metrics of a route; weight is the priority weight of its class.
 func (m *metrics) forRoute(route string, weight float64) *routeMetrics {
 	r := &routeMetrics{
-		all:      m,
-		route:    route,
-		weight:   weight,
-		results:  map[proxy.ResultKind]prometheus.Counter{},
-		weighted: map[proxy.ResultKind]prometheus.Counter{},
-		invalid:  m.results.WithLabelValues(route, resultLabelInvalid),
-		unserved: map[balancer.Reason]prometheus.Counter{},
-		latency:  m.latency.WithLabelValues(route),
+		metrics:         m,
+		route:           route,
+		weight:          weight,
+		results:         map[proxy.ResultKind]prometheus.Counter{},
+		weightedResults: map[proxy.ResultKind]prometheus.Counter{},
+		notForwarded:    m.results.WithLabelValues(route, resultLabelNotForwarded),
+		unserved:        map[balancer.Reason]prometheus.Counter{},
+		latency:         m.latency.WithLabelValues(route),
 	}
 	for _, reason := range balancer.Reasons {
 		r.unserved[reason] = m.unserved.WithLabelValues(route, string(reason))
 	}
 	for kind, label := range resultLabels {
 		r.results[kind] = m.results.WithLabelValues(route, label)
-		r.weighted[kind] = m.weighted.WithLabelValues(route, label)
+		r.weightedResults[kind] = m.weightedResults.WithLabelValues(route, label)
 	}
 	return r
 }
@@ -102,19 +105,19 @@
 	m.limited.DeletePartialMatch(labels)
 	m.unserved.DeletePartialMatch(labels)
 	m.latency.DeletePartialMatch(labels)
-	m.weighted.DeletePartialMatch(labels)
+	m.weightedResults.DeletePartialMatch(labels)
 }
 
-// observe counts a request that has been answered. Only a request that was forwarded to a pool has
-// a result.
+// observe counts a request that has been answered. Only for a request that was forwarded to a pool
+// are there a result and a latency to record.
 func (r *routeMetrics) observe(outcome httpserver.Outcome, latency time.Duration) {
 	if !outcome.Forwarded {
-		r.invalid.Inc()
+		r.notForwarded.Inc()
 		return
 	}
 	result := outcome.Result
 	r.results[result.Kind].Inc()
-	r.weighted[result.Kind].Add(r.weight)
+	r.weightedResults[result.Kind].Add(r.weight)
 	if counter := r.unserved[result.Reason]; counter != nil {
 		counter.Inc()
 	}
@@ -123,11 +126,11 @@
 
 // countLimited counts a request rejected by a limit.
 func (r *routeMetrics) countLimited(limit ratelimit.Limit) {
-	r.all.limited.WithLabelValues(r.route, strings.ReplaceAll(string(limit), " ", "_")).Inc()
+	r.metrics.limited.WithLabelValues(r.route, strings.ReplaceAll(string(limit), " ", "_")).Inc()
 }
 
-// statusCollector is a prometheus.Collector that reads the daemon's status at each scrape. The
-// texts of its metrics are part of the interface, as their names are.
+// statusCollector is a prometheus.Collector that reads the daemon's status at each scrape. The help
+// texts of its metrics are part of the metrics interface, like their names.
 type statusCollector struct{ daemon *Daemon }
 
 var (
@@ -154,8 +157,8 @@
 	}
 }
 
-// Collect implements prometheus.Collector. Pools and listeners that drain are left out: others may
-// have their names.
+// Collect implements prometheus.Collector. It omits pools and listeners that a reload has removed,
+// since their successors may have the same names and thus the same labels.
 func (c *statusCollector) Collect(out chan<- prometheus.Metric) {
 	s := c.daemon.Summary()
 	gauge := func(d *prometheus.Desc, v int, labels ...string) {
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/outage_test.go
@@ -61,12 +61,12 @@
 func TestOneOfTwoEndpointsIsEnough(t *testing.T) {
 	const rounds = 6
 	for _, o := range []outage{
-		{"killed, idempotent", http.MethodGet, "look", (*failingServer).kill, 0},
-		{"killed, non-idempotent", http.MethodPost, "pay", (*failingServer).kill, 0},
-		{"resets, idempotent", http.MethodGet, "look", (*failingServer).reset, 0},
-		{"resets, non-idempotent", http.MethodPost, "pay", (*failingServer).reset, 1},
-		{"hangs, idempotent", http.MethodGet, "look", (*failingServer).hang, 1},
-		{"hangs, non-idempotent", http.MethodPost, "pay", (*failingServer).hang, 1},
+		{"killed, idempotent", http.MethodGet, "read", (*failingServer).kill, 0},
+		{"killed, non-idempotent", http.MethodPost, "write", (*failingServer).kill, 0},
+		{"resets, idempotent", http.MethodGet, "read", (*failingServer).reset, 0},
+		{"resets, non-idempotent", http.MethodPost, "write", (*failingServer).reset, 1},
+		{"hangs, idempotent", http.MethodGet, "read", (*failingServer).hang, 1},
+		{"hangs, non-idempotent", http.MethodPost, "write", (*failingServer).hang, 1},
 	} {
 		t.Run(o.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -20,12 +20,13 @@
 )
 
 const (
-	timerResolution = 2 * time.Millisecond // of the balancer's timers
-	maxRetryAfter   = 5 * time.Second      // upper bound of an endpoint's Retry-After
+	timerResolution = 2 * time.Millisecond // resolution of the balancer's timers
+	maxRetryAfter   = 5 * time.Second      // a longer Retry-After from an endpoint is cut to this
 )
 
-// pool is a proxy.Pool with the endpoint source that feeds it. It lives as long as a generation
-// that has it, and is the same for all generations whose configuration names the same endpoints.
+// pool is a proxy.Pool together with the endpoint source that supplies its endpoints. Consecutive
+// generations share a pool where canReusePool allows that; it is stopped once no generation uses
+// it.
 type pool struct {
 	name     string
 	proxy    *proxy.Pool
@@ -38,11 +39,11 @@
 	// Guarded by Daemon.reloadMu.
 	settings poolSettings
 	runCtx   context.Context
-	cancel   context.CancelFunc // ends runCtx; nil before the pool runs
-	watcher  *endpointWatcher   // nil: the endpoint list is static
+	cancel   context.CancelFunc // ends runCtx; nil before startPool
+	watcher  *endpointWatcher   // nil if the endpoint list is static
 }
 
-// poolSettings is what a generation's configuration says of a pool.
+// poolSettings are the settings of a pool from a generation's configuration.
 type poolSettings struct {
 	config  config.Pool
 	classes []balancer.Class
@@ -50,81 +51,84 @@
 	tenants []balancer.Tenant
 }
 
-// endpointFilter passes on this instance's subset of the endpoint list.
+// endpointFilter reduces updates of the endpoint list to this instance's subset of the endpoints.
+// It is safe for concurrent use.
 type endpointFilter struct {
-	// mu is held from the filtering of an update until the update is delivered, so that no update
-	// overtakes another.
+	// mu is held while an update is filtered and delivered, so that updates are delivered in the
+	// order in which they were filtered.
 	mu     sync.Mutex
 	filter *subset.Filter
 }
 
-// reset forgets all endpoints, and filters for a subset from now on.
+// reset removes all endpoints from the filter and sets the subset.
 func (f *endpointFilter) reset(spec subset.Spec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.filter = subset.NewFilter(spec)
 }
 
-// setSpec changes the subset. The next update delivers the change.
+// setSpec changes the subset. The next update delivers the resulting changes.
 func (f *endpointFilter) setSpec(spec subset.Spec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.filter.SetSpec(spec)
 }
 
-// update passes what an update of the endpoint list changes for this instance to deliver.
+// update filters an update of the endpoint list and calls deliver with the resulting update of this
+// instance's subset.
 func (f *endpointFilter) update(update proxy.EndpointList, deliver func(proxy.EndpointList)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	deliver(f.filter.Apply(update))
 }
 
-// endpoints returns all endpoints of the source, of this instance's subset or not.
+// endpoints returns all endpoints of the source, including those outside this instance's subset.
 func (f *endpointFilter) endpoints() []proxy.Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.filter.Endpoints()
 }
 
-// sourceStatus says whether the endpoint list in its present form is in force. It is safe for
-// concurrent use.
+// sourceStatus records why the source's current endpoint list is not in force, if so. It is safe
+// for concurrent use.
 type sourceStatus struct {
-	mu      sync.Mutex
-	problem string // for which it is not; empty: it is
+	mu        sync.Mutex
+	lastError string // empty if the list is in force
 }
 
-// set records the error for which the list is not in force, nil if it is.
+// set records why the list is not in force; nil means that it is.
 func (s *sourceStatus) set(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.problem = ""
+	s.lastError = ""
 	if err != nil {
-		s.problem = err.Error()
+		s.lastError = err.Error()
 	}
 }
 
-// get returns the problem for which the list is not in force, "" if it is.
+// get returns why the list is not in force, or "" if it is.
 func (s *sourceStatus) get() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.problem
+	return s.lastError
 }
 
-// staleListError is the error of an endpoint list that was restored from a snapshot.
+// staleListError is the status of a source that has not sent a list yet, while the pool uses the
+// endpoint list of a snapshot. The age is that of the snapshot when the process started.
 type staleListError struct{ age time.Duration }
 
 // Error implements error.
 func (e *staleListError) Error() string {
-	return fmt.Sprintf("restored from a snapshot that was %v old at the start", e.age.Round(time.Second))
+	return fmt.Sprintf("restored from a snapshot that was %v old when the process started", e.age.Round(time.Second))
 }
 
-// endpointWatcher is the goroutine that follows an endpoint source.
+// endpointWatcher is a goroutine that watches an endpoint source.
 type endpointWatcher struct {
 	cancel context.CancelFunc
 	done   chan struct{} // closed when the goroutine has ended
 }
 
-// startWatcher runs follow in a goroutine of its own.
+// startWatcher runs follow in a new goroutine.
 func startWatcher(ctx context.Context, follow func(context.Context)) *endpointWatcher {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &endpointWatcher{cancel: cancel, done: make(chan struct{})}
@@ -135,7 +139,7 @@
 	return w
 }
 
-// stop ends the watcher and waits for its end. It may be called on nil.
+// stop ends the watcher and waits until it has ended. It does nothing if w is nil.
 func (w *endpointWatcher) stop() {
 	if w != nil {
 		w.cancel()
@@ -143,10 +147,11 @@
 	}
 }
 
-// servesSameEndpoints reports whether a pool stays the same pool when its endpoint source changes.
-// A static list that has no endpoint in common with the old one makes a new pool under the same
-// name: requests routed to the old endpoints must not be sent to the new ones.
-func servesSameEndpoints(old, new config.EndpointSource) bool {
+// canReusePool reports whether a pool can be kept when a reload changes its endpoint source from
+// old to new. It cannot if the file or platform address differs, or if two static lists have no
+// endpoint in common: requests that were routed to the old endpoints must not be sent to the new
+// ones.
+func canReusePool(old, new config.EndpointSource) bool {
 	if len(old.Static) == 0 || len(new.Static) == 0 {
 		return old.File == new.File && old.Platform == new.Platform
 	}
@@ -156,8 +161,8 @@
 	})
 }
 
-// newPool returns a pool that does not run yet. It has its static endpoints, those of the snapshot,
-// or none.
+// newPool returns a pool that is not running yet. Its endpoints are those of a static source, else
+// those of the snapshot, if any.
 func (d *Daemon) newPool(c config.Pool, g *generation) *pool {
 	p := &pool{
 		name:     c.Name,
@@ -170,12 +175,12 @@
 	return p
 }
 
-// init creates the proxy.Pool and restores the learned state. It must not be called once the pool
-// runs.
+// init creates the proxy.Pool and restores the learned state. It may be called again until the pool
+// has been started.
 func (p *pool) init() {
 	list := staticEndpoints(p.settings.config.Source)
 	restored := p.restored.snapshot
-	if len(list.Endpoints) == 0 && restored != nil { // until the source has sent its first list
+	if len(list.Endpoints) == 0 && restored != nil { // in use until the source has sent its first list
 		list.Endpoints = restored.Endpoints
 		p.source.set(&staleListError{p.restored.age})
 	}
@@ -195,7 +200,7 @@
 	switch {
 	case fleet.Name != "":
 		spec.Position = subset.PositionOfName(fleet.Name)
-	case fleet.Instances > 1: // a single instance may be one of several that do not know of each other
+	case fleet.Instances > 1: // not for 1, since there may be other instances that the configuration does not mention
 		spec.Position = subset.PositionOf(fleet.Index)
 	}
 	return spec
@@ -209,7 +214,8 @@
 	})
 }
 
-// staticEndpoints returns the complete list of a static source, which is empty for any other.
+// staticEndpoints returns the endpoint list of a static source, and an empty list for other
+// sources.
 func staticEndpoints(source config.EndpointSource) proxy.EndpointList {
 	list := proxy.EndpointList{Complete: true}
 	for _, e := range source.Static {
@@ -224,7 +230,7 @@
 func (p *pool) balancerSettings() balancer.Settings {
 	c, fleet := &p.settings.config, &p.settings.fleet
 	index := fleet.Index
-	if fleet.Name != "" { // the index is unknown: the same one for all instances would synchronize them
+	if fleet.Name != "" { // the index is unknown, and a common default would synchronize all instances
 		index = -1
 	}
 	return balancer.Settings{
@@ -257,7 +263,7 @@
 	}
 }
 
-// startPool runs a pool and follows its endpoint source. The caller must hold d.reloadMu.
+// startPool starts a pool and watches its endpoint source. The caller must hold d.reloadMu.
 func (d *Daemon) startPool(p *pool) {
 	ctx, cancel := context.WithCancel(d.runCtx)
 	p.runCtx = ctx
@@ -269,7 +275,7 @@
 	p.watchEndpoints()
 }
 
-// stop ends a pool that no generation has.
+// stop stops a pool that no generation uses.
 func (p *pool) stop() {
 	p.watcher.stop()
 	if p.cancel != nil {
@@ -277,8 +283,8 @@
 	}
 }
 
-// configure applies what a generation's configuration says of the pool, with these classes. A pool
-// that the generation does not have keeps its own configuration. The caller must hold
+// configure applies the pool's settings from the configuration of generation g, with the given
+// classes. If g does not use the pool, the pool keeps its config.Pool. The caller must hold
 // Daemon.reloadMu, except before Run.
 func (p *pool) configure(g *generation, classes []balancer.Class) {
 	old := p.settings
@@ -290,25 +296,26 @@
 		return
 	}
 	p.settings = next
-	if p.cancel == nil { // not running yet: nothing handles events
+	if p.cancel == nil { // not running yet, so that the proxy.Pool can be created anew
 		p.init()
 		return
 	}
 	p.proxy.Configure(p.balancerSettings(), p.options())
 	p.filter.setSpec(p.subset())
-	p.updateEndpoints(proxy.EndpointList{}) // delivers what the new subset changes
+	p.updateEndpoints(proxy.EndpointList{}) // delivers the changes of the subset
 	if !reflect.DeepEqual(old.config.Source, next.config.Source) {
-		p.updateEndpoints(staticEndpoints(next.config.Source)) // a source that is not static would make a new pool
+		p.updateEndpoints(staticEndpoints(next.config.Source)) // both are static, since a pool is not reused otherwise
 	}
 }
 
-// poolConfig returns the configuration of a pool, which must be one of the generation's.
+// poolConfig returns the configuration of the pool with that name, which must be in the
+// generation's configuration.
 func (g *generation) poolConfig(name string) config.Pool {
 	i := slices.IndexFunc(g.config.Pools, func(c config.Pool) bool { return c.Name == name })
 	return g.config.Pools[i]
 }
 
-// watchEndpoints follows the endpoint source, unless it is static.
+// watchEndpoints starts watching the endpoint source, unless it is static.
 func (p *pool) watchEndpoints() {
 	switch source := p.settings.config.Source; {
 	case source.File != "":
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -28,17 +28,17 @@
 		}
 	}
 	write(list(a.Addr))
-	s := startDaemon(t, filePoolBlock("one", path)+routeBlock("x", "/x", "look", "one", ""))
-	testpeer.WaitUntil(t, "a serves", s.responds("/x", "a"))
+	s := startDaemon(t, filePoolBlock("one", path)+routeBlock("x", "/x", "read", "one", ""))
+	testpeer.WaitUntil(t, "a serves", s.hasBody("/x", "a"))
 	write(list(b.Addr)[:40]) // incomplete
 	testpeer.WaitUntil(t, "the status has the error", func() bool {
 		return strings.Contains(s.Summary().Pools[0].SourceError, "unexpected EOF")
 	})
-	if !s.responds("/x", "a")() {
+	if !s.hasBody("/x", "a")() {
 		t.Error("an incomplete list removed a")
 	}
 	write(list(b.Addr))
-	testpeer.WaitUntil(t, "b serves", s.responds("/x", "b"))
+	testpeer.WaitUntil(t, "b serves", s.hasBody("/x", "b"))
 	if st := s.Summary().Pools[0]; st.SourceError != "" || st.Ready != 1 || st.Draining != 1 {
 		t.Errorf("%+v", st)
 	}
@@ -56,7 +56,7 @@
 	config := func(index, size int) string {
 		pool := strings.Replace(poolBlock("one", addrs...), "{\n", fmt.Sprintf("{\n subset = %d\n", size), 1)
 		fleet := fmt.Sprintf("fleet {\n instances = 9\n index = %d\n}\n", index)
-		return fleet + routeBlock("x", "/x", "look", "one", "") + pool
+		return fleet + routeBlock("x", "/x", "read", "one", "") + pool
 	}
 	seen := make([]int32, len(endpoints)) // requests that each endpoint had received
 	// used returns the endpoints that received requests: it sends some until there are count of them,
--- a/internal/daemon/reason_test.go
+++ b/internal/daemon/reason_test.go
@@ -33,10 +33,10 @@
 	s := startDaemon(t, filePoolBlock("none", empty)+
 		poolBlock("dead", unusedAddr(t))+
 		poolBlock("resets", disconnects.Addr)+
-		routeBlock("none", "/none", "look", "none", "policy {\n queue = 0\n}")+
-		routeBlock("dead", "/dead", "look", "dead", "")+
-		routeBlock("resets", "/resets", "pay", "resets", "")+
-		routeBlock("limited", "/limited", "look", "dead", "policy {\n rate = \"1/h\"\n}"))
+		routeBlock("none", "/none", "read", "none", "policy {\n queue = 0\n}")+
+		routeBlock("dead", "/dead", "read", "dead", "")+
+		routeBlock("resets", "/resets", "write", "resets", "")+
+		routeBlock("limited", "/limited", "read", "dead", "policy {\n rate = \"1/h\"\n}"))
 	for _, row := range []struct{ method, path, status, reason, route string }{
 		{http.MethodGet, "/none", `rowancart; error=destination_unavailable; details="no_endpoint"`, "no_endpoint", "none"},
 		{http.MethodGet, "/dead", `rowancart; error=destination_unavailable; details="no_attempt"`, "no_attempt", "dead"},
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -13,26 +13,27 @@
 	"rowancart/internal/logkey"
 )
 
-// reservedDescriptors is how many file descriptors the process needs beside those of connections.
+// reservedDescriptors is how many file descriptors the process needs in addition to those of
+// connections.
 const reservedDescriptors = 64
 
-// Errors of Reload, beside those of reading the configuration and opening its listeners.
+// Errors of Reload, in addition to those of reading the configuration and opening its listeners.
 var (
 	errStopping   = errors.New("the daemon is stopping")
 	errAdminMoved = errors.New("the listener cannot be moved without a restart")
 )
 
-// configSource is where a daemon reads its configuration from.
+// configSource is the file from which a daemon reads its configuration.
 type configSource struct {
 	path      string
 	lookupEnv func(string) (string, bool)
 }
 
-// load reads, decodes and validates the configuration.
+// load reads, decodes and validates the configuration file.
 func (s configSource) load() (*config.Config, error) { return config.Load(s.path, s.lookupEnv) }
 
-// hasText reports whether the file has that text.
-func (s configSource) hasText(text []byte) bool {
+// fileEquals reports whether the current content of the file is text.
+func (s configSource) fileEquals(text []byte) bool {
 	current, err := os.ReadFile(s.path)
 	return err == nil && bytes.Equal(current, text)
 }
@@ -42,10 +43,10 @@
 	Succeeded int       `json:"good"`
 	Failed    int       `json:"bad"`
 	LastAt    time.Time `json:"last_at"`
-	LastError string    `json:"last_error,omitempty"` // for which the file in its present form is not in force
+	LastError string    `json:"last_error,omitempty"` // why the latest reload failed; empty if it succeeded
 }
 
-// record counts a reload that ended with err, nil if it succeeded.
+// record records the result of a reload: err is nil if it succeeded.
 func (s *ReloadStatus) record(now time.Time, err error) {
 	s.LastAt = now
 	s.LastError = ""
@@ -61,15 +62,15 @@
 type reloadReason int
 
 const (
-	reloadRequested   reloadReason = iota // always puts the file in force again
-	reloadFileChanged                     // skips a text that is in force: a requested reload may have come first
+	reloadRequested   reloadReason = iota // reloads the file even if it has not changed
+	reloadFileChanged                     // skipped if the text is in force already, as after a requested reload
 )
 
-// Reload reads the configuration and, if it is valid, puts it in force at once. An invalid one
-// changes nothing.
+// Reload reads the configuration file and, if it is valid, puts it in force at once. An invalid
+// file changes nothing.
 func (d *Daemon) Reload() error { return d.reloadFor(reloadRequested) }
 
-// reloadFor reloads and records the result in the log and the status.
+// reloadFor reloads the configuration, and records the result in the log and the status.
 func (d *Daemon) reloadFor(reason reloadReason) error {
 	d.reloadMu.Lock()
 	defer d.reloadMu.Unlock()
@@ -86,14 +87,14 @@
 	return err
 }
 
-// isFileInForce reports whether the configuration file as it is now is in force. The caller must
-// hold d.reloadMu.
+// isFileInForce reports whether the current content of the configuration file is in force. The
+// caller must hold d.reloadMu.
 func (d *Daemon) isFileInForce() bool {
-	return d.reloads.LastError == "" && d.source.hasText(d.current.config.Text)
+	return d.reloads.LastError == "" && d.source.fileEquals(d.current.config.Text)
 }
 
-// reload puts the file in force. The caller must hold d.reloadMu, under which alone d.current is
-// written.
+// reload puts the configuration file in force. The caller must hold d.reloadMu, so that d.current
+// does not change meanwhile.
 func (d *Daemon) reload() error {
 	if d.stopping {
 		return errStopping
@@ -112,7 +113,7 @@
 	}
 	d.logWarnings(c)
 	d.apply(c, opened)
-	if d.runCtx != nil { // otherwise Run starts them
+	if d.runCtx != nil { // otherwise Run starts the listeners
 		for _, l := range opened {
 			d.startListener(l)
 		}
@@ -122,14 +123,14 @@
 	return nil
 }
 
-// logWarnings logs what is valid but probably a mistake, and adds a warning for limits that this
-// process cannot reach.
+// logWarnings logs the configuration's warnings about valid but probably mistaken settings. It adds
+// one if the connection limits need more file descriptors than this process may open.
 func (d *Daemon) logWarnings(c *config.Config) {
 	need := maxDescriptors(c)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && need > limit.Cur {
 		c.Warnings = append(c.Warnings, fmt.Sprintf(
-			"%s: clients and pools may open %d connections together, and the process has %d descriptors",
+			"%s: the connection limits need up to %d file descriptors, but this process may open only %d",
 			c.File, need, limit.Cur))
 	}
 	for _, warning := range c.Warnings {
@@ -137,8 +138,8 @@
 	}
 }
 
-// maxDescriptors returns how many file descriptors a process needs that reaches all of a
-// configuration's limits.
+// maxDescriptors returns how many file descriptors the process needs when all connection limits of
+// a configuration are reached.
 func maxDescriptors(c *config.Config) uint64 {
 	n := uint64(c.Limits.MaxConns + reservedDescriptors)
 	for _, p := range c.Pools {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -24,7 +24,7 @@
 func TestRemovedPoolAnswersRequestsInFlight(t *testing.T) {
 	old := newGatedEndpoint(t, testpeer.OKResponse)
 	next := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
-	s := startDaemon(t, poolBlock("old", old.Addr)+routeBlock("x", "/*", "look", "old", ""))
+	s := startDaemon(t, poolBlock("old", old.Addr)+routeBlock("x", "/*", "read", "old", ""))
 	var requests sync.WaitGroup
 	requests.Go(func() {
 		if status := s.request(http.MethodGet, "/slow").status; status != http.StatusOK {
@@ -32,7 +32,7 @@
 		}
 	})
 	<-old.arrived
-	s.reload(poolBlock("new", next.Addr) + routeBlock("x", "/*", "look", "new", ""))
+	s.reload(poolBlock("new", next.Addr) + routeBlock("x", "/*", "read", "new", ""))
 	if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK || next.Requests.Load() != 1 {
 		t.Errorf("%d, %d at the new pool", status, next.Requests.Load())
 	}
@@ -54,7 +54,7 @@
 func TestMovedEndpointGetsNoRequestOfItsOldPool(t *testing.T) {
 	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	b := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
-	routes := routeBlock("x", "/x", "look", "one", "") + routeBlock("y", "/y", "look", "two", "")
+	routes := routeBlock("x", "/x", "read", "one", "") + routeBlock("y", "/y", "read", "two", "")
 	s := startDaemon(t, poolBlock("one", a.Addr, b.Addr)+poolBlock("two", a.Addr)+routes)
 	for range 4 {
 		s.request(http.MethodGet, "/x")
@@ -74,7 +74,7 @@
 
 func TestInvalidFileChangesNothingAndIsReported(t *testing.T) {
 	e := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
-	valid := poolBlock("one", e.Addr) + routeBlock("x", "/x", "look", "one", "")
+	valid := poolBlock("one", e.Addr) + routeBlock("x", "/x", "read", "one", "")
 	s := startDaemon(t, valid)
 	addressInUse := fmt.Sprintf("listener \"b\" {\n address = \"127.0.0.1:%d\"\n}\n", s.Addr("front").(*net.TCPAddr).Port)
 	for _, invalid := range []string{"route", valid + poolBlock("one", e.Addr), valid + addressInUse} {
@@ -116,10 +116,10 @@
 func TestConfigFileIsWatched(t *testing.T) {
 	a := testpeer.StartEndpoint(t, respondWith("200 OK", "", "a"))
 	b := testpeer.StartEndpoint(t, respondWith("200 OK", "", "b"))
-	route := routeBlock("x", "/x", "look", "one", "")
+	route := routeBlock("x", "/x", "read", "one", "")
 	s := startDaemon(t, poolBlock("one", a.Addr)+route)
 	s.writeConfig(poolBlock("one", b.Addr) + route)
-	testpeer.WaitUntil(t, "b serves", s.responds("/x", "b"))
+	testpeer.WaitUntil(t, "b serves", s.hasBody("/x", "b"))
 	next := s.configPath + "~"
 	if err := os.WriteFile(next, []byte(configHead+poolBlock("one", a.Addr)+route), 0o600); err != nil {
 		t.Fatal(err)
@@ -127,14 +127,14 @@
 	if err := os.Rename(next, s.configPath); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.WaitUntil(t, "a serves", s.responds("/x", "a"))
+	testpeer.WaitUntil(t, "a serves", s.hasBody("/x", "a"))
 }
 
 // A listener that a reload removes serves the requests in flight.
 func TestRemovedListenerAnswersRequestsInFlight(t *testing.T) {
 	e := newGatedEndpoint(t, testpeer.OKResponse)
 	path := filepath.Join(t.TempDir(), "sock")
-	base := poolBlock("one", e.Addr) + routeBlock("x", "/x", "look", "one", "")
+	base := poolBlock("one", e.Addr) + routeBlock("x", "/x", "read", "one", "")
 	s := startDaemon(t, base+fmt.Sprintf("listener \"side\" {\n  address = \"unix:%s\"\n}\n", path))
 	dial := func(context.Context, string, string) (net.Conn, error) { return net.Dial("unix", path) }
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}}
@@ -174,11 +174,11 @@
 	// in each.
 	configs := []string{
 		poolBlock("p1", a.Addr) + poolBlock("p2", b.Addr) +
-			routeBlock("r1", "/a", "look", "p1", "policy {\n concurrency = 100\n}") +
-			routeBlock("r2", "/b", "look", "p2", ""),
+			routeBlock("r1", "/a", "read", "p1", "policy {\n concurrency = 100\n}") +
+			routeBlock("r2", "/b", "read", "p2", ""),
 		poolBlock("p1", b.Addr) + poolBlock("p3", a.Addr) +
-			routeBlock("r1", "/b", "look", "p1", "policy {\n attempt_timeout = \"3s\"\n}") +
-			routeBlock("r3", "/a", "look", "p3", ""),
+			routeBlock("r1", "/b", "read", "p1", "policy {\n attempt_timeout = \"3s\"\n}") +
+			routeBlock("r3", "/a", "read", "p3", ""),
 	}
 	s := startDaemon(t, configs[0])
 	load := startLoad(t, "http://"+s.Addr("front").String())
@@ -247,10 +247,10 @@
 // Learned state survives a reload: a failing endpoint gets no more requests after it than before.
 func TestLearnedStateSurvivesReload(t *testing.T) {
 	works := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
-	fails := testpeer.StartEndpoint(t, respondWith("500 Oh", "", ""))
+	fails := testpeer.StartEndpoint(t, respondWith("500 Internal Server Error", "", ""))
 	config := func(queue int) string {
 		return poolBlock("one", works.Addr, fails.Addr) +
-			routeBlock("x", "/x", "look", "one", fmt.Sprintf("policy {\n queue = %d\n}", queue))
+			routeBlock("x", "/x", "read", "one", fmt.Sprintf("policy {\n queue = %d\n}", queue))
 	}
 	s := startDaemon(t, config(1))
 	for range 20 {
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -11,12 +11,12 @@
 	"rowancart/internal/route"
 )
 
-// concurrencyRetryAfter is the Retry-After of a request that a concurrency limit rejects, and the
-// minimum for one that a rate rejects.
+// concurrencyRetryAfter is the Retry-After of responses to requests over a concurrency limit, and
+// the minimum for requests over a rate limit.
 const concurrencyRetryAfter = 500 * time.Millisecond
 
-// Route implements httpserver.Router. One generation decides the route, the limits and the pool of
-// a request, and stays in use until the request has been answered.
+// Route implements httpserver.Router. The route, limits and pool of a request all come from one
+// generation, which stays in use until the request has been answered.
 func (l *listener) Route(r *http.Request) (httpserver.Target, *httpserver.Rejection) {
 	if err := route.Check(r.URL.EscapedPath()); err != nil {
 		rejection := &httpserver.Rejection{Status: http.StatusBadRequest, Message: err.Error(), Close: true}
@@ -60,7 +60,7 @@
 	return target, nil
 }
 
-// find returns the route of a request, or the rejection for a request that has none.
+// find returns the route of a request, or a rejection if no route matches.
 func (t *routeTable) find(r *http.Request) (*routeEntry, *httpserver.Rejection) {
 	found := t.Find(route.Request{Host: r.Host, Path: r.URL.Path, Method: r.Method, Header: r.Header.Get})
 	switch {
@@ -76,8 +76,8 @@
 	return nil, &httpserver.Rejection{Status: http.StatusNotFound, Message: "no route"}
 }
 
-// acquire admits a request under the route's limits, or returns the rejection that names the limit
-// which it exceeds. The status is 429 for a rate and 503 for concurrency.
+// acquire acquires a permit from the route's limiter. If a limit is exceeded, it returns a
+// rejection that names the limit, with status 429 for a rate limit and 503 for a concurrency limit.
 func (e *routeEntry) acquire(arrived time.Time, tenant string) (ratelimit.Permit, *httpserver.Rejection) {
 	permit, exceeded := e.limiter.acquire(arrived, tenant)
 	if exceeded.Limit == ratelimit.None {
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -17,14 +17,15 @@
 	var id atomic.Value
 	one := testpeer.StartEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		id.Store(r.Header.Get(platform.RequestIDHeader))
-		io.WriteString(nc, "HTTP/1.1 201 Made\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nhere")
+		io.WriteString(nc,
+			"HTTP/1.1 201 Created\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nhere")
 		return true
 	})
 	two := testpeer.StartEndpoint(t, respondWith("404 Not Found", "", "there"))
 	s := startDaemon(t, poolBlock("one", one.Addr)+poolBlock("two", two.Addr)+
-		routeBlock("a", "/a/*", "look", "one", "")+
-		routeBlock("b", "/a/b", "look", "two", `methods = ["GET", "POST"]`)+
-		routeBlock("gold", "/a/*", "look", "two", "header \"X-Tier\" {\n  equals = \"gold\"\n}"))
+		routeBlock("a", "/a/*", "read", "one", "")+
+		routeBlock("b", "/a/b", "read", "two", `methods = ["GET", "POST"]`)+
+		routeBlock("gold", "/a/*", "read", "two", "header \"X-Tier\" {\n  equals = \"gold\"\n}"))
 	got := s.request(http.MethodGet, "/a/x?y=1")
 	isComplete := got.body == "here" && got.header.Get("X-Own") == "1" && got.header.Get("X-Hop") == ""
 	if got.status != http.StatusCreated || !isComplete {
@@ -50,7 +51,7 @@
 			t.Errorf("%s %s: %d %q", row.method, row.path, got.status, got.body)
 		}
 	}
-	s.reload(poolBlock("two", two.Addr) + routeBlock("b", "/b", "look", "two", `methods = ["GET", "POST"]`))
+	s.reload(poolBlock("two", two.Addr) + routeBlock("b", "/b", "read", "two", `methods = ["GET", "POST"]`))
 	got = s.request(http.MethodPut, "/b")
 	if got.status != http.StatusMethodNotAllowed || got.header.Get("Allow") != "GET, POST" {
 		t.Errorf("%+v", got)
@@ -59,10 +60,10 @@
 
 func TestOnlyIdempotentRequestsAreRetried(t *testing.T) {
 	disconnects := testpeer.StartEndpoint(t, testpeer.RespondWith("", testpeer.CloseConn))
-	fails := testpeer.StartEndpoint(t, respondWith("500 Oh", "", ""))
+	fails := testpeer.StartEndpoint(t, respondWith("500 Internal Server Error", "", ""))
 	s := startDaemon(t, poolBlock("one", disconnects.Addr)+poolBlock("two", fails.Addr)+
-		routeBlock("pays", "/pay", "pay", "one", "")+
-		routeBlock("looks", "/look", "look", "two", "policy {\n attempts = 2\n}"))
+		routeBlock("pays", "/pay", "write", "one", "")+
+		routeBlock("looks", "/look", "read", "two", "policy {\n attempts = 2\n}"))
 	status := s.request(http.MethodPost, "/pay").status
 	if attempts := disconnects.Requests.Load(); status != http.StatusBadGateway || attempts != 1 {
 		t.Errorf("non-idempotent: %d after %d attempts", status, attempts)
@@ -77,8 +78,8 @@
 func TestLimitsRejectAtOnce(t *testing.T) {
 	e := newGatedEndpoint(t, testpeer.OKResponse)
 	s := startDaemon(t, poolBlock("one", e.Addr)+
-		routeBlock("all", "/all", "look", "one", "policy {\n concurrency = 2\n tenant_concurrency = 1\n}")+
-		routeBlock("some", "/some", "look", "one", "policy {\n rate = \"1/h\"\n}"))
+		routeBlock("all", "/all", "read", "one", "policy {\n concurrency = 2\n tenant_concurrency = 1\n}")+
+		routeBlock("some", "/some", "read", "one", "policy {\n rate = \"1/h\"\n}"))
 	var requests sync.WaitGroup
 	for _, owner := range []string{"a", "b"} {
 		requests.Go(func() {
@@ -113,11 +114,11 @@
 // A request in flight when a reload makes its class non-idempotent is retried as before; the next
 // one is not.
 func TestReloadDoesNotChangePolicyOfRequestInFlight(t *testing.T) {
-	e := newGatedEndpoint(t, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
+	e := newGatedEndpoint(t, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	config := func(class string) string {
 		return poolBlock("one", e.Addr) + routeBlock("x", "/x", class, "one", "policy {\n attempts = 3\n}")
 	}
-	s := startDaemon(t, config("look"))
+	s := startDaemon(t, config("read"))
 	var requests sync.WaitGroup
 	requests.Go(func() {
 		if status := s.request(http.MethodGet, "/x").status; status != http.StatusServiceUnavailable {
@@ -125,7 +126,7 @@
 		}
 	})
 	<-e.arrived
-	s.reload(config("pay"))
+	s.reload(config("write"))
 	e.release <- true
 	for range 2 { // retries
 		<-e.arrived
--- a/internal/daemon/snapshot.go
+++ b/internal/daemon/snapshot.go
@@ -17,43 +17,44 @@
 )
 
 const (
-	snapshotCheckInterval = time.Second     // between two checks whether a snapshot is due
-	finalSnapshotTimeout  = 2 * time.Second // a disk that hangs must not keep the process from ending
+	snapshotCheckInterval = time.Second     // how often to check whether a snapshot is due
+	finalSnapshotTimeout  = 2 * time.Second // so that an unresponsive disk does not keep the process from ending
 )
 
-// daemonSnapshot is the content of the snapshot file. Owner is the instance that wrote it: a file
-// copied from another machine or instance describes endpoints as that one saw them. A file written
-// before owners were recorded has none, and is restored.
+// daemonSnapshot is the content of the snapshot file. Owner is the instance that wrote it. A file
+// that was copied from another machine or instance is not restored, since it describes the
+// endpoints from that instance's point of view. A file from before owners were recorded has no
+// owner and is restored.
 type daemonSnapshot struct {
 	Owner string                   `json:"Owner,omitempty"`
 	Pools map[string]*poolSnapshot `json:"Pools"`
 }
 
-// poolSnapshot is the part of a snapshot that is about one pool.
+// poolSnapshot is the part of a snapshot that describes one pool.
 type poolSnapshot struct {
 	Learned   proxy.Snapshot   `json:"Memory"`
-	Endpoints []proxy.Endpoint `json:"Roster"` // all of the source, of this instance's subset or not
+	Endpoints []proxy.Endpoint `json:"Roster"` // all of the source, including those outside this instance's subset
 }
 
-// restoredSnapshot is what a process has read of the snapshot of the one before it. The zero value
-// is none.
+// restoredSnapshot is the snapshot that a process restored from the previous process. The zero
+// value means that there is none.
 type restoredSnapshot struct {
 	pools map[string]*poolSnapshot // by name
 	age   time.Duration
 }
 
-// pool returns what is restored of one pool.
+// pool returns the restored snapshot of one pool.
 func (s restoredSnapshot) pool(name string) restoredPool {
 	return restoredPool{snapshot: s.pools[name], age: s.age}
 }
 
-// restoredPool is what is restored of one pool.
+// restoredPool is the restored snapshot of one pool.
 type restoredPool struct {
-	snapshot *poolSnapshot // nil: nothing
+	snapshot *poolSnapshot // nil if there is none
 	age      time.Duration
 }
 
-// ownerError is the error of a snapshot that another instance has written.
+// ownerError is the error for a snapshot that another instance has written.
 type ownerError struct {
 	path  string
 	owner string
@@ -65,8 +66,9 @@
 	return fmt.Sprintf("snapshot %s: it is %s's, and this is %s", e.path, e.owner, e.self)
 }
 
-// snapshotOwner names the instance that a configuration makes of this process on this machine. The
-// fleet's size is no part of the name: an instance of a fleet that grows stays the same.
+// snapshotOwner returns the name of this instance: the host with the configured name or index. The
+// size of the fleet is not part of it, so that an instance can restore its snapshot after the fleet
+// has grown.
 func snapshotOwner(f config.Fleet) string {
 	host, _ := os.Hostname()
 	if f.Name != "" {
@@ -75,8 +77,8 @@
 	return fmt.Sprintf("%s/index-%d", host, f.Index)
 }
 
-// restoreSnapshot reads the snapshot of the process before this one. The log has one line about it,
-// also if it cannot be used.
+// restoreSnapshot reads the snapshot of the previous process. If a path is configured, it
+// logs one line, whether or not the snapshot can be restored.
 func restoreSnapshot(c *config.Config, log *slog.Logger) restoredSnapshot {
 	path := c.Snapshot.Path
 	if path == "" {
@@ -88,7 +90,7 @@
 		err = &ownerError{path: path, owner: stored.Owner, self: self}
 	}
 	switch {
-	case errors.Is(err, snapshot.ErrNotFound): // a first start, or a file that was lost
+	case errors.Is(err, snapshot.ErrNotFound): // the first start, or the file was lost
 		log.Info("snapshot not restored", logkey.Err, err)
 	case err != nil:
 		log.Warn("snapshot not restored", logkey.Err, err)
@@ -103,25 +105,25 @@
 type saveMode int
 
 const (
-	savePeriodic     saveMode = iota // if one is due; the file stays locked
-	saveForSuccessor                 // at once; the file stays locked
-	saveFinal                        // at once; the file is unlocked
+	savePeriodic     saveMode = iota // only if a snapshot is due; the file stays locked
+	saveForSuccessor                 // immediately; the file stays locked
+	saveFinal                        // immediately; the file is unlocked
 )
 
-// snapshotWriter writes snapshots to a file that it holds a lock on. It is safe for concurrent use.
+// snapshotWriter writes snapshots to a file, which it keeps locked. It is safe for concurrent use.
 type snapshotWriter struct {
 	log *slog.Logger
 
 	mu      sync.Mutex // guards the fields below
-	path    string     // that lock is for
-	lock    io.Closer  // nil: not locked
+	path    string     // of the file that lock is for
+	lock    io.Closer  // nil if the file is not locked
 	savedAt time.Time
-	failing bool // the latest attempt failed, and that was logged
+	failing bool // the latest write failed, and the failure was logged
 }
 
-// save writes a snapshot of the current generation. While another process holds the file's lock, a
-// predecessor that still drains, the file is left to that process. A failure is retried at the next
-// call, and logged once.
+// save writes a snapshot of the current generation; in mode savePeriodic, only if one is due. It
+// fails while another process, such as a predecessor that is still draining, holds the file's lock.
+// The next snapshot that is due retries. Of consecutive failures, only the first is logged.
 func (w *snapshotWriter) save(mode saveMode, current func() *generation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -142,7 +144,7 @@
 	}
 }
 
-// write locks the file, unless it is locked, and replaces it. The caller must hold w.mu.
+// write locks the file, if it is not locked yet, and replaces it. The caller must hold w.mu.
 func (w *snapshotWriter) write(g *generation) (err error) {
 	if w.lock == nil {
 		if w.lock, err = snapshot.Lock(w.path); err != nil {
@@ -187,8 +189,8 @@
 	}
 }
 
-// saveFinalSnapshot writes the last snapshot, once saveSnapshots has ended. It gives up after
-// finalSnapshotTimeout.
+// saveFinalSnapshot writes the last snapshot once saverDone is closed, which means that
+// saveSnapshots has returned. It stops waiting after finalSnapshotTimeout.
 func (d *Daemon) saveFinalSnapshot(saverDone <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
--- a/internal/daemon/snapshot_test.go
+++ b/internal/daemon/snapshot_test.go
@@ -15,9 +15,9 @@
 // is corrupt.
 func TestLearnedStateSurvivesRestart(t *testing.T) {
 	works := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
-	fails := testpeer.StartEndpoint(t, respondWith("500 Oh", "", ""))
+	fails := testpeer.StartEndpoint(t, respondWith("500 Internal Server Error", "", ""))
 	state := filepath.Join(t.TempDir(), "state")
-	config := stateBlock(state) + poolBlock("one", works.Addr, fails.Addr) + routeBlock("x", "/x", "look", "one", "")
+	config := stateBlock(state) + poolBlock("one", works.Addr, fails.Addr) + routeBlock("x", "/x", "read", "one", "")
 	s := startDaemon(t, config)
 	for range 30 {
 		s.request(http.MethodGet, "/x")
@@ -61,10 +61,10 @@
 		}
 	}
 	config := stateBlock(filepath.Join(dir, "state")) + filePoolBlock("one", list) +
-		routeBlock("x", "/x", "look", "one", "")
+		routeBlock("x", "/x", "read", "one", "")
 	s := startDaemon(t, config)
 	writeList("a", old.Addr)
-	testpeer.WaitUntil(t, "the list is applied", s.responds("/x", "old"))
+	testpeer.WaitUntil(t, "the list is applied", s.hasBody("/x", "old"))
 	s.stopAndWait()
 	if err := os.Remove(list); err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 		t.Errorf("without a list: %d %q", got.status, got.body)
 	}
 	writeList("b", next.Addr)
-	testpeer.WaitUntil(t, "the list is applied", s.responds("/x", "new"))
+	testpeer.WaitUntil(t, "the list is applied", s.hasBody("/x", "new"))
 }
 
 func TestUnwritableSnapshotIsLoggedOnceAndHarmless(t *testing.T) {
@@ -82,7 +82,7 @@
 	e := testpeer.StartEndpoint(t, respondWith("200 OK", "", "x"))
 	path := filepath.Join(t.TempDir(), "none", "state")
 	s := startDaemon(t, fmt.Sprintf("state {\n path = %q\n every = \"1s\"\n}\n", path)+
-		poolBlock("one", e.Addr)+routeBlock("x", "/x", "look", "one", ""))
+		poolBlock("one", e.Addr)+routeBlock("x", "/x", "read", "one", ""))
 	testpeer.WaitUntil(t, "it is logged", func() bool { return strings.Contains(s.log.String(), message) })
 	if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK {
 		t.Errorf("status %d", status)
@@ -100,7 +100,7 @@
 	state := filepath.Join(t.TempDir(), "state")
 	config := func(index, instances int) string {
 		return stateBlock(state) + fmt.Sprintf("fleet {\n instances = %d\n index = %d\n}\n", instances, index) +
-			poolBlock("one", e.Addr) + routeBlock("x", "/x", "look", "one", "")
+			poolBlock("one", e.Addr) + routeBlock("x", "/x", "read", "one", "")
 	}
 	s := startDaemon(t, config(0, 2))
 	s.request(http.MethodGet, "/x")
--- a/internal/daemon/state_test.go
+++ b/internal/daemon/state_test.go
@@ -61,10 +61,10 @@
 	open := &listener{name: "a", address: "h:1"}
 	removed := &listener{name: "b", address: "h:2", lastGeneration: &generation{}}
 	s := listenerSet{removed, open}
-	if s.named("a") != open || s.at("h:1") != open {
+	if s.byName("a") != open || s.byAddress("h:1") != open {
 		t.Error("the open listener is not found")
 	}
-	if s.named("b") != nil || s.at("h:2") != nil || s.named("c") != nil {
+	if s.byName("b") != nil || s.byAddress("h:2") != nil || s.byName("c") != nil {
 		t.Error("a removed or unknown listener is found")
 	}
 	if s = s.without(removed); len(s) != 1 || s[0] != open {
@@ -75,8 +75,8 @@
 func TestSourceStatusHasTheLatestError(t *testing.T) {
 	var s sourceStatus
 	s.set(&staleListError{90 * time.Second})
-	if got, want := s.get(), "restored from a snapshot that was 1m30s old at the start"; got != want {
-		t.Errorf("%q, want %q", got, want)
+	if got, want := s.get(), "restored from a snapshot that was 1m30s old when the process started"; got != want {
+		t.Errorf("error %q of a restored list, want %q", got, want)
 	}
 	s.set(nil)
 	if got := s.get(); got != "" {
@@ -93,7 +93,7 @@
 
 // The admin listener cannot be moved by a reload; the error names both addresses.
 func TestReloadRejectsMovedAdminListener(t *testing.T) {
-	blocks := poolBlock("one", "127.0.0.1:1") + routeBlock("x", "/x", "look", "one", "")
+	blocks := poolBlock("one", "127.0.0.1:1") + routeBlock("x", "/x", "read", "one", "")
 	s := startDaemon(t, blocks)
 	path := filepath.Join(t.TempDir(), "admin")
 	s.writeFile(strings.Replace(configHead+blocks, `listen = "127.0.0.1:0"`, `listen = "unix:`+path+`"`, 1))
