--- a/internal/daemon/admin_test.go
+++ b/internal/daemon/admin_test.go
@@ -30,13 +30,13 @@
 		got := s.requestAdmin(http.MethodGet, path)
 		for _, want := range wants {
 			if got.status != http.StatusOK || !strings.Contains(got.body, want) {
-				t.Errorf("%s has no %s: %d\n%s", path, want, got.status, got.body)
+				t.Errorf("the response of %s does not contain %s: status %d\n%s", path, want, got.status, got.body)
 			}
 		}
 	}
 	s.writeConfig("x")
 	got := s.requestAdmin(http.MethodPost, "/reload")
 	if got.status != http.StatusUnprocessableEntity || !strings.Contains(got.body, "rowancart.hcl:") {
-		t.Errorf("an invalid file: %d %q", got.status, got.body)
+		t.Errorf("reload of an invalid file: status %d, body %q", got.status, got.body)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -33,8 +33,8 @@
 	"rowancart/internal/logkey"
 )
 
-// shutdownAcceptPeriod is how long the daemon goes on accepting connections after it was told to
-// stop, because clients open new connections until they learn that it is stopping.
+// shutdownAcceptPeriod is how long the daemon goes on accepting connections after the signal to
+// stop, because clients go on opening them for a while.
 const shutdownAcceptPeriod = 600 * time.Millisecond
 
 // Daemon serves the listeners of one configuration file. New opens the listeners. Run serves, then
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -16,17 +16,17 @@
 	"rowancart/internal/testpeer"
 )
 
-// testDaemon is a running daemon, its configuration file and its log.
+// testDaemon is a running daemon with its configuration file and its log.
 type testDaemon struct {
 	*Daemon
 	t          *testing.T
 	configPath string
 	stop       context.CancelFunc
-	runErr     chan error // receives the error of Run, and is closed then
+	runErr     chan error // receives the error of Run, and is then closed
 	log        *lockedBuffer
 }
 
-// lockedBuffer is a buffer for a log that is read while it is written.
+// lockedBuffer is a buffer that can be read while the daemon writes its log to it.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -44,7 +44,8 @@
 	return b.buffer.String()
 }
 
-// limitsBlock and configHead begin the configuration of each test daemon.
+// configHead is the beginning of most configurations of test daemons, and limitsBlock is a part of
+// it.
 const (
 	limitsBlock = `limits {
   stop_within = "1s"
@@ -65,8 +66,8 @@
 `
 )
 
-// startDaemon runs a daemon until the test ends, with configHead and these blocks as its
-// configuration.
+// startDaemon runs a daemon until the test ends. Its configuration is configHead followed by
+// blocks.
 func startDaemon(t *testing.T, blocks string) *testDaemon {
 	t.Helper()
 	return startDaemonWithConfig(t, configHead+blocks)
@@ -117,7 +118,7 @@
 	}
 }
 
-// reload writes a configuration and puts it in force.
+// reload replaces what follows configHead in the configuration file, and reloads the file.
 func (s *testDaemon) reload(blocks string) {
 	s.t.Helper()
 	s.writeConfig(blocks)
@@ -126,7 +127,7 @@
 	}
 }
 
-// stopAndWait stops the daemon and waits for its end.
+// stopAndWait stops the daemon and waits until Run has returned.
 func (s *testDaemon) stopAndWait() {
 	s.stop()
 	if err := <-s.runErr; err != nil {
@@ -134,7 +135,7 @@
 	}
 }
 
-// poolBlock returns a pool of static endpoints, which are called a, b, and so on.
+// poolBlock returns the block of a pool with static endpoints, whose ids are a, b, and so on.
 func poolBlock(name string, addrs ...string) string {
 	text := fmt.Sprintf("pool %q {\n  roster \"static\" {\n", name)
 	for i, addr := range addrs {
@@ -143,17 +144,17 @@
 	return text + "  }\n}\n"
 }
 
-// filePoolBlock returns a pool whose endpoints are listed in a file.
+// filePoolBlock returns the block of a pool whose endpoints are listed in a file.
 func filePoolBlock(name, path string) string {
 	return fmt.Sprintf("pool %q {\n  roster \"file\" {\n    path = %q\n  }\n}\n", name, path)
 }
 
-// routeBlock returns a route, with more attributes.
+// routeBlock returns the block of a route; more contains further attributes and blocks.
 func routeBlock(name, path, class, pool, more string) string {
 	return fmt.Sprintf("route %q {\n  path = %q\n  class = %q\n  pool = %q\n%s\n}\n", name, path, class, pool, more)
 }
 
-// stateBlock returns the block that sets the snapshot's file.
+// stateBlock returns the block that sets the path of the snapshot file.
 func stateBlock(path string) string { return fmt.Sprintf("state {\n path = %q\n}\n", path) }
 
 // response is a response that was read to its end.
@@ -163,8 +164,8 @@
 	header http.Header
 }
 
-// request sends a request on a new connection and returns the response. Header has names and values
-// in turn.
+// request sends a request on a new connection and returns the response. The header contains
+// alternating names and values.
 func (s *testDaemon) request(method, path string, header ...string) response {
 	s.t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.Addr("front").String()+path, nil)
@@ -202,25 +203,25 @@
 	return response{resp.StatusCode, string(body), resp.Header}
 }
 
-// responds returns a function that reports whether the response to a GET request has a body.
+// hasBody returns a function that reports whether the response to a GET request has the body want.
 func (s *testDaemon) hasBody(path, want string) func() bool {
 	return func() bool { return s.request(http.MethodGet, path).body == want }
 }
 
-// respondWith returns an endpoint's handler that sends the same response to each request.
+// respondWith returns a handler for an endpoint that sends the same response to each request.
 func respondWith(status, header, body string) func(net.Conn, *http.Request, int) bool {
 	text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 	return testpeer.RespondWith(text, testpeer.KeepConn)
 }
 
-// gatedEndpoint is an endpoint that responds to a request once it is released.
+// gatedEndpoint is an endpoint that holds each request until the test releases it.
 type gatedEndpoint struct {
 	*testpeer.FakeEndpoint
 	arrived chan bool // receives a value for each request
-	release chan bool // each value releases one request, closing it all
+	release chan bool // a value releases one request; closing the channel releases all
 }
 
-// newGatedEndpoint returns an endpoint that sends a response for each request that is released.
+// newGatedEndpoint starts an endpoint that sends the response text for each released request.
 func newGatedEndpoint(t *testing.T, text string) *gatedEndpoint {
 	e := &gatedEndpoint{arrived: make(chan bool, 100), release: make(chan bool)}
 	e.FakeEndpoint = testpeer.StartEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
--- a/internal/daemon/listeners_test.go
+++ b/internal/daemon/listeners_test.go
@@ -12,14 +12,14 @@
 	"rowancart/internal/testpeer"
 )
 
-// All accepted requests are answered before the daemon ends.
+// A daemon that is stopped answers all accepted requests before it ends.
 func TestStopAnswersAcceptedRequests(t *testing.T) {
 	e := newGatedEndpoint(t, testpeer.OKResponse)
 	s := startDaemon(t, poolBlock("one", e.Addr)+routeBlock("x", "/x", "read", "one", ""))
 	var requests sync.WaitGroup
 	requests.Go(func() {
 		if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK {
-			t.Errorf("%d", status)
+			t.Errorf("status %d, want 200", status)
 		}
 	})
 	<-e.arrived
@@ -32,11 +32,11 @@
 			t.Error(err)
 		}
 	case <-time.After(testpeer.WaitTimeout):
-		t.Error("the daemon does not end")
+		t.Error("the daemon did not end after its last request was answered")
 	}
 }
 
-// A request that does not end is aborted at the drain timeout.
+// A request that is still in flight at the drain timeout is aborted, and the timeout is logged.
 func TestStopAbortsRequestsThatHang(t *testing.T) {
 	arrived := make(chan bool, 10)
 	hangs := testpeer.StartEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
@@ -56,19 +56,19 @@
 	select {
 	case <-s.runErr:
 	case <-time.After(testpeer.WaitTimeout):
-		t.Error("the daemon does not end while a request hangs")
+		t.Error("the daemon did not end while a request was in flight")
 	}
 	if !strings.Contains(s.log.String(), `msg="drain timed out"`) {
-		t.Error("the timeout is not logged")
+		t.Error("the drain timeout was not logged")
 	}
 	if n := hangs.Requests.Load(); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("the request was sent %d times, want 1", n)
 	}
 }
 
-// Connections over the limit are rejected at once.
+// A connection over the limit is rejected at once with status 503, and counted.
 func TestConnectionsOverTheLimitAreRejectedAtOnce(t *testing.T) {
-	const maxConns, active = 16, 6 // the balancer's concurrency limit begins with 6
+	const maxConns, active = 16, 6 // the balancer's initial concurrency limit is 6
 	e := newGatedEndpoint(t, testpeer.OKResponse)
 	head := strings.Replace(configHead, limitsBlock, "limits {\n  connections = 16\n  stop_within = \"1s\"\n}\n", 1)
 	s := startDaemonWithConfig(t, head+poolBlock("one", e.Addr)+routeBlock("x", "/x", "read", "one", ""))
@@ -77,13 +77,13 @@
 		requests.Go(func() { s.request(http.MethodGet, "/x") })
 		<-e.arrived
 	}
-	var silent []net.Conn // without a request
+	var unused []net.Conn // without a request
 	for range maxConns - active {
 		nc, err := net.Dial("tcp", s.Addr("front").String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		silent = append(silent, nc)
+		unused = append(unused, nc)
 	}
 	testpeer.WaitUntil(t, "all connections are open", func() bool {
 		return s.Summary().Listeners[0].Connections == maxConns
@@ -91,15 +91,15 @@
 	got := s.request(http.MethodGet, "/x")
 	if got.status != http.StatusServiceUnavailable || got.body != "too many connections\n" ||
 		got.header.Get("Retry-After") != "1" {
-		t.Errorf("%+v", got)
+		t.Errorf("response to a connection over the limit: %+v", got)
 	}
-	for _, nc := range silent {
+	for _, nc := range unused {
 		nc.Close()
 	}
 	close(e.release)
 	requests.Wait()
 	if n := s.Summary().Listeners[0].RejectedConnections; n != 1 {
-		t.Errorf("%d rejected", n)
+		t.Errorf("%d connections were rejected, want 1", n)
 	}
 	s.stopAndWait()
 }
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/outage_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// failureMode is how a failingServer fails.
+// failureMode is how a failingServer fails requests.
 type failureMode int32
 
 const (
@@ -17,7 +17,7 @@
 	failHang              // never responds
 )
 
-// failingServer is an endpoint that can be killed, or made to fail in other ways.
+// failingServer is an endpoint that can be killed, or made to fail requests.
 type failingServer struct {
 	*httptest.Server
 	mode     atomic.Int32 // a failureMode
@@ -49,16 +49,16 @@
 func (s *failingServer) reset() { s.mode.Store(int32(failReset)) }
 func (s *failingServer) hang()  { s.mode.Store(int32(failHang)) }
 
-// outage is what happens to one of two endpoints while a client sends one request after the other.
+// outage is a failure of one of two endpoints while a client sends one request after the other.
 type outage struct {
 	name, method, class string
 	begin               func(s *failingServer)
-	maxLost             int // requests lost in a round: at first, and then for each trial that may be due
+	maxFailed           int // requests of a round that may fail at first, and again for each trial that may be due
 }
 
-// In any outage of one of two endpoints, the other serves all requests, but for those that must not
-// be retried.
-func TestOneOfTwoEndpointsIsEnough(t *testing.T) {
+// While one of two endpoints has an outage, the other serves all requests. Only requests that must
+// not be retried, or that time out, may fail, each time that the failing endpoint gets one.
+func TestRemainingEndpointServesDuringOutage(t *testing.T) {
 	const rounds = 6
 	for _, o := range []outage{
 		{"killed, idempotent", http.MethodGet, "read", (*failingServer).kill, 0},
@@ -79,33 +79,33 @@
 
 func checkOutage(t *testing.T, o outage, round int) {
 	const requests = 20
-	const minTrialInterval = 375 * time.Millisecond // a backoff at its shortest
+	const minTrialInterval = 375 * time.Millisecond // the shortest backoff
 	endpoints := []*failingServer{newFailingServer(t), newFailingServer(t)}
 	pool := poolBlock("two", endpoints[0].Listener.Addr().String(), endpoints[1].Listener.Addr().String())
 	s := startDaemon(t, pool+routeBlock("x", "/x", o.class, "two", "policy {\n client_waits = \"400ms\"\n}"))
 	for range 6 {
 		if status := s.request(o.method, "/x").status; status != http.StatusOK {
-			t.Fatalf("before the outage: %d", status)
+			t.Fatalf("status %d before the outage, want 200", status)
 		}
 	}
 	received := func() int { return int(endpoints[0].requests.Load() + endpoints[1].requests.Load()) }
 	before := received()
 	o.begin(endpoints[round%2])
-	lost, served := 0, 0
+	failed, served := 0, 0
 	begun := time.Now()
 	for range requests {
 		if got := s.request(o.method, "/x"); got.status == http.StatusOK {
 			served++
 		} else {
-			t.Logf("round %d: %d, %s", round, got.status, got.header.Get("Proxy-Status"))
-			lost++
+			t.Logf("round %d: status %d, Proxy-Status: %s", round, got.status, got.header.Get("Proxy-Status"))
+			failed++
 		}
 	}
-	maxLost := o.maxLost * (1 + int(time.Since(begun)/minTrialInterval))
-	if lost > maxLost || served != requests-lost {
-		t.Errorf("round %d: %d of %d were lost, at most %d may be", round, lost, requests, maxLost)
+	maxFailed := o.maxFailed * (1 + int(time.Since(begun)/minTrialInterval))
+	if failed > maxFailed || served != requests-failed {
+		t.Errorf("round %d: %d of %d requests failed, want at most %d", round, failed, requests, maxFailed)
 	}
-	if ran := received() - before; o.method == http.MethodPost && ran > requests {
-		t.Errorf("round %d: %d non-idempotent requests ran %d times", round, requests, ran)
+	if attempts := received() - before; o.method == http.MethodPost && attempts > requests {
+		t.Errorf("round %d: %d non-idempotent requests were received %d times", round, requests, attempts)
 	}
 }
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -13,7 +13,7 @@
 	"rowancart/internal/testpeer"
 )
 
-// The endpoint list follows changes of its file. An incomplete file changes nothing.
+// Changes of the endpoint file are applied. An incomplete file is reported but changes nothing.
 func TestEndpointFileIsWatched(t *testing.T) {
 	a := testpeer.StartEndpoint(t, respondWith("200 OK", "", "a"))
 	b := testpeer.StartEndpoint(t, respondWith("200 OK", "", "b"))
@@ -31,20 +31,21 @@
 	s := startDaemon(t, filePoolBlock("one", path)+routeBlock("x", "/x", "read", "one", ""))
 	testpeer.WaitUntil(t, "a serves", s.hasBody("/x", "a"))
 	write(list(b.Addr)[:40]) // incomplete
-	testpeer.WaitUntil(t, "the status has the error", func() bool {
+	testpeer.WaitUntil(t, "the status contains the error of the incomplete file", func() bool {
 		return strings.Contains(s.Summary().Pools[0].SourceError, "unexpected EOF")
 	})
 	if !s.hasBody("/x", "a")() {
-		t.Error("an incomplete list removed a")
+		t.Error("endpoint a does not serve after an incomplete list")
 	}
 	write(list(b.Addr))
 	testpeer.WaitUntil(t, "b serves", s.hasBody("/x", "b"))
 	if st := s.Summary().Pools[0]; st.SourceError != "" || st.Ready != 1 || st.Draining != 1 {
-		t.Errorf("%+v", st)
+		t.Errorf("status of the pool after a valid list: %+v", st)
 	}
 }
 
-// An instance sends only to its subset, which depends on its index and on the configured size.
+// An instance sends requests only to its subset of the endpoints, which depends on its index and on
+// the configured size.
 func TestInstanceSendsOnlyToItsSubset(t *testing.T) {
 	var endpoints []*testpeer.FakeEndpoint
 	var addrs []string
@@ -58,9 +59,9 @@
 		fleet := fmt.Sprintf("fleet {\n instances = 9\n index = %d\n}\n", index)
 		return fleet + routeBlock("x", "/x", "read", "one", "") + pool
 	}
-	seen := make([]int32, len(endpoints)) // requests that each endpoint had received
-	// used returns the endpoints that received requests: it sends some until there are count of them,
-	// and then 50 more.
+	seen := make([]int32, len(endpoints)) // requests that each endpoint has received so far
+	// used returns the indexes of the endpoints that receive requests. It sends requests until at
+	// least count endpoints have received one, and then 50 more.
 	used := func(s *testDaemon, count int) (indexes []int) {
 		for more, end := 0, time.Now().Add(testpeer.WaitTimeout); more < 50 && time.Now().Before(end); {
 			s.request(http.MethodGet, "/x")
@@ -79,14 +80,14 @@
 	}
 	s := startDaemon(t, config(0, 3))
 	first := used(s, 3)
-	s.reload(config(1, 3)) // half of the ring away from index 0
+	s.reload(config(1, 3)) // at half the length of the ring from index 0
 	second := used(s, 3)
 	common := slices.ContainsFunc(first, func(i int) bool { return slices.Contains(second, i) })
 	if len(first) != 3 || len(second) != 3 || common {
-		t.Errorf("index 0 sent to %v, index 1 to %v", first, second)
+		t.Errorf("index 0 sent to the endpoints %v and index 1 to %v, want 3 different ones each", first, second)
 	}
 	s.reload(config(1, 5))
 	if third := used(s, 5); len(third) != 5 {
-		t.Errorf("with a subset of 5, sent to %v", third)
+		t.Errorf("with a subset of 5, requests were sent to the endpoints %v", third)
 	}
 }
--- a/internal/daemon/reason_test.go
+++ b/internal/daemon/reason_test.go
@@ -22,8 +22,8 @@
 	return l.Addr().String()
 }
 
-// The reason for each response that no endpoint has sent is in its header, the metrics, the log and
-// the status of the endpoint.
+// If a request is not served, the reason is in the header of the response, the metrics and the log,
+// and the failure of the endpoint is in the status.
 func TestUnservedRequestsHaveAReason(t *testing.T) {
 	disconnects := testpeer.StartEndpoint(t, func(net.Conn, *http.Request, int) bool { return false })
 	empty := filepath.Join(t.TempDir(), "endpoints.json")
@@ -49,22 +49,22 @@
 		}
 		// A request is counted after its response is written.
 		want := `rowancart_unserved_total{reason="` + row.reason + `",route="` + row.route + `"} 1`
-		testpeer.WaitUntil(t, row.path+": the metrics have "+want, func() bool {
+		testpeer.WaitUntil(t, row.path+": the metrics contain "+want, func() bool {
 			return strings.Contains(s.requestAdmin(http.MethodGet, "/metrics").body, want)
 		})
 		if !strings.Contains(s.log.String(), " reason="+row.reason+" ") {
-			t.Errorf("%s: the log has no %s: %s", row.path, row.reason, s.log)
+			t.Errorf("%s: the log does not contain the reason %s: %s", row.path, row.reason, s.log)
 		}
 	}
 	s.request(http.MethodGet, "/limited")
 	h := s.request(http.MethodGet, "/limited").header
 	if h.Get("Proxy-Status") != `rowancart; error=http_request_denied; details="route_rate"` {
-		t.Errorf("over the limit: Proxy-Status is %q", h.Get("Proxy-Status"))
+		t.Errorf("request over the rate limit: Proxy-Status is %q", h.Get("Proxy-Status"))
 	}
 	status := s.requestAdmin(http.MethodGet, "/status").body
 	for _, want := range []string{`"out": "unreached"`, "connection refused", `"trial_in": "`, `"fault": "EOF"`} {
 		if !strings.Contains(status, want) {
-			t.Errorf("the status has no %s:\n%s", want, status)
+			t.Errorf("the status does not contain %s:\n%s", want, status)
 		}
 	}
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -19,8 +19,8 @@
 	"rowancart/internal/testpeer"
 )
 
-// A pool that a reload removes serves the requests in flight, and is then removed with its
-// connections.
+// A pool that a reload removes serves its requests in flight, and is then removed together with its
+// generation.
 func TestRemovedPoolAnswersRequestsInFlight(t *testing.T) {
 	old := newGatedEndpoint(t, testpeer.OKResponse)
 	next := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
@@ -28,17 +28,17 @@
 	var requests sync.WaitGroup
 	requests.Go(func() {
 		if status := s.request(http.MethodGet, "/slow").status; status != http.StatusOK {
-			t.Errorf("%d", status)
+			t.Errorf("request in flight during the reload: status %d, want 200", status)
 		}
 	})
 	<-old.arrived
 	s.reload(poolBlock("new", next.Addr) + routeBlock("x", "/*", "read", "new", ""))
 	if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK || next.Requests.Load() != 1 {
-		t.Errorf("%d, %d at the new pool", status, next.Requests.Load())
+		t.Errorf("after the reload: status %d, %d requests sent to the new pool", status, next.Requests.Load())
 	}
-	// The file watcher may have reloaded too: its generation, without requests, is removed a moment
-	// later.
-	testpeer.WaitUntil(t, "only the generation with a request in flight drains", func() bool {
+	// The file watcher may have reloaded as well. The additional generation has no requests and is
+	// removed shortly afterwards.
+	testpeer.WaitUntil(t, "only the generation with a request in flight is draining", func() bool {
 		st := s.Summary()
 		return len(st.Pools) == 2 && st.DrainingGenerations == 1
 	})
@@ -50,7 +50,7 @@
 	})
 }
 
-// An endpoint that a reload moves from one pool to another gets no request of the first one.
+// An endpoint that a reload moves to another pool gets no more requests of its old pool.
 func TestMovedEndpointGetsNoRequestOfItsOldPool(t *testing.T) {
 	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	b := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
@@ -65,10 +65,10 @@
 		s.request(http.MethodGet, "/x")
 	}
 	if n := b.Requests.Load(); n != before {
-		t.Errorf("%d requests of the old pool", n-before)
+		t.Errorf("the moved endpoint received %d requests of its old pool", n-before)
 	}
 	if s.request(http.MethodGet, "/y"); b.Requests.Load() != before+1 {
-		t.Error("none of the new pool")
+		t.Error("the moved endpoint did not receive the request of its new pool")
 	}
 }
 
@@ -80,39 +80,38 @@
 	for _, invalid := range []string{"route", valid + poolBlock("one", e.Addr), valid + addressInUse} {
 		s.writeConfig(invalid)
 		if err := s.Reload(); err == nil {
-			t.Errorf("accepted: %s", invalid)
+			t.Errorf("an invalid configuration was accepted: %s", invalid)
 		}
 		if st := s.Summary(); st.Generation != 1 || st.Reloads.LastError == "" {
-			t.Errorf("%+v", st)
+			t.Errorf("status after a failed reload: %+v", st)
 		}
 		if status := s.request(http.MethodGet, "/x").status; status != http.StatusOK {
-			t.Errorf("%d", status)
+			t.Errorf("status %d after a failed reload, want 200", status)
 		}
 	}
 	if !strings.Contains(s.log.String(), `msg="configuration not reloaded"`) {
-		t.Error("the failure is not logged")
+		t.Error("the failed reload was not logged")
 	}
 	s.reload(valid)
-	// The file watcher may have put the corrected file in force before the explicit reload did so
-	// again. Either way each successful reload makes exactly one generation, and no failed one makes
-	// any.
+	// The file watcher may have reloaded the corrected file before the explicit reload. In either case
+	// each successful reload creates exactly one generation, and a failed one creates none.
 	corrected := s.Summary()
 	reloads := corrected.Reloads.Succeeded
 	if reloads < 1 || reloads > 2 || corrected.Generation != 1+reloads || corrected.Reloads.LastError != "" {
-		t.Errorf("%+v", corrected)
+		t.Errorf("status after the reload of the corrected file: %+v", corrected)
 	}
-	// The file in force is now the file on disk, so the watcher has nothing left to reload.
+	// The file on disk is in force now, so that the watcher does not reload it again.
 	if err := s.Reload(); err != nil {
 		t.Error(err)
 	}
 	st := s.Summary()
 	if st.Generation != corrected.Generation+1 || st.Reloads.Succeeded != reloads+1 || st.Reloads.LastError != "" {
-		t.Errorf("%+v after %+v", st, corrected)
+		t.Errorf("status %+v after another reload, which followed %+v", st, corrected)
 	}
 }
 
-// The configuration file is reloaded when it is written in place, and when it is replaced by
-// rename.
+// The configuration file is reloaded when it is written in place, and when another file is renamed
+// to its path.
 func TestConfigFileIsWatched(t *testing.T) {
 	a := testpeer.StartEndpoint(t, respondWith("200 OK", "", "a"))
 	b := testpeer.StartEndpoint(t, respondWith("200 OK", "", "b"))
@@ -130,7 +129,7 @@
 	testpeer.WaitUntil(t, "a serves", s.hasBody("/x", "a"))
 }
 
-// A listener that a reload removes serves the requests in flight.
+// A listener that a reload removes answers its requests in flight, and is then removed.
 func TestRemovedListenerAnswersRequestsInFlight(t *testing.T) {
 	e := newGatedEndpoint(t, testpeer.OKResponse)
 	path := filepath.Join(t.TempDir(), "sock")
@@ -142,7 +141,7 @@
 	requests.Go(func() {
 		resp, err := client.Get("http://side/x")
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("%v, %v", resp, err)
+			t.Errorf("request in flight during the reload: response %v, error %v", resp, err)
 			return
 		}
 		resp.Body.Close()
@@ -150,7 +149,7 @@
 	<-e.arrived
 	s.reload(base)
 	if s.Addr("side") != nil {
-		t.Error("the listener is still listed")
+		t.Error("the removed listener still has an address")
 	}
 	close(e.release)
 	requests.Wait()
@@ -160,8 +159,8 @@
 	})
 }
 
-// In a thousand reloads under load, no request is lost or served by a mixture of two
-// configurations, and no goroutine, pool or generation is leaked.
+// During a thousand reloads under load, no request fails or is served by a mixture of two
+// configurations, and no goroutine, pool or generation leaks.
 func TestThousandReloadsUnderLoad(t *testing.T) {
 	reloads := 1000
 	if testing.Short() {
@@ -170,8 +169,8 @@
 	a := testpeer.StartEndpoint(t, respondWith("200 OK", "", "a"))
 	b := testpeer.StartEndpoint(t, respondWith("200 OK", "", "b"))
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	// Both configurations route /a to a, and /b to b. One of the routes has a different name and pool
-	// in each.
+	// Both configurations route /a to endpoint a and /b to endpoint b. Route r1 and pool p1 serve a in
+	// one and b in the other, and the other route and pool are replaced by each reload.
 	configs := []string{
 		poolBlock("p1", a.Addr) + poolBlock("p2", b.Addr) +
 			routeBlock("r1", "/a", "read", "p1", "policy {\n concurrency = 100\n}") +
@@ -185,7 +184,7 @@
 	for i := range reloads {
 		before := load.served.Load()
 		s.reload(configs[(i+1)%2])
-		if i%10 == 0 { // so that the load gets processor time
+		if i%10 == 0 { // so that the clients of the load get processor time
 			testpeer.WaitUntil(t, "requests are served", func() bool { return load.served.Load() > before || t.Failed() })
 		}
 	}
@@ -193,9 +192,9 @@
 	testpeer.WaitUntil(t, "old generations are removed", func() bool { return s.Summary().DrainingGenerations == 0 })
 	st := s.Summary()
 	if st.Generation <= reloads || len(st.Pools) != 2 || len(st.Listeners) != 1 {
-		t.Errorf("%+v", st)
+		t.Errorf("status after all reloads: %+v", st)
 	}
-	// A request is released by its route after its response has been written.
+	// The route releases a request only after the response has been written.
 	testpeer.WaitUntil(t, "no route has requests in flight", func() bool {
 		return !slices.ContainsFunc(s.Summary().Routes, func(r RouteStatus) bool { return r.InFlight != 0 })
 	})
@@ -203,11 +202,11 @@
 	t.Logf("%d requests served", load.served.Load())
 }
 
-// alternatingLoad are clients that request /a and /b in turn. The body of each response must be the
-// path's name.
+// alternatingLoad is a set of clients that request /a and /b in turn. The body of each response
+// must be a or b, like the path.
 type alternatingLoad struct {
 	served atomic.Int64
-	stop   func() // ends the clients and waits for them
+	stop   func() // stops the clients and waits until they have ended
 }
 
 func startLoad(t *testing.T, url string) *alternatingLoad {
@@ -234,7 +233,7 @@
 				body, err := io.ReadAll(resp.Body)
 				resp.Body.Close()
 				if err != nil || resp.StatusCode != http.StatusOK || string(body) != want {
-					t.Errorf("/%s: %d %q %v", want, resp.StatusCode, body, err)
+					t.Errorf("/%s: status %d, body %q, error %v", want, resp.StatusCode, body, err)
 					return
 				}
 				load.served.Add(1)
@@ -244,7 +243,7 @@
 	return load
 }
 
-// Learned state survives a reload: a failing endpoint gets no more requests after it than before.
+// Learned state survives a reload: an endpoint that is known to fail gets only trials afterwards.
 func TestLearnedStateSurvivesReload(t *testing.T) {
 	works := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
 	fails := testpeer.StartEndpoint(t, respondWith("500 Internal Server Error", "", ""))
@@ -261,7 +260,7 @@
 		s.reload(config(n + 2))
 		s.request(http.MethodGet, "/x")
 	}
-	if n := fails.Requests.Load() - before; n > 3 { // some trials are due
-		t.Errorf("%d of 10 requests went to an endpoint known to fail", n)
+	if n := fails.Requests.Load() - before; n > 3 { // up to 3 trials may be due
+		t.Errorf("%d of 10 requests were sent to an endpoint known to fail, want at most 3", n)
 	}
 }
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -29,12 +29,12 @@
 	got := s.request(http.MethodGet, "/a/x?y=1")
 	isComplete := got.body == "here" && got.header.Get("X-Own") == "1" && got.header.Get("X-Hop") == ""
 	if got.status != http.StatusCreated || !isComplete {
-		t.Errorf("%+v", got)
+		t.Errorf("response of endpoint one: %+v", got)
 	}
 	if first := id.Load(); first == "" {
-		t.Error("a request without an id was forwarded without one")
+		t.Error("a request that arrived without an id was forwarded without one")
 	} else if s.request(http.MethodGet, "/a/x"); id.Load() == first {
-		t.Errorf("two requests have the id %v", first)
+		t.Errorf("two requests got the same id %v", first)
 	}
 	for _, row := range []struct {
 		method, path string
@@ -48,13 +48,13 @@
 		{http.MethodGet, "/c", nil, http.StatusNotFound},
 	} {
 		if got := s.request(row.method, row.path, row.header...); got.status != row.status {
-			t.Errorf("%s %s: %d %q", row.method, row.path, got.status, got.body)
+			t.Errorf("%s %s: status %d, body %q", row.method, row.path, got.status, got.body)
 		}
 	}
 	s.reload(poolBlock("two", two.Addr) + routeBlock("b", "/b", "read", "two", `methods = ["GET", "POST"]`))
 	got = s.request(http.MethodPut, "/b")
 	if got.status != http.StatusMethodNotAllowed || got.header.Get("Allow") != "GET, POST" {
-		t.Errorf("%+v", got)
+		t.Errorf("response to a method that the route does not allow: %+v", got)
 	}
 }
 
@@ -62,16 +62,16 @@
 	disconnects := testpeer.StartEndpoint(t, testpeer.RespondWith("", testpeer.CloseConn))
 	fails := testpeer.StartEndpoint(t, respondWith("500 Internal Server Error", "", ""))
 	s := startDaemon(t, poolBlock("one", disconnects.Addr)+poolBlock("two", fails.Addr)+
-		routeBlock("pays", "/pay", "write", "one", "")+
-		routeBlock("looks", "/look", "read", "two", "policy {\n attempts = 2\n}"))
-	status := s.request(http.MethodPost, "/pay").status
+		routeBlock("writes", "/write", "write", "one", "")+
+		routeBlock("reads", "/read", "read", "two", "policy {\n attempts = 2\n}"))
+	status := s.request(http.MethodPost, "/write").status
 	if attempts := disconnects.Requests.Load(); status != http.StatusBadGateway || attempts != 1 {
-		t.Errorf("non-idempotent: %d after %d attempts", status, attempts)
+		t.Errorf("non-idempotent request: status %d after %d attempts, want 502 after 1", status, attempts)
 	}
-	got := s.request(http.MethodGet, "/look")
+	got := s.request(http.MethodGet, "/read")
 	attempts := fails.Requests.Load()
 	if got.status != http.StatusServiceUnavailable || attempts != 2 || got.header.Get("Retry-After") == "" {
-		t.Errorf("idempotent: %d after %d attempts", got.status, attempts)
+		t.Errorf("idempotent request: status %d after %d attempts, want 503 after 2, with Retry-After", got.status, attempts)
 	}
 }
 
@@ -81,38 +81,38 @@
 		routeBlock("all", "/all", "read", "one", "policy {\n concurrency = 2\n tenant_concurrency = 1\n}")+
 		routeBlock("some", "/some", "read", "one", "policy {\n rate = \"1/h\"\n}"))
 	var requests sync.WaitGroup
-	for _, owner := range []string{"a", "b"} {
+	for _, tenant := range []string{"a", "b"} {
 		requests.Go(func() {
-			if status := s.request(http.MethodGet, "/all", platform.TenantHeader, owner).status; status != http.StatusOK {
-				t.Errorf("%s: %d", owner, status)
+			if status := s.request(http.MethodGet, "/all", platform.TenantHeader, tenant).status; status != http.StatusOK {
+				t.Errorf("tenant %s: status %d, want 200", tenant, status)
 			}
 		})
 		<-e.arrived
-		got := s.request(http.MethodGet, "/all", platform.TenantHeader, owner)
+		got := s.request(http.MethodGet, "/all", platform.TenantHeader, tenant)
 		if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, "tenant concurrency") ||
 			got.header.Get("Retry-After") == "" {
-			t.Errorf("%s again: %d %q", owner, got.status, got.body)
+			t.Errorf("second request of tenant %s: status %d, body %q", tenant, got.status, got.body)
 		}
 	}
 	got := s.request(http.MethodGet, "/all", platform.TenantHeader, "c")
 	if got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, "route concurrency") {
-		t.Errorf("a third: %d %q", got.status, got.body)
+		t.Errorf("request of a third tenant: status %d, body %q", got.status, got.body)
 	}
 	requests.Go(func() { s.request(http.MethodGet, "/some") })
 	<-e.arrived
 	got = s.request(http.MethodGet, "/some")
 	if got.status != http.StatusTooManyRequests || got.header.Get("Retry-After") != "3600" {
-		t.Errorf("over the rate: %d, retry after %q", got.status, got.header.Get("Retry-After"))
+		t.Errorf("request over the rate limit: status %d, Retry-After %q", got.status, got.header.Get("Retry-After"))
 	}
 	close(e.release)
 	requests.Wait()
 	if status := s.request(http.MethodGet, "/all").status; status != http.StatusOK {
-		t.Errorf("once all have ended: %d", status)
+		t.Errorf("status %d after all other requests have ended, want 200", status)
 	}
 }
 
-// A request in flight when a reload makes its class non-idempotent is retried as before; the next
-// one is not.
+// A request that is in flight when a reload makes its class non-idempotent is still retried. A
+// request that arrives after the reload is not.
 func TestReloadDoesNotChangePolicyOfRequestInFlight(t *testing.T) {
 	e := newGatedEndpoint(t, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	config := func(class string) string {
@@ -122,7 +122,7 @@
 	var requests sync.WaitGroup
 	requests.Go(func() {
 		if status := s.request(http.MethodGet, "/x").status; status != http.StatusServiceUnavailable {
-			t.Errorf("idempotent on arrival: %d", status)
+			t.Errorf("request that arrived as idempotent: status %d, want 503", status)
 		}
 	})
 	<-e.arrived
@@ -135,13 +135,13 @@
 	requests.Wait()
 	requests.Go(func() {
 		if status := s.request(http.MethodGet, "/x").status; status != http.StatusBadGateway {
-			t.Errorf("non-idempotent on arrival: %d", status)
+			t.Errorf("request that arrived as non-idempotent: status %d, want 502", status)
 		}
 	})
 	<-e.arrived
 	e.release <- true
 	requests.Wait()
 	if n := e.Requests.Load(); n != 4 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("the endpoint received %d attempts, want 4", n)
 	}
 }
--- a/internal/daemon/state_test.go
+++ b/internal/daemon/state_test.go
@@ -34,41 +34,41 @@
 	ids := requestIDs{prefix: 0xabc}
 	first, second := ids.next(), ids.next()
 	if first != "0000000000000abc-1" || second != "0000000000000abc-2" {
-		t.Errorf("%q, %q", first, second)
+		t.Errorf("got the request ids %q and %q", first, second)
 	}
 }
 
-// One handover at a time is in progress; the next may begin once it has failed.
+// Only one handover is in progress at a time. The next can begin after it has failed.
 func TestHandoverBeginsOnce(t *testing.T) {
 	h := newHandover(Options{})
 	if !h.begin() || h.begin() {
-		t.Error("the second signal does not begin a second handover")
+		t.Error("the first handover did not begin, or a second began while it was in progress")
 	}
 	h.reset()
 	if !h.begin() {
-		t.Error("no handover after one that failed")
+		t.Error("no handover began after one that failed")
 	}
 	if l, err := h.inherit("127.0.0.1:1"); l != nil || err != nil {
-		t.Errorf("inherited %v, %v without a predecessor", l, err)
+		t.Errorf("without a predecessor: inherited socket %v, error %v", l, err)
 	}
 	if err := h.notifyPredecessor(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A listener that drains is found by neither name nor address.
+// A listener that a reload has removed is found neither by name nor by address.
 func TestListenerSetFindsConfiguredListeners(t *testing.T) {
 	open := &listener{name: "a", address: "h:1"}
 	removed := &listener{name: "b", address: "h:2", lastGeneration: &generation{}}
 	s := listenerSet{removed, open}
 	if s.byName("a") != open || s.byAddress("h:1") != open {
-		t.Error("the open listener is not found")
+		t.Error("the configured listener was not found")
 	}
 	if s.byName("b") != nil || s.byAddress("h:2") != nil || s.byName("c") != nil {
-		t.Error("a removed or unknown listener is found")
+		t.Error("a removed or unknown listener was found")
 	}
 	if s = s.without(removed); len(s) != 1 || s[0] != open {
-		t.Errorf("%d listeners without the removed one", len(s))
+		t.Errorf("%d listeners remain without the removed one, want 1", len(s))
 	}
 }
 
@@ -80,18 +80,18 @@
 	}
 	s.set(nil)
 	if got := s.get(); got != "" {
-		t.Errorf("%q after a list in force", got)
+		t.Errorf("error %q after a list was put in force, want none", got)
 	}
 }
 
 func TestMaxDescriptorsCountsAllConnections(t *testing.T) {
 	c := &config.Config{Limits: config.Limits{MaxConns: 100}, Pools: []config.Pool{{MaxConns: 10}, {MaxConns: 20}}}
 	if n := maxDescriptors(c); n != 130+reservedDescriptors {
-		t.Errorf("%d", n)
+		t.Errorf("%d descriptors, want one per connection and the reserved ones", n)
 	}
 }
 
-// The admin listener cannot be moved by a reload; the error names both addresses.
+// A reload cannot move the admin listener to another address. The error contains both addresses.
 func TestReloadRejectsMovedAdminListener(t *testing.T) {
 	blocks := poolBlock("one", "127.0.0.1:1") + routeBlock("x", "/x", "read", "one", "")
 	s := startDaemon(t, blocks)
@@ -100,12 +100,12 @@
 	err := s.Reload()
 	want := `admin: the listener cannot be moved without a restart, from "127.0.0.1:0" to "unix:` + path + `"`
 	if !errors.Is(err, errAdminMoved) || err.Error() != want {
-		t.Errorf("%v, want %s", err, want)
+		t.Errorf("error %v, want %s", err, want)
 	}
 }
 
-// A periodic snapshot is written when it is due, any other at once. The file is locked until the
-// final one.
+// A periodic snapshot is written only when it is due, any other immediately. The file stays locked
+// until the final snapshot has been written.
 func TestSnapshotWriterWritesAndLocks(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	g := &generation{config: &config.Config{Snapshot: config.Snapshot{Path: path, Interval: time.Hour}}}
@@ -116,7 +116,7 @@
 		written bool
 		locked  bool
 	}{
-		{savePeriodic, true, true}, // the first is due
+		{savePeriodic, true, true}, // the first snapshot is always due
 		{savePeriodic, false, true},
 		{saveForSuccessor, true, true},
 		{saveFinal, true, false},
@@ -135,8 +135,8 @@
 	}
 }
 
-// The filter delivers the part of an update that this instance sends to, and has all endpoints.
-func TestEndpointFilterDeliversItsPart(t *testing.T) {
+// The filter delivers only the endpoints of this instance's subset, but keeps all of them.
+func TestEndpointFilterDeliversSubset(t *testing.T) {
 	var f endpointFilter
 	f.reset(subset.Spec{Size: 3, Instances: 9})
 	list := proxy.EndpointList{Complete: true}
@@ -144,13 +144,13 @@
 		list.Endpoints = append(list.Endpoints, proxy.Endpoint{ID: fmt.Sprint("e", i), Addr: "h:1"})
 	}
 	var delivered proxy.EndpointList
-	f.update(list, func(part proxy.EndpointList) { delivered = part })
+	f.update(list, func(update proxy.EndpointList) { delivered = update })
 	if len(delivered.Endpoints) != 3 || len(f.endpoints()) != 9 {
-		t.Errorf("%d endpoints delivered, %d known", len(delivered.Endpoints), len(f.endpoints()))
+		t.Errorf("%d endpoints delivered and %d kept, want 3 and 9", len(delivered.Endpoints), len(f.endpoints()))
 	}
 	f.setSpec(subset.Spec{})
-	f.update(proxy.EndpointList{}, func(part proxy.EndpointList) { delivered = part })
+	f.update(proxy.EndpointList{}, func(update proxy.EndpointList) { delivered = update })
 	if len(delivered.Endpoints) != 6 {
-		t.Errorf("%d endpoints delivered once the part is all, want the other 6", len(delivered.Endpoints))
+		t.Errorf("%d endpoints delivered after the subset became all endpoints, want the other 6", len(delivered.Endpoints))
 	}
 }
