--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -22,7 +22,7 @@
 	adminListenerName  = "admin"         // the listener's name in the log
 )
 
-// Values in the status and in metric labels.
+// Values in the status. The states of endpoints are also values of metric labels.
 const (
 	endpointReady    = "ready"
 	endpointDraining = "draining"
@@ -65,14 +65,14 @@
 type EndpointStatus struct {
 	ID             string  `json:"id"`
 	Address        string  `json:"address"`
-	State          string  `json:"state"`              // endpointReady or endpointDraining
+	State          string  `json:"state"`              // endpointReady or endpointDraining, as the endpoint list says
 	InactiveReason string  `json:"out,omitempty"`      // why it gets no requests except trials
 	NextTrial      string  `json:"trial_in,omitempty"` // the time until it, or trialInFlight
 	Weight         float64 `json:"weight"`             // smoothed ratio of its latency to the baseline latency
 	ErrorRate      float64 `json:"errors"`             // share of recent outcomes that were errors, from 0 to 1
 	InFlight       int     `json:"in_flight"`
 	IdleConns      int     `json:"idle_connections"`
-	CapacityShare  float64 `json:"warmth"`                 // during slow start: share of its capacity, from 0 to 1
+	CapacityShare  float64 `json:"warmth"`                 // share of its full capacity: below 1 during slow start
 	SinceResponse  string  `json:"answered_ago,omitempty"` // absent if it has never responded
 	LastFailure    string  `json:"fault,omitempty"`        // of the latest failed attempt; absent once one succeeds
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,7 @@
 // Package daemon runs the load balancer as a daemon. One configuration file defines any number of
-// listeners, routes and pools, and a reload replaces all of them as a unit. The package connects
-// HTTP servers, pools and endpoint sources; the decisions are made elsewhere: package route finds
+// listeners, routes and pools. A reload replaces the configuration as a unit, but keeps the pools,
+// listeners and limiters that the new configuration still contains. The package connects HTTP
+// servers, pools and endpoint sources; the decisions are made elsewhere: package route finds
 // routes, package ratelimit enforces limits, and package balancer selects endpoints.
 //
 // # Locks
@@ -41,7 +42,7 @@
 // drains, and returns once all goroutines have ended.
 type Daemon struct {
 	log      *slog.Logger
-	seed     uint64 // random seed of the balancers, and prefix of the request ids
+	seed     uint64 // random: for the balancers, request ids and positions of subsets
 	source   configSource
 	metrics  *metrics
 	onApply  func(*config.Config) // may be nil
@@ -49,7 +50,7 @@
 	handover handover
 
 	requestIDs requestIDs
-	restored   restoredSnapshot // learned state for the first pools; zero once Run has started them
+	restored   restoredSnapshot // snapshot for the first pools; zero once Run has started them
 	snapshots  snapshotWriter
 
 	runCtx context.Context // stops the pools when it ends; nil before Run; guarded by reloadMu
@@ -190,7 +191,7 @@
 		d.startListener(l)
 	}
 	d.mu.RUnlock()
-	d.restored = restoredSnapshot{} // pools added by a reload start without learned state
+	d.restored = restoredSnapshot{} // pools that a reload adds are not restored from it
 	return d.current.config.Text
 }
 
@@ -242,7 +243,8 @@
 }
 
 // drain accepts connections for another acceptFor, but for at most half of the drain timeout. It
-// then waits until all accepted requests have been answered, and stops the rest of the daemon.
+// then waits until all accepted requests have been answered, aborts the connections that are left
+// at the timeout, saves the final snapshot, and stops the rest of the daemon.
 func (d *Daemon) drain(stopServing context.CancelFunc, saverDone <-chan struct{}, acceptFor time.Duration) error {
 	d.reloadMu.Lock()
 	d.stopping = true
--- a/internal/daemon/generation.go
+++ b/internal/daemon/generation.go
@@ -20,9 +20,10 @@
 // requests or listeners. Apart from the count of its users it is immutable.
 //
 // The current generation is retired when the next one is applied, and removed once it has no users.
-// Its users are the daemon, while the generation is current, each request that it routed, until the
-// request has been answered, and each listener that the next generation removed, until the listener
-// has drained.
+// Its users are:
+//   - the daemon, while the generation is current
+//   - each request that it routed, until the request has been answered
+//   - each listener that the next generation removed, until the listener has drained
 type generation struct {
 	number int
 	config *config.Config
@@ -50,7 +51,7 @@
 // acquire adds a user. The generation must already have one, unless it is new.
 func (g *generation) acquire() { g.users.Add(1) }
 
-// release removes a user. If it was the last one, the daemon is notified, which then removes the
+// release removes a user. If it was the last one, the daemon is notified and removes the
 // generation.
 func (g *generation) release() {
 	if g.users.Add(-1) > 0 {
@@ -63,15 +64,16 @@
 }
 
 // className returns the name of a route's class within its pool. The name contains a hash of all
-// settings of the class, so that two versions of a class have different names: a request in flight
-// keeps the class that it had on arrival, even if a reload changes the class of the route.
+// settings that the balancer gets from the route's class and policy. Classes that differ in any
+// setting thus have different names, and a request in flight keeps the settings that it had on
+// arrival, even if a reload changes the class or the policy of the route.
 func className(r config.Route) string {
 	return fmt.Sprintf("%s~%016x", r.Class.Name, xxhash.Sum64String(fmt.Sprintf("%+v", r.BalancerClass(""))))
 }
 
 // apply puts a configuration in force. Before the first request is routed by it, its pools have its
-// classes, and the listeners that it adds are open: those are passed in opened. The caller must
-// hold d.reloadMu, except before Run.
+// classes, and its new listeners, which are passed in opened, are open. The caller must hold
+// d.reloadMu, except before Run.
 func (d *Daemon) apply(c *config.Config, opened []*listener) {
 	old := d.current
 	g := newGeneration(c, old, d.retired.unused)
@@ -192,8 +194,8 @@
 	return sorted
 }
 
-// retiredGenerations are the generations that are no longer in force but still have users. It is
-// guarded by Daemon.reloadMu.
+// retiredGenerations contains the generations that are no longer in force but still have users. It
+// is guarded by Daemon.reloadMu.
 type retiredGenerations struct {
 	generations []*generation
 	unused      chan struct{} // receives a value when the last user of a generation has released it
--- a/internal/daemon/limiters.go
+++ b/internal/daemon/limiters.go
@@ -8,8 +8,8 @@
 	"rowancart/internal/ratelimit"
 )
 
-// routeLimiter enforces the limits of a route. Reloads change the limits but keep the limiter, as
-// long as the route exists. It is safe for concurrent use.
+// routeLimiter enforces the limits of a route. A reload may change the limits, but keeps the
+// limiter and its state as long as there is a route of that name. It is safe for concurrent use.
 type routeLimiter struct {
 	mu      sync.Mutex
 	limiter *ratelimit.Limiter
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -154,9 +154,9 @@
 	d.log.Info("listening", logkey.Listener, l.name, logkey.Addr, l.conns.Addr().String())
 }
 
-// updateListeners adds the opened listeners and updates the existing ones to the configuration. It
-// returns the listeners that the configuration no longer contains, whose last generation is the one
-// that is being replaced. The caller must hold d.reloadMu and d.mu.
+// updateListeners adds the opened listeners and applies the configuration to the existing ones. It
+// marks listeners that the configuration no longer contains as removed, with replaced as their last
+// generation, and returns them. The caller must hold d.reloadMu and d.mu.
 func (d *Daemon) updateListeners(c *config.Config, opened []*listener, replaced *generation) (removed []*listener) {
 	d.listeners = append(d.listeners, opened...)
 	for _, l := range d.listeners {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -22,7 +22,7 @@
 	unserved *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
 
-	// weightedResults counts each result with the priority weight of its class.
+	// weightedResults sums the priority weights of the results' classes.
 	weightedResults *prometheus.CounterVec
 }
 
@@ -34,8 +34,8 @@
 	proxy.Duplicate: "duplicate",
 }
 
-// resultLabelNotForwarded is the value of the label "kind" for requests that were rejected before
-// they were passed to a pool.
+// resultLabelNotForwarded is the value of the label "kind" for requests that had a route and
+// exceeded no limit, but were rejected before they were passed to the pool, for example as invalid.
 const resultLabelNotForwarded = "improper"
 
 func newMetrics(d *Daemon) *metrics {
@@ -64,7 +64,7 @@
 	return m
 }
 
-// routeMetrics are the counters of one route, with its labels resolved in advance.
+// routeMetrics are the metrics of one route. All but the limited counter are looked up in advance.
 type routeMetrics struct {
 	metrics         *metrics
 	route           string
@@ -108,8 +108,8 @@
 	m.weightedResults.DeletePartialMatch(labels)
 }
 
-// observe counts a request that has been answered. Only for a request that was forwarded to a pool
-// are there a result and a latency to record.
+// observe counts a request that has been answered. Only a request that was forwarded to a pool
+// has a result; the latency of other requests is not recorded.
 func (r *routeMetrics) observe(outcome httpserver.Outcome, latency time.Duration) {
 	if !outcome.Forwarded {
 		r.notForwarded.Inc()
@@ -158,7 +158,7 @@
 }
 
 // Collect implements prometheus.Collector. It omits pools and listeners that a reload has removed,
-// since their successors may have the same names and thus the same labels.
+// since pools and listeners of the current configuration may have the same names, and thus labels.
 func (c *statusCollector) Collect(out chan<- prometheus.Metric) {
 	s := c.daemon.Summary()
 	gauge := func(d *prometheus.Desc, v int, labels ...string) {
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/outage_test.go
@@ -53,7 +53,7 @@
 type outage struct {
 	name, method, class string
 	begin               func(s *failingServer)
-	maxFailed           int // requests of a round that may fail at first, and again for each trial that may be due
+	maxFailed           int // how many requests may fail when the outage begins, and again at each trial
 }
 
 // While one of two endpoints has an outage, the other serves all requests. Only requests that must
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -21,7 +21,7 @@
 
 const (
 	timerResolution = 2 * time.Millisecond // resolution of the balancer's timers
-	maxRetryAfter   = 5 * time.Second      // a longer Retry-After from an endpoint is cut to this
+	maxRetryAfter   = 5 * time.Second      // upper bound of the Retry-After of the balancer's rejections
 )
 
 // pool is a proxy.Pool together with the endpoint source that supplies its endpoints. Consecutive
@@ -89,20 +89,20 @@
 	return f.filter.Endpoints()
 }
 
-// sourceStatus records why the source's current endpoint list is not in force, if so. It is safe
-// for concurrent use.
+// sourceStatus records the error that keeps the source's current endpoint list from being in force,
+// if any. It is safe for concurrent use.
 type sourceStatus struct {
-	mu        sync.Mutex
-	lastError string // empty if the list is in force
+	mu      sync.Mutex
+	errText string // empty if the list is in force
 }
 
 // set records why the list is not in force; nil means that it is.
 func (s *sourceStatus) set(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastError = ""
+	s.errText = ""
 	if err != nil {
-		s.lastError = err.Error()
+		s.errText = err.Error()
 	}
 }
 
@@ -110,7 +110,7 @@
 func (s *sourceStatus) get() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lastError
+	return s.errText
 }
 
 // staleListError is the status of a source that has not sent a list yet, while the pool uses the
@@ -200,7 +200,7 @@
 	switch {
 	case fleet.Name != "":
 		spec.Position = subset.PositionOfName(fleet.Name)
-	case fleet.Instances > 1: // not for 1, since there may be other instances that the configuration does not mention
+	case fleet.Instances > 1: // a single instance may be one of several that do not know of each other: random position
 		spec.Position = subset.PositionOf(fleet.Index)
 	}
 	return spec
@@ -296,7 +296,7 @@
 		return
 	}
 	p.settings = next
-	if p.cancel == nil { // not running yet, so that the proxy.Pool can be created anew
+	if p.cancel == nil { // not running yet: the proxy.Pool can still be replaced
 		p.init()
 		return
 	}
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -80,7 +80,7 @@
 	}
 	s := startDaemon(t, config(0, 3))
 	first := used(s, 3)
-	s.reload(config(1, 3)) // at half the length of the ring from index 0
+	s.reload(config(1, 3)) // half the ring away from index 0
 	second := used(s, 3)
 	common := slices.ContainsFunc(first, func(i int) bool { return slices.Contains(second, i) })
 	if len(first) != 3 || len(second) != 3 || common {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -100,7 +100,7 @@
 	if reloads < 1 || reloads > 2 || corrected.Generation != 1+reloads || corrected.Reloads.LastError != "" {
 		t.Errorf("status after the reload of the corrected file: %+v", corrected)
 	}
-	// The file on disk is in force now, so that the watcher does not reload it again.
+	// The file on disk is now in force, so the watcher does not reload it again.
 	if err := s.Reload(); err != nil {
 		t.Error(err)
 	}
@@ -246,7 +246,7 @@
 // Learned state survives a reload: an endpoint that is known to fail gets only trials afterwards.
 func TestLearnedStateSurvivesReload(t *testing.T) {
 	works := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
-	fails := testpeer.StartEndpoint(t, respondWith("500 Internal Server Error", "", ""))
+	fails := testpeer.StartEndpoint(t, respondWith("500 Custom Reason", "", ""))
 	config := func(queue int) string {
 		return poolBlock("one", works.Addr, fails.Addr) +
 			routeBlock("x", "/x", "read", "one", fmt.Sprintf("policy {\n queue = %d\n}", queue))
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -18,7 +18,7 @@
 	one := testpeer.StartEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		id.Store(r.Header.Get(platform.RequestIDHeader))
 		io.WriteString(nc,
-			"HTTP/1.1 201 Created\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nhere")
+			"HTTP/1.1 201 Custom Reason\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nhere")
 		return true
 	})
 	two := testpeer.StartEndpoint(t, respondWith("404 Not Found", "", "there"))
@@ -60,7 +60,7 @@
 
 func TestOnlyIdempotentRequestsAreRetried(t *testing.T) {
 	disconnects := testpeer.StartEndpoint(t, testpeer.RespondWith("", testpeer.CloseConn))
-	fails := testpeer.StartEndpoint(t, respondWith("500 Internal Server Error", "", ""))
+	fails := testpeer.StartEndpoint(t, respondWith("500 Custom Reason", "", ""))
 	s := startDaemon(t, poolBlock("one", disconnects.Addr)+poolBlock("two", fails.Addr)+
 		routeBlock("writes", "/write", "write", "one", "")+
 		routeBlock("reads", "/read", "read", "two", "policy {\n attempts = 2\n}"))
@@ -114,7 +114,7 @@
 // A request that is in flight when a reload makes its class non-idempotent is still retried. A
 // request that arrives after the reload is not.
 func TestReloadDoesNotChangePolicyOfRequestInFlight(t *testing.T) {
-	e := newGatedEndpoint(t, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+	e := newGatedEndpoint(t, "HTTP/1.1 500 Custom Reason\r\nContent-Length: 0\r\n\r\n")
 	config := func(class string) string {
 		return poolBlock("one", e.Addr) + routeBlock("x", "/x", class, "one", "policy {\n attempts = 3\n}")
 	}
--- a/internal/daemon/snapshot.go
+++ b/internal/daemon/snapshot.go
@@ -66,9 +66,9 @@
 	return fmt.Sprintf("snapshot %s: it is %s's, and this is %s", e.path, e.owner, e.self)
 }
 
-// snapshotOwner returns the name of this instance: the host with the configured name or index. The
-// size of the fleet is not part of it, so that an instance can restore its snapshot after the fleet
-// has grown.
+// snapshotOwner returns the name of this instance: the host name and the configured instance name
+// or index. The size of the fleet is not part of it, so that an instance can restore its snapshot
+// after the fleet has grown.
 func snapshotOwner(f config.Fleet) string {
 	host, _ := os.Hostname()
 	if f.Name != "" {
@@ -121,9 +121,10 @@
 	failing bool // the latest write failed, and the failure was logged
 }
 
-// save writes a snapshot of the current generation; in mode savePeriodic, only if one is due. It
-// fails while another process, such as a predecessor that is still draining, holds the file's lock.
-// The next snapshot that is due retries. Of consecutive failures, only the first is logged.
+// save writes a snapshot of the current generation; in mode savePeriodic, only if one is due. While
+// another process, such as a predecessor that is still draining, holds the file's lock, the file is
+// left to that process, and the write counts as failed. A failed write is retried when the next
+// snapshot is due. Of consecutive failures, only the first is logged.
 func (w *snapshotWriter) save(mode saveMode, current func() *generation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/daemon/snapshot_test.go
+++ b/internal/daemon/snapshot_test.go
@@ -15,7 +15,7 @@
 // starts without learned state.
 func TestLearnedStateSurvivesRestart(t *testing.T) {
 	works := testpeer.StartEndpoint(t, respondWith("200 OK", "", "works"))
-	fails := testpeer.StartEndpoint(t, respondWith("500 Internal Server Error", "", ""))
+	fails := testpeer.StartEndpoint(t, respondWith("500 Custom Reason", "", ""))
 	state := filepath.Join(t.TempDir(), "state")
 	config := stateBlock(state) + poolBlock("one", works.Addr, fails.Addr) + routeBlock("x", "/x", "read", "one", "")
 	s := startDaemon(t, config)
