--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,18 +1,19 @@
-// Package hotrestart holds what the processes of one sidecar share during a process handover: which
-// of them are running, which endpoints the operators have disabled, and the learned state.
+// Package hotrestart manages the state that the processes of one sidecar share during a process
+// handover: which processes are running, which endpoints the operators have disabled, and the
+// learned state.
 //
-// Each fact is a file of its own in one directory. So writers can't undo each other's changes, and
-// a process that is killed leaves nothing half done.
+// Each item is a separate file in one directory. Concurrent writers therefore cannot overwrite each
+// other's changes, and a killed process leaves no partial change.
 //
-// The terms, here and wherever a process of the sidecar or of the daemon replaces another:
+// These terms apply wherever a process of the sidecar or of the daemon replaces another:
 //
-//	process handover  all that passes from one process to the next: the listening socket, the
-//	                  disabled endpoints and the learned state
-//	predecessor       the process that registered earlier, and is replaced
-//	successor         the process that registered later, and replaces it
-//	superseded        the phase of a predecessor whose successor serves
-//	peer process      any other running process of the same sidecar, in either role; a peer alone
-//	                  is the other end of a connection
+//	process handover  the transfer of the listening socket, the disabled endpoints and the learned
+//	                  state from one process to the next
+//	predecessor       the process that registered earlier and is replaced
+//	successor         the process that registered later and replaces the predecessor
+//	superseded        the phase of a predecessor whose successor serves requests
+//	peer process      any other running process of the same sidecar, predecessor or successor;
+//	                  "peer" alone means the other end of a connection
 //
-// The package's own name is the only place that says hot restart.
+// The term "hot restart" is used only in the name of this package.
 package hotrestart
--- a/internal/hotrestart/inheritedlistener.go
+++ b/internal/hotrestart/inheritedlistener.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// How often, and for how long, the duplication of a descriptor is retried.
+// Interval and total time of the retries when a descriptor cannot be duplicated.
 const (
 	duplicateRetryInterval = 20 * time.Millisecond
 	duplicateRetryTimeout  = 3 * time.Second
 )
 
-// Reasons why a text of the configuration does not name an inherited listening socket.
+// Reasons why InheritedListener rejects the configured descriptor.
 var (
 	ErrNotDescriptor = errors.New("not a file descriptor")
 	ErrNotOpen       = errors.New("not open")
@@ -24,9 +24,9 @@
 	ErrNotListening  = errors.New("not a listening socket")
 )
 
-// InheritedListener returns a listener on the socket that this process has inherited at a file
-// descriptor, given as decimal text. It closes that descriptor. An error is one line; it wraps one
-// of the errors above unless the system failed.
+// InheritedListener returns a listener on the socket that this process has inherited as the given
+// file descriptor, a decimal number. It closes that descriptor. Error messages are a single line.
+// An error wraps one of the errors above unless the listener could not be created.
 func InheritedListener(descriptor string) (net.Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 0 {
@@ -42,26 +42,27 @@
 		return nil, fmt.Errorf("descriptor %d is %w", fd, ErrNotListening)
 	}
 	file := os.NewFile(uintptr(fd), "inherited listener")
-	defer file.Close() // the listener has a descriptor of its own
-	listener, err := listenerOf(file)
+	defer file.Close() // the listener has its own descriptor
+	listener, err := fileListenerWithRetry(file)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
 	return listener, nil
 }
 
-// listenerOf is net.FileListener, retried until duplicateRetryTimeout where this machine lacks
-// descriptors or memory. The caller closes the file afterwards, so nothing could retry later.
-func listenerOf(file *os.File) (net.Listener, error) {
-	for began := time.Now(); ; time.Sleep(duplicateRetryInterval) {
+// fileListenerWithRetry calls net.FileListener. While the machine is out of descriptors or memory,
+// it retries until duplicateRetryTimeout. The caller closes the file afterwards, so a later retry
+// is impossible.
+func fileListenerWithRetry(file *os.File) (net.Listener, error) {
+	for start := time.Now(); ; time.Sleep(duplicateRetryInterval) {
 		listener, err := net.FileListener(file)
-		if !isOutOfResources(err) || time.Since(began) >= duplicateRetryTimeout {
+		if !isOutOfResources(err) || time.Since(start) >= duplicateRetryTimeout {
 			return listener, err
 		}
 	}
 }
 
-// isOutOfResources reports whether an error says that this machine lacks descriptors or memory.
+// isOutOfResources reports whether err means that the machine is out of descriptors or memory.
 func isOutOfResources(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOMEM)
 }
--- a/internal/hotrestart/inheritedlistener_test.go
+++ b/internal/hotrestart/inheritedlistener_test.go
@@ -30,7 +30,7 @@
 	}
 	defer inherited.Close()
 	if inherited.Addr().String() != original.Addr().String() {
-		t.Errorf("the inherited listener is at %v, the original at %v", inherited.Addr(), original.Addr())
+		t.Errorf("the inherited listener has address %v, the original %v", inherited.Addr(), original.Addr())
 	}
 	go net.Dial("tcp", original.Addr().String())
 	if _, err := inherited.Accept(); err != nil {
@@ -63,7 +63,7 @@
 	} {
 		_, err := InheritedListener(descriptor)
 		if !errors.Is(err, want.reason) || err.Error() != want.text {
-			t.Errorf("%q: %v, want %q", descriptor, err, want.text)
+			t.Errorf("descriptor %q: error %v, want %q", descriptor, err, want.text)
 		}
 	}
 }
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// Each running process owns one presence file, named by its status and its stamp:
+// Each running process owns one presence file, whose name consists of its status and its stamp:
 //
 //	registering --locked--> starting --MarkServing--> serving
 //
-// The owner holds an exclusive flock on the file until it exits: the kernel releases the lock then,
-// even after a SIGKILL, and no child process inherits the descriptor. A file that another process
-// can lock therefore belongs to a process that has exited. In the status registering the lock may
-// not be held yet, so peer processes ignore such a file, except that the order of processes counts
-// it.
+// The owner holds an exclusive flock on the file until it exits. The kernel releases the lock when
+// the process exits, even after SIGKILL, and child processes do not inherit the descriptor. A file
+// that another process can lock therefore belongs to a process that has exited. In the status
+// registering the lock may not be held yet, so peer processes ignore such a file, except that
+// Register includes it when it orders processes by start time.
 //
-// The owner removes its file in Unregister. The file of a process that was killed is removed by the
-// first peer process that finds it unlocked.
+// The owner removes its file in Unregister. The file of a killed process is removed by the first
+// peer process that finds it unlocked.
 
-// status is how far the start of a process has come, as the prefix of its presence file's name.
+// status is the start-up phase of a process, stored as the prefix of the name of its presence file.
 // Processes of different versions share the directory, so these values must not change.
 type status string
 
@@ -36,23 +36,25 @@
 	statusServing     status = "serving-"
 )
 
-// A presence file is removed during the shutdown of its process, which must not wait for long.
+// A process removes its presence file during shutdown, so the retries must not take long.
 const (
 	removeAttempts      = 5
 	removeRetryInterval = 5 * time.Millisecond
 )
 
-// startDigits is the width of the start time in a stamp, such that stamps sort by time.
+// startDigits is the number of digits of the start time in a stamp. It is fixed so that stamps sort
+// by start time.
 const startDigits = 20
 
-// newStamp returns the identity of this process among the processes of its sidecar. Stamps sort by
-// start time, which is in ns of Unix time.
+// newStamp returns the stamp that identifies this process among the processes of its sidecar. It
+// consists of the start time, in nanoseconds of Unix time, and the process ID. Stamps sort by start
+// time.
 func newStamp(started uint64) string {
 	return fmt.Sprintf("%0*d-%d", startDigits, started, os.Getpid())
 }
 
-// parseStamp returns the start time of a stamp. It reports false for a text that newStamp can't
-// have returned: a foreign file must not count as a process.
+// parseStamp returns the start time of a stamp. It returns false for a text that newStamp can't
+// have returned, so that a foreign file is not counted as a process.
 func parseStamp(text string) (started uint64, ok bool) {
 	digits, pid, ok := strings.Cut(text, "-")
 	started, startedErr := strconv.ParseUint(digits, 10, 64)
@@ -69,7 +71,7 @@
 // String returns the name as it is on disk.
 func (n presenceName) String() string { return string(n.status) + n.stamp }
 
-// parsePresenceName parses the name of a presence file. It reports false for other files.
+// parsePresenceName parses the name of a presence file. It returns false for other files.
 func parsePresenceName(name string) (presenceName, bool) {
 	for _, s := range []status{statusServing, statusStarting, statusRegistering} {
 		if stamp, ok := strings.CutPrefix(name, string(s)); ok {
@@ -89,9 +91,9 @@
 	path  string   // current path of file
 }
 
-// Register makes this process visible to its peer processes, until it calls Unregister or exits.
-// Processes are ordered by the time at which they started, and a process that registers is the
-// successor of all that have registered before, even if the clock was set back meanwhile.
+// Register makes this process visible to its peer processes until it calls Unregister or exits.
+// Processes are ordered by start time. A process that registers is the successor of all processes
+// that registered before it, even if the clock was set back in between.
 func (d *SharedDir) Register(started time.Time) (*Presence, error) {
 	latest, err := d.latestStart()
 	if err != nil {
@@ -116,8 +118,8 @@
 	return p, nil
 }
 
-// latestStart returns the latest start time of the presence files, 0 if there is none. Those of
-// processes that have exited count as well: they do no harm, and checking their locks could fail.
+// latestStart returns the latest start time of the presence files, or 0 if there are none. It
+// includes the files of exited processes: they do no harm, and checking their locks could fail.
 func (d *SharedDir) latestStart() (uint64, error) {
 	files, err := os.ReadDir(d.path)
 	if err != nil {
@@ -133,14 +135,14 @@
 	return min(latest, math.MaxUint64-1), nil
 }
 
-// MarkServing lets the peer processes see that this process serves requests.
+// MarkServing tells the peer processes that this process serves requests.
 func (p *Presence) MarkServing() error { return p.setStatus(statusServing) }
 
 func (p *Presence) pathFor(s status) string {
 	return filepath.Join(p.dir.path, presenceName{status: s, stamp: p.stamp}.String())
 }
 
-// setStatus renames the presence file. The lock is on the open file and stays.
+// setStatus renames the presence file. The lock belongs to the open file and is kept.
 func (p *Presence) setStatus(s status) error {
 	path := p.pathFor(s)
 	if err := p.dir.files.rename(p.path, path); err != nil {
@@ -152,7 +154,7 @@
 
 // Unregister removes the presence file and releases its lock.
 func (p *Presence) Unregister() {
-	for range removeAttempts { // where all fail, a peer process removes the file once it is unlocked
+	for range removeAttempts { // if all fail, a peer process removes the file once it is unlocked
 		if err := p.dir.files.remove(p.path); err == nil || errors.Is(err, fs.ErrNotExist) {
 			break
 		}
@@ -161,15 +163,15 @@
 	p.file.Close()
 }
 
-// PeerProcesses says which peer processes this process has.
+// PeerProcesses describes the peer processes of this process.
 type PeerProcesses struct {
-	Running         bool // at least one is running, serving or not
-	SuccessorServes bool // at least one is running, is a successor of this process, and serves
+	Running         bool // at least one is running, whether or not it serves requests
+	SuccessorServes bool // at least one is running, is a successor of this process, and serves requests
 }
 
-// PeerProcesses reads the shared directory, and removes the files of processes that have exited.
-// With an error nothing is known: a failure of this machine must not pass for the exit of a
-// process.
+// PeerProcesses reads the shared directory and removes the files of processes that have exited. If
+// it returns an error, the state of the peer processes is unknown: a local failure must not be
+// mistaken for the exit of a process.
 func (p *Presence) PeerProcesses() (PeerProcesses, error) {
 	files, err := os.ReadDir(p.dir.path)
 	if err != nil {
@@ -196,41 +198,41 @@
 	return peers, nil
 }
 
-// isPeer reports whether a presence file stands for a process other than this one.
+// isPeer reports whether a presence file belongs to a peer process that has taken its lock.
 func (p *Presence) isPeer(name presenceName) bool {
 	return name.status != statusRegistering && name.stamp != p.stamp
 }
 
-// isServingSuccessor reports whether a presence file stands for a successor of this process that
-// serves.
+// isServingSuccessor reports whether a presence file belongs to a successor of this process that
+// serves requests.
 func (p *Presence) isServingSuccessor(name presenceName) bool {
 	return name.status == statusServing && name.stamp > p.stamp
 }
 
-// isRunning reports whether the process of a presence file is running. It removes the file if not.
-// Where two processes check the file of one that has exited at the same time, one of them takes it
-// for running in this call.
+// isRunning reports whether the owner of a presence file is running. If it is not, isRunning
+// removes the file. If two processes check the file of an exited process at the same time, one of
+// them finds it locked by the other and returns true in this call.
 func (d *SharedDir) isRunning(name presenceName) (bool, error) {
 	path := filepath.Join(d.path, name.String())
 	file, err := os.OpenFile(path, os.O_RDWR|syscall.O_CLOEXEC, 0)
 	if errors.Is(err, fs.ErrNotExist) {
-		return false, nil // it was removed or renamed meanwhile: the next call finds out which
+		return false, nil // removed or renamed in the meantime; the next call finds out which
 	}
 	if err != nil {
 		return false, err
 	}
-	defer file.Close() // releases the lock, if this process has got it
+	defer file.Close() // releases the lock if this process has acquired it
 	switch err := d.files.lock(file); {
 	case errors.Is(err, syscall.EWOULDBLOCK):
 		return true, nil
 	case err != nil:
 		return false, err
 	}
-	_ = os.Remove(path) // where that fails, the next call tries again
+	_ = os.Remove(path) // if this fails, the next call tries again
 	return false, nil
 }
 
-// tryLock takes an exclusive lock on a file without blocking. The error is EWOULDBLOCK if another
+// tryLock takes an exclusive lock on a file without blocking. It returns EWOULDBLOCK if another
 // process holds the lock.
 func tryLock(file *os.File) error {
 	for {
--- a/internal/hotrestart/presence_test.go
+++ b/internal/hotrestart/presence_test.go
@@ -18,7 +18,7 @@
 	return dir
 }
 
-// register registers a process that started at a time in ns.
+// register registers a process. started is its start time in ns after a fixed time.
 func register(t *testing.T, dir *SharedDir, started int64) *Presence {
 	t.Helper()
 	p, err := dir.Register(time.Unix(1_800_000_000, started))
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	expectPeerProcesses(t, "superseded", first, PeerProcesses{Running: true, SuccessorServes: true})
-	second.file.Close() // as at a SIGKILL: its file stays
+	second.file.Close() // as after SIGKILL: its file is not removed
 	expectPeerProcesses(t, "with a successor that was killed", first, PeerProcesses{})
 	third := register(t, dir, 3)
 	first.Unregister()
@@ -91,7 +91,7 @@
 	expectPeerProcesses(t, "with foreign files", p, PeerProcesses{})
 }
 
-// Processes of different versions share the directory: a rename in the code must not change it.
+// Processes of different versions share the directory, so its file names must not change.
 func TestFileNamesInTheSharedDirectory(t *testing.T) {
 	parent := t.TempDir()
 	dir, err := OpenSharedDir(parent, "n/1")
@@ -120,8 +120,8 @@
 	}
 }
 
-// A process registers while the clock is an hour ahead; the clock is set back, and another process
-// registers. It is the successor nevertheless.
+// A process registers while the clock is an hour ahead. The clock is then set back, and another
+// process registers. The second process must still be the successor of the first.
 func TestLaterProcessIsSuccessorThoughTheClockIsSetBack(t *testing.T) {
 	dir := openSharedDir(t)
 	first := register(t, dir, int64(time.Hour))
@@ -140,8 +140,8 @@
 	expectPeerProcesses(t, "the third", third, PeerProcesses{Running: true})
 }
 
-// A failed lock does not say that a process has exited: with an error nothing is known of the peer
-// processes.
+// A failed lock call does not mean that a process has exited, so PeerProcesses must return the
+// error.
 func TestFailedLockIsNotAnExit(t *testing.T) {
 	dir := openSharedDir(t)
 	first := register(t, dir, 1)
@@ -158,7 +158,7 @@
 	expectPeerProcesses(t, "after the failures", first, PeerProcesses{Running: true})
 }
 
-// Registering fails for a while, and leaves no file behind.
+// A failed Register leaves no file behind, and a later call succeeds.
 func TestRegisterCanBeRetried(t *testing.T) {
 	for name, fail := range map[string]func(*fileCalls){
 		"lock":   func(f *fileCalls) { f.lock = func(*os.File) error { return syscall.ENOLCK } },
@@ -168,7 +168,7 @@
 		working := dir.files
 		fail(&dir.files)
 		if _, err := dir.Register(time.Now()); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s fails: Register returned no error", name)
 		}
 		if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // the directory of disabled endpoints
 			t.Errorf("%s: files in the directory: %v, %v", name, files, err)
@@ -178,7 +178,7 @@
 	}
 }
 
-// The removal of the file fails at first: it is removed as soon as the disk works again.
+// Unregister retries if the removal of the presence file fails.
 func TestUnregisterRetriesAFailedRemoval(t *testing.T) {
 	dir := openSharedDir(t)
 	p := register(t, dir, 1)
--- a/internal/hotrestart/shareddir.go
+++ b/internal/hotrestart/shareddir.go
@@ -11,33 +11,34 @@
 	"syscall"
 )
 
-// The files of a shared directory. Processes of different versions share it, so these names must
-// not change.
+// Names in the shared directory. Processes of different versions share the directory, so the names
+// must not change.
 const (
-	sharedDirPrefix = "rowancart-" // then the escaped name of the sidecar
-	disabledDir     = "bans"       // a directory: one empty file for each disabled endpoint
+	sharedDirPrefix = "rowancart-" // followed by the escaped name of the sidecar
+	disabledDir     = "bans"       // directory with one empty file for each disabled endpoint
 	snapshotFile    = "learned"
 )
 
-// maxDisabledID is the length in bytes of the longest endpoint ID that can be disabled. Its
-// hexadecimal form has to fit a file name.
-const maxDisabledID = 120
+// maxDisabledIDBytes is the maximum length in bytes of an endpoint ID that Disable records. The ID
+// in hexadecimal must fit into a file name.
+const maxDisabledIDBytes = 120
 
-// ErrIDTooLong is returned for an endpoint whose ID does not fit a file name: it can't be disabled.
-var ErrIDTooLong = fmt.Errorf("an id of more than %d bytes", maxDisabledID)
+// ErrIDTooLong is returned by Disable for an endpoint ID that does not fit into a file name. Such
+// an endpoint can't be disabled.
+var ErrIDTooLong = fmt.Errorf("an id of more than %d bytes", maxDisabledIDBytes)
 
 // SharedDir is the directory that the processes of one sidecar share. Any of its methods may fail
-// for a while, as on a full disk, and can be called again.
+// temporarily, for example on a full disk, and can be called again.
 type SharedDir struct {
 	path  string
 	files fileCalls
 }
 
-// fileCalls are the file system calls that tests replace by failing ones.
+// fileCalls holds the file system calls that tests replace with failing ones.
 type fileCalls struct {
 	rename func(from, to string) error
 	remove func(path string) error
-	create func(path string) (*os.File, error) // opens a file for writing, and creates it unless it exists
+	create func(path string) (*os.File, error) // opens a file for writing and creates it if needed
 	lock   func(file *os.File) error           // see tryLock
 }
 
@@ -80,7 +81,7 @@
 
 // Disable records that an endpoint is disabled. It is idempotent.
 func (d *SharedDir) Disable(id string) error {
-	if len(id) > maxDisabledID {
+	if len(id) > maxDisabledIDBytes {
 		return wrapError(ErrIDTooLong)
 	}
 	f, err := d.files.create(d.disabledPath(id))
@@ -98,13 +99,13 @@
 	return nil
 }
 
-// DisabledEndpoints is what the shared directory says of disabled endpoints.
+// DisabledEndpoints holds the content of the directory of disabled endpoints.
 type DisabledEndpoints struct {
 	IDs          []string
-	ForeignFiles []string // names of files that no process of the sidecar has written
+	ForeignFiles []string // names of files that no process of the sidecar wrote
 }
 
-// Disabled returns the disabled endpoints.
+// Disabled reads the directory of disabled endpoints.
 func (d *SharedDir) Disabled() (DisabledEndpoints, error) {
 	files, err := os.ReadDir(filepath.Join(d.path, disabledDir))
 	if err != nil {
@@ -122,6 +123,6 @@
 	return disabled, nil
 }
 
-// wrapError adds the prefix of this package's errors. Responses of the admin interface contain it,
-// so it must not change.
+// wrapError adds the prefix of this package's errors. Responses of the admin interface contain the
+// prefix, so it must not change.
 func wrapError(err error) error { return fmt.Errorf("upgrade: %w", err) }
--- a/internal/hotrestart/shareddir_test.go
+++ b/internal/hotrestart/shareddir_test.go
@@ -11,7 +11,7 @@
 
 func TestDisabledEndpointsAreStoredByID(t *testing.T) {
 	dir := openSharedDir(t)
-	longest := strings.Repeat("y", maxDisabledID)
+	longest := strings.Repeat("y", maxDisabledIDBytes)
 	for _, id := range []string{"s-1", "../x", "s-1", longest} {
 		if err := dir.Disable(id); err != nil {
 			t.Fatal(err)
@@ -44,6 +44,6 @@
 		t.Fatal(err)
 	}
 	if _, err := dir.Disabled(); err == nil {
-		t.Error("a directory that can't be read passes for one without disabled endpoints")
+		t.Error("Disabled returned no error for a directory that does not exist")
 	}
 }
--- a/internal/hotrestart/successor/predecessor.go
+++ b/internal/hotrestart/successor/predecessor.go
@@ -9,15 +9,15 @@
 	"syscall"
 )
 
-// Predecessor is what a process inherits from its predecessor: listening sockets, and the pipe on
-// which to report readiness. Its methods must not be called concurrently.
+// Predecessor holds what a process inherits from its predecessor: the listening sockets, and the
+// pipe on which it reports readiness. Its methods must not be called concurrently.
 type Predecessor struct {
-	sockets map[string]*os.File // by address; those that Listener has not returned yet
-	ready   *os.File            // nil: no predecessor waits for readiness, or it has been notified
+	sockets map[string]*os.File // by address; Listener removes those that it returns
+	ready   *os.File            // readiness pipe; nil if there is no predecessor or Ready was called
 }
 
-// Inherit returns what this process inherits; without a predecessor that is nothing. It must be
-// called once, before this process starts others, which would inherit the descriptors too.
+// Inherit returns what this process inherits, which is nothing if it has no predecessor. It must be
+// called once, before this process starts others: they would inherit the descriptors too.
 func Inherit() (*Predecessor, error) {
 	p := &Predecessor{sockets: map[string]*os.File{}}
 	text, ok := os.LookupEnv(inheritVariable)
@@ -25,7 +25,7 @@
 		return p, nil
 	}
 	_ = os.Unsetenv(inheritVariable) // fails only for an invalid name
-	var inherited inheritance
+	var inherited inheritedDescriptors
 	if err := json.Unmarshal([]byte(text), &inherited); err != nil {
 		return nil, fmt.Errorf("handover: %s: %w", inheritVariable, err)
 	}
@@ -38,8 +38,8 @@
 	return p, nil
 }
 
-// openInherited returns a file of an inherited descriptor, which child processes do not inherit in
-// turn.
+// openInherited returns a file for an inherited descriptor. It sets close-on-exec, so that child
+// processes do not inherit the descriptor in turn.
 func openInherited(fd int, name string) *os.File {
 	syscall.CloseOnExec(fd)
 	return os.NewFile(uintptr(fd), name)
@@ -53,7 +53,7 @@
 		return nil, nil
 	}
 	delete(p.sockets, address)
-	defer f.Close() // the listener has a descriptor of its own
+	defer f.Close() // the listener has its own descriptor
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %s: %w", address, err)
@@ -61,7 +61,7 @@
 	return l, nil
 }
 
-// Ready notifies the predecessor that this process serves, and closes the sockets for which
+// Ready tells the predecessor that this process serves requests, and closes the sockets for which
 // Listener was not called. Further calls do nothing.
 func (p *Predecessor) Ready() error {
 	for address, f := range p.sockets {
--- a/internal/hotrestart/successor/successor.go
+++ b/internal/hotrestart/successor/successor.go
@@ -1,13 +1,14 @@
 // Package successor passes listening sockets from a process to the successor that it starts.
 // Package hotrestart defines the terms.
 //
-// The kernel keeps one queue of connections for a listening socket, however many processes have a
+// The kernel keeps one accept queue for a listening socket, however many processes have a
 // descriptor of it, so no connection is refused or lost during the process handover. The successor
-// inherits the sockets as extra descriptors, and an environment variable says which is which. It
-// reports on a pipe that it serves; if the pipe is closed first, it has exited.
+// inherits the sockets as extra descriptors, and an environment variable assigns the descriptors to
+// addresses. The successor writes to a pipe when it serves requests; if the pipe is closed before
+// that, the successor has exited.
 //
-// It is a package apart from hotrestart because it starts processes, which the platform's sidecar
-// must not link.
+// The package is separate from hotrestart because it starts processes, and the platform's sidecar
+// must not link code that does.
 package successor
 
 import (
@@ -25,53 +26,56 @@
 	"golang.org/x/sys/unix"
 )
 
-// The protocol between predecessor and successor. They may be of different versions, so it must not
-// change.
+// The protocol between predecessor and successor. The two may have different versions, so it must
+// not change.
 const (
-	inheritVariable = "ROWANCART_INHERIT" // environment variable: an inheritance in JSON
+	inheritVariable = "ROWANCART_INHERIT" // environment variable: inheritedDescriptors in JSON
 	readyMessage    = "ready\n"
 )
 
-// inheritance says what each inherited descriptor is.
-type inheritance struct {
+// inheritedDescriptors holds the numbers of the inherited descriptors.
+type inheritedDescriptors struct {
 	Addresses map[string]int `json:"addresses"` // listening sockets, by address
-	Ready     int            `json:"ready"`     // the pipe on which readiness is reported
+	Ready     int            `json:"ready"`     // write end of the pipe on which the successor reports readiness
 }
 
 const (
-	// firstExtraFD is the descriptor of the first extra file of a child, after its standard ones.
+	// firstExtraFD is the first extra descriptor of a child, after the three standard ones.
 	firstExtraFD = 3
-	// killDelay is the time from SIGTERM to SIGKILL for a successor that has not become ready.
+	// killDelay is the time between SIGTERM and SIGKILL for a successor that did not become ready.
 	killDelay = time.Second
 )
 
-// Errors of Wait. In both cases the successor has exited.
+// Errors returned by Wait. In both cases the successor has exited.
 var (
-	ErrNotReady = errors.New("successor not ready in time")          // it was terminated
-	ErrExited   = errors.New("successor exited before it was ready") // or reported no readiness, and was terminated
+	// ErrNotReady is returned if the timeout has expired. Wait terminated the successor.
+	ErrNotReady = errors.New("successor not ready in time")
+	// ErrExited is also returned if the successor closed the pipe or sent an unexpected message.
+	// Wait then terminated it.
+	ErrExited = errors.New("successor exited before it was ready")
 )
 
-// Successor is a process that was started with the sockets of this one. It may not serve yet.
+// Successor is a process that was started with the listening sockets of this process. It may not
+// serve requests yet.
 type Successor struct {
 	Pid       int
 	command   *exec.Cmd
-	ready     *os.File // the read end of the pipe
+	ready     *os.File // read end of the readiness pipe
 	listeners map[string]net.Listener
 }
 
-// Start starts a command as the successor, which inherits the sockets of the listeners, given by
-// address. From then on the successor has the sockets, even if this process exits. The caller must
-// call Wait.
+// Start starts a command as the successor. It inherits the sockets of the listeners, which are
+// keyed by address, and keeps them open even if this process exits. The caller must call Wait.
 func Start(command *exec.Cmd, listeners map[string]net.Listener) (*Successor, error) {
 	var extra []*os.File // inherited by the successor
 	defer func() {
-		// This includes the write end of the pipe: while this process has it open, the exit of the
-		// successor does not close the pipe.
+		// This closes the write end of the readiness pipe too: while this process holds it open,
+		// the exit of the successor does not close the pipe.
 		for _, f := range extra {
 			f.Close()
 		}
 	}()
-	inherited := inheritance{Addresses: map[string]int{}}
+	inherited := inheritedDescriptors{Addresses: map[string]int{}}
 	for address, l := range listeners {
 		f, err := duplicateSocket(l)
 		if err != nil {
@@ -80,12 +84,12 @@
 		inherited.Addresses[address] = firstExtraFD + len(extra)
 		extra = append(extra, f)
 	}
-	ready, reportReady, err := os.Pipe()
+	ready, readyWriter, err := os.Pipe()
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	inherited.Ready = firstExtraFD + len(extra)
-	extra = append(extra, reportReady)
+	extra = append(extra, readyWriter)
 	if err := startInheriting(command, inherited, extra); err != nil {
 		ready.Close()
 		return nil, fmt.Errorf("handover: %w", err)
@@ -93,9 +97,9 @@
 	return &Successor{Pid: command.Process.Pid, command: command, ready: ready, listeners: listeners}, nil
 }
 
-// startInheriting starts a command that inherits the extra files. Its environment says which is
-// which.
-func startInheriting(command *exec.Cmd, inherited inheritance, extra []*os.File) error {
+// startInheriting starts a command that inherits the extra files, and describes them in its
+// environment.
+func startInheriting(command *exec.Cmd, inherited inheritedDescriptors, extra []*os.File) error {
 	text, err := json.Marshal(inherited)
 	if err != nil {
 		return err
@@ -108,13 +112,13 @@
 	return command.Start()
 }
 
-// duplicateSocket returns another descriptor of a listener's socket. The listener's File method
-// can't be used: the exec package makes such a file blocking, and with it the listener, which is
-// the same socket and could then no longer be closed.
+// duplicateSocket duplicates the descriptor of a listener's socket. The listener's File method
+// can't be used: os/exec sets such a file to blocking mode. The listener shares the socket, so
+// it would become blocking too and could no longer be closed.
 func duplicateSocket(l net.Listener) (*os.File, error) {
 	conn, ok := l.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("a %T has no socket to pass on", l)
+		return nil, fmt.Errorf("listener of type %T has no socket that can be inherited", l)
 	}
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -129,20 +133,20 @@
 	return os.NewFile(uintptr(fd), l.Addr().String()), nil
 }
 
-// Wait returns nil once the successor has reported that it serves. If it does not within the
-// timeout, or exits, or ctx ends, Wait terminates it and returns an error: this process is then the
-// only one that listens. The error wraps ErrNotReady, ErrExited or the error of ctx.
+// Wait returns nil once the successor has reported that it serves requests. If the timeout expires,
+// the successor exits or ctx ends first, Wait terminates the successor and returns an error that
+// wraps ErrNotReady, ErrExited or the error of ctx. This process is then the only one that listens.
 func (s *Successor) Wait(ctx context.Context, timeout time.Duration) error {
 	defer s.ready.Close()
 	exited := make(chan struct{})
-	// This goroutine ends with the successor, which normally outlives this process.
+	// This goroutine runs until the successor exits. Normally the successor outlives this process.
 	go func() {
 		defer close(exited)
 		_ = s.command.Wait()
 	}()
 	err := s.awaitReady(ctx, timeout)
 	if err == nil {
-		s.leaveSocketPaths()
+		s.keepSocketPaths()
 		return nil
 	}
 	s.terminate(exited)
@@ -150,14 +154,14 @@
 		return fmt.Errorf("handover: %w", ctx.Err())
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return fmt.Errorf("handover: process %d: %w: %v", s.Pid, ErrNotReady, timeout)
+		return fmt.Errorf("handover: process %d: %w: limit %v", s.Pid, ErrNotReady, timeout)
 	}
 	return fmt.Errorf("handover: process %d: %w: %v", s.Pid, ErrExited, s.command.ProcessState)
 }
 
-var errUnexpectedMessage = errors.New("unexpected message in place of readiness")
+var errUnexpectedMessage = errors.New("unexpected message on the readiness pipe")
 
-// awaitReady returns nil if the successor reports readiness before the timeout and the end of ctx.
+// awaitReady returns nil if the successor reports readiness before the timeout expires or ctx ends.
 func (s *Successor) awaitReady(ctx context.Context, timeout time.Duration) error {
 	_ = s.ready.SetReadDeadline(time.Now().Add(timeout))
 	expired := time.Unix(1, 0) // ends a read at once
@@ -173,9 +177,9 @@
 	return err
 }
 
-// leaveSocketPaths keeps the close of a Unix listener in this process from removing the path of its
-// socket, which is the successor's now.
-func (s *Successor) leaveSocketPaths() {
+// keepSocketPaths prevents the Unix listeners of this process from removing their socket paths when
+// they are closed: the successor uses the paths.
+func (s *Successor) keepSocketPaths() {
 	for _, l := range s.listeners {
 		if u, ok := l.(*net.UnixListener); ok {
 			u.SetUnlinkOnClose(false)
@@ -183,7 +187,7 @@
 	}
 }
 
-// terminate sends SIGTERM, then SIGKILL after killDelay, and returns once the process has exited.
+// terminate sends SIGTERM and, after killDelay, SIGKILL. It returns once the process has exited.
 func (s *Successor) terminate(exited <-chan struct{}) {
 	_ = s.command.Process.Signal(syscall.SIGTERM)
 	select {
--- a/internal/hotrestart/successor/successor_test.go
+++ b/internal/hotrestart/successor/successor_test.go
@@ -13,19 +13,20 @@
 	"time"
 )
 
-// The test program is its own successor: behaviorVariable says how it behaves then.
+// behaviorVariable is the environment variable that selects the behavior of the test program when
+// the tests start it as the successor.
 const behaviorVariable = "SUCCESSOR_TEST_BEHAVIOR"
 
 const (
-	behaviorServe    = "serve"     // becomes ready and answers one connection
-	behaviorHang     = "hang"      // never becomes ready
-	behaviorExit     = "exit"      // exits before it is ready
-	behaviorNotReady = "not ready" // sends another message than readiness
+	behaviorServe        = "serve"     // becomes ready and serves one connection
+	behaviorHang         = "hang"      // never becomes ready
+	behaviorExit         = "exit"      // exits before it is ready
+	behaviorWrongMessage = "not ready" // sends an unexpected message and never becomes ready
 )
 
 const servedBySuccessor = "served by the successor"
 
-// testTimeout is a time that no test should come near.
+// testTimeout bounds the waits of the tests. A passing test takes much less.
 const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
@@ -33,12 +34,12 @@
 	if !ok {
 		os.Exit(m.Run())
 	}
-	if err := behave(behavior); err != nil {
+	if err := runBehavior(behavior); err != nil {
 		os.Exit(1)
 	}
 }
 
-func behave(behavior string) error {
+func runBehavior(behavior string) error {
 	p, err := Inherit()
 	if err != nil {
 		return err
@@ -48,7 +49,7 @@
 		return serveOnce(p)
 	case behaviorHang:
 		time.Sleep(testTimeout)
-	case behaviorNotReady:
+	case behaviorWrongMessage:
 		_, err := p.ready.WriteString("hello\n")
 		time.Sleep(testTimeout)
 		return err
@@ -62,7 +63,7 @@
 		return err
 	}
 	if other, err := p.Listener("other"); other != nil || err != nil {
-		return errors.New("a listener that was not passed on")
+		return errors.New("Listener returned a listener that was not inherited")
 	}
 	if err := p.Ready(); err != nil {
 		return err
@@ -102,7 +103,7 @@
 			if err := s.Wait(t.Context(), testTimeout); err != nil {
 				t.Fatal(err)
 			}
-			l.Close() // the successor still listens, also at a path
+			l.Close() // the successor still listens, at a Unix socket path too
 			conn, err := net.Dial(network, l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -110,7 +111,7 @@
 			defer conn.Close()
 			conn.SetDeadline(time.Now().Add(testTimeout))
 			if got, err := io.ReadAll(conn); err != nil || string(got) != servedBySuccessor {
-				t.Errorf("%q, %v", got, err)
+				t.Errorf("response %q, %v", got, err)
 			}
 		})
 	}
@@ -129,7 +130,7 @@
 		"not ready in time":      {behaviorHang, t.Context(), 100 * time.Millisecond, ErrNotReady, "100ms"},
 		"context ended":          {behaviorHang, cancelled, testTimeout, context.Canceled, ""},
 		"exits before readiness": {behaviorExit, t.Context(), testTimeout, ErrExited, "exited before it was ready"},
-		"reports something else": {behaviorNotReady, t.Context(), testTimeout, ErrExited, "exited before it was ready"},
+		"reports something else": {behaviorWrongMessage, t.Context(), testTimeout, ErrExited, "exited before it was ready"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,10 +141,10 @@
 			s := startSuccessor(t, test.behavior, l)
 			err = s.Wait(test.ctx, test.timeout)
 			if !errors.Is(err, test.want) || !strings.Contains(err.Error(), test.text) {
-				t.Errorf("%v, want %v, %q", err, test.want, test.text)
+				t.Errorf("Wait returned %v, want %v with text %q", err, test.want, test.text)
 			}
 			if s.command.ProcessState == nil {
-				t.Error("the successor was not waited for")
+				t.Error("Wait returned before the successor had exited")
 			}
 			go net.Dial("tcp", l.Addr().String())
 			if conn, err := l.Accept(); err != nil {
@@ -161,7 +162,7 @@
 		t.Fatal(err)
 	}
 	if l, err := p.Listener("main"); l != nil || err != nil {
-		t.Errorf("%v, %v", l, err)
+		t.Errorf("Listener returned %v, %v, want nil", l, err)
 	}
 	if err := p.Ready(); err != nil {
 		t.Error(err)
