--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// maxLineBytes is the length limit of a command's line, without its line feed.
+// maxLineBytes is the maximum length of a command line, without its line feed.
 const maxLineBytes = 128
 
-// CommandName is the first word of a command's line.
+// CommandName is the first word of a command line.
 type CommandName string
 
-// The commands. Their names are on the wire.
+// The commands. Their names are part of the protocol.
 const (
 	CommandReady         CommandName = "ready"
 	CommandShowStat      CommandName = "show-stat"
@@ -20,36 +20,37 @@
 	CommandEnableServer  CommandName = "enable-server"
 )
 
-// argument is what follows the name of a command.
-type argument int
+// argumentKind says which argument follows the name of a command.
+type argumentKind int
 
 const (
-	noArgument argument = iota
+	noArgument argumentKind = iota
 	endpointID
 )
 
-// commandArguments has all commands, and the argument of each.
-var commandArguments = map[CommandName]argument{
+// commandArguments contains all commands, with the kind of argument that each takes.
+var commandArguments = map[CommandName]argumentKind{
 	CommandReady:         noArgument,
 	CommandShowStat:      noArgument,
 	CommandDisableServer: endpointID,
 	CommandEnableServer:  endpointID,
 }
 
-// Command is one command of an operator.
+// Command is a parsed command of an operator.
 type Command struct {
 	Name     CommandName
-	Endpoint string // id, for commands that take one
+	Endpoint string // ID of an endpoint, for commands that take one
 }
 
-// Reasons why a line is not a command. The texts of all errors of ParseCommand are on the wire.
+// Reasons why ParseCommand rejects a line. The texts of all its errors are sent to clients, so they
+// must not change.
 var (
 	ErrLineTooLong    = fmt.Errorf("the line is longer than %d bytes", maxLineBytes)
 	ErrNoCommand      = errors.New("no call: ready, show-stat, disable-server ID and enable-server ID are known")
 	ErrUnknownCommand = errors.New("unknown call")
 )
 
-// ArgumentError says that a command has a missing or a surplus argument.
+// ArgumentError reports a missing or surplus argument of a command.
 type ArgumentError struct {
 	Command CommandName
 	Problem string
@@ -58,7 +59,8 @@
 // Error implements error.
 func (e *ArgumentError) Error() string { return fmt.Sprintf("%s: %s", e.Command, e.Problem) }
 
-// ParseCommand parses a command's line, without the line's end. An error's text fits a response.
+// ParseCommand parses a command line without its line ending. The text of an error can be sent in a
+// response.
 func ParseCommand(line string) (Command, error) {
 	if len(line) > maxLineBytes {
 		return Command{}, ErrLineTooLong
@@ -81,7 +83,7 @@
 	return parsePlainCommand(name, words[1:])
 }
 
-// parseEndpointCommand parses the arguments of a command that takes the id of an endpoint.
+// parseEndpointCommand parses the arguments of a command that takes the ID of an endpoint.
 func parseEndpointCommand(name CommandName, args []string) (Command, error) {
 	switch len(args) {
 	case 0:
@@ -92,7 +94,7 @@
 	return Command{}, &ArgumentError{Command: name, Problem: fmt.Sprintf("%q is too much: one id is wanted", args[1])}
 }
 
-// parsePlainCommand parses the arguments of a command that takes none.
+// parsePlainCommand parses a command that takes no argument.
 func parsePlainCommand(name CommandName, args []string) (Command, error) {
 	if len(args) > 0 {
 		return Command{}, &ArgumentError{Command: name, Problem: fmt.Sprintf("%q is too much: nothing is wanted", args[0])}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin serves the operators' line protocol. It has an address of its own, on which each
-// connection carries one command, a line, and gets one response. It shares nothing with the way of
-// a request, so it responds whatever the load.
+// Package admin serves a line protocol for operators. It listens on a separate address, where each
+// connection sends one command line and gets one response. It shares nothing with the handling of
+// proxied requests, so it responds under any load.
 package admin
 
 import (
@@ -18,46 +18,47 @@
 )
 
 const (
-	// MaxDescriptors is how many descriptors a Server needs at most: its connections, its listener,
-	// and a connection that was accepted while the one that it replaces is being closed.
+	// MaxDescriptors is the maximum number of file descriptors that a Server uses: its connections,
+	// its listener, and an accepted connection while the one that it replaces is being closed.
 	MaxDescriptors = maxOpenConns + 2
 
 	maxOpenConns     = 24
-	acceptRetryDelay = 100 * time.Millisecond // after a failed accept
-	commandTimeout   = 5 * time.Second        // for the command's line to be received
-	responseTimeout  = 2 * time.Second        // for the response to be written
-	// lingerTimeout is how long the client may take to close the connection first. A close with
-	// unread input resets the connection, and the client could lose the response.
+	acceptRetryDelay = 100 * time.Millisecond // wait after a failed accept
+	commandTimeout   = 5 * time.Second        // limit for receiving the command line
+	responseTimeout  = 2 * time.Second        // limit for writing the response
+	// lingerTimeout bounds the wait for the client to close the connection first. If the server
+	// closed it with unread input, the connection would be reset, and the client could lose the
+	// response.
 	lingerTimeout  = 200 * time.Millisecond
-	lingerMaxBytes = 4 << 10 // of input that is discarded meanwhile
+	lingerMaxBytes = 4 << 10 // maximum input that is discarded during that wait
 )
 
-// Operations carries out the commands. Each method must return quickly: a response is due within a
-// second.
+// Operations implements the commands. Each method must return quickly: the client must get its
+// response within a second.
 type Operations interface {
-	// Ready returns nil once requests can be served, and until then the reason why they can't.
+	// Ready returns nil if requests can be served, and otherwise the reason why they can't.
 	Ready() error
-	// AppendStats appends all metrics, one a line.
+	// AppendStats appends all metrics, one per line.
 	AppendStats(b []byte) []byte
-	// Disable ends new requests to an endpoint until Enable.
+	// Disable stops new requests to an endpoint until Enable is called.
 	Disable(id string) error
 	// Enable undoes Disable.
 	Enable(id string) error
 }
 
-// Server executes commands.
+// Server accepts connections and executes their commands.
 type Server struct {
 	listener   net.Listener
 	operations Operations
 	log        *slog.Logger
 
 	mu              sync.Mutex
-	awaitingCommand []net.Conn // connections whose command has not been received yet, the oldest first
+	awaitingCommand []net.Conn // connections whose command has not been received yet, oldest first
 	openConns       int
-	closed          bool // no connection is admitted any more
+	closed          bool // no further connections are admitted
 }
 
-// New returns a server on a listener, which Run closes. Run does the work.
+// New returns a server for a listener. Run serves its connections and closes it.
 func New(l net.Listener, o Operations, log *slog.Logger) *Server {
 	return &Server{listener: l, operations: o, log: log}
 }
@@ -65,8 +66,8 @@
 // Addr returns the address of the listener.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Run accepts connections until ctx ends, and serves each in a goroutine of its own. It returns
-// once all of them have ended.
+// Run accepts connections until ctx ends, and serves each in its own goroutine. It returns once all
+// connections have ended.
 func (s *Server) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { s.listener.Close() })
 	defer stop()
@@ -94,8 +95,9 @@
 	}
 }
 
-// admitConn admits a connection, or reports false. Where too many are open, it closes the one that
-// has waited longest for its command: silent clients must not keep out one that has a command.
+// admitConn admits a connection, or returns false. If maxOpenConns are open, it closes the one that
+// has waited longest for its command, so that clients that send nothing don't lock out a client
+// that sends a command.
 func (s *Server) admitConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,8 +114,9 @@
 	return true
 }
 
-// stopAwaiting removes a connection from those that may be closed for a new one.
-func (s *Server) stopAwaiting(conn net.Conn) {
+// removeAwaiting removes a connection from awaitingCommand, so that it is not closed in favor of a
+// new connection.
+func (s *Server) removeAwaiting(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if i := slices.Index(s.awaitingCommand, conn); i >= 0 {
@@ -121,8 +124,8 @@
 	}
 }
 
-// closeAwaiting closes the connections whose command has not been received. No connection is
-// admitted from then on.
+// closeAwaiting closes the connections whose command has not been received, and lets admitConn
+// refuse all further connections.
 func (s *Server) closeAwaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,9 +136,9 @@
 	s.awaitingCommand = nil
 }
 
-// releaseConn closes an admitted connection.
+// releaseConn closes an admitted connection and no longer counts it as open.
 func (s *Server) releaseConn(conn net.Conn) {
-	s.stopAwaiting(conn)
+	s.removeAwaiting(conn)
 	conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,15 +149,15 @@
 // response.
 func (s *Server) serveConn(conn net.Conn) {
 	defer s.releaseConn(conn)
-	_ = conn.SetDeadline(time.Now().Add(commandTimeout)) // on a closed connection the read fails
+	_ = conn.SetDeadline(time.Now().Add(commandTimeout)) // if the connection is closed, the read fails
 	line, err := readLine(conn)
 	if err != nil && !errors.Is(err, ErrLineTooLong) {
 		return
 	}
-	s.stopAwaiting(conn)
+	s.removeAwaiting(conn)
 	var response []byte
 	if err != nil {
-		response = failure(err)
+		response = failureResponse(err)
 	} else {
 		response = s.execute(line)
 	}
@@ -165,8 +168,8 @@
 	lingerUntilClosed(conn)
 }
 
-// lingerUntilClosed closes the sending side of a connection and waits for the client to close the
-// other.
+// lingerUntilClosed closes the sending side of a connection, and waits until the client closes its
+// side or lingerTimeout has passed.
 func lingerUntilClosed(conn net.Conn) {
 	halfCloser, ok := conn.(interface{ CloseWrite() error })
 	if !ok || halfCloser.CloseWrite() != nil {
@@ -176,8 +179,8 @@
 	_, _ = io.CopyN(io.Discard, conn, lingerMaxBytes)
 }
 
-// readLine reads a line that ends with LF or CR LF, and returns it without its end. Any input after
-// it is ignored.
+// readLine reads a line that ends with LF or CR LF, and returns it without its line ending. Input
+// after the line is ignored.
 func readLine(r io.Reader) (string, error) {
 	buf := make([]byte, 0, maxLineBytes+len("\r\n"))
 	for {
@@ -195,34 +198,36 @@
 	}
 }
 
-// execute executes the command of a line and returns the response.
+// execute executes the command in a line and returns the response.
 func (s *Server) execute(line string) []byte {
 	c, err := ParseCommand(line)
 	if err != nil {
-		return failure(err)
+		return failureResponse(err)
 	}
 	switch c.Name {
 	case CommandShowStat:
 		return append(s.operations.AppendStats(nil), "EOT\n"...)
 	case CommandReady:
-		return outcome(s.operations.Ready(), "ready")
+		return resultResponse(s.operations.Ready(), "ready")
 	case CommandDisableServer:
-		return outcome(s.operations.Disable(c.Endpoint), c.Endpoint+" is out")
-	default: // CommandEnableServer: ParseCommand returns no other name
-		return outcome(s.operations.Enable(c.Endpoint), c.Endpoint+" is back")
+		return resultResponse(s.operations.Disable(c.Endpoint), c.Endpoint+" is out")
+	default: // CommandEnableServer; ParseCommand returns no other name
+		return resultResponse(s.operations.Enable(c.Endpoint), c.Endpoint+" is back")
 	}
 }
 
-// outcome returns the response to a command that has failed with err, or succeeded if err is nil.
-func outcome(err error, success string) []byte {
+// resultResponse returns the response to a command: a failure if err is not nil, otherwise a
+// success.
+func resultResponse(err error, success string) []byte {
 	if err != nil {
-		return failure(err)
+		return failureResponse(err)
 	}
 	return []byte("SUCCESS " + success + "\n")
 }
 
-// failure returns the response for an error. It is one line, whatever the error's text.
-func failure(err error) []byte {
+// failureResponse returns the response for an error. It is one line, even if the error's text has
+// several.
+func failureResponse(err error) []byte {
 	text := bytes.ReplaceAll([]byte(err.Error()), []byte("\n"), []byte(" "))
 	return append(append([]byte("FAILURE "), text...), '\n')
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// fakeOperations has the one endpoint "a".
+// fakeOperations implements Operations for one endpoint, "a".
 type fakeOperations struct{ disabled map[string]bool }
 
 func (o *fakeOperations) Ready() error { return nil }
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// pipeListener is a listener whose connections are pipes, which a synctest bubble controls the time
-// of.
+// pipeListener is a listener whose connections are in-memory pipes, so that their deadlines use the
+// time of a synctest bubble.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -107,15 +107,15 @@
 				conn.Close()
 			}
 		}()
-		got, _ := io.ReadAll(conn) // a pipe that this side has closed reads as an error
+		got, _ := io.ReadAll(conn) // a read fails if this side has closed the pipe
 		if string(got) != want {
-			t.Errorf("%.40q: %q, want %q", line, got, want)
+			t.Errorf("command %.40q: response %q, want %q", line, got, want)
 		}
 	}
 }
 
-// Three times as many silent clients as may be connected stay connected: a client with a command
-// gets its response at once nevertheless.
+// Three times as many clients as the server admits connect and send no complete command. A client
+// that sends a command must still get its response within a second.
 func TestSilentClientsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		connect := startServer(t)
@@ -130,12 +130,13 @@
 		go io.WriteString(conn, "ready\n")
 		got, err := io.ReadAll(conn)
 		if took := time.Since(began); string(got) != "SUCCESS ready\n" || err != nil || took > time.Second {
-			t.Errorf("%q, %v after %v", got, err, took)
+			t.Errorf("response %q, error %v after %v", got, err, took)
 		}
 	})
 }
 
-// The connection of a client that sends nothing, or does not read, is closed by a timeout.
+// The server closes the connection of a client that sends no command, or does not read the
+// response, after a timeout.
 func TestStalledConnectionsTimeOut(t *testing.T) {
 	for name, line := range map[string]string{
 		"silent":         "",
@@ -147,7 +148,7 @@
 			go io.WriteString(conn, line)
 			time.Sleep(commandTimeout + responseTimeout + time.Second)
 			if got, err := io.ReadAll(conn); len(got) != 0 || err != nil {
-				t.Errorf("%s: %q, %v", name, got, err)
+				t.Errorf("%s: response %q, error %v", name, got, err)
 			}
 		})
 	}
@@ -160,7 +161,7 @@
 		"drain a":                           ErrUnknownCommand,
 	} {
 		if _, err := ParseCommand(line); !errors.Is(err, want) {
-			t.Errorf("%.20q: %v, want %v", line, err, want)
+			t.Errorf("command %.20q: error %v, want %v", line, err, want)
 		}
 	}
 	for line, want := range map[string]CommandName{
@@ -171,7 +172,7 @@
 		_, err := ParseCommand(line)
 		var argumentErr *ArgumentError
 		if !errors.As(err, &argumentErr) || argumentErr.Command != want {
-			t.Errorf("%q: %v, want an ArgumentError of %s", line, err, want)
+			t.Errorf("command %q: error %v, want an ArgumentError of %s", line, err, want)
 		}
 	}
 }
@@ -183,14 +184,14 @@
 	f.Fuzz(func(t *testing.T, line string) {
 		c, err := ParseCommand(line)
 		if err != nil {
-			if text := string(failure(err)); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, "FAILURE ") {
-				t.Errorf("%q", text)
+			if text := string(failureResponse(err)); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, "FAILURE ") {
+				t.Errorf("response %q is not one FAILURE line", text)
 			}
 			return
 		}
 		takesID := commandArguments[c.Name] == endpointID
 		if takesID != (c.Endpoint != "") || strings.ContainsAny(c.Endpoint, " \t\r\n") {
-			t.Errorf("%+v", c)
+			t.Errorf("parsed an invalid command %+v", c)
 		}
 		reparsed, err := ParseCommand(strings.TrimSpace(string(c.Name) + " " + c.Endpoint))
 		if err != nil || reparsed != c {
--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,5 +1,5 @@
-// Package asynclog provides a log writer that never blocks, whether the log is slow, full or
-// closed.
+// Package asynclog provides a log writer that never blocks, even if the target of the log is slow,
+// full or closed.
 package asynclog
 
 import (
@@ -12,21 +12,21 @@
 )
 
 const (
-	maxQueuedLines = 1024                   // more lines are dropped
-	flushTimeout   = 200 * time.Millisecond // of Close
+	maxQueuedLines = 1024                   // further lines are dropped
+	flushTimeout   = 200 * time.Millisecond // maximum time that Close waits
 )
 
-// Writer writes lines to another writer in a goroutine of its own, which New starts and Close ends.
-// It never blocks: while maxQueuedLines are queued it drops new ones, and logs their number later.
-// It is safe for concurrent use.
+// Writer writes lines to another writer in its own goroutine, which New starts and Close ends. It
+// never blocks: while maxQueuedLines lines are queued, it drops new ones, and later logs how many
+// it has dropped. It is safe for concurrent use.
 type Writer struct {
 	target  io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	flushed chan struct{} // closed once the lines before the nil that Close queues have been written
+	flushed chan struct{} // closed once run has written all lines before the nil that Close queues
 }
 
-// New returns a Writer to a target. Errors of the target are ignored.
+// New returns a Writer that writes to target. Errors of the target are ignored.
 func New(target io.Writer) *Writer {
 	w := &Writer{target: target, lines: make(chan []byte, maxQueuedLines), flushed: make(chan struct{})}
 	go w.run()
@@ -43,22 +43,22 @@
 	return len(line), nil
 }
 
-// run writes lines until Close.
+// run writes lines to the target until Close is called.
 func (w *Writer) run() {
 	defer close(w.flushed)
 	for line := range w.lines {
 		if line == nil {
 			return
 		}
-		_, _ = w.target.Write(line) // there is no other log for the error
+		_, _ = w.target.Write(line) // the error can't be logged: there is no other log
 		if n := w.dropped.Swap(0); n > 0 {
 			_, _ = fmt.Fprintf(w.target, "level=WARN msg=\"log lines dropped\" %s=%d\n", logkey.Count, n)
 		}
 	}
 }
 
-// Close waits until the queued lines have been written, for flushTimeout at most. Later lines are
-// dropped.
+// Close waits until the queued lines have been written, but at most flushTimeout. Lines that are
+// written later are dropped.
 func (w *Writer) Close() {
 	timeout := time.NewTimer(flushTimeout)
 	defer timeout.Stop()
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -15,9 +15,9 @@
 }
 
 // Write implements io.Writer.
-func (s *blockingTarget) Write(line []byte) (int, error) {
-	<-s.release
-	return s.text.Write(line)
+func (b *blockingTarget) Write(line []byte) (int, error) {
+	<-b.release
+	return b.text.Write(line)
 }
 
 func TestLinesAreWrittenInOrder(t *testing.T) {
@@ -29,12 +29,12 @@
 	}
 	w.Close()
 	if got := target.text.String(); got != "0\n1\n2\n" {
-		t.Errorf("%q", got)
+		t.Errorf("the target received %q", got)
 	}
 }
 
-// Writes of the log do not end: neither Write nor Close blocks on them, and dropped lines are
-// counted.
+// The target blocks in every write. Write must not block, Close must return after flushTimeout, and
+// the number of dropped lines must be logged.
 func TestBlockedTargetBlocksNoWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		target := &blockingTarget{release: make(chan struct{})}
@@ -53,8 +53,8 @@
 		close(target.release)
 		synctest.Wait()
 		if got := target.text.String(); !strings.Contains(got, fmt.Sprintf("msg=\"log lines dropped\" count=%d\n", surplus)) {
-			t.Errorf("the dropped lines are not counted: %.200q", got)
+			t.Errorf("the number of dropped lines is not logged: %.200q", got)
 		}
-		w.Close() // all queued lines have been written
+		w.Close() // all queued lines have been written, so it returns at once
 	})
 }
--- a/internal/filewatch/filewatch_test.go
+++ b/internal/filewatch/filewatch_test.go
@@ -10,7 +10,8 @@
 	"rowancart/internal/testpeer"
 )
 
-// startWatch follows a file of which "old" is known, and returns the contents that it reports.
+// startWatch watches a file whose known content is "old". It returns a channel that receives each
+// content that File reports.
 func startWatch(t *testing.T, path string) chan string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -30,10 +31,10 @@
 	select {
 	case got := <-changes:
 		if got != want {
-			t.Errorf("content %q, want %q", got, want)
+			t.Errorf("reported content %q, want %q", got, want)
 		}
 	case <-time.After(testpeer.WaitTimeout):
-		t.Fatalf("no change to %q", want)
+		t.Fatalf("no change to content %q was reported", want)
 	}
 }
 
@@ -93,7 +94,8 @@
 	expectChange(t, startWatch(t, path), "new")
 }
 
-// A write in place may be read halfway. The last content is reported in any case.
+// A file that is written in place may be read while it is incomplete. The final content must be
+// reported in any case.
 func TestFileReportsAWriteInPlace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	write(t, path, "old")
@@ -112,6 +114,6 @@
 func TestFileNeedsADirectory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none", "file")
 	if err := File(t.Context(), path, nil, func([]byte) {}); err == nil {
-		t.Error("a directory that doesn't exist is watched")
+		t.Error("File returned no error for a directory that doesn't exist")
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts the outcomes of requests, for the operators of the sidecar. Counters only
-// grow, and are written and read without a lock.
+// Package metrics counts the outcomes of requests for the operators of the sidecar. Counters never
+// decrease, and are written and read without a lock.
 package metrics
 
 import (
@@ -9,31 +9,31 @@
 	"sync/atomic"
 )
 
-// Outcome is how a request ended.
+// Outcome is the result of a request.
 type Outcome int
 
 // The outcomes.
 const (
 	Success  Outcome = iota // served
-	Overload                // rejected: a retry is harmless
+	Overload                // rejected; a retry is harmless
 	Error                   // failed
 	outcomeCount
 )
 
-// outcomeNames are the names of the outcomes' metrics, without the prefix.
+// outcomeNames contains the metric name of each outcome, without namePrefix.
 var outcomeNames = [outcomeCount]string{"success", "overload", "error"}
 
-// namePrefix begins the name of each metric.
+// namePrefix is the prefix of every metric name.
 const namePrefix = "sidecar_"
 
 // labelEscaper escapes label values for the text format of metrics.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// Counters are the counters of one process. All begin at 0.
+// Counters contains the counters of one process. All start at 0.
 type Counters struct {
 	classes []*classCounters // sorted by name
-	started atomic.Int64     // requests
-	dropped atomic.Int64     // requests that were started and have no outcome
+	started atomic.Int64     // requests that were started
+	dropped atomic.Int64     // requests that ended and are not counted with an outcome
 
 	Reloads       atomic.Int64 // of the configuration
 	FailedReloads atomic.Int64
@@ -45,7 +45,7 @@
 	outcomes [outcomeCount]atomic.Int64
 }
 
-// New returns the counters of the classes with the names given, which may be repeated.
+// New returns counters for the classes with the given names, which may contain duplicates.
 func New(classNames []string) *Counters {
 	names := slices.Compact(slices.Sorted(slices.Values(classNames)))
 	c := &Counters{classes: make([]*classCounters, len(names))}
@@ -58,8 +58,8 @@
 // RequestStarted counts a request. RequestFinished or RequestDropped must follow.
 func (c *Counters) RequestStarted() { c.started.Add(1) }
 
-// RequestFinished counts the outcome of a request. The class must be one that New was given; the
-// outcome of another is not counted.
+// RequestFinished counts the outcome of a request. The class must be one of those passed to New;
+// the outcome of any other class is not counted.
 func (c *Counters) RequestFinished(class string, outcome Outcome) {
 	i, found := slices.BinarySearchFunc(c.classes, class, func(counters *classCounters, name string) int {
 		return strings.Compare(counters.name, name)
@@ -69,21 +69,21 @@
 	}
 }
 
-// RequestDropped ends a request that is not counted with an outcome.
+// RequestDropped counts a request that ended and is not counted with an outcome.
 func (c *Counters) RequestDropped() { c.dropped.Add(1) }
 
-// Gauges are the metrics that the counters do not contain.
+// Gauges contains the metrics that are not part of Counters.
 type Gauges struct {
 	Dispatches       int64 // attempts whose request was written completely
 	ListedEndpoints  int   // endpoints in the list
-	AvoidedEndpoints int   // listed endpoints that are not in ordinary rotation
+	AvoidedEndpoints int   // listed endpoints that are disabled or that the balancer does not choose at present
 }
 
-// Append appends all metrics, one a line. Those of requests are one consistent reading: no request
-// is counted both with an outcome and as in flight.
+// Append appends all metrics, one per line. The metrics of requests are consistent: no request is
+// counted both with an outcome and as in flight.
 func (c *Counters) Append(b []byte, gauges Gauges) []byte {
-	// The requests that have ended are read before those that have started: a request starts before
-	// it ends, so the difference is never negative.
+	// The counters of ended requests are read before the counter of started requests. A request
+	// starts before it ends, so the difference is never negative.
 	ended := c.dropped.Load()
 	for outcome := range outcomeCount {
 		for _, class := range c.classes {
@@ -100,7 +100,7 @@
 	return appendMetric(b, "reload_failure", c.FailedReloads.Load())
 }
 
-// appendMetric appends the line of one metric, named without the prefix.
+// appendMetric appends the line of one metric. The name is without namePrefix.
 func appendMetric(b []byte, name string, value int64) []byte {
 	b = append(b, namePrefix...)
 	b = append(b, name...)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -28,18 +28,18 @@
 sidecar_reload_failure 0
 `
 	if got := string(c.Append(nil, Gauges{Dispatches: 7, ListedEndpoints: 3, AvoidedEndpoints: 2})); got != want {
-		t.Errorf("%s", got)
+		t.Errorf("metrics:\n%s", got)
 	}
 }
 
-// Whenever the metrics are read, no request counts both with an outcome and as in flight, and none
-// counts as in flight twice.
+// While requests start and finish concurrently, no reading counts a request both with an outcome
+// and as in flight, or as in flight twice.
 func TestConcurrentReadingIsConsistent(t *testing.T) {
 	const clients, requestsEach = 8, 2000
 	c := New([]string{"a"})
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range clients {
-		all.Go(func() {
+		running.Go(func() {
 			for range requestsEach {
 				c.RequestStarted()
 				c.RequestFinished("a", Outcome(i%int(outcomeCount)))
@@ -48,7 +48,7 @@
 	}
 	done := make(chan bool)
 	go func() {
-		all.Wait()
+		running.Wait()
 		close(done)
 	}()
 	for last := false; !last; {
@@ -59,15 +59,15 @@
 		}
 		text := string(c.Append(nil, Gauges{}))
 		if n := testpeer.MetricValue(t, text, "sidecar_concurrent"); n < 0 || last && n != 0 {
-			t.Fatalf("in flight: %d, last %v", n, last)
+			t.Fatalf("in flight: %d, last reading: %v", n, last)
 		}
 		if last && countedOutcomes(t, text) != clients*requestsEach {
-			t.Errorf("%s", text)
+			t.Errorf("outcomes were lost:\n%s", text)
 		}
 	}
 }
 
-// countedOutcomes returns how many requests of class a have an outcome.
+// countedOutcomes returns the number of requests of class "a" that are counted with an outcome.
 func countedOutcomes(t *testing.T, text string) (sum int) {
 	t.Helper()
 	for _, name := range []string{"sidecar_success", "sidecar_overload", "sidecar_error"} {
--- a/internal/netaddr/netaddr.go
+++ b/internal/netaddr/netaddr.go
@@ -8,10 +8,10 @@
 	"strconv"
 )
 
-// ErrMissing says that an address is empty.
+// ErrMissing is returned for an empty address.
 var ErrMissing = errors.New("missing")
 
-// PortError says that the port of an address is not a number from 0 to 65535.
+// PortError reports that the port of an address is not a number from 0 to 65535.
 type PortError struct{ Port string }
 
 // Error implements error.
@@ -19,10 +19,10 @@
 	return fmt.Sprintf("port %q is not a number up to 65535", e.Port)
 }
 
-// portBits is the size of a port number.
+// portBits is the size of a port number in bits.
 const portBits = 16
 
-// Check returns nil if an address is host:port with a number for the port. Otherwise its error is
+// Check returns nil if an address has the form host:port with a numeric port. Otherwise it returns
 // ErrMissing, a *net.AddrError or a *PortError.
 func Check(addr string) error {
 	if addr == "" {
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// CheckField checks the address in a field. An error begins with the name of the field and wraps
-// that of Check.
+// CheckField checks the address in a field. Its error begins with the name of the field and wraps
+// the error of Check.
 func CheckField(field, addr string) error {
 	if err := Check(addr); err != nil {
 		return fmt.Errorf("%s: %w", field, err)
--- a/internal/snapshot/lock.go
+++ b/internal/snapshot/lock.go
@@ -8,16 +8,16 @@
 	"syscall"
 )
 
-// lockSuffix ends the name of the file that is locked.
+// lockSuffix is the suffix of the name of the lock file.
 const lockSuffix = ".lock"
 
-// ErrLocked is returned by Lock where another process holds the lock.
-var ErrLocked = errors.New("another process writes it")
+// ErrLocked is returned by Lock if another process holds the lock.
+var ErrLocked = errors.New("locked by another process")
 
-// Lock makes this process the only one that writes the file at path, until the returned lock is
-// closed or the process exits. It does not block: if another process holds the lock, it returns an
-// error that wraps ErrLocked. The lock is an flock of a second file, since the snapshot itself is
-// replaced at each write. That file is never removed.
+// Lock reserves writing the file at path for this process, until the returned lock is closed or the
+// process exits. It does not block: if another process holds the lock, Lock returns an error that
+// wraps ErrLocked. The lock is an flock on a second file, because each write replaces the snapshot
+// file itself. The second file is never removed.
 func Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path+lockSuffix, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,8 +1,9 @@
-// Package snapshot stores the state of a process in one file, which its successor reads at its
-// start.
+// Package snapshot stores the state of a process in one file, which its successor reads when it
+// starts.
 //
 // A file is used completely or not at all: it has a format name, a version and a checksum, and it
-// is replaced by a rename. Read returns one of the errors below for a file that can't be used.
+// is replaced atomically by a rename. Read returns one of the errors below for a file that can't be
+// used.
 package snapshot
 
 import (
@@ -17,10 +18,11 @@
 )
 
 const (
-	// maxFileBytes is how much of a file is read. A longer file counts as corrupt.
+	// maxFileBytes is the maximum size of a file. A longer file counts as corrupt.
 	maxFileBytes = 256 << 20
-	// maxClockSkew is how far in the future a snapshot may have been written. The clock of a
-	// machine is corrected by seconds. If it was an hour ahead, the age of the snapshot is unknown.
+	// maxClockSkew limits how far in the future a snapshot's time of writing may be. Clocks are
+	// usually corrected by a few seconds. If the clock was an hour ahead when the snapshot was
+	// written, the age of the snapshot is unknown.
 	maxClockSkew = 5 * time.Second
 )
 
@@ -33,12 +35,13 @@
 	ErrFromFuture = errors.New("written in the future")
 )
 
-// temporarySuffix, with random digits, ends the name of a file that is being written.
+// temporarySuffix, followed by random digits, is the suffix of the name of a file that is being
+// written.
 const temporarySuffix = ".new-"
 
 // RemoveLeftovers removes the temporary files of processes that were killed while they wrote to
-// path. It makes a write in progress fail: the caller must be the only writer, or the others must
-// retry.
+// path. It makes a write in progress fail, so the caller must be the only writer, or the other
+// writers must retry.
 func RemoveLeftovers(path string) error {
 	files, err := filepath.Glob(path + temporarySuffix + "*")
 	for _, file := range files {
@@ -47,22 +50,22 @@
 	return err
 }
 
-// Write replaces the file at path by a snapshot of a value, in JSON, that is written now. The old
-// file stays until the new one is complete on disk, even if the machine crashes. Temporary files
-// are in the same directory; the caller must hold the lock of the path (see Lock) if others may
-// write it too.
+// Write replaces the file at path with a snapshot of a value, in JSON; now is its time of writing.
+// The old file remains until the new one is complete on disk, even if the machine crashes. The
+// temporary file is in the same directory. The caller must hold the lock of the path (see Lock) if
+// other processes may write it too.
 func Write(path string, now time.Time, value any) error {
 	return replaceFile(path, now, value, (*os.File).Sync)
 }
 
-// WriteNoSync is like Write but doesn't wait for the disk. It is for a directory that lasts no
-// longer than the machine runs.
+// WriteNoSync is like Write but doesn't wait for the disk. It is for a directory whose content is
+// lost anyway when the machine restarts.
 func WriteNoSync(path string, now time.Time, value any) error {
 	return replaceFile(path, now, value, func(*os.File) error { return nil })
 }
 
-// replaceFile writes a temporary file, syncs it and renames it to path. The rename could reach the
-// disk before the content of a file that is not synced.
+// replaceFile writes a temporary file, syncs it and renames it to path. Without the sync, the
+// rename could reach the disk before the content of the file.
 func replaceFile(path string, now time.Time, value any, sync func(*os.File) error) error {
 	text, err := encode(now, value)
 	if err != nil {
@@ -86,9 +89,9 @@
 	return nil
 }
 
-// Read decodes the file at path into value and returns its age, which is never negative. A file
-// that is older than maxAge is not used. The error wraps one of the reasons above unless the file
-// system has failed.
+// Read decodes the file at path into value and returns the file's age, which is never negative. A
+// file older than maxAge is not used. The error wraps one of the reasons above unless a file system
+// operation failed.
 func Read(path string, now time.Time, maxAge time.Duration, value any) (age time.Duration, err error) {
 	defer func() {
 		if err != nil {
@@ -106,9 +109,9 @@
 	age = now.Sub(f.writtenAt())
 	switch {
 	case age < -maxClockSkew:
-		return 0, fmt.Errorf("%w, in %v by this machine's clock", ErrFromFuture, -age.Round(time.Second))
+		return 0, fmt.Errorf("%w: %v ahead of this machine's clock", ErrFromFuture, -age.Round(time.Second))
 	case age > maxAge:
-		return 0, fmt.Errorf("%w: %v, and the maximum age is %v", ErrExpired, age.Round(time.Second), maxAge)
+		return 0, fmt.Errorf("%w: age %v, maximum %v", ErrExpired, age.Round(time.Second), maxAge)
 	}
 	if err := json.Unmarshal(f.content, value); err != nil {
 		return 0, ErrCorrupt
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// testState is the state of the snapshots in these tests.
+// testState is the content of the snapshots in these tests.
 type testState struct {
 	Names  []string
 	Weight float64
@@ -17,7 +17,7 @@
 
 var writtenAt = time.UnixMilli(1_800_000_000_000)
 
-// writeState writes a snapshot and returns its path and text.
+// writeState writes a snapshot file and returns its path and text.
 func writeState(t *testing.T) (path string, text string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "state")
@@ -36,21 +36,21 @@
 	var s testState
 	age, err := Read(path, writtenAt.Add(3*time.Second), time.Minute, &s)
 	if err != nil || age != 3*time.Second || len(s.Names) != 2 || s.Names[1] != "b\n{" || s.Weight != 0.25 {
-		t.Fatalf("%+v, of age %v, %v", s, age, err)
+		t.Fatalf("got %+v, age %v, error %v", s, age, err)
 	}
 	if age, err := Read(path, writtenAt.Add(-time.Second), time.Minute, &s); err != nil || age != 0 {
-		t.Errorf("a second in the future: %v, %v", age, err)
+		t.Errorf("written a second in the future: age %v, error %v", age, err)
 	}
 	if err := WriteNoSync(path, writtenAt, testState{Weight: 1}); err != nil {
 		t.Fatal(err)
 	}
 	files, err := os.ReadDir(filepath.Dir(path))
 	if err != nil || len(files) != 1 {
-		t.Errorf("after a second write there are %v, %v", files, err)
+		t.Errorf("files after a second write: %v, error %v", files, err)
 	}
 }
 
-// Snapshots are exchanged between versions of the program: the format must not change.
+// Different versions of the program read each other's snapshots, so the format must not change.
 func TestFileFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	if err := Write(path, writtenAt, 1); err != nil {
@@ -74,19 +74,19 @@
 		var s testState
 		_, err := Read(path, writtenAt, time.Minute, &s)
 		if err != nil && (s.Names != nil || strings.Contains(err.Error(), "\n")) {
-			t.Fatalf("%q: %+v is used, or the error has more than a line: %v", text, s, err)
+			t.Fatalf("file %q: decoded partly as %+v, or the error has more than one line: %v", text, s, err)
 		}
 		return err
 	}
 	for i := range text {
 		if read(text[:i]) == nil {
-			t.Fatalf("truncated after %d bytes, it is read", i)
+			t.Fatalf("a file truncated after %d bytes was accepted", i)
 		}
 		changed := []byte(text)
 		changed[i] ^= 0x10
-		// One changed bit of the time of writing may leave a valid time.
+		// The time of writing may still be valid after one of its bits has changed.
 		if err := read(string(changed)); err == nil && !strings.Contains(text[max(i-16, 0):i+1], "written_ms") {
-			t.Fatalf("with byte %d (%q) changed, it is read", i, text[i])
+			t.Fatalf("a file with byte %d (%q) changed was accepted", i, text[i])
 		}
 	}
 	for _, test := range []struct {
@@ -118,29 +118,29 @@
 		}
 	}
 	if _, err := Read(path+"x", writtenAt, time.Minute, &testState{}); !errors.Is(err, ErrNotFound) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 }
 
-// A failed write leaves the old file, and no other.
+// A failed write keeps the old file and leaves no temporary file behind.
 func TestFailedWriteKeepsOldFile(t *testing.T) {
 	path, text := writeState(t)
 	if err := Write(path, writtenAt, map[string]any{"x": func() {}}); err == nil {
-		t.Error("a value without a JSON form was written")
+		t.Error("Write of a value that JSON can't represent returned no error")
 	}
 	dir := filepath.Join(filepath.Dir(path), "none")
 	if err := Write(filepath.Join(dir, "state"), writtenAt, testState{}); err == nil {
-		t.Error("written into a directory that doesn't exist")
+		t.Error("Write into a directory that doesn't exist returned no error")
 	}
-	// Nothing can be renamed onto a directory: the write fails at its last step.
+	// A file cannot be renamed to the path of a directory, so the last step of the write fails.
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if err := Write(dir, writtenAt, testState{}); err == nil {
-		t.Error("a directory was replaced")
+		t.Error("Write to the path of a directory returned no error")
 	}
 	if now, err := os.ReadFile(path); err != nil || string(now) != text {
-		t.Errorf("the old file is %q, %v", now, err)
+		t.Errorf("the old file contains %q, error %v", now, err)
 	}
 	if files, err := os.ReadDir(filepath.Dir(path)); err != nil || len(files) != 2 {
 		t.Errorf("files in the directory: %v, %v", files, err)
@@ -154,12 +154,12 @@
 		t.Fatal(err)
 	}
 	if _, err := Lock(path); !errors.Is(err, ErrLocked) {
-		t.Errorf("while it is locked: %v", err)
+		t.Errorf("a second lock: %v", err)
 	}
 	first.Close()
 	second, err := Lock(path)
 	if err != nil {
-		t.Fatalf("after the first was closed: %v", err)
+		t.Fatalf("after the first lock was closed: %v", err)
 	}
 	second.Close()
 }
