--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -125,7 +125,7 @@
 		Listen:    addr,
 		Discovery: discovery,
 		Seed:      "1",
-		Known:     platform.CompleteList(1, testpeer.Listed("a", hanging.Addr().String(), platform.StateReady)),
+		Known:     platform.CompleteList(1, testpeer.ListedEndpoint("a", hanging.Addr().String(), platform.StateReady)),
 		Settings: platform.SettingsObject{Classes: []platform.ClassSettings{{
 			Name:               "pay",
 			Idempotency:        platform.NonIdempotent,
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -62,7 +62,7 @@
 	}
 	t.Cleanup(discovery.Close)
 	for i, addr := range endpoints {
-		discovery.Publish(testpeer.Listed(string(rune('a'+i)), addr, platform.StateReady))
+		discovery.Publish(testpeer.ListedEndpoint(string(rune('a'+i)), addr, platform.StateReady))
 	}
 	return discovery.Addr()
 }
--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -17,7 +17,7 @@
 var (
 	completeList = testpeer.CompleteList
 	changes      = testpeer.Changes
-	listed       = testpeer.Listed
+	listed       = testpeer.ListedEndpoint
 
 	respond    = testpeer.Respond
 	stayOpen   = testpeer.StayOpen
--- a/internal/sidecar/testsidecar_test.go
+++ b/internal/sidecar/testsidecar_test.go
@@ -32,7 +32,7 @@
 	waitUntil    = testpeer.WaitUntil
 	completeList = testpeer.CompleteList
 	changes      = testpeer.Changes
-	listed       = testpeer.Listed
+	listed       = testpeer.ListedEndpoint
 )
 
 // testSettings have one class of each kind: look is idempotent, book is idempotent with a key, and
--- a/internal/testpeer/discovery.go
+++ b/internal/testpeer/discovery.go
@@ -7,8 +7,8 @@
 	"rowancart/internal/platform"
 )
 
-// Listed returns an endpoint as discovery lists it, long after its start.
-func Listed(id, addr string, state platform.State) platform.Endpoint {
+// ListedEndpoint returns an endpoint as discovery lists it, long after its start.
+func ListedEndpoint(id, addr string, state platform.State) platform.Endpoint {
 	return platform.Endpoint{
 		ID:     id,
 		Addr:   addr,
--- a/internal/testpeer/fakediscovery_test.go
+++ b/internal/testpeer/fakediscovery_test.go
@@ -39,8 +39,8 @@
 func TestFakeDiscoveryListsAndWatches(t *testing.T) {
 	d := startDiscovery(t)
 	expectLine(t, call(t, d.Addr(), ""), CompleteList(0))
-	a := Listed("a", "127.0.0.1:1", platform.StateReady)
-	b := Listed("b", "127.0.0.1:2", platform.StateReady)
+	a := ListedEndpoint("a", "127.0.0.1:1", platform.StateReady)
+	b := ListedEndpoint("b", "127.0.0.1:2", platform.StateReady)
 	d.Publish(a)
 	d.Publish(b)
 	expectLine(t, call(t, d.Addr(), ""), CompleteList(2, a, b))
@@ -60,14 +60,14 @@
 	t.Cleanup(d.Close)
 	watch := call(t, d.Addr(), platform.WatchQuery(0))
 	expectLine(t, watch, "")
-	a := Listed("a", "127.0.0.1:1", platform.StateReady)
+	a := ListedEndpoint("a", "127.0.0.1:1", platform.StateReady)
 	d.Publish(a)
 	expectLine(t, watch, Changes(1, a))
 }
 
 func TestFakeDiscoveryBreaksWatches(t *testing.T) {
 	d := startDiscovery(t)
-	d.Publish(Listed("a", "127.0.0.1:1", platform.StateReady))
+	d.Publish(ListedEndpoint("a", "127.0.0.1:1", platform.StateReady))
 	watch := call(t, d.Addr(), platform.WatchQuery(0))
 	if _, err := watch.ReadString('\n'); err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 // A silent watch delivers neither changes nor empty lines; a new one delivers what it has missed.
 func TestFakeDiscoverySilencesWatches(t *testing.T) {
 	d := startDiscovery(t)
-	a := Listed("a", "127.0.0.1:1", platform.StateReady)
+	a := ListedEndpoint("a", "127.0.0.1:1", platform.StateReady)
 	d.Publish(a)
 	silent := call(t, d.Addr(), platform.WatchQuery(0))
 	expectLine(t, silent, Changes(1, a))
@@ -108,7 +108,7 @@
 	if d.Addr() == old {
 		t.Fatal("the address has not changed")
 	}
-	a := Listed("a", "127.0.0.1:1", platform.StateReady)
+	a := ListedEndpoint("a", "127.0.0.1:1", platform.StateReady)
 	d.Publish(a)
 	expectLine(t, watch, Changes(1, a)) // an open watch goes on for a while
 	expectLine(t, call(t, d.Addr(), ""), CompleteList(1, a))
