--- a/internal/testpeer/client.go
+++ b/internal/testpeer/client.go
@@ -11,17 +11,17 @@
 	"rowancart/internal/platform"
 )
 
-// Request is a client's HTTP/1.1 request with the platform's header fields.
+// Request is an HTTP/1.1 request of a client, with the platform's header fields.
 type Request struct {
 	Method         string
 	Path           string
 	ID             string
 	Deadline       time.Duration
-	IdempotencyKey string // empty: none
-	Body           string // sent with its length, unless the method is GET
+	IdempotencyKey string // no header field if empty
+	Body           string // sent with a Content-Length, unless the method is GET
 }
 
-// Text returns the request as it is sent.
+// Text returns the request as it is sent on a connection.
 func (r Request) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: h\r\n", r.Method, r.Path)
@@ -40,15 +40,15 @@
 	return b.String()
 }
 
-// ClientConn is a client's connection, which may carry several requests.
+// ClientConn is a connection of a client. It can carry several requests in sequence.
 type ClientConn struct {
 	*net.TCPConn
-	Responses int // whose heads were read
+	Responses int // number of responses whose heads were read
 
 	reader *bufio.Reader
 }
 
-// Dial opens a connection.
+// Dial opens a connection to a TCP address.
 func Dial(addr string) (*ClientConn, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return &ClientConn{TCPConn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}, nil
 }
 
-// ReadResponse reads the head of the next response, all of which has to arrive within the timeout.
-// Its body must be read before the next one.
+// ReadResponse reads the head of the next response. The whole response must arrive within the
+// timeout. Its body must be read before the next call.
 func (c *ClientConn) ReadResponse(timeout time.Duration) (*http.Response, error) {
 	if err := c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
@@ -71,5 +71,5 @@
 	return resp, nil
 }
 
-// ResetOnClose lets Close reset the connection.
+// ResetOnClose makes Close reset the connection.
 func (c *ClientConn) ResetOnClose() { _ = c.SetLinger(0) }
--- a/internal/testpeer/client_test.go
+++ b/internal/testpeer/client_test.go
@@ -28,7 +28,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := test.request.Text(); got != test.want {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("request %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "hi" || conn.Responses != n {
-			t.Errorf("response %d: %q, %v; %d counted", n, body, err, conn.Responses)
+			t.Errorf("response %d: body %q, error %v; %d responses counted", n, body, err, conn.Responses)
 		}
 	}
 	if n := endpoint.Connections.Load(); n != 1 {
--- a/internal/testpeer/discovery.go
+++ b/internal/testpeer/discovery.go
@@ -7,7 +7,7 @@
 	"rowancart/internal/platform"
 )
 
-// ListedEndpoint returns an endpoint as discovery lists it, long after its start.
+// ListedEndpoint returns an endpoint as discovery lists it. It started long ago.
 func ListedEndpoint(id, addr string, state platform.State) platform.Endpoint {
 	return platform.Endpoint{
 		ID:     id,
@@ -20,21 +20,21 @@
 	}
 }
 
-// CompleteList returns the complete endpoint list as discovery sends it.
+// CompleteList returns a complete endpoint list in the format of discovery.
 func CompleteList(version int64, endpoints ...platform.Endpoint) string {
 	return string(platform.CompleteList(version, endpoints...).Text())
 }
 
-// Changes returns changes of the endpoint list as discovery sends them.
+// Changes returns changes to the endpoint list in the format of discovery.
 func Changes(version int64, endpoints ...platform.Endpoint) string {
 	return string(platform.Changes(version, endpoints...).Text())
 }
 
-// ScriptedDiscovery is a fake discovery that responds to each call with its next step. After the
-// last one it doesn't respond any more. It must be called by one client at a time.
+// ScriptedDiscovery is a fake discovery agent that responds to each call with the next of its
+// steps. After the last step it no longer responds. Only one client may call it at a time.
 type ScriptedDiscovery struct {
 	Steps []Step
-	// Calls is sent the query of each call. A call waits until it is received or buffered.
+	// Calls receives the query of each call. A call blocks until its query is received or buffered.
 	Calls chan string
 }
 
@@ -44,27 +44,27 @@
 	end  stepEnd
 }
 
-// stepEnd says what follows the body of a step.
+// stepEnd says what happens after the body of a step.
 type stepEnd int
 
 const (
 	endOfResponse stepEnd = iota
 	stayOpen
-	reset
-	neverBegin // there is no response at all
+	abortConn
+	noResponse // no response is sent, not even its head
 )
 
 // Respond returns a step that is a complete response.
 func Respond(body string) Step { return Step{body, endOfResponse} }
 
-// StayOpen returns a step that leaves the response open after its body, as a watch is.
+// StayOpen returns a step that leaves the response open after its body, like that of a watch.
 func StayOpen(body string) Step { return Step{body, stayOpen} }
 
-// ResetAfter returns a step that breaks the connection after its body.
-func ResetAfter(body string) Step { return Step{body, reset} }
+// ResetAfter returns a step that aborts the connection after its body.
+func ResetAfter(body string) Step { return Step{body, abortConn} }
 
-// NoResponse returns a step that doesn't respond.
-func NoResponse() Step { return Step{end: neverBegin} }
+// NoResponse returns a step that sends no response.
+func NoResponse() Step { return Step{end: noResponse} }
 
 // nextStep returns the step for the next call.
 func (d *ScriptedDiscovery) nextStep() Step {
@@ -80,7 +80,7 @@
 func (d *ScriptedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.Calls <- r.URL.RawQuery
 	step := d.nextStep()
-	if step.end == neverBegin {
+	if step.end == noResponse {
 		<-r.Context().Done()
 		return
 	}
@@ -89,7 +89,7 @@
 	switch step.end {
 	case stayOpen:
 		<-r.Context().Done()
-	case reset:
+	case abortConn:
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/testpeer/endpoint.go
+++ b/internal/testpeer/endpoint.go
@@ -1,5 +1,5 @@
-// Package testpeer has what tests of several packages need on the other side of a connection: fake
-// endpoints, fake discoveries, clients, and waits.
+// Package testpeer provides the peers that tests of several packages need: fake endpoints, fake
+// discovery agents and clients. It also provides functions that wait for a condition.
 package testpeer
 
 import (
@@ -11,22 +11,21 @@
 	"testing"
 )
 
-// OKResponse is a complete response of an endpoint.
+// OKResponse is a complete response of an endpoint with the body "hi".
 const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// FakeEndpoint is an HTTP/1.1 server whose responses are written by a test, byte by byte if need
-// be.
+// FakeEndpoint is an HTTP/1.1 server whose responses are written by a test, byte by byte if needed.
 type FakeEndpoint struct {
 	Addr        string
 	Listener    net.Listener
-	Connections atomic.Int32 // accepted
-	Requests    atomic.Int32 // received completely
+	Connections atomic.Int32 // number of accepted connections
+	Requests    atomic.Int32 // number of completely received requests
 }
 
-// AfterResponse says what a fake endpoint does with a connection after it has responded.
+// AfterResponse says what a fake endpoint does with a connection after a response.
 type AfterResponse bool
 
-// What a fake endpoint does after a response.
+// Values of AfterResponse.
 const (
 	KeepConn  AfterResponse = true
 	CloseConn AfterResponse = false
@@ -37,8 +36,8 @@
 type Responder = func(conn net.Conn, r *http.Request, n int) (keepConn bool)
 
 // StartEndpoint starts a fake endpoint, which is closed at the end of the test. It calls respond
-// for each request that was received completely. Requests on different connections are responded to
-// concurrently.
+// for each request that was received completely, concurrently for requests on different
+// connections.
 func StartEndpoint(t *testing.T, respond Responder) *FakeEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +79,7 @@
 // RespondWith returns a Responder that responds to every request with the same text.
 func RespondWith(text string, then AfterResponse) Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
-		_, _ = io.WriteString(conn, text) // where that fails, the client reports what is missing
+		_, _ = io.WriteString(conn, text) // if this fails, the client reports the incomplete response
 		return then == KeepConn
 	}
 }
--- a/internal/testpeer/fakediscovery.go
+++ b/internal/testpeer/fakediscovery.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	emptyLineInterval = 2 * time.Second         // of a watch, while nothing changes
-	oldAddrGrace      = 1500 * time.Millisecond // for which open responses at an old address go on
+	emptyLineInterval = 2 * time.Second         // interval of the empty lines of a watch without changes
+	oldAddrGrace      = 1500 * time.Millisecond // how long open responses at an old address continue
 )
 
-// FakeDiscovery is a discovery agent whose list a test changes. It can let its watches fall silent,
-// break them, respond late, and move to another address. It is safe for concurrent use.
+// FakeDiscovery is a discovery agent whose endpoint list is set by a test. It can stop sending on
+// open watches, abort their connections, delay its responses, and move to another address. It is
+// safe for concurrent use.
 type FakeDiscovery struct {
 	options DiscoveryOptions
 
 	mu       sync.Mutex
 	version  int64
-	listed   map[string]listedEndpoint // by ID
-	changed  chan struct{}             // closed at each change
-	epoch    int                       // watches that began in an earlier one are silent
-	broken   chan struct{}             // closed when all watches break
-	delay    time.Duration             // before each response
+	listed   map[string]listedEndpoint // by endpoint ID
+	changed  chan struct{}             // closed and replaced at each change of the list
+	epoch    int                       // watches that began in an earlier epoch send nothing
+	broken   chan struct{}             // closed to abort the connections of all open watches
+	delay    time.Duration             // wait before each response
 	server   *http.Server
 	listener net.Listener // of server
 	addr     string
 }
 
-// listedEndpoint is an endpoint and the version of the list that brought it in its latest form.
+// listedEndpoint is an endpoint with the version of the list that last changed it.
 type listedEndpoint struct {
 	platform.Endpoint
 	version int64
@@ -43,8 +44,8 @@
 
 // DiscoveryOptions configure a FakeDiscovery.
 type DiscoveryOptions struct {
-	// EmptyLineFirst says that a watch begins with an empty line. Else nothing follows the response's
-	// head before the first change, or the first of the empty lines that come at intervals.
+	// EmptyLineFirst makes each watch begin with an empty line. Otherwise nothing follows the head
+	// of the response until the first change, or the first empty line after emptyLineInterval.
 	EmptyLineFirst bool
 }
 
@@ -59,8 +60,8 @@
 	return d, d.Move()
 }
 
-// Move lets the agent respond at a new address. The old one accepts no new connections, and those
-// that are open are closed after a grace.
+// Move makes the agent respond at a new address. The old address accepts no new connections, and
+// its open connections are closed after oldAddrGrace.
 func (d *FakeDiscovery) Move() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,14 +87,14 @@
 	d.server.Close()
 }
 
-// Addr returns the address at which the agent responds now.
+// Addr returns the current address of the agent.
 func (d *FakeDiscovery) Addr() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addr
 }
 
-// Publish lists an endpoint, or replaces it.
+// Publish adds an endpoint to the list, or replaces it.
 func (d *FakeDiscovery) Publish(e platform.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,14 +104,14 @@
 	d.changed = make(chan struct{})
 }
 
-// SilenceWatches lets the watches that are open deliver nothing any more.
+// SilenceWatches makes the open watches send nothing more. Their connections stay open.
 func (d *FakeDiscovery) SilenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.epoch++
 }
 
-// BreakWatches breaks the connections of the watches that are open.
+// BreakWatches aborts the connections of the open watches.
 func (d *FakeDiscovery) BreakWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,7 +126,8 @@
 	d.delay = delay
 }
 
-// serve responds with the complete list, or to a watch with the changes as they come.
+// serve responds to a watch with the changes as they occur, and to other requests with the complete
+// list.
 func (d *FakeDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	delay := d.delay
@@ -143,7 +145,7 @@
 	watch.serve(w, r)
 }
 
-// completeList returns the line with the complete list.
+// completeList returns a line with the complete list.
 func (d *FakeDiscovery) completeList() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,7 +153,7 @@
 }
 
 // endpointsAfterLocked returns the endpoints that have changed after a version, in the order of
-// their changes.
+// their changes. The caller must hold d.mu.
 func (d *FakeDiscovery) endpointsAfterLocked(version int64) []platform.Endpoint {
 	var changed []listedEndpoint
 	for _, e := range d.listed {
@@ -167,19 +169,19 @@
 	return endpoints
 }
 
-// listLine returns a message as one line of a response.
+// listLine returns an endpoint list as one line of a response.
 func listLine(list platform.EndpointList) []byte { return append(list.Text(), '\n') }
 
 // fakeWatch is one watch of a FakeDiscovery.
 type fakeWatch struct {
 	discovery *FakeDiscovery
-	version   int64           // that the client knows
-	epoch     int             // in which the watch began
-	broken    <-chan struct{} // closed when the watch breaks
+	version   int64           // list version that the client knows
+	epoch     int             // epoch in which the watch began
+	broken    <-chan struct{} // closed to abort the connection of the watch
 }
 
-// next returns the line with the changes after the version that the client knows, nil if there are
-// none or the watch is silent, and a channel that is closed at the next change.
+// next returns a line with the changes after the version that the client knows, and a channel that
+// is closed at the next change. The line is nil if there are no changes or the watch is silenced.
 func (w *fakeWatch) next() (line []byte, changed <-chan struct{}) {
 	d := w.discovery
 	d.mu.Lock()
@@ -191,13 +193,13 @@
 	return line, d.changed
 }
 
-func (w *fakeWatch) isSilent() bool {
+func (w *fakeWatch) isSilenced() bool {
 	w.discovery.mu.Lock()
 	defer w.discovery.mu.Unlock()
 	return w.discovery.epoch != w.epoch
 }
 
-// serve writes changes, and empty lines while there are none, until the watch ends.
+// serve writes the changes, and empty lines at intervals without changes, until the watch ends.
 func (w *fakeWatch) serve(rw http.ResponseWriter, r *http.Request) {
 	if w.discovery.options.EmptyLineFirst {
 		fmt.Fprintln(rw)
@@ -209,7 +211,7 @@
 		select {
 		case <-changed:
 		case <-time.After(emptyLineInterval):
-			if !w.isSilent() {
+			if !w.isSilenced() {
 				fmt.Fprintln(rw)
 			}
 		case <-w.broken:
--- a/internal/testpeer/fakediscovery_test.go
+++ b/internal/testpeer/fakediscovery_test.go
@@ -18,7 +18,7 @@
 	return d
 }
 
-// call calls discovery and returns the lines of its response.
+// call calls discovery and returns a reader of the response.
 func call(t *testing.T, addr, query string) *bufio.Reader {
 	t.Helper()
 	resp, err := http.Get("http://" + addr + platform.EndpointListPath + "?" + query)
@@ -74,27 +74,28 @@
 	}
 	d.BreakWatches()
 	if line, err := watch.ReadString('\n'); err == nil {
-		t.Errorf("a broken watch delivers %q", line)
+		t.Errorf("a watch delivered %q after its connection was aborted", line)
 	}
 }
 
-// A silent watch delivers neither changes nor empty lines; a new one delivers what it has missed.
+// A silenced watch delivers neither changes nor empty lines. A new watch delivers the changes that
+// the silenced watch did not.
 func TestFakeDiscoverySilencesWatches(t *testing.T) {
 	d := startDiscovery(t)
 	a := ListedEndpoint("a", "127.0.0.1:1", platform.StateReady)
 	d.Publish(a)
-	silent := call(t, d.Addr(), platform.WatchQuery(0))
-	expectLine(t, silent, Changes(1, a))
+	silenced := call(t, d.Addr(), platform.WatchQuery(0))
+	expectLine(t, silenced, Changes(1, a))
 	d.SilenceWatches()
 	a.State = platform.StateDraining
 	d.Publish(a)
 	expectLine(t, call(t, d.Addr(), platform.WatchQuery(1)), Changes(2, a))
-	if silent.Buffered() > 0 {
-		t.Error("a silent watch delivers a change")
+	if silenced.Buffered() > 0 {
+		t.Error("a silenced watch delivered a change")
 	}
 	d.Close()
-	if line, err := silent.ReadString('\n'); err == nil {
-		t.Errorf("a silent watch delivers %q", line)
+	if line, err := silenced.ReadString('\n'); err == nil {
+		t.Errorf("a silenced watch delivered %q", line)
 	}
 }
 
@@ -110,7 +111,7 @@
 	}
 	a := ListedEndpoint("a", "127.0.0.1:1", platform.StateReady)
 	d.Publish(a)
-	expectLine(t, watch, Changes(1, a)) // an open watch goes on for a while
+	expectLine(t, watch, Changes(1, a)) // an open watch continues for oldAddrGrace
 	expectLine(t, call(t, d.Addr(), ""), CompleteList(1, a))
 	if resp, err := http.Get("http://" + old + platform.EndpointListPath); err == nil {
 		resp.Body.Close()
--- a/internal/testpeer/metrics.go
+++ b/internal/testpeer/metrics.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// MetricValue returns the value of a metric in a response of the admin interface, which has a line
-// "NAME VALUE" for it. It ends the test if there is none.
+// MetricValue returns the value of a metric in a response of the admin interface, which contains a
+// line "NAME VALUE" for each metric. It fails the test if there is no such line.
 func MetricValue(t *testing.T, text, name string) int {
 	t.Helper()
 	for line := range strings.Lines(text) {
@@ -21,6 +21,6 @@
 		}
 		return n
 	}
-	t.Fatalf("no %s in %s", name, text)
+	t.Fatalf("metric %s is missing in:\n%s", name, text)
 	return 0
 }
--- a/internal/testpeer/wait.go
+++ b/internal/testpeer/wait.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// WaitTimeout bounds waits for what should come soon. No test that passes comes near it.
+// WaitTimeout bounds waits for events that should occur soon. Passing tests wait much less.
 const WaitTimeout = 20 * time.Second
 
-// WaitUntil polls until condition returns true, for what the kernel or another process does in its
-// own time. It ends the test after WaitTimeout with the description of what was awaited.
+// WaitUntil polls until condition returns true. It is for conditions that depend on the kernel or
+// on another process. After WaitTimeout it fails the test with a description of the condition.
 func WaitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", description)
+			t.Fatalf("timed out waiting for: %s", description)
 		}
 	}
 }
 
-// HasUnreadData reports whether a connection has received bytes that nobody has read, or its end.
-// It is also true for a connection that is closed on this side.
+// HasUnreadData reports whether a connection has received bytes or an end of file that have not
+// been read. It also returns true for a connection that is closed on this side.
 func HasUnreadData(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
