--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -23,12 +23,12 @@
 	daemonStatePath  = "testdata/daemon/state"
 	daemonConfigPath = "testdata/daemon/rowancart.hcl"
 	daemonPool       = "forms"
-	daemonInstance   = "one" // the instance's name in that configuration
+	daemonInstance   = "one" // name of the instance in that configuration
 	storedOwner      = "host-1/" + daemonInstance
 )
 
-// daemonState is the form of the daemon's file, whose type is not exported. Its own names, Owner
-// and Pools among them, are checked by the daemon itself below.
+// daemonState has the structure of the daemon's state file, whose type is not exported. The tests
+// below, which run a daemon, check the names Owner, Pools, Memory and Roster.
 type daemonState struct {
 	Owner string
 	Pools map[string]struct {
@@ -48,7 +48,7 @@
 	checkEncodedAsStored(t, got, content)
 }
 
-// logBuffer collects log lines that several goroutines write.
+// logBuffer collects log lines. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -66,9 +66,9 @@
 	return b.text.String()
 }
 
-// startDaemon runs a daemon with the stored configuration, but a listener and a state file of the
-// test's own, and with the endpoint list that is given in place of the stored one unless it is
-// empty. stop ends it in order.
+// startDaemon runs a daemon with the stored configuration, except that its listener and its state
+// file are replaced. If endpointList is not empty, it replaces the endpoint list of the
+// configuration. stop shuts the daemon down gracefully.
 func startDaemon(t *testing.T, statePath, endpointList string) (d *daemon.Daemon, log *logBuffer, stop func()) {
 	t.Helper()
 	stored, err := os.ReadFile(daemonConfigPath)
@@ -78,7 +78,7 @@
 	text := string(stored)
 	replace := func(from, to string) {
 		if strings.Count(text, from) != 1 {
-			t.Fatalf("%q is not once in the stored configuration", from)
+			t.Fatalf("%q does not occur exactly once in the stored configuration", from)
 		}
 		text = strings.Replace(text, from, to, 1)
 	}
@@ -115,8 +115,9 @@
 	return d, log, stop
 }
 
-// storeState writes a state file of this moment with the stored pools, byte by byte, and an owner.
-// The stored file itself would be refused for its age and its owner, as the test below shows.
+// storeState writes a state file with the stored pools, unchanged, the current time and an owner. A
+// daemon would reject the stored file itself because of its age and its owner (see
+// TestDaemonRejectsUnusableState).
 func storeState(t *testing.T, owner string) (path string, pools []byte) {
 	t.Helper()
 	var content map[string]json.RawMessage
@@ -134,7 +135,7 @@
 	return path, pools
 }
 
-// endpointStatuses returns what the admin listener tells of the only pool's endpoints.
+// endpointStatuses returns the entries of the endpoints of the only pool in the daemon's status.
 func endpointStatuses(t *testing.T, d *daemon.Daemon) (statuses []map[string]any) {
 	t.Helper()
 	text, err := json.Marshal(d.Status())
@@ -162,7 +163,7 @@
 	path, pools := storeState(t, thisOwner(t))
 	d, log, stop := startDaemon(t, path, "")
 	if !strings.Contains(log.String(), `msg="snapshot restored"`) {
-		t.Fatalf("the state is not used:\n%s", log)
+		t.Fatalf("the stored state was not restored:\n%s", log)
 	}
 	inactive := map[any]any{}
 	for _, endpoint := range endpointStatuses(t, d) {
@@ -171,21 +172,21 @@
 	stored := object(t, decode(t, pools), daemonPool, "Memory", "Learned")
 	for i := range stored["Endpoints"].([]any) {
 		endpoint := object(t, stored, "Endpoints", i)
-		if why := inactive[endpoint["ID"]]; (why == nil) != endpoint["Active"] {
-			t.Errorf("endpoint %v: out %v, stored is active %v", endpoint["ID"], why, endpoint["Active"])
+		if reason := inactive[endpoint["ID"]]; (reason == nil) != endpoint["Active"] {
+			t.Errorf("endpoint %v: inactive for reason %v, want active: %v", endpoint["ID"], reason, endpoint["Active"])
 		}
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	stop() // it writes its state once more
+	stop() // the daemon writes its state again
 
 	var written daemonState
 	if _, err := snapshot.Read(path, time.Now(), time.Minute, &written); err != nil {
 		t.Fatal(err)
 	}
 	pool := written.Pools[daemonPool]
-	checkLearnedState(t, pool.Memory.Learned, stored, fadedSince(restored))
+	checkLearnedState(t, pool.Memory.Learned, stored, decayTolerance(restored))
 	var content any
 	if _, err := snapshot.Read(path, time.Now(), time.Minute, &content); err != nil {
 		t.Fatal(err)
@@ -194,54 +195,54 @@
 	readSnapshot(t, daemonStatePath, &before)
 	checkSameNames(t, "state", content, before)
 	if owner := content.(map[string]any)["Owner"]; owner != thisOwner(t) {
-		t.Errorf("owner %q", owner)
+		t.Errorf("written owner is %q", owner)
 	}
 }
 
-// A roster that cannot be read at the start stands as the stored state lists it.
-func TestDaemonBeginsWithStoredRoster(t *testing.T) {
+// A daemon that cannot read its endpoint list at start-up uses the list in its stored state.
+func TestDaemonStartsWithStoredEndpointList(t *testing.T) {
 	path, pools := storeState(t, thisOwner(t))
-	noFile := filepath.Join(t.TempDir(), "none.json")
-	d, log, _ := startDaemon(t, path, fmt.Sprintf("roster \"file\" {\n    path = %q\n  }", noFile))
+	missingFile := filepath.Join(t.TempDir(), "none.json")
+	d, log, _ := startDaemon(t, path, fmt.Sprintf("roster \"file\" {\n    path = %q\n  }", missingFile))
 	statuses := endpointStatuses(t, d)
 	stored := object(t, decode(t, pools), daemonPool)
 	if len(statuses) != len(stored["Roster"].([]any)) {
-		t.Fatalf("%v\n%s", statuses, log)
+		t.Fatalf("endpoints %v, log:\n%s", statuses, log)
 	}
 	for i, endpoint := range statuses {
 		want := object(t, stored, "Roster", i)
 		if endpoint["id"] != want["ID"] || endpoint["address"] != want["Addr"] || endpoint["state"] != "ready" {
-			t.Errorf("%v, stored is %v", endpoint, want)
+			t.Errorf("endpoint %v, want %v", endpoint, want)
 		}
 	}
 }
 
-// A state that the program refused before is refused now, and for the same reason.
-func TestDaemonRefusesStateAsBefore(t *testing.T) {
+// A state that is too old, or that another instance wrote, is rejected, and the reason is logged.
+func TestDaemonRejectsUnusableState(t *testing.T) {
 	now := time.Now()
 	written, _ := writtenAt(t, daemonStatePath)
-	refusal := "too old"
-	if now.Before(written) { // by a clock that is behind the one that wrote it
-		refusal = "written in the future"
+	ageReason := "too old"
+	if now.Before(written) { // this machine's clock is behind the clock that wrote the state
+		ageReason = "written in the future"
 	}
 	stored, err := os.ReadFile(daemonStatePath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	asStored := filepath.Join(t.TempDir(), "state")
-	if err := os.WriteFile(asStored, stored, 0o600); err != nil {
+	storedCopy := filepath.Join(t.TempDir(), "state")
+	if err := os.WriteFile(storedCopy, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ofOther, _ := storeState(t, storedOwner)
-	for name, row := range map[string]struct{ path, refusal string }{
-		"as stored":           {asStored, refusal},
-		"of another instance": {ofOther, "it is " + storedOwner + "'s, and this is " + thisOwner(t)},
+	otherOwner, _ := storeState(t, storedOwner)
+	for name, row := range map[string]struct{ path, reason string }{
+		"as stored":           {storedCopy, ageReason},
+		"of another instance": {otherOwner, "it is " + storedOwner + "'s, and this is " + thisOwner(t)},
 	} {
 		_, log, stop := startDaemon(t, row.path, "")
 		testpeer.WaitUntil(t, "listening", func() bool { return strings.Contains(log.String(), "listening") })
-		for _, want := range []string{`msg="snapshot not restored"`, row.refusal} {
+		for _, want := range []string{`msg="snapshot not restored"`, row.reason} {
 			if !strings.Contains(log.String(), want) {
-				t.Errorf("%s: %q is not logged:\n%s", name, want, log)
+				t.Errorf("state %s: %q was not logged:\n%s", name, want, log)
 			}
 		}
 		stop()
--- a/internal/compatibility/doc.go
+++ b/internal/compatibility/doc.go
@@ -1,8 +1,8 @@
-// Package compatibility holds tests only: they show that this program reads what earlier versions
-// of it stored, and writes it under the same names. The stored files are in testdata, with a page
-// that says which version wrote them and how.
+// Package compatibility contains only tests. They check that this program reads the files that
+// earlier versions of it stored, and writes them with the same names. The stored files are in
+// testdata; the README there says which version wrote them and how.
 //
-// A stored name is a struct tag beside the field that holds its value. Renaming the field in the
-// code changes nothing; changing the tag loses what is stored on every machine at its next upgrade,
-// and fails here.
+// Each stored name is the struct tag of the field that holds its value. Renaming the field in the
+// code does no harm. Changing the tag would lose the stored data on every machine at its next
+// upgrade, and makes these tests fail.
 package compatibility
--- a/internal/compatibility/json_test.go
+++ b/internal/compatibility/json_test.go
@@ -14,9 +14,9 @@
 	"rowancart/internal/snapshot"
 )
 
-// readAge is how long before the reading a stored file was written, as the tests tell
-// snapshot.Read. The files stay as they are: the time of reading is taken from their own time of
-// writing, since none would be fresh enough on another day.
+// readAge is the age of a stored file when the tests read it. The files are never rewritten and
+// would otherwise be too old, so the tests pass snapshot.Read a current time that is readAge after
+// the file's time of writing.
 const readAge = 2 * time.Second
 
 // writtenAt returns the time at which a snapshot file was written, and its content.
@@ -36,8 +36,8 @@
 	return time.UnixMilli(header.WrittenMs), content
 }
 
-// readSnapshot reads a stored snapshot file into value, readAge after it was written, and returns
-// its content as it is in the file.
+// readSnapshot reads a stored snapshot file into value, at an age of readAge. It returns
+// the raw content of the file.
 func readSnapshot(t *testing.T, path string, value any) []byte {
 	t.Helper()
 	written, content := writtenAt(t, path)
@@ -48,7 +48,7 @@
 	return content
 }
 
-// decode returns JSON as maps, slices and numbers that keep every digit.
+// decode decodes JSON into maps, slices and numbers that keep every digit.
 func decode(t *testing.T, text []byte) any {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -60,9 +60,9 @@
 	return value
 }
 
-// checkEncodedAsStored checks that value, which was read from a file, is encoded with the file's
-// names and values, all of them and no others. A field that is stored under another name now would
-// have been read as zero and be encoded under its new name.
+// checkEncodedAsStored checks that value, which was read from a file, is encoded with exactly the
+// names and values of the file. If the stored name of a field had changed, the field would have
+// been read as zero and would be encoded under its new name.
 func checkEncodedAsStored(t *testing.T, value any, stored []byte) {
 	t.Helper()
 	encoded, err := json.Marshal(value)
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	if got, want := decode(t, encoded), decode(t, stored); !reflect.DeepEqual(got, want) {
-		t.Errorf("encoded as\n%s\nand stored is\n%s", encoded, stored)
+		t.Errorf("encoded as\n%s\nwant, as stored,\n%s", encoded, stored)
 	}
 }
 
@@ -97,14 +97,14 @@
 	return found
 }
 
-// checkNumbers checks fields against the numbers that a file stores. A difference of tolerance, as
-// a share, is let pass: what is restored fades as time passes.
+// checkNumbers checks fields against the numbers in a file. tolerance is the permitted relative
+// difference, because restored values decay with time.
 func checkNumbers(t *testing.T, what string, stored map[string]any, tolerance float64, got map[string]float64) {
 	t.Helper()
 	for name, number := range got {
 		text, ok := stored[name].(json.Number)
 		if !ok {
-			t.Errorf("%s: no number %s is stored", what, name)
+			t.Errorf("%s: the file contains no number %s", what, name)
 			continue
 		}
 		want, err := text.Float64()
@@ -112,12 +112,12 @@
 			t.Fatal(err)
 		}
 		if math.Abs(number-want) > tolerance*math.Abs(want) {
-			t.Errorf("%s: %s is %v, stored is %v", what, name, number, want)
+			t.Errorf("%s: %s is %v, want %v", what, name, number, want)
 		}
 	}
 }
 
-// copyTree copies a folder of stored files to a folder of the test's own.
+// copyTree copies a folder of stored files to a temporary folder of the test.
 func copyTree(t *testing.T, from string) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), filepath.Base(from))
@@ -127,8 +127,8 @@
 	return to
 }
 
-// checkSameNames checks that two JSON values have the same names of fields at every level, and
-// equal lengths of lists.
+// checkSameNames checks that two JSON values have the same field names at every level, and lists of
+// the same length.
 func checkSameNames(t *testing.T, path string, got, want any) {
 	t.Helper()
 	switch want := want.(type) {
@@ -136,12 +136,12 @@
 		got, _ := got.(map[string]any)
 		for name := range got {
 			if _, stored := want[name]; !stored {
-				t.Errorf("%s: %s is written and was not stored", path, name)
+				t.Errorf("%s: %s is written but was not stored", path, name)
 			}
 		}
 		for name := range want {
 			if _, written := got[name]; !written {
-				t.Errorf("%s: %s was stored and is not written", path, name)
+				t.Errorf("%s: %s was stored but is not written", path, name)
 				continue
 			}
 			checkSameNames(t, path+"."+name, got[name], want[name])
@@ -149,7 +149,7 @@
 	case []any:
 		got, _ := got.([]any)
 		if len(got) != len(want) {
-			t.Errorf("%s: %d elements, stored are %d", path, len(got), len(want))
+			t.Errorf("%s: %d elements, want %d", path, len(got), len(want))
 			return
 		}
 		for i := range want {
--- a/internal/compatibility/presence_test.go
+++ b/internal/compatibility/presence_test.go
@@ -13,14 +13,14 @@
 	"rowancart/internal/hotrestart"
 )
 
-// lockPresence locks the presence file of the stored sidecar, as that process did, after
-// renaming it to begin with a prefix. It returns the start that the file's name says.
+// lockPresence replaces the prefix of the stored sidecar's presence file, and locks the file as
+// that process did. It returns the file and the start time in its name.
 func lockPresence(t *testing.T, dir, prefix string) (file *os.File, started time.Time) {
 	t.Helper()
 	const storedPrefix = "serving-"
 	files, err := filepath.Glob(filepath.Join(dir, "rowancart-"+sidecarName, storedPrefix+"*"))
 	if err != nil || len(files) != 1 {
-		t.Fatalf("%q, %v", files, err)
+		t.Fatalf("presence files %q, error %v", files, err)
 	}
 	stamp := strings.TrimPrefix(filepath.Base(files[0]), storedPrefix)
 	path := filepath.Join(filepath.Dir(files[0]), prefix+stamp)
@@ -42,64 +42,65 @@
 	return file, time.Unix(0, n)
 }
 
-// The earlier program registers by a locked file. This one must see it as a peer process, as its
-// successor where it serves and has registered later, and as exited once the lock is released.
-// Where its stamp is later though it registered before, the clock was set back.
+// A process of an earlier version registers with a locked presence file. This version must see it
+// as a peer process, as a serving successor if it registered later and serves requests, and as
+// exited once the lock is released. If the clock was set back, its stamp is later although it
+// registered earlier.
 func TestPresenceOfEarlierProgramIsSeen(t *testing.T) {
 	none := hotrestart.PeerProcesses{}
 	running := hotrestart.PeerProcesses{Running: true}
 	successorServes := hotrestart.PeerProcesses{Running: true, SuccessorServes: true}
 	for name, row := range map[string]struct {
-		prefix    string
-		stampedBy time.Duration // of the earlier program's process, after this one
-		isLater   bool          // it registers after this one
-		want      hotrestart.PeerProcesses
+		prefix         string
+		startOffset    time.Duration // start time of the earlier version's process relative to this one
+		registersLater bool          // the earlier version's process registers after this one
+		want           hotrestart.PeerProcesses
 	}{
-		"serving, started before":      {"serving-", -time.Second, false, running},
-		"serving, started later":       {"serving-", time.Second, true, successorServes},
-		"starting, started before":     {"starting-", -time.Second, false, running},
-		"starting, started later":      {"starting-", time.Second, true, running},
-		"serving, before a step back":  {"serving-", time.Hour, false, running},
-		"starting, before a step back": {"starting-", time.Hour, false, running},
-		"not locked yet":               {"entering-", -time.Second, false, none},
+		"serving, started before":  {"serving-", -time.Second, false, running},
+		"serving, started later":   {"serving-", time.Second, true, successorServes},
+		"starting, started before": {"starting-", -time.Second, false, running},
+		"starting, started later":  {"starting-", time.Second, true, running},
+		"serving, clock set back":  {"serving-", time.Hour, false, running},
+		"starting, clock set back": {"starting-", time.Hour, false, running},
+		"not locked yet":           {"entering-", -time.Second, false, none},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dir, apart := copyTree(t, sidecarDir), copyTree(t, sidecarDir)
-			earlier, started := lockPresence(t, apart, row.prefix)
+			dir, earlierDir := copyTree(t, sidecarDir), copyTree(t, sidecarDir)
+			earlier, started := lockPresence(t, earlierDir, row.prefix)
 			removePresence(t, dir)
-			arrive := func() { movePresence(t, apart, dir) }
-			if !row.isLater {
-				arrive()
+			addEarlier := func() { movePresence(t, earlierDir, dir) }
+			if !row.registersLater {
+				addEarlier()
 			}
 			shared, err := hotrestart.OpenSharedDir(dir, sidecarName)
 			if err != nil {
 				t.Fatal(err)
 			}
-			presence, err := shared.Register(started.Add(-row.stampedBy))
+			presence, err := shared.Register(started.Add(-row.startOffset))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer presence.Unregister()
-			if row.isLater {
-				arrive()
+			if row.registersLater {
+				addEarlier()
 			}
 			if got, err := presence.PeerProcesses(); err != nil || got != row.want {
-				t.Errorf("%+v, want %+v; %v", got, row.want, err)
+				t.Errorf("peer processes %+v, want %+v; error %v", got, row.want, err)
 			}
 			earlier.Close()
 			if got, err := presence.PeerProcesses(); err != nil || got != none {
-				t.Errorf("after its exit: %+v, %v", got, err)
+				t.Errorf("after the other process exited: peer processes %+v, error %v", got, err)
 			}
 		})
 	}
 }
 
-// presenceFiles returns the presence files in the shared directory below dir.
+// presenceFiles returns the paths of the presence files in the shared directory below dir.
 func presenceFiles(t *testing.T, dir string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "rowancart-"+sidecarName, "*ing-*"))
 	if err != nil || len(files) != 1 {
-		t.Fatalf("presence files: %q, %v", files, err)
+		t.Fatalf("presence files %q, want one; error %v", files, err)
 	}
 	return files
 }
@@ -111,8 +112,8 @@
 	}
 }
 
-// movePresence moves a presence file from one copy of the stored directories to another. A lock on
-// it stays.
+// movePresence moves the presence file from one copy of the stored directories to another. A lock
+// on the file is kept.
 func movePresence(t *testing.T, from, to string) {
 	t.Helper()
 	path := presenceFiles(t, from)[0]
@@ -121,7 +122,7 @@
 	}
 }
 
-// The earlier program sees this one by the names of its files.
+// An earlier version finds the process of this one by the name of its presence file.
 func TestPresenceIsWrittenAsStored(t *testing.T) {
 	dir := t.TempDir()
 	shared, err := hotrestart.OpenSharedDir(dir, sidecarName)
@@ -139,7 +140,7 @@
 		files, err := filepath.Glob(filepath.Join(dir, "rowancart-"+sidecarName, "*-*"))
 		want := fmt.Sprintf("%s01796189524954980088-%d", prefix, os.Getpid())
 		if err != nil || len(files) != 1 || filepath.Base(files[0]) != want {
-			t.Errorf("%q, want %s; %v", files, want, err)
+			t.Errorf("presence files %q, want %s; error %v", files, want, err)
 		}
 	}
 	checkName("starting-")
--- a/internal/compatibility/report_test.go
+++ b/internal/compatibility/report_test.go
@@ -13,7 +13,7 @@
 	"rowancart/internal/experiment/report"
 )
 
-// storedReports are reports that together hold every field.
+// storedReports are the names of reports that together contain every field.
 var storedReports = []string{"calm.json", "sweep.json", "sockets-stopped.json", "sockets-void.json"}
 
 func reportPath(name string) string { return filepath.Join("testdata/report", name) }
@@ -30,35 +30,35 @@
 				t.Fatal(err)
 			}
 			checkEncodedAsStored(t, got, stored)
-			again := filepath.Join(t.TempDir(), name)
-			if err := got.WriteJSON(again); err != nil {
+			rewritten := filepath.Join(t.TempDir(), name)
+			if err := got.WriteJSON(rewritten); err != nil {
 				t.Fatal(err)
 			}
-			written, err := os.ReadFile(again)
+			written, err := os.ReadFile(rewritten)
 			if err != nil || !bytes.Equal(written, stored) {
-				t.Errorf("written again, the report has other bytes, %v", err)
+				t.Errorf("the rewritten report differs from the stored one, error %v", err)
 			}
 		})
 	}
 }
 
-// storedArms returns the arms of a stored report's only point, by name.
-func storedArms(t *testing.T, name string) map[string]map[string]any {
+// storedVariants returns the variants in a stored report with one point, by name.
+func storedVariants(t *testing.T, name string) map[string]map[string]any {
 	t.Helper()
 	stored, err := os.ReadFile(reportPath(name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	value := decode(t, stored)
-	arms := map[string]map[string]any{}
+	variants := map[string]map[string]any{}
 	for i := range object(t, value)["arms"].([]any) {
-		arm := object(t, value, "arms", i)
-		arms[arm["name"].(string)] = arm
+		variant := object(t, value, "arms", i)
+		variants[variant["name"].(string)] = variant
 	}
-	return arms
+	return variants
 }
 
-// number returns a stored number.
+// number returns a number in a stored JSON object.
 func number(t *testing.T, holder map[string]any, name string) float64 {
 	t.Helper()
 	text, _ := holder[name].(json.Number)
@@ -69,7 +69,7 @@
 	return value
 }
 
-// The table on a terminal shows the stored numbers, each in its column.
+// The text form of a report is a table with each stored number in its column.
 func TestReportTextHasStoredNumbers(t *testing.T) {
 	got, err := report.ReadJSON(reportPath("calm.json"))
 	if err != nil {
@@ -83,24 +83,25 @@
 			rows[columns[0]] = columns[1:]
 		}
 	}
-	for name, arm := range storedArms(t, "calm.json") {
-		offered := number(t, arm, "offered")
+	for name, variant := range storedVariants(t, "calm.json") {
+		offered := number(t, variant, "offered")
 		want := []string{fmt.Sprintf("%.0f", offered)}
 		for _, field := range []string{"served_in_time", "late", "refused", "failed"} {
-			want = append(want, fmt.Sprintf("%.2f%%", 100*number(t, arm, field)/offered))
+			want = append(want, fmt.Sprintf("%.2f%%", 100*number(t, variant, field)/offered))
 		}
-		want = append(want, fmt.Sprintf("%.4f", number(t, arm, "worth")))
+		want = append(want, fmt.Sprintf("%.4f", number(t, variant, "worth")))
 		for _, field := range []string{"p50", "p90", "p99", "p999"} {
-			want = append(want, fmt.Sprintf("%.1f", number(t, object(t, arm, "latency_ms"), field)))
+			want = append(want, fmt.Sprintf("%.1f", number(t, object(t, variant, "latency_ms"), field)))
 		}
-		want = append(want, fmt.Sprintf("%.3f", number(t, arm, "attempts_per_request")))
+		want = append(want, fmt.Sprintf("%.3f", number(t, variant, "attempts_per_request")))
 		if fmt.Sprint(rows[name]) != fmt.Sprint(want) {
-			t.Errorf("%s: %v, stored is %v", name, rows[name], want)
+			t.Errorf("%s: columns %v, want %v", name, rows[name], want)
 		}
 	}
 }
 
-// Two stored reports can be told apart, and one of them from itself cannot.
+// A stored report has no differences from itself, and is not compared with one of another
+// experiment.
 func TestStoredReportsAreCompared(t *testing.T) {
 	stored, err := report.ReadJSON(reportPath("sweep.json"))
 	if err != nil {
@@ -108,10 +109,10 @@
 	}
 	differences, err := report.Compare(stored, stored)
 	if err != nil || len(differences) == 0 {
-		t.Fatalf("%d differences, %v", len(differences), err)
+		t.Fatalf("%d rows of differences, error %v", len(differences), err)
 	}
 	for _, d := range differences {
-		if d.A != d.B || math.IsNaN(d.Noise) { // two repeats: noise can be told
+		if d.A != d.B || math.IsNaN(d.Noise) { // two repeats, so the noise is known
 			t.Errorf("a report differs from itself: %+v", d)
 		}
 	}
@@ -120,6 +121,6 @@
 		t.Fatal(err)
 	}
 	if _, err := report.Compare(stored, other); err == nil {
-		t.Error("reports of two experiments were compared")
+		t.Error("Compare returned no error for reports of different experiments")
 	}
 }
--- a/internal/compatibility/search_test.go
+++ b/internal/compatibility/search_test.go
@@ -32,18 +32,18 @@
 	for line := range bytes.Lines(text) {
 		stored[object(t, decode(t, line))["site"]] = line
 	}
-	delete(stored, nil) // the first line, which is no site's
+	delete(stored, nil) // the first line is a header, not a site
 	if len(sites) != searchSites || len(stored) != searchSites {
-		t.Fatalf("%d sites, stored are %d", len(sites), len(stored))
+		t.Fatalf("%d sites read, %d stored", len(sites), len(stored))
 	}
-	for i, site := range sites { // in order
+	for i, site := range sites { // in the order of their numbers
 		checkEncodedAsStored(t, site, stored[json.Number(strconv.Itoa(i))])
 	}
 }
 
-// A search goes on with stored results: sites that were played are not played again, and results of
-// another search are refused.
-func TestSearchGoesOnWithStoredResults(t *testing.T) {
+// A search resumes from stored results: sites that have results are not run again. Results of a
+// search with another seed or other bounds are rejected.
+func TestSearchResumesFromStoredResults(t *testing.T) {
 	stored, err := os.ReadFile(searchResultsPath)
 	if err != nil {
 		t.Fatal(err)
@@ -55,9 +55,9 @@
 	otherBounds := *bounds
 	otherBounds.Digest++
 	for name, row := range map[string]struct {
-		bounds  *search.Bounds
-		seed    uint64
-		refused bool
+		bounds   *search.Bounds
+		seed     uint64
+		rejected bool
 	}{
 		"the same search": {bounds, searchSeed, false},
 		"another seed":    {bounds, searchSeed + 1, true},
@@ -68,16 +68,16 @@
 			t.Fatal(err)
 		}
 		options := search.Options{Seed: row.seed, To: searchSites, Out: path}
-		if err := search.Run(context.Background(), row.bounds, options); (err != nil) != row.refused {
-			t.Errorf("%s: %v", name, err)
+		if err := search.Run(context.Background(), row.bounds, options); (err != nil) != row.rejected {
+			t.Errorf("%s: error %v", name, err)
 		}
 		if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, stored) {
-			t.Errorf("%s: the results are changed, %v", name, err)
+			t.Errorf("%s: the stored results were changed, error %v", name, err)
 		}
 	}
 }
 
-// A first line that is written now is the stored one: results can go back to the earlier program.
+// The header of new results is the stored one, so that an earlier version can read them.
 func TestSearchHeaderIsWrittenAsStored(t *testing.T) {
 	stored, err := os.ReadFile(searchResultsPath)
 	if err != nil {
@@ -93,6 +93,6 @@
 	}
 	first, _, _ := bytes.Cut(stored, []byte("\n"))
 	if written, err := os.ReadFile(path); err != nil || string(written) != string(first)+"\n" {
-		t.Errorf("%q, stored is %q, %v", written, first, err)
+		t.Errorf("header %q, want %q, error %v", written, first, err)
 	}
 }
--- a/internal/compatibility/sidecar_test.go
+++ b/internal/compatibility/sidecar_test.go
@@ -15,19 +15,18 @@
 )
 
 const (
-	// sidecarDir is a copy of the directory that TMPDIR names, of a sidecar of that name while it
-	// served.
+	// sidecarDir is a copy of a sidecar's TMPDIR directory, made while the sidecar served requests.
 	sidecarDir  = "testdata/sidecar"
 	sidecarName = "t"
-	disabledID  = "b-3/x" // disabled through that sidecar's admin interface
+	disabledID  = "b-3/x" // ID of the endpoint that was disabled through the sidecar's admin interface
 )
 
-// fadedSince returns how far, as a share, restored values may be from the stored ones by now:
-// samples fade and ages grow while the test runs, by no more than a fifth of their value in a
-// second.
-func fadedSince(restored time.Time) float64 { return 0.001 + time.Since(restored).Seconds()/5 }
+// decayTolerance returns the relative difference that is permitted between stored values and values
+// that were restored at the given time. While the test runs, samples decay and ages grow, by at
+// most a fifth of their value per second.
+func decayTolerance(restored time.Time) float64 { return 0.001 + time.Since(restored).Seconds()/5 }
 
-// openSharedDir returns a copy of the directory as the program finds it.
+// openSharedDir opens a copy of the stored shared directory.
 func openSharedDir(t *testing.T) *hotrestart.SharedDir {
 	t.Helper()
 	shared, err := hotrestart.OpenSharedDir(copyTree(t, sidecarDir), sidecarName)
@@ -44,7 +43,7 @@
 	return stored, content
 }
 
-// checkLearnedState checks every field of learned state against the stored JSON object of it.
+// checkLearnedState checks every field of learned state against the stored JSON object.
 func checkLearnedState(t *testing.T, got balancer.LearnedState, learned map[string]any, tolerance float64) {
 	t.Helper()
 	checkNumbers(t, "learned state", learned, tolerance, map[string]float64{"Room": got.ConcurrencyLimit,
@@ -52,12 +51,12 @@
 	for name, length := range map[string]int{"Works": len(got.Works), "Kinds": len(got.Kinds),
 		"Endpoints": len(got.Endpoints)} {
 		if stored, _ := learned[name].([]any); len(stored) != length || length == 0 {
-			t.Fatalf("%s: %d, stored are %d", name, length, len(stored))
+			t.Fatalf("%s: %d elements, stored are %d", name, length, len(stored))
 		}
 	}
 	checkName := func(stored map[string]any, field, name string) {
 		if stored[field] != name {
-			t.Errorf("%s is %q, stored is %q", field, name, stored[field])
+			t.Errorf("%s is %q, want %q", field, name, stored[field])
 		}
 	}
 	for i, work := range got.Works {
@@ -78,12 +77,12 @@
 		checkNumbers(t, "endpoint "+endpoint.ID, stored, tolerance, map[string]float64{"Sum": endpoint.Sum,
 			"Samples": endpoint.Samples, "Errors": endpoint.Errors, "Outcomes": endpoint.Outcomes})
 		if stored["Active"] != endpoint.Active {
-			t.Errorf("endpoint %s: active %v, stored is %v", endpoint.ID, endpoint.Active, stored["Active"])
+			t.Errorf("endpoint %s: active %v, want %v", endpoint.ID, endpoint.Active, stored["Active"])
 		}
 	}
 }
 
-// checkEndpoints checks listed endpoints against the stored list of them.
+// checkEndpoints checks listed endpoints against the stored list in field name of a JSON object.
 func checkEndpoints(t *testing.T, got []proxy.Endpoint, holder map[string]any, name string) {
 	t.Helper()
 	if stored, _ := holder[name].([]any); len(stored) != len(got) || len(got) == 0 {
@@ -94,7 +93,7 @@
 		for field, text := range map[string]string{"ID": endpoint.ID, "Addr": endpoint.Addr, "Zone": endpoint.Zone,
 			"Kind": endpoint.Kind} {
 			if stored[field] != text {
-				t.Errorf("endpoint %s: %s is %q, stored is %q", endpoint.ID, field, text, stored[field])
+				t.Errorf("endpoint %s: %s is %q, want %q", endpoint.ID, field, text, stored[field])
 			}
 		}
 		checkNumbers(t, "endpoint "+endpoint.ID, stored, 0, map[string]float64{"Cell": float64(endpoint.Cell),
@@ -112,13 +111,13 @@
 	for _, endpoint := range got.Endpoints {
 		states[endpoint.ID] = endpoint.State
 	}
-	if states["a-1"] != balancer.Ready || states["c-1"] != balancer.Draining { // their numbers are what is stored
+	if states["a-1"] != balancer.Ready || states["c-1"] != balancer.Draining { // states are stored as numbers
 		t.Errorf("states %v", states)
 	}
 }
 
-// newPool returns a pool with the endpoints that a snapshot lists and the classes that the stored
-// sidecar had. Nothing is sent: nobody may listen at the stored addresses.
+// newPool returns a pool with the endpoints of a snapshot and the classes of the stored sidecar. No
+// request is sent, because possibly nothing listens at the stored addresses.
 func newPool(t *testing.T, endpoints []proxy.Endpoint) *proxy.Pool {
 	t.Helper()
 	settings := balancer.Settings{MaxAttempts: 4, CancelAllowed: true, Classes: []balancer.Class{
@@ -139,13 +138,13 @@
 	stored, content := readSidecarSnapshot(t)
 	pool := newPool(t, stored.Endpoints)
 	if learned := pool.Snapshot().Learned; learned.Works != nil || learned.Kinds != nil {
-		t.Fatalf("a new pool has learned %+v", learned)
+		t.Fatalf("a new pool has learned state %+v", learned)
 	}
 	pool.Disable(disabledID)
 	restored := time.Now()
 	pool.Restore(stored, 0)
 	learned := pool.Snapshot().Learned
-	checkLearnedState(t, learned, object(t, decode(t, content), "Learned"), fadedSince(restored))
+	checkLearnedState(t, learned, object(t, decode(t, content), "Learned"), decayTolerance(restored))
 
 	inactive := map[string]balancer.InactiveReason{}
 	for _, status := range pool.Endpoints() {
@@ -153,16 +152,16 @@
 	}
 	for _, endpoint := range stored.Learned.Endpoints {
 		if active := inactive[endpoint.ID] == ""; active != endpoint.Active {
-			t.Errorf("endpoint %s: %q, and stored is active %v", endpoint.ID, inactive[endpoint.ID], endpoint.Active)
+			t.Errorf("endpoint %s: inactive for reason %q, want active: %v", endpoint.ID, inactive[endpoint.ID], endpoint.Active)
 		}
 	}
 	if inactive[disabledID] != balancer.InactiveDisabled {
-		t.Errorf("the disabled endpoint: %q", inactive[disabledID])
+		t.Errorf("the disabled endpoint is inactive for reason %q", inactive[disabledID])
 	}
 }
 
-// What was stored of an endpoint that has another address now, or has started since, is about
-// another process.
+// Learned state of an endpoint that has another address now, or another start time, belongs to
+// another process and must not be restored.
 func TestPoolRestoresOnlyTheSameEndpoints(t *testing.T) {
 	stored, _ := readSidecarSnapshot(t)
 	for name, change := range map[string]func(*proxy.Endpoint){
@@ -192,18 +191,18 @@
 func TestSidecarDisabledEndpointsAreRead(t *testing.T) {
 	disabled, err := openSharedDir(t).Disabled()
 	if err != nil || !slices.Equal(disabled.IDs, []string{disabledID}) || len(disabled.ForeignFiles) != 0 {
-		t.Errorf("%+v, %v", disabled, err)
+		t.Errorf("disabled endpoints %+v, error %v", disabled, err)
 	}
 	shared := openSharedDir(t)
 	if err := shared.Enable(disabledID); err != nil {
 		t.Fatal(err)
 	}
 	if disabled, err := shared.Disabled(); err != nil || len(disabled.IDs) != 0 {
-		t.Errorf("after enabling it: %+v, %v", disabled, err)
+		t.Errorf("after Enable: disabled endpoints %+v, error %v", disabled, err)
 	}
 }
 
-// The file of a disabled endpoint has the name that the earlier program gave it.
+// The file of a disabled endpoint has the same name as in earlier versions.
 func TestSidecarDisabledEndpointsAreWrittenAsStored(t *testing.T) {
 	dir := t.TempDir()
 	shared, err := hotrestart.OpenSharedDir(dir, sidecarName)
@@ -224,6 +223,6 @@
 		return names
 	}
 	if got, want := names(dir), names(sidecarDir); !slices.Equal(got, want) {
-		t.Errorf("%q, stored is %q", got, want)
+		t.Errorf("file names %q, want %q", got, want)
 	}
 }
--- a/internal/compatibility/supervisor_test.go
+++ b/internal/compatibility/supervisor_test.go
@@ -23,16 +23,16 @@
 
 const supervisorStateName = "fleet.state"
 
-// standIn is a process that stands for an instance.
-type standIn struct {
+// placeholder is a process that takes the place of an instance.
+type placeholder struct {
 	*exec.Cmd
 	ended chan error
 }
 
-// startStandIn starts one, and returns also its start in ticks after boot.
-func startStandIn(t *testing.T) (instance standIn, since uint64) {
+// startPlaceholder starts a placeholder. It also returns its start time in clock ticks after boot.
+func startPlaceholder(t *testing.T) (instance placeholder, since uint64) {
 	t.Helper()
-	instance = standIn{exec.Command("sleep", "60"), make(chan error, 1)}
+	instance = placeholder{exec.Command("sleep", "60"), make(chan error, 1)}
 	if err := instance.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	_, rest, _ := strings.Cut(string(status), ") ")
-	const startTime = 19 // the index of starttime behind the command's name, by proc(5)
+	const startTime = 19 // index of the field starttime after the command name, see proc(5)
 	if since, err = strconv.ParseUint(strings.Fields(rest)[startTime], 10, 64); err != nil {
 		t.Fatal(err)
 	}
@@ -51,8 +51,8 @@
 	return instance, since
 }
 
-// storedInstances returns the stored content, its list of instances, and that list's elements,
-// which are the same maps.
+// storedInstances returns the stored content, and the elements of its list of instances, which
+// share their maps with the content.
 func storedInstances(t *testing.T) (content any, instances []map[string]any) {
 	t.Helper()
 	readSnapshot(t, filepath.Join("testdata/supervisor", supervisorStateName), &content)
@@ -62,19 +62,20 @@
 	return content, instances
 }
 
-// storeStandIns puts stand-ins into the place of the stored processes, which are long gone, under
-// the stored names, and returns the content.
-func storeStandIns(t *testing.T, path string, writtenAt time.Time) (standIns []standIn, stored []byte) {
+// storePlaceholders writes a state file in which placeholders replace the stored processes, which
+// have exited long ago. The field names are the stored ones. It returns the placeholders and the
+// content of the file.
+func storePlaceholders(t *testing.T, path string, writtenAt time.Time) (placeholders []placeholder, stored []byte) {
 	t.Helper()
 	content, instances := storedInstances(t)
 	for i, instance := range instances {
 		for name, value := range instance {
 			if n, _ := value.(float64); n <= 0 {
-				t.Fatalf("instance %d: %s is %v", i, name, value)
+				t.Fatalf("instance %d: field %s is %v, want a positive number", i, name, value)
 			}
 		}
-		process, since := startStandIn(t)
-		standIns = append(standIns, process)
+		process, since := startPlaceholder(t)
+		placeholders = append(placeholders, process)
 		instance["Pid"], instance["Since"] = process.Process.Pid, since
 	}
 	if err := snapshot.Write(path, writtenAt, content); err != nil {
@@ -84,11 +85,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return standIns, stored
+	return placeholders, stored
 }
 
-// runSupervisor runs a supervisor of a folder with that many instances until the returned function
-// is called.
+// runSupervisor runs a supervisor of a folder with the given number of instances until stop is
+// called.
 func runSupervisor(t *testing.T, folder string, instances int) (stop func()) {
 	t.Helper()
 	path := filepath.Join(folder, "fleet.hcl")
@@ -120,38 +121,38 @@
 	return stop
 }
 
-// A supervisor adopts the processes that an earlier one's state tells of, writes them under the
-// same names, and ends them at its own end.
+// A supervisor adopts the processes in the state file of an earlier supervisor, writes them with
+// the same field names, and terminates them when it stops.
 func TestSupervisorAdoptsInstancesOfStoredState(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, supervisorStateName)
-	const age = time.Minute // which tells this state from the one that the supervisor writes
-	standIns, stored := storeStandIns(t, path, time.Now().Add(-age))
-	if len(standIns) != 2 {
-		t.Fatalf("%d instances", len(standIns))
+	const age = time.Minute // distinguishes this state from the one that the supervisor writes
+	placeholders, stored := storePlaceholders(t, path, time.Now().Add(-age))
+	if len(placeholders) != 2 {
+		t.Fatalf("%d stored instances, want 2", len(placeholders))
 	}
-	stop := runSupervisor(t, folder, len(standIns))
+	stop := runSupervisor(t, folder, len(placeholders))
 	var written json.RawMessage
 	testpeer.WaitUntil(t, "the supervisor has written its state", func() bool {
 		_, err := snapshot.Read(path, time.Now(), age/2, &written)
 		return err == nil
 	})
-	checkEncodedAsStored(t, written, stored) // both are adopted: the same processes
-	for i, process := range standIns {
+	checkEncodedAsStored(t, written, stored) // the supervisor has adopted both processes
+	for i, process := range placeholders {
 		select {
 		case err := <-process.ended:
-			t.Errorf("the process of instance %d has ended: %v", i, err)
+			t.Errorf("the process of instance %d has exited: %v", i, err)
 		default:
 		}
 	}
 	stop()
-	if t.Failed() { // processes that were not adopted are not ended
+	if t.Failed() { // the supervisor does not terminate processes that it has not adopted
 		return
 	}
-	for i, process := range standIns {
+	for i, process := range placeholders {
 		var exit *exec.ExitError
 		if err := <-process.ended; !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGTERM {
-			t.Errorf("the process of instance %d has ended with %v", i, err)
+			t.Errorf("the process of instance %d exited with %v, want SIGTERM", i, err)
 		}
 	}
 }
