--- a/internal/compatibility/sidecar_test.go
+++ b/internal/compatibility/sidecar_test.go
@@ -59,11 +59,11 @@
 			t.Errorf("%s is %q, want %q", field, name, stored[field])
 		}
 	}
-	for i, work := range got.Latencies {
+	for i, latency := range got.Latencies {
 		stored := object(t, learned, "Works", i)
-		checkName(stored, "Name", work.Name)
-		checkNumbers(t, "work "+work.Name, stored, tolerance, map[string]float64{"Calm": work.BaselineLatency,
-			"Mean": work.MeanLatency, "Samples": work.Samples, "For": float64(work.Age)})
+		checkName(stored, "Name", latency.Name)
+		checkNumbers(t, "latency "+latency.Name, stored, tolerance, map[string]float64{"Calm": latency.BaselineLatency,
+			"Mean": latency.MeanLatency, "Samples": latency.Samples, "For": float64(latency.Age)})
 	}
 	for i, kind := range got.Kinds {
 		stored := object(t, learned, "Kinds", i)
--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -26,8 +26,8 @@
 // it reads is compared with known. A file that can't be read counts as unchanged, because editors
 // that replace a file remove it for a moment.
 //
-// File calls onChange in its own goroutine. It returns nil when ctx ends, or an error at once if
-// the file's directory can't be watched.
+// All calls of onChange come from the goroutine that called File. File returns nil when ctx ends,
+// or an error at once if the file's directory can't be watched.
 func File(ctx context.Context, path string, known []byte, onChange func(text []byte)) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
--- a/internal/hotrestart/presence_test.go
+++ b/internal/hotrestart/presence_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	if got != want {
-		t.Errorf("%s: %+v, want %+v", when, got, want)
+		t.Errorf("%s: peer processes %+v, want %+v", when, got, want)
 	}
 }
 
@@ -59,8 +59,8 @@
 	first.Unregister()
 	expectPeerProcesses(t, "after the first has unregistered", third, PeerProcesses{})
 	third.Unregister()
-	if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // the directory of disabled endpoints
-		t.Errorf("files in the directory: %v, %v", files, err)
+	if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // only the directory of disabled endpoints
+		t.Errorf("files in the directory: %v, error %v", files, err)
 	}
 }
 
@@ -103,7 +103,7 @@
 	expectMatch := func(pattern string) {
 		t.Helper()
 		if found, err := filepath.Glob(filepath.Join(parent, "rowancart-n%2F1", pattern)); err != nil || len(found) != 1 {
-			t.Errorf("%d files match %s, %v", len(found), pattern, err)
+			t.Errorf("%d files match %s, want 1; error %v", len(found), pattern, err)
 		}
 	}
 	expectMatch("starting-01800000000000000001-*")
@@ -151,7 +151,7 @@
 	for _, failure := range []error{syscall.ENOLCK, syscall.EIO} {
 		dir.files.lock = func(*os.File) error { return failure }
 		if peers, err := first.PeerProcesses(); !errors.Is(err, failure) {
-			t.Errorf("%v: %+v, %v", failure, peers, err)
+			t.Errorf("lock error %v: peer processes %+v, error %v", failure, peers, err)
 		}
 	}
 	dir.files.lock = tryLock
@@ -170,8 +170,8 @@
 		if _, err := dir.Register(time.Now()); err == nil {
 			t.Errorf("%s fails: Register returned no error", name)
 		}
-		if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // the directory of disabled endpoints
-			t.Errorf("%s: files in the directory: %v, %v", name, files, err)
+		if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // only the directory of disabled endpoints
+			t.Errorf("%s: files in the directory: %v, error %v", name, files, err)
 		}
 		dir.files = working
 		register(t, dir, 1).Unregister()
@@ -190,7 +190,7 @@
 		return os.Remove(path)
 	}
 	p.Unregister()
-	if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // the directory of disabled endpoints
-		t.Errorf("files in the directory: %v, %v", files, err)
+	if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // only the directory of disabled endpoints
+		t.Errorf("files in the directory: %v, error %v", files, err)
 	}
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -60,7 +60,7 @@
 	const want = `{"form":"rowancart snapshot","version":1,"written_ms":1800000000000,` +
 		`"bytes":1,"xxhash64":"b7b41276360564d4"}` + "\n1\n"
 	if err != nil || string(got) != want {
-		t.Errorf("%q, %v, want %q", got, err, want)
+		t.Errorf("file %q, error %v, want %q", got, err, want)
 	}
 }
 
@@ -98,7 +98,7 @@
 		{"a negative length", `{"form":"rowancart snapshot","version":1,"bytes":-1}` + "\n", ErrCorrupt},
 	} {
 		if err := read(test.text); !errors.Is(err, test.want) {
-			t.Errorf("%s: %v, want %v", test.name, err, test.want)
+			t.Errorf("%s: error %v, want %v", test.name, err, test.want)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 		{-time.Hour, ErrFromFuture},
 	} {
 		if _, err := Read(path, writtenAt.Add(test.age), time.Minute, &testState{}); !errors.Is(err, test.want) {
-			t.Errorf("at an age of %v: %v, want %v", test.age, err, test.want)
+			t.Errorf("at an age of %v: error %v, want %v", test.age, err, test.want)
 		}
 	}
 	if _, err := Read(path+"x", writtenAt, time.Minute, &testState{}); !errors.Is(err, ErrNotFound) {
@@ -143,7 +143,7 @@
 		t.Errorf("the old file contains %q, error %v", now, err)
 	}
 	if files, err := os.ReadDir(filepath.Dir(path)); err != nil || len(files) != 2 {
-		t.Errorf("files in the directory: %v, %v", files, err)
+		t.Errorf("files in the directory: %v, error %v", files, err)
 	}
 }
 
