--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -74,9 +74,9 @@
 
 // Gauges contains the metrics that are not part of Counters.
 type Gauges struct {
-	Dispatches       int64 // attempts whose request was written completely
-	ListedEndpoints  int   // endpoints in the list
-	AvoidedEndpoints int   // listed endpoints that are disabled or that the balancer does not choose at present
+	Dispatches            int64 // attempts whose request was written completely
+	ListedEndpoints       int   // endpoints in the list
+	UnselectableEndpoints int   // ready endpoints that are disabled or not in the balancer's ordinary selection
 }
 
 // Append appends all metrics, one per line. The metrics of requests are consistent: no request is
@@ -95,7 +95,7 @@
 	b = appendMetric(b, "dispatches", gauges.Dispatches)
 	b = appendMetric(b, "concurrent", c.started.Load()-ended)
 	b = appendMetric(b, "targets", int64(gauges.ListedEndpoints))
-	b = appendMetric(b, "targets_disabled", int64(gauges.AvoidedEndpoints))
+	b = appendMetric(b, "targets_disabled", int64(gauges.UnselectableEndpoints))
 	b = appendMetric(b, "reload_success", c.Reloads.Load())
 	return appendMetric(b, "reload_failure", c.FailedReloads.Load())
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -27,7 +27,7 @@
 sidecar_reload_success 1
 sidecar_reload_failure 0
 `
-	if got := string(c.Append(nil, Gauges{Dispatches: 7, ListedEndpoints: 3, AvoidedEndpoints: 2})); got != want {
+	if got := string(c.Append(nil, Gauges{Dispatches: 7, ListedEndpoints: 3, UnselectableEndpoints: 2})); got != want {
 		t.Errorf("metrics:\n%s", got)
 	}
 }
--- a/internal/sidecar/operations.go
+++ b/internal/sidecar/operations.go
@@ -35,9 +35,9 @@
 func (o *operations) AppendStats(b []byte) []byte {
 	gauges := o.pool.Gauges()
 	return o.counters.Append(b, metrics.Gauges{
-		Dispatches:       gauges.RequestsWritten,
-		ListedEndpoints:  gauges.Listed,
-		AvoidedEndpoints: gauges.Unselectable,
+		Dispatches:            gauges.RequestsWritten,
+		ListedEndpoints:       gauges.Listed,
+		UnselectableEndpoints: gauges.Unselectable,
 	})
 }
 
