--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -21,7 +21,7 @@
 
 	respond    = testpeer.Respond
 	stayOpen   = testpeer.StayOpen
-	resetAfter = testpeer.ResetAfter
+	abortAfter = testpeer.AbortAfter
 	noResponse = testpeer.NoResponse
 )
 
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -28,7 +28,7 @@
 	partOfLine := drainMessage[:20]
 	none := noResponse()
 	stalled := stayOpen("")
-	resets := resetAfter("")
+	resets := abortAfter("")
 	stalledLine := stayOpen(partOfLine)
 	list41 := respond(completeList(41))
 	change41 := changes(41) + "\n"
@@ -46,7 +46,7 @@
 		"stalled in a later line":         {40, steps{stalledLater, drained}, calls{after40, after41}},
 		"stalled before a line's end":     {41, steps{stayOpen(drainMessage), drained}, calls{after41, after41}},
 		"reset at once":                   {41, steps{resets, drained}, calls{after41, after41}},
-		"reset within a line":             {40, steps{resetAfter(change41 + partOfLine), drained}, calls{after40, after41}},
+		"reset within a line":             {40, steps{abortAfter(change41 + partOfLine), drained}, calls{after40, after41}},
 		"a list without a response":       {unknown, steps{none, list41, drained}, calls{list, list, after41}},
 		"a list that stalls":              {unknown, steps{stalledLine, list41, drained}, calls{list, list, after41}},
 		"a list, then a stalled watch":    {unknown, steps{list41, none, drained}, calls{list, after41, after41}},
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -166,7 +166,7 @@
 // breakWatches breaks the open watches, up to three times within moments.
 func (f faultInjector) breakWatches() error {
 	for range 1 + f.rng.IntN(3) {
-		f.discovery.BreakWatches()
+		f.discovery.AbortWatches()
 		f.sleepUpTo(100 * time.Millisecond)
 	}
 	return nil
--- a/internal/testpeer/discovery.go
+++ b/internal/testpeer/discovery.go
@@ -60,8 +60,8 @@
 // StayOpen returns a step that leaves the response open after its body, like that of a watch.
 func StayOpen(body string) Step { return Step{body, stayOpen} }
 
-// ResetAfter returns a step that aborts the connection after its body.
-func ResetAfter(body string) Step { return Step{body, abortConn} }
+// AbortAfter returns a step that aborts the connection after its body.
+func AbortAfter(body string) Step { return Step{body, abortConn} }
 
 // NoResponse returns a step that sends no response.
 func NoResponse() Step { return Step{end: noResponse} }
--- a/internal/testpeer/fakediscovery.go
+++ b/internal/testpeer/fakediscovery.go
@@ -29,7 +29,7 @@
 	listed   map[string]listedEndpoint // by endpoint ID
 	changed  chan struct{}             // closed and replaced at each change of the list
 	epoch    int                       // watches that began in an earlier epoch send nothing
-	broken   chan struct{}             // closed to abort the connections of all open watches
+	aborted  chan struct{}             // closed to abort the connections of all open watches
 	delay    time.Duration             // wait before each response
 	server   *http.Server
 	listener net.Listener // of server
@@ -55,7 +55,7 @@
 		options: options,
 		listed:  map[string]listedEndpoint{},
 		changed: make(chan struct{}),
-		broken:  make(chan struct{}),
+		aborted: make(chan struct{}),
 	}
 	return d, d.Move()
 }
@@ -111,12 +111,12 @@
 	d.epoch++
 }
 
-// BreakWatches aborts the connections of the open watches.
-func (d *FakeDiscovery) BreakWatches() {
+// AbortWatches aborts the connections of the open watches.
+func (d *FakeDiscovery) AbortWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.broken)
-	d.broken = make(chan struct{})
+	close(d.aborted)
+	d.aborted = make(chan struct{})
 }
 
 // SetDelay sets how long each response waits before it begins.
@@ -131,7 +131,7 @@
 func (d *FakeDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	delay := d.delay
-	watch := fakeWatch{discovery: d, epoch: d.epoch, broken: d.broken}
+	watch := fakeWatch{discovery: d, epoch: d.epoch, aborted: d.aborted}
 	d.mu.Unlock()
 	if delay > 0 {
 		time.Sleep(delay)
@@ -177,7 +177,7 @@
 	discovery *FakeDiscovery
 	version   int64           // list version that the client knows
 	epoch     int             // epoch in which the watch began
-	broken    <-chan struct{} // closed to abort the connection of the watch
+	aborted   <-chan struct{} // closed to abort the connection of the watch
 }
 
 // next returns a line with the changes after the version that the client knows, and a channel that
@@ -214,7 +214,7 @@
 			if !w.isSilenced() {
 				fmt.Fprintln(rw)
 			}
-		case <-w.broken:
+		case <-w.aborted:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
--- a/internal/testpeer/fakediscovery_test.go
+++ b/internal/testpeer/fakediscovery_test.go
@@ -65,14 +65,14 @@
 	expectLine(t, watch, Changes(1, a))
 }
 
-func TestFakeDiscoveryBreaksWatches(t *testing.T) {
+func TestFakeDiscoveryAbortsWatches(t *testing.T) {
 	d := startDiscovery(t)
 	d.Publish(ListedEndpoint("a", "127.0.0.1:1", platform.StateReady))
 	watch := call(t, d.Addr(), platform.WatchQuery(0))
 	if _, err := watch.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	d.BreakWatches()
+	d.AbortWatches()
 	if line, err := watch.ReadString('\n'); err == nil {
 		t.Errorf("a watch delivered %q after its connection was aborted", line)
 	}
