--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -59,8 +59,8 @@
 // Error implements error.
 func (e *ArgumentError) Error() string { return fmt.Sprintf("%s: %s", e.Command, e.Problem) }
 
-// ParseCommand parses a command line without its line ending. The text of an error can be sent in a
-// response.
+// ParseCommand parses a command line without its line ending. The text of an error is a single
+// short line and can be sent in a response.
 func ParseCommand(line string) (Command, error) {
 	if len(line) > maxLineBytes {
 		return Command{}, ErrLineTooLong
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// closeAwaiting closes the connections whose command has not been received, and lets admitConn
+// closeAwaiting closes the connections whose command has not been received, and makes admitConn
 // refuse all further connections.
 func (s *Server) closeAwaiting() {
 	s.mu.Lock()
@@ -169,7 +169,7 @@
 }
 
 // lingerUntilClosed closes the sending side of a connection, and waits until the client closes its
-// side or lingerTimeout has passed.
+// side, lingerTimeout has passed or lingerMaxBytes were received.
 func lingerUntilClosed(conn net.Conn) {
 	halfCloser, ok := conn.(interface{ CloseWrite() error })
 	if !ok || halfCloser.CloseWrite() != nil {
--- a/internal/compatibility/json_test.go
+++ b/internal/compatibility/json_test.go
@@ -36,8 +36,8 @@
 	return time.UnixMilli(header.WrittenMs), content
 }
 
-// readSnapshot reads a stored snapshot file into value, at an age of readAge. It returns
-// the raw content of the file.
+// readSnapshot reads a stored snapshot file into value, at an age of readAge. It returns the
+// unchanged content of the file, which is the text after the header line.
 func readSnapshot(t *testing.T, path string, value any) []byte {
 	t.Helper()
 	written, content := writtenAt(t, path)
--- a/internal/compatibility/presence_test.go
+++ b/internal/compatibility/presence_test.go
@@ -44,8 +44,9 @@
 
 // A process of an earlier version registers with a locked presence file. This version must see it
 // as a peer process, as a serving successor if it registered later and serves requests, and as
-// exited once the lock is released. If the clock was set back, its stamp is later although it
-// registered earlier.
+// exited once the lock is released. If the clock was set back, the stamp of a process that
+// registered earlier can be later than the start time of this one. It must not be taken for a
+// successor.
 func TestPresenceOfEarlierProgramIsSeen(t *testing.T) {
 	none := hotrestart.PeerProcesses{}
 	running := hotrestart.PeerProcesses{Running: true}
@@ -122,7 +123,8 @@
 	}
 }
 
-// An earlier version finds the process of this one by the name of its presence file.
+// Earlier versions find a process of this version by the name of its presence file, so that name
+// must not change.
 func TestPresenceIsWrittenAsStored(t *testing.T) {
 	dir := t.TempDir()
 	shared, err := hotrestart.OpenSharedDir(dir, sidecarName)
--- a/internal/compatibility/report_test.go
+++ b/internal/compatibility/report_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// A stored report has no differences from itself, and is not compared with one of another
-// experiment.
+// Comparing a stored report with itself gives rows with equal values. Comparing it with a report of
+// another experiment returns an error.
 func TestStoredReportsAreCompared(t *testing.T) {
 	stored, err := report.ReadJSON(reportPath("sweep.json"))
 	if err != nil {
@@ -109,7 +109,7 @@
 	}
 	differences, err := report.Compare(stored, stored)
 	if err != nil || len(differences) == 0 {
-		t.Fatalf("%d rows of differences, error %v", len(differences), err)
+		t.Fatalf("comparing a report with itself gives %d rows, want some; error %v", len(differences), err)
 	}
 	for _, d := range differences {
 		if d.A != d.B || math.IsNaN(d.Noise) { // two repeats, so the noise is known
--- a/internal/compatibility/sidecar_test.go
+++ b/internal/compatibility/sidecar_test.go
@@ -51,7 +51,7 @@
 	for name, length := range map[string]int{"Works": len(got.Latencies), "Kinds": len(got.Kinds),
 		"Endpoints": len(got.Endpoints)} {
 		if stored, _ := learned[name].([]any); len(stored) != length || length == 0 {
-			t.Fatalf("%s: %d elements, stored are %d", name, length, len(stored))
+			t.Fatalf("%s: %d elements, want %d", name, length, len(stored))
 		}
 	}
 	checkName := func(stored map[string]any, field, name string) {
@@ -86,7 +86,7 @@
 func checkEndpoints(t *testing.T, got []proxy.Endpoint, holder map[string]any, name string) {
 	t.Helper()
 	if stored, _ := holder[name].([]any); len(stored) != len(got) || len(got) == 0 {
-		t.Fatalf("%s: %d endpoints, stored are %d", name, len(got), len(stored))
+		t.Fatalf("%s: %d endpoints, want %d", name, len(got), len(stored))
 	}
 	for i, endpoint := range got {
 		stored := object(t, holder, name, i)
--- a/internal/hotrestart/inheritedlistener.go
+++ b/internal/hotrestart/inheritedlistener.go
@@ -25,8 +25,9 @@
 )
 
 // InheritedListener returns a listener on the socket that this process has inherited as the given
-// file descriptor, a decimal number. It closes that descriptor. Error messages are a single line.
-// An error wraps one of the errors above unless the listener could not be created.
+// file descriptor, a decimal number. It closes that descriptor unless it rejects it. Error messages
+// are a single line. An error wraps one of the errors above, unless the descriptor is a listening
+// socket and net.FileListener failed.
 func InheritedListener(descriptor string) (net.Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 0 {
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -47,8 +47,8 @@
 const startDigits = 20
 
 // newStamp returns the stamp that identifies this process among the processes of its sidecar. It
-// consists of the start time, in nanoseconds of Unix time, and the process ID. Stamps sort by start
-// time.
+// consists of the start time that Register has chosen, in nanoseconds of Unix time, and the process
+// ID. Stamps sort by start time.
 func newStamp(started uint64) string {
 	return fmt.Sprintf("%0*d-%d", startDigits, started, os.Getpid())
 }
@@ -92,8 +92,10 @@
 }
 
 // Register makes this process visible to its peer processes until it calls Unregister or exits.
-// Processes are ordered by start time. A process that registers is the successor of all processes
-// that registered before it, even if the clock was set back in between.
+// Processes are ordered by the start time in their stamps. If started is not later than all start
+// times in the shared directory, for example because the clock was set back, the stamp gets the
+// latest of them plus 1 ns. A process that registers is therefore the successor of all processes
+// that registered before it.
 func (d *SharedDir) Register(started time.Time) (*Presence, error) {
 	latest, err := d.latestStart()
 	if err != nil {
@@ -198,7 +200,8 @@
 	return peers, nil
 }
 
-// isPeer reports whether a presence file belongs to a peer process that has taken its lock.
+// isPeer reports whether a presence file belongs to a process other than this one that had locked
+// it. The process may have exited since.
 func (p *Presence) isPeer(name presenceName) bool {
 	return name.status != statusRegistering && name.stamp != p.stamp
 }
@@ -211,7 +214,7 @@
 
 // isRunning reports whether the owner of a presence file is running. If it is not, isRunning
 // removes the file. If two processes check the file of an exited process at the same time, one of
-// them finds it locked by the other and returns true in this call.
+// them can find it locked by the other, and then returns true.
 func (d *SharedDir) isRunning(name presenceName) (bool, error) {
 	path := filepath.Join(d.path, name.String())
 	file, err := os.OpenFile(path, os.O_RDWR|syscall.O_CLOEXEC, 0)
--- a/internal/hotrestart/successor/successor.go
+++ b/internal/hotrestart/successor/successor.go
@@ -4,8 +4,8 @@
 // The kernel keeps one accept queue for a listening socket, however many processes have a
 // descriptor of it, so no connection is refused or lost during the process handover. The successor
 // inherits the sockets as extra descriptors, and an environment variable assigns the descriptors to
-// addresses. The successor writes to a pipe when it serves requests; if the pipe is closed before
-// that, the successor has exited.
+// addresses. The successor writes to a pipe when it serves requests. If the pipe is closed before
+// that, the predecessor treats the successor as exited, and terminates it if it still runs.
 //
 // The package is separate from hotrestart because it starts processes, and the platform's sidecar
 // must not link code that does.
@@ -26,8 +26,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// The protocol between predecessor and successor. The two may have different versions, so it must
-// not change.
+// The protocol between predecessor and successor. The two processes may run different versions of
+// the program, so the protocol must not change.
 const (
 	inheritVariable = "ROWANCART_INHERIT" // environment variable: inheritedDescriptors in JSON
 	readyMessage    = "ready\n"
@@ -50,8 +50,8 @@
 var (
 	// ErrNotReady is returned if the timeout has expired. Wait terminated the successor.
 	ErrNotReady = errors.New("successor not ready in time")
-	// ErrExited is also returned if the successor closed the pipe or sent an unexpected message.
-	// Wait then terminated it.
+	// ErrExited is returned if the successor exited before it was ready. It is also returned if the
+	// successor closed the pipe or sent an unexpected message; Wait then terminated it.
 	ErrExited = errors.New("successor exited before it was ready")
 )
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -35,8 +35,8 @@
 	started atomic.Int64     // requests that were started
 	dropped atomic.Int64     // requests that ended and are not counted with an outcome
 
-	Reloads       atomic.Int64 // of the configuration
-	FailedReloads atomic.Int64
+	Reloads       atomic.Int64 // successful reloads of the configuration
+	FailedReloads atomic.Int64 // failed reloads of the configuration
 }
 
 // classCounters counts the requests of one class by their outcomes.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -62,7 +62,7 @@
 			t.Fatalf("in flight: %d, last reading: %v", n, last)
 		}
 		if last && countedOutcomes(t, text) != clients*requestsEach {
-			t.Errorf("outcomes were lost:\n%s", text)
+			t.Errorf("the number of counted outcomes differs from the number of requests:\n%s", text)
 		}
 	}
 }
--- a/internal/testpeer/endpoint.go
+++ b/internal/testpeer/endpoint.go
@@ -35,8 +35,8 @@
 // whether the connection stays open.
 type Responder = func(conn net.Conn, r *http.Request, n int) (keepConn bool)
 
-// StartEndpoint starts a fake endpoint, which is closed at the end of the test. It calls respond
-// for each request that was received completely, concurrently for requests on different
+// StartEndpoint starts a fake endpoint. Its listener is closed at the end of the test. It calls
+// respond for each request that was received completely, concurrently for requests on different
 // connections.
 func StartEndpoint(t *testing.T, respond Responder) *FakeEndpoint {
 	t.Helper()
--- a/internal/testpeer/wait.go
+++ b/internal/testpeer/wait.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// HasUnreadData reports whether a connection has received bytes or an end of file that have not
-// been read. It also returns true for a connection that is closed on this side.
+// HasUnreadData reports whether a connection has received bytes that have not been read, or was
+// closed or reset by the peer. It also returns true for a connection that is closed on this side.
 func HasUnreadData(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
