--- a/internal/discovery/watch/client_test.go
+++ b/internal/discovery/watch/client_test.go
@@ -17,11 +17,11 @@
 var (
 	completeList = testpeer.CompleteList
 	changes      = testpeer.Changes
-	listed       = testpeer.Listed
+	listed       = testpeer.ListedEndpoint
 
 	respond    = testpeer.Respond
 	stayOpen   = testpeer.StayOpen
-	resetAfter = testpeer.ResetAfter
+	abortAfter = testpeer.AbortAfter
 	noResponse = testpeer.NoResponse
 )
 
--- a/internal/hotrestart/presence_test.go
+++ b/internal/hotrestart/presence_test.go
@@ -18,7 +18,7 @@
 	return dir
 }
 
-// register registers a process that started at a time in ns.
+// register registers a process. started is its start time in ns after a fixed time.
 func register(t *testing.T, dir *SharedDir, started int64) *Presence {
 	t.Helper()
 	p, err := dir.Register(time.Unix(1_800_000_000, started))
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	if got != want {
-		t.Errorf("%s: %+v, want %+v", when, got, want)
+		t.Errorf("%s: peer processes %+v, want %+v", when, got, want)
 	}
 }
 
@@ -53,14 +53,14 @@
 		t.Fatal(err)
 	}
 	expectPeerProcesses(t, "superseded", first, PeerProcesses{Running: true, SuccessorServes: true})
-	second.file.Close() // as at a SIGKILL: its file stays
+	second.file.Close() // as after SIGKILL: its file is not removed
 	expectPeerProcesses(t, "with a successor that was killed", first, PeerProcesses{})
 	third := register(t, dir, 3)
 	first.Unregister()
 	expectPeerProcesses(t, "after the first has unregistered", third, PeerProcesses{})
 	third.Unregister()
-	if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // the directory of disabled endpoints
-		t.Errorf("files in the directory: %v, %v", files, err)
+	if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // only the directory of disabled endpoints
+		t.Errorf("files in the directory: %v, error %v", files, err)
 	}
 }
 
@@ -91,7 +91,7 @@
 	expectPeerProcesses(t, "with foreign files", p, PeerProcesses{})
 }
 
-// Processes of different versions share the directory: a rename in the code must not change it.
+// Processes of different versions share the directory, so its file names must not change.
 func TestFileNamesInTheSharedDirectory(t *testing.T) {
 	parent := t.TempDir()
 	dir, err := OpenSharedDir(parent, "n/1")
@@ -103,7 +103,7 @@
 	expectMatch := func(pattern string) {
 		t.Helper()
 		if found, err := filepath.Glob(filepath.Join(parent, "rowancart-n%2F1", pattern)); err != nil || len(found) != 1 {
-			t.Errorf("%d files match %s, %v", len(found), pattern, err)
+			t.Errorf("%d files match %s, want 1; error %v", len(found), pattern, err)
 		}
 	}
 	expectMatch("starting-01800000000000000001-*")
@@ -120,8 +120,8 @@
 	}
 }
 
-// A process registers while the clock is an hour ahead; the clock is set back, and another process
-// registers. It is the successor nevertheless.
+// A process registers while the clock is an hour ahead. The clock is then set back, and another
+// process registers. The second process must still be the successor of the first.
 func TestLaterProcessIsSuccessorThoughTheClockIsSetBack(t *testing.T) {
 	dir := openSharedDir(t)
 	first := register(t, dir, int64(time.Hour))
@@ -140,8 +140,8 @@
 	expectPeerProcesses(t, "the third", third, PeerProcesses{Running: true})
 }
 
-// A failed lock does not say that a process has exited: with an error nothing is known of the peer
-// processes.
+// A failed lock call does not mean that a process has exited, so PeerProcesses must return the
+// error.
 func TestFailedLockIsNotAnExit(t *testing.T) {
 	dir := openSharedDir(t)
 	first := register(t, dir, 1)
@@ -151,14 +151,14 @@
 	for _, failure := range []error{syscall.ENOLCK, syscall.EIO} {
 		dir.files.lock = func(*os.File) error { return failure }
 		if peers, err := first.PeerProcesses(); !errors.Is(err, failure) {
-			t.Errorf("%v: %+v, %v", failure, peers, err)
+			t.Errorf("lock error %v: peer processes %+v, error %v", failure, peers, err)
 		}
 	}
 	dir.files.lock = tryLock
 	expectPeerProcesses(t, "after the failures", first, PeerProcesses{Running: true})
 }
 
-// Registering fails for a while, and leaves no file behind.
+// A failed Register leaves no file behind, and a later call succeeds.
 func TestRegisterCanBeRetried(t *testing.T) {
 	for name, fail := range map[string]func(*fileCalls){
 		"lock":   func(f *fileCalls) { f.lock = func(*os.File) error { return syscall.ENOLCK } },
@@ -168,17 +168,17 @@
 		working := dir.files
 		fail(&dir.files)
 		if _, err := dir.Register(time.Now()); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s fails: Register returned no error", name)
 		}
-		if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // the directory of disabled endpoints
-			t.Errorf("%s: files in the directory: %v, %v", name, files, err)
+		if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // only the directory of disabled endpoints
+			t.Errorf("%s: files in the directory: %v, error %v", name, files, err)
 		}
 		dir.files = working
 		register(t, dir, 1).Unregister()
 	}
 }
 
-// The removal of the file fails at first: it is removed as soon as the disk works again.
+// Unregister retries if the removal of the presence file fails.
 func TestUnregisterRetriesAFailedRemoval(t *testing.T) {
 	dir := openSharedDir(t)
 	p := register(t, dir, 1)
@@ -190,7 +190,7 @@
 		return os.Remove(path)
 	}
 	p.Unregister()
-	if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // the directory of disabled endpoints
-		t.Errorf("files in the directory: %v, %v", files, err)
+	if files, err := os.ReadDir(dir.path); err != nil || len(files) != 1 { // only the directory of disabled endpoints
+		t.Errorf("files in the directory: %v, error %v", files, err)
 	}
 }
