--- a/cmd/rowancart/config.go
+++ b/cmd/rowancart/config.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	adminTimeout     = 5 * time.Second // of a request to the admin interface
+	adminTimeout     = 5 * time.Second // limit for one request to the admin interface
 	defaultAdminAddr = "127.0.0.1:9901"
 )
 
@@ -33,7 +33,7 @@
 	var write bool
 	command := &cobra.Command{
 		Use:   "format FILE",
-		Short: "Print a configuration in the usual layout",
+		Short: "Print a configuration file in the standard layout",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
@@ -51,21 +51,21 @@
 			return err
 		},
 	}
-	command.Flags().BoolVar(&write, "write", false, "write the file instead")
+	command.Flags().BoolVar(&write, "write", false, "write the result to the file instead of printing it")
 	return command
 }
 
 func newConfigStatus() *cobra.Command {
-	return newAdminCommand("status", "Print the state of a daemon that runs, as JSON", http.MethodGet)
+	return newAdminCommand("status", "Print the state of a running daemon as JSON", http.MethodGet)
 }
 
 func newConfigReload() *cobra.Command {
-	const short = "Make a daemon that runs read its configuration again, and print what is wrong with it"
+	const short = "Make a running daemon reload its configuration file, and print the errors if it is invalid"
 	return newAdminCommand("reload", short, http.MethodPost)
 }
 
-// newAdminCommand returns a command that sends a request for the path of its own name to a daemon's
-// admin interface, and prints the response.
+// newAdminCommand returns a command that requests the path /NAME from a daemon's admin interface,
+// where NAME is the command's name, and prints the response.
 func newAdminCommand(name, short, method string) *cobra.Command {
 	var admin string
 	command := &cobra.Command{
@@ -82,14 +82,14 @@
 		},
 	}
 	command.Flags().StringVar(&admin, "admin", defaultAdminAddr,
-		"where its admin listener is: host:port, or unix: and a path")
+		"address of the daemon's admin listener: host:port, or unix: followed by a path")
 	return command
 }
 
 func newConfigCheck() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a configuration and name all that is wrong with it",
+		Short: "Check a configuration file and report all errors in it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := config.Load(args[0], os.LookupEnv)
@@ -109,7 +109,7 @@
 func newConfigShow() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show FILE",
-		Short: "Print the policy of each route, and where each value was said",
+		Short: "Print the policy of each route, and where each value is set",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := config.Load(args[0], os.LookupEnv)
@@ -124,7 +124,7 @@
 func newConfigCompare() *cobra.Command {
 	return &cobra.Command{
 		Use:   "compare OLD NEW",
-		Short: "Print which parts of a configuration another one changes",
+		Short: "Print which parts differ between two configurations",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			old, err := config.Load(args[0], os.LookupEnv)
@@ -143,17 +143,17 @@
 	}
 }
 
-// adminError is the error of a request that a daemon's admin interface has rejected.
+// adminError is the error for a request that a daemon's admin interface rejected.
 type adminError struct {
-	status  int // HTTP status
-	message string
+	status  int    // HTTP status
+	message string // body of the response
 }
 
 // Error implements error.
 func (e *adminError) Error() string { return e.message }
 
 // requestAdmin sends a request to a daemon's admin interface and returns the body of the response.
-// It returns an *adminError for a response other than 200.
+// It returns an *adminError if the status is not 200.
 func requestAdmin(ctx context.Context, admin, method, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
@@ -178,8 +178,8 @@
 	return text, nil
 }
 
-// adminTransport returns a transport that connects to the admin interface for any host in a
-// request's URL.
+// adminTransport returns a transport that connects to the admin interface, whichever host the URL
+// of a request names.
 func adminTransport(admin string) *http.Transport {
 	network, address := "tcp", admin
 	if socket, ok := strings.CutPrefix(admin, "unix:"); ok {
--- a/cmd/rowancart/fleet.go
+++ b/cmd/rowancart/fleet.go
@@ -14,13 +14,14 @@
 	return &cobra.Command{
 		Use:   "fleet FILE",
 		Short: "Run and supervise the instances of a fleet on this machine",
-		Long: `Run the instances that the file names, each as "serve CONFIG" with ROWANCART_INDEX, ROWANCART_INSTANCES,
-ROWANCART_ADMIN and ROWANCART_STATE in its environment, which its configuration reads with env().
+		Long: `Run the instances of the fleet that the file describes, each as "rowancart serve CONFIG". The environment of
+each instance has ROWANCART_INDEX, ROWANCART_INSTANCES, ROWANCART_ADMIN and ROWANCART_STATE, which its configuration
+reads with env().
 
-An instance that exits is restarted after a backoff that doubles with each consecutive failure; one that is not healthy
-at its admin socket in time is killed. The supervisor saves its state in the folder, and its successor adopts the
-instances that still run. A second supervisor of the same folder does not start. At SIGTERM or SIGINT all instances are
-stopped.`,
+An instance that exits is restarted after a backoff that doubles with each consecutive failure. An instance whose health
+check at its admin socket does not succeed in time is killed. The supervisor saves its state in the folder that the
+file names, and its successor adopts the instances that still run. A second supervisor of the same folder does not
+start. At SIGTERM or SIGINT the supervisor terminates all instances.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			config, err := supervisor.LoadConfig(args[0])
--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -29,8 +29,8 @@
 	"rowancart/internal/testpeer"
 )
 
-// instanceConfig has the paths of the socket and the snapshot, the number of instances, the index,
-// and the endpoints.
+// instanceConfig is the configuration of one instance. Its verbs stand for the paths of the socket
+// and the snapshot, the number of instances, the instance's index, and the endpoints.
 const instanceConfig = `listener "front" {
   address = "unix:%s"
 }
@@ -61,11 +61,11 @@
 }
 `
 
-// instance is one daemon of a fleet, at a unix socket of its own, with a snapshot of its own.
+// instance is one daemon of a fleet. It listens on its own unix socket and has its own snapshot.
 type instance struct {
-	config    string // paths of its files
-	socket    string
-	snapshot  string
+	config    string // path
+	socket    string // path
+	snapshot  string // path
 	cmd       *exec.Cmd
 	log       *logFollower
 	startedAt time.Time
@@ -78,14 +78,14 @@
 	in.log = startProgram(t, in.cmd)
 }
 
-// fleet is a number of instances that reach their endpoints through fault proxies.
+// fleet is a set of instances that connect to their endpoints through fault proxies.
 type fleet struct {
 	program   string
 	instances []*instance
 	proxies   []*faultproxy.Relay // by endpoint
 }
 
-// startFleet starts n instances.
+// startFleet starts n instances and waits until all of them listen.
 func startFleet(t *testing.T, n int, endpoints ...string) *fleet {
 	t.Helper()
 	dir := t.TempDir()
@@ -119,18 +119,18 @@
 	return f
 }
 
-// outcomes counts the results of requests, and the runs of each request by endpoints.
+// outcomes counts the results of requests, and how often the endpoints executed each request.
 type outcomes struct {
 	mu       sync.Mutex
-	runs     map[string]int // by request id
-	served   atomic.Int64   // 200 with the request's own body
-	failed   atomic.Int64   // an error status
-	unsent   atomic.Int64   // no instance accepted the connection
-	aborted  atomic.Int64   // an instance accepted the connection and was killed
-	mismatch atomic.Int64   // anything else
+	runs     map[string]int // executions by the endpoints, for each request id
+	served   atomic.Int64   // status 200 with the body that belongs to the request
+	failed   atomic.Int64   // status of 500 or above
+	refused  atomic.Int64   // the instance did not accept the connection
+	aborted  atomic.Int64   // the instance accepted the connection and was killed
+	mismatch atomic.Int64   // any other result, such as the body of another request
 }
 
-// handle is an endpoint's handler that responds to a request with its id.
+// handle is the handler of an endpoint. It counts the request and responds with its id.
 func (o *outcomes) handle(nc net.Conn, r *http.Request, _ int) bool {
 	id := r.Header.Get(platform.RequestIDHeader)
 	o.mu.Lock()
@@ -140,7 +140,7 @@
 	return true
 }
 
-// send sends one request to an instance and counts its outcome. It reports whether the request was
+// send sends one request to an instance and counts the result. It reports whether the request was
 // served.
 func (o *outcomes) send(in *instance, id string) bool {
 	var connected atomic.Bool
@@ -158,7 +158,7 @@
 	resp, err := client.Do(r)
 	switch {
 	case err != nil && !connected.Load():
-		o.unsent.Add(1)
+		o.refused.Add(1)
 		return false
 	case err != nil:
 		o.aborted.Add(1)
@@ -185,9 +185,9 @@
 	testpeer.WaitUntil(t, what, func() bool { return o.served.Load() >= before+count })
 }
 
-// restartAll kills all instances at once, calls corrupt for each if it is not nil, and restarts
-// them all. Corrupt reports whether the instance has no valid snapshot any more. RestartAll returns
-// how long after the kill each instance served again.
+// restartAll kills all instances at once and restarts them. In between it calls corrupt, unless
+// that is nil, for each instance; corrupt reports whether it has made the instance's snapshot
+// invalid. RestartAll returns the time from the kill until each instance served again.
 func (f *fleet) restartAll(t *testing.T, o *outcomes, corrupt func(i int, in *instance) bool) []time.Duration {
 	t.Helper()
 	for _, in := range f.instances {
@@ -204,20 +204,20 @@
 	for _, in := range f.instances {
 		in.start(t, f.program)
 	}
-	var recovery []time.Duration
+	var recoveryTimes []time.Duration
 	for i, in := range f.instances {
 		in.log.wait(t, 1, "listening()")
-		testpeer.WaitUntil(t, "a first response of "+in.socket, func() bool {
+		testpeer.WaitUntil(t, "the first response from "+in.socket, func() bool {
 			return o.send(in, fmt.Sprint("first-", in.socket, "-", time.Now().UnixNano()))
 		})
-		recovery = append(recovery, time.Since(killedAt))
+		recoveryTimes = append(recoveryTimes, time.Since(killedAt))
 		in.checkRestored(t, i, !lost[i])
 	}
-	return recovery
+	return recoveryTimes
 }
 
-// checkRestored checks that the log says exactly once whether the instance has restored its
-// snapshot.
+// checkRestored checks that the log has exactly one line on whether the snapshot was restored, and
+// that it says what is expected.
 func (in *instance) checkRestored(t *testing.T, i int, restored bool) {
 	t.Helper()
 	message := `msg="snapshot restored"()`
@@ -233,12 +233,12 @@
 		}
 	}
 	if n != 1 {
-		t.Errorf("instance %d logged %d times whether it restored its snapshot", i, n)
+		t.Errorf("instance %d: %d log lines on whether the snapshot was restored, want 1", i, n)
 	}
 }
 
-// corruptSnapshot makes the snapshots of six instances of eight invalid, in six ways. It reports
-// whether it did.
+// corruptSnapshot makes the snapshots of the first six instances invalid, each in a different way,
+// and leaves those of other instances as they are. It reports whether it made the snapshot invalid.
 func corruptSnapshot(i int, in *instance) bool {
 	text, err := os.ReadFile(in.snapshot)
 	if err != nil {
@@ -258,12 +258,12 @@
 		return true
 	case 2:
 		head["version"] = 99
-	case 3: // a clock an hour ahead wrote it
+	case 3: // written by a clock that is an hour ahead
 		head["written_ms"] = time.Now().Add(time.Hour).UnixMilli()
 	case 4:
 		os.WriteFile(in.snapshot, []byte("not a snapshot\n"), 0o600)
 		return true
-	case 5: // another instance's, and incomplete
+	case 5: // another instance's state, in a header whose size and checksum leave out its last byte
 		rest = bytes.Replace(rest, []byte(`/index-5"`), []byte(`/index-7"`), 1)
 		head["bytes"] = len(rest) - 1
 		head["xxhash64"] = strconv.FormatUint(xxhash.Sum64(rest[:len(rest)-1]), 16)
@@ -275,10 +275,10 @@
 	return true
 }
 
-// startFleetLoad starts a client of each instance. The function that it returns stops them and
+// startFleetLoad starts one client for each instance. The function stop stops the clients and
 // returns how many requests they have sent.
 func startFleetLoad(f *fleet, o *outcomes) (stop func() int64) {
-	const maxRequests = 100000 // of each client; the test stops them before
+	const maxRequests = 100000 // sent by each client; the test stops the clients earlier
 	stopped := make(chan struct{})
 	var clients sync.WaitGroup
 	var sent atomic.Int64
@@ -302,12 +302,12 @@
 	}
 }
 
-// Eight instances send to three endpoints: one endpoint is partitioned and healed, then all eight
-// instances are killed at once and restarted from their snapshots. No request runs twice, no
-// response has the body of a different request, and all eight instances serve again within the
-// bound.
+// Eight instances send to three endpoints. One endpoint is partitioned and the partition is healed.
+// Then all instances are killed at once and restarted, first from their snapshots and then with
+// most snapshots invalid. No request may be executed twice, no response may have the body of a
+// different request, and all instances must serve again within maxRecoveryTime.
 func TestFleetRecoversFromPartitionAndMassKill(t *testing.T) {
-	const instances, maxRecovery = 8, 10 * time.Second
+	const instances, maxRecoveryTime = 8, 10 * time.Second
 	o := &outcomes{runs: map[string]int{}}
 	var endpoints []string
 	for range 3 {
@@ -319,10 +319,11 @@
 	o.waitServed(t, "responses before the partition", 200)
 	f.proxies[0].Set(faultproxy.Fault{Partition: true})
 	o.waitServed(t, "responses during the partition", 200)
-	// An attempt that the partition delays ends at its timeout. It may have run, so the request fails.
-	testpeer.WaitUntil(t, "an attempt that times out", func() bool { return o.failed.Load() > 0 })
+	// An attempt that the partition delays fails at its timeout. The endpoint may have executed it,
+	// so there is no retry and the request fails.
+	testpeer.WaitUntil(t, "a request that fails after its attempt timed out", func() bool { return o.failed.Load() > 0 })
 	f.proxies[0].Heal()
-	o.waitServed(t, "responses after the heal", 200)
+	o.waitServed(t, "responses after the partition is healed", 200)
 	for _, in := range f.instances {
 		testpeer.WaitUntil(t, "a snapshot of "+in.socket, func() bool {
 			_, err := os.Stat(in.snapshot)
@@ -330,40 +331,41 @@
 		})
 	}
 
-	recovery := f.restartAll(t, o, nil)
-	o.waitServed(t, "responses after the restart", 400)
+	recoveryTimes := f.restartAll(t, o, nil)
+	o.waitServed(t, "responses after the restart with valid snapshots", 400)
 	for _, in := range f.instances { // written by the restarted process
 		testpeer.WaitUntil(t, "a new snapshot of "+in.socket, func() bool {
 			info, err := os.Stat(in.snapshot)
 			return err == nil && info.ModTime().After(in.startedAt)
 		})
 	}
-	recovery = append(recovery, f.restartAll(t, o, corruptSnapshot)...)
-	o.waitServed(t, "responses after the restart without snapshots", 400)
+	recoveryTimes = append(recoveryTimes, f.restartAll(t, o, corruptSnapshot)...)
+	o.waitServed(t, "responses after the restart with invalid snapshots", 400)
 	sent := stop()
 
-	slices.Sort(recovery)
-	longest := recovery[len(recovery)-1]
-	t.Logf("sent %d: %d served, %d failed, %d not accepted, %d aborted by the kill; "+
-		"serving again after %v (median) and %v (longest)",
-		sent, o.served.Load(), o.failed.Load(), o.unsent.Load(), o.aborted.Load(), recovery[len(recovery)/2], longest)
-	if longest > maxRecovery {
-		t.Errorf("the last instance served again %v after the kill, more than %v", longest, maxRecovery)
+	slices.Sort(recoveryTimes)
+	longest := recoveryTimes[len(recoveryTimes)-1]
+	t.Logf("%d requests sent: %d served, %d failed, %d refused, %d aborted by a kill; "+
+		"instances served again after %v (median) and %v (longest)",
+		sent, o.served.Load(), o.failed.Load(), o.refused.Load(), o.aborted.Load(),
+		recoveryTimes[len(recoveryTimes)/2], longest)
+	if longest > maxRecoveryTime {
+		t.Errorf("the slowest recovery took %v, want at most %v", longest, maxRecoveryTime)
 	}
 	o.check(t)
 }
 
-// check checks that no request ran twice, and that no response had the body of a different request.
+// check checks that no request was executed twice and that each response belongs to its request.
 func (o *outcomes) check(t *testing.T) {
 	t.Helper()
 	if w := o.mismatch.Load(); w > 0 {
-		t.Errorf("%d responses were not the request's own", w)
+		t.Errorf("%d responses do not belong to their request", w)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, runs := range o.runs {
 		if runs > 1 {
-			t.Errorf("request %s ran %d times", id, runs)
+			t.Errorf("request %s was executed %d times, want at most once", id, runs)
 		}
 	}
 }
--- a/cmd/rowancart/handover_test.go
+++ b/cmd/rowancart/handover_test.go
@@ -20,16 +20,17 @@
 	"rowancart/internal/testpeer"
 )
 
-// replaceableDaemon is a daemon that serves at a unix socket, from a program that can be replaced.
+// replaceableDaemon is a daemon on a unix socket, whose program file the test can replace.
 type replaceableDaemon struct {
-	program string
-	socket  string
-	first   *exec.Cmd
-	current *os.Process // that serves
+	program string      // path
+	socket  string      // path
+	first   *exec.Cmd   // the process before any handover
+	current *os.Process // the process that serves now
 	log     *logFollower
 }
 
-// replaceableConfig has the paths of the socket and the snapshot, and the address of the endpoint.
+// replaceableConfig is the daemon's configuration. Its verbs stand for the paths of the socket and
+// the snapshot, and the address of the endpoint.
 const replaceableConfig = `listener "front" {
   address = "unix:%s"
 }
@@ -56,7 +57,7 @@
 }
 `
 
-// startReplaceable starts a daemon and waits until it serves.
+// startReplaceable starts a daemon and waits until it listens.
 func startReplaceable(t *testing.T, endpoint string) *replaceableDaemon {
 	t.Helper()
 	dir := t.TempDir()
@@ -64,12 +65,12 @@
 	config := filepath.Join(dir, "rowancart.hcl")
 	writeFile(t, config, fmt.Sprintf(replaceableConfig, d.socket, filepath.Join(dir, "state"), endpoint))
 	d.first = exec.Command(d.program, "serve", config)
-	d.first.Env = append(os.Environ(), "PATH="+dir+":"+os.Getenv("PATH")) // the program is found by its bare name, too
+	d.first.Env = append(os.Environ(), "PATH="+dir+":"+os.Getenv("PATH")) // the program is also found by its bare name
 	d.log = startProgram(t, d.first)
 	d.current = d.first.Process
 	t.Cleanup(func() {
 		_ = d.current.Kill()
-		if t.Failed() { // other processes may still log, since nothing waits for their end
+		if t.Failed() { // successors may still be logging: nothing waits for them here
 			t.Logf("%q", d.log.all())
 		}
 	})
@@ -77,7 +78,7 @@
 	return d
 }
 
-// replace puts a script in place of the daemon's program.
+// replace replaces the daemon's program file by a script.
 func (d *replaceableDaemon) replace(t *testing.T, script string) {
 	t.Helper()
 	if err := os.Remove(d.program); err != nil {
@@ -95,26 +96,26 @@
 	}
 }
 
-// stop stops the daemon and waits until no process is left.
+// stop terminates the daemon and waits until all processes that share its log have exited.
 func (d *replaceableDaemon) stop(t *testing.T) {
 	t.Helper()
 	d.signal(t, syscall.SIGTERM)
 	select {
 	case <-d.log.ended:
 	case <-time.After(testpeer.WaitTimeout):
-		t.Error("a process has not ended")
+		t.Error("a process that shares the daemon's log is still running")
 	}
 }
 
-// unixLoad are clients that send non-idempotent requests. The body of each response must be the
-// request's id.
+// unixLoad is a set of clients that send non-idempotent requests to a unix socket. The body of each
+// response must be the request's id.
 type unixLoad struct {
 	sent atomic.Int64
-	lost atomic.Int64
-	stop func() // ends the clients and waits for them
+	lost atomic.Int64 // requests without a correct response
+	stop func()       // stops the clients and waits for them
 }
 
-// startUnixLoad starts clients of a unix socket.
+// startUnixLoad starts the clients. Half of them open a new connection for each request.
 func startUnixLoad(t *testing.T, socket string) *unixLoad {
 	const clients = 4
 	l := &unixLoad{}
@@ -146,7 +147,8 @@
 	return l
 }
 
-// sendWithID sends a request, and returns an error unless the response's body is its id.
+// sendWithID sends a request. It returns an error unless the body of the response is the request's
+// id.
 func sendWithID(client *http.Client, id string) error {
 	r, err := http.NewRequest(http.MethodPost, "http://front/x", http.NoBody)
 	if err != nil {
@@ -160,13 +162,13 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK || string(body) != id {
-		return fmt.Errorf("request %s: %d %q, %v", id, resp.StatusCode, body, err)
+		return fmt.Errorf("request %s: status %d, body %q, error %v", id, resp.StatusCode, body, err)
 	}
 	return nil
 }
 
-// Under load, a daemon hands over three times, and then fails to because its successors do not
-// serve. No request is lost.
+// Under load, three handovers succeed, and two fail because the successor exits or never serves. No
+// request may be lost or executed twice.
 func TestHandoverLosesNoRequest(t *testing.T) {
 	endpoint := testpeer.StartEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		body := r.Header.Get(platform.RequestIDHeader)
@@ -180,11 +182,11 @@
 		d.current = d.log.waitSuccessor(t, n+1)
 		if n == 0 {
 			if err := d.first.Wait(); err != nil {
-				t.Errorf("the first daemon: %v", err)
+				t.Errorf("the first daemon exited with %v", err)
 			}
 		}
 		before := load.sent.Load()
-		testpeer.WaitUntil(t, "more requests", func() bool { return load.sent.Load() > before+100 })
+		testpeer.WaitUntil(t, "100 requests after the handover", func() bool { return load.sent.Load() > before+100 })
 	}
 	for n, script := range []string{"#!/bin/sh\nexit 1\n", "#!/bin/sh\nexec sleep 60\n"} {
 		d.replace(t, script)
@@ -194,16 +196,16 @@
 	load.stop()
 	sent, lost := load.sent.Load(), load.lost.Load()
 	if sent < 300 || lost > 0 {
-		t.Errorf("%d of %d requests were lost", lost, sent)
+		t.Errorf("%d of %d requests were lost, want none of at least 300", lost, sent)
 	}
 	if runs := int64(endpoint.Requests.Load()); runs != sent {
-		t.Errorf("%d requests ran %d times", sent, runs)
+		t.Errorf("%d requests were executed %d times", sent, runs)
 	}
 	d.stop(t)
 }
 
-// If a daemon is killed during a handover, its successor has the sockets, with the connections that
-// are queued there.
+// If a daemon is killed during a handover, its successor has inherited the listening sockets and
+// serves the connections that are queued there.
 func TestSuccessorServesAfterPredecessorIsKilled(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	endpoint := testpeer.StartEndpoint(t, testpeer.RespondWith(response, testpeer.KeepConn))
@@ -227,7 +229,7 @@
 		t.Fatal(err)
 	}
 	_ = d.first.Wait()
-	nc, err := net.Dial("unix", d.socket) // the shell has inherited the socket: the connection is queued there
+	nc, err := net.Dial("unix", d.socket) // queued, since the script has inherited the socket
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,7 +240,7 @@
 	writeFile(t, gate, "")
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("%v, %v", resp, err)
+		t.Fatalf("response %v, error %v; want status 200", resp, err)
 	}
 	resp.Body.Close()
 	pid, err := os.ReadFile(pidFile)
--- a/cmd/rowancart/harness_test.go
+++ b/cmd/rowancart/harness_test.go
@@ -17,11 +17,12 @@
 	"rowancart/internal/testpeer"
 )
 
-// logFollower collects the log lines of a process and of those that inherit its standard error.
+// logFollower collects the log lines of a process and of all processes that inherit its standard
+// error.
 type logFollower struct {
 	mu    sync.Mutex
 	lines []string
-	ended chan struct{} // closed when all of the processes have ended
+	ended chan struct{} // closed when all these processes have exited
 }
 
 // startProgram starts a command and follows its log.
@@ -33,14 +34,14 @@
 	}
 	cmd.Stderr = stderr
 	err = cmd.Start()
-	stderr.Close() // of this process: the log ends with the processes that have inherited it
+	stderr.Close() // so that the log ends when the last process that inherited it exits
 	if err != nil {
 		t.Fatal(err)
 	}
 	return followLog(logReader)
 }
 
-// followLog returns a logFollower of the lines that it reads.
+// followLog returns a logFollower that collects the lines of r.
 func followLog(r io.Reader) *logFollower {
 	f := &logFollower{ended: make(chan struct{})}
 	go func() {
@@ -54,15 +55,15 @@
 	return f
 }
 
-// all returns the lines so far.
+// all returns the lines collected so far.
 func (f *logFollower) all() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lines[:len(f.lines):len(f.lines)]
 }
 
-// wait waits for the nth line, from 1, that matches a pattern with one group, and returns what the
-// group matched.
+// wait waits for the nth line, counted from 1, that matches a pattern with one group, and returns
+// what the group matched.
 func (f *logFollower) wait(t *testing.T, n int, pattern string) string {
 	t.Helper()
 	re := regexp.MustCompile(pattern)
@@ -82,13 +83,13 @@
 	return found
 }
 
-// waitSuccessor waits for the nth completed handover, from 1, and returns the successor.
+// waitSuccessor waits for the nth completed handover, counted from 1, and returns the successor.
 func (f *logFollower) waitSuccessor(t *testing.T, n int) *os.Process {
 	t.Helper()
 	return findProcess(t, f.wait(t, n, `msg="handover completed" pid=(\d+)`))
 }
 
-// findProcess returns the process with an id.
+// findProcess returns the process with the given id.
 func findProcess(t *testing.T, pid string) *os.Process {
 	t.Helper()
 	id, err := strconv.Atoi(pid)
@@ -102,8 +103,8 @@
 	return p
 }
 
-// linkProgram makes the test binary available in dir as rowancart, the name by which it serves, and
-// returns its path.
+// linkProgram links the test binary into dir under the name rowancart, under which it runs the
+// program instead of the tests, and returns the path of the link.
 func linkProgram(t *testing.T, dir string) string {
 	t.Helper()
 	program := filepath.Join(dir, "rowancart")
@@ -117,14 +118,14 @@
 	return program
 }
 
-// unixTransport returns a transport that connects to a unix socket.
+// unixTransport returns a transport that connects to the unix socket at path.
 func unixTransport(path string) *http.Transport {
 	return &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", path)
 	}}
 }
 
-// writeFile writes a file for the processes of the test.
+// writeFile writes a file that the processes of a test read.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/cmd/rowancart/lab.go
+++ b/cmd/rowancart/lab.go
@@ -24,11 +24,11 @@
 	return lab
 }
 
-// newReverseProxy returns the command that serves as the baseline of experiments on sockets.
+// newReverseProxy returns the command that runs the round-robin baseline of experiments on sockets.
 func newReverseProxy() *cobra.Command {
 	return &cobra.Command{
 		Use:    "reverse-proxy",
-		Short:  "Serve as the baseline on sockets, as " + platform.EnvConfig + " configures",
+		Short:  "Run the round-robin baseline with the configuration file that " + platform.EnvConfig + " names",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -44,7 +44,7 @@
 		Short: "Check experiment files without running them",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			values, err := assignments(set)
+			values, err := parseAssignments(set)
 			if err != nil {
 				return err
 			}
@@ -66,7 +66,7 @@
 func newLabList() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list [DIR]",
-		Short: "List the experiments in a directory and the questions that they answer",
+		Short: "List the experiments in a directory, each with the question that it answers",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			dir := "experiments"
@@ -94,7 +94,7 @@
 	}
 }
 
-// writeSummary writes one line about an experiment: its driver, number of runs and question.
+// writeSummary writes one line about an experiment: its file, driver, number of runs and question.
 func writeSummary(w io.Writer, path string, points []hclfile.Point) {
 	e := points[0]
 	driver := "sockets"
@@ -102,13 +102,13 @@
 		driver = "virtual"
 	}
 	runs := len(points) * len(e.Variants) * len(e.Seeds)
-	fmt.Fprintf(w, "%-24s %-8s %2d plays  %s\n", filepath.Base(path), driver, runs, e.Question)
+	fmt.Fprintf(w, "%-24s %-8s %2d runs  %s\n", filepath.Base(path), driver, runs, e.Question)
 }
 
 func newLabCompare() *cobra.Command {
 	return &cobra.Command{
 		Use:   "compare A.json B.json",
-		Short: "Report the significant differences between two runs of one experiment",
+		Short: "Report the significant differences between two results of one experiment",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := report.ReadJSON(args[0])
@@ -129,13 +129,13 @@
 	}
 }
 
-// writeDifferences writes the significant differences, and those with too few repeats to tell
-// whether they are.
+// writeDifferences writes the significant differences, and those that have too few repeats for a
+// test of significance.
 func writeDifferences(w io.Writer, differences []report.Difference) {
 	significant := 0
 	for _, d := range differences {
 		if math.IsNaN(d.Noise) {
-			fmt.Fprintf(w, "%-12s %-18s %-18s %12.4f -> %12.4f  (too few repeats to tell noise)\n", d.Point, d.Variant,
+			fmt.Fprintf(w, "%-12s %-18s %-18s %12.4f -> %12.4f  (too few repeats to estimate the noise)\n", d.Point, d.Variant,
 				d.Metric, d.A, d.B)
 		} else if d.Significant() {
 			significant++
@@ -143,5 +143,5 @@
 				d.Noise)
 		}
 	}
-	fmt.Fprintf(w, "%d of %d figures differ by more than the repeats do\n", significant, len(differences))
+	fmt.Fprintf(w, "%d of %d figures differ by more than the noise between repeats\n", significant, len(differences))
 }
--- a/cmd/rowancart/labrun.go
+++ b/cmd/rowancart/labrun.go
@@ -15,10 +15,11 @@
 	"rowancart/internal/experiment/runner"
 )
 
-// errMissed is the error of a complete run that did not meet the expectations of its file.
-var errMissed = errors.New("the results do not meet the expectations of the experiment file")
+// errExpectationsNotMet is returned if an experiment was completed and its results miss an
+// expectation.
+var errExpectationsNotMet = errors.New("the results do not meet the expectations of the experiment file")
 
-// labRunFlags are the flags of lab run.
+// labRunFlags holds the values of the flags of "lab run".
 type labRunFlags struct {
 	virtual   bool
 	seed      uint64
@@ -36,26 +37,27 @@
 		Short: "Run an experiment and report its results",
 		Long: `Run an experiment and report its results.
 
-The exit status is 0 if the results meet all expectations of the file, else 1. An interrupt ends all programs that were
-started; the results until then are reported.`,
+The exit status is 0 if the results meet all expectations of the file, else 1. An interrupt terminates all programs
+that the experiment has started; the results up to then are reported.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return flags.run(cmd, args[0]) },
 	}
 	f := cmd.Flags()
-	f.BoolVar(&flags.virtual, "virtual", false, "run in virtual time, or with =false on sockets; overrides the file")
-	f.Uint64Var(&flags.seed, "seed", 0, "run this seed only")
-	f.StringVar(&flags.variant, "arm", "", "run this arm only")
+	f.BoolVar(&flags.virtual, "virtual", false,
+		"run in virtual time, or on sockets with --virtual=false; overrides the file")
+	f.Uint64Var(&flags.seed, "seed", 0, "run only this seed")
+	f.StringVar(&flags.variant, "arm", "", "run only this arm: one variant that the file defines")
 	f.StringArrayVar(&flags.set, "set", nil, "set a variable of the file: KEY=VALUE")
 	f.StringVar(&flags.jsonFile, "json", "", "write the results to this file")
-	f.StringVar(&flags.reportDir, "report", "", "write a page and the results into this directory")
+	f.StringVar(&flags.reportDir, "report", "", "write an HTML page and the results as JSON into this directory")
 	f.StringVar(&flags.root, "root", "",
 		"the repository whose deploy file starts the sidecar (default: that of the working directory)")
 	return cmd
 }
 
-// run runs the experiment of a file and writes the reports.
+// run runs the experiment in the file at path and writes the reports that the flags select.
 func (flags *labRunFlags) run(cmd *cobra.Command, path string) error {
-	values, err := assignments(flags.set)
+	values, err := parseAssignments(flags.set)
 	if err != nil {
 		return err
 	}
@@ -81,12 +83,13 @@
 	case r.Stopped != "":
 		return errors.New(r.Stopped)
 	case len(r.Missed) > 0:
-		return errMissed
+		return errExpectationsNotMet
 	}
 	return nil
 }
 
-// options returns the options of a run. Virtual is the setting of the file, which a flag overrides.
+// options returns the options for the runner. Virtual is the setting of the file, which the flag
+// --virtual overrides.
 func (flags *labRunFlags) options(cmd *cobra.Command, virtual bool) (runner.Options, error) {
 	o := runner.Options{Virtual: virtual, Variant: flags.variant, Root: flags.root}
 	if cmd.Flags().Changed("virtual") {
@@ -103,12 +106,12 @@
 		return o, err
 	}
 	if o.Root == "" {
-		o.Root, err = repository()
+		o.Root, err = findRepository()
 	}
 	return o, err
 }
 
-// write writes the report in each form that a flag selects.
+// write prints the report, and writes it in each other form that a flag selects.
 func (flags *labRunFlags) write(w io.Writer, r *report.Report) error {
 	r.Text(w)
 	if flags.jsonFile != "" {
@@ -125,8 +128,8 @@
 	return nil
 }
 
-// assignments parses KEY=VALUE arguments.
-func assignments(set []string) (map[string]string, error) {
+// parseAssignments parses the KEY=VALUE arguments of --set.
+func parseAssignments(set []string) (map[string]string, error) {
 	out := map[string]string{}
 	for _, s := range set {
 		key, value, ok := strings.Cut(s, "=")
@@ -138,9 +141,8 @@
 	return out, nil
 }
 
-// repository returns the nearest directory, from the working directory upwards, that has a deploy
-// file.
-func repository() (string, error) {
+// findRepository returns the working directory or its nearest parent that has a deploy file.
+func findRepository() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
 		return "", err
@@ -151,7 +153,8 @@
 		}
 		parent := filepath.Dir(dir)
 		if parent == dir {
-			return "", errors.New("no deploy/balancer.toml here or above: run within the repository, or name it with --root")
+			return "", errors.New(
+				"no deploy/balancer.toml here or above: run in the repository, or set --root (run) or --sidecar (speed)")
 		}
 		dir = parent
 	}
--- a/cmd/rowancart/main.go
+++ b/cmd/rowancart/main.go
@@ -1,6 +1,6 @@
-// Rowancart is the operators' program: it serves an installation, runs the instances of a fleet on
-// one machine, checks configurations, and runs experiments with the balancer against emulated
-// servers.
+// Rowancart is the program for operators of the load balancer. It runs the daemon, supervises the
+// instances of a fleet on one machine, checks configurations, and runs experiments with the
+// balancer and emulated servers.
 package main
 
 import (
--- a/cmd/rowancart/progress.go
+++ b/cmd/rowancart/progress.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	progressSteps    = 1000 // of the bar
-	progressWidth    = 40   // columns of the bar
-	progressInterval = 100 * time.Millisecond
+	progressSteps    = 1000                   // resolution of the bar
+	progressWidth    = 40                     // width of the bar in columns
+	progressInterval = 100 * time.Millisecond // minimum time between two updates of the bar
 )
 
-// progressDisplay shows the progress of several runs: on a terminal as a bar, and elsewhere as a
-// line for each complete run.
+// progressDisplay shows how many runs of an experiment, or sites of a search, are completed. On a
+// terminal it draws a bar; elsewhere it writes a line whenever the number changes.
 type progressDisplay struct {
-	mu       sync.Mutex
-	w        io.Writer
-	bar      *progressbar.ProgressBar // nil: w is not a terminal
-	lastDone int                      // of the last line
+	mu           sync.Mutex
+	w            io.Writer
+	bar          *progressbar.ProgressBar // nil: w is not a terminal
+	lastReported int                      // number of completed items in the last line; -1: no line yet
 }
 
 func newProgressDisplay(w io.Writer) *progressDisplay {
-	d := &progressDisplay{w: w, lastDone: -1}
+	d := &progressDisplay{w: w, lastReported: -1}
 	if f, ok := w.(*os.File); ok && term.IsTerminal(int(f.Fd())) {
 		d.bar = progressbar.NewOptions(progressSteps,
 			progressbar.OptionSetWriter(w),
@@ -38,16 +38,16 @@
 	return d
 }
 
-// show shows that some of all runs are done, and a fraction of the present one.
-func (d *progressDisplay) show(done, all int, fraction float64) {
+// show updates the display: done of total items are completed, and a fraction of the current one.
+func (d *progressDisplay) show(done, total int, fraction float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case d.bar != nil:
-		_ = d.bar.Set(int(progressSteps * (float64(done) + fraction) / float64(all))) // the bar is not essential
-	case done != d.lastDone:
-		d.lastDone = done
-		fmt.Fprintf(d.w, "played %d of %d\n", done, all)
+		_ = d.bar.Set(int(progressSteps * (float64(done) + fraction) / float64(total))) // an error affects only the bar
+	case done != d.lastReported:
+		d.lastReported = done
+		fmt.Fprintf(d.w, "completed %d of %d\n", done, total)
 	}
 }
 
--- a/cmd/rowancart/root.go
+++ b/cmd/rowancart/root.go
@@ -9,12 +9,12 @@
 	"github.com/spf13/cobra"
 )
 
-// newRoot returns the command tree.
+// newRoot returns the root command with all its subcommands.
 func newRoot() *cobra.Command {
 	var format, level string
 	root := &cobra.Command{
 		Use:           "rowancart",
-		Short:         "The operators' program of rowancart, a load balancer",
+		Short:         "Run, configure and evaluate the rowancart load balancer",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(cmd *cobra.Command, _ []string) error {
@@ -27,10 +27,10 @@
 	}
 	root.PersistentFlags().StringVar(&format, "log-format", "text", "format of the log: text or json")
 	root.PersistentFlags().StringVar(&level, "log-level", "info",
-		"minimum level that is logged: debug, info, warn or error")
+		"lowest level that is logged: debug, info, warn or error")
 	root.AddCommand(newServe(), newFleet(), newConfig(), newLab(), &cobra.Command{
 		Use:   "version",
-		Short: "Print the version that this program was built from",
+		Short: "Print the version of this program",
 		Args:  cobra.NoArgs,
 		Run:   func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), version()) },
 	})
@@ -53,20 +53,20 @@
 	return nil, fmt.Errorf("--log-format: %q is not one of text, json", format)
 }
 
-// version describes the build as the Go toolchain recorded it.
+// version describes the build with the information that the Go toolchain embedded in the program.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return "rowancart, of an unknown version"
+		return "rowancart, unknown version"
 	}
-	revision := "an unrecorded revision"
+	revision := "unknown revision"
 	modified := ""
 	for _, setting := range info.Settings {
 		switch {
 		case setting.Key == "vcs.revision":
 			revision = setting.Value
 		case setting.Key == "vcs.modified" && setting.Value == "true":
-			modified = ", changed since"
+			modified = ", modified"
 		}
 	}
 	return fmt.Sprintf("rowancart %s (%s%s), %s", info.Main.Version, revision, modified, info.GoVersion)
--- a/cmd/rowancart/search.go
+++ b/cmd/rowancart/search.go
@@ -14,15 +14,15 @@
 func newSearch() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "search",
-		Short: "Find sites on which the design does worse than a baseline policy",
+		Short: "Find emulated sites on which the design performs worse than a baseline policy",
 	}
 	var seed uint64
-	cmd.PersistentFlags().Uint64Var(&seed, "seed", 1, "seed of the sites that are drawn")
+	cmd.PersistentFlags().Uint64Var(&seed, "seed", 1, "seed from which the sites are generated")
 	cmd.AddCommand(newSearchRun(&seed), newSearchReport(&seed), newSearchShow(&seed))
 	return cmd
 }
 
-// progressEvery is the number of sites between two reports of progress.
+// progressEvery is the number of sites after which the progress is reported again.
 const progressEvery = 100
 
 func newSearchRun(seed *uint64) *cobra.Command {
@@ -30,11 +30,11 @@
 	sites := 1000
 	cmd := &cobra.Command{
 		Use:   "run BOUNDS",
-		Short: "Draw sites, run the design and the baselines on each, and append the results to a file",
-		Long: `Draw sites within the bounds of a file, run the design and the baselines on each in virtual
-time, and append the results to a file.
+		Short: "Generate sites, run the design and the baselines on each, and append the results to a file",
+		Long: `Generate random sites (servers, load and faults) within the bounds of a file, run the design and
+the baselines on each in virtual time, and append the results to a file.
 
-A run that was stopped is resumed by the same command with the same bounds, seed and file. The
+To resume a search that was stopped, repeat the command with the same bounds, seed and file. The
 file does not identify the program: use a new file for the results of another build.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -43,7 +43,7 @@
 				return err
 			}
 			if o.Out == "" {
-				return errors.New("--out: a file for the results is required")
+				return errors.New("--out is required: the file to which the results are appended")
 			}
 			o.Seed = *seed
 			o.To = o.From + sites
@@ -58,18 +58,18 @@
 			return err
 		},
 	}
-	cmd.Flags().StringVar(&o.Out, "out", "", "file for the results")
+	cmd.Flags().StringVar(&o.Out, "out", "", "file to which the results are appended")
 	cmd.Flags().IntVar(&sites, "sites", sites, "number of sites")
 	cmd.Flags().IntVar(&o.From, "from", 0, "number of the first site")
 	return cmd
 }
 
 func newSearchReport(seed *uint64) *cobra.Command {
-	worst := 10 // sites
+	worstSites := 10
 	var plotFile string
 	cmd := &cobra.Command{
 		Use:   "report BOUNDS RESULTS...",
-		Short: "Report the distribution of regret, and describe the worst sites",
+		Short: "Report how far the design is behind the best baseline (its regret), and describe the worst sites",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			b, err := search.Load(args[0])
@@ -84,7 +84,7 @@
 				}
 				s := search.Summarise(b, sites)
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: ", path)
-				s.Text(cmd.OutOrStdout(), b, *seed, worst)
+				s.Text(cmd.OutOrStdout(), b, *seed, worstSites)
 				all = append(all, s)
 			}
 			if plotFile == "" {
@@ -93,12 +93,12 @@
 			return plotRegret(plotFile, args[1:], all)
 		},
 	}
-	cmd.Flags().IntVar(&worst, "worst", worst, "number of sites that are described")
-	cmd.Flags().StringVar(&plotFile, "plot", "", "draw the distributions of regret into this file, as SVG")
+	cmd.Flags().IntVar(&worstSites, "worst", worstSites, "number of the worst sites to describe")
+	cmd.Flags().StringVar(&plotFile, "plot", "", "plot the distributions of regret into this file, as SVG")
 	return cmd
 }
 
-// plotRegret writes a plot of the summaries, which have these labels, into a file.
+// plotRegret plots the regret in each summary, with its label, into the file at path.
 func plotRegret(path string, labels []string, summaries []search.Summary) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -110,7 +110,7 @@
 func newSearchShow(seed *uint64) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show BOUNDS SITE",
-		Short: "Run one site; print what each policy served and the log of the design's instances",
+		Short: "Run one site; print the results of each policy and the log of the design's instances",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			b, err := search.Load(args[0])
@@ -119,7 +119,7 @@
 			}
 			n, err := strconv.Atoi(args[1])
 			if err != nil {
-				return fmt.Errorf("%q is not the number of a site", args[1])
+				return fmt.Errorf("SITE: %q is not an integer", args[1])
 			}
 			return search.Show(cmd.Context(), cmd.OutOrStdout(), b, *seed, n)
 		},
--- a/cmd/rowancart/serve.go
+++ b/cmd/rowancart/serve.go
@@ -18,21 +18,23 @@
 )
 
 const (
-	gcPercent    = 300 // the live heap is small, so that collecting less often costs little memory
-	heapFraction = 0.7 // of the configured memory limit; beyond it the garbage collector runs more often
+	gcPercent           = 300 // the live heap is small, so collecting garbage less often costs little memory
+	memoryLimitFraction = 0.7 // of the configured limit; above it the garbage collector runs more often
 )
 
 func newServe() *cobra.Command {
 	return &cobra.Command{
 		Use:   "serve FILE",
-		Short: "Serve as the configuration says",
-		Long: `Serve as the configuration says, until SIGTERM or SIGINT has come and all that was taken has been answered.
+		Short: "Run the load-balancing daemon",
+		Long: `Run the load-balancing daemon with a configuration file. After SIGTERM or SIGINT it exits once it has answered
+all requests that it has accepted.
 
-The file is read again at each SIGHUP and whenever it changes. A good one is put in force at once, a bad one changes
-nothing: the log and "rowancart config status" say what is wrong with it.
+The file is read again at each SIGHUP and whenever it changes. A valid configuration is applied at once. An invalid one
+is ignored; the log and "rowancart config status" report what is wrong with it.
 
-At SIGUSR2 it starts the program at its own path anew, hands it the open sockets, and ends once that serves and all
-that was taken here has been answered. One that does not get to serve is ended, and this process goes on.`,
+At SIGUSR2 the daemon starts the program at its own path as its successor and passes the open sockets to it. It exits
+once the successor serves and all requests accepted here have been answered. A successor that fails to serve is
+terminated, and this process continues to serve.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return serve(cmd, args[0]) },
 	}
@@ -40,7 +42,7 @@
 
 // serve runs the daemon until SIGTERM or SIGINT, or until a successor serves.
 func serve(cmd *cobra.Command, configPath string) error {
-	reload, stopReload := notify(syscall.SIGHUP) // before anything else: an unhandled SIGHUP ends the process
+	reload, stopReload := notify(syscall.SIGHUP) // first: an unhandled SIGHUP terminates the process
 	defer stopReload()
 	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -50,9 +52,9 @@
 	if err != nil {
 		return err
 	}
-	program, err := programPath() // once: at a handover there may be a new program at that path
+	program, err := programPath() // resolved once: at a handover this path may hold a new program
 	if err != nil {
-		return fmt.Errorf("this program can't be found: %w", err)
+		return fmt.Errorf("cannot determine the path of this program: %w", err)
 	}
 	debug.SetGCPercent(gcPercent)
 	d, err := daemon.New(daemon.Options{
@@ -70,8 +72,8 @@
 	return d.Run(ctx, reload)
 }
 
-// notify returns a channel that receives a signal, and a function that ends this. A signal that
-// arrives while the previous one is pending is dropped.
+// notify returns a channel that receives the given signal, and a function that stops the delivery.
+// A signal that arrives while the previous one is still in the channel is dropped.
 func notify(s os.Signal) (received <-chan os.Signal, stop func()) {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, s)
@@ -87,8 +89,8 @@
 	return filepath.Abs(path)
 }
 
-// sameCommand returns a command that runs a program with this process's arguments and standard
-// files.
+// sameCommand returns a command that runs a program with the arguments and the standard input,
+// output and error of this process.
 func sameCommand(program string) *exec.Cmd {
 	c := exec.Command(program, os.Args[1:]...)
 	c.Stdin = os.Stdin
@@ -97,7 +99,8 @@
 	return c
 }
 
-// setMemoryLimit applies the configured memory limit to the garbage collector.
+// setMemoryLimit sets the soft memory limit of the Go runtime to a fraction of the configured
+// limit.
 func setMemoryLimit(c *config.Config) {
-	debug.SetMemoryLimit(int64(heapFraction * float64(c.Limits.Memory)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(c.Limits.Memory)))
 }
--- a/cmd/rowancart/speed.go
+++ b/cmd/rowancart/speed.go
@@ -15,11 +15,12 @@
 	o := speed.Options{}
 	cmd := &cobra.Command{
 		Use:   "speed",
-		Short: "Measure how fast the programs forward requests, compared with other proxies in one run",
-		Long: `Measure how fast the programs forward requests: the platform's sidecar, the daemon,
-net/http/httputil's ReverseProxy and fasthttp's LBClient. Each is a process of its own, with
-endpoints that respond at once. Results are medians over rounds in which the programs are measured
-one after another; on a machine with other load only their ratios are meaningful.`,
+		Short: "Compare how fast the sidecar, the daemon and other proxies forward requests",
+		Long: `Compare how fast programs forward requests: the platform's sidecar, the daemon,
+net/http/httputil's ReverseProxy and fasthttp's LBClient. Each is a process of its own and forwards
+to endpoints that respond at once. Each result is the median over several rounds; in a round the
+programs are measured one after another. On a machine with other load only the ratios between the
+results are meaningful.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return measureSpeed(cmd, o)
@@ -28,19 +29,19 @@
 	f := cmd.Flags()
 	f.StringSliceVar(&o.Programs, "programs", speed.Programs, "programs to compare")
 	f.IntVar(&o.Servers, "boxes", 12, "number of endpoints, which respond at once")
-	f.IntVar(&o.Connections, "connections", 32, "client connections, each with one request at a time")
+	f.IntVar(&o.Connections, "connections", 32, "client connections, each with one request in flight at a time")
 	f.IntVar(&o.BodySize, "body", 0, "size of the body of a POST request in bytes; 0: GET requests")
-	f.IntVar(&o.Cores, "cores", 1, "cores of each program")
-	f.IntVar(&o.Rounds, "rounds", 5, "rounds in which each program is measured once, after one for warming up")
+	f.IntVar(&o.Cores, "cores", 1, "number of cores that each program may use")
+	f.IntVar(&o.Rounds, "rounds", 5, "rounds in which each program is measured once, after a warm-up round")
 	f.DurationVar(&o.SampleTime, "turn", time.Second, "duration of one measurement")
-	f.IntVar(&o.IdleConnections, "idle", 0, "additional client connections that send nothing")
+	f.IntVar(&o.IdleConnections, "idle", 0, "additional client connections on which nothing is sent")
 	f.StringVar(&o.Sidecar, "sidecar", "",
-		"the sidecar program (default: built from the repository of the working directory)")
+		"path of the sidecar program (default: built from the repository of the working directory)")
 	return cmd
 }
 
-// measureSpeed measures in a temporary directory and prints the results. It builds the sidecar if
-// the options have none.
+// measureSpeed measures the programs, with a temporary directory for their files, and prints the
+// results. It builds the sidecar unless the options have the path of one.
 func measureSpeed(cmd *cobra.Command, o speed.Options) error {
 	var err error
 	o.Self, err = os.Executable()
@@ -65,9 +66,9 @@
 	return speed.Text(cmd.OutOrStdout(), results)
 }
 
-// buildSidecar builds the platform's program from the repository around the working directory.
+// buildSidecar builds the sidecar, at path, from the repository that holds the working directory.
 func buildSidecar(cmd *cobra.Command, path string) error {
-	root, err := repository()
+	root, err := findRepository()
 	if err != nil {
 		return err
 	}
@@ -77,11 +78,11 @@
 	return build.Run()
 }
 
-// newFastHTTP returns the command that serves as the baseline on fasthttp.
+// newFastHTTP returns the command that runs the baseline proxy built on fasthttp.
 func newFastHTTP() *cobra.Command {
 	return &cobra.Command{
 		Use:    "fasthttp LISTEN ENDPOINT...",
-		Short:  "Serve as the baseline on fasthttp",
+		Short:  "Run the baseline proxy that is built on fasthttp",
 		Hidden: true,
 		Args:   cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/rowancart/subsets.go
+++ b/cmd/rowancart/subsets.go
@@ -18,11 +18,11 @@
 		Short: "Compare methods of selecting the servers to which each instance of a fleet sends",
 		Long: `Compare methods of selecting the servers to which each instance of a fleet sends.
 
-Columns "least" and "most" are the smallest and the largest number of instances of a server,
-relative to the mean, after five servers have been replaced one after another. The other columns
-are the mean number of servers that change for an instance when a server is replaced, and when an
-instance is added. With few instances, subsets are larger than --part, so that each server has
-three instances.`,
+Columns "least" and "most" are the smallest and the largest number of instances that send to one
+server, relative to the mean, after five servers have been replaced one after another. The other
+columns are the mean number of servers in an instance's subset that change when a server is
+replaced, and when an instance is added. With few instances, subsets are larger than --part, so
+that three instances send to each server.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, n := range slices.Concat([]int{size}, instances, servers) {
@@ -34,8 +34,8 @@
 			return nil
 		},
 	}
-	cmd.Flags().IntSliceVar(&instances, "instances", instances, "numbers of instances")
-	cmd.Flags().IntSliceVar(&servers, "boxes", servers, "numbers of servers")
-	cmd.Flags().IntVar(&size, "part", size, "servers to which one instance sends")
+	cmd.Flags().IntSliceVar(&instances, "instances", instances, "numbers of instances to compare")
+	cmd.Flags().IntSliceVar(&servers, "boxes", servers, "numbers of servers to compare")
+	cmd.Flags().IntVar(&size, "part", size, "number of servers to which one instance sends")
 	return cmd
 }
--- a/cmd/rowancart/supervisor_test.go
+++ b/cmd/rowancart/supervisor_test.go
@@ -19,9 +19,10 @@
 	"rowancart/internal/testpeer"
 )
 
-var fleetKills = flag.Int("fleet.kills", 60, "kills of instances and of the supervisor")
+var fleetKills = flag.Int("fleet.kills", 60, "number of kills of instances and of the supervisor")
 
-// supervisedInstanceConfig has the address of the endpoint.
+// supervisedInstanceConfig is the configuration of all instances. Its verb stands for the address
+// of the endpoint.
 const supervisedInstanceConfig = `admin {
   listen = env("ROWANCART_ADMIN")
 }
@@ -52,7 +53,7 @@
 }
 `
 
-// supervisorConfig has the number of instances.
+// supervisorConfig is the supervisor's configuration. Its verb stands for the number of instances.
 const supervisorConfig = `fleet {
   instances = %d
   config = "instance.hcl"
@@ -67,7 +68,7 @@
 }
 `
 
-// supervisorProcess is a process of "rowancart fleet", and the folder with its state.
+// supervisorProcess is a process that runs "rowancart fleet", with the folder of its state.
 type supervisorProcess struct {
 	cmd       *exec.Cmd
 	log       *logFollower
@@ -75,18 +76,18 @@
 	instances int
 }
 
-// startSupervisor starts a supervisor of a fleet whose file is in the parent of folder.
+// startSupervisor starts a supervisor. The fleet's configuration file is in the parent of folder.
 func startSupervisor(t *testing.T, program, folder string, instances int) *supervisorProcess {
 	t.Helper()
 	file := filepath.Join(filepath.Dir(folder), "fleet.hcl")
 	s := &supervisorProcess{cmd: exec.Command(program, "fleet", file), folder: folder, instances: instances}
 	s.log = startProgram(t, s.cmd)
-	s.log.wait(t, instances, `msg="instance (?:adopted|started)"()`) // it handles SIGTERM by then
+	s.log.wait(t, instances, `msg="instance (?:adopted|started)"()`) // by then it handles SIGTERM
 	return s
 }
 
-// pids returns the process ids of the instances as the supervisor has saved them; 0 for an instance
-// that does not run.
+// pids returns the process ids of the instances from the state that the supervisor has saved; 0 for
+// an instance that does not run.
 func (s *supervisorProcess) pids() []int {
 	var state struct{ Instances []struct{ Pid int } }
 	if _, err := snapshot.Read(filepath.Join(s.folder, "fleet.state"), time.Now(), time.Hour, &state); err != nil {
@@ -113,7 +114,7 @@
 	return true
 }
 
-// isHealthy reports whether the admin interface of an instance says that it is healthy.
+// isHealthy reports whether the health check at an instance's admin socket succeeds.
 func (s *supervisorProcess) isHealthy(i int) bool {
 	transport := unixTransport(filepath.Join(s.folder, fmt.Sprintf("admin-%d.sock", i)))
 	transport.DisableKeepAlives = true
@@ -126,13 +127,13 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// checkSecondSupervisor checks that a second supervisor of the fleet refuses to start.
+// checkSecondSupervisor checks that a second supervisor of the fleet fails to start.
 func checkSecondSupervisor(t *testing.T, program, file string) {
 	t.Helper()
 	out, err := exec.Command(program, "fleet", file).CombinedOutput()
 	if err == nil || strings.Count(string(out), "\n") != 1 ||
 		!strings.Contains(string(out), "another supervisor runs this fleet") {
-		t.Errorf("a second supervisor of the fleet: %v, %q", err, out)
+		t.Errorf("second supervisor of the fleet: error %v, output %q", err, out)
 	}
 }
 
@@ -145,38 +146,39 @@
 	}
 }
 
-// countRunning returns the number of processes that run.
+// countRunning returns how many of the processes still run.
 func (p pidSet) countRunning() int {
 	running := 0
 	for pid := range p {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		_, state, _ := strings.Cut(string(stat), ") ")
-		if err == nil && !strings.HasPrefix(state, "Z") { // zombies wait for init
+		if err == nil && !strings.HasPrefix(state, "Z") { // a zombie has exited and waits for init
 			running++
 		}
 	}
 	return running
 }
 
-// kill kills the supervisor, but not its instances.
+// kill kills the supervisor with SIGKILL; its instances go on running.
 func (s *supervisorProcess) kill() {
 	s.cmd.Process.Signal(syscall.SIGKILL)
 	s.cmd.Wait()
 }
 
-// stop stops the supervisor and its instances.
+// stop terminates the supervisor, which terminates its instances.
 func (s *supervisorProcess) stop(t *testing.T) {
 	t.Helper()
 	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.cmd.Wait(); err != nil {
-		t.Errorf("the supervisor ends with %v", err)
+		t.Errorf("the supervisor exited with %v", err)
 	}
 }
 
-// Seeded kills of instances and of the supervisor itself: after each, all eight instances are
-// healthy again, and after the supervisor is stopped none of their processes runs.
+// Kills instances and the supervisor itself in a random order from a fixed seed. All eight
+// instances must become healthy after each kill, and none of their processes may run after the
+// supervisor has been stopped.
 func TestSupervisorRestartsKilledInstancesAndLeavesNoProcesses(t *testing.T) {
 	const instances = 8
 	kills := *fleetKills
@@ -187,7 +189,7 @@
 	folder := filepath.Join(dir, "run")
 	writeFile(t, filepath.Join(dir, "instance.hcl"), fmt.Sprintf(supervisedInstanceConfig, endpoint.Addr))
 	writeFile(t, file, fmt.Sprintf(supervisorConfig, instances))
-	seen := pidSet{} // of instances
+	seen := pidSet{} // all processes of instances so far
 	s := startSupervisor(t, program, folder, instances)
 	t.Cleanup(func() {
 		_ = s.cmd.Process.Kill()
@@ -199,10 +201,10 @@
 	rng := rand.New(rand.NewPCG(11, 0))
 	supervisorKills := 0
 	for k := range kills {
-		testpeer.WaitUntil(t, fmt.Sprintf("all %d healthy before kill %d", instances, k+1), s.allHealthy)
+		testpeer.WaitUntil(t, fmt.Sprintf("all %d instances healthy before kill %d", instances, k+1), s.allHealthy)
 		pids := s.pids()
 		seen.add(pids)
-		if rng.IntN(6) == 0 { // the supervisor: the next one adopts its instances
+		if rng.IntN(6) == 0 { // kill the supervisor; its successor adopts the instances
 			supervisorKills++
 			s.kill()
 			s = startSupervisor(t, program, folder, instances)
@@ -210,11 +212,12 @@
 		}
 		syscall.Kill(pids[rng.IntN(instances)], syscall.SIGKILL)
 	}
-	testpeer.WaitUntil(t, "all healthy after the last kill", s.allHealthy)
+	testpeer.WaitUntil(t, "all instances healthy after the last kill", s.allHealthy)
 	seen.add(s.pids())
 	s.stop(t)
 	if running := seen.countRunning(); running > 0 {
-		t.Errorf("%d of %d processes of instances still run", running, len(seen))
+		t.Errorf("%d of %d processes of instances still run, want none", running, len(seen))
 	}
-	t.Logf("%d kills, %d of them of the supervisor; %d processes of instances in all", kills, supervisorKills, len(seen))
+	t.Logf("%d kills, %d of them of the supervisor; %d processes of instances in total",
+		kills, supervisorKills, len(seen))
 }
--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -19,20 +19,20 @@
 	defaultMaxBackoff     = 30 * time.Second
 )
 
-// Config is a fleet's configuration. docs/recovery.md describes the file.
+// Config is the configuration of a fleet. docs/recovery.md describes the file.
 type Config struct {
 	Instances      int
-	InstanceConfig string // path of the daemon's configuration, for every instance
-	Folder         string // the supervisor's own: its state, its lock, the instances' admin sockets and logs
-	Seed           uint64
-	ReadyTimeout   time.Duration // an instance that is not healthy by then is killed
-	StopTimeout    time.Duration // after SIGTERM, until instances that have not exited are killed
-	InitialBackoff time.Duration // after the first failure
-	MaxBackoff     time.Duration
+	InstanceConfig string        // path of the daemon's configuration file, the same for all instances
+	Folder         string        // for this supervisor only: its state and lock, and its instances' files
+	Seed           uint64        // of the random jitter of restart backoffs
+	ReadyTimeout   time.Duration // a started instance that is not healthy by then is killed
+	StopTimeout    time.Duration // an instance that has not exited this long after SIGTERM is killed
+	InitialBackoff time.Duration // before the restart after a first failure
+	MaxBackoff     time.Duration // before jitter
 }
 
-// LoadConfig reads a fleet's file. The error for an invalid one is an hcldecode.FaultList. Relative
-// paths in the file are relative to its folder.
+// LoadConfig reads the configuration file of a fleet. It returns an hcldecode.FaultList if the file
+// is invalid. Relative paths in the file are relative to the file's folder.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return c, nil
 }
 
-// decode reads and checks the block fleet. Faults are added to the reader's.
+// decode reads and checks the block "fleet". It adds the faults that it finds to those of r.
 func (c *Config) decode(r *hcldecode.Reader, b *hcl.Block) {
 	seed := int(c.Seed)
 	r.Body(b.Body, hcldecode.Fields{
@@ -82,13 +82,14 @@
 	case c.Instances < 1 || c.Instances > maxInstances:
 		r.Fault(r.Places[&c.Instances], "instances: %d is not between 1 and %d", c.Instances, maxInstances)
 	case c.InitialBackoff <= 0 || c.MaxBackoff < c.InitialBackoff:
-		r.Fault(b.DefRange, "back_off: first must be above 0, and most at least first")
+		r.Fault(b.DefRange, "back_off: first must be above 0, and most must not be below first")
 	case c.ReadyTimeout <= 0 || c.StopTimeout <= 0:
 		r.Fault(b.DefRange, "fleet: ready_within and stop_within must be above 0")
 	}
 }
 
-// resolvePaths makes the paths absolute: instances may be started from another folder.
+// resolvePaths makes the paths absolute, with dir as the base of relative paths: instances may be
+// started from another folder.
 func (c *Config) resolvePaths(dir string) (err error) {
 	for _, p := range []*string{&c.InstanceConfig, &c.Folder} {
 		if !filepath.IsAbs(*p) {
--- a/internal/supervisor/config_test.go
+++ b/internal/supervisor/config_test.go
@@ -17,7 +17,7 @@
 }
 `
 
-// writeConfig writes a fleet's file and returns its path.
+// writeConfig writes the configuration file of a fleet and returns its path.
 func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "fleet.hcl")
@@ -36,7 +36,7 @@
 	dir := filepath.Dir(path)
 	if c.Instances != 3 || c.InstanceConfig != filepath.Join(dir, "i.hcl") || c.Folder != filepath.Join(dir, "run") ||
 		c.MaxBackoff != 4*c.InitialBackoff {
-		t.Errorf("read as %+v", c)
+		t.Errorf("unexpected configuration %+v", c)
 	}
 }
 
@@ -45,7 +45,7 @@
 		{"no instances", "0", "", ":2:3: instances: 0 is not between 1 and 1024"},
 		{"too many instances", "1025", "", ":2:3: instances: 1025 is not between 1 and 1024"},
 		{"backoff that shrinks", "1", "  back_off {\n    first = \"2s\"\n    most = \"1s\"\n  }\n",
-			":1:1: back_off: first must be above 0, and most at least first"},
+			":1:1: back_off: first must be above 0, and most must not be below first"},
 		{"no time to stop", "1", "  stop_within = \"0s\"\n",
 			":1:1: fleet: ready_within and stop_within must be above 0"},
 	} {
--- a/internal/supervisor/process.go
+++ b/internal/supervisor/process.go
@@ -16,26 +16,30 @@
 )
 
 const (
-	pollInterval       = 100 * time.Millisecond // of health checks, and of checks whether an adopted process runs
+	pollInterval       = 100 * time.Millisecond // of health checks, and of checks whether an adopted process still runs
 	healthCheckTimeout = time.Second
 
-	// Environment variables of an instance, which its configuration reads.
+	// Environment variables that the supervisor sets for an instance; the instance's configuration
+	// reads them.
 	envIndex     = "ROWANCART_INDEX"
 	envInstances = "ROWANCART_INSTANCES"
-	envAdmin     = "ROWANCART_ADMIN" // address of its admin interface
-	envState     = "ROWANCART_STATE" // path of its state file
+	envAdmin     = "ROWANCART_ADMIN" // address of the admin interface
+	envState     = "ROWANCART_STATE" // path of the state file
 
-	statStartField = 19 // index of the start time in /proc/PID/stat, in the fields that follow the command's name
+	// statStartTimeField is the index of the start time among the fields of /proc/PID/stat that
+	// follow the command's name.
+	statStartTimeField = 19
 )
 
-// process is one running instance: a child, or one adopted from the previous supervisor.
+// process is the process of an instance: a child of this supervisor, or one that was started by an
+// earlier supervisor and adopted by this one.
 type process struct {
 	pid       int
-	startTime uint64 // in ticks after boot: it tells a process from a later one with the same pid
+	startTime uint64 // in clock ticks after boot; distinguishes the process from a later one with the same pid
 }
 
-// startInstance starts an instance, with its index, the fleet's size and its own admin socket in
-// its environment.
+// startInstance starts an instance and two watchers of its process. The environment of the instance
+// has its index, the number of instances, its admin socket and the path of its state file.
 func (s *supervisor) startInstance(i int) (*process, error) {
 	cmd := exec.Command(s.options.Program, "serve", s.config.InstanceConfig)
 	cmd.Env = append(os.Environ(),
@@ -43,17 +47,17 @@
 		envInstances+"="+strconv.Itoa(s.config.Instances),
 		envAdmin+"=unix:"+s.adminSocket(i),
 		envState+"="+filepath.Join(s.config.Folder, fmt.Sprintf("instance-%d.state", i)))
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // only the supervisor receives a terminal's signals
-	// The log is written to a file, not to a pipe: an instance that outlives this supervisor would be
-	// killed by SIGPIPE at its next line.
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // so that signals of a terminal reach only the supervisor
+	// The instance writes its log to a file. With a pipe, an instance that outlives this supervisor
+	// would be killed by SIGPIPE at its next log line.
 	logName := filepath.Join(s.config.Folder, fmt.Sprintf("instance-%d.log", i))
 	logFile, err := os.OpenFile(logName, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer logFile.Close() // the child has its own descriptor
+	defer logFile.Close() // the child process has its own descriptor
 	cmd.Stderr = logFile
-	_ = os.Remove(s.adminSocket(i)) // left by an earlier process
+	_ = os.Remove(s.adminSocket(i)) // an earlier process may have left it
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -66,7 +70,8 @@
 	return p, nil
 }
 
-// watchAdopted sends an event when a process has exited that is not a child of this one.
+// watchAdopted sends an event when an adopted process has exited. It polls, because a process can
+// wait only for its children.
 func (s *supervisor) watchAdopted(i int, p *process) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -80,8 +85,8 @@
 	s.send(event{kind: eventExited, instance: i, process: p})
 }
 
-// awaitHealthy checks an instance's health until it is healthy, its process has exited, or the
-// supervisor stops.
+// awaitHealthy repeats an instance's health check until the instance is healthy, its process has
+// exited, or the supervisor stops. It sends an event if the instance is healthy.
 func (s *supervisor) awaitHealthy(i int, p *process) {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		var d net.Dialer
@@ -109,8 +114,8 @@
 	}
 }
 
-// isHealthy reports whether the instance that the client connects to responds to its health check
-// with 200.
+// isHealthy reports whether the instance that the client connects to responds to a health check
+// with status 200.
 func isHealthy(client *http.Client) bool {
 	resp, err := client.Get("http://admin/healthz")
 	if err != nil {
@@ -121,15 +126,17 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// adminSocket returns the path of an instance's admin interface.
+// adminSocket returns the path of an instance's admin socket.
 func (s *supervisor) adminSocket(i int) string {
 	return filepath.Join(s.config.Folder, fmt.Sprintf("admin-%d.sock", i))
 }
 
-// signal sends a signal. The process may have exited already, which its watcher reports.
+// signal sends a signal to the process. It ignores errors: the process may have exited already,
+// which its watcher reports.
 func (p *process) signal(sig syscall.Signal) { _ = syscall.Kill(p.pid, sig) }
 
-// isRunning reports whether the process that began at startTime has not exited.
+// isRunning reports whether the process has not exited. A zombie, or another process that has the
+// same pid but a different start time, does not count as running.
 func (p *process) isRunning() bool {
 	if syscall.Kill(p.pid, 0) != nil {
 		return false
@@ -141,17 +148,18 @@
 	return !strings.HasPrefix(stat, "Z") && processStartTime(p.pid) == p.startTime
 }
 
-// processStartTime returns when a process began, in ticks after boot; 0 if that cannot be read.
+// processStartTime returns the start time of a process in clock ticks after boot, or 0 if it cannot
+// be read.
 func processStartTime(pid int) uint64 {
 	stat, err := readStat(pid)
 	if err != nil {
 		return 0
 	}
 	fields := strings.Fields(stat)
-	if len(fields) <= statStartField {
+	if len(fields) <= statStartTimeField {
 		return 0
 	}
-	ticks, _ := strconv.ParseUint(fields[statStartField], 10, 64)
+	ticks, _ := strconv.ParseUint(fields[statStartTimeField], 10, 64)
 	return ticks
 }
 
--- a/internal/supervisor/restart.go
+++ b/internal/supervisor/restart.go
@@ -8,53 +8,54 @@
 	"time"
 )
 
-// This file is pure: it is given events with their time and returns actions; Run starts processes
-// and reads clocks. Times are durations since the same arbitrary origin.
+// The code in this file starts no processes and reads no clock: it receives events with their times
+// and returns actions, which Run carries out. All times are durations since one arbitrary origin.
 //
-// An instance is Down until its start is due, Starting once its process runs, and Healthy once it
-// has passed its health check. One that is not healthy in time is Killing until its process has
-// exited. From each phase, the exit of the process leads to Down, with the next start after a
-// backoff.
+// An instance is Down until its next start is due, Starting once its process runs, and Healthy once
+// it has passed a health check. An instance that is not healthy in time is Killing until its
+// process has exited. In every phase, the exit of the process leads to Down, and the next start
+// follows after a backoff.
 
 const (
-	defaultStableAfter = time.Minute
-	maxBackoffDoubling = 30 // more would overflow the shift before the cap is applied
+	defaultStableAfter  = time.Minute
+	maxBackoffDoublings = 30 // more doublings could overflow before the backoff is capped
 
-	// jitterFraction is by how much of itself a backoff is made longer or shorter at most.
+	// jitterFraction is the largest change of a backoff by jitter, as a fraction of it.
 	jitterFraction = 0.25
 )
 
-// RestartSettings are the parameters of a RestartPolicy. Zero values stand for the defaults named.
+// RestartSettings holds the parameters of a RestartPolicy. A duration of zero stands for the
+// default in parentheses.
 type RestartSettings struct {
 	Instances      int
-	Seed           uint64        // of the backoffs' jitter, which is drawn for each instance separately
-	InitialBackoff time.Duration // after the first failure (200ms)
+	Seed           uint64        // of the jitter of backoffs; each instance has its own random stream
+	InitialBackoff time.Duration // before the restart after a first failure (200ms)
 	MaxBackoff     time.Duration // before jitter (30s)
-	ReadyTimeout   time.Duration // an instance that is not healthy by then is killed (15s)
-	StableAfter    time.Duration // an instance healthy for this long has its failures forgotten (1m)
+	ReadyTimeout   time.Duration // a started instance that is not healthy by then is killed (15s)
+	StableAfter    time.Duration // the failure count of an instance is reset once it was healthy for this long (1m)
 }
 
 // Phase is the state of an instance in the restart policy.
 type Phase int
 
-// The phases.
+// Phases of an instance.
 const (
-	Down     Phase = iota // not running; started when its backoff is over
-	Starting              // running, not yet healthy
-	Healthy               // running, and has passed its health check
-	Killing               // killed, its process has not exited yet
+	Down     Phase = iota // not running; the next start is due at StartAt
+	Starting              // running, and has not yet passed a health check
+	Healthy               // running, and has passed a health check
+	Killing               // not healthy in time and killed, but the process has not yet exited
 )
 
-// ActionKind is what the caller of a RestartPolicy is to do.
+// ActionKind says what the caller of a RestartPolicy must do.
 type ActionKind int
 
-// The actions.
+// Kinds of actions.
 const (
 	ActionStart ActionKind = iota
 	ActionKill
 )
 
-// Action is what is to be done to one instance.
+// Action is an instruction to start or kill one instance.
 type Action struct {
 	Kind     ActionKind
 	Instance int
@@ -65,32 +66,32 @@
 type Instance struct {
 	Phase    Phase
 	Since    time.Duration // when the phase began
-	Failures int           // in a row; each doubles the backoff
-	StartAt  time.Duration // when Down: when the next start is due
+	Failures int           // consecutive; each doubles the backoff
+	StartAt  time.Duration // when the next start is due; only valid in the phase Down
 	Starts   int           // in total
 }
 
-// enter begins a phase.
+// enter sets the phase and the time at which it began.
 func (in *Instance) enter(now time.Duration, phase Phase) {
 	in.Phase = phase
 	in.Since = now
 }
 
-// RestartPolicy decides when each instance is started again after it exited, and when one that does
-// not become healthy is killed. It is not safe for concurrent use.
+// RestartPolicy decides when an instance that has exited is restarted, and when an instance that
+// does not become healthy is killed. It is not safe for concurrent use.
 type RestartPolicy struct {
 	settings  RestartSettings
 	instances []Instance
 	jitter    []*rand.Rand // by instance
 }
 
-// NewRestartPolicy returns a policy whose instances are all due to start now.
+// NewRestartPolicy returns a policy in which the start of every instance is due now.
 func NewRestartPolicy(now time.Duration, s RestartSettings) (*RestartPolicy, error) {
 	if s.Instances < 1 {
-		return nil, fmt.Errorf("supervisor: %d instances", s.Instances)
+		return nil, fmt.Errorf("supervisor: the restart settings have %d instances, at least 1 is required", s.Instances)
 	}
 	if min(s.InitialBackoff, s.MaxBackoff, s.ReadyTimeout, s.StableAfter) < 0 {
-		return nil, errors.New("supervisor: a negative time")
+		return nil, errors.New("supervisor: the restart settings have a negative duration")
 	}
 	s.InitialBackoff = cmp.Or(s.InitialBackoff, defaultInitialBackoff)
 	s.MaxBackoff = cmp.Or(s.MaxBackoff, defaultMaxBackoff)
@@ -107,22 +108,23 @@
 // Instances returns a copy of the state of each instance.
 func (p *RestartPolicy) Instances() []Instance { return append([]Instance(nil), p.instances...) }
 
-// OnStarted records that an instance's process runs.
+// OnStarted records that the process of an instance has been started.
 func (p *RestartPolicy) OnStarted(now time.Duration, i int) {
 	in := &p.instances[i]
 	in.enter(now, Starting)
 	in.Starts++
 }
 
-// OnHealthy records that an instance passed its health check.
+// OnHealthy records that an instance has passed a health check.
 func (p *RestartPolicy) OnHealthy(now time.Duration, i int) {
 	if in := &p.instances[i]; in.Phase == Starting {
 		in.enter(now, Healthy)
 	}
 }
 
-// OnExited records that an instance's process has exited. Unless it had been stable, that is one
-// more failure in a row, and its next start waits for the backoff.
+// OnExited records that the process of an instance has exited, and schedules the next start after
+// the backoff. If the instance was healthy for at least StableAfter, this counts as its first
+// failure, otherwise as one more consecutive failure.
 func (p *RestartPolicy) OnExited(now time.Duration, i int) {
 	in := &p.instances[i]
 	if in.Phase == Healthy && now-in.Since >= p.settings.StableAfter {
@@ -133,11 +135,11 @@
 	in.StartAt = now + p.backoff(i)
 }
 
-// backoff returns the time until an instance's next start: doubled with each failure in a row,
-// capped, and jittered by jitterFraction either way, so that instances that fail together do not
-// start together.
+// backoff returns the time until an instance's next start. It doubles with each consecutive failure
+// up to MaxBackoff, and is then made longer or shorter by up to jitterFraction, so that instances
+// that fail together do not restart together.
 func (p *RestartPolicy) backoff(i int) time.Duration {
-	backoff := p.settings.InitialBackoff << min(p.instances[i].Failures-1, maxBackoffDoubling)
+	backoff := p.settings.InitialBackoff << min(p.instances[i].Failures-1, maxBackoffDoublings)
 	if backoff > p.settings.MaxBackoff || backoff <= 0 {
 		backoff = p.settings.MaxBackoff
 	}
@@ -145,8 +147,9 @@
 	return time.Duration(float64(backoff) * jitter)
 }
 
-// DueActions returns what is to be done now: starts whose backoff is over, and kills of instances
-// not healthy in time. A kill is returned once, a start until OnStarted has been called.
+// DueActions returns the actions that are due: starts of instances whose backoff is over, and kills
+// of instances that were not healthy in time. It returns a kill once, and a start at each call
+// until OnStarted is called.
 func (p *RestartPolicy) DueActions(now time.Duration) []Action {
 	var due []Action
 	for i := range p.instances {
@@ -163,14 +166,14 @@
 	return due
 }
 
-// NextDeadline returns when DueActions may return an action without a further event. It returns
-// false if no instance waits for a time.
+// NextDeadline returns the time at which the next action is due if no event occurs before. It
+// returns false if no instance has a deadline.
 func (p *RestartPolicy) NextDeadline() (time.Duration, bool) {
 	var next time.Duration
 	found := false
 	for _, in := range p.instances {
-		at, waits := p.deadline(in)
-		if waits && (!found || at < next) {
+		at, ok := p.deadline(in)
+		if ok && (!found || at < next) {
 			next = at
 			found = true
 		}
@@ -178,7 +181,7 @@
 	return next, found
 }
 
-// deadline returns the time that an instance waits for in its phase, if there is one.
+// deadline returns the time at which an action for the instance is due, if its phase has one.
 func (p *RestartPolicy) deadline(in Instance) (at time.Duration, ok bool) {
 	switch in.Phase {
 	case Down:
--- a/internal/supervisor/restart_test.go
+++ b/internal/supervisor/restart_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// An instance that ends as soon as it starts is restarted with growing pauses: not 50 times in a
-// minute.
+// An instance that exits as soon as it starts is restarted after growing backoffs, not 50 times
+// in a minute.
 func TestBackoffGrowsWhileAnInstanceFailsAtOnce(t *testing.T) {
 	p, err := NewRestartPolicy(0, RestartSettings{Instances: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	starts := 0
-	for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond { // a bound of 6,000 steps
+	for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond { // 6,000 steps
 		for _, a := range p.DueActions(now) {
 			if a.Kind == ActionStart {
 				starts++
@@ -22,17 +22,18 @@
 			}
 		}
 	}
-	// 0.2 s doubled: 0.2 + 0.4 + ... + 25.6 is 51 s; with a quarter of jitter, 8 to 10 starts.
+	// Without jitter, the backoffs 0.2 + 0.4 + ... + 25.6 s add up to 51 s. With jitter of a
+	// quarter, there are 8 to 10 starts.
 	if starts < 7 || starts > 10 {
-		t.Errorf("%d starts in a minute", starts)
+		t.Errorf("%d starts in a minute, want 7 to 10", starts)
 	}
 	if in := p.Instances()[0]; in.StartAt-in.Since > 30*time.Second*5/4 {
-		t.Errorf("a backoff of %v, over the maximum", in.StartAt-in.Since)
+		t.Errorf("a backoff of %v, more than the maximum with jitter", in.StartAt-in.Since)
 	}
 }
 
-// Forty instances killed in the same moment are started at forty different moments, within a
-// quarter of the backoff either way.
+// Forty instances that are killed at the same time are restarted at forty different times, each
+// after a backoff that jitter changes by at most a quarter.
 func TestJitterSpreadsInstancesThatFailTogether(t *testing.T) {
 	const n = 40
 	p, _ := NewRestartPolicy(0, RestartSettings{Instances: n, Seed: 7, InitialBackoff: time.Second})
@@ -45,12 +46,12 @@
 	for _, in := range p.Instances() {
 		wait := in.StartAt - 5*time.Second
 		if wait < 750*time.Millisecond || wait > 1250*time.Millisecond {
-			t.Errorf("a backoff of %v for a first failure of 1 s", wait)
+			t.Errorf("a backoff of %v after a first failure, want 1 s with a quarter of jitter", wait)
 		}
 		seen[in.StartAt] = true
 	}
 	if len(seen) != n {
-		t.Errorf("%d different starts for %d instances", len(seen), n)
+		t.Errorf("%d different start times for %d instances", len(seen), n)
 	}
 }
 
@@ -61,18 +62,19 @@
 	p.OnStarted(0, 1)
 	p.OnHealthy(500*time.Millisecond, 1)
 	if next, ok := p.NextDeadline(); !ok || next != time.Second {
-		t.Fatalf("next: %v %v", next, ok)
+		t.Fatalf("next deadline: %v %v, want 1s true", next, ok)
 	}
 	got := p.DueActions(time.Second)
 	if len(got) != 1 || got[0].Kind != ActionKill || got[0].Instance != 0 {
-		t.Fatalf("due after a second: %+v", got)
+		t.Fatalf("actions due after a second: %+v, want a kill of instance 0", got)
 	}
 	if again := p.DueActions(2 * time.Second); len(again) != 0 {
-		t.Errorf("killed twice: %+v", again)
+		t.Errorf("actions after the kill: %+v, want none", again)
 	}
 }
 
-// An instance that crashes once a day does not wait for the longest backoff.
+// An instance that crashes only after long stable periods, such as once a day, is restarted after
+// the initial backoff and not after the longest one.
 func TestFailuresOfAStableInstanceAreForgotten(t *testing.T) {
 	p, _ := NewRestartPolicy(0, RestartSettings{Instances: 1, InitialBackoff: time.Second, StableAfter: time.Minute})
 	for k := range 5 {
@@ -82,6 +84,6 @@
 		p.OnExited(at+2*time.Hour/3, 0)
 	}
 	if in := p.Instances()[0]; in.Failures != 1 || in.StartAt-in.Since > 1250*time.Millisecond {
-		t.Errorf("after five crashes hours apart: %+v", in)
+		t.Errorf("after five crashes an hour apart: %+v, want 1 failure and the initial backoff", in)
 	}
 }
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	stateName   = "fleet.state"
-	stateMaxAge = 24 * time.Hour // an older state names processes that have exited long ago
+	stateFileName = "fleet.state"
+	maxStateAge   = 24 * time.Hour // the processes in an older state have exited long ago
 )
 
-// savedState is what a supervisor stores of its instances for the next supervisor.
+// savedState is the stored state of a supervisor, from which its successor adopts the instances.
 type savedState struct {
 	Instances []savedInstance `json:"Instances"`
 }
 
-// savedInstance identifies an instance's process.
+// savedInstance identifies the process of an instance.
 type savedInstance struct {
 	Pid       int    `json:"Pid"`   // 0: the instance does not run
-	StartTime uint64 `json:"Since"` // in ticks after boot
+	StartTime uint64 `json:"Since"` // in clock ticks after boot
 }
 
-// adoptInstances adopts the instances that the previous supervisor left running, and terminates
-// those beyond the fleet's size.
+// adoptInstances adopts the instances that the previous supervisor left running. It terminates
+// those whose index is not below the configured number of instances.
 func (s *supervisor) adoptInstances(now time.Duration) {
 	var saved savedState
-	if _, err := snapshot.Read(s.statePath, time.Now(), stateMaxAge, &saved); err != nil {
+	if _, err := snapshot.Read(s.statePath, time.Now(), maxStateAge, &saved); err != nil {
 		if !errors.Is(err, snapshot.ErrNotFound) {
 			s.log.Warn("supervisor state not restored", logkey.Err, err)
 		}
@@ -53,7 +53,7 @@
 	s.saveState()
 }
 
-// saveState stores which processes are the instances, for the next supervisor.
+// saveState stores the processes of the instances for the next supervisor.
 func (s *supervisor) saveState() {
 	saved := savedState{Instances: make([]savedInstance, len(s.processes))}
 	for i, p := range s.processes {
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,12 +1,13 @@
 // Package supervisor runs the instances of a fleet on one machine. It starts them, checks the
 // health of each at its admin socket, restarts those that exit, stores its own state on disk,
-// adopts the instances that the previous supervisor left running, and terminates them all when it
-// is stopped.
+// adopts the instances that the previous supervisor left running, and terminates all instances when
+// it is stopped.
 //
-// RestartPolicy decides when an instance is started or killed; it is pure. Run carries out its
-// decisions. The goroutine of Run owns all state. Two goroutines for each process, one that waits
-// for its exit and one that checks its health, send events to it; they end with the process or when
-// Run returns.
+// RestartPolicy decides when an instance is started or killed; it performs no I/O and reads no
+// clock. Run carries out its decisions, and the goroutine of Run owns all state. Each process has
+// two watchers, goroutines that send events to Run: one waits until the process exits, the other
+// checks its health. Both return at the latest when the process has exited or
+// when Run returns.
 package supervisor
 
 import (
@@ -24,17 +25,17 @@
 )
 
 const (
-	eventsPerInstance = 4 // that may be queued without blocking a watcher
-	minTimer          = time.Millisecond
+	queuedEventsPerInstance = 4                // events that may be queued without blocking a watcher
+	minTimerDelay           = time.Millisecond // minimum delay until the run loop checks for due actions
 )
 
-// Options are what Run needs in addition to the configuration.
+// Options holds the parameters of Run that are not in the configuration file.
 type Options struct {
-	Program string       // is run as "PROGRAM serve CONFIG" for each instance
+	Program string       // path; it is run as "PROGRAM serve CONFIG" for each instance
 	Log     *slog.Logger // nil: slog.Default()
 }
 
-// eventKind is what a watcher saw of a process.
+// eventKind is the kind of change of a process that a watcher reports.
 type eventKind int
 
 const (
@@ -42,29 +43,30 @@
 	eventHealthy
 )
 
-// event is what a watcher of a process sends to the supervisor's goroutine.
+// event is sent by a watcher of a process to the goroutine of Run.
 type event struct {
 	kind     eventKind
 	instance int
 	process  *process
 }
 
-// supervisor is a running fleet. All but done, events and watchers belongs to the goroutine of Run.
+// supervisor is a running fleet. Its fields belong to the goroutine of Run, except for events, done
+// and watchers.
 type supervisor struct {
 	config    *Config
 	options   Options
 	log       *slog.Logger
 	policy    *RestartPolicy
 	statePath string
-	processes []*process // by instance; nil: none runs
+	processes []*process // by instance; nil: no process runs
 
 	events   chan event
-	done     chan struct{} // closed when the watchers are to return
+	done     chan struct{} // closed to make the watchers return
 	watchers sync.WaitGroup
 }
 
-// Run supervises the fleet until ctx is done, then terminates every instance and returns. A second
-// supervisor of the same folder returns an error at once.
+// Run supervises the fleet until ctx is done, then terminates all instances and returns. It returns
+// an error at once if another supervisor uses the same folder.
 func Run(ctx context.Context, c *Config, o Options) error {
 	if o.Log == nil {
 		o.Log = slog.Default()
@@ -72,7 +74,7 @@
 	if err := os.MkdirAll(c.Folder, 0o700); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	statePath := filepath.Join(c.Folder, stateName)
+	statePath := filepath.Join(c.Folder, stateFileName)
 	lock, err := snapshot.Lock(statePath)
 	if err != nil {
 		return fmt.Errorf("fleet: another supervisor runs this fleet: %w", err)
@@ -95,14 +97,14 @@
 		policy:    policy,
 		statePath: statePath,
 		processes: make([]*process, c.Instances),
-		events:    make(chan event, eventsPerInstance*c.Instances),
+		events:    make(chan event, queuedEventsPerInstance*c.Instances),
 		done:      make(chan struct{}),
 	}
 	s.run(ctx)
 	return nil
 }
 
-// run handles events and deadlines until ctx is done, and then terminates the instances.
+// run handles events and deadlines until ctx is done. It then terminates the instances.
 func (s *supervisor) run(ctx context.Context) {
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
@@ -115,7 +117,7 @@
 			s.perform(now(), action)
 		}
 		if deadline, ok := s.policy.NextDeadline(); ok {
-			timer.Reset(max(deadline-now(), minTimer))
+			timer.Reset(max(deadline-now(), minTimerDelay))
 		}
 		select {
 		case <-ctx.Done():
@@ -128,13 +130,14 @@
 	}
 }
 
-// stopWatchers ends the watchers and waits for them.
+// stopWatchers makes the watchers return and waits until they have.
 func (s *supervisor) stopWatchers() {
 	close(s.done)
 	s.watchers.Wait()
 }
 
-// send passes an event to the goroutine of Run. Once that has returned, the event is dropped.
+// send sends an event to the goroutine of Run. It drops the event once Run has stopped handling
+// events.
 func (s *supervisor) send(e event) {
 	select {
 	case s.events <- e:
@@ -168,7 +171,8 @@
 	p.signal(syscall.SIGKILL)
 }
 
-// handleEvent updates the policy. Events of a process that is no longer the instance's are ignored.
+// handleEvent passes an event to the restart policy. It ignores events of a process that is no
+// longer the current process of its instance.
 func (s *supervisor) handleEvent(now time.Duration, e event) {
 	if s.processes[e.instance] != e.process {
 		return
@@ -187,8 +191,8 @@
 	}
 }
 
-// stopInstances sends SIGTERM to every instance, and SIGKILL to those that have not exited within
-// the configured time. It returns once all have exited.
+// stopInstances sends SIGTERM to all instances, and SIGKILL to those that have not exited within
+// StopTimeout. It returns once all have exited.
 func (s *supervisor) stopInstances() {
 	running := 0
 	for _, p := range s.processes {
