--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -263,7 +263,7 @@
 	case 4:
 		os.WriteFile(in.snapshot, []byte("not a snapshot\n"), 0o600)
 		return true
-	case 5: // another instance's state, in a header whose size and checksum leave out its last byte
+	case 5: // another instance's state; the size and checksum in the header omit its last byte
 		rest = bytes.Replace(rest, []byte(`/index-5"`), []byte(`/index-7"`), 1)
 		head["bytes"] = len(rest) - 1
 		head["xxhash64"] = strconv.FormatUint(xxhash.Sum64(rest[:len(rest)-1]), 16)
