--- a/cmd/rowancart/fleet.go
+++ b/cmd/rowancart/fleet.go
@@ -18,10 +18,11 @@
 each instance has ROWANCART_INDEX, ROWANCART_INSTANCES, ROWANCART_ADMIN and ROWANCART_STATE, which its configuration
 reads with env().
 
-An instance that exits is restarted after a backoff that doubles with each consecutive failure. An instance whose health
-check at its admin socket does not succeed in time is killed. The supervisor saves its state in the folder that the
-file names, and its successor adopts the instances that still run. A second supervisor of the same folder does not
-start. At SIGTERM or SIGINT the supervisor terminates all instances.`,
+An instance that exits is restarted after a backoff that doubles with each consecutive failure. An instance that does
+not pass a health check at its admin socket within ready_within of its start is killed; its health is not checked after
+that. The supervisor saves its state in the folder that the file names, and its successor adopts the instances that
+still run. A second supervisor of the same folder does not start. At SIGTERM or SIGINT the supervisor terminates all
+instances.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			config, err := supervisor.LoadConfig(args[0])
--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -197,9 +197,9 @@
 		in.cmd.Wait()
 	}
 	killedAt := time.Now()
-	lost := make([]bool, len(f.instances))
+	invalid := make([]bool, len(f.instances))
 	for i, in := range f.instances {
-		lost[i] = corrupt != nil && corrupt(i, in)
+		invalid[i] = corrupt != nil && corrupt(i, in)
 	}
 	for _, in := range f.instances {
 		in.start(t, f.program)
@@ -211,7 +211,7 @@
 			return o.send(in, fmt.Sprint("first-", in.socket, "-", time.Now().UnixNano()))
 		})
 		recoveryTimes = append(recoveryTimes, time.Since(killedAt))
-		in.checkRestored(t, i, !lost[i])
+		in.checkRestored(t, i, !invalid[i])
 	}
 	return recoveryTimes
 }
@@ -245,8 +245,8 @@
 		return false
 	}
 	first, rest, _ := bytes.Cut(text, []byte("\n"))
-	var head map[string]any
-	if json.Unmarshal(first, &head) != nil {
+	var header map[string]any
+	if json.Unmarshal(first, &header) != nil {
 		return false
 	}
 	switch i {
@@ -257,26 +257,26 @@
 		os.WriteFile(in.snapshot, text[:len(text)/2], 0o600)
 		return true
 	case 2:
-		head["version"] = 99
+		header["version"] = 99
 	case 3: // written by a clock that is an hour ahead
-		head["written_ms"] = time.Now().Add(time.Hour).UnixMilli()
+		header["written_ms"] = time.Now().Add(time.Hour).UnixMilli()
 	case 4:
 		os.WriteFile(in.snapshot, []byte("not a snapshot\n"), 0o600)
 		return true
 	case 5: // another instance's state; the size and checksum in the header omit its last byte
 		rest = bytes.Replace(rest, []byte(`/index-5"`), []byte(`/index-7"`), 1)
-		head["bytes"] = len(rest) - 1
-		head["xxhash64"] = strconv.FormatUint(xxhash.Sum64(rest[:len(rest)-1]), 16)
+		header["bytes"] = len(rest) - 1
+		header["xxhash64"] = strconv.FormatUint(xxhash.Sum64(rest[:len(rest)-1]), 16)
 	default:
 		return false
 	}
-	first, _ = json.Marshal(head)
+	first, _ = json.Marshal(header)
 	os.WriteFile(in.snapshot, append(append(first, '\n'), rest...), 0o600)
 	return true
 }
 
-// startFleetLoad starts one client for each instance. The function stop stops the clients and
-// returns how many requests they have sent.
+// startFleetLoad starts one client for each instance. The returned function stops the clients
+// and returns how many requests they have sent.
 func startFleetLoad(f *fleet, o *outcomes) (stop func() int64) {
 	const maxRequests = 100000 // sent by each client; the test stops the clients earlier
 	stopped := make(chan struct{})
@@ -303,8 +303,8 @@
 }
 
 // Eight instances send to three endpoints. One endpoint is partitioned and the partition is healed.
-// Then all instances are killed at once and restarted, first from their snapshots and then with
-// most snapshots invalid. No request may be executed twice, no response may have the body of a
+// Then all instances are killed at once and restarted, twice: first with valid snapshots, then with
+// six of the eight invalid. No request may be executed twice, no response may have the body of a
 // different request, and all instances must serve again within maxRecoveryTime.
 func TestFleetRecoversFromPartitionAndMassKill(t *testing.T) {
 	const instances, maxRecoveryTime = 8, 10 * time.Second
@@ -355,11 +355,11 @@
 	o.check(t)
 }
 
-// check checks that no request was executed twice and that each response belongs to its request.
+// check checks that no request was executed twice and that no result counts as a mismatch.
 func (o *outcomes) check(t *testing.T) {
 	t.Helper()
-	if w := o.mismatch.Load(); w > 0 {
-		t.Errorf("%d responses do not belong to their request", w)
+	if n := o.mismatch.Load(); n > 0 {
+		t.Errorf("%d requests got neither their own response nor a status of 500 or above", n)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/cmd/rowancart/lab.go
+++ b/cmd/rowancart/lab.go
@@ -108,7 +108,7 @@
 func newLabCompare() *cobra.Command {
 	return &cobra.Command{
 		Use:   "compare A.json B.json",
-		Short: "Report the significant differences between two results of one experiment",
+		Short: "Report the significant differences between two result files of one experiment",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := report.ReadJSON(args[0])
--- a/cmd/rowancart/labrun.go
+++ b/cmd/rowancart/labrun.go
@@ -51,7 +51,7 @@
 	f.StringVar(&flags.jsonFile, "json", "", "write the results to this file")
 	f.StringVar(&flags.reportDir, "report", "", "write an HTML page and the results as JSON into this directory")
 	f.StringVar(&flags.root, "root", "",
-		"the repository whose deploy file starts the sidecar (default: that of the working directory)")
+		"repository whose deploy/balancer.toml says how to start the sidecar (default: that of the working directory)")
 	return cmd
 }
 
@@ -141,7 +141,8 @@
 	return out, nil
 }
 
-// findRepository returns the working directory or its nearest parent that has a deploy file.
+// findRepository returns the nearest directory with a file deploy/balancer.toml: the working
+// directory or one of its parents.
 func findRepository() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
@@ -154,7 +155,7 @@
 		parent := filepath.Dir(dir)
 		if parent == dir {
 			return "", errors.New(
-				"no deploy/balancer.toml here or above: run in the repository, or set --root (run) or --sidecar (speed)")
+				"no deploy/balancer.toml here or in a parent: run in the repository, or set --root (run) or --sidecar (speed)")
 		}
 		dir = parent
 	}
--- a/cmd/rowancart/search.go
+++ b/cmd/rowancart/search.go
@@ -14,7 +14,7 @@
 func newSearch() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "search",
-		Short: "Find emulated sites on which the design performs worse than a baseline policy",
+		Short: "Find emulated sites on which the design (this load balancer) performs worse than a baseline policy",
 	}
 	var seed uint64
 	cmd.PersistentFlags().Uint64Var(&seed, "seed", 1, "seed from which the sites are generated")
@@ -22,7 +22,7 @@
 	return cmd
 }
 
-// progressEvery is the number of sites after which the progress is reported again.
+// progressEvery is the number of sites between two reports of progress.
 const progressEvery = 100
 
 func newSearchRun(seed *uint64) *cobra.Command {
@@ -48,9 +48,9 @@
 			o.Seed = *seed
 			o.To = o.From + sites
 			display := newProgressDisplay(cmd.ErrOrStderr())
-			o.Progress = func(done, all int) {
-				if done%progressEvery == 0 || done == all {
-					display.show(done, all, 0)
+			o.Progress = func(done, total int) {
+				if done%progressEvery == 0 || done == total {
+					display.show(done, total, 0)
 				}
 			}
 			err = search.Run(cmd.Context(), b, o)
@@ -69,7 +69,7 @@
 	var plotFile string
 	cmd := &cobra.Command{
 		Use:   "report BOUNDS RESULTS...",
-		Short: "Report how far the design is behind the best baseline (its regret), and describe the worst sites",
+		Short: "Report the distribution of regret (how far the design is behind the best baseline) and the worst sites",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			b, err := search.Load(args[0])
--- a/cmd/rowancart/serve.go
+++ b/cmd/rowancart/serve.go
@@ -26,15 +26,15 @@
 	return &cobra.Command{
 		Use:   "serve FILE",
 		Short: "Run the load-balancing daemon",
-		Long: `Run the load-balancing daemon with a configuration file. After SIGTERM or SIGINT it exits once it has answered
-all requests that it has accepted.
+		Long: `Run the load-balancing daemon with a configuration file. After SIGTERM or SIGINT it answers all requests that
+it has accepted, and exits. Requests that are unanswered at the drain timeout are aborted.
 
 The file is read again at each SIGHUP and whenever it changes. A valid configuration is applied at once. An invalid one
 is ignored; the log and "rowancart config status" report what is wrong with it.
 
-At SIGUSR2 the daemon starts the program at its own path as its successor and passes the open sockets to it. It exits
-once the successor serves and all requests accepted here have been answered. A successor that fails to serve is
-terminated, and this process continues to serve.`,
+At SIGUSR2 the daemon starts the program at its own path as its successor and passes the open sockets to it. Once
+the successor serves, this process answers the requests that it has accepted, up to the drain timeout, and exits. A
+successor that fails to serve is terminated, and this process continues to serve.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return serve(cmd, args[0]) },
 	}
@@ -42,11 +42,11 @@
 
 // serve runs the daemon until SIGTERM or SIGINT, or until a successor serves.
 func serve(cmd *cobra.Command, configPath string) error {
-	reload, stopReload := notify(syscall.SIGHUP) // first: an unhandled SIGHUP terminates the process
+	reload, stopReload := notifySignal(syscall.SIGHUP) // first: an unhandled SIGHUP terminates the process
 	defer stopReload()
 	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	handover, stopHandover := notify(syscall.SIGUSR2)
+	handover, stopHandover := notifySignal(syscall.SIGUSR2)
 	defer stopHandover()
 	predecessor, err := successor.Inherit()
 	if err != nil {
@@ -63,7 +63,7 @@
 		Log:            slog.Default(),
 		OnApply:        setMemoryLimit,
 		Predecessor:    predecessor,
-		NewSuccessor:   func() *exec.Cmd { return sameCommand(program) },
+		NewSuccessor:   func() *exec.Cmd { return successorCommand(program) },
 		HandoverSignal: handover,
 	})
 	if err != nil {
@@ -72,9 +72,9 @@
 	return d.Run(ctx, reload)
 }
 
-// notify returns a channel that receives the given signal, and a function that stops the delivery.
-// A signal that arrives while the previous one is still in the channel is dropped.
-func notify(s os.Signal) (received <-chan os.Signal, stop func()) {
+// notifySignal returns a channel that receives the given signal, and a function that stops the
+// delivery. A signal that arrives while the previous one is still in the channel is dropped.
+func notifySignal(s os.Signal) (received <-chan os.Signal, stop func()) {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, s)
 	return c, func() { signal.Stop(c) }
@@ -89,9 +89,9 @@
 	return filepath.Abs(path)
 }
 
-// sameCommand returns a command that runs a program with the arguments and the standard input,
+// successorCommand returns a command that runs a program with the arguments and the standard input,
 // output and error of this process.
-func sameCommand(program string) *exec.Cmd {
+func successorCommand(program string) *exec.Cmd {
 	c := exec.Command(program, os.Args[1:]...)
 	c.Stdin = os.Stdin
 	c.Stdout = os.Stdout
--- a/cmd/rowancart/subsets.go
+++ b/cmd/rowancart/subsets.go
@@ -19,10 +19,11 @@
 		Long: `Compare methods of selecting the servers to which each instance of a fleet sends.
 
 Columns "least" and "most" are the smallest and the largest number of instances that send to one
-server, relative to the mean, after five servers have been replaced one after another. The other
-columns are the mean number of servers in an instance's subset that change when a server is
-replaced, and when an instance is added. With few instances, subsets are larger than --part, so
-that three instances send to each server.`,
+server, relative to the mean, after five servers have been replaced one after another. Columns
+"replaced" and "instance" are the mean number of servers that are added to an instance's subset when
+a server is replaced, and when an instance is added; row "(needed)" is the minimum for any method.
+With few instances, subsets are larger than --part, so that each server has three instances on
+average.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, n := range slices.Concat([]int{size}, instances, servers) {
--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -22,8 +22,10 @@
 // Config is the configuration of a fleet. docs/recovery.md describes the file.
 type Config struct {
 	Instances      int
-	InstanceConfig string        // path of the daemon's configuration file, the same for all instances
-	Folder         string        // for this supervisor only: its state and lock, and its instances' files
+	InstanceConfig string // path of the daemon's configuration file, the same for all instances
+	// Folder belongs to this supervisor alone. It holds the supervisor's state and lock, and the
+	// instances' admin sockets, state files and logs.
+	Folder         string
 	Seed           uint64        // of the random jitter of restart backoffs
 	ReadyTimeout   time.Duration // a started instance that is not healthy by then is killed
 	StopTimeout    time.Duration // an instance that has not exited this long after SIGTERM is killed
--- a/internal/supervisor/config_test.go
+++ b/internal/supervisor/config_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestLoadConfigNeedsAFleet(t *testing.T) {
+func TestLoadConfigRequiresFleetBlock(t *testing.T) {
 	path := writeConfig(t, "")
 	_, err := LoadConfig(path)
 	if want := path + `:1:1: the file has no block "fleet"`; err == nil || err.Error() != want {
--- a/internal/supervisor/restart.go
+++ b/internal/supervisor/restart.go
@@ -32,7 +32,7 @@
 	InitialBackoff time.Duration // before the restart after a first failure (200ms)
 	MaxBackoff     time.Duration // before jitter (30s)
 	ReadyTimeout   time.Duration // a started instance that is not healthy by then is killed (15s)
-	StableAfter    time.Duration // the failure count of an instance is reset once it was healthy for this long (1m)
+	StableAfter    time.Duration // an exit of an instance healthy for this long counts as its first failure (1m)
 }
 
 // Phase is the state of an instance in the restart policy.
@@ -66,7 +66,7 @@
 type Instance struct {
 	Phase    Phase
 	Since    time.Duration // when the phase began
-	Failures int           // consecutive; each doubles the backoff
+	Failures int           // consecutive; each after the first doubles the backoff, up to MaxBackoff
 	StartAt  time.Duration // when the next start is due; only valid in the phase Down
 	Starts   int           // in total
 }
@@ -88,10 +88,10 @@
 // NewRestartPolicy returns a policy in which the start of every instance is due now.
 func NewRestartPolicy(now time.Duration, s RestartSettings) (*RestartPolicy, error) {
 	if s.Instances < 1 {
-		return nil, fmt.Errorf("supervisor: the restart settings have %d instances, at least 1 is required", s.Instances)
+		return nil, fmt.Errorf("supervisor: restart settings: %d instances, must be at least 1", s.Instances)
 	}
 	if min(s.InitialBackoff, s.MaxBackoff, s.ReadyTimeout, s.StableAfter) < 0 {
-		return nil, errors.New("supervisor: the restart settings have a negative duration")
+		return nil, errors.New("supervisor: restart settings: durations must not be negative")
 	}
 	s.InitialBackoff = cmp.Or(s.InitialBackoff, defaultInitialBackoff)
 	s.MaxBackoff = cmp.Or(s.MaxBackoff, defaultMaxBackoff)
--- a/internal/supervisor/restart_test.go
+++ b/internal/supervisor/restart_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	// Without jitter, the backoffs 0.2 + 0.4 + ... + 25.6 s add up to 51 s. With jitter of a
-	// quarter, there are 8 to 10 starts.
+	// quarter, there are 8 or 9 starts; the check allows one fewer or one more.
 	if starts < 7 || starts > 10 {
 		t.Errorf("%d starts in a minute, want 7 to 10", starts)
 	}
@@ -46,7 +46,7 @@
 	for _, in := range p.Instances() {
 		wait := in.StartAt - 5*time.Second
 		if wait < 750*time.Millisecond || wait > 1250*time.Millisecond {
-			t.Errorf("a backoff of %v after a first failure, want 1 s with a quarter of jitter", wait)
+			t.Errorf("a backoff of %v after a first failure, want 1 s ± 25%%", wait)
 		}
 		seen[in.StartAt] = true
 	}
@@ -75,7 +75,7 @@
 
 // An instance that crashes only after long stable periods, such as once a day, is restarted after
 // the initial backoff and not after the longest one.
-func TestFailuresOfAStableInstanceAreForgotten(t *testing.T) {
+func TestStableInstanceRestartsAfterInitialBackoff(t *testing.T) {
 	p, _ := NewRestartPolicy(0, RestartSettings{Instances: 1, InitialBackoff: time.Second, StableAfter: time.Minute})
 	for k := range 5 {
 		at := time.Duration(k) * time.Hour
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -11,7 +11,7 @@
 
 const (
 	stateFileName = "fleet.state"
-	maxStateAge   = 24 * time.Hour // the processes in an older state have exited long ago
+	maxStateAge   = 24 * time.Hour // an older state is not used: its process ids may be stale
 )
 
 // savedState is the stored state of a supervisor, from which its successor adopts the instances.
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,13 +1,14 @@
-// Package supervisor runs the instances of a fleet on one machine. It starts them, checks the
-// health of each at its admin socket, restarts those that exit, stores its own state on disk,
-// adopts the instances that the previous supervisor left running, and terminates all instances when
-// it is stopped.
+// Package supervisor runs the instances of a fleet on one machine. It starts them, kills those that
+// do not pass a health check at their admin socket in time, restarts those that exit, stores its
+// own state on disk, adopts the instances that the previous supervisor left running, and terminates
+// all instances when it is stopped. An instance that has passed a health check is not checked again
+// while its process and this supervisor run.
 //
 // RestartPolicy decides when an instance is started or killed; it performs no I/O and reads no
 // clock. Run carries out its decisions, and the goroutine of Run owns all state. Each process has
 // two watchers, goroutines that send events to Run: one waits until the process exits, the other
-// checks its health. Both return at the latest when the process has exited or
-// when Run returns.
+// repeats a health check until it succeeds. Both return at the latest when the process has exited
+// or when Run returns.
 package supervisor
 
 import (
@@ -26,7 +27,7 @@
 
 const (
 	queuedEventsPerInstance = 4                // events that may be queued without blocking a watcher
-	minTimerDelay           = time.Millisecond // minimum delay until the run loop checks for due actions
+	minTimerDelay           = time.Millisecond // minimum delay of the timer for the next deadline
 )
 
 // Options holds the parameters of Run that are not in the configuration file.
