--- a/internal/experiment/testbed/client.go
+++ b/internal/experiment/testbed/client.go
@@ -16,17 +16,17 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// requestInfo is what servers must know of a request to run it.
+// requestInfo is what servers must know about a request to process it.
 type requestInfo struct {
 	classIndex  int
-	work        float64 // seconds, over all tiers
+	work        float64 // CPU seconds, summed over all tiers
 	idempotency balancer.Idempotency
 	tenant      string
-	deadline    time.Duration // the class's
+	deadline    time.Duration // of the request's class
 }
 
-// requestInfo returns the info of a request that was sent; the zero value for a request that no
-// client sent.
+// requestInfo returns the info of a request by its ID, or the zero value if no client has sent such
+// a request.
 func (r *testRun) requestInfo(id string) requestInfo {
 	if info, ok := r.requests.Load(id); ok {
 		return info.(requestInfo)
@@ -34,18 +34,18 @@
 	return requestInfo{}
 }
 
-// attemptOutcome is how a client's attempt ended.
+// attemptOutcome describes how a client's attempt ended.
 type attemptOutcome struct {
 	outcome            invariant.Outcome
 	retryAfter         time.Duration
 	connectFailed      bool // nothing was sent
-	unread             bool // the sidecar closed a reused connection without having read the request
+	unread             bool // the sidecar closed a reused connection before it read the request
 	clientDisconnected bool
 }
 
-// send sends a request to a sidecar and waits for its end. A connection that closes without a
-// response before the sidecar had read the request is replaced once (PROTOCOL, Callers to
-// sidecars). When ctx ends, the client disconnects.
+// send sends a request to a sidecar and waits for the outcome. If the sidecar closes the connection
+// without a response before it has read the request, send repeats the request once on a new
+// connection (PROTOCOL, section Callers to sidecars). When ctx ends, the client disconnects.
 func (r *testRun) send(ctx context.Context, m *request, s *sidecar) attemptOutcome {
 	r.requests.Store(m.id, m.info)
 	c, err := s.conns.acquire()
@@ -56,7 +56,7 @@
 		ID:          m.id,
 		Instance:    s.name,
 		Idempotency: m.info.idempotency,
-		Deadline:    r.now() + m.patience,
+		Deadline:    r.now() + m.timeout,
 		Digest:      m.digest(),
 	})
 	out := r.sendOn(ctx, c, m, s)
@@ -70,12 +70,12 @@
 	return r.sendOn(ctx, c, m, s)
 }
 
-// sendOn sends a request on a connection to a sidecar and waits for its end.
+// sendOn sends a request on a connection to a sidecar and waits for the outcome.
 func (r *testRun) sendOn(ctx context.Context, c *clientConn, m *request, s *sidecar) attemptOutcome {
 	reused := c.used
-	deadline := time.Now().Add(m.patience + r.experiment.Site.Rules.ResponseSlack + timingSlack)
+	deadline := time.Now().Add(m.timeout + r.experiment.Site.Rules.ResponseSlack + timingSlack)
 	stop := context.AfterFunc(ctx, func() {
-		r.checker.Waive(m.id) // before the close, so that the close is no violation
+		r.checker.Waive(m.id) // before the close, so that the checker does not count the close as a violation
 		c.Close()
 	})
 	resp, err := c.exchange(m, deadline)
@@ -95,11 +95,11 @@
 		r.checker.RecordTimeout(m.id)
 		return attemptOutcome{outcome: invariant.Failed}
 	case !reused || s.killed.Load():
-		r.checker.Waive(m.id) // TERMS, Failed and lost requests
+		r.checker.Waive(m.id) // not a lost request (TERMS, section Failed and lost requests)
 		return attemptOutcome{outcome: invariant.Failed}
 	}
 	closedAt := r.now()
-	if s.hasExited() { // watchExit records the crash, which includes the requests in flight
+	if s.hasExited() { // watchExit records the crash, which covers the requests in flight
 		r.checker.Waive(m.id)
 		return attemptOutcome{outcome: invariant.Failed}
 	}
@@ -107,7 +107,7 @@
 	return attemptOutcome{outcome: invariant.Failed, unread: !lost}
 }
 
-// recordResponse records a response and returns the outcome that it stands for.
+// recordResponse reports a response to the checker and returns the outcome of the attempt.
 func (r *testRun) recordResponse(m *request, resp response) attemptOutcome {
 	out := attemptOutcome{retryAfter: resp.retryAfter, outcome: invariant.Failed}
 	switch {
@@ -122,10 +122,11 @@
 	return out
 }
 
-// minPatience is the least time that a client waits for a response; with less left it gives up.
-const minPatience = time.Millisecond
+// minAttemptTimeout is the shortest time for which a client waits for a response. The client gives
+// up if less time is left.
+const minAttemptTimeout = time.Millisecond
 
-// client is one client: a request and its retries.
+// client sends one request and its retries.
 type client struct {
 	run     *testRun
 	number  int
@@ -134,7 +135,7 @@
 	info    requestInfo
 }
 
-// newClient returns the client with a number that is to send a request.
+// newClient returns the client that sends the request with this number in the run.
 func (r *testRun) newClient(number int, request *traffic.Request) *client {
 	class := r.experiment.Site.Classes[request.Class]
 	c := &client{run: r, number: number, request: request, class: class, info: requestInfo{
@@ -149,16 +150,16 @@
 	return c
 }
 
-// do sends the request at once, and its retries, and records the final outcome. Nothing is recorded
-// if the client disconnects or the run ends.
-func (c *client) do() {
+// sendWithRetries sends the request immediately, retries it if necessary and records the final
+// outcome. It records no outcome if the client disconnects or the run ends.
+func (c *client) sendWithRetries() {
 	for retries := 0; ; retries++ {
-		patience := min(c.request.Patience, c.deadline()-c.run.now())
-		if patience < minPatience {
+		timeout := min(c.request.Patience, c.deadline()-c.run.now())
+		if timeout < minAttemptTimeout {
 			c.record(counters.Failed)
 			return
 		}
-		out := c.send(patience, retries)
+		out := c.send(timeout, retries)
 		if out.clientDisconnected || c.run.ctx.Err() != nil {
 			return
 		}
@@ -173,12 +174,12 @@
 	}
 }
 
-// deadline returns the instant at which the client gives up.
+// deadline returns the time at which the client gives up.
 func (c *client) deadline() time.Duration { return c.request.At + c.class.Deadline }
 
-// send makes one attempt, at one of the sidecars before the first tier. A client that disconnects
-// early does so during its first attempt.
-func (c *client) send(patience time.Duration, retries int) attemptOutcome {
+// send makes one attempt through one of the sidecars before the first tier. A client that
+// disconnects early does so during its first attempt.
+func (c *client) send(timeout time.Duration, retries int) attemptOutcome {
 	r := c.run
 	ctx := r.ctx
 	if c.request.DisconnectsAfter > 0 && retries == 0 {
@@ -188,20 +189,20 @@
 		defer cancel()
 	}
 	r.requestsSent.Add(1)
-	return r.send(ctx, c.newRequest(patience, retries), r.pickSidecar(c.request.Seed+uint64(retries)))
+	return r.send(ctx, c.newRequest(timeout, retries), r.pickSidecar(c.request.Seed+uint64(retries)))
 }
 
-// newRequest returns the request as it is sent after a number of retries.
-func (c *client) newRequest(patience time.Duration, retries int) *request {
+// newRequest returns the request for an attempt that follows the given number of retries.
+func (c *client) newRequest(timeout time.Duration, retries int) *request {
 	number := strconv.Itoa(c.number)
 	m := &request{
-		info:     c.info,
-		id:       strconv.FormatUint(c.request.Seed, 16) + "-" + number + "-" + strconv.Itoa(retries),
-		method:   http.MethodGet,
-		target:   "/" + c.class.Name + "/" + number,
-		tenant:   c.info.tenant,
-		patience: patience,
-		retry:    retries > 0,
+		info:    c.info,
+		id:      strconv.FormatUint(c.request.Seed, 16) + "-" + number + "-" + strconv.Itoa(retries),
+		method:  http.MethodGet,
+		target:  "/" + c.class.Name + "/" + number,
+		tenant:  c.info.tenant,
+		timeout: timeout,
+		retry:   retries > 0,
 	}
 	if c.class.Idempotency != balancer.Idempotent {
 		m.method = http.MethodPost
@@ -220,7 +221,8 @@
 	return wait
 }
 
-// mayRetry reports whether the client makes another attempt, which would begin at an instant.
+// mayRetry reports whether the client may make another attempt, which would begin at the given
+// time.
 func (c *client) mayRetry(out attemptOutcome, retries int, at time.Duration) bool {
 	if out.outcome == invariant.Served || retries >= c.run.experiment.Load.Clients.Retries {
 		return false
@@ -229,8 +231,8 @@
 	return (c.class.Idempotency == balancer.Idempotent || hasNotRun) && at < c.deadline()
 }
 
-// finalOutcome returns the outcome of the request if this was its last attempt, which has just
-// ended.
+// finalOutcome returns the outcome of the request, given that its last attempt has just ended with
+// out.
 func (c *client) finalOutcome(out attemptOutcome) counters.Outcome {
 	switch out.outcome {
 	case invariant.Served:
@@ -245,7 +247,7 @@
 	}
 }
 
-// record counts the request with its final outcome.
+// record adds the request with its final outcome to the counters.
 func (c *client) record(outcome counters.Outcome) {
 	r := c.run
 	ended := counters.Request{
@@ -260,7 +262,8 @@
 	r.counters.Record(ended)
 }
 
-// pickSidecar returns the sidecar for the nth client: of those that are up, if there are any.
+// pickSidecar returns the sidecar at position n, modulo their number, or the next one that is up.
+// If none is up, it returns the one at position n.
 func (r *testRun) pickSidecar(n uint64) *sidecar {
 	count := uint64(len(r.frontSidecars))
 	for i := range count {
--- a/internal/experiment/testbed/clientconn.go
+++ b/internal/experiment/testbed/clientconn.go
@@ -20,7 +20,7 @@
 // maxBody is the largest body of a request or response, in bytes.
 const maxBody = 64 << 10
 
-// digest returns a hash of all of a request that must reach servers unchanged.
+// digest returns a hash of those parts of a request that must reach servers unchanged.
 func digest(method, target, id string, body []byte) uint64 {
 	h := xxhash.New()
 	fmt.Fprintf(h, "%s %s %s %d ", method, target, id, len(body))
@@ -28,27 +28,27 @@
 	return h.Sum64()
 }
 
-// request is a request as a client sends it.
+// request is a request as a client or a server sends it to a sidecar.
 type request struct {
-	info     requestInfo
-	id       string
-	method   string
-	target   string
-	tenant   string
-	patience time.Duration // sent as the deadline
-	retry    bool
-	body     []byte
+	info    requestInfo
+	id      string
+	method  string
+	target  string
+	tenant  string
+	timeout time.Duration // for which the client waits; sent in the deadline header
+	retry   bool
+	body    []byte
 }
 
-// digest returns the hash of what must reach servers unchanged.
+// digest returns a hash of those parts of the request that must reach servers unchanged.
 func (m *request) digest() uint64 { return digest(m.method, m.target, m.id, m.body) }
 
-// bytes returns the request as HTTP/1.1.
+// bytes returns the request in HTTP/1.1 format.
 func (m *request) bytes() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: api.internal\r\n", m.method, m.target)
 	fmt.Fprintf(&b, "%s: %s\r\n", platform.RequestIDHeader, m.id)
-	fmt.Fprintf(&b, "%s: %d\r\n", platform.DeadlineHeader, max(m.patience.Milliseconds(), 1))
+	fmt.Fprintf(&b, "%s: %d\r\n", platform.DeadlineHeader, max(m.timeout.Milliseconds(), 1))
 	if m.tenant != "" {
 		fmt.Fprintf(&b, "%s: %s\r\n", platform.TenantHeader, m.tenant)
 	}
@@ -68,22 +68,23 @@
 	status     int
 	retryAfter time.Duration
 	body       []byte
-	truncated  bool // begun and incomplete, or not HTTP
+	truncated  bool // incomplete, or not valid HTTP
 	reusable   bool // the connection may carry another request
 }
 
-// Errors of an exchange without a response.
+// Errors of requests that get no response.
 var (
-	errConnect = errors.New("no connection")
+	errConnect = errors.New("connecting to the sidecar failed")
 	errTimeout = errors.New("no response before the deadline")
 	errClosed  = errors.New("connection closed without a response")
 )
 
-// clientConn is a client's connection to a sidecar. It carries one request at a time.
+// clientConn is a connection of a client or a server to a sidecar. It carries one request at a
+// time.
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
-	used   bool // has carried a request
+	used   bool // a previous request was sent on it
 }
 
 // connPool holds the connections to one sidecar. It is safe for concurrent use.
@@ -95,10 +96,10 @@
 	all  map[*clientConn]bool
 }
 
-// dialTimeout is for connections to programs on this machine.
+// dialTimeout bounds the time to connect to a program on this machine.
 const dialTimeout = 2 * time.Second
 
-// acquire returns an idle connection, or a new one if there is none. Its only error is errConnect.
+// acquire returns an idle connection, or a new one if none is idle. Its only error is errConnect.
 func (p *connPool) acquire() (*clientConn, error) {
 	if c := p.takeIdle(); c != nil {
 		return c, nil
@@ -106,7 +107,7 @@
 	return p.dial()
 }
 
-// takeIdle returns the connection that became idle last; nil: there is none.
+// takeIdle returns the connection that became idle last, or nil if none is idle.
 func (p *connPool) takeIdle() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +136,7 @@
 	return c, nil
 }
 
-// release makes a connection idle.
+// release returns a connection to the pool as idle.
 func (p *connPool) release(c *clientConn) {
 	c.used = true
 	p.mu.Lock()
@@ -162,14 +163,14 @@
 	p.idle = nil
 }
 
-// isTimeout reports whether an error says that a deadline of a connection has passed.
+// isTimeout reports whether an error means that the deadline of a connection has passed.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// exchange sends a request and reads its response until the deadline. Without a response the error
-// is errTimeout or errClosed.
+// exchange sends a request and reads its response, both before the deadline. If no response
+// arrives, the error is errTimeout or errClosed.
 func (c *clientConn) exchange(m *request, deadline time.Time) (response, error) {
 	if err := c.SetDeadline(deadline); err != nil {
 		return response{}, errClosed
--- a/internal/experiment/testbed/clock.go
+++ b/internal/experiment/testbed/clock.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// clock measures a run's time. It is safe for concurrent use.
+// clock measures the time since the start of a run. It is safe for concurrent use.
 type clock struct{ startedAt atomic.Int64 } // Unix time in ns
 
-// restart makes the present moment the start of the run.
+// restart sets the start of the run to the current time.
 func (c *clock) restart() { c.startedAt.Store(time.Now().UnixNano()) }
 
 // startTime returns the start of the run.
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	keepaliveInterval = 2 * time.Second         // of empty lines while nothing changes
-	noticeInterval    = time.Millisecond        // at least, between notifications, which keeps their order
-	oldAddressTime    = 1500 * time.Millisecond // for which watches at an old address continue (TERMS)
+	keepaliveInterval  = 2 * time.Second         // between empty lines that a watch sends while the list does not change
+	minUpdateInterval  = time.Millisecond        // minimum, between updates to a sidecar, so that they stay in order
+	oldAddressLifetime = 1500 * time.Millisecond // of watches at the old address after a move (TERMS)
 )
 
-// discoveryServer is discovery as one sidecar sees it, at an address of its own.
+// discoveryServer is the discovery service of one sidecar, at an address of its own.
 type discoveryServer struct {
-	onDelivered func(platform.Endpoint) // called when an entry has been written to the sidecar
+	onDelivered func(platform.Endpoint) // called for each entry that was written to the sidecar
 
 	mu      sync.Mutex
 	version int
 	current []platform.Endpoint
-	changes []platform.Endpoint // changes[i] makes version i+1
-	changed chan struct{}       // closed at the next change, which makes a new one
-	servers []*http.Server      // at the present address, the last, and at earlier ones
+	changes []platform.Endpoint // changes[i] leads from version i to version i+1
+	changed chan struct{}       // closed and replaced at the next change
+	servers []*http.Server      // the last one has the current address, the others earlier ones
 	addr    string
 
 	goroutines sync.WaitGroup // of the servers
 }
 
-// newDiscoveryServer returns a server that serves a list of endpoints as version 0.
+// newDiscoveryServer starts a server that serves the given endpoint list as version 0.
 func newDiscoveryServer(endpoints []platform.Endpoint,
 	onDelivered func(platform.Endpoint)) (*discoveryServer, error) {
 	d := &discoveryServer{
@@ -44,11 +44,11 @@
 	return d, d.listen()
 }
 
-// listen serves at a new address.
+// listen starts to serve at a new address, which becomes the current one.
 func (d *discoveryServer) listen() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("discovery: %w", err)
+		return fmt.Errorf("discovery server: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.EndpointListPath, d.serve)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// moveAddress moves to a new address. Connections to the old one are closed after a while.
+// moveAddress moves to a new address. The old address is served for oldAddressLifetime longer.
 func (d *discoveryServer) moveAddress() error {
 	d.mu.Lock()
 	old := d.servers[len(d.servers)-1]
@@ -69,11 +69,11 @@
 	if err := d.listen(); err != nil {
 		return err
 	}
-	time.AfterFunc(oldAddressTime, func() { old.Close() })
+	time.AfterFunc(oldAddressLifetime, func() { old.Close() })
 	return nil
 }
 
-// close ends the service at all addresses. It may be called twice.
+// close stops the service at all addresses. It may be called twice.
 func (d *discoveryServer) close() {
 	d.mu.Lock()
 	for _, server := range d.servers {
@@ -83,14 +83,14 @@
 	d.goroutines.Wait()
 }
 
-// address returns the present address.
+// address returns the current address.
 func (d *discoveryServer) address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addr
 }
 
-// publish adds a change to the list.
+// publish applies a change to the list and notifies the watches.
 func (d *discoveryServer) publish(e platform.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,12 +117,12 @@
 	return platform.CompleteList(int64(d.version), d.current...)
 }
 
-// serve answers a poll with the complete list, or a watch with changes as they come.
+// serve answers a poll with the complete list, and a watch with changes as they occur.
 func (d *discoveryServer) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get(platform.WatchParameter) == "" {
 		list := d.snapshot()
 		_, _ = w.Write(append(list.Text(), '\n')) // fails only if the sidecar has disconnected
-		d.delivered(list.Endpoints)
+		d.reportDelivered(list.Endpoints)
 		return
 	}
 	after, err := strconv.Atoi(r.URL.Query().Get(platform.VersionParameter))
@@ -133,7 +133,7 @@
 	d.serveWatch(w, r, after)
 }
 
-// serveWatch sends the changes after a version, and those to come, until the sidecar disconnects.
+// serveWatch sends the changes since a version and all later ones, until the sidecar disconnects.
 func (d *discoveryServer) serveWatch(w http.ResponseWriter, r *http.Request, after int) {
 	flusher := http.NewResponseController(w)
 	keepalive := time.NewTicker(keepaliveInterval)
@@ -148,7 +148,7 @@
 		if _, err := w.Write(event.text()); err != nil || flusher.Flush() != nil {
 			return
 		}
-		d.delivered(event.changes)
+		d.reportDelivered(event.changes)
 		select {
 		case <-r.Context().Done():
 			return
@@ -158,14 +158,14 @@
 	}
 }
 
-// watchEvent is what a watch has to send.
+// watchEvent holds the changes that a watch sends next.
 type watchEvent struct {
 	changes []platform.Endpoint
 	version int             // after the changes
 	next    <-chan struct{} // closed at the next change
 }
 
-// text returns the line that a watch sends; without changes, an empty one.
+// text returns the line that a watch sends for the event. It is empty if there are no changes.
 func (e *watchEvent) text() []byte {
 	if len(e.changes) == 0 {
 		return []byte("\n")
@@ -173,8 +173,8 @@
 	return append(platform.Changes(int64(e.version), e.changes...).Text(), '\n')
 }
 
-// eventAfter returns the changes after a version. A version from the future, which an earlier
-// discovery server issued, stands for the present one.
+// eventAfter returns the changes since a version. A version higher than the current one comes from
+// an earlier discovery server and is treated as the current one.
 func (d *discoveryServer) eventAfter(after int) watchEvent {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -186,17 +186,17 @@
 	}
 }
 
-// delivered reports entries that have been written to the sidecar.
-func (d *discoveryServer) delivered(entries []platform.Endpoint) {
+// reportDelivered calls onDelivered for each entry that was written to the sidecar.
+func (d *discoveryServer) reportDelivered(entries []platform.Endpoint) {
 	for _, e := range entries {
 		d.onDelivered(e)
 	}
 }
 
-// publish notifies every sidecar before a tier of a change, each after its own delay and in the
-// order of the changes.
+// publish sends a change of a tier's endpoint list to every sidecar before that tier. Each sidecar
+// gets its changes after a delay of its own, in order.
 func (r *testRun) publish(tier int, e platform.Endpoint) {
-	delay, withheld := r.discoveryFaults.intercept(notice{tier, e})
+	delay, withheld := r.discoveryFaults.intercept(endpointUpdate{tier, e})
 	if withheld {
 		return
 	}
@@ -205,18 +205,18 @@
 	r.mu.Unlock()
 	for _, s := range sidecars {
 		if s.placement.Tier == tier {
-			s.scheduleNotice(e, delay)
+			s.scheduleUpdate(e, delay)
 		}
 	}
 }
 
-// scheduleNotice publishes a change to the sidecar after its delay and an extra one.
-func (s *sidecar) scheduleNotice(e platform.Endpoint, extra time.Duration) {
+// scheduleUpdate publishes a change to the sidecar after the sidecar's own delay plus extra.
+func (s *sidecar) scheduleUpdate(e platform.Endpoint, extra time.Duration) {
 	discovery := s.run.experiment.Site.Discovery
 	delay := discovery.Delay + extra + time.Duration(s.discoverySpread*float64(discovery.Spread))
 	s.mu.Lock()
-	at := max(s.run.now()+delay, s.lastNotice+noticeInterval)
-	s.lastNotice = at
+	at := max(s.run.now()+delay, s.lastUpdateAt+minUpdateInterval)
+	s.lastUpdateAt = at
 	s.mu.Unlock()
 	s.run.goroutines.Go(func() {
 		if s.run.sleepUntil(at) {
--- a/internal/experiment/testbed/discoveryfaults_test.go
+++ b/internal/experiment/testbed/discoveryfaults_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-func TestSilentDiscoveryReleasesNoticesInOrder(t *testing.T) {
+func TestSilentDiscoveryReleasesUpdatesInOrder(t *testing.T) {
 	var f discoveryFaults
 	f.setDelay(time.Second)
-	if delay, withheld := f.intercept(notice{tier: 1}); delay != time.Second || withheld {
-		t.Errorf("before the silence: delay %v, withheld %v", delay, withheld)
+	if delay, withheld := f.intercept(endpointUpdate{tier: 1}); delay != time.Second || withheld {
+		t.Errorf("before the silence: delay %v, withheld %v; want 1s, false", delay, withheld)
 	}
 	f.silence()
 	if len(f.withheld) != 0 {
-		t.Errorf("withheld when the silence begins: %+v", f.withheld)
+		t.Errorf("updates withheld when the silence begins: %+v, want none", f.withheld)
 	}
 	for tier := range 3 {
-		if _, withheld := f.intercept(notice{tier: tier}); !withheld {
-			t.Errorf("notice %d is not withheld", tier)
+		if _, withheld := f.intercept(endpointUpdate{tier: tier}); !withheld {
+			t.Errorf("update %d is not withheld during the silence", tier)
 		}
 	}
 	released := f.resume()
 	if len(released) != 3 {
-		t.Fatalf("released: %+v", released)
+		t.Fatalf("released: %+v, want 3 updates", released)
 	}
-	for i, n := range released {
-		if n.tier != i {
-			t.Errorf("released: %+v, not in order", released)
+	for i, u := range released {
+		if u.tier != i {
+			t.Errorf("released: %+v, not in the order of publication", released)
 		}
 	}
-	if delay, withheld := f.intercept(notice{}); delay != time.Second || withheld {
-		t.Errorf("after the silence: delay %v, withheld %v", delay, withheld)
+	if delay, withheld := f.intercept(endpointUpdate{}); delay != time.Second || withheld {
+		t.Errorf("after the silence: delay %v, withheld %v; want 1s, false", delay, withheld)
 	}
 	if released := f.resume(); len(released) != 0 {
-		t.Errorf("released twice: %+v", released)
+		t.Errorf("released by the second call: %+v, want none", released)
 	}
 }
--- a/internal/experiment/testbed/exchange.go
+++ b/internal/experiment/testbed/exchange.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	requestReadTimeout   = 10 * time.Second // from the first byte of a request to its last
+	requestReadTimeout   = 10 * time.Second // from the first to the last byte of a request
 	responseWriteTimeout = 5 * time.Second
 )
 
-// exchange is one request to a server, with its response.
+// exchange is one request to a server and its response.
 type exchange struct {
 	server    *emulatedServer
 	conn      net.Conn
-	crashed   <-chan struct{} // closed when the process dies
+	crashed   <-chan struct{} // closed when the process crashes
 	method    string
 	target    string
 	class     string
@@ -36,19 +36,19 @@
 	firstByte time.Duration
 	lastByte  time.Duration
 	work      float64 // seconds on a core of speed 1
-	closeConn bool    // as the request asks
+	closeConn bool    // after the response, as the request asks
 	faults    drawnFaults
 }
 
-// drawnFaults are the faults that strike one request.
+// drawnFaults holds the faults drawn for one request.
 type drawnFaults struct {
 	unresponsive bool
 	fastError    bool
-	breakConn    bool // after the last byte
-	warmingUp    bool // no fault: the server is not at its full capacity
+	breakConn    bool // after the request's last byte
+	warmingUp    bool // not a fault: the server has not reached its full capacity
 }
 
-// errBreakBefore is the error of a request whose connection a fault breaks before its last byte.
+// errBreakBefore means that a fault breaks the connection before the last byte of the request.
 var errBreakBefore = errors.New("connection broken before the request's last byte")
 
 // serve handles the requests of one connection.
@@ -67,7 +67,7 @@
 		}
 		x.crashed = crashed
 		x.work += connWork
-		connWork = 0 // only the first request opens the connection
+		connWork = 0 // the work of accepting the connection is part of its first request
 		if !x.handle() {
 			resetConn(nc)
 			return
@@ -78,8 +78,8 @@
 	}
 }
 
-// readExchange reads the next request of a connection. It fails if the connection is idle for too
-// long.
+// readExchange reads the next request of a connection. It fails if the connection is idle for
+// longer than ConnIdleTimeout.
 func (s *emulatedServer) readExchange(nc net.Conn, reader *bufio.Reader) (*exchange, error) {
 	tier := s.run.experiment.Site.Tiers[s.tier]
 	if tier.Server.ConnIdleTimeout > 0 {
@@ -121,21 +121,21 @@
 	}, nil
 }
 
-// drawBreakBefore draws whether a connection breaks before a request's last byte.
+// drawBreakBefore draws whether a fault breaks the connection before the last byte of a request.
 func (s *emulatedServer) drawBreakBefore() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.draws(s.faults.BreakBeforeRate)
+	return s.drawBool(s.faults.BreakBeforeRate)
 }
 
-// drawFaults draws the faults that strike a request.
+// drawFaults draws the other faults of a request.
 func (s *emulatedServer) drawFaults(lastByte time.Duration) drawnFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return drawnFaults{
 		unresponsive: s.faults.Unresponsive,
-		fastError:    s.draws(s.faults.FastErrorRate) || s.model.DrawError(),
-		breakConn:    s.draws(s.faults.BreakAfterRate),
+		fastError:    s.drawBool(s.faults.FastErrorRate) || s.model.DrawError(),
+		breakConn:    s.drawBool(s.faults.BreakAfterRate),
 		warmingUp:    s.model.CapacityFraction(lastByte) < 1,
 	}
 }
@@ -144,7 +144,7 @@
 // another request.
 func (x *exchange) handle() (reusable bool) {
 	s := x.server
-	if x.id == "" { // no client's request
+	if x.id == "" { // not a request of a client
 		return x.writeResponse(http.StatusNotFound, nil)
 	}
 	x.faults = s.drawFaults(x.lastByte)
@@ -164,7 +164,7 @@
 		return false
 	}
 	if x.faults.breakConn {
-		resetConn(x.conn) // the request is run all the same
+		resetConn(x.conn) // the server still runs the request
 	}
 	status, ok := t.execute()
 	if !ok || !x.finish(t.job) || x.faults.breakConn {
@@ -198,25 +198,25 @@
 	return body
 }
 
-// drawnResponse is a response as the faults in force change it.
+// drawnResponse is a response after the active faults have been applied to it.
 type drawnResponse struct {
 	text         string
-	truncated    bool // the text is incomplete
-	corrupted    bool // the text is not HTTP
-	unresponsive bool // the machine sends nothing
-	delay        time.Duration
+	truncated    bool          // the text is incomplete
+	corrupted    bool          // the text is not HTTP
+	unresponsive bool          // the server sends nothing
+	delay        time.Duration // before the response is sent
 }
 
 // isComplete reports whether the text is a complete response.
 func (r *drawnResponse) isComplete() bool { return !r.truncated && !r.corrupted }
 
-// drawResponse draws what the faults in force make of a response.
+// drawResponse builds a response and applies the active faults to it.
 func (x *exchange) drawResponse(status int, body []byte) drawnResponse {
 	s := x.server
 	s.mu.Lock()
 	r := drawnResponse{
-		truncated:    s.draws(s.faults.TruncateRate),
-		corrupted:    s.draws(s.faults.CorruptRate),
+		truncated:    s.drawBool(s.faults.TruncateRate),
+		corrupted:    s.drawBool(s.faults.CorruptRate),
 		unresponsive: s.faults.Unresponsive,
 		delay:        s.faults.ResponseDelay,
 	}
@@ -236,7 +236,8 @@
 	return r
 }
 
-// responseText returns a response as HTTP/1.1. An empty load report is left out.
+// responseText returns a response in HTTP/1.1 format. It has no load report header if loadReport is
+// empty.
 func responseText(status int, body []byte, loadReport string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
@@ -251,8 +252,8 @@
 	return b.String()
 }
 
-// writeResponse sends a response, as the faults in force change it. It reports whether the
-// connection may carry another request.
+// writeResponse sends a response to which the active faults have been applied. It reports whether
+// the connection may carry another request.
 func (x *exchange) writeResponse(status int, body []byte) (reusable bool) {
 	r := x.drawResponse(status, body)
 	if r.unresponsive {
@@ -264,7 +265,7 @@
 	}
 	_ = x.conn.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	_, err := io.WriteString(x.conn, r.text)
-	if r.truncated { // closed in order, so that what was sent arrives
+	if r.truncated { // closed without a reset, so that the bytes that were sent arrive
 		x.conn.Close()
 	}
 	return err == nil && r.isComplete()
--- a/internal/experiment/testbed/faults.go
+++ b/internal/experiment/testbed/faults.go
@@ -8,8 +8,8 @@
 	"rowancart/internal/platform"
 )
 
-// applyFault carries out one step of a fault, and returns when the step is over. Each step has a
-// goroutine of its own.
+// applyFault applies one fault event and returns when the event is complete, which can take long.
+// Each event has a goroutine of its own.
 func (r *testRun) applyFault(event traffic.FaultEvent) {
 	switch event.Kind {
 	case experiment.DiscoveryDelay:
@@ -23,8 +23,8 @@
 			r.discoveryFaults.silence()
 			return
 		}
-		for _, n := range r.discoveryFaults.resume() {
-			r.publish(n.tier, n.entry)
+		for _, u := range r.discoveryFaults.resume() {
+			r.publish(u.tier, u.endpoint)
 		}
 	case experiment.SilentPeer, experiment.PartialRequestPeer, experiment.OversizedPeer:
 		r.runImproperPeer(event.Kind, r.frontSidecars[event.Server%len(r.frontSidecars)])
@@ -35,7 +35,7 @@
 	}
 }
 
-// applyServerFault carries out one step of a fault of a server.
+// applyServerFault applies one event of a fault that affects a server.
 func (r *testRun) applyServerFault(event traffic.FaultEvent) {
 	r.mu.Lock()
 	s := r.servers[event.Tier][event.Server]
@@ -47,14 +47,14 @@
 		r.crashServer(s)
 	case event.Kind == experiment.Crash:
 		s.restart()
-		r.announce(s)
+		r.putInService(s)
 	default:
 		s.applyFault(event)
 	}
 }
 
-// crashServer ends a server's process and that of its sidecar, and removes the server from the
-// endpoint list.
+// crashServer crashes a server's process, kills its sidecar, if there is one, and removes the
+// server from the endpoint list.
 func (r *testRun) crashServer(s *emulatedServer) {
 	s.crash()
 	if s.sidecar != nil {
@@ -63,9 +63,9 @@
 	r.publish(s.tier, s.listedEndpoint(platform.StateRemoved))
 }
 
-// announce starts the sidecar of a server that has started, and adds the server to the endpoint
-// list.
-func (r *testRun) announce(s *emulatedServer) {
+// putInService starts the sidecar of a server that has started, if there is one, and adds the
+// server to the endpoint list.
+func (r *testRun) putInService(s *emulatedServer) {
 	if s.sidecar != nil {
 		if err := s.sidecar.start(r.ctx); err != nil {
 			r.fail(err)
@@ -75,8 +75,8 @@
 	r.publish(s.tier, s.listedEndpoint(platform.StateReady))
 }
 
-// disruptSidecar kills, terminates or reloads a sidecar of the first tier. One that has ended is
-// started again after the fault's duration.
+// disruptSidecar kills or terminates a sidecar before the first tier and restarts it after the
+// fault's duration, or moves its discovery address.
 func (r *testRun) disruptSidecar(event traffic.FaultEvent, s *sidecar) {
 	switch event.Kind {
 	case experiment.DiscoveryMove:
@@ -97,7 +97,8 @@
 	}
 }
 
-// moveDiscovery moves the sidecar's discovery to a new address and reloads the program.
+// moveDiscovery moves the sidecar's discovery server to a new address and makes the program reload
+// its configuration, which contains the address.
 func (s *sidecar) moveDiscovery() error {
 	s.mu.Lock()
 	p := s.running
@@ -111,7 +112,8 @@
 	return p.Reload(s.config())
 }
 
-// replaceServer drains a server, ends it after a time and starts a successor, which has to warm up.
+// replaceServer drains a server for the duration drain, closes it and starts a successor, which
+// must warm up.
 func (r *testRun) replaceServer(s *emulatedServer, drain time.Duration) {
 	s.mu.Lock()
 	s.model.Drain()
@@ -131,11 +133,11 @@
 		r.fail(err)
 		return
 	}
-	r.announce(successor)
+	r.putInService(successor)
 }
 
-// addSuccessor creates a server in the place of another, with a sidecar that is yet to be started
-// if the servers of its tier call the next one.
+// addSuccessor creates a server that takes the place of another one. If the servers of its tier
+// call the next tier, it also creates the sidecar, which the caller must start.
 func (r *testRun) addSuccessor(s *emulatedServer) (*emulatedServer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/experiment/testbed/improperpeer.go
+++ b/internal/experiment/testbed/improperpeer.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	oversizedBody  = 60 << 20         // bytes that an OversizedPeer sends (TERMS, Improper peers)
-	oversizedChunk = 64 << 10         // bytes of one write
-	extraPeerWait  = time.Second      // beyond the limit, to measure by how much a connection ends too late
-	oversizedLimit = time.Duration(2) // times the other peers' limit
+	oversizedBody        = 60 << 20         // bytes that an OversizedPeer sends (TERMS, section Improper peers)
+	oversizedChunk       = 64 << 10         // bytes per write
+	peerWaitMargin       = time.Second      // waited after the limit, to measure how late a connection ends
+	oversizedLimitFactor = time.Duration(2) // the limit for an OversizedPeer is this multiple of the other peers'
 )
 
-// runImproperPeer runs one improper peer before a sidecar and records how its connection ended.
+// runImproperPeer connects one improper peer, which sends no valid request, to a sidecar and
+// records how its connection ended.
 func (r *testRun) runImproperPeer(kind experiment.FaultKind, s *sidecar) {
 	nc, err := net.DialTimeout("tcp", s.addr, dialTimeout)
 	if err != nil {
-		return // nothing is required of a sidecar that is down
+		return // a sidecar that is down has no obligations
 	}
 	defer nc.Close()
 	connected := r.now()
@@ -35,22 +36,22 @@
 		_, _ = nc.Write([]byte("GET /" + class + "/x HTTP/1.1\r\nHost: x\r\n" + platform.RequestIDHeader + ": half"))
 	case experiment.OversizedPeer:
 		sent = "sent 60 MB"
-		limit *= oversizedLimit
-		go writeOversized(nc, class) // ends with the connection
+		limit *= oversizedLimitFactor
+		go writeOversized(nc, class) // returns at the latest when the connection is closed
 	}
-	_ = nc.SetReadDeadline(time.Now().Add(limit + extraPeerWait))
+	_ = nc.SetReadDeadline(time.Now().Add(limit + peerWaitMargin))
 	end := readPeerEnd(nc)
 	if s.killed.Load() || r.ctx.Err() != nil {
 		return
 	}
 	ended := r.now()
-	if kind == experiment.OversizedPeer { // the checker knows the other peers' limit only
-		ended = connected + (ended-connected)/oversizedLimit
+	if kind == experiment.OversizedPeer { // scaled, since the checker applies the other peers' limit
+		ended = connected + (ended-connected)/oversizedLimitFactor
 	}
 	r.checker.RecordImproperPeer(invariant.ImproperPeer{Connected: connected, Ended: ended, End: end, Sent: sent})
 }
 
-// writeOversized writes a request with a body that is too large.
+// writeOversized writes a request with a body of oversizedBody bytes, which is too large.
 func writeOversized(nc net.Conn, class string) {
 	head := "POST /" + class + " HTTP/1.1\r\nHost: x\r\nContent-Length: 62914560\r\n\r\n"
 	if _, err := nc.Write([]byte(head)); err != nil {
@@ -64,8 +65,8 @@
 	}
 }
 
-// readPeerEnd waits for a response or a close until the connection's deadline, and returns how the
-// connection ended.
+// readPeerEnd waits until a response arrives, the sidecar closes the connection or the read
+// deadline passes, and returns how the connection ended.
 func readPeerEnd(nc net.Conn) invariant.PeerEnd {
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if isTimeout(err) {
--- a/internal/experiment/testbed/lateness.go
+++ b/internal/experiment/testbed/lateness.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// lateness collects by how much requests were sent after their intended time. It is safe for
-// concurrent use.
+// lateness collects the delays between the scheduled times of requests and the times at which they
+// were sent. It is safe for concurrent use.
 type lateness struct {
 	mu     sync.Mutex
 	delays []time.Duration
 }
 
-// add adds the delay of one request.
+// add records the delay of one request.
 func (l *lateness) add(delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delays = append(l.delays, delay)
 }
 
-// p99 returns the 99th percentile of the delays; 0 without requests.
+// p99 returns the 99th percentile of the delays, or 0 if there were no requests.
 func (l *lateness) p99() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/experiment/testbed/lateness_test.go
+++ b/internal/experiment/testbed/lateness_test.go
@@ -8,7 +8,7 @@
 func TestLatenessP99(t *testing.T) {
 	var l lateness
 	if got := l.p99(); got != 0 {
-		t.Errorf("without requests: %v", got)
+		t.Errorf("without requests: got %v, want 0", got)
 	}
 	for i := 200; i > 0; i-- {
 		l.add(time.Duration(i) * time.Millisecond)
--- a/internal/experiment/testbed/lifecycle_test.go
+++ b/internal/experiment/testbed/lifecycle_test.go
@@ -8,8 +8,8 @@
 	"rowancart/internal/experiment/counters"
 )
 
-// twoTierExperiment returns smallExperiment with a second tier, which the servers of the first call
-// twice for each request.
+// twoTierExperiment returns smallExperiment with a second tier. Each server of the first tier calls
+// the second tier twice per request.
 func twoTierExperiment() *experiment.Experiment {
 	e := smallExperiment()
 	front := e.Site.Tiers[0]
@@ -23,7 +23,7 @@
 	return e
 }
 
-// runWithoutViolations runs an experiment with programs that keep all rules, and checks that no
+// runWithoutViolations runs an experiment with a proxy that follows all rules, and checks that no
 // violation is reported.
 func runWithoutViolations(t *testing.T, e *experiment.Experiment) *counters.Counters {
 	t.Helper()
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestReplacedServerHasItsSidecar checks that the sidecar beside a server ends with it, and that
-// the successor's calls go through one of its own.
+// TestReplacedServerHasItsSidecar checks that a server's sidecar is stopped with the server, and
+// that the successor makes its calls through a new sidecar.
 func TestReplacedServerHasItsSidecar(t *testing.T) {
 	t.Parallel()
 	e := twoTierExperiment()
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestSidecarIsStartedAgain checks that an instance that was killed is started again, and one whose
-// discovery moves continues, without violations. Termination has no row: the stand-in's shutdown is
-// that of net/http, which closes a connection on which a request may just have come.
+// TestSidecarIsStartedAgain checks that a killed instance is restarted and that an instance whose
+// discovery address moves continues, both without violations. Termination is not tested: the proxy
+// shuts down as net/http does, which can close a connection on which a request has just arrived.
 func TestSidecarIsStartedAgain(t *testing.T) {
 	for _, kind := range []experiment.FaultKind{experiment.KillSidecar, experiment.DiscoveryMove} {
 		t.Run(string(kind), func(t *testing.T) {
--- a/internal/experiment/testbed/process.go
+++ b/internal/experiment/testbed/process.go
@@ -16,24 +16,25 @@
 	"rowancart/internal/platform"
 )
 
-// Command is a Program that a command line starts, such as the run line of deploy/balancer.toml.
+// Command is a Program that is started by a command line, such as the run line of
+// deploy/balancer.toml.
 type Command struct {
-	Line    string // for /bin/sh -c
-	Dir     string // its working directory
+	Line    string // run with /bin/sh -c
+	Dir     string // working directory of the program
 	Scratch string // directory for configuration files and temporary files
 }
 
-// maxLogTail is how many bytes of a program's output are kept for messages.
+// maxLogTail is the number of bytes of a program's output that are kept for error messages.
 const maxLogTail = 4 << 10
 
-// tail keeps the last maxLogTail bytes that are written to it. It is safe for concurrent use.
-type tail struct {
+// logTail keeps the last maxLogTail bytes that are written to it. It is safe for concurrent use.
+type logTail struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-// Write implements io.Writer and keeps the end of what is written.
-func (t *tail) Write(b []byte) (int, error) {
+// Write implements io.Writer. It keeps only the end of the output.
+func (t *logTail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, b...)
@@ -43,19 +44,19 @@
 	return len(b), nil
 }
 
-// String returns the text without surrounding white space.
-func (t *tail) String() string {
+// String returns the kept output without surrounding white space.
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(bytes.TrimSpace(t.text))
 }
 
-// process is an instance of a Command.
+// process is a running instance of a Command.
 type process struct {
 	cmd        *exec.Cmd
 	configPath string
-	log        tail          // of standard output and standard error
-	exited     chan struct{} // closed when it has exited
+	log        logTail       // of standard output and standard error
+	exited     chan struct{} // closed when the process has exited
 	exitErr    error         // set before exited is closed
 }
 
@@ -75,7 +76,7 @@
 		platform.EnvDiscovery+"="+config.Discovery,
 		platform.EnvConfig+"="+p.configPath,
 		platform.EnvSharedDir+"="+c.Scratch)
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // so that Kill reaches its child processes
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // so that Kill also reaches child processes of the shell
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start %s: %w", config.Name, err)
 	}
@@ -106,12 +107,12 @@
 	return p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// Terminate implements Instance. The error of a process that has exited is ignored.
+// Terminate implements Instance. It ignores the error that occurs if the process has exited.
 func (p *process) Terminate() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
 // Kill implements Instance.
 func (p *process) Kill() {
-	_ = syscall.Kill(-p.cmd.Process.Pid, syscall.SIGKILL) // its process group
+	_ = syscall.Kill(-p.cmd.Process.Pid, syscall.SIGKILL) // the whole process group
 	<-p.exited
 }
 
@@ -130,11 +131,11 @@
 	return reason
 }
 
-// cpuClockTick is the kernel's unit of CPU time in /proc: USER_HZ, which is 100 on every platform
-// that Go runs on.
+// cpuClockTick is the kernel's unit of CPU time in /proc, 1/USER_HZ. USER_HZ is 100 per second on
+// every platform that Go runs on.
 const cpuClockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat, counted from behind the command's name (proc(5)).
+// Indexes of fields of /proc/PID/stat, counted from 0 after the command's name (proc(5)).
 const (
 	statUserTime   = 11 // in ticks
 	statSystemTime = 12 // in ticks
@@ -151,7 +152,7 @@
 	// The command's name, in parentheses, may contain spaces and parentheses.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= statResident {
-		return Usage{}, fmt.Errorf("%s/stat: %d fields", dir, len(fields))
+		return Usage{}, fmt.Errorf("%s/stat has only %d fields after the command", dir, len(fields))
 	}
 	user, _ := strconv.ParseInt(fields[statUserTime], 10, 64)
 	system, _ := strconv.ParseInt(fields[statSystemTime], 10, 64)
--- a/internal/experiment/testbed/program.go
+++ b/internal/experiment/testbed/program.go
@@ -18,35 +18,36 @@
 
 // Program starts instances of a program under test.
 type Program interface {
-	// Start starts an instance. It need not be healthy when Start returns.
+	// Start starts an instance. The instance may still be unhealthy when Start returns.
 	Start(c platform.ConfigFile) (Instance, error)
 }
 
-// Instance is an instance of a program under test.
+// Instance is a running instance of a program under test.
 type Instance interface {
-	// Reload replaces the configuration file and sends SIGHUP.
+	// Reload replaces the configuration file and sends SIGHUP to the instance.
 	Reload(c platform.ConfigFile) error
 	// Terminate sends SIGTERM.
 	Terminate()
-	// Kill sends SIGKILL and waits for the exit.
+	// Kill sends SIGKILL and waits until the instance has exited.
 	Kill()
-	// Done is closed when the instance has exited.
+	// Done returns a channel that is closed when the instance has exited.
 	Done() <-chan struct{}
-	// ExitReason returns how the instance exited, with the end of its output. It must have exited.
+	// ExitReason returns how the instance exited and the end of its output. It may be called only
+	// after the instance has exited.
 	ExitReason() string
-	// Usage returns what the instance uses. It fails once the instance has exited.
+	// Usage returns the resource usage of the instance. It fails once the instance has exited.
 	Usage() (Usage, error)
 }
 
-// Usage is what an instance of a program uses.
+// Usage is the resource usage of an instance.
 type Usage struct {
 	MemoryMB    float64
 	Descriptors int
-	CPUTime     time.Duration // used since its start
+	CPUTime     time.Duration // total since the instance was started
 }
 
-// Build runs the build line of root/deploy/balancer.toml, if there is one, and returns the run
-// line.
+// Build runs the build line of root/deploy/balancer.toml in a shell, if there is one, and returns
+// the run line.
 func Build(ctx context.Context, root string) (runLine string, err error) {
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
@@ -66,8 +67,8 @@
 	return settings["run"], nil
 }
 
-// stringSettings returns the values of a deploy file that are strings. Values of other types are
-// empty.
+// stringSettings returns the settings of a deploy file. A value that is not a string becomes an
+// empty one.
 func stringSettings(deployFile string) map[string]string {
 	settings := map[string]string{}
 	for line := range strings.SplitSeq(deployFile, "\n") {
@@ -83,8 +84,8 @@
 	healthCheckInterval = 20 * time.Millisecond
 )
 
-// waitHealthy waits until a program responds to a health check with 200. The error says why it did
-// not within the timeout.
+// waitHealthy waits until a program responds to a health check with status 200. If the program
+// exits or the timeout passes first, the error gives the reason.
 func waitHealthy(ctx context.Context, p Instance, addr, name string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/experiment/testbed/server.go
+++ b/internal/experiment/testbed/server.go
@@ -16,45 +16,45 @@
 )
 
 const (
-	// startedLongAgo is the start of servers that have warmed up before the run begins.
+	// startedLongAgo is the start time of servers that have warmed up before the run begins.
 	startedLongAgo = time.Duration(-1)
 
-	// modelSeedName is part of the names from which the seeds of the models are derived. Another name
-	// would change what a run's seed draws.
+	// modelSeedName is the prefix of the names from which the seeds of the server models are derived.
+	// Another prefix would change the random numbers of existing seeds.
 	modelSeedName = "box "
 
-	acceptRetryWait = 10 * time.Millisecond // after an accept that failed, as when no descriptor is free
+	acceptRetryWait = 10 * time.Millisecond // after a failed accept, for example when no file descriptor is free
 )
 
-// emulatedServer is the model of a server behind a listener. It reads HTTP/1.1 by itself, so that
-// it knows when a request's first and last byte arrived and can break connections where a fault
-// requires it.
+// emulatedServer accepts connections on a listener and handles requests according to a server
+// model. It implements HTTP/1.1 itself, to measure when the first and the last byte of a request
+// arrive, and to break a connection at the point that a fault requires.
 type emulatedServer struct {
 	run        *testRun
 	tier       int
 	index      int // in the tier
-	generation int // number of predecessors
+	generation int // number of servers that had this index before
 	name       string
 	listener   net.Listener
-	sidecar    *sidecar // through which it calls the next tier; nil: it makes no calls
+	sidecar    *sidecar // through which it calls the next tier; nil if it makes no calls
 	addedAt    time.Duration
-	removedAt  time.Duration // 0: not removed
+	removedAt  time.Duration // 0 if not removed
 
 	mu           sync.Mutex
 	model        *server.Server
-	timer        *time.Timer   // of the model's next event
-	finishedJobs []*server.Job // buffer of advanceTo
+	timer        *time.Timer   // fires at the model's next event
+	finishedJobs []*server.Job // buffer that advanceTo reuses
 	stats        counters.Server
-	rng          *rand.Rand // of the faults
+	rng          *rand.Rand // draws the faults
 	conns        map[net.Conn]bool
-	crashed      chan struct{}        // closed at a crash; a restart makes a new one
-	faults       traffic.ServerFaults // in force
-	recovered    chan struct{}        // closed when a fault ends, which makes a new one
+	crashed      chan struct{}        // closed when the process crashes; replaced at a restart
+	faults       traffic.ServerFaults // currently active
+	faultEnded   chan struct{}        // closed and replaced when a fault ends
 	closed       bool
 }
 
-// newServer creates a server that accepts connections at once. The run's mu is held, or no other
-// goroutine uses the run.
+// newServer creates a server that accepts connections immediately. The caller must hold the run's
+// mu, unless no other goroutine uses the run yet.
 func (r *testRun) newServer(tier, index, generation int, started time.Duration) (*emulatedServer, error) {
 	t := r.experiment.Site.Tiers[tier]
 	kind := traffic.KindOf(t, index)
@@ -76,14 +76,14 @@
 		rng:        experiment.Rand(r.seed, "faults of "+name),
 		conns:      map[net.Conn]bool{},
 		crashed:    make(chan struct{}),
-		recovered:  make(chan struct{}),
+		faultEnded: make(chan struct{}),
 	}
 	s.timer = time.AfterFunc(time.Hour, s.onTimer)
 	r.goroutines.Go(s.accept)
 	return s, nil
 }
 
-// listedEndpoint returns the server as discovery lists it now.
+// listedEndpoint returns the server's current entry in the endpoint list, with the given state.
 func (s *emulatedServer) listedEndpoint(state platform.State) platform.Endpoint {
 	e := platform.Endpoint{
 		ID:     s.name,
@@ -108,8 +108,9 @@
 	return s.model.Draining()
 }
 
-// advance moves the model to now, which it returns. The model must be advanced at each of its
-// events, so the events since the last call are caught up one by one. mu must be held.
+// advance advances the model to the current time and returns that time. The model must be advanced
+// to each of its events, so advance first processes the events since the last call one by one. mu
+// must be held.
 func (s *emulatedServer) advance() time.Duration {
 	now := s.run.now()
 	for next := s.model.NextEvent(); next < now; next = s.model.NextEvent() {
@@ -119,12 +120,12 @@
 	return now
 }
 
-// advanceTo moves the model to an instant and notifies the goroutines whose jobs are done. mu must
-// be held.
+// advanceTo advances the model to the given time and notifies the goroutines whose jobs are done.
+// mu must be held.
 func (s *emulatedServer) advanceTo(at time.Duration) {
 	s.finishedJobs = s.model.Advance(at, s.finishedJobs[:0])
 	for _, j := range s.finishedJobs {
-		j.Owner.(chan struct{}) <- struct{}{} // does not block: its capacity is one, and a job is done once at a time
+		j.Owner.(chan struct{}) <- struct{}{} // does not block: capacity 1, and its value is received before the job resumes
 	}
 }
 
@@ -168,8 +169,8 @@
 	}
 }
 
-// addConn counts a connection, and returns the channel that is closed when the process dies. It
-// reports false if the model rejects the connection.
+// addConn registers a connection and returns the channel that is closed when the process crashes.
+// It reports false if the server is closed or the model rejects the connection.
 func (s *emulatedServer) addConn(nc net.Conn) (crashed <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,29 +181,29 @@
 	return s.crashed, true
 }
 
-// removeConn closes a connection.
+// removeConn closes a connection and removes it from the model.
 func (s *emulatedServer) removeConn(nc net.Conn) {
 	nc.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.conns[nc] { // otherwise a crash has removed it
+	if s.conns[nc] { // otherwise a crash has removed it already
 		delete(s.conns, nc)
 		s.model.Disconnect()
 	}
 }
 
-// waitWhile waits while a condition of the faults holds. It reports false if crashed was closed or
-// the run ended before. A nil channel is never closed.
-func (s *emulatedServer) waitWhile(holds func(*traffic.ServerFaults) bool, crashed <-chan struct{}) bool {
+// waitWhile waits while a condition on the active faults is true. It reports false if crashed was
+// closed or the run ended before. If crashed is nil, only the end of the run interrupts the wait.
+func (s *emulatedServer) waitWhile(condition func(*traffic.ServerFaults) bool, crashed <-chan struct{}) bool {
 	for {
 		s.mu.Lock()
-		waiting, recovered := holds(&s.faults), s.recovered
+		waiting, faultEnded := condition(&s.faults), s.faultEnded
 		s.mu.Unlock()
 		if !waiting {
 			return true
 		}
 		select {
-		case <-recovered:
+		case <-faultEnded:
 		case <-crashed:
 			return false
 		case <-s.run.ctx.Done():
@@ -211,13 +212,13 @@
 	}
 }
 
-// waitResponsive waits while the machine sends nothing, but no longer than the process or the run
-// lasts.
+// waitResponsive waits while a fault makes the server unresponsive. It returns early if the process
+// crashes or the run ends.
 func (s *emulatedServer) waitResponsive(crashed <-chan struct{}) {
 	s.waitWhile(func(f *traffic.ServerFaults) bool { return f.Unresponsive }, crashed)
 }
 
-// resetConn closes a connection so that the peer sees a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(nc net.Conn) {
 	if t, ok := nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -225,7 +226,7 @@
 	nc.Close()
 }
 
-// crash ends the process: its connections are reset and new ones rejected.
+// crash emulates a crash of the process: it resets all connections, and the model rejects new ones.
 func (s *emulatedServer) crash() {
 	s.mu.Lock()
 	s.advance()
@@ -243,7 +244,7 @@
 	}
 }
 
-// restart starts a crashed process again, which has to warm up.
+// restart restarts a crashed process, which must warm up again.
 func (s *emulatedServer) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -251,7 +252,7 @@
 	s.crashed = make(chan struct{})
 }
 
-// close ends the server for good. It may be called twice.
+// close stops the server permanently. It may be called twice.
 func (s *emulatedServer) close() {
 	s.mu.Lock()
 	s.closed = true
@@ -272,11 +273,14 @@
 	s.faults.Apply(event)
 	s.model.SetSlowdown(s.faults.Slowdown())
 	if !event.On {
-		close(s.recovered)
-		s.recovered = make(chan struct{})
+		close(s.faultEnded)
+		s.faultEnded = make(chan struct{})
 	}
 	s.reschedule()
 }
 
-// draws reports whether a fault of a rate strikes a request. mu must be held.
-func (s *emulatedServer) draws(rate float64) bool { return rate > 0 && s.rng.Float64() < rate }
+// drawBool returns true with the given probability. It consumes no random number if the probability
+// is 0. mu must be held.
+func (s *emulatedServer) drawBool(probability float64) bool {
+	return probability > 0 && s.rng.Float64() < probability
+}
--- a/internal/experiment/testbed/settings.go
+++ b/internal/experiment/testbed/settings.go
@@ -8,11 +8,11 @@
 	"rowancart/internal/platform"
 )
 
-// sidecarDialTimeout is within which a sidecar's connection to a server must be established.
+// sidecarDialTimeout bounds the time in which a sidecar must establish a connection to a server.
 const sidecarDialTimeout = 250 * time.Millisecond
 
-// platformSettings returns a site's settings in the platform's form (WIRE, Read your settings), for
-// the sidecar at a placement.
+// platformSettings returns a site's settings in the platform's format for the sidecar at a
+// placement (WIRE, section Read your settings).
 func platformSettings(site experiment.Site, variant experiment.Variant,
 	at experiment.Placement) platform.SettingsObject {
 	at = site.ConfiguredPlacement(at)
@@ -51,7 +51,7 @@
 	return settings
 }
 
-// classSettings returns the platform's form of a site's classes.
+// classSettings returns a site's classes in the platform's format.
 func classSettings(classes []experiment.Class) []platform.ClassSettings {
 	var settings []platform.ClassSettings
 	for _, c := range classes {
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -16,16 +16,18 @@
 )
 
 const (
-	serverSidecarPrefix = "beside-" // of the name of a server's sidecar, which reports and seeds have
+	serverSidecarPrefix = "beside-" // of the name of a server's sidecar; reports and seeds use the name
 
-	minTerminationTime   = 3 * time.Second        // for a graceful shutdown, if all deadlines are shorter
-	terminationTimeSlack = 700 * time.Millisecond // beyond the longest deadline
+	minTerminationTime   = 3 * time.Second        // allowed for a graceful shutdown, also if all deadlines are shorter
+	terminationTimeSlack = 700 * time.Millisecond // allowed in addition to the longest deadline
 
-	exitNoticeTime = 200 * time.Millisecond // between the end of a program's connections and the notice of its exit
+	// exitDetectionWait bounds the time between the close of a program's connections and the
+	// notification of its exit.
+	exitDetectionWait = 200 * time.Millisecond
 )
 
-// sidecar is an instance of the program under test with its name, address and discovery. The
-// program may be ended and started again.
+// sidecar is an instance of the program under test with its name, address and discovery server. The
+// program may be stopped and restarted.
 type sidecar struct {
 	run       *testRun
 	name      string
@@ -33,27 +35,27 @@
 	addr      string
 	discovery *discoveryServer
 	conns     *connPool // of the clients, or of the server that calls through it
-	starts    int
+	starts    int       // number of times the program was started; part of the seed's name
 
-	discoverySpread float64     // from 0 to 1: its part of Discovery.Spread
-	up              atomic.Bool // running and healthy, so that clients send to it
-	killed          atomic.Bool // by the test bed: requests to it may stay without a response
+	discoverySpread float64     // this sidecar's fraction of Discovery.Spread, from 0 to 1
+	up              atomic.Bool // running and healthy: clients send requests to it
+	killed          atomic.Bool // by the test bed: requests to it may get no response
 
-	mu         sync.Mutex
-	running    Instance      // nil: none
-	cpu        cpuMeter      // of running
-	lastNotice time.Duration // when the latest scheduled notification is due
+	mu           sync.Mutex
+	running      Instance      // nil if no program is running
+	cpu          cpuMeter      // measures running
+	lastUpdateAt time.Duration // time of the last scheduled endpoint update
 }
 
-// newSidecar reserves an address for a sidecar and starts its discovery server. Its IP address is
-// used for no outgoing connections, so that its port stays free while it is down.
+// newSidecar reserves an address for a sidecar and starts its discovery server. No outgoing
+// connection uses the sidecar's IP address, so its port stays free while it is down.
 func (r *testRun) newSidecar(name string, at experiment.Placement) (*sidecar, error) {
 	addr, err := reserveAddr(r.sidecarAddrs.next())
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	discovery, err := newDiscoveryServer(r.listedServers(at.Tier), func(e platform.Endpoint) {
-		state, _ := e.State.EndpointState() // known: this program has made the entry
+		state, _ := e.State.EndpointState() // cannot fail: the test bed made the entry
 		r.checker.RecordNotification(r.now(), invariant.Notification{
 			Instance: name,
 			Server:   e.ID,
@@ -75,7 +77,7 @@
 	}, nil
 }
 
-// reserveAddr returns an address with a free port.
+// reserveAddr returns addr with its port replaced by one that is free.
 func reserveAddr(addr string) (string, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return l.Addr().String(), l.Close()
 }
 
-// listedServers returns the endpoint list of a tier as it is now.
+// listedServers returns the current endpoint list of a tier.
 func (r *testRun) listedServers(tier int) []platform.Endpoint {
 	var listed []platform.Endpoint
 	for _, server := range r.servers[tier] {
@@ -101,8 +103,8 @@
 	return tier+1 < len(tiers) && tiers[tier].Calls > 0
 }
 
-// addServerSidecar creates the sidecar through which a server calls the next tier. It is yet to be
-// started.
+// addServerSidecar creates the sidecar through which a server calls the next tier. The caller must
+// start it.
 func (r *testRun) addServerSidecar(server *emulatedServer) error {
 	s, err := r.newSidecar(serverSidecarPrefix+server.name, experiment.Placement{
 		Tier:  server.tier + 1,
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// config returns the program's configuration as of now.
+// config returns the program's current configuration.
 func (s *sidecar) config() platform.ConfigFile {
 	limits := s.run.experiment.Site.Limits
 	seed := experiment.Seed(s.run.seed, s.name+" start "+strconv.Itoa(s.starts))
@@ -157,8 +159,8 @@
 	return nil
 }
 
-// watchExit waits until the program exits or the run ends, and records a program that exits by
-// itself.
+// watchExit waits until the program exits or the run ends. If the program exits without having been
+// stopped by the test bed, it records a crash.
 func (s *sidecar) watchExit(p Instance) {
 	select {
 	case <-p.Done():
@@ -171,24 +173,25 @@
 	}
 }
 
-// hasExited reports whether the program has exited. It waits for exitNoticeTime: the connections of
-// a process are closed before its parent is notified of its exit.
+// hasExited reports whether the program has exited. It waits up to exitDetectionWait, since the
+// kernel closes the connections of a process before it notifies the parent of the exit.
 func (s *sidecar) hasExited() bool {
 	s.mu.Lock()
 	p := s.running
 	s.mu.Unlock()
-	if p == nil { // it is being ended by the test bed
+	if p == nil { // the test bed is stopping it
 		return false
 	}
 	select {
 	case <-p.Done():
 		return true
-	case <-time.After(exitNoticeTime):
+	case <-time.After(exitDetectionWait):
 		return false
 	}
 }
 
-// takeRunning returns the running program, or nil. The caller must end it.
+// takeRunning returns the running program, or nil if there is none, and clears s.running. The
+// caller must stop the program.
 func (s *sidecar) takeRunning() Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +200,7 @@
 	return p
 }
 
-// kill ends the program by SIGKILL.
+// kill stops the program with SIGKILL.
 func (s *sidecar) kill() {
 	s.up.Store(false)
 	s.killed.Store(true)
@@ -210,8 +213,8 @@
 	p.Kill()
 }
 
-// terminate ends the program by SIGTERM, and by SIGKILL if that takes too long. It must respond to
-// the requests that it has.
+// terminate stops the program with SIGTERM, and with SIGKILL if it does not exit in time. The
+// program must still respond to the requests that it has received.
 func (s *sidecar) terminate() {
 	p := s.takeRunning()
 	if p == nil {
@@ -234,7 +237,7 @@
 	p.Kill()
 }
 
-// allSidecars returns the sidecars that there are now, of all tiers.
+// allSidecars returns the current sidecars of all tiers.
 func (r *testRun) allSidecars() []*sidecar {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/experiment/testbed/task.go
+++ b/internal/experiment/testbed/task.go
@@ -15,11 +15,11 @@
 type task struct {
 	*exchange
 	job            *server.Job
-	done           chan struct{} // receives a value each time the job's work is done
+	done           chan struct{} // receives a value each time the job's current work is done
 	workAfterCalls float64
 }
 
-// newTask returns the task of a request.
+// newTask returns the task for a request.
 func newTask(x *exchange) *task {
 	t := &task{exchange: x, done: make(chan struct{}, 1)}
 	if x.server.sidecar != nil {
@@ -29,9 +29,9 @@
 	return t
 }
 
-// execute waits for the job's work, the calls to the next tier, the work after them, and the time
-// off the CPU. It returns the status of the response, and false if the process died or the run
-// ended before.
+// execute waits for the job's work, then makes the calls to the next tier, waits for the work after
+// them and spends the time off the CPU. It returns the status of the response, and false if the
+// process crashed or the run ended before.
 func (t *task) execute() (status int, ok bool) {
 	if !t.wait() {
 		return 0, false
@@ -45,7 +45,7 @@
 			return 0, false
 		}
 	}
-	if t.server.sidecar != nil { // time off the CPU is spent at the last tier
+	if t.server.sidecar != nil { // only the last tier spends time off the CPU
 		return http.StatusOK, true
 	}
 	offCPU := t.server.run.experiment.Site.Classes[t.info.classIndex].OffCPUTime
@@ -55,7 +55,7 @@
 	return http.StatusOK, true
 }
 
-// resume gives the job its work after the calls.
+// resume starts the part of the job's work that follows the calls.
 func (t *task) resume() {
 	s := t.server
 	s.mu.Lock()
@@ -66,8 +66,8 @@
 	s.reschedule()
 }
 
-// callNextTier makes the calls to the next tier, if there are any, one after another. It reports
-// whether all were served.
+// callNextTier makes the calls to the next tier, if any, one after another. It stops at the first
+// call that was not served, and reports whether all were served.
 func (t *task) callNextTier() bool {
 	s := t.server
 	if s.sidecar == nil {
@@ -81,24 +81,25 @@
 	return true
 }
 
-// call makes call n to the next tier through the server's own sidecar. Servers forward no deadline:
-// a call has all of the class's deadline. It reports whether the call was served.
+// call makes the nth call to the next tier through the server's own sidecar, and reports whether it
+// was served. Servers do not forward the request's remaining time: each call has the full deadline
+// of the class.
 func (t *task) call(n int) bool {
 	s := t.server
 	number := strconv.Itoa(n)
 	m := &request{
-		info:     t.info,
-		id:       t.id + "." + s.name + "." + number,
-		method:   t.method,
-		target:   "/" + t.class + "/" + number,
-		tenant:   t.info.tenant,
-		patience: t.info.deadline,
-		body:     t.body,
+		info:    t.info,
+		id:      t.id + "." + s.name + "." + number,
+		method:  t.method,
+		target:  "/" + t.class + "/" + number,
+		tenant:  t.info.tenant,
+		timeout: t.info.deadline,
+		body:    t.body,
 	}
 	return s.run.send(context.Background(), m, s.sidecar).outcome == invariant.Served
 }
 
-// admit offers the job to the model. A server that is overloaded by it crashes.
+// admit offers the job to the model. If the job overloads the server, the server crashes.
 func (x *exchange) admit(job *server.Job) server.Admission {
 	s := x.server
 	s.mu.Lock()
@@ -121,8 +122,8 @@
 	return admission
 }
 
-// wait waits until the job's work is done. It reports false if the process died or the run ended
-// before.
+// wait waits until the job's current work is done. It reports false if the process crashed or the
+// run ended before.
 func (t *task) wait() bool {
 	select {
 	case <-t.done:
@@ -133,7 +134,7 @@
 	return false
 }
 
-// sleep waits for a time. It reports false if the process died or the run ended before.
+// sleep waits for d. It reports false if the process crashed or the run ended before.
 func (x *exchange) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -144,7 +145,7 @@
 	return false
 }
 
-// finish frees the job's slot. It reports false if a crash had done so before.
+// finish releases the job's slot. It reports false if a crash has released it already.
 func (x *exchange) finish(job *server.Job) bool {
 	s := x.server
 	s.mu.Lock()
--- a/internal/experiment/testbed/testbed.go
+++ b/internal/experiment/testbed/testbed.go
@@ -1,10 +1,10 @@
 // Package testbed runs an experiment on real sockets: emulated servers, discovery and clients on
 // loopback addresses, and the programs under test as child processes. It measures its own delays:
-// a run in which requests were sent too late is void.
+// a run is void if the test bed sent the requests too late.
 //
-// Run owns all goroutines. Those of the clients and of the faults end by themselves; those of the
-// servers, of discovery and of the programs' watchers end when Run cancels the run's context and
-// closes the listeners and connections. Run waits for all of them.
+// Run owns all goroutines. The goroutines of clients and faults end by themselves. The goroutines
+// of servers, discovery and program watchers end when Run cancels the run's context and closes the
+// listeners and connections. Run waits for all of them.
 package testbed
 
 import (
@@ -29,28 +29,29 @@
 
 const (
 	defaultStartTimeout = 15 * time.Second
-	maxParallelStarts   = 8                      // of programs at the beginning
-	settleTime          = 300 * time.Millisecond // between the last health check and the first request
-	progressInterval    = time.Second            // between two reports of the progress
-	maxLateness         = 25 * time.Millisecond  // of the requests' sending (p99), beyond which a run is void
+	maxParallelStarts   = 8                      // of programs when the run is set up
+	settleTime          = 300 * time.Millisecond // pause between the last health check and the start of the load
+	progressInterval    = time.Second            // minimum, between two progress reports
+	maxLateness         = 25 * time.Millisecond  // 99th percentile of the send delays above which a run is void
 
-	// Second bytes of the loopback addresses of sidecars and servers.
-	sidecarSubnet = 80
-	serverSubnet  = 81
+	// Second bytes of the IP addresses of sidecars and servers, in 127.x.0.0/16.
+	sidecarSecondByte = 80
+	serverSecondByte  = 81
 
-	// timingSlack is added to each limit of time by which programs are judged, for the test bed's own
-	// delays.
+	// timingSlack is added to every time limit that programs are checked against, to allow for the
+	// test bed's own delays.
 	timingSlack = 50 * time.Millisecond
 )
 
 // Options are the options of Run.
 type Options struct {
 	Program      Program                 // the program under test
-	Progress     func(now time.Duration) // called about once a second with the run's time; nil: not called
-	StartTimeout time.Duration           // until a program must be healthy; 0: 15 s
+	Progress     func(now time.Duration) // if not nil, called about once a second with the time since the run's start
+	StartTimeout time.Duration           // within which a program must become healthy; 0 means 15 s
 }
 
-// testRun is one run. It owns all that the run starts: shutDown ends it and waits for its end.
+// testRun is one run of an experiment. It owns everything that the run starts; shutDown stops all
+// of it and waits until it has ended.
 type testRun struct {
 	variant      experiment.Variant
 	experiment   *experiment.Experiment
@@ -60,7 +61,7 @@
 	checker      *invariant.Checker
 	clock
 
-	ctx        context.Context // ends with the run
+	ctx        context.Context // canceled when the run ends
 	cancel     context.CancelCauseFunc
 	faults     sync.WaitGroup // goroutines that apply faults
 	goroutines sync.WaitGroup // of servers, the watchers of programs and the usage monitor
@@ -71,9 +72,9 @@
 
 	mu            sync.Mutex
 	counters      *counters.Counters
-	servers       [][]*emulatedServer // by tier and index: the present generation
-	allServers    []*emulatedServer   // of all generations
-	frontSidecars []*sidecar          // before the first tier
+	servers       [][]*emulatedServer // by tier and index: the current servers
+	allServers    []*emulatedServer   // also those that have been replaced
+	frontSidecars []*sidecar          // which the clients use, before the first tier
 	sidecars      []*sidecar          // of all tiers
 	serverAddrs   loopbackRange
 	sidecarAddrs  loopbackRange
@@ -93,24 +94,24 @@
 		ctx:          ctx,
 		cancel:       cancel,
 		counters:     counters.New(e),
-		sidecarAddrs: loopbackRange{second: sidecarSubnet},
-		serverAddrs:  loopbackRange{second: serverSubnet},
+		sidecarAddrs: loopbackRange{secondByte: sidecarSecondByte},
+		serverAddrs:  loopbackRange{secondByte: serverSecondByte},
 	}
 	r.clock.restart()
 	return r
 }
 
-// Run runs an experiment once. All that it started has ended when it returns. If ctx ends, it
-// returns what was measured up to then and the context's error.
+// Run runs an experiment once. Everything that it started has ended when it returns. If ctx ends
+// first, it returns the results measured until then and the context's error.
 func Run(ctx context.Context, e *experiment.Experiment, variant experiment.Variant, seed uint64,
 	o Options) (report.Run, error) {
 	r := newRun(e, variant, seed, o)
 	out := report.Run{Variant: variant, Seed: seed, Counters: r.counters}
 	defer r.shutDown(nil)
-	stopFollowing := context.AfterFunc(ctx, func() { r.cancel(ctx.Err()) })
-	defer stopFollowing()
+	stopPropagation := context.AfterFunc(ctx, func() { r.cancel(ctx.Err()) })
+	defer stopPropagation()
 
-	if err := r.build(); err != nil {
+	if err := r.startAll(); err != nil {
 		return out, fmt.Errorf("arm %s: %w", variant.Name, err)
 	}
 	if !r.sleepUntil(r.now() + settleTime) {
@@ -129,23 +130,23 @@
 	return out, err
 }
 
-// shutDown ends the run, for a reason or nil, and waits until all that it started has ended. It
-// may be called twice.
+// shutDown cancels the run's context with a reason, which may be nil, stops everything that the run
+// started and waits until it has ended. It may be called twice.
 func (r *testRun) shutDown(reason error) {
 	r.cancel(reason)
 	r.stopAll()
 	r.goroutines.Wait()
 }
 
-// fail ends the run for a reason that is not the program's.
+// fail ends the run because of an error that is not a violation by the program under test.
 func (r *testRun) fail(err error) {
 	if r.ctx.Err() == nil {
 		r.cancel(err)
 	}
 }
 
-// runLoad sends the clients' requests and applies the faults, and waits for the end of both. It
-// returns by how much requests were sent late (p99).
+// runLoad sends the clients' requests and applies the faults, and waits until both have ended. It
+// returns the 99th percentile of the delays with which requests were sent.
 func (r *testRun) runLoad(progress func(time.Duration)) time.Duration {
 	r.startFaults()
 	var clients sync.WaitGroup
@@ -157,7 +158,7 @@
 		}
 		clients.Go(func() {
 			late.add(r.now() - request.At)
-			r.newClient(n, &request).do()
+			r.newClient(n, &request).sendWithRetries()
 		})
 		if progress != nil && request.At-reported > progressInterval {
 			reported = request.At
@@ -169,7 +170,7 @@
 	return late.p99()
 }
 
-// startFaults starts a goroutine for each step of a fault, which applies it at its time.
+// startFaults starts one goroutine per fault event, which applies the event when it is due.
 func (r *testRun) startFaults() {
 	for _, event := range traffic.Timeline(r.experiment, r.seed) {
 		r.faults.Go(func() {
@@ -180,7 +181,7 @@
 	}
 }
 
-// sleepUntil waits until an instant. It reports false if the run ended before.
+// sleepUntil waits until a time of the run's clock. It reports false if the run ended before.
 func (r *testRun) sleepUntil(at time.Duration) bool {
 	t := time.NewTimer(at - r.now())
 	defer t.Stop()
@@ -192,21 +193,21 @@
 	}
 }
 
-// build starts servers, discovery and programs, and waits until all programs are healthy.
-func (r *testRun) build() error {
-	if err := r.buildServers(); err != nil {
+// startAll starts servers, discovery and programs, and waits until all programs are healthy.
+func (r *testRun) startAll() error {
+	if err := r.createServers(); err != nil {
 		return err
 	}
 	starts, ctx := errgroup.WithContext(r.ctx)
 	starts.SetLimit(maxParallelStarts)
-	buildErr := r.buildSidecars(func(s *sidecar) {
+	createErr := r.createSidecars(func(s *sidecar) {
 		starts.Go(func() error { return s.start(ctx) })
 	})
-	return errors.Join(buildErr, starts.Wait())
+	return errors.Join(createErr, starts.Wait())
 }
 
-// buildServers creates the servers, which accept connections at once.
-func (r *testRun) buildServers() error {
+// createServers creates the servers, which accept connections immediately.
+func (r *testRun) createServers() error {
 	site := r.experiment.Site
 	r.servers = make([][]*emulatedServer, len(site.Tiers))
 	for t, tier := range site.Tiers {
@@ -222,8 +223,8 @@
 	return nil
 }
 
-// buildSidecars creates all sidecars and calls start with each.
-func (r *testRun) buildSidecars(start func(*sidecar)) error {
+// createSidecars creates all sidecars and calls start for each of them.
+func (r *testRun) createSidecars(start func(*sidecar)) error {
 	count := r.experiment.Site.Balancers
 	for i := range count {
 		s, err := r.newSidecar("balancer-"+strconv.Itoa(i), experiment.Placement{Tier: 0, Index: i, Count: count})
@@ -261,7 +262,7 @@
 	}
 }
 
-// fillResult sets what was measured.
+// fillResult adds the measured results to out.
 func (r *testRun) fillResult(out *report.Run) {
 	now := r.now()
 	out.Verdicts = r.checker.Close(now)
--- a/internal/experiment/testbed/testbed_test.go
+++ b/internal/experiment/testbed/testbed_test.go
@@ -22,13 +22,13 @@
 		goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// TestProgramsThatDoNotStart checks that a program that does not become healthy ends the run with
-// a message that says so, and does not remain.
+// TestProgramsThatDoNotStart checks that a run fails with an error that gives the reason if the
+// program does not become healthy, and that the program's process has ended.
 func TestProgramsThatDoNotStart(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		line string // of the program
-		want string // in the error
+		line string // command line of the program
+		want string // part of the error
 	}{
 		{"is never healthy", "echo $$ >pid; exec sleep 600", "balancer-0 was not healthy within 300ms"},
 		{"exits", "echo no memory >&2; exit 4", "balancer-0 ended before it was healthy: exit status 4; it wrote: no memory"},
@@ -41,18 +41,18 @@
 			_, err := Run(t.Context(), smallExperiment(), experiment.Variant{Name: "x"}, 1,
 				Options{Program: program, StartTimeout: 300 * time.Millisecond})
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("got %v, want %s", err, c.want)
+				t.Errorf("got error %v, want one that contains %s", err, c.want)
 			}
 			if pid, err := os.ReadFile(filepath.Join(dir, "pid")); err == nil {
 				if _, err := os.Stat("/proc/" + strings.TrimSpace(string(pid))); err == nil {
-					t.Errorf("process %s remains", pid)
+					t.Errorf("process %s is still running", pid)
 				}
 			}
 		})
 	}
 }
 
-// observedProgram is a violatingProgram that sends its proxy to the test.
+// observedProgram is a violatingProgram that passes its proxy to the test.
 type observedProgram struct {
 	violatingProgram
 	proxy chan *violatingProxy
@@ -68,16 +68,16 @@
 	return p, nil
 }
 
-// TestInterrupt checks that an interrupt ends a run, and that what was measured until then is
-// returned. TestMain checks that nothing that was started remains.
+// TestInterrupt checks that canceling the context ends a run, and that Run returns the results
+// measured until then. TestMain checks that no goroutine remains.
 //
-// The interrupt comes when most of the requests of the first second, about 80, have ended: because
-// they have responses, or because the time for which their clients wait is over. On a busy machine
-// many get none in that time, and no more requests are sent while the test waits.
+// The test interrupts the run when most of the about 80 requests of the first second have ended,
+// either with a response or because their clients' wait is over. On a busy machine many requests
+// get no response in that time, and no more requests are sent while the test waits.
 func TestInterrupt(t *testing.T) {
 	const (
-		wantResponses  = 60 // upon which the test interrupts
-		wantMeasured   = 50 // clients record a response later than the proxy
+		wantResponses  = 60 // after which the test interrupts the run
+		wantMeasured   = 50 // lower, because clients count a response later than the proxy
 		clientMaxDelay = 4 * time.Second
 	)
 	ctx, stop := context.WithCancel(context.Background())
@@ -86,7 +86,7 @@
 	program := observedProgram{violatingProgram(noViolation), make(chan *violatingProxy, 1)}
 	var once sync.Once
 	stopAfterOneSecond := func(time.Duration) {
-		once.Do(func() { // a second's requests have been sent
+		once.Do(func() { // the requests of the first second have been sent
 			p := <-program.proxy
 			allEnded := time.Now().Add(e.Site.Classes[0].Deadline + clientMaxDelay)
 			testpeer.WaitUntil(t, "most of the first second's requests have ended", func() bool {
@@ -97,9 +97,9 @@
 	}
 	got, err := Run(ctx, e, experiment.Variant{Name: "x"}, 1, Options{Program: program, Progress: stopAfterOneSecond})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want context.Canceled", err)
 	}
 	if n := got.Counters.Total.Offered(); n < wantMeasured {
-		t.Errorf("%d requests were measured before the interrupt, want %d", n, wantMeasured)
+		t.Errorf("%d requests were measured before the interrupt, want at least %d", n, wantMeasured)
 	}
 }
--- a/internal/experiment/testbed/usage.go
+++ b/internal/experiment/testbed/usage.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	usageInterval = 250 * time.Millisecond // between two measurements of a program's usage
-	cpuInterval   = time.Second            // at least, over which CPU time is averaged
+	usageInterval = 250 * time.Millisecond // between two measurements of a program's resource usage
+	cpuInterval   = time.Second            // minimum, over which CPU time is averaged
 )
 
-// cpuMeter averages a program's CPU time over intervals of at least cpuInterval. Its zero value
-// begins with the first measurement.
+// cpuMeter averages a program's CPU usage over intervals of at least cpuInterval. If start is 0,
+// the first interval begins with the first measurement.
 type cpuMeter struct {
 	cpuTime time.Duration // at the start of the current interval
-	start   time.Duration // of the current interval; 0: none has begun
+	start   time.Duration // of the current interval; 0 if none has begun
 }
 
-// cores returns the mean number of cores that were used since the start of the current interval,
-// and begins the next one. It returns 0 while the interval is shorter than cpuInterval.
+// cores returns the mean number of cores used since the start of the current interval, and begins
+// the next interval. While the current interval is shorter than cpuInterval, it returns 0 and the
+// interval continues.
 func (m *cpuMeter) cores(now, cpuTime time.Duration) float64 {
 	elapsed := now - m.start
 	begun := m.start > 0
@@ -35,7 +36,8 @@
 	return used.Seconds() / elapsed.Seconds()
 }
 
-// monitorUsage measures what programs use and compares it with their limits, until the run ends.
+// monitorUsage measures the resource usage of the programs and checks it against their limits,
+// until the run ends.
 func (r *testRun) monitorUsage() {
 	ticker := time.NewTicker(usageInterval)
 	defer ticker.Stop()
@@ -51,8 +53,8 @@
 	}
 }
 
-// checkUsage measures what the running program uses, if there is one, and compares it with its
-// limits.
+// checkUsage measures the resource usage of the running program, if there is one, and checks it
+// against the limits.
 func (s *sidecar) checkUsage() {
 	s.mu.Lock()
 	if s.running == nil {
@@ -61,7 +63,7 @@
 	}
 	usage, err := s.running.Usage()
 	now := s.run.now()
-	if err != nil { // it has exited: watchExit reports it
+	if err != nil { // it has exited: watchExit records that
 		s.mu.Unlock()
 		return
 	}
@@ -76,7 +78,7 @@
 	s.run.recordPeakUsage(usage)
 }
 
-// recordPeakUsage includes a measurement in the peaks of memory and descriptors.
+// recordPeakUsage updates the peaks of memory and descriptors with a measurement.
 func (r *testRun) recordPeakUsage(u Usage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +86,8 @@
 	r.cost.Descriptors = max(r.cost.Descriptors, u.Descriptors)
 }
 
-// recordCost adds what a program has used, which is about to be ended, to the cost of the run.
+// recordCost adds the resource usage of a program to the cost of the run. The caller stops the
+// program next.
 func (r *testRun) recordCost(p Instance) {
 	usage, err := p.Usage()
 	if err != nil { // it has exited
--- a/internal/experiment/testbed/usage_test.go
+++ b/internal/experiment/testbed/usage_test.go
@@ -11,7 +11,7 @@
 		now, cpuTime time.Duration
 		want         float64
 	}{
-		{1900 * time.Millisecond, 450 * time.Millisecond, 0}, // the interval is too short
+		{1900 * time.Millisecond, 450 * time.Millisecond, 0}, // the interval is shorter than cpuInterval
 		{2 * time.Second, 500 * time.Millisecond, 0.5},
 		{2500 * time.Millisecond, 2 * time.Second, 0},
 		{4 * time.Second, 2500 * time.Millisecond, 1}, // 2 s of CPU time in 2 s
@@ -25,7 +25,7 @@
 func TestCPUMeterBeginsWithFirstMeasurement(t *testing.T) {
 	var meter cpuMeter
 	if got := meter.cores(5*time.Second, 4*time.Second); got != 0 {
-		t.Errorf("first measurement: %g cores", got)
+		t.Errorf("first measurement: %g cores, want 0", got)
 	}
 	if got := meter.cores(6*time.Second, 4250*time.Millisecond); got != 0.25 {
 		t.Errorf("a second later: %g cores, want 0.25", got)
--- a/internal/experiment/testbed/violatingproxy_test.go
+++ b/internal/experiment/testbed/violatingproxy_test.go
@@ -18,7 +18,7 @@
 	"rowancart/internal/platform"
 )
 
-// violation is the rule that a violatingProxy does not keep.
+// violation is the way in which a violatingProxy breaks a rule.
 type violation string
 
 // The violations.
@@ -42,30 +42,30 @@
 	pollInterval        = 50 * time.Millisecond
 	proxyDialTimeout    = 200 * time.Millisecond
 	proxyHeaderTimeout  = 500 * time.Millisecond
-	proxyDeadlineMargin = 50 * time.Millisecond // by which the proxy gives up before its client
-	warmupMs            = 10_000                // after its start a server has warmed up
+	proxyDeadlineMargin = 50 * time.Millisecond // the proxy gives up this long before its client
+	warmupMs            = 10_000                // time after its start until a server has warmed up
 	requestsBeforeExit  = 60
 )
 
-// violatingProxy is a small sidecar that keeps every rule but for one.
+// violatingProxy is a minimal sidecar that follows all rules except the one of its violation.
 type violatingProxy struct {
 	violation violation
 
 	mu        sync.Mutex
 	endpoints []platform.Endpoint // ready ones, the newest last
-	next      atomic.Int64        // of the servers
+	next      atomic.Int64        // round-robin position in endpoints
 	requests  atomic.Int64
 	responses atomic.Int64 // written
 	server    *http.Server
 	done      chan struct{}
-	ctx       context.Context // ends with the proxy
+	ctx       context.Context // canceled when the proxy ends
 	stop      context.CancelFunc
 
-	draining atomic.Bool   // Terminate was called
+	draining atomic.Bool   // set by Terminate
 	drained  chan struct{} // closed when the graceful shutdown has ended
 }
 
-// violatingProgram is a Program whose instances are proxies with a violation.
+// violatingProgram is a Program whose instances are proxies with the same violation.
 type violatingProgram violation
 
 // Start implements Program.
@@ -77,7 +77,7 @@
 	return p, nil
 }
 
-// startProxy starts a proxy. It and its goroutines end with Kill or Terminate.
+// startProxy starts a proxy. Kill and Terminate stop it and its goroutines.
 func (v violatingProgram) startProxy(c platform.ConfigFile) (*violatingProxy, error) {
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -112,17 +112,17 @@
 func (p *violatingProxy) ExitReason() string               { return "its server was closed" }
 func (p *violatingProxy) Kill()                            { p.stop(); p.server.Close(); <-p.done }
 
-// Terminate implements Instance. It responds to the requests that have been read.
+// Terminate implements Instance. The proxy still responds to the requests that it has read.
 func (p *violatingProxy) Terminate() {
 	p.draining.Store(true)
 	go func() {
-		_ = p.server.Shutdown(p.ctx) // fails only if Kill ends it
+		_ = p.server.Shutdown(p.ctx) // fails only if Kill cancels p.ctx
 		p.stop()
 		close(p.drained)
 	}()
 }
 
-// Usage implements Instance. A proxy runs within the test process, so its usage is made up.
+// Usage implements Instance. It returns fixed values, because a proxy runs within the test process.
 func (p *violatingProxy) Usage() (Usage, error) {
 	if p.violation == exceedsMemory {
 		return Usage{MemoryMB: 65}, nil
@@ -167,8 +167,8 @@
 	return ready, nil
 }
 
-// pick returns the address for the nth attempt of a request. A new server is sent requests only
-// once it has warmed up.
+// pick returns the server address for the nth attempt of a request. Unless the violation is
+// overloadsNewServer, it does not pick a new server until that has warmed up.
 func (p *violatingProxy) pick(n int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,7 +192,7 @@
 	deadline time.Time
 }
 
-// send makes one attempt on a connection of its own; status 0 stands for no response.
+// send makes one attempt on a new connection. Status 0 means that there was no response.
 func (m proxyRequest) send(addr string) (status int, body []byte) {
 	nc, err := net.DialTimeout("tcp", addr, proxyDialTimeout)
 	if err != nil {
@@ -218,15 +218,15 @@
 	return resp.StatusCode, body
 }
 
-// isNonIdempotent reports whether the request must not run twice.
+// isNonIdempotent reports whether the request must not run more than once.
 func (m proxyRequest) isNonIdempotent() bool { return m.method == http.MethodPost }
 
-// ServeHTTP forwards a request, with the violation.
+// ServeHTTP forwards a request and commits the violation.
 func (p *violatingProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer p.responses.Add(1)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
-		http.Error(w, "no proper body", http.StatusBadRequest)
+		http.Error(w, "invalid body", http.StatusBadRequest)
 		return
 	}
 	if r.URL.Path == platform.HealthPath {
@@ -234,7 +234,7 @@
 	}
 	ms, err := strconv.Atoi(r.Header.Get(platform.DeadlineHeader))
 	if err != nil {
-		http.Error(w, "no deadline", http.StatusBadRequest)
+		http.Error(w, "invalid deadline", http.StatusBadRequest)
 		return
 	}
 	m := proxyRequest{
@@ -246,7 +246,7 @@
 	}
 	n := p.requests.Add(1)
 	if p.violation == fabricatesResponses && n%5 == 0 {
-		fmt.Fprintln(w, "all is well")
+		fmt.Fprintln(w, "fabricated")
 		return
 	}
 	p.violateBefore(n, &m)
@@ -265,7 +265,7 @@
 	}
 }
 
-// violateBefore carries out the violations that come before the nth request is forwarded.
+// violateBefore commits the violations that occur before the nth request is forwarded.
 func (p *violatingProxy) violateBefore(n int64, m *proxyRequest) {
 	switch {
 	case p.violation == exits && n == requestsBeforeExit:
@@ -278,7 +278,7 @@
 	case p.violation == sendsForeignRequests && n%5 == 0:
 		foreign := *m
 		foreign.method = http.MethodGet
-		foreign.id += "-of-mine"
+		foreign.id += "-foreign"
 		foreign.body = nil
 		foreign.send(p.pick(0))
 	case p.violation == changesRequests && n%5 == 0 && m.isNonIdempotent():
@@ -286,8 +286,8 @@
 	}
 }
 
-// forward sends a request to a server, and a non-idempotent one with the violations that concern
-// its attempts.
+// forward sends a request to a server. For a non-idempotent request it also commits the violations
+// that concern attempts.
 func (p *violatingProxy) forward(m proxyRequest) (status int, body []byte) {
 	status, body = m.send(p.pick(0))
 	switch {
@@ -299,7 +299,7 @@
 	return status, body
 }
 
-// hijackAndClose closes the connection of a request without a response.
+// hijackAndClose closes the connection of a request without sending a response.
 func hijackAndClose(w http.ResponseWriter) {
 	nc, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
--- a/internal/experiment/testbed/violation_test.go
+++ b/internal/experiment/testbed/violation_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// rollingDeploy returns a replacement of one of four servers that takes a time.
+// rollingDeploy returns a fault that replaces one of four servers, which drains for the given time.
 func rollingDeploy(drain time.Duration) []experiment.Fault {
 	return []experiment.Fault{{Kind: experiment.RollingDeploy, At: 100 * time.Millisecond, Duration: time.Millisecond,
 		Fraction: 0.25, Size: 0.25, Period: drain}}
@@ -54,19 +54,19 @@
 	}
 )
 
-// plantedViolation is a violation, the only rule that the checker must report for it, and the
-// experiment that shows it.
-type plantedViolation struct {
+// injectedViolation is a violation that the proxy commits, the only rule that the checker must
+// report for it, and the experiment in which it occurs.
+type injectedViolation struct {
 	violation violation
-	rule      invariant.Rule // empty: none
+	rule      invariant.Rule // empty if there must be no report
 	faults    []experiment.Fault
-	duration  time.Duration // 0: that of smallExperiment
-	work      time.Duration // of a request; 0: that of smallExperiment
+	duration  time.Duration // 0 means that of smallExperiment
+	work      time.Duration // of a request; 0 means that of smallExperiment
 }
 
 const slowDeployDuration = 2500 * time.Millisecond
 
-var plantedViolations = []plantedViolation{
+var injectedViolations = []injectedViolation{
 	{violation: noViolation, faults: append(slices.Clone(slowDeploy), improperPeers...), duration: slowDeployDuration},
 	{violation: sendsTwice, rule: invariant.RuleDuplicate},
 	{violation: fabricatesResponses, rule: invariant.RuleFabricatedResponse},
@@ -82,8 +82,8 @@
 	{violation: exits, rule: invariant.RuleLimits},
 }
 
-// newExperiment returns the experiment that shows the violation.
-func (p plantedViolation) newExperiment() *experiment.Experiment {
+// newExperiment returns the experiment in which the violation occurs.
+func (p injectedViolation) newExperiment() *experiment.Experiment {
 	e := smallExperiment()
 	e.Faults = p.faults
 	if p.duration > 0 {
@@ -97,8 +97,8 @@
 	return e
 }
 
-func TestCheckerFindsPlantedViolations(t *testing.T) {
-	for _, p := range plantedViolations {
+func TestCheckerDetectsInjectedViolations(t *testing.T) {
+	for _, p := range injectedViolations {
 		t.Run(string(p.violation), func(t *testing.T) {
 			t.Parallel()
 			got, err := Run(t.Context(), p.newExperiment(), experiment.Variant{Name: string(p.violation)}, 1,
@@ -107,7 +107,7 @@
 				t.Fatal(err)
 			}
 			if n := got.Counters.Total.Offered(); n < 40 {
-				t.Errorf("only %d requests were sent", n)
+				t.Errorf("only %d requests were sent, want at least 40", n)
 			}
 			for _, v := range got.Verdicts {
 				if (v.Violations > 0) != (v.Rule == p.rule) {
@@ -115,7 +115,7 @@
 				}
 			}
 			if p.rule == "" && got.Counters.Total.Fraction(counters.ServedInTime) < 0.9 {
-				t.Errorf("a proxy without violations served %v", got.Counters.Total)
+				t.Errorf("a proxy without violations served less than 0.9 in time: %v", got.Counters.Total)
 			}
 		})
 	}
