--- a/internal/experiment/testbed/client.go
+++ b/internal/experiment/testbed/client.go
@@ -19,14 +19,14 @@
 // requestInfo is what servers must know about a request to process it.
 type requestInfo struct {
 	classIndex  int
-	work        float64 // CPU seconds, summed over all tiers
+	work        float64 // seconds on a core of speed 1, summed over all tiers
 	idempotency balancer.Idempotency
 	tenant      string
 	deadline    time.Duration // of the request's class
 }
 
-// requestInfo returns the info of a request by its ID, or the zero value if no client has sent such
-// a request.
+// requestInfo returns the info of the request with this ID, or the zero value if no client or
+// server has sent one.
 func (r *testRun) requestInfo(id string) requestInfo {
 	if info, ok := r.requests.Load(id); ok {
 		return info.(requestInfo)
@@ -122,8 +122,8 @@
 	return out
 }
 
-// minAttemptTimeout is the shortest time for which a client waits for a response. The client gives
-// up if less time is left.
+// minAttemptTimeout is the shortest timeout of an attempt. The client gives up if less time is
+// left.
 const minAttemptTimeout = time.Millisecond
 
 // client sends one request and its retries.
--- a/internal/experiment/testbed/clientconn.go
+++ b/internal/experiment/testbed/clientconn.go
@@ -35,7 +35,7 @@
 	method  string
 	target  string
 	tenant  string
-	timeout time.Duration // for which the client waits; sent in the deadline header
+	timeout time.Duration // within which the sidecar must respond; sent in the deadline header
 	retry   bool
 	body    []byte
 }
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -194,7 +194,8 @@
 }
 
 // publish sends a change of a tier's endpoint list to every sidecar before that tier. Each sidecar
-// gets its changes after a delay of its own, in order.
+// gets its changes after a delay of its own, in order. While discovery is silent, changes are
+// withheld until that fault ends.
 func (r *testRun) publish(tier int, e platform.Endpoint) {
 	delay, withheld := r.discoveryFaults.intercept(endpointUpdate{tier, e})
 	if withheld {
--- a/internal/experiment/testbed/exchange.go
+++ b/internal/experiment/testbed/exchange.go
@@ -128,7 +128,8 @@
 	return s.drawBool(s.faults.BreakBeforeRate)
 }
 
-// drawFaults draws the other faults of a request.
+// drawFaults draws the faults that apply to a request after its last byte has arrived. drawResponse
+// draws those of its response.
 func (s *emulatedServer) drawFaults(lastByte time.Duration) drawnFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/experiment/testbed/faults.go
+++ b/internal/experiment/testbed/faults.go
@@ -8,7 +8,8 @@
 	"rowancart/internal/platform"
 )
 
-// applyFault applies one fault event and returns when the event is complete, which can take long.
+// applyFault applies one fault event and returns when the event is complete, for example when a
+// killed sidecar has been restarted.
 // Each event has a goroutine of its own.
 func (r *testRun) applyFault(event traffic.FaultEvent) {
 	switch event.Kind {
--- a/internal/experiment/testbed/improperpeer.go
+++ b/internal/experiment/testbed/improperpeer.go
@@ -18,12 +18,12 @@
 	oversizedLimitFactor = time.Duration(2) // the limit for an OversizedPeer is this multiple of the other peers'
 )
 
-// runImproperPeer connects one improper peer, which sends no valid request, to a sidecar and
-// records how its connection ended.
+// runImproperPeer connects one improper peer to a sidecar and records how its connection ended. The
+// peer sends nothing, half a request or a body that is too large.
 func (r *testRun) runImproperPeer(kind experiment.FaultKind, s *sidecar) {
 	nc, err := net.DialTimeout("tcp", s.addr, dialTimeout)
 	if err != nil {
-		return // a sidecar that is down has no obligations
+		return // no rule applies to a sidecar that is down
 	}
 	defer nc.Close()
 	connected := r.now()
--- a/internal/experiment/testbed/lifecycle_test.go
+++ b/internal/experiment/testbed/lifecycle_test.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// TestReplacedServerHasItsSidecar checks that a server's sidecar is stopped with the server, and
-// that the successor makes its calls through a new sidecar.
+// TestReplacedServerHasItsSidecar checks that a server that calls the next tier can be replaced,
+// together with its sidecar, without violations and without requests that fail for lack of a
+// sidecar.
 func TestReplacedServerHasItsSidecar(t *testing.T) {
 	t.Parallel()
 	e := twoTierExperiment()
@@ -77,10 +78,11 @@
 	}
 }
 
-// TestSidecarIsStartedAgain checks that a killed instance is restarted and that an instance whose
-// discovery address moves continues, both without violations. Termination is not tested: the proxy
-// shuts down as net/http does, which can close a connection on which a request has just arrived.
-func TestSidecarIsStartedAgain(t *testing.T) {
+// TestSidecarRecoversFromDisruption checks that a killed instance is restarted and that an instance
+// whose discovery address moves continues, both without violations. Termination is not tested: the
+// proxy shuts down as net/http does, which can close a connection on which a request has just
+// arrived.
+func TestSidecarRecoversFromDisruption(t *testing.T) {
 	for _, kind := range []experiment.FaultKind{experiment.KillSidecar, experiment.DiscoveryMove} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
--- a/internal/experiment/testbed/process.go
+++ b/internal/experiment/testbed/process.go
@@ -152,7 +152,7 @@
 	// The command's name, in parentheses, may contain spaces and parentheses.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= statResident {
-		return Usage{}, fmt.Errorf("%s/stat has only %d fields after the command", dir, len(fields))
+		return Usage{}, fmt.Errorf("%s/stat has only %d fields after the command's name", dir, len(fields))
 	}
 	user, _ := strconv.ParseInt(fields[statUserTime], 10, 64)
 	system, _ := strconv.ParseInt(fields[statSystemTime], 10, 64)
--- a/internal/experiment/testbed/server.go
+++ b/internal/experiment/testbed/server.go
@@ -19,16 +19,17 @@
 	// startedLongAgo is the start time of servers that have warmed up before the run begins.
 	startedLongAgo = time.Duration(-1)
 
-	// modelSeedName is the prefix of the names from which the seeds of the server models are derived.
+	// modelPrefix is the prefix of the names from which the seeds of the server models are derived.
 	// Another prefix would change the random numbers of existing seeds.
-	modelSeedName = "box "
+	modelPrefix = "box "
 
 	acceptRetryWait = 10 * time.Millisecond // after a failed accept, for example when no file descriptor is free
 )
 
 // emulatedServer accepts connections on a listener and handles requests according to a server
-// model. It implements HTTP/1.1 itself, to measure when the first and the last byte of a request
-// arrive, and to break a connection at the point that a fault requires.
+// model. It reads requests from connections and writes responses without net/http's server, to
+// measure when the first and the last byte of a request arrive, and to break a connection at the
+// point that a fault requires.
 type emulatedServer struct {
 	run        *testRun
 	tier       int
@@ -71,7 +72,7 @@
 		name:       name,
 		listener:   l,
 		addedAt:    max(started, 0),
-		model:      server.New(kind, t.Server, r.experiment.Site.Rules, started, experiment.Rand(r.seed, modelSeedName+name)),
+		model:      server.New(kind, t.Server, r.experiment.Site.Rules, started, experiment.Rand(r.seed, modelPrefix+name)),
 		stats:      counters.Server{Name: name, Kind: kind.Name, Cores: kind.Cores, AddedDuringRun: started >= 0},
 		rng:        experiment.Rand(r.seed, "faults of "+name),
 		conns:      map[net.Conn]bool{},
@@ -83,7 +84,7 @@
 	return s, nil
 }
 
-// listedEndpoint returns the server's current entry in the endpoint list, with the given state.
+// listedEndpoint returns an endpoint list entry for the server, with the given state.
 func (s *emulatedServer) listedEndpoint(state platform.State) platform.Endpoint {
 	e := platform.Endpoint{
 		ID:     s.name,
--- a/internal/experiment/testbed/sidecar.go
+++ b/internal/experiment/testbed/sidecar.go
@@ -21,8 +21,8 @@
 	minTerminationTime   = 3 * time.Second        // allowed for a graceful shutdown, also if all deadlines are shorter
 	terminationTimeSlack = 700 * time.Millisecond // allowed in addition to the longest deadline
 
-	// exitDetectionWait bounds the time between the close of a program's connections and the
-	// notification of its exit.
+	// exitDetectionWait is how long hasExited waits for the notification of a program's exit after
+	// its connections were closed.
 	exitDetectionWait = 200 * time.Millisecond
 )
 
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// watchExit waits until the program exits or the run ends. If the program exits without having been
-// stopped by the test bed, it records a crash.
+// watchExit waits until the program exits or the run ends. It records a crash if the program exits
+// without having been stopped by the test bed.
 func (s *sidecar) watchExit(p Instance) {
 	select {
 	case <-p.Done():
@@ -213,8 +213,8 @@
 	p.Kill()
 }
 
-// terminate stops the program with SIGTERM, and with SIGKILL if it does not exit in time. The
-// program must still respond to the requests that it has received.
+// terminate stops the program with SIGTERM, and with SIGKILL if it does not exit in time or the run
+// ends first. The program must still respond to the requests that it has received.
 func (s *sidecar) terminate() {
 	p := s.takeRunning()
 	if p == nil {
--- a/internal/experiment/testbed/testbed.go
+++ b/internal/experiment/testbed/testbed.go
@@ -64,7 +64,7 @@
 	ctx        context.Context // canceled when the run ends
 	cancel     context.CancelCauseFunc
 	faults     sync.WaitGroup // goroutines that apply faults
-	goroutines sync.WaitGroup // of servers, the watchers of programs and the usage monitor
+	goroutines sync.WaitGroup // of servers, delayed endpoint updates, program watchers and the usage monitor
 
 	requests        sync.Map // of requestInfo, by request ID
 	requestsSent    atomic.Int64
--- a/internal/experiment/testbed/violatingproxy_test.go
+++ b/internal/experiment/testbed/violatingproxy_test.go
@@ -47,7 +47,8 @@
 	requestsBeforeExit  = 60
 )
 
-// violatingProxy is a minimal sidecar that follows all rules except the one of its violation.
+// violatingProxy is a minimal sidecar that follows all rules except the one that its violation
+// breaks.
 type violatingProxy struct {
 	violation violation
 
--- a/internal/experiment/testbed/violation_test.go
+++ b/internal/experiment/testbed/violation_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// rollingDeploy returns a fault that replaces one of four servers, which drains for the given time.
+// rollingDeploy returns a fault that replaces one of four servers after it has drained for the
+// given time.
 func rollingDeploy(drain time.Duration) []experiment.Fault {
 	return []experiment.Fault{{Kind: experiment.RollingDeploy, At: 100 * time.Millisecond, Duration: time.Millisecond,
 		Fraction: 0.25, Size: 0.25, Period: drain}}
