--- a/internal/experiment/testbed/server.go
+++ b/internal/experiment/testbed/server.go
@@ -27,9 +27,9 @@
 )
 
 // emulatedServer accepts connections on a listener and handles requests according to a server
-// model. It reads requests from connections and writes responses without net/http's server, to
-// measure when the first and the last byte of a request arrive, and to break a connection at the
-// point that a fault requires.
+// model. It reads HTTP/1.1 requests from connections and writes responses without net/http's
+// server, to measure when the first and the last byte of a request arrive, and to break a
+// connection at the point that a fault requires.
 type emulatedServer struct {
 	run        *testRun
 	tier       int
