--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package baseline implements textbook load-balancing policies, with which the project's own is
-// compared. Each has the interface of the decision module, balancer.Events and balancer.Host, and
-// retries all failed requests but non-idempotent ones that may have run. They differ only in how
-// they choose an endpoint.
+// Package baseline implements textbook load-balancing policies, with which experiments compare the
+// project's own policy. Each uses the interfaces of the decision module (balancer.Events and
+// balancer.Host) and retries failed requests, except requests that may have run and are not
+// idempotent. The policies differ only in how they choose an endpoint.
 package baseline
 
 import (
@@ -13,22 +13,22 @@
 	"rowancart/balancer"
 )
 
-// Names lists the policies.
+// Names lists the names of the policies.
 var Names = []string{"random", "round_robin", "least_outstanding", "two_choices", "peak_ewma"}
 
-// endpoint is a listed endpoint.
+// endpoint is an endpoint of the endpoint list.
 type endpoint struct {
 	balancer.Endpoint
-	outstanding int
+	outstanding int     // attempts without an outcome
 	cost        float64 // peak-sensitive moving average of latency, in seconds
 	costUpdated time.Duration
 }
 
-// request is a request without a final response.
+// request is a request that has not been finished.
 type request struct {
 	balancer.Request
 	idempotency balancer.Idempotency
-	tried       []*endpoint // by attempt
+	tried       []*endpoint // endpoints of the attempts so far, in order
 	mayHaveRun  bool
 }
 
@@ -43,12 +43,13 @@
 	ready       []*endpoint
 	byName      map[string]*endpoint
 	requests    map[string]*request
-	next        int // index for round_robin, plus a multiple of the number of candidates
+	next        int // for round_robin: counter; modulo the number of candidates it is the index to use
 }
 
 var _ balancer.Events = (*Policy)(nil)
 
-// New returns an instance of the policy called name. For an unknown name the error lists the names.
+// New returns an instance of the policy called name. If the name is unknown, the error lists all
+// names.
 func New(name string, s balancer.Settings, h balancer.Host) (*Policy, error) {
 	p := &Policy{
 		settings:    s,
@@ -65,7 +66,7 @@
 	case "random":
 		p.choose = p.chooseRandom
 	case "round_robin":
-		p.next = p.rng.IntN(1 << 20) // so that instances do not send to the same endpoint at a time
+		p.next = p.rng.IntN(1 << 20) // so that instances do not all start at the same endpoint
 		p.choose = p.chooseRoundRobin
 	case "least_outstanding":
 		p.choose = p.chooseLeastOutstanding
@@ -126,8 +127,8 @@
 	p.attempt(now, req)
 }
 
-// attempt sends a request, if possible to an endpoint to which it has not been sent. It finishes
-// the request if that may not be sent.
+// attempt sends a request, if possible to an endpoint to which it has not been sent before. It
+// finishes the request if there is no endpoint, no time left or no attempt allowed.
 func (p *Policy) attempt(now time.Duration, r *request) {
 	candidates := p.ready
 	if len(r.tried) > 0 {
@@ -147,7 +148,7 @@
 	p.host.Send(r.ID, e.ID, r.Deadline-now)
 }
 
-// maySend reports whether a request may be sent, for the first time or as a retry.
+// maySend reports whether another attempt of a request is allowed. The first one always is.
 func (p *Policy) maySend(r *request) bool {
 	if len(r.tried) == 0 {
 		return true
@@ -156,7 +157,8 @@
 	return attemptsLeft && (r.idempotency == balancer.Idempotent || !r.mayHaveRun)
 }
 
-// finish rejects or fails a request that was not served.
+// finish ends a request that was not served. It fails a request that may have run and is not
+// idempotent, and rejects any other.
 func (p *Policy) finish(r *request) {
 	delete(p.requests, r.ID)
 	switch {
@@ -188,13 +190,13 @@
 	p.attempt(now, r)
 }
 
-// provablyNotRun reports whether an attempt with this result did not run.
+// provablyNotRun reports whether the result of an attempt proves that it did not run.
 func provablyNotRun(r balancer.Result) bool {
 	return r == balancer.Rejected || r == balancer.ConnectFailed || r == balancer.NotSent
 }
 
-// ClientDisconnected implements balancer.Events. The attempt in flight counts as outstanding until
-// its outcome.
+// ClientDisconnected implements balancer.Events. It does nothing: the attempt in flight counts as
+// outstanding until its outcome arrives.
 func (p *Policy) ClientDisconnected(time.Duration, string) {}
 
 // StreamStarted implements balancer.Events.
--- a/internal/experiment/baseline/baseline_test.go
+++ b/internal/experiment/baseline/baseline_test.go
@@ -10,7 +10,7 @@
 
 // recordingHost records the actions of a policy.
 type recordingHost struct {
-	sent     []string // endpoints, in order
+	sent     []string // endpoints to which attempts were sent, in order
 	rejected []balancer.Reason
 	failed   []balancer.Reason
 }
@@ -27,8 +27,8 @@
 
 func (h *recordingHost) Fail(_ string, reason balancer.Reason) { h.failed = append(h.failed, reason) }
 
-// newPolicy returns a policy with ready endpoints, an idempotent class "get" and a non-idempotent
-// class "post".
+// newPolicy returns a policy whose endpoints are all ready. It has an idempotent class "get" and a
+// non-idempotent class "post".
 func newPolicy(t *testing.T, name string, endpoints ...string) (*Policy, *recordingHost) {
 	t.Helper()
 	h := &recordingHost{}
@@ -63,7 +63,8 @@
 	}
 }
 
-// A request is retried at other endpoints, until its attempts are exhausted.
+// An idempotent request that fails is retried at endpoints that it has not been sent to, until its
+// attempts are exhausted.
 func TestIdempotentRequestsAreRetriedElsewhere(t *testing.T) {
 	for _, name := range Names {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +75,7 @@
 			}
 			slices.Sort(h.sent)
 			if len(h.sent) != 3 || len(slices.Compact(h.sent)) != 3 {
-				t.Errorf("sent to %v, want three endpoints", h.sent)
+				t.Errorf("sent to %v, want three different endpoints", h.sent)
 			}
 			if !slices.Equal(h.rejected, []balancer.Reason{balancer.AttemptsExhausted}) || len(h.failed) > 0 {
 				t.Errorf("rejected %v, failed %v", h.rejected, h.failed)
@@ -105,7 +106,7 @@
 	p, h := newPolicy(t, "random")
 	p.Request(0, newRequest("1", "get"))
 	if len(h.sent) > 0 || !slices.Equal(h.rejected, []balancer.Reason{balancer.NoEndpoint}) {
-		t.Errorf("sent to %v, rejected %v", h.sent, h.rejected)
+		t.Errorf("sent to %v, rejected %v; want no attempt and one rejection with NoEndpoint", h.sent, h.rejected)
 	}
 }
 
@@ -119,7 +120,7 @@
 		p.Request(0, newRequest(id, "get"))
 	}
 	if !slices.Equal(h.sent, []string{"c", "c", "c"}) {
-		t.Errorf("sent to %v", h.sent)
+		t.Errorf("sent to %v, want all to c", h.sent)
 	}
 }
 
@@ -131,7 +132,7 @@
 	distinct := slices.Clone(h.sent[:3])
 	slices.Sort(distinct)
 	if !slices.Equal(distinct, []string{"a", "b", "c"}) || h.sent[3] != h.sent[0] {
-		t.Errorf("sent to %v", h.sent)
+		t.Errorf("sent to %v, want a, b and c in some order and then the first again", h.sent)
 	}
 }
 
@@ -143,11 +144,12 @@
 	p.Outcome(0, balancer.Outcome{ID: "2", Attempt: 0, Result: balancer.OK})
 	p.Request(0, newRequest("4", "get"))
 	if h.sent[3] != h.sent[1] {
-		t.Errorf("sent to %v; only %s has no request in flight", h.sent, h.sent[1])
+		t.Errorf("sent to %v, want the last to %s, which alone has no request in flight", h.sent, h.sent[1])
 	}
 }
 
-// A latency above the average replaces it at once, and decays.
+// A latency above the average replaces the average at once. After that, the average decays toward
+// lower latencies.
 func TestPeakEWMAFollowsPeaksAtOnce(t *testing.T) {
 	var e endpoint
 	e.updateCost(0, balancer.Outcome{Result: balancer.OK, Latency: 100 * time.Millisecond})
@@ -160,11 +162,11 @@
 	}
 	e.updateCost(11*time.Second, balancer.Outcome{Result: balancer.OK, Latency: 100 * time.Millisecond})
 	if e.cost <= 0.1 || e.cost >= 1 {
-		t.Errorf("cost %g one time constant after a peak", e.cost)
+		t.Errorf("cost %g one time constant after a peak, want between 0.1 and 1", e.cost)
 	}
 	before := e
 	e.updateCost(12*time.Second, balancer.Outcome{Result: balancer.Canceled, Latency: time.Hour})
 	if e.cost != before.cost || e.costUpdated != before.costUpdated {
-		t.Error("a canceled attempt changes the cost")
+		t.Error("a canceled attempt changed the cost")
 	}
 }
--- a/internal/experiment/baseline/choose.go
+++ b/internal/experiment/baseline/choose.go
@@ -7,12 +7,12 @@
 	"rowancart/balancer"
 )
 
-// chooser chooses one of the candidates, of which there is at least one.
+// chooser chooses one of the candidates. There must be at least one.
 type chooser func(now time.Duration, candidates []*endpoint) *endpoint
 
 const (
-	costDecay   = 10 * time.Second // time constant of the moving average of peak_ewma, as in Finagle
-	failureCost = 1                // minimum latency of a failed attempt, in seconds
+	costDecay   = 10 * time.Second // time constant of peak_ewma's moving average, as in Finagle
+	failureCost = 1                // minimum latency that a failed attempt counts as, in seconds
 )
 
 func (p *Policy) chooseRandom(_ time.Duration, candidates []*endpoint) *endpoint {
@@ -24,7 +24,8 @@
 	return candidates[p.next%len(candidates)]
 }
 
-// chooseLeastOutstanding begins at a random candidate, so that ties are broken at random.
+// chooseLeastOutstanding starts its search at a random candidate, so that ties are broken at
+// random.
 func (p *Policy) chooseLeastOutstanding(_ time.Duration, candidates []*endpoint) *endpoint {
 	start := p.rng.IntN(len(candidates))
 	best := candidates[start]
@@ -36,7 +37,8 @@
 	return best
 }
 
-// powerOfTwo returns a chooser that draws two candidates and returns the one of lower cost.
+// powerOfTwo returns a chooser that draws two different candidates at random and chooses the one
+// with the lower cost.
 func (p *Policy) powerOfTwo(cost func(time.Duration, *endpoint) float64) chooser {
 	return func(now time.Duration, candidates []*endpoint) *endpoint {
 		a := candidates[p.rng.IntN(len(candidates))]
@@ -54,8 +56,9 @@
 	}
 }
 
-// peakEWMA returns the cost of an endpoint for peak_ewma. An endpoint of unknown latency is sent
-// one request at a time.
+// peakEWMA returns the cost of an endpoint for peak_ewma. While the latency of an endpoint is
+// unknown and a request to it is outstanding, its cost is practically infinite, so that it normally
+// gets one request at a time.
 func peakEWMA(now time.Duration, e *endpoint) float64 {
 	cost := e.cost * decay(now-e.costUpdated)
 	if cost == 0 && e.outstanding > 0 {
@@ -64,7 +67,8 @@
 	return cost * float64(e.outstanding+1)
 }
 
-// updateCost adds an outcome to the endpoint's average. A latency above the average replaces it.
+// updateCost adds an attempt's latency to the endpoint's moving average. A latency above the
+// average replaces the average.
 func (e *endpoint) updateCost(now time.Duration, o balancer.Outcome) {
 	if o.Result == balancer.Canceled || o.Result == balancer.NotSent {
 		return
@@ -78,5 +82,5 @@
 	e.costUpdated = now
 }
 
-// decay returns the weight of an old average after a time.
+// decay returns the weight that an average still has after the elapsed time.
 func decay(elapsed time.Duration) float64 { return math.Exp(-float64(elapsed) / float64(costDecay)) }
--- a/internal/experiment/counters/counters.go
+++ b/internal/experiment/counters/counters.go
@@ -1,5 +1,5 @@
-// Package counters counts the outcomes of clients' requests: over a whole run, by second, class
-// and tenant, and what each server did.
+// Package counters counts the outcomes of clients' requests, for a whole run and by second, class
+// and tenant. It also holds what each server did.
 package counters
 
 import (
@@ -14,8 +14,8 @@
 // Outcome is the final outcome of a client's request, after its retries.
 type Outcome int
 
-// The outcomes. A response after the class's latency objective and before the client's deadline is
-// ServedLate.
+// The outcomes. A request is ServedLate if its response came after the class's latency objective
+// and before the client's deadline.
 const (
 	ServedInTime Outcome = iota
 	ServedLate
@@ -24,15 +24,15 @@
 	numOutcomes
 )
 
-// String returns the outcome's name in reports, whose words it keeps.
+// String returns the outcome's name in stored reports. These names must not change.
 func (o Outcome) String() string {
 	return [...]string{"served_in_time", "late", "refused", "failed"}[o]
 }
 
-// Counts are numbers of requests by outcome.
+// Counts holds the number of requests with each outcome.
 type Counts [numOutcomes]int64
 
-// Offered returns the number of requests.
+// Offered returns the number of all requests, whatever their outcome.
 func (c Counts) Offered() int64 {
 	var n int64
 	for _, v := range c {
@@ -41,7 +41,7 @@
 	return n
 }
 
-// Fraction returns the fraction of requests with an outcome, 0 if there were no requests.
+// Fraction returns the fraction of requests with an outcome, or 0 if there were no requests.
 func (c Counts) Fraction(o Outcome) float64 {
 	if n := c.Offered(); n > 0 {
 		return float64(c[o]) / float64(n)
@@ -56,47 +56,47 @@
 	}
 }
 
-// Server is what one server did.
+// Server holds what one server did during a run.
 type Server struct {
 	Name, Kind string
 	Arrivals   int64
 	Rejected   int64
-	Busy       float64 // core seconds
+	Busy       float64 // core time used, in seconds
 	Cores      int
-	Lifetime   time.Duration // from its start, or that of the run, to its end
+	Lifetime   time.Duration // from its start, or from the start of the run if that is later, to its end
 
 	// AddedDuringRun is true for a server that started during the run, and so had to warm up.
 	AddedDuringRun bool
-	// WarmupPeak is the most work that it was sent within Rules.OverloadWindow while it warmed up, in
-	// multiples of its capacity at the time.
+	// WarmupPeak is the maximum work that was sent to the server within Rules.OverloadWindow while it
+	// warmed up, as a multiple of its capacity at that time.
 	WarmupPeak float64
-	// TimeToFullLoad is the time from its start until it received as many requests as the others, in
-	// virtual time; 0: it never did.
+	// TimeToFullLoad is the time from the server's start until it received as many requests as the
+	// others; 0: it never did. It is measured in virtual time only.
 	TimeToFullLoad time.Duration
 }
 
-// Counters counts one run. It is not safe for concurrent use. Requests that arrive during the
-// warm-up are in Seconds only.
+// Counters holds the counts of one run. It is not safe for concurrent use. Requests that arrive
+// during the run's warm-up are counted by second only.
 type Counters struct {
 	warmup          time.Duration
 	priorityWeights []float64 // by index in Site.Classes
 	Total           Counts
 	Classes         []Counts // by index in Site.Classes
 	Tenants         []Counts // by index in Site.Tenants
-	Seconds         []Counts // by second of the intended time of sending
+	Seconds         []Counts // by the second of the intended time of sending
 	Servers         []Server
-	Latency         *hdrhistogram.Histogram   // of served requests, in microseconds from the intended time of sending
-	latencyBySecond []*hdrhistogram.Histogram // the same by second; nil where nothing was served
-	Requests        int64                     // received by the instances before the first tier, clients' retries included
+	Latency         *hdrhistogram.Histogram   // of served requests, from the intended time of sending, in microseconds
+	latencyBySecond []*hdrhistogram.Histogram // Latency by second; nil where nothing was served
+	Requests        int64                     // received by the instances before the first tier; includes clients' retries
 	Attempts        int64                     // sent by those instances
-	RequestsSent    int64                     // requests with at least one attempt, in virtual time
+	RequestsSent    int64                     // number of requests with at least one attempt; in virtual time only
 	OfferedWeight   float64                   // sum of the priority weights of all requests
-	ServedWeight    float64                   // and of those served in time
+	ServedWeight    float64                   // sum of the priority weights of requests served in time
 
-	Reasons map[balancer.Reason]int64 // of rejections and failures by instances of all tiers, in virtual time
+	Reasons map[balancer.Reason]int64 // rejections and failures by instances of all tiers; in virtual time only
 }
 
-// Parameters of the histograms. Latencies in the histograms of seconds have less precision, to save
+// Parameters of the latency histograms. The histogram of each second has a lower precision, to save
 // memory.
 const (
 	maxLatencyMicros        = int64(time.Hour / time.Microsecond)
@@ -104,7 +104,7 @@
 	significantDigitsSecond = 2
 )
 
-// New returns empty counters for an experiment.
+// New returns counters for an experiment, all of them zero.
 func New(e *experiment.Experiment) *Counters {
 	c := &Counters{
 		warmup:  e.Warmup,
@@ -152,7 +152,7 @@
 	recordLatency(c.latencyBySecond[second], r.Latency)
 }
 
-// recordInTotals counts a request in all but the counts by second.
+// recordInTotals counts a request in everything except the counts by second.
 func (c *Counters) recordInTotals(r *Request) {
 	c.Total[r.Outcome]++
 	c.Classes[r.Class][r.Outcome]++
@@ -169,13 +169,15 @@
 	}
 }
 
-// recordLatency adds a latency to a histogram; one out of its range is moved to the nearest bound.
+// recordLatency adds a latency to a histogram. A latency outside the histogram's range is counted
+// as the nearest bound.
 func recordLatency(h *hdrhistogram.Histogram, latency time.Duration) {
 	micros := min(max(latency.Microseconds(), 1), maxLatencyMicros)
-	_ = h.RecordValue(micros) // within the range
+	_ = h.RecordValue(micros) // fails only for a value out of range
 }
 
-// growTo makes sure that there are counts for the second of an instant, whose index it returns.
+// growTo extends the counts by second so that they include an instant, and returns the index of its
+// second.
 func (c *Counters) growTo(at time.Duration) int {
 	second := int(at / time.Second)
 	for len(c.Seconds) <= second {
@@ -185,13 +187,13 @@
 	return second
 }
 
-// Quantile returns a quantile of the latency of served requests; q is from 0 to 1.
+// Quantile returns the q-quantile of the latency of served requests, with q from 0 to 1.
 func (c *Counters) Quantile(q float64) time.Duration {
 	return time.Duration(c.Latency.ValueAtQuantile(100*q)) * time.Microsecond
 }
 
-// P99OfSecond returns the 99th percentile of the latency of the served requests that were to be
-// sent within a second, 0 if there were none.
+// P99OfSecond returns the 99th percentile of the latency of the served requests whose intended time
+// of sending is within a second, or 0 if there were none.
 func (c *Counters) P99OfSecond(second int) time.Duration {
 	if second >= len(c.latencyBySecond) || c.latencyBySecond[second] == nil {
 		return 0
--- a/internal/experiment/counters/counters_test.go
+++ b/internal/experiment/counters/counters_test.go
@@ -10,7 +10,7 @@
 const ms = time.Millisecond
 
 // newTestCounters returns the counters of an experiment with a warm-up of one second, two classes
-// of weight 1 and 4, and one tenant.
+// with priority weights 1 and 4, and one tenant.
 func newTestCounters() *Counters {
 	return New(&experiment.Experiment{
 		Warmup: time.Second,
@@ -28,19 +28,19 @@
 	c.Record(Request{Class: 1, Tenant: 0, At: 2100 * ms, Latency: 30 * ms, Outcome: Rejected})
 	c.Record(Request{Class: 1, Tenant: -1, At: 2200 * ms, Latency: 40 * ms, Outcome: Failed})
 	if want := (Counts{1, 1, 1, 1}); c.Total != want {
-		t.Errorf("total %v, want %v", c.Total, want)
+		t.Errorf("total counts %v, want %v", c.Total, want)
 	}
 	if want := (Counts{0, 1, 1, 1}); c.Classes[1] != want {
-		t.Errorf("class heavy %v, want %v", c.Classes[1], want)
+		t.Errorf("counts of class heavy %v, want %v", c.Classes[1], want)
 	}
 	if want := (Counts{1, 0, 1, 0}); c.Tenants[0] != want {
-		t.Errorf("tenant %v, want %v", c.Tenants[0], want)
+		t.Errorf("counts of the tenant %v, want %v", c.Tenants[0], want)
 	}
 	if c.OfferedWeight != 13 || c.ServedWeight != 1 {
-		t.Errorf("weights offered %g and served in time %g, want 13 and 1", c.OfferedWeight, c.ServedWeight)
+		t.Errorf("priority weights: offered %g and served in time %g, want 13 and 1", c.OfferedWeight, c.ServedWeight)
 	}
 	if n := c.Latency.TotalCount(); n != 2 {
-		t.Errorf("latency of %d requests, want the 2 served", n)
+		t.Errorf("latencies of %d requests are recorded, want those of the 2 served", n)
 	}
 }
 
@@ -62,7 +62,7 @@
 	c := newTestCounters()
 	c.Record(Request{Tenant: -1, At: 2500 * ms, Latency: 50 * ms, Outcome: ServedLate})
 	c.Record(Request{Tenant: -1, At: 3500 * ms, Latency: 50 * ms, Outcome: Failed})
-	for second, want := range []time.Duration{0, 0, 50 * ms, 0, 0} { // the last is beyond the run
+	for second, want := range []time.Duration{0, 0, 50 * ms, 0, 0} { // the last second is after the last request
 		got := c.P99OfSecond(second)
 		if got < want || got > want*101/100 {
 			t.Errorf("second %d: p99 %v, want %v", second, got, want)
@@ -85,7 +85,7 @@
 func TestFractionOfNoRequests(t *testing.T) {
 	var c Counts
 	if got := c.Fraction(Failed); got != 0 {
-		t.Errorf("got %g, want 0", got)
+		t.Errorf("fraction of no requests: got %g, want 0", got)
 	}
 	c.Add(Counts{3, 0, 0, 1})
 	if got := c.Fraction(Failed); got != 0.25 {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package experiment describes experiments: a service of emulated servers in tiers, the load on it,
-// the faults that strike it and the variants that are compared. It holds values only. Package
-// server models one server, packages virtual and testbed run an experiment, package invariant
-// judges a run and package report prints the results.
+// Package experiment describes experiments: a service made of tiers of emulated servers, the load
+// on it, the faults that are injected and the variants that are compared. It describes experiments
+// but does not run them. Package server models one server, packages virtual and testbed run an
+// experiment, package invariant checks a run and package report prints the results.
 package experiment
 
 import (
@@ -10,22 +10,22 @@
 	"rowancart/balancer"
 )
 
-// DesignPolicy is the name of the decision module, package balancer, among the policies of
-// experiment files.
+// DesignPolicy is the name by which experiment files refer to the project's own policy, the
+// decision module in package balancer.
 const DesignPolicy = "tuliprock"
 
-// ReverseProxyPolicy is the name of the baseline of package roundrobin, which can be run on
-// sockets only.
+// ReverseProxyPolicy is the name by which experiment files refer to the baseline in package
+// roundrobin, which can be run on sockets only.
 const ReverseProxyPolicy = "reverse_proxy"
 
-// Experiment is one question and what is run to answer it.
+// Experiment is a question and the runs that answer it.
 type Experiment struct {
 	Name     string
 	Question string
-	Duration time.Duration // requests arrive for this long; the run ends when all have ended
-	Warmup   time.Duration // requests that arrive in it are run and judged, but not counted
-	Seeds    []uint64      // one run of each variant for each
-	Virtual  bool          // in virtual time unless asked otherwise
+	Duration time.Duration // time for which requests arrive; the run ends when all of them have ended
+	Warmup   time.Duration // requests that arrive during it are run and checked, but not counted in the totals
+	Seeds    []uint64      // each variant is run once with each seed
+	Virtual  bool          // runs in virtual time unless the caller asks otherwise
 	Site     Site
 	Load     Load
 	Faults   []Fault
@@ -40,24 +40,25 @@
 	Policy  string // DesignPolicy, ReverseProxyPolicy or one of baseline.Names
 	Command string // on sockets: a shell command that starts the program; empty: the policy's own program
 
-	// The rest applies to the design only; all but SlowStartShare in virtual time only.
+	// The remaining fields apply to DesignPolicy only, and except for SlowStartShare in virtual time
+	// only.
 
 	SlowStartShare      float64 // balancer.Settings.SlowStartShare
-	RestoreLearnedState bool    // an instance that restarts begins with its learned state
+	RestoreLearnedState bool    // an instance that restarts restores its learned state
 	RetryBudget         balancer.RetryBudget
-	Classes             []ClassPolicy // beyond the site's rules
+	Classes             []ClassPolicy // in addition to what the site says of its classes
 }
 
-// ClassPolicy limits what may be done for the requests of a class. A zero value leaves the class as
-// the site has it.
+// ClassPolicy sets time-outs and limits for the requests of a class. A field that is zero changes
+// nothing.
 type ClassPolicy struct {
 	Class           string
 	AttemptTimeout  time.Duration
 	MaxAttempts     int
 	NeverRerun      bool          // no retry after an attempt that may have run
-	HedgeAfter      time.Duration // a hedged request is sent after this
-	HedgePercentile float64       // or after this percentile of the class's latency
-	QueueLimit      int           // requests that wait in the instance; negative: none
+	HedgeAfter      time.Duration // time after which a hedged request is sent
+	HedgePercentile float64       // percentile of the class's latency after which a hedged request is sent
+	QueueLimit      int           // maximum number of requests that wait in the instance; negative: none may wait
 }
 
 // ClassPolicy returns the policy of a class.
@@ -70,7 +71,7 @@
 	return ClassPolicy{Class: class}
 }
 
-// ApplyTo returns s with the variant's policies. It changes the classes of s in place.
+// ApplyTo returns s with the variant's settings. It modifies the classes of s in place.
 func (v Variant) ApplyTo(s balancer.Settings) balancer.Settings {
 	s.SlowStartShare = v.SlowStartShare
 	s.RetryBudget = v.RetryBudget
@@ -87,16 +88,16 @@
 	return s
 }
 
-// Expectation is a result that an experiment requires; a run that misses it fails. A zero value
-// requires nothing.
+// Expectation is a result that an experiment requires. An experiment that misses it fails. A field
+// that is zero requires nothing.
 type Expectation struct {
-	Variant           string  // empty: every variant
-	NoViolations      bool    // no invariant is violated
-	ServedInTimeAbove float64 // fraction of requests, over all runs
+	Variant           string  // variant that it applies to; empty: every variant
+	NoViolations      bool    // no invariant may be violated
+	ServedInTimeAbove float64 // fraction of requests served in time, over all runs
 	FailedBelow       float64 // fraction of requests rejected or failed
 	AttemptsBelow     float64 // attempts per request
 	P99Below          time.Duration
-	RetriesBelow      float64 // attempts beyond the first per request, in virtual time
+	RetriesBelow      float64 // attempts after the first, per request; in virtual time only
 	WarmupPeakBelow   float64 // peak load of servers added during the run (counters.Server.WarmupPeak)
-	Position          string  // in the file, for messages
+	Position          string  // position in the experiment file, for messages
 }
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// FaultKind is a kind of fault. Its text is that of experiment files.
+// FaultKind is a kind of fault. Its value is the name that experiment files use.
 type FaultKind string
 
-// The faults. Those of the second group need sockets.
+// The kinds of faults. Those of the second group can be run on sockets only.
 const (
-	FastErrors         FaultKind = "fast_errors"   // servers answer 500 at once, with probability Size
-	NoisyNeighbour     FaultKind = "neighbour"     // another program takes Size of a machine, on and off every Period
-	SharedSlowdown     FaultKind = "shared_slow"   // all servers are Size times slower
+	FastErrors         FaultKind = "fast_errors"   // servers respond 500 at once, with probability Size
+	NoisyNeighbour     FaultKind = "neighbour"     // another program takes Size of a machine, on/off each Period
+	SharedSlowdown     FaultKind = "shared_slow"   // servers are Size times slower
 	RollingDeploy      FaultKind = "deploy"        // servers are drained for Period and replaced, in batches of Size
-	Crash              FaultKind = "crash"         // the process exits and is started again, with a warm-up
+	Crash              FaultKind = "crash"         // the process exits, is started again and warms up
 	Unresponsive       FaultKind = "vanish"        // the machine sends nothing for a while
 	BreakBeforeRequest FaultKind = "break_before"  // connections break before a request's last byte, with probability Size
-	BreakAfterRequest  FaultKind = "break_after"   // connections break after it, with the request running
-	TruncateResponse   FaultKind = "break_answer"  // connections break within the response
+	BreakAfterRequest  FaultKind = "break_after"   // connections break after a request's last byte, while it runs
+	TruncateResponse   FaultKind = "break_answer"  // connections break within a response
 	CorruptResponse    FaultKind = "garble_answer" // the response is not HTTP
 	SlowResponse       FaultKind = "slow_answer"   // the response takes Period longer
 	StallAccept        FaultKind = "stall_accept"  // new connections are not accepted
-	DiscoveryDelay     FaultKind = "roster_late"   // changes of the endpoint list arrive Period later
+	DiscoveryDelay     FaultKind = "roster_late"   // changes of the endpoint list arrive later by Period
 	DiscoverySilence   FaultKind = "roster_silent" // changes of the endpoint list do not arrive
 	KillSidecar        FaultKind = "kill_sidecar"  // an instance is killed and started again
 
-	DiscoveryMove      FaultKind = "roster_move"  // a new address of discovery, announced by SIGHUP
-	TermSidecar        FaultKind = "term_sidecar" // SIGTERM, then a new start
+	DiscoveryMove      FaultKind = "roster_move"  // discovery moves to a new address, which SIGHUP announces
+	TermSidecar        FaultKind = "term_sidecar" // an instance gets SIGTERM and is started again
 	SilentPeer         FaultKind = "silent_peer"  // a peer connects and sends nothing
 	PartialRequestPeer FaultKind = "half_peer"    // a peer sends half a request
 	OversizedPeer      FaultKind = "huge_peer"    // a peer sends 60 MB
 )
 
-// FaultKinds holds all kinds, and whether they can be run in virtual time.
+// FaultKinds holds all kinds of faults. The value says whether a kind can be run in virtual time.
 var FaultKinds = map[FaultKind]bool{
 	FastErrors: true, NoisyNeighbour: true, SharedSlowdown: true, RollingDeploy: true, Crash: true, Unresponsive: true,
 	BreakBeforeRequest: true, BreakAfterRequest: true, TruncateResponse: true, CorruptResponse: true,
@@ -39,25 +39,25 @@
 	DiscoveryMove: false, TermSidecar: false, SilentPeer: false, PartialRequestPeer: false, OversizedPeer: false,
 }
 
-// Fault is in force from At on, for Duration.
+// Fault is a fault that is in force from At on, for Duration.
 type Fault struct {
 	Kind     FaultKind
 	At       time.Duration
 	Duration time.Duration
-	Tier     string        // whose servers; empty: of all tiers
-	Fraction float64       // of the servers, one at least
-	Size     float64       // see the kinds
-	Period   time.Duration // see the kinds
-	Count    int           // of peers, or of disrupted sidecars
+	Tier     string        // tier whose servers are affected; empty: all tiers
+	Fraction float64       // fraction of the servers that are affected, at least one server
+	Size     float64       // meaning: see the kinds
+	Period   time.Duration // meaning: see the kinds
+	Count    int           // number of peers, or of sidecars that are affected
 }
 
-// End returns when the fault is over.
+// End returns the instant at which the fault ends.
 func (f Fault) End() time.Duration { return f.At + f.Duration }
 
-// maxNeighbourFraction is the largest fraction of a machine that a noisy neighbour takes.
+// maxNeighbourFraction is the largest fraction of a machine that a noisy neighbour can use.
 const maxNeighbourFraction = 0.99
 
-// Slowdown returns how many times slower a NoisyNeighbour or a SharedSlowdown makes a server.
+// Slowdown returns the factor by which a NoisyNeighbour or a SharedSlowdown slows a server down.
 func (f Fault) Slowdown() float64 {
 	if f.Kind == NoisyNeighbour {
 		return 1 / (1 - min(f.Size, maxNeighbourFraction))
--- a/internal/experiment/invariant/invariant.go
+++ b/internal/experiment/invariant/invariant.go
@@ -1,9 +1,9 @@
-// Package invariant judges a run from outside. Drivers report what clients, servers and discovery
-// observed; nothing that the program under test says of itself is used. Instants are passed in: the
-// package has no clock of its own.
+// Package invariant checks the invariants of a run from outside. Drivers report what clients,
+// servers and discovery observed. Nothing that the program under test reports about itself is used.
+// The package has no clock: callers pass instants in.
 //
-// Names of rules and details of violations are stored in reports, and therefore keep their words:
-// in details a server is a box, and a rejection a refusal.
+// The names of rules and the details of violations are stored in reports, so their wording must not
+// change. Details call a server a box, and a rejection a refusal.
 package invariant
 
 import (
@@ -21,17 +21,17 @@
 const (
 	RuleResponse           Rule = "answer"    // each request has one final response, before its client gives up
 	RuleDuplicate          Rule = "duplicate" // a non-idempotent request is retried only if no attempt can have run
-	RulePolicy             Rule = "policy"    // no more attempts or runs than the class's policy allows
-	RuleDrain              Rule = "drain"     // after a grace, nothing is sent to a draining or removed server
-	RuleWarmup             Rule = "cold"      // no warming server is sent so much that it crashes
+	RulePolicy             Rule = "policy"    // a request has no more attempts and runs than its class's policy allows
+	RuleDrain              Rule = "drain"     // after DrainGrace, nothing is sent to a draining or removed server
+	RuleWarmup             Rule = "cold"      // no server that warms up is sent so much work that it crashes
 	RuleForeignRequest     Rule = "foreign"   // servers receive only requests that a client sent, unchanged
-	RuleFabricatedResponse Rule = "invented"  // clients receive only responses that a server made for the request
+	RuleFabricatedResponse Rule = "invented"  // clients receive only responses that a server made for their request
 	RuleFalseRejection     Rule = "refusal"   // a request is rejected, which permits a retry, only if it cannot have run
-	RuleImproperPeer       Rule = "improper"  // a peer that sends no proper request gets an error or a close in time
-	RuleLimits             Rule = "limits"    // memory, descriptors, CPU, and no exit of its own
+	RuleImproperPeer       Rule = "improper"  // a peer that sends no valid request gets an error or a close in time
+	RuleLimits             Rule = "limits"    // limits of memory, descriptors and CPU; no exit by itself
 )
 
-// allRules has the rules in the order of the verdicts.
+// allRules lists the rules in the order in which Close returns their verdicts.
 var allRules = []Rule{RuleResponse, RuleDuplicate, RulePolicy, RuleDrain, RuleWarmup, RuleForeignRequest,
 	RuleFabricatedResponse, RuleFalseRejection, RuleImproperPeer, RuleLimits}
 
@@ -43,22 +43,23 @@
 	Detail     string // of the first violation
 }
 
-// Checker collects what drivers report and judges it. It is safe for concurrent use. Instants must
-// not decrease by more than the driver's own delay.
+// Checker checks the observations that drivers report against the rules. It is safe for concurrent
+// use. From one observation to the next, instants must not decrease by more than the driver's own
+// delay.
 type Checker struct {
 	rules experiment.Rules
-	slack time.Duration // added to each limit of time, for the driver's own delays; 0 in virtual time
+	slack time.Duration // added to each time limit, to allow for the driver's own delays; 0 in virtual time
 
 	mu              sync.Mutex
 	requests        map[string]*request
-	byAge           []*request // all of requests, the oldest first
+	byAge           []*request // all requests, the oldest first
 	drainingSince   map[instanceServer]time.Duration
-	notifiedOfStart map[instanceServer]bool // of the server's latest start
+	notifiedOfStart map[instanceServer]bool // whether the instance was notified of the server's latest start
 	recentWork      map[string][]workArrival
-	verdicts        map[Rule]*Verdict // of the rules that were violated
+	verdicts        map[Rule]*Verdict // only rules that were violated
 }
 
-// New returns an empty checker. Slack is added to each limit of time.
+// New returns a checker without observations. Slack is added to each time limit.
 func New(rules experiment.Rules, slack time.Duration) *Checker {
 	return &Checker{
 		rules:           rules,
@@ -71,7 +72,7 @@
 	}
 }
 
-// addViolation counts a violation. mu must be held.
+// addViolation counts a violation and keeps the detail of the earliest one. mu must be held.
 func (c *Checker) addViolation(rule Rule, at time.Duration, format string, args ...any) {
 	v := c.verdicts[rule]
 	if v == nil {
@@ -84,8 +85,8 @@
 	v.Violations++
 }
 
-// Close ends the run and returns a verdict for every rule. A request that is still within its time
-// is not judged.
+// Close ends the run and returns a verdict for every rule. It does not require a response to a
+// request whose time limit has not passed yet.
 func (c *Checker) Close(now time.Duration) []Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -18,12 +18,12 @@
 	checker.RecordRequest(0, Request{ID: id, Instance: "s", Idempotency: e, Deadline: time.Second, Digest: 1})
 }
 
-// recordArrival records that all of a request arrived at once.
+// recordArrival records that all bytes of a request arrived at a server at one instant.
 func recordArrival(checker *Checker, id, server string, at time.Duration) {
 	checker.RecordArrival(Arrival{ID: id, Server: server, FirstByte: at, LastByte: at, Digest: 1})
 }
 
-// history is what is recorded with a checker, and the rule that it violates; empty: none.
+// history is a sequence of observations, and the rule that it violates (empty: none).
 type history struct {
 	name     string
 	violates Rule
@@ -70,7 +70,7 @@
 		recordRequest(checker, "r", balancer.NonIdempotent)
 		recordArrival(checker, "r", "a", ms)
 		recordArrival(checker, "r", "b", ms)
-		checker.RecordRejection(2*ms, "a", "r") // too late to have been known
+		checker.RecordRejection(2*ms, "a", "r") // too late: the request had already been sent to b
 		checker.RecordResponse(5*ms, "r", Failed, 0)
 	}},
 	{"idempotent on two servers at once", "", func(_ *testing.T, checker *Checker) {
@@ -116,7 +116,7 @@
 	{"closed before the request was read", "", func(t *testing.T, checker *Checker) {
 		recordRequest(checker, "r", balancer.Idempotent)
 		if checker.RecordClosedConn(ms, "r") {
-			t.Error("no server received the request, and it is reported as lost")
+			t.Error("a request that no server received is reported as lost")
 		}
 		checker.RecordResponse(5*ms, "r", Failed, 0)
 	}},
@@ -129,7 +129,7 @@
 	{"sent after the drain grace", RuleDrain, func(_ *testing.T, checker *Checker) {
 		recordRequest(checker, "r", balancer.Idempotent)
 		checker.RecordNotification(0, Notification{Instance: "s", Server: "a", State: balancer.Draining})
-		// notified again: the first notification counts
+		// a second notification does not extend the grace: the first one counts
 		checker.RecordNotification(500*ms, Notification{Instance: "s", Server: "a", State: balancer.Draining})
 		recordArrival(checker, "r", "a", 1001*ms)
 		checker.RecordResponse(1001*ms, "r", Failed, 0)
@@ -184,13 +184,14 @@
 			h.record(t, checker)
 			for _, v := range checker.Close(5 * time.Second) {
 				if (v.Violations > 0) != (v.Rule == h.violates) {
-					t.Errorf("rule %q: %d violations: %s", v.Rule, v.Violations, v.Detail)
+					t.Errorf("rule %q: unexpected number of violations %d: %s", v.Rule, v.Violations, v.Detail)
 				}
 			}
 		})
 	}
 }
 
+// The checker deletes old requests. Here 100 requests a second arrive, whose deadline is 1 s.
 func TestMemoryIsBounded(t *testing.T) {
 	checker := New(rules, 0)
 	for i := range 200_000 {
@@ -200,6 +201,6 @@
 		checker.RecordResponse(at, id, Failed, 0)
 	}
 	if n := len(checker.requests); n > 4000 {
-		t.Errorf("%d requests are stored, of 100 a second", n)
+		t.Errorf("%d requests are stored at 100 requests a second, want at most 4000", n)
 	}
 }
--- a/internal/experiment/invariant/programs.go
+++ b/internal/experiment/invariant/programs.go
@@ -6,28 +6,29 @@
 	"rowancart/internal/experiment"
 )
 
-// cpuTolerance allows for the resolution of the kernel's CPU times, which is 10 ms.
+// cpuTolerance is the factor by which a program may exceed its CPU limit. It allows for the
+// resolution of the kernel's CPU times, which is 10 ms.
 const cpuTolerance = 1.05
 
-// PeerEnd is how the connection of a peer that sent no proper request ended.
+// PeerEnd says how the connection of a peer that sent no valid request ended.
 type PeerEnd int
 
-// The ends.
+// The ways in which the connection of such a peer can end.
 const (
-	PeerConnected    PeerEnd = iota // it has not ended yet
-	PeerDisconnected                // by an error response, or a close
-	PeerServed                      // by the response of a served request
+	PeerConnected    PeerEnd = iota // the connection has not ended yet
+	PeerDisconnected                // the program sent an error response or closed the connection
+	PeerServed                      // the program sent the response of a served request
 )
 
-// ImproperPeer is the connection of a peer that sent no proper request.
+// ImproperPeer is the connection of a peer that sent no valid request.
 type ImproperPeer struct {
 	Connected time.Duration
-	Ended     time.Duration // or the latest observation, for PeerConnected
+	Ended     time.Duration // for PeerConnected: instant of the latest observation
 	End       PeerEnd
-	Sent      string // what the peer did send, for the violation's detail: "sent nothing"
+	Sent      string // what the peer sent, as a predicate for the violation's detail, such as "sent nothing"
 }
 
-// RecordImproperPeer records how the connection of a peer ended that sent no proper request.
+// RecordImproperPeer records how the connection of a peer that sent no valid request ended.
 func (c *Checker) RecordImproperPeer(p ImproperPeer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,15 +43,15 @@
 	}
 }
 
-// Usage is what a program used at one moment.
+// Usage is the resource usage of a program at one instant.
 type Usage struct {
 	Instance    string
 	MemoryMB    float64
 	Descriptors int
-	Cores       float64 // mean since the measurement before
+	Cores       float64 // mean number of cores used since the previous measurement
 }
 
-// CheckUsage compares a program's usage with the limits.
+// CheckUsage compares a program's usage with its limits.
 func (c *Checker) CheckUsage(now time.Duration, u Usage, limits experiment.Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/experiment/invariant/requests.go
+++ b/internal/experiment/invariant/requests.go
@@ -7,7 +7,7 @@
 	"rowancart/balancer"
 )
 
-// Outcome is a final response as its client saw it.
+// Outcome is the kind of a final response, as its client observed it.
 type Outcome int
 
 // The outcomes.
@@ -15,26 +15,26 @@
 	Served Outcome = iota
 	Rejected
 	Failed
-	Truncated // begun and incomplete: a failure, but a response
+	Truncated // the response began and is incomplete; this is a failure, but it counts as a response
 )
 
 // Request is a request as its client sent it.
 type Request struct {
 	ID          string
-	Instance    string // of the program under test that received it
+	Instance    string // instance of the program under test that received the request
 	Idempotency balancer.Idempotency
 	Deadline    time.Duration
-	Digest      uint64 // of all that must reach servers unchanged
-	MaxAttempts int    // allowed by the class's policy; 0: no limit
+	Digest      uint64 // digest of everything that must reach servers unchanged
+	MaxAttempts int    // maximum that the class's policy allows; 0: no limit
 	NeverRerun  bool   // the class's policy forbids a retry after an attempt that may have run
 }
 
-// request is a Request and what became of it.
+// request is a Request and what has been observed of it.
 type request struct {
 	Request
-	finished   bool    // has its final response, or was judged for the lack of one
-	outcome    Outcome // if finished
-	waived     bool    // no response is due: its instance was killed, or its client disconnected
+	finished   bool    // the final response has arrived, or its absence was recorded as a violation
+	outcome    Outcome // valid if finished
+	exempt     bool    // no response is required: the instance was killed, or Waive was called
 	executions []execution
 }
 
@@ -51,7 +51,8 @@
 	})
 }
 
-// mayHaveRunBy returns the first execution that may have run by an instant, nil if there is none.
+// mayHaveRunBy returns the first execution that may have run, as far as known at an instant, or nil
+// if there is none.
 func (r *request) mayHaveRunBy(at time.Duration) *execution {
 	i := slices.IndexFunc(r.executions, func(e execution) bool { return e.mayHaveRunBy(at) })
 	if i < 0 {
@@ -65,10 +66,10 @@
 	server         string
 	at             time.Duration
 	rejectedAt     time.Duration // 0: not rejected
-	responseDigest uint64        // of the response that the server made; 0: none
+	responseDigest uint64        // digest of the response that the server made; 0: none
 }
 
-// mayHaveRunBy reports whether the execution was not yet rejected at an instant.
+// mayHaveRunBy reports whether the server had not yet rejected the request at an instant.
 func (e execution) mayHaveRunBy(at time.Duration) bool { return e.rejectedAt == 0 || e.rejectedAt > at }
 
 // mayHaveRun reports whether a server may have run the request.
@@ -76,11 +77,12 @@
 	return slices.ContainsFunc(r.executions, func(e execution) bool { return e.rejectedAt == 0 })
 }
 
-// retention is how long a request is stored after its deadline. Late duplicates arrive within it.
+// retention is the time for which a request is stored after its deadline, so that late duplicates
+// are detected.
 const retention = 5 * time.Second
 
-// RecordRequest records that an instance has received a request: its last byte was written to an
-// accepted connection. It deletes requests whose retention is over.
+// RecordRequest records that an instance has received a request, which means that the last byte was
+// written to an accepted connection. It also deletes requests whose retention is over.
 func (c *Checker) RecordRequest(now time.Duration, r Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,15 +97,16 @@
 	}
 }
 
-// expire judges a request that no response can reach any more. mu must be held.
+// expire records a violation if a request whose time limit has passed has no response and requires
+// one. mu must be held.
 func (c *Checker) expire(r *request) {
-	if !r.finished && !r.waived {
+	if !r.finished && !r.exempt {
 		r.finish(Failed)
 		c.addViolation(RuleResponse, r.Deadline, "request %s at %s was never answered", r.ID, r.Instance)
 	}
 }
 
-// RecordResponse records a final response. Digest is that of the body, for Served.
+// RecordResponse records a final response. For Served, digest is the digest of its body.
 func (c *Checker) RecordResponse(now time.Duration, id string, outcome Outcome, digest uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +120,7 @@
 		return
 	}
 	r.finish(outcome)
-	if latest := r.Deadline + c.rules.ResponseSlack + c.slack; now > latest && !r.waived {
+	if latest := r.Deadline + c.rules.ResponseSlack + c.slack; now > latest && !r.exempt {
 		c.addViolation(RuleResponse, now, "request %s at %s was answered %v after its deadline", id, r.Instance,
 			now-r.Deadline)
 	}
@@ -134,15 +137,16 @@
 	}
 }
 
-// RecordClosedConn records that the program closed a connection without a response to a request
-// written to it. It reports whether the request is lost. It is lost only if the program had read
-// it, which shows in that a server has received it. Otherwise the request and the close crossed,
-// and the client may send the request again.
+// RecordClosedConn records that the program closed a connection without responding to a request
+// that the client had written to it. It reports whether the request is lost, which is a violation.
+// A request is lost only if the program had read it, that is, if a server has received it.
+// Otherwise the program may have closed an idle connection before the request reached it, and the
+// client may send the request again.
 func (c *Checker) RecordClosedConn(now time.Duration, id string) (lost bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
-	if r == nil || r.finished || r.waived || len(r.executions) == 0 {
+	if r == nil || r.finished || r.exempt || len(r.executions) == 0 {
 		return false
 	}
 	r.finish(Failed)
@@ -152,7 +156,7 @@
 }
 
 // RecordTimeout records that a client has waited for a response until the deadline and all slack
-// were over.
+// had passed.
 func (c *Checker) RecordTimeout(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,23 +165,24 @@
 	}
 }
 
-// Waive records that no response to a request is due any more, because its client has disconnected.
+// Waive records that a request no longer requires a response, for example because its client has
+// disconnected.
 func (c *Checker) Waive(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.requests[id]; r != nil {
-		r.waived = true
+		r.exempt = true
 	}
 }
 
-// RecordKill records that an instance was killed. No response to its requests is due any more, and
-// its successor begins without notifications.
+// RecordKill records that an instance was killed. Its requests no longer require a response, and
+// its successor has not been notified of any server's state yet.
 func (c *Checker) RecordKill(instance string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.byAge {
 		if r.Instance == instance {
-			r.waived = true
+			r.exempt = true
 		}
 	}
 	for key := range c.drainingSince {
--- a/internal/experiment/invariant/servers.go
+++ b/internal/experiment/invariant/servers.go
@@ -6,29 +6,29 @@
 	"rowancart/balancer"
 )
 
-// Arrival is a request of which a server has received the last byte.
+// Arrival is a request that a server has received in full.
 type Arrival struct {
 	ID        string
 	Server    string
 	FirstByte time.Duration
 	LastByte  time.Duration
 	Digest    uint64
-	WarmingUp bool    // the server was not at its full capacity
-	Work      float64 // seconds on a core of speed 1, for RuleWarmup
+	WarmingUp bool    // the server had not yet reached its full capacity
+	Work      float64 // in seconds on a core of speed 1; for RuleWarmup
 }
 
-// instanceServer is what an instance knows of a server.
+// instanceServer is the key for what an instance has been told about a server.
 type instanceServer struct{ instance, server string }
 
-// workArrival is work that arrived at a warming server.
+// workArrival is work that arrived at a server that warms up.
 type workArrival struct {
 	at       time.Duration
 	work     float64
-	notified bool // its sender had been notified of the server's start
+	notified bool // the sending instance had been notified of the server's start
 }
 
-// RecordArrival records a request that a server has received. It may run from then on unless the
-// server rejects it.
+// RecordArrival records a request that a server has received. From then on the request counts as
+// one that may have run, unless the server rejects it.
 func (c *Checker) RecordArrival(a Arrival) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +53,8 @@
 	r.executions = append(r.executions, execution{server: a.Server, at: a.LastByte})
 }
 
-// checkDrain checks that the instance was still allowed to send to the server. mu must be held.
+// checkDrain checks that the instance was still allowed to send to a draining or removed server. mu
+// must be held.
 func (c *Checker) checkDrain(key instanceServer, a Arrival) {
 	notifiedAt, ok := c.drainingSince[key]
 	if ok && a.FirstByte > notifiedAt+c.rules.DrainGrace+c.slack {
@@ -62,8 +63,7 @@
 	}
 }
 
-// checkPolicy checks that the class's policy allows an arrival after those before it. mu must be
-// held.
+// checkPolicy checks that the class's policy allows another arrival of a request. mu must be held.
 func (c *Checker) checkPolicy(r *request, a Arrival) {
 	if r.MaxAttempts > 0 && len(r.executions) >= r.MaxAttempts {
 		c.addViolation(RulePolicy, a.LastByte, "request %s reached a box %d times, and %d attempts are allowed", a.ID,
@@ -76,7 +76,7 @@
 }
 
 // checkDuplicate checks that no earlier attempt of a non-idempotent request can have run, and that
-// no response says so. mu must be held.
+// its client has not been told by a rejection that it did not run. mu must be held.
 func (c *Checker) checkDuplicate(r *request, a Arrival) {
 	if earlier := r.mayHaveRunBy(a.FirstByte); earlier != nil {
 		c.addViolation(RuleDuplicate, a.LastByte, "request %s reached %s after %s, where it may have run", a.ID, a.Server,
@@ -87,8 +87,9 @@
 	}
 }
 
-// recordWork adds an arrival to the work that reached a warming server within the overload window.
-// Notified says whether its sender had been notified of the server's start. mu must be held.
+// recordWork adds an arrival to the work that a server that warms up received within the overload
+// window. Notified says whether the sending instance had been notified of the server's start. mu
+// must be held.
 func (c *Checker) recordWork(a Arrival, notified bool) {
 	recent := append(c.recentWork[a.Server], workArrival{a.LastByte, a.Work, notified})
 	for len(recent) > 0 && recent[0].at <= a.LastByte-c.rules.OverloadWindow {
@@ -97,17 +98,19 @@
 	c.recentWork[a.Server] = recent
 }
 
-// RecordRejection records that the server rejected the request that arrived last under this ID.
+// RecordRejection records that a server rejected the latest arrival of a request.
 func (c *Checker) RecordRejection(now time.Duration, server, id string) {
 	c.updateExecution(server, id, func(e *execution) { e.rejectedAt = max(now, 1) })
 }
 
-// RecordServerResponse records the digest of the response that a server made.
+// RecordServerResponse records the digest of the response that a server made to the latest arrival
+// of a request.
 func (c *Checker) RecordServerResponse(server, id string, digest uint64) {
 	c.updateExecution(server, id, func(e *execution) { e.responseDigest = digest })
 }
 
-// updateExecution calls update with the latest execution of a request at a server, if there is one.
+// updateExecution calls update with the latest execution of a request at a server. It does nothing
+// if there is none.
 func (c *Checker) updateExecution(server, id string, update func(*execution)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +131,7 @@
 	Instance string
 	Server   string
 	State    balancer.State
-	Started  bool // it has the instant of the server's start
+	Started  bool // it includes the instant of the server's start
 }
 
 // RecordNotification records that an instance has been notified of a server's state.
@@ -141,17 +144,17 @@
 		c.notifiedOfStart[key] = c.notifiedOfStart[key] || n.Started
 		return
 	}
-	if _, ok := c.drainingSince[key]; !ok { // the first notification counts
+	if _, ok := c.drainingSince[key]; !ok { // the grace counts from the first notification
 		c.drainingSince[key] = now
 	}
 }
 
-// notifiedWorkFraction is the fraction of the work that must have come from instances that had been
-// notified of the server's start for an overload to be a violation of theirs.
+// notifiedWorkFraction is the minimum fraction of the work that must have come from instances that
+// had been notified of the server's start, for an overload to count as a violation.
 const notifiedWorkFraction = 2.0 / 3
 
-// RecordOverload records that a warming server has crashed under its load. This is a violation if
-// the instances that sent the load knew of the server's start.
+// RecordOverload records that a server has crashed because of its load while it warmed up. This is
+// a violation if most of the load came from instances that had been notified of the server's start.
 func (c *Checker) RecordOverload(now time.Duration, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// ArrivalProcess says how arrivals are spread over time.
+// ArrivalProcess says how arrivals are distributed over time.
 type ArrivalProcess string
 
 // The arrival processes.
 const (
 	Poisson  ArrivalProcess = "poisson"
-	Steady   ArrivalProcess = "steady"
+	Steady   ArrivalProcess = "steady"   // at equal intervals
 	Recorded ArrivalProcess = "recorded" // at the instants of Load.Recorded
 )
 
-// Load is the clients' requests.
+// Load says when clients send requests, and how the clients behave.
 type Load struct {
 	Rate     float64 // requests a second
 	Process  ArrivalProcess
-	Recorded []time.Duration
+	Recorded []time.Duration // instants of arrival, for the process Recorded
 	Steps    []Step
 	Clients  Clients
 }
 
-// Step changes the rate from an instant on.
+// Step changes the rate from the instant At on.
 type Step struct {
 	At     time.Duration
-	Factor float64 // of Load.Rate
+	Factor float64 // the new rate is Factor times Load.Rate
 }
 
 // Clients says how clients behave.
 type Clients struct {
-	MinPatience     float64 // fraction of a class's deadline that a client waits at least
-	Retries         int
-	RetryWait       time.Duration // before a retry, doubled each time; 0: at once
-	HonorRetryAfter bool
-	DisconnectRate  float64 // fraction of clients that disconnect early
+	MinPatience     float64       // minimum time for which a client waits, as a fraction of the class's deadline
+	Retries         int           // maximum number of a client's own retries of a request
+	RetryWait       time.Duration // wait before the first retry, doubled for each further one; 0: none
+	HonorRetryAfter bool          // clients wait as long as Retry-After says
+	DisconnectRate  float64       // fraction of requests whose client disconnects early
 }
--- a/internal/experiment/roundrobin/roundrobin.go
+++ b/internal/experiment/roundrobin/roundrobin.go
@@ -1,6 +1,6 @@
-// Package roundrobin is the baseline on sockets: net/http/httputil's ReverseProxy, which sends to
-// the endpoints in turn. It reads the configuration file and the discovery of the platform
-// (DEPLOY), so that experiments can start it in place of the sidecar.
+// Package roundrobin is the baseline for experiments on sockets: an httputil.ReverseProxy that
+// sends requests to the endpoints in turn. It reads the platform's configuration file and endpoint
+// list (see DEPLOY), so that experiments can start it in place of the sidecar.
 package roundrobin
 
 import (
@@ -26,23 +26,23 @@
 )
 
 const (
-	maxIdleConns      = 64 // to each endpoint
+	maxIdleConns      = 64 // idle connections kept to each endpoint
 	dialTimeout       = 250 * time.Millisecond
 	readHeaderTimeout = 2 * time.Second
-	watchRetryWait    = 200 * time.Millisecond
-	maxListSize       = 4 << 20 // bytes of one message of discovery
+	watchRetryWait    = 200 * time.Millisecond // before a watch that has ended is opened again
+	maxListSize       = 4 << 20                // largest discovery message, in bytes
 )
 
-// endpoints holds the endpoints that are ready, and which one is next.
+// endpoints holds the endpoints that are ready, and selects the next one in turn.
 type endpoints struct {
 	mu       sync.Mutex
 	ready    []platform.Endpoint
-	requests int // that endpoints were chosen for
+	requests int // number of requests for which an endpoint was chosen
 
-	version int64 // of the last message; for the goroutine of watchUntilDone only
+	version int64 // of the latest discovery message; once the watching goroutine runs, only it uses this
 }
 
-// apply applies a message of discovery.
+// apply applies a discovery message, which is a complete endpoint list or a list of changes.
 func (e *endpoints) apply(list platform.EndpointList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// next returns the address of the next endpoint in turn, empty if none is ready.
+// next returns the address of the next endpoint in turn, or an empty string if none is ready.
 func (e *endpoints) next() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,17 +76,17 @@
 	var c platform.ConfigFile
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return c, fmt.Errorf("%s: %w", platform.EnvConfig, err)
+		return c, fmt.Errorf("read the configuration file that %s names: %w", platform.EnvConfig, err)
 	}
 	if err := json.Unmarshal(text, &c); err != nil {
-		return c, fmt.Errorf("%s: %w", path, err)
+		return c, fmt.Errorf("parse the configuration file %s: %w", path, err)
 	}
 	c.Known.Complete = true
 	return c, nil
 }
 
-// Serve serves with the configuration file at path until ctx ends. It starts one goroutine, for the
-// watch on the endpoint list, which has ended when Serve returns.
+// Serve runs the proxy with the configuration file at path until ctx ends. One goroutine watches
+// the endpoint list; it has ended when Serve returns.
 func Serve(ctx context.Context, path string, logger *slog.Logger) error {
 	config, err := readConfig(path)
 	if err != nil {
@@ -121,8 +121,8 @@
 	return mux
 }
 
-// newProxy returns a proxy that sends to the endpoints in turn. It closes idle connections a little
-// before the endpoints do.
+// newProxy returns a proxy that sends requests to the endpoints in turn. It closes idle connections
+// a little before the endpoints do, so that it does not send on a connection that is being closed.
 func newProxy(e *endpoints, endpointIdleTimeout time.Duration) *httputil.ReverseProxy {
 	return &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
@@ -143,15 +143,16 @@
 			IdleConnTimeout:     endpointIdleTimeout * 9 / 10,
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		},
-		ErrorLog: log.New(io.Discard, "", 0), // experiments count failures from outside
+		ErrorLog: log.New(io.Discard, "", 0), // experiments observe failures from outside
 	}
 }
 
-// watchUntilDone watches the endpoint list until ctx ends. It opens a new watch when one has ended.
+// watchUntilDone watches the endpoint list until ctx ends. When a watch ends, it opens a new one
+// after watchRetryWait.
 func (e *endpoints) watchUntilDone(ctx context.Context, addr string, logger *slog.Logger) {
 	for ctx.Err() == nil {
 		if err := e.watch(ctx, addr); err != nil && ctx.Err() == nil {
-			logger.Warn("watch ended", logkey.Err, err)
+			logger.Warn("endpoint list watch ended", logkey.Err, err)
 		}
 		select {
 		case <-ctx.Done():
@@ -160,7 +161,8 @@
 	}
 }
 
-// watch applies the changes after the present version until the watch ends.
+// watch opens a watch on the endpoint list at addr and applies all changes after e.version until
+// the watch ends.
 func (e *endpoints) watch(ctx context.Context, addr string) error {
 	target := "http://" + addr + platform.EndpointListPath + "?" + platform.WatchQuery(e.version)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
--- a/internal/experiment/roundrobin/roundrobin_test.go
+++ b/internal/experiment/roundrobin/roundrobin_test.go
@@ -19,12 +19,12 @@
 		}
 		for _, addr := range want {
 			if got[addr] != 2 {
-				t.Errorf("%s: sends %v, want 2 to %s", step, got, addr)
+				t.Errorf("after %s: requests by endpoint %v, want 2 to %s", step, got, addr)
 			}
 		}
 	}
 	if addr := e.next(); addr != "" {
-		t.Errorf("without endpoints: %q", addr)
+		t.Errorf("without endpoints: next address %q, want none", addr)
 	}
 	e.apply(platform.CompleteList(1, endpoint("a", platform.StateReady), endpoint("b", platform.StateReady),
 		endpoint("c", platform.StateDraining)))
--- a/internal/experiment/seed.go
+++ b/internal/experiment/seed.go
@@ -7,8 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Seed derives a seed from the seed of a run and the name of a component. A component's random
-// draws depend on neither the other components nor the order in which they are created.
+// Seed derives the seed of a component from the seed of a run and the component's name. So the
+// random draws of a component do not depend on other components or on the order in which they are
+// created.
 func Seed(seed uint64, name string) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], seed)
@@ -18,7 +19,7 @@
 	return h.Sum64()
 }
 
-// Rand returns the source of random numbers of the component called name.
+// Rand returns the random number generator of the component called name.
 func Rand(seed uint64, name string) *rand.Rand {
 	s := Seed(seed, name)
 	return rand.New(rand.NewPCG(s, s^0x9e3779b97f4a7c15))
--- a/internal/experiment/server/collapse.go
+++ b/internal/experiment/server/collapse.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// collapse is the state of a server that becomes slower when its queue has been long for some time,
-// and recovers when its load has been low for some time, or after the maximum duration. A negative
-// instant is none.
+// collapse is the state of the overload collapse of a server. The server becomes slower when its
+// queue has been long for some time. It recovers when its load has been low for some time, or when
+// it has been collapsed for the maximum duration. A negative instant means that the condition does
+// not hold.
 //
 //	normal -- queue above CollapseQueue for CollapseAfter --> collapsed
-//	collapsed -- load below RecoveryLoad for RecoveryAfter, or MaxCollapse over --> normal
+//	collapsed -- load below RecoveryLoad for RecoveryAfter, or after MaxCollapse --> normal
 type collapse struct {
-	overloadedSince time.Duration // the queue is too long
+	overloadedSince time.Duration // since when the queue has been above CollapseQueue
 	collapsedAt     time.Duration
-	recoveringSince time.Duration // collapsed, and the load is low
+	recoveringSince time.Duration // since when the load of the collapsed server has been below RecoveryLoad
 }
 
 var noCollapse = collapse{overloadedSince: -1, collapsedAt: -1, recoveringSince: -1}
@@ -38,7 +39,8 @@
 	return next
 }
 
-// updateCollapse applies the transitions that are due. It is called after each change of the load.
+// updateCollapse applies the transitions between normal and collapsed that are due. It is called
+// after each change of the load.
 func (s *Server) updateCollapse() {
 	if s.spec.CollapseQueue <= 0 || s.down {
 		return
@@ -46,7 +48,7 @@
 	c := &s.collapse
 	cores := float64(s.kind.Cores)
 	waiting := s.queue.len() + max(s.slotsUsed-s.kind.Cores, 0)
-	holdSince(&c.overloadedSince, s.now, float64(waiting) > s.spec.CollapseQueue*cores)
+	updateSince(&c.overloadedSince, s.now, float64(waiting) > s.spec.CollapseQueue*cores)
 	if !s.Collapsed() {
 		if c.overloadedSince >= 0 && s.now-c.overloadedSince >= s.spec.CollapseAfter {
 			c.collapsedAt = s.now
@@ -54,7 +56,7 @@
 		}
 		return
 	}
-	holdSince(&c.recoveringSince, s.now, float64(s.InFlight()) < s.spec.RecoveryLoad*cores)
+	updateSince(&c.recoveringSince, s.now, float64(s.InFlight()) < s.spec.RecoveryLoad*cores)
 	recovered := c.recoveringSince >= 0 && s.now-c.recoveringSince >= s.spec.RecoveryAfter
 	tooLong := s.spec.MaxCollapse > 0 && s.now-c.collapsedAt >= s.spec.MaxCollapse
 	if recovered || tooLong {
@@ -62,9 +64,9 @@
 	}
 }
 
-// holdSince updates the instant since which a condition holds. It is negative while the condition
-// does not hold.
-func holdSince(since *time.Duration, now time.Duration, holds bool) {
+// updateSince sets *since to now when the condition begins to hold, and to -1 while it does not
+// hold.
+func updateSince(since *time.Duration, now time.Duration, holds bool) {
 	switch {
 	case !holds:
 		*since = -1
--- a/internal/experiment/server/heap.go
+++ b/internal/experiment/server/heap.go
@@ -1,8 +1,8 @@
 package server
 
-// jobHeap is a binary heap of running jobs, the one that finishes first at index 0. container/heap
-// would convert each job to an interface on the hottest path of a run; each job has its index, so
-// that it can be removed early.
+// jobHeap is a binary heap of running jobs. The job that finishes first is at index 0. Each job
+// stores its index in the heap, so that it can be removed before it finishes. container/heap is not
+// used, because it would convert each job to an interface on the hottest path of a run.
 type jobHeap []*Job
 
 func (h jobHeap) less(i, j int) bool {
--- a/internal/experiment/server/job.go
+++ b/internal/experiment/server/job.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// Admission is the result of an arrival.
+// Admission says whether a server accepted a request that arrived.
 type Admission int
 
-// The admissions.
+// The results of an arrival.
 const (
-	Admitted    Admission = iota // the request has a slot, or waits for one
-	Rejected                     // it was not run, because the server is draining or full
+	Admitted    Admission = iota // the request has a slot or is queued for one
+	Rejected                     // the request was not run, because the server is draining or full
 	Unavailable                  // the process has crashed, or crashes because of this request
 )
 
-// Job is a request in a server. The driver creates it, and may reuse it after it has finished.
+// Job is a request that a server processes. The driver creates it and may reuse it after it has
+// finished.
 type Job struct {
 	Owner any     // set and used by the driver only
-	Work  float64 // seconds on a core of speed 1, until Advance returns the job
+	Work  float64 // computing time until Advance returns the job, in seconds on a core of speed 1
 
 	phase       phase
-	finishClock float64 // the server's work clock when the job's work is done
-	heapIndex   int     // in the heap of running jobs
-	number      uint64  // in the order of admission; orders jobs of the same finishClock
+	finishClock float64 // value of Server.workClock at which the job's work is done
+	heapIndex   int     // index in Server.running
+	number      uint64  // sequence number of the admission; breaks ties of finishClock
 	server      *Server
-	incarnation int // of the server, at the admission
+	incarnation int // Server.incarnation when the job was admitted
 }
 
-// phase is the state of a job: notAdmitted, then queued or running; running and blocked in turns;
-// finished.
+// phase is the state of a job. After its admission a job is queued or running. It then alternates
+// between running and blocked until it is finished.
 type phase int
 
 const (
 	notAdmitted phase = iota
 	queued
 	running
-	blocked // has a slot, but does not compute
+	blocked // has a slot but does not compute, for example while it waits for the next tier
 	finished
 )
 
-// Finished reports whether the job has ended, also by a crash of its server.
+// Finished reports whether the job has ended, which includes that its server crashed.
 func (j *Job) Finished() bool {
 	return j.phase == finished || j.server != nil && j.incarnation != j.server.incarnation
 }
 
-// Admit offers the server a request whose last byte has arrived. totalWork is all its work, for the
-// rule for servers that warm up; j.Work is the first part of it. The server must have been advanced
-// to now.
+// Admit offers the server a request whose last byte has arrived. j.Work is the work of the request
+// until it blocks for the first time; totalWork is all of its work, which counts toward the budget
+// of a server that warms up. The server must have been advanced to now.
 func (s *Server) Admit(now time.Duration, j *Job, totalWork float64) Admission {
 	s.recordLoad()
 	if s.down {
@@ -77,22 +78,22 @@
 	return s.slotsUsed >= s.kind.Slots && s.queue.len() >= s.kind.QueueLimit
 }
 
-// startJob lets a job that has a slot compute.
+// startJob makes a job that has a slot compute j.Work.
 func (s *Server) startJob(j *Job) {
 	j.phase = running
 	j.finishClock = s.workClock + j.Work
 	s.running.push(j)
 }
 
-// Resume lets a blocked job compute again, for j.Work.
+// Resume makes a blocked job compute again. The caller has set j.Work to its next part of work.
 func (s *Server) Resume(j *Job) {
 	if j.phase == blocked && !j.Finished() {
 		s.startJob(j)
 	}
 }
 
-// Finish removes a job and passes its slot to the next in the queue. It does nothing if the job has
-// already finished.
+// Finish ends a job and gives its slot to the first job in the queue. It does nothing if the job
+// has already finished.
 func (s *Server) Finish(j *Job) {
 	if j.Finished() {
 		return
@@ -111,7 +112,7 @@
 	s.updateCollapse()
 }
 
-// releaseSlot passes a slot to the first job in the queue, if there is one.
+// releaseSlot frees a slot, or gives it to the first job in the queue if there is one.
 func (s *Server) releaseSlot() {
 	s.slotsUsed--
 	if s.queue.len() > 0 {
--- a/internal/experiment/server/loadreport.go
+++ b/internal/experiment/server/loadreport.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// loadReports are the readings that responses may still carry.
+// loadReports holds the load readings that responses may still report. A server refreshes its load
+// report every ServerSpec.ReportInterval, and responses report it after ServerSpec.ReportDelay.
 type loadReports struct {
-	readings    []loadReading // by time
-	refreshedAt time.Duration // the latest refresh that the readings cover
+	readings    []loadReading // in the order of time
+	refreshedAt time.Duration // instant of the latest refresh that the readings include
 }
 
+// loadReading is the load at the instant of a refresh.
 type loadReading struct {
 	at       time.Duration
 	inFlight float64
 }
 
-// recordLoad records the load as it has been up to now, at the refreshes since the last call. It is
-// called before each change of the load, so one reading stands for all refreshes up to the next
-// reading.
+// recordLoad records the load for the refreshes that were due since the last call. It is called
+// before each change of the load, so the load was the same at all of them and one reading, at the
+// first of them, is enough. It also drops readings that are too old to be reported.
 func (s *Server) recordLoad() {
 	r := &s.reports
 	interval := s.spec.ReportInterval
@@ -29,8 +31,8 @@
 	}
 }
 
-// LoadReport returns the number of requests in flight as a response reports it now: delayed, and
-// with noise. If the server sends no load reports, ok is false.
+// LoadReport returns the number of requests in flight that a response sent now reports. The number
+// is delayed and has random noise. If the server sends no load reports, ok is false.
 func (s *Server) LoadReport(now time.Duration) (inFlight float64, ok bool) {
 	s.recordLoad()
 	if s.spec.ReportInterval <= 0 {
--- a/internal/experiment/server/queue.go
+++ b/internal/experiment/server/queue.go
@@ -1,11 +1,11 @@
 package server
 
-// maxQueueGap is the number of free entries before the head of a queue above which the jobs are
-// moved to the front.
+// maxQueueGap is the maximum number of free entries before the head of a queue. When there are
+// more, the jobs are moved to the front of the slice.
 const maxQueueGap = 1024
 
-// jobQueue holds the jobs without a slot, first in, first out. Its zero value is empty and ready
-// for use.
+// jobQueue is a first-in, first-out queue of the jobs that wait for a slot. Its zero value is an
+// empty queue.
 type jobQueue struct {
 	jobs []*Job // the entries before head are free
 	head int
@@ -15,7 +15,7 @@
 
 func (q *jobQueue) push(j *Job) { q.jobs = append(q.jobs, j) }
 
-// pop removes the first job. There must be one.
+// pop removes and returns the first job. The queue must not be empty.
 func (q *jobQueue) pop() *Job {
 	j := q.jobs[q.head]
 	q.jobs[q.head] = nil
@@ -27,7 +27,7 @@
 	return j
 }
 
-// remove removes a job from any place in the queue. It does nothing if the job is not in it.
+// remove removes a job from any position. It does nothing if the job is not in the queue.
 func (q *jobQueue) remove(j *Job) {
 	for i := q.head; i < len(q.jobs); i++ {
 		if q.jobs[i] == j {
--- a/internal/experiment/server/queue_test.go
+++ b/internal/experiment/server/queue_test.go
@@ -23,7 +23,7 @@
 					continue
 				}
 				if got := q.pop(); got != want[0] {
-					t.Fatal("not the first job")
+					t.Fatal("pop did not return the first job")
 				}
 				want = want[1:]
 			case "remove":
@@ -35,13 +35,14 @@
 				want = slices.Delete(slices.Clone(want), i, i+1)
 			}
 			if q.len() != len(want) {
-				t.Fatalf("%d jobs, want %d", q.len(), len(want))
+				t.Fatalf("queue has %d jobs, want %d", q.len(), len(want))
 			}
 		}
 	})
 }
 
-// The free entries before the head do not grow without limit while the queue is not empty.
+// The queue reuses the free entries before its head, so that their number is bounded even if the
+// queue never becomes empty.
 func TestQueueReusesItsFront(t *testing.T) {
 	var q jobQueue
 	first := &Job{}
@@ -50,11 +51,11 @@
 		next := &Job{}
 		q.push(next)
 		if q.pop() != first {
-			t.Fatal("not the first job")
+			t.Fatal("pop did not return the first job")
 		}
 		first = next
 		if q.head > maxQueueGap {
-			t.Fatalf("%d free entries", q.head)
+			t.Fatalf("%d free entries before the head, want at most maxQueueGap", q.head)
 		}
 	}
 }
@@ -64,6 +65,6 @@
 	q.push(&Job{})
 	q.remove(&Job{})
 	if q.len() != 1 {
-		t.Errorf("%d jobs, want 1", q.len())
+		t.Errorf("queue has %d jobs, want 1", q.len())
 	}
 }
--- a/internal/experiment/server/server.go
+++ b/internal/experiment/server/server.go
@@ -1,11 +1,11 @@
-// Package server models one emulated server: cores, slots, a queue, warm-up and overload collapse.
-// It has no clock: instants are passed in, and the driver, in virtual time or on sockets,
-// advances the server at the instants that NextEvent returns.
+// Package server models one emulated server: its cores, slots and queue, its warm-up and its
+// overload collapse. The package has no clock. Callers pass instants in, and the driver, which runs
+// in virtual time or on sockets, advances the server at the instants that NextEvent returns.
 //
-// A request occupies a slot from its admission to its end, also while it waits for something else,
-// such as the next tier. Of the requests in slots, those that compute share the cores evenly
-// (processor sharing). With as many slots as cores each has a core to itself, and the server is an
-// M/G/c queue.
+// A request occupies a slot from the time it leaves the queue to its end, even while it waits for
+// something else, such as the next tier. Those requests with slots that compute share the cores
+// evenly (processor sharing). With as many slots as cores, each request has a core to itself, and
+// the server is an M/G/c queue.
 package server
 
 import (
@@ -16,7 +16,7 @@
 	"rowancart/internal/experiment"
 )
 
-// Server is one server. It is not safe for concurrent use.
+// Server is one emulated server. It is not safe for concurrent use.
 type Server struct {
 	kind  experiment.Kind
 	spec  experiment.ServerSpec
@@ -24,18 +24,18 @@
 	rng   *rand.Rand
 
 	now         time.Duration
-	started     time.Duration // latest start; negative: long before the run
-	slowdown    float64       // by which the machine's speed is divided
+	started     time.Duration // instant of the latest start; negative: long before the run
+	slowdown    float64       // factor by which the machine's speed is divided
 	draining    bool
 	down        bool
 	incarnation int // number of crashes
 
-	workClock   float64 // work of a hypothetical job that has computed all the time, in seconds
+	workClock   float64 // work that a job would have done if it had computed since the start, in seconds
 	running     jobHeap // jobs that compute
 	queue       jobQueue
 	slotsUsed   int
-	admitted    uint64  // number of jobs so far
-	coreSeconds float64 // used so far
+	admitted    uint64  // number of jobs admitted so far
+	coreSeconds float64 // core time used so far
 	conns       int
 
 	warmup   warmupLoad
@@ -46,8 +46,8 @@
 // never is the instant of an event that is not scheduled.
 const never = time.Duration(math.MaxInt64)
 
-// New returns a server that started at an instant; a negative one stands for a start long before
-// the run.
+// New returns a server that started at the instant started. A negative instant means that it
+// started long before the run and has warmed up.
 func New(kind experiment.Kind, spec experiment.ServerSpec, rules experiment.Rules, started time.Duration,
 	rng *rand.Rand) *Server {
 	return &Server{kind: kind, spec: spec, rules: rules, rng: rng, started: started, slowdown: 1,
@@ -64,10 +64,10 @@
 // SlotsUsed returns the number of requests that have a slot.
 func (s *Server) SlotsUsed() int { return s.slotsUsed }
 
-// CoreSeconds returns the core time used so far.
+// CoreSeconds returns the core time used so far, in seconds.
 func (s *Server) CoreSeconds() float64 { return s.coreSeconds }
 
-// workRate returns the progress of each running job, in work a second.
+// workRate returns the work that each running job does per second.
 func (s *Server) workRate(now time.Duration) float64 {
 	n := len(s.running)
 	if n == 0 || s.down {
@@ -80,7 +80,8 @@
 	return speed * min(1, float64(s.kind.Cores)/float64(n))
 }
 
-// NextEvent returns the instant at which the server must be advanced, at most never.
+// NextEvent returns the instant at which the server must next be advanced, which is never if no
+// event is scheduled.
 func (s *Server) NextEvent() time.Duration {
 	next := s.nextCollapseChange()
 	if r := s.workRate(s.now); r > 0 {
@@ -94,13 +95,13 @@
 	return max(next, s.now)
 }
 
-// roundingError is the work clock's error, in seconds at full speed: instants are whole
-// nanoseconds.
+// roundingError is the possible error of the work clock, in seconds at full speed. It arises
+// because instants are whole nanoseconds.
 const roundingError = 2e-9
 
-// Advance moves the server to an instant, which must not be after NextEvent, and appends to done
-// the jobs whose work is done, in order. Each keeps its slot until the driver resumes or finishes
-// it.
+// Advance moves the server's time to now, which must not be after NextEvent. It appends to done the
+// jobs whose work is complete, in the order of completion. Each of them keeps its slot, blocked,
+// until the driver resumes or finishes it.
 func (s *Server) Advance(now time.Duration, done []*Job) []*Job {
 	if now > s.now {
 		if r := s.workRate(s.now); r > 0 {
@@ -120,7 +121,7 @@
 }
 
 // SetSlowdown sets the factor by which the machine is slower than usual. The server must have been
-// advanced to now.
+// advanced to the present instant.
 func (s *Server) SetSlowdown(factor float64) { s.slowdown = factor }
 
 // Drain makes the server reject new requests.
@@ -132,7 +133,7 @@
 // Down reports whether the process has crashed.
 func (s *Server) Down() bool { return s.down }
 
-// Crash ends the process. All jobs are finished, without a response.
+// Crash ends the process. All jobs are finished and get no response.
 func (s *Server) Crash() {
 	s.incarnation++
 	s.down = true
@@ -143,7 +144,7 @@
 	s.collapse = noCollapse
 }
 
-// Restart starts a crashed process again. It warms up.
+// Restart starts a crashed process again, which then warms up.
 func (s *Server) Restart(now time.Duration) {
 	s.now = now
 	s.started = now
@@ -152,8 +153,8 @@
 	s.warmup.restart()
 }
 
-// Connect accepts a connection. It returns false if there are too many, or if the process has
-// crashed.
+// Connect opens a connection. It returns false if the server has reached its connection limit or
+// has crashed.
 func (s *Server) Connect() bool {
 	if s.down || s.spec.ConnLimit > 0 && s.conns >= s.spec.ConnLimit {
 		return false
@@ -165,5 +166,6 @@
 // Disconnect closes a connection.
 func (s *Server) Disconnect() { s.conns = max(s.conns-1, 0) }
 
-// DrawError draws whether the response to a request is 500 without a fault in force.
+// DrawError draws at random whether the server responds to a request with status 500, at the rate
+// of errors that it has without any fault (ServerSpec.ErrorRate).
 func (s *Server) DrawError() bool { return s.spec.ErrorRate > 0 && s.rng.Float64() < s.spec.ErrorRate }
--- a/internal/experiment/server/warmup.go
+++ b/internal/experiment/server/warmup.go
@@ -5,21 +5,22 @@
 // warmupStep is the interval at which the capacity of a server that warms up is updated.
 const warmupStep = 20 * time.Millisecond
 
-// warmupLoad is the work that arrived at a server that warms up. The server crashes if that is more
-// than its budget.
+// warmupLoad records the work that arrives at a server while it warms up. The server crashes if
+// that work exceeds its budget.
 type warmupLoad struct {
-	recent     []workArrival // within Rules.OverloadWindow
-	sum        float64       // of the work of recent, in seconds
+	recent     []workArrival // arrivals within Rules.OverloadWindow
+	sum        float64       // total work of recent, in seconds
 	peak       float64       // see Server.WarmupPeak
-	overloaded bool          // the server has crashed by overload
+	overloaded bool          // the server has crashed because of overload
 }
 
+// workArrival is the arrival of a request with some work, in seconds.
 type workArrival struct {
 	at   time.Duration
 	work float64
 }
 
-// restart begins a warm-up. The peak is that of all warm-ups.
+// restart begins another warm-up. It keeps the peak, which is the maximum of all warm-ups.
 func (w *warmupLoad) restart() {
 	w.clearRecent()
 	w.overloaded = false
@@ -30,7 +31,7 @@
 	w.sum = 0
 }
 
-// CapacityFraction returns the fraction of its full capacity that the server has. It grows linearly
+// CapacityFraction returns the server's present fraction of its full capacity. It grows linearly
 // during the warm-up.
 func (s *Server) CapacityFraction(now time.Duration) float64 {
 	if s.started < 0 || s.spec.WarmupTime <= 0 || now-s.started >= s.spec.WarmupTime {
@@ -40,8 +41,8 @@
 		(1-s.spec.InitialCapacity)*float64(max(now-s.started, 0))/float64(s.spec.WarmupTime)
 }
 
-// Capacity returns the work that the server can do now, in seconds a second. Faults that slow it
-// down do not count, because senders cannot know of them.
+// Capacity returns the work that the server can do per second, in seconds on a core of speed 1. It
+// ignores faults that slow the server down, because senders cannot know of them.
 func (s *Server) Capacity(now time.Duration) float64 {
 	return float64(s.kind.Cores) * s.kind.Speed * s.CapacityFraction(now)
 }
@@ -52,9 +53,9 @@
 	return s.rules.WarmupOverload * s.Capacity(now) * s.rules.OverloadWindow.Seconds()
 }
 
-// recordWarmupWork records work that arrived at a server that warms up, which crashes if it is more
-// than its budget. The latest request is not counted: otherwise a server so small that a single
-// request exceeds its budget could be sent nothing.
+// recordWarmupWork records work that arrives at a server that warms up, and crashes the server if
+// the work exceeds its budget. The latest request does not count: otherwise nothing could be sent
+// to a server that is so small that a single request exceeds its budget.
 func (s *Server) recordWarmupWork(now time.Duration, work float64) {
 	w := &s.warmup
 	if s.rules.WarmupOverload <= 0 || s.CapacityFraction(now) == 1 {
@@ -77,10 +78,10 @@
 	}
 }
 
-// WarmupPeak returns the most work that the server was sent within Rules.OverloadWindow while it
-// warmed up, in multiples of its capacity at the time.
+// WarmupPeak returns the maximum work that was sent to the server within Rules.OverloadWindow while
+// it warmed up, as a multiple of its capacity at that time.
 func (s *Server) WarmupPeak() float64 { return s.warmup.peak }
 
-// Overloaded reports whether the server has crashed because it was sent more than its budget while
-// it warmed up.
+// Overloaded reports whether the server has crashed because more work than its budget was sent to
+// it while it warmed up.
 func (s *Server) Overloaded() bool { return s.warmup.overloaded }
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -6,37 +6,37 @@
 	"rowancart/balancer"
 )
 
-// Site is the service under test.
+// Site is the emulated service: its balancers, tiers of servers, classes, tenants and limits.
 type Site struct {
-	Balancers           int // instances before the first tier
-	ConfiguredBalancers int // how many their settings say there are; 0: Balancers
+	Balancers           int // balancer instances before the first tier
+	ConfiguredBalancers int // number of these instances according to their settings; 0: Balancers
 	NetworkDelay        time.Duration
-	NetworkJitter       float64 // fraction of NetworkDelay by which a delay differs at most, either way
+	NetworkJitter       float64 // maximum deviation from NetworkDelay, either way, as a fraction of it
 	Discovery           Discovery
 	Classes             []Class
 	Tenants             []Tenant
 	Tiers               []Tier // from the clients inwards
 	Rules               Rules
 	Limits              Limits
-	MaxAttempts         int // for one request
+	MaxAttempts         int // attempts for one request
 }
 
 // Discovery says how long a change of an endpoint list takes to reach the instances.
 type Discovery struct {
-	Delay  time.Duration // to the first instance
-	Spread time.Duration // from the first to the last
+	Delay  time.Duration // until the first instance is notified
+	Spread time.Duration // between the notifications of the first and the last instance
 }
 
 // Rules are the parameters of the invariants.
 type Rules struct {
-	ResponseSlack       time.Duration // a final response is in time up to this long after the deadline
-	DrainGrace          time.Duration // for which an instance may send to a server after it was notified of its drain
-	WarmupOverload      float64       // a warming server crashes when sent more than this multiple of its capacity
+	ResponseSlack       time.Duration // a final response may come up to this long after the deadline
+	DrainGrace          time.Duration // an instance may send to a server for this long after the notification of its drain
+	WarmupOverload      float64       // a server that warms up crashes when sent more than this multiple of its capacity
 	OverloadWindow      time.Duration // within this time
-	ImproperPeerTimeout time.Duration // a peer that sends no proper request must be disconnected within this time
+	ImproperPeerTimeout time.Duration // a peer that sends no valid request must be disconnected within this time
 }
 
-// Limits are what a program under test may use on sockets; 0 stands for no limit.
+// Limits are the limits of a program under test on sockets; 0: no limit.
 type Limits struct {
 	MemoryMB    int
 	Descriptors int
@@ -57,22 +57,22 @@
 type Class struct {
 	Name                 string
 	Idempotency          balancer.Idempotency
-	TrafficShare         float64       // relative to the other classes
+	TrafficShare         float64       // share of the requests, relative to the other classes
 	Work                 time.Duration // mean, on a core of speed 1, over all tiers
-	OffCPUTime           time.Duration // spent at the last tier without using a core
+	OffCPUTime           time.Duration // time at the last tier during which no core is used
 	Distribution         Distribution
-	VariationCoefficient float64 // standard deviation of the work over its mean, for LogNormal
-	CacheHitRatio        float64 // fraction of requests that a cache answers
-	CacheHitWork         time.Duration
+	VariationCoefficient float64       // for LogNormal: standard deviation of the work divided by its mean
+	CacheHitRatio        float64       // fraction of requests whose response comes from a cache
+	CacheHitWork         time.Duration // work of such a request
 	LatencyObjective     time.Duration
 	Deadline             time.Duration
-	PriorityWeight       float64
+	PriorityWeight       float64 // weight of a request in the weighted sums of counters.Counters
 }
 
-// Tenant is one of the parties that share the service.
+// Tenant is one of the customers that share the service.
 type Tenant struct {
 	Name         string
-	TrafficShare float64 // relative to the other tenants
+	TrafficShare float64 // share of the requests, relative to the other tenants
 	Quota        float64 // requests a second
 }
 
@@ -80,60 +80,63 @@
 type Tier struct {
 	Name         string
 	Servers      int
-	WorkFraction float64 // of a request's work, for each call
-	Calls        int     // calls to the next tier for each request, one after another
+	WorkFraction float64 // fraction of a request's work that each call to this tier takes
+	Calls        int     // calls to the next tier for each request, one after the other
 	Kinds        []Kind
-	Server       ServerSpec // what all kinds have in common
+	Server       ServerSpec // properties that do not depend on the kind
 }
 
-// Kind is a kind of machine.
+// Kind is a kind of machine on which servers run.
 type Kind struct {
 	Name       string
-	Fraction   float64 // of the tier's servers, relative to the other kinds
+	Fraction   float64 // fraction of the tier's servers, relative to the other kinds
 	Cores      int
-	Speed      float64 // of a core, relative to the core that Class.Work is given for
-	Slots      int     // requests processed at once
-	QueueLimit int     // requests that may wait for a slot; more are rejected
+	Speed      float64 // speed of a core, relative to the core to which Class.Work refers
+	Slots      int     // maximum number of requests processed at once
+	QueueLimit int     // maximum number of requests that wait for a slot; further ones are rejected
 }
 
-// ServerSpec holds the properties of a server that do not depend on its kind. A zero value turns
-// the property off.
+// ServerSpec holds the properties of a server that do not depend on its kind. A field that is zero
+// turns its property off.
 type ServerSpec struct {
-	// Warm-up: capacity grows linearly after a start.
+	// Warm-up: the capacity grows linearly after a start.
 
 	InitialCapacity float64 // fraction of the full capacity
 	WarmupTime      time.Duration
 
-	// Overload collapse: a server with long queues becomes slower, and stays so until it recovers.
+	// Overload collapse: a server with a long queue becomes slower and stays slower until it recovers.
 
-	CollapseQueue    float64       // waiting requests per core
-	CollapseAfter    time.Duration // that many must wait for this long
-	CollapseSlowdown float64       // how many times slower the server becomes
-	RecoveryLoad     float64       // requests per core, below which it recovers
-	RecoveryAfter    time.Duration // load must be below RecoveryLoad for this long
-	MaxCollapse      time.Duration // it recovers after this in any case
+	CollapseQueue    float64       // number of waiting requests per core above which the queue is too long
+	CollapseAfter    time.Duration // the queue must be too long for this long before the server collapses
+	CollapseSlowdown float64       // factor by which the server becomes slower
+	RecoveryLoad     float64       // number of requests per core below which the server recovers
+	RecoveryAfter    time.Duration // the load must be below RecoveryLoad for this long
+	MaxCollapse      time.Duration // the server recovers after this time in any case
 
 	ConnWork        time.Duration // CPU time to accept a connection
-	ConnLimit       int
+	ConnLimit       int           // maximum number of connections
 	ConnIdleTimeout time.Duration // the server closes a connection that has been idle for this long
 
+	// Load reports: responses carry the number of requests in flight.
+
 	ReportInterval time.Duration // between refreshes of the load report
 	ReportDelay    time.Duration // age of a refresh when responses begin to carry it
-	ReportNoise    float64       // standard deviation, as a fraction of the load
+	ReportNoise    float64       // standard deviation of the report's noise, as a fraction of the load
 
-	ErrorRate       float64 // fraction of requests answered 500 without any fault
+	ErrorRate       float64 // fraction of requests that get status 500 without any fault
 	CancelStopsWork bool    // canceling an attempt stops its work
 }
 
-// Placement says to which tier an instance sends, and which of how many instances before it this
-// is.
+// Placement is the position of a balancer instance: the tier to which it sends, its index among the
+// instances before that tier and the number of those instances.
 type Placement struct {
 	Tier  int
 	Index int
 	Count int
 }
 
-// ConfiguredPlacement returns the placement that an instance's settings name.
+// ConfiguredPlacement returns the placement according to an instance's settings. It differs from
+// the real one if ConfiguredBalancers is set.
 func (s Site) ConfiguredPlacement(p Placement) Placement {
 	if p.Tier == 0 && s.ConfiguredBalancers > 0 {
 		p.Index %= s.ConfiguredBalancers
@@ -142,13 +145,13 @@
 	return p
 }
 
-// Settings of the design that are the same in all experiments.
+// Settings of the balancer that are the same in all experiments.
 const (
 	MaxRetryAfter = 2 * time.Second // longest Retry-After that an instance may send
 	Resolution    = time.Millisecond
 )
 
-// Settings returns the balancer's settings for an instance.
+// Settings returns the balancer's settings for the instance at a placement.
 func (s Site) Settings(p Placement, seed uint64) balancer.Settings {
 	p = s.ConfiguredPlacement(p)
 	server := s.Tiers[p.Tier].Server
@@ -175,7 +178,7 @@
 	return out
 }
 
-// TierIndex returns the index of a tier by name, or -1.
+// TierIndex returns the index of the tier called name, or -1 if there is none.
 func (s Site) TierIndex(name string) int {
 	for i, t := range s.Tiers {
 		if t.Name == name {
--- a/internal/experiment/traffic/faults.go
+++ b/internal/experiment/traffic/faults.go
@@ -11,18 +11,19 @@
 	"rowancart/internal/experiment"
 )
 
-// FaultEvent is one step of a fault, as a driver carries it out.
+// FaultEvent is one step of a fault: the instant at which a driver begins or ends it.
 type FaultEvent struct {
 	At     time.Duration
 	Kind   experiment.FaultKind
-	Tier   int  // index in Site.Tiers; -1: the fault is not of a tier
-	Server int  // index in the tier, or number of the sidecar; -1: the fault is not of one server
-	On     bool // it begins; otherwise it ends
+	Tier   int  // index in Site.Tiers; -1: the fault affects no tier
+	Server int  // index of the server in its tier, or number of the sidecar; -1: neither
+	On     bool // the fault begins; otherwise it ends
 	Fault  *experiment.Fault
 }
 
-// Timeline returns the steps of all faults in the order of time. A RollingDeploy is one step with
-// On for each server to be replaced, which the driver carries out over Fault.Period.
+// Timeline returns the steps of all faults in the order of time. A RollingDeploy has one step, with
+// On set, for each server to be replaced; the driver drains that server for Fault.Period before it
+// replaces it.
 func Timeline(e *experiment.Experiment, seed uint64) []FaultEvent {
 	var out []FaultEvent
 	for i := range e.Faults {
@@ -46,7 +47,7 @@
 	return out
 }
 
-// serverFaultEvents returns the steps of a fault of servers.
+// serverFaultEvents returns the steps of a fault that affects servers.
 func serverFaultEvents(e *experiment.Experiment, f *experiment.Fault, rng *rand.Rand) []FaultEvent {
 	var out []FaultEvent
 	for t, tier := range e.Site.Tiers {
@@ -64,15 +65,15 @@
 			off := on
 			off.At = f.End()
 			off.On = false
-			out = append(out, alternate(on, rng)...)
+			out = append(out, onOffEvents(on, rng)...)
 			out = append(out, off)
 		}
 	}
 	return out
 }
 
-// deployEvents returns the replacements of servers, in batches that are spread evenly over the
-// fault's duration.
+// deployEvents returns one step for each server that a rolling deploy replaces. The servers are
+// replaced in batches, which are spread evenly over the fault's duration.
 func deployEvents(f *experiment.Fault, tier, servers int, affected []int) []FaultEvent {
 	batch := max(int(math.Round(f.Size*float64(servers))), 1)
 	batches := (len(affected) + batch - 1) / batch
@@ -84,9 +85,9 @@
 	return out
 }
 
-// alternate returns the beginning of a fault. For a NoisyNeighbour with a period, ends and further
-// beginnings follow at random intervals of that mean.
-func alternate(on FaultEvent, rng *rand.Rand) []FaultEvent {
+// onOffEvents returns the step that begins a fault. For a NoisyNeighbour with a period, ends and
+// further beginnings follow at random intervals with that period as their mean.
+func onOffEvents(on FaultEvent, rng *rand.Rand) []FaultEvent {
 	var out []FaultEvent
 	f := on.Fault
 	for event := on; event.At < f.End(); event.On = !event.On {
@@ -99,16 +100,18 @@
 	return out
 }
 
-// NumAffected returns the number of servers that are a fraction of n, at least one.
+// NumAffected returns how many of n servers a fault of this fraction affects, which is at least
+// one.
 func NumAffected(fraction float64, n int) int {
 	return min(max(int(math.Round(fraction*float64(n))), 1), n)
 }
 
-// fractionTolerance prevents that rounding errors decide between kinds of equal deficits.
+// fractionTolerance prevents rounding errors from deciding between kinds with equal deficits.
 const fractionTolerance = 1e-9
 
-// KindOf returns the kind of the server at an index of its tier. Kinds are assigned by largest
-// deficit, so that the first servers of a tier are a fair mix of its kinds.
+// KindOf returns the kind of the server at an index of its tier. Each server in turn gets the kind
+// with the largest deficit: the kind that is furthest below its fraction. So the first servers of a
+// tier, however many, are a fair mix of its kinds.
 func KindOf(t experiment.Tier, index int) experiment.Kind {
 	assigned := make([]float64, len(t.Kinds))
 	sum := 0.0
@@ -132,7 +135,7 @@
 }
 
 // ServerName returns the name of the server at an index of its tier. Generation is the number of
-// its predecessors.
+// servers that a rolling deploy has replaced at this index before.
 func ServerName(t experiment.Tier, index, generation int) string {
 	if generation == 0 {
 		return fmt.Sprintf("%s-%d", t.Name, index)
--- a/internal/experiment/traffic/serverfaults.go
+++ b/internal/experiment/traffic/serverfaults.go
@@ -6,23 +6,24 @@
 	"rowancart/internal/experiment"
 )
 
-// ServerFaults are the faults in force at one server. Rates are fractions of its requests. The zero
-// value is a server without faults.
+// ServerFaults are the faults in force at one server. A rate is the fraction of its requests that
+// are affected. The zero value is a server without faults.
 type ServerFaults struct {
-	FastErrorRate   float64 // that fail with 500 at once
-	BreakBeforeRate float64 // whose connection breaks before the last byte of the request
-	BreakAfterRate  float64 // whose connection breaks after the last byte of the request
-	TruncateRate    float64 // whose response is truncated
-	CorruptRate     float64 // whose response is not HTTP
-	ResponseDelay   time.Duration
-	Unresponsive    bool // the machine sends nothing
-	AcceptStalled   bool // new connections are not accepted
+	FastErrorRate   float64       // requests that fail with 500 at once
+	BreakBeforeRate float64       // requests whose connection breaks before their last byte
+	BreakAfterRate  float64       // requests whose connection breaks after their last byte
+	TruncateRate    float64       // requests whose response is truncated
+	CorruptRate     float64       // requests whose response is not HTTP
+	ResponseDelay   time.Duration // added to the time of each response
+	Unresponsive    bool          // the machine sends nothing
+	AcceptStalled   bool          // new connections are not accepted
 
 	neighbourSlowdown float64 // factor; 0: not in force
 	sharedSlowdown    float64 // factor; 0: not in force
 }
 
-// Apply begins or ends a fault of a server. It ignores kinds that end the process of the server.
+// Apply begins or ends a fault of a server. It ignores all other kinds: drivers carry
+// those out themselves, for example a crash of the server's process.
 func (f *ServerFaults) Apply(event FaultEvent) {
 	size := 0.0
 	delay := time.Duration(0)
@@ -56,7 +57,7 @@
 	}
 }
 
-// Slowdown returns the factor by which all faults in force slow the server down.
+// Slowdown returns the factor by which the faults in force together slow the server down.
 func (f *ServerFaults) Slowdown() float64 {
 	total := 1.0
 	for _, factor := range [...]float64{f.neighbourSlowdown, f.sharedSlowdown} {
--- a/internal/experiment/traffic/serverfaults_test.go
+++ b/internal/experiment/traffic/serverfaults_test.go
@@ -7,7 +7,7 @@
 	"rowancart/internal/experiment"
 )
 
-// event returns the begin or the end of a fault of a kind.
+// event returns the step that begins or ends a fault of a kind.
 func event(kind experiment.FaultKind, on bool) FaultEvent {
 	fault := &experiment.Fault{Kind: kind, Size: 0.5, Period: time.Second}
 	return FaultEvent{Kind: kind, On: on, Fault: fault}
@@ -31,11 +31,11 @@
 			var f ServerFaults
 			f.Apply(event(kind, true))
 			if f != want {
-				t.Errorf("begun: %+v, want %+v", f, want)
+				t.Errorf("after the fault began: %+v, want %+v", f, want)
 			}
 			f.Apply(event(kind, false))
 			if f != (ServerFaults{}) {
-				t.Errorf("ended: %+v", f)
+				t.Errorf("after the fault ended: %+v, want no faults", f)
 			}
 		})
 	}
@@ -44,17 +44,17 @@
 func TestSlowdownsMultiply(t *testing.T) {
 	var f ServerFaults
 	if got := f.Slowdown(); got != 1 {
-		t.Errorf("without faults: %g, want 1", got)
+		t.Errorf("slowdown without faults: %g, want 1", got)
 	}
 	f.Apply(event(experiment.NoisyNeighbour, true))
 	shared := event(experiment.SharedSlowdown, true)
 	shared.Fault.Size = 3
 	f.Apply(shared)
 	if got := f.Slowdown(); got != 6 {
-		t.Errorf("twice and three times slower: %g, want 6", got)
+		t.Errorf("slowdown by factors 2 and 3: %g, want 6", got)
 	}
 	f.Apply(event(experiment.NoisyNeighbour, false))
 	if got := f.Slowdown(); got != 3 {
-		t.Errorf("three times slower: %g, want 3", got)
+		t.Errorf("slowdown by factor 3 alone: %g, want 3", got)
 	}
 }
--- a/internal/experiment/traffic/traffic.go
+++ b/internal/experiment/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic draws the inputs of a run: the clients' requests, and the servers that faults
-// affect. They are the same for every variant.
+// Package traffic draws the random inputs of a run: the clients' requests, and the servers that
+// faults affect. For one seed they are the same for every variant.
 package traffic
 
 import (
@@ -12,15 +12,15 @@
 	"rowancart/internal/experiment"
 )
 
-// Request is a client's request. Retries belong to it.
+// Request is a client's request, which includes the client's retries of it.
 type Request struct {
-	At               time.Duration // intended time of sending, from which its latency counts
+	At               time.Duration // intended time of sending; latency is measured from it
 	Class            int           // index in Site.Classes
-	Tenant           int           // index in Site.Tenants, -1 if there are none
-	Patience         time.Duration // for which the client waits for one attempt
-	Work             float64       // seconds on a core of speed 1, over all tiers
+	Tenant           int           // index in Site.Tenants; -1: there are no tenants
+	Patience         time.Duration // time for which the client waits for a response to one attempt
+	Work             float64       // total over all tiers, in seconds on a core of speed 1
 	DisconnectsAfter time.Duration // the client closes its connection after this; 0: it does not
-	Seed             uint64        // of all later draws for the request
+	Seed             uint64        // seed of all further random draws for the request
 }
 
 // Draw returns the requests of an experiment in the order of their arrival.
@@ -33,7 +33,7 @@
 	}
 	var out []Request
 	for _, at := range drawArrivalTimes(e, arrivals) {
-		r := Request{ // the order of the draws is part of the result
+		r := Request{ // a change of the order of draws changes the result
 			At:     at,
 			Class:  drawClass(e.Site.Classes, rng),
 			Tenant: drawTenant(e.Site.Tenants, rng),
@@ -61,8 +61,8 @@
 	var out []time.Duration
 	steps := slices.Clone(e.Load.Steps)
 	slices.SortStableFunc(steps, func(a, b experiment.Step) int { return cmp.Compare(a.At, b.At) })
-	// Gaps have a mean of 1 and are divided by the current rate, so that a step takes effect within a
-	// gap: the remainder of the gap continues at the new rate.
+	// A gap is the time between two arrivals at a rate of 1. It is divided by the current rate. When
+	// a step changes the rate within a gap, the remainder of the gap passes at the new rate.
 	gap := drawGap(e.Load.Process, rng)
 	factor := 1.0
 	nextStep := 0
@@ -90,7 +90,7 @@
 	}
 }
 
-// drawGap draws the time between two arrivals at a rate of 1.
+// drawGap draws the time between two arrivals at a rate of 1; its mean is 1.
 func drawGap(process experiment.ArrivalProcess, rng *rand.Rand) float64 {
 	if process == experiment.Steady {
 		return 1
@@ -103,7 +103,7 @@
 	return drawWeighted(len(classes), func(i int) float64 { return classes[i].TrafficShare }, rng)
 }
 
-// drawTenant draws the index of a tenant, -1 if there are none.
+// drawTenant draws the index of a tenant. It returns -1 if there are no tenants.
 func drawTenant(tenants []experiment.Tenant, rng *rand.Rand) int {
 	if len(tenants) == 0 {
 		return -1
@@ -111,7 +111,7 @@
 	return drawWeighted(len(tenants), func(i int) float64 { return tenants[i].TrafficShare }, rng)
 }
 
-// drawWeighted draws an index below n with a probability proportional to its weight.
+// drawWeighted draws an index below n. The probability of an index is proportional to its weight.
 func drawWeighted(n int, weight func(int) float64, rng *rand.Rand) int {
 	sum := 0.0
 	for i := range n {
@@ -126,7 +126,7 @@
 	return n - 1
 }
 
-// drawWork draws the work of one request of a class, in seconds.
+// drawWork draws the work of a request of a class, in seconds on a core of speed 1.
 func drawWork(c experiment.Class, rng *rand.Rand) float64 {
 	if c.CacheHitRatio > 0 && rng.Float64() < c.CacheHitRatio {
 		return c.CacheHitWork.Seconds()
