--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -13,7 +13,7 @@
 	"rowancart/balancer"
 )
 
-// Names lists the names of the policies.
+// Names lists the policies that New accepts.
 var Names = []string{"random", "round_robin", "least_outstanding", "two_choices", "peak_ewma"}
 
 // endpoint is an endpoint of the endpoint list.
@@ -43,7 +43,7 @@
 	ready       []*endpoint
 	byName      map[string]*endpoint
 	requests    map[string]*request
-	next        int // for round_robin: counter; modulo the number of candidates it is the index to use
+	next        int // for round_robin: choices so far plus a random start; modulo the candidates it is the index
 }
 
 var _ balancer.Events = (*Policy)(nil)
--- a/internal/experiment/counters/counters.go
+++ b/internal/experiment/counters/counters.go
@@ -70,13 +70,16 @@
 	// WarmupPeak is the maximum work that was sent to the server within Rules.OverloadWindow while it
 	// warmed up, as a multiple of its capacity at that time.
 	WarmupPeak float64
-	// TimeToFullLoad is the time from the server's start until it received as many requests as the
-	// others; 0: it never did. It is measured in virtual time only.
+	// TimeToFullLoad is the time from the server's start until the first second in which it received
+	// about as many requests as the mean of its tier; 0: it never did. It is measured in virtual time
+	// only; on sockets it is 0.
 	TimeToFullLoad time.Duration
 }
 
 // Counters holds the counts of one run. It is not safe for concurrent use. Requests that arrive
-// during the run's warm-up are counted by second only.
+// during the run's warm-up are counted in Seconds but not in Total, Classes, Tenants, Latency,
+// OfferedWeight and ServedWeight. Requests, Attempts, RequestsSent, Reasons and Servers include
+// them.
 type Counters struct {
 	warmup          time.Duration
 	priorityWeights []float64 // by index in Site.Classes
@@ -88,7 +91,7 @@
 	Latency         *hdrhistogram.Histogram   // of served requests, from the intended time of sending, in microseconds
 	latencyBySecond []*hdrhistogram.Histogram // Latency by second; nil where nothing was served
 	Requests        int64                     // received by the instances before the first tier; includes clients' retries
-	Attempts        int64                     // sent by those instances
+	Attempts        int64                     // sent by those instances; on sockets: received by the first tier
 	RequestsSent    int64                     // number of requests with at least one attempt; in virtual time only
 	OfferedWeight   float64                   // sum of the priority weights of all requests
 	ServedWeight    float64                   // sum of the priority weights of requests served in time
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -40,8 +40,8 @@
 	Policy  string // DesignPolicy, ReverseProxyPolicy or one of baseline.Names
 	Command string // on sockets: a shell command that starts the program; empty: the policy's own program
 
-	// The remaining fields apply to DesignPolicy only, and except for SlowStartShare in virtual time
-	// only.
+	// The remaining fields apply to DesignPolicy only. All of them except SlowStartShare apply in
+	// virtual time only.
 
 	SlowStartShare      float64 // balancer.Settings.SlowStartShare
 	RestoreLearnedState bool    // an instance that restarts restores its learned state
@@ -57,7 +57,7 @@
 	MaxAttempts     int
 	NeverRerun      bool          // no retry after an attempt that may have run
 	HedgeAfter      time.Duration // time after which a hedged request is sent
-	HedgePercentile float64       // percentile of the class's latency after which a hedged request is sent
+	HedgePercentile float64       // this percentile of the class's latency replaces HedgeAfter once it is known
 	QueueLimit      int           // maximum number of requests that wait in the instance; negative: none may wait
 }
 
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -6,14 +6,19 @@
 type FaultKind string
 
 // The kinds of faults. Those of the second group can be run on sockets only.
+//
+// FastErrors, BreakBeforeRequest, BreakAfterRequest, TruncateResponse and CorruptResponse affect
+// each request with probability Size. NoisyNeighbour is on and off by turns, each time for Period
+// on average, or on throughout if Period is 0. RollingDeploy replaces servers in batches of Size,
+// which is a fraction of the tier.
 const (
-	FastErrors         FaultKind = "fast_errors"   // servers respond 500 at once, with probability Size
-	NoisyNeighbour     FaultKind = "neighbour"     // another program takes Size of a machine, on/off each Period
-	SharedSlowdown     FaultKind = "shared_slow"   // servers are Size times slower
+	FastErrors         FaultKind = "fast_errors"   // servers respond 500 at once
+	NoisyNeighbour     FaultKind = "neighbour"     // another program takes Size of a machine, on and off
+	SharedSlowdown     FaultKind = "shared_slow"   // the affected servers are all Size times slower throughout
 	RollingDeploy      FaultKind = "deploy"        // servers are drained for Period and replaced, in batches of Size
 	Crash              FaultKind = "crash"         // the process exits, is started again and warms up
-	Unresponsive       FaultKind = "vanish"        // the machine sends nothing for a while
-	BreakBeforeRequest FaultKind = "break_before"  // connections break before a request's last byte, with probability Size
+	Unresponsive       FaultKind = "vanish"        // the machine sends nothing
+	BreakBeforeRequest FaultKind = "break_before"  // connections break before a request's last byte
 	BreakAfterRequest  FaultKind = "break_after"   // connections break after a request's last byte, while it runs
 	TruncateResponse   FaultKind = "break_answer"  // connections break within a response
 	CorruptResponse    FaultKind = "garble_answer" // the response is not HTTP
@@ -39,7 +44,7 @@
 	DiscoveryMove: false, TermSidecar: false, SilentPeer: false, PartialRequestPeer: false, OversizedPeer: false,
 }
 
-// Fault is a fault that is in force from At on, for Duration.
+// Fault describes one fault of an experiment, which is in force from At on, for Duration.
 type Fault struct {
 	Kind     FaultKind
 	At       time.Duration
@@ -47,8 +52,8 @@
 	Tier     string        // tier whose servers are affected; empty: all tiers
 	Fraction float64       // fraction of the servers that are affected, at least one server
 	Size     float64       // meaning: see the kinds
-	Period   time.Duration // meaning: see the kinds
-	Count    int           // number of peers, or of sidecars that are affected
+	Period   time.Duration // meaning: see the kinds; for kinds with a Count: time between two of them
+	Count    int           // number of peers, of affected sidecars or of moves of discovery
 }
 
 // End returns the instant at which the fault ends.
--- a/internal/experiment/invariant/invariant.go
+++ b/internal/experiment/invariant/invariant.go
@@ -17,7 +17,7 @@
 // Rule is an invariant that a program under test must keep.
 type Rule string
 
-// The rules.
+// The rules. RuleFalseRejection exists because a rejection permits the client to retry the request.
 const (
 	RuleResponse           Rule = "answer"    // each request has one final response, before its client gives up
 	RuleDuplicate          Rule = "duplicate" // a non-idempotent request is retried only if no attempt can have run
@@ -26,7 +26,7 @@
 	RuleWarmup             Rule = "cold"      // no server that warms up is sent so much work that it crashes
 	RuleForeignRequest     Rule = "foreign"   // servers receive only requests that a client sent, unchanged
 	RuleFabricatedResponse Rule = "invented"  // clients receive only responses that a server made for their request
-	RuleFalseRejection     Rule = "refusal"   // a request is rejected, which permits a retry, only if it cannot have run
+	RuleFalseRejection     Rule = "refusal"   // a non-idempotent request is rejected only if it cannot have run
 	RuleImproperPeer       Rule = "improper"  // a peer that sends no valid request gets an error or a close in time
 	RuleLimits             Rule = "limits"    // limits of memory, descriptors and CPU; no exit by itself
 )
--- a/internal/experiment/invariant/invariant_test.go
+++ b/internal/experiment/invariant/invariant_test.go
@@ -140,7 +140,7 @@
 		recordArrival(checker, "r", "a", 1001*ms)
 		checker.RecordResponse(1001*ms, "r", Failed, 0)
 	}},
-	{"overloaded in slow start by notified instances", RuleWarmup, func(_ *testing.T, checker *Checker) {
+	{"overloaded during warm-up by notified instances", RuleWarmup, func(_ *testing.T, checker *Checker) {
 		recordRequest(checker, "r", balancer.Idempotent)
 		checker.RecordNotification(0, Notification{Instance: "s", Server: "a", State: balancer.Ready, Started: true})
 		checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true,
@@ -148,7 +148,7 @@
 		checker.RecordOverload(ms, "a")
 		checker.RecordResponse(5*ms, "r", Failed, 0)
 	}},
-	{"overloaded in slow start by instances that were not notified", "", func(_ *testing.T, checker *Checker) {
+	{"overloaded during warm-up by instances that were not notified", "", func(_ *testing.T, checker *Checker) {
 		recordRequest(checker, "r", balancer.Idempotent)
 		checker.RecordArrival(Arrival{ID: "r", Server: "a", FirstByte: ms, LastByte: ms, Digest: 1, WarmingUp: true,
 			Work: 3})
@@ -184,7 +184,7 @@
 			h.record(t, checker)
 			for _, v := range checker.Close(5 * time.Second) {
 				if (v.Violations > 0) != (v.Rule == h.violates) {
-					t.Errorf("rule %q: unexpected number of violations %d: %s", v.Rule, v.Violations, v.Detail)
+					t.Errorf("rule %q: %d violations; only the rule of the history may have any: %s", v.Rule, v.Violations, v.Detail)
 				}
 			}
 		})
--- a/internal/experiment/invariant/programs.go
+++ b/internal/experiment/invariant/programs.go
@@ -6,8 +6,8 @@
 	"rowancart/internal/experiment"
 )
 
-// cpuTolerance is the factor by which a program may exceed its CPU limit. It allows for the
-// resolution of the kernel's CPU times, which is 10 ms.
+// cpuTolerance is multiplied with a program's CPU limit, to allow for the resolution of the
+// kernel's CPU times, which is 10 ms.
 const cpuTolerance = 1.05
 
 // PeerEnd says how the connection of a peer that sent no valid request ended.
--- a/internal/experiment/invariant/requests.go
+++ b/internal/experiment/invariant/requests.go
@@ -32,10 +32,10 @@
 // request is a Request and what has been observed of it.
 type request struct {
 	Request
-	finished   bool    // the final response has arrived, or its absence was recorded as a violation
-	outcome    Outcome // valid if finished
-	exempt     bool    // no response is required: the instance was killed, or Waive was called
-	executions []execution
+	finished       bool    // the final response has arrived, or its absence was recorded as a violation
+	outcome        Outcome // valid if finished
+	responseWaived bool    // no response is required: the instance was killed, or Waive was called
+	executions     []execution
 }
 
 // finish sets the outcome of the request.
@@ -97,10 +97,10 @@
 	}
 }
 
-// expire records a violation if a request whose time limit has passed has no response and requires
-// one. mu must be held.
+// expire records a violation if a request has no response and requires one. The request's time
+// limit must have passed. mu must be held.
 func (c *Checker) expire(r *request) {
-	if !r.finished && !r.exempt {
+	if !r.finished && !r.responseWaived {
 		r.finish(Failed)
 		c.addViolation(RuleResponse, r.Deadline, "request %s at %s was never answered", r.ID, r.Instance)
 	}
@@ -120,7 +120,7 @@
 		return
 	}
 	r.finish(outcome)
-	if latest := r.Deadline + c.rules.ResponseSlack + c.slack; now > latest && !r.exempt {
+	if latest := r.Deadline + c.rules.ResponseSlack + c.slack; now > latest && !r.responseWaived {
 		c.addViolation(RuleResponse, now, "request %s at %s was answered %v after its deadline", id, r.Instance,
 			now-r.Deadline)
 	}
@@ -146,7 +146,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
-	if r == nil || r.finished || r.exempt || len(r.executions) == 0 {
+	if r == nil || r.finished || r.responseWaived || len(r.executions) == 0 {
 		return false
 	}
 	r.finish(Failed)
@@ -171,7 +171,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.requests[id]; r != nil {
-		r.exempt = true
+		r.responseWaived = true
 	}
 }
 
@@ -182,7 +182,7 @@
 	defer c.mu.Unlock()
 	for _, r := range c.byAge {
 		if r.Instance == instance {
-			r.exempt = true
+			r.responseWaived = true
 		}
 	}
 	for key := range c.drainingSince {
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -29,9 +29,9 @@
 
 // Clients says how clients behave.
 type Clients struct {
-	MinPatience     float64       // minimum time for which a client waits, as a fraction of the class's deadline
+	MinPatience     float64       // minimum waiting time, as a fraction of the class's deadline; 0: all of it
 	Retries         int           // maximum number of a client's own retries of a request
 	RetryWait       time.Duration // wait before the first retry, doubled for each further one; 0: none
-	HonorRetryAfter bool          // clients wait as long as Retry-After says
+	HonorRetryAfter bool          // before a retry, clients wait at least as long as Retry-After says
 	DisconnectRate  float64       // fraction of requests whose client disconnects early
 }
--- a/internal/experiment/roundrobin/roundrobin.go
+++ b/internal/experiment/roundrobin/roundrobin.go
@@ -1,6 +1,7 @@
 // Package roundrobin is the baseline for experiments on sockets: an httputil.ReverseProxy that
 // sends requests to the endpoints in turn. It reads the platform's configuration file and endpoint
-// list (see DEPLOY), so that experiments can start it in place of the sidecar.
+// list, in the formats of package platform (DEPLOY), so that experiments can start it in place of
+// the sidecar.
 package roundrobin
 
 import (
--- a/internal/experiment/server/collapse.go
+++ b/internal/experiment/server/collapse.go
@@ -4,14 +4,14 @@
 
 // collapse is the state of the overload collapse of a server. The server becomes slower when its
 // queue has been long for some time. It recovers when its load has been low for some time, or when
-// it has been collapsed for the maximum duration. A negative instant means that the condition does
-// not hold.
+// it has been collapsed for the maximum duration. Each instant is negative while its condition does
+// not hold: the queue is not too long, the server has not collapsed, or its load is not low.
 //
 //	normal -- queue above CollapseQueue for CollapseAfter --> collapsed
 //	collapsed -- load below RecoveryLoad for RecoveryAfter, or after MaxCollapse --> normal
 type collapse struct {
 	overloadedSince time.Duration // since when the queue has been above CollapseQueue
-	collapsedAt     time.Duration
+	collapsedAt     time.Duration // when the server collapsed
 	recoveringSince time.Duration // since when the load of the collapsed server has been below RecoveryLoad
 }
 
--- a/internal/experiment/server/job.go
+++ b/internal/experiment/server/job.go
@@ -26,8 +26,9 @@
 	incarnation int // Server.incarnation when the job was admitted
 }
 
-// phase is the state of a job. After its admission a job is queued or running. It then alternates
-// between running and blocked until it is finished.
+// phase is the state of a job. An admitted job is running, or queued until it gets a slot. It then
+// alternates between running and blocked until it is finished. Finish or a crash can end a job in
+// any phase.
 type phase int
 
 const (
@@ -92,8 +93,8 @@
 	}
 }
 
-// Finish ends a job and gives its slot to the first job in the queue. It does nothing if the job
-// has already finished.
+// Finish ends a job. A queued job leaves the queue. The slot of any other job goes to the first job
+// in the queue, if there is one. Finish does nothing if the job has already finished.
 func (s *Server) Finish(j *Job) {
 	if j.Finished() {
 		return
--- a/internal/experiment/server/server.go
+++ b/internal/experiment/server/server.go
@@ -3,9 +3,9 @@
 // in virtual time or on sockets, advances the server at the instants that NextEvent returns.
 //
 // A request occupies a slot from the time it leaves the queue to its end, even while it waits for
-// something else, such as the next tier. Those requests with slots that compute share the cores
-// evenly (processor sharing). With as many slots as cores, each request has a core to itself, and
-// the server is an M/G/c queue.
+// something else, such as the next tier. Of the requests with a slot, those that compute share the
+// cores evenly (processor sharing). With as many slots as cores, each request has a core to itself,
+// and the server is an M/G/c queue.
 package server
 
 import (
@@ -30,7 +30,7 @@
 	down        bool
 	incarnation int // number of crashes
 
-	workClock   float64 // work that a job would have done if it had computed since the start, in seconds
+	workClock   float64 // work that a job would have done if it had computed ever since New, in seconds
 	running     jobHeap // jobs that compute
 	queue       jobQueue
 	slotsUsed   int
@@ -166,6 +166,6 @@
 // Disconnect closes a connection.
 func (s *Server) Disconnect() { s.conns = max(s.conns-1, 0) }
 
-// DrawError draws at random whether the server responds to a request with status 500, at the rate
-// of errors that it has without any fault (ServerSpec.ErrorRate).
+// DrawError draws whether the server responds to a request with status 500 although no fault is in
+// force. The probability is ServerSpec.ErrorRate.
 func (s *Server) DrawError() bool { return s.spec.ErrorRate > 0 && s.rng.Float64() < s.spec.ErrorRate }
--- a/internal/experiment/server/server_test.go
+++ b/internal/experiment/server/server_test.go
@@ -18,7 +18,7 @@
 	count            int                      // number of requests
 	meanWait         float64                  // mean time not spent computing, seconds
 	rejectedFraction float64                  // fraction of requests rejected
-	meanTime         float64                  // mean time from arrival to completion, seconds
+	meanTimeInSystem float64                  // mean time from arrival to completion, seconds
 }
 
 func (q *queueRun) run(t *testing.T) {
@@ -51,13 +51,13 @@
 		}
 		for _, j := range done {
 			e := j.Owner.(entry)
-			q.meanTime += (now - e.at).Seconds()
+			q.meanTimeInSystem += (now - e.at).Seconds()
 			q.meanWait += (now - e.at).Seconds() - e.work/q.kind.Speed
 			server.Finish(j)
 		}
 	}
 	q.meanWait /= float64(admitted)
-	q.meanTime /= float64(admitted)
+	q.meanTimeInSystem /= float64(admitted)
 	q.rejectedFraction = float64(rejected) / float64(q.count)
 }
 
@@ -137,7 +137,7 @@
 				return 0.05
 			}, count: n}
 		s.run(t)
-		checkWithin(t, "mean time in the system", s.meanTime, 0.1/(1-0.6), 0.03)
+		checkWithin(t, "mean time in the system", s.meanTimeInSystem, 0.1/(1-0.6), 0.03)
 	})
 }
 
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -18,7 +18,7 @@
 	Tiers               []Tier // from the clients inwards
 	Rules               Rules
 	Limits              Limits
-	MaxAttempts         int // attempts for one request
+	MaxAttempts         int // maximum number of attempts for one request; 0: no limit
 }
 
 // Discovery says how long a change of an endpoint list takes to reach the instances.
@@ -32,11 +32,11 @@
 	ResponseSlack       time.Duration // a final response may come up to this long after the deadline
 	DrainGrace          time.Duration // an instance may send to a server for this long after the notification of its drain
 	WarmupOverload      float64       // a server that warms up crashes when sent more than this multiple of its capacity
-	OverloadWindow      time.Duration // within this time
+	OverloadWindow      time.Duration // time over which the work sent to such a server is compared with its capacity
 	ImproperPeerTimeout time.Duration // a peer that sends no valid request must be disconnected within this time
 }
 
-// Limits are the limits of a program under test on sockets; 0: no limit.
+// Limits are the resources that a program under test may use on sockets; 0: no limit.
 type Limits struct {
 	MemoryMB    int
 	Descriptors int
@@ -106,7 +106,7 @@
 
 	// Overload collapse: a server with a long queue becomes slower and stays slower until it recovers.
 
-	CollapseQueue    float64       // number of waiting requests per core above which the queue is too long
+	CollapseQueue    float64       // requests per core that may wait for a slot or a core; more are too many
 	CollapseAfter    time.Duration // the queue must be too long for this long before the server collapses
 	CollapseSlowdown float64       // factor by which the server becomes slower
 	RecoveryLoad     float64       // number of requests per core below which the server recovers
--- a/internal/experiment/traffic/faults.go
+++ b/internal/experiment/traffic/faults.go
@@ -11,19 +11,21 @@
 	"rowancart/internal/experiment"
 )
 
-// FaultEvent is one step of a fault: the instant at which a driver begins or ends it.
+// FaultEvent is one step of a fault: its beginning or its end at one server, sidecar or peer.
 type FaultEvent struct {
 	At     time.Duration
 	Kind   experiment.FaultKind
-	Tier   int  // index in Site.Tiers; -1: the fault affects no tier
-	Server int  // index of the server in its tier, or number of the sidecar; -1: neither
+	Tier   int  // index in Site.Tiers; -1: DiscoveryDelay or DiscoverySilence
+	Server int  // index in the tier, or number of the step, see Timeline; -1: as for Tier
 	On     bool // the fault begins; otherwise it ends
 	Fault  *experiment.Fault
 }
 
 // Timeline returns the steps of all faults in the order of time. A RollingDeploy has one step, with
 // On set, for each server to be replaced; the driver drains that server for Fault.Period before it
-// replaces it.
+// replaces it. A fault with a Count (of sidecars, of peers, or a move of discovery) has Count
+// steps, also with On set, one Period apart. Server is then the number of the step; for
+// faults of sidecars and peers, drivers take it modulo the number of sidecars.
 func Timeline(e *experiment.Experiment, seed uint64) []FaultEvent {
 	var out []FaultEvent
 	for i := range e.Faults {
--- a/internal/experiment/traffic/serverfaults.go
+++ b/internal/experiment/traffic/serverfaults.go
@@ -22,8 +22,8 @@
 	sharedSlowdown    float64 // factor; 0: not in force
 }
 
-// Apply begins or ends a fault of a server. It ignores all other kinds: drivers carry
-// those out themselves, for example a crash of the server's process.
+// Apply begins or ends a fault for which ServerFaults has a field. It ignores all other kinds, such
+// as Crash and RollingDeploy, which drivers carry out themselves.
 func (f *ServerFaults) Apply(event FaultEvent) {
 	size := 0.0
 	delay := time.Duration(0)
