--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -87,19 +87,19 @@
 		},
 		"a listed test passes": {
 			entry("./a TestPasses", "go test ./a -run TestPasses", "7"),
-			"must be taken off",
+			"must be removed from the list",
 		},
 		"a listed subtest passes": {
 			entry("./a TestParts/good", "go test ./a -run TestParts/good", "7"),
-			"must be taken off",
+			"must be removed from the list",
 		},
 		"a listed test does not exist": {
 			entry("./a TestNone", "go test ./a -run TestNone", "7"),
-			"is not a test of ./a alone",
+			"must be a test of ./a and of no other package",
 		},
 		"a listed package does not exist": {
 			entry("./b TestFails", "go test ./a -run TestFails", "7"),
-			"is not a test of ./b alone",
+			"must be a test of ./b and of no other package",
 		},
 		"the command runs another test": {
 			entry("./a TestFails", "go test ./a -run TestParts", "7"),
@@ -111,7 +111,7 @@
 		},
 		"a package is missing": {
 			entry("TestFails", "go test ./a -run TestFails", "7"),
-			`not of the form "PACKAGE TEST"`,
+			`not of the form "./PACKAGE TEST"`,
 		},
 		"the issue is not a number": {
 			entry("./a TestFails", "go test ./a -run TestFails", "soon"),
@@ -119,11 +119,11 @@
 		},
 		"a line is missing": {
 			"test: ./a TestFails\nseen: it fails\nissue: 7\n",
-			`"command: ..." is wanted`,
+			`want a line "command: ..."`,
 		},
 		"the list breaks off": {
 			"test: ./a TestFails\n",
-			`"command: ..." is wanted`,
+			`want a line "command: ..."`,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
