--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// policyFiles are all the files of the decision module that hold a decision.
+// policyFiles are the files of package balancer that contain load-balancing decisions.
 var policyFiles = []string{
 	"balancer/balancer.go",
 	"balancer/endpoints.go",
@@ -27,11 +27,12 @@
 	"balancer/timers.go",
 }
 
-// concern matches the comment with which a file of the module says what it decides.
-var concern = regexp.MustCompile(`^package balancer\n\n// [A-Z][a-z]+( [A-Za-z]+)*: `)
+// purposeComment matches the comment below the package clause that says what a file decides.
+var purposeComment = regexp.MustCompile(`^package balancer\n\n// [A-Z][a-z]+( [A-Za-z]+)*: `)
 
-// TestModuleFitsItsLimits reads the deploy file as the operators do, and holds each file of the
-// module to one concern, which it names, and to a size that can be read at once.
+// TestModuleFitsItsLimits checks that the deploy file has its commands and lists policyFiles, that
+// each of these files says at its top what it decides, and that it is small enough to be read as a
+// whole.
 func TestModuleFitsItsLimits(t *testing.T) {
 	const leastLines, mostLines, mostColumns, tab = 20, 220, 110, 4
 	text, err := os.ReadFile("balancer.toml")
@@ -45,11 +46,11 @@
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \["([^]]+)"\]$`).FindSubmatch(text)
 	if policy == nil {
-		t.Fatal("deploy file has no policy")
+		t.Fatal("deploy file has no line \"policy = [...]\"")
 	}
 	files := strings.Split(string(policy[1]), `", "`)
 	if !slices.Equal(files, policyFiles) {
-		t.Fatalf("policy names %q, and the files that decide are %q", files, policyFiles)
+		t.Fatalf("policy lists %q, want %q", files, policyFiles)
 	}
 	for _, file := range files {
 		lines := 0
@@ -62,24 +63,24 @@
 				lines++
 			}
 			if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", strings.Repeat(" ", tab))); n > mostColumns {
-				t.Errorf("%s:%d has %d columns", file, i+1, n)
+				t.Errorf("%s:%d has %d columns, more than the limit", file, i+1, n)
 			}
 		}
 		head := strings.Join(strings.Split(string(module), "\n")[:6], "\n")
 		if file == "balancer/balancer.go" && !strings.Contains(head, "api.go") {
-			t.Error("the first lines of the module do not name api.go")
+			t.Error("the first 6 lines of balancer/balancer.go do not mention api.go")
 		}
-		if !concern.Match(module) {
-			t.Errorf("%s does not say at its top what it decides", file)
+		if !purposeComment.Match(module) {
+			t.Errorf("%s: no comment below the package clause says what the file decides", file)
 		}
 		if lines < leastLines || lines > mostLines {
-			t.Errorf("%s has %d lines, %d to %d are allowed", file, lines, leastLines, mostLines)
+			t.Errorf("%s has %d lines that are not blank, want %d to %d", file, lines, leastLines, mostLines)
 		}
 	}
 }
 
-// The folders of the real sidecar that the deploy file names exist, so that a package that moves
-// can't drop out of what the operators read.
+// The folders of the sidecar's source that the deploy file lists under node exist. Otherwise a
+// package that moves would no longer be on the list that operators read.
 func TestNodeNamesExistingFolders(t *testing.T) {
 	text, err := os.ReadFile("balancer.toml")
 	if err != nil {
@@ -87,11 +88,11 @@
 	}
 	node := regexp.MustCompile(`(?m)^node = \["([^]]+)"\]$`).FindSubmatch(text)
 	if node == nil {
-		t.Fatal("deploy file has no node")
+		t.Fatal("deploy file has no line \"node = [...]\"")
 	}
 	for _, folder := range strings.Split(string(node[1]), `", "`) {
 		if info, err := os.Stat(filepath.Join("..", folder)); err != nil || !info.IsDir() {
-			t.Errorf("%s is no folder (%v)", folder, err)
+			t.Errorf("node lists %s, which is not a folder (error: %v)", folder, err)
 		}
 	}
 }
--- a/deploy/rowancart.hcl
+++ b/deploy/rowancart.hcl
@@ -1,4 +1,5 @@
-# An installation of the daemon: "rowancart serve deploy/rowancart.hcl". docs/daemon.md tells every setting.
+# An example configuration of the daemon; start it with "rowancart serve deploy/rowancart.hcl".
+# All settings are described in docs/daemon.md.
 
 admin {
   listen = "127.0.0.1:9901"
--- a/experiments/calm.hcl
+++ b/experiments/calm.hcl
@@ -1,4 +1,4 @@
-# On a calm day, what does each policy cost in latency, and does every one serve all?
+# What latency does each policy have without faults, and does each serve all requests?
 experiment "calm" {
   question = "On a calm day, what does each policy cost in latency?"
   duration = "40s"
--- a/experiments/cold-joiner.hcl
+++ b/experiments/cold-joiner.hcl
@@ -1,4 +1,5 @@
-# Many instances meet one cold box at the same moment: does it live, whatever their number?
+# Many instances send requests to one cold server from the same moment on. Does the server stay
+# up, whatever the number of instances?
 experiment "cold-joiner" {
   question = "Many instances meet one cold box at once: does it live?"
   duration = "30s"
--- a/experiments/deploy.hcl
+++ b/experiments/deploy.hcl
@@ -1,4 +1,5 @@
-# A rolling deploy replaces nearly all boxes with cold successors. Who keeps serving, and who buries the newcomers?
+# A rolling deploy replaces nearly all servers with cold ones. Which policies keep serving, and
+# which ones overload the new servers?
 experiment "deploy" {
   question = "A rolling deploy replaces nearly all boxes: who keeps serving, and who buries the newcomers?"
   duration = "50s"
--- a/experiments/first.hcl
+++ b/experiments/first.hcl
@@ -1,5 +1,6 @@
-# Does the program, as it is deployed, serve a service of three tiers through a slow patch and a box that dies?
-# Real sockets: stand-in boxes and roster on loopback, the built program before each tier, clients in front.
+# Does the deployed program serve a service of three tiers while a noisy neighbour slows a server
+# and another server crashes? Runs on real sockets: emulated servers and discovery on loopback,
+# the built program in front of each tier, and clients in front of the first one.
 experiment "first" {
   question = "Does the deployed program serve three tiers through a slow neighbour and a box that dies?"
   duration = "12s"
--- a/experiments/fleet-cold.hcl
+++ b/experiments/fleet-cold.hcl
@@ -1,6 +1,7 @@
-# Every instance hears of one fresh box in the same millisecond, with all boxes at 90% of their capacity (432/s: at 45%). Is
-# it sent no more than its stated warm-up capacity within any 2 s, whatever the number of instances? "knowing" is told what
-# none can know by itself: how much of their capacity the boxes are used.
+# All instances learn of a cold server in the same millisecond, with all servers at 90% of their
+# capacity (at 45% if rate is set to 432/s). Does the cold server get no more than its stated
+# warm-up capacity within any 2 s, whatever the number of instances? The variant "knowing" is
+# configured for the utilization of the servers, which no instance can know by itself.
 experiment "fleet-cold" {
   question = "Does a fresh box get no more than its stated warm-up capacity, however many instances meet it?"
   duration = "24s"
--- a/experiments/fleet-mass-restart.hcl
+++ b/experiments/fleet-mass-restart.hcl
@@ -1,7 +1,9 @@
-# Every instance is killed in the same instant and begins again 300 ms later, at 75% load; while they are down one box is
-# replaced by a fresh one, which they all hear of as they come back. Two of the boxes share their machines with others.
-# Open: with snapshots at 100 instances some seeds still send the fresh box more than it can take (docs/results/recovery.md);
-# the file expects what the module does not yet bring on every seed.
+# All instances are killed at the same instant and start again 300 ms later, at 75% load. While
+# they are down, a server is replaced by a cold one, of which all instances learn as they come
+# back. Two of the servers have noisy neighbours.
+# Known failure: with snapshots and 100 instances, some seeds still send the cold server more
+# than it can take (docs/results/recovery.md). The expectation stays although it is not met with
+# every seed.
 experiment "fleet-mass-restart" {
   question = "Does a fleet that restarts at once come back without pushing a box over, with and without snapshots?"
   duration = "30s"
--- a/experiments/fleet-restart.hcl
+++ b/experiments/fleet-restart.hcl
@@ -1,5 +1,6 @@
-# Instances are killed and begin again 200 ms later, one every 6 s, at 75% load; two of the boxes share their machines with
-# others. What is it worth to begin with what was learned?
+# Instances are killed, one every 6 s, and start again 200 ms later, at 75% load. Two of the
+# servers have noisy neighbours. What does an instance gain by starting with the learned state of
+# a snapshot?
 experiment "fleet-restart" {
   question = "What does a snapshot spare an instance that starts again?"
   duration = "36s"
--- a/experiments/fleet-storm.hcl
+++ b/experiments/fleet-storm.hcl
@@ -1,6 +1,8 @@
-# For 20 s, 60% of all answers break after the work was done, at 70% load. Attempts beyond the first are work that nobody
-# ordered: does a fleet whose every instance keeps a budget of its own stay within it, and is service back when the breaks end?
-# Crowded boxes turn slow and stay so until they are nearly idle, which is what can keep a storm alive without its cause.
+# For 20 s, 60% of all responses are truncated after the work was done, at 70% load. Retries add
+# work that no client asked for. Does the fleet stay within the retry budget although each
+# instance has a budget of its own, and does service recover when the fault ends? Servers that
+# are overloaded become slow and stay slow until they are nearly idle, so a retry storm can
+# outlast its cause.
 experiment "fleet-storm" {
   question = "Does a retry storm end with its cause?"
   duration = "60s"
--- a/experiments/fleet-told.hcl
+++ b/experiments/fleet-told.hcl
@@ -1,4 +1,5 @@
-# Forty instances that are told a wrong number: they are one, forty, or four hundred. Does it harm service, or a fresh box?
+# The setting for the number of instances is wrong in most runs: the 40 instances are told that
+# they are 1, 10, 40 or 400. Does this harm service, or overload a cold server?
 experiment "fleet-told" {
   question = "Does a fresh box get no more than its stated warm-up capacity, whatever number of instances they are told?"
   duration = "24s"
--- a/experiments/fleet-trouble.hcl
+++ b/experiments/fleet-trouble.hcl
@@ -1,5 +1,7 @@
-# Forty instances at 60% load while the roster fails them all at once and boxes come and go: it says nothing for 8 s in which a
-# deploy begins, a box flaps, and then all boxes but one are replaced within seconds, so that nearly the whole fleet is cold.
+# Forty instances at 60% load, with faults of discovery that affect all of them at once and
+# servers that come and go: discovery is silent for 8 s, a server crashes and restarts
+# repeatedly, and then all servers but one are replaced within seconds, so that nearly all are
+# cold.
 experiment "fleet-trouble" {
   question = "Do forty instances that share nothing get through a silent roster, a flapping box and a cold fleet?"
   duration = "50s"
--- a/experiments/growth/calm.hcl
+++ b/experiments/growth/calm.hcl
@@ -1,4 +1,5 @@
-# Nothing goes wrong. What a caller refuses here, chance alone made it refuse: the boxes are used for half of what they can do.
+# There are no faults, and the servers are at half of their capacity, so every request that a
+# sidecar rejects is rejected because of random variation alone.
 experiment "growth-calm" {
   question = "Do many callers with little to send refuse nothing while their boxes have room?"
   duration = "40s"
--- a/experiments/growth/join.hcl
+++ b/experiments/growth/join.hcl
@@ -1,5 +1,6 @@
-# Six in ten boxes of the gateways are replaced within seven seconds, and come back cold. What the few warm ones are sent meanwhile
-# makes them slow, unless the cold ones get what their growing warmth can take.
+# 60% of the gateways are replaced within 7 s by cold ones. The few warm gateways are overloaded
+# and slow down meanwhile, unless the cold ones get as much load as they can take while they warm
+# up.
 experiment "growth-join" {
   question = "Do many callers with little to send use what fresh boxes can do, while six in ten are replaced?"
   duration = "45s"
--- a/experiments/growth/zone.hcl
+++ b/experiments/growth/zone.hcl
@@ -1,5 +1,6 @@
-# A sixth of the gateways fails its requests at once. A caller meets each every few seconds, and an error costs an unsafe request for
-# good: how many must each caller see?
+# A sixth of the gateways fails requests at once. A client-side sidecar sends each gateway a
+# request only every few seconds, and an unsafe request that fails can't be retried. How many
+# errors must each sidecar see before it avoids these gateways?
 experiment "growth-zone" {
   question = "Do quiet callers leave a gateway that fails quickly after few errors?"
   duration = "45s"
--- a/experiments/hostile.hcl
+++ b/experiments/hostile.hcl
@@ -1,5 +1,6 @@
-# Peers that send nothing, half a request or 60 MB, a moved roster, sidecars that are ended and killed, and broken and
-# garbled answers: does the deployed program keep every rule and its limits? Real sockets.
+# Clients that send nothing, half a request or 60 MB, discovery that moves to another address,
+# sidecars that are terminated and killed, and truncated and corrupt responses: does the deployed
+# program keep every rule and its resource limits? Runs on real sockets.
 experiment "hostile" {
   question = "Improper peers, broken answers, a moved roster, sidecars ended and killed: does the program keep every rule?"
   duration = "24s"
--- a/experiments/overload.hcl
+++ b/experiments/overload.hcl
@@ -1,5 +1,7 @@
-# Past its capacity, what does a service still serve in time, by policy? The load is swept through the edge; boxes that
-# are crowded for too long turn slow. There are no tenants: what a quota refuses is no failing of a policy, and rivals know none.
+# How much does a service still serve in time beyond its capacity, by policy? The sweep raises
+# the load past the capacity, and servers slow down if they are overloaded for too long. There
+# are no tenants: a request that a quota rejects is not a failure of the policy, and the
+# baselines have no quotas.
 experiment "overload" {
   question = "Through and past its capacity, what does a service still serve in time?"
   duration = "30s"
--- a/experiments/policies.hcl
+++ b/experiments/policies.hcl
@@ -1,5 +1,6 @@
-# What do time-outs, attempts, second copies and queues bring while connections break before and after the last byte, boxes
-# answer slowly or not at all, and errors come fast?
+# What do timeouts, retries, hedged requests and queues gain while connections break before and
+# after the last byte of a request, servers respond slowly or not at all, and errors are returned
+# at once?
 experiment "policies" {
   question = "What do an operator's policies bring while boxes break connections, err, turn slow and fall silent?"
   duration = "52s"
--- a/experiments/rig-limit.hcl
+++ b/experiments/rig-limit.hcl
@@ -1,5 +1,6 @@
-# How much load does the socket rig itself offer on this machine before it is late? Boxes that hardly work, one instance
-# of the program, and a rate that is swept up; a play in which the rig was late is void and shows its lateness.
+# How much load can the test bed on real sockets offer on this machine before it is late itself?
+# The servers do hardly any work, two instances of the program run, and the sweep raises the
+# rate. A run in which the test bed was late is void; its report shows the lateness.
 experiment "rig-limit" {
   question = "How many requests a second does the socket rig offer before it is late itself?"
   duration = "5s"
--- a/experiments/scale.hcl
+++ b/experiments/scale.hcl
@@ -1,4 +1,5 @@
-# Does a decision cost the same in a large fleet? A hundred instances before a thousand boxes, a million requests.
+# Does a decision cost the same in a large fleet? 100 instances in front of 1000 servers, and one
+# million requests.
 experiment "scale" {
   question = "Does the design balance as well before a thousand boxes as before ten?"
   duration = var.length
--- a/experiments/sites/fleet.hcl
+++ b/experiments/sites/fleet.hcl
@@ -1,5 +1,6 @@
-# One tier of twelve boxes that start cold, behind forty instances that share nothing. told is how many they are told that they are,
-# 0 for the truth. A file that includes this one sets the load and the arms.
+# One tier of 12 servers that start cold, behind 40 instances that share no state. The variable
+# told is the number of instances according to their settings, 0 for the real number. A file that
+# includes this one sets the load and the variants.
 vars {
   instances = 40
   told      = 0
--- a/experiments/sites/thin.hcl
+++ b/experiments/sites/thin.hcl
@@ -1,6 +1,7 @@
-# Eighty sidecars and sixty boxes at a little load: 32 callers in front, 18, 30 and 12 boxes in three tiers, and a sidecar beside each
-# box of the first two. A caller sends two requests a second, and meets each box every ten seconds. A file that includes this one
-# sets the faults and what is expected.
+# 80 sidecars and 60 servers at a low rate: 32 sidecars in front of the first tier, tiers of 18,
+# 30 and 12 servers, and a sidecar beside each server of the first two tiers. Each of the 32
+# sends two requests a second, so that it sends each server a request about every 10 s. A file
+# that includes this one sets the faults and the expectations.
 vars {
   callers = 32
   rate    = "60/s"
--- a/experiments/sites/three-tiers.hcl
+++ b/experiments/sites/three-tiers.hcl
@@ -1,5 +1,5 @@
-# A service of three tiers with two tenants, two instances before the first tier. A file that includes this one sets the load, the
-# faults, the variants and what is expected.
+# A service of three tiers with two tenants, and two instances in front of the first tier. A file
+# that includes this one sets the load, the faults, the variants and the expectations.
 site {
   balancers = 2
   network {
--- a/experiments/sites/two-boxes.hcl
+++ b/experiments/sites/two-boxes.hcl
@@ -1,5 +1,6 @@
-# Two boxes that answer in a millisecond, one caller that asks 33 times a second, and a roster that says nothing of faults, as a
-# list in a file would not. Files that include it add faults from the tenth second on.
+# Two servers that respond in 1 ms, one instance that sends 33 requests a second, and a silent
+# discovery: faults do not change the endpoint list, just as they would not change a static list.
+# A file that includes this one adds the other faults.
 vars {
   effect    = "safe"
   instances = 1
--- a/experiments/trouble.hcl
+++ b/experiments/trouble.hcl
@@ -1,4 +1,5 @@
-# When boxes fail fast, lose their cores to neighbours, die and vanish, how much does each policy still serve in time?
+# How much does each policy still serve in time while servers return errors at once, lose their
+# cores to noisy neighbours, crash and become unreachable?
 experiment "trouble" {
   question = "When boxes fail fast, slow down, die and vanish, how much does each policy still serve in time?"
   duration = "50s"
--- a/experiments/variants/policies.hcl
+++ b/experiments/variants/policies.hcl
@@ -1,4 +1,4 @@
-# The design beside every baseline policy.
+# Variants: the design and all baseline policies.
 arm "design" {
   policy = "tuliprock"
 }
