--- a/cmd/sidecar/handover_test.go
+++ b/cmd/sidecar/handover_test.go
@@ -18,13 +18,13 @@
 	"rowancart/internal/testpeer"
 )
 
-// Three processes follow one another under load. No request is lost. An endpoint stays disabled
-// whichever process got the command, and also where that process is killed right after its
-// response.
+// Three processes of one sidecar replace one another under load. No request may be lost. A disabled
+// endpoint must stay disabled, whichever process received the command, and even if that process is
+// killed right after its response.
 func TestHandoverUnderLoadLosesNoRequest(t *testing.T) {
-	const inFlight = 8 // requests that may reach an endpoint after it was disabled
+	const inFlight = 8 // requests that may still reach an endpoint after it was disabled
 	slow := func(conn net.Conn, _ *http.Request, _ int) bool {
-		time.Sleep(5 * time.Millisecond) // requests are in flight at any moment; nothing depends on how long
+		time.Sleep(5 * time.Millisecond) // keeps requests in flight at all times; the result does not depend on it
 		_, err := io.WriteString(conn, testpeer.OKResponse)
 		return err == nil
 	}
@@ -38,7 +38,7 @@
 	first.requireSuccess(t, "disable-server a")
 	second := p.startReady(t)
 	whenDisabledA := a.Requests.Load()
-	second.requireSuccess(t, "disable-server b") // while both run
+	second.requireSuccess(t, "disable-server b") // while both processes run
 	first.waitForMetric(t, "sidecar_targets_disabled", 2)
 	whenDisabledB := b.Requests.Load()
 	clients.waitForMore(t, 50)
@@ -46,10 +46,10 @@
 	first.waitForExit(t)
 	clients.waitForMore(t, 50)
 	if now := a.Requests.Load(); now > whenDisabledA+inFlight {
-		t.Errorf("the disabled endpoint got %d more", now-whenDisabledA)
+		t.Errorf("endpoint a got %d more requests after it was disabled", now-whenDisabledA)
 	}
 	if now := b.Requests.Load(); now > whenDisabledB+inFlight {
-		t.Errorf("the one disabled later got %d more", now-whenDisabledB)
+		t.Errorf("endpoint b got %d more requests after it was disabled", now-whenDisabledB)
 	}
 
 	second.requireSuccess(t, "enable-server a")
@@ -57,13 +57,14 @@
 	second.requireSuccess(t, "disable-server a")
 	clients.stop()
 	second.kill()
-	third.waitForMetric(t, "sidecar_targets_disabled", 2) // also after the process that got the command has exited
+	third.waitForMetric(t, "sidecar_targets_disabled", 2) // also after the process that received the command has exited
 	if !strings.Contains(third.log.String(), `msg="snapshot restored"`) {
 		t.Errorf("the third process did not restore the snapshot of the second:\n%s", third.log.String())
 	}
 }
 
-// A successor is killed right after it has become ready: its predecessor accepts connections again.
+// If a successor is killed right after it has become ready, its predecessor must accept connections
+// again.
 func TestPredecessorResumesWhenSuccessorIsKilled(t *testing.T) {
 	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
@@ -78,7 +79,8 @@
 	first.waitForExit(t)
 }
 
-// A process starts whatever foreign files are in the shared directory.
+// Files in the shared directory that do not come from a sidecar, or are damaged, must not prevent a
+// process from starting.
 func TestForeignFilesInSharedDirDoNotPreventStart(t *testing.T) {
 	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
@@ -93,7 +95,7 @@
 	}
 	s := p.startReady(t)
 	if text := s.adminCommand(t, "show-stat"); !strings.Contains(text, "sidecar_targets_disabled 1\n") {
-		t.Errorf("the disabled endpoint in the directory is not applied: %s", text)
+		t.Errorf("the disabled endpoint in the shared directory has not been applied: %s", text)
 	}
 	for _, want := range []string{`msg="snapshot not restored"`, `msg="foreign files ignored"`} {
 		if !strings.Contains(s.log.String(), want) {
@@ -102,7 +104,8 @@
 	}
 }
 
-// A descriptor that is not an open socket fails the start with one line.
+// If the inherited descriptor is not an open socket, the process must fail to start, with an error
+// of one line.
 func TestInvalidListenerDescriptorFailsStart(t *testing.T) {
 	p := newTestPlatform(t)
 	for _, fd := range []string{"seven", "63"} {
@@ -117,19 +120,20 @@
 		out, err := c.CombinedOutput()
 		oneLine := strings.Count(string(out), "\n") == 1
 		if err == nil || !oneLine || !strings.HasPrefix(string(out), "sidecar: "+platform.EnvAcceptFD+": ") {
-			t.Errorf("%s: %v, %q", fd, err, out)
+			t.Errorf("descriptor %s: error %v, output %q; want one line that names the variable", fd, err, out)
 		}
 	}
 }
 
-// SIGHUP and SIGTERM come while the successor still waits for its list, and it is killed before it
-// is ready: the predecessor goes on, and requests that come after SIGTERM are answered.
+// A predecessor receives SIGHUP while its successor still waits for the endpoint list, and the
+// successor is killed before it is ready: the predecessor must go on. It receives SIGTERM while the
+// next successor starts: requests that arrive after SIGTERM must be answered.
 func TestSignalsDuringHandoverLoseNoRequest(t *testing.T) {
 	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
 	first := p.startReady(t)
 	discovery := p.discovery
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // sends nothing
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // a fake discovery that sends nothing
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +142,7 @@
 	second := p.start(t)
 	p.discovery = discovery
 	if response := second.adminCommand(t, "ready"); !strings.HasPrefix(response, "FAILURE") {
-		t.Errorf("ready without a list: %q", response)
+		t.Errorf("response to ready without an endpoint list: %q, want FAILURE", response)
 	}
 	first.Process.Signal(syscall.SIGHUP)
 	first.waitForMetric(t, "sidecar_reload_success", 1)
@@ -146,15 +150,15 @@
 	clients := p.startClients(t, 1)
 	clients.waitForMore(t, 10)
 	third := p.start(t)
-	first.Process.Signal(syscall.SIGTERM) // whether the third is ready or not
+	first.Process.Signal(syscall.SIGTERM) // whether the third process is ready or not
 	first.waitForExit(t)
 	third.waitUntilReady(t)
 	clients.waitForMore(t, 10)
 	clients.stop()
 }
 
-// A request has been received partially, in its head or in its body, when a successor becomes ready
-// and SIGTERM comes: the process that began to read it answers it.
+// A request may have been received only partially, up to somewhere in its head or body, when a
+// successor becomes ready and SIGTERM arrives. The process that began to read it must answer it.
 func TestHandoverWithPartiallyReadRequest(t *testing.T) {
 	a := testpeer.StartEndpoint(t, testpeer.RespondWith(testpeer.OKResponse, testpeer.KeepConn))
 	p := newTestPlatform(t, a.Addr)
@@ -178,8 +182,8 @@
 		io.WriteString(conn, text[:sent])
 		partial = append(partial, partialRequest{Conn: conn, rest: text[sent:]})
 	}
-	// A client that connected after them has been served. Connections are accepted in their order,
-	// so that the first process has accepted all of them.
+	// Connections are accepted in the order in which they were opened. Once clients that connected
+	// later are served, the first process has accepted all connections above.
 	clients := p.startClients(t, 1)
 	clients.waitForMore(t, 10)
 	p.startReady(t)
@@ -189,7 +193,7 @@
 		io.WriteString(r, r.rest)
 		resp, err := http.ReadResponse(bufio.NewReader(r), nil)
 		if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-			t.Errorf("request %d: %+v, %v", i, resp, err)
+			t.Errorf("request %d: response %+v, error %v; want status 200 and a closed connection", i, resp, err)
 		}
 	}
 	first.waitForExit(t)
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -21,10 +21,10 @@
 	"rowancart/internal/testpeer"
 )
 
-const testTimeout = 20 * time.Second // no test should come near it
+const testTimeout = 20 * time.Second // bounds each wait; no passing test comes near it
 
 // startDiscovery starts a fake discovery that lists no endpoints and never sends a change. It
-// returns its address and reports each call.
+// returns its address and a channel that receives the query of each call.
 func startDiscovery(t *testing.T) (addr string, called <-chan string) {
 	t.Helper()
 	calls := make(chan string, 100)
@@ -53,7 +53,7 @@
 	}
 }
 
-// anyLoopbackAddr lets the kernel choose a port.
+// anyLoopbackAddr is a loopback address whose port the kernel chooses.
 const anyLoopbackAddr = "127.0.0.1:0"
 
 // configWithoutEndpoints returns a configuration whose known endpoint list is empty.
@@ -67,18 +67,18 @@
 	}
 }
 
-// waitForCall waits until a fake discovery has been called.
+// waitForCall waits until the named fake discovery has been called.
 func waitForCall(t *testing.T, what string, called <-chan string) {
 	t.Helper()
 	select {
 	case <-called:
 	case <-time.After(testTimeout):
-		t.Fatalf("%s was never called", what)
+		t.Fatalf("%s was not called", what)
 	}
 }
 
-// startProgram starts the program in this process, with the configuration at a path. The channel
-// gets its result.
+// startProgram runs the program inside the test process, with the configuration file at a path. The
+// returned channel receives its result.
 func startProgram(t *testing.T, config string) <-chan error {
 	t.Helper()
 	t.Setenv(platform.EnvConfig, config)
@@ -95,21 +95,21 @@
 	}
 }
 
-// requireCleanEnd waits until the program has ended, which must be without an error.
+// requireCleanEnd waits until the program ends, and checks that it ends without an error.
 func requireCleanEnd(t *testing.T, ended <-chan error) {
 	t.Helper()
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the program ended with error %v", err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("never ended")
+		t.Error("the program did not end")
 	}
 }
 
-// The platform replaces the file and sends SIGHUP: the program must go on, with discovery at its
-// new address.
+// When the platform replaces the configuration file and sends SIGHUP, the program must go on and
+// use the new address of discovery.
 func TestSIGHUPReloadsDiscoveryAddress(t *testing.T) {
 	first, firstCalled := startDiscovery(t)
 	second, secondCalled := startDiscovery(t)
@@ -130,7 +130,7 @@
 	requireCleanEnd(t, ended)
 }
 
-// SIGHUP may come at any time until the process exits, and must not terminate it.
+// SIGHUP may arrive at any time until the process exits, and must not terminate it.
 func TestSIGHUPAfterShutdownIsHandled(t *testing.T) {
 	procs := runtime.GOMAXPROCS(0)
 	gcPercent := debug.SetGCPercent(100)
@@ -145,18 +145,18 @@
 	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, addr))
 	ended := startProgram(t, path)
 	waitForCall(t, "discovery", called)
-	signalled := make(chan os.Signal, 1)
-	signal.Notify(signalled, syscall.SIGUSR1)
-	defer signal.Stop(signalled)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR1)
+	defer signal.Stop(signals)
 	signalSelf(t, syscall.SIGTERM)
 	requireCleanEnd(t, ended)
-	signalSelf(t, syscall.SIGHUP) // of several that are pending the lowest number is delivered first
+	signalSelf(t, syscall.SIGHUP) // of several pending signals, the one with the lowest number is delivered first
 	signalSelf(t, syscall.SIGUSR1)
-	<-signalled
+	<-signals
 }
 
-// The platform's program stays small: whatever the rest of the repository imports, it links only
-// these packages.
+// The sidecar must stay small: it may link only these packages, whatever the rest of the repository
+// imports.
 func TestLinksAllowedPackagesOnly(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", ".").Output()
 	if err != nil {
@@ -173,13 +173,13 @@
 	}
 	for dep := range strings.FieldsSeq(string(out)) {
 		if !slices.Contains(allowed, dep) {
-			t.Errorf("it links %s", dep)
+			t.Errorf("the sidecar links %s, which is not allowed", dep)
 		}
 	}
 }
 
-// The file can't be read at the moment of the signal. No other signal follows: it is read once that
-// is possible.
+// If the configuration file can't be read when SIGHUP arrives, reading it must be retried, since no
+// further signal follows.
 func TestReloadIsRetried(t *testing.T) {
 	first, firstCalled := startDiscovery(t)
 	second, secondCalled := startDiscovery(t)
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	signalSelf(t, syscall.SIGHUP)
-	time.Sleep(200 * time.Millisecond) // that the signal is handled first is likely; the test holds either way
+	time.Sleep(200 * time.Millisecond) // the signal is most likely handled first; the test is valid either way
 	writeConfig(t, path, configWithoutEndpoints(anyLoopbackAddr, second))
 	waitForCall(t, "the second discovery", secondCalled)
 	signalSelf(t, syscall.SIGTERM)
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -16,7 +16,7 @@
 	"rowancart/internal/testpeer"
 )
 
-// startBuilt starts the built program with a configuration, with its log at stderr.
+// startBuilt builds the program and starts it with a configuration. Its log goes to stderr.
 func startBuilt(t *testing.T, config platform.ConfigFile, stderr io.Writer) *exec.Cmd {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "sidecar")
@@ -38,7 +38,7 @@
 	return c
 }
 
-// freeAddr returns an address on loopback at which no process listens.
+// freeAddr returns a loopback address on which no process listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,8 @@
 	})
 }
 
-// The reader of the log closes the pipe: the sidecar goes on without its log.
+// If the reader of the log closes the pipe, the sidecar must go on without its log. By default,
+// SIGPIPE would terminate it at the next log line.
 func TestClosedLogPipeDoesNotTerminateTheProcess(t *testing.T) {
 	discovery, _ := startDiscovery(t)
 	addr := freeAddr(t)
@@ -79,12 +80,12 @@
 		if err := c.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(50 * time.Millisecond) // signals that are pending together are delivered once
+		time.Sleep(50 * time.Millisecond) // otherwise pending signals are merged into one
 	}
 	waitUntilHealthy(t, addr)
 }
 
-// The reader of the log stops reading, and the pipe is full: requests do not wait for the log.
+// If the reader of the log stops reading and the pipe is full, requests must not wait for the log.
 func TestFullLogPipeBlocksNoRequest(t *testing.T) {
 	discovery, _ := startDiscovery(t)
 	addr := freeAddr(t)
@@ -105,15 +106,15 @@
 	waitUntilHealthy(t, addr)
 }
 
-// The process is suspended for the last 0.15 s before SIGKILL: the last responses have been written
-// before.
+// The platform may suspend the process for the last 0.15 s before SIGKILL. The last responses must
+// have been written before that.
 func TestLastResponsesPrecedeASuspension(t *testing.T) {
 	const (
-		deadline  = time.Second // of the settings
+		deadline  = time.Second // the longest deadline of the settings
 		killDelay = deadline + 700*time.Millisecond
 		suspended = 150 * time.Millisecond
 	)
-	hanging, err := net.Listen("tcp", "127.0.0.1:0") // accepts in the kernel, and never responds
+	hanging, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts connections; nothing responds
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,11 +147,11 @@
 	request := testpeer.Request{Method: http.MethodPost, Path: "/pay", ID: "r", Deadline: time.Minute}
 	io.WriteString(conn, request.Text())
 	time.Sleep(time.Until(killAt.Add(-suspended * 4 / 5)))
-	c.Process.Signal(syscall.SIGSTOP) // suspended until SIGKILL
+	c.Process.Signal(syscall.SIGSTOP) // suspends the process until SIGKILL
 	time.Sleep(time.Until(killAt))
 	c.Process.Kill()
 	resp, err := conn.ReadResponse(testTimeout)
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("response %+v, error %v; want status 502", resp, err)
 	}
 }
--- a/cmd/sidecar/testplatform_test.go
+++ b/cmd/sidecar/testplatform_test.go
@@ -20,17 +20,18 @@
 	"rowancart/internal/testpeer"
 )
 
-// testPlatform starts processes of one sidecar as the platform does: it holds the listening socket,
-// and all of them share one directory.
+// testPlatform starts processes of one sidecar as the platform does: they inherit the listening
+// socket that it holds open, and share one directory.
 type testPlatform struct {
-	program   string // path
+	program   string // path of the built program
 	sharedDir string
-	discovery string // address
+	discovery string // address of the fake discovery
 	listener  *os.File
-	addr      string // of listener
+	addr      string // address of listener
 }
 
-// newTestPlatform builds the program and lists the endpoints given, named a, b, ...
+// newTestPlatform builds the program and starts a fake discovery that lists endpoints at the given
+// addresses, whose ids are a, b, ...
 func newTestPlatform(t *testing.T, endpoints ...string) *testPlatform {
 	t.Helper()
 	p := &testPlatform{program: filepath.Join(t.TempDir(), "sidecar"), sharedDir: t.TempDir()}
@@ -52,8 +53,8 @@
 	return p
 }
 
-// startListingDiscovery starts a fake discovery that lists endpoints and never sends a change. It
-// returns its address.
+// startListingDiscovery starts a fake discovery that lists endpoints at the given addresses and
+// never sends a change. It returns the address of the discovery.
 func startListingDiscovery(t *testing.T, endpoints []string) string {
 	t.Helper()
 	discovery, err := testpeer.StartDiscovery(testpeer.DiscoveryOptions{EmptyLineFirst: true})
@@ -67,7 +68,7 @@
 	return discovery.Addr()
 }
 
-// sidecarProcess is one process of the sidecar.
+// sidecarProcess is a running process of the sidecar.
 type sidecarProcess struct {
 	*exec.Cmd
 	adminAddr string
@@ -75,7 +76,7 @@
 	exited    chan error
 }
 
-// logBuffer is what a process has logged so far.
+// logBuffer holds what a process has logged so far.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -114,7 +115,8 @@
 	}
 }
 
-// start starts a process and waits until its admin interface listens. It may not be ready yet.
+// start starts a process and waits until its admin interface listens. The process may not be ready
+// yet.
 func (p *testPlatform) start(t *testing.T) *sidecarProcess {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
@@ -143,12 +145,13 @@
 	select {
 	case s.adminAddr = <-adminAddr:
 	case <-time.After(testTimeout):
-		t.Fatal("no admin interface")
+		t.Fatal("the admin interface did not start")
 	}
 	return s
 }
 
-// readLog records the log until the process exits, and sends the address of the admin interface.
+// readLog records the log until the process exits, and sends the address of the admin interface to
+// adminAddr.
 func (s *sidecarProcess) readLog(stderr io.Reader, adminAddr chan<- string) {
 	for lines := bufio.NewScanner(stderr); lines.Scan(); {
 		s.log.appendLine(lines.Text())
@@ -193,20 +196,24 @@
 
 func (s *sidecarProcess) waitUntilReady(t *testing.T) {
 	t.Helper()
-	testpeer.WaitUntil(t, "ready", func() bool { return strings.HasPrefix(s.adminCommand(t, "ready"), "SUCCESS") })
+	testpeer.WaitUntil(t, "the process is ready", func() bool {
+		return strings.HasPrefix(s.adminCommand(t, "ready"), "SUCCESS")
+	})
 }
 
-// waitForMetric waits until a metric has a value.
+// waitForMetric waits until the metric has the value.
 func (s *sidecarProcess) waitForMetric(t *testing.T, name string, value int) {
 	t.Helper()
 	line := fmt.Sprintf("%s %d\n", name, value)
 	testpeer.WaitUntil(t, line, func() bool { return strings.Contains(s.adminCommand(t, "show-stat"), line) })
 }
 
-// waitUntilSuperseded waits until the process has found that a successor serves.
+// waitUntilSuperseded waits until the process has logged that a successor serves.
 func (s *sidecarProcess) waitUntilSuperseded(t *testing.T) {
 	t.Helper()
-	testpeer.WaitUntil(t, "superseded", func() bool { return strings.Contains(s.log.String(), "msg=superseded ") })
+	testpeer.WaitUntil(t, "the process is superseded", func() bool {
+		return strings.Contains(s.log.String(), "msg=superseded ")
+	})
 }
 
 // kill ends the process with SIGKILL and waits until it has exited.
@@ -216,7 +223,7 @@
 	s.exited <- nil
 }
 
-// waitForExit waits for a process that has been sent SIGTERM.
+// waitForExit waits until a process exits after SIGTERM, and checks that it exits without an error.
 func (s *sidecarProcess) waitForExit(t *testing.T) {
 	t.Helper()
 	select {
@@ -226,21 +233,21 @@
 			t.Errorf("exited with %v:\n%s", err, s.log.String())
 		}
 	case <-time.After(testTimeout):
-		t.Error("never exited")
+		t.Error("the process did not exit")
 	}
 }
 
-// testClients send requests one after the other, each on a connection of its own that it keeps,
-// until they are stopped.
+// testClients send requests until they are stopped. Each client has a keep-alive connection of its
+// own, on which it sends one request after the other.
 type testClients struct {
 	platform *testPlatform
 	stopOnce sync.Once
 	stopped  chan struct{}
 	running  sync.WaitGroup
-	served   atomic.Int32 // requests
+	served   atomic.Int32 // number of requests served
 }
 
-// startClients starts so many clients, which stop with the test at the latest.
+// startClients starts n clients, which are stopped when the test ends at the latest.
 func (p *testPlatform) startClients(t *testing.T, n int) *testClients {
 	c := &testClients{platform: p, stopped: make(chan struct{})}
 	for i := range n {
@@ -256,15 +263,16 @@
 	c.running.Wait()
 }
 
-// waitForMore waits until more than so many further requests have been served.
+// waitForMore waits until more than n further requests have been served.
 func (c *testClients) waitForMore(t *testing.T, n int32) {
 	t.Helper()
 	before := c.served.Load()
 	testpeer.WaitUntil(t, "more requests are served", func() bool { return c.served.Load() > before+n })
 }
 
-// run is one client. A request on a reused connection that is closed without a response is retried
-// on a new one. Any other request that is not answered is lost, and fails the test.
+// run sends the requests of one client. If a reused connection is closed without a response, the
+// request is retried on a new connection. Any other request without a response is lost, and the
+// test fails.
 func (c *testClients) run(t *testing.T, name string) {
 	client := keepAliveClient{addr: c.platform.addr}
 	defer client.close()
@@ -291,10 +299,10 @@
 	}
 }
 
-// keepAliveClient reuses one connection.
+// keepAliveClient sends its requests on one connection for as long as that stays open.
 type keepAliveClient struct {
 	addr string
-	conn *testpeer.ClientConn // nil: there is none
+	conn *testpeer.ClientConn // nil: no connection is open
 }
 
 // get sends a request and returns its response, whose body must be read before the next request.
@@ -311,7 +319,7 @@
 		}
 		c.conn.SetWriteDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c.conn, request.Text())
-		resp, err := c.conn.ReadResponse(testTimeout) // a request that is never answered is lost, too
+		resp, err := c.conn.ReadResponse(testTimeout) // a request that is not answered in time is lost, too
 		if err == nil {
 			return resp, nil
 		}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -19,7 +19,8 @@
 
 func noEnv(string) string { return "" }
 
-// isFieldError reports whether an error is a *platform.FieldError for a field, and begins with it.
+// isFieldError reports whether err is a *platform.FieldError for the field whose text begins with
+// the name of the field.
 func isFieldError(err error, field string) bool {
 	var fieldErr *platform.FieldError
 	return errors.As(err, &fieldErr) && fieldErr.Field == field && strings.HasPrefix(err.Error(), field+": ")
@@ -33,7 +34,7 @@
 	if c.Name != "n3" || c.Limits != (Limits{1, 128, 512}) || *c.KnownEndpoints.Version != 41 ||
 		c.Settings.Seed != 0x8c1f30d27a5be964 || c.Settings.ConnIdle != 30*time.Second ||
 		c.Settings.DialTimeout != 200*time.Millisecond {
-		t.Errorf("%+v", c)
+		t.Errorf("parsed configuration differs from goodConfig: %+v", c)
 	}
 }
 
@@ -54,21 +55,21 @@
 	}
 	if c.Name != "n1" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:3" ||
 		c.Limits != (Limits{1, defaultMemoryMB, defaultSockets}) {
-		t.Errorf("%+v", c)
+		t.Errorf("the loaded configuration has wrong values: %+v", c)
 	}
 	for variable, want := range map[string]string{"ROUTER_CONFIG": "ROUTER_CONFIG", "ROUTER_DISCOVERY": "discovery"} {
 		incomplete := maps.Clone(env)
 		delete(incomplete, variable)
 		if _, err := LoadConfig(getenvFrom(incomplete)); !isFieldError(err, want) {
-			t.Errorf("without %s: %v", variable, err)
+			t.Errorf("without %s: error %v", variable, err)
 		}
 	}
 }
 
-func TestAdminAddressFromEnvironmentComesFirst(t *testing.T) {
+func TestAdminAddressFromEnvironmentOverridesFile(t *testing.T) {
 	c, err := parseConfig([]byte(goodConfig), getenvFrom(map[string]string{"ROUTER_CONSOLE": "127.0.0.1:9200"}))
 	if err != nil || c.AdminAddr != "127.0.0.1:9200" {
-		t.Errorf("%q, %v", c.AdminAddr, err)
+		t.Errorf("the admin address is %q, error %v; want the one from the environment", c.AdminAddr, err)
 	}
 }
 
@@ -76,7 +77,7 @@
 	const addr = "127.0.0.1:7000"
 	text := strings.NewReplacer("127.0.0.1:0", addr, "127.0.0.1:9100", addr).Replace(goodConfig)
 	if _, err := parseConfig([]byte(text), noEnv); !isFieldError(err, "console") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one for the field console", err)
 	}
 }
 
@@ -95,11 +96,11 @@
 	} {
 		text := strings.Replace(goodConfig, replaced[0], replaced[1], 1)
 		if text == goodConfig {
-			t.Fatalf("%s: nothing replaced", field)
+			t.Fatalf("%s: the text to replace is not in goodConfig", field)
 		}
 		_, err := parseConfig([]byte(text), noEnv)
 		if !isFieldError(err, field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("invalid %s: error %v, want one line that begins with the field", field, err)
 		}
 	}
 }
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -14,15 +14,17 @@
 	"rowancart/internal/platform"
 )
 
-// attemptDeadline is the deadline that an attempt carries, as its endpoint has received it.
+// attemptDeadline is the deadline of an attempt as received by its endpoint: a timeout that starts
+// at receivedAt.
 type attemptDeadline struct {
 	id         string
 	timeout    time.Duration
 	receivedAt time.Time
 }
 
-// startDeadlineEndpoint returns an endpoint that sends the deadline of each attempt to a channel.
-// It delays the responses to requests whose id begins with "hang".
+// startDeadlineEndpoint starts an endpoint that sends the deadline of each attempt to a channel. It
+// delays the response to the request of a client whose id begins with "hang", but not the response
+// to the pipelined request that follows it.
 func startDeadlineEndpoint(t *testing.T, delay time.Duration) (addr string, received <-chan attemptDeadline) {
 	t.Helper()
 	requests := make(chan attemptDeadline, 10)
@@ -34,7 +36,7 @@
 		id := r.Header.Get(platform.RequestIDHeader)
 		requests <- attemptDeadline{id, time.Duration(ms) * time.Millisecond, time.Now()}
 		if strings.HasPrefix(id, "hang") && !strings.HasSuffix(id, "-next") {
-			time.Sleep(delay) // no result depends on how long
+			time.Sleep(delay) // the result does not depend on the exact duration
 		}
 		io.WriteString(conn, okResponse)
 		return true
@@ -42,24 +44,25 @@
 	return e.Addr, requests
 }
 
-// The timeout of clients in these tests, and the time for which a request is delayed.
+// The timeout that clients send in these tests, and the delay of a request before it is forwarded.
 const (
 	clientTimeout = 10 * time.Second
 	requestDelay  = time.Second
 )
 
-// requireWithinClientTimeout checks the deadline of an attempt against the time that its client had
-// left, which had sent the request by sentAt. The platform allows 0.15 s; this test allows half of
-// the delay, so that a busy machine does not decide the result.
+// requireWithinClientTimeout checks that the deadline of an attempt is not later than the client's,
+// whose timeout started at sentAt, when the request had been sent. The platform allows a deviation
+// of 0.15 s; this test allows half of the delay, so that a busy machine does not affect the result.
 func requireWithinClientTimeout(t *testing.T, d attemptDeadline, sentAt time.Time) {
 	t.Helper()
 	if left := clientTimeout - d.receivedAt.Sub(sentAt); d.timeout > left+requestDelay/2 {
-		t.Errorf("%s: the attempt's deadline is %v, and the client had %v left", d.id, d.timeout, left)
+		t.Errorf("%s: the attempt's timeout is %v, but the client had only %v left", d.id, d.timeout, left)
 	}
 }
 
-// A request's timeout counts from its last byte, wherever it waits to be read: behind another
-// request on its connection, or on a connection that has not been accepted yet.
+// The timeout of a request starts when its last byte arrives, even if the request is read later
+// because it waits behind another request on its connection or because its connection has not been
+// accepted yet. Otherwise attempts would have later deadlines than their clients.
 func TestAttemptDeadlineCountsFromArrival(t *testing.T) {
 	text := strings.ReplaceAll(lookRequest, "600000", fmt.Sprint(clientTimeout.Milliseconds()))
 	next := strings.ReplaceAll(pipelinedRequest, "600000", fmt.Sprint(clientTimeout.Milliseconds()))
@@ -98,21 +101,23 @@
 		s.listener.Pause()
 		sentAt := time.Now()
 		c := s.connectAndSend(t, "early", text)
-		time.Sleep(requestDelay) // no connection is accepted; no result depends on how long
+		time.Sleep(requestDelay) // no connection is accepted; the result does not depend on the duration
 		s.listener.Resume()
 		c.requireOK(t)
 		requireWithinClientTimeout(t, <-received, sentAt)
 	})
 }
 
-// The lengths of bodies. A sidecar with the least memory for bodies buffers only some of each; the
-// kernel's buffers hold the rest, so that the client has sent all of it while some is unread.
+// The lengths of bodies, in bytes. A sidecar without memory for long bodies buffers only the first
+// part of each. For longBody, the kernel's buffers hold the rest, so that the client has sent all
+// of it while some is unread.
 const (
 	longBody     = 470 << 10
-	overfullBody = 6 << 20 // more than the buffers between client and endpoint hold
+	overfullBody = 6 << 20 // more than all buffers between client and endpoint hold
 )
 
-// sendUpload sends a complete request with a long body.
+// sendUpload sends a complete request with a body of the given length. sentAt is the time at which
+// all of it had been sent.
 func (s *testSidecar) sendUpload(
 	t *testing.T, length int, timeout time.Duration,
 ) (c *testClient, sentAt time.Time) {
@@ -125,8 +130,8 @@
 	return c, time.Now()
 }
 
-// The client of a long body has sent all of it, and its timeout runs, while most of the body is
-// unread: no endpoint has been chosen yet, or the endpoint does not read it.
+// A client may have sent all of a long body, so that its timeout has started, while most of the
+// body is unread: because no endpoint has been chosen yet, or because the endpoint does not read.
 func TestTimeoutOfLongBodyCountsFromItsArrival(t *testing.T) {
 	t.Run("sent after a dial that failed", func(t *testing.T) {
 		dead := newFullBacklogEndpoint(t)
@@ -148,7 +153,7 @@
 			s.server.SetBodyMemory(0)
 			s.listener.Pause()
 			c, sentAt := s.sendUpload(t, length, clientTimeout)
-			time.Sleep(requestDelay) // no connection is accepted; no result depends on how long
+			time.Sleep(requestDelay) // no connection is accepted; the result does not depend on the duration
 			s.listener.Resume()
 			c.requireOK(t)
 			requireWithinClientTimeout(t, <-received, sentAt)
@@ -157,9 +162,9 @@
 	t.Run("answered though the endpoint stops reading", func(t *testing.T) {
 		const (
 			timeout   = 2 * time.Second
-			tolerance = time.Second // the platform allows half of that
+			tolerance = time.Second // twice what the platform allows
 		)
-		hanging, err := net.Listen("tcp", "127.0.0.1:0") // accepts in the kernel, and reads nothing
+		hanging, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts connections; nothing reads from them
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -169,7 +174,7 @@
 		c, sentAt := s.sendUpload(t, overfullBody, timeout)
 		resp := c.readResponse(t)
 		if took := time.Since(sentAt); took > timeout+tolerance || resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("status %d after %v, where the client's timeout is %v", resp.StatusCode, took, timeout)
+			t.Errorf("status %d after %v, want 503 soon after the timeout of %v", resp.StatusCode, took, timeout)
 		}
 	})
 }
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -17,21 +17,21 @@
 	"rowancart/internal/proxy"
 )
 
-// disconnectPrefix begins the ids of clients that disconnect.
+// disconnectPrefix is the prefix of the ids of clients that disconnect.
 const disconnectPrefix = "disconnects"
 
-// waitCase is something that requests wait for.
+// waitCase is a sidecar in which requests wait for something, such as capacity or a connection.
 type waitCase struct {
 	*testSidecar
-	endpoint       *blockingEndpoint // where the requests go once the wait ends
-	request        string            // that waits; empty: lookRequest
-	othersInFlight int               // other requests than those that wait
-	disconnects    []string          // the ways to test; none: all
+	endpoint       *blockingEndpoint // receives the requests once the wait ends
+	request        string            // the request that waits; empty: lookRequest
+	othersInFlight int               // requests in flight that do not wait
+	disconnects    []string          // keys of the map disconnects to test; none: all
 	whileWaiting   func(t *testing.T, waiting int)
 	endWait        func(t *testing.T)
 }
 
-// waitForCapacity is a wait for capacity at one endpoint.
+// waitForCapacity returns a case in which requests wait for capacity at the only endpoint.
 func waitForCapacity(t *testing.T, o testOptions) waitCase {
 	e := startBlockingEndpoint(t)
 	o.settings = cmp.Or(o.settings, longWaitSettings())
@@ -49,12 +49,13 @@
 	}
 }
 
-// waitForCapacityWithoutCancel is a wait for capacity where attempts must not be canceled.
+// waitForCapacityWithoutCancel is like waitForCapacity, but attempts must not be canceled.
 func waitForCapacityWithoutCancel(t *testing.T) waitCase {
 	return waitForCapacity(t, testOptions{settings: noCancelSettings()})
 }
 
-// waitForConnection is a wait for a connection to be established to the last of the endpoints.
+// waitForConnection returns a case in which requests wait until a connection to endpoint z is
+// established. The addresses in before are those of further endpoints, whose ids precede z.
 func waitForConnection(t *testing.T, settings *platform.SettingsObject, before ...string) waitCase {
 	e := newFullBacklogEndpoint(t)
 	o := testOptions{
@@ -67,22 +68,23 @@
 	return waitCase{testSidecar: o.start(t), endpoint: e, endWait: func(*testing.T) { e.startAccepting() }}
 }
 
-// waitForRetryConnection is a wait for the connection of a retry: the first endpoint refuses.
+// waitForRetryConnection returns a case in which retries wait for a connection, after another
+// endpoint has refused it.
 func waitForRetryConnection(t *testing.T) waitCase {
 	refusing := newBlockingEndpoint(t)
 	refusing.Close()
 	return waitForConnection(t, longWaitSettings(), refusing.addr())
 }
 
-// waitForCapacityWithBody is a wait for capacity while the request's body is still being sent.
+// waitForCapacityWithBody is like waitForCapacity, but the body of the request is incomplete.
 func waitForCapacityWithBody(t *testing.T) waitCase {
 	w := waitForCapacity(t, testOptions{limits: platform.ConfigLimits{MemoryMB: 32}})
 	w.request = partialUpload
-	w.disconnects = []string{"fin", "rst", "half"} // bytes behind it would be the rest of the body
+	w.disconnects = []string{"fin", "rst", "half-close"} // further bytes would be the rest of the body
 	return w
 }
 
-// waitForFirstList is a wait for the first endpoint.
+// waitForFirstList returns a case in which requests wait for a list with an endpoint.
 func waitForFirstList(t *testing.T) waitCase {
 	e := startBlockingEndpoint(t)
 	s := startLongWaitSidecar(t)
@@ -91,8 +93,8 @@
 	}}
 }
 
-// waitForRetry is a wait for an endpoint to retry at: the first has failed and is draining, and the
-// other is in slow start.
+// waitForRetry returns a case in which requests wait for an endpoint for their retry: the first
+// endpoint has failed and is draining, and the second is in slow start.
 func waitForRetry(t *testing.T) waitCase {
 	first := startBlockingEndpoint(t)
 	second := startBlockingEndpoint(t)
@@ -102,14 +104,14 @@
 	return waitCase{
 		testSidecar: s,
 		endpoint:    second,
-		disconnects: []string{"fin", "rst", "fin behind bytes"}, // no more than the retry budget allows
+		disconnects: []string{"fin", "rst", "fin after bytes"}, // the retry budget allows no more
 		whileWaiting: func(t *testing.T, waiting int) {
-			waitUntil(t, "all are at the first endpoint", func() bool { return len(first.startedIDs()) == waiting })
+			waitUntil(t, "all requests are at the first endpoint", func() bool { return len(first.startedIDs()) == waiting })
 			cold := listed("cold", second.addr(), platform.StateReady)
 			cold.StartedMs = time.Now().UnixMilli()
 			s.updateEndpoints(t, completeList(2, listed("a", first.addr(), platform.StateDraining), cold))
 			close(first.release)
-			waitUntil(t, "all have failed there", func() bool {
+			waitUntil(t, "all requests have failed there", func() bool {
 				return !slices.ContainsFunc(s.pool.Endpoints(), func(e proxy.EndpointStatus) bool {
 					return e.InFlight > 0
 				})
@@ -121,14 +123,15 @@
 	}
 }
 
-// waitForCapacityDuringShutdown is a wait for capacity that goes on after SIGTERM.
+// waitForCapacityDuringShutdown is like waitForCapacity, but SIGTERM arrives during the wait.
 func waitForCapacityDuringShutdown(t *testing.T) waitCase {
 	w := waitForCapacity(t, testOptions{})
 	w.whileWaiting = func(*testing.T, int) { w.terminate() }
 	return w
 }
 
-// waitForCapacityWhileSuperseded is a wait for capacity that goes on while a successor serves.
+// waitForCapacityWhileSuperseded is like waitForCapacity, but a successor begins to serve during
+// the wait.
 func waitForCapacityWhileSuperseded(t *testing.T) waitCase {
 	dir := t.TempDir()
 	w := waitForCapacity(t, testOptions{sharedDir: dir})
@@ -145,12 +148,12 @@
 		if err := successor.MarkServing(); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, "the successor is found", w.handover.isSuperseded)
+		waitUntil(t, "the sidecar is superseded", w.handover.isSuperseded)
 	}
 	return w
 }
 
-// waitCases are all that a request can wait for.
+// waitCases are all the cases in which a request can wait, by what it waits for.
 var waitCases = map[string]func(t *testing.T) waitCase{
 	"capacity":                          func(t *testing.T) waitCase { return waitForCapacity(t, testOptions{}) },
 	"capacity, no cancellation":         waitForCapacityWithoutCancel,
@@ -164,8 +167,9 @@
 	"a retry":                           waitForRetry,
 }
 
-// Whatever a request waits for when its client disconnects, it is not forwarded when the wait ends.
-// The request of a client that stays connected is, even if the client has sent pipelined bytes.
+// If a client disconnects while its request waits, the request must not be forwarded when the wait
+// ends, whatever it waits for. The request of a client that stays connected must be forwarded, even
+// if the client has sent further pipelined bytes.
 func TestNothingIsForwardedAfterClientDisconnect(t *testing.T) {
 	for name, startWait := range waitCases {
 		t.Run(name, func(t *testing.T) {
@@ -188,7 +192,7 @@
 			for _, disconnect := range disconnectAll {
 				disconnect()
 			}
-			w.waitForInFlight(t, w.othersInFlight+1) // all connections have been checked
+			w.waitForInFlight(t, w.othersInFlight+1) // the sidecar has noticed all disconnects
 			w.endWait(t)
 			stays.requireOK(t)
 			w.waitForInFlight(t, 0)
@@ -197,8 +201,9 @@
 	}
 }
 
-// A connection may be in the kernel's accept queue for long, during a process handover or while the
-// limit of connections is reached. Its client may write a request and disconnect meanwhile.
+// During a process handover, or while the connection limit is reached, a connection may stay in the
+// kernel's accept queue for a long time. If its client sends a request and disconnects meanwhile,
+// the request must not be forwarded.
 func TestNothingIsForwardedAfterDisconnectBeforeAccept(t *testing.T) {
 	e := startBlockingEndpoint(t)
 	s := startLongWaitSidecar(t, e)
@@ -213,9 +218,9 @@
 	e.requireNoneFrom(t, disconnectPrefix)
 }
 
-// A body, buffered or still being received, is being written to an endpoint that reads none of it
-// when its client disconnects: its end is never written, to any endpoint. The body of a client that
-// stays connected is written completely.
+// A client disconnects while its body, buffered or still being received, is being written to an
+// endpoint that does not read it. The end of that body must not be written to any endpoint, since
+// the request would then run. The body of a client that stays connected is written completely.
 func TestBodyIsNotCompletedAfterClientDisconnect(t *testing.T) {
 	for name, c := range map[string]bodyDisconnectCase{
 		"buffered":       {limits: platform.ConfigLimits{MemoryMB: 512}, sentBeforeDisconnect: bodyDisconnectSize},
@@ -228,7 +233,8 @@
 	}
 }
 
-// bodyDisconnectSize is the length of a body that the kernel's buffers on both sides can't hold.
+// bodyDisconnectSize is the length of a body that does not fit into the kernel's buffers on both
+// sides.
 const bodyDisconnectSize = 12 << 20
 
 // bodyDisconnectCase is one case of TestBodyIsNotCompletedAfterClientDisconnect.
@@ -262,16 +268,16 @@
 	u.requireUploads(t, 1)
 }
 
-// pendingUpload is an upload that is being written to one of two endpoints.
+// pendingUpload is an upload that the sidecar is writing to one of two endpoints.
 type pendingUpload struct {
 	*testSidecar
 	client    *testClient
-	sent      chan bool // closed once the client has sent its bytes
+	sent      chan bool // closed once the client has sent its part of the body
 	endpoints []*blockingEndpoint
 }
 
-// startUpload begins an upload of which so many bytes are sent, and waits until it is being written
-// to one of the endpoints.
+// startUpload starts an upload, of whose body the client sends the given number of bytes, and waits
+// until it is being written to one of the endpoints.
 func (c bodyDisconnectCase) startUpload(t *testing.T, bytes int) pendingUpload {
 	first := startBlockingEndpoint(t)
 	second := startBlockingEndpoint(t)
@@ -290,17 +296,17 @@
 		io.WriteString(u.client, strings.Repeat("x", bytes))
 		close(u.sent)
 	}()
-	waitUntil(t, "it is being written", func() bool {
+	waitUntil(t, "the upload is being written to an endpoint", func() bool {
 		return len(first.startedIDs())+len(second.startedIDs()) == 1
 	})
 	return u
 }
 
-// requireUploads checks that one upload was begun in all, that so many were completed, and that no
-// more connections than those stay open.
+// requireUploads checks that one upload was started in total, that wantCompleted uploads were
+// completed, and that no more than wantCompleted connections to endpoints stay open.
 func (u pendingUpload) requireUploads(t *testing.T, wantCompleted int) {
 	t.Helper()
-	waitUntil(t, "no connection is in use", func() bool { return u.pool.Stats().Connections <= wantCompleted })
+	waitUntil(t, "connections to endpoints are closed", func() bool { return u.pool.Stats().Connections <= wantCompleted })
 	var started, completed int
 	for _, e := range u.endpoints {
 		n, complete := e.counts()
@@ -308,17 +314,17 @@
 		completed += complete
 	}
 	if started != 1 || completed != wantCompleted {
-		t.Errorf("it was sent %d times, %d times completely, want 1 and %d", started, completed, wantCompleted)
+		t.Errorf("the upload was started %d times and completed %d times, want 1 and %d", started, completed, wantCompleted)
 	}
 }
 
-// An endpoint closes an idle connection when a request has just been written to it: an idempotent
-// request is retried, and a non-idempotent one, which may have run, is not.
+// An endpoint closes an idle connection just when a request has been written to it. An idempotent
+// request must be retried. A non-idempotent one must not be, since it may have run.
 func TestIdleEndpointConnectionClosedDuringRequest(t *testing.T) {
 	for _, c := range []struct {
 		method, path      string
 		want              int   // status
-		conns, deliveries int32 // at the endpoint, the first request included
+		conns, deliveries int32 // that the endpoint sees, including those of the first request
 	}{
 		{http.MethodGet, "/look", http.StatusOK, 2, 3},
 		{http.MethodPost, "/pay", http.StatusBadGateway, 1, 2},
@@ -334,15 +340,15 @@
 		})
 		s := startSidecar(t, e.Addr)
 		if status := sendRequest(t, s.newRequest(t, c.method, c.path, "first", 10000)).status; status != http.StatusOK {
-			t.Fatalf("the first on %s: %d", c.path, status)
+			t.Fatalf("the first request to %s gets status %d, want 200", c.path, status)
 		}
 		quarantineEnd := time.Now().Add(responseQuarantine)
 		waitUntil(t, "the quarantine is over", func() bool { return time.Now().After(quarantineEnd) })
 		if status := sendRequest(t, s.newRequest(t, c.method, c.path, "second", 10000)).status; status != c.want {
-			t.Errorf("%s gets status %d", c.path, status)
+			t.Errorf("the second request to %s gets status %d", c.path, status)
 		}
 		if conns, deliveries := e.Connections.Load(), e.Requests.Load(); conns != c.conns || deliveries != c.deliveries {
-			t.Errorf("%s was delivered %d times on %d connections", c.path, deliveries, conns)
+			t.Errorf("%s: the endpoint received %d requests on %d connections", c.path, deliveries, conns)
 		}
 	}
 }
--- a/internal/sidecar/forwarding_test.go
+++ b/internal/sidecar/forwarding_test.go
@@ -16,13 +16,13 @@
 	"rowancart/internal/platform"
 )
 
-// hangUntilCanceled never responds, and closes its connection once the attempt is canceled.
+// hangUntilCanceled does not respond, and closes its connection once the attempt is canceled.
 func hangUntilCanceled(conn net.Conn, _ *http.Request, _ int) (keepOpen bool) {
 	conn.Read(make([]byte, 1))
 	return false
 }
 
-// requireRequests checks how many requests an endpoint has received.
+// requireRequests checks the number of requests that an endpoint has received.
 func requireRequests(t *testing.T, received, want int32) {
 	t.Helper()
 	if received != want {
@@ -43,27 +43,27 @@
 	r := s.newRequest(t, http.MethodPost, "/book/a%2Fb?x=1&y=%20", "id-1", 4000)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader("parcel")), 6
 	if resp := sendRequest(t, r); resp.status != http.StatusOK || resp.body != "done" {
-		t.Errorf("%d %q", resp.status, resp.body)
+		t.Errorf("status %d, body %q; want the endpoint's response", resp.status, resp.body)
 	}
 	in := <-received
 	if b := <-body; in.Method != http.MethodPost || in.RequestURI != "/book/a%2Fb?x=1&y=%20" || b != "parcel" ||
 		in.Header.Get(platform.RequestIDHeader) != "id-1" || in.Header.Get(platform.IdempotencyKeyHeader) != "key-id-1" {
-		t.Errorf("%s %s %v, body %q", in.Method, in.RequestURI, in.Header, b)
+		t.Errorf("the endpoint received %s %s %v, body %q", in.Method, in.RequestURI, in.Header, b)
 	}
 	var leftMs int
 	if _, err := fmt.Sscan(in.Header.Get(platform.DeadlineHeader), &leftMs); err != nil || leftMs < 1 || leftMs >= 4000 {
-		t.Errorf("the attempt's deadline is %d ms: %v", leftMs, err)
+		t.Errorf("the attempt's deadline is %d ms, want at least 1 and less than 4000: %v", leftMs, err)
 	}
 }
 
-// A request that can't have run may be rejected; one that may have run fails, and is sent only
-// once.
+// A non-idempotent request must not be sent again. If it may have run, it fails with status 502. If
+// it can't have run, it is rejected with status 503 and Retry-After.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	e := newEndpoint(t, respondWith("", false))
 	s := startSidecar(t, e.Addr, e.Addr, e.Addr)
 	status := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 4000)).status
 	if status != http.StatusBadGateway {
-		t.Errorf("may have run: %d", status)
+		t.Errorf("a request that may have run gets status %d, want 502", status)
 	}
 	requireRequests(t, e.Requests.Load(), 1)
 	closed := newEndpoint(t, respondWith("", false))
@@ -71,7 +71,7 @@
 	s = startSidecar(t, closed.Addr)
 	resp := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r2", 4000))
 	if resp.status != http.StatusServiceUnavailable || resp.header.Get("Retry-After") == "" {
-		t.Errorf("never ran: %d %v", resp.status, resp.header)
+		t.Errorf("a request that never ran gets status %d, header %v; want 503 with Retry-After", resp.status, resp.header)
 	}
 }
 
@@ -80,7 +80,7 @@
 	s := startSidecar(t, e.Addr)
 	status := sendRequest(t, s.newRequest(t, http.MethodPost, "/pay", "r1", 300)).status
 	if status != http.StatusBadGateway {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d, want 502", status)
 	}
 }
 
@@ -100,17 +100,17 @@
 	}()
 	r := s.newRequest(t, http.MethodGet, "/look", "r1", 60000).WithContext(ctx)
 	if _, err := http.DefaultClient.Do(r); !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want context.Canceled", err)
 	}
 	select {
 	case <-canceled:
 	case <-time.After(testTimeout):
-		t.Error("the endpoint's request is not canceled")
+		t.Error("the endpoint's request was not canceled")
 	}
 }
 
-// A client that had closed its sending side before the response was once answered 200, which no
-// endpoint had sent.
+// A client that closes its sending side before the response arrives gets status 502. The sidecar
+// once answered 200 in this case, although no endpoint had sent that.
 func TestHalfClosedClientGetsBadGateway(t *testing.T) {
 	e := newEndpoint(t, hangUntilCanceled)
 	s := startSidecar(t, e.Addr)
@@ -125,7 +125,7 @@
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("%v, %v", resp, err)
+		t.Errorf("response %v, error %v; want status 502", resp, err)
 	}
 }
 
@@ -142,16 +142,17 @@
 	go func() { first <- s.get(t, "/look", "same", 60000) }()
 	<-received
 	if status := s.get(t, "/look", "same", 60000); status != http.StatusConflict {
-		t.Errorf("second: %d", status)
+		t.Errorf("the second request gets status %d, want 409", status)
 	}
 	close(release)
 	if status := <-first; status != http.StatusOK {
-		t.Errorf("first: %d", status)
+		t.Errorf("the first request gets status %d, want 200", status)
 	}
 	requireRequests(t, e.Requests.Load(), 1)
 }
 
-// Clients have been seen to reuse the id of a request that was answered.
+// A request whose id was used before is rejected, even after the first request has been answered:
+// clients have been observed to reuse ids.
 func TestRepeatedIDIsRejectedAfterResponse(t *testing.T) {
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecar(t, e.Addr)
@@ -177,19 +178,20 @@
 		return a.Requests.Swap(0), b.Requests.Swap(0)
 	}
 	if toA, toB := sendEight(); toA == 0 || toB == 0 {
-		t.Errorf("at first %d and %d", toA, toB)
+		t.Errorf("with both ready, a got %d requests and b got %d", toA, toB)
 	}
 	s.updateEndpoints(t, changes(2, listed("a", a.Addr, platform.StateDraining)))
 	if toA, toB := sendEight(); toA != 0 || toB != 8 {
-		t.Errorf("with a draining, %d and %d", toA, toB)
+		t.Errorf("with a draining, a got %d requests and b got %d, want 0 and 8", toA, toB)
 	}
-	s.updateEndpoints(t, completeList(3, listed("b", a.Addr, platform.StateReady))) // a removed, b at its address
+	s.updateEndpoints(t, completeList(3, listed("b", a.Addr, platform.StateReady))) // a is removed, and b has its address
 	if toA, toB := sendEight(); toA != 8 || toB != 0 {
-		t.Errorf("with b at another address, %d to the new and %d to the old one", toA, toB)
+		t.Errorf("after b moved, its new address got %d requests and the old one %d, want 8 and 0", toA, toB)
 	}
 }
 
-// Idle connections of clients must be closed when the limit is reached, and no request may be lost.
+// When the connection limit is reached, idle connections of clients are closed, so that new clients
+// can connect. No request may be lost.
 func TestIdleClientConnectionsAreClosedAtTheLimit(t *testing.T) {
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecarWithLimits(t, platform.ConfigLimits{Sockets: 64}, e.Addr)
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -19,7 +19,7 @@
 	chunkedHeader = "Transfer-Encoding: chunked\r\n"
 )
 
-// chunked returns text as a chunked body with extensions and a trailer.
+// chunked returns text as a chunked body with chunk extensions and a trailer field.
 func chunked(text string) string {
 	var b strings.Builder
 	for chunk := range slices.Chunk([]byte(text), 7777) {
@@ -32,7 +32,7 @@
 type framedResponse struct {
 	text      string
 	body      string
-	truncated bool // the client must see that the response is not complete
+	truncated bool // the client must be able to tell that the response is incomplete
 }
 
 // framedResponses returns responses in all framings, by name.
@@ -59,7 +59,8 @@
 	}
 }
 
-// Every form in which an endpoint may frame a response, to clients of both versions.
+// Clients of HTTP/1.1 and HTTP/1.0 must get the correct body for every framing that an endpoint may
+// use, and must see an error if the response is truncated.
 func TestAllResponseFramings(t *testing.T) {
 	responses := framedResponses()
 	e := newEndpoint(t, func(conn net.Conn, r *http.Request, _ int) bool {
@@ -76,20 +77,20 @@
 				strings.ReplaceAll(name, " ", "_"), version, name, version)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				t.Fatalf("%s, %s: %v", name, version, err)
+				t.Fatalf("%s, HTTP/%s: %v", name, version, err)
 			}
 			body, err := io.ReadAll(resp.Body)
 			conn.Close()
 			if resp.StatusCode != http.StatusOK || (err != nil) != want.truncated ||
 				!want.truncated && string(body) != want.body {
-				t.Errorf("%s, %s: %d, %d bytes, %v", name, version, resp.StatusCode, len(body), err)
+				t.Errorf("%s, HTTP/%s: status %d, %d bytes, error %v", name, version, resp.StatusCode, len(body), err)
 			}
 		}
 	}
 }
 
-// Pipelined requests with every framing of bodies, empty lines between them, and a client that
-// expects 100 Continue.
+// Pipelined requests are told apart correctly, with every framing of bodies, an empty line before a
+// request, and a client that expects 100 Continue.
 func TestPipelinedRequestsOfAllFramings(t *testing.T) {
 	var bodies []string
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -120,13 +121,13 @@
 			resp, err = http.ReadResponse(in, nil)
 		}
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("response %d: %v, %v", i+1, resp, err)
+			t.Fatalf("response %d: %v, error %v", i+1, resp, err)
 		}
 		if b, err := io.ReadAll(resp.Body); err != nil || string(b) != fmt.Sprint(i+1) {
-			t.Errorf("response %d: %q, %v", i+1, b, err)
+			t.Errorf("response %d: body %q, error %v", i+1, b, err)
 		}
 	}
 	if want := []string{"hi", "ho", long, long, "end"}; !slices.Equal(bodies, want) {
-		t.Errorf("%d bodies differ from those sent", len(bodies))
+		t.Errorf("the endpoint received %d bodies, which differ from the 5 that were sent", len(bodies))
 	}
 }
--- a/internal/sidecar/handoverphase_test.go
+++ b/internal/sidecar/handoverphase_test.go
@@ -28,13 +28,13 @@
 			t.Errorf("from %d, without a peer process: %d, want %d", c.from, got, c.noSuccessor)
 		}
 		if got := c.from.afterCheck(predecessorRuns); got != c.noSuccessor {
-			t.Errorf("from %d, with a peer process that is no serving successor: %d, want %d", c.from, got, c.noSuccessor)
+			t.Errorf("from %d, with a peer process that is not a serving successor: %d, want %d", c.from, got, c.noSuccessor)
 		}
 		if got := c.from.afterSIGTERM(); got != c.afterSIGTERM {
 			t.Errorf("from %d, at SIGTERM: %d, want %d", c.from, got, c.afterSIGTERM)
 		}
 		if got := c.from.isSuperseded(); got != c.superseded {
-			t.Errorf("%d is superseded: %v", c.from, got)
+			t.Errorf("phase %d: isSuperseded returns %v", c.from, got)
 		}
 	}
 }
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -13,12 +13,12 @@
 	}{
 		{limits, processesOutsideHandover, 224, 93952409, 16 << 20},
 		{limits, processesDuringHandover, 112, 46976204, 8 << 20},
-		{Limits{MemoryMB: 16, Sockets: 64}, processesOutsideHandover, minConns, 11744051, 2 << 20}, // the least of each
+		{Limits{MemoryMB: 16, Sockets: 64}, processesOutsideHandover, minConns, 11744051, 2 << 20}, // the lowest of each
 	} {
 		conns := c.limits.maxConns(c.processes)
 		heap, bodies := c.limits.heapBytes(c.processes), c.limits.bodyBytes(c.processes)
 		if conns != c.conns || heap != c.heap || bodies != c.bodies {
-			t.Errorf("%+v, %d processes: %d connections, %d bytes of heap, %d of bodies",
+			t.Errorf("%+v, %d processes: got %d connections, %d bytes of heap and %d bytes of bodies",
 				c.limits, c.processes, conns, heap, bodies)
 		}
 	}
--- a/internal/sidecar/malformed_test.go
+++ b/internal/sidecar/malformed_test.go
@@ -22,35 +22,35 @@
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecar(t, e.Addr)
 	for name, text := range map[string]string{
-		"noise":                   "\x01\x02 \x03\r\n\r\n",
+		"no HTTP":                 "\x01\x02 \x03\r\n\r\n",
 		"no host":                 "GET /look HTTP/1.1\r\n" + id + ms + end,
 		"no id":                   "GET /look" + host + ms + end,
 		"an empty id":             "GET /look" + host + "Req-Id:\r\n" + ms + end,
 		"two ids":                 "GET /look" + host + id + "Req-Id: r2\r\n" + ms + end,
-		"an endless id":           "GET /look" + host + "Req-Id: " + strings.Repeat("x", 999) + end + ms + end,
+		"an id too long":          "GET /look" + host + "Req-Id: " + strings.Repeat("x", 999) + end + ms + end,
 		"no deadline":             "GET /look" + host + id + end,
 		"a deadline not a number": "GET /look" + host + id + "Req-Deadline-Ms: soon\r\n" + end,
 		"a deadline of zero":      "GET /look" + host + id + "Req-Deadline-Ms: 0\r\n" + end,
 		"a negative deadline":     "GET /look" + host + id + "Req-Deadline-Ms: -5\r\n" + end,
-		"an endless deadline":     "GET /look" + host + id + "Req-Deadline-Ms: 99999999999999999999\r\n" + end,
+		"a deadline too long":     "GET /look" + host + id + "Req-Deadline-Ms: 99999999999999999999\r\n" + end,
 		"a negative length":       "POST /look" + host + id + ms + "Content-Length: -1\r\n" + end,
 		"a length not a number":   "POST /look" + host + id + ms + "Content-Length: x\r\n" + end,
 		"an over-long body":       "POST /pay" + host + id + ms + "Content-Length: 60000000\r\n" + end + long,
 		"a long idempotent body":  "GET /look" + host + id + ms + "Content-Length: 70000\r\n" + end + long,
 		"a long chunked body": "GET /look" + host + id + ms + "Transfer-Encoding: chunked\r\n" + end +
 			"11170\r\n" + long + "\r\n0\r\n\r\n",
-		"a bad chunk":               "POST /look" + host + id + ms + "Transfer-Encoding: chunked\r\n" + end + "zz\r\n",
-		"an over-long head":         "GET /look" + host + id + ms + "X: " + strings.Repeat("x", 64<<10) + end + end,
-		"a keyed class with no key": "POST /book" + host + id + ms + empty + end,
-		"another method":            "DELETE /look" + host + id + ms + end,
-		"an idempotent POST":        "POST /look" + host + id + ms + empty + end,
-		"an idempotent body":        "GET /look" + host + id + ms + "Content-Length: 2\r\n" + end + "hi",
-		"a non-idempotent GET":      "GET /pay" + host + id + ms + end,
-		"an unknown class":          "GET /looks" + host + id + ms + end,
-		"no class":                  "GET /" + host + id + ms + end,
-		"a path out of the class":   "GET /look/../pay/x" + host + id + ms + end,
-		"an encoded path out":       "GET /look/%2e%2E%2fpay/x" + host + id + ms + end,
-		"an encoded class":          "GET /l%6fok" + host + id + ms + end,
+		"a bad chunk":                    "POST /look" + host + id + ms + "Transfer-Encoding: chunked\r\n" + end + "zz\r\n",
+		"an over-long head":              "GET /look" + host + id + ms + "X: " + strings.Repeat("x", 64<<10) + end + end,
+		"a keyed class with no key":      "POST /book" + host + id + ms + empty + end,
+		"another method":                 "DELETE /look" + host + id + ms + end,
+		"an idempotent POST":             "POST /look" + host + id + ms + empty + end,
+		"an idempotent body":             "GET /look" + host + id + ms + "Content-Length: 2\r\n" + end + "hi",
+		"a non-idempotent GET":           "GET /pay" + host + id + ms + end,
+		"an unknown class":               "GET /looks" + host + id + ms + end,
+		"no class":                       "GET /" + host + id + ms + end,
+		"a path that leaves the class":   "GET /look/../pay/x" + host + id + ms + end,
+		"an encoded path that leaves it": "GET /look/%2e%2E%2fpay/x" + host + id + ms + end,
+		"an encoded class":               "GET /l%6fok" + host + id + ms + end,
 	} {
 		conn := s.dial(t)
 		go io.WriteString(conn, text)
@@ -58,18 +58,18 @@
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		} else if resp.StatusCode < 400 || resp.StatusCode > 499 || resp.StatusCode == http.StatusTooManyRequests {
-			t.Errorf("%s: status %d", name, resp.StatusCode)
+			t.Errorf("%s: status %d, want 4xx other than 429", name, resp.StatusCode)
 		}
 		conn.Close()
 	}
 	requireRequests(t, e.Requests.Load(), 0)
 	if status := s.get(t, "/look", "r1", 4000); status != http.StatusOK {
-		t.Errorf("a valid request afterwards: %d", status)
+		t.Errorf("a valid request afterwards gets status %d, want 200", status)
 	}
 }
 
-// Where Content-Length and Transfer-Encoding disagreed, a request inside the body of another was
-// once parsed as a request.
+// A request with both Content-Length and Transfer-Encoding must not smuggle another request: the
+// sidecar once parsed a part of such a body as a request.
 func TestSmuggledRequestReachesNoEndpoint(t *testing.T) {
 	const (
 		smuggled  = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: hidden\r\nReq-Deadline-Ms: 6000\r\n\r\n"
@@ -89,17 +89,17 @@
 		conn := s.dial(t)
 		io.WriteString(conn, text)
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
-		responses, err := io.ReadAll(conn) // to the end of the connection
+		responses, err := io.ReadAll(conn) // until the connection is closed
 		n, served := strings.Count(string(responses), "HTTP/1."), strings.Contains(string(responses), "200 OK")
 		if err != nil || n != 1 || served {
-			t.Errorf("%s: %d responses, %v: %q", name, n, err, responses)
+			t.Errorf("%s: %d responses, error %v, want one rejection: %q", name, n, err, responses)
 		}
 	}
 	requireRequests(t, e.Requests.Load(), 0)
 }
 
-// A body that never ends must not keep its connection open, whatever else is wrong with the
-// request.
+// A client that stops sending in the middle of a body must not keep its connection open, whether
+// the request is valid or not.
 func TestUnfinishedBodyTimesOut(t *testing.T) {
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecar(t, e.Addr)
@@ -108,9 +108,9 @@
 		conn := s.dial(t)
 		io.WriteString(conn, "POST /look HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 9\r\n\r\nhalf")
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
-		text, err := io.ReadAll(conn) // to the end of the connection
+		text, err := io.ReadAll(conn) // until the connection is closed
 		if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 400 ") {
-			t.Errorf("%s: %q, %v", name, text, err)
+			t.Errorf("%s: response %q, error %v; want status 400", name, text, err)
 		}
 		conn.Close()
 	}
--- a/internal/sidecar/operations.go
+++ b/internal/sidecar/operations.go
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// applyDisabledLocked disables the endpoints with the given ids and enables all other endpoints. The
-// caller must hold o.mu.
+// applyDisabledLocked disables the endpoints with the given ids and enables all others. The caller
+// must hold o.mu.
 func (o *operations) applyDisabledLocked(ids []string) {
 	for _, id := range ids {
 		if !o.disabled[id] {
--- a/internal/sidecar/operations_test.go
+++ b/internal/sidecar/operations_test.go
@@ -16,7 +16,7 @@
 	"rowancart/internal/platform"
 )
 
-// methodOf returns the method that a class of testSettings takes.
+// methodOf returns the HTTP method for requests of a class of testSettings.
 func methodOf(class string) string {
 	if class == "look" {
 		return http.MethodGet
@@ -34,39 +34,39 @@
 			sent++
 			r := s.newRequest(t, methodOf(class), "/"+class, fmt.Sprint("r", sent), 60000)
 			if status := sendRequest(t, r).status; status != http.StatusOK {
-				t.Errorf("status %d", status)
+				t.Errorf("status %d, want 200", status)
 			}
 		}
 		return a.Requests.Swap(0), b.Requests.Swap(0)
 	}
 	if toA, toB := sendTwelve("look"); toA == 0 || toB == 0 {
-		t.Errorf("at first %d and %d", toA, toB)
+		t.Errorf("with both enabled, a got %d requests and b got %d", toA, toB)
 	}
 	s.requireSuccess(t, "disable-server a")
-	s.requireSuccess(t, "disable-server a") // twice
+	s.requireSuccess(t, "disable-server a") // already disabled
 	if toA, toB := sendTwelve("pay"); toA != 0 || toB != 12 {
-		t.Errorf("with a disabled, %d and %d", toA, toB)
+		t.Errorf("with a disabled, a got %d requests and b got %d, want 0 and 12", toA, toB)
 	}
 	if n := s.metric(t, "sidecar_targets_disabled"); n != 1 {
-		t.Errorf("%d endpoints are reported as avoided", n)
+		t.Errorf("sidecar_targets_disabled is %d, want 1", n)
 	}
-	s.updateEndpoints(t, completeList(2, listed("b", b.Addr, platform.StateReady))) // removed, and listed again
+	s.updateEndpoints(t, completeList(2, listed("b", b.Addr, platform.StateReady))) // a is removed, and then listed again
 	s.updateEndpoints(t, completeList(3,
 		listed("a", a.Addr, platform.StateReady), listed("b", b.Addr, platform.StateReady)))
 	if toA, toB := sendTwelve("look"); toA != 0 || toB != 12 {
-		t.Errorf("with a disabled and listed again, %d and %d", toA, toB)
+		t.Errorf("with a disabled and listed again, a got %d requests and b got %d, want 0 and 12", toA, toB)
 	}
-	s.requireSuccess(t, "enable-server a") // once is enough
+	s.requireSuccess(t, "enable-server a") // undoes both commands to disable a
 	if toA, _ := sendTwelve("look"); toA == 0 {
-		t.Error("enabled again, a gets nothing")
+		t.Error("a gets no requests after it was enabled again")
 	}
-	s.requireSuccess(t, "enable-server a") // listed and not disabled
+	s.requireSuccess(t, "enable-server a") // already enabled
 	for _, line := range []string{"disable-server c", "enable-server c", "drain a", "disable-server a b"} {
 		s.requireFailure(t, line)
 	}
 }
 
-// followQuery responds as a request's query says.
+// followQuery responds as the query of the request asks for.
 func followQuery(conn net.Conn, r *http.Request, _ int) (keepOpen bool) {
 	switch r.URL.Query().Get("do") {
 	case "serve":
@@ -87,8 +87,8 @@
 	return true
 }
 
-// The metrics match what clients and endpoints observed: each response by its outcome, each attempt
-// that was written completely, and no request in flight at the end.
+// The metrics match what clients and endpoints observed: the responses by outcome, the attempts
+// that were written completely, and no request in flight at the end.
 func TestMetricsMatchWhatPeersObserved(t *testing.T) {
 	e := newEndpoint(t, followQuery)
 	s := startSidecar(t, e.Addr)
@@ -113,7 +113,7 @@
 	}
 	disconnecting := s.dial(t)
 	s.newRequest(t, http.MethodPost, "/book?do=hang", "disconnects", 60000).Write(disconnecting)
-	waitUntil(t, "it is in flight", func() bool { return s.metric(t, "sidecar_concurrent") == 1 })
+	waitUntil(t, "the request is in flight", func() bool { return s.metric(t, "sidecar_concurrent") == 1 })
 	disconnecting.Close() // counts as an error: its client gets no response
 	observed[`sidecar_error{type="book"}`]++
 	s.get(t, "/look?do=serve", "look0", 500) // a duplicate of a request that was answered
@@ -137,8 +137,8 @@
 	}
 }
 
-// The admin interface responds while all client connections are in use, and silent clients are
-// connected to the admin interface itself.
+// The admin interface responds even if all client connections are in use and many connections to
+// the admin interface itself send no complete command.
 func TestAdminRespondsUnderLoad(t *testing.T) {
 	received, release := make(chan bool, 200), make(chan bool)
 	e := newEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) bool {
@@ -171,12 +171,12 @@
 	r := newReadiness()
 	o := &operations{readiness: r}
 	if err := o.Ready(); !errors.Is(err, errNoList) {
-		t.Errorf("before discovery's first list: %v", err)
+		t.Errorf("before the first endpoint list: %v, want errNoList", err)
 	}
 	r.markListReceived()
 	r.markListReceived()
 	if err := o.Ready(); !errors.Is(err, errNotAccepting) {
-		t.Errorf("before connections are accepted: %v", err)
+		t.Errorf("before connections are accepted: %v, want errNotAccepting", err)
 	}
 	r.accepting.Store(true)
 	if err := o.Ready(); err != nil {
@@ -186,11 +186,11 @@
 	silent.listDeadline = time.Now()
 	silent.accepting.Store(true)
 	if err := (&operations{readiness: silent}).Ready(); err != nil {
-		t.Errorf("after the deadline for discovery's list: %v", err)
+		t.Errorf("after the deadline for the first endpoint list: %v, want ready", err)
 	}
 }
 
-// hookHandler is a log handler that calls a function with each message.
+// hookHandler is a log handler that calls onMessage with each message.
 type hookHandler struct {
 	slog.Handler
 	onMessage func(message string)
@@ -205,9 +205,9 @@
 // Enabled implements slog.Handler.
 func (h hookHandler) Enabled(context.Context, slog.Level) bool { return true }
 
-// Once a process is ready the platform sends SIGTERM to its predecessor, which must know by then
-// that it has a successor. So the predecessor is notified first. Here that fails, and the process
-// is not ready yet when the failure is logged.
+// Once a process is ready, the platform sends SIGTERM to its predecessor, which must know by then
+// that it has a successor. So the predecessor must be notified before the process is ready. In this
+// test the notification fails, and the process must not be ready yet when the failure is logged.
 func TestPredecessorIsNotifiedBeforeReady(t *testing.T) {
 	c := testOptions{settings: &platform.SettingsObject{}, sharedDir: t.TempDir()}.config(t, "127.0.0.1:9")
 	readyAtNotification := make(chan error, 1)
@@ -221,14 +221,14 @@
 		t.Fatal(err)
 	}
 	s.readiness.markListReceived()
-	s.handover.registration.presence.Unregister() // its file is removed: the predecessor can't be notified
+	s.handover.registration.presence.Unregister() // removes its file, so that the predecessor can't be notified
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- s.Serve(ctx) }()
 	if err := <-readyAtNotification; !errors.Is(err, errNotAccepting) {
-		t.Errorf("before the notification: %v", err)
+		t.Errorf("readiness at the time of the notification: %v, want errNotAccepting", err)
 	}
-	waitUntil(t, "it is ready", func() bool { return s.readiness.check() == nil })
+	waitUntil(t, "the process is ready", func() bool { return s.readiness.check() == nil })
 	end()
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -246,21 +246,21 @@
 		t.Fatal(err)
 	}
 	if _, err := Start(c, slog.New(slog.DiscardHandler)); !isFieldError(err, "console") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one for the field console", err)
 	}
 }
 
-// A command comes before the first endpoint list has been received: its response waits for the
-// list.
+// A command that arrives before the first endpoint list waits for the list, since the list may
+// contain the endpoint.
 func TestDisableWaitsForTheFirstList(t *testing.T) {
 	e := newEndpoint(t, respondWith(okResponse, true))
-	s := testOptions{}.start(t) // it knows no endpoint
+	s := testOptions{}.start(t) // with an empty endpoint list
 	response := make(chan string, 1)
 	go func() { response <- s.adminCommand(t, "disable-server a") }()
-	time.Sleep(100 * time.Millisecond) // the command probably comes first; the test is valid either way
+	time.Sleep(100 * time.Millisecond) // the command most likely arrives first; the test is valid either way
 	s.updateEndpoints(t, completeList(2, listed("a", e.Addr, platform.StateReady)))
 	s.readiness.markListReceived()
 	if got := <-response; !strings.HasPrefix(got, "SUCCESS") {
-		t.Errorf("%q", got)
+		t.Errorf("response %q, want SUCCESS", got)
 	}
 }
--- a/internal/sidecar/registration_test.go
+++ b/internal/sidecar/registration_test.go
@@ -32,9 +32,9 @@
 	dir := hotrestart.NewSharedDir(parent, "n")
 	r := registration{sharedDir: dir}
 	if err := r.update(); err == nil || r.presence != nil {
-		t.Fatalf("registered without a directory: %v", err)
+		t.Fatalf("registering without a directory: error %v", err)
 	}
-	r.unregister() // nothing is registered
+	r.unregister() // has no effect, because nothing is registered
 	if err := os.Remove(parent); err != nil {
 		t.Fatal(err)
 	}
@@ -42,29 +42,30 @@
 		t.Fatal(err)
 	}
 	if !hasRunningProcess(t, dir) {
-		t.Error("its peer processes don't see it")
+		t.Error("peer processes do not see the registered process")
 	}
 	r.unregister()
 	if hasRunningProcess(t, dir) {
-		t.Error("its peer processes see it after it has unregistered")
+		t.Error("peer processes see the process after it has unregistered")
 	}
 }
 
 func TestRegistrationIsMarkedServingOnce(t *testing.T) {
 	r := registration{sharedDir: hotrestart.NewSharedDir(t.TempDir(), "n")}
 	if err := r.update(); err != nil || r.markedServing {
-		t.Fatalf("before it serves: marked %v, %v", r.markedServing, err)
+		t.Fatalf("before the process serves: marked %v, error %v", r.markedServing, err)
 	}
 	r.serving = true
 	for range 2 {
 		if err := r.update(); err != nil || !r.markedServing {
-			t.Fatalf("once it serves: marked %v, %v", r.markedServing, err)
+			t.Fatalf("once the process serves: marked %v, error %v", r.markedServing, err)
 		}
 	}
 	r.unregister()
 }
 
-// Something has removed the presence file: this process registers anew, and is then marked.
+// If something else removes the presence file, the process registers again and is then marked as
+// serving.
 func TestRegistrationIsRenewedOnceItsFileIsRemoved(t *testing.T) {
 	r := registration{sharedDir: hotrestart.NewSharedDir(t.TempDir(), "n")}
 	if err := r.update(); err != nil {
@@ -73,10 +74,10 @@
 	r.presence.Unregister()
 	r.serving = true
 	if err := r.update(); err == nil || r.presence != nil || r.markedServing {
-		t.Fatalf("marked %v, %v", r.markedServing, err)
+		t.Fatalf("after its file was removed: marked %v, error %v; want an error", r.markedServing, err)
 	}
 	if err := r.update(); err != nil || !r.markedServing {
-		t.Errorf("registered anew: marked %v, %v", r.markedServing, err)
+		t.Errorf("after registering again: marked %v, error %v", r.markedServing, err)
 	}
 	r.unregister()
 }
--- a/internal/sidecar/shareddir_test.go
+++ b/internal/sidecar/shareddir_test.go
@@ -13,11 +13,11 @@
 	"rowancart/internal/testpeer"
 )
 
-// movedSharedDir is the name of the real directory while a shared directory fails.
+// movedSharedDir is the name of the shared directory while breakSharedDir has moved it away.
 const movedSharedDir = "moved"
 
-// breakSharedDir makes all operations in the shared directory of a test sidecar fail, until the
-// function returned is called.
+// breakSharedDir makes all operations in the shared directory of a test sidecar fail until the
+// returned function is called.
 func breakSharedDir(t *testing.T, parent string) (restore func()) {
 	t.Helper()
 	path := filepath.Join(parent, "rowancart-") // a test sidecar has no name
@@ -38,8 +38,8 @@
 	}
 }
 
-// An endpoint that an operator has disabled is disabled in the next process, though the shared
-// directory fails while that process starts.
+// An endpoint that an operator has disabled must stay disabled in the next process, even if the
+// shared directory fails while that process starts.
 func TestEndpointStaysDisabledThoughSharedDirFailsAtStart(t *testing.T) {
 	a := newEndpoint(t, respondWith(okResponse, true))
 	b := newEndpoint(t, respondWith(okResponse, true))
@@ -57,7 +57,7 @@
 	testpeer.WaitUntil(t, "the admin interface responds", func() bool { return second.adminCommand(t, "ready") != "" })
 	restore()
 	if status := <-answered; status != http.StatusOK {
-		t.Errorf("a request from before the directory works again gets status %d", status)
+		t.Errorf("a request sent while the directory failed gets status %d, want 200", status)
 	}
 	for i := range 10 {
 		second.get(t, "/look", fmt.Sprint("later", i), 60000)
@@ -67,15 +67,15 @@
 	}
 }
 
-// The shared directory fails while an operator disables an endpoint: it is disabled at once, and
-// that is stored as soon as the directory works.
+// If the shared directory fails while an operator disables an endpoint, the endpoint is disabled at
+// once, and this is stored as soon as the directory works again.
 func TestDisabledEndpointIsStoredOnceSharedDirWorks(t *testing.T) {
 	a := newEndpoint(t, respondWith(okResponse, true))
 	b := newEndpoint(t, respondWith(okResponse, true))
 	sharedDir := t.TempDir()
 	endpoints := []platform.Endpoint{listed("a", a.Addr, platform.StateReady), listed("b", b.Addr, platform.StateReady)}
 	first := testOptions{sharedDir: sharedDir, endpoints: endpoints}.start(t)
-	waitUntil(t, "it serves", func() bool { return first.readiness.accepting.Load() })
+	waitUntil(t, "the first process serves", func() bool { return first.readiness.accepting.Load() })
 	restore := breakSharedDir(t, sharedDir)
 	first.requireFailure(t, "disable-server a")
 	for i := range 6 {
@@ -98,12 +98,12 @@
 	}
 	second.requireSuccess(t, "enable-server a")
 	if files, err := os.ReadDir(disabledDir); err != nil || len(files) != 0 {
-		t.Errorf("after the endpoint was enabled: %v, %v", files, err)
+		t.Errorf("files after the endpoint was enabled: %v, error %v; want none", files, err)
 	}
 }
 
-// A process was killed while it wrote a snapshot: the next one removes the incomplete file, which
-// counts as memory.
+// A process that is killed while it writes a snapshot leaves an incomplete file. The next process
+// must remove it, since the file counts as memory.
 func TestIncompleteSnapshotIsRemoved(t *testing.T) {
 	sharedDir := t.TempDir()
 	dir := filepath.Join(sharedDir, "rowancart-")
@@ -115,26 +115,26 @@
 		t.Fatal(err)
 	}
 	testOptions{sharedDir: sharedDir}.start(t)
-	waitUntil(t, "the file is gone", func() bool {
+	waitUntil(t, "the incomplete snapshot is removed", func() bool {
 		_, err := os.Stat(leftover)
 		return err != nil
 	})
 }
 
-// The shared directory fails during the write of a snapshot: the incomplete file is removed once
+// If the shared directory fails while a snapshot is written, the incomplete file is removed once
 // the directory works again.
 func TestIncompleteSnapshotOfFailedWriteIsRemoved(t *testing.T) {
 	sharedDir := t.TempDir()
 	s := testOptions{sharedDir: sharedDir}.start(t)
-	waitUntil(t, "it serves", func() bool { return s.readiness.accepting.Load() })
+	waitUntil(t, "the sidecar serves", func() bool { return s.readiness.accepting.Load() })
 	restore := breakSharedDir(t, sharedDir)
-	waitUntil(t, "a write fails", func() bool { return s.handover.snapshots.failed.Load() })
+	waitUntil(t, "writing a snapshot fails", func() bool { return s.handover.snapshots.failed.Load() })
 	leftover := filepath.Join(sharedDir, movedSharedDir, "learned.new-17")
 	if err := os.WriteFile(leftover, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	restore()
-	waitUntil(t, "the file is gone", func() bool {
+	waitUntil(t, "the incomplete snapshot is removed", func() bool {
 		_, err := os.Stat(filepath.Join(sharedDir, "rowancart-", "learned.new-17"))
 		return errors.Is(err, fs.ErrNotExist)
 	})
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -16,7 +16,7 @@
 	"rowancart/internal/platform"
 )
 
-// SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, plus 0.7 s.
+// The earliest SIGKILL follows SIGTERM by the longest deadline, limited to 3 s, plus 0.7 s.
 func TestKillDelayFollowsTheLongestDeadline(t *testing.T) {
 	for classes, want := range map[string]time.Duration{
 		`{"Semantics":"read_like","HardLimitUs":200000},
@@ -30,13 +30,13 @@
 			t.Fatal(err)
 		}
 		if got := killDelay(c); got != want {
-			t.Errorf("%s: %v, want %v", classes, got, want)
+			t.Errorf("%s: kill delay %v, want %v", classes, got, want)
 		}
 	}
 }
 
-// After SIGTERM clients go on connecting for a while. Every accepted request is answered before the
-// end.
+// After SIGTERM, clients go on connecting for some time. Every accepted request must be answered
+// before the process ends.
 func TestGracefulShutdownLosesNoRequest(t *testing.T) {
 	received, release := make(chan bool, 100), make(chan bool)
 	e := newEndpoint(t, func(conn net.Conn, r *http.Request, _ int) bool {
@@ -53,22 +53,22 @@
 		slow.Go(func() {
 			resp := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("slow", i), 60000)).resp
 			if resp.StatusCode != http.StatusOK || !resp.Close {
-				t.Errorf("in flight: %d, close %v", resp.StatusCode, resp.Close)
+				t.Errorf("a request in flight gets status %d, close %v; want 200, true", resp.StatusCode, resp.Close)
 			}
 		})
 		<-received
 	}
 	idle := sendKeepingConn(t, s.newRequest(t, http.MethodGet, "/look", "idle", 60000))
 	if idle.resp.StatusCode != http.StatusOK || idle.resp.Close {
-		t.Errorf("before the signal: %d, close %v", idle.resp.StatusCode, idle.resp.Close)
+		t.Errorf("a request before SIGTERM gets status %d, close %v; want 200, false", idle.resp.StatusCode, idle.resp.Close)
 	}
 
 	s.terminate()
 	if status := s.get(t, "/look", "late", 60000); status != http.StatusOK {
-		t.Errorf("right after the signal: %d", status)
+		t.Errorf("a request right after SIGTERM gets status %d, want 200", status)
 	}
 	if _, err := idle.in.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection: %v", err)
+		t.Errorf("reading from an idle connection: %v, want EOF", err)
 	}
 	waitUntil(t, "the listener is closed", func() bool {
 		conn, err := net.Dial("tcp", s.addr)
@@ -79,18 +79,19 @@
 	})
 	select {
 	case err := <-s.serveResult:
-		t.Fatalf("ended with requests in flight: %v", err)
+		t.Fatalf("Serve returned while requests are in flight: %v", err)
 	default:
 	}
 	close(release)
 	slow.Wait()
 	if err := s.waitForServeResult(t); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve returned %v", err)
 	}
 }
 
-// Endpoints hang when SIGTERM comes, and deadlines are far off: every accepted request is answered
-// before SIGKILL can come, and requests that have not been received by then do not delay the exit.
+// The endpoint hangs when SIGTERM arrives, and the deadlines of requests are long after SIGKILL.
+// Every accepted request must be answered before SIGKILL can arrive, and connections whose client
+// has sent no complete request by then must not delay the exit.
 func TestShutdownAnswersEveryAcceptedRequestBeforeSIGKILL(t *testing.T) {
 	e := startBlockingEndpoint(t)
 	e.blockPrefix = ""
@@ -104,7 +105,7 @@
 		s.connectAndSend(t, "idempotent", lookRequest),
 		s.connectAndSend(t, "non-idempotent", payRequest),
 	}
-	waitUntil(t, "both are at the endpoint", func() bool { return len(e.startedIDs()) == 2 })
+	waitUntil(t, "both requests are at the endpoint", func() bool { return len(e.startedIDs()) == 2 })
 	for i := range initialCapacity { // all but two of these wait for capacity
 		accepted = append(accepted, s.connectAndSend(t, fmt.Sprint("more", i), lookRequest))
 	}
@@ -117,14 +118,14 @@
 		return open == initialCapacity+5
 	})
 
-	signalled := time.Now()
+	terminatedAt := time.Now()
 	s.terminate()
-	fresh := s.connectAndSend(t, "new", lookRequest) // too little time is left for it: it is rejected at once
-	if resp := fresh.readResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a new request gets status %d", resp.StatusCode)
+	late := s.connectAndSend(t, "new", lookRequest) // rejected at once: too little time is left for it
+	if resp := late.readResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("a new request gets status %d, want 503", resp.StatusCode)
 	}
 	s.waitForDraining(t)
-	half.send("\r\n") // the rest
+	half.send("\r\n") // completes the request
 	silent.send(lookRequest)
 	for _, c := range append(accepted, half, silent) {
 		want := http.StatusServiceUnavailable
@@ -139,13 +140,13 @@
 		t.Errorf("the client that sent no request gets a response")
 	}
 	err := s.waitForServeResult(t)
-	if took := time.Since(signalled); err != nil || took > 5*time.Second { // else 60 s and more
-		t.Errorf("ended after %v with %v", took, err)
+	if took := time.Since(terminatedAt); err != nil || took > 5*time.Second { // 60 s or more if it waits for requests
+		t.Errorf("Serve returned after %v with error %v", took, err)
 	}
 }
 
-// A response that ends with its connection and is truncated at shutdown must not pass for a
-// complete one.
+// If a shutdown truncates a response whose end is marked by the end of its connection, the
+// connection must be reset. Otherwise the client takes the response for complete.
 func TestShutdownResetsTruncatedResponse(t *testing.T) {
 	e := newBlockingEndpoint(t)
 	go func() {
@@ -167,19 +168,19 @@
 	if _, err := io.ReadFull(c, make([]byte, len("HTTP/1.1 200"))); err != nil {
 		t.Fatal(err)
 	}
-	signalled := time.Now()
+	terminatedAt := time.Now()
 	s.terminate()
 	text, err := io.ReadAll(c)
-	if took := time.Since(signalled); took > 8*time.Second { // a silent endpoint else delays it for 12 s
-		t.Errorf("truncated after %v", took)
+	if took := time.Since(terminatedAt); took > 8*time.Second { // a silent endpoint would otherwise delay it for 12 s
+		t.Errorf("the response was truncated %v after SIGTERM, want 8 s at most", took)
 	}
 	if !strings.HasSuffix(string(text), "half") || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("%q, then %v", text, err)
+		t.Errorf("response ends with %q, error %v; want a connection reset", text, err)
 	}
 }
 
-// A pipelined request has been accepted when the response to the request before it is written
-// during shutdown, read or not: it is answered, and only the last response closes the connection.
+// A pipelined request that has arrived when a shutdown begins, whether the sidecar has read it or
+// not, must be answered after the request before it. Only the last response closes the connection.
 func TestShutdownAnswersPipelinedRequests(t *testing.T) {
 	for name, sentTogether := range map[string]bool{"read with the first": true, "unread": false} {
 		t.Run(name, func(t *testing.T) {
@@ -190,7 +191,7 @@
 				text += pipelinedRequest
 			}
 			c := s.connectAndSend(t, "hang", text)
-			waitUntil(t, "it is at the endpoint", func() bool { return len(e.startedIDs()) == 1 })
+			waitUntil(t, "the first request is at the endpoint", func() bool { return len(e.startedIDs()) == 1 })
 			if !sentTogether {
 				c.send(pipelinedRequest)
 			}
@@ -205,11 +206,11 @@
 				}
 				_, err = io.Copy(io.Discard, resp.Body)
 				if err != nil || resp.StatusCode != http.StatusOK || resp.Close != last {
-					t.Errorf("response %d: %d, close %v, %v", i+1, resp.StatusCode, resp.Close, err)
+					t.Errorf("response %d: status %d, close %v, error %v", i+1, resp.StatusCode, resp.Close, err)
 				}
 			}
 			if _, err := in.ReadByte(); err != io.EOF {
-				t.Errorf("after the last response: %v", err)
+				t.Errorf("reading after the last response: %v, want EOF", err)
 			}
 		})
 	}
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The address is still in use when the process starts, as right after a restart: the start succeeds
-// once the address is free.
+// If the listen address is still in use when the process starts, as may be right after a restart,
+// the start succeeds once the address is free.
 func TestStartWaitsForItsAddress(t *testing.T) {
 	inUse, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	if s.Addr().String() != c.Listen {
-		t.Errorf("it listens on %v", s.Addr())
+		t.Errorf("the sidecar listens on %v, not on the configured address", s.Addr())
 	}
 	s.listener.Close()
 }
--- a/internal/sidecar/testendpoint_test.go
+++ b/internal/sidecar/testendpoint_test.go
@@ -16,12 +16,12 @@
 	"rowancart/internal/platform"
 )
 
-// blockingEndpoint is a fake endpoint that records each request once it has received the head.
-// Requests whose id begins with blockPrefix wait for release.
+// blockingEndpoint is a fake endpoint that records each request once it has received its head. A
+// request whose id begins with blockPrefix is held, with its body unread, until release is closed.
 type blockingEndpoint struct {
 	net.Listener
 	blockPrefix     string
-	closeUnanswered bool // requests that have waited get no response
+	closeUnanswered bool // close the connections of held requests without a response
 	release         chan bool
 
 	mu        sync.Mutex
@@ -39,7 +39,7 @@
 	return newBlockingEndpointOn(t, l)
 }
 
-// newBlockingEndpointOn returns an endpoint on a listener, which is closed with the test.
+// newBlockingEndpointOn returns an endpoint on a listener, which is closed when the test ends.
 func newBlockingEndpointOn(t *testing.T, l net.Listener) *blockingEndpoint {
 	t.Cleanup(func() { l.Close() })
 	return &blockingEndpoint{Listener: l, blockPrefix: "hang", release: make(chan bool)}
@@ -53,8 +53,8 @@
 	return e
 }
 
-// newFullBacklogEndpoint returns an endpoint whose accept queue is full: connections to it are not
-// established before it accepts.
+// newFullBacklogEndpoint returns an endpoint whose accept queue is full, so that connections to it
+// are not established until startAccepting is called.
 func newFullBacklogEndpoint(t *testing.T) *blockingEndpoint {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	e := newBlockingEndpointOn(t, l)
-	conn, err := net.Dial("tcp", e.addr()) // the only one that the queue holds
+	conn, err := net.Dial("tcp", e.addr()) // fills the queue, which holds one connection
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,14 +133,15 @@
 	return slices.Clone(e.started)
 }
 
-// counts returns of how many requests the head was received, and how many were received completely.
+// counts returns how many requests were received up to the end of their head, and how many
+// completely.
 func (e *blockingEndpoint) counts() (started, completed int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.started), len(e.completed)
 }
 
-// requireNoneFrom checks that no request was received whose id begins with a prefix.
+// requireNoneFrom checks that the endpoint has received no request whose id begins with prefix.
 func (e *blockingEndpoint) requireNoneFrom(t *testing.T, prefix string) {
 	t.Helper()
 	for _, id := range e.startedIDs() {
@@ -150,7 +151,7 @@
 	}
 }
 
-// listedAll returns endpoints as discovery lists them, named a, b, ...
+// listedAll returns the entries of the endpoints in an endpoint list, with the ids a, b, ...
 func listedAll(endpoints ...*blockingEndpoint) []platform.Endpoint {
 	var entries []platform.Endpoint
 	for i, e := range endpoints {
--- a/internal/sidecar/testsidecar_test.go
+++ b/internal/sidecar/testsidecar_test.go
@@ -20,7 +20,7 @@
 	"rowancart/internal/testpeer"
 )
 
-// Short names for what the tests of this package use most.
+// Short names for the helpers that the tests of this package use most.
 const (
 	testTimeout = testpeer.WaitTimeout
 	okResponse  = testpeer.OKResponse
@@ -35,7 +35,7 @@
 	listed       = testpeer.Listed
 )
 
-// testSettings have one class of each kind: look is idempotent, book is idempotent with a key, and
+// testSettings returns settings with one class of each kind: look is idempotent, book is keyed, and
 // pay is non-idempotent.
 func testSettings() *platform.SettingsObject {
 	const objectiveUs = 2_000_000
@@ -61,7 +61,7 @@
 	}
 }
 
-// longWaitSettings let requests wait for as long as a test takes.
+// longWaitSettings returns settings with which requests may wait for the duration of a test.
 func longWaitSettings() *platform.SettingsObject {
 	const objectiveUs = 60_000_000
 	return &platform.SettingsObject{
@@ -78,33 +78,33 @@
 	}
 }
 
-// noCancelSettings are longWaitSettings that forbid the cancellation of attempts.
+// noCancelSettings returns longWaitSettings, except that attempts must not be canceled.
 func noCancelSettings() *platform.SettingsObject {
 	settings := longWaitSettings()
 	settings.Permissions.CancelAllowed = false
 	return settings
 }
 
-// initialCapacity is how many requests fill one endpoint of one sidecar with longWaitSettings
-// before anything is known of it.
+// initialCapacity is how many requests in flight a sidecar with longWaitSettings allows an endpoint
+// of which it has learned nothing yet.
 const initialCapacity = 6
 
-// testSidecar is a complete sidecar on loopback sockets.
+// testSidecar is a complete sidecar that listens on loopback addresses.
 type testSidecar struct {
 	*Sidecar
 	addr        string
-	terminate   context.CancelFunc // as SIGTERM does
+	terminate   context.CancelFunc // has the effect of SIGTERM
 	serveResult chan error
 }
 
-// startSidecar starts a sidecar with the endpoints given, named a, b, ... Its fake discovery sends
-// nothing.
+// startSidecar starts a sidecar with endpoints at the given addresses, whose ids are a, b, ... Its
+// fake discovery sends nothing.
 func startSidecar(t *testing.T, addrs ...string) *testSidecar {
 	t.Helper()
 	return startSidecarWithLimits(t, platform.ConfigLimits{}, addrs...)
 }
 
-// startSidecarWithLimits is startSidecar with limits.
+// startSidecarWithLimits is like startSidecar, but also sets limits.
 func startSidecarWithLimits(t *testing.T, limits platform.ConfigLimits, addrs ...string) *testSidecar {
 	t.Helper()
 	var endpoints []platform.Endpoint
@@ -114,22 +114,22 @@
 	return testOptions{limits: limits, endpoints: endpoints}.start(t)
 }
 
-// startLongWaitSidecar starts a sidecar whose requests wait for as long as a test takes.
+// startLongWaitSidecar starts a sidecar with longWaitSettings.
 func startLongWaitSidecar(t *testing.T, endpoints ...*blockingEndpoint) *testSidecar {
 	t.Helper()
 	return testOptions{settings: longWaitSettings(), endpoints: listedAll(endpoints...)}.start(t)
 }
 
-// testOptions are the parts of a configuration that differ between tests. Each has a default.
+// testOptions are the parts of a configuration that differ between tests. All are optional.
 type testOptions struct {
 	limits    platform.ConfigLimits
 	settings  *platform.SettingsObject // nil: testSettings
 	endpoints []platform.Endpoint
 	sharedDir string        // empty: none
-	killDelay time.Duration // after SIGTERM; 0: testTimeout
+	killDelay time.Duration // from SIGTERM to the earliest SIGKILL; 0: testTimeout
 }
 
-// config returns the configuration of a sidecar that follows discovery at an address.
+// config returns the configuration of a sidecar that uses the discovery service at an address.
 func (o testOptions) config(t *testing.T, discovery string) Config {
 	t.Helper()
 	text, err := json.Marshal(platform.ConfigFile{
@@ -151,7 +151,7 @@
 	return c
 }
 
-// start starts a sidecar, which is shut down with the test.
+// start starts a sidecar, which is shut down when the test ends.
 func (o testOptions) start(t *testing.T) *testSidecar {
 	t.Helper()
 	discovery := httptest.NewServer(&testpeer.ScriptedDiscovery{Calls: make(chan string, 100)}) // sends nothing
@@ -184,19 +184,19 @@
 	return func(name string) string { return variables[name] }
 }
 
-// waitForServeResult waits until Serve returns and returns its error.
+// waitForServeResult waits until Serve returns, and returns its error.
 func (s *testSidecar) waitForServeResult(t *testing.T) error {
 	t.Helper()
 	select {
 	case err := <-s.serveResult:
 		return err
 	case <-time.After(testTimeout):
-		t.Error("the sidecar never ends")
+		t.Error("Serve did not return")
 		return nil
 	}
 }
 
-// updateEndpoints applies an endpoint list. The list is in force once it returns.
+// updateEndpoints applies an endpoint list. The list is in effect once updateEndpoints returns.
 func (s *testSidecar) updateEndpoints(t *testing.T, text string) {
 	t.Helper()
 	list, err := platform.ParseEndpointList([]byte(text))
@@ -206,20 +206,20 @@
 	s.pool.UpdateEndpoints(watch.PoolList(list))
 }
 
-// waitForInFlight waits until exactly so many requests are in flight in the balancer. The metric
-// counts a request earlier, once it has been read.
+// waitForInFlight waits until the balancer has exactly the given number of requests in flight. The
+// metric sidecar_concurrent includes a request earlier, as soon as it has been read.
 func (s *testSidecar) waitForInFlight(t *testing.T, want int) {
 	t.Helper()
 	waitUntil(t, fmt.Sprint(want, " requests are in flight"), func() bool { return s.pool.Stats().Calls == want })
 }
 
-// waitForDraining waits until responses close their connections.
+// waitForDraining waits until the server is draining: responses then close their connections.
 func (s *testSidecar) waitForDraining(t *testing.T) {
 	t.Helper()
-	waitUntil(t, "responses close their connections", s.server.Draining)
+	waitUntil(t, "the server is draining", s.server.Draining)
 }
 
-// dial opens a connection to the sidecar, which is closed with the test.
+// dial opens a connection to the sidecar. It is closed when the test ends.
 func (s *testSidecar) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.addr)
@@ -230,7 +230,7 @@
 	return conn
 }
 
-// newRequest returns a request as clients send it, with a deadline in milliseconds.
+// newRequest returns a request with the headers that clients send. The deadline is in milliseconds.
 func (s *testSidecar) newRequest(t *testing.T, method, path, id string, deadlineMs int) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.addr+path, nil)
@@ -245,7 +245,7 @@
 	return r
 }
 
-// get sends a GET request on a connection of its own and returns the status of the response.
+// get sends a GET request on a new connection and returns the status of the response.
 func (s *testSidecar) get(t *testing.T, path, id string, deadlineMs int) (status int) {
 	t.Helper()
 	return sendRequest(t, s.newRequest(t, http.MethodGet, path, id, deadlineMs)).status
@@ -258,7 +258,7 @@
 	body   string
 }
 
-// sendRequest sends a request on a connection of its own.
+// sendRequest sends a request on a new connection and reads the complete response.
 func sendRequest(t *testing.T, r *http.Request) testResponse {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -275,7 +275,7 @@
 	return testResponse{status: resp.StatusCode, header: resp.Header, body: string(text)}
 }
 
-// openExchange is a request that was sent and its response, on a connection that is still open.
+// openExchange is a response and the open connection on which it was received.
 type openExchange struct {
 	conn net.Conn
 	in   *bufio.Reader  // reads from conn
--- a/internal/sidecar/wiregolden_test.go
+++ b/internal/sidecar/wiregolden_test.go
@@ -21,14 +21,14 @@
 	"rowancart/internal/testpeer"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden file of the wire from what this program does")
+var updateGolden = flag.Bool("update", false, "update the golden file with the bytes that this program writes")
 
-// wireTranscript collects what the sidecar writes, exchange by exchange.
+// wireTranscript collects the bytes that the sidecar writes, in one section for each message.
 type wireTranscript struct{ bytes.Buffer }
 
-// add appends a section. What differs from run to run is replaced by a placeholder: ports and
-// times. Header fields are sorted: the order of fields of different names has no meaning (RFC 9110,
-// section 5.3).
+// add appends a section. Ports and times, which differ between runs, are replaced by placeholders.
+// Header fields are sorted, because the order of fields with different names has no meaning (RFC
+// 9110, section 5.3).
 func (w *wireTranscript) add(title, text string) {
 	fmt.Fprintf(w, "=== %s\n%s\n", title, normalizeWire(text))
 }
@@ -54,7 +54,7 @@
 	return strings.ReplaceAll(text, "\r\n", "<CRLF>\n")
 }
 
-// rawEndpoint is a fake endpoint that records the bytes of requests and writes a text for each.
+// rawEndpoint is a fake server that records the bytes of each request and writes a given response.
 type rawEndpoint struct {
 	addr     string
 	requests chan string
@@ -92,7 +92,7 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		e.requests <- raw.String() // a connection carries one request at a time: nothing is buffered behind it
+		e.requests <- raw.String() // raw holds only this request: a connection carries one at a time
 		raw.Reset()
 		text, keepOpen := responses(r.URL.Path)
 		if _, err := io.WriteString(conn, text); err != nil || !keepOpen {
@@ -101,7 +101,7 @@
 	}
 }
 
-// rawResponses are the responses of the endpoint by the last segment of the path.
+// rawResponses returns the response of the endpoint to a path, depending on its last segment.
 func rawResponses(path string) (text string, keepOpen bool) {
 	switch path[strings.LastIndexByte(path, '/')+1:] {
 	case "error":
@@ -119,7 +119,7 @@
 	return okResponse, true
 }
 
-// wireExchanges are requests of clients, by what they show. "ID" stands for the id of each.
+// wireExchanges are requests of clients, named by what they test. ID is replaced by a request id.
 var wireExchanges = []struct{ name, request string }{
 	{"an idempotent request", "GET /look/a%20b?q=1&r=%2F HTTP/1.1\r\nHost: api.internal\r\nReq-Id: ID\r\n" +
 		"Req-Owner: acme\r\nReq-Deadline-Ms: 5000\r\nReq-Extra: a=1,b=2\r\nAccept: text/plain\r\n\r\n"},
@@ -152,7 +152,8 @@
 	{"HTTP/2", "GET /look HTTP/2.0\r\nHost: h\r\n\r\n"},
 }
 
-// exchange sends a request on a connection of its own and returns the bytes of the response.
+// exchange sends a request on a new connection, and adds what the sidecar writes to the endpoint
+// and to the client.
 func (w *wireTranscript) exchange(
 	t *testing.T, s *testSidecar, endpoint *rawEndpoint, number int, name, request string,
 ) {
@@ -180,8 +181,8 @@
 	w.add(name+": response to the client", raw.String())
 }
 
-// Every byte that the sidecar writes to clients, endpoints, discovery and operators is that of the
-// recorded exchanges.
+// The bytes that the sidecar writes to clients, endpoints, discovery and operators must be those in
+// the golden file.
 func TestWireIsAsRecorded(t *testing.T) {
 	const path = "testdata/wire.golden"
 	endpoint := startRawEndpoint(t, rawResponses)
@@ -211,16 +212,16 @@
 	gotSections, wantSections := strings.Split(w.String(), "=== "), strings.Split(string(want), "=== ")
 	for i := range min(len(gotSections), len(wantSections)) {
 		if gotSections[i] != wantSections[i] {
-			t.Errorf("got\n%s\nrecorded is\n%s", gotSections[i], wantSections[i])
+			t.Errorf("got\n%s\nthe golden file has\n%s", gotSections[i], wantSections[i])
 		}
 	}
 	if len(gotSections) != len(wantSections) {
-		t.Errorf("%d sections, recorded are %d", len(gotSections), len(wantSections))
+		t.Errorf("got %d sections, the golden file has %d", len(gotSections), len(wantSections))
 	}
 }
 
-// addDiscovery records the calls that a sidecar makes to discovery: for the changes after the list
-// of its configuration, and then for the complete list, since the watch breaks off in a message.
+// addDiscovery adds the calls that a sidecar makes to discovery: first for the changes since the
+// list in its configuration and then, after a malformed message, for the complete list.
 func (w *wireTranscript) addDiscovery(t *testing.T) {
 	t.Helper()
 	discovery := startRawEndpoint(t, func(string) (string, bool) {
@@ -238,7 +239,7 @@
 		case text := <-discovery.requests:
 			w.add(name, text)
 		case <-time.After(testpeer.WaitTimeout):
-			t.Fatalf("%s never comes", name)
+			t.Fatalf("%s did not arrive", name)
 		}
 	}
 	cancel()
