--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -20,7 +20,7 @@
 )
 
 // gcPercent is the heap growth, in percent, that triggers a garbage collection. It is higher than
-// the default, so that the heap, which is small, is collected less often.
+// the default: the live heap is small, so it can be collected less often.
 const gcPercent = 300
 
 func main() {
--- a/cmd/sidecar/reload.go
+++ b/cmd/sidecar/reload.go
@@ -15,8 +15,8 @@
 const reloadRetryInterval = 100 * time.Millisecond
 
 // reloader reloads the configuration at each SIGHUP. A configuration that can't be loaded changes
-// nothing, and loading is retried until it succeeds: the file may just be being replaced, or a read
-// may fail once, and no second signal follows.
+// nothing, and loading is retried until it succeeds: the file may be in the middle of being
+// replaced, or a read may fail once, and no second signal follows.
 type reloader struct {
 	sidecar *sidecar.Sidecar
 	log     *slog.Logger
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// startUpload sends the head of a request whose body has the given length, and starts to send the
-// body, of which it leaves out all but the first bytes, as many as sent says.
+// startUpload sends a request whose Content-Length is length. It sends only the first bytes of the
+// body, as many as sent says, and does so in the background.
 func (s *testSidecar) startUpload(t *testing.T, id string, length, sent int64) net.Conn {
 	t.Helper()
 	conn := s.dial(t)
@@ -197,7 +197,7 @@
 func newResettingEndpoint(t *testing.T) string {
 	t.Helper()
 	smallBuffer := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { // must not hold the unread rest of a body
+		return c.Control(func(fd uintptr) { // the receive buffer must be too small for the unread rest of a body
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 64<<10)
 		})
 	}}
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -132,6 +132,7 @@
 
 // A client may have sent all of a long body, so that its timeout has started, while most of the
 // body is unread: because no endpoint has been chosen yet, or because the endpoint does not read.
+// The deadline of the attempt and the time of the response must count from the body's arrival.
 func TestTimeoutOfLongBodyCountsFromItsArrival(t *testing.T) {
 	t.Run("sent after a dial that failed", func(t *testing.T) {
 		dead := newFullBacklogEndpoint(t)
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -69,7 +69,7 @@
 }
 
 // waitForRetryConnection returns a case in which retries wait for a connection, after another
-// endpoint has refused it.
+// endpoint has refused the connection of the first attempt.
 func waitForRetryConnection(t *testing.T) waitCase {
 	refusing := newBlockingEndpoint(t)
 	refusing.Close()
@@ -84,7 +84,8 @@
 	return w
 }
 
-// waitForFirstList returns a case in which requests wait for a list with an endpoint.
+// waitForFirstList returns a case in which requests wait until the endpoint list, which is empty at
+// first, contains an endpoint.
 func waitForFirstList(t *testing.T) waitCase {
 	e := startBlockingEndpoint(t)
 	s := startLongWaitSidecar(t)
--- a/internal/sidecar/forwarding_test.go
+++ b/internal/sidecar/forwarding_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// A non-idempotent request must not be sent again. If it may have run, it fails with status 502. If
-// it can't have run, it is rejected with status 503 and Retry-After.
+// A non-idempotent request that may have run must not be sent again: it fails with status 502. One
+// that can't have run is rejected with status 503 and Retry-After if no other endpoint is left.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	e := newEndpoint(t, respondWith("", false))
 	s := startSidecar(t, e.Addr, e.Addr, e.Addr)
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -14,9 +14,9 @@
 const (
 	// sharedDirCheckInterval is the time between two checks of the shared directory.
 	sharedDirCheckInterval = 100 * time.Millisecond
-	// disabledEndpointsTimeout bounds how long a starting process waits before it serves while the
-	// disabled endpoints can't be read from the shared directory: operators may have disabled some
-	// through a predecessor. The platform gives a successor 6 s to become ready.
+	// disabledEndpointsTimeout is how long a starting process delays serving if the disabled
+	// endpoints can't be read from the shared directory: operators may have disabled some through a
+	// predecessor. The platform gives a successor 6 s to become ready.
 	disabledEndpointsTimeout = 5 * time.Second
 )
 
@@ -45,16 +45,16 @@
 	lastWarning     time.Time // when a shared directory failure was last logged
 }
 
-// join registers this process in the shared directory of the named sidecar, which is a subdirectory
-// of tempDir, and applies the limits and the disabled endpoints. An empty tempDir means that there
-// is no shared directory. Failures are logged, and run retries the operations. It must be called
-// before any other method.
-func (h *handover) join(tempDir, name string) {
+// join registers this process in the shared directory of its sidecar, the subdirectory of
+// sharedDirParent for the name, and applies the limits and the disabled endpoints. If
+// sharedDirParent is empty, there is no shared directory. Failures are logged, and run retries the
+// operations. It must be called before any other method.
+func (h *handover) join(sharedDirParent, name string) {
 	h.limits.apply(processesOutsideHandover)
-	if tempDir == "" {
+	if sharedDirParent == "" {
 		return
 	}
-	sharedDir := hotrestart.NewSharedDir(tempDir, name)
+	sharedDir := hotrestart.NewSharedDir(sharedDirParent, name)
 	h.registration.sharedDir = sharedDir
 	h.snapshots = &snapshotStore{path: sharedDir.SnapshotPath(), pool: h.limits.pool, log: h.log}
 	h.operations.sharedDir = sharedDir
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -57,8 +57,8 @@
 	Sockets  int
 }
 
-// validate returns a *platform.FieldError for the first limit that is too low. A limit of zero is
-// not set.
+// validate returns a *platform.FieldError for the first limit that is too low. Zero means that a
+// limit is not set.
 func (l Limits) validate() error {
 	switch {
 	case l.Cores < 0:
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestQuotaOfOneProcess(t *testing.T) {
+func TestLimitsShareOfOneProcess(t *testing.T) {
 	limits := Limits{Cores: 1, MemoryMB: 128, Sockets: 512}
 	for _, c := range []struct {
 		limits    Limits
--- a/internal/sidecar/malformed_test.go
+++ b/internal/sidecar/malformed_test.go
@@ -22,7 +22,7 @@
 	e := newEndpoint(t, respondWith(okResponse, true))
 	s := startSidecar(t, e.Addr)
 	for name, text := range map[string]string{
-		"no HTTP":                 "\x01\x02 \x03\r\n\r\n",
+		"not HTTP":                "\x01\x02 \x03\r\n\r\n",
 		"no host":                 "GET /look HTTP/1.1\r\n" + id + ms + end,
 		"no id":                   "GET /look" + host + ms + end,
 		"an empty id":             "GET /look" + host + "Req-Id:\r\n" + ms + end,
@@ -39,18 +39,18 @@
 		"a long idempotent body":  "GET /look" + host + id + ms + "Content-Length: 70000\r\n" + end + long,
 		"a long chunked body": "GET /look" + host + id + ms + "Transfer-Encoding: chunked\r\n" + end +
 			"11170\r\n" + long + "\r\n0\r\n\r\n",
-		"a bad chunk":                    "POST /look" + host + id + ms + "Transfer-Encoding: chunked\r\n" + end + "zz\r\n",
-		"an over-long head":              "GET /look" + host + id + ms + "X: " + strings.Repeat("x", 64<<10) + end + end,
-		"a keyed class with no key":      "POST /book" + host + id + ms + empty + end,
-		"another method":                 "DELETE /look" + host + id + ms + end,
-		"an idempotent POST":             "POST /look" + host + id + ms + empty + end,
-		"an idempotent body":             "GET /look" + host + id + ms + "Content-Length: 2\r\n" + end + "hi",
-		"a non-idempotent GET":           "GET /pay" + host + id + ms + end,
-		"an unknown class":               "GET /looks" + host + id + ms + end,
-		"no class":                       "GET /" + host + id + ms + end,
-		"a path that leaves the class":   "GET /look/../pay/x" + host + id + ms + end,
-		"an encoded path that leaves it": "GET /look/%2e%2E%2fpay/x" + host + id + ms + end,
-		"an encoded class":               "GET /l%6fok" + host + id + ms + end,
+		"a bad chunk":                      "POST /look" + host + id + ms + "Transfer-Encoding: chunked\r\n" + end + "zz\r\n",
+		"an over-long head":                "GET /look" + host + id + ms + "X: " + strings.Repeat("x", 64<<10) + end + end,
+		"a keyed class with no key":        "POST /book" + host + id + ms + empty + end,
+		"another method":                   "DELETE /look" + host + id + ms + end,
+		"an idempotent POST":               "POST /look" + host + id + ms + empty + end,
+		"an idempotent body":               "GET /look" + host + id + ms + "Content-Length: 2\r\n" + end + "hi",
+		"a non-idempotent GET":             "GET /pay" + host + id + ms + end,
+		"an unknown class":                 "GET /looks" + host + id + ms + end,
+		"no class":                         "GET /" + host + id + ms + end,
+		"a path with dot segments":         "GET /look/../pay/x" + host + id + ms + end,
+		"a path with encoded dot segments": "GET /look/%2e%2E%2fpay/x" + host + id + ms + end,
+		"an encoded class":                 "GET /l%6fok" + host + id + ms + end,
 	} {
 		conn := s.dial(t)
 		go io.WriteString(conn, text)
@@ -68,8 +68,8 @@
 	}
 }
 
-// A request with both Content-Length and Transfer-Encoding must not smuggle another request: the
-// sidecar once parsed a part of such a body as a request.
+// If Content-Length and Transfer-Encoding disagree, a request that is hidden in the body must not
+// be parsed as a request (request smuggling). The sidecar once did that.
 func TestSmuggledRequestReachesNoEndpoint(t *testing.T) {
 	const (
 		smuggled  = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: hidden\r\nReq-Deadline-Ms: 6000\r\n\r\n"
--- a/internal/sidecar/operations.go
+++ b/internal/sidecar/operations.go
@@ -45,8 +45,9 @@
 // command is due within 1 s.
 const commandListTimeout = 700 * time.Millisecond
 
-// waitUntilKnown returns at once if the endpoint is known. Otherwise it waits for the first
-// endpoint list, which may contain the endpoint, for commandListTimeout at most.
+// waitUntilKnown waits for the first endpoint list, which may contain the endpoint, for
+// commandListTimeout at most. It returns at once if the endpoint is known, or if the list has been
+// received or nothing waits for it any more.
 func (o *operations) waitUntilKnown(id string) {
 	if o.readiness.listSettled() || o.isKnown(id) {
 		return
@@ -65,8 +66,9 @@
 }
 
 // Disable implements admin.Operations. It disables the endpoint in this process unless the endpoint
-// is unknown or its id is too long to be stored. If the error is nil, this has also been stored for
-// successor processes. If storing fails, syncDisabled retries it.
+// is unknown or its id is too long to be stored. If there is a shared directory and the error is
+// nil, this has also been stored for successor processes. If storing fails, syncDisabled retries
+// it.
 func (o *operations) Disable(id string) error {
 	o.waitUntilKnown(id)
 	o.mu.Lock()
@@ -95,7 +97,7 @@
 		return err
 	}
 	o.unstored[id] = true
-	return fmt.Errorf("%q is out in this process, and not stored yet: %w", id, err) // sent to admin clients
+	return fmt.Errorf("%q is out in this process, and not stored yet: %w", id, err) // admin protocol: must not change
 }
 
 // Enable implements admin.Operations.
--- a/internal/sidecar/operations_test.go
+++ b/internal/sidecar/operations_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// followQuery responds as the query of the request asks for.
+// followQuery responds as the query parameter do of the request says.
 func followQuery(conn net.Conn, r *http.Request, _ int) (keepOpen bool) {
 	switch r.URL.Query().Get("do") {
 	case "serve":
--- a/internal/sidecar/readiness.go
+++ b/internal/sidecar/readiness.go
@@ -11,7 +11,7 @@
 // discovery. After that it uses the list in the configuration.
 const firstListTimeout = 2 * time.Second
 
-// Reasons why a sidecar is not ready. The admin interface sends these texts to its clients.
+// Reasons why a sidecar is not ready. The texts are part of the admin protocol and must not change.
 var (
 	errNoList       = errors.New("discovery has not told its list yet")
 	errNotAccepting = errors.New("connections are not taken yet")
--- a/internal/sidecar/shareddircheck.go
+++ b/internal/sidecar/shareddircheck.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// applyPhaseLocked pauses accepting connections if this process is superseded, and resumes it if
-// the successor no longer serves. The caller must hold h.mu.
+// applyPhaseLocked pauses accepting connections and starts draining if this process is superseded,
+// and undoes both if the successor no longer serves. The caller must hold h.mu.
 func (h *handover) applyPhaseLocked() {
 	if h.phase.isSuperseded() {
 		h.log.Info("superseded")
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -6,7 +6,7 @@
 )
 
 // The shortest time from SIGTERM to the platform's SIGKILL is minKillDelay plus the longest request
-// deadline of the settings, of which no more than maxCountedDeadline counts.
+// deadline in the settings, capped at maxCountedDeadline.
 const (
 	minKillDelay       = 700 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -70,17 +70,17 @@
 		unstored:  map[string]bool{},
 	}
 	s.joinHandover(c, operations, log)
-	if opened.operators != nil {
-		log.Info("admin interface listening", logkey.Addr, opened.operators.Addr().String())
-		s.admin = admin.New(opened.operators, operations, log)
+	if opened.admin != nil {
+		log.Info("admin interface listening", logkey.Addr, opened.admin.Addr().String())
+		s.admin = admin.New(opened.admin, operations, log)
 	}
 	return s, nil
 }
 
 // listeners are the open listeners of a process.
 type listeners struct {
-	clients   net.Listener
-	operators net.Listener // nil: there is no admin interface
+	clients net.Listener
+	admin   net.Listener // nil: there is no admin interface
 }
 
 // openListeners opens the listeners that the configuration asks for. Every error is a
@@ -93,12 +93,12 @@
 	if c.AdminAddr == "" {
 		return listeners{clients: clients}, nil
 	}
-	operators, err := listenTCP(c.AdminAddr)
+	adminListener, err := listenTCP(c.AdminAddr)
 	if err != nil {
 		clients.Close()
 		return listeners{}, &platform.FieldError{Field: platform.AdminAddrField, Err: err}
 	}
-	return listeners{clients: clients, operators: operators}, nil
+	return listeners{clients: clients, admin: adminListener}, nil
 }
 
 // openClientListener returns a listener on the inherited socket if there is one. Otherwise it opens
@@ -159,11 +159,11 @@
 		readiness:  s.readiness,
 		log:        log,
 	}
-	sharedDir := c.SharedDir
+	sharedDirParent := c.SharedDir
 	if c.AdminAddr == "" && c.AcceptFD == "" {
-		sharedDir = "" // without an admin interface and handovers there is nothing to share
+		sharedDirParent = "" // nothing is shared: no endpoint can be disabled, and there is no process handover
 	}
-	s.handover.join(sharedDir, c.Name)
+	s.handover.join(sharedDirParent, c.Name)
 }
 
 // Addr returns the address of the listener for clients.
