--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -25,15 +25,15 @@
 
 // Config is the configuration of a sidecar.
 type Config struct {
-	Name           string
-	Listen         string // host:port of the listener for clients
-	Discovery      string // host:port of the discovery service
-	AdminAddr      string // host:port of the admin interface; empty: there is none
-	AcceptFD       string // file descriptor of the inherited listening socket; empty: none is inherited
-	SharedDir      string // parent of the shared directory of this sidecar's processes; empty: there is none
-	Limits         Limits
-	KnownEndpoints platform.EndpointList // the platform's latest list when the configuration was written
-	Settings       platform.Settings
+	Name            string
+	Listen          string // host:port of the listener for clients
+	Discovery       string // host:port of the discovery service
+	AdminAddr       string // host:port of the admin interface; empty: there is none
+	AcceptFD        string // file descriptor of the inherited listening socket; empty: none is inherited
+	SharedDirParent string // parent of the shared directory of this sidecar's processes; empty: there is none
+	Limits          Limits
+	KnownEndpoints  platform.EndpointList // the platform's latest list when the configuration was written
+	Settings        platform.Settings
 }
 
 // LoadConfig reads the configuration file whose path is in ROUTER_CONFIG. Fields that the file
@@ -64,10 +64,10 @@
 		Discovery: cmp.Or(file.Discovery, getenv(platform.EnvDiscovery)),
 		// Predecessor and successor may read the same file, so the environment variable overrides
 		// the file's address.
-		AdminAddr: cmp.Or(getenv(platform.EnvAdminAddr), file.AdminAddr),
-		AcceptFD:  getenv(platform.EnvAcceptFD),
-		SharedDir: getenv(platform.EnvSharedDir),
-		Limits:    limits.withDefaults(),
+		AdminAddr:       cmp.Or(getenv(platform.EnvAdminAddr), file.AdminAddr),
+		AcceptFD:        getenv(platform.EnvAcceptFD),
+		SharedDirParent: getenv(platform.EnvSharedDir),
+		Limits:          limits.withDefaults(),
 	}
 	if err := c.validateAddresses(); err != nil {
 		return c, err
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -159,7 +159,7 @@
 		readiness:  s.readiness,
 		log:        log,
 	}
-	sharedDirParent := c.SharedDir
+	sharedDirParent := c.SharedDirParent
 	if c.AdminAddr == "" && c.AcceptFD == "" {
 		sharedDirParent = "" // nothing is shared: no endpoint can be disabled, and there is no process handover
 	}
