--- a/internal/sidecar/wiregolden_test.go
+++ b/internal/sidecar/wiregolden_test.go
@@ -191,6 +191,8 @@
 	for i, e := range wireExchanges {
 		w.exchange(t, s, endpoint, i, e.name, e.request)
 	}
+	// A request leaves the metric shortly after its response has been written.
+	waitUntil(t, "no request is in flight", func() bool { return s.metric(t, "sidecar_concurrent") == 0 })
 	for _, line := range []string{"ready", "show-stat", "disable-server a", "disable-server a", "disable-server b",
 		"ready", "enable-server a", "enable-server a", "enable-server b", "show-stat x", "disable-server", "restart", ""} {
 		w.add("admin: "+line, s.adminCommand(t, line))
