--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -14,10 +14,10 @@
 	if !d.Body(b.Body, hcldecode.Fields{"listen!": &d.Admin}, nil) {
 		return
 	}
-	at := d.Places[&d.Admin]
+	at := d.Ranges[&d.Admin]
 	d.checkListenAddress(at, "listen", d.Admin)
 	if !isLocal(d.Admin) {
-		d.Fault(at, "listen: %s is not a loopback address, and the admin interface has no authentication", d.Admin)
+		d.Errorf(at, "listen: %s is not a loopback address, and the admin interface has no authentication", d.Admin)
 	}
 }
 
@@ -34,10 +34,10 @@
 		return
 	}
 	if f.Instances < 1 || f.Index >= f.Instances {
-		d.Fault(b.DefRange, "fleet: index %d is out of range for %d instances", f.Index, f.Instances)
+		d.Errorf(b.DefRange, "fleet: index %d is out of range for %d instances", f.Index, f.Instances)
 	}
-	if _, hasIndex := d.Places[&f.Index]; hasIndex && f.Name != "" {
-		d.Fault(d.Places[&f.Name], "name: cannot be combined with index; it identifies instances that have none")
+	if _, hasIndex := d.Ranges[&f.Index]; hasIndex && f.Name != "" {
+		d.Errorf(d.Ranges[&f.Name], "name: cannot be combined with index; it identifies instances that have none")
 	}
 }
 
@@ -48,14 +48,14 @@
 		return
 	}
 	if s.Path == "" {
-		d.Fault(d.Places[&s.Path], "path: must not be empty")
+		d.Errorf(d.Ranges[&s.Path], "path: must not be empty")
 	}
 	if s.Interval < minSnapshotInterval {
-		d.Fault(d.Places[&s.Interval], "every: %v is below the minimum of %v: the learned state does not change faster",
+		d.Errorf(d.Ranges[&s.Interval], "every: %v is below the minimum of %v: the learned state does not change faster",
 			s.Interval, minSnapshotInterval)
 	}
 	if s.MaxAge < s.Interval {
-		d.Fault(b.DefRange, "state: fresh_for is %v, shorter than the time between two snapshots, %v", s.MaxAge, s.Interval)
+		d.Errorf(b.DefRange, "state: fresh_for is %v, shorter than the time between two snapshots, %v", s.MaxAge, s.Interval)
 	}
 }
 
@@ -72,16 +72,16 @@
 	}
 	l.Memory = int64(memory)
 	if l.Memory < minMemory {
-		d.Fault(d.Places[&memory], "memory: the process needs at least %dMiB", minMemory>>20)
+		d.Errorf(d.Ranges[&memory], "memory: the process needs at least %dMiB", minMemory>>20)
 	}
 	if l.MaxConns < minMaxConns {
-		d.Fault(d.Places[&l.MaxConns], "connections: the process needs at least %d", minMaxConns)
+		d.Errorf(d.Ranges[&l.MaxConns], "connections: the process needs at least %d", minMaxConns)
 	}
 	if need := baseMemory + int64(l.MaxConns)*memoryPerConn; need > l.Memory && l.Memory >= minMemory {
-		d.Fault(b.DefRange, "limits: %d connections need %dMiB, but memory is %dMiB", l.MaxConns, need>>20, l.Memory>>20)
+		d.Errorf(b.DefRange, "limits: %d connections need %dMiB, but memory is %dMiB", l.MaxConns, need>>20, l.Memory>>20)
 	}
 	if l.StopTimeout < minStopTimeout {
-		d.Fault(d.Places[&l.StopTimeout], "stop_within: %v leaves no time to notify clients; the minimum is %v",
+		d.Errorf(d.Ranges[&l.StopTimeout], "stop_within: %v leaves no time to notify clients; the minimum is %v",
 			l.StopTimeout, minStopTimeout)
 	}
 }
@@ -89,7 +89,7 @@
 func (d *decoder) listener(b *hcl.Block) {
 	l := Listener{Name: b.Labels[0]}
 	if d.define(b, l.Name) && d.Body(b.Body, hcldecode.Fields{"address!": &l.Address}, nil) {
-		d.checkListenAddress(d.Places[&l.Address], "address", l.Address)
+		d.checkListenAddress(d.Ranges[&l.Address], "address", l.Address)
 	}
 	d.Listeners = append(d.Listeners, l)
 }
@@ -114,14 +114,14 @@
 		"policy":  &policy,
 	}, nil)
 	if ok {
-		hcldecode.OneOf(&d.Reader, d.Places[&idempotency], "effect", idempotency,
+		hcldecode.OneOf(&d.Decoder, d.Ranges[&idempotency], "effect", idempotency,
 			nameIdempotent, nameKeyed, nameNonIdempotent)
-		hcldecode.OneOf(&d.Reader, d.Places[&scope], "group", scope, "all", "zone", "cell")
+		hcldecode.OneOf(&d.Decoder, d.Ranges[&scope], "group", scope, "all", "zone", "cell")
 		c.Idempotency = idempotencyByName[idempotency]
 		c.KeyScope = keyScopes[scope]
 		d.checkKeyWindow(b, &c, idempotency)
 		if policy != "" {
-			d.classPolicies[c.Name] = reference{policy, d.Places[&policy]}
+			d.classPolicies[c.Name] = reference{policy, d.Ranges[&policy]}
 		}
 	}
 	d.Classes = append(d.Classes, c)
@@ -129,12 +129,12 @@
 
 // checkKeyWindow requires a window of keyed classes, and of no others.
 func (d *decoder) checkKeyWindow(b *hcl.Block, c *Class, idempotency string) {
-	at, hasWindow := d.Places[&c.KeyWindow]
+	at, hasWindow := d.Ranges[&c.KeyWindow]
 	switch {
 	case idempotency == nameKeyed && c.KeyWindow == 0:
-		d.Fault(b.DefRange, "class %q: a keyed class needs a window, for which endpoints drop repeats of a key", c.Name)
+		d.Errorf(b.DefRange, "class %q: a keyed class needs a window, for which endpoints drop repeats of a key", c.Name)
 	case idempotency != nameKeyed && hasWindow:
-		d.Fault(at, "window: class %q is %s; endpoints drop repeats of keyed classes only", c.Name, idempotency)
+		d.Errorf(at, "window: class %q is %s; endpoints drop repeats of keyed classes only", c.Name, idempotency)
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config is the daemon's configuration: a language in HCL, its validation, and the
 // immutable value that a valid file makes. docs/daemon.md describes the language. The error for an
-// invalid file is an hcldecode.FaultList.
+// invalid file is an hcldecode.ErrorList.
 package config
 
 import (
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -241,7 +241,7 @@
 	})
 }
 
-// For any text Parse returns either a configuration or a FaultList whose faults all have a place.
+// For any text Parse returns either a configuration or an ErrorList whose errors all have a place.
 func FuzzParse(f *testing.F) {
 	f.Add(validConfig)
 	if text, err := os.ReadFile("../../deploy/rowancart.hcl"); err == nil {
@@ -254,8 +254,8 @@
 			t.Fatalf("%v and %v", c, err)
 		}
 		if err != nil {
-			if !errors.As(err, new(hcldecode.FaultList)) {
-				t.Errorf("%T is not a FaultList", err)
+			if !errors.As(err, new(hcldecode.ErrorList)) {
+				t.Errorf("%T is not an ErrorList", err)
 			}
 			for line := range strings.Lines(err.Error()) {
 				if !strings.HasPrefix(line, "x.hcl:") {
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -34,7 +34,7 @@
 // decoder collects the values of a file, and their places. Each method that is named after a block
 // decodes and validates that block.
 type decoder struct {
-	hcldecode.Reader
+	hcldecode.Decoder
 	Config
 	policies      map[string]*policyBlock // by name
 	classPolicies map[string]reference    // by class: the policy that it names
@@ -57,7 +57,7 @@
 	}
 	d := newDecoder(text, name, lookupEnv)
 	d.decode(body)
-	if err := hcldecode.Faults(d.Diags).Err(); err != nil {
+	if err := hcldecode.NewErrorList(d.Diags).Err(); err != nil {
 		return nil, err
 	}
 	d.warnUnused()
@@ -123,10 +123,10 @@
 	}
 	start := hcl.Range{Filename: d.File, Start: hcl.InitialPos, End: hcl.InitialPos}
 	if len(d.Listeners) == 0 {
-		d.Fault(start, "the file has no listener")
+		d.Errorf(start, "the file has no listener")
 	}
 	if len(routes) == 0 {
-		d.Fault(start, "the file has no route")
+		d.Errorf(start, "the file has no route")
 	}
 	d.checkOverlaps()
 }
@@ -160,7 +160,7 @@
 func (d *decoder) define(b *hcl.Block, label string) bool {
 	key := blockKey(b.Type, label)
 	if first, ok := d.defined[key]; ok {
-		d.Fault(b.DefRange, "%s: already defined at %s", key, hcldecode.PlaceOf(first))
+		d.Errorf(b.DefRange, "%s: already defined at %s", key, hcldecode.PositionOf(first))
 		return false
 	}
 	d.defined[key] = b.DefRange
@@ -172,7 +172,7 @@
 func (d *decoder) resolve(at hcl.Range, kind, label string) bool {
 	key := fmt.Sprintf("%s %q", kind, label)
 	if _, ok := d.defined[key]; !ok {
-		d.Fault(at, "%s is not defined", key)
+		d.Errorf(at, "%s is not defined", key)
 		return false
 	}
 	d.used[key] = true
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -153,7 +153,7 @@
 		return p // further faults would mostly follow from the first
 	}
 	for name, field := range fields {
-		if at, ok := d.Places[field]; ok {
+		if at, ok := d.Ranges[field]; ok {
 			p.places[name] = at
 		}
 	}
@@ -164,7 +164,7 @@
 func (d *decoder) hedging(b *hcl.Block, p *policyBlock) {
 	ok := d.Body(b.Body, hcldecode.Fields{"after": &p.HedgeAfter, "percentile": &p.HedgePercentile}, nil)
 	if ok && p.HedgeAfter == 0 && p.HedgePercentile == 0 {
-		d.Fault(b.DefRange, "second_copy: must set after or percentile")
+		d.Errorf(b.DefRange, "second_copy: must set after or percentile")
 	}
 	p.places["second_copy"] = b.DefRange
 }
@@ -192,16 +192,16 @@
 		{"tenant_rate", p.tenantRate > 0, zeroRate},
 	} {
 		if at, ok := p.places[required.name]; ok && !required.positive {
-			d.Fault(at, "%s: %s", required.name, required.fault)
+			d.Errorf(at, "%s: %s", required.name, required.fault)
 			p.valid = false
 		}
 	}
 	if at, ok := p.places["retry"]; ok {
-		hcldecode.OneOf(&d.Reader, at, "retry", p.Retry, RetryIfNotRun, RetryAfterRun)
+		hcldecode.OneOf(&d.Decoder, at, "retry", p.Retry, RetryIfNotRun, RetryAfterRun)
 	}
-	at, ok := d.Places[&p.HedgePercentile]
+	at, ok := d.Ranges[&p.HedgePercentile]
 	if ok && (p.HedgePercentile < minHedgePercentile || p.HedgePercentile >= maxHedgePercentile) {
-		d.Fault(at, "percentile: %g is not at least %d and below %d",
+		d.Errorf(at, "percentile: %g is not at least %d and below %d",
 			p.HedgePercentile, minHedgePercentile, maxHedgePercentile)
 	}
 }
@@ -229,7 +229,7 @@
 			if place, ok := layer.places[a.name]; ok {
 				a.copy(p, layer)
 				p.places[a.name] = place
-				r.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.PlaceOf(place), layer.title)
+				r.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.PositionOf(place), layer.title)
 				break
 			}
 		}
@@ -258,6 +258,6 @@
 // checkBurst adds a fault for a burst without a rate.
 func (d *decoder) checkBurst(r *Route, name string, rate hcldecode.Rate, places map[string]hcl.Range) {
 	if r.Origins[name] != originDefault && rate == 0 {
-		d.Fault(places[name], "%s: route %q has no rate to which it applies", name, r.Name)
+		d.Errorf(places[name], "%s: route %q has no rate to which it applies", name, r.Name)
 	}
 }
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -29,19 +29,19 @@
 		"retry_budget": func(b *hcl.Block) { d.RetryBudget(b, &p.RetryBudget) },
 		"roster kind": func(b *hcl.Block) {
 			if sources++; sources > 1 {
-				d.Fault(b.DefRange, "roster: pool %q already has one", p.Name)
+				d.Errorf(b.DefRange, "roster: pool %q already has one", p.Name)
 			}
 			d.endpointSource(b, &p.Source)
 		},
 	})
 	if ok && sources == 0 {
-		d.Fault(b.DefRange, "pool %q has no roster", p.Name)
+		d.Errorf(b.DefRange, "pool %q has no roster", p.Name)
 	}
-	if at, hasSubset := d.Places[&p.Subset]; ok && hasSubset && p.Subset < minSubset {
-		d.Fault(at, "subset: %d endpoints are too few to choose from; the minimum is %d", p.Subset, minSubset)
+	if at, hasSubset := d.Ranges[&p.Subset]; ok && hasSubset && p.Subset < minSubset {
+		d.Errorf(at, "subset: %d endpoints are too few to choose from; the minimum is %d", p.Subset, minSubset)
 	}
 	if ok && p.MaxConns < minPoolConns {
-		d.Fault(d.Places[&p.MaxConns], "connections: a pool needs at least %d", minPoolConns)
+		d.Errorf(d.Ranges[&p.MaxConns], "connections: a pool needs at least %d", minPoolConns)
 	}
 	d.Pools = append(d.Pools, p)
 }
@@ -50,7 +50,7 @@
 	capacity := hcldecode.Fraction(p.SlowStartCapacity)
 	d.Body(b.Body, hcldecode.Fields{"from": &capacity, "within": &p.SlowStartWindow, "share": &p.SlowStartShare}, nil)
 	if p.SlowStartShare <= 0 || p.SlowStartShare > maxSlowStartShare {
-		d.Fault(b.DefRange, "warm_up: share %g is not above 0 and at most %d: "+
+		d.Errorf(b.DefRange, "warm_up: share %g is not above 0 and at most %d: "+
 			"it scales the share of the traffic of an endpoint that warms up", p.SlowStartShare, maxSlowStartShare)
 	}
 	p.SlowStartCapacity = float64(capacity)
@@ -66,11 +66,11 @@
 	case "platform":
 		if d.Body(b.Body, hcldecode.Fields{"address!": &source.Platform}, nil) {
 			if err := checkHostPort(source.Platform); err != nil {
-				d.Fault(d.Places[&source.Platform], "address: %v", err)
+				d.Errorf(d.Ranges[&source.Platform], "address: %v", err)
 			}
 		}
 	default:
-		d.Fault(b.DefRange, "roster: %q is not one of static, file, platform", kind)
+		d.Errorf(b.DefRange, "roster: %q is not one of static, file, platform", kind)
 	}
 }
 
@@ -79,7 +79,7 @@
 	ids, addresses := map[string]hcl.Range{}, map[string]hcl.Range{}
 	checkUnique := func(seen map[string]hcl.Range, attribute, value string, at hcl.Range) {
 		if first, ok := seen[value]; ok {
-			d.Fault(at, "%s: %q is already in use at %s", attribute, value, hcldecode.PlaceOf(first))
+			d.Errorf(at, "%s: %q is already in use at %s", attribute, value, hcldecode.PositionOf(first))
 		}
 		seen[value] = at
 	}
@@ -87,13 +87,13 @@
 		e := Endpoint{ID: b.Labels[0]}
 		fields := hcldecode.Fields{"address!": &e.Address, "zone": &e.Zone, "kind": &e.Kind, "cell": &e.Cell}
 		if d.Body(b.Body, fields, nil) {
-			at := d.Places[&e.Address]
+			at := d.Ranges[&e.Address]
 			if err := checkHostPort(e.Address); err != nil {
-				d.Fault(at, "address: %v", err)
+				d.Errorf(at, "address: %v", err)
 			}
 			if first, ok := d.addresses[e.Address]; ok {
-				d.Fault(at, "address: %s is an address at which this process listens, set at %s",
-					e.Address, hcldecode.PlaceOf(first))
+				d.Errorf(at, "address: %s is an address at which this process listens, set at %s",
+					e.Address, hcldecode.PositionOf(first))
 			}
 			checkUnique(ids, "endpoint", e.ID, b.DefRange)
 			checkUnique(addresses, "address", e.Address, at)
@@ -101,6 +101,6 @@
 		source.Static = append(source.Static, e)
 	}})
 	if len(source.Static) == 0 {
-		d.Fault(b.DefRange, "roster: a static list needs at least one endpoint")
+		d.Errorf(b.DefRange, "roster: a static list needs at least one endpoint")
 	}
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -40,7 +40,7 @@
 		"header name": func(b *hcl.Block) { d.header(b, m) },
 		"policy": func(b *hcl.Block) {
 			if ownPolicy != nil {
-				d.Fault(b.DefRange, "policy: route %q already has one", r.Name)
+				d.Errorf(b.DefRange, "policy: route %q already has one", r.Name)
 			}
 			ownPolicy = d.policy(b, fmt.Sprintf("route %q", r.Name))
 		},
@@ -51,8 +51,8 @@
 		return
 	}
 	d.checkMatch(&r)
-	d.resolve(d.Places[&r.Pool], "pool", r.Pool)
-	if !d.resolve(d.Places[&class], "class", class) {
+	d.resolve(d.Ranges[&r.Pool], "pool", r.Pool)
+	if !d.resolve(d.Ranges[&class], "class", class) {
 		return
 	}
 	r.Class = d.Classes[slices.IndexFunc(d.Classes, func(c Class) bool { return c.Name == class })]
@@ -60,7 +60,7 @@
 	if ownPolicy != nil {
 		layers = append(layers, ownPolicy)
 	}
-	if policy != "" && d.resolve(d.Places[&policy], "policy", policy) {
+	if policy != "" && d.resolve(d.Ranges[&policy], "policy", policy) {
 		layers = append(layers, d.policies[policy])
 	}
 	if p := d.policies[d.classPolicies[class].name]; p != nil {
@@ -78,7 +78,7 @@
 	}
 	name := http.CanonicalHeaderKey(b.Labels[0])
 	if _, exists := m.Headers[name]; exists {
-		d.Fault(b.DefRange, "header: %q is defined twice", name)
+		d.Errorf(b.DefRange, "header: %q is defined twice", name)
 	}
 	m.Headers[name] = equals
 }
@@ -87,12 +87,12 @@
 func (d *decoder) checkMatch(r *Route) {
 	m := &r.Match
 	if err := m.Check(); err != nil {
-		d.Fault(cmp.Or(d.Places[&m.Path], d.Places[&m.Host]), "%v", err)
+		d.Errorf(cmp.Or(d.Ranges[&m.Path], d.Ranges[&m.Host]), "%v", err)
 	}
 	for _, name := range m.Methods {
-		hcldecode.OneOf(&d.Reader, d.Places[&m.Methods], "methods", name, routableMethods...)
+		hcldecode.OneOf(&d.Decoder, d.Ranges[&m.Methods], "methods", name, routableMethods...)
 	}
 	for _, name := range r.Listeners {
-		d.resolve(d.Places[&r.Listeners], "listener", name)
+		d.resolve(d.Ranges[&r.Listeners], "listener", name)
 	}
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -27,17 +27,17 @@
 func (d *decoder) checkListenAddress(at hcl.Range, attribute, address string) {
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		if path == "" {
-			d.Fault(at, "%s: unix: needs a path", attribute)
+			d.Errorf(at, "%s: unix: needs a path", attribute)
 		}
 	} else if err := checkHostPort(address); err != nil {
-		d.Fault(at, "%s: %v", attribute, err)
+		d.Errorf(at, "%s: %v", attribute, err)
 		return
 	}
 	if strings.HasSuffix(address, ":0") {
 		return // any free port
 	}
 	if first, ok := d.addresses[address]; ok {
-		d.Fault(at, "%s: %s is already in use at %s", attribute, address, hcldecode.PlaceOf(first))
+		d.Errorf(at, "%s: %s is already in use at %s", attribute, address, hcldecode.PositionOf(first))
 		return
 	}
 	d.addresses[address] = at
@@ -49,12 +49,12 @@
 	d.checkTimeouts(r, at)
 	p := r.Policy
 	if p.TenantConcurrency > p.Concurrency && p.Concurrency > 0 {
-		d.Fault(at["tenant_concurrency"],
+		d.Errorf(at["tenant_concurrency"],
 			"tenant_concurrency: %d is above the limit of route %q for all tenants together: %d",
 			p.TenantConcurrency, r.Name, p.Concurrency)
 	}
 	if p.TenantRate.PerSecond > p.Rate.PerSecond && p.Rate.PerSecond > 0 {
-		d.Fault(at["tenant_rate"], "tenant_rate: %g/s is above the limit of route %q for all tenants together: %g/s",
+		d.Errorf(at["tenant_rate"], "tenant_rate: %g/s is above the limit of route %q for all tenants together: %g/s",
 			p.TenantRate.PerSecond, r.Name, p.Rate.PerSecond)
 	}
 }
@@ -64,18 +64,18 @@
 func (d *decoder) checkRepeatedRuns(r *Route, at map[string]hcl.Range) {
 	p, c := r.Policy, r.Class
 	if c.Idempotency == balancer.NonIdempotent && p.Retry == RetryAfterRun {
-		d.Fault(at["retry"], "retry: route %q is of class %q, which is %s: a retry after a run could run the request twice",
+		d.Errorf(at["retry"], "retry: route %q is of class %q, which is %s: a retry after a run could run the request twice",
 			r.Name, c.Name, nameNonIdempotent)
 	}
 	if p.HedgeAfter == 0 && p.HedgePercentile == 0 {
 		return
 	}
 	if c.Idempotency != balancer.Idempotent {
-		d.Fault(at["second_copy"], "second_copy: route %q is of class %q, which is %s: a hedged request could run twice",
+		d.Errorf(at["second_copy"], "second_copy: route %q is of class %q, which is %s: a hedged request could run twice",
 			r.Name, c.Name, idempotencyName(c.Idempotency))
 	}
 	if p.MaxAttempts < 2 {
-		d.Fault(at["second_copy"], "second_copy: it needs a second attempt, and route %q allows 1", r.Name)
+		d.Errorf(at["second_copy"], "second_copy: it needs a second attempt, and route %q allows 1", r.Name)
 	}
 }
 
@@ -83,22 +83,22 @@
 func (d *decoder) checkTimeouts(r *Route, at map[string]hcl.Range) {
 	p := r.Policy
 	if p.RequestTimeout > p.ClientTimeout {
-		d.Fault(at["request_timeout"], "request_timeout: %v is longer than clients of route %q wait: %v",
+		d.Errorf(at["request_timeout"], "request_timeout: %v is longer than clients of route %q wait: %v",
 			p.RequestTimeout, r.Name, p.ClientTimeout)
 	}
 	total := min(p.RequestTimeout, p.ClientTimeout)
 	allAttempts := time.Duration(p.MaxAttempts) * p.AttemptTimeout
 	switch {
 	case p.AttemptTimeout > total:
-		d.Fault(at["attempt_timeout"],
+		d.Errorf(at["attempt_timeout"],
 			"attempt_timeout: %v is longer than a request of route %q may take: %v",
 			p.AttemptTimeout, r.Name, total)
 	case p.AttemptTimeout > 0 && allAttempts > total:
-		d.Fault(at["attempt_timeout"],
+		d.Errorf(at["attempt_timeout"],
 			"attempt_timeout: %d attempts of %v add up to %v, but a request of route %q may take %v",
 			p.MaxAttempts, p.AttemptTimeout, allAttempts, r.Name, total)
 	case p.HedgeAfter > 0 && p.HedgeAfter >= cmp.Or(p.AttemptTimeout, total):
-		d.Fault(at["second_copy"],
+		d.Errorf(at["second_copy"],
 			"second_copy: after %v the first attempt of route %q has already ended", p.HedgeAfter, r.Name)
 	}
 }
@@ -110,9 +110,9 @@
 		pattern := r.Match.Host + " " + cmp.Or(r.Match.Path, "/*")
 		for _, other := range byPattern[pattern] {
 			if haveCommonListener(r, other) && r.Match.Overlaps(other.Match) {
-				d.Fault(d.defined[blockKey("route", r.Name)],
+				d.Errorf(d.defined[blockKey("route", r.Name)],
 					"route %q overlaps route %q, at %s: some requests match both, and neither is more specific",
-					r.Name, other.Name, hcldecode.PlaceOf(d.defined[blockKey("route", other.Name)]))
+					r.Name, other.Name, hcldecode.PositionOf(d.defined[blockKey("route", other.Name)]))
 			}
 		}
 		byPattern[pattern] = append(byPattern[pattern], r)
@@ -143,5 +143,5 @@
 
 // warn adds a warning about the block with that key.
 func (d *decoder) warn(key, text string) {
-	d.Warnings = append(d.Warnings, fmt.Sprintf("%s: %s: %s", hcldecode.PlaceOf(d.defined[key]), key, text))
+	d.Warnings = append(d.Warnings, fmt.Sprintf("%s: %s: %s", hcldecode.PositionOf(d.defined[key]), key, text))
 }
--- a/internal/experiment/hclfile/decode.go
+++ b/internal/experiment/hclfile/decode.go
@@ -11,9 +11,9 @@
 	"rowancart/internal/hcldecode"
 )
 
-// decoder reads the blocks of one experiment. Faults are collected in its Diags.
+// decoder reads the blocks of one experiment. Errors are collected in its Diags.
 type decoder struct {
-	hcldecode.Reader
+	hcldecode.Decoder
 	experiment *experiment.Experiment
 	seen       map[string]hcl.Range // by type: top-level blocks that a file has once
 	expect     []expectation
@@ -24,7 +24,7 @@
 func (d *decoder) once(seen map[string]hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
 	return func(b *hcl.Block) {
 		if first, ok := seen[b.Type]; ok {
-			d.Fault(b.DefRange, "%s: already defined at %s", b.Type, hcldecode.PlaceOf(first))
+			d.Errorf(b.DefRange, "%s: already defined at %s", b.Type, hcldecode.PositionOf(first))
 			return
 		}
 		seen[b.Type] = b.DefRange
@@ -64,7 +64,7 @@
 	}
 	d.checkExpectations()
 	d.checkFaultKinds()
-	return p, hcldecode.Faults(d.Diags).Err()
+	return p, hcldecode.NewErrorList(d.Diags).Err()
 }
 
 // checkRequiredBlocks reports blocks that the file called name lacks.
@@ -72,7 +72,7 @@
 	start := hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}
 	for _, required := range []string{"experiment", "site", "load"} {
 		if _, found := d.seen[required]; !found {
-			d.Fault(start, "the file has no block %q", required)
+			d.Errorf(start, "the file has no block %q", required)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 	}
 	for _, f := range d.experiment.Faults {
 		if virtual, known := experiment.FaultKinds[f.Kind]; known && !virtual {
-			d.Fault(d.seen["experiment"], "experiment: fault %s cannot run in virtual time", f.Kind)
+			d.Errorf(d.seen["experiment"], "experiment: fault %s cannot run in virtual time", f.Kind)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	}, nil)
 	switch {
 	case repeats > 0 && len(seeds) > 0:
-		d.Fault(b.DefRange, "experiment: seeds and repeats cannot be combined")
+		d.Errorf(b.DefRange, "experiment: seeds and repeats cannot be combined")
 	case len(seeds) > 0:
 		e.Seeds = seeds
 	case repeats > 0:
@@ -153,6 +153,6 @@
 		}
 	}
 	if ok && (e.Duration <= 0 || e.Warmup >= e.Duration) {
-		d.Fault(b.DefRange, "experiment: the duration must be longer than the warmup")
+		d.Errorf(b.DefRange, "experiment: the duration must be longer than the warmup")
 	}
 }
--- a/internal/experiment/hclfile/expectations.go
+++ b/internal/experiment/hclfile/expectations.go
@@ -31,7 +31,7 @@
 	}, nil)
 	x.ServedInTimeAbove = float64(served)
 	x.FailedBelow = float64(failed)
-	x.Position = hcldecode.PlaceOf(b.DefRange).String()
+	x.Position = hcldecode.PositionOf(b.DefRange).String()
 	d.expect = append(d.expect, x)
 }
 
@@ -40,10 +40,10 @@
 func (d *decoder) checkExpectations() {
 	for _, x := range d.expect {
 		if x.Variant != "" && !d.hasVariant(x.Variant) {
-			d.Fault(x.position, "expect: arm %q is not defined", x.Variant)
+			d.Errorf(x.position, "expect: arm %q is not defined", x.Variant)
 		}
 		if (x.Expectation == experiment.Expectation{Variant: x.Variant, Position: x.Position}) {
-			d.Fault(x.position, "expect: must set at least one requirement")
+			d.Errorf(x.position, "expect: must set at least one requirement")
 		}
 		d.experiment.Expect = append(d.experiment.Expect, x.Expectation)
 	}
--- a/internal/experiment/hclfile/hclfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -1,5 +1,5 @@
 // Package hclfile reads experiment files: HCL that says what to run and what results are required.
-// docs/lab.md describes the language. The error for an invalid file is an hcldecode.FaultList, or
+// docs/lab.md describes the language. The error for an invalid file is an hcldecode.ErrorList, or
 // wraps one.
 package hclfile
 
@@ -92,7 +92,7 @@
 
 // readVariables reads the variables and the sweep of the file called name. Set replaces values.
 func readVariables(body hcl.Body, name string, set map[string]string) (*variables, error) {
-	r := &hcldecode.Reader{}
+	r := &hcldecode.Decoder{}
 	vars := &variables{values: map[string]cty.Value{}}
 	content, _, diags := body.PartialContent(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{
 		{Type: "vars"},
@@ -108,7 +108,7 @@
 		}
 	}
 	if _, ok := vars.values[vars.sweep]; vars.sweep != "" && !ok {
-		r.Fault(vars.sweepAt, "sweep: variable %q is not defined in vars", vars.sweep)
+		r.Errorf(vars.sweepAt, "sweep: variable %q is not defined in vars", vars.sweep)
 	}
 	for _, k := range slices.Sorted(maps.Keys(set)) {
 		if _, ok := vars.values[k]; !ok {
@@ -117,11 +117,11 @@
 		}
 		vars.values[k] = cty.StringVal(set[k])
 	}
-	return vars, hcldecode.Faults(r.Diags).Err()
+	return vars, hcldecode.NewErrorList(r.Diags).Err()
 }
 
 // readValues reads a block "vars".
-func (vars *variables) readValues(r *hcldecode.Reader, b *hcl.Block) {
+func (vars *variables) readValues(r *hcldecode.Decoder, b *hcl.Block) {
 	attrs, diags := b.Body.JustAttributes()
 	r.Diags = append(r.Diags, diags...)
 	for _, a := range attrs {
@@ -132,9 +132,9 @@
 }
 
 // readSweep reads a block "sweep".
-func (vars *variables) readSweep(r *hcldecode.Reader, b *hcl.Block) {
+func (vars *variables) readSweep(r *hcldecode.Decoder, b *hcl.Block) {
 	if vars.sweep != "" {
-		r.Fault(b.DefRange, "sweep: variable %s is already swept", vars.sweep)
+		r.Errorf(b.DefRange, "sweep: variable %s is already swept", vars.sweep)
 		return
 	}
 	vars.sweep = b.Labels[0]
--- a/internal/experiment/hclfile/include.go
+++ b/internal/experiment/hclfile/include.go
@@ -19,19 +19,19 @@
 	content, _, diags := body.PartialContent(&hcl.BodySchema{
 		Blocks: []hcl.BlockHeaderSchema{{Type: "include", LabelNames: []string{"path"}}}})
 	if diags.HasErrors() {
-		return nil, hcldecode.Faults(diags).Err()
+		return nil, hcldecode.NewErrorList(diags).Err()
 	}
 	var out []hcl.Body
 	current := chain[len(chain)-1]
 	for _, b := range content.Blocks {
 		path := filepath.Join(filepath.Dir(current), b.Labels[0])
 		if slices.Contains(chain, path) {
-			return nil, fmt.Errorf("%s: include: %s includes itself: %s", hcldecode.PlaceOf(b.DefRange), b.Labels[0],
+			return nil, fmt.Errorf("%s: include: %s includes itself: %s", hcldecode.PositionOf(b.DefRange), b.Labels[0],
 				strings.Join(append(baseNames(chain), filepath.Base(path)), " > "))
 		}
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return nil, fmt.Errorf("%s: include: %w", hcldecode.PlaceOf(b.DefRange), err)
+			return nil, fmt.Errorf("%s: include: %w", hcldecode.PositionOf(b.DefRange), err)
 		}
 		inner, err := hcldecode.Parse(text, filepath.ToSlash(b.Labels[0]))
 		if err != nil {
--- a/internal/experiment/hclfile/load.go
+++ b/internal/experiment/hclfile/load.go
@@ -27,14 +27,14 @@
 	})
 	l.Rate = float64(rate)
 	l.Process = experiment.ArrivalProcess(process)
-	hcldecode.OneOf(&d.Reader, b.DefRange, "process", l.Process,
+	hcldecode.OneOf(&d.Decoder, b.DefRange, "process", l.Process,
 		experiment.Poisson, experiment.Steady, experiment.Recorded)
 	switch {
 	case !ok:
 	case l.Process == experiment.Recorded && len(l.Recorded) == 0:
-		d.Fault(b.DefRange, "load: the process recorded needs a list in recorded")
+		d.Errorf(b.DefRange, "load: the process recorded needs a list in recorded")
 	case l.Process != experiment.Recorded && l.Rate <= 0:
-		d.Fault(b.DefRange, "load: rate must be above 0")
+		d.Errorf(b.DefRange, "load: rate must be above 0")
 	}
 }
 
@@ -67,7 +67,7 @@
 	f := experiment.Fault{Kind: experiment.FaultKind(b.Labels[0]), Size: 1, Count: 1, Period: time.Second}
 	if _, ok := experiment.FaultKinds[f.Kind]; !ok {
 		kinds := slices.Sorted(maps.Keys(experiment.FaultKinds))
-		d.Fault(b.LabelRanges[0], "fault: %q is not one of %s", string(f.Kind), hcldecode.Join(kinds))
+		d.Errorf(b.LabelRanges[0], "fault: %q is not one of %s", string(f.Kind), hcldecode.Join(kinds))
 	}
 	fraction := hcldecode.Fraction(1)
 	d.Body(b.Body, hcldecode.Fields{
@@ -81,7 +81,7 @@
 	}, nil)
 	f.Fraction = float64(fraction)
 	if f.Tier != "" && e.Site.TierIndex(f.Tier) < 0 {
-		d.Fault(b.DefRange, "fault: tier %q is not defined before it", f.Tier)
+		d.Errorf(b.DefRange, "fault: tier %q is not defined before it", f.Tier)
 	}
 	d.checkFaultSize(b, f)
 	e.Faults = append(e.Faults, f)
@@ -93,11 +93,11 @@
 	case experiment.FastErrors, experiment.BreakBeforeRequest, experiment.BreakAfterRequest, experiment.TruncateResponse,
 		experiment.CorruptResponse, experiment.NoisyNeighbour, experiment.RollingDeploy:
 		if f.Size > 1 || math.IsNaN(f.Size) {
-			d.Fault(b.DefRange, "fault: the size of %s is a fraction: %g is not between 0 and 1", f.Kind, f.Size)
+			d.Errorf(b.DefRange, "fault: the size of %s is a fraction: %g is not between 0 and 1", f.Kind, f.Size)
 		}
 	case experiment.SharedSlowdown:
 		if f.Size < 1 {
-			d.Fault(b.DefRange, "fault: the size of %s is a factor: %g is below 1", f.Kind, f.Size)
+			d.Errorf(b.DefRange, "fault: the size of %s is a factor: %g is below 1", f.Kind, f.Size)
 		}
 	}
 }
--- a/internal/experiment/hclfile/site.go
+++ b/internal/experiment/hclfile/site.go
@@ -32,14 +32,14 @@
 		"tier name":   d.readTier,
 	})
 	if len(s.Classes) == 0 || len(s.Tiers) == 0 {
-		d.Fault(b.DefRange, "site: needs at least one class and one tier")
+		d.Errorf(b.DefRange, "site: needs at least one class and one tier")
 		return
 	}
 	if s.Balancers < 1 {
-		d.Fault(b.DefRange, "site: balancers must be at least 1")
+		d.Errorf(b.DefRange, "site: balancers must be at least 1")
 	}
 	if last := s.Tiers[len(s.Tiers)-1]; last.Calls > 0 {
-		d.Fault(b.DefRange, "tier %s: the last tier has no other to call", last.Name)
+		d.Errorf(b.DefRange, "tier %s: the last tier has no other to call", last.Name)
 	}
 }
 
@@ -98,16 +98,16 @@
 		"deadline!": &c.Deadline,
 		"worth":     &c.PriorityWeight,
 	}, nil)
-	hcldecode.OneOf(&d.Reader, b.DefRange, "effect", idempotency, nameIdempotent, nameNonIdempotent)
+	hcldecode.OneOf(&d.Decoder, b.DefRange, "effect", idempotency, nameIdempotent, nameNonIdempotent)
 	c.Distribution = experiment.Distribution(distribution)
-	hcldecode.OneOf(&d.Reader, b.DefRange, "spread", c.Distribution,
+	hcldecode.OneOf(&d.Decoder, b.DefRange, "spread", c.Distribution,
 		experiment.Exponential, experiment.LogNormal, experiment.Fixed)
 	if idempotency == nameNonIdempotent {
 		c.Idempotency = balancer.NonIdempotent
 	}
 	c.CacheHitRatio = float64(hits)
 	if c.LatencyObjective > c.Deadline {
-		d.Fault(b.DefRange, "class %s: aim %v is longer than deadline %v", c.Name, c.LatencyObjective,
+		d.Errorf(b.DefRange, "class %s: aim %v is longer than deadline %v", c.Name, c.LatencyObjective,
 			c.Deadline)
 	}
 	d.experiment.Site.Classes = append(d.experiment.Site.Classes, c)
@@ -143,14 +143,14 @@
 	})
 	server.ErrorRate = float64(errorRate)
 	if ok && t.Servers < 1 {
-		d.Fault(b.DefRange, "tier %s: boxes must be at least 1", t.Name)
+		d.Errorf(b.DefRange, "tier %s: boxes must be at least 1", t.Name)
 	}
 	t.Servers = max(t.Servers, 1)
 	if len(t.Kinds) == 0 {
 		t.Kinds = []experiment.Kind{defaultKind(defaultKindName)}
 	}
 	if site.TierIndex(t.Name) >= 0 {
-		d.Fault(b.DefRange, "tier: %q is defined twice", t.Name)
+		d.Errorf(b.DefRange, "tier: %q is defined twice", t.Name)
 	}
 	site.Tiers = append(site.Tiers, t)
 }
@@ -174,7 +174,7 @@
 		"queue": &k.QueueLimit,
 	}, nil)
 	if k.Cores < 1 || k.Slots < 1 || k.Speed <= 0 {
-		d.Fault(b.DefRange, "kind %s: cores, slots and speed must be above 0", k.Name)
+		d.Errorf(b.DefRange, "kind %s: cores, slots and speed must be above 0", k.Name)
 	}
 	return k
 }
@@ -197,7 +197,7 @@
 		"most":    &s.MaxCollapse,
 	}, nil)
 	if s.CollapseSlowdown < 1 {
-		d.Fault(b.DefRange, "choke: slower is %g: the slowdown of a collapse is at least 1", s.CollapseSlowdown)
+		d.Errorf(b.DefRange, "choke: slower is %g: the slowdown of a collapse is at least 1", s.CollapseSlowdown)
 	}
 }
 
--- a/internal/experiment/hclfile/variant.go
+++ b/internal/experiment/hclfile/variant.go
@@ -29,9 +29,9 @@
 		"class name":   func(b *hcl.Block) { v.Classes = append(v.Classes, d.readClassPolicy(b)) },
 	})
 	policies := append([]string{experiment.DesignPolicy, experiment.ReverseProxyPolicy}, baseline.Names...)
-	hcldecode.OneOf(&d.Reader, b.DefRange, "policy", v.Policy, policies...)
+	hcldecode.OneOf(&d.Decoder, b.DefRange, "policy", v.Policy, policies...)
 	if d.hasVariant(v.Name) {
-		d.Fault(b.DefRange, "arm: %q is defined twice", v.Name)
+		d.Errorf(b.DefRange, "arm: %q is defined twice", v.Name)
 	}
 	d.experiment.Variants = append(d.experiment.Variants, v)
 }
@@ -49,7 +49,7 @@
 		"copy_percentile": &p.HedgePercentile,
 		"queue":           &queue,
 	}, nil)
-	hcldecode.OneOf(&d.Reader, b.DefRange, "retry", retry, retryNotRun, retryAfterRun)
+	hcldecode.OneOf(&d.Decoder, b.DefRange, "retry", retry, retryNotRun, retryAfterRun)
 	p.NeverRerun = retry == retryNotRun
 	switch { // in a file 0 stands for no queue; without the attribute there is no limit
 	case queue == 0:
@@ -58,7 +58,7 @@
 		p.QueueLimit = queue
 	}
 	if !slices.ContainsFunc(d.experiment.Site.Classes, func(c experiment.Class) bool { return c.Name == p.Class }) {
-		d.Fault(b.DefRange, "class: %q is not defined in a site before the arms", p.Class)
+		d.Errorf(b.DefRange, "class: %q is not defined in a site before the arms", p.Class)
 	}
 	return p
 }
--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -85,21 +85,21 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &hcldecode.Reader{}
+	r := &hcldecode.Decoder{}
 	b := &Bounds{Digest: xxhash.Sum64(text)}
 	found := false
 	r.Body(body, nil, hcldecode.Blocks{"search name": func(block *hcl.Block) {
 		if found {
-			r.Fault(block.DefRange, "search: already defined")
+			r.Errorf(block.DefRange, "search: already defined")
 		}
 		found = true
 		b.Name = block.Labels[0]
 		readSearch(r, block, b)
 	}})
 	if !found && len(r.Diags) == 0 {
-		r.Fault(hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}, `the file has no block "search"`)
+		r.Errorf(hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}, `the file has no block "search"`)
 	}
-	return b, hcldecode.Faults(r.Diags).Err()
+	return b, hcldecode.NewErrorList(r.Diags).Err()
 }
 
 // maxCount is the largest number of a span of counts.
@@ -115,7 +115,7 @@
 }
 
 // readSearch reads a block "search".
-func readSearch(r *hcldecode.Reader, block *hcl.Block, b *Bounds) {
+func readSearch(r *hcldecode.Decoder, block *hcl.Block, b *Bounds) {
 	var s searchBlock
 	ok := r.Body(block.Body, hcldecode.Fields{
 		"boxes!":        &s.servers,
@@ -149,39 +149,39 @@
 	b.Duration = readTimes(r, "duration", &s.duration)
 	b.Load = readLoad(r, &s.load)
 	if s.minRate <= 0 || s.minRate > s.maxRate {
-		r.Fault(r.Places[&s.maxRate], "rate_most: must be at least rate_least, which must be above 0")
+		r.Errorf(r.Ranges[&s.maxRate], "rate_most: must be at least rate_least, which must be above 0")
 	}
 	b.Rate = Span[float64]{float64(s.minRate), float64(s.maxRate)}
 	b.QuietFraction = float64(s.quiet)
 	b.SuspectRegret = float64(s.suspect)
-	b.check(r, r.Places[&s.tiers])
+	b.check(r, r.Ranges[&s.tiers])
 }
 
 // readCounts returns the span of two integers, of which the first is at least smallest.
-func readCounts(r *hcldecode.Reader, name string, numbers *[]uint64, smallest uint64) Span[int] {
+func readCounts(r *hcldecode.Decoder, name string, numbers *[]uint64, smallest uint64) Span[int] {
 	n := *numbers
 	if len(n) != 2 || n[0] > n[1] || n[0] < smallest || n[1] > maxCount {
-		r.Fault(r.Places[numbers], "%s: must be two integers from %d to %d, the smaller one first", name, smallest, maxCount)
+		r.Errorf(r.Ranges[numbers], "%s: must be two integers from %d to %d, the smaller one first", name, smallest, maxCount)
 		return Span[int]{}
 	}
 	return Span[int]{int(n[0]), int(n[1])}
 }
 
 // readTimes returns the span of two durations.
-func readTimes(r *hcldecode.Reader, name string, times *[]time.Duration) Span[time.Duration] {
+func readTimes(r *hcldecode.Decoder, name string, times *[]time.Duration) Span[time.Duration] {
 	t := *times
 	if len(t) != 2 || t[0] > t[1] || t[0] <= 0 {
-		r.Fault(r.Places[times], "%s: must be two durations above 0s, the shorter one first", name)
+		r.Errorf(r.Ranges[times], "%s: must be two durations above 0s, the shorter one first", name)
 		return Span[time.Duration]{}
 	}
 	return Span[time.Duration]{t[0], t[1]}
 }
 
 // readLoad returns the span of two fractions of a site's capacity.
-func readLoad(r *hcldecode.Reader, load *[]float64) Span[float64] {
+func readLoad(r *hcldecode.Decoder, load *[]float64) Span[float64] {
 	l := *load
 	if len(l) != 2 || l[0] > l[1] || l[0] <= 0 {
-		r.Fault(r.Places[load], "load: must be two numbers above 0, the smaller one first")
+		r.Errorf(r.Ranges[load], "load: must be two numbers above 0, the smaller one first")
 		return Span[float64]{}
 	}
 	return Span[float64]{l[0], l[1]}
@@ -191,24 +191,24 @@
 const maxTiers = 3
 
 // check reports values that cannot be run. Tiers is the place of that attribute.
-func (b *Bounds) check(r *hcldecode.Reader, tiers hcl.Range) {
+func (b *Bounds) check(r *hcldecode.Decoder, tiers hcl.Range) {
 	if b.MaxRequests < 100 || b.MaxKnownPairs < 1 {
-		r.Fault(r.Places[&b.MaxRequests], "requests and known: must be at least 100 requests and 1 pair")
+		r.Errorf(r.Ranges[&b.MaxRequests], "requests and known: must be at least 100 requests and 1 pair")
 	}
 	if b.Tiers.Max > maxTiers {
-		r.Fault(tiers, "tiers: must be at most %d", maxTiers)
+		r.Errorf(tiers, "tiers: must be at most %d", maxTiers)
 	}
 	if b.Repeats < 1 || b.MoreRepeats < b.Repeats+2 {
-		r.Fault(r.Places[&b.MoreRepeats],
+		r.Errorf(r.Ranges[&b.MoreRepeats],
 			"more_repeats: must exceed repeats by at least 2: regret excludes the runs that selected the baseline")
 	}
 	for _, k := range b.FaultKinds {
-		hcldecode.OneOf(r, r.Places[&b.FaultKinds], "fault_kinds", k, faultKinds...)
+		hcldecode.OneOf(r, r.Ranges[&b.FaultKinds], "fault_kinds", k, faultKinds...)
 	}
 	for _, p := range b.Baselines {
-		hcldecode.OneOf(r, r.Places[&b.Baselines], "rivals", p, baseline.Names...)
+		hcldecode.OneOf(r, r.Ranges[&b.Baselines], "rivals", p, baseline.Names...)
 	}
 	if len(b.Baselines) == 0 {
-		r.Fault(r.Places[&b.Baselines], "rivals: must name at least one policy")
+		r.Errorf(r.Ranges[&b.Baselines], "rivals: must name at least one policy")
 	}
 }
--- a/internal/hcldecode/budget.go
+++ b/internal/hcldecode/budget.go
@@ -13,13 +13,13 @@
 )
 
 // RetryBudget decodes a block "retry_budget".
-func (r *Reader) RetryBudget(b *hcl.Block, to *balancer.RetryBudget) {
+func (r *Decoder) RetryBudget(b *hcl.Block, to *balancer.RetryBudget) {
 	var perRequest Fraction
 	var perSecond Rate
 	to.Burst = defaultBurst
 	ok := r.Body(b.Body, Fields{"share!": &perRequest, "floor": &perSecond, "most": &to.Burst}, nil)
 	if ok && to.Burst < minBurst {
-		r.Fault(r.Places[&to.Burst], "most: %g allows no retry; the minimum is %d", to.Burst, minBurst)
+		r.Errorf(r.Ranges[&to.Burst], "most: %g allows no retry; the minimum is %d", to.Burst, minBurst)
 	}
 	to.PerRequest, to.PerSecond = float64(perRequest), float64(perSecond)
 }
--- a/internal/hcldecode/fault.go
+++ b/internal/hcldecode/fault.go
@@ -8,41 +8,41 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// Place is a position in a file. Its zero value is no position.
-type Place struct {
+// Position is a position in a file. Its zero value is no position.
+type Position struct {
 	File         string
 	Line, Column int // from 1
 }
 
-// PlaceOf returns the start of a range.
-func PlaceOf(r hcl.Range) Place {
-	return Place{File: r.Filename, Line: r.Start.Line, Column: r.Start.Column}
+// PositionOf returns the start of a range.
+func PositionOf(r hcl.Range) Position {
+	return Position{File: r.Filename, Line: r.Start.Line, Column: r.Start.Column}
 }
 
 // String returns file:line:column.
-func (p Place) String() string {
+func (p Position) String() string {
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 }
 
-// Fault is one error in a file.
-type Fault struct {
-	Place   Place // zero if the fault is of the file as a whole
-	Message string
+// Error is one error in a file.
+type Error struct {
+	Position Position // zero if the fault is of the file as a whole
+	Message  string
 }
 
 // Error returns the place and the message on one line.
-func (f Fault) Error() string {
-	if f.Place == (Place{}) {
+func (f Error) Error() string {
+	if f.Position == (Position{}) {
 		return f.Message
 	}
-	return f.Place.String() + ": " + f.Message
+	return f.Position.String() + ": " + f.Message
 }
 
-// FaultList is the error for a file: its faults in the file's order, each once.
-type FaultList []Fault
+// ErrorList is the error for a file: its faults in the file's order, each once.
+type ErrorList []Error
 
 // Error returns one line for each fault.
-func (l FaultList) Error() string {
+func (l ErrorList) Error() string {
 	var lines []string
 	for _, f := range l {
 		lines = append(lines, f.Error())
@@ -51,7 +51,7 @@
 }
 
 // Err returns the list as an error, or nil if it is empty.
-func (l FaultList) Err() error {
+func (l ErrorList) Err() error {
 	if len(l) == 0 {
 		return nil
 	}
@@ -59,7 +59,7 @@
 }
 
 // Unwrap returns the faults.
-func (l FaultList) Unwrap() []error {
+func (l ErrorList) Unwrap() []error {
 	var errs []error
 	for _, f := range l {
 		errs = append(errs, f)
@@ -67,8 +67,8 @@
 	return errs
 }
 
-// Faults returns the errors among the diagnostics.
-func Faults(diags hcl.Diagnostics) FaultList {
+// NewErrorList returns the errors among the diagnostics.
+func NewErrorList(diags hcl.Diagnostics) ErrorList {
 	var errs []*hcl.Diagnostic
 	for _, d := range diags {
 		if d.Severity == hcl.DiagError {
@@ -76,9 +76,9 @@
 		}
 	}
 	slices.SortStableFunc(errs, compareByOffset)
-	var faults FaultList
+	var faults ErrorList
 	for _, d := range errs {
-		if f := newFault(d); !slices.Contains(faults, f) {
+		if f := newError(d); !slices.Contains(faults, f) {
 			faults = append(faults, f)
 		}
 	}
@@ -93,14 +93,14 @@
 	return a.Subject.Start.Byte - b.Subject.Start.Byte
 }
 
-// newFault returns the fault of a diagnostic, with a message of one line.
-func newFault(d *hcl.Diagnostic) Fault {
-	f := Fault{Message: d.Summary}
+// newError returns the fault of a diagnostic, with a message of one line.
+func newError(d *hcl.Diagnostic) Error {
+	f := Error{Message: d.Summary}
 	if d.Detail != "" {
 		f.Message += ": " + strings.ReplaceAll(d.Detail, "\n", " ")
 	}
 	if d.Subject != nil {
-		f.Place = PlaceOf(*d.Subject)
+		f.Position = PositionOf(*d.Subject)
 	}
 	return f
 }
--- a/internal/hcldecode/fault_test.go
+++ b/internal/hcldecode/fault_test.go
@@ -21,15 +21,15 @@
 func TestFaultsOfDiagnostics(t *testing.T) {
 	warning := diagnosticAt(1, 0, "warning", "")
 	warning.Severity = hcl.DiagWarning
-	faults := Faults(hcl.Diagnostics{
+	faults := NewErrorList(hcl.Diagnostics{
 		diagnosticAt(9, 90, "b", ""),
 		warning,
 		diagnosticAt(4, 40, "a", "two\nlines"),
 		diagnosticAt(9, 90, "b", ""),
 	})
-	want := FaultList{
-		{Place: Place{File: "f.hcl", Line: 4, Column: 3}, Message: "a: two lines"},
-		{Place: Place{File: "f.hcl", Line: 9, Column: 3}, Message: "b"},
+	want := ErrorList{
+		{Position: Position{File: "f.hcl", Line: 4, Column: 3}, Message: "a: two lines"},
+		{Position: Position{File: "f.hcl", Line: 9, Column: 3}, Message: "b"},
 	}
 	if !slices.Equal(faults, want) {
 		t.Errorf("got %+v, want %+v", faults, want)
@@ -40,26 +40,26 @@
 }
 
 func TestFaultWithoutPlaceIsItsMessage(t *testing.T) {
-	faults := Faults(hcl.Diagnostics{{Severity: hcl.DiagError, Summary: "a"}})
+	faults := NewErrorList(hcl.Diagnostics{{Severity: hcl.DiagError, Summary: "a"}})
 	if got := faults.Error(); got != "a" {
 		t.Errorf("got %q", got)
 	}
 }
 
 func TestNoFaultIsNoError(t *testing.T) {
-	if err := Faults(nil).Err(); err != nil {
+	if err := NewErrorList(nil).Err(); err != nil {
 		t.Errorf("got %v", err)
 	}
 }
 
 func TestFaultListIsUnwrapped(t *testing.T) {
 	_, err := Parse([]byte("x = "), "f.hcl")
-	var list FaultList
+	var list ErrorList
 	if !errors.As(err, &list) || len(list) != 1 {
 		t.Fatalf("got %T %v, want one fault", err, err)
 	}
-	var fault Fault
-	if !errors.As(err, &fault) || fault != list[0] || fault.Place != (Place{File: "f.hcl", Line: 1, Column: 5}) {
+	var fault Error
+	if !errors.As(err, &fault) || fault != list[0] || fault.Position != (Position{File: "f.hcl", Line: 1, Column: 5}) {
 		t.Errorf("got %+v of %+v", fault, list)
 	}
 }
--- a/internal/hcldecode/hcldecode.go
+++ b/internal/hcldecode/hcldecode.go
@@ -1,5 +1,5 @@
 // Package hcldecode decodes the bodies of HCL files into values, with units where they are
-// required, and collects all faults of a file: a FaultList holds each with its place and message.
+// required, and collects all faults of a file: an ErrorList holds each with its place and message.
 package hcldecode
 
 import (
@@ -12,27 +12,27 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Reader decodes bodies into values and collects their faults. Its zero value is ready
+// Decoder decodes bodies into values and collects their faults. Its zero value is ready
 // for use.
-type Reader struct {
+type Decoder struct {
 	Vars   *hcl.EvalContext // variables and functions of expressions; nil: none
 	Diags  hcl.Diagnostics
-	Places map[any]hcl.Range // by pointer to a value: the attribute that set it
+	Ranges map[any]hcl.Range // by pointer to a value: the attribute that set it
 }
 
 // Fields maps the attributes of a body to pointers to their values. A name that ends in "!" marks a
-// required attribute. See Reader.Body for the types of values.
+// required attribute. See Decoder.Body for the types of values.
 type Fields map[string]any
 
 // Blocks maps the types of a body's blocks to functions that decode them. The key "type name" is
 // for blocks with one label.
 type Blocks map[string]func(b *hcl.Block)
 
-// Parse parses the text of a file that is called name in messages. Its error is a FaultList with
+// Parse parses the text of a file that is called name in messages. Its error is an ErrorList with
 // the first syntax error only: others mostly follow from it.
 func Parse(text []byte, name string) (hcl.Body, error) {
 	file, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
-	if err := Faults(diags[:min(len(diags), 1)]).Err(); err != nil {
+	if err := NewErrorList(diags[:min(len(diags), 1)]).Err(); err != nil {
 		return nil, err
 	}
 	return file.Body, nil
@@ -45,7 +45,7 @@
 // A value is a *time.Duration, *Size, *Rate, *Fraction, *float64, *int, *bool or *string, or a
 // pointer to a slice of uint64, float64, time.Duration or string. Body panics if it is of another
 // type.
-func (r *Reader) Body(body hcl.Body, fields Fields, blocks Blocks) bool {
+func (r *Decoder) Body(body hcl.Body, fields Fields, blocks Blocks) bool {
 	faultsBefore := len(r.Diags)
 	schema, decoders := newSchema(fields, blocks)
 	content, diags := body.Content(schema)
@@ -55,10 +55,10 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(fields)) { // faults are found in the same order each time
 		if a := content.Attributes[strings.TrimSuffix(name, "!")]; a != nil {
-			if r.Places == nil {
-				r.Places = map[any]hcl.Range{}
+			if r.Ranges == nil {
+				r.Ranges = map[any]hcl.Range{}
 			}
-			r.Places[fields[name]] = a.Range
+			r.Ranges[fields[name]] = a.Range
 			r.attribute(a, fields[name])
 		}
 	}
@@ -88,8 +88,8 @@
 	return &schema, decoders
 }
 
-// Fault adds a fault at a place in the file.
-func (r *Reader) Fault(at hcl.Range, format string, args ...any) {
+// Errorf adds a fault at a place in the file.
+func (r *Decoder) Errorf(at hcl.Range, format string, args ...any) {
 	r.Diags = append(r.Diags, &hcl.Diagnostic{
 		Severity: hcl.DiagError,
 		Summary:  fmt.Sprintf(format, args...),
@@ -98,9 +98,9 @@
 }
 
 // OneOf adds a fault if the value of an attribute is not one of those allowed.
-func OneOf[T ~string](r *Reader, at hcl.Range, name string, value T, allowed ...T) {
+func OneOf[T ~string](r *Decoder, at hcl.Range, name string, value T, allowed ...T) {
 	if !slices.Contains(allowed, value) {
-		r.Fault(at, "%s: %q is not one of %s", name, string(value), Join(allowed))
+		r.Errorf(at, "%s: %q is not one of %s", name, string(value), Join(allowed))
 	}
 }
 
--- a/internal/hcldecode/hcldecode_test.go
+++ b/internal/hcldecode/hcldecode_test.go
@@ -18,10 +18,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r Reader
+	var r Decoder
 	var x T
 	r.Body(body, Fields{"x": &x}, nil)
-	return x, Faults(r.Diags).Err()
+	return x, NewErrorList(r.Diags).Err()
 }
 
 // checkValue checks in a subtest that an expression is decoded into a value.
@@ -93,13 +93,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var r Reader
+		var r Decoder
 		var k, l, y float64
 		decodeBlock := func(b *hcl.Block) { r.Body(b.Body, Fields{"l!": &l, "k!": &k}, nil) }
 		if r.Body(body, Fields{"y": &y}, Blocks{"b": decodeBlock}) {
 			t.Fatal("decoded without a fault")
 		}
-		if err := Faults(r.Diags).Err(); err == nil || err.Error() != want {
+		if err := NewErrorList(r.Diags).Err(); err == nil || err.Error() != want {
 			t.Fatalf("got\n%v\nwant\n%s", err, want)
 		}
 	}
@@ -121,10 +121,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var r Reader
+			var r Decoder
 			var budget balancer.RetryBudget
 			r.Body(body, nil, Blocks{"retry_budget": func(b *hcl.Block) { r.RetryBudget(b, &budget) }})
-			if got := Faults(r.Diags).Error(); got != c.fault {
+			if got := NewErrorList(r.Diags).Error(); got != c.fault {
 				t.Fatalf("faults: got %q, want %q", got, c.fault)
 			}
 			if c.fault == "" && budget != c.want {
--- a/internal/hcldecode/values.go
+++ b/internal/hcldecode/values.go
@@ -28,13 +28,13 @@
 // value is the value of an attribute, or one element of its list, to be converted.
 type value struct {
 	cty.Value
-	r    *Reader
+	r    *Decoder
 	name string    // of the attribute
 	at   hcl.Range // of its expression
 }
 
 // attribute decodes an attribute into the value to which to points.
-func (r *Reader) attribute(a *hcl.Attribute, to any) {
+func (r *Decoder) attribute(a *hcl.Attribute, to any) {
 	evaluated, diags := a.Expr.Value(r.Vars)
 	r.Diags = append(r.Diags, diags...)
 	if diags.HasErrors() || evaluated.IsNull() || !evaluated.IsWhollyKnown() {
@@ -95,7 +95,7 @@
 		v.each(func(element value) {
 			s, err := convert.Convert(element.Value, cty.String)
 			if err != nil {
-				v.fault("elements must be strings, numbers or booleans")
+				v.errorf("elements must be strings, numbers or booleans")
 				return
 			}
 			*to = append(*to, s.AsString())
@@ -113,15 +113,15 @@
 	}
 }
 
-// fault adds a fault about the attribute.
-func (v value) fault(format string, args ...any) {
-	v.r.Fault(v.at, "%s: %s", v.name, fmt.Sprintf(format, args...))
+// errorf adds a errorf about the attribute.
+func (v value) errorf(format string, args ...any) {
+	v.r.Errorf(v.at, "%s: %s", v.name, fmt.Sprintf(format, args...))
 }
 
 // each calls f with each element of a list.
 func (v value) each(f func(element value)) {
 	if !v.CanIterateElements() || v.Type().IsMapType() || v.Type().IsObjectType() {
-		v.fault("must be a list in brackets")
+		v.errorf("must be a list in brackets")
 		return
 	}
 	for it := v.ElementIterator(); it.Next(); {
@@ -134,7 +134,7 @@
 // text returns a string. Expected describes the required value in the fault for another type.
 func (v value) text(expected string) (string, bool) {
 	if v.Type() != cty.String {
-		v.fault("must be %s", expected)
+		v.errorf("must be %s", expected)
 		return "", false
 	}
 	return v.AsString(), true
@@ -145,7 +145,7 @@
 func (v value) number() (float64, bool) {
 	n, err := convert.Convert(v.Value, cty.Number)
 	if err != nil {
-		v.fault("must be a number")
+		v.errorf("must be a number")
 		return 0, false
 	}
 	x, _ := n.AsBigFloat().Float64()
@@ -155,7 +155,7 @@
 func (v value) nonNegative() (float64, bool) {
 	x, ok := v.number()
 	if ok && x < 0 {
-		v.fault("%g is negative", x)
+		v.errorf("%g is negative", x)
 		return 0, false
 	}
 	return x, ok
@@ -164,7 +164,7 @@
 func (v value) nonNegativeInt() (int, bool) {
 	x, ok := v.number()
 	if ok && (x != float64(int(x)) || x < 0) {
-		v.fault("%g is not a non-negative integer", x)
+		v.errorf("%g is not a non-negative integer", x)
 		return 0, false
 	}
 	return int(x), ok
@@ -173,7 +173,7 @@
 func (v value) fraction() (Fraction, bool) {
 	x, ok := v.number()
 	if ok && (x < 0 || x > 1) {
-		v.fault("%g is not between 0 and 1", x)
+		v.errorf("%g is not between 0 and 1", x)
 		return 0, false
 	}
 	return Fraction(x), ok
@@ -182,7 +182,7 @@
 func (v value) boolean() (bool, bool) {
 	b, err := convert.Convert(v.Value, cty.Bool)
 	if err != nil {
-		v.fault("must be true or false")
+		v.errorf("must be true or false")
 		return false, false
 	}
 	return b.True(), true
@@ -195,7 +195,7 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		v.fault(`%q is not a duration; examples: "250ms", "2.5s"`, text)
+		v.errorf(`%q is not a duration; examples: "250ms", "2.5s"`, text)
 		return 0, false
 	}
 	return d, true
@@ -210,7 +210,7 @@
 	seconds := rateUnits[unit]
 	x, err := strconv.ParseFloat(strings.TrimSpace(count), 64)
 	if err != nil || seconds == 0 || x < 0 {
-		v.fault(`%q is not a rate; examples: "50/s", "3000/min"`, text)
+		v.errorf(`%q is not a rate; examples: "50/s", "3000/min"`, text)
 		return 0, false
 	}
 	return Rate(x / seconds), true
@@ -225,7 +225,7 @@
 	bytes := sizeUnits[text[len(digits):]]
 	x, err := strconv.ParseFloat(strings.TrimSpace(digits), 64)
 	if err != nil || bytes == 0 || x < 0 {
-		v.fault(`%q is not a size; examples: "64KiB", "128MiB"`, text)
+		v.errorf(`%q is not a size; examples: "64KiB", "128MiB"`, text)
 		return 0, false
 	}
 	return Size(x * bytes), true
--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -31,7 +31,7 @@
 	MaxBackoff     time.Duration
 }
 
-// LoadConfig reads a fleet's file. The error for an invalid one is an hcldecode.FaultList. Relative
+// LoadConfig reads a fleet's file. The error for an invalid one is an hcldecode.ErrorList. Relative
 // paths in the file are relative to its folder.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
@@ -48,12 +48,12 @@
 		InitialBackoff: defaultInitialBackoff,
 		MaxBackoff:     defaultMaxBackoff,
 	}
-	r := &hcldecode.Reader{Places: map[any]hcl.Range{}}
+	r := &hcldecode.Decoder{Ranges: map[any]hcl.Range{}}
 	r.Body(body, nil, hcldecode.Blocks{"fleet": func(b *hcl.Block) { c.decode(r, b) }})
 	if c.Instances == 0 && len(r.Diags) == 0 {
-		r.Fault(hcl.Range{Filename: path, Start: hcl.InitialPos, End: hcl.InitialPos}, `the file has no block "fleet"`)
+		r.Errorf(hcl.Range{Filename: path, Start: hcl.InitialPos, End: hcl.InitialPos}, `the file has no block "fleet"`)
 	}
-	if err := hcldecode.Faults(r.Diags).Err(); err != nil {
+	if err := hcldecode.NewErrorList(r.Diags).Err(); err != nil {
 		return nil, err
 	}
 	if err := c.resolvePaths(filepath.Dir(path)); err != nil {
@@ -62,8 +62,8 @@
 	return c, nil
 }
 
-// decode reads and checks the block fleet. Faults are added to the reader's.
-func (c *Config) decode(r *hcldecode.Reader, b *hcl.Block) {
+// decode reads and checks the block fleet. Errors are added to the decoder.
+func (c *Config) decode(r *hcldecode.Decoder, b *hcl.Block) {
 	seed := int(c.Seed)
 	r.Body(b.Body, hcldecode.Fields{
 		"instances!":   &c.Instances,
@@ -80,11 +80,11 @@
 	c.Seed = uint64(seed)
 	switch {
 	case c.Instances < 1 || c.Instances > maxInstances:
-		r.Fault(r.Places[&c.Instances], "instances: %d is not between 1 and %d", c.Instances, maxInstances)
+		r.Errorf(r.Ranges[&c.Instances], "instances: %d is not between 1 and %d", c.Instances, maxInstances)
 	case c.InitialBackoff <= 0 || c.MaxBackoff < c.InitialBackoff:
-		r.Fault(b.DefRange, "back_off: first must be above 0, and most at least first")
+		r.Errorf(b.DefRange, "back_off: first must be above 0, and most at least first")
 	case c.ReadyTimeout <= 0 || c.StopTimeout <= 0:
-		r.Fault(b.DefRange, "fleet: ready_within and stop_within must be above 0")
+		r.Errorf(b.DefRange, "fleet: ready_within and stop_within must be above 0")
 	}
 }
 
