--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// isLocal reports whether an address is a unix socket or on loopback. It is true for text that
-// is not an address.
+// isLocal reports whether an address is a unix socket or a loopback address. It returns true for
+// text that is not an address.
 func isLocal(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	return err != nil || strings.HasPrefix(address, "unix:") || host == "localhost" || net.ParseIP(host).IsLoopback()
@@ -37,7 +37,7 @@
 		d.Errorf(b.DefRange, "fleet: index %d is out of range for %d instances", f.Index, f.Instances)
 	}
 	if _, hasIndex := d.Ranges[&f.Index]; hasIndex && f.Name != "" {
-		d.Errorf(d.Ranges[&f.Name], "name: cannot be combined with index; it identifies instances that have none")
+		d.Errorf(d.Ranges[&f.Name], "name: cannot be combined with index; a name is for instances that have no index")
 	}
 }
 
@@ -55,7 +55,8 @@
 			s.Interval, minSnapshotInterval)
 	}
 	if s.MaxAge < s.Interval {
-		d.Errorf(b.DefRange, "state: fresh_for is %v, shorter than the time between two snapshots, %v", s.MaxAge, s.Interval)
+		d.Errorf(b.DefRange, "state: fresh_for is %v, which is shorter than the time between two snapshots, %v",
+			s.MaxAge, s.Interval)
 	}
 }
 
@@ -94,7 +95,7 @@
 	d.Listeners = append(d.Listeners, l)
 }
 
-// keyScopes are the values of a class's "group".
+// keyScopes maps the values of the attribute "group" of a class.
 var keyScopes = map[string]balancer.KeyScope{
 	"all":  balancer.KeyScopeAll,
 	"zone": balancer.KeyScopeZone,
@@ -127,14 +128,15 @@
 	d.Classes = append(d.Classes, c)
 }
 
-// checkKeyWindow requires a window of keyed classes, and of no others.
+// checkKeyWindow requires that keyed classes set a window, and that other classes set none.
 func (d *decoder) checkKeyWindow(b *hcl.Block, c *Class, idempotency string) {
 	at, hasWindow := d.Ranges[&c.KeyWindow]
 	switch {
 	case idempotency == nameKeyed && c.KeyWindow == 0:
-		d.Errorf(b.DefRange, "class %q: a keyed class needs a window, for which endpoints drop repeats of a key", c.Name)
+		d.Errorf(b.DefRange, "class %q: a keyed class must set window, the time for which endpoints drop duplicates of a key",
+			c.Name)
 	case idempotency != nameKeyed && hasWindow:
-		d.Errorf(at, "window: class %q is %s; endpoints drop repeats of keyed classes only", c.Name, idempotency)
+		d.Errorf(at, "window: class %q is %s, but endpoints drop duplicates of keyed classes only", c.Name, idempotency)
 	}
 }
 
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -7,29 +7,30 @@
 	"slices"
 )
 
-// Compare returns a line for each part that another configuration adds, removes or changes.
+// Compare returns a line for each listener, pool, route and other block that next adds, removes or
+// changes.
 func (c *Config) Compare(next *Config) []string {
 	var lines []string
-	lines = append(lines, compareParts("listener", listenersByName(c), listenersByName(next))...)
-	lines = append(lines, compareParts("pool", poolsByName(c), poolsByName(next))...)
-	lines = append(lines, compareParts("route", routesByName(c), routesByName(next))...)
-	return append(lines, compareParts("block", singleBlocks(c), singleBlocks(next))...)
+	lines = append(lines, compareBlocks("listener", listenersByName(c), listenersByName(next))...)
+	lines = append(lines, compareBlocks("pool", poolsByName(c), poolsByName(next))...)
+	lines = append(lines, compareBlocks("route", routesByName(c), routesByName(next))...)
+	return append(lines, compareBlocks("block", singleBlocks(c), singleBlocks(next))...)
 }
 
-// compareParts compares parts of one kind by their names.
-func compareParts(kind string, old, new map[string]any) []string {
+// compareBlocks compares the blocks of one kind, given by their names.
+func compareBlocks(kind string, old, new map[string]any) []string {
 	all := maps.Clone(old)
 	maps.Copy(all, new)
 	var lines []string
 	for _, name := range slices.Sorted(maps.Keys(all)) {
-		oldPart, inOld := old[name]
-		newPart, inNew := new[name]
+		oldBlock, inOld := old[name]
+		newBlock, inNew := new[name]
 		switch {
 		case !inNew:
 			lines = append(lines, fmt.Sprintf("%s %q went", kind, name))
 		case !inOld:
 			lines = append(lines, fmt.Sprintf("%s %q came", kind, name))
-		case !reflect.DeepEqual(oldPart, newPart):
+		case !reflect.DeepEqual(oldBlock, newBlock):
 			lines = append(lines, fmt.Sprintf("%s %q changed", kind, name))
 		}
 	}
@@ -37,34 +38,34 @@
 }
 
 func listenersByName(c *Config) map[string]any {
-	parts := map[string]any{}
+	blocks := map[string]any{}
 	for _, l := range c.Listeners {
-		parts[l.Name] = l
+		blocks[l.Name] = l
 	}
-	return parts
+	return blocks
 }
 
 func poolsByName(c *Config) map[string]any {
-	parts := map[string]any{}
+	blocks := map[string]any{}
 	for _, p := range c.Pools {
-		parts[p.Name] = p
+		blocks[p.Name] = p
 	}
-	return parts
+	return blocks
 }
 
-// routesByName returns the routes without the origins of their attributes, which make no
-// difference.
+// routesByName returns the routes without the origins of their attributes, because a change of an
+// origin alone does not change what a route does.
 func routesByName(c *Config) map[string]any {
-	parts := map[string]any{}
+	blocks := map[string]any{}
 	for _, r := range c.Routes {
 		r.Origins = nil
-		parts[r.Name] = r
+		blocks[r.Name] = r
 	}
-	return parts
+	return blocks
 }
 
-// singleBlocks returns the blocks of which a file has one each, by the names under which changes
-// are reported.
+// singleBlocks returns the parts of a configuration that are compared as a whole, by the names
+// under which Compare reports them.
 func singleBlocks(c *Config) map[string]any {
 	return map[string]any{
 		"admin":   c.Admin,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the daemon's configuration: a language in HCL, its validation, and the
-// immutable value that a valid file makes. docs/daemon.md describes the language. The error for an
+// Package config parses and validates the daemon's configuration file, which is written in HCL, and
+// represents it as an immutable Config. docs/daemon.md describes the file format. The error for an
 // invalid file is an hcldecode.ErrorList.
 package config
 
@@ -11,11 +11,11 @@
 	"rowancart/internal/route"
 )
 
-// Config is a valid configuration.
+// Config is a validated configuration.
 type Config struct {
-	File      string
-	Text      []byte // of the file
-	Admin     string // host:port, or unix: and a path; empty: no admin interface
+	File      string // path of the file
+	Text      []byte // contents of the file
+	Admin     string // address of the admin interface, host:port or unix:PATH; empty: none
 	Fleet     Fleet
 	Snapshot  Snapshot
 	Limits    Limits
@@ -24,32 +24,32 @@
 	Tenants   []balancer.Tenant
 	Pools     []Pool
 	Routes    []Route
-	Warnings  []string // one line for each part that is valid but probably unintended
+	Warnings  []string // one line for each block that is valid but probably a mistake
 }
 
-// Fleet identifies this instance among those of its fleet.
+// Fleet identifies this instance within its fleet.
 type Fleet struct {
 	Instances int
-	Index     int    // from 0
-	Name      string // identifies an instance that has no index; empty: Index does
+	Index     int    // from 0 to Instances-1
+	Name      string // identifies an instance that has no index; empty: Index identifies it
 }
 
-// Snapshot configures the file in which a daemon saves its learned state, for its successor.
+// Snapshot configures the file in which the daemon saves its learned state for its successor.
 type Snapshot struct {
-	Path     string        // of the file; empty: nothing is saved
-	Interval time.Duration // between two snapshots; there is one more at the end
-	MaxAge   time.Duration // an older snapshot is not used
+	Path     string        // path of the file; empty: learned state is not saved
+	Interval time.Duration // time between two snapshots; a last one is saved at shutdown
+	MaxAge   time.Duration // a snapshot older than this is not restored
 }
 
 // Limits bound the resources of the process.
 type Limits struct {
-	Memory          int64         // bytes
-	MaxConns        int           // clients' connections, over all listeners
-	StopTimeout     time.Duration // for draining
-	HandoverTimeout time.Duration // after which a successor that does not serve is ended
+	Memory          int64         // in bytes
+	MaxConns        int           // open connections of clients, to all listeners together
+	StopTimeout     time.Duration // maximum time for draining at shutdown
+	HandoverTimeout time.Duration // a successor that does not serve by then is terminated
 }
 
-// Listener is an address at which clients are served.
+// Listener is an address on which the daemon serves clients.
 type Listener struct {
 	Name, Address string
 }
@@ -58,32 +58,32 @@
 type Class struct {
 	Name             string
 	Idempotency      balancer.Idempotency
-	KeyScope         balancer.KeyScope // within which an endpoint drops repeats of an idempotency key
-	KeyWindow        time.Duration     // for how long it drops them
+	KeyScope         balancer.KeyScope // endpoints that share their record of idempotency keys
+	KeyWindow        time.Duration     // time for which endpoints drop duplicates of an idempotency key
 	LatencyObjective time.Duration
-	PriorityWeight   float64
+	PriorityWeight   float64 // weight of a request in the metric rowancart_worth_total
 }
 
 // Pool is a set of equivalent endpoints.
 type Pool struct {
 	Name              string
 	Source            EndpointSource
-	Subset            int           // endpoints that one instance sends to; 0: all
-	MaxConns          int           // open at once, to all endpoints of the pool
-	ConnIdleTimeout   time.Duration // after which endpoints close an idle connection
-	DialTimeout       time.Duration
-	SlowStartCapacity float64 // of a new endpoint, as a fraction of its full one
-	SlowStartWindow   time.Duration
-	SlowStartShare    float64 // see balancer.Settings.SlowStartShare
+	Subset            int           // number of endpoints that one instance sends to; 0: all
+	MaxConns          int           // open connections, to all endpoints of the pool together
+	ConnIdleTimeout   time.Duration // after which endpoints close an idle connection; 0: the connection pool's default
+	DialTimeout       time.Duration // 0: the connection pool's default
+	SlowStartCapacity float64       // capacity of a new endpoint, as a fraction of its full one
+	SlowStartWindow   time.Duration // time after which a started endpoint has its full capacity
+	SlowStartShare    float64       // see balancer.Settings.SlowStartShare
 	RetryBudget       balancer.RetryBudget
 	TiersBelow        int // see balancer.Settings.TiersBelow
 }
 
-// EndpointSource is the source of a pool's endpoint list. Exactly one field is set.
+// EndpointSource says where a pool's endpoint list comes from. Exactly one field is set.
 type EndpointSource struct {
 	Static   []Endpoint
 	File     string // path of a JSON file
-	Platform string // host:port of the platform's discovery
+	Platform string // host:port of the platform's service discovery
 }
 
 // Endpoint is an endpoint listed in the configuration.
@@ -92,40 +92,40 @@
 	Cell                    int
 }
 
-// Route matches requests, and says which pool serves them under which policy.
+// Route specifies which requests it matches, which pool serves them, and under which policy.
 type Route struct {
 	Name         string
 	Match        route.Match
-	Listeners    []string // empty: all
+	Listeners    []string // names of the listeners that serve the route; empty: all
 	Class        Class
-	Pool         string
-	TenantHeader string // names a request's tenant
+	Pool         string // name of the pool
+	TenantHeader string // name of the header that identifies a request's tenant
 	Policy       Policy
-	Origins      map[string]string // for each attribute of the policy, where its value was set
+	Origins      map[string]string // where the value of each policy attribute was set, by attribute name
 }
 
-// Policy bounds the requests of a route. balancer.Class documents most of its fields.
+// Policy limits the requests of a route. balancer.Class documents most of these fields.
 type Policy struct {
-	ClientTimeout     time.Duration // of requests that name no deadline
-	RequestTimeout    time.Duration
-	AttemptTimeout    time.Duration // 0: the request's
+	ClientTimeout     time.Duration // for requests that carry no timeout of their own
+	RequestTimeout    time.Duration // longest time for a request, whatever timeout it carries
+	AttemptTimeout    time.Duration // 0: an attempt may last as long as its request
 	MaxAttempts       int
 	Retry             RetryMode
-	HedgeAfter        time.Duration // 0: no hedged request after a fixed time
-	HedgePercentile   float64       // 0: no hedged request after a percentile of the latency
-	QueueLimit        int           // requests that may wait for capacity; below 0: any number
+	HedgeAfter        time.Duration // time without a response until a request is hedged; 0: not used
+	HedgePercentile   float64       // percentile of the latency after which a request is hedged; 0: not used
+	QueueLimit        int           // requests that may wait for capacity; 0: none; below 0: no limit
 	Rate              ratelimit.Rate
 	Concurrency       int // 0: no limit
 	TenantRate        ratelimit.Rate
 	TenantConcurrency int // 0: no limit
 }
 
-// RetryMode limits the failures after which a request is retried.
+// RetryMode says after which failures a request may be retried.
 type RetryMode string
 
-// The retry modes, by their names in the file.
+// The retry modes, as they are written in the file.
 const (
-	RetryIfNotRun RetryMode = "not_run"   // only after attempts that provably never ran
+	RetryIfNotRun RetryMode = "not_run"   // only if the endpoint certainly did not run the failed attempt
 	RetryAfterRun RetryMode = "after_run" // after any failure
 )
 
@@ -139,7 +139,7 @@
 	}
 }
 
-// BalancerClass returns the route's class, with its policy, as the balancer takes it.
+// BalancerClass converts the route's class and policy to a balancer.Class with this name.
 func (r Route) BalancerClass(name string) balancer.Class {
 	p, c := r.Policy, r.Class
 	return balancer.Class{
@@ -158,8 +158,8 @@
 	}
 }
 
-// balancerQueueLimit translates a queue limit to the balancer's terms, in which 0 is no limit and a
-// negative one no queue.
+// balancerQueueLimit converts Policy.QueueLimit to balancer.Class.QueueLimit, in which 0 means no
+// limit and a negative number means that no request may wait.
 func balancerQueueLimit(limit int) int {
 	switch {
 	case limit == 0:
@@ -170,7 +170,7 @@
 	return limit
 }
 
-// The names of idempotency in the file, as values of a class's "effect".
+// The levels of idempotency, as values of the attribute "effect" of a class.
 const (
 	nameIdempotent    = "safe"
 	nameKeyed         = "keyed"
@@ -183,7 +183,7 @@
 	nameNonIdempotent: balancer.NonIdempotent,
 }
 
-// idempotencyName returns the name in the file.
+// idempotencyName returns the value of "effect" for a level of idempotency, or "" if there is none.
 func idempotencyName(i balancer.Idempotency) string {
 	for name, idempotency := range idempotencyByName {
 		if idempotency == i {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -72,11 +72,11 @@
 }
 `
 
-// lookupNothing is an environment without variables.
-func lookupNothing(string) (string, bool) { return "", false }
+// emptyEnv is an environment without variables.
+func emptyEnv(string) (string, bool) { return "", false }
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(validConfig), "x.hcl", lookupNothing)
+	c, err := Parse([]byte(validConfig), "x.hcl", emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 		QueueLimit:     -1,
 	}
 	if looks.Policy != want {
-		t.Errorf("looks: %+v", looks.Policy)
+		t.Errorf("policy of route looks: %+v", looks.Policy)
 	}
 	want = Policy{
 		ClientTimeout:  10 * time.Second,
@@ -102,21 +102,21 @@
 		Rate:           ratelimit.Rate{PerSecond: 2, Burst: 2},
 	}
 	if pays.Policy != want {
-		t.Errorf("pays: %+v", pays.Policy)
+		t.Errorf("policy of route pays: %+v", pays.Policy)
 	}
 	class := pays.BalancerClass("m")
 	if class.Name != "m" || class.Work != "pay" || class.QueueLimit != -1 || !class.NeverRerun ||
 		class.Idempotency != balancer.NonIdempotent {
-		t.Errorf("the class of pays: %+v", class)
+		t.Errorf("class of route pays: %+v", class)
 	}
 	class = books.BalancerClass("m")
 	if class.Idempotency != balancer.IdempotencyKeyed || class.KeyScope != balancer.KeyScopeZone ||
 		class.KeyWindow != 10*time.Second || class.NeverRerun || class.QueueLimit != 0 {
-		t.Errorf("the class of books: %+v", class)
+		t.Errorf("class of route books: %+v", class)
 	}
 	if looks.Origins["attempts"] != `x.hcl:19:3, policy "quick"` ||
 		pays.Origins["queue"] != `x.hcl:44:5, route "pays"` || pays.Origins["attempts"] != "default" {
-		t.Errorf("origins: %v and %v", looks.Origins, pays.Origins)
+		t.Errorf("origins of the attributes: looks %v, pays %v", looks.Origins, pays.Origins)
 	}
 	if len(c.Warnings) != 0 {
 		t.Errorf("warnings: %v", c.Warnings)
@@ -124,7 +124,7 @@
 }
 
 func TestShow(t *testing.T) {
-	c, err := Parse([]byte(validConfig), "x.hcl", lookupNothing)
+	c, err := Parse([]byte(validConfig), "x.hcl", emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
   effect = "safe"
 }
 policy "lazy" {}
-`), "x.hcl", lookupNothing)
+`), "x.hcl", emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 		`x.hcl:54:1: pool "spare": not used`,
 	}
 	if !slices.Equal(c.Warnings, want) {
-		t.Errorf("warnings %q", c.Warnings)
+		t.Errorf("warnings: %q", c.Warnings)
 	}
 }
 
@@ -170,39 +170,39 @@
 func TestShippedFilesAreValid(t *testing.T) {
 	files, _ := filepath.Glob("../../deploy/*.hcl")
 	if len(files) == 0 {
-		t.Fatal("none found")
+		t.Fatal("found no files in deploy")
 	}
 	for _, name := range files {
 		t.Run(filepath.Base(name), func(t *testing.T) {
-			if c, err := Load(name, lookupNothing); err != nil || len(c.Warnings) > 0 {
-				t.Errorf("%v, %+v", err, c)
+			if c, err := Load(name, emptyEnv); err != nil || len(c.Warnings) > 0 {
+				t.Errorf("error %v, configuration %+v", err, c)
 			}
 		})
 	}
 }
 
 func TestCompare(t *testing.T) {
-	old, err := Parse([]byte(validConfig), "x.hcl", lookupNothing)
+	old, err := Parse([]byte(validConfig), "x.hcl", emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	changes := strings.NewReplacer(`"120/min"`, `"3/s"`, `9002`, `9003`, `route "books"`, `route "orders"`)
 	text := changes.Replace("\n" + validConfig)
-	next, err := Parse([]byte(text), "x.hcl", lookupNothing)
+	next, err := Parse([]byte(text), "x.hcl", emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []string{`pool "servers" changed`, `route "books" went`, `route "orders" came`, `route "pays" changed`}
 	if got := old.Compare(next); !slices.Equal(got, want) {
-		t.Errorf("%q", got)
+		t.Errorf("changes: %q", got)
 	}
 	if got := old.Compare(old); len(got) != 0 {
-		t.Errorf("compared with itself: %q", got)
+		t.Errorf("changes of a configuration compared with itself: %q", got)
 	}
 }
 
-// No policy of a valid file lets a request that is not idempotent run twice, or has timeouts that
-// contradict each other.
+// In a valid file, no policy lets a request that is not idempotent run twice, and no timeout of a
+// policy exceeds one that includes it.
 func TestValidPoliciesAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := []string{"", "100ms", "1s", "2s", "5s", "20s"}
@@ -224,7 +224,7 @@
 		text := strings.Replace(validConfig, "queue = 0", policy.String(), 1)
 		className := rapid.SampledFrom([]string{"pay", "book", "look"}).Draw(t, "class")
 		text = strings.Replace(text, `class = "pay"`, `class = "`+className+`"`, 1)
-		c, err := Parse([]byte(text), "x.hcl", lookupNothing)
+		c, err := Parse([]byte(text), "x.hcl", emptyEnv)
 		if err != nil {
 			return
 		}
@@ -232,7 +232,7 @@
 		hedged := p.HedgeAfter > 0 || p.HedgePercentile > 0
 		if class.Idempotency == balancer.NonIdempotent && p.Retry != RetryIfNotRun ||
 			class.Idempotency != balancer.Idempotent && hedged {
-			t.Fatalf("a request could run twice: %+v", c.Routes[1])
+			t.Fatalf("a request that is not idempotent could run twice: %+v", c.Routes[1])
 		}
 		allAttempts := time.Duration(p.MaxAttempts) * p.AttemptTimeout
 		if p.RequestTimeout > p.ClientTimeout || allAttempts > p.RequestTimeout || p.HedgeAfter >= p.RequestTimeout {
@@ -241,7 +241,7 @@
 	})
 }
 
-// For any text Parse returns either a configuration or an ErrorList whose errors all have a place.
+// For any text, Parse returns a configuration or an ErrorList in which each error has a position.
 func FuzzParse(f *testing.F) {
 	f.Add(validConfig)
 	if text, err := os.ReadFile("../../deploy/rowancart.hcl"); err == nil {
@@ -249,17 +249,17 @@
 	}
 	f.Add("pool \"a\" {\n roster \"static\" {\n endpoint \"x\" {\n address = env(null)\n}}}")
 	f.Fuzz(func(t *testing.T, text string) {
-		c, err := Parse([]byte(text), "x.hcl", lookupNothing)
+		c, err := Parse([]byte(text), "x.hcl", emptyEnv)
 		if (c == nil) == (err == nil) {
-			t.Fatalf("%v and %v", c, err)
+			t.Fatalf("got configuration %v and error %v, want exactly one of them", c, err)
 		}
 		if err != nil {
 			if !errors.As(err, new(hcldecode.ErrorList)) {
-				t.Errorf("%T is not an ErrorList", err)
+				t.Errorf("got an error of type %T, want an ErrorList", err)
 			}
 			for line := range strings.Lines(err.Error()) {
 				if !strings.HasPrefix(line, "x.hcl:") {
-					t.Errorf("no place: %q", line)
+					t.Errorf("error without a position: %q", line)
 				}
 			}
 		}
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -12,8 +12,8 @@
 	"rowancart/internal/hcldecode"
 )
 
-// Load reads and validates a file. LookupEnv resolves the environment variables that the file
-// names. Relative paths of endpoint lists are relative to the file's folder.
+// Load reads and validates a file. It resolves the environment variables that the file names with
+// lookupEnv. Relative paths of endpoint lists are relative to the file's directory.
 func Load(path string, lookupEnv func(string) (string, bool)) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -31,25 +31,25 @@
 	return c, nil
 }
 
-// decoder collects the values of a file, and their places. Each method that is named after a block
-// decodes and validates that block.
+// decoder decodes a file into a Config and collects its errors. A method that is named after a
+// block, such as listener, decodes and validates that block.
 type decoder struct {
 	hcldecode.Decoder
 	Config
-	policies      map[string]*policyBlock // by name
-	classPolicies map[string]reference    // by class: the policy that it names
-	defined       map[string]hcl.Range    // by block key
-	used          map[string]bool         // by block key: another block refers to it
-	addresses     map[string]hcl.Range    // at which the process listens
+	policies      map[string]*policyBlock // named policies, by name
+	classPolicies map[string]reference    // policy that a class names, by name of the class
+	defined       map[string]hcl.Range    // ranges of the blocks defined so far, by block key
+	used          map[string]bool         // whether another block refers to a block, by block key
+	addresses     map[string]hcl.Range    // where each listen address is set, by address
 }
 
-// reference is the name of a block in another block, and its place.
+// reference is an attribute that names another block.
 type reference struct {
 	name string
-	at   hcl.Range
+	at   hcl.Range // range of the attribute
 }
 
-// Parse reads and validates the text of a file that is called name in messages.
+// Parse parses and validates the text of a file. Error messages refer to the file as name.
 func Parse(text []byte, name string, lookupEnv func(string) (string, bool)) (*Config, error) {
 	body, err := hcldecode.Parse(text, name)
 	if err != nil {
@@ -88,10 +88,10 @@
 	return d
 }
 
-// decode decodes and validates the whole file. Blocks that refer to others are decoded after them.
+// decode decodes and validates the whole file. A block is decoded after those that it refers to.
 func (d *decoder) decode(body hcl.Body) {
 	var routes, pools []*hcl.Block
-	once := func(decode func(*hcl.Block)) func(*hcl.Block) {
+	decodeOnce := func(decode func(*hcl.Block)) func(*hcl.Block) {
 		return func(b *hcl.Block) {
 			if d.define(b, "") {
 				decode(b)
@@ -99,10 +99,10 @@
 		}
 	}
 	d.Body(body, nil, hcldecode.Blocks{
-		"admin":         once(d.admin),
-		"fleet":         once(d.fleet),
-		"limits":        once(d.limits),
-		"state":         once(d.state),
+		"admin":         decodeOnce(d.admin),
+		"fleet":         decodeOnce(d.fleet),
+		"limits":        decodeOnce(d.limits),
+		"state":         decodeOnce(d.state),
 		"listener name": d.listener,
 		"class name":    d.class,
 		"tenant name":   d.tenant,
@@ -110,7 +110,7 @@
 		"policy name":   d.namedPolicy,
 		"route name":    func(b *hcl.Block) { routes = append(routes, b) },
 	})
-	for _, b := range pools { // after the listeners, whose addresses no endpoint may have
+	for _, b := range pools { // after the listeners, because no endpoint may have a listener's address
 		d.pool(b)
 	}
 	for _, c := range d.Classes {
@@ -118,7 +118,7 @@
 			d.resolve(policy.at, "policy", policy.name)
 		}
 	}
-	for _, b := range routes { // last: they refer to all the others
+	for _, b := range routes { // last, because routes refer to all other named blocks
 		d.route(b)
 	}
 	start := hcl.Range{Filename: d.File, Start: hcl.InitialPos, End: hcl.InitialPos}
@@ -131,7 +131,7 @@
 	d.checkOverlaps()
 }
 
-// envFunction returns the function env(NAME) of the language.
+// envFunction returns the function env(NAME), which files may call in expressions.
 func envFunction(lookup func(string) (string, bool)) function.Function {
 	return function.New(&function.Spec{
 		Params: []function.Parameter{{Name: "name", Type: cty.String}},
@@ -147,7 +147,8 @@
 	})
 }
 
-// blockKey identifies a block, in messages too. Label is empty for a block that has none.
+// blockKey returns the key of a block in a decoder's maps, which also identifies the block in
+// messages. The label is empty for a block without one.
 func blockKey(kind, label string) string {
 	if label == "" {
 		return kind
@@ -155,8 +156,8 @@
 	return fmt.Sprintf("%s %q", kind, label)
 }
 
-// define records that a block with this label is in the file. For a second one it adds a fault and
-// returns false.
+// define records that the file has a block of this type and label. If it already has one, define
+// adds an error and returns false.
 func (d *decoder) define(b *hcl.Block, label string) bool {
 	key := blockKey(b.Type, label)
 	if first, ok := d.defined[key]; ok {
@@ -167,8 +168,8 @@
 	return true
 }
 
-// resolve records a reference to a block. If there is no such block it adds a fault and returns
-// false.
+// resolve records a reference to a block. If the file has no such block, resolve adds an error and
+// returns false.
 func (d *decoder) resolve(at hcl.Range, kind, label string) bool {
 	key := fmt.Sprintf("%s %q", kind, label)
 	if _, ok := d.defined[key]; !ok {
--- a/internal/config/faults_test.go
+++ b/internal/config/faults_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-// replaceInValid returns validConfig with a part of it replaced.
+// replaceInValid returns validConfig with the first occurrence of old replaced by new.
 func replaceInValid(old, new string) string {
 	if !strings.Contains(validConfig, old) {
-		panic(fmt.Sprintf("the valid file has no %q", old))
+		panic(fmt.Sprintf("validConfig does not contain %q", old))
 	}
 	return strings.Replace(validConfig, old, new, 1)
 }
 
-// withLooksPolicy returns validConfig with a policy for the route looks.
+// withLooksPolicy returns validConfig with these attributes in a policy block of the route looks.
 func withLooksPolicy(policy string) string {
 	return replaceInValid("  class = \"look\"\n", "  class = \"look\"\n  policy {\n    "+policy+"\n  }\n")
 }
 
-// withPaysPolicy returns validConfig with other attributes in the policy of the route pays.
+// withPaysPolicy returns validConfig with these attributes in the policy block of the route pays.
 func withPaysPolicy(policy string) string { return replaceInValid("queue = 0", policy) }
 
-// faultCases are invalid files, and the whole error for each.
-var faultCases = []struct{ name, text, want string }{
+// invalidFiles lists invalid files with the complete error message for each.
+var invalidFiles = []struct{ name, text, want string }{
 	{"hedging of an unsafe class", withPaysPolicy("second_copy {\n after = \"1s\"\n}"),
 		`x.hcl:44:5: second_copy: route "pays" is of class "pay", which is unsafe: a hedged request could run twice`},
 	{
@@ -37,16 +37,16 @@
 	{"retry after a run of an unsafe class", withPaysPolicy(`retry = "after_run"`),
 		`x.hcl:44:5: retry: route "pays" is of class "pay", which is unsafe: ` +
 			`a retry after a run could run the request twice`},
-	{"attempts longer than the request together", withLooksPolicy("attempt_timeout = \"2s\""),
+	{"all attempts together longer than the request", withLooksPolicy("attempt_timeout = \"2s\""),
 		`x.hcl:38:5: attempt_timeout: 3 attempts of 2s add up to 6s, but a request of route "looks" may take 5s`},
 	{"attempt longer than the request", withLooksPolicy("request_timeout = \"900ms\""),
 		`x.hcl:18:3: attempt_timeout: 1s is longer than a request of route "looks" may take: 900ms`},
 	{"request longer than clients wait", withLooksPolicy("request_timeout = \"6s\""),
 		`x.hcl:38:5: request_timeout: 6s is longer than clients of route "looks" wait: 5s`},
 	{"hedging after the attempt", withLooksPolicy("second_copy {\n after = \"1s\"\n}"),
-		`x.hcl:38:5: second_copy: after 1s the first attempt of route "looks" has already ended`},
+		`x.hcl:38:5: second_copy: after 1s the first attempt of route "looks" has already timed out`},
 	{"hedging with one attempt", withLooksPolicy("attempts = 1"),
-		`x.hcl:20:3: second_copy: it needs a second attempt, and route "looks" allows 1`},
+		`x.hcl:20:3: second_copy: needs at least 2 attempts, but route "looks" allows 1`},
 	{"hedging without a delay", withLooksPolicy("second_copy {}"),
 		`x.hcl:38:5: second_copy: must set after or percentile`},
 	{"percentile out of range", withLooksPolicy("second_copy {\n percentile = 20\n}"),
@@ -63,7 +63,7 @@
 	{
 		"burst without a rate",
 		withLooksPolicy("burst = 5"),
-		`x.hcl:38:5: burst: route "looks" has no rate to which it applies`,
+		`x.hcl:38:5: burst: has no effect, because route "looks" does not set the rate that it belongs to`,
 	},
 	{"duration without a unit", withLooksPolicy("request_timeout = 3"),
 		`x.hcl:38:23: request_timeout: must be a duration with its unit, such as "250ms"`},
@@ -90,7 +90,7 @@
 	{"unknown attribute", withLooksPolicy("retries = 3"),
 		`x.hcl:38:5: Unsupported argument: An argument named "retries" is not expected here.`},
 	{"overlapping routes", replaceInValid(`"/pay"`, `"/look/*"`),
-		`x.hcl:39:1: route "pays" overlaps route "looks", at x.hcl:34:1: ` +
+		`x.hcl:39:1: route "pays" overlaps route "looks", defined at x.hcl:34:1: ` +
 			`some requests match both, and neither is more specific`},
 	{"dot segment in a path", replaceInValid(`"/pay"`, `"/look/../pay"`), `x.hcl:40:3: path: a dot segment`},
 	{"star inside a path", replaceInValid(`"/pay"`, `"/*/pay"`),
@@ -102,7 +102,7 @@
 	{"two listeners at one address", validConfig + "listener \"back\" {\n  address = \"127.0.0.1:8080\"\n}\n",
 		`x.hcl:55:3: address: 127.0.0.1:8080 is already in use at x.hcl:2:3`},
 	{"endpoint at a listener's address", replaceInValid(`"127.0.0.1:9002"`, `"127.0.0.1:8080"`),
-		`x.hcl:30:7: address: 127.0.0.1:8080 is an address at which this process listens, set at x.hcl:2:3`},
+		`x.hcl:30:7: address: 127.0.0.1:8080 is a listen address of this process, set at x.hcl:2:3`},
 	{"duplicate endpoint id", replaceInValid(`endpoint "b"`, `endpoint "a"`),
 		`x.hcl:29:5: endpoint: "a" is already in use at x.hcl:26:5`},
 	{"duplicate endpoint address", replaceInValid(`"127.0.0.1:9002"`, `"127.0.0.1:9001"`),
@@ -115,9 +115,9 @@
 	{"duplicate class", validConfig + "class \"pay\" {\n  effect = \"safe\"\n}\n",
 		`x.hcl:54:1: class "pay": already defined at x.hcl:13:1`},
 	{"keyed class without a window", replaceInValid("  window = \"10s\"\n", ""),
-		`x.hcl:8:1: class "book": a keyed class needs a window, for which endpoints drop repeats of a key`},
+		`x.hcl:8:1: class "book": a keyed class must set window, the time for which endpoints drop duplicates of a key`},
 	{"safe class with a window", replaceInValid("  effect = \"safe\"\n", "  effect = \"safe\"\n  window = \"1s\"\n"),
-		`x.hcl:6:3: window: class "look" is safe; endpoints drop repeats of keyed classes only`},
+		`x.hcl:6:3: window: class "look" is safe, but endpoints drop duplicates of keyed classes only`},
 	{
 		"unknown effect",
 		replaceInValid(`"unsafe"`, `"harmful"`),
@@ -146,16 +146,16 @@
 	{
 		"snapshots never fresh",
 		validConfig + "state {\n  path = \"s\"\n  every = \"5s\"\n  fresh_for = \"4s\"\n}\n",
-		`x.hcl:54:1: state: fresh_for is 4s, shorter than the time between two snapshots, 5s`,
+		`x.hcl:54:1: state: fresh_for is 4s, which is shorter than the time between two snapshots, 5s`,
 	},
 	{"socket without a path", validConfig + "admin {\n  listen = \"unix:\"\n}\n",
-		`x.hcl:55:3: listen: unix: needs a path`},
+		`x.hcl:55:3: listen: unix: must be followed by a path`},
 	{"pool with two rosters", validConfig + "pool \"more\" {\n  roster \"file\" {\n    path = \"a\"\n  }\n" +
-		"  roster \"file\" {\n    path = \"b\"\n  }\n}\n", `x.hcl:58:3: roster: pool "more" already has one`},
+		"  roster \"file\" {\n    path = \"b\"\n  }\n}\n", `x.hcl:58:3: roster: pool "more" already has a roster`},
 	{"static roster without endpoints", validConfig + "pool \"more\" {\n  roster \"static\" {}\n}\n",
 		`x.hcl:55:3: roster: a static list needs at least one endpoint`},
 	{"route with two policies", withLooksPolicy("attempts = 2\n  }\n  policy {\n    attempts = 2"),
-		`x.hcl:40:3: policy: route "looks" already has one`},
+		`x.hcl:40:3: policy: route "looks" already has a policy block`},
 	{"duplicate header", replaceInValid("  class = \"look\"\n", "  class = \"look\"\n"+
 		"  header \"a\" {\n    equals = \"1\"\n  }\n  header \"A\" {\n    equals = \"2\"\n  }\n"),
 		`x.hcl:40:3: header: "A" is defined twice`},
@@ -165,14 +165,14 @@
 	{"fleet index out of range", validConfig + "fleet {\n  instances = 2\n  index = 2\n}\n",
 		`x.hcl:54:1: fleet: index 2 is out of range for 2 instances`},
 	{"fleet with a name and an index", validConfig + "fleet {\n  instances = 2\n  index = 1\n  name = \"x\"\n}\n",
-		`x.hcl:57:3: name: cannot be combined with index; it identifies instances that have none`},
+		`x.hcl:57:3: name: cannot be combined with index; a name is for instances that have no index`},
 	{"subset too small", replaceInValid("pool \"servers\" {\n", "pool \"servers\" {\n  subset = 2\n"),
 		`x.hcl:25:3: subset: 2 endpoints are too few to choose from; the minimum is 3`},
 	{
 		"slow-start share out of range",
 		replaceInValid("pool \"servers\" {\n", "pool \"servers\" {\n  warm_up {\n    share = 5\n  }\n"),
 		`x.hcl:25:3: warm_up: share 5 is not above 0 and at most 4: ` +
-			`it scales the share of the traffic of an endpoint that warms up`,
+			`it scales the share of the traffic that a warming endpoint gets`,
 	},
 	{"environment variable not set", replaceInValid(`"127.0.0.1:8080"`, `env("FRONT")`),
 		`x.hcl:2:18: Invalid function argument: Invalid value for "name" parameter: FRONT is not set.`},
@@ -180,7 +180,7 @@
 	{"syntax error", replaceInValid("route \"pays\" {", "route pays {{"),
 		`x.hcl:39:13: Argument or block definition required: An argument or block definition is required here.`},
 	{
-		"several faults",
+		"several errors",
 		strings.NewReplacer(`"/pay"`, `"pay"`, `"10s"`, `10`, `effect = "safe"`, `effect = "sure"`).Replace(validConfig),
 		`x.hcl:5:3: effect: "sure" is not one of safe, keyed, unsafe
 x.hcl:10:12: window: must be a duration with its unit, such as "250ms"
@@ -188,12 +188,12 @@
 	},
 }
 
-func TestParseReportsEveryFault(t *testing.T) {
-	for _, c := range faultCases {
+func TestParseReportsEveryError(t *testing.T) {
+	for _, c := range invalidFiles {
 		t.Run(c.name, func(t *testing.T) {
-			config, err := Parse([]byte(c.text), "x.hcl", lookupNothing)
+			config, err := Parse([]byte(c.text), "x.hcl", emptyEnv)
 			if err == nil {
-				t.Fatalf("accepted: %+v", config)
+				t.Fatalf("got %+v for an invalid file, want an error", config)
 			}
 			if got := err.Error(); got != c.want {
 				t.Errorf("\n got %s\nwant %s", got, c.want)
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -14,24 +14,24 @@
 	"rowancart/internal/ratelimit"
 )
 
-// policyBlock is a block that sets some attributes of a policy.
+// policyBlock is a block that sets some or all attributes of a policy.
 type policyBlock struct {
 	Policy
 	rate, tenantRate   hcldecode.Rate
 	burst, tenantBurst int
-	places             map[string]hcl.Range // by attribute: where it is set
-	title              string               // in messages
-	valid              bool                 // no fault was found in the block alone
+	ranges             map[string]hcl.Range // where each attribute is set, by attribute name
+	title              string               // identifies the block in messages
+	valid              bool                 // false after an error that would cause further errors in a merged policy
 }
 
 // attribute is one attribute of a policy.
 type attribute struct {
 	name   string
 	copy   func(to, from *policyBlock)
-	format func(p Policy) string // nil: it is shown as part of another attribute
+	format func(p Policy) string // nil: the value is shown as part of another attribute
 }
 
-// attributes are all attributes of a policy, in the order in which they are shown.
+// attributes lists all attributes of a policy in the order in which Show prints them.
 var attributes = []attribute{
 	{
 		name:   "client_waits",
@@ -131,9 +131,9 @@
 	}
 }
 
-// policy decodes a block of a policy's attributes.
+// policy decodes and validates a block that sets attributes of a policy.
 func (d *decoder) policy(b *hcl.Block, title string) *policyBlock {
-	p := &policyBlock{title: title, places: map[string]hcl.Range{}}
+	p := &policyBlock{title: title, ranges: map[string]hcl.Range{}}
 	fields := hcldecode.Fields{
 		"client_waits":       &p.ClientTimeout,
 		"request_timeout":    &p.RequestTimeout,
@@ -150,11 +150,11 @@
 	}
 	p.valid = d.Body(b.Body, fields, hcldecode.Blocks{"second_copy": func(b *hcl.Block) { d.hedging(b, p) }})
 	if !p.valid {
-		return p // further faults would mostly follow from the first
+		return p // most further errors would be caused by the first
 	}
 	for name, field := range fields {
 		if at, ok := d.Ranges[field]; ok {
-			p.places[name] = at
+			p.ranges[name] = at
 		}
 	}
 	d.checkPolicyBlock(p)
@@ -166,22 +166,22 @@
 	if ok && p.HedgeAfter == 0 && p.HedgePercentile == 0 {
 		d.Errorf(b.DefRange, "second_copy: must set after or percentile")
 	}
-	p.places["second_copy"] = b.DefRange
+	p.ranges["second_copy"] = b.DefRange
 }
 
-// Faults of attributes that must not be zero.
+// Error messages for attributes that must not be zero.
 const (
 	zeroDuration = "0s is not a positive duration"
 	zeroRate     = "0/s is not a positive rate"
 	zeroCount    = "0 is not a positive number"
 )
 
-// checkPolicyBlock validates the attributes that do not depend on the route of a policy.
+// checkPolicyBlock validates what does not depend on the route to which a policy applies.
 func (d *decoder) checkPolicyBlock(p *policyBlock) {
 	for _, required := range []struct {
 		name     string
 		positive bool
-		fault    string
+		message  string
 	}{
 		{"client_waits", p.ClientTimeout > 0, zeroDuration},
 		{"request_timeout", p.RequestTimeout > 0, zeroDuration},
@@ -191,12 +191,12 @@
 		{"concurrency", p.Concurrency > 0, zeroCount},
 		{"tenant_rate", p.tenantRate > 0, zeroRate},
 	} {
-		if at, ok := p.places[required.name]; ok && !required.positive {
-			d.Errorf(at, "%s: %s", required.name, required.fault)
+		if at, ok := p.ranges[required.name]; ok && !required.positive {
+			d.Errorf(at, "%s: %s", required.name, required.message)
 			p.valid = false
 		}
 	}
-	if at, ok := p.places["retry"]; ok {
+	if at, ok := p.ranges["retry"]; ok {
 		hcldecode.OneOf(&d.Decoder, at, "retry", p.Retry, RetryIfNotRun, RetryAfterRun)
 	}
 	at, ok := d.Ranges[&p.HedgePercentile]
@@ -206,13 +206,14 @@
 	}
 }
 
-// mergePolicy sets a route's policy: each attribute comes from the first of the layers that sets
-// it, and is the default if none does.
+// mergePolicy sets the policy of a route. The value of an attribute comes from the first layer that
+// sets it, or is the default if no layer does. Errors about an attribute that no layer sets are
+// reported at the range at. If a layer is not valid, r.Policy stays zero.
 func (d *decoder) mergePolicy(r *Route, layers []*policyBlock, at hcl.Range) {
 	if slices.ContainsFunc(layers, func(layer *policyBlock) bool { return !layer.valid }) {
 		return
 	}
-	p := &policyBlock{places: map[string]hcl.Range{}}
+	p := &policyBlock{ranges: map[string]hcl.Range{}}
 	p.Policy = Policy{
 		ClientTimeout: defaultClientTimeout,
 		MaxAttempts:   defaultMaxAttempts,
@@ -224,12 +225,12 @@
 	}
 	for _, a := range attributes {
 		r.Origins[a.name] = originDefault
-		p.places[a.name] = at
+		p.ranges[a.name] = at
 		for _, layer := range layers {
-			if place, ok := layer.places[a.name]; ok {
+			if setAt, ok := layer.ranges[a.name]; ok {
 				a.copy(p, layer)
-				p.places[a.name] = place
-				r.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.PositionOf(place), layer.title)
+				p.ranges[a.name] = setAt
+				r.Origins[a.name] = fmt.Sprintf("%s, %s", hcldecode.PositionOf(setAt), layer.title)
 				break
 			}
 		}
@@ -238,16 +239,17 @@
 		p.RequestTimeout = p.ClientTimeout
 	}
 	p.Rate, p.TenantRate = newRate(p.rate, p.burst), newRate(p.tenantRate, p.tenantBurst)
-	d.checkBurst(r, "burst", p.rate, p.places)
-	d.checkBurst(r, "tenant_burst", p.tenantRate, p.places)
+	d.checkBurst(r, "burst", p.rate, p.ranges)
+	d.checkBurst(r, "tenant_burst", p.tenantRate, p.ranges)
 	r.Policy = p.Policy
-	d.checkPolicy(r, p.places)
+	d.checkPolicy(r, p.ranges)
 }
 
 // originDefault is the origin of an attribute that no block sets.
 const originDefault = "default"
 
-// newRate returns a rate. If no burst is set, it is the number of requests in a second.
+// newRate returns a rate limit. The default burst is the number of requests in one second, and at
+// least 1.
 func newRate(perSecond hcldecode.Rate, burst int) ratelimit.Rate {
 	if perSecond > 0 && burst == 0 {
 		burst = max(int(math.Ceil(float64(perSecond))), 1)
@@ -255,9 +257,9 @@
 	return ratelimit.Rate{PerSecond: float64(perSecond), Burst: burst}
 }
 
-// checkBurst adds a fault for a burst without a rate.
-func (d *decoder) checkBurst(r *Route, name string, rate hcldecode.Rate, places map[string]hcl.Range) {
+// checkBurst adds an error if a burst is set without a rate.
+func (d *decoder) checkBurst(r *Route, name string, rate hcldecode.Rate, ranges map[string]hcl.Range) {
 	if r.Origins[name] != originDefault && rate == 0 {
-		d.Errorf(places[name], "%s: route %q has no rate to which it applies", name, r.Name)
+		d.Errorf(ranges[name], "%s: has no effect, because route %q does not set the rate that it belongs to", name, r.Name)
 	}
 }
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -29,7 +29,7 @@
 		"retry_budget": func(b *hcl.Block) { d.RetryBudget(b, &p.RetryBudget) },
 		"roster kind": func(b *hcl.Block) {
 			if sources++; sources > 1 {
-				d.Errorf(b.DefRange, "roster: pool %q already has one", p.Name)
+				d.Errorf(b.DefRange, "roster: pool %q already has a roster", p.Name)
 			}
 			d.endpointSource(b, &p.Source)
 		},
@@ -51,12 +51,12 @@
 	d.Body(b.Body, hcldecode.Fields{"from": &capacity, "within": &p.SlowStartWindow, "share": &p.SlowStartShare}, nil)
 	if p.SlowStartShare <= 0 || p.SlowStartShare > maxSlowStartShare {
 		d.Errorf(b.DefRange, "warm_up: share %g is not above 0 and at most %d: "+
-			"it scales the share of the traffic of an endpoint that warms up", p.SlowStartShare, maxSlowStartShare)
+			"it scales the share of the traffic that a warming endpoint gets", p.SlowStartShare, maxSlowStartShare)
 	}
 	p.SlowStartCapacity = float64(capacity)
 }
 
-// endpointSource decodes a pool's block "roster".
+// endpointSource decodes the block "roster" of a pool.
 func (d *decoder) endpointSource(b *hcl.Block, source *EndpointSource) {
 	switch kind := b.Labels[0]; kind {
 	case "static":
@@ -74,7 +74,7 @@
 	}
 }
 
-// staticEndpoints decodes a list of endpoints. Ids and addresses must be unique in it.
+// staticEndpoints decodes a list of endpoints, in which ids and addresses must be unique.
 func (d *decoder) staticEndpoints(b *hcl.Block, source *EndpointSource) {
 	ids, addresses := map[string]hcl.Range{}, map[string]hcl.Range{}
 	checkUnique := func(seen map[string]hcl.Range, attribute, value string, at hcl.Range) {
@@ -92,7 +92,7 @@
 				d.Errorf(at, "address: %v", err)
 			}
 			if first, ok := d.addresses[e.Address]; ok {
-				d.Errorf(at, "address: %s is an address at which this process listens, set at %s",
+				d.Errorf(at, "address: %s is a listen address of this process, set at %s",
 					e.Address, hcldecode.PositionOf(first))
 			}
 			checkUnique(ids, "endpoint", e.ID, b.DefRange)
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -25,7 +25,7 @@
 		return
 	}
 	var class, policy string
-	var ownPolicy *policyBlock
+	var inlinePolicy *policyBlock
 	m := &r.Match
 	ok := d.Body(b.Body, hcldecode.Fields{
 		"host":          &m.Host,
@@ -39,13 +39,13 @@
 	}, hcldecode.Blocks{
 		"header name": func(b *hcl.Block) { d.header(b, m) },
 		"policy": func(b *hcl.Block) {
-			if ownPolicy != nil {
-				d.Errorf(b.DefRange, "policy: route %q already has one", r.Name)
+			if inlinePolicy != nil {
+				d.Errorf(b.DefRange, "policy: route %q already has a policy block", r.Name)
 			}
-			ownPolicy = d.policy(b, fmt.Sprintf("route %q", r.Name))
+			inlinePolicy = d.policy(b, fmt.Sprintf("route %q", r.Name))
 		},
 	})
-	// A route with faults is kept as well: it may overlap others.
+	// A route with errors is added as well, so that its overlaps with other routes are reported.
 	defer func() { d.Routes = append(d.Routes, r) }()
 	if !ok {
 		return
@@ -57,8 +57,8 @@
 	}
 	r.Class = d.Classes[slices.IndexFunc(d.Classes, func(c Class) bool { return c.Name == class })]
 	var layers []*policyBlock
-	if ownPolicy != nil {
-		layers = append(layers, ownPolicy)
+	if inlinePolicy != nil {
+		layers = append(layers, inlinePolicy)
 	}
 	if policy != "" && d.resolve(d.Ranges[&policy], "policy", policy) {
 		layers = append(layers, d.policies[policy])
@@ -69,7 +69,7 @@
 	d.mergePolicy(&r, layers, b.DefRange)
 }
 
-// header decodes a header that a request must have to match a route.
+// header decodes a block "header", a header that a request must have to match a route.
 func (d *decoder) header(b *hcl.Block, m *route.Match) {
 	var equals string
 	d.Body(b.Body, hcldecode.Fields{"equals!": &equals}, nil)
@@ -83,7 +83,7 @@
 	m.Headers[name] = equals
 }
 
-// checkMatch validates which requests a route matches, and at which listeners.
+// checkMatch validates the condition of a route and the names of its listeners.
 func (d *decoder) checkMatch(r *Route) {
 	m := &r.Match
 	if err := m.Check(); err != nil {
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Show prints the policy of each route, and where each value was set.
+// Show writes the policy of each route to w, with the place where each value was set.
 func (c *Config) Show(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for i, r := range c.Routes {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -23,18 +23,18 @@
 	return nil
 }
 
-// checkListenAddress validates an address to listen at, and records it. No two may be the same.
+// checkListenAddress validates an address to listen on and records it. No two may be the same.
 func (d *decoder) checkListenAddress(at hcl.Range, attribute, address string) {
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		if path == "" {
-			d.Errorf(at, "%s: unix: needs a path", attribute)
+			d.Errorf(at, "%s: unix: must be followed by a path", attribute)
 		}
 	} else if err := checkHostPort(address); err != nil {
 		d.Errorf(at, "%s: %v", attribute, err)
 		return
 	}
 	if strings.HasSuffix(address, ":0") {
-		return // any free port
+		return // the system chooses a free port, so this is no conflict
 	}
 	if first, ok := d.addresses[address]; ok {
 		d.Errorf(at, "%s: %s is already in use at %s", attribute, address, hcldecode.PositionOf(first))
@@ -43,7 +43,8 @@
 	d.addresses[address] = at
 }
 
-// checkPolicy validates a route's policy as a whole. At holds the place of each attribute.
+// checkPolicy validates the merged policy of a route. At maps the name of each attribute to the
+// range at which errors about it are reported.
 func (d *decoder) checkPolicy(r *Route, at map[string]hcl.Range) {
 	d.checkRepeatedRuns(r, at)
 	d.checkTimeouts(r, at)
@@ -59,8 +60,8 @@
 	}
 }
 
-// checkRepeatedRuns rejects retries and hedged requests by which a request that is not idempotent
-// could run twice.
+// checkRepeatedRuns rejects retries and hedged requests that could run a request twice although it
+// is not idempotent.
 func (d *decoder) checkRepeatedRuns(r *Route, at map[string]hcl.Range) {
 	p, c := r.Policy, r.Class
 	if c.Idempotency == balancer.NonIdempotent && p.Retry == RetryAfterRun {
@@ -75,11 +76,11 @@
 			r.Name, c.Name, idempotencyName(c.Idempotency))
 	}
 	if p.MaxAttempts < 2 {
-		d.Errorf(at["second_copy"], "second_copy: it needs a second attempt, and route %q allows 1", r.Name)
+		d.Errorf(at["second_copy"], "second_copy: needs at least 2 attempts, but route %q allows 1", r.Name)
 	}
 }
 
-// checkTimeouts rejects timeouts that can never expire.
+// checkTimeouts rejects timeouts and delays that a shorter timeout of the route always precedes.
 func (d *decoder) checkTimeouts(r *Route, at map[string]hcl.Range) {
 	p := r.Policy
 	if p.RequestTimeout > p.ClientTimeout {
@@ -99,11 +100,12 @@
 			p.MaxAttempts, p.AttemptTimeout, allAttempts, r.Name, total)
 	case p.HedgeAfter > 0 && p.HedgeAfter >= cmp.Or(p.AttemptTimeout, total):
 		d.Errorf(at["second_copy"],
-			"second_copy: after %v the first attempt of route %q has already ended", p.HedgeAfter, r.Name)
+			"second_copy: after %v the first attempt of route %q has already timed out", p.HedgeAfter, r.Name)
 	}
 }
 
-// checkOverlaps rejects routes of one listener of which neither is more specific for some requests.
+// checkOverlaps rejects pairs of routes that one listener serves if both match some request and
+// neither is more specific.
 func (d *decoder) checkOverlaps() {
 	byPattern := map[string][]Route{}
 	for _, r := range d.Routes {
@@ -111,7 +113,7 @@
 		for _, other := range byPattern[pattern] {
 			if haveCommonListener(r, other) && r.Match.Overlaps(other.Match) {
 				d.Errorf(d.defined[blockKey("route", r.Name)],
-					"route %q overlaps route %q, at %s: some requests match both, and neither is more specific",
+					"route %q overlaps route %q, defined at %s: some requests match both, and neither is more specific",
 					r.Name, other.Name, hcldecode.PositionOf(d.defined[blockKey("route", other.Name)]))
 			}
 		}
@@ -125,7 +127,7 @@
 		slices.ContainsFunc(a.Listeners, func(name string) bool { return slices.Contains(b.Listeners, name) })
 }
 
-// warnUnused warns of blocks to which nothing refers.
+// warnUnused warns about blocks to which no other block refers.
 func (d *decoder) warnUnused() {
 	for _, key := range slices.Sorted(maps.Keys(d.defined)) {
 		kind, _, _ := strings.Cut(key, " ")
@@ -141,7 +143,7 @@
 	}
 }
 
-// warn adds a warning about the block with that key.
+// warn adds a warning about the block with this key.
 func (d *decoder) warn(key, text string) {
 	d.Warnings = append(d.Warnings, fmt.Sprintf("%s: %s: %s", hcldecode.PositionOf(d.defined[key]), key, text))
 }
--- a/internal/hcldecode/budget.go
+++ b/internal/hcldecode/budget.go
@@ -6,20 +6,20 @@
 	"rowancart/balancer"
 )
 
-// Retries that a budget may accumulate.
+// Size of a budget's token bucket, in retries.
 const (
 	defaultBurst = 10
-	minBurst     = 1
+	minBurst     = 1 // a smaller bucket never holds a whole token, so it allows no retry
 )
 
-// RetryBudget decodes a block "retry_budget".
-func (r *Decoder) RetryBudget(b *hcl.Block, to *balancer.RetryBudget) {
+// RetryBudget decodes a "retry_budget" block into *to.
+func (d *Decoder) RetryBudget(b *hcl.Block, to *balancer.RetryBudget) {
 	var perRequest Fraction
 	var perSecond Rate
 	to.Burst = defaultBurst
-	ok := r.Body(b.Body, Fields{"share!": &perRequest, "floor": &perSecond, "most": &to.Burst}, nil)
+	ok := d.Body(b.Body, Fields{"share!": &perRequest, "floor": &perSecond, "most": &to.Burst}, nil)
 	if ok && to.Burst < minBurst {
-		r.Errorf(r.Ranges[&to.Burst], "most: %g allows no retry; the minimum is %d", to.Burst, minBurst)
+		d.Errorf(d.Ranges[&to.Burst], "most: %g allows no retry; the minimum is %d", to.Burst, minBurst)
 	}
 	to.PerRequest, to.PerSecond = float64(perRequest), float64(perSecond)
 }
--- a/internal/hcldecode/fault.go
+++ b/internal/hcldecode/fault.go
@@ -8,44 +8,44 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// Position is a position in a file. Its zero value is no position.
+// Position is a position in a file. The zero value means that the position is not known.
 type Position struct {
 	File         string
-	Line, Column int // from 1
+	Line, Column int // both start at 1
 }
 
-// PositionOf returns the start of a range.
+// PositionOf returns the position at which a range starts.
 func PositionOf(r hcl.Range) Position {
 	return Position{File: r.Filename, Line: r.Start.Line, Column: r.Start.Column}
 }
 
-// String returns file:line:column.
+// String formats the position as file:line:column.
 func (p Position) String() string {
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 }
 
-// Error is one error in a file.
+// Error is one error that was found in a file.
 type Error struct {
-	Position Position // zero if the fault is of the file as a whole
+	Position Position // zero if the error has no position
 	Message  string
 }
 
-// Error returns the place and the message on one line.
-func (f Error) Error() string {
-	if f.Position == (Position{}) {
-		return f.Message
+// Error returns the position and the message on one line.
+func (e Error) Error() string {
+	if e.Position == (Position{}) {
+		return e.Message
 	}
-	return f.Position.String() + ": " + f.Message
+	return e.Position.String() + ": " + e.Message
 }
 
-// ErrorList is the error for a file: its faults in the file's order, each once.
+// ErrorList holds all errors of a file in the order of their positions, without duplicates.
 type ErrorList []Error
 
-// Error returns one line for each fault.
+// Error returns one line for each error of the list.
 func (l ErrorList) Error() string {
 	var lines []string
-	for _, f := range l {
-		lines = append(lines, f.Error())
+	for _, e := range l {
+		lines = append(lines, e.Error())
 	}
 	return strings.Join(lines, "\n")
 }
@@ -58,16 +58,16 @@
 	return l
 }
 
-// Unwrap returns the faults.
+// Unwrap returns the errors of the list, so that errors.As finds an Error.
 func (l ErrorList) Unwrap() []error {
 	var errs []error
-	for _, f := range l {
-		errs = append(errs, f)
+	for _, e := range l {
+		errs = append(errs, e)
 	}
 	return errs
 }
 
-// NewErrorList returns the errors among the diagnostics.
+// NewErrorList returns the diagnostics of severity error. It omits warnings.
 func NewErrorList(diags hcl.Diagnostics) ErrorList {
 	var errs []*hcl.Diagnostic
 	for _, d := range diags {
@@ -76,16 +76,17 @@
 		}
 	}
 	slices.SortStableFunc(errs, compareByOffset)
-	var faults ErrorList
+	var list ErrorList
 	for _, d := range errs {
-		if f := newError(d); !slices.Contains(faults, f) {
-			faults = append(faults, f)
+		if e := newError(d); !slices.Contains(list, e) {
+			list = append(list, e)
 		}
 	}
-	return faults
+	return list
 }
 
-// compareByOffset orders diagnostics by their places. One without a place is equal to all others.
+// compareByOffset orders diagnostics by their byte offsets. One without a position is equal to all
+// others.
 func compareByOffset(a, b *hcl.Diagnostic) int {
 	if a.Subject == nil || b.Subject == nil {
 		return 0
@@ -93,14 +94,14 @@
 	return a.Subject.Start.Byte - b.Subject.Start.Byte
 }
 
-// newError returns the fault of a diagnostic, with a message of one line.
+// newError converts a diagnostic to an Error. It puts summary and detail on one line.
 func newError(d *hcl.Diagnostic) Error {
-	f := Error{Message: d.Summary}
+	e := Error{Message: d.Summary}
 	if d.Detail != "" {
-		f.Message += ": " + strings.ReplaceAll(d.Detail, "\n", " ")
+		e.Message += ": " + strings.ReplaceAll(d.Detail, "\n", " ")
 	}
 	if d.Subject != nil {
-		f.Position = PositionOf(*d.Subject)
+		e.Position = PositionOf(*d.Subject)
 	}
-	return f
+	return e
 }
--- a/internal/hcldecode/hcldecode.go
+++ b/internal/hcldecode/hcldecode.go
@@ -1,5 +1,5 @@
-// Package hcldecode decodes the bodies of HCL files into values, with units where they are
-// required, and collects all faults of a file: an ErrorList holds each with its place and message.
+// Package hcldecode decodes the bodies of HCL files into Go values and collects all errors of a
+// file in an ErrorList. Durations, sizes and rates must be written with their units.
 package hcldecode
 
 import (
@@ -12,24 +12,24 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Decoder decodes bodies into values and collects their faults. Its zero value is ready
-// for use.
+// Decoder decodes bodies into values and collects the errors that it finds. The zero value is ready
+// to use.
 type Decoder struct {
-	Vars   *hcl.EvalContext // variables and functions of expressions; nil: none
-	Diags  hcl.Diagnostics
-	Ranges map[any]hcl.Range // by pointer to a value: the attribute that set it
+	Vars   *hcl.EvalContext  // variables and functions that expressions may use; nil: none
+	Diags  hcl.Diagnostics   // the diagnostics collected so far
+	Ranges map[any]hcl.Range // range of the attribute that set a value, by pointer to the value
 }
 
-// Fields maps the attributes of a body to pointers to their values. A name that ends in "!" marks a
-// required attribute. See Decoder.Body for the types of values.
+// Fields maps the names of a body's attributes to pointers to the values that they set. A name that
+// ends in "!" marks a required attribute. Decoder.Body lists the supported types.
 type Fields map[string]any
 
-// Blocks maps the types of a body's blocks to functions that decode them. The key "type name" is
-// for blocks with one label.
+// Blocks maps the types of a body's blocks to the functions that decode them. For blocks with a
+// label, the key is the type, a space and a name for the label, as in "listener name".
 type Blocks map[string]func(b *hcl.Block)
 
-// Parse parses the text of a file that is called name in messages. Its error is an ErrorList with
-// the first syntax error only: others mostly follow from it.
+// Parse parses the text of a file. Error messages refer to the file as name. The error is an
+// ErrorList that holds only the first syntax error, because others are usually caused by the first.
 func Parse(text []byte, name string) (hcl.Body, error) {
 	file, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
 	if err := NewErrorList(diags[:min(len(diags), 1)]).Err(); err != nil {
@@ -38,37 +38,37 @@
 	return file.Body, nil
 }
 
-// Body decodes a body. Attributes and blocks that are not expected are faults. It reports whether
-// there was no fault: after one the values need no further checks, which would mostly find its
-// consequences.
+// Body decodes a body. An attribute or block that is in neither fields nor blocks is an error. Body
+// returns true if it found no error, in the blocks of the body either. If it returns false, callers
+// should not validate the values, because most further errors would be caused by the first.
 //
-// A value is a *time.Duration, *Size, *Rate, *Fraction, *float64, *int, *bool or *string, or a
-// pointer to a slice of uint64, float64, time.Duration or string. Body panics if it is of another
-// type.
-func (r *Decoder) Body(body hcl.Body, fields Fields, blocks Blocks) bool {
-	faultsBefore := len(r.Diags)
+// Fields must hold values of type *time.Duration, *Size, *Rate, *Fraction, *float64, *int, *bool or
+// *string, or pointers to slices of uint64, float64, time.Duration or string. Body panics if the
+// file sets a field of another type.
+func (d *Decoder) Body(body hcl.Body, fields Fields, blocks Blocks) bool {
+	errorsBefore := len(d.Diags)
 	schema, decoders := newSchema(fields, blocks)
 	content, diags := body.Content(schema)
-	r.Diags = append(r.Diags, diags...)
+	d.Diags = append(d.Diags, diags...)
 	if content == nil {
 		return false
 	}
-	for _, name := range slices.Sorted(maps.Keys(fields)) { // faults are found in the same order each time
+	for _, name := range slices.Sorted(maps.Keys(fields)) { // sorted, so that errors are always found in the same order
 		if a := content.Attributes[strings.TrimSuffix(name, "!")]; a != nil {
-			if r.Ranges == nil {
-				r.Ranges = map[any]hcl.Range{}
+			if d.Ranges == nil {
+				d.Ranges = map[any]hcl.Range{}
 			}
-			r.Ranges[fields[name]] = a.Range
-			r.attribute(a, fields[name])
+			d.Ranges[fields[name]] = a.Range
+			d.attribute(a, fields[name])
 		}
 	}
 	for _, block := range content.Blocks {
 		decoders[block.Type](block)
 	}
-	return len(r.Diags) == faultsBefore
+	return len(d.Diags) == errorsBefore
 }
 
-// newSchema returns the schema of a body, and the decoders of its blocks by their types.
+// newSchema returns the schema of a body, and the function that decodes each type of block.
 func newSchema(fields Fields, blocks Blocks) (*hcl.BodySchema, map[string]func(*hcl.Block)) {
 	var schema hcl.BodySchema
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
@@ -88,23 +88,23 @@
 	return &schema, decoders
 }
 
-// Errorf adds a fault at a place in the file.
-func (r *Decoder) Errorf(at hcl.Range, format string, args ...any) {
-	r.Diags = append(r.Diags, &hcl.Diagnostic{
+// Errorf adds an error at a range of the file.
+func (d *Decoder) Errorf(at hcl.Range, format string, args ...any) {
+	d.Diags = append(d.Diags, &hcl.Diagnostic{
 		Severity: hcl.DiagError,
 		Summary:  fmt.Sprintf(format, args...),
 		Subject:  &at,
 	})
 }
 
-// OneOf adds a fault if the value of an attribute is not one of those allowed.
-func OneOf[T ~string](r *Decoder, at hcl.Range, name string, value T, allowed ...T) {
+// OneOf adds an error if value is not one of the allowed values of the named attribute.
+func OneOf[T ~string](d *Decoder, at hcl.Range, name string, value T, allowed ...T) {
 	if !slices.Contains(allowed, value) {
-		r.Errorf(at, "%s: %q is not one of %s", name, string(value), Join(allowed))
+		d.Errorf(at, "%s: %q is not one of %s", name, string(value), Join(allowed))
 	}
 }
 
-// Join returns the values as a list for messages.
+// Join returns the values as a comma-separated list, for error messages.
 func Join[T ~string](values []T) string {
 	var texts []string
 	for _, v := range values {
--- a/internal/hcldecode/hcldecode_test.go
+++ b/internal/hcldecode/hcldecode_test.go
@@ -11,20 +11,20 @@
 	"rowancart/balancer"
 )
 
-// decodeAttribute decodes the attribute x of a file into a value of type T.
+// decodeAttribute decodes the attribute x of a file with this text into a value of type T.
 func decodeAttribute[T any](t *testing.T, text string) (T, error) {
 	t.Helper()
 	body, err := Parse([]byte(text), "f.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r Decoder
+	var d Decoder
 	var x T
-	r.Body(body, Fields{"x": &x}, nil)
-	return x, NewErrorList(r.Diags).Err()
+	d.Body(body, Fields{"x": &x}, nil)
+	return x, NewErrorList(d.Diags).Err()
 }
 
-// checkValue checks in a subtest that an expression is decoded into a value.
+// checkValue checks in a subtest that an expression is decoded as want.
 func checkValue[T any](t *testing.T, text string, want T) {
 	t.Helper()
 	t.Run(fmt.Sprintf("%s as %T", text, want), func(t *testing.T) {
@@ -35,8 +35,8 @@
 	})
 }
 
-// checkFault checks in a subtest that an expression has a fault as a value of type T.
-func checkFault[T any](t *testing.T, text, message string) {
+// checkError checks in a subtest that decoding an expression as a T fails with this message.
+func checkError[T any](t *testing.T, text, message string) {
 	t.Helper()
 	var zero T
 	t.Run(fmt.Sprintf("%s as %T", text, zero), func(t *testing.T) {
@@ -65,24 +65,25 @@
 	checkValue(t, `["a", 2]`, []string{"a", "2"})
 }
 
-func TestFaultsOfValues(t *testing.T) {
-	checkFault[time.Duration](t, `3`, `must be a duration with its unit, such as "250ms"`)
-	checkFault[time.Duration](t, `"-1s"`, `"-1s" is not a duration; examples: "250ms", "2.5s"`)
-	checkFault[Size](t, `64`, `must be a size with its unit, such as "128MiB"`)
-	checkFault[Size](t, `"64MB"`, `"64MB" is not a size; examples: "64KiB", "128MiB"`)
-	checkFault[Rate](t, `"50"`, `"50" is not a rate; examples: "50/s", "3000/min"`)
-	checkFault[Fraction](t, `1.5`, `1.5 is not between 0 and 1`)
-	checkFault[float64](t, `-1`, `-1 is negative`)
-	checkFault[float64](t, `"many"`, `must be a number`)
-	checkFault[int](t, `1.5`, `1.5 is not a non-negative integer`)
-	checkFault[bool](t, `3`, `must be true or false`)
-	checkFault[string](t, `3`, `must be a quoted string`)
-	checkFault[[]float64](t, `3`, `must be a list in brackets`)
-	checkFault[[]string](t, `[[]]`, `elements must be strings, numbers or booleans`)
+func TestInvalidValues(t *testing.T) {
+	checkError[time.Duration](t, `3`, `must be a duration with its unit, such as "250ms"`)
+	checkError[time.Duration](t, `"-1s"`, `"-1s" is not a duration; examples: "250ms", "2.5s"`)
+	checkError[Size](t, `64`, `must be a size with its unit, such as "128MiB"`)
+	checkError[Size](t, `"64MB"`, `"64MB" is not a size; examples: "64KiB", "128MiB"`)
+	checkError[Rate](t, `"50"`, `"50" is not a rate; examples: "50/s", "3000/min"`)
+	checkError[Fraction](t, `1.5`, `1.5 is not between 0 and 1`)
+	checkError[float64](t, `-1`, `-1 is negative`)
+	checkError[float64](t, `"many"`, `must be a number`)
+	checkError[int](t, `1.5`, `1.5 is not a non-negative integer`)
+	checkError[bool](t, `3`, `must be true or false`)
+	checkError[string](t, `3`, `must be a quoted string`)
+	checkError[[]float64](t, `3`, `must be a list in brackets`)
+	checkError[[]string](t, `[[]]`, `elements must be strings, numbers or booleans`)
 }
 
-// All faults of a file are reported, in its order; those at one place in the order of their names.
-func TestFaultsAreInFileOrder(t *testing.T) {
+// All errors of a file are reported in the order of their positions. Missing attributes of a block
+// have the same position and are reported in the order of their names.
+func TestErrorsAreInFileOrder(t *testing.T) {
 	const text = "b {\n}\nz = 1\ny = -1\n"
 	const want = `f.hcl:1:3: Missing required argument: The argument "k" is required, but no definition was found.
 f.hcl:1:3: Missing required argument: The argument "l" is required, but no definition was found.
@@ -93,13 +94,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var r Decoder
+		var d Decoder
 		var k, l, y float64
-		decodeBlock := func(b *hcl.Block) { r.Body(b.Body, Fields{"l!": &l, "k!": &k}, nil) }
-		if r.Body(body, Fields{"y": &y}, Blocks{"b": decodeBlock}) {
-			t.Fatal("decoded without a fault")
+		decodeBlock := func(b *hcl.Block) { d.Body(b.Body, Fields{"l!": &l, "k!": &k}, nil) }
+		if d.Body(body, Fields{"y": &y}, Blocks{"b": decodeBlock}) {
+			t.Fatal("Body returned true for an invalid file")
 		}
-		if err := NewErrorList(r.Diags).Err(); err == nil || err.Error() != want {
+		if err := NewErrorList(d.Diags).Err(); err == nil || err.Error() != want {
 			t.Fatalf("got\n%v\nwant\n%s", err, want)
 		}
 	}
@@ -107,8 +108,8 @@
 
 func TestRetryBudget(t *testing.T) {
 	for _, c := range []struct {
-		name, text, fault string
-		want              balancer.RetryBudget
+		name, text, wantErr string
+		want                balancer.RetryBudget
 	}{
 		{"default burst", "share = 0.1\n", "", balancer.RetryBudget{PerRequest: 0.1, Burst: 10}},
 		{"all attributes", "share = 0.2\nfloor = \"30/min\"\nmost = 4\n", "",
@@ -121,13 +122,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var r Decoder
+			var d Decoder
 			var budget balancer.RetryBudget
-			r.Body(body, nil, Blocks{"retry_budget": func(b *hcl.Block) { r.RetryBudget(b, &budget) }})
-			if got := NewErrorList(r.Diags).Error(); got != c.fault {
-				t.Fatalf("faults: got %q, want %q", got, c.fault)
+			d.Body(body, nil, Blocks{"retry_budget": func(b *hcl.Block) { d.RetryBudget(b, &budget) }})
+			if got := NewErrorList(d.Diags).Error(); got != c.wantErr {
+				t.Fatalf("errors: got %q, want %q", got, c.wantErr)
 			}
-			if c.fault == "" && budget != c.want {
+			if c.wantErr == "" && budget != c.want {
 				t.Errorf("got %+v, want %+v", budget, c.want)
 			}
 		})
--- a/internal/hcldecode/values.go
+++ b/internal/hcldecode/values.go
@@ -11,7 +11,7 @@
 	"github.com/zclconf/go-cty/cty/convert"
 )
 
-// Rate is a number of times a second, written with its unit: "50/s", "3000/min" or "10/h".
+// Rate is a number of events per second, written with its unit: "50/s", "3000/min" or "10/h".
 type Rate float64
 
 // Fraction is a number from 0 to 1.
@@ -25,28 +25,29 @@
 	rateUnits = map[string]float64{"s": 1, "min": 60, "h": 3600}                   // in seconds
 )
 
-// value is the value of an attribute, or one element of its list, to be converted.
+// value is the evaluated expression of an attribute, or one element of it if it is a list.
 type value struct {
 	cty.Value
-	r    *Decoder
-	name string    // of the attribute
-	at   hcl.Range // of its expression
+	d    *Decoder  // collects the errors
+	name string    // name of the attribute
+	at   hcl.Range // range of the attribute's expression
 }
 
-// attribute decodes an attribute into the value to which to points.
-func (r *Decoder) attribute(a *hcl.Attribute, to any) {
-	evaluated, diags := a.Expr.Value(r.Vars)
-	r.Diags = append(r.Diags, diags...)
+// attribute decodes an attribute into *to. It leaves *to unchanged if the attribute is null.
+func (d *Decoder) attribute(a *hcl.Attribute, to any) {
+	evaluated, diags := a.Expr.Value(d.Vars)
+	d.Diags = append(d.Diags, diags...)
 	if diags.HasErrors() || evaluated.IsNull() || !evaluated.IsWhollyKnown() {
 		return
 	}
-	v := value{Value: evaluated, r: r, name: a.Name, at: a.Expr.Range()}
+	v := value{Value: evaluated, d: d, name: a.Name, at: a.Expr.Range()}
 	if !v.decodeScalar(to) && !v.decodeList(to) {
 		panic(fmt.Sprintf("hcldecode: cannot decode into a %T", to))
 	}
 }
 
-// decodeScalar decodes a single value. It returns false if it does not support the type of to.
+// decodeScalar decodes a value that is not a list. It returns false if the type of to is not
+// supported.
 func (v value) decodeScalar(to any) bool {
 	switch to := to.(type) {
 	case *time.Duration:
@@ -71,7 +72,7 @@
 	return true
 }
 
-// decodeList decodes a list. It returns false if it does not support the type of to.
+// decodeList decodes a list. It returns false if the type of to is not supported.
 func (v value) decodeList(to any) bool {
 	switch to := to.(type) {
 	case *[]uint64:
@@ -88,7 +89,7 @@
 		})
 	case *[]time.Duration:
 		v.each(func(element value) {
-			d, _ := element.duration() // 0 after a fault: the list keeps its length
+			d, _ := element.duration() // 0 after an error, so that the list keeps its length
 			*to = append(*to, d)
 		})
 	case *[]string:
@@ -106,19 +107,19 @@
 	return true
 }
 
-// set stores a decoded value if it is valid.
+// set stores the result of decode in *to, unless decode fails.
 func set[T any](to *T, decode func() (T, bool)) {
 	if x, ok := decode(); ok {
 		*to = x
 	}
 }
 
-// errorf adds a errorf about the attribute.
+// errorf adds an error at the attribute's expression. The message begins with the attribute's name.
 func (v value) errorf(format string, args ...any) {
-	v.r.Errorf(v.at, "%s: %s", v.name, fmt.Sprintf(format, args...))
+	v.d.Errorf(v.at, "%s: %s", v.name, fmt.Sprintf(format, args...))
 }
 
-// each calls f with each element of a list.
+// each calls f with each element of a list. It adds an error if the value is not a list.
 func (v value) each(f func(element value)) {
 	if !v.CanIterateElements() || v.Type().IsMapType() || v.Type().IsObjectType() {
 		v.errorf("must be a list in brackets")
@@ -131,7 +132,8 @@
 	}
 }
 
-// text returns a string. Expected describes the required value in the fault for another type.
+// text returns the value as a string. If it is of another type, text adds an error that says what
+// was expected.
 func (v value) text(expected string) (string, bool) {
 	if v.Type() != cty.String {
 		v.errorf("must be %s", expected)
@@ -140,8 +142,8 @@
 	return v.AsString(), true
 }
 
-// number returns a number, or the number in a string: variables set on the command line are
-// strings.
+// number returns the value as a number. It accepts a string that holds a number as well, because
+// variables set on the command line are strings.
 func (v value) number() (float64, bool) {
 	n, err := convert.Convert(v.Value, cty.Number)
 	if err != nil {
