--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -95,7 +95,7 @@
 	d.Listeners = append(d.Listeners, l)
 }
 
-// keyScopes maps the values of the attribute "group" of a class.
+// keyScopes maps the values of a class's attribute "group" to key scopes.
 var keyScopes = map[string]balancer.KeyScope{
 	"all":  balancer.KeyScopeAll,
 	"zone": balancer.KeyScopeZone,
@@ -133,7 +133,8 @@
 	at, hasWindow := d.Ranges[&c.KeyWindow]
 	switch {
 	case idempotency == nameKeyed && c.KeyWindow == 0:
-		d.Errorf(b.DefRange, "class %q: a keyed class must set window, the time for which endpoints drop duplicates of a key",
+		d.Errorf(b.DefRange,
+			"class %q: a keyed class needs a window above 0s, during which endpoints drop duplicates of a key",
 			c.Name)
 	case idempotency != nameKeyed && hasWindow:
 		d.Errorf(at, "window: class %q is %s, but endpoints drop duplicates of keyed classes only", c.Name, idempotency)
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -14,10 +14,10 @@
 	lines = append(lines, compareBlocks("listener", listenersByName(c), listenersByName(next))...)
 	lines = append(lines, compareBlocks("pool", poolsByName(c), poolsByName(next))...)
 	lines = append(lines, compareBlocks("route", routesByName(c), routesByName(next))...)
-	return append(lines, compareBlocks("block", singleBlocks(c), singleBlocks(next))...)
+	return append(lines, compareBlocks("block", remainingParts(c), remainingParts(next))...)
 }
 
-// compareBlocks compares the blocks of one kind, given by their names.
+// compareBlocks compares the blocks of one kind. Both maps are keyed by name.
 func compareBlocks(kind string, old, new map[string]any) []string {
 	all := maps.Clone(old)
 	maps.Copy(all, new)
@@ -64,9 +64,9 @@
 	return blocks
 }
 
-// singleBlocks returns the parts of a configuration that are compared as a whole, by the names
+// remainingParts returns the parts of a configuration that are compared as a whole, by the names
 // under which Compare reports them.
-func singleBlocks(c *Config) map[string]any {
+func remainingParts(c *Config) map[string]any {
 	return map[string]any{
 		"admin":   c.Admin,
 		"fleet":   c.Fleet,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -37,16 +37,16 @@
 // Snapshot configures the file in which the daemon saves its learned state for its successor.
 type Snapshot struct {
 	Path     string        // path of the file; empty: learned state is not saved
-	Interval time.Duration // time between two snapshots; a last one is saved at shutdown
+	Interval time.Duration // time between periodic snapshots; one more is saved at a handover and one at shutdown
 	MaxAge   time.Duration // a snapshot older than this is not restored
 }
 
 // Limits bound the resources of the process.
 type Limits struct {
 	Memory          int64         // in bytes
-	MaxConns        int           // open connections of clients, to all listeners together
+	MaxConns        int           // maximum number of open client connections, over all listeners
 	StopTimeout     time.Duration // maximum time for draining at shutdown
-	HandoverTimeout time.Duration // a successor that does not serve by then is terminated
+	HandoverTimeout time.Duration // time within which a successor must begin to serve; otherwise it is terminated
 }
 
 // Listener is an address on which the daemon serves clients.
@@ -69,7 +69,7 @@
 	Name              string
 	Source            EndpointSource
 	Subset            int           // number of endpoints that one instance sends to; 0: all
-	MaxConns          int           // open connections, to all endpoints of the pool together
+	MaxConns          int           // maximum number of open connections, over all endpoints of the pool
 	ConnIdleTimeout   time.Duration // after which endpoints close an idle connection; 0: the connection pool's default
 	DialTimeout       time.Duration // 0: the connection pool's default
 	SlowStartCapacity float64       // capacity of a new endpoint, as a fraction of its full one
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -201,8 +201,9 @@
 	}
 }
 
-// In a valid file, no policy lets a request that is not idempotent run twice, and no timeout of a
-// policy exceeds one that includes it.
+// In a valid file, no policy allows a retry after a run for a non-idempotent class, or hedging for
+// a class that is not idempotent. The request timeout is at most the clients' timeout, all attempts
+// together fit into it, and the hedge delay is shorter.
 func TestValidPoliciesAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := []string{"", "100ms", "1s", "2s", "5s", "20s"}
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -12,8 +12,8 @@
 	"rowancart/internal/hcldecode"
 )
 
-// Load reads and validates a file. It resolves the environment variables that the file names with
-// lookupEnv. Relative paths of endpoint lists are relative to the file's directory.
+// Load reads and validates a file. It calls lookupEnv to resolve the environment variables that
+// the file refers to. Relative paths of endpoint lists are relative to the file's directory.
 func Load(path string, lookupEnv func(string) (string, bool)) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +49,7 @@
 	at   hcl.Range // range of the attribute
 }
 
-// Parse parses and validates the text of a file. Error messages refer to the file as name.
+// Parse parses and validates the text of a file. Name is the file name in error messages.
 func Parse(text []byte, name string, lookupEnv func(string) (string, bool)) (*Config, error) {
 	body, err := hcldecode.Parse(text, name)
 	if err != nil {
@@ -88,7 +88,9 @@
 	return d
 }
 
-// decode decodes and validates the whole file. A block is decoded after those that it refers to.
+// decode decodes and validates the whole file. Pools are decoded after the listeners, and routes
+// last. The policies that classes name are resolved in between, because a policy may follow the
+// class in the file.
 func (d *decoder) decode(body hcl.Body) {
 	var routes, pools []*hcl.Block
 	decodeOnce := func(decode func(*hcl.Block)) func(*hcl.Block) {
@@ -118,7 +120,7 @@
 			d.resolve(policy.at, "policy", policy.name)
 		}
 	}
-	for _, b := range routes { // last, because routes refer to all other named blocks
+	for _, b := range routes { // last, because routes refer to listeners, classes, pools and policies
 		d.route(b)
 	}
 	start := hcl.Range{Filename: d.File, Start: hcl.InitialPos, End: hcl.InitialPos}
--- a/internal/config/faults_test.go
+++ b/internal/config/faults_test.go
@@ -44,13 +44,13 @@
 	{"request longer than clients wait", withLooksPolicy("request_timeout = \"6s\""),
 		`x.hcl:38:5: request_timeout: 6s is longer than clients of route "looks" wait: 5s`},
 	{"hedging after the attempt", withLooksPolicy("second_copy {\n after = \"1s\"\n}"),
-		`x.hcl:38:5: second_copy: after 1s the first attempt of route "looks" has already timed out`},
+		`x.hcl:38:5: second_copy: after 1s the first attempt of a request of route "looks" has already timed out`},
 	{"hedging with one attempt", withLooksPolicy("attempts = 1"),
 		`x.hcl:20:3: second_copy: needs at least 2 attempts, but route "looks" allows 1`},
 	{"hedging without a delay", withLooksPolicy("second_copy {}"),
 		`x.hcl:38:5: second_copy: must set after or percentile`},
 	{"percentile out of range", withLooksPolicy("second_copy {\n percentile = 20\n}"),
-		`x.hcl:39:2: percentile: 20 is not at least 50 and below 100`},
+		`x.hcl:39:2: percentile: is 20, but must be at least 50 and below 100`},
 	{"attempts and rate of 0", withLooksPolicy("attempts = 0\n    rate = \"0/s\""),
 		`x.hcl:38:5: attempts: 0 is not a positive number
 x.hcl:39:5: rate: 0/s is not a positive rate`},
@@ -63,7 +63,7 @@
 	{
 		"burst without a rate",
 		withLooksPolicy("burst = 5"),
-		`x.hcl:38:5: burst: has no effect, because route "looks" does not set the rate that it belongs to`,
+		`x.hcl:38:5: burst: requires the corresponding rate, which the policy of route "looks" does not set`,
 	},
 	{"duration without a unit", withLooksPolicy("request_timeout = 3"),
 		`x.hcl:38:23: request_timeout: must be a duration with its unit, such as "250ms"`},
@@ -115,7 +115,7 @@
 	{"duplicate class", validConfig + "class \"pay\" {\n  effect = \"safe\"\n}\n",
 		`x.hcl:54:1: class "pay": already defined at x.hcl:13:1`},
 	{"keyed class without a window", replaceInValid("  window = \"10s\"\n", ""),
-		`x.hcl:8:1: class "book": a keyed class must set window, the time for which endpoints drop duplicates of a key`},
+		`x.hcl:8:1: class "book": a keyed class needs a window above 0s, during which endpoints drop duplicates of a key`},
 	{"safe class with a window", replaceInValid("  effect = \"safe\"\n", "  effect = \"safe\"\n  window = \"1s\"\n"),
 		`x.hcl:6:3: window: class "look" is safe, but endpoints drop duplicates of keyed classes only`},
 	{
@@ -149,7 +149,7 @@
 		`x.hcl:54:1: state: fresh_for is 4s, which is shorter than the time between two snapshots, 5s`,
 	},
 	{"socket without a path", validConfig + "admin {\n  listen = \"unix:\"\n}\n",
-		`x.hcl:55:3: listen: unix: must be followed by a path`},
+		`x.hcl:55:3: listen: "unix:" must be followed by a path`},
 	{"pool with two rosters", validConfig + "pool \"more\" {\n  roster \"file\" {\n    path = \"a\"\n  }\n" +
 		"  roster \"file\" {\n    path = \"b\"\n  }\n}\n", `x.hcl:58:3: roster: pool "more" already has a roster`},
 	{"static roster without endpoints", validConfig + "pool \"more\" {\n  roster \"static\" {}\n}\n",
@@ -171,7 +171,7 @@
 	{
 		"slow-start share out of range",
 		replaceInValid("pool \"servers\" {\n", "pool \"servers\" {\n  warm_up {\n    share = 5\n  }\n"),
-		`x.hcl:25:3: warm_up: share 5 is not above 0 and at most 4: ` +
+		`x.hcl:25:3: warm_up: share is 5, but must be above 0 and at most 4: ` +
 			`it scales the share of the traffic that a warming endpoint gets`,
 	},
 	{"environment variable not set", replaceInValid(`"127.0.0.1:8080"`, `env("FRONT")`),
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -201,7 +201,7 @@
 	}
 	at, ok := d.Ranges[&p.HedgePercentile]
 	if ok && (p.HedgePercentile < minHedgePercentile || p.HedgePercentile >= maxHedgePercentile) {
-		d.Errorf(at, "percentile: %g is not at least %d and below %d",
+		d.Errorf(at, "percentile: is %g, but must be at least %d and below %d",
 			p.HedgePercentile, minHedgePercentile, maxHedgePercentile)
 	}
 }
@@ -260,6 +260,6 @@
 // checkBurst adds an error if a burst is set without a rate.
 func (d *decoder) checkBurst(r *Route, name string, rate hcldecode.Rate, ranges map[string]hcl.Range) {
 	if r.Origins[name] != originDefault && rate == 0 {
-		d.Errorf(ranges[name], "%s: has no effect, because route %q does not set the rate that it belongs to", name, r.Name)
+		d.Errorf(ranges[name], "%s: requires the corresponding rate, which the policy of route %q does not set", name, r.Name)
 	}
 }
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -50,7 +50,7 @@
 	capacity := hcldecode.Fraction(p.SlowStartCapacity)
 	d.Body(b.Body, hcldecode.Fields{"from": &capacity, "within": &p.SlowStartWindow, "share": &p.SlowStartShare}, nil)
 	if p.SlowStartShare <= 0 || p.SlowStartShare > maxSlowStartShare {
-		d.Errorf(b.DefRange, "warm_up: share %g is not above 0 and at most %d: "+
+		d.Errorf(b.DefRange, "warm_up: share is %g, but must be above 0 and at most %d: "+
 			"it scales the share of the traffic that a warming endpoint gets", p.SlowStartShare, maxSlowStartShare)
 	}
 	p.SlowStartCapacity = float64(capacity)
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -83,7 +83,7 @@
 	m.Headers[name] = equals
 }
 
-// checkMatch validates the condition of a route and the names of its listeners.
+// checkMatch validates the match condition of a route and the names of its listeners.
 func (d *decoder) checkMatch(r *Route) {
 	m := &r.Match
 	if err := m.Check(); err != nil {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -27,7 +27,7 @@
 func (d *decoder) checkListenAddress(at hcl.Range, attribute, address string) {
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		if path == "" {
-			d.Errorf(at, "%s: unix: must be followed by a path", attribute)
+			d.Errorf(at, "%s: \"unix:\" must be followed by a path", attribute)
 		}
 	} else if err := checkHostPort(address); err != nil {
 		d.Errorf(at, "%s: %v", attribute, err)
@@ -60,8 +60,9 @@
 	}
 }
 
-// checkRepeatedRuns rejects retries and hedged requests that could run a request twice although it
-// is not idempotent.
+// checkRepeatedRuns rejects what could run a request twice that must not: retries after a run for
+// non-idempotent classes, and hedging for all classes that are not idempotent, keyed ones included.
+// It also rejects hedging with a single attempt.
 func (d *decoder) checkRepeatedRuns(r *Route, at map[string]hcl.Range) {
 	p, c := r.Policy, r.Class
 	if c.Idempotency == balancer.NonIdempotent && p.Retry == RetryAfterRun {
@@ -80,7 +81,9 @@
 	}
 }
 
-// checkTimeouts rejects timeouts and delays that a shorter timeout of the route always precedes.
+// checkTimeouts rejects a request timeout above the clients' timeout, attempt timeouts that
+// together exceed the time of a request, and a hedge delay that is not shorter than the timeout of
+// the first attempt.
 func (d *decoder) checkTimeouts(r *Route, at map[string]hcl.Range) {
 	p := r.Policy
 	if p.RequestTimeout > p.ClientTimeout {
@@ -100,7 +103,7 @@
 			p.MaxAttempts, p.AttemptTimeout, allAttempts, r.Name, total)
 	case p.HedgeAfter > 0 && p.HedgeAfter >= cmp.Or(p.AttemptTimeout, total):
 		d.Errorf(at["second_copy"],
-			"second_copy: after %v the first attempt of route %q has already timed out", p.HedgeAfter, r.Name)
+			"second_copy: after %v the first attempt of a request of route %q has already timed out", p.HedgeAfter, r.Name)
 	}
 }
 
@@ -127,7 +130,8 @@
 		slices.ContainsFunc(a.Listeners, func(name string) bool { return slices.Contains(b.Listeners, name) })
 }
 
-// warnUnused warns about blocks to which no other block refers.
+// warnUnused warns about pools, classes and policies that no block refers to, and about listeners
+// that serve no route.
 func (d *decoder) warnUnused() {
 	for _, key := range slices.Sorted(maps.Keys(d.defined)) {
 		kind, _, _ := strings.Cut(key, " ")
--- a/internal/hcldecode/fault.go
+++ b/internal/hcldecode/fault.go
@@ -26,7 +26,7 @@
 
 // Error is one error that was found in a file.
 type Error struct {
-	Position Position // zero if the error has no position
+	Position Position // zero if the error concerns the file as a whole
 	Message  string
 }
 
@@ -38,7 +38,8 @@
 	return e.Position.String() + ": " + e.Message
 }
 
-// ErrorList holds all errors of a file in the order of their positions, without duplicates.
+// ErrorList is the error for an invalid file. It holds the errors found in the file in the order of
+// their positions, without duplicates.
 type ErrorList []Error
 
 // Error returns one line for each error of the list.
@@ -67,7 +68,8 @@
 	return errs
 }
 
-// NewErrorList returns the diagnostics of severity error. It omits warnings.
+// NewErrorList converts the diagnostics of severity error to an ErrorList, sorted by position and
+// without duplicates. It omits warnings.
 func NewErrorList(diags hcl.Diagnostics) ErrorList {
 	var errs []*hcl.Diagnostic
 	for _, d := range diags {
--- a/internal/hcldecode/hcldecode.go
+++ b/internal/hcldecode/hcldecode.go
@@ -1,5 +1,6 @@
-// Package hcldecode decodes the bodies of HCL files into Go values and collects all errors of a
-// file in an ErrorList. Durations, sizes and rates must be written with their units.
+// Package hcldecode decodes the bodies of HCL files into Go values. It collects all errors of a
+// file in an ErrorList instead of stopping at the first, except for syntax errors. Durations, sizes
+// and rates must be written with their units.
 package hcldecode
 
 import (
@@ -28,7 +29,7 @@
 // label, the key is the type, a space and a name for the label, as in "listener name".
 type Blocks map[string]func(b *hcl.Block)
 
-// Parse parses the text of a file. Error messages refer to the file as name. The error is an
+// Parse parses the text of a file. Name is the file name in error messages. The error is an
 // ErrorList that holds only the first syntax error, because others are usually caused by the first.
 func Parse(text []byte, name string) (hcl.Body, error) {
 	file, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
@@ -39,8 +40,9 @@
 }
 
 // Body decodes a body. An attribute or block that is in neither fields nor blocks is an error. Body
-// returns true if it found no error, in the blocks of the body either. If it returns false, callers
-// should not validate the values, because most further errors would be caused by the first.
+// returns true if there is no error, neither in the body itself nor in its blocks. If it returns
+// false, callers should not validate the values, because most further errors would be caused by the
+// first.
 //
 // Fields must hold values of type *time.Duration, *Size, *Rate, *Fraction, *float64, *int, *bool or
 // *string, or pointers to slices of uint64, float64, time.Duration or string. Body panics if the
--- a/internal/hcldecode/values.go
+++ b/internal/hcldecode/values.go
@@ -33,7 +33,8 @@
 	at   hcl.Range // range of the attribute's expression
 }
 
-// attribute decodes an attribute into *to. It leaves *to unchanged if the attribute is null.
+// attribute decodes an attribute into *to. It leaves *to unchanged if the attribute is null or its
+// expression cannot be evaluated.
 func (d *Decoder) attribute(a *hcl.Attribute, to any) {
 	evaluated, diags := a.Expr.Value(d.Vars)
 	d.Diags = append(d.Diags, diags...)
