--- a/internal/hcldecode/values.go
+++ b/internal/hcldecode/values.go
@@ -11,7 +11,7 @@
 	"github.com/zclconf/go-cty/cty/convert"
 )
 
-// Rate is a number of times a second, written with its unit: "50/s", "3000/min" or "10/h".
+// Rate is a number of events per second, written with its unit: "50/s", "3000/min" or "10/h".
 type Rate float64
 
 // Fraction is a number from 0 to 1.
@@ -25,28 +25,30 @@
 	rateUnits = map[string]float64{"s": 1, "min": 60, "h": 3600}                   // in seconds
 )
 
-// value is the value of an attribute, or one element of its list, to be converted.
+// value is the evaluated expression of an attribute, or one element of it if it is a list.
 type value struct {
 	cty.Value
-	r    *Reader
-	name string    // of the attribute
-	at   hcl.Range // of its expression
+	d    *Decoder  // collects the errors
+	name string    // name of the attribute
+	at   hcl.Range // range of the attribute's expression
 }
 
-// attribute decodes an attribute into the value to which to points.
-func (r *Reader) attribute(a *hcl.Attribute, to any) {
-	evaluated, diags := a.Expr.Value(r.Vars)
-	r.Diags = append(r.Diags, diags...)
+// attribute decodes an attribute into *to. It leaves *to unchanged if the attribute is null or its
+// expression cannot be evaluated.
+func (d *Decoder) attribute(a *hcl.Attribute, to any) {
+	evaluated, diags := a.Expr.Value(d.Vars)
+	d.Diags = append(d.Diags, diags...)
 	if diags.HasErrors() || evaluated.IsNull() || !evaluated.IsWhollyKnown() {
 		return
 	}
-	v := value{Value: evaluated, r: r, name: a.Name, at: a.Expr.Range()}
+	v := value{Value: evaluated, d: d, name: a.Name, at: a.Expr.Range()}
 	if !v.decodeScalar(to) && !v.decodeList(to) {
 		panic(fmt.Sprintf("hcldecode: cannot decode into a %T", to))
 	}
 }
 
-// decodeScalar decodes a single value. It returns false if it does not support the type of to.
+// decodeScalar decodes a value that is not a list. It returns false if the type of to is not
+// supported.
 func (v value) decodeScalar(to any) bool {
 	switch to := to.(type) {
 	case *time.Duration:
@@ -71,7 +73,7 @@
 	return true
 }
 
-// decodeList decodes a list. It returns false if it does not support the type of to.
+// decodeList decodes a list. It returns false if the type of to is not supported.
 func (v value) decodeList(to any) bool {
 	switch to := to.(type) {
 	case *[]uint64:
@@ -88,14 +90,14 @@
 		})
 	case *[]time.Duration:
 		v.each(func(element value) {
-			d, _ := element.duration() // 0 after a fault: the list keeps its length
+			d, _ := element.duration() // 0 after an error, so that the list keeps its length
 			*to = append(*to, d)
 		})
 	case *[]string:
 		v.each(func(element value) {
 			s, err := convert.Convert(element.Value, cty.String)
 			if err != nil {
-				v.fault("elements must be strings, numbers or booleans")
+				v.errorf("elements must be strings, numbers or booleans")
 				return
 			}
 			*to = append(*to, s.AsString())
@@ -106,22 +108,22 @@
 	return true
 }
 
-// set stores a decoded value if it is valid.
+// set stores the result of decode in *to, unless decode fails.
 func set[T any](to *T, decode func() (T, bool)) {
 	if x, ok := decode(); ok {
 		*to = x
 	}
 }
 
-// fault adds a fault about the attribute.
-func (v value) fault(format string, args ...any) {
-	v.r.Fault(v.at, "%s: %s", v.name, fmt.Sprintf(format, args...))
+// errorf adds an error at the attribute's expression. The message begins with the attribute's name.
+func (v value) errorf(format string, args ...any) {
+	v.d.Errorf(v.at, "%s: %s", v.name, fmt.Sprintf(format, args...))
 }
 
-// each calls f with each element of a list.
+// each calls f with each element of a list. It adds an error if the value is not a list.
 func (v value) each(f func(element value)) {
 	if !v.CanIterateElements() || v.Type().IsMapType() || v.Type().IsObjectType() {
-		v.fault("must be a list in brackets")
+		v.errorf("must be a list in brackets")
 		return
 	}
 	for it := v.ElementIterator(); it.Next(); {
@@ -131,21 +133,22 @@
 	}
 }
 
-// text returns a string. Expected describes the required value in the fault for another type.
+// text returns the value as a string. If it is of another type, text adds an error that says what
+// was expected.
 func (v value) text(expected string) (string, bool) {
 	if v.Type() != cty.String {
-		v.fault("must be %s", expected)
+		v.errorf("must be %s", expected)
 		return "", false
 	}
 	return v.AsString(), true
 }
 
-// number returns a number, or the number in a string: variables set on the command line are
-// strings.
+// number returns the value as a number. It accepts a string that holds a number as well, because
+// variables set on the command line are strings.
 func (v value) number() (float64, bool) {
 	n, err := convert.Convert(v.Value, cty.Number)
 	if err != nil {
-		v.fault("must be a number")
+		v.errorf("must be a number")
 		return 0, false
 	}
 	x, _ := n.AsBigFloat().Float64()
@@ -155,7 +158,7 @@
 func (v value) nonNegative() (float64, bool) {
 	x, ok := v.number()
 	if ok && x < 0 {
-		v.fault("%g is negative", x)
+		v.errorf("%g is negative", x)
 		return 0, false
 	}
 	return x, ok
@@ -164,7 +167,7 @@
 func (v value) nonNegativeInt() (int, bool) {
 	x, ok := v.number()
 	if ok && (x != float64(int(x)) || x < 0) {
-		v.fault("%g is not a non-negative integer", x)
+		v.errorf("%g is not a non-negative integer", x)
 		return 0, false
 	}
 	return int(x), ok
@@ -173,7 +176,7 @@
 func (v value) fraction() (Fraction, bool) {
 	x, ok := v.number()
 	if ok && (x < 0 || x > 1) {
-		v.fault("%g is not between 0 and 1", x)
+		v.errorf("%g is not between 0 and 1", x)
 		return 0, false
 	}
 	return Fraction(x), ok
@@ -182,7 +185,7 @@
 func (v value) boolean() (bool, bool) {
 	b, err := convert.Convert(v.Value, cty.Bool)
 	if err != nil {
-		v.fault("must be true or false")
+		v.errorf("must be true or false")
 		return false, false
 	}
 	return b.True(), true
@@ -195,7 +198,7 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		v.fault(`%q is not a duration; examples: "250ms", "2.5s"`, text)
+		v.errorf(`%q is not a duration; examples: "250ms", "2.5s"`, text)
 		return 0, false
 	}
 	return d, true
@@ -210,7 +213,7 @@
 	seconds := rateUnits[unit]
 	x, err := strconv.ParseFloat(strings.TrimSpace(count), 64)
 	if err != nil || seconds == 0 || x < 0 {
-		v.fault(`%q is not a rate; examples: "50/s", "3000/min"`, text)
+		v.errorf(`%q is not a rate; examples: "50/s", "3000/min"`, text)
 		return 0, false
 	}
 	return Rate(x / seconds), true
@@ -225,7 +228,7 @@
 	bytes := sizeUnits[text[len(digits):]]
 	x, err := strconv.ParseFloat(strings.TrimSpace(digits), 64)
 	if err != nil || bytes == 0 || x < 0 {
-		v.fault(`%q is not a size; examples: "64KiB", "128MiB"`, text)
+		v.errorf(`%q is not a size; examples: "64KiB", "128MiB"`, text)
 		return 0, false
 	}
 	return Size(x * bytes), true
