--- a/internal/experiment/hclfile/decode.go
+++ b/internal/experiment/hclfile/decode.go
@@ -11,16 +11,16 @@
 	"rowancart/internal/hcldecode"
 )
 
-// decoder reads the blocks of one experiment. Faults are collected in its Diags.
+// decoder reads the blocks of one experiment. It collects the faults of the file in Diags.
 type decoder struct {
 	hcldecode.Reader
 	experiment *experiment.Experiment
-	seen       map[string]hcl.Range // by type: top-level blocks that a file has once
+	seen       map[string]hcl.Range // positions of the top-level blocks that may occur only once, by block type
 	expect     []expectation
 }
 
-// once returns a function that reads a block, and reports a second block of the same type as a
-// fault. Seen holds the places of the blocks that were read, by their type.
+// once returns a function that reads a block and reports a second block of the same type as a
+// fault. The map seen holds the positions of the blocks that have been read, by block type.
 func (d *decoder) once(seen map[string]hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
 	return func(b *hcl.Block) {
 		if first, ok := seen[b.Type]; ok {
@@ -32,7 +32,7 @@
 	}
 }
 
-// decodePoint reads the experiment of the file called name, with these values of its variables.
+// decodePoint reads the experiment of the file called name. Vars holds the values of its variables.
 func decodePoint(body hcl.Body, name string, vars map[string]cty.Value) (Point, error) {
 	p := Point{Experiment: defaultExperiment(name)}
 	e := &p.Experiment
@@ -67,7 +67,7 @@
 	return p, hcldecode.Faults(d.Diags).Err()
 }
 
-// checkRequiredBlocks reports blocks that the file called name lacks.
+// checkRequiredBlocks reports the required blocks that the file called name lacks.
 func (d *decoder) checkRequiredBlocks(name string) {
 	start := hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}
 	for _, required := range []string{"experiment", "site", "load"} {
@@ -77,7 +77,7 @@
 	}
 }
 
-// checkFaultKinds reports kinds of faults that cannot run in virtual time.
+// checkFaultKinds reports faults that an experiment in virtual time cannot inject.
 func (d *decoder) checkFaultKinds() {
 	if !d.experiment.Virtual {
 		return
@@ -89,7 +89,8 @@
 	}
 }
 
-// defaultExperiment returns the values of attributes that a file does not set.
+// defaultExperiment returns an experiment with the defaults of all attributes. Its name is that of
+// the file without the extension.
 func defaultExperiment(fileName string) experiment.Experiment {
 	return experiment.Experiment{
 		Name:  strings.TrimSuffix(fileName, ".hcl"),
@@ -112,7 +113,7 @@
 	}
 }
 
-// printableValues returns the values of variables for reports, without those that are neither
+// printableValues returns the values of variables for reports. It omits variables that are neither
 // strings nor numbers.
 func printableValues(vars map[string]cty.Value) map[string]string {
 	out := map[string]string{}
--- a/internal/experiment/hclfile/expectations.go
+++ b/internal/experiment/hclfile/expectations.go
@@ -9,7 +9,8 @@
 	"rowancart/internal/hcldecode"
 )
 
-// expectation is checked after all variants have been read.
+// expectation is an experiment.Expectation with its position in the file. Expectations are checked
+// after all blocks have been read, because the variants may be defined later in the file.
 type expectation struct {
 	experiment.Expectation
 	position hcl.Range
@@ -35,8 +36,8 @@
 	d.expect = append(d.expect, x)
 }
 
-// checkExpectations adds the expectations to the experiment. One that names a variant that does not
-// exist, and one without any requirement, is a fault.
+// checkExpectations adds the expectations to the experiment. It reports an expectation that names
+// an undefined variant or sets no requirement as a fault.
 func (d *decoder) checkExpectations() {
 	for _, x := range d.expect {
 		if x.Variant != "" && !d.hasVariant(x.Variant) {
--- a/internal/experiment/hclfile/hclfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -1,6 +1,6 @@
-// Package hclfile reads experiment files: HCL that says what to run and what results are required.
-// docs/lab.md describes the language. The error for an invalid file is an hcldecode.FaultList, or
-// wraps one.
+// Package hclfile reads experiment files, which state in HCL what to run and which results are
+// required. docs/lab.md describes the language. The error for an invalid file is an
+// hcldecode.FaultList, or wraps one.
 package hclfile
 
 import (
@@ -18,14 +18,14 @@
 	"rowancart/internal/hcldecode"
 )
 
-// Point is one of the experiments of a file: a file with a sweep has one for each value, others
-// have one.
+// Point is one experiment of a file. A file with a sweep has one point for each value of the swept
+// variable; any other file has a single point.
 type Point struct {
 	experiment.Experiment
-	Value string // the sweep's variable and its value here, such as rate=50; empty without a sweep
+	Value string // the swept variable and its value, such as rate=50; empty without a sweep
 }
 
-// Load reads a file. Set holds values of variables that replace those of the file.
+// Load reads the file at a path. The values of variables in set replace those of the file.
 func Load(path string, set map[string]string) ([]Point, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -34,13 +34,13 @@
 	return parse(text, filepath.Base(path), filepath.Clean(path), set)
 }
 
-// Parse reads the text of a file that is called name in messages. Paths of included files are
-// relative to the working directory.
+// Parse reads the text of a file. Name is the name of the file in messages. The values of variables
+// in set replace those of the file. Paths of included files are relative to the working directory.
 func Parse(text []byte, name string, set map[string]string) ([]Point, error) {
 	return parse(text, name, name, set)
 }
 
-// parse reads the text of the file at a path, which is called name in messages.
+// parse reads the text of the file at a path. Name is the name of the file in messages.
 func parse(text []byte, name, path string, set map[string]string) ([]Point, error) {
 	own, err := hcldecode.Parse(text, name)
 	if err != nil {
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	body := hcl.MergeBodies(bodies)
-	// The variables come first: all other blocks may refer to them.
+	// Variables are read first because all other blocks may refer to them.
 	vars, err := readVariables(body, name, set)
 	if err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	return []Point{p}, nil
 }
 
-// decodeSweep reads one experiment for each value of the sweep.
+// decodeSweep returns one point for each value of the sweep.
 func decodeSweep(body hcl.Body, name string, vars *variables) ([]Point, error) {
 	var out []Point
 	for _, v := range vars.sweepValues {
@@ -85,12 +85,13 @@
 // variables are the variables of a file and the sweep over one of them.
 type variables struct {
 	values      map[string]cty.Value
-	sweep       string // the variable that is swept; empty: none
+	sweep       string // name of the swept variable; empty if there is none
 	sweepAt     hcl.Range
 	sweepValues []string
 }
 
-// readVariables reads the variables and the sweep of the file called name. Set replaces values.
+// readVariables reads the variables and the sweep of the file called name. The values in set
+// replace those of the file.
 func readVariables(body hcl.Body, name string, set map[string]string) (*variables, error) {
 	r := &hcldecode.Reader{}
 	vars := &variables{values: map[string]cty.Value{}}
@@ -134,7 +135,7 @@
 // readSweep reads a block "sweep".
 func (vars *variables) readSweep(r *hcldecode.Reader, b *hcl.Block) {
 	if vars.sweep != "" {
-		r.Fault(b.DefRange, "sweep: variable %s is already swept", vars.sweep)
+		r.Fault(b.DefRange, "sweep: variable %s is already swept; a file can have only one sweep", vars.sweep)
 		return
 	}
 	vars.sweep = b.Labels[0]
@@ -142,7 +143,7 @@
 	r.Body(b.Body, hcldecode.Fields{"values!": &vars.sweepValues}, nil)
 }
 
-// joinOrNone returns names as a list for a message.
+// joinOrNone returns names separated by commas, or "none" if there are no names.
 func joinOrNone(names []string) string {
 	if len(names) == 0 {
 		return "none"
--- a/internal/experiment/hclfile/hclfile_test.go
+++ b/internal/experiment/hclfile/hclfile_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// validFile is a file without a fault.
+// validFile is the text of a valid experiment file.
 const validFile = `experiment "x" {
   question = "?"
   duration = "10s"
@@ -31,7 +31,7 @@
 func TestShippedFilesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../experiments/*.hcl")
 	if err != nil || len(paths) < 8 {
-		t.Fatalf("%d experiments: %v", len(paths), err)
+		t.Fatalf("found %d experiment files, want at least 8; error: %v", len(paths), err)
 	}
 	for _, path := range paths {
 		points, err := Load(path, nil)
@@ -40,20 +40,20 @@
 			continue
 		}
 		if want := strings.TrimSuffix(filepath.Base(path), ".hcl"); points[0].Name != want {
-			t.Errorf("%s is called %q", path, points[0].Name)
+			t.Errorf("%s: the experiment is called %q, want the name of the file", path, points[0].Name)
 		}
 	}
 }
 
-// replaceInValid returns the valid file with a part replaced.
+// replaceInValid returns validFile with the first occurrence of old replaced.
 func replaceInValid(old, replacement string) string {
 	if !strings.Contains(validFile, old) {
-		panic(fmt.Sprintf("the valid file has no %q", old))
+		panic(fmt.Sprintf("validFile does not contain %q", old))
 	}
 	return strings.Replace(validFile, old, replacement, 1)
 }
 
-// faultCases are invalid files, and the complete error for each.
+// faultCases are invalid files with the complete error message for each.
 var faultCases = []struct {
 	name string
 	text string
@@ -105,7 +105,7 @@
 	{
 		"unknown tier",
 		validFile + "fault \"crash\" {\n  at   = \"1s\"\n  tier = \"back\"\n}\n",
-		`x.hcl:18:1: fault: tier "back" is not defined before it`,
+		`x.hcl:18:1: fault: tier "back" is not defined in a site block before the fault`,
 	},
 	{
 		"fraction above 1",
@@ -116,7 +116,7 @@
 	{
 		"policy for an unknown class",
 		validFile + "arm \"a\" {\n  class \"nobody\" {}\n}\n",
-		`x.hcl:19:3: class: "nobody" is not defined in a site before the arms`,
+		`x.hcl:19:3: class: "nobody" is not defined in a site block before the arm`,
 	},
 	{
 		"unknown policy",
@@ -156,7 +156,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse([]byte(c.text), "x.hcl", nil)
 			if err == nil {
-				t.Fatal("accepted")
+				t.Fatal("an invalid file was accepted")
 			}
 			if err.Error() != c.want {
 				t.Errorf("got:\n%v\nwant:\n%s", err, c.want)
@@ -176,11 +176,11 @@
 	text := replaceInValid(`"5/s"`, "var.rate") + varsAndSweep
 	points, err := Parse([]byte(text), "x.hcl", nil)
 	if err != nil || len(points) != 2 || points[0].Load.Rate != 8 || points[1].Value != "rate=9/s" {
-		t.Errorf("swept: %+v, %v", points, err)
+		t.Errorf("with the sweep: got points %+v, error %v", points, err)
 	}
 	points, err = Parse([]byte(text), "x.hcl", map[string]string{"rate": "60/min"})
 	if err != nil || len(points) != 1 || points[0].Load.Rate != 1 || points[0].Duration != 10*time.Second {
-		t.Errorf("set: %+v, %v", points, err)
+		t.Errorf("with the swept variable set: got points %+v, error %v", points, err)
 	}
 	_, err = Parse([]byte(text), "x.hcl", map[string]string{"speed": "1"})
 	if want := "x.hcl: --set speed: the file has no such variable; it has rate"; err == nil || err.Error() != want {
@@ -194,7 +194,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		points, err := Parse([]byte(text), "x.hcl", nil)
 		if err == nil && len(points) > 0 && (len(points[0].Site.Tiers) == 0 || points[0].Duration <= 0) {
-			t.Error("accepted a file that cannot be run")
+			t.Error("accepted a file without tiers or without a positive duration")
 		}
 	})
 }
--- a/internal/experiment/hclfile/include.go
+++ b/internal/experiment/hclfile/include.go
@@ -12,9 +12,10 @@
 	"rowancart/internal/hcldecode"
 )
 
-// includedBodies returns a body after the bodies that it includes, so that its own attributes come
-// last and replace theirs. Paths are relative to the file that includes them. Chain holds the paths
-// from the file that was loaded to the one with this body; a file that includes itself is an error.
+// includedBodies returns the bodies of all files that a body includes, followed by the body itself.
+// In this order the values of variables in the including file replace those of included files.
+// Paths are relative to the file that includes them. Chain holds the paths from the loaded file to
+// the file of this body; it serves to detect a file that includes itself, which is an error.
 func includedBodies(body hcl.Body, chain []string) ([]hcl.Body, error) {
 	content, _, diags := body.PartialContent(&hcl.BodySchema{
 		Blocks: []hcl.BlockHeaderSchema{{Type: "include", LabelNames: []string{"path"}}}})
@@ -46,7 +47,7 @@
 	return append(out, body), nil
 }
 
-// baseNames returns the last elements of paths.
+// baseNames returns the last element of each path.
 func baseNames(paths []string) []string {
 	var out []string
 	for _, p := range paths {
--- a/internal/experiment/hclfile/include_test.go
+++ b/internal/experiment/hclfile/include_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// siteAndLoad is what an included file holds; it refers to the variable n.
+// siteAndLoad is the text of an included file. It refers to the variable n.
 const siteAndLoad = `site {
   balancers = var.n
   class "c" {
@@ -24,49 +24,49 @@
 }
 `
 
-// head is the start of a file that includes others; varsOfThree gives n a value.
+// Parts of files: the block "experiment", and blocks that set the variable n.
 const (
-	head        = "experiment \"x\" {\n  question = \"?\"\n  duration = \"1s\"\n}\n"
-	varsOfThree = "vars {\n  n = 3\n}\n"
-	varsOfSeven = "vars {\n  n = 7\n}\n"
+	experimentBlock = "experiment \"x\" {\n  question = \"?\"\n  duration = \"1s\"\n}\n"
+	varsWithN3      = "vars {\n  n = 3\n}\n"
+	varsWithN7      = "vars {\n  n = 7\n}\n"
 )
 
-// includeCases are files of which x.hcl is loaded.
+// includeCases are sets of files. The test loads x.hcl.
 var includeCases = []struct {
 	name      string
 	files     map[string]string // by path
-	wantError string            // its start; empty: the file is valid
+	wantError string            // how the error begins; empty if the files are valid
 	balancers int
 }{
 	{
 		name: "variables of the including file replace others",
 		files: map[string]string{
-			"x.hcl":       head + varsOfSeven + "include \"sites/s.hcl\" {}\n",
-			"sites/s.hcl": varsOfThree + siteAndLoad,
+			"x.hcl":       experimentBlock + varsWithN7 + "include \"sites/s.hcl\" {}\n",
+			"sites/s.hcl": varsWithN3 + siteAndLoad,
 		},
 		balancers: 7,
 	},
 	{
 		name: "paths are relative to the including file",
 		files: map[string]string{
-			"x.hcl":       head + "include \"sites/a.hcl\" {}\n",
+			"x.hcl":       experimentBlock + "include \"sites/a.hcl\" {}\n",
 			"sites/a.hcl": "include \"b.hcl\" {}\n",
-			"sites/b.hcl": varsOfThree + siteAndLoad,
+			"sites/b.hcl": varsWithN3 + siteAndLoad,
 		},
 		balancers: 3,
 	},
 	{
 		name: "fault in an included file",
 		files: map[string]string{
-			"x.hcl": head + "include \"s.hcl\" {}\n",
-			"s.hcl": varsOfThree + siteAndLoad + "fault \"crush\" {\n  at = \"1s\"\n}\n",
+			"x.hcl": experimentBlock + "include \"s.hcl\" {}\n",
+			"s.hcl": varsWithN3 + siteAndLoad + "fault \"crush\" {\n  at = \"1s\"\n}\n",
 		},
 		wantError: `s.hcl:18:7: fault: "crush" is not one of`,
 	},
 	{
 		name: "cycle",
 		files: map[string]string{
-			"x.hcl": head + "include \"a.hcl\" {}\n",
+			"x.hcl": experimentBlock + "include \"a.hcl\" {}\n",
 			"a.hcl": "\ninclude \"b.hcl\" {}\n",
 			"b.hcl": "include \"a.hcl\" {}\n",
 		},
@@ -74,13 +74,13 @@
 	},
 	{
 		name:      "missing file",
-		files:     map[string]string{"x.hcl": head + "include \"a.hcl\" {}\n"},
+		files:     map[string]string{"x.hcl": experimentBlock + "include \"a.hcl\" {}\n"},
 		wantError: `x.hcl:5:1: include: open `,
 	},
 	{
 		name: "duplicate site",
 		files: map[string]string{
-			"x.hcl": head + varsOfSeven + "include \"s.hcl\" {}\n" + siteAndLoad,
+			"x.hcl": experimentBlock + varsWithN7 + "include \"s.hcl\" {}\n" + siteAndLoad,
 			"s.hcl": siteAndLoad,
 		},
 		wantError: `x.hcl:9:1: site: already defined at s.hcl:1:1`,
@@ -94,7 +94,7 @@
 			switch {
 			case c.wantError != "":
 				if err == nil || !strings.HasPrefix(err.Error(), c.wantError) {
-					t.Errorf("got %v, want %s", err, c.wantError)
+					t.Errorf("got error %v, want one that begins with %s", err, c.wantError)
 				}
 			case err != nil:
 				t.Error(err)
@@ -105,7 +105,8 @@
 	}
 }
 
-// writeFiles writes files, by their paths, into a new directory and returns its path.
+// writeFiles writes files into a new directory and returns its path. Files holds the text of each
+// file by its path within the directory.
 func writeFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/experiment/hclfile/load.go
+++ b/internal/experiment/hclfile/load.go
@@ -32,7 +32,7 @@
 	switch {
 	case !ok:
 	case l.Process == experiment.Recorded && len(l.Recorded) == 0:
-		d.Fault(b.DefRange, "load: the process recorded needs a list in recorded")
+		d.Fault(b.DefRange, "load: process is recorded, but the attribute recorded is missing or empty")
 	case l.Process != experiment.Recorded && l.Rate <= 0:
 		d.Fault(b.DefRange, "load: rate must be above 0")
 	}
@@ -81,23 +81,23 @@
 	}, nil)
 	f.Fraction = float64(fraction)
 	if f.Tier != "" && e.Site.TierIndex(f.Tier) < 0 {
-		d.Fault(b.DefRange, "fault: tier %q is not defined before it", f.Tier)
+		d.Fault(b.DefRange, "fault: tier %q is not defined in a site block before the fault", f.Tier)
 	}
 	d.checkFaultSize(b, f)
 	e.Faults = append(e.Faults, f)
 }
 
-// checkFaultSize reports a size out of the range of the kind of fault.
+// checkFaultSize reports a size that is out of range for the kind of fault.
 func (d *decoder) checkFaultSize(b *hcl.Block, f experiment.Fault) {
 	switch f.Kind {
 	case experiment.FastErrors, experiment.BreakBeforeRequest, experiment.BreakAfterRequest, experiment.TruncateResponse,
 		experiment.CorruptResponse, experiment.NoisyNeighbour, experiment.RollingDeploy:
 		if f.Size > 1 || math.IsNaN(f.Size) {
-			d.Fault(b.DefRange, "fault: the size of %s is a fraction: %g is not between 0 and 1", f.Kind, f.Size)
+			d.Fault(b.DefRange, "fault: the size of %s must be a fraction between 0 and 1, but is %g", f.Kind, f.Size)
 		}
 	case experiment.SharedSlowdown:
 		if f.Size < 1 {
-			d.Fault(b.DefRange, "fault: the size of %s is a factor: %g is below 1", f.Kind, f.Size)
+			d.Fault(b.DefRange, "fault: the size of %s must be a factor of at least 1, but is %g", f.Kind, f.Size)
 		}
 	}
 }
--- a/internal/experiment/hclfile/site.go
+++ b/internal/experiment/hclfile/site.go
@@ -8,7 +8,7 @@
 	"rowancart/internal/hcldecode"
 )
 
-// The values of a class's "effect".
+// Values of the attribute "effect" of a class.
 const (
 	nameIdempotent    = "safe"
 	nameNonIdempotent = "unsafe"
@@ -32,14 +32,14 @@
 		"tier name":   d.readTier,
 	})
 	if len(s.Classes) == 0 || len(s.Tiers) == 0 {
-		d.Fault(b.DefRange, "site: needs at least one class and one tier")
+		d.Fault(b.DefRange, "site: must define at least one class and one tier")
 		return
 	}
 	if s.Balancers < 1 {
 		d.Fault(b.DefRange, "site: balancers must be at least 1")
 	}
 	if last := s.Tiers[len(s.Tiers)-1]; last.Calls > 0 {
-		d.Fault(b.DefRange, "tier %s: the last tier has no other to call", last.Name)
+		d.Fault(b.DefRange, "tier %s: calls must be 0 in the last tier, which has no tier to call", last.Name)
 	}
 }
 
@@ -57,7 +57,7 @@
 	d.Body(b.Body, hcldecode.Fields{"delay": &discovery.Delay, "spread": &discovery.Spread}, nil)
 }
 
-// readRules reads a block "rules", the parameters of the invariants.
+// readRules reads a block "rules", which sets the parameters of the invariants.
 func (d *decoder) readRules(b *hcl.Block) {
 	rules := &d.experiment.Site.Rules
 	d.Body(b.Body, hcldecode.Fields{
@@ -155,10 +155,11 @@
 	site.Tiers = append(site.Tiers, t)
 }
 
-// defaultKindName is the name of the kind of a tier that defines none. Reports have it.
+// defaultKindName is the name of the server kind of a tier that defines no kinds. It appears in
+// reports.
 const defaultKindName = "box"
 
-// defaultKind returns a kind with the values of attributes that a file does not set.
+// defaultKind returns a server kind with the defaults of all attributes.
 func defaultKind(name string) experiment.Kind {
 	return experiment.Kind{Name: name, Fraction: 1, Cores: 1, Speed: 1, Slots: 16, QueueLimit: 200}
 }
@@ -197,7 +198,7 @@
 		"most":    &s.MaxCollapse,
 	}, nil)
 	if s.CollapseSlowdown < 1 {
-		d.Fault(b.DefRange, "choke: slower is %g: the slowdown of a collapse is at least 1", s.CollapseSlowdown)
+		d.Fault(b.DefRange, "choke: slower is %g, but the slowdown of a collapse must be at least 1", s.CollapseSlowdown)
 	}
 }
 
--- a/internal/experiment/hclfile/variant.go
+++ b/internal/experiment/hclfile/variant.go
@@ -10,10 +10,10 @@
 	"rowancart/internal/hcldecode"
 )
 
-// Values of "retry" in a class policy.
+// Values of the attribute "retry" of a class policy.
 const (
-	retryNotRun   = "not_run"   // none after an attempt that may have run
-	retryAfterRun = "after_run" // as the class allows
+	retryNotRun   = "not_run"   // no retry after an attempt that may have run
+	retryAfterRun = "after_run" // retries as the class allows
 )
 
 // readVariant reads a block "arm".
@@ -51,14 +51,14 @@
 	}, nil)
 	hcldecode.OneOf(&d.Reader, b.DefRange, "retry", retry, retryNotRun, retryAfterRun)
 	p.NeverRerun = retry == retryNotRun
-	switch { // in a file 0 stands for no queue; without the attribute there is no limit
+	switch { // queue = 0 in a file means no queue; without the attribute there is no limit
 	case queue == 0:
 		p.QueueLimit = -1
 	case queue > 0:
 		p.QueueLimit = queue
 	}
 	if !slices.ContainsFunc(d.experiment.Site.Classes, func(c experiment.Class) bool { return c.Name == p.Class }) {
-		d.Fault(b.DefRange, "class: %q is not defined in a site before the arms", p.Class)
+		d.Fault(b.DefRange, "class: %q is not defined in a site block before the arm", p.Class)
 	}
 	return p
 }
--- a/internal/experiment/report/compare.go
+++ b/internal/experiment/report/compare.go
@@ -10,22 +10,25 @@
 type Difference struct {
 	Point, Variant, Metric string
 	A, B                   float64
-	Noise                  float64 // half width of the 95% interval of the difference; NaN with fewer than two runs
+	// Noise is the half width of the 95% confidence interval of B-A. It is NaN if either report has
+	// fewer than two runs that are not void, and 0 for the number of violations.
+	Noise float64
 }
 
-// Significant reports whether the difference exceeds the noise between runs. It does not
-// with fewer than two runs.
+// Significant reports whether the difference exceeds the noise between runs. It returns false if
+// there are too few runs to estimate the noise.
 func (d Difference) Significant() bool { return !math.IsNaN(d.Noise) && math.Abs(d.B-d.A) > d.Noise }
 
 // studentQuantiles are the 97.5% quantiles of Student's t distribution for 1 to 10 degrees of
 // freedom.
 var studentQuantiles = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228}
 
-// studentQuantileMany is used for more degrees of freedom. It lies between the values for 11 and
-// for 30, and is 0.14 above the limit.
+// studentQuantileMany is used for more than 10 degrees of freedom. It lies between the values for
+// 11 and for 30, and is 0.14 above the limit for infinitely many.
 const studentQuantileMany = 2.1
 
-// StudentQuantile returns the 97.5% quantile of Student's t distribution, for 95% intervals.
+// StudentQuantile returns the 97.5% quantile of Student's t distribution, from which two-sided 95%
+// confidence intervals are computed.
 func StudentQuantile(degreesOfFreedom float64) float64 {
 	if degreesOfFreedom < 1 {
 		return studentQuantiles[0]
@@ -36,14 +39,14 @@
 	return studentQuantileMany
 }
 
-// Compare returns the differences between two reports of one experiment, variant by variant. Noise
-// is taken from the variance between runs (Welch's interval).
+// Compare returns the differences between two reports of one experiment, variant by variant. The
+// noise is estimated from the variance between runs (Welch's interval).
 func Compare(a, b *Report) ([]Difference, error) {
 	if a.Experiment != b.Experiment {
-		return nil, fmt.Errorf("%q and %q are different experiments", a.Experiment, b.Experiment)
+		return nil, fmt.Errorf("cannot compare reports of different experiments: %q and %q", a.Experiment, b.Experiment)
 	}
 	if a.Virtual != b.Virtual {
-		return nil, errors.New("one run is in virtual time and the other on sockets")
+		return nil, errors.New("cannot compare a report in virtual time with one on sockets")
 	}
 	var out []Difference
 	for _, pa := range a.points() {
@@ -54,7 +57,7 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, errors.New("the runs have no arm in common")
+		return nil, errors.New("cannot compare the reports: they have no arm in common")
 	}
 	return out, nil
 }
@@ -72,7 +75,7 @@
 	return out
 }
 
-// points returns the points of a sweep, or the only one without a name.
+// points returns the points of a sweep. Without a sweep it returns one point with an empty name.
 func (r *Report) points() []Point {
 	if len(r.Points) > 0 {
 		return r.Points
@@ -80,10 +83,10 @@
 	return []Point{{Variants: r.Variants}}
 }
 
-// metrics are what is compared, by their printed names.
+// metrics are the compared metrics with their printed names.
 var metrics = []struct {
-	name string
-	of   func(RunSummary) float64
+	name  string
+	value func(RunSummary) float64
 }{
 	{"served in time", func(r RunSummary) float64 { return r.ServedInTime }},
 	{"late", func(r RunSummary) float64 { return r.ServedLate }},
@@ -99,7 +102,7 @@
 func compareVariants(point string, a, b Variant) []Difference {
 	var out []Difference
 	for _, m := range metrics {
-		x, y := newSample(a.Runs, m.of), newSample(b.Runs, m.of)
+		x, y := newSample(a.Runs, m.value), newSample(b.Runs, m.value)
 		out = append(out, Difference{Point: point, Variant: a.Name, Metric: m.name, A: x.mean, B: y.mean,
 			Noise: welchInterval(x, y)})
 	}
@@ -116,27 +119,27 @@
 	n        float64 // number of values
 }
 
-// newSample returns the mean and the variance of one metric.
-func newSample(runs []RunSummary, of func(RunSummary) float64) sample {
+// newSample returns the mean and the variance of one metric over the runs that are not void.
+func newSample(runs []RunSummary, value func(RunSummary) float64) sample {
 	var s sample
 	for _, r := range runs {
 		if r.Void == "" {
 			s.n++
-			s.mean += (of(r) - s.mean) / s.n
+			s.mean += (value(r) - s.mean) / s.n
 		}
 	}
 	squares := 0.0
 	for _, r := range runs {
 		if r.Void == "" {
-			squares += (of(r) - s.mean) * (of(r) - s.mean)
+			squares += (value(r) - s.mean) * (value(r) - s.mean)
 		}
 	}
 	s.variance = squares / max(s.n-1, 1)
 	return s
 }
 
-// welchInterval returns the half width of the 95% interval of the difference of two means; NaN for
-// samples of one value.
+// welchInterval returns the half width of the 95% confidence interval of the difference of two
+// means. It returns NaN if a sample has fewer than two values.
 func welchInterval(a, b sample) float64 {
 	if a.n < 2 || b.n < 2 {
 		return math.NaN()
--- a/internal/experiment/report/expectations.go
+++ b/internal/experiment/report/expectations.go
@@ -6,8 +6,8 @@
 	"rowancart/internal/experiment"
 )
 
-// CheckExpectations returns one message for each expectation of an experiment that a variant does
-// not meet.
+// CheckExpectations returns a message for each requirement of the experiment's expectations that a
+// variant does not meet.
 func CheckExpectations(e *experiment.Experiment, variants []Variant) []string {
 	var out []string
 	for _, x := range e.Expect {
@@ -41,7 +41,7 @@
 	return out
 }
 
-// violationMessages returns a message for each rule that was violated.
+// violationMessages returns a message for each rule that the variant violated.
 func (v *Variant) violationMessages() []string {
 	var out []string
 	for _, r := range v.Rules {
@@ -54,14 +54,15 @@
 	return out
 }
 
-// requirement is one bound of an expectation, checked for a variant.
+// requirement is one bound of an expectation and whether a variant meets it.
 type requirement struct {
 	isSet   bool
 	isMet   bool
-	message string // says what was measured, and what is required
+	message string // states the measured value and the bound
 }
 
-// requirements returns the bounds that an expectation may have, checked.
+// requirements checks the variant against all bounds that an expectation may set. It also returns
+// those that x does not set.
 func (v *Variant) requirements(x experiment.Expectation) []requirement {
 	servedInTime := v.Fraction(v.ServedInTime)
 	failed := v.Fraction(v.Rejected + v.Failed)
@@ -93,8 +94,8 @@
 	}
 }
 
-// warmupRequirement returns the bound on what servers in slow start are sent, checked. It cannot be
-// met by a run to which no server was added.
+// warmupRequirement checks the bound on the peak load of servers that were added during the runs.
+// The bound is not met if no server was added.
 func (v *Variant) warmupRequirement(bound float64) requirement {
 	r := requirement{isSet: bound > 0}
 	if v.AddedServers == nil {
--- a/internal/experiment/report/expectations_test.go
+++ b/internal/experiment/report/expectations_test.go
@@ -7,7 +7,8 @@
 	"rowancart/internal/experiment"
 )
 
-// expectationCases are expectations of measuredVariant, and the message for each; empty: it is met.
+// expectationCases are expectations that are checked for measuredVariant. The message is empty if
+// the expectation is met.
 var expectationCases = []struct {
 	name        string
 	expectation experiment.Expectation
@@ -34,7 +35,7 @@
 		`rule "drain" is broken 2 times, first at 1.5 s: detail`},
 }
 
-// measuredVariant returns the results of 100 requests.
+// measuredVariant returns a variant with the results of 100 requests.
 func measuredVariant() *Variant {
 	return &Variant{
 		Offered:            100,
@@ -64,11 +65,11 @@
 func TestExpectationsOfNoMeasurement(t *testing.T) {
 	v := &Variant{}
 	if got := v.unmet(experiment.Expectation{}); len(got) != 1 || got[0] != "nothing was measured" {
-		t.Errorf("without requests: %q", got)
+		t.Errorf("without requests: got %q", got)
 	}
 	v = measuredVariant()
 	v.AddedServers = nil
 	if got := v.unmet(experiment.Expectation{WarmupPeakBelow: 2}); len(got) != 1 || got[0] != "no fresh box came" {
-		t.Errorf("without an added server: %q", got)
+		t.Errorf("without an added server: got %q", got)
 	}
 }
--- a/internal/experiment/report/files.go
+++ b/internal/experiment/report/files.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 )
 
-// WriteJSON writes the report to a file.
+// WriteJSON writes the report to a file in its JSON format.
 func (r *Report) WriteJSON(path string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -27,7 +27,8 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if r.Version != Version {
-		return nil, fmt.Errorf("%s: version %d of the report's form, and this program reads %d", path, r.Version, Version)
+		return nil, fmt.Errorf("%s: the report has format version %d, but this program reads only version %d", path,
+			r.Version, Version)
 	}
 	return &r, nil
 }
--- a/internal/experiment/report/html.go
+++ b/internal/experiment/report/html.go
@@ -38,7 +38,7 @@
 	Latency  template.HTML
 }
 
-// HTML writes the page.
+// HTML writes the report as one HTML page.
 func (r *Report) HTML(w io.Writer) error {
 	var shown []pointView
 	for _, p := range r.points() {
@@ -54,7 +54,7 @@
 	}{r, shown})
 }
 
-// newPointView draws the charts of a point.
+// newPointView returns a point with its charts drawn.
 func (r *Report) newPointView(p Point) (pointView, error) {
 	view := pointView{Point: p.Point}
 	var err error
@@ -74,7 +74,7 @@
 	return view, nil
 }
 
-// colors are those of a chart's series, in turn.
+// colors are the colors of a chart's series, in the order of the series.
 var colors = []color.Color{
 	color.RGBA{0x2e, 0x7d, 0x32, 0xff}, color.RGBA{0xf9, 0xa8, 0x25, 0xff}, color.RGBA{0x15, 0x65, 0xc0, 0xff},
 	color.RGBA{0xc6, 0x28, 0x28, 0xff}, color.RGBA{0x6a, 0x1b, 0x9a, 0xff}, color.RGBA{0x45, 0x5a, 0x64, 0xff},
@@ -85,7 +85,7 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// outcomeChart shows the outcomes of requests second by second, with the faults shaded.
+// outcomeChart draws the outcomes of requests second by second. It shades the times of faults.
 func (r *Report) outcomeChart(v *Variant) (template.HTML, error) {
 	if len(v.Seconds) == 0 {
 		return "", nil
@@ -107,7 +107,7 @@
 	for i, series := range outcomeSeries {
 		var xy plotter.XYs
 		for t, s := range v.Seconds {
-			xy = append(xy, plotter.XY{X: float64(t) + 0.5, Y: float64(series.of(s)) / runs})
+			xy = append(xy, plotter.XY{X: float64(t) + 0.5, Y: float64(series.count(s)) / runs})
 		}
 		line, err := plotter.NewLine(xy)
 		if err != nil {
@@ -122,10 +122,10 @@
 	return svg(p, plotWidth, plotHeight)
 }
 
-// outcomeSeries are the lines of an outcome chart, by their names in it.
+// outcomeSeries are the lines of an outcome chart with their names in the legend.
 var outcomeSeries = []struct {
-	name string
-	of   func(Second) int64
+	name  string
+	count func(Second) int64
 }{
 	{"in time", func(s Second) int64 { return s.ServedInTime }},
 	{"late", func(s Second) int64 { return s.ServedLate }},
@@ -133,7 +133,7 @@
 	{"failed", func(s Second) int64 { return s.Failed }},
 }
 
-// shadeFault shades the time of a fault up to a height, and labels it.
+// shadeFault shades the time span of a fault from 0 up to a height, and labels it.
 func shadeFault(p *plot.Plot, f FaultSpan, height float64) error {
 	corners := plotter.XYs{{X: f.FromS, Y: 0}, {X: f.ToS, Y: 0}, {X: f.ToS, Y: height}, {X: f.FromS, Y: height}}
 	shade, err := plotter.NewPolygon(corners)
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// latencyChart shows the percentiles of all variants side by side.
+// latencyChart draws the latency percentiles of all variants side by side.
 func latencyChart(variants []Variant) (template.HTML, error) {
 	p := plot.New()
 	p.Y.Label.Text = "ms"
@@ -175,10 +175,10 @@
 	return svg(p, plotWidth, plotHeight)
 }
 
-// maxServersShown is how many servers a chart shows. The table has all.
+// maxServersShown is the maximum number of servers in a chart. The table lists all servers.
 const maxServersShown = 100
 
-// serverChart shows how busy each server was.
+// serverChart draws the busy fraction of each server's cores.
 func serverChart(v *Variant) (template.HTML, error) {
 	if len(v.Servers) == 0 {
 		return "", nil
@@ -201,7 +201,7 @@
 	return svg(p, plotWidth, plotHeight/2)
 }
 
-// svg returns a plot as an element of a page.
+// svg returns a plot as an svg element of an HTML page.
 func svg(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	c := vgsvg.New(width, height)
 	p.Draw(draw.New(c))
@@ -210,8 +210,8 @@
 		return "", err
 	}
 	text := b.String()
-	if i := strings.Index(text, "<svg"); i > 0 { // the XML declaration is not allowed within a page
+	if i := strings.Index(text, "<svg"); i > 0 { // HTML allows no XML declaration within a page
 		text = text[i:]
 	}
-	return template.HTML(text), nil //nolint:gosec // drawn here, and vgsvg escapes the labels
+	return template.HTML(text), nil //nolint:gosec // the plot is drawn here, and vgsvg escapes its labels
 }
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -3,8 +3,8 @@
 //
 // The names of JSON fields, and the words of the text and the page, are those of stored reports and
 // must not change: refused (rejected), worth (served priority weight), box (server), fresh (added
-// during the run), broken (violated). All but the counts by second exclude the requests of the
-// warm-up.
+// during the run), broken (violated). All figures except the counts by second exclude requests that
+// arrive during the warm-up.
 package report
 
 import (
@@ -21,7 +21,7 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// Version is the version of the JSON form, which docs/lab.md describes. It increases when the
+// Version is the version of the JSON format, which docs/lab.md describes. It increases when the
 // meaning of a field changes.
 const Version = 1
 
@@ -37,27 +37,28 @@
 	DurationS  float64           `json:"duration_s"`
 	WarmupS    float64           `json:"warmup_s"`
 	Faults     []FaultSpan       `json:"faults,omitempty"`
-	Variants   []Variant         `json:"arms"`             // of the only point, or of a sweep's first
-	Points     []Point           `json:"points,omitempty"` // of a sweep
-	Missed     []string          `json:"missed,omitempty"` // expectations that were not met
+	Variants   []Variant         `json:"arms"`             // of the only point, or of the first point of a sweep
+	Points     []Point           `json:"points,omitempty"` // all points of a sweep
+	Missed     []string          `json:"missed,omitempty"` // messages about expectations that were not met
 	Stopped    string            `json:"stopped,omitempty"`
 }
 
-// Point is one value of a sweep.
+// Point holds the results for one value of a sweep.
 type Point struct {
 	Point    string    `json:"point"`
 	Variants []Variant `json:"arms"`
 }
 
-// FaultSpan is when a fault was in force.
+// FaultSpan is the time during which a fault was active, in seconds from the start of the run.
 type FaultSpan struct {
 	Kind  string  `json:"kind"`
-	Tier  string  `json:"tier,omitempty"` // empty: all
+	Tier  string  `json:"tier,omitempty"` // empty: all tiers
 	FromS float64 `json:"from_s"`
 	ToS   float64 `json:"to_s"`
 }
 
-// Latency holds percentiles in milliseconds, from the intended time of sending.
+// Latency holds latency percentiles in milliseconds. Latency counts from the time at which the
+// request was due to be sent.
 type Latency struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -73,7 +74,7 @@
 	Detail     string  `json:"detail"` // of the first violation
 }
 
-// RunSummary is one run of a variant. Outcomes are fractions of Offered.
+// RunSummary holds the results of one run of a variant. Outcomes are fractions of Offered.
 type RunSummary struct {
 	Seed               uint64  `json:"seed"`
 	Offered            int64   `json:"offered"`
@@ -81,15 +82,15 @@
 	ServedLate         float64 `json:"late"`
 	Rejected           float64 `json:"refused"`
 	Failed             float64 `json:"failed"`
-	ServedWeight       float64 `json:"worth"` // served in time, as a fraction of the priority weight of all requests
+	ServedWeight       float64 `json:"worth"` // priority weight served in time, as a fraction of that of all requests
 	P50                float64 `json:"p50_ms"`
 	P99                float64 `json:"p99_ms"`
 	AttemptsPerRequest float64 `json:"attempts_per_request"`
 	Void               string  `json:"void,omitempty"`
 }
 
-// Outcomes are numbers of requests by outcome. Types that embed it have its fields in their JSON
-// form.
+// Outcomes holds the number of requests with each outcome. Its fields become fields of the JSON
+// objects of the types that embed it.
 type Outcomes struct {
 	ServedInTime int64 `json:"served_in_time"`
 	ServedLate   int64 `json:"late"`
@@ -97,7 +98,7 @@
 	Failed       int64 `json:"failed"`
 }
 
-// newOutcomes returns the outcomes of counts.
+// newOutcomes returns counts as Outcomes.
 func newOutcomes(c counters.Counts) Outcomes {
 	return Outcomes{
 		ServedInTime: c[counters.ServedInTime],
@@ -107,10 +108,10 @@
 	}
 }
 
-// total returns the number of requests.
+// total returns the number of requests with any outcome.
 func (o Outcomes) total() int64 { return o.ServedInTime + o.ServedLate + o.Rejected + o.Failed }
 
-// plus returns the sums of two numbers of requests.
+// plus returns the sum of o and other for each outcome.
 func (o Outcomes) plus(other Outcomes) Outcomes {
 	return Outcomes{
 		ServedInTime: o.ServedInTime + other.ServedInTime,
@@ -120,7 +121,7 @@
 	}
 }
 
-// Second counts the requests that were to be sent within one second, over all runs.
+// Second counts the requests that were due to be sent within one second of the run, over all runs.
 type Second struct {
 	Outcomes
 	P99 float64 `json:"p99_ms"` // mean over the runs
@@ -133,7 +134,7 @@
 	Outcomes
 }
 
-// Server is what one server did in the first run that counts.
+// Server holds the counts of one server in the first run that is not void.
 type Server struct {
 	Name     string  `json:"name"`
 	Kind     string  `json:"kind"`
@@ -142,15 +143,15 @@
 	Load     float64 `json:"load"` // busy fraction of its cores during its lifetime
 }
 
-// Cost is what the programs under test used, on sockets only.
+// Cost holds the resources that the programs under test used. It is measured on sockets only.
 type Cost struct {
 	CPUSeconds  float64 `json:"cpu_s"`
 	CPUPerReqUs float64 `json:"cpu_us_per_request"`
-	MemoryMB    float64 `json:"memory_mb"` // the largest of any one
+	MemoryMB    float64 `json:"memory_mb"` // largest of any one program
 	Descriptors int     `json:"descriptors"`
 }
 
-// Variant is the result of one variant over all runs.
+// Variant holds the results of one variant over all runs.
 type Variant struct {
 	Name    string `json:"name"`
 	Policy  string `json:"policy"`
@@ -161,34 +162,34 @@
 	AttemptsPerRequest float64       `json:"attempts_per_request"`
 	RetriesPerRequest  float64       `json:"resends_per_request,omitempty"` // attempts beyond the first, in virtual time
 	Rules              []Rule        `json:"rules"`
-	Runs               []RunSummary  `json:"repeats"` // by seed
+	Runs               []RunSummary  `json:"repeats"` // one for each seed
 	Classes            []Group       `json:"classes"`
 	Tenants            []Group       `json:"tenants,omitempty"`
 	Seconds            []Second      `json:"seconds"`
 	Servers            []Server      `json:"boxes"`
 	AddedServers       *AddedServers `json:"fresh,omitempty"`
-	Reasons            Reasons       `json:"why,omitempty"` // of rejections and failures by all instances, in virtual time
+	Reasons            Reasons       `json:"why,omitempty"` // rejections and failures by all instances, in virtual time
 	Cost               *Cost         `json:"cost,omitempty"`
-	LatenessMs         float64       `json:"lateness_ms,omitempty"` // of the test bed's sending, p99 of the worst run
-	Log                []string      `json:"log,omitempty"`         // of the first run that counts
+	LatenessMs         float64       `json:"lateness_ms,omitempty"` // how late requests were sent: p99 of the worst run
+	Log                []string      `json:"log,omitempty"`         // of the first run that is not void
 
 	totals totals
 }
 
-// AddedServers is what became of servers that were added during the runs, over all runs.
+// AddedServers describes the servers that were added during a run, over all runs.
 type AddedServers struct {
 	Servers int `json:"boxes"`
-	// WarmupPeak is the most that any one was sent within Rules.OverloadWindow, in multiples of its
-	// capacity then.
+	// WarmupPeak is the highest load that any added server was sent within Rules.OverloadWindow, as a
+	// multiple of its capacity at that time.
 	WarmupPeak      float64 `json:"peak"`
-	Overloaded      int     `json:"over"`             // servers that were sent more than that capacity
-	TimeToFullLoadS float64 `json:"full_s,omitempty"` // median, in virtual time
+	Overloaded      int     `json:"over"`             // number of servers that were sent more than their capacity
+	TimeToFullLoadS float64 `json:"full_s,omitempty"` // median time until full load, in virtual time only
 }
 
-// Reasons counts requests by the reason for which they were not served.
+// Reasons counts the requests that were not served, by reason.
 type Reasons map[balancer.Reason]int64
 
-// String returns the reasons with their numbers, the most frequent one first.
+// String returns the reasons with their counts, the most frequent reason first.
 func (r Reasons) String() string {
 	names := slices.SortedFunc(maps.Keys(r), func(x, y balancer.Reason) int {
 		return cmp.Or(cmp.Compare(r[y], r[x]), cmp.Compare(x, y))
@@ -207,15 +208,16 @@
 	Counters *counters.Counters
 	Verdicts []invariant.Verdict
 	Cost     *Cost
-	Lateness time.Duration // of the driver's sending (p99)
+	Lateness time.Duration // p99 of how late the driver sent requests
 	Void     string        // reason for which the run does not count; empty if it does
 	Log      []string
 }
 
-// minFaultSpan is the shortest time for which a fault is shown.
+// minFaultSpan is the minimum length of a FaultSpan. It keeps faults without a duration visible in
+// charts.
 const minFaultSpan = 100 * time.Millisecond
 
-// New returns a report without results, of runs on sockets.
+// New returns a report of an experiment without results. Virtual is not set.
 func New(e *experiment.Experiment) *Report {
 	r := &Report{
 		Version:    Version,
@@ -241,7 +243,7 @@
 	return r
 }
 
-// Violations returns the number of violations of rules.
+// Violations returns the number of violations of all rules.
 func (v *Variant) Violations() int {
 	n := 0
 	for _, r := range v.Rules {
@@ -250,7 +252,7 @@
 	return n
 }
 
-// Fraction returns n as a fraction of the offered requests.
+// Fraction returns n as a fraction of the number of offered requests.
 func (v *Variant) Fraction(n int64) float64 { return ratio(float64(n), float64(v.Offered)) }
 
 // milliseconds returns a duration as a number of milliseconds.
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -13,9 +13,9 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// newTestReport returns a report of two runs of one variant: of 100 requests of the first,
-// served are in time and the others failed; of the second, one more is in time. Each violates a
-// rule once. A third run is void.
+// newTestReport returns a report of two runs of one variant with 100 requests each. In the first
+// run, the given number of requests is served in time and the others fail; in the second, one more
+// is served in time. Each run violates a rule once. A third run is void.
 func newTestReport(t *testing.T, served int) (*experiment.Experiment, *Report) {
 	t.Helper()
 	e := &experiment.Experiment{Name: "x", Question: "<reason>?", Seeds: []uint64{1, 2}, Duration: 2 * time.Second,
@@ -58,17 +58,17 @@
 		t.Errorf("%+v", a)
 	}
 	if a.LatencyMs.P50 < 44 || a.LatencyMs.P50 > 47 {
-		t.Errorf("p50 %v ms of 1 to 91", a.LatencyMs.P50)
+		t.Errorf("p50 is %v ms for latencies from 1 to 91 ms, want 44 to 47", a.LatencyMs.P50)
 	}
 	if d := a.Rules[1]; d.Violations != 2 || d.FirstS != 1 {
-		t.Errorf("rule: %+v", d)
+		t.Errorf("rule drain: %+v, want 2 violations, the first at 1 s", d)
 	}
 	want := []string{
 		`x.hcl:1:1: arm a: rule "drain" is broken 2 times, first at 1.0 s: late`,
 		"x.hcl:2:1: arm a: served in time: 0.9050, wanted over 0.95",
 	}
 	if got := CheckExpectations(e, r.Variants); strings.Join(got, "\n") != strings.Join(want, "\n") {
-		t.Errorf("judged:\n%s", strings.Join(got, "\n"))
+		t.Errorf("got unmet expectations:\n%s", strings.Join(got, "\n"))
 	}
 }
 
@@ -78,19 +78,19 @@
 	if err := r.Write(dir); err != nil {
 		t.Fatal(err)
 	}
-	back, err := ReadJSON(filepath.Join(dir, "report.json"))
-	if err != nil || back.Variants[0].ServedInTime != 181 {
-		t.Fatalf("read back: %+v, %v", back, err)
+	read, err := ReadJSON(filepath.Join(dir, "report.json"))
+	if err != nil || read.Variants[0].ServedInTime != 181 {
+		t.Fatalf("ReadJSON returned %+v, error %v", read, err)
 	}
 	b, err := json.Marshal(r)
 	if err != nil || !strings.HasPrefix(string(b), `{"version":1,"experiment":"x"`) {
-		t.Errorf("JSON: %.60s, %v", b, err)
+		t.Errorf("the JSON begins with %.60s, error %v", b, err)
 	}
 }
 
-// TestOutcomesStandInJSON checks that embedding Outcomes adds its fields where stored reports have
-// them.
-func TestOutcomesStandInJSON(t *testing.T) {
+// TestOutcomeFieldsInJSON checks that types that embed Outcomes write its fields at the position
+// that they have in stored reports.
+func TestOutcomeFieldsInJSON(t *testing.T) {
 	outcomes := Outcomes{ServedInTime: 1, ServedLate: 2, Rejected: 3, Failed: 4}
 	for _, c := range []struct {
 		value any
@@ -125,7 +125,7 @@
 	}
 	for _, external := range []string{"http://", "https://", "<script", "<link"} {
 		for line := range strings.SplitSeq(page.String(), "\n") {
-			if strings.Contains(line, external) && !strings.Contains(line, "www.w3.org") { // a namespace is not an address
+			if strings.Contains(line, external) && !strings.Contains(line, "www.w3.org") { // an XML namespace is not loaded
 				t.Errorf("the page loads an external resource: %.80s", line)
 			}
 		}
@@ -137,7 +137,7 @@
 	var text bytes.Buffer
 	r.Text(&text)
 	if !strings.Contains(text.String(), `a breaks "drain" 2 times`) {
-		t.Errorf("the text:\n%s", &text)
+		t.Errorf("the text does not report the violations of drain:\n%s", &text)
 	}
 }
 
@@ -162,10 +162,10 @@
 		t.Errorf("two equal reports differ in %v", got)
 	}
 	if got := strings.Join(significant(a, c), ", "); got != "served in time, failed, worth, p50 ms, p99 ms" {
-		t.Errorf("half served differs in %s", got)
+		t.Errorf("reports with 90 and 40 requests served in time differ in %s", got)
 	}
 	c.Virtual = false
 	if _, err := Compare(a, c); err == nil {
-		t.Error("virtual time and sockets were compared")
+		t.Error("a report in virtual time was compared with one on sockets")
 	}
 }
--- a/internal/experiment/report/summary.go
+++ b/internal/experiment/report/summary.go
@@ -5,8 +5,8 @@
 	"rowancart/internal/experiment/counters"
 )
 
-// Summarise returns the results of an experiment's variants, in its order, from the runs of one
-// point.
+// Summarise returns the results of an experiment's variants, in the order of the experiment, from
+// the runs of one point.
 func Summarise(e *experiment.Experiment, runs []Run) []Variant {
 	var out []Variant
 	for _, variant := range e.Variants {
@@ -22,7 +22,8 @@
 	return out
 }
 
-// addRun adds one run. A void one is listed among the runs and does not count otherwise.
+// addRun adds one run. A void run is listed in Runs and counts for LatenessMs, but for no other
+// result.
 func (v *Variant) addRun(run Run) {
 	v.Runs = append(v.Runs, newRunSummary(run))
 	v.LatenessMs = max(v.LatenessMs, milliseconds(run.Lateness))
@@ -57,7 +58,7 @@
 	return r
 }
 
-// addReasons adds the reasons for which requests of a run were not served.
+// addReasons adds a run's counts of requests that were not served, by reason.
 func (v *Variant) addReasons(c *counters.Counters) {
 	for reason, n := range c.Reasons {
 		if v.Reasons == nil {
@@ -67,7 +68,7 @@
 	}
 }
 
-// addVerdicts adds a run's verdicts, which all runs have in the same order.
+// addVerdicts adds a run's verdicts. All runs have the verdicts in the same order.
 func (v *Variant) addVerdicts(run Run) {
 	for i, verdict := range run.Verdicts {
 		if i == len(v.Rules) {
@@ -97,7 +98,7 @@
 	}
 }
 
-// addServers adds what became of servers that were added during a run.
+// addServers adds the results of the servers that were added during a run.
 func (v *Variant) addServers(c *counters.Counters) {
 	for _, s := range c.Servers {
 		if !s.AddedDuringRun {
@@ -119,7 +120,7 @@
 	}
 }
 
-// setFirstRun sets what is shown of the first run only.
+// setFirstRun sets the fields that describe only the first run that is not void.
 func (v *Variant) setFirstRun(run Run) {
 	v.Log = run.Log
 	for _, s := range run.Counters.Servers {
@@ -133,7 +134,7 @@
 	}
 }
 
-// addCost adds what the programs under test used in a run.
+// addCost adds the resources that the programs under test used in a run.
 func (v *Variant) addCost(c *Cost) {
 	if c == nil {
 		return
@@ -146,7 +147,7 @@
 	v.Cost.Descriptors = max(v.Cost.Descriptors, c.Descriptors)
 }
 
-// finish sets what is derived from the totals.
+// finish sets the fields that are derived from the totals.
 func (v *Variant) finish(e *experiment.Experiment) {
 	t := &v.totals
 	v.Offered = t.outcomes.Offered()
--- a/internal/experiment/report/text.go
+++ b/internal/experiment/report/text.go
@@ -5,10 +5,11 @@
 	"io"
 )
 
-// maxSeedsShown is how many seeds are listed; of more the number is shown.
+// maxSeedsShown is the maximum number of seeds that are listed. If there are more, only their
+// number is printed.
 const maxSeedsShown = 20
 
-// Text writes tables for a terminal. Errors of w are ignored.
+// Text writes the report as tables for a terminal. It ignores errors of w.
 func (r *Report) Text(w io.Writer) {
 	kind := "on sockets"
 	if r.Virtual {
@@ -56,7 +57,7 @@
 	}
 }
 
-// writeServerNotes writes the reasons for which requests were not served and what became of added
+// writeServerNotes writes the reasons for which requests were not served, and the load of added
 // servers.
 func (v *Variant) writeServerNotes(w io.Writer) {
 	if len(v.Reasons) > 0 {
@@ -65,14 +66,14 @@
 	if added := v.AddedServers; added != nil {
 		fmt.Fprintf(w, "  %s: %d fresh boxes, sent %.2f of their capacity at most, %d of them too much", v.Name,
 			added.Servers, added.WarmupPeak, added.Overloaded)
-		if added.TimeToFullLoadS > 0 { // 0: on sockets, or it did not happen
+		if added.TimeToFullLoadS > 0 { // 0 on sockets, or if no added server reached full load
 			fmt.Fprintf(w, "; an even part after %.1f s", added.TimeToFullLoadS)
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// writeRuleNotes writes violated rules, void runs and costs.
+// writeRuleNotes writes the violated rules, the void runs and the cost of a variant.
 func (v *Variant) writeRuleNotes(w io.Writer) {
 	for _, rule := range v.Rules {
 		if rule.Violations > 0 {
--- a/internal/experiment/report/totals.go
+++ b/internal/experiment/report/totals.go
@@ -9,12 +9,12 @@
 	"rowancart/internal/experiment/counters"
 )
 
-// totals are the sums over all runs of a variant that count. What a report shows is derived from
-// them.
+// totals are the sums over all runs of a variant that are not void. The figures of a report are
+// derived from them.
 type totals struct {
-	latency         *hdrhistogram.Histogram // nil: there was no run that counts
+	latency         *hdrhistogram.Histogram // nil until the first run is added
 	timesToFullLoad []float64               // of added servers, in seconds, sorted
-	requests        int64                   // received by the instances before the first tier
+	requests        int64                   // received by the instances in front of the first tier
 	attempts        int64
 	requestsSent    int64 // requests with at least one attempt, in virtual time
 	offeredWeight   float64
@@ -24,7 +24,7 @@
 	tenants         []counters.Counts // in the order of the site's tenants
 }
 
-// newTotals returns the totals of no run.
+// newTotals returns empty totals for the classes and tenants of a site.
 func newTotals(site *experiment.Site) totals {
 	return totals{
 		classes: make([]counters.Counts, len(site.Classes)),
@@ -32,7 +32,7 @@
 	}
 }
 
-// add adds one run.
+// add adds the counters of one run.
 func (t *totals) add(c *counters.Counters) {
 	t.outcomes.Add(c.Total)
 	for i := range t.classes {
@@ -49,7 +49,7 @@
 	t.addLatency(c.Latency)
 }
 
-// addLatency adds a histogram of latencies, which all runs have with the same bounds.
+// addLatency adds a histogram of latencies. The histograms of all runs have the same bounds.
 func (t *totals) addLatency(latency *hdrhistogram.Histogram) {
 	if t.latency == nil {
 		const significantFigures = 3
@@ -64,7 +64,7 @@
 	t.timesToFullLoad = slices.Insert(t.timesToFullLoad, i, seconds)
 }
 
-// medianTimeToFullLoad returns the median of the added times in seconds, 0 if there is none.
+// medianTimeToFullLoad returns the median time to full load in seconds, or 0 if no time was added.
 func (t *totals) medianTimeToFullLoad() float64 {
 	if len(t.timesToFullLoad) == 0 {
 		return 0
@@ -72,11 +72,11 @@
 	return t.timesToFullLoad[len(t.timesToFullLoad)/2]
 }
 
-// attemptsPerRequest returns the attempts over the received requests.
+// attemptsPerRequest returns the number of attempts divided by the number of received requests.
 func (t *totals) attemptsPerRequest() float64 { return ratio(float64(t.attempts), float64(t.requests)) }
 
-// retriesPerRequest returns the attempts beyond the first over the received requests; 0 if it was
-// not counted how many requests had an attempt.
+// retriesPerRequest returns the number of attempts beyond the first divided by the number of
+// received requests. It returns 0 if requests with an attempt were not counted, as on sockets.
 func (t *totals) retriesPerRequest() float64 {
 	if t.requestsSent == 0 {
 		return 0
@@ -84,7 +84,7 @@
 	return ratio(float64(t.attempts-t.requestsSent), float64(t.requests))
 }
 
-// latencyPercentiles returns percentiles of the latency, all 0 if there was no run that counts.
+// latencyPercentiles returns percentiles of the latency. All are 0 if no run was added.
 func (t *totals) latencyPercentiles() Latency {
 	if t.latency == nil {
 		return Latency{}
--- a/internal/experiment/report/totals_test.go
+++ b/internal/experiment/report/totals_test.go
@@ -10,7 +10,7 @@
 	"rowancart/internal/experiment/counters"
 )
 
-// newTestRun returns the counters of a run with one class, whose only request took a latency.
+// newTestRun returns the counters of a run with one class and one recorded latency.
 func newTestRun(latency time.Duration, attempts, sent int64) *counters.Counters {
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	if err := h.RecordValue(latency.Microseconds()); err != nil {
@@ -31,7 +31,7 @@
 	sum := newTotals(&experiment.Site{})
 	if sum.attemptsPerRequest() != 0 || sum.retriesPerRequest() != 0 || sum.medianTimeToFullLoad() != 0 ||
 		sum.latencyPercentiles() != (Latency{}) {
-		t.Errorf("%+v", sum)
+		t.Errorf("without a run: got %+v, want all results 0", sum)
 	}
 }
 
@@ -45,10 +45,10 @@
 	if got := sum.classes[0].Offered(); got != 2 {
 		t.Errorf("%d requests of the class, want 2", got)
 	}
-	if got := sum.attemptsPerRequest(); got != 2 { // 8 over 4
+	if got := sum.attemptsPerRequest(); got != 2 { // 8 attempts / 4 requests
 		t.Errorf("%g attempts for each request, want 2", got)
 	}
-	if got := sum.retriesPerRequest(); got != 1 { // 4 over 4
+	if got := sum.retriesPerRequest(); got != 1 { // 4 attempts beyond the first / 4 requests
 		t.Errorf("%g retries for each request, want 1", got)
 	}
 	if sum.offeredWeight != 8 || sum.servedWeight != 6 {
--- a/internal/experiment/runner/drivers.go
+++ b/internal/experiment/runner/drivers.go
@@ -20,21 +20,22 @@
 )
 
 const (
-	// gcPercent is for runs in virtual time, which produce much garbage and retain little. Collecting
-	// it less often makes them faster by half.
+	// gcPercent is the garbage collection target percentage (GOGC) during runs in virtual time. These
+	// runs produce much garbage and retain little; collecting it less often makes them faster by half.
 	gcPercent = 400
 
-	// maxVoidRuns is how often a run on sockets is made until the test bed is not late in it.
-	maxVoidRuns = 3
+	// maxTriesPerRun is how often a run on sockets is tried. A run is void, and is repeated, if the
+	// test bed was late in it.
+	maxTriesPerRun = 3
 )
 
-// progress returns how much of the run is done at an instant, from 0 to 1.
+// progress returns the fraction of the run that is done at a time of the run, from 0 to 1.
 func (j *job) progress(now time.Duration) float64 {
 	return min(now.Seconds()/j.experiment.Duration.Seconds(), 1)
 }
 
-// runInVirtualTime runs jobs on all cores. They have no state in common, so their order does not
-// matter.
+// runInVirtualTime runs jobs concurrently on all cores. Jobs share no state, so their order does
+// not affect the results.
 func runInVirtualTime(ctx context.Context, jobs []*job, o Options) error {
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	group, ctx := errgroup.WithContext(ctx)
@@ -70,16 +71,17 @@
 	return group.Wait()
 }
 
-// runOnSockets runs one job after another, because two at a time would disturb each other.
+// runOnSockets runs jobs one after another, because concurrent runs would disturb each other's
+// measurements.
 func runOnSockets(ctx context.Context, jobs []*job, o Options) error {
 	scratch, err := os.MkdirTemp("", "rowancart-lab-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(scratch)
-	commands := &commands{options: o}
+	finder := &commandFinder{options: o}
 	for n, j := range jobs {
-		line, err := commands.commandLine(ctx, j)
+		line, err := finder.commandLine(ctx, j)
 		if err != nil {
 			return err
 		}
@@ -97,10 +99,10 @@
 	return nil
 }
 
-// runOnSockets runs a job, and repeats it while it is void. One that ctx interrupts is complete if
-// it has any results.
+// runOnSockets runs a job and repeats it while the run is void, up to maxTriesPerRun runs. A job
+// that ctx interrupts is complete if it has counted any requests.
 func (j *job) runOnSockets(ctx context.Context, program testbed.Program, progress func(fraction float64)) error {
-	for range maxVoidRuns {
+	for range maxTriesPerRun {
 		progress(0)
 		var err error
 		j.run, err = testbed.Run(ctx, j.experiment, j.variant, j.seed, testbed.Options{
@@ -122,15 +124,15 @@
 	return nil
 }
 
-// commands finds the command lines of jobs.
-type commands struct {
+// commandFinder finds the command lines that start the programs of jobs.
+type commandFinder struct {
 	options  Options
-	deployed string // run line of the deploy file, once it has been built
+	deployed string // command line of the deploy file's program; empty until it has been built
 }
 
 // commandLine returns the command line that starts a job's program. The deploy file's program is
 // built when it is first needed.
-func (c *commands) commandLine(ctx context.Context, j *job) (string, error) {
+func (c *commandFinder) commandLine(ctx context.Context, j *job) (string, error) {
 	switch {
 	case j.variant.Command != "":
 		return j.variant.Command, nil
--- a/internal/experiment/runner/golden_test.go
+++ b/internal/experiment/runner/golden_test.go
@@ -14,10 +14,10 @@
 	"rowancart/internal/experiment/hclfile"
 )
 
-var update = flag.Bool("update", false, "write the golden files from what this program does")
+var update = flag.Bool("update", false, "overwrite the golden files with the current results")
 
-// Files that are not run here: the first can be run on sockets only, the others take long
-// under the race detector.
+// notRun lists files that this test leaves out: the first can be run on sockets only, the others
+// take long under the race detector.
 var notRun = []string{"hostile.hcl", "scale.hcl", "overload.hcl", "rig-limit.hcl", "fleet-storm.hcl"}
 
 // shippedExperiments returns the paths of the experiments that can be run in virtual time.
@@ -34,8 +34,8 @@
 	return slices.DeleteFunc(paths, func(path string) bool { return slices.Contains(notRun, filepath.Base(path)) })
 }
 
-// virtualTimeReport runs the experiment of a file with seed 1, and returns the report as text with
-// the checksum of its JSON form, which has all digits.
+// virtualTimeReport runs the experiment of a file with seed 1. It returns the report as text,
+// followed by the checksum of the JSON report, which holds all digits of the figures.
 func virtualTimeReport(t *testing.T, path string) []byte {
 	t.Helper()
 	points, err := hclfile.Load(path, nil)
@@ -60,8 +60,9 @@
 	return text.Bytes()
 }
 
-// The same experiment, seed and program give the same bytes in virtual time. The golden files were
-// recorded before the code was renamed. They change only with what the Balancer decides.
+// In virtual time, the same experiment, seed and program give the same bytes. The golden files were
+// recorded before the code was renamed, so they also show that renaming changed no results. They
+// may change only when the Balancer's decisions change.
 func TestVirtualTimeResultsAreAsRecorded(t *testing.T) {
 	for _, path := range shippedExperiments(t) {
 		relative := strings.TrimPrefix(filepath.ToSlash(path), "../../../experiments/")
--- a/internal/experiment/runner/runner.go
+++ b/internal/experiment/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner runs what an experiment file asks for, every variant with the same arrivals and
-// faults, and collects the results in one report.
+// Package runner runs the experiments of a file and collects the results in one report. For each
+// seed, all variants get the same arrivals and faults.
 package runner
 
 import (
@@ -10,40 +10,40 @@
 	"rowancart/internal/experiment/report"
 )
 
-// Options say how to run an experiment.
+// Options configure how experiments are run.
 type Options struct {
-	Virtual bool     // in virtual time; else on sockets
-	Seeds   []uint64 // in place of the file's
-	Variant string   // run only this one; empty: all
-	Root    string   // of the repository whose deploy file starts the design's program
+	Virtual bool     // run in virtual time instead of on sockets
+	Seeds   []uint64 // replace the seeds of the file, if not nil
+	Variant string   // run only the variant of this name; empty: all
+	Root    string   // path of the repository whose deploy file builds and starts the design's program
 	Self    string   // path of this program, which serves as the reverse proxy baseline
-	// Progress is called with the number of runs that are done, their total, and which fraction of
-	// the current one is done. It may be called from several goroutines.
+	// Progress, if set, is called with the number of finished runs, the number of all runs, and the
+	// fraction of a current run that is done. It may be called from several goroutines.
 	Progress func(done, total int, fraction float64)
 }
 
-// reportProgress calls Progress, if it is set.
+// reportProgress calls Progress if it is set.
 func (o Options) reportProgress(done, total int, fraction float64) {
 	if o.Progress != nil {
 		o.Progress(done, total, fraction)
 	}
 }
 
-// job is one run: a variant at a point of the experiment, with a seed.
+// job is one run of one variant, at one point of the experiment and with one seed.
 type job struct {
-	point      int // index of its hclfile.Point
+	point      int // index of the hclfile.Point
 	experiment *experiment.Experiment
 	variant    experiment.Variant
 	seed       uint64
 	run        report.Run
-	complete   bool // run holds a result
+	complete   bool // run holds results
 }
 
-// stoppedMessage is in the report of an experiment that was interrupted.
+// stoppedMessage is the value of Report.Stopped for an experiment that was interrupted.
 const stoppedMessage = "it was interrupted; the figures are of what had been played"
 
-// Run runs all points of an experiment and returns the report. When ctx ends, the report holds what
-// was measured until then and says that the experiment was stopped.
+// Run runs all points of an experiment and returns the report. If ctx ends first, the report holds
+// the results that were measured until then and says that the experiment was stopped.
 func Run(ctx context.Context, points []hclfile.Point, o Options) (*report.Report, error) {
 	for i := range points {
 		if err := o.applyTo(&points[i].Experiment); err != nil {
@@ -69,7 +69,7 @@
 	return r, nil
 }
 
-// applyTo restricts an experiment to the seeds and variants that are to be run.
+// applyTo sets the seeds of an experiment and removes the variants that are not to be run.
 func (o Options) applyTo(e *experiment.Experiment) error {
 	if o.Seeds != nil {
 		e.Seeds = o.Seeds
@@ -77,8 +77,8 @@
 	return selectVariants(e, o)
 }
 
-// newJobs returns the jobs of all points. Variants of one seed follow each other, so that
-// disturbances of the machine affect them alike.
+// newJobs returns the jobs of all points. The variants of one seed follow each other directly, so
+// that disturbances of the machine affect them alike.
 func newJobs(points []hclfile.Point) []*job {
 	var jobs []*job
 	for p := range points {
@@ -92,7 +92,7 @@
 	return jobs
 }
 
-// addResults adds the results of one point to the report.
+// addResults adds the results of the point with this index to the report.
 func addResults(r *report.Report, point *hclfile.Point, index int, jobs []*job) {
 	var runs []report.Run
 	for _, j := range jobs {
--- a/internal/experiment/runner/select.go
+++ b/internal/experiment/runner/select.go
@@ -7,8 +7,8 @@
 	"rowancart/internal/experiment"
 )
 
-// selectVariants removes the variants that are not to be run, and the expectations of only those.
-// It fails if no variant remains, or if a fault cannot be injected.
+// selectVariants removes the variants that are not to be run, and the expectations that apply only
+// to them. It fails if no variant remains, or if a fault cannot be injected in virtual time.
 func selectVariants(e *experiment.Experiment, o Options) error {
 	selected := slices.DeleteFunc(slices.Clone(e.Variants), func(v experiment.Variant) bool { return !o.selects(v) })
 	if len(selected) == 0 {
@@ -21,7 +21,7 @@
 	}
 	e.Variants = selected
 	e.Expect = slices.DeleteFunc(slices.Clone(e.Expect), func(x experiment.Expectation) bool {
-		return !slices.ContainsFunc(selected, func(v experiment.Variant) bool { return concerns(x, v) })
+		return !slices.ContainsFunc(selected, func(v experiment.Variant) bool { return appliesTo(x, v) })
 	})
 	return nil
 }
@@ -37,12 +37,12 @@
 	return canRunOnSockets(v)
 }
 
-// concerns reports whether an expectation is about a variant.
-func concerns(x experiment.Expectation, v experiment.Variant) bool {
+// appliesTo reports whether an expectation applies to a variant.
+func appliesTo(x experiment.Expectation, v experiment.Variant) bool {
 	return x.Variant == "" || x.Variant == v.Name
 }
 
-// noVariantError says that none of an experiment's variants can be run.
+// noVariantError returns the error for an experiment of which no selected variant can be run.
 func noVariantError(e *experiment.Experiment, o Options) error {
 	var names []string
 	for _, v := range e.Variants {
@@ -58,23 +58,24 @@
 	return fmt.Errorf("%s: none of the arms %v can be run %s", e.Name, names, how)
 }
 
-// checkVirtualFaults returns an error if a fault cannot be injected in virtual time.
+// checkVirtualFaults returns an error if a fault of the experiment cannot be injected in virtual
+// time.
 func checkVirtualFaults(e *experiment.Experiment) error {
 	for _, f := range e.Faults {
 		if !experiment.FaultKinds[f.Kind] {
-			return fmt.Errorf("%s: the fault %s needs sockets", e.Name, f.Kind)
+			return fmt.Errorf("%s: fault %s can be injected on sockets only", e.Name, f.Kind)
 		}
 	}
 	return nil
 }
 
-// canRunInVirtualTime reports whether a variant is a policy of this program, which needs no process
-// of its own.
+// canRunInVirtualTime reports whether a variant is a policy that is part of this program and so
+// needs no process of its own.
 func canRunInVirtualTime(v experiment.Variant) bool {
 	return v.Policy != experiment.ReverseProxyPolicy && v.Command == ""
 }
 
-// canRunOnSockets reports whether there is a program for a variant.
+// canRunOnSockets reports whether a variant has a program that can be started.
 func canRunOnSockets(v experiment.Variant) bool {
 	return v.Policy == experiment.ReverseProxyPolicy || v.Command != "" || v.Policy == experiment.DesignPolicy
 }
--- a/internal/experiment/runner/select_test.go
+++ b/internal/experiment/runner/select_test.go
@@ -6,8 +6,8 @@
 	"rowancart/internal/experiment"
 )
 
-// newTestExperiment returns an experiment with a variant of each sort, and an expectation of all
-// variants and of each.
+// newTestExperiment returns an experiment with a variant of each kind. Its first expectation
+// applies to all variants, and each of the others to one variant.
 func newTestExperiment() *experiment.Experiment {
 	return &experiment.Experiment{
 		Name: "x",
@@ -61,17 +61,18 @@
 	}
 }
 
-// checkSelected checks that an experiment has these variants, the expectation of all variants, and
-// one of each variant that it has.
+// checkSelected checks that an experiment has exactly these variants, the expectation that applies
+// to all variants, and one expectation for each of these variants.
 func checkSelected(t *testing.T, e *experiment.Experiment, want []string) {
 	t.Helper()
 	if len(e.Variants) != len(want) || len(e.Expect) != 1+len(want) {
-		t.Fatalf("%d variants and %d expectations, want %v and one expectation more", len(e.Variants), len(e.Expect),
-			want)
+		t.Fatalf("%d variants and %d expectations, want %v and one expectation more than variants", len(e.Variants),
+			len(e.Expect), want)
 	}
 	for i, name := range want {
 		if e.Variants[i].Name != name || e.Expect[i+1].Variant != name {
-			t.Errorf("variant %q and expectation of %q, want %q", e.Variants[i].Name, e.Expect[i+1].Variant, name)
+			t.Errorf("variant %q and expectation of variant %q, want %q for both", e.Variants[i].Name,
+				e.Expect[i+1].Variant, name)
 		}
 	}
 }
@@ -89,7 +90,7 @@
 	e := newTestExperiment()
 	e.Faults = []experiment.Fault{{Kind: experiment.SilentPeer}}
 	err := selectVariants(e, Options{Virtual: true})
-	if want := "x: the fault silent_peer needs sockets"; err == nil || err.Error() != want {
+	if want := "x: fault silent_peer can be injected on sockets only"; err == nil || err.Error() != want {
 		t.Errorf("got %v, want %s", err, want)
 	}
 	if err := selectVariants(newTestExperiment(), Options{}); err != nil {
--- a/internal/experiment/subsets/methods.go
+++ b/internal/experiment/subsets/methods.go
@@ -14,16 +14,17 @@
 	"rowancart/internal/subset"
 )
 
-// chooser returns the subset of each instance after a change of the list of servers.
+// chooser returns the subset of each instance for a changed list of servers. It may keep state from
+// earlier calls.
 type chooser func(servers []string) [][]string
 
-// method is a method of choosing subsets, for a number of instances and a size of subsets.
+// method is a method of choosing subsets of a given size for a number of instances.
 type method struct {
 	name       string
 	newChooser func(instances, size int) chooser
 }
 
-// methods are those that are compared. The first is that of the daemon.
+// methods are the compared methods. The first is the one that the daemon uses.
 var methods = []method{
 	{"ring, numbered", func(instances, size int) chooser { return filtered(instances, size, subset.PositionOf) }},
 	{"ring, named", func(instances, size int) chooser { return filtered(instances, size, positionByName) }},
@@ -32,21 +33,22 @@
 	{"rounds", stateless(roundSubsets)},
 }
 
-// stateless returns a newChooser whose subsets depend on the present list only.
+// stateless returns a newChooser function for a method whose subsets depend only on the current
+// list of servers.
 func stateless(choose func(instances, size int, servers []string) [][]string) func(instances, size int) chooser {
 	return func(instances, size int) chooser {
 		return func(servers []string) [][]string { return choose(instances, size, servers) }
 	}
 }
 
-// positionByName returns the position of instance i if it has a name only.
+// positionByName returns the position of instance i if only its name is known, not its index.
 func positionByName(i int) subset.Position { return subset.PositionOfName(memberName("instance", i)) }
 
 // memberName returns the name of a server or an instance.
 func memberName(kind string, i int) string { return kind + "-" + strconv.Itoa(i) }
 
-// filtered is the daemon's method: each instance has a filter, which keeps servers of the earlier
-// subset that have not moved far on the ring.
+// filtered is the daemon's method. Each instance has a filter, which keeps those servers of the
+// previous subset that have not moved far on the ring.
 func filtered(instances, size int, position func(int) subset.Position) chooser {
 	filters := make([]*subset.Filter, instances)
 	subsets := make([]map[string]bool, instances)
@@ -72,7 +74,8 @@
 	}
 }
 
-// listChanges returns the changes from known to servers, and replaces known by the set of servers.
+// listChanges returns the changes from the set known to the list servers, and sets known to the
+// servers of the list.
 func listChanges(known map[string]bool, servers []string) proxy.EndpointList {
 	var changes proxy.EndpointList
 	present := map[string]bool{}
@@ -82,7 +85,7 @@
 			changes.Endpoints = append(changes.Endpoints, proxy.Endpoint{ID: s})
 		}
 	}
-	for s := range known { // the order does not matter to a filter
+	for s := range known { // the order of removals does not affect a filter
 		if !present[s] {
 			changes.Endpoints = append(changes.Endpoints, proxy.Endpoint{ID: s, State: balancer.Removed})
 		}
@@ -92,7 +95,7 @@
 	return changes
 }
 
-// ringSubsets is the daemon's method without regard to earlier subsets.
+// ringSubsets is the daemon's method without memory: it keeps no servers of previous subsets.
 func ringSubsets(instances, size int, servers []string) [][]string {
 	var r subset.Ring
 	for _, s := range servers {
@@ -105,9 +108,9 @@
 	return out
 }
 
-// rendezvousSubsets gives each instance the servers that score highest with its name (Thaler and
-// Ravishankar, 1996): a random subset that does not depend on the index of the instance and changes
-// as little as possible.
+// rendezvousSubsets is rendezvous hashing (Thaler and Ravishankar, 1996). It gives each instance
+// the servers whose hashes with the name of the instance are highest: a random subset that does not
+// depend on the index of the instance and changes as little as possible.
 func rendezvousSubsets(instances, size int, servers []string) [][]string {
 	type scored struct {
 		score uint64
@@ -118,7 +121,7 @@
 	for i := range out {
 		salt := xxhash.Sum64String(memberName("instance", i))
 		for j, s := range servers {
-			// XOR with the salt alone would give similar orders of servers to different instances.
+			// XOR with the salt alone would give different instances similar orders of servers.
 			x := (xxhash.Sum64String(s) ^ salt) * 0x9e3779b97f4a7c15
 			all[j] = scored{(x ^ x>>29) * 0xbf58476d1ce4e5b9, s}
 		}
@@ -130,8 +133,9 @@
 	return out
 }
 
-// roundSubsets is deterministic subsetting as in "Site Reliability Engineering" (chapter 20):
-// instances are divided into rounds, each with its own shuffled list, which its instances divide.
+// roundSubsets is deterministic subsetting as in "Site Reliability Engineering" (chapter 20).
+// Instances are divided into rounds. Each round has its own shuffled list of servers, which is
+// divided among the instances of the round.
 func roundSubsets(instances, size int, servers []string) [][]string {
 	out := make([][]string, instances)
 	perRound := max(len(servers)/size, 1)
--- a/internal/experiment/subsets/subsets.go
+++ b/internal/experiment/subsets/subsets.go
@@ -1,6 +1,6 @@
-// Package subsets compares methods of choosing the servers to which each instance of a fleet sends:
-// how evenly instances are distributed over servers, and how much of a subset changes when a server
-// or an instance is added or removed.
+// Package subsets compares methods of choosing the servers to which each instance of a fleet sends
+// requests. It measures how evenly instances are distributed over servers, and how much of a subset
+// changes when a server or an instance is added or removed.
 package subsets
 
 import (
@@ -11,22 +11,23 @@
 	"rowancart/internal/subset"
 )
 
-// Result is the result of one method.
+// Result holds the measurements of one method.
 type Result struct {
 	Method       string
-	MinInstances float64 // of the server with the fewest, relative to the mean
-	MaxInstances float64 // of the server with the most, relative to the mean
-	Replaced     float64 // mean number of servers that an instance adds when a server is replaced by another
-	NewInstance  float64 // mean number of servers that an instance adds when another instance is added
-	// ReplacedNeeded is the minimum of Replaced for any method.
+	MinInstances float64 // instances of the server with the fewest, relative to the mean
+	MaxInstances float64 // instances of the server with the most, relative to the mean
+	Replaced     float64 // mean number of servers added to a subset when one server is replaced by another
+	NewInstance  float64 // mean number of servers added to a subset when an instance is added to the fleet
+	// ReplacedNeeded is the lowest value of Replaced that any method can reach.
 	ReplacedNeeded float64
 }
 
-// maxReplacements is the number of servers that are replaced, one after another. Result.Replaced is
-// the mean over them.
+// maxReplacements is the maximum number of servers that are replaced, one after another.
+// Result.Replaced is the mean over the replacements.
 const maxReplacements = 5
 
-// Measure compares the methods for a fleet.
+// Measure returns the results of all methods for a fleet with these numbers of instances and
+// servers. Size is the requested size of subsets.
 func Measure(instances, servers, size int) []Result {
 	size = subset.Spec{Size: size, Instances: instances}.SizeOf(servers)
 	var all []string
@@ -40,7 +41,7 @@
 	return out
 }
 
-// measure measures a method with subsets of a size.
+// measure returns the result of one method with subsets of this size.
 func (m method) measure(instances, size int, servers []string) Result {
 	r := Result{Method: m.name, ReplacedNeeded: 2 * float64(size) / float64(len(servers))}
 	if size == len(servers) {
@@ -65,8 +66,8 @@
 	return r
 }
 
-// instanceRange returns the smallest and the largest number of instances of a server, relative to
-// the mean.
+// instanceRange returns the smallest and the largest number of instances that have the same server
+// in their subsets, relative to the mean over all servers.
 func instanceRange(subsets [][]string, servers []string) (smallest, largest float64) {
 	instancesOf := map[string]int{}
 	total := 0
@@ -86,8 +87,8 @@
 	return smallest, largest
 }
 
-// meanAdded returns the number of servers that a change adds to a subset, as the mean over the
-// instances before it.
+// meanAdded returns the mean number of servers that a change adds to a subset, over the instances
+// that exist before the change.
 func meanAdded(before, after [][]string) float64 {
 	added := 0
 	for i, old := range before {
@@ -104,7 +105,8 @@
 	return float64(added) / float64(len(before))
 }
 
-// Report measures fleets of each size and writes a table.
+// Report measures all methods for each combination of the numbers of instances and servers, and
+// writes the results as a table. Size is the requested size of subsets.
 func Report(w io.Writer, instances, servers []int, size int) {
 	fmt.Fprintf(w, "%9s %6s %5s  %-15s %7s %7s %9s %9s\n", "instances", "boxes", "part", "way", "least", "most",
 		"replaced", "instance")
--- a/internal/experiment/subsets/subsets_test.go
+++ b/internal/experiment/subsets/subsets_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// results measures a fleet and returns the results by method.
+// results measures a fleet and returns the results by the name of the method.
 func results(t *testing.T, instances, servers, size int) map[string]Result {
 	t.Helper()
 	byMethod := map[string]Result{}
@@ -12,17 +12,20 @@
 		byMethod[r.Method] = r
 	}
 	if len(byMethod) != len(methods) {
-		t.Fatalf("%d methods, want %d", len(byMethod), len(methods))
+		t.Fatalf("results of %d methods, want %d", len(byMethod), len(methods))
 	}
 	return byMethod
 }
 
-// Each method has servers on both sides of the mean, and changes no less than necessary.
+// Each method's result is in its possible range: the server with the fewest instances is at or
+// below the mean, that with the most at or above it, and an added instance changes at most a whole
+// subset.
 func TestMeasuredMethodsAreWithinTheirLimits(t *testing.T) {
 	for name, r := range results(t, 30, 60, 10) {
 		t.Run(name, func(t *testing.T) {
 			if r.MinInstances < 0 || r.MinInstances > 1 || r.MaxInstances < 1 {
-				t.Errorf("from %.2f to %.2f instances, relative to the mean", r.MinInstances, r.MaxInstances)
+				t.Errorf("instances per server, relative to the mean: %.2f to %.2f, want a range around 1",
+					r.MinInstances, r.MaxInstances)
 			}
 			if r.NewInstance < 0 || r.NewInstance > 10 || r.ReplacedNeeded != 2*10.0/60 {
 				t.Errorf("%+v", r)
@@ -31,17 +34,17 @@
 	}
 }
 
-// The daemon's method spreads instances more evenly than random subsets, and changes less than the
-// same ring without regard to earlier subsets.
+// The daemon's method distributes instances more evenly than random subsets do, and changes less
+// than the same ring without memory of previous subsets.
 func TestDaemonsMethodIsEvenAndStable(t *testing.T) {
 	byMethod := results(t, 30, 60, 10)
 	daemon := byMethod["ring, numbered"]
 	if random := byMethod["rendezvous"]; daemon.MaxInstances >= random.MaxInstances {
-		t.Errorf("at most %.2f instances relative to the mean, with random subsets %.2f",
+		t.Errorf("most instances of a server, relative to the mean: %.2f, with random subsets %.2f",
 			daemon.MaxInstances, random.MaxInstances)
 	}
 	if stateless := byMethod["ring, forgetful"]; daemon.Replaced >= stateless.Replaced {
-		t.Errorf("%.2f servers change for a replacement, without regard to earlier subsets %.2f",
+		t.Errorf("servers added to a subset for a replacement: %.2f, without memory of previous subsets %.2f",
 			daemon.Replaced, stateless.Replaced)
 	}
 }
