--- a/internal/experiment/subsets/subsets.go
+++ b/internal/experiment/subsets/subsets.go
@@ -13,17 +13,17 @@
 
 // Result holds the measurements of one method.
 type Result struct {
-	Method       string
-	MinInstances float64 // instances of the server with the fewest, relative to the mean
-	MaxInstances float64 // instances of the server with the most, relative to the mean
-	Replaced     float64 // mean number of servers added to a subset when one server is replaced by another
-	NewInstance  float64 // mean number of servers added to a subset when an instance is added to the fleet
-	// ReplacedNeeded is the lowest value of Replaced that any method can reach.
-	ReplacedNeeded float64
+	Method              string
+	MinInstances        float64 // instances of the server with the fewest, relative to the mean
+	MaxInstances        float64 // instances of the server with the most, relative to the mean
+	AddedPerReplacement float64 // mean number of servers added to a subset when one server is replaced by another
+	AddedPerInstance    float64 // mean number of servers added to a subset when an instance is added to the fleet
+	// MinAddedPerReplacement is the lowest value of AddedPerReplacement that any method can reach.
+	MinAddedPerReplacement float64
 }
 
 // maxReplacements is the maximum number of servers that are replaced, one after another.
-// Result.Replaced is the mean over the replacements.
+// Result.AddedPerReplacement is the mean over the replacements.
 const maxReplacements = 5
 
 // Measure returns the results of all methods for a fleet with these numbers of instances and
@@ -43,13 +43,13 @@
 
 // measure returns the result of one method with subsets of this size.
 func (m method) measure(instances, size int, servers []string) Result {
-	r := Result{Method: m.name, ReplacedNeeded: 2 * float64(size) / float64(len(servers))}
+	r := Result{Method: m.name, MinAddedPerReplacement: 2 * float64(size) / float64(len(servers))}
 	if size == len(servers) {
-		r.ReplacedNeeded = 1 // no other server can replace the removed one
+		r.MinAddedPerReplacement = 1 // no other server can replace the removed one
 	}
 	choose := m.newChooser(instances, size)
 	subsets := choose(servers)
-	r.NewInstance = meanAdded(subsets, m.newChooser(instances+1, size)(servers))
+	r.AddedPerInstance = meanAdded(subsets, m.newChooser(instances+1, size)(servers))
 	list := slices.Clone(servers)
 	replacements := min(maxReplacements, len(servers))
 	for i := range replacements {
@@ -57,7 +57,7 @@
 		replaced := append(slices.Clone(list[1:]), memberName("other", i))
 		for _, next := range [][]string{removed, replaced} {
 			chosen := choose(next)
-			r.Replaced += meanAdded(subsets, chosen) / float64(replacements)
+			r.AddedPerReplacement += meanAdded(subsets, chosen) / float64(replacements)
 			list = next
 			subsets = chosen
 		}
@@ -115,10 +115,10 @@
 			results := Measure(n, count, size)
 			subsetSize := subset.Spec{Size: size, Instances: n}.SizeOf(count)
 			fmt.Fprintf(w, "%9d %6d %5d  %-15s %7s %7s %9.2f %9.2f\n", n, count, subsetSize, "(needed)", "", "",
-				results[0].ReplacedNeeded, 0.0)
+				results[0].MinAddedPerReplacement, 0.0)
 			for _, r := range results {
 				fmt.Fprintf(w, "%9s %6s %5s  %-15s %7.2f %7.2f %9.2f %9.2f\n", "", "", "", r.Method, r.MinInstances,
-					r.MaxInstances, r.Replaced, r.NewInstance)
+					r.MaxInstances, r.AddedPerReplacement, r.AddedPerInstance)
 			}
 		}
 	}
--- a/internal/experiment/subsets/subsets_test.go
+++ b/internal/experiment/subsets/subsets_test.go
@@ -27,7 +27,7 @@
 				t.Errorf("instances per server, relative to the mean: %.2f to %.2f, want a range around 1",
 					r.MinInstances, r.MaxInstances)
 			}
-			if r.NewInstance < 0 || r.NewInstance > 10 || r.ReplacedNeeded != 2*10.0/60 {
+			if r.AddedPerInstance < 0 || r.AddedPerInstance > 10 || r.MinAddedPerReplacement != 2*10.0/60 {
 				t.Errorf("%+v", r)
 			}
 		})
@@ -43,9 +43,9 @@
 		t.Errorf("most instances of a server, relative to the mean: %.2f, with random subsets %.2f",
 			daemon.MaxInstances, random.MaxInstances)
 	}
-	if stateless := byMethod["ring, forgetful"]; daemon.Replaced >= stateless.Replaced {
+	if stateless := byMethod["ring, forgetful"]; daemon.AddedPerReplacement >= stateless.AddedPerReplacement {
 		t.Errorf("servers added to a subset for a replacement: %.2f, without memory of previous subsets %.2f",
-			daemon.Replaced, stateless.Replaced)
+			daemon.AddedPerReplacement, stateless.AddedPerReplacement)
 	}
 }
 
@@ -53,7 +53,8 @@
 func TestSubsetOfAllServersChangesOneServer(t *testing.T) {
 	for name, r := range results(t, 5, 4, 20) {
 		t.Run(name, func(t *testing.T) {
-			if r.MinInstances != 1 || r.MaxInstances != 1 || r.Replaced != 1 || r.ReplacedNeeded != 1 || r.NewInstance != 0 {
+			if r.MinInstances != 1 || r.MaxInstances != 1 || r.AddedPerReplacement != 1 ||
+				r.MinAddedPerReplacement != 1 || r.AddedPerInstance != 0 {
 				t.Errorf("%+v", r)
 			}
 		})
