--- a/internal/experiment/hclfile/decode.go
+++ b/internal/experiment/hclfile/decode.go
@@ -11,7 +11,7 @@
 	"rowancart/internal/hcldecode"
 )
 
-// decoder reads the blocks of one experiment. It collects the faults of the file in Diags.
+// decoder reads the blocks of one experiment. It collects the errors found in the file in Diags.
 type decoder struct {
 	hcldecode.Reader
 	experiment *experiment.Experiment
@@ -19,8 +19,8 @@
 	expect     []expectation
 }
 
-// once returns a function that reads a block and reports a second block of the same type as a
-// fault. The map seen holds the positions of the blocks that have been read, by block type.
+// once returns a function that reads a block and reports a second block of the same type as an
+// error. The map seen holds the positions of the blocks that have been read, by block type.
 func (d *decoder) once(seen map[string]hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
 	return func(b *hcl.Block) {
 		if first, ok := seen[b.Type]; ok {
@@ -32,7 +32,8 @@
 	}
 }
 
-// decodePoint reads the experiment of the file called name. Vars holds the values of its variables.
+// decodePoint reads the experiment of the file called name. The argument vars holds the values of
+// its variables.
 func decodePoint(body hcl.Body, name string, vars map[string]cty.Value) (Point, error) {
 	p := Point{Experiment: defaultExperiment(name)}
 	e := &p.Experiment
@@ -84,7 +85,7 @@
 	}
 	for _, f := range d.experiment.Faults {
 		if virtual, known := experiment.FaultKinds[f.Kind]; known && !virtual {
-			d.Fault(d.seen["experiment"], "experiment: fault %s cannot run in virtual time", f.Kind)
+			d.Fault(d.seen["experiment"], "experiment: fault %s cannot be injected in virtual time", f.Kind)
 		}
 	}
 }
--- a/internal/experiment/hclfile/expectations.go
+++ b/internal/experiment/hclfile/expectations.go
@@ -37,7 +37,7 @@
 }
 
 // checkExpectations adds the expectations to the experiment. It reports an expectation that names
-// an undefined variant or sets no requirement as a fault.
+// an undefined variant or sets no requirement as an error.
 func (d *decoder) checkExpectations() {
 	for _, x := range d.expect {
 		if x.Variant != "" && !d.hasVariant(x.Variant) {
--- a/internal/experiment/hclfile/hclfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -34,13 +34,13 @@
 	return parse(text, filepath.Base(path), filepath.Clean(path), set)
 }
 
-// Parse reads the text of a file. Name is the name of the file in messages. The values of variables
-// in set replace those of the file. Paths of included files are relative to the working directory.
+// Parse reads the text of the file called name. The values of variables in set replace those of the
+// file. Paths of included files are relative to the working directory.
 func Parse(text []byte, name string, set map[string]string) ([]Point, error) {
 	return parse(text, name, name, set)
 }
 
-// parse reads the text of the file at a path. Name is the name of the file in messages.
+// parse reads the text of the file at a path. Messages give its name, not its path.
 func parse(text []byte, name, path string, set map[string]string) ([]Point, error) {
 	own, err := hcldecode.Parse(text, name)
 	if err != nil {
--- a/internal/experiment/hclfile/hclfile_test.go
+++ b/internal/experiment/hclfile/hclfile_test.go
@@ -53,8 +53,8 @@
 	return strings.Replace(validFile, old, replacement, 1)
 }
 
-// faultCases are invalid files with the complete error message for each.
-var faultCases = []struct {
+// invalidFileCases are invalid files with the complete error message for each.
+var invalidFileCases = []struct {
 	name string
 	text string
 	want string
@@ -79,7 +79,7 @@
 		`x.hcl:6:3: class lookup: aim 3s is longer than deadline 2s`,
 	},
 	{
-		"several faults",
+		"several errors",
 		replaceInValid(`"10ms"`, `10`) + "fault \"flood\" {\n  at = \"1s\"\n}\n",
 		"x.hcl:7:16: work: must be a duration with its unit, such as \"250ms\"\n" +
 			`x.hcl:18:7: fault: "flood" is not one of break_after, break_answer, break_before, crash, deploy, ` +
@@ -105,7 +105,7 @@
 	{
 		"unknown tier",
 		validFile + "fault \"crash\" {\n  at   = \"1s\"\n  tier = \"back\"\n}\n",
-		`x.hcl:18:1: fault: tier "back" is not defined in a site block before the fault`,
+		`x.hcl:18:1: fault: tier "back" is not defined in the site block, which must precede the fault`,
 	},
 	{
 		"fraction above 1",
@@ -116,7 +116,7 @@
 	{
 		"policy for an unknown class",
 		validFile + "arm \"a\" {\n  class \"nobody\" {}\n}\n",
-		`x.hcl:19:3: class: "nobody" is not defined in a site block before the arm`,
+		`x.hcl:19:3: class: "nobody" is not defined in the site block, which must precede the arm`,
 	},
 	{
 		"unknown policy",
@@ -146,13 +146,13 @@
 		"fault that needs sockets in virtual time",
 		replaceInValid(`"10s"`, "\"10s\"\n  virtual  = true") +
 			"fault \"half_peer\" {\n  at = \"1s\"\n}\n",
-		`x.hcl:1:1: experiment: fault half_peer cannot run in virtual time`,
+		`x.hcl:1:1: experiment: fault half_peer cannot be injected in virtual time`,
 	},
 }
 
-// TestParseReportsEveryFault checks that each invalid file produces its faults and no others.
+// TestParseReportsEveryFault checks that each invalid file produces its errors and no others.
 func TestParseReportsEveryFault(t *testing.T) {
-	for _, c := range faultCases {
+	for _, c := range invalidFileCases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse([]byte(c.text), "x.hcl", nil)
 			if err == nil {
--- a/internal/experiment/hclfile/include.go
+++ b/internal/experiment/hclfile/include.go
@@ -14,8 +14,9 @@
 
 // includedBodies returns the bodies of all files that a body includes, followed by the body itself.
 // In this order the values of variables in the including file replace those of included files.
-// Paths are relative to the file that includes them. Chain holds the paths from the loaded file to
-// the file of this body; it serves to detect a file that includes itself, which is an error.
+// Paths are relative to the file that includes them. The argument chain holds the paths from the
+// loaded file to the file of this body; it serves to detect a file that includes itself, which is
+// an error.
 func includedBodies(body hcl.Body, chain []string) ([]hcl.Body, error) {
 	content, _, diags := body.PartialContent(&hcl.BodySchema{
 		Blocks: []hcl.BlockHeaderSchema{{Type: "include", LabelNames: []string{"path"}}}})
--- a/internal/experiment/hclfile/include_test.go
+++ b/internal/experiment/hclfile/include_test.go
@@ -56,7 +56,7 @@
 		balancers: 3,
 	},
 	{
-		name: "fault in an included file",
+		name: "error in an included file",
 		files: map[string]string{
 			"x.hcl": experimentBlock + "include \"s.hcl\" {}\n",
 			"s.hcl": varsWithN3 + siteAndLoad + "fault \"crush\" {\n  at = \"1s\"\n}\n",
@@ -105,8 +105,8 @@
 	}
 }
 
-// writeFiles writes files into a new directory and returns its path. Files holds the text of each
-// file by its path within the directory.
+// writeFiles writes files into a new directory and returns its path. The argument files holds the
+// text of each file by its path within the directory.
 func writeFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/experiment/hclfile/load.go
+++ b/internal/experiment/hclfile/load.go
@@ -81,7 +81,7 @@
 	}, nil)
 	f.Fraction = float64(fraction)
 	if f.Tier != "" && e.Site.TierIndex(f.Tier) < 0 {
-		d.Fault(b.DefRange, "fault: tier %q is not defined in a site block before the fault", f.Tier)
+		d.Fault(b.DefRange, "fault: tier %q is not defined in the site block, which must precede the fault", f.Tier)
 	}
 	d.checkFaultSize(b, f)
 	e.Faults = append(e.Faults, f)
--- a/internal/experiment/hclfile/variant.go
+++ b/internal/experiment/hclfile/variant.go
@@ -51,14 +51,14 @@
 	}, nil)
 	hcldecode.OneOf(&d.Reader, b.DefRange, "retry", retry, retryNotRun, retryAfterRun)
 	p.NeverRerun = retry == retryNotRun
-	switch { // queue = 0 in a file means no queue; without the attribute there is no limit
+	switch { // in a file 0 means no queue, which is QueueLimit -1; if not set, QueueLimit 0 is no limit
 	case queue == 0:
 		p.QueueLimit = -1
 	case queue > 0:
 		p.QueueLimit = queue
 	}
 	if !slices.ContainsFunc(d.experiment.Site.Classes, func(c experiment.Class) bool { return c.Name == p.Class }) {
-		d.Fault(b.DefRange, "class: %q is not defined in a site block before the arm", p.Class)
+		d.Fault(b.DefRange, "class: %q is not defined in the site block, which must precede the arm", p.Class)
 	}
 	return p
 }
--- a/internal/experiment/report/compare.go
+++ b/internal/experiment/report/compare.go
@@ -23,7 +23,7 @@
 // freedom.
 var studentQuantiles = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228}
 
-// studentQuantileMany is used for more than 10 degrees of freedom. It lies between the values for
+// studentQuantileMany is used from 11 degrees of freedom on. It lies between the values for
 // 11 and for 30, and is 0.14 above the limit for infinitely many.
 const studentQuantileMany = 2.1
 
@@ -57,7 +57,7 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, errors.New("cannot compare the reports: they have no arm in common")
+		return nil, errors.New("cannot compare the reports: they have no arm in common at the same point")
 	}
 	return out, nil
 }
--- a/internal/experiment/report/html.go
+++ b/internal/experiment/report/html.go
@@ -74,7 +74,7 @@
 	return view, nil
 }
 
-// colors are the colors of a chart's series, in the order of the series.
+// colors are the colors of a chart's series, in order. A chart with more series starts over.
 var colors = []color.Color{
 	color.RGBA{0x2e, 0x7d, 0x32, 0xff}, color.RGBA{0xf9, 0xa8, 0x25, 0xff}, color.RGBA{0x15, 0x65, 0xc0, 0xff},
 	color.RGBA{0xc6, 0x28, 0x28, 0xff}, color.RGBA{0x6a, 0x1b, 0x9a, 0xff}, color.RGBA{0x45, 0x5a, 0x64, 0xff},
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -3,8 +3,9 @@
 //
 // The names of JSON fields, and the words of the text and the page, are those of stored reports and
 // must not change: refused (rejected), worth (served priority weight), box (server), fresh (added
-// during the run), broken (violated). All figures except the counts by second exclude requests that
-// arrive during the warm-up.
+// during the run), broken (violated). Outcomes, served weight and latency percentiles exclude
+// requests that were due to be sent during the warm-up. The counts by second include them, and so
+// do attempts, reasons, counts of servers and costs.
 package report
 
 import (
@@ -57,8 +58,8 @@
 	ToS   float64 `json:"to_s"`
 }
 
-// Latency holds latency percentiles in milliseconds. Latency counts from the time at which the
-// request was due to be sent.
+// Latency holds latency percentiles of served requests in milliseconds. Latency is measured from
+// the time at which the request was due to be sent.
 type Latency struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -147,8 +148,8 @@
 type Cost struct {
 	CPUSeconds  float64 `json:"cpu_s"`
 	CPUPerReqUs float64 `json:"cpu_us_per_request"`
-	MemoryMB    float64 `json:"memory_mb"` // largest of any one program
-	Descriptors int     `json:"descriptors"`
+	MemoryMB    float64 `json:"memory_mb"`   // largest of any one program in any run
+	Descriptors int     `json:"descriptors"` // likewise
 }
 
 // Variant holds the results of one variant over all runs.
@@ -168,7 +169,7 @@
 	Seconds            []Second      `json:"seconds"`
 	Servers            []Server      `json:"boxes"`
 	AddedServers       *AddedServers `json:"fresh,omitempty"`
-	Reasons            Reasons       `json:"why,omitempty"` // rejections and failures by all instances, in virtual time
+	Reasons            Reasons       `json:"why,omitempty"` // of instances of all tiers, in virtual time only
 	Cost               *Cost         `json:"cost,omitempty"`
 	LatenessMs         float64       `json:"lateness_ms,omitempty"` // how late requests were sent: p99 of the worst run
 	Log                []string      `json:"log,omitempty"`         // of the first run that is not void
@@ -181,9 +182,11 @@
 	Servers int `json:"boxes"`
 	// WarmupPeak is the highest load that any added server was sent within Rules.OverloadWindow, as a
 	// multiple of its capacity at that time.
-	WarmupPeak      float64 `json:"peak"`
-	Overloaded      int     `json:"over"`             // number of servers that were sent more than their capacity
-	TimeToFullLoadS float64 `json:"full_s,omitempty"` // median time until full load, in virtual time only
+	WarmupPeak float64 `json:"peak"`
+	Overloaded int     `json:"over"` // number of added servers whose own peak exceeded 1
+	// TimeToFullLoadS is the median time until an added server received as many requests as the
+	// others. It is known in virtual time only.
+	TimeToFullLoadS float64 `json:"full_s,omitempty"`
 }
 
 // Reasons counts the requests that were not served, by reason.
@@ -217,7 +220,7 @@
 // charts.
 const minFaultSpan = 100 * time.Millisecond
 
-// New returns a report of an experiment without results. Virtual is not set.
+// New returns a report without results for an experiment. The caller sets Virtual.
 func New(e *experiment.Experiment) *Report {
 	r := &Report{
 		Version:    Version,
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -55,7 +55,7 @@
 	e, r := newTestReport(t, 90)
 	a := r.Variants[0]
 	if a.Offered != 200 || a.ServedInTime != 181 || a.Failed != 19 || a.AttemptsPerRequest != 1.2 || len(a.Runs) != 3 {
-		t.Errorf("%+v", a)
+		t.Errorf("got %+v, want 200 offered, 181 in time, 19 failed, 1.2 attempts per request and 3 runs", a)
 	}
 	if a.LatencyMs.P50 < 44 || a.LatencyMs.P50 > 47 {
 		t.Errorf("p50 is %v ms for latencies from 1 to 91 ms, want 44 to 47", a.LatencyMs.P50)
--- a/internal/experiment/report/summary.go
+++ b/internal/experiment/report/summary.go
@@ -22,8 +22,8 @@
 	return out
 }
 
-// addRun adds one run. A void run is listed in Runs and counts for LatenessMs, but for no other
-// result.
+// addRun adds one run. A void run is listed in Runs and counts for LatenessMs, but its counters are
+// not added to the results.
 func (v *Variant) addRun(run Run) {
 	v.Runs = append(v.Runs, newRunSummary(run))
 	v.LatenessMs = max(v.LatenessMs, milliseconds(run.Lateness))
--- a/internal/experiment/report/text.go
+++ b/internal/experiment/report/text.go
@@ -50,16 +50,16 @@
 			v.AttemptsPerRequest)
 	}
 	for i := range variants {
-		variants[i].writeServerNotes(w)
+		variants[i].writeReasonsAndAddedServers(w)
 	}
 	for i := range variants {
-		variants[i].writeRuleNotes(w)
+		variants[i].writeViolationsAndCost(w)
 	}
 }
 
-// writeServerNotes writes the reasons for which requests were not served, and the load of added
-// servers.
-func (v *Variant) writeServerNotes(w io.Writer) {
+// writeReasonsAndAddedServers writes the reasons for which requests were not served, and the load
+// of added servers.
+func (v *Variant) writeReasonsAndAddedServers(w io.Writer) {
 	if len(v.Reasons) > 0 {
 		fmt.Fprintf(w, "  %s, not served: %v\n", v.Name, v.Reasons)
 	}
@@ -73,8 +73,9 @@
 	}
 }
 
-// writeRuleNotes writes the violated rules, the void runs and the cost of a variant.
-func (v *Variant) writeRuleNotes(w io.Writer) {
+// writeViolationsAndCost writes the violated rules, the void runs, the cost and the lateness of the
+// test bed.
+func (v *Variant) writeViolationsAndCost(w io.Writer) {
 	for _, rule := range v.Rules {
 		if rule.Violations > 0 {
 			fmt.Fprintf(w, "  %s breaks %q %d times, first at %.2f s: %s\n", v.Name, rule.Rule, rule.Violations, rule.FirstS,
--- a/internal/experiment/runner/drivers.go
+++ b/internal/experiment/runner/drivers.go
@@ -24,12 +24,14 @@
 	// runs produce much garbage and retain little; collecting it less often makes them faster by half.
 	gcPercent = 400
 
-	// maxTriesPerRun is how often a run on sockets is tried. A run is void, and is repeated, if the
-	// test bed was late in it.
+	// maxTriesPerRun is the maximum number of times that a run on sockets is made. A run in which the
+	// test bed sent requests late is void and is repeated. If the last one is void too, it is reported
+	// as void.
 	maxTriesPerRun = 3
 )
 
-// progress returns the fraction of the run that is done at a time of the run, from 0 to 1.
+// progress returns the completed fraction of the run, from 0 to 1. The argument now is the time
+// since the start of the run.
 func (j *job) progress(now time.Duration) float64 {
 	return min(now.Seconds()/j.experiment.Duration.Seconds(), 1)
 }
--- a/internal/experiment/runner/golden_test.go
+++ b/internal/experiment/runner/golden_test.go
@@ -16,22 +16,25 @@
 
 var update = flag.Bool("update", false, "overwrite the golden files with the current results")
 
-// notRun lists files that this test leaves out: the first can be run on sockets only, the others
-// take long under the race detector.
-var notRun = []string{"hostile.hcl", "scale.hcl", "overload.hcl", "rig-limit.hcl", "fleet-storm.hcl"}
+// excludedExperiments lists files that this test leaves out: the first can be run on sockets only,
+// the others take long under the race detector.
+var excludedExperiments = []string{"hostile.hcl", "scale.hcl", "overload.hcl", "rig-limit.hcl", "fleet-storm.hcl"}
 
-// shippedExperiments returns the paths of the experiments that can be run in virtual time.
+// shippedExperiments returns the paths of the shipped experiments that are not listed in
+// excludedExperiments.
 func shippedExperiments(t *testing.T) []string {
 	t.Helper()
 	var paths []string
 	for _, pattern := range []string{"*.hcl", "regret/*.hcl", "growth/*.hcl"} {
 		found, err := filepath.Glob(filepath.Join("../../../experiments", pattern))
 		if err != nil || len(found) == 0 {
-			t.Fatalf("%s: %d files, %v", pattern, len(found), err)
+			t.Fatalf("%s: found %d files, want at least 1; error: %v", pattern, len(found), err)
 		}
 		paths = append(paths, found...)
 	}
-	return slices.DeleteFunc(paths, func(path string) bool { return slices.Contains(notRun, filepath.Base(path)) })
+	return slices.DeleteFunc(paths, func(path string) bool {
+		return slices.Contains(excludedExperiments, filepath.Base(path))
+	})
 }
 
 // virtualTimeReport runs the experiment of a file with seed 1. It returns the report as text,
@@ -79,7 +82,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got, want) {
-				t.Errorf("got\n%s\nrecorded is\n%s", got, want)
+				t.Errorf("got\n%s\nwant, from the golden file,\n%s", got, want)
 			}
 		})
 	}
--- a/internal/experiment/runner/runner.go
+++ b/internal/experiment/runner/runner.go
@@ -69,7 +69,8 @@
 	return r, nil
 }
 
-// applyTo sets the seeds of an experiment and removes the variants that are not to be run.
+// applyTo applies the options to an experiment: it replaces the seeds if Seeds is set, and removes
+// the variants that are not to be run. It fails if selectVariants does.
 func (o Options) applyTo(e *experiment.Experiment) error {
 	if o.Seeds != nil {
 		e.Seeds = o.Seeds
--- a/internal/experiment/runner/select.go
+++ b/internal/experiment/runner/select.go
@@ -63,7 +63,7 @@
 func checkVirtualFaults(e *experiment.Experiment) error {
 	for _, f := range e.Faults {
 		if !experiment.FaultKinds[f.Kind] {
-			return fmt.Errorf("%s: fault %s can be injected on sockets only", e.Name, f.Kind)
+			return fmt.Errorf("%s: fault %s cannot be injected in virtual time", e.Name, f.Kind)
 		}
 	}
 	return nil
--- a/internal/experiment/runner/select_test.go
+++ b/internal/experiment/runner/select_test.go
@@ -90,7 +90,7 @@
 	e := newTestExperiment()
 	e.Faults = []experiment.Fault{{Kind: experiment.SilentPeer}}
 	err := selectVariants(e, Options{Virtual: true})
-	if want := "x: fault silent_peer can be injected on sockets only"; err == nil || err.Error() != want {
+	if want := "x: fault silent_peer cannot be injected in virtual time"; err == nil || err.Error() != want {
 		t.Errorf("got %v, want %s", err, want)
 	}
 	if err := selectVariants(newTestExperiment(), Options{}); err != nil {
--- a/internal/experiment/subsets/methods.go
+++ b/internal/experiment/subsets/methods.go
@@ -14,8 +14,8 @@
 	"rowancart/internal/subset"
 )
 
-// chooser returns the subset of each instance for a changed list of servers. It may keep state from
-// earlier calls.
+// chooser returns the subset of each instance for the current list of servers. It may keep state
+// between calls.
 type chooser func(servers []string) [][]string
 
 // method is a method of choosing subsets of a given size for a number of instances.
--- a/internal/experiment/subsets/subsets.go
+++ b/internal/experiment/subsets/subsets.go
@@ -17,8 +17,10 @@
 	MinInstances        float64 // instances of the server with the fewest, relative to the mean
 	MaxInstances        float64 // instances of the server with the most, relative to the mean
 	AddedPerReplacement float64 // mean number of servers added to a subset when one server is replaced by another
-	AddedPerInstance    float64 // mean number of servers added to a subset when an instance is added to the fleet
-	// MinAddedPerReplacement is the lowest value of AddedPerReplacement that any method can reach.
+	AddedPerNewInstance float64 // mean number of servers added to a subset when an instance is added to the fleet
+	// MinAddedPerReplacement is the lowest value of AddedPerReplacement that a method can reach if
+	// it keeps instances evenly distributed: size/servers to substitute the removed server, and as
+	// much again to use the new one.
 	MinAddedPerReplacement float64
 }
 
@@ -27,7 +29,7 @@
 const maxReplacements = 5
 
 // Measure returns the results of all methods for a fleet with these numbers of instances and
-// servers. Size is the requested size of subsets.
+// servers, and for subsets of the requested size.
 func Measure(instances, servers, size int) []Result {
 	size = subset.Spec{Size: size, Instances: instances}.SizeOf(servers)
 	var all []string
@@ -41,7 +43,7 @@
 	return out
 }
 
-// measure returns the result of one method with subsets of this size.
+// measure returns the result of one method. All subsets have the given size.
 func (m method) measure(instances, size int, servers []string) Result {
 	r := Result{Method: m.name, MinAddedPerReplacement: 2 * float64(size) / float64(len(servers))}
 	if size == len(servers) {
@@ -49,7 +51,7 @@
 	}
 	choose := m.newChooser(instances, size)
 	subsets := choose(servers)
-	r.AddedPerInstance = meanAdded(subsets, m.newChooser(instances+1, size)(servers))
+	r.AddedPerNewInstance = meanAdded(subsets, m.newChooser(instances+1, size)(servers))
 	list := slices.Clone(servers)
 	replacements := min(maxReplacements, len(servers))
 	for i := range replacements {
@@ -106,7 +108,7 @@
 }
 
 // Report measures all methods for each combination of the numbers of instances and servers, and
-// writes the results as a table. Size is the requested size of subsets.
+// writes the results as a table. All subsets are requested with the same size.
 func Report(w io.Writer, instances, servers []int, size int) {
 	fmt.Fprintf(w, "%9s %6s %5s  %-15s %7s %7s %9s %9s\n", "instances", "boxes", "part", "way", "least", "most",
 		"replaced", "instance")
@@ -118,7 +120,7 @@
 				results[0].MinAddedPerReplacement, 0.0)
 			for _, r := range results {
 				fmt.Fprintf(w, "%9s %6s %5s  %-15s %7.2f %7.2f %9.2f %9.2f\n", "", "", "", r.Method, r.MinInstances,
-					r.MaxInstances, r.AddedPerReplacement, r.AddedPerInstance)
+					r.MaxInstances, r.AddedPerReplacement, r.AddedPerNewInstance)
 			}
 		}
 	}
--- a/internal/experiment/subsets/subsets_test.go
+++ b/internal/experiment/subsets/subsets_test.go
@@ -19,7 +19,7 @@
 
 // Each method's result is in its possible range: the server with the fewest instances is at or
 // below the mean, that with the most at or above it, and an added instance changes at most a whole
-// subset.
+// subset. The minimum number of servers added per replacement is 2*size/servers.
 func TestMeasuredMethodsAreWithinTheirLimits(t *testing.T) {
 	for name, r := range results(t, 30, 60, 10) {
 		t.Run(name, func(t *testing.T) {
@@ -27,8 +27,8 @@
 				t.Errorf("instances per server, relative to the mean: %.2f to %.2f, want a range around 1",
 					r.MinInstances, r.MaxInstances)
 			}
-			if r.AddedPerInstance < 0 || r.AddedPerInstance > 10 || r.MinAddedPerReplacement != 2*10.0/60 {
-				t.Errorf("%+v", r)
+			if r.AddedPerNewInstance < 0 || r.AddedPerNewInstance > 10 || r.MinAddedPerReplacement != 2*10.0/60 {
+				t.Errorf("got %+v, want AddedPerNewInstance from 0 to 10 and MinAddedPerReplacement 1/3", r)
 			}
 		})
 	}
@@ -54,8 +54,8 @@
 	for name, r := range results(t, 5, 4, 20) {
 		t.Run(name, func(t *testing.T) {
 			if r.MinInstances != 1 || r.MaxInstances != 1 || r.AddedPerReplacement != 1 ||
-				r.MinAddedPerReplacement != 1 || r.AddedPerInstance != 0 {
-				t.Errorf("%+v", r)
+				r.MinAddedPerReplacement != 1 || r.AddedPerNewInstance != 0 {
+				t.Errorf("got %+v, want only the replaced server to change", r)
 			}
 		})
 	}
