--- a/internal/experiment/hclfile/decode.go
+++ b/internal/experiment/hclfile/decode.go
@@ -13,7 +13,7 @@
 
 // decoder reads the blocks of one experiment. It collects the errors found in the file in Diags.
 type decoder struct {
-	hcldecode.Reader
+	hcldecode.Decoder
 	experiment *experiment.Experiment
 	seen       map[string]hcl.Range // positions of the top-level blocks that may occur only once, by block type
 	expect     []expectation
@@ -24,7 +24,7 @@
 func (d *decoder) once(seen map[string]hcl.Range, read func(*hcl.Block)) func(*hcl.Block) {
 	return func(b *hcl.Block) {
 		if first, ok := seen[b.Type]; ok {
-			d.Fault(b.DefRange, "%s: already defined at %s", b.Type, hcldecode.PlaceOf(first))
+			d.Errorf(b.DefRange, "%s: already defined at %s", b.Type, hcldecode.PositionOf(first))
 			return
 		}
 		seen[b.Type] = b.DefRange
@@ -65,7 +65,7 @@
 	}
 	d.checkExpectations()
 	d.checkFaultKinds()
-	return p, hcldecode.Faults(d.Diags).Err()
+	return p, hcldecode.NewErrorList(d.Diags).Err()
 }
 
 // checkRequiredBlocks reports the required blocks that the file called name lacks.
@@ -73,7 +73,7 @@
 	start := hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}
 	for _, required := range []string{"experiment", "site", "load"} {
 		if _, found := d.seen[required]; !found {
-			d.Fault(start, "the file has no block %q", required)
+			d.Errorf(start, "the file has no block %q", required)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	}
 	for _, f := range d.experiment.Faults {
 		if virtual, known := experiment.FaultKinds[f.Kind]; known && !virtual {
-			d.Fault(d.seen["experiment"], "experiment: fault %s cannot be injected in virtual time", f.Kind)
+			d.Errorf(d.seen["experiment"], "experiment: fault %s cannot be injected in virtual time", f.Kind)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 	}, nil)
 	switch {
 	case repeats > 0 && len(seeds) > 0:
-		d.Fault(b.DefRange, "experiment: seeds and repeats cannot be combined")
+		d.Errorf(b.DefRange, "experiment: seeds and repeats cannot be combined")
 	case len(seeds) > 0:
 		e.Seeds = seeds
 	case repeats > 0:
@@ -155,6 +155,6 @@
 		}
 	}
 	if ok && (e.Duration <= 0 || e.Warmup >= e.Duration) {
-		d.Fault(b.DefRange, "experiment: the duration must be longer than the warmup")
+		d.Errorf(b.DefRange, "experiment: the duration must be longer than the warmup")
 	}
 }
--- a/internal/experiment/hclfile/hclfile.go
+++ b/internal/experiment/hclfile/hclfile.go
@@ -1,6 +1,6 @@
 // Package hclfile reads experiment files, which state in HCL what to run and which results are
 // required. docs/lab.md describes the language. The error for an invalid file is an
-// hcldecode.FaultList, or wraps one.
+// hcldecode.ErrorList, or wraps one.
 package hclfile
 
 import (
@@ -93,7 +93,7 @@
 // readVariables reads the variables and the sweep of the file called name. The values in set
 // replace those of the file.
 func readVariables(body hcl.Body, name string, set map[string]string) (*variables, error) {
-	r := &hcldecode.Reader{}
+	r := &hcldecode.Decoder{}
 	vars := &variables{values: map[string]cty.Value{}}
 	content, _, diags := body.PartialContent(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{
 		{Type: "vars"},
@@ -109,7 +109,7 @@
 		}
 	}
 	if _, ok := vars.values[vars.sweep]; vars.sweep != "" && !ok {
-		r.Fault(vars.sweepAt, "sweep: variable %q is not defined in vars", vars.sweep)
+		r.Errorf(vars.sweepAt, "sweep: variable %q is not defined in vars", vars.sweep)
 	}
 	for _, k := range slices.Sorted(maps.Keys(set)) {
 		if _, ok := vars.values[k]; !ok {
@@ -118,11 +118,11 @@
 		}
 		vars.values[k] = cty.StringVal(set[k])
 	}
-	return vars, hcldecode.Faults(r.Diags).Err()
+	return vars, hcldecode.NewErrorList(r.Diags).Err()
 }
 
 // readValues reads a block "vars".
-func (vars *variables) readValues(r *hcldecode.Reader, b *hcl.Block) {
+func (vars *variables) readValues(r *hcldecode.Decoder, b *hcl.Block) {
 	attrs, diags := b.Body.JustAttributes()
 	r.Diags = append(r.Diags, diags...)
 	for _, a := range attrs {
@@ -133,9 +133,9 @@
 }
 
 // readSweep reads a block "sweep".
-func (vars *variables) readSweep(r *hcldecode.Reader, b *hcl.Block) {
+func (vars *variables) readSweep(r *hcldecode.Decoder, b *hcl.Block) {
 	if vars.sweep != "" {
-		r.Fault(b.DefRange, "sweep: variable %s is already swept; a file can have only one sweep", vars.sweep)
+		r.Errorf(b.DefRange, "sweep: variable %s is already swept; a file can have only one sweep", vars.sweep)
 		return
 	}
 	vars.sweep = b.Labels[0]
