--- a/internal/experiment/hclfile/hclfile_test.go
+++ b/internal/experiment/hclfile/hclfile_test.go
@@ -150,8 +150,8 @@
 	},
 }
 
-// TestParseReportsEveryFault checks that each invalid file produces its errors and no others.
-func TestParseReportsEveryFault(t *testing.T) {
+// TestParseReportsEveryError checks that each invalid file produces its errors and no others.
+func TestParseReportsEveryError(t *testing.T) {
 	for _, c := range invalidFileCases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse([]byte(c.text), "x.hcl", nil)
