--- a/internal/experiment/report/text.go
+++ b/internal/experiment/report/text.go
@@ -5,10 +5,11 @@
 	"io"
 )
 
-// maxSeedsShown is how many seeds are listed; of more the number is shown.
+// maxSeedsShown is the maximum number of seeds that are listed. If there are more, only their
+// number is printed.
 const maxSeedsShown = 20
 
-// Text writes tables for a terminal. Errors of w are ignored.
+// Text writes the report as tables for a terminal. It ignores errors of w.
 func (r *Report) Text(w io.Writer) {
 	kind := "on sockets"
 	if r.Virtual {
@@ -49,31 +50,32 @@
 			v.AttemptsPerRequest)
 	}
 	for i := range variants {
-		variants[i].writeServerNotes(w)
+		variants[i].writeReasonsAndAddedServers(w)
 	}
 	for i := range variants {
-		variants[i].writeRuleNotes(w)
+		variants[i].writeViolationsAndCost(w)
 	}
 }
 
-// writeServerNotes writes the reasons for which requests were not served and what became of added
-// servers.
-func (v *Variant) writeServerNotes(w io.Writer) {
+// writeReasonsAndAddedServers writes the reasons for which requests were not served, and the load
+// of added servers.
+func (v *Variant) writeReasonsAndAddedServers(w io.Writer) {
 	if len(v.Reasons) > 0 {
 		fmt.Fprintf(w, "  %s, not served: %v\n", v.Name, v.Reasons)
 	}
 	if added := v.AddedServers; added != nil {
 		fmt.Fprintf(w, "  %s: %d fresh boxes, sent %.2f of their capacity at most, %d of them too much", v.Name,
 			added.Servers, added.WarmupPeak, added.Overloaded)
-		if added.TimeToFullLoadS > 0 { // 0: on sockets, or it did not happen
+		if added.TimeToFullLoadS > 0 { // 0 on sockets, or if no added server reached full load
 			fmt.Fprintf(w, "; an even part after %.1f s", added.TimeToFullLoadS)
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// writeRuleNotes writes violated rules, void runs and costs.
-func (v *Variant) writeRuleNotes(w io.Writer) {
+// writeViolationsAndCost writes the violated rules, the void runs, the cost and the lateness of the
+// test bed.
+func (v *Variant) writeViolationsAndCost(w io.Writer) {
 	for _, rule := range v.Rules {
 		if rule.Violations > 0 {
 			fmt.Fprintf(w, "  %s breaks %q %d times, first at %.2f s: %s\n", v.Name, rule.Rule, rule.Violations, rule.FirstS,
