--- a/internal/experiment/search/regret.go
+++ b/internal/experiment/search/regret.go
@@ -27,7 +27,7 @@
 // Regret judges a site. The baseline that is best on the first repeats, whose number is selecting,
 // is compared with the design on the other repeats: the best of several baselines has a bias on the
 // repeats that selected it.
-func (s Site) Regret(selecting int) Regret {
+func (s SiteResult) Regret(selecting int) Regret {
 	r := Regret{selectionMean: math.Inf(-1)}
 	for _, policy := range slices.Sorted(maps.Keys(s.ServedWeight)) {
 		if policy == Design {
@@ -48,7 +48,7 @@
 }
 
 // BaselineLead returns a baseline's served weight less the design's, over all runs.
-func (s Site) BaselineLead(policy string) float64 {
+func (s SiteResult) BaselineLead(policy string) float64 {
 	return s.baselineLead(policy, 0, len(s.ServedWeight[Design])).mean
 }
 
@@ -61,7 +61,7 @@
 
 // baselineLead returns the mean of a baseline's served weight less the design's over the repeats
 // from one up to another. In each repeat both policies had the same requests.
-func (s Site) baselineLead(policy string, from, to int) estimate {
+func (s SiteResult) baselineLead(policy string, from, to int) estimate {
 	to = min(to, len(s.ServedWeight[Design]), len(s.ServedWeight[policy]))
 	sum, squares := 0.0, 0.0
 	n := 0
--- a/internal/experiment/search/results.go
+++ b/internal/experiment/search/results.go
@@ -12,8 +12,8 @@
 	"rowancart/internal/experiment/report"
 )
 
-// Site holds the results of one site: one line of a file of results.
-type Site struct {
+// SiteResult holds the results of one site: one line of a file of results.
+type SiteResult struct {
 	N             int                  `json:"site"`
 	ServedWeight  map[string][]float64 `json:"worth"`            // in time, as a fraction, by policy and repeat
 	Failed        []float64            `json:"failed"`           // fraction that the design did not serve, by repeat
@@ -51,7 +51,7 @@
 		}
 		return nil
 	}
-	complete, err := scanResults(path, checkHeader, func(s Site) { done[s.N] = true })
+	complete, err := scanResults(path, checkHeader, func(s SiteResult) { done[s.N] = true })
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, err
 	}
@@ -81,18 +81,18 @@
 }
 
 // Read returns the sites of a file of results, ordered by number.
-func Read(path string) ([]Site, error) {
-	var sites []Site
+func Read(path string) ([]SiteResult, error) {
+	var sites []SiteResult
 	anyHeader := func(header) error { return nil }
-	if _, err := scanResults(path, anyHeader, func(s Site) { sites = append(sites, s) }); err != nil {
+	if _, err := scanResults(path, anyHeader, func(s SiteResult) { sites = append(sites, s) }); err != nil {
 		return nil, err
 	}
-	slices.SortFunc(sites, func(x, y Site) int { return x.N - y.N })
-	return slices.CompactFunc(sites, func(x, y Site) bool { return x.N == y.N }), nil
+	slices.SortFunc(sites, func(x, y SiteResult) int { return x.N - y.N })
+	return slices.CompactFunc(sites, func(x, y SiteResult) bool { return x.N == y.N }), nil
 }
 
 // scanResults reads a file of results. It returns the length of its complete lines, in bytes.
-func scanResults(path string, checkHeader func(header) error, addSite func(Site)) (complete int64, err error) {
+func scanResults(path string, checkHeader func(header) error, addSite func(SiteResult)) (complete int64, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return 0, err
@@ -116,7 +116,7 @@
 				return complete, err
 			}
 		} else {
-			var s Site
+			var s SiteResult
 			if err := json.Unmarshal(text, &s); err != nil {
 				return complete, fmt.Errorf("%s:%d: %w", path, n, err)
 			}
--- a/internal/experiment/search/run.go
+++ b/internal/experiment/search/run.go
@@ -73,9 +73,9 @@
 
 // RunSite runs one site: the design and the baselines with common random numbers, with more repeats
 // if the design seems to be behind.
-func RunSite(ctx context.Context, b *Bounds, seed uint64, n int) (Site, error) {
+func RunSite(ctx context.Context, b *Bounds, seed uint64, n int) (SiteResult, error) {
 	e := Draw(b, seed, n)
-	s := Site{N: n, ServedWeight: map[string][]float64{}, ViolatedRules: map[string][]string{}}
+	s := SiteResult{N: n, ServedWeight: map[string][]float64{}, ViolatedRules: map[string][]string{}}
 	for repeat := range b.MoreRepeats {
 		if repeat >= b.Repeats && s.Regret(b.Repeats).selectionMean <= b.SuspectRegret {
 			break
@@ -92,7 +92,7 @@
 }
 
 // add adds the result of one run.
-func (s *Site) add(policy string, repeat int, result runResult) {
+func (s *SiteResult) add(policy string, repeat int, result runResult) {
 	s.ServedWeight[policy] = append(s.ServedWeight[policy], result.servedWeight)
 	if policy == Design {
 		s.Failed = append(s.Failed, result.failed)
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func readSites(t *testing.T, path string) []Site {
+func readSites(t *testing.T, path string) []SiteResult {
 	t.Helper()
 	sites, err := Read(path)
 	if err != nil {
@@ -137,7 +137,7 @@
 }
 
 func TestRegretExcludesRunsThatSelectedTheBaseline(t *testing.T) {
-	s := Site{ServedWeight: map[string][]float64{
+	s := SiteResult{ServedWeight: map[string][]float64{
 		Design: {0.5, 0.5, 0.5, 0.5, 0.5},
 		"a":    {0.9, 0.7, 0.55, 0.53, 0.54},
 		"b":    {0.6, 0.6, 0.9, 0.9, 0.9},
--- a/internal/experiment/search/summary.go
+++ b/internal/experiment/search/summary.go
@@ -29,12 +29,12 @@
 
 // Finding is a site on which the design is behind.
 type Finding struct {
-	Site
+	SiteResult
 	Regret Regret
 }
 
 // Summarise judges all sites of a search.
-func Summarise(b *Bounds, sites []Site) Summary {
+func Summarise(b *Bounds, sites []SiteResult) Summary {
 	out := Summary{Sites: len(sites), SitesWithViolations: map[string]int{}}
 	for _, policy := range b.Baselines {
 		out.Baselines = append(out.Baselines, Comparison{Baseline: policy})
@@ -61,7 +61,7 @@
 }
 
 // add adds one site of a number of sites.
-func (c *Comparison) add(s Site, sites int) {
+func (c *Comparison) add(s SiteResult, sites int) {
 	lead := s.BaselineLead(c.Baseline)
 	c.Mean += lead / float64(sites)
 	if lead > minRegret {
