--- a/internal/experiment/virtual/attempt.go
+++ b/internal/experiment/virtual/attempt.go
@@ -7,25 +7,25 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// attempt is one Send of a policy.
+// attempt is one attempt at a call, which a policy has sent with balancer.Host.Send.
 type attempt struct {
 	instance            *instance
 	instanceIncarnation int
 	call                *call
-	number              int // in call.attempts
+	number              int // index in call.attempts
 	server              *serverNode
-	serverIncarnation   int // when the connection was established
+	serverIncarnation   int // serverNode.incarnation when the attempt was sent
 	sentAt              time.Duration
 	newConn             bool
 	holdsConn           bool
 	connReusable        bool // the server keeps the connection open after its response
 	ended               bool
-	task                *task  // in the server, while it has one
-	timeout             *event // end of the attempt's time
+	task                *task  // in the server; nil: none
+	timeout             *event // ends the attempt with balancer.TimedOut
 }
 
-// arrivesAtServer is the event of an attempt whose last byte reaches its server. All other events
-// are the attempt's end, by its result.
+// arrivesAtServer is the action of the event by which the last byte of the request reaches the
+// server. Any other action is the balancer.Result with which the attempt ends.
 const arrivesAtServer = -1
 
 // act implements actor.
@@ -42,19 +42,21 @@
 	}
 }
 
-// scheduleEnd ends the attempt at an instant, unless it has ended by then.
+// scheduleEnd schedules the end of the attempt, which has no effect if it has ended by then.
 func (a *attempt) scheduleEnd(at time.Duration, r balancer.Result) {
 	a.instance.sim.schedule(&a.instance.eventSource, at, a, int(r))
 }
 
-// sendResult carries the server's response, or the break of the connection, to the instance.
+// sendResult ends the attempt with r after the network delay: when the server's response, or the
+// news that the connection broke, reaches the instance.
 func (a *attempt) sendResult(now time.Duration, r balancer.Result) {
 	if !a.ended {
 		a.scheduleEnd(now+a.instance.sim.networkDelay(), r)
 	}
 }
 
-// end reports the attempt's outcome to the policy. A successful one is the call's final response.
+// end reports the attempt's outcome to the policy. If it is the first success of a call that has
+// not ended, its response is the call's final one.
 func (a *attempt) end(now time.Duration, r balancer.Result) {
 	if a.ended {
 		return
@@ -80,7 +82,8 @@
 	in.removeIfDone(c)
 }
 
-// closeConn closes the attempt's connection, which stops its work if servers notice that.
+// closeConn closes the attempt's connection. If the tier has CancelStopsWork, that also stops the
+// server's work on the attempt.
 func (a *attempt) closeConn(now time.Duration) {
 	if !a.holdsConn {
 		return
@@ -100,7 +103,7 @@
 	}
 }
 
-// releaseConn keeps the attempt's connection for the next attempt.
+// releaseConn keeps the attempt's connection open for a later attempt to the same server.
 func (a *attempt) releaseConn(now time.Duration) {
 	if !a.holdsConn {
 		return
--- a/internal/experiment/virtual/call.go
+++ b/internal/experiment/virtual/call.go
@@ -8,12 +8,12 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// call is a request to an instance, by a client or by a server for the tier below.
+// call is a request to an instance, made by a client or by a server that calls the next tier.
 type call struct {
 	id          string
-	class       int // index in Site.Classes
-	tenant      int // index in Site.Tenants; negative: none
-	work        float64
+	class       int     // index in Site.Classes
+	tenant      int     // index in Site.Tenants; negative: none
+	work        float64 // seconds, over all tiers
 	deadline    time.Duration
 	clientRetry bool
 	digest      uint64 // of the response
@@ -21,22 +21,22 @@
 	origin      callOrigin
 
 	attempts   []*attempt
-	attemptBuf [2]*attempt // backing array of attempts, which are rarely more
+	attemptBuf [2]*attempt // backing array of attempts; a call rarely has more than two
 	ended      bool        // the final response was sent, or the client has disconnected
 	outcome    invariant.Outcome
-	retryAfter time.Duration // with outcome; see retryAfterUnreachable
+	retryAfter time.Duration // of the final response, or retryAfterUnreachable
 }
 
 // callOrigin is the caller of a call: a client or a task.
 type callOrigin interface {
-	callEnded(now time.Duration, c *call)    // the final response has arrived
-	callTimedOut(now time.Duration, c *call) // the time for which the origin waits has passed
+	callEnded(now time.Duration, c *call)    // handles the arrival of the final response
+	callTimedOut(now time.Duration, c *call) // handles a call without a response in the time the origin waits
 }
 
-// retryAfterUnreachable marks a failure of a call that no instance received.
+// retryAfterUnreachable is the retryAfter of a call that failed because no instance received it.
 const retryAfterUnreachable = time.Duration(-1)
 
-// Events of a call.
+// Actions of the events of a call.
 const (
 	callArrives = iota
 	responseArrives
@@ -55,14 +55,15 @@
 	}
 }
 
-// end sends the final response, which arrives at an instant.
+// end schedules the arrival of the final response at the origin.
 func (c *call) end(at time.Duration, outcome invariant.Outcome, retryAfter time.Duration) {
 	c.outcome = outcome
 	c.retryAfter = retryAfter
 	c.instance.sim.schedule(&c.instance.eventSource, at, c, responseArrives)
 }
 
-// sortCalls sorts calls from a map, whose random order must not affect the result.
+// sortCalls sorts calls that were read from a map, so that the map's random order does not affect
+// the result.
 func sortCalls(calls []*call) {
 	slices.SortFunc(calls, func(a, b *call) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/experiment/virtual/client.go
+++ b/internal/experiment/virtual/client.go
@@ -14,10 +14,10 @@
 type clientRequest struct {
 	*traffic.Request
 	sim      *simulation
-	index    int // in the list of requests
-	attempts int
+	index    int    // in the list of all requests
+	attempts int    // sent so far
 	current  *call  // the attempt in flight; nil: none
-	timeout  *event // of current
+	timeout  *event // ends the wait for current
 }
 
 // startClient sends a client's request for the first time.
@@ -25,7 +25,7 @@
 	s.sendAttempt(now, &clientRequest{Request: request, sim: s, index: index})
 }
 
-// pickInstance returns the instance for the next attempt, one that runs if there is any.
+// pickInstance returns the instance for the next attempt. It prefers instances that are not down.
 func (s *simulation) pickInstance(r *clientRequest) *instance {
 	start := int((r.Seed + uint64(r.attempts)) % uint64(len(s.frontInstances)))
 	for i := range s.frontInstances {
@@ -64,12 +64,12 @@
 			}
 		})
 	}
-	// The client ends the attempt by its own clock. Whether the instance violated a rule by its
-	// silence, the checker judges.
+	// The client stops waiting ResponseSlack after the deadline. The checker decides separately
+	// whether the missing response violates a rule.
 	r.timeout = s.scheduleCancelable(source, deadline+site.Rules.ResponseSlack, c, clientTimesOut)
 }
 
-// attemptID returns the request ID of a client's attempt, in one allocation.
+// attemptID returns the request ID of a client's attempt. It allocates only once.
 func attemptID(index, attempt int) string {
 	var buf [24]byte
 	id := strconv.AppendInt(buf[:0], int64(index), 10)
@@ -92,7 +92,8 @@
 	}
 }
 
-// attemptEnded sends a retry if the client may, and otherwise counts the outcome of the request.
+// attemptEnded schedules a retry if the client may send one. Otherwise it records the outcome of
+// the request.
 func (s *simulation) attemptEnded(now time.Duration, r *clientRequest, outcome invariant.Outcome,
 	retryAfter time.Duration) {
 	class := &s.experiment.Site.Classes[r.Class]
--- a/internal/experiment/virtual/discovery.go
+++ b/internal/experiment/virtual/discovery.go
@@ -7,8 +7,9 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// publishEndpoint changes the endpoint list of a tier and notifies every instance before it, each
-// after its own delay.
+// publishEndpoint changes the endpoint list of a tier and notifies every running instance that
+// sends to the tier, each after its own delay. While discovery is silent, changes are stored as
+// missed.
 func (s *simulation) publishEndpoint(now time.Duration, tier int, e balancer.Endpoint) {
 	s.updateEndpointList(tier, e)
 	for _, in := range s.instances {
@@ -48,12 +49,13 @@
 	}
 }
 
-// notification returns what the checker records of a change that the instance is notified of.
+// notification returns the checker's record of a change of which the instance is notified.
 func (in *instance) notification(e balancer.Endpoint) invariant.Notification {
 	return invariant.Notification{Instance: in.name, Server: e.ID, State: e.State, Started: e.Started > 0}
 }
 
-// notifyInstance notifies an instance of a change after its delay, in the order of the changes.
+// notifyInstance notifies an instance of a change after the instance's delay. Notifications arrive
+// in the order of the changes.
 func (s *simulation) notifyInstance(now time.Duration, in *instance, e balancer.Endpoint) {
 	discovery := s.experiment.Site.Discovery
 	at := now + discovery.Delay + s.discoveryDelay + time.Duration(in.discoverySpread*float64(discovery.Spread))
@@ -68,8 +70,8 @@
 	})
 }
 
-// setDiscoverySilent begins or ends a period in which discovery sends no notifications. At its end
-// it sends the changes that were missed.
+// setDiscoverySilent begins or ends a period in which discovery sends no notifications. At the end
+// of the period it sends the changes that the instances missed.
 func (s *simulation) setDiscoverySilent(now time.Duration, silent bool) {
 	s.discoverySilent = silent
 	if silent {
--- a/internal/experiment/virtual/eventqueue.go
+++ b/internal/experiment/virtual/eventqueue.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// eventSource is a component that schedules events. Events of one instant run in the order of their
-// sources' ranks, which are derived from names, and then in the order of scheduling. So the order
-// in which components are created does not matter.
+// eventSource is a component that schedules events. Events due at the same time run in the order of
+// their sources' ranks, and events of one source in the order of scheduling. Ranks are derived from
+// names, so the order in which components are created does not affect the result.
 type eventSource struct {
 	rank     uint64
 	sequence uint64 // number of events scheduled so far
 }
 
-// actor is a component that events happen to. An event names the actor and the action, because a
-// closure for each event would be most of what a run allocates.
+// actor is a component that handles events. An event holds the actor and the number of an action
+// instead of a closure, because closures would be most of what a run allocates.
 type actor interface {
 	act(now time.Duration, action int)
 }
@@ -23,12 +23,12 @@
 
 type event struct {
 	at         time.Duration
-	rank       uint64 // of its source
+	rank       uint64 // of the source
 	sequence   uint64 // within its source
 	actor      actor
 	action     int
-	heapIndex  int  // or one of the constants below
-	cancelable bool // whoever scheduled it has a reference
+	heapIndex  int  // index in the heap, or one of the constants below
+	cancelable bool // the component that scheduled it has a reference, so it must not be reused
 }
 
 // Values of event.heapIndex for events that are not in the heap.
@@ -42,17 +42,17 @@
 	numSlots   = 1 << 13
 )
 
-// eventQueue holds the events to come. Those of the current time slot are in a heap with four
-// children a node, which has half the depth of a binary one. Later ones are in slots, in any order:
-// most of them are timeouts that are canceled before they ever reach the heap.
+// eventQueue holds the scheduled events. Those of the current time slot are in a heap with four
+// children a node, which has half the depth of a binary heap. Later events are in slots, unordered:
+// most of them are timeouts that are canceled before they reach the heap.
 type eventQueue struct {
 	now           time.Duration
 	nextSlot      int64 // the slot that moves into the heap next
 	heap          []*event
 	slots         [numSlots][]*event // by slot number modulo numSlots
-	beyondSlots   map[int64][]*event // by slot number, from nextSlot+numSlots on
-	slottedEvents int                // events in slots and beyondSlots, with canceled ones
-	freeEvents    []*event           // to be used again
+	beyondSlots   map[int64][]*event // by slot number; nextSlot+numSlots or more when added
+	slottedEvents int                // events in slots and beyondSlots, including canceled ones
+	freeEvents    []*event           // for reuse
 }
 
 // firesBefore reports whether event a runs before event b.
@@ -66,12 +66,12 @@
 	return a.sequence < b.sequence
 }
 
-// scheduleFunc schedules a call of f for an instant, now at the earliest.
+// scheduleFunc schedules a call of f at an instant, or now if the instant is in the past.
 func (q *eventQueue) scheduleFunc(source *eventSource, at time.Duration, f func(now time.Duration)) {
 	q.schedule(source, at, actorFunc(f), 0)
 }
 
-// schedule schedules an action of a for an instant, now at the earliest.
+// schedule schedules an action of a at an instant, or now if the instant is in the past.
 func (q *eventQueue) schedule(source *eventSource, at time.Duration, a actor, action int) {
 	var e *event
 	if n := len(q.freeEvents); n > 0 {
@@ -82,7 +82,7 @@
 	q.add(source, e, at, a, action)
 }
 
-// scheduleCancelable is like schedule, and returns the event for cancel.
+// scheduleCancelable is like schedule, and returns the event so that it can be canceled.
 func (q *eventQueue) scheduleCancelable(source *eventSource, at time.Duration, a actor, action int) *event {
 	e := &event{cancelable: true}
 	q.add(source, e, at, a, action)
@@ -114,7 +114,7 @@
 	q.siftUp(len(q.heap)-1, e)
 }
 
-// fillHeap moves the events of the next slot that has any into the heap, if the heap is empty.
+// fillHeap moves the events of the next non-empty slot into the heap, if the heap is empty.
 func (q *eventQueue) fillHeap() {
 	for len(q.heap) == 0 && q.slottedEvents > 0 {
 		events := q.slots[q.nextSlot%numSlots]
@@ -128,7 +128,7 @@
 	}
 }
 
-// pushSlot moves a slot's events into the heap, without canceled ones.
+// pushSlot moves a slot's events into the heap, except canceled ones.
 func (q *eventQueue) pushSlot(events []*event) {
 	q.slottedEvents -= len(events)
 	for i, e := range events {
@@ -139,7 +139,7 @@
 	}
 }
 
-// cancel cancels an event. It does nothing to nil or to an event that has run.
+// cancel cancels an event. It does nothing if e is nil or has run.
 func (q *eventQueue) cancel(e *event) {
 	switch {
 	case e == nil || e.heapIndex == notScheduled:
@@ -150,7 +150,7 @@
 	}
 }
 
-// remove takes an event out of the heap.
+// remove removes an event from the heap.
 func (q *eventQueue) remove(e *event) {
 	i, last := e.heapIndex, len(q.heap)-1
 	moved := q.heap[last]
@@ -163,7 +163,7 @@
 	}
 }
 
-// siftUp places e at index i or nearer to the root.
+// siftUp places e at index i or closer to the root.
 func (q *eventQueue) siftUp(i int, e *event) {
 	for i > 0 {
 		parent := q.heap[(i-1)/4]
@@ -176,7 +176,7 @@
 	q.heap[i], e.heapIndex = e, i
 }
 
-// siftDown places e at index i or farther from the root.
+// siftDown places e at index i or further from the root.
 func (q *eventQueue) siftDown(i int, e *event) {
 	for {
 		first, least := 4*i+1, -1
--- a/internal/experiment/virtual/faults.go
+++ b/internal/experiment/virtual/faults.go
@@ -8,7 +8,7 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// applyFault carries out one step of a fault. Further steps are scheduled under source.
+// applyFault executes one step of a fault. It schedules follow-up steps as events of source.
 func (s *simulation) applyFault(now time.Duration, source *eventSource, event traffic.FaultEvent) {
 	switch event.Kind {
 	case experiment.DiscoveryDelay:
@@ -29,7 +29,7 @@
 	}
 }
 
-// applyServerFault carries out one step of a fault of a server.
+// applyServerFault executes one step of a fault that affects a server.
 func (s *simulation) applyServerFault(now time.Duration, source *eventSource, event traffic.FaultEvent) {
 	n := s.servers[event.Tier][event.Server]
 	n.advance(now)
@@ -51,7 +51,8 @@
 	}
 }
 
-// replaceServer drains a server, ends it after a time and starts a successor, which warms up.
+// replaceServer drains a server for the time drain, then stops it and starts its successor, which
+// warms up.
 func (s *simulation) replaceServer(now time.Duration, source *eventSource, n *serverNode, drain time.Duration) {
 	n.model.Drain()
 	s.publishEndpoint(now, n.tier, n.endpoint(balancer.Draining))
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -15,30 +15,31 @@
 	eventSource
 	sim             *simulation
 	name            string
-	tier            int // to which it sends
-	index           int
-	count           int // instances before the tier
+	tier            int // the tier to which it sends
+	index           int // among the instances that send to the tier
+	count           int // instances that send to the tier
 	policy          balancer.Events
-	discoverySpread float64             // from 0 to 1: its fraction of Discovery.Spread
-	notifiedAt      time.Duration       // of the latest notification, which may be in the future
-	missedChanges   []balancer.Endpoint // while discovery was silent
+	discoverySpread float64             // fraction of Discovery.Spread by which its notifications are delayed
+	notifiedAt      time.Duration       // time of the latest notification, possibly in the future
+	missedChanges   []balancer.Endpoint // that discovery did not send while it was silent
 	down            bool
-	incarnation     int // changes with each start and each kill
-	starts          int
+	incarnation     int              // changes with each start and each kill
+	starts          int              // number of starts so far
 	calls           map[string]*call // by ID, until they and their attempts have ended
 	idleConns       map[*serverNode][]idleConn
 
-	learned   balancer.LearnedState // when it was killed
-	learnedAt time.Duration
+	learned   balancer.LearnedState // state at the latest kill
+	learnedAt time.Duration         // time of the latest kill
 }
 
-// idleConn is a connection that waits for its next request.
+// idleConn is an open connection without a request.
 type idleConn struct {
 	since             time.Duration
 	serverIncarnation int
 }
 
-// newInstance creates instance index of count before a tier. It is down until its start.
+// newInstance creates an instance, which is the one at index among count instances that send to a
+// tier. It is down until it is started.
 func (s *simulation) newInstance(name string, tier, index, count int) *instance {
 	return &instance{
 		eventSource:     eventSource{rank: experiment.Seed(s.seed, name)},
@@ -52,8 +53,8 @@
 	}
 }
 
-// start starts the process with the present endpoint list, and restores its learned state if the
-// variant does so.
+// start starts the process with the current endpoint list. After a restart it restores the learned
+// state if the variant has RestoreLearnedState.
 func (in *instance) start(now time.Duration) {
 	s := in.sim
 	in.starts++
@@ -69,7 +70,7 @@
 	if s.variant.Policy == experiment.DesignPolicy {
 		in.policy = balancer.New(balancerEpoch+now, settings, (*policyHost)(in))
 	} else {
-		in.policy, _ = baseline.New(s.variant.Policy, settings, (*policyHost)(in)) // Run has checked the name
+		in.policy, _ = baseline.New(s.variant.Policy, settings, (*policyHost)(in)) // no error: Run has checked the name
 	}
 	list := s.endpointLists[in.tier]
 	for _, e := range list {
@@ -84,8 +85,8 @@
 	}
 }
 
-// kill kills the process. Its connections break, which clients notice at once; servers continue to
-// process its requests.
+// kill kills the process. Its connections break, and its clients' calls fail after the network
+// delay. Servers continue to process its requests unless their tier has CancelStopsWork.
 func (in *instance) kill(now time.Duration) {
 	if in.down {
 		return
@@ -97,7 +98,7 @@
 	}
 	in.incarnation++
 	in.sim.checker.RecordKill(in.name)
-	for n, conns := range in.idleConns { // the order does not matter to the servers
+	for n, conns := range in.idleConns { // the order does not affect the servers
 		n.disconnect(conns)
 	}
 	calls := in.calls
@@ -127,7 +128,7 @@
 	}
 }
 
-// receive handles a call that has arrived.
+// receive handles the arrival of a call.
 func (in *instance) receive(now time.Duration, c *call) {
 	s := in.sim
 	if in.down {
@@ -158,14 +159,15 @@
 	in.policy.Request(balancerEpoch+now, r)
 }
 
-// act implements actor: a timer of the policy is due. A timer of an earlier incarnation is ignored.
+// act implements actor. It handles a timer of the policy, and ignores timers of earlier
+// incarnations.
 func (in *instance) act(now time.Duration, incarnation int) {
 	if !in.down && in.incarnation == incarnation {
 		in.policy.Timer(balancerEpoch + now)
 	}
 }
 
-// clientDisconnected handles a client that has closed its connection.
+// clientDisconnected handles a call whose client has closed the connection.
 func (in *instance) clientDisconnected(now time.Duration, c *call) {
 	if in.down || c.ended || in.calls[c.id] != c {
 		return
@@ -187,7 +189,7 @@
 	in.removeIfDone(c)
 }
 
-// removeIfDone removes a call that has ended, and whose attempts have all ended.
+// removeIfDone removes a call if it and all of its attempts have ended.
 func (in *instance) removeIfDone(c *call) {
 	if !c.ended {
 		return
@@ -200,7 +202,8 @@
 	delete(in.calls, c.id)
 }
 
-// takeIdleConn takes an idle connection to a server. It returns false if none is open.
+// takeIdleConn takes an idle connection to a server. It returns false if there is none that is
+// still open.
 func (in *instance) takeIdleConn(now time.Duration, n *serverNode) bool {
 	conns := in.idleConns[n]
 	if len(conns) == 0 {
@@ -212,13 +215,14 @@
 		in.idleConns[n] = conns[:len(conns)-1]
 		return true
 	}
-	// The server has closed the connection that was used last, and so the others, which are older.
+	// The server has closed the connection that was used last, so it has closed all older ones too.
 	n.disconnect(conns)
 	in.idleConns[n] = nil
 	return false
 }
 
-// disconnect closes idle connections to the server. Those to an earlier incarnation are broken.
+// disconnect closes idle connections to the server. Those to an earlier incarnation have already
+// been broken by its crash.
 func (n *serverNode) disconnect(conns []idleConn) {
 	for _, c := range conns {
 		if c.serverIncarnation == n.incarnation {
--- a/internal/experiment/virtual/policyhost.go
+++ b/internal/experiment/virtual/policyhost.go
@@ -7,7 +7,7 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// policyHost carries out the actions of an instance's policy.
+// policyHost executes the actions of an instance's policy.
 type policyHost instance
 
 var _ balancer.Host = (*policyHost)(nil)
@@ -62,10 +62,10 @@
 			return
 		}
 		a.newConn = true
-		delay *= 3 // with a round trip for the connection
+		delay *= 3 // establishing the connection takes one more round trip
 	}
 	a.holdsConn = true
-	if n.draws(n.faults.BreakBeforeRate) {
+	if n.drawFault(n.faults.BreakBeforeRate) {
 		a.scheduleEnd(now+delay, balancer.ConnectFailed)
 		return
 	}
@@ -94,7 +94,8 @@
 	in.respond(in.sim.now, in.calls[id], invariant.Failed, 0)
 }
 
-// Subscribe implements balancer.Host. Discovery notifies all instances without a subscription.
+// Subscribe implements balancer.Host. It does nothing: discovery notifies instances that have not
+// subscribed too.
 func (p *policyHost) Subscribe() {}
 
 // Timer implements balancer.Host.
--- a/internal/experiment/virtual/server.go
+++ b/internal/experiment/virtual/server.go
@@ -12,40 +12,42 @@
 	"rowancart/internal/experiment/traffic"
 )
 
-// startedLongAgo is the start of servers that have warmed up before the run.
+// startedLongAgo is the start time of servers that were warmed up before the run.
 const startedLongAgo = time.Duration(-1)
 
-// fastErrorDelay is the response time of a request that fails at once.
+// fastErrorDelay is the time that a server takes to respond with a fast error.
 const fastErrorDelay = time.Millisecond
 
-// serverNode is a server of the simulation: the model, the faults in force, and the instance that
-// makes its calls.
+// serverNode is a server of the simulation: its model, its active faults, and the instance through
+// which it calls the next tier.
 type serverNode struct {
 	eventSource
 	sim        *simulation
 	tier       int
 	index      int // in the tier
-	generation int // number of predecessors
+	generation int // number of predecessors at its index
 	name       string
 	model      *server.Server
 	stats      counters.Server
-	rng        *rand.Rand // of the faults
-	sidecar    *instance  // through which it calls the next tier; nil: it makes no calls
+	rng        *rand.Rand // draws which requests the faults affect
+	sidecar    *instance  // instance through which it calls the next tier; nil: it makes no calls
 	addedAt    time.Duration
 	removedAt  time.Duration // 0: not removed
-	// incarnation is the number of crashes so far. Connections to an earlier incarnation are broken.
+	// incarnation is the number of crashes so far. Connections to an earlier incarnation are
+	// broken.
 	incarnation int
 
-	nextWakeup   time.Duration // latest instant for which reschedule has scheduled an event; 0: none
-	tasks        []*task       // in any order
-	finishedJobs []*server.Job // buffer of advance
+	nextWakeup   time.Duration // time of the event that reschedule scheduled last; 0: none
+	tasks        []*task       // unordered
+	finishedJobs []*server.Job // buffer that advance reuses
 
-	faults traffic.ServerFaults // in force
+	faults traffic.ServerFaults // active faults
 
-	arrivalsBySecond []int64 // of a server added during the run
+	arrivalsBySecond []int64 // by second, of a server added during the run
 }
 
-// newServer creates a server and, unless its tier makes no calls, the instance of its calls.
+// newServer creates a server. If its tier makes calls, it also creates the instance through which
+// the server makes them.
 func (s *simulation) newServer(tier, index, generation int, started time.Duration) *serverNode {
 	site := &s.experiment.Site
 	t := site.Tiers[tier]
@@ -70,8 +72,8 @@
 	return n
 }
 
-// endpoint returns the server as discovery lists it. Its start is set only where the start itself
-// is published.
+// endpoint returns the server's entry in the endpoint list, without a start time, which only
+// publishStarted adds.
 func (n *serverNode) endpoint(state balancer.State) balancer.Endpoint {
 	return balancer.Endpoint{ID: n.name, Kind: n.stats.Kind, State: state}
 }
@@ -82,10 +84,10 @@
 	n.model.SetSlowdown(n.faults.Slowdown())
 }
 
-// draws reports whether a fault of a rate strikes a request.
-func (n *serverNode) draws(rate float64) bool { return rate > 0 && n.rng.Float64() < rate }
+// drawFault draws whether a fault that affects a fraction rate of requests affects one request.
+func (n *serverNode) drawFault(rate float64) bool { return rate > 0 && n.rng.Float64() < rate }
 
-// advance moves the model to now and continues the tasks whose work is done.
+// advance advances the model to now and continues the tasks whose current work is done.
 func (n *serverNode) advance(now time.Duration) {
 	n.finishedJobs = n.model.Advance(now, n.finishedJobs[:0])
 	for _, j := range n.finishedJobs {
@@ -93,8 +95,8 @@
 	}
 }
 
-// reschedule schedules an event at the model's next one. An event that turns out to be too early
-// has no effect.
+// reschedule schedules an event for the time of the model's next event, unless one is scheduled for
+// that time or earlier. An event that turns out to be too early has no effect.
 func (n *serverNode) reschedule() {
 	next := n.model.NextEvent()
 	if next > n.sim.experiment.Duration+time.Hour || n.nextWakeup > n.sim.now && n.nextWakeup <= next {
@@ -104,7 +106,7 @@
 	n.sim.schedule(&n.eventSource, next, n, 0)
 }
 
-// act implements actor: the model's next event is due.
+// act implements actor. It handles the model's next event.
 func (n *serverNode) act(now time.Duration, _ int) {
 	if n.nextWakeup == now {
 		n.nextWakeup = 0
@@ -113,7 +115,7 @@
 	n.reschedule()
 }
 
-// receive handles a request whose last byte has arrived.
+// receive handles a request when its last byte arrives.
 func (n *serverNode) receive(now time.Duration, a *attempt) {
 	if n.faults.Unresponsive {
 		return
@@ -138,7 +140,7 @@
 		WarmingUp: n.model.CapacityFraction(now) < 1,
 		Work:      work,
 	})
-	if n.draws(n.faults.FastErrorRate) || n.model.DrawError() {
+	if n.drawFault(n.faults.FastErrorRate) || n.model.DrawError() {
 		n.sim.scheduleFunc(&n.eventSource, now+fastErrorDelay, func(now time.Duration) {
 			n.respond(now, a, balancer.Errored)
 		})
@@ -148,7 +150,8 @@
 	n.reschedule()
 }
 
-// admit offers a request to the model and sends the result of an attempt that it does not admit.
+// admit offers a request to the model. If the model does not admit it, the attempt gets its result
+// at once.
 func (n *serverNode) admit(now time.Duration, a *attempt, work float64) {
 	t := n.newTask(a, work)
 	switch n.model.Admit(now, &t.Job, work) {
@@ -165,7 +168,7 @@
 		a.sendResult(now, balancer.Reset)
 	case server.Admitted:
 		n.addTask(t)
-		if n.draws(n.faults.BreakAfterRate) {
+		if n.drawFault(n.faults.BreakAfterRate) {
 			a.sendResult(now, balancer.Reset) // the work continues
 		}
 	}
@@ -179,7 +182,7 @@
 	if n.faults.Unresponsive {
 		return
 	}
-	if n.draws(n.faults.TruncateRate) || n.draws(n.faults.CorruptRate) {
+	if n.drawFault(n.faults.TruncateRate) || n.drawFault(n.faults.CorruptRate) {
 		a.sendResult(now, balancer.Reset)
 		return
 	}
@@ -187,7 +190,7 @@
 	a.sendResult(now+n.faults.ResponseDelay, r)
 }
 
-// crash ends the process and that of its sidecar. Its connections break.
+// crash stops the server's process and its sidecar. Their connections break.
 func (n *serverNode) crash(now time.Duration) {
 	n.model.Crash()
 	tasks := n.tasks
@@ -204,7 +207,7 @@
 	}
 }
 
-// countArrival counts a request, by second.
+// countArrival counts a request in the second of its arrival.
 func (n *serverNode) countArrival(now time.Duration) {
 	n.stats.Arrivals++
 	second := int(now / time.Second)
@@ -214,7 +217,7 @@
 	}
 }
 
-// increment adds one to counts[i], and grows counts as needed.
+// increment adds 1 to counts[i], and grows counts as needed.
 func increment(counts []int64, i int) []int64 {
 	for len(counts) <= i {
 		counts = append(counts, 0)
@@ -223,12 +226,13 @@
 	return counts
 }
 
-// fullLoadFraction is the fraction of the tier's mean load from which a new server counts as fully
-// loaded.
+// fullLoadFraction is the fraction of the tier's mean load per server from which a new server
+// counts as fully loaded.
 const fullLoadFraction = 0.85
 
-// timeToFullLoad returns the time from the server's start to the first second in which it received
-// its even part of the tier's requests, 0 if there was none.
+// timeToFullLoad returns the time from the server's start to the first whole second in which it
+// received at least fullLoadFraction of an equal share of the tier's requests, or 0 if there was
+// none.
 func (n *serverNode) timeToFullLoad() time.Duration {
 	servers := float64(len(n.sim.servers[n.tier]))
 	for s := int(n.addedAt/time.Second) + 1; s < len(n.arrivalsBySecond); s++ {
--- a/internal/experiment/virtual/task.go
+++ b/internal/experiment/virtual/task.go
@@ -9,19 +9,20 @@
 	"rowancart/internal/experiment/server"
 )
 
-// task is a request in a server. Its work is split around the calls to the next tier: half, the
-// calls one after another, the other half, then the time off the CPU and the response.
+// task is a request that a server processes. A server that calls the next tier does half of the
+// work, makes the calls one after another and does the other half. Other servers do all of the work
+// and then wait for the off-CPU time.
 type task struct {
 	server.Job
 	attempt        *attempt
-	workAfterCalls float64 // seconds
+	workAfterCalls float64 // work left to do after the calls, in seconds
 	offCPUTime     time.Duration
 	callsLeft      int
 	callsMade      int
-	index          int // in serverNode.tasks
+	index          int // index in serverNode.tasks
 }
 
-// newTask returns the task of an attempt with this work, in seconds.
+// newTask returns the task of an attempt. Work is in seconds.
 func (n *serverNode) newTask(a *attempt, work float64) *task {
 	site := &n.sim.experiment.Site
 	t := &task{attempt: a}
@@ -52,7 +53,7 @@
 	t.attempt.task = nil
 }
 
-// continueTask begins the next step of a task whose present step is done.
+// continueTask begins the next step of a task whose current step is done, or finishes the task.
 func (n *serverNode) continueTask(now time.Duration, t *task) {
 	switch {
 	case t.callsLeft > 0:
@@ -76,7 +77,7 @@
 	}
 }
 
-// finishTask frees the task's slot and sends the response.
+// finishTask releases the task's slot and sends the response.
 func (n *serverNode) finishTask(now time.Duration, t *task, r balancer.Result) {
 	n.model.Finish(&t.Job)
 	n.removeTask(t)
@@ -84,8 +85,8 @@
 	n.respond(now, t.attempt, r)
 }
 
-// callNextTier calls the next tier through the server's own instance. Servers do not propagate the
-// deadline: a call has the full time of its class.
+// callNextTier calls the next tier through the server's own instance. Servers do not propagate
+// deadlines: each call has the full deadline of its class.
 func (n *serverNode) callNextTier(now time.Duration, t *task) {
 	t.callsLeft--
 	t.callsMade++
@@ -119,5 +120,5 @@
 	n.reschedule()
 }
 
-// callTimedOut implements callOrigin. A server waits for its instance's response without a timeout.
+// callTimedOut implements callOrigin. A server waits for its sidecar's response without a timeout.
 func (t *task) callTimedOut(time.Duration, *call) {}
--- a/internal/experiment/virtual/virtual.go
+++ b/internal/experiment/virtual/virtual.go
@@ -22,32 +22,32 @@
 type Result struct {
 	Counters *counters.Counters
 	Verdicts []invariant.Verdict
-	Elapsed  time.Duration // of virtual time
+	Elapsed  time.Duration // virtual time
 	Events   int
 	Logs     []string // the first lines that instances logged
 }
 
 // Options change how a simulation is set up. They do not change its result.
 type Options struct {
-	Shuffle  *rand.Rand // draws the order in which servers and instances are created; nil: their own
-	Progress func(now time.Duration)
+	Shuffle  *rand.Rand              // shuffles the order in which servers and instances are created; nil: not shuffled
+	Progress func(now time.Duration) // called at most once per progressInterval; nil: not called
 }
 
 const (
-	// balancerEpoch is the balancers' time at the start of the run. It is not 0, since a balancer
-	// takes a start at 0 for one long ago.
+	// balancerEpoch is the balancers' time at the start of the run. It is not 0, because a balancer
+	// takes an endpoint whose start is at 0 for one that started long ago.
 	balancerEpoch = 24 * time.Hour
 
-	dialTimeout       = 250 * time.Millisecond // of connections that are not accepted
-	maxLogs           = 100
-	progressInterval  = time.Second // of virtual time
-	eventsBetweenPoll = 4096        // between two checks of the context and of the progress
+	dialTimeout        = 250 * time.Millisecond // after which an attempt on an unaccepted connection fails
+	maxLogs            = 100                    // lines in Result.Logs
+	progressInterval   = time.Second            // of virtual time
+	eventsBetweenPolls = 4096                   // events between two checks of the context and the progress
 )
 
 // simulation is one run. Everything in it runs on one goroutine.
 type simulation struct {
 	eventQueue
-	eventSource // of events without another source
+	eventSource // of events that belong to no other component
 	experiment  *experiment.Experiment
 	seed        uint64
 	variant     experiment.Variant
@@ -56,23 +56,23 @@
 	counters *counters.Counters
 	rng      *rand.Rand // of the network
 
-	servers          [][]*serverNode // by tier and index: the present generation
+	servers          [][]*serverNode // by tier and index: the current generation
 	allServers       []*serverNode   // of all generations, in the order of their creation
 	serverByName     map[string]*serverNode
-	arrivalsBySecond [][]int64 // by tier and second: requests that servers received
+	arrivalsBySecond [][]int64 // by tier and second: requests that the tier's servers received
 
 	frontInstances []*instance
 	instances      []*instance // of all tiers, in the order of their first start
 
-	endpointLists   [][]balancer.Endpoint // by tier: as discovery lists them
+	endpointLists   [][]balancer.Endpoint // by tier: the list that discovery publishes
 	discoverySilent bool
-	discoveryDelay  time.Duration // by a fault, beyond the site's
+	discoveryDelay  time.Duration // added by a fault to that of the site
 
 	events int
 	logs   []string
 }
 
-// Run runs an experiment once. If ctx ends, it returns the result up to then and the context's
+// Run runs an experiment once. If ctx ends first, it returns the result so far and the context's
 // error.
 func Run(ctx context.Context, e *experiment.Experiment, variant experiment.Variant, seed uint64,
 	o Options) (*Result, error) {
@@ -139,7 +139,7 @@
 	reported := time.Duration(0)
 	for s.runNext(end) {
 		s.events++
-		if s.events%eventsBetweenPoll != 0 {
+		if s.events%eventsBetweenPolls != 0 {
 			continue
 		}
 		if err := ctx.Err(); err != nil {
@@ -195,8 +195,8 @@
 	}
 }
 
-// createAll creates the servers and the instances before the first tier, in an order that shuffle
-// draws.
+// createAll creates the servers and the instances in front of the first tier. The order of creation
+// is shuffled unless shuffle is nil.
 func (s *simulation) createAll(shuffle *rand.Rand) {
 	site := s.experiment.Site
 	var creators []func()
@@ -219,7 +219,7 @@
 	}
 }
 
-// networkDelay draws the time that a message takes one way.
+// networkDelay draws the one-way delay of a message.
 func (s *simulation) networkDelay() time.Duration {
 	site := &s.experiment.Site
 	d := site.NetworkDelay
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -17,7 +17,8 @@
 	"rowancart/internal/experiment/invariant"
 )
 
-// spareCapacity is an experiment with a service of two tiers that has more capacity than it needs.
+// spareCapacity returns an experiment with a service of two tiers that has more capacity than the
+// load needs.
 func spareCapacity() *experiment.Experiment {
 	kinds := []experiment.Kind{
 		{Name: "fast", Fraction: 1, Cores: 2, Speed: 1.4, Slots: 16, QueueLimit: 200},
@@ -63,7 +64,7 @@
 	return r
 }
 
-// violations returns the details of the violated rules.
+// violations returns the detail of each violated rule.
 func violations(r *Result) map[invariant.Rule]string {
 	out := map[invariant.Rule]string{}
 	for _, v := range r.Verdicts {
@@ -78,25 +79,26 @@
 	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
 		t.Run(policy, func(t *testing.T) {
 			r := run(t, spareCapacity(), policy, 1, nil)
-			if b := violations(r); len(b) > 0 {
-				t.Errorf("violations: %v", b)
+			if violated := violations(r); len(violated) > 0 {
+				t.Errorf("violations: %v", violated)
 			}
 			if fraction := r.Counters.Total.Fraction(counters.ServedInTime); fraction < 0.99 {
-				t.Errorf("served in time: %.4f of %d", fraction, r.Counters.Total.Offered())
+				t.Errorf("fraction served in time is %.4f of %d requests, want at least 0.99", fraction,
+					r.Counters.Total.Offered())
 			}
 			if n := r.Counters.Total.Offered(); n < 1600 || n > 2000 {
-				t.Errorf("offered %d, want about 1800", n)
+				t.Errorf("%d requests were offered, want 1600 to 2000", n)
 			}
 		})
 	}
 }
 
-// withAllFaults is spareCapacity with every fault that can be run in virtual time.
+// withAllFaults returns spareCapacity with every fault that can be run in virtual time.
 func withAllFaults() *experiment.Experiment {
 	e := spareCapacity()
 	e.Duration = 30 * time.Second
-	for kind, has := range experiment.FaultKinds {
-		if !has {
+	for kind, inVirtualTime := range experiment.FaultKinds {
+		if !inVirtualTime {
 			continue
 		}
 		f := experiment.Fault{Kind: kind, At: 5 * time.Second, Duration: 10 * time.Second, Fraction: 0.2, Size: 0.3,
@@ -108,7 +110,7 @@
 		}
 		e.Faults = append(e.Faults, f)
 	}
-	// The random order of the map must not affect the draws of the faults.
+	// The map's random order must not affect the draws of the faults.
 	slices.SortFunc(e.Faults, func(a, b experiment.Fault) int { return cmp.Compare(a.Kind, b.Kind) })
 	return e
 }
@@ -124,34 +126,34 @@
 	}
 	first := text(5, nil)
 	if again := text(5, nil); again != first {
-		t.Error("two runs of one seed differ")
+		t.Error("two runs with the same seed differ")
 	}
 	for s := range uint64(3) {
 		if other := text(5, rand.New(rand.NewPCG(s, 9))); other != first {
-			t.Errorf("the order of creation %d changes the result", s)
+			t.Errorf("creating servers and instances in the order of shuffle %d changes the result", s)
 		}
 	}
 	if text(6, nil) == first {
-		t.Error("another seed gives the same result")
+		t.Error("seeds 5 and 6 give the same result")
 	}
 }
 
-// TestNoViolationsUnderFaults checks that under all faults the design and the baselines, which may
-// serve fewer requests, violate no rule. Baselines have no slow start, so that RuleWarmup holds for
-// the design only.
+// TestNoViolationsUnderFaults checks that the design and the baselines violate no rule under all
+// faults, though they may serve fewer requests. Baselines have no slow start, so RuleWarmup is
+// checked for the design only.
 func TestNoViolationsUnderFaults(t *testing.T) {
 	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
 		t.Run(policy, func(t *testing.T) {
 			r := run(t, withAllFaults(), policy, 3, nil)
-			b := violations(r)
+			violated := violations(r)
 			if policy != experiment.DesignPolicy {
-				delete(b, invariant.RuleWarmup)
+				delete(violated, invariant.RuleWarmup)
 			}
-			if len(b) > 0 {
-				t.Errorf("violations: %v", b)
+			if len(violated) > 0 {
+				t.Errorf("violations: %v", violated)
 			}
 			if n := r.Counters.Total; n.Offered() == n[counters.ServedInTime] {
-				t.Error("the faults had no effect")
+				t.Error("all requests were served in time: the faults had no effect")
 			}
 		})
 	}
@@ -159,8 +161,8 @@
 
 func TestEveryFaultHasAnEffect(t *testing.T) {
 	base := run(t, spareCapacity(), "random", 2, nil)
-	for kind, has := range experiment.FaultKinds {
-		if !has || kind == experiment.DiscoveryDelay || kind == experiment.DiscoverySilence {
+	for kind, inVirtualTime := range experiment.FaultKinds {
+		if !inVirtualTime || kind == experiment.DiscoveryDelay || kind == experiment.DiscoverySilence {
 			continue
 		}
 		t.Run(string(kind), func(t *testing.T) {
@@ -178,22 +180,23 @@
 			if got.Quantile(0.99) <= want.Quantile(0.99) &&
 				got.Total.Fraction(counters.ServedInTime) >= want.Total.Fraction(counters.ServedInTime) &&
 				got.Attempts <= want.Attempts {
-				t.Error("the result is not worse than without the fault")
+				t.Error("latency, requests served in time and attempts are no worse than without the fault")
 			}
 		})
 	}
 }
 
-// TestCrashInNextTierFreesSlots crashes servers that process calls of the first tier: the requests
-// there end, and their slots are released.
+// TestCrashInNextTierFreesSlots crashes all servers of the last tier while they process calls of
+// the first tier. The calls must fail, which ends the requests in the first tier and releases their
+// slots.
 func TestCrashInNextTierFreesSlots(t *testing.T) {
 	e := spareCapacity()
 	e.Load.Clients = experiment.Clients{}
 	e.Faults = []experiment.Fault{{Kind: experiment.Crash, At: 8 * time.Second, Duration: time.Minute, Tier: "back",
 		Fraction: 1}}
 	r := run(t, e, "round_robin", 4, nil)
-	if b := violations(r); len(b) > 0 {
-		t.Errorf("violations: %v", b)
+	if violated := violations(r); len(violated) > 0 {
+		t.Errorf("violations: %v", violated)
 	}
 	if r.Counters.Total[counters.Failed]+r.Counters.Total[counters.Rejected] == 0 {
 		t.Error("all requests were served without a server in the last tier")
@@ -203,7 +206,7 @@
 func TestUnknownPolicy(t *testing.T) {
 	variant := experiment.Variant{Name: "x", Policy: "best"}
 	if _, err := Run(context.Background(), spareCapacity(), variant, 1, Options{}); err == nil {
-		t.Error("an unknown policy was accepted")
+		t.Error("Run accepted an unknown policy")
 	}
 }
 
