--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -1,7 +1,8 @@
-// Package search finds sites on which the design does worse than a baseline: it draws services,
-// loads and faults within bounds, runs the design and the baseline policies on each in virtual
-// time, and ranks the sites by regret. Regret is what the best baseline serves in time, by priority
-// weight, less what the design does.
+// Package search finds sites on which the design does worse than a baseline policy. A site is a
+// random experiment: a service, a load and faults, drawn within bounds. The package runs the design
+// and the baselines on each site in virtual time and ranks the sites by regret. Served weight is
+// the fraction of the requests that is served in time, weighted by the priority of their class.
+// Regret is the served weight of the best baseline minus that of the design.
 package search
 
 import (
@@ -22,41 +23,41 @@
 // Design is the policy that is compared with the baselines.
 const Design = experiment.DesignPolicy
 
-// Kinds of faults that are drawn besides those of package experiment, by their names in files of
-// bounds.
+// Kinds of faults that can be drawn in addition to those of package experiment. The values are
+// their names in bounds files.
 const (
-	flapping    = "flap"         // a server that crashes and restarts several times
-	silentCrash = "silent_crash" // a crash without a change of the endpoint list
-	loadStep    = "step"         // a step of the load
+	flapping    = "flap"         // servers that crash and restart several times
+	silentCrash = "silent_crash" // a crash that discovery does not announce
+	loadStep    = "step"         // a temporary increase of the load
 )
 
-// Span is a range that includes both its ends.
+// Span is a range that includes both ends.
 type Span[T int | float64 | time.Duration] struct{ Min, Max T }
 
-// Bounds limit the sites that are drawn, and say how each is run.
+// Bounds limit the sites that are drawn and specify how each is run.
 type Bounds struct {
 	Name          string
 	Servers       Span[int] // of the first tier
-	Instances     Span[int] // before the first tier
+	Instances     Span[int] // in front of the first tier
 	Tiers         Span[int]
 	Classes       Span[int]
 	Faults        Span[int]           // during a run
-	Work          Span[time.Duration] // mean of a request over all tiers
+	Work          Span[time.Duration] // mean work of a request, over all tiers
 	Duration      Span[time.Duration]
 	Load          Span[float64] // as a fraction of the site's capacity
 	Rate          Span[float64] // requests a second
-	MaxRequests   int           // in one run; the rate is lowered to it
-	MaxKnownPairs int           // pairs of an instance and a server in its endpoint list
-	QuietFraction float64       // of sites on which each instance has less than one request a second
+	MaxRequests   int           // limit for one run; a site's rate and duration are reduced to meet it
+	MaxKnownPairs int           // limit on pairs of an instance and a first-tier server that it knows
+	QuietFraction float64       // fraction of sites with less than one request a second per instance
 	FaultKinds    []string
 	Baselines     []string
-	Repeats       int     // runs of every site and policy
-	MoreRepeats   int     // runs of sites with SuspectRegret, including Repeats
-	SuspectRegret float64 // regret from which a site gets MoreRepeats
-	Digest        uint64  // of the file
+	Repeats       int     // runs of each policy on every site
+	MoreRepeats   int     // runs on sites with more than SuspectRegret, including Repeats
+	SuspectRegret float64 // regret above which a site gets MoreRepeats
+	Digest        uint64  // hash of the bounds file
 }
 
-// faultKinds are the kinds that can be drawn.
+// faultKinds lists the kinds of faults that can be drawn.
 var faultKinds = append([]string{flapping, silentCrash, loadStep}, virtualFaultKinds()...)
 
 // virtualFaultKinds returns the kinds of package experiment that can be run in virtual time.
@@ -70,7 +71,7 @@
 	return names
 }
 
-// Load reads a file of bounds.
+// Load reads a bounds file.
 func Load(path string) (*Bounds, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return Parse(text, filepath.Base(path))
 }
 
-// Parse reads the text of a file of bounds, called name in messages.
+// Parse parses the text of a bounds file. Error messages refer to the file by name.
 func Parse(text []byte, name string) (*Bounds, error) {
 	body, err := hcldecode.Parse(text, name)
 	if err != nil {
@@ -102,10 +103,10 @@
 	return b, hcldecode.Faults(r.Diags).Err()
 }
 
-// maxCount is the largest number of a span of counts.
+// maxCount is the largest value that a span of counts may contain.
 const maxCount = 1_000_000
 
-// searchBlock holds the attributes of a block "search" whose types differ from those of Bounds.
+// searchBlock holds those attributes of a block "search" whose types differ in Bounds.
 type searchBlock struct {
 	servers, instances, tiers, classes, faults []uint64
 	work, duration                             []time.Duration
@@ -157,7 +158,7 @@
 	b.check(r, r.Places[&s.tiers])
 }
 
-// readCounts returns the span of two integers, of which the first is at least smallest.
+// readCounts returns the span of two integers, which must be from smallest to maxCount.
 func readCounts(r *hcldecode.Reader, name string, numbers *[]uint64, smallest uint64) Span[int] {
 	n := *numbers
 	if len(n) != 2 || n[0] > n[1] || n[0] < smallest || n[1] > maxCount {
@@ -177,7 +178,7 @@
 	return Span[time.Duration]{t[0], t[1]}
 }
 
-// readLoad returns the span of two fractions of a site's capacity.
+// readLoad returns the span of two loads, as fractions of a site's capacity.
 func readLoad(r *hcldecode.Reader, load *[]float64) Span[float64] {
 	l := *load
 	if len(l) != 2 || l[0] > l[1] || l[0] <= 0 {
@@ -190,7 +191,7 @@
 // maxTiers is the largest number of tiers that can be drawn.
 const maxTiers = 3
 
-// check reports values that cannot be run. Tiers is the place of that attribute.
+// check reports values that cannot be run. Tiers is the position of the attribute "tiers".
 func (b *Bounds) check(r *hcldecode.Reader, tiers hcl.Range) {
 	if b.MaxRequests < 100 || b.MaxKnownPairs < 1 {
 		r.Fault(r.Places[&b.MaxRequests], "requests and known: must be at least 100 requests and 1 pair")
--- a/internal/experiment/search/describe.go
+++ b/internal/experiment/search/describe.go
@@ -52,7 +52,7 @@
 	return work / shares
 }
 
-// tierCapacity returns the work that a tier can do, in seconds a second.
+// tierCapacity returns the capacity of a tier, in seconds of work per second.
 func tierCapacity(t experiment.Tier) float64 {
 	capacity := 0.0
 	for _, k := range t.Kinds {
--- a/internal/experiment/search/plot.go
+++ b/internal/experiment/search/plot.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// maxRegretShown is the largest absolute regret in a plot, in points.
+// maxRegretShown is the absolute regret, in percentage points, to which plots clip larger ones.
 const maxRegretShown = 30
 
 // Dimensions of a plot.
@@ -19,7 +19,7 @@
 	lineWidth  = 1.2 // typographic points
 )
 
-// Plot draws the distributions of regret of several searches as SVG.
+// Plot writes an SVG plot of the distributions of regret of several searches.
 func Plot(w io.Writer, names []string, summaries []Summary) error {
 	p := plot.New()
 	p.X.Label.Text = "share of sites"
--- a/internal/experiment/search/results.go
+++ b/internal/experiment/search/results.go
@@ -12,25 +12,25 @@
 	"rowancart/internal/experiment/report"
 )
 
-// SiteResult holds the results of one site: one line of a file of results.
+// SiteResult holds the results of one site. It is one line of a results file.
 type SiteResult struct {
 	N             int                  `json:"site"`
-	ServedWeight  map[string][]float64 `json:"worth"`            // in time, as a fraction, by policy and repeat
+	ServedWeight  map[string][]float64 `json:"worth"`            // weight fraction served in time, by policy, repeat
 	Failed        []float64            `json:"failed"`           // fraction that the design did not serve, by repeat
-	Reasons       report.Reasons       `json:"why,omitempty"`    // of that, in the first repeat
-	ViolatedRules map[string][]string  `json:"broken,omitempty"` // by policy
-	Requests      int64                `json:"requests"`         // in the first repeat
+	Reasons       report.Reasons       `json:"why,omitempty"`    // why it did not, in the first repeat
+	ViolatedRules map[string][]string  `json:"broken,omitempty"` // by policy, over all repeats
+	Requests      int64                `json:"requests"`         // offered in the first repeat
 }
 
-// header is the first line of a file of results: the inputs that determine them besides the
-// program.
+// header is the first line of a results file. It holds the inputs that determine the results, apart
+// from the version of the program.
 type header struct {
 	Search string `json:"search"`
 	Digest uint64 `json:"bounds"`
 	Seed   uint64 `json:"seed"`
 }
 
-// writeLine writes a value as one line of JSON.
+// writeLine writes a value as a line of JSON.
 func writeLine(w io.Writer, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -40,8 +40,8 @@
 	return err
 }
 
-// openResults opens a file of results for appending, and returns the numbers of its sites. It
-// creates the file if needed. The header must be that of the file.
+// openResults opens a results file for appending and returns the numbers of the sites that it
+// contains. It creates the file if needed. An existing file must have header h.
 func openResults(path string, h header) (f *os.File, done map[int]bool, err error) {
 	done = map[int]bool{}
 	checkHeader := func(found header) error {
@@ -66,7 +66,8 @@
 	return f, done, nil
 }
 
-// prepareAppend removes an incomplete last line, and writes the header of an empty file.
+// prepareAppend truncates a file to its complete lines, whose length in bytes is complete, and
+// writes the header if there are none.
 func prepareAppend(f *os.File, complete int64, h header) error {
 	if err := f.Truncate(complete); err != nil {
 		return err
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// Read returns the sites of a file of results, ordered by number.
+// Read returns the sites of a results file, ordered by number and without duplicates.
 func Read(path string) ([]SiteResult, error) {
 	var sites []SiteResult
 	anyHeader := func(header) error { return nil }
@@ -91,7 +92,8 @@
 	return slices.CompactFunc(sites, func(x, y SiteResult) bool { return x.N == y.N }), nil
 }
 
-// scanResults reads a file of results. It returns the length of its complete lines, in bytes.
+// scanResults reads a results file. It returns the length of its complete lines in bytes, and
+// ignores an incomplete last line.
 func scanResults(path string, checkHeader func(header) error, addSite func(SiteResult)) (complete int64, err error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/experiment/search/run.go
+++ b/internal/experiment/search/run.go
@@ -17,20 +17,20 @@
 	"rowancart/internal/experiment/virtual"
 )
 
-// gcPercent reduces the number of garbage collections, at the cost of memory, of which runs need
-// little.
+// gcPercent is the garbage collector's target percentage during a search. It makes collections less
+// frequent at the cost of memory, of which runs need little.
 const gcPercent = 400
 
-// Options select the sites that are run.
+// Options select the sites that are run, and where the results go.
 type Options struct {
 	Seed     uint64
-	From, To int    // numbers of sites, To excluded
-	Out      string // the file of results
-	Progress func(done, all int)
+	From, To int                 // range of sites to run, excluding To
+	Out      string              // path of the results file
+	Progress func(done, all int) // called after each site; nil: not called
 }
 
-// Run runs sites on all cores and appends each to the file of results. It skips sites that the file
-// contains, so that a run that was stopped can be resumed.
+// Run runs sites on all cores and appends the result of each to the results file. It skips sites
+// that the file already contains, so that an interrupted search can be resumed.
 func Run(ctx context.Context, b *Bounds, o Options) error {
 	f, stored, err := openResults(o.Out, header{Search: b.Name, Digest: b.Digest, Seed: o.Seed})
 	if err != nil {
@@ -40,7 +40,7 @@
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	group, groupCtx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
-	var mu sync.Mutex // of f and done
+	var mu sync.Mutex // guards f and done
 	done := 0
 	for n := range stored {
 		if n >= o.From && n < o.To {
@@ -71,8 +71,8 @@
 	return ctx.Err()
 }
 
-// RunSite runs one site: the design and the baselines with common random numbers, with more repeats
-// if the design seems to be behind.
+// RunSite runs the design and the baselines on one site, with common random numbers. It makes more
+// repeats if the first ones suggest that the design is behind.
 func RunSite(ctx context.Context, b *Bounds, seed uint64, n int) (SiteResult, error) {
 	e := Draw(b, seed, n)
 	s := SiteResult{N: n, ServedWeight: map[string][]float64{}, ViolatedRules: map[string][]string{}}
@@ -91,7 +91,7 @@
 	return s, nil
 }
 
-// add adds the result of one run.
+// add adds the result of one run of a policy.
 func (s *SiteResult) add(policy string, repeat int, result runResult) {
 	s.ServedWeight[policy] = append(s.ServedWeight[policy], result.servedWeight)
 	if policy == Design {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Show runs a site once with each policy and writes the results, with the log of the design's
+// Show runs each policy once on a site and writes the results, including the log of the design's
 // instances.
 func Show(ctx context.Context, w io.Writer, b *Bounds, seed uint64, n int) error {
 	e := Draw(b, seed, n)
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// writeTier writes the parameters of a tier in one line.
+// writeTier writes the parameters of a tier on one line.
 func writeTier(w io.Writer, t experiment.Tier) {
 	fmt.Fprintf(w, "%s: %d boxes, %g of the work, %d calls below, cold from %g for %v, choked at %g, kinds", t.Name,
 		t.Servers, t.WorkFraction, t.Calls, t.Server.InitialCapacity, t.Server.WarmupTime, t.Server.CollapseQueue)
@@ -144,7 +144,7 @@
 
 // runResult is the result of one run of one policy.
 type runResult struct {
-	servedWeight  float64 // in time, as a fraction of the priority weight of all requests
+	servedWeight  float64 // served in time, as a fraction of the priority weight of all requests
 	failed        float64 // fraction of requests rejected or failed
 	requests      int64
 	violatedRules []string
--- a/internal/experiment/search/sampler.go
+++ b/internal/experiment/search/sampler.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sampler draws the properties of a site.
+// sampler draws random properties of a site.
 type sampler struct{ *rand.Rand }
 
 // bernoulli returns true with probability p.
@@ -30,8 +30,8 @@
 	return roundTime(time.Duration(d.logUniform(float64(low), float64(high))))
 }
 
-// roundTime rounds to three significant digits, which makes sites easier to read. It returns 0 for
-// negative times.
+// roundTime rounds to three significant digits, so that descriptions of sites are easier to read.
+// It returns 0 for negative times.
 func roundTime(t time.Duration) time.Duration {
 	if t <= 0 {
 		return 0
@@ -40,13 +40,13 @@
 	return time.Duration(math.Round(float64(t)/unit) * unit)
 }
 
-// roundSeconds is roundTime of a number of seconds.
+// roundSeconds converts a number of seconds to a time that is rounded by roundTime.
 func roundSeconds(seconds float64) time.Duration {
 	return roundTime(time.Duration(seconds * float64(time.Second)))
 }
 
 // threeDigits rounds to three significant digits.
 func threeDigits(x float64) float64 {
-	y, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 3, 64), 64) // the text of FormatFloat is always valid
+	y, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 3, 64), 64) // FormatFloat's text is always valid
 	return y
 }
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -10,8 +10,8 @@
 	"rowancart/internal/experiment"
 )
 
-// small is a file of bounds.
-const small = `search "small" {
+// smallBounds is a bounds file whose sites run quickly.
+const smallBounds = `search "small" {
   boxes        = [1, 6]
   instances    = [1, 4]
   known        = 20
@@ -43,39 +43,39 @@
 }
 
 func TestDrawnSitesAreWithinTheirBounds(t *testing.T) {
-	b := parseBounds(t, small)
+	b := parseBounds(t, smallBounds)
 	drawn := map[experiment.FaultKind]bool{}
 	for n := range 300 {
 		e := Draw(b, 7, n)
 		if !reflect.DeepEqual(e, Draw(b, 7, n)) {
-			t.Fatalf("site %d differs in a second draw", n)
+			t.Fatalf("drawing site %d twice gives different sites", n)
 		}
 		s := e.Site
 		if s.Balancers < 1 || s.Balancers > 4 || s.Tiers[0].Servers < 1 || s.Tiers[0].Servers > 6 ||
 			len(s.Tiers) > 2 || len(s.Classes) > 2 {
-			t.Fatalf("site %d is out of bounds: %s", n, Describe(e))
+			t.Fatalf("site %d has too many or too few instances, servers, tiers or classes: %s", n, Describe(e))
 		}
 		if s.Tiers[0].Servers > 1 && s.Tiers[0].Servers*s.Balancers > 20 {
-			t.Fatalf("site %d has too many pairs: %s", n, Describe(e))
+			t.Fatalf("site %d has more than 20 pairs of an instance and a server: %s", n, Describe(e))
 		}
 		if e.Load.Rate > 200 || e.Load.Rate*e.Duration.Seconds() > 320 {
-			t.Fatalf("site %d has too many requests: %s", n, Describe(e))
+			t.Fatalf("site %d exceeds 200 requests a second or 320 requests: %s", n, Describe(e))
 		}
 		for _, f := range e.Faults {
 			drawn[f.Kind] = true
 			_, known := experiment.FaultKinds[f.Kind]
 			atStart := f.At <= 0 && f.Kind != experiment.DiscoverySilence
 			if !known || atStart || f.Fraction <= 0 || f.Fraction > 1 {
-				t.Fatalf("site %d: %+v", n, f)
+				t.Fatalf("site %d has the invalid fault %+v", n, f)
 			}
 		}
 	}
-	if len(drawn) != 5 { // a flap is crashes, a step is of the load, and a silent crash silences discovery
-		t.Errorf("the kinds of faults are %v, want 5", drawn)
+	if len(drawn) != 5 { // flap: crashes; step: not a fault; silent_crash: a crash and silence of discovery
+		t.Errorf("the kinds of faults drawn are %v, want 5", drawn)
 	}
 }
 
-// runSites runs sites into a file of results.
+// runSites runs sites and writes a results file.
 func runSites(t *testing.T, b *Bounds, o Options) {
 	t.Helper()
 	if err := Run(t.Context(), b, o); err != nil {
@@ -92,10 +92,10 @@
 	return sites
 }
 
-// A run that is killed while it writes a line is resumed, and gives the same results as one that
-// was not killed.
+// A search that is killed while it writes a line leaves an incomplete last line. It must be
+// possible to resume it, with the same results as those of a search that was not interrupted.
 func TestStoppedRunIsResumed(t *testing.T) {
-	b := parseBounds(t, small)
+	b := parseBounds(t, smallBounds)
 	dir := t.TempDir()
 	complete := filepath.Join(dir, "complete")
 	resumed := filepath.Join(dir, "resumed")
@@ -112,27 +112,27 @@
 	want := readSites(t, complete)
 	got := readSites(t, resumed)
 	if len(want) != 6 || !reflect.DeepEqual(got, want) {
-		t.Errorf("resumed: %v\nin one run: %v", got, want)
+		t.Errorf("results of the resumed search: %v\nof the uninterrupted one: %v", got, want)
 	}
 	err = Run(t.Context(), b, Options{Seed: 4, To: 6, Out: resumed})
 	if err == nil || !strings.Contains(err.Error(), "another seed") {
-		t.Errorf("results of another seed are appended: %v", err)
+		t.Errorf("appending results of another seed: got error %v, want one that names the seed", err)
 	}
 }
 
 func TestResultsAreSummarisedAndPlotted(t *testing.T) {
-	b := parseBounds(t, small)
+	b := parseBounds(t, smallBounds)
 	results := filepath.Join(t.TempDir(), "results")
 	runSites(t, b, Options{Seed: 3, To: 6, Out: results})
 	s := Summarise(b, readSites(t, results))
 	var text strings.Builder
 	s.Text(&text, b, 3, 2)
 	if !strings.HasPrefix(text.String(), "6 sites: ") || !strings.Contains(text.String(), "least_outstanding") {
-		t.Errorf("the summary is %q", text.String())
+		t.Errorf("the summary lacks the number of sites or a baseline: %q", text.String())
 	}
 	var plot strings.Builder
 	if err := Plot(&plot, []string{"a", "b"}, []Summary{s, s}); err != nil || !strings.Contains(plot.String(), "<svg") {
-		t.Errorf("not an SVG: %v, %q", err, plot.String())
+		t.Errorf("Plot: error %v, want an SVG, got %q", err, plot.String())
 	}
 }
 
@@ -144,15 +144,15 @@
 	}}
 	r := s.Regret(2)
 	if r.Baseline != "a" || r.Mean < 0.039 || r.Mean > 0.041 || r.Bound < 0.024 || r.Bound > 0.026 || !r.Significant() {
-		t.Errorf("regret is %+v, want 0.04 ±0.025 against a", r)
+		t.Errorf("regret is %+v, want a significant one of 0.04 ±0.025 against a", r)
 	}
 	s.ServedWeight["a"] = []float64{0.9, 0.7, 0.5, 0.58, 0.54}
 	if r := s.Regret(2); r.Significant() {
-		t.Errorf("%+v is significant, but within noise", r)
+		t.Errorf("regret %+v is significant, want it to be within noise", r)
 	}
 	s.ServedWeight = map[string][]float64{Design: {0.5, 0.5}, "a": {0.501, 0.502}}
 	if r := s.Regret(2); r.Significant() || r.Mean <= 0 {
-		t.Errorf("%+v is significant after two runs that selected the baseline", r)
+		t.Errorf("regret is %+v, want a positive one that is not significant: both runs selected the baseline", r)
 	}
 }
 
@@ -180,9 +180,9 @@
 		{"unknown block", `search "small"`, `serch "small"`, `small.hcl:1:1: Unsupported block type`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(small, c.old, c.new, 1)
-			if text == small {
-				t.Fatalf("%q is not in the file", c.old)
+			text := strings.Replace(smallBounds, c.old, c.new, 1)
+			if text == smallBounds {
+				t.Fatalf("%q is not in smallBounds", c.old)
 			}
 			if _, err := Parse([]byte(text), "small.hcl"); err == nil || !strings.HasPrefix(err.Error(), c.want) {
 				t.Errorf("got %v, want %s", err, c.want)
--- a/internal/experiment/search/site.go
+++ b/internal/experiment/search/site.go
@@ -10,22 +10,22 @@
 	"rowancart/internal/experiment"
 )
 
-// Limits of sites besides the bounds. The ranges in the functions below include those of known
-// installations.
+// Limits of sites in addition to the bounds. The ranges in the functions below include the values
+// of known installations.
 const (
-	minRequests              = 300              // in one run, if the longest duration allows for them
-	maxDuration              = 10 * time.Minute // of runs with a low rate
-	maxServersOfSeveralTiers = 60               // in a tier, if there are several tiers: each server then has an instance
-	maxLowLoad               = 0.9              // load that three quarters of the sites do not exceed
+	minRequests              = 300              // in one run, unless that takes longer than the longest allowed duration
+	maxDuration              = 10 * time.Minute // to which runs with a low rate may be extended for minRequests
+	maxServersOfSeveralTiers = 60               // in the first of several tiers: each of its servers has an instance
+	maxLowLoad               = 0.9              // load that is not exceeded on three quarters of the sites
 )
 
-// Draw returns site n of a search. The same bounds, seed and n give the same site. The order of the
-// draws is part of that.
+// Draw returns site n of a search. The same bounds, seed and n give the same site; changing the
+// order of the draws would change the sites.
 func Draw(b *Bounds, seed uint64, n int) *experiment.Experiment {
 	d := sampler{experiment.Rand(seed, "site "+strconv.Itoa(n))}
 	e := &experiment.Experiment{
 		Name:     fmt.Sprintf("site-%d-%d", seed, n),
-		Question: "Does the design serve as much as the best rival?",
+		Question: "Does the design serve as much as the best baseline?",
 		Virtual:  true,
 		Settings: map[string]string{},
 	}
@@ -53,8 +53,8 @@
 	return e
 }
 
-// drawTiers draws the instances and tiers. It returns the capacity of the site in requests a
-// second, and the mean work of a request in seconds.
+// drawTiers draws the number of instances, and the tiers. It returns the capacity of the site in
+// requests a second, and the mean work of a request in seconds.
 func (d sampler) drawTiers(b *Bounds, s *experiment.Site) (capacity, work float64) {
 	tiers := b.Tiers.Min
 	for tiers < b.Tiers.Max && d.bernoulli(0.35) {
@@ -69,7 +69,7 @@
 	first := d.logUniformInt(servers)
 	work = d.logUniform(b.Work.Min.Seconds(), b.Work.Max.Seconds())
 	capacity = math.Inf(1)
-	calls := 1 // to this tier for each request
+	calls := 1 // to tier t, for each client request
 	for t := range tiers {
 		tier := d.drawTier(t, tiers, first, work)
 		perServer := 0.0
@@ -83,7 +83,8 @@
 	return capacity, work
 }
 
-// drawTier draws tier t of a number of tiers; first is the number of servers of tier 0.
+// drawTier draws tier t of tiers tiers; first is the number of servers of tier 0, and work the mean
+// work of a request in seconds.
 func (d sampler) drawTier(t, tiers, first int, work float64) experiment.Tier {
 	out := experiment.Tier{Name: fmt.Sprintf("tier-%d", t+1), Servers: first, WorkFraction: 1}
 	if tiers > 1 {
@@ -100,7 +101,7 @@
 	return out
 }
 
-// drawKinds draws the kinds of the servers of a tier.
+// drawKinds draws the kinds of machines of a tier.
 func (d sampler) drawKinds() []experiment.Kind {
 	n := 1
 	for n < 3 && d.bernoulli(0.4) {
@@ -129,7 +130,7 @@
 	return kinds
 }
 
-// drawServerSpec draws the properties that the servers of a tier share. Work is the mean of a
+// drawServerSpec draws the properties that all servers of a tier share. Work is the mean work of a
 // request, in seconds.
 func (d sampler) drawServerSpec(work float64) experiment.ServerSpec {
 	var s experiment.ServerSpec
@@ -155,7 +156,7 @@
 	return s
 }
 
-// drawClasses draws the classes. Work is the mean of a request of the first, in seconds.
+// drawClasses draws the classes. Work is the mean work of a request of the first class, in seconds.
 func (d sampler) drawClasses(b *Bounds, s *experiment.Site, work float64) {
 	for i := range d.integer(b.Classes) {
 		mean := work
@@ -166,7 +167,7 @@
 	}
 }
 
-// drawClass draws class i, whose requests have this mean work, in seconds.
+// drawClass draws class i. Mean is the mean work of its requests, in seconds.
 func (d sampler) drawClass(i int, mean float64, networkDelay time.Duration) experiment.Class {
 	distributions := []experiment.Distribution{experiment.Exponential, experiment.Exponential, experiment.LogNormal,
 		experiment.Fixed}
@@ -181,7 +182,7 @@
 		c.VariationCoefficient = threeDigits(d.logUniform(0.3, 3))
 	}
 	missWork := mean
-	if d.bernoulli(0.25) { // cache hits and misses, of the same mean
+	if d.bernoulli(0.25) { // some requests are cache hits; the mean work stays the same
 		c.CacheHitRatio = threeDigits(d.uniform(0.3, 0.95))
 		hitToMiss := d.logUniform(0.001, 0.1)
 		missWork = mean / (c.CacheHitRatio*hitToMiss + 1 - c.CacheHitRatio)
@@ -202,7 +203,7 @@
 }
 
 // drawLoad draws the rate, the clients and the duration of the run. Capacity is in requests a
-// second.
+// second, and work is the mean work of a request in seconds.
 func (d sampler) drawLoad(b *Bounds, e *experiment.Experiment, capacity, work float64) {
 	l := &e.Load
 	load := d.uniform(b.Load.Min, min(maxLowLoad, b.Load.Max))
@@ -237,7 +238,7 @@
 	}
 }
 
-// drawFault adds a fault of a kind to the experiment, or a step of the load.
+// drawFault adds a fault of a kind, or a temporary increase of the load, to the experiment.
 func (d sampler) drawFault(e *experiment.Experiment, kind string) {
 	length := float64(e.Duration)
 	at := roundTime(time.Duration(d.uniform(0.05, 0.6) * length))
@@ -262,7 +263,7 @@
 	case flapping:
 		f.Kind = experiment.Crash
 		f.Duration = max(f.Duration/8, time.Millisecond)
-		for range 3 { // the fourth crash is added below
+		for range 3 { // the fourth crash is added after the switch
 			e.Faults = append(e.Faults, f)
 			f.At += 2 * f.Duration
 		}
@@ -275,7 +276,8 @@
 	e.Faults = append(e.Faults, f)
 }
 
-// silenceAround returns a fault of discovery, which sends nothing while another fault is in force.
+// silenceAround returns a fault that silences discovery, so that no instance is notified of the
+// changes that f makes to the endpoint list while f is active.
 func silenceAround(discovery experiment.Discovery, f experiment.Fault) experiment.Fault {
 	return experiment.Fault{
 		Kind:     experiment.DiscoverySilence,
@@ -288,7 +290,7 @@
 	}
 }
 
-// drawFaultSize draws the parameters of a kind of fault.
+// drawFaultSize draws the parameters that depend on the kind of the fault.
 func (d sampler) drawFaultSize(f *experiment.Fault) {
 	switch f.Kind {
 	case experiment.FastErrors:
--- a/internal/experiment/search/summary.go
+++ b/internal/experiment/search/summary.go
@@ -10,30 +10,30 @@
 	"rowancart/internal/experiment/report"
 )
 
-// Summary is the result of a search.
+// Summary summarises the results of a search.
 type Summary struct {
 	Sites               int
-	Regrets             []float64 // in ascending order
-	Behind              int       // sites where the design is significantly behind the best baseline
+	Regrets             []float64 // of all sites, in ascending order
+	Behind              int       // number of sites where the design is significantly behind the best baseline
 	Baselines           []Comparison
-	SitesWithViolations map[string]int // by policy
-	Worst               []Finding      // sites where it is behind, by regret, the largest first
+	SitesWithViolations map[string]int // number of sites on which a policy violated a rule, by policy
+	Worst               []Finding      // sites counted in Behind, in descending order of regret
 }
 
-// Comparison compares the design with one baseline on all sites.
+// Comparison compares the design with one baseline over all sites.
 type Comparison struct {
 	Baseline      string
-	Mean          float64 // of the baseline's served weight less the design's
-	Behind, Ahead int     // sites where the design is behind or ahead by more than minRegret
+	Mean          float64 // mean of the baseline's served weight minus the design's
+	Behind, Ahead int     // number of sites where the design is behind or ahead by more than minRegret
 }
 
-// Finding is a site on which the design is behind.
+// Finding is a site on which the design is significantly behind the best baseline.
 type Finding struct {
 	SiteResult
 	Regret Regret
 }
 
-// Summarise judges all sites of a search.
+// Summarise summarises the results of all sites of a search.
 func Summarise(b *Bounds, sites []SiteResult) Summary {
 	out := Summary{Sites: len(sites), SitesWithViolations: map[string]int{}}
 	for _, policy := range b.Baselines {
@@ -60,7 +60,7 @@
 	return out
 }
 
-// add adds one site of a number of sites.
+// add adds a site, which contributes 1/sites to the mean.
 func (c *Comparison) add(s SiteResult, sites int) {
 	lead := s.BaselineLead(c.Baseline)
 	c.Mean += lead / float64(sites)
@@ -79,11 +79,11 @@
 	return s.Regrets[int(q*float64(len(s.Regrets)-1))]
 }
 
-// quantilesShown are those of the regrets that Text writes.
+// quantilesShown lists the quantiles of regret that Text writes.
 var quantilesShown = []float64{0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 1}
 
-// Text writes a summary. At most worst of the sites with the largest regret are described; they are
-// drawn again for that.
+// Text writes a summary. It also describes up to worst sites, those with the largest regret. It
+// draws them again to do so.
 func (s Summary) Text(w io.Writer, b *Bounds, seed uint64, worst int) {
 	sites := float64(s.Sites)
 	behind := float64(s.Behind) / max(sites, 1)
@@ -107,7 +107,8 @@
 	}
 }
 
-// formatReasons returns why requests were not served, in parentheses, or nothing.
+// formatReasons returns the reasons why requests were not served, in parentheses, or an empty
+// string if there are none.
 func formatReasons(reasons report.Reasons) string {
 	if len(reasons) == 0 {
 		return ""
