--- a/internal/experiment/speed/client.go
+++ b/internal/experiment/speed/client.go
@@ -13,14 +13,14 @@
 	"rowancart/internal/platform"
 )
 
-// clientGrace is the time in which the last response must arrive.
-const clientGrace = 10 * time.Second
+// lastResponseTimeout is how long after the end of a measurement the last response may arrive.
+const lastResponseTimeout = 10 * time.Second
 
-// clientSerial makes request IDs unique across measurements.
-var clientSerial atomic.Int64
+// clientCounter makes request IDs unique across measurements.
+var clientCounter atomic.Int64
 
-// runClient sends requests over one connection, one at a time, until an instant. The sample has no
-// rate and no CPU time.
+// runClient sends requests over one connection, one at a time, until end. The returned sample has
+// only the latencies and the number of failed requests.
 func runClient(ctx context.Context, addr string, bodySize int, end time.Time, index int) (sample, error) {
 	s := sample{latency: newLatencyHistogram()}
 	nc, err := net.Dial("tcp", addr)
@@ -28,15 +28,15 @@
 		return s, err
 	}
 	defer nc.Close()
-	if err := nc.SetDeadline(end.Add(clientGrace)); err != nil {
+	if err := nc.SetDeadline(end.Add(lastResponseTimeout)); err != nil {
 		return s, err
 	}
-	in := bufio.NewReaderSize(nc, readBuffer)
-	id := fmt.Sprintf("r%d-%d", clientSerial.Add(1), index)
+	in := bufio.NewReaderSize(nc, readBufferSize)
+	id := fmt.Sprintf("r%d-%d", clientCounter.Add(1), index)
 	body := bytes.Repeat([]byte("x"), bodySize)
 	for n := 0; ctx.Err() == nil && time.Now().Before(end); n++ {
 		head := requestHead(id, n, bodySize)
-		began := time.Now()
+		start := time.Now()
 		if _, err := nc.Write(append(head, body...)); err != nil {
 			return s, err
 		}
@@ -48,30 +48,31 @@
 			s.failed++
 			continue
 		}
-		if err := s.latency.RecordValue(time.Since(began).Microseconds()); err != nil {
+		if err := s.latency.RecordValue(time.Since(start).Microseconds()); err != nil {
 			return s, err
 		}
 	}
 	return s, nil
 }
 
-// requestFields is the format of the fields of each request. It takes a client's ID and a number.
-const requestFields = "Host: box\r\n" +
+// requestHeaderFormat is the format of the header fields of a request. It takes the client's ID and
+// the number of the request.
+const requestHeaderFormat = "Host: box\r\n" +
 	platform.RequestIDHeader + ": %s-%d\r\n" +
 	platform.TenantHeader + ": speed\r\n" +
 	platform.DeadlineHeader + ": 5000\r\n\r\n"
 
-// requestHead returns the head of a client's nth request.
+// requestHead returns the request line and header of a client's nth request.
 func requestHead(id string, n, bodySize int) []byte {
 	head := fmt.Appendf(nil, "GET /get/%d HTTP/1.1\r\n", n)
 	if bodySize > 0 {
 		head = fmt.Appendf(nil, "POST /post/%d HTTP/1.1\r\nContent-Length: %d\r\n", n, bodySize)
 	}
-	return fmt.Appendf(head, requestFields, id, n)
+	return fmt.Appendf(head, requestHeaderFormat, id, n)
 }
 
-// skipMessage reads a message with its body, if it has a Content-Length, and returns its first
-// line.
+// skipMessage reads an HTTP message, with its body if it has a Content-Length, and returns its
+// first line.
 func skipMessage(in *bufio.Reader) (first string, err error) {
 	length := 0
 	for {
--- a/internal/experiment/speed/config.go
+++ b/internal/experiment/speed/config.go
@@ -10,7 +10,8 @@
 	"rowancart/internal/platform"
 )
 
-// sidecarConfig returns the configuration file of the sidecar, which the reverse proxy reads too.
+// sidecarConfig returns the text of the sidecar's configuration file. The reverse proxy reads such
+// a file too.
 func sidecarConfig(o Options, a addresses) ([]byte, error) {
 	return json.Marshal(platform.ConfigFile{
 		Name:      "speed",
@@ -27,10 +28,10 @@
 	})
 }
 
-// Limits of a sidecar. The sockets do not include those of idle connections.
+// Resource limits of the sidecar.
 const (
 	sidecarMemoryMB = 192
-	sidecarSockets  = 4096
+	sidecarSockets  = 4096 // in addition to two for each idle connection
 )
 
 // listedEndpoints returns the servers as entries of an endpoint list.
@@ -48,7 +49,7 @@
 	return endpoints
 }
 
-// sidecarSettings returns the settings of a sidecar.
+// sidecarSettings returns the settings in the sidecar's configuration.
 func sidecarSettings() platform.SettingsObject {
 	const (
 		latencyObjective = time.Second
@@ -65,7 +66,7 @@
 	}
 }
 
-// daemonConfig returns the configuration of the daemon.
+// daemonConfig returns the text of the daemon's configuration file.
 func daemonConfig(o Options, addr string, servers []string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "listener \"front\" {\n  address = %q\n}\nlimits {\n  connections = %d\n}\n", addr,
--- a/internal/experiment/speed/config_test.go
+++ b/internal/experiment/speed/config_test.go
@@ -36,13 +36,13 @@
 		t.Fatal(err)
 	}
 	if loaded.Limits != (sidecar.Limits{Cores: 2, MemoryMB: 192, Sockets: 4296}) {
-		t.Errorf("limits %+v", loaded.Limits)
+		t.Errorf("limits are %+v, want 2 cores, 192 MB and 4296 sockets", loaded.Limits)
 	}
 	if endpoints := loaded.KnownEndpoints.Endpoints; len(endpoints) != 2 || endpoints[1].Addr != "127.0.0.1:4" {
-		t.Errorf("known endpoints %+v", endpoints)
+		t.Errorf("known endpoints are %+v, want both servers", endpoints)
 	}
 	if s := loaded.Settings; len(s.Classes) != 2 || s.MaxAttempts != 3 || !s.CancelAllowed {
-		t.Errorf("settings %+v", s)
+		t.Errorf("settings are %+v, want 2 classes, 3 attempts and cancellation allowed", s)
 	}
 }
 
@@ -53,10 +53,10 @@
 		t.Fatal(err)
 	}
 	if len(c.Warnings) > 0 || c.Limits.MaxConns != 1124 || len(c.Routes) != 2 {
-		t.Errorf("read as %+v", c)
+		t.Errorf("configuration is %+v, want no warnings, 1124 connections and 2 routes", c)
 	}
 	if list := c.Pools[0].Source.Static; len(list) != 2 || list[1].Address != "127.0.0.1:4" {
-		t.Errorf("endpoints %+v", list)
+		t.Errorf("endpoints are %+v, want both servers", list)
 	}
 }
 
@@ -81,16 +81,16 @@
 				t.Fatal(err)
 			}
 			if !slices.Equal(got.args, c.args) || !slices.Equal(got.env, c.env) || got.configPath != c.configPath {
-				t.Errorf("got %q %q %q", got.args, got.env, got.configPath)
+				t.Errorf("got arguments %q, environment %q and configuration path %q", got.args, got.env, got.configPath)
 			}
 			if (got.config == nil) != (c.configPath == "") {
-				t.Errorf("configuration %q for the file %q", got.config, got.configPath)
+				t.Errorf("configuration is %q for the path %q, want both or neither", got.config, got.configPath)
 			}
 		})
 	}
 	_, err := newCommand(o, "nginx", testAddresses)
 	const want = `program "nginx" is not one of tuliprock, daemon, reverse_proxy, fasthttp`
 	if err == nil || err.Error() != want {
-		t.Errorf("unknown program: %v", err)
+		t.Errorf("unknown program: got error %v", err)
 	}
 }
--- a/internal/experiment/speed/fasthttp.go
+++ b/internal/experiment/speed/fasthttp.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	fastHTTPMaxConns    = 512 // to each endpoint
-	fastHTTPIdleTimeout = 27 * time.Second
-	fastHTTPTimeout     = 5 * time.Second
-	fastHTTPMaxBody     = 64 << 10 // bytes
+	fastHTTPMaxConns    = 512              // to each endpoint
+	fastHTTPIdleTimeout = 27 * time.Second // of connections to endpoints
+	fastHTTPTimeout     = 5 * time.Second  // for one request
+	fastHTTPMaxBody     = 64 << 10         // bytes of a request's body
 )
 
-// ServeFastHTTP serves as the baseline on fasthttp until ctx ends: a server and fasthttp's
+// ServeFastHTTP runs the fasthttp baseline until ctx ends. It forwards requests with fasthttp's
 // LBClient, which sends to the endpoint with the fewest requests in flight.
 func ServeFastHTTP(ctx context.Context, listen string, endpoints []string) error {
 	var lb fasthttp.LBClient
--- a/internal/experiment/speed/program.go
+++ b/internal/experiment/speed/program.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	startTimeout        = 10 * time.Second
+	startTimeout        = 10 * time.Second // for the first response to a health check
 	healthCheckInterval = 10 * time.Millisecond
 )
 
@@ -31,11 +31,11 @@
 	addr    string
 	cmd     *exec.Cmd
 	exited  chan error // receives the result of cmd.Wait, and is closed
-	samples []sample
+	samples []sample   // without that of the warm-up round
 }
 
-// startPrograms starts all programs and waits until they respond. On an error it returns those that
-// it has started.
+// startPrograms starts all programs and waits until each responds to health checks. On an error it
+// returns the programs that it has started so far.
 func startPrograms(ctx context.Context, o Options, servers []string, discoveryAddr string) ([]*program, error) {
 	var programs []*program
 	for _, name := range o.Programs {
@@ -51,15 +51,15 @@
 	return programs, nil
 }
 
-// programCommand is the command that starts a program, with the configuration file that it reads.
+// programCommand is the command that starts a program, together with the program's configuration.
 type programCommand struct {
 	args       []string
-	env        []string // besides that of this process
-	config     []byte   // nil: the program has no file
-	configPath string
+	env        []string // in addition to the environment of this process
+	config     []byte   // text of the configuration file; nil: the program reads none
+	configPath string   // empty: the program reads no file
 }
 
-// addresses are those that a program is configured with.
+// addresses holds the addresses that a program is configured with.
 type addresses struct {
 	listen    string
 	discovery string
@@ -88,7 +88,7 @@
 	}
 }
 
-// newSidecarCommand returns the command of a program that is configured as the sidecar is.
+// newSidecarCommand returns the command of a program that reads the sidecar's configuration.
 func newSidecarCommand(o Options, a addresses, configPath string, args ...string) (programCommand, error) {
 	config, err := sidecarConfig(o, a)
 	return programCommand{
@@ -99,8 +99,8 @@
 	}, err
 }
 
-// startProgram starts a program that sends to the servers. Its standard error goes to a log in
-// o.Dir.
+// startProgram starts a program that forwards requests to the servers. The program's standard error
+// is written to a log file in o.Dir.
 func startProgram(o Options, name string, servers []string, discoveryAddr string) (*program, error) {
 	addr, err := freeAddress()
 	if err != nil {
@@ -120,7 +120,7 @@
 	return p, p.start(c.args, append(env, c.env...), filepath.Join(o.Dir, name+".log"))
 }
 
-// start starts the process. The kernel kills it when this process exits.
+// start starts the process. The kernel kills it if this process exits.
 func (p *program) start(args, env []string, logFile string) error {
 	log, err := os.Create(logFile)
 	if err != nil {
@@ -157,7 +157,7 @@
 	return l.Addr().String(), nil
 }
 
-// waitReady waits until the program responds to a health check, with any status.
+// waitReady waits until the program responds to a health check. Any status counts as ready.
 func (p *program) waitReady(ctx context.Context) error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(healthCheckInterval) {
 		resp, err := http.Get("http://" + p.addr + platform.HealthPath)
@@ -173,12 +173,13 @@
 		default:
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s does not respond: %w", p.name, err)
+			return fmt.Errorf("%s did not respond to health checks within the start timeout: %w", p.name, err)
 		}
 	}
 }
 
-// cpuTime returns the CPU time that the program's threads have used, 0 if it has exited.
+// cpuTime returns the CPU time that the program's threads have used, or 0 if the program has
+// exited.
 func (p *program) cpuTime() time.Duration {
 	proc := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
 	if _, err := os.ReadFile(proc + "/schedstat"); err != nil || p.cmd.ProcessState != nil {
@@ -187,7 +188,7 @@
 	total := time.Duration(0)
 	threads, _ := filepath.Glob(proc + "/task/*/schedstat")
 	for _, thread := range threads {
-		if text, err := os.ReadFile(thread); err == nil { // otherwise the thread has exited
+		if text, err := os.ReadFile(thread); err == nil { // on an error the thread has exited
 			nanoseconds, _ := strconv.ParseInt(strings.Fields(string(text))[0], 10, 64)
 			total += time.Duration(nanoseconds)
 		}
@@ -195,7 +196,7 @@
 	return total
 }
 
-// peakMemory returns the peak of the program's resident memory, in bytes.
+// peakMemory returns the program's peak resident memory in bytes, or 0 if it cannot be read.
 func (p *program) peakMemory() int64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	for line := range strings.Lines(string(text)) {
@@ -207,12 +208,12 @@
 	return 0
 }
 
-// measure measures the program under the load of all clients for o.SampleTime.
+// measure measures the program for o.SampleTime, during which all clients send requests.
 func (p *program) measure(ctx context.Context, o Options) (sample, error) {
 	var clients errgroup.Group
-	began := time.Now()
+	start := time.Now()
 	cpuBefore := p.cpuTime()
-	end := began.Add(o.SampleTime)
+	end := start.Add(o.SampleTime)
 	results := make([]sample, o.Connections)
 	for i := range o.Connections {
 		clients.Go(func() error {
@@ -231,12 +232,12 @@
 	}
 	responses := out.latency.TotalCount()
 	if responses == 0 {
-		return sample{}, errors.New("no response")
+		return sample{}, errors.New("no request got a response with status 200")
 	}
-	out.rate = float64(responses) / time.Since(began).Seconds()
+	out.rate = float64(responses) / time.Since(start).Seconds()
 	out.cpuPerResponse = (p.cpuTime() - cpuBefore) / time.Duration(responses)
 	return out, nil
 }
 
-// newLatencyHistogram returns a histogram of microseconds, up to a minute.
+// newLatencyHistogram returns a histogram of latencies in microseconds, up to a minute.
 func newLatencyHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
--- a/internal/experiment/speed/servers.go
+++ b/internal/experiment/speed/servers.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	responseText = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 12\r\n\r\nhello, world"
-	readBuffer   = 16 << 10 // bytes, of servers and clients
+	responseText   = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 12\r\n\r\nhello, world"
+	readBufferSize = 16 << 10 // bytes; used by servers and clients
 )
 
-// serverGroup is a group of servers that respond to every request at once with 12 bytes. They do
-// not validate requests: only the programs are measured, so servers and clients must use as little
-// CPU time as possible.
+// serverGroup is a group of servers that respond to every request at once with a body of 12 bytes.
+// They do not validate requests: only the programs are measured, so servers and clients must use as
+// little CPU time as possible.
 type serverGroup struct {
 	addrs     []string
 	listeners []net.Listener
-	serving   sync.WaitGroup // the goroutines of listeners and connections
+	serving   sync.WaitGroup // waits for the goroutines of listeners and connections
 
 	mu   sync.Mutex
-	open map[net.Conn]bool
+	open map[net.Conn]bool // connections to close in close
 }
 
 // newServerGroup starts n servers.
@@ -40,7 +40,7 @@
 	return g, nil
 }
 
-// accept accepts connections until the listener is closed.
+// accept accepts connections until the listener is closed, and serves each in a goroutine.
 func (g *serverGroup) accept(l net.Listener) {
 	for {
 		nc, err := l.Accept()
@@ -54,10 +54,10 @@
 	}
 }
 
-// serve responds to the requests of a connection until it is closed.
+// serve responds to the requests on a connection until the connection is closed.
 func (g *serverGroup) serve(nc net.Conn) {
 	defer nc.Close()
-	in := bufio.NewReaderSize(nc, readBuffer)
+	in := bufio.NewReaderSize(nc, readBufferSize)
 	for {
 		if _, err := skipMessage(in); err != nil {
 			return
@@ -68,7 +68,7 @@
 	}
 }
 
-// close closes all listeners and connections and waits for their goroutines.
+// close closes all listeners and connections, and waits until their goroutines have ended.
 func (g *serverGroup) close() {
 	for _, l := range g.listeners {
 		l.Close()
--- a/internal/experiment/speed/speed.go
+++ b/internal/experiment/speed/speed.go
@@ -1,6 +1,7 @@
-// Package speed measures how fast the programs forward requests, compared with baselines in the
-// same run. Each program is a process with a limited number of cores. All have the same servers and
-// the same clients, and are measured one after another in each round.
+// Package speed measures how fast the sidecar and the daemon forward requests, and compares them
+// with baselines in the same run. Each program is a process with a limited number of cores. All
+// programs have the same servers and the same clients, and each round measures them one after
+// another.
 package speed
 
 import (
@@ -18,20 +19,20 @@
 
 // Options configure a measurement.
 type Options struct {
-	Programs        []string // of Programs
-	Servers         int      // number of servers, which respond at once
-	Connections     int      // of clients, each with one request at a time
-	BodySize        int      // bytes of the body of a POST request; 0: GET requests
-	Cores           int      // of each program
-	Rounds          int      // in which each program is measured once
-	SampleTime      time.Duration
-	IdleConnections int    // additional client connections, which send one request before the measurements
-	Self            string // path of this program, which serves as the daemon and as the baselines
-	Sidecar         string // path of the sidecar program
-	Dir             string // for configurations and logs
+	Programs        []string      // names, from the variable Programs
+	Servers         int           // number of emulated servers, which respond without delay
+	Connections     int           // number of client connections, each with one request at a time
+	BodySize        int           // bytes in the body of each POST request; 0: send GET requests
+	Cores           int           // GOMAXPROCS of each program
+	Rounds          int           // number of rounds, each of which measures every program once
+	SampleTime      time.Duration // length of one measurement
+	IdleConnections int           // additional connections to each program, which send one request before the measurements
+	Self            string        // path of this program, which runs as the daemon and as the baselines
+	Sidecar         string        // path of the sidecar program
+	Dir             string        // directory of configuration and log files
 }
 
-// The programs. Their names are values of a flag.
+// Names of the programs, which are also values of the flag --programs.
 const (
 	sidecarProgram      = "tuliprock" // the platform's sidecar
 	daemonProgram       = "daemon"
@@ -42,25 +43,25 @@
 // Programs lists the programs that can be compared.
 var Programs = []string{sidecarProgram, daemonProgram, reverseProxyProgram, fastHTTPProgram}
 
-// Result is the result of one program: medians over its samples.
+// Result is the result of one program. Rate, CPU and the latencies are medians over its samples.
 type Result struct {
 	Program  string
 	Rate     float64       // responses a second
-	CPU      time.Duration // of the program, for each response
-	P50, P99 time.Duration
-	Failed   int   // of all requests
-	Memory   int64 // peak of the resident memory, in bytes
+	CPU      time.Duration // CPU time of the program for each response
+	P50, P99 time.Duration // latency
+	Failed   int           // requests whose response had another status than 200, over all samples
+	Memory   int64         // peak resident memory, in bytes
 }
 
 // sample is one measurement of a program.
 type sample struct {
-	rate           float64 // responses a second
+	rate           float64 // responses a second with status 200
 	cpuPerResponse time.Duration
 	latency        *hdrhistogram.Histogram // in microseconds
-	failed         int
+	failed         int                     // requests whose response had another status than 200
 }
 
-// Run measures all programs.
+// Run starts the programs, measures them in rounds and returns their results.
 func Run(ctx context.Context, o Options) ([]Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -103,8 +104,8 @@
 	return out, nil
 }
 
-// serveSilentDiscovery starts a discovery service that sends no updates until ctx ends. Its address
-// is Addr.
+// serveSilentDiscovery starts a discovery service that keeps requests open, without sending an
+// update, until ctx ends. The Addr of the returned server is the address on which it listens.
 func serveSilentDiscovery(ctx context.Context) (*http.Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,12 +119,12 @@
 			<-r.Context().Done()
 		}),
 	}
-	go func() { _ = s.Serve(l) }() // ends with Close
+	go func() { _ = s.Serve(l) }() // returns after Close
 	return s, nil
 }
 
-// openIdleConnections opens connections to each program and sends one request on each. On an error
-// it returns those that it has opened.
+// openIdleConnections opens count connections to each program and sends one request on each. On an
+// error it returns the connections that it has opened so far.
 func openIdleConnections(programs []*program, count int) ([]net.Conn, error) {
 	var idle []net.Conn
 	for _, p := range programs {
@@ -141,8 +142,9 @@
 	return idle, nil
 }
 
-// measureRounds measures each program once in each round, after one round for warming up. Each
-// round begins with another program.
+// measureRounds measures each program once in each round. It starts with one additional round,
+// which warms the programs up and whose samples are dropped. Each round starts with another
+// program.
 func measureRounds(ctx context.Context, o Options, programs []*program) error {
 	for round := range o.Rounds + 1 {
 		for i := range programs {
@@ -159,20 +161,21 @@
 	return nil
 }
 
-// result returns medians, since other programs on the machine disturb single samples.
+// result returns the program's result. It uses medians because other programs on the machine can
+// disturb single samples.
 func (p *program) result() Result {
 	r := Result{Program: p.name, Memory: p.peakMemory()}
-	median := func(of func(s sample) float64) float64 {
+	median := func(value func(s sample) float64) float64 {
 		var all []float64
 		for _, s := range p.samples {
-			all = append(all, of(s))
+			all = append(all, value(s))
 		}
 		slices.Sort(all)
 		return all[len(all)/2]
 	}
 	percentile := func(q float64) time.Duration {
-		micros := median(func(s sample) float64 { return float64(s.latency.ValueAtQuantile(q)) })
-		return time.Duration(micros) * time.Microsecond
+		microseconds := median(func(s sample) float64 { return float64(s.latency.ValueAtQuantile(q)) })
+		return time.Duration(microseconds) * time.Microsecond
 	}
 	r.Rate = median(func(s sample) float64 { return s.rate })
 	r.CPU = time.Duration(median(func(s sample) float64 { return float64(s.cpuPerResponse) }))
--- a/internal/experiment/speed/text.go
+++ b/internal/experiment/speed/text.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Text writes a table of results, with ratios to each baseline.
+// Text writes a table of results, with the ratio of each program's rate to that of each baseline.
 func Text(w io.Writer, results []Result) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	rate := map[string]float64{}
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -19,7 +19,7 @@
 	index           int // among the instances that send to the tier
 	count           int // instances that send to the tier
 	policy          balancer.Events
-	discoverySpread float64             // fraction of Discovery.Spread by which its notifications are delayed
+	discoverySpread float64             // delay of its notifications as a fraction of Discovery.Spread, from 0 to 1
 	notifiedAt      time.Duration       // time of the latest notification, possibly in the future
 	missedChanges   []balancer.Endpoint // that discovery did not send while it was silent
 	down            bool
