--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -46,13 +46,13 @@
 	Duration      Span[time.Duration]
 	Load          Span[float64] // as a fraction of the site's capacity
 	Rate          Span[float64] // requests a second
-	MaxRequests   int           // limit for one run; a site's rate and duration are reduced to meet it
+	MaxRequests   int           // limit on the expected requests of a run without load steps; minRequests has precedence
 	MaxKnownPairs int           // limit on pairs of an instance and a first-tier server that it knows
 	QuietFraction float64       // fraction of sites with less than one request a second per instance
 	FaultKinds    []string
 	Baselines     []string
 	Repeats       int     // runs of each policy on every site
-	MoreRepeats   int     // runs on sites with more than SuspectRegret, including Repeats
+	MoreRepeats   int     // runs of each policy on sites whose regret exceeds SuspectRegret, including the first Repeats
 	SuspectRegret float64 // regret above which a site gets MoreRepeats
 	Digest        uint64  // hash of the bounds file
 }
@@ -106,7 +106,7 @@
 // maxCount is the largest value that a span of counts may contain.
 const maxCount = 1_000_000
 
-// searchBlock holds those attributes of a block "search" whose types differ in Bounds.
+// searchBlock holds the attributes of a block "search" that have another type in Bounds.
 type searchBlock struct {
 	servers, instances, tiers, classes, faults []uint64
 	work, duration                             []time.Duration
--- a/internal/experiment/search/plot.go
+++ b/internal/experiment/search/plot.go
@@ -9,7 +9,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// maxRegretShown is the absolute regret, in percentage points, to which plots clip larger ones.
+// maxRegretShown is the largest absolute regret in a plot, in percentage points. Larger ones are
+// clipped to it.
 const maxRegretShown = 30
 
 // Dimensions of a plot.
--- a/internal/experiment/search/results.go
+++ b/internal/experiment/search/results.go
@@ -15,9 +15,9 @@
 // SiteResult holds the results of one site. It is one line of a results file.
 type SiteResult struct {
 	N             int                  `json:"site"`
-	ServedWeight  map[string][]float64 `json:"worth"`            // weight fraction served in time, by policy, repeat
+	ServedWeight  map[string][]float64 `json:"worth"`            // served weight, by policy and repeat
 	Failed        []float64            `json:"failed"`           // fraction that the design did not serve, by repeat
-	Reasons       report.Reasons       `json:"why,omitempty"`    // why it did not, in the first repeat
+	Reasons       report.Reasons       `json:"why,omitempty"`    // why requests were not served, in the first repeat
 	ViolatedRules map[string][]string  `json:"broken,omitempty"` // by policy, over all repeats
 	Requests      int64                `json:"requests"`         // offered in the first repeat
 }
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -58,6 +58,8 @@
 		if s.Tiers[0].Servers > 1 && s.Tiers[0].Servers*s.Balancers > 20 {
 			t.Fatalf("site %d has more than 20 pairs of an instance and a server: %s", n, Describe(e))
 		}
+		// 200 requests in at least 1 s, extended to minRequests (300), with a tolerance for
+		// rounding.
 		if e.Load.Rate > 200 || e.Load.Rate*e.Duration.Seconds() > 320 {
 			t.Fatalf("site %d exceeds 200 requests a second or 320 requests: %s", n, Describe(e))
 		}
--- a/internal/experiment/search/site.go
+++ b/internal/experiment/search/site.go
@@ -13,7 +13,7 @@
 // Limits of sites in addition to the bounds. The ranges in the functions below include the values
 // of known installations.
 const (
-	minRequests              = 300              // in one run, unless that takes longer than the longest allowed duration
+	minRequests              = 300              // expected in one run, unless that takes longer than maxDuration
 	maxDuration              = 10 * time.Minute // to which runs with a low rate may be extended for minRequests
 	maxServersOfSeveralTiers = 60               // in the first of several tiers: each of its servers has an instance
 	maxLowLoad               = 0.9              // load that is not exceeded on three quarters of the sites
@@ -276,8 +276,9 @@
 	e.Faults = append(e.Faults, f)
 }
 
-// silenceAround returns a fault that silences discovery, so that no instance is notified of the
-// changes that f makes to the endpoint list while f is active.
+// silenceAround returns a fault that silences discovery from before f starts until after it has
+// ended, so that no instance is notified while f is active. It starts early because notifications
+// are delayed.
 func silenceAround(discovery experiment.Discovery, f experiment.Fault) experiment.Fault {
 	return experiment.Fault{
 		Kind:     experiment.DiscoverySilence,
--- a/internal/experiment/speed/program.go
+++ b/internal/experiment/speed/program.go
@@ -173,7 +173,7 @@
 		default:
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s did not respond to health checks within the start timeout: %w", p.name, err)
+			return fmt.Errorf("%s did not respond to health checks within %v: %w", p.name, startTimeout, err)
 		}
 	}
 }
--- a/internal/experiment/speed/speed.go
+++ b/internal/experiment/speed/speed.go
@@ -49,7 +49,7 @@
 	Rate     float64       // responses a second
 	CPU      time.Duration // CPU time of the program for each response
 	P50, P99 time.Duration // latency
-	Failed   int           // requests whose response had another status than 200, over all samples
+	Failed   int           // requests with a status other than 200, over all samples
 	Memory   int64         // peak resident memory, in bytes
 }
 
@@ -58,7 +58,7 @@
 	rate           float64 // responses a second with status 200
 	cpuPerResponse time.Duration
 	latency        *hdrhistogram.Histogram // in microseconds
-	failed         int                     // requests whose response had another status than 200
+	failed         int                     // requests with a status other than 200
 }
 
 // Run starts the programs, measures them in rounds and returns their results.
@@ -143,8 +143,8 @@
 }
 
 // measureRounds measures each program once in each round. It starts with one additional round,
-// which warms the programs up and whose samples are dropped. Each round starts with another
-// program.
+// which warms the programs up and whose samples are dropped. Each round starts with the next
+// program in turn.
 func measureRounds(ctx context.Context, o Options, programs []*program) error {
 	for round := range o.Rounds + 1 {
 		for i := range programs {
--- a/internal/experiment/virtual/call.go
+++ b/internal/experiment/virtual/call.go
@@ -13,7 +13,7 @@
 	id          string
 	class       int     // index in Site.Classes
 	tenant      int     // index in Site.Tenants; negative: none
-	work        float64 // seconds, over all tiers
+	work        float64 // seconds, over all tiers; each server does Tier.WorkFraction of it
 	deadline    time.Duration
 	clientRetry bool
 	digest      uint64 // of the response
--- a/internal/experiment/virtual/eventqueue.go
+++ b/internal/experiment/virtual/eventqueue.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// cancel cancels an event. It does nothing if e is nil or has run.
+// cancel cancels an event. It does nothing if e is nil, has run or was canceled.
 func (q *eventQueue) cancel(e *event) {
 	switch {
 	case e == nil || e.heapIndex == notScheduled:
--- a/internal/experiment/virtual/faults.go
+++ b/internal/experiment/virtual/faults.go
@@ -69,7 +69,7 @@
 	})
 }
 
-// startSidecar starts the instance through which a server calls the next tier, if it has one.
+// startSidecar starts the sidecar through which a server calls the next tier, if it has one.
 func (s *simulation) startSidecar(now time.Duration, n *serverNode) {
 	if n.sidecar != nil {
 		n.sidecar.start(now)
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -19,7 +19,7 @@
 	index           int // among the instances that send to the tier
 	count           int // instances that send to the tier
 	policy          balancer.Events
-	discoverySpread float64             // delay of its notifications as a fraction of Discovery.Spread, from 0 to 1
+	discoverySpread float64             // fraction of Discovery.Spread, from 0 to 1, that delays its notifications further
 	notifiedAt      time.Duration       // time of the latest notification, possibly in the future
 	missedChanges   []balancer.Endpoint // that discovery did not send while it was silent
 	down            bool
@@ -53,8 +53,8 @@
 	}
 }
 
-// start starts the process with the current endpoint list. After a restart it restores the learned
-// state if the variant has RestoreLearnedState.
+// start starts the process with the current endpoint list. After a restart, the design's
+// policy gets its learned state back if the variant has RestoreLearnedState.
 func (in *instance) start(now time.Duration) {
 	s := in.sim
 	in.starts++
@@ -85,8 +85,8 @@
 	}
 }
 
-// kill kills the process. Its connections break, and its clients' calls fail after the network
-// delay. Servers continue to process its requests unless their tier has CancelStopsWork.
+// kill kills the process. Its connections break, and its open calls fail at their callers after the
+// network delay. Servers continue to process its requests unless their tier has CancelStopsWork.
 func (in *instance) kill(now time.Duration) {
 	if in.down {
 		return
--- a/internal/experiment/virtual/server.go
+++ b/internal/experiment/virtual/server.go
@@ -18,7 +18,7 @@
 // fastErrorDelay is the time that a server takes to respond with a fast error.
 const fastErrorDelay = time.Millisecond
 
-// serverNode is a server of the simulation: its model, its active faults, and the instance through
+// serverNode is a server of the simulation: its model, its active faults, and the sidecar through
 // which it calls the next tier.
 type serverNode struct {
 	eventSource
@@ -30,7 +30,7 @@
 	model      *server.Server
 	stats      counters.Server
 	rng        *rand.Rand // draws which requests the faults affect
-	sidecar    *instance  // instance through which it calls the next tier; nil: it makes no calls
+	sidecar    *instance  // through which it calls the next tier; nil: it makes no calls
 	addedAt    time.Duration
 	removedAt  time.Duration // 0: not removed
 	// incarnation is the number of crashes so far. Connections to an earlier incarnation are
@@ -43,10 +43,10 @@
 
 	faults traffic.ServerFaults // active faults
 
-	arrivalsBySecond []int64 // by second, of a server added during the run
+	arrivalsBySecond []int64 // requests received in each second of the run; only for servers added during the run
 }
 
-// newServer creates a server. If its tier makes calls, it also creates the instance through which
+// newServer creates a server. If its tier makes calls, it also creates the sidecar through which
 // the server makes them.
 func (s *simulation) newServer(tier, index, generation int, started time.Duration) *serverNode {
 	site := &s.experiment.Site
@@ -150,8 +150,8 @@
 	n.reschedule()
 }
 
-// admit offers a request to the model. If the model does not admit it, the attempt gets its result
-// at once.
+// admit offers a request to the model. If the model does not admit it, the server sends the
+// attempt's result at once.
 func (n *serverNode) admit(now time.Duration, a *attempt, work float64) {
 	t := n.newTask(a, work)
 	switch n.model.Admit(now, &t.Job, work) {
--- a/internal/experiment/virtual/task.go
+++ b/internal/experiment/virtual/task.go
@@ -11,7 +11,7 @@
 
 // task is a request that a server processes. A server that calls the next tier does half of the
 // work, makes the calls one after another and does the other half. Other servers do all of the work
-// and then wait for the off-CPU time.
+// and then wait for the off-CPU time. The response comes last.
 type task struct {
 	server.Job
 	attempt        *attempt
@@ -85,7 +85,7 @@
 	n.respond(now, t.attempt, r)
 }
 
-// callNextTier calls the next tier through the server's own instance. Servers do not propagate
+// callNextTier calls the next tier through the server's sidecar. Servers do not propagate
 // deadlines: each call has the full deadline of its class.
 func (n *serverNode) callNextTier(now time.Duration, t *task) {
 	t.callsLeft--
--- a/internal/experiment/virtual/virtual.go
+++ b/internal/experiment/virtual/virtual.go
@@ -38,7 +38,7 @@
 	// takes an endpoint whose start is at 0 for one that started long ago.
 	balancerEpoch = 24 * time.Hour
 
-	dialTimeout        = 250 * time.Millisecond // after which an attempt on an unaccepted connection fails
+	dialTimeout        = 250 * time.Millisecond // after which an attempt fails if its connection is not accepted
 	maxLogs            = 100                    // lines in Result.Logs
 	progressInterval   = time.Second            // of virtual time
 	eventsBetweenPolls = 4096                   // events between two checks of the context and the progress
@@ -54,7 +54,7 @@
 
 	checker  *invariant.Checker
 	counters *counters.Counters
-	rng      *rand.Rand // of the network
+	rng      *rand.Rand // draws the jitter of network delays
 
 	servers          [][]*serverNode // by tier and index: the current generation
 	allServers       []*serverNode   // of all generations, in the order of their creation
--- a/internal/experiment/virtual/virtual_test.go
+++ b/internal/experiment/virtual/virtual_test.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestNoViolationsUnderFaults checks that the design and the baselines violate no rule under all
-// faults, though they may serve fewer requests. Baselines have no slow start, so RuleWarmup is
-// checked for the design only.
+// TestNoViolationsUnderFaults checks that neither the design nor a baseline violates a rule while
+// all faults are active. Requests may fail. Baselines have no slow start, so RuleWarmup is checked
+// for the design only.
 func TestNoViolationsUnderFaults(t *testing.T) {
 	for _, policy := range append([]string{experiment.DesignPolicy}, baseline.Names...) {
 		t.Run(policy, func(t *testing.T) {
