--- a/internal/hcldecode/fault.go
+++ b/internal/hcldecode/fault.go
@@ -8,67 +8,69 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// Place is a position in a file. Its zero value is no position.
-type Place struct {
+// Position is a position in a file. The zero value means that the position is not known.
+type Position struct {
 	File         string
-	Line, Column int // from 1
+	Line, Column int // both start at 1
 }
 
-// PlaceOf returns the start of a range.
-func PlaceOf(r hcl.Range) Place {
-	return Place{File: r.Filename, Line: r.Start.Line, Column: r.Start.Column}
+// PositionOf returns the position at which a range starts.
+func PositionOf(r hcl.Range) Position {
+	return Position{File: r.Filename, Line: r.Start.Line, Column: r.Start.Column}
 }
 
-// String returns file:line:column.
-func (p Place) String() string {
+// String formats the position as file:line:column.
+func (p Position) String() string {
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 }
 
-// Fault is one error in a file.
-type Fault struct {
-	Place   Place // zero if the fault is of the file as a whole
-	Message string
+// Error is one error that was found in a file.
+type Error struct {
+	Position Position // zero if the error concerns the file as a whole
+	Message  string
 }
 
-// Error returns the place and the message on one line.
-func (f Fault) Error() string {
-	if f.Place == (Place{}) {
-		return f.Message
+// Error returns the position and the message on one line.
+func (e Error) Error() string {
+	if e.Position == (Position{}) {
+		return e.Message
 	}
-	return f.Place.String() + ": " + f.Message
+	return e.Position.String() + ": " + e.Message
 }
 
-// FaultList is the error for a file: its faults in the file's order, each once.
-type FaultList []Fault
+// ErrorList is the error for an invalid file. It holds the errors found in the file in the order of
+// their positions, without duplicates.
+type ErrorList []Error
 
-// Error returns one line for each fault.
-func (l FaultList) Error() string {
+// Error returns one line for each error of the list.
+func (l ErrorList) Error() string {
 	var lines []string
-	for _, f := range l {
-		lines = append(lines, f.Error())
+	for _, e := range l {
+		lines = append(lines, e.Error())
 	}
 	return strings.Join(lines, "\n")
 }
 
 // Err returns the list as an error, or nil if it is empty.
-func (l FaultList) Err() error {
+func (l ErrorList) Err() error {
 	if len(l) == 0 {
 		return nil
 	}
 	return l
 }
 
-// Unwrap returns the faults.
-func (l FaultList) Unwrap() []error {
+// Unwrap returns the errors of the list, so that errors.As finds an Error.
+func (l ErrorList) Unwrap() []error {
 	var errs []error
-	for _, f := range l {
-		errs = append(errs, f)
+	for _, e := range l {
+		errs = append(errs, e)
 	}
 	return errs
 }
 
-// Faults returns the errors among the diagnostics.
-func Faults(diags hcl.Diagnostics) FaultList {
+// NewErrorList converts the diagnostics of severity error to an ErrorList, sorted by position and
+// without duplicates. It omits warnings.
+func NewErrorList(diags hcl.Diagnostics) ErrorList {
 	var errs []*hcl.Diagnostic
 	for _, d := range diags {
 		if d.Severity == hcl.DiagError {
@@ -76,16 +78,17 @@
 		}
 	}
 	slices.SortStableFunc(errs, compareByOffset)
-	var faults FaultList
+	var list ErrorList
 	for _, d := range errs {
-		if f := newFault(d); !slices.Contains(faults, f) {
-			faults = append(faults, f)
+		if e := newError(d); !slices.Contains(list, e) {
+			list = append(list, e)
 		}
 	}
-	return faults
+	return list
 }
 
-// compareByOffset orders diagnostics by their places. One without a place is equal to all others.
+// compareByOffset orders diagnostics by their byte offsets. One without a position is equal to all
+// others.
 func compareByOffset(a, b *hcl.Diagnostic) int {
 	if a.Subject == nil || b.Subject == nil {
 		return 0
@@ -93,14 +96,14 @@
 	return a.Subject.Start.Byte - b.Subject.Start.Byte
 }
 
-// newFault returns the fault of a diagnostic, with a message of one line.
-func newFault(d *hcl.Diagnostic) Fault {
-	f := Fault{Message: d.Summary}
+// newError converts a diagnostic to an Error. It puts summary and detail on one line.
+func newError(d *hcl.Diagnostic) Error {
+	e := Error{Message: d.Summary}
 	if d.Detail != "" {
-		f.Message += ": " + strings.ReplaceAll(d.Detail, "\n", " ")
+		e.Message += ": " + strings.ReplaceAll(d.Detail, "\n", " ")
 	}
 	if d.Subject != nil {
-		f.Place = PlaceOf(*d.Subject)
+		e.Position = PositionOf(*d.Subject)
 	}
-	return f
+	return e
 }
