--- a/internal/experiment/search/results.go
+++ b/internal/experiment/search/results.go
@@ -12,25 +12,25 @@
 	"rowancart/internal/experiment/report"
 )
 
-// Site holds the results of one site: one line of a file of results.
-type Site struct {
+// SiteResult holds the results of one site. It is one line of a results file.
+type SiteResult struct {
 	N             int                  `json:"site"`
-	ServedWeight  map[string][]float64 `json:"worth"`            // in time, as a fraction, by policy and repeat
+	ServedWeight  map[string][]float64 `json:"worth"`            // served weight, by policy and repeat
 	Failed        []float64            `json:"failed"`           // fraction that the design did not serve, by repeat
-	Reasons       report.Reasons       `json:"why,omitempty"`    // of that, in the first repeat
-	ViolatedRules map[string][]string  `json:"broken,omitempty"` // by policy
-	Requests      int64                `json:"requests"`         // in the first repeat
+	Reasons       report.Reasons       `json:"why,omitempty"`    // why requests were not served, in the first repeat
+	ViolatedRules map[string][]string  `json:"broken,omitempty"` // by policy, over all repeats
+	Requests      int64                `json:"requests"`         // offered in the first repeat
 }
 
-// header is the first line of a file of results: the inputs that determine them besides the
-// program.
+// header is the first line of a results file. It holds the inputs that determine the results, apart
+// from the version of the program.
 type header struct {
 	Search string `json:"search"`
 	Digest uint64 `json:"bounds"`
 	Seed   uint64 `json:"seed"`
 }
 
-// writeLine writes a value as one line of JSON.
+// writeLine writes a value as a line of JSON.
 func writeLine(w io.Writer, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -40,8 +40,8 @@
 	return err
 }
 
-// openResults opens a file of results for appending, and returns the numbers of its sites. It
-// creates the file if needed. The header must be that of the file.
+// openResults opens a results file for appending and returns the numbers of the sites that it
+// contains. It creates the file if needed. An existing file must have header h.
 func openResults(path string, h header) (f *os.File, done map[int]bool, err error) {
 	done = map[int]bool{}
 	checkHeader := func(found header) error {
@@ -51,7 +51,7 @@
 		}
 		return nil
 	}
-	complete, err := scanResults(path, checkHeader, func(s Site) { done[s.N] = true })
+	complete, err := scanResults(path, checkHeader, func(s SiteResult) { done[s.N] = true })
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, err
 	}
@@ -66,7 +66,8 @@
 	return f, done, nil
 }
 
-// prepareAppend removes an incomplete last line, and writes the header of an empty file.
+// prepareAppend truncates a file to its complete lines, whose length in bytes is complete, and
+// writes the header if there are none.
 func prepareAppend(f *os.File, complete int64, h header) error {
 	if err := f.Truncate(complete); err != nil {
 		return err
@@ -80,19 +81,20 @@
 	return nil
 }
 
-// Read returns the sites of a file of results, ordered by number.
-func Read(path string) ([]Site, error) {
-	var sites []Site
+// Read returns the sites of a results file, ordered by number and without duplicates.
+func Read(path string) ([]SiteResult, error) {
+	var sites []SiteResult
 	anyHeader := func(header) error { return nil }
-	if _, err := scanResults(path, anyHeader, func(s Site) { sites = append(sites, s) }); err != nil {
+	if _, err := scanResults(path, anyHeader, func(s SiteResult) { sites = append(sites, s) }); err != nil {
 		return nil, err
 	}
-	slices.SortFunc(sites, func(x, y Site) int { return x.N - y.N })
-	return slices.CompactFunc(sites, func(x, y Site) bool { return x.N == y.N }), nil
+	slices.SortFunc(sites, func(x, y SiteResult) int { return x.N - y.N })
+	return slices.CompactFunc(sites, func(x, y SiteResult) bool { return x.N == y.N }), nil
 }
 
-// scanResults reads a file of results. It returns the length of its complete lines, in bytes.
-func scanResults(path string, checkHeader func(header) error, addSite func(Site)) (complete int64, err error) {
+// scanResults reads a results file. It returns the length of its complete lines in bytes, and
+// ignores an incomplete last line.
+func scanResults(path string, checkHeader func(header) error, addSite func(SiteResult)) (complete int64, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return 0, err
@@ -116,7 +118,7 @@
 				return complete, err
 			}
 		} else {
-			var s Site
+			var s SiteResult
 			if err := json.Unmarshal(text, &s); err != nil {
 				return complete, fmt.Errorf("%s:%d: %w", path, n, err)
 			}
