--- a/internal/faultproxy/conn.go
+++ b/internal/faultproxy/conn.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	chunkBytes  = 32 << 10 // read from one side before it is forwarded to the other
-	dialTimeout = time.Second
+	chunkBytes  = 32 << 10    // size of the buffer through which one direction is copied
+	dialTimeout = time.Second // for the connection to the target
 )
 
 // acceptConns accepts client connections until the listener is closed.
@@ -25,12 +25,12 @@
 			resetConn(client)
 			continue
 		}
-		r.tasks.Add(1) // Close is still waiting, for this goroutine at least
+		r.tasks.Add(1) // safe while Close waits: this goroutine is still counted
 		go r.serveClient(client)
 	}
 }
 
-// admit registers a client connection. It returns false if the connection has to be reset instead.
+// admit registers a client connection. It returns false if the connection must be reset instead.
 func (r *Relay) admit(client net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,11 +46,12 @@
 	return true
 }
 
-// isLost decides at random whether a fault resets a new connection. The caller must hold mu.
+// isLost reports whether a new connection is reset because of the fault's Loss, which it decides at
+// random. The caller must hold mu.
 func (r *Relay) isLost(f Fault) bool { return f.Loss > 0 && r.rng.Float64() < f.Loss }
 
-// serveClient dials the target for a client connection, and forwards in both directions until both
-// have ended.
+// serveClient dials the target for a client connection and forwards data in both directions until
+// both have ended.
 func (r *Relay) serveClient(client net.Conn) {
 	defer r.tasks.Done()
 	defer r.releaseClient(client)
@@ -97,9 +98,9 @@
 	conn.Close()
 }
 
-// forward copies what one side sends to the other, as the current fault permits. An EOF is passed
-// on as one, and after any other read error the receiving side is closed. If forwardChunk ends the
-// direction, the connection is left open: it may be half-open.
+// forward copies data from one side to the other, as the current fault permits. An EOF half-closes
+// the receiving side; any other read error closes it. If forwardChunk returns false, both
+// connections are left open, because the fault may require a half-open connection.
 func (r *Relay) forward(from, to net.Conn, d Direction) {
 	buffer := make([]byte, chunkBytes)
 	for {
@@ -119,8 +120,8 @@
 	}
 }
 
-// forwardChunk writes one chunk once the current fault permits it. It returns false if nothing more
-// can be forwarded in this direction.
+// forwardChunk waits until the current fault permits the chunk to pass and writes it. It returns
+// false if nothing more can be forwarded in this direction.
 func (r *Relay) forwardChunk(chunk []byte, to net.Conn, d Direction) bool {
 	f, ok := r.waitForPassage(d)
 	if !ok || !r.sleep(f.Delay+r.jitter(f.Jitter)) || !r.countBytes(len(chunk)) {
@@ -130,9 +131,9 @@
 	return err == nil
 }
 
-// waitForPassage returns the current fault once it permits a chunk to pass, and false if none will.
-// The chunk is not counted as waiting any more when it returns, so that a test that has read the
-// chunk does not see it counted.
+// waitForPassage waits until the current fault permits a chunk to pass and returns that fault. It
+// returns false if the chunk can never pass. It decrements WaitingChunks before it returns, so that
+// a test that has received the chunk does not find it counted as waiting.
 func (r *Relay) waitForPassage(d Direction) (Fault, bool) {
 	isWaiting := false
 	defer func() {
@@ -149,7 +150,7 @@
 		case f.Reset:
 			return f, false
 		case f.HalfOpen:
-			<-r.done // the connection stays open until the relay ends
+			<-r.done // the connection stays open until the relay is closed
 			return f, false
 		case !f.Partition:
 			return f, true
@@ -172,7 +173,8 @@
 	r.stats.WaitingChunks += chunks
 }
 
-// countBytes counts bytes to be forwarded. It returns false if they would exceed the bound.
+// countBytes adds n to the forwarded bytes. It returns false, and adds nothing, if the total would
+// exceed MaxBytes.
 func (r *Relay) countBytes(n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -183,7 +185,7 @@
 	return true
 }
 
-// sleep waits for d. It returns false if the relay was closed meanwhile.
+// sleep waits for d. It returns false if the relay is closed before d has passed.
 func (r *Relay) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -198,7 +200,7 @@
 	}
 }
 
-// jitter returns a random duration below limit, 0 for a limit of 0.
+// jitter returns a random duration below limit, or 0 if limit is 0.
 func (r *Relay) jitter(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
@@ -208,7 +210,7 @@
 	return time.Duration(r.rng.Int64N(int64(limit)))
 }
 
-// resetConn closes a connection such that the other end sees a reset.
+// resetConn closes a connection with a TCP reset instead of a FIN.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/faultproxy/relay.go
+++ b/internal/faultproxy/relay.go
@@ -1,7 +1,7 @@
-// Package faultproxy injects faults between processes on one machine, for tests and experiments: a
-// relay on loopback forwards TCP connections to one target and delays, rejects, resets, half-opens
-// or partitions them by a script or at a test's request. Targets must be loopback addresses, and
-// each relay is bounded in connections, bytes and time.
+// Package faultproxy injects network faults between processes on one machine, for tests and
+// experiments. A relay on loopback forwards TCP connections to one target. A script or a test makes
+// it delay, reject, reset, half-open or partition them. Targets must be loopback addresses, and
+// each relay has limits on its connections, bytes and lifetime.
 package faultproxy
 
 import (
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// Options configure a relay. A bound of zero means the default.
+// Options configures a relay. A limit of zero means the default.
 type Options struct {
-	Seed        uint64        // of the random numbers for losses and jitter
-	Script      Script        // run from the start of the relay; Set overrides it
-	Conns       int           // client connections at a time; more are rejected (default 64)
-	MaxBytes    int64         // in both directions together; then nothing passes (default 64 MiB)
-	MaxLifetime time.Duration // after which the relay closes itself (default 2 min)
+	Seed        uint64        // of the random numbers for Loss and Jitter
+	Script      Script        // faults, timed from the relay's start; Set overrides them
+	Conns       int           // maximum of concurrent client connections; more are rejected (default 64)
+	MaxBytes    int64         // limit for both directions together; no data passes beyond it (default 64 MiB)
+	MaxLifetime time.Duration // time after which the relay closes itself (default 2 min)
 }
 
 const (
@@ -40,12 +40,12 @@
 	return o
 }
 
-// Stats count what a relay has done so far.
+// Stats holds a relay's counters since its start.
 type Stats struct {
 	Accepted      int   // client connections, including those that were rejected
-	Rejected      int   // client connections that were reset at once: by a fault, or over the bound
+	Rejected      int   // client connections reset on accept: by a fault, over the limit, or while closing
 	Bytes         int64 // forwarded, in both directions
-	WaitingChunks int   // waiting at present for the end of a partition
+	WaitingChunks int   // chunks that wait now for the end of a partition
 }
 
 // Relay forwards TCP connections from a loopback address of its own to one target.
@@ -59,15 +59,16 @@
 
 	mu           sync.Mutex // guards the fields below
 	rng          *rand.Rand
-	override     *Fault                // of Set; nil: the script decides
+	override     *Fault                // fault passed to Set; nil: the script decides
 	faultChanged chan struct{}         // closed and replaced when the current fault may have changed
-	conns        map[net.Conn]struct{} // to clients and to the target
-	clients      int                   // connections to clients
+	conns        map[net.Conn]struct{} // open connections to clients and to the target
+	clients      int                   // number of open connections to clients
 	closed       bool
 	stats        Stats
 }
 
-// Listen starts a relay to a target, which must be a loopback address. The caller must close it.
+// Listen starts a relay to a target, which must be a loopback address. The caller must close the
+// relay.
 func Listen(target string, options Options) (*Relay, error) {
 	if err := checkLoopback(target); err != nil {
 		return nil, err
@@ -106,30 +107,32 @@
 	return nil
 }
 
-// Addr returns the address to which clients connect instead of the target's.
+// Addr returns the address that clients connect to instead of the target's address.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Set puts a fault in force now, whatever the script says, until the next Set or Heal.
+// Set puts a fault in force now. It overrides the script until the next call of Set or Heal.
 func (r *Relay) Set(f Fault) { r.setOverride(&f) }
 
-// Heal ends the fault of Set: the script decides again. Without a script everything passes.
+// Heal ends the fault that Set put in force. The script then applies again; without a script all
+// data passes.
 func (r *Relay) Heal() { r.setOverride(nil) }
 
-// Stats returns what the relay has done so far.
+// Stats returns the relay's current counters.
 func (r *Relay) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stats
 }
 
-// Close resets all connections and returns when the relay's goroutines have ended.
+// Close resets all connections and waits until the relay's goroutines have ended.
 func (r *Relay) Close() error {
 	err := r.shutdown()
 	r.tasks.Wait()
 	return err
 }
 
-// shutdown ends the relay without waiting for its goroutines, one of which may be the caller.
+// shutdown closes the relay without waiting for its goroutines, because one of them may be the
+// caller.
 func (r *Relay) shutdown() error {
 	r.mu.Lock()
 	if r.closed {
@@ -150,15 +153,16 @@
 	r.applyFaultChange()
 }
 
-// currentFault returns the fault in force, and a channel that is closed when that may have changed.
+// currentFault returns the fault in force, and a channel that is closed when the fault may have
+// changed.
 func (r *Relay) currentFault() (Fault, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.currentFaultLocked(), r.faultChanged
 }
 
-// currentFaultLocked returns the fault in force. The caller must hold mu, also while it acts on the
-// result: a later reset must find the connections that were accepted before it.
+// currentFaultLocked returns the fault in force. The caller must hold mu, and must keep it while it
+// acts on the result, so that a later reset finds every connection that was accepted before it.
 func (r *Relay) currentFaultLocked() Fault {
 	if r.override != nil {
 		return *r.override
@@ -166,8 +170,8 @@
 	return r.options.Script.At(time.Since(r.start))
 }
 
-// applyFaultChange wakes the goroutines that wait for a change of the fault, and resets the
-// connections if the current fault does so. The caller must hold mu.
+// applyFaultChange wakes the goroutines that wait for a change of the fault, and resets all
+// connections if the current fault is a reset. The caller must hold mu.
 func (r *Relay) applyFaultChange() {
 	close(r.faultChanged)
 	r.faultChanged = make(chan struct{})
@@ -176,14 +180,16 @@
 	}
 }
 
-// resetConns resets all connections. Their own goroutines remove them. The caller must hold mu.
+// resetConns resets all connections. The goroutines that serve them remove them from conns. The
+// caller must hold mu.
 func (r *Relay) resetConns() {
 	for conn := range r.conns {
 		resetConn(conn)
 	}
 }
 
-// runScript applies the steps of the script, and closes the relay at the end of its lifetime.
+// runScript applies the script's steps when they are due, and closes the relay at the end of its
+// lifetime.
 func (r *Relay) runScript() {
 	defer r.tasks.Done()
 	lifetime := time.NewTimer(r.options.MaxLifetime)
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -13,16 +13,16 @@
 	"rowancart/internal/testpeer"
 )
 
-// waitTimeout bounds the waits of a test.
+// waitTimeout limits how long a test waits for data on a connection.
 const waitTimeout = 10 * time.Second
 
 func TestRelayRejectsTargetsThatAreNotLoopback(t *testing.T) {
 	if _, err := Listen("192.0.2.1:80", Options{}); err == nil {
-		t.Fatal("a relay to another machine was started")
+		t.Fatal("Listen accepted a target on another machine")
 	}
 }
 
-// startEcho starts a target that returns what it receives.
+// startEcho starts a target that echoes what it receives.
 func startEcho(t *testing.T) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +42,7 @@
 	return listener.Addr().String()
 }
 
-// testClient is a connection through a relay.
+// testClient is a client connection through a relay.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -75,7 +75,7 @@
 func (c *testClient) expectLine(t *testing.T, line string) {
 	t.Helper()
 	if got, err := c.reader.ReadString('\n'); err != nil || got != line+"\n" {
-		t.Fatalf("%q, %v, want %q", got, err, line)
+		t.Fatalf("read %q, error %v, want the line %q", got, err, line)
 	}
 }
 
@@ -85,9 +85,9 @@
 	c.expectLine(t, line)
 }
 
-// rejection opens another connection and returns how it failed. The kernel completes the handshake
-// before the relay accepts the connection, so the reset may arrive during the dial or during the
-// read.
+// rejection opens another connection and returns the error with which it failed, or nil. The kernel
+// completes the handshake before the relay accepts the connection, so the reset may arrive during
+// the dial or during the read.
 func rejection(t *testing.T, r *Relay) error {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.Addr())
@@ -100,13 +100,14 @@
 	return err
 }
 
-// What was sent during a partition is delivered when it ends, as by TCP's retransmissions.
+// Data sent during a partition is delivered when the partition ends, as TCP would do by
+// retransmission.
 func TestHealDeliversChunksSentDuringPartition(t *testing.T) {
 	r, c := startRelay(t, Options{})
 	c.roundTrip(t, "before")
 	r.Set(Fault{Partition: true})
 	c.send("during")
-	testpeer.WaitUntil(t, "the chunk is waiting", func() bool { return r.Stats().WaitingChunks > 0 })
+	testpeer.WaitUntil(t, "the chunk is held back", func() bool { return r.Stats().WaitingChunks > 0 })
 	r.Heal()
 	c.expectLine(t, "during")
 	if s := r.Stats(); s.WaitingChunks != 0 || s.Accepted != 1 {
@@ -119,10 +120,10 @@
 	c.roundTrip(t, "one")
 	r.Set(Fault{Reset: true})
 	if _, err := c.reader.ReadString('\n'); err == nil {
-		t.Fatal("a connection is open after a reset")
+		t.Fatal("the connection is still open after a reset")
 	}
 	if err := rejection(t, r); err == nil {
-		t.Fatal("a new connection is accepted during a reset")
+		t.Fatal("a new connection was accepted while the reset fault was in force")
 	}
 	r.Heal()
 	dialRelay(t, r).roundTrip(t, "after")
@@ -138,16 +139,16 @@
 	}
 }
 
-// What the target sends never arrives, while what the client sends does.
+// Data from the target never arrives, while data from the client does.
 func TestHalfOpenConnectionCarriesOneDirection(t *testing.T) {
 	r, c := startRelay(t, Options{})
 	c.roundTrip(t, "one")
 	r.Set(Fault{HalfOpen: true, Direction: FromTarget})
 	c.send("two")
 	const want = int64(len("one\n")*2 + len("two\n"))
-	testpeer.WaitUntil(t, "what the client sent is forwarded", func() bool { return r.Stats().Bytes >= want })
+	testpeer.WaitUntil(t, "the client's data is forwarded", func() bool { return r.Stats().Bytes >= want })
 	if s := r.Stats(); s.Bytes != want {
-		t.Errorf("the response was forwarded on a half-open connection: %+v", s)
+		t.Errorf("data from the target was forwarded on a half-open connection: %+v", s)
 	}
 }
 
@@ -155,27 +156,27 @@
 	r, c := startRelay(t, Options{Conns: 1})
 	c.roundTrip(t, "one")
 	if err := rejection(t, r); !errors.Is(err, syscall.ECONNRESET) {
-		t.Fatalf("a connection beyond the bound is not reset: %v", err)
+		t.Fatalf("connection beyond the limit: error %v, want ECONNRESET", err)
 	}
 	if s := r.Stats(); s.Rejected != 1 {
-		t.Errorf("stats: %+v", s)
+		t.Errorf("stats %+v, want 1 rejected connection", s)
 	}
 }
 
 func TestRelayIsBoundedInBytesAndTime(t *testing.T) {
 	t.Run("bytes", func(t *testing.T) {
 		r, c := startRelay(t, Options{MaxBytes: int64(len("one\n"))})
-		c.send("one") // is forwarded, and its echo is not
+		c.send("one") // the line reaches the limit, so its echo is not forwarded
 		testpeer.WaitUntil(t, "the line is forwarded", func() bool { return r.Stats().Bytes > 0 })
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if line, err := c.reader.ReadString('\n'); err == nil {
-			t.Errorf("%q was forwarded beyond the bound", line)
+			t.Errorf("%q was forwarded beyond the limit of bytes", line)
 		}
 	})
 	t.Run("time", func(t *testing.T) {
 		_, c := startRelay(t, Options{MaxLifetime: time.Second})
 		if _, err := c.reader.ReadString('\n'); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("after the relay's lifetime: %v", err)
+			t.Errorf("read after the relay's lifetime: error %v, want the connection closed", err)
 		}
 	})
 }
--- a/internal/faultproxy/script.go
+++ b/internal/faultproxy/script.go
@@ -8,45 +8,46 @@
 	"time"
 )
 
-// Direction is a direction through a relay.
+// Direction is a direction of data through a relay.
 type Direction int
 
-// The directions.
+// The directions that a fault can apply to.
 const (
 	BothDirections Direction = iota
-	ToTarget                 // what clients send
-	FromTarget               // what the target sends
+	ToTarget                 // data that clients send
+	FromTarget               // data that the target sends
 )
 
-// Fault is what a relay does to connections while the fault is in force. With the zero Fault
-// everything passes at once.
+// Fault describes how a relay disturbs connections while the fault is in force. The zero Fault is
+// none: all data passes without delay.
 type Fault struct {
-	Direction Direction     // for Delay, Jitter, Partition and HalfOpen; the other direction has no fault
+	Direction Direction     // for Delay, Jitter, Partition and HalfOpen; the other direction is unaffected
 	Delay     time.Duration // added to each chunk
-	Jitter    time.Duration // upper bound of a random delay that is added to each chunk as well
+	Jitter    time.Duration // upper bound of a random delay that is also added to each chunk
 	Loss      float64       // probability that a new connection is reset at once
-	// Partition lets nothing pass. What was sent is delivered when the partition ends, as by TCP's
-	// retransmissions.
+	// Partition holds back all data. It is delivered when the partition ends, as TCP would do by
+	// retransmission.
 	Partition bool
-	// HalfOpen leaves connections open on which nothing passes in this direction, even after the
-	// fault has ended.
+	// HalfOpen stops all data in this direction and leaves the connections open. Such a connection
+	// stays half-open even after the fault has ended.
 	HalfOpen bool
-	// Reset resets the open connections, and new ones at once.
+	// Reset resets all open connections, and each new connection when it is accepted.
 	Reset bool
 }
 
 func (f Fault) appliesTo(d Direction) bool { return f.Direction == BothDirections || f.Direction == d }
 
-// Step is a fault that comes into force at At after the relay's start, for For (0: to the end).
+// Step is a fault that comes into force when At has passed since the relay's start, and lasts for
+// For (0: until the relay is closed).
 type Step struct {
 	At, For time.Duration
 	Fault   Fault
 }
 
-// Script is a sequence of faults. If steps overlap, the one that begins later is in force.
+// Script is a schedule of faults. If steps overlap, the one that begins later is in force.
 type Script []Step
 
-// Check returns an error about the first invalid step.
+// Check returns an error that names the first invalid step, or nil.
 func (s Script) Check() error {
 	for i, step := range s {
 		if err := step.check(); err != nil {
@@ -59,18 +60,18 @@
 func (s Step) check() error {
 	switch f := s.Fault; {
 	case s.At < 0 || s.For < 0:
-		return errors.New("times must not be negative")
+		return errors.New("negative At or For")
 	case f.Loss < 0 || f.Loss > 1:
-		return fmt.Errorf("loss %g is not a probability", f.Loss)
+		return fmt.Errorf("loss %g is not a probability from 0 to 1", f.Loss)
 	case f.Delay < 0 || f.Jitter < 0:
-		return errors.New("delays must not be negative")
+		return errors.New("negative Delay or Jitter")
 	case f.Direction < BothDirections || f.Direction > FromTarget:
-		return fmt.Errorf("no such direction %d", f.Direction)
+		return fmt.Errorf("unknown direction %d", f.Direction)
 	}
 	return nil
 }
 
-// At returns the fault in force at a time after the start.
+// At returns the fault that is in force when elapsed has passed since the relay's start.
 func (s Script) At(elapsed time.Duration) Fault {
 	steps := slices.Clone(s)
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
@@ -83,8 +84,8 @@
 	return current
 }
 
-// Next returns the first time after elapsed at which the fault in force may change, and false if
-// there is none.
+// Next returns the first time after elapsed at which the fault in force may change. Both are
+// measured from the relay's start. Next returns false if there is no such time.
 func (s Script) Next(elapsed time.Duration) (next time.Duration, ok bool) {
 	consider := func(at time.Duration) {
 		if at > elapsed && (!ok || at < next) {
--- a/internal/faultproxy/script_test.go
+++ b/internal/faultproxy/script_test.go
@@ -20,14 +20,14 @@
 		{time.Hour, Fault{Loss: 0.3}},
 	} {
 		if got := s.At(test.at); got != test.want {
-			t.Errorf("at %v: %+v, want %+v", test.at, got, test.want)
+			t.Errorf("fault at %v: %+v, want %+v", test.at, got, test.want)
 		}
 	}
 	if next, ok := s.Next(1500 * time.Millisecond); !ok || next != 2*time.Second {
-		t.Errorf("next after 1.5 s: %v %v", next, ok)
+		t.Errorf("next change after 1.5 s: %v, %v, want 2s, true", next, ok)
 	}
 	if next, ok := s.Next(time.Hour); ok {
-		t.Errorf("next after the end: %v", next)
+		t.Errorf("next change after the last step: %v, want none", next)
 	}
 }
 
@@ -40,7 +40,7 @@
 		"unknown direction":        {Fault: Fault{Direction: FromTarget + 1}},
 	} {
 		if err := (Script{{}, step}).Check(); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: Check accepted the step", name)
 		}
 	}
 	if err := (Script{{}, {Fault: Fault{Loss: 1, Direction: FromTarget}}}).Check(); err != nil {
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// requestRecord is what a checker knows of one request.
+// requestRecord holds what a checker has recorded about one request.
 type requestRecord struct {
 	class          class
 	body           string
@@ -16,35 +16,36 @@
 	deadline       time.Duration
 	disconnectedAt time.Time // zero: the client has not disconnected
 	responses      int
-	mayHaveRun     []time.Time // attempts that reached an endpoint and were not rejected
+	mayHaveRun     []time.Time // times of attempts that reached an endpoint and were not rejected
 }
 
-// history returns what has happened to the request so far.
+// history describes the request and its attempts so far.
 func (r *requestRecord) history() string {
-	text := fmt.Sprintf("%s, body of %d, deadline %v", r.class.name, len(r.body), r.deadline)
+	text := fmt.Sprintf("%s, body of %d bytes, deadline %v", r.class.name, len(r.body), r.deadline)
 	for _, at := range r.mayHaveRun {
-		text += fmt.Sprintf(", at an endpoint after %v", at.Sub(r.sentAt))
+		text += fmt.Sprintf(", attempt after %v", at.Sub(r.sentAt))
 	}
 	return text
 }
 
-// endpointRecord is what a checker knows of one endpoint.
+// endpointRecord holds what a checker has recorded about one endpoint.
 type endpointRecord struct {
-	// unavailableSince is from when on all sidecars count as notified that the endpoint drains or is
-	// disabled; zero: it takes requests.
+	// unavailableSince is the time from which all sidecars count as notified that the endpoint is
+	// draining, removed or disabled; zero: it is available.
 	unavailableSince time.Time
-	startedAt        time.Time // of its latest start; zero: long ago
-	// startNotifiedAt is from when on all sidecars count as notified of that start; zero: not yet.
+	startedAt        time.Time // latest start; zero: not restarted during the run, so it is warm
+	// startNotifiedAt is the time from which all sidecars count as notified of that start; zero: not
+	// notified yet.
 	startNotifiedAt time.Time
-	attempts        []time.Time
+	attempts        []time.Time // in order of receipt
 }
 
-// checker is the invariant checker: it records what the peers of the sidecars observe, and the
-// violations of rules. It is safe for concurrent use.
+// checker is the invariant checker. It records what the peers of the sidecars observe, checks it
+// against the rules and records violations. It is safe for concurrent use.
 type checker struct {
 	budget    warmupBudget
 	keyWindow time.Duration
-	// allowance returns by how much the times that this process has taken since then may be late.
+	// allowance returns by how much the times that this process has recorded since then may be late.
 	allowance func(since time.Time) time.Duration
 
 	mu         sync.Mutex
@@ -52,7 +53,7 @@
 	endpoints  map[string]*endpointRecord
 	violations []string
 	events     []event
-	counts     map[string]int // of what has happened, by name
+	counts     map[string]int // number of events and observations, by name
 }
 
 func newChecker(budget warmupBudget, keyWindow time.Duration, allowance func(time.Time) time.Duration) *checker {
@@ -66,16 +67,16 @@
 	}
 }
 
-// event is something that a run has done to the sidecars.
+// event is an action of a run on the sidecars or their peers, such as a fault.
 type event struct {
 	at   time.Time
 	name string
 }
 
-// eventsShown is for how long events are shown with a violation that follows.
-const eventsShown = 4 * time.Second
+// eventRetention is how old an event may be to be listed with a violation.
+const eventRetention = 4 * time.Second
 
-// recordEvent counts an event and shows it with the violations that follow soon.
+// recordEvent counts an event and records it, so that violations within eventRetention list it.
 func (c *checker) recordEvent(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +84,7 @@
 	c.events = append(c.events, event{time.Now(), name})
 }
 
-// count counts something that has happened.
+// count increments the count with the given name.
 func (c *checker) count(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,15 +101,15 @@
 func (c *checker) recordViolationLocked(r rule, format string, args ...any) {
 	text := fmt.Sprintf("%s: %s", r, fmt.Sprintf(format, args...))
 	for _, e := range c.events {
-		if age := time.Since(e.at); age < eventsShown {
+		if age := time.Since(e.at); age < eventRetention {
 			text += fmt.Sprintf("; %.3f s before: %s", age.Seconds(), e.name)
 		}
 	}
 	c.violations = append(c.violations, text)
 }
 
-// recordSent records that a client has sent a request, or sent it once more after its connection
-// was closed. A zero time leaves the earlier one.
+// recordSent records that a client has sent a request, or has sent it again because its connection
+// was closed. For a request that is already recorded, a zero time keeps the earlier time.
 func (c *checker) recordSent(id string, class class, body string, at time.Time, deadline time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +123,7 @@
 	c.counts["requests"]++
 }
 
-// recordDisconnect records that a request's client has closed its connection.
+// recordDisconnect records that the client has closed the connection on which it sent the request.
 func (c *checker) recordDisconnect(id string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +131,7 @@
 	c.counts["disconnects"]++
 }
 
-// recordResponse records the end of a final response.
+// recordResponse records that a client has read a final response to its end.
 func (c *checker) recordResponse(id string, status int, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,28 +142,29 @@
 		c.recordViolationLocked(ruleResponse, "%s has %d responses", id, r.responses)
 	}
 	if late := at.Sub(r.sentAt) - r.deadline; late > responseGrace+c.allowance(r.sentAt) {
-		c.recordViolationLocked(ruleResponse, "%s (%s) gets status %d %v after its deadline",
+		c.recordViolationLocked(ruleResponse, "%s (%s) got status %d, %v after its deadline",
 			id, r.history(), status, late)
 	}
 	if status == http.StatusOK && len(r.mayHaveRun) == 0 {
-		c.recordViolationLocked(ruleResponse, "%s gets status 200 and has reached no endpoint", id)
+		c.recordViolationLocked(ruleResponse, "%s got status 200, but no attempt may have run", id)
 	}
 }
 
-// recordNoResponse records that a request's client gets no response.
+// recordNoResponse records a violation: the request's client got no response.
 func (c *checker) recordNoResponse(id string, err error) {
-	c.recordViolation(ruleResponse, "%s gets none: %v", id, err)
+	c.recordViolation(ruleResponse, "%s got no response: %v", id, err)
 }
 
-// attempt is a request as an endpoint has received it.
+// attempt is a request as an endpoint received it.
 type attempt struct {
 	endpoint, id       string
 	method, path, body string
-	timeout            time.Duration // that the request says
+	timeout            time.Duration // from the deadline header
 	at                 time.Time     // when its head was received
 }
 
-// recordAttempt records that an endpoint has received a request completely.
+// recordAttempt records that an endpoint has received a complete request, and checks the rules on
+// attempts.
 func (c *checker) recordAttempt(a attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,8 +174,8 @@
 	c.checkAvailabilityLocked(a, e)
 	c.checkWarmupLocked(a, e)
 	r := c.requests[a.id]
-	if r == nil || !a.isOf(r) {
-		c.recordViolationLocked(ruleUnknown, "%s gets %s %s with the id %q and %d bytes",
+	if r == nil || !a.matches(r) {
+		c.recordViolationLocked(ruleUnknown, "%s received %s %s with the id %q and a body of %d bytes",
 			a.endpoint, a.method, a.path, a.id, len(a.body))
 		return
 	}
@@ -184,29 +186,30 @@
 	r.mayHaveRun = append(r.mayHaveRun, a.at)
 }
 
-// isOf reports whether the attempt is what the request's client has sent.
-func (a attempt) isOf(r *requestRecord) bool {
+// matches reports whether the attempt's method, path and body are those that the client sent.
+func (a attempt) matches(r *requestRecord) bool {
 	return a.method == r.class.method && a.path == "/"+r.class.name && a.body == r.body
 }
 
-// checkAvailabilityLocked checks that the attempt's endpoint takes requests.
+// checkAvailabilityLocked checks that the attempt did not arrive after the grace period of an
+// unavailable endpoint.
 func (c *checker) checkAvailabilityLocked(a attempt, e *endpointRecord) {
 	if e.unavailableSince.IsZero() {
 		return
 	}
 	if late := a.at.Sub(e.unavailableSince); late > drainGrace+c.allowance(a.at) {
-		c.recordViolationLocked(ruleUnavailable, "%s reaches %s %v after its notification", a.id, a.endpoint, late)
+		c.recordViolationLocked(ruleUnavailable, "%s reached %s %v after the notification", a.id, a.endpoint, late)
 	}
 }
 
-// checkWarmupLocked checks that an endpoint that warms up is sent no more than its budget.
+// checkWarmupLocked checks that a warming endpoint does not receive requests beyond its budget.
 func (c *checker) checkWarmupLocked(a attempt, e *endpointRecord) {
 	age := a.at.Sub(e.startedAt)
 	if e.startedAt.IsZero() || age > c.budget.duration {
 		return
 	}
-	recent := 0
-	notified := 0 // of recent
+	recent := 0   // attempts within the window
+	notified := 0 // those of them that were sent after the notification of the start
 	for _, earlier := range slices.Backward(e.attempts) {
 		if a.at.Sub(earlier) > c.budget.window || earlier.Before(e.startedAt) {
 			break
@@ -216,50 +219,52 @@
 			notified++
 		}
 	}
-	// The rule is broken where over two thirds came from sidecars that were notified of the start.
+	// It is a violation only if more than two thirds of the recent attempts came after the sidecars
+	// were notified of the start.
 	mostWereNotified := 3*notified > 2*recent
 	if allowed := c.budget.requests(age); float64(recent) > allowed && mostWereNotified {
-		c.recordViolationLocked(ruleWarmup, "%s, %v after its start, gets %d requests within %v, "+
-			"%d of them after the notification, and may get %.1f", a.endpoint, age, recent, c.budget.window, notified, allowed)
+		c.recordViolationLocked(ruleWarmup, "%s received, %v after its start, %d requests within %v, "+
+			"%d of them after the notification; the budget is %.1f", a.endpoint, age, recent, c.budget.window, notified, allowed)
 	}
 }
 
-// checkDisconnectLocked checks that the request's client was still connected.
+// checkDisconnectLocked checks that the attempt did not arrive too long after the request's client
+// disconnected.
 func (c *checker) checkDisconnectLocked(a attempt, r *requestRecord, allowance time.Duration) {
 	if r.disconnectedAt.IsZero() {
 		return
 	}
 	if late := a.at.Sub(r.disconnectedAt); late > disconnectGrace+allowance {
-		c.recordViolationLocked(ruleDisconnect, "%s reaches %s %v after its client has disconnected",
+		c.recordViolationLocked(ruleDisconnect, "%s reached %s %v after its client disconnected",
 			a.id, a.endpoint, late)
 	}
 }
 
-// checkTimeoutLocked checks that the attempt's timeout ends with the client's.
+// checkTimeoutLocked checks that the attempt's timeout does not exceed the client's remaining time.
 func (c *checker) checkTimeoutLocked(a attempt, r *requestRecord, allowance time.Duration) {
 	remaining := r.deadline - a.at.Sub(r.sentAt)
 	if excess := a.timeout - remaining; excess > timeoutAllowance+allowance {
-		c.recordViolationLocked(ruleTimeout, "%s (%s): %s is given a timeout of %v, %v more than its client has left",
+		c.recordViolationLocked(ruleTimeout, "%s (%s): %s got timeout %v, %v over the client's remaining time",
 			a.id, r.history(), a.endpoint, a.timeout, excess)
 	}
 }
 
-// checkRetryLocked checks that the request could be sent after the attempts before this one.
+// checkRetryLocked checks that the request's class permitted this attempt after the earlier ones.
 func (c *checker) checkRetryLocked(a attempt, r *requestRecord, allowance time.Duration) {
 	if len(r.mayHaveRun) == 0 {
 		return
 	}
 	switch sinceFirst := a.at.Sub(r.mayHaveRun[0]); {
 	case r.class.idempotency == nonIdempotent:
-		c.recordViolationLocked(ruleDuplicate, "%s reaches %s, and %d before it may have run",
+		c.recordViolationLocked(ruleDuplicate, "%s reached %s, but %d earlier attempts may have run",
 			a.id, a.endpoint, len(r.mayHaveRun))
 	case r.class.idempotency == keyed && sinceFirst > c.keyWindow+allowance:
-		c.recordViolationLocked(ruleDuplicate, "%s reaches %s %v after the first", a.id, a.endpoint, sinceFirst)
+		c.recordViolationLocked(ruleDuplicate, "%s reached %s %v after the first attempt", a.id, a.endpoint, sinceFirst)
 	}
 }
 
-// recordRejection records that an endpoint has said that it did not run its latest attempt of a
-// request.
+// recordRejection records that an endpoint rejected the latest attempt of a request without running
+// it.
 func (c *checker) recordRejection(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -268,18 +273,18 @@
 	}
 }
 
-// recordUnavailable records from when on all sidecars count as notified that an endpoint drains or
-// is disabled.
+// recordUnavailable records the time from which all sidecars count as notified that an endpoint is
+// draining, removed or disabled.
 func (c *checker) recordUnavailable(endpoint string, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endpointLocked(endpoint).unavailableSince = since
 }
 
-// recordAvailable records that an endpoint takes requests again.
+// recordAvailable records that an endpoint may receive requests again.
 func (c *checker) recordAvailable(endpoint string) { c.recordUnavailable(endpoint, time.Time{}) }
 
-// recordStart records that an endpoint has started and warms up.
+// recordStart records that an endpoint has started, so that it is warming.
 func (c *checker) recordStart(endpoint string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -289,8 +294,8 @@
 	c.counts["endpoint starts"]++
 }
 
-// recordStartNotified records from when on all sidecars count as notified of an endpoint's latest
-// start.
+// recordStartNotified records the time from which all sidecars count as notified of an endpoint's
+// latest start.
 func (c *checker) recordStartNotified(endpoint string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -14,7 +14,7 @@
 	"rowancart/internal/testpeer"
 )
 
-// client sends requests to one sidecar, one after the other, on a connection that it keeps.
+// client sends requests to one sidecar, one after the other, on a persistent connection.
 type client struct {
 	name    string
 	sidecar *sidecar
@@ -22,10 +22,10 @@
 	rng     *rand.Rand
 	classes []class
 	stop    <-chan struct{} // closed when no new request is to be sent
-	noDials *atomic.Bool    // no new connection may be opened any more
+	noDials *atomic.Bool    // set when no new connection may be opened
 
-	conn   *testpeer.ClientConn // nil: there is none
-	serial int
+	conn   *testpeer.ClientConn // nil: not connected
+	serial int                  // number of the latest request
 }
 
 // run sends requests until stop is closed.
@@ -50,7 +50,7 @@
 	}
 }
 
-// request is one request of a class.
+// request is one request that a client sends.
 type request struct {
 	id       string
 	class    class
@@ -58,7 +58,7 @@
 	deadline time.Duration
 }
 
-// newRequest draws a request.
+// newRequest returns a request with a random class, deadline and body.
 func (c *client) newRequest() request {
 	c.serial++
 	r := request{
@@ -78,18 +78,19 @@
 	return r
 }
 
-// Long bodies: one of so many, of so many bytes. They are longer than what a sidecar keeps in
-// memory, and than the kernel's buffers of one connection.
+// Long bodies are larger than what a sidecar keeps in memory, and larger than the kernel's buffers
+// of one connection.
 const (
-	longBodyOdds = 20
-	minLongBody  = 60 << 10
-	maxLongBody  = 600 << 10
+	longBodyOdds = 20        // one in this many bodies is long
+	minLongBody  = 60 << 10  // bytes
+	maxLongBody  = 600 << 10 // bytes
 )
 
-// isLong reports whether the request's body is long: its last byte is sent well after its first.
+// isLong reports whether the request's body is so long that its last byte may be sent well after
+// its first.
 func (r request) isLong() bool { return len(r.body) >= minLongBody }
 
-// text returns the request as it is sent.
+// text returns the request as it is sent on the connection.
 func (r request) text() string {
 	sent := testpeer.Request{
 		Method:   r.class.method,
@@ -104,19 +105,19 @@
 	return sent.Text()
 }
 
-var errNoSidecar = errors.New("no connection: the sidecar has ended")
+var errNotConnected = errors.New("no connection: the sidecar does not accept any, or no new ones are allowed")
 
-// connect opens a connection unless there is one.
+// connect opens a connection unless one is open.
 func (c *client) connect() error {
 	if c.conn != nil {
 		return nil
 	}
 	if c.noDials.Load() {
-		return errNoSidecar
+		return errNotConnected
 	}
 	conn, err := testpeer.Dial(c.sidecar.addr)
 	if err != nil {
-		return errNoSidecar
+		return errNotConnected
 	}
 	c.conn = conn
 	return nil
@@ -129,13 +130,13 @@
 	}
 }
 
-// write sends requests in one piece, or in two.
+// write sends requests in one write, or at random in two.
 func (c *client) write(requests ...request) error {
 	text := ""
 	for _, r := range requests {
 		text += r.text()
 	}
-	// Before the write: an endpoint may have received it before the write returns.
+	// Recorded before the write, because an endpoint may receive a request before the write returns.
 	c.recordSent(requests, beforeWrite)
 	defer c.recordSent(requests, afterWrite)
 	cut := len(text)
@@ -155,7 +156,7 @@
 	return err
 }
 
-// writePhase is a point in the writing of requests.
+// writePhase is a phase of the write of requests.
 type writePhase int
 
 const (
@@ -164,16 +165,17 @@
 	afterWrite
 )
 
-// recordSent records at a point of their writing when requests were sent. Their deadline counts
-// from their last byte: that of a long body is known after the write only, and lies in the future
-// until then.
+// recordSent records when requests were sent, as known in a phase of the write. A deadline counts
+// from the request's last byte. For a long body that time is known only after the write; until then
+// a time in the future is recorded.
 func (c *client) recordSent(requests []request, phase writePhase) {
 	for _, r := range requests {
 		c.checker.recordSent(r.id, r.class, r.body, r.sentAt(phase), r.deadline)
 	}
 }
 
-// sentAt returns when the request counts as sent at a point of its writing; zero: as before.
+// sentAt returns the time at which the request counts as sent, as known in a phase of its write.
+// Zero means that the time recorded earlier stays.
 func (r request) sentAt(phase writePhase) time.Time {
 	if !r.isLong() {
 		if phase == afterWrite {
@@ -190,7 +192,7 @@
 	return time.Time{}
 }
 
-// readResponse reads one response and reports whether the connection ends with it.
+// readResponse reads one response and reports whether it is the last one on the connection.
 func (c *client) readResponse(r request) (isLast bool, err error) {
 	resp, err := c.conn.ReadResponse(r.deadline + 3*time.Second)
 	if err != nil {
@@ -198,14 +200,15 @@
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
 	if err != nil {
-		c.checker.count("incomplete responses") // failed, and its client can tell
+		c.checker.count("incomplete responses") // counts as a response, because the client can tell that it is incomplete
 	}
 	c.checker.recordResponse(r.id, resp.StatusCode, time.Now())
 	return resp.Close || err != nil, nil
 }
 
-// send sends one request and waits for its response. Where its connection, used before, ends
-// without one, the request is sent once more on a new connection.
+// send sends one request and waits for its response. If a reused connection ends without a
+// response, the sidecar may have closed it while the request was on its way, so the request is sent
+// once more on a new connection.
 func (c *client) send() {
 	const maxSends = 2
 	r := c.newRequest()
@@ -219,20 +222,20 @@
 		if err == nil {
 			return
 		}
-		crossedClose := isReused && !errors.Is(err, os.ErrDeadlineExceeded)
+		mayHaveRacedClose := isReused && !errors.Is(err, os.ErrDeadlineExceeded)
 		c.closeConn()
-		if !crossedClose || n == maxSends {
+		if !mayHaveRacedClose || n == maxSends {
 			c.checker.recordNoResponse(r.id, fmt.Errorf("send %d: %w", n, err))
 			return
 		}
-		c.checker.count("crossed a close")
+		c.checker.count("sent again after a close")
 	}
 }
 
 // exchange writes a request and reads its response.
 func (c *client) exchange(r request) error {
 	err := c.write(r)
-	// A sidecar may respond although it has not accepted all of the request.
+	// A sidecar may respond before it has read the whole request, and the write may then fail.
 	mayRespond := err == nil || c.conn.Responses == 0 || r.isLong()
 	if !mayRespond {
 		return err
@@ -247,7 +250,8 @@
 	return nil
 }
 
-// sendPipelined sends two requests at once. None follows a response that closes the connection.
+// sendPipelined sends two requests at once. It expects no further response after one that closes
+// the connection.
 func (c *client) sendPipelined() {
 	if c.connect() != nil {
 		return
@@ -258,8 +262,8 @@
 		requests[i].id += "-pipelined"
 		requests[i].body = requests[i].body[:min(len(requests[i].body), minLongBody/2)]
 	}
-	// Responses come in the order of the requests (RFC 9112, 9.3.2): none can come before that of the
-	// request ahead.
+	// Responses come in the order of the requests (RFC 9112, 9.3.2), so the second one may have to
+	// wait for the first.
 	requests[1].deadline = max(requests[0].deadline, requests[1].deadline)
 	if c.write(requests...) != nil && !isNew {
 		c.closeConn()
@@ -281,7 +285,8 @@
 	}
 }
 
-// sendAndDisconnect sends a request and closes the connection soon.
+// sendAndDisconnect sends a request and closes the connection up to 200 ms later, without reading a
+// response.
 func (c *client) sendAndDisconnect() {
 	if c.connect() != nil {
 		return
@@ -297,8 +302,8 @@
 	c.checker.recordDisconnect(r.id, time.Now())
 }
 
-// sendPartialRequest sends the beginning of a request and stays connected: an error or a close has
-// to come.
+// sendPartialRequest sends the beginning of a request and stays connected. It checks that the
+// sidecar responds with an error or closes the connection in time.
 func (c *client) sendPartialRequest() {
 	if c.noDials.Load() {
 		return
@@ -311,13 +316,13 @@
 	began := time.Now()
 	text := c.newRequest().text()
 	_, _ = io.WriteString(conn, text[:c.rng.IntN(len(text))])
-	_ = conn.SetReadDeadline(began.Add(2 * improperPeerLimit))
+	_ = conn.SetReadDeadline(began.Add(2 * partialRequestLimit))
 	status := make([]byte, len("HTTP/1.1 4"))
 	n, err := io.ReadFull(conn, status)
-	if took := time.Since(began); took > improperPeerLimit+c.checker.allowance(began) {
-		c.checker.recordViolation(ruleImproperPeers, "%s: %q, %v after %v", c.name, status[:n], err, took)
+	if took := time.Since(began); took > partialRequestLimit+c.checker.allowance(began) {
+		c.checker.recordViolation(rulePartialRequest, "%s: got %q, %v after %v", c.name, status[:n], err, took)
 	}
 	if n == len(status) && status[n-1] != '4' && status[n-1] != '5' {
-		c.checker.recordViolation(ruleImproperPeers, "%s: a partial request gets the response %q", c.name, status)
+		c.checker.recordViolation(rulePartialRequest, "%s: got %q, want status 4xx or 5xx", c.name, status)
 	}
 }
--- a/internal/soak/discovery_test.go
+++ b/internal/soak/discovery_test.go
@@ -8,19 +8,21 @@
 	"rowancart/internal/testpeer"
 )
 
-// How long after a fault of discovery the sidecars don't count as notified of what it has.
+// Grace periods after a fault of discovery, during which sidecars need not know of published
+// changes.
 const (
-	silenceGrace  = 6 * time.Second // after watches fell silent
+	silenceGrace  = 6 * time.Second // after watches stopped delivering
 	reloadGrace   = 4 * time.Second // after SIGHUP
 	handoverGrace = 2 * time.Second // after a new process is ready
 )
 
-// discovery is the discovery agent of all sidecars. It knows from when on they count as notified.
+// discovery is the discovery agent of all sidecars. It tracks from which time on the sidecars count
+// as notified of a change.
 type discovery struct {
 	*testpeer.FakeDiscovery
 
 	mu       sync.Mutex
-	graceEnd time.Time // until then the sidecars don't count as notified of changes
+	graceEnd time.Time // the sidecars do not count as notified of changes before this time
 }
 
 func newDiscovery() (*discovery, error) {
@@ -28,7 +30,8 @@
 	return &discovery{FakeDiscovery: fake}, err
 }
 
-// publish lists an endpoint, or replaces it, and returns when all sidecars count as notified.
+// publish adds an endpoint to the list or replaces it, and returns the time from which all sidecars
+// count as notified of it.
 func (d *discovery) publish(e platform.Endpoint) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -39,7 +42,7 @@
 	return d.graceEnd
 }
 
-// extendGrace lets the grace last at least this long from now on.
+// extendGrace extends the grace period so that it ends no earlier than grace from now.
 func (d *discovery) extendGrace(grace time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -48,7 +51,7 @@
 	}
 }
 
-// silenceWatches lets the open watches deliver nothing any more.
+// silenceWatches makes the open watches stop delivering changes without closing them.
 func (d *discovery) silenceWatches() {
 	d.extendGrace(silenceGrace)
 	d.SilenceWatches()
--- a/internal/soak/endpoints_test.go
+++ b/internal/soak/endpoints_test.go
@@ -15,13 +15,13 @@
 	"rowancart/internal/testpeer"
 )
 
-// behavior is what an endpoint does with a request.
+// behavior is how an endpoint handles a request.
 type behavior int
 
 const (
 	respondOK behavior = iota
 	respondSlowly
-	respondWithoutLength // the body ends with the connection
+	respondWithoutLength // the end of the connection ends the body
 	respondError
 	respondRejected
 	hang
@@ -31,20 +31,20 @@
 	respondMalformed
 )
 
-// endpoint is a fake endpoint at one address. It may be restarted.
+// endpoint is a fake endpoint with a fixed address. It may be stopped and started again.
 type endpoint struct {
 	id, addr string
 	seed     uint64
 	checker  *checker
-	stopped  <-chan struct{} // closed at the end of the run, which also ends the requests that hang
+	stopped  <-chan struct{} // closed at the end of the run; it ends requests that hang or are slow
 
 	mu       sync.Mutex
 	listener net.Listener // nil: the endpoint is down
 	conns    map[net.Conn]bool
-	failing  bool // three of four requests fail in some way
+	failing  bool // three of four requests get a fault
 }
 
-// startEndpoint starts an endpoint at an address of its own.
+// startEndpoint starts an endpoint at a new address.
 func startEndpoint(id string, seed uint64, c *checker, stopped <-chan struct{}) (*endpoint, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,7 +63,7 @@
 	return e, nil
 }
 
-// run serves the connections of one process of the endpoint.
+// run accepts and serves connections until l is closed, which ends one simulated process.
 func (e *endpoint) run(l net.Listener) {
 	for {
 		nc, err := l.Accept()
@@ -81,7 +81,7 @@
 	}
 }
 
-// stop ends the process: its connections are reset, new ones are refused.
+// stop simulates the end of the process: it resets open connections and refuses new ones.
 func (e *endpoint) stop() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,7 +96,7 @@
 	clear(e.conns)
 }
 
-// start starts the process again. It warms up from now on.
+// start simulates a new process at the same address, which is warming from now on.
 func (e *endpoint) start() error {
 	l, err := net.Listen("tcp", e.addr)
 	if err != nil {
@@ -116,7 +116,7 @@
 	e.failing = failing
 }
 
-// draw returns what the endpoint does with a request, by the seed.
+// draw returns how the endpoint handles the request with this ID. The seed determines it.
 func (e *endpoint) draw(id string) behavior {
 	h := fnv.New64a()
 	fmt.Fprint(h, e.seed, e.id, id)
@@ -138,7 +138,7 @@
 	return drawFault(n - 92)
 }
 
-// drawFault returns the fault that a random number stands for.
+// drawFault maps a random number to one of the faults, which begin at respondError.
 func drawFault(n uint64) behavior {
 	const faults = uint64(respondMalformed - respondError + 1)
 	return respondError + behavior(n%faults)
@@ -158,7 +158,7 @@
 		if err != nil {
 			return
 		}
-		headAt := time.Now() // by which all rules on attempts go
+		headAt := time.Now() // the rules on attempts use this time
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -180,7 +180,7 @@
 	}
 }
 
-// respond does with a request what was drawn, and reports whether the connection stays open.
+// respond handles a request with the drawn behavior, and reports whether the connection stays open.
 func (e *endpoint) respond(nc net.Conn, in *bufio.Reader, drawn behavior, id string) bool {
 	write := func(text string) bool {
 		_, err := io.WriteString(nc, text)
@@ -202,7 +202,7 @@
 			platform.RejectedHeader + ": " + platform.RejectedValue + "\r\nContent-Length: 0\r\n\r\n")
 	case hang:
 		closed := make(chan struct{})
-		go func() { // until the sidecar ends the connection
+		go func() { // returns when the sidecar closes the connection or sends more
 			defer close(closed)
 			_, _ = in.ReadByte()
 		}()
@@ -221,7 +221,7 @@
 	return false
 }
 
-// pause waits, no longer than the endpoint runs.
+// pause waits for d, or until the end of the run.
 func (e *endpoint) pause(d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -8,7 +8,7 @@
 	"rowancart/internal/platform"
 )
 
-// maxReserved is how many endpoints may be unavailable at the same time.
+// maxReserved is how many endpoints faults may make unavailable at the same time.
 const maxReserved = 2
 
 // faultInjector injects one series of faults into a run.
@@ -17,7 +17,7 @@
 	rng *rand.Rand
 }
 
-// run injects one fault after the other until the run ends.
+// run injects randomly chosen faults, one after the other, until the end of the run.
 func (f faultInjector) run(faults ...func() error) error {
 	for time.Now().Before(f.end) {
 		if err := faults[f.rng.IntN(len(faults))](); err != nil {
@@ -28,10 +28,11 @@
 	return nil
 }
 
-// sleepUpTo sleeps for less than a duration, which is in whole milliseconds.
+// sleepUpTo sleeps for a random duration below d, in whole milliseconds.
 func (f faultInjector) sleepUpTo(d time.Duration) { f.sleepBetween(0, d) }
 
-// sleepBetween sleeps for a duration between two others, in whole milliseconds.
+// sleepBetween sleeps for a random duration of at least least and below most, in whole
+// milliseconds.
 func (f faultInjector) sleepBetween(least, most time.Duration) {
 	time.Sleep(f.drawBetween(least, most))
 }
@@ -40,8 +41,8 @@
 	return least + time.Duration(f.rng.IntN(int((most-least)/time.Millisecond)))*time.Millisecond
 }
 
-// reserve returns an endpoint that no fault has reserved. It returns nil where so few are left that
-// none may become unavailable.
+// reserve reserves a random endpoint that no fault has reserved and returns it. It returns nil if
+// maxReserved endpoints are reserved already.
 func (f faultInjector) reserve() *endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,10 +62,10 @@
 	delete(f.reserved, e.id)
 }
 
-// drawSidecar returns the index of a sidecar.
+// drawSidecar returns the index of a random sidecar.
 func (f faultInjector) drawSidecar() int { return f.rng.IntN(len(f.sidecars)) }
 
-// drain lets an endpoint drain, be removed and start again.
+// drain publishes an endpoint as draining, stops it, publishes it as removed and starts it again.
 func (f faultInjector) drain() error {
 	e := f.reserve()
 	if e == nil {
@@ -72,25 +73,25 @@
 	}
 	defer f.release(e)
 	f.checker.recordEvent("draining endpoints")
-	f.checker.recordUnavailable(e.id, f.list(e, platform.StateDraining, 0))
+	f.checker.recordUnavailable(e.id, f.publishEndpoint(e, platform.StateDraining, 0))
 	f.sleepBetween(1500*time.Millisecond, 3000*time.Millisecond)
 	e.stop()
-	f.checker.recordUnavailable(e.id, f.list(e, platform.StateRemoved, 0))
+	f.checker.recordUnavailable(e.id, f.publishEndpoint(e, platform.StateRemoved, 0))
 	f.sleepUpTo(500 * time.Millisecond)
-	return f.startAndList(e)
+	return f.startAndPublish(e)
 }
 
-// startAndList starts an endpoint again, which warms up, and lists it.
-func (f faultInjector) startAndList(e *endpoint) error {
+// startAndPublish starts an endpoint again and publishes it as ready and warming.
+func (f faultInjector) startAndPublish(e *endpoint) error {
 	if err := e.start(); err != nil {
 		return err
 	}
 	f.checker.recordAvailable(e.id)
-	f.checker.recordStartNotified(e.id, f.list(e, platform.StateReady, time.Now().UnixMilli()))
+	f.checker.recordStartNotified(e.id, f.publishEndpoint(e, platform.StateReady, time.Now().UnixMilli()))
 	return nil
 }
 
-// restart kills an endpoint and starts it again.
+// restart stops an endpoint without draining and starts it again.
 func (f faultInjector) restart() error {
 	e := f.reserve()
 	if e == nil {
@@ -99,11 +100,11 @@
 	defer f.release(e)
 	e.stop()
 	f.sleepUpTo(400 * time.Millisecond)
-	return f.startAndList(e)
+	return f.startAndPublish(e)
 }
 
-// failForAWhile lets most requests to an endpoint fail for a while.
-func (f faultInjector) failForAWhile() error {
+// failTemporarily makes most requests to an endpoint fail for 0.5 to 2 s.
+func (f faultInjector) failTemporarily() error {
 	e := f.endpoints[f.rng.IntN(len(f.endpoints))]
 	f.checker.recordEvent("failing endpoints")
 	e.setFailing(true)
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// disable disables an endpoint at all sidecars, and enables it later. Between the commands a
-// sidecar may hand over to a new process, or its shared directory fail.
+// disable disables an endpoint at all sidecars, and enables it later. In between, a sidecar may
+// hand over to a new process, or its shared directory may fail.
 func (f faultInjector) disable() error {
 	e := f.reserve()
 	if e == nil {
@@ -124,7 +125,7 @@
 	for i, s := range f.sidecars {
 		s.adminCommand(f.current[i], "disable-server "+e.id)
 		if f.rng.IntN(3) == 0 {
-			s.adminCommand(f.current[i], "disable-server "+e.id) // the command may come twice
+			s.adminCommand(f.current[i], "disable-server "+e.id) // operators may send the command twice
 		}
 	}
 	f.checker.recordUnavailable(e.id, time.Now())
@@ -149,7 +150,7 @@
 	for i, s := range f.sidecars {
 		for n := 1; !s.adminCommand(f.current[i], "enable-server "+e.id); n++ {
 			if n == maxAttempts {
-				return fmt.Errorf("%s is never enabled", e.id)
+				return fmt.Errorf("endpoint %s could not be enabled: all attempts failed", e.id)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// breakWatches breaks the open watches, up to three times within moments.
+// breakWatches aborts the open watches one to three times, less than 100 ms apart.
 func (f faultInjector) breakWatches() error {
 	for range 1 + f.rng.IntN(3) {
 		f.discovery.AbortWatches()
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// slowDiscovery lets discovery respond late for a while.
+// slowDiscovery delays discovery's responses by less than 300 ms each, for less than 1 s.
 func (f faultInjector) slowDiscovery() error {
 	f.discovery.extendGrace(silenceGrace)
 	f.discovery.SetDelay(f.drawBetween(0, 300*time.Millisecond))
@@ -181,7 +182,8 @@
 	return nil
 }
 
-// moveDiscovery moves the agent and sends each sidecar SIGHUP, up to three times within moments.
+// moveDiscovery moves the discovery agent to a new address and sends each sidecar SIGHUP one to
+// three times in quick succession.
 func (f faultInjector) moveDiscovery() error {
 	f.checker.recordEvent("moves of discovery")
 	f.discovery.extendGrace(reloadGrace)
@@ -196,8 +198,8 @@
 	return nil
 }
 
-// handover starts a successor of a sidecar's process and ends the predecessor, SIGHUP just before
-// or not.
+// handover starts a successor of a sidecar's process and terminates the predecessor. At random, the
+// predecessor receives SIGHUP just before SIGTERM.
 func (f faultInjector) handover() error {
 	i := f.drawSidecar()
 	f.checker.recordEvent("handovers")
--- a/internal/soak/lateness_test.go
+++ b/internal/soak/lateness_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// timingAllowance is by how much times may be late in any case: the machine's part.
+// timingAllowance is by how much any measured time may be late because of the machine.
 const timingAllowance = 100 * time.Millisecond
 
-// timerLateness measures how late this process's own timers are: the times that it takes may be
-// late by as much.
+// timerLateness measures how late this process's own timers fire. The times that the process
+// records may be late by the same amount.
 type timerLateness struct {
 	mu   sync.Mutex
-	late []lateTimer // in order of time
+	late []lateTimer // timers that fired late, in order of time
 }
 
 type lateTimer struct {
-	at time.Time
-	by time.Duration
+	at time.Time     // when the timer fired
+	by time.Duration // how late it fired
 }
 
-// measure runs until stop is closed.
+// measure records late timers until stop is closed.
 func (l *timerLateness) measure(stop <-chan struct{}) {
 	const interval = 5 * time.Millisecond
 	for {
@@ -38,7 +38,7 @@
 	}
 }
 
-// allowance returns by how much times between since and now may be late.
+// allowance returns by how much times that were recorded between since and now may be late.
 func (l *timerLateness) allowance(since time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/plantedviolations_test.go
+++ b/internal/soak/plantedviolations_test.go
@@ -13,15 +13,15 @@
 	book = class{"book", "POST", keyed}
 )
 
-const plantedDeadline = time.Second // of all requests
+const plantedDeadline = time.Second // deadline of all requests
 
-// planted is what happens in one case: times are counted from its start.
+// planted is one test case: the checker of a planted history, with times relative to its start.
 type planted struct {
 	*checker
 	start time.Time
 }
 
-// newPlanted returns a case in which the non-idempotent request "r" has reached endpoint a.
+// newPlanted returns a case in which the non-idempotent request "r" has reached endpoint "a".
 func newPlanted() planted {
 	budget := warmupBudget{
 		capacity:         10,
@@ -62,15 +62,15 @@
 	p.recordAttempt(attempt{endpoint: "b", id: "r", method: "POST", path: "/pay", body: body, at: p.start})
 }
 
-// bookTwice records two attempts of a keyed request.
+// bookTwice records two attempts of a keyed request, interval apart.
 func (p planted) bookTwice(interval time.Duration) {
 	p.send("k", book, "")
 	p.recordAttempt(attempt{endpoint: "a", id: "k", method: "POST", path: "/book", at: p.start})
 	p.recordAttempt(attempt{endpoint: "b", id: "k", method: "POST", path: "/book", at: p.at(interval)})
 }
 
-// startAndSend records the start of endpoint c, of which all are notified at once, and two attempts
-// and then so many more.
+// startAndSend records the start of endpoint "c", of which all sidecars are notified at once, and
+// then more+2 attempts at it.
 func (p planted) startAndSend(more int) {
 	p.recordStart("c", p.start)
 	p.recordStartNotified("c", p.start)
@@ -84,12 +84,12 @@
 	}
 }
 
-// Each planted violation is found and named, and nothing else; the same history without it has
-// none.
+// The checker reports each planted violation under its rule and nothing else, and reports nothing
+// for the similar history without the violation.
 func TestCheckerReportsPlantedViolations(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		want  rule // empty: none
+		want  rule // empty: no violation
 		plant func(p planted)
 	}{
 		{"response in time", "", func(p planted) { p.respond("r", 200, plantedDeadline+responseGrace) }},
@@ -136,14 +136,14 @@
 			p.attemptLookWithin("b", timeoutAllowance, plantedDeadline)
 		}},
 		{"warming up, within the budget", "", func(p planted) { p.startAndSend(11) }},
-		// N = 4: 4 + 3 x 2 + 3 = 13, of which 2 are used.
+		// The window's mean is 4, so the budget is 4 + 3 x sqrt(4) + 3 = 13, and startAndSend adds 2.
 		{"warming up, over the budget", ruleWarmup, func(p planted) { p.startAndSend(12) }},
 		{"warming up, over the budget, not notified yet", "", func(p planted) {
 			p.recordStart("c", p.start)
 			p.recordStartNotified("c", p.at(time.Second))
 			p.sendToStarted(12)
 		}},
-		{"from no client", ruleUnknown, func(p planted) {
+		{"request from no client", ruleUnknown, func(p planted) {
 			p.recordAttempt(attempt{endpoint: "b", id: "none", method: "GET", path: "/look", at: p.start})
 		}},
 		{"another body", ruleUnknown, func(p planted) {
@@ -156,9 +156,9 @@
 			test.plant(p)
 			switch {
 			case test.want == "" && len(p.violations) > 0:
-				t.Errorf("%q, want no violation", p.violations)
+				t.Errorf("violations %q, want none", p.violations)
 			case test.want != "" && (len(p.violations) != 1 || !strings.Contains(p.violations[0], string(test.want))):
-				t.Errorf("%q, want one violation of %q", p.violations, test.want)
+				t.Errorf("violations %q, want one of the rule %q", p.violations, test.want)
 			}
 		})
 	}
--- a/internal/soak/sidecars_test.go
+++ b/internal/soak/sidecars_test.go
@@ -21,7 +21,7 @@
 	"rowancart/internal/platform"
 )
 
-// The figures of the settings that the checker and the clients need, too.
+// Values of the settings that the checker and the clients also use.
 const (
 	longestDeadline  = time.Second
 	keyWindow        = 400 * time.Millisecond
@@ -32,13 +32,13 @@
 )
 
 const (
-	killDelay   = longestDeadline + 700*time.Millisecond // after SIGTERM, at the earliest
-	descriptors = 256
-	readyLimit  = 6 * time.Second
+	killDelay   = longestDeadline + 700*time.Millisecond // earliest SIGKILL after SIGTERM
+	descriptors = 256                                    // limit of descriptors of a sidecar
+	readyLimit  = 6 * time.Second                        // from the start of a process until it must be ready
 )
 
-// settings returns the settings of the sidecar with an index. Deadlines are short, so that SIGKILL
-// comes soon.
+// settings returns the settings of the sidecar with the given index. Deadlines are short, so that
+// the wait before SIGKILL is short too.
 func settings(index int) platform.SettingsObject {
 	const latencyObjective = 600 * time.Millisecond
 	class := func(name, idempotency string) platform.ClassSettings {
@@ -78,16 +78,17 @@
 	}
 }
 
-// sidecar is one sidecar, of which two processes may run: the platform holds its listening socket.
+// sidecar is one sidecar. Two of its processes may run at the same time, because the test holds the
+// listening socket in place of the platform.
 type sidecar struct {
 	index     int
 	program   string
-	dir       string // its configuration file and TMPDIR
+	dir       string // holds the configuration file and TMPDIR
 	listener  *os.File
 	addr      string
 	checker   *checker
 	discovery *discovery
-	processes []*process // those that have been started
+	processes []*process // all that have been started
 }
 
 // process is one process of a sidecar.
@@ -95,7 +96,7 @@
 	*exec.Cmd
 	adminAddr string
 	exited    chan struct{}
-	exitErr   error // once exited is closed
+	exitErr   error // valid once exited is closed
 
 	mu         sync.Mutex
 	log        strings.Builder
@@ -147,7 +148,7 @@
 	return os.Rename(next, s.configPath())
 }
 
-// start starts a process and waits until it is ready.
+// start starts a new process of the sidecar and waits until it is ready.
 func (s *sidecar) start() (*process, error) {
 	if err := s.writeConfig(); err != nil {
 		return nil, err
@@ -174,20 +175,21 @@
 	select {
 	case p.adminAddr = <-adminAddr:
 	case <-p.exited:
-		return nil, fmt.Errorf("exited at its start: %w", p.exitErr)
+		return nil, fmt.Errorf("sidecar process exited during start-up: %w", p.exitErr)
 	}
 	for {
 		if p.command("ready").succeeded() {
 			return p, nil
 		}
 		if time.Since(began) > readyLimit {
-			return nil, errors.New("not ready in time")
+			return nil, errors.New("sidecar process not ready within the limit")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// readLog records the process's log until it exits, and sends the address of its admin interface.
+// readLog records the process's log until it exits, and sends the address of the admin interface to
+// adminAddr.
 func (p *process) readLog(stderr io.Reader, adminAddr chan<- string) {
 	for lines := bufio.NewScanner(stderr); lines.Scan(); {
 		p.mu.Lock()
@@ -210,14 +212,14 @@
 
 // adminResponse is the response to an admin command.
 type adminResponse struct {
-	line string // the first one, or an error
+	line string // first line, or the text of an error
 	took time.Duration
 }
 
 func (r adminResponse) succeeded() bool { return strings.HasPrefix(r.line, "SUCCESS") }
 func (r adminResponse) failed() bool    { return strings.HasPrefix(r.line, "FAILURE") }
 
-// command sends a command to the admin interface.
+// command sends a command to the admin interface and waits for the response.
 func (p *process) command(line string) adminResponse {
 	began := time.Now()
 	response, err := p.exchange(line, began.Add(3*adminLimit))
@@ -227,7 +229,7 @@
 	return adminResponse{response, time.Since(began)}
 }
 
-// exchange sends a command and returns the first line of the response.
+// exchange sends an admin command and returns the first line of the response.
 func (p *process) exchange(line string, deadline time.Time) (string, error) {
 	conn, err := net.DialTimeout("tcp", p.adminAddr, time.Until(deadline))
 	if err != nil {
@@ -239,14 +241,14 @@
 	return bufio.NewReader(conn).ReadString('\n')
 }
 
-// adminCommand sends a command that has to be responded to in time, and reports whether it
-// succeeded.
+// adminCommand sends a command and reports whether it succeeded. A late or unknown response is
+// recorded as a violation.
 func (s *sidecar) adminCommand(p *process, line string) bool {
 	began := time.Now()
 	response := p.command(line)
 	isLate := response.took > adminLimit+s.checker.allowance(began)
 	if isLate || !response.succeeded() && !response.failed() {
-		s.checker.recordViolation(ruleAdmin, "%s: %q after %v", line, response.line, response.took)
+		s.checker.recordViolation(ruleAdmin, "%s: response %q after %v", line, response.line, response.took)
 	}
 	return response.succeeded()
 }
@@ -265,7 +267,8 @@
 	return nil
 }
 
-// terminate sends SIGTERM so many times, and SIGKILL at the earliest moment that is allowed.
+// terminate sends SIGTERM the given number of times, and SIGKILL if the process still runs after
+// killDelay.
 func (s *sidecar) terminate(p *process, signals int) {
 	p.mu.Lock()
 	p.terminated = true
@@ -282,7 +285,8 @@
 	}
 }
 
-// exhaustDescriptors leaves the process no further descriptors for a while.
+// exhaustDescriptors lowers the process's descriptor limit to the number that is open, for the
+// duration d.
 func (p *process) exhaustDescriptors(d time.Duration) {
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	if err != nil {
@@ -300,7 +304,8 @@
 	_ = unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &before, nil)
 }
 
-// breakSharedDir makes the sidecar's shared directory fail for a while.
+// breakSharedDir makes the sidecar's shared directory fail for the duration d, by a file in its
+// place.
 func (s *sidecar) breakSharedDir(d time.Duration) error {
 	path := filepath.Join(s.tempDir(), "rowancart-"+s.name())
 	moved := filepath.Join(s.dir, "moved")
@@ -317,7 +322,8 @@
 	return os.Rename(moved, path)
 }
 
-// checkProcesses checks that the processes have ended without a crash and left nothing behind.
+// checkProcesses checks that all processes ended without a crash and left no files in the shared
+// directory except those that outlive a process.
 func (s *sidecar) checkProcesses() {
 	for _, p := range s.processes {
 		s.checkProcess(p)
@@ -327,7 +333,7 @@
 		switch name := filepath.Base(path); {
 		case name == "bans", name == "learned":
 		default:
-			s.checker.recordViolation(ruleCleanup, "%s is left behind", path)
+			s.checker.recordViolation(ruleCleanup, "file %s was left behind", path)
 		}
 	}
 }
@@ -336,7 +342,7 @@
 	select {
 	case <-p.exited:
 	default:
-		s.checker.recordViolation(ruleCleanup, "process %d still runs", p.Process.Pid)
+		s.checker.recordViolation(ruleCleanup, "process %d is still running", p.Process.Pid)
 		return
 	}
 	var exit *exec.ExitError
@@ -345,6 +351,6 @@
 		s.checker.recordViolation(ruleCleanup, "process %d ended with %v:\n%s", p.Process.Pid, p.exitErr, p.logText())
 	}
 	if strings.Contains(p.logText(), "request panicked") {
-		s.checker.recordViolation(ruleCleanup, "process %d: %s", p.Process.Pid, p.logText())
+		s.checker.recordViolation(ruleCleanup, "process %d: a request panicked:\n%s", p.Process.Pid, p.logText())
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -1,6 +1,6 @@
-// Package soak runs built sidecars between clients, endpoints and a discovery agent that all
-// misbehave as the operators' pages allow, and checks from outside that the rules of those pages
-// hold. A seed determines everything that is drawn. It has tests only.
+// Package soak runs compiled sidecars between clients, endpoints and a discovery agent that inject
+// the faults that the operators' pages allow, and checks from outside the processes that the rules
+// of those pages hold. A seed determines all random choices. The package holds only tests.
 package soak
 
 import (
@@ -21,7 +21,7 @@
 	"rowancart/internal/platform"
 )
 
-// The flags for a longer soak by hand: go test ./internal/soak -args -soak.seeds=50 -soak.for=60s.
+// The flags allow a longer run by hand: go test ./internal/soak -args -soak.seeds=50 -soak.for=60s.
 var (
 	seeds    = flag.Int("soak.seeds", 3, "seeds to run, beginning with soak.first")
 	first    = flag.Uint64("soak.first", 1, "first seed")
@@ -33,14 +33,15 @@
 	endpointCount     = 5
 	sidecarCount      = 2
 	clientsPerSidecar = 10
-	// endpointCapacity is in requests a second. Three available endpoints have to carry the clients'
-	// 75: the load that warm ones take is all that a sidecar can judge capacity by.
+	// endpointCapacity is in requests per second. Three available endpoints must carry the 75 requests
+	// per second that the clients send, because a sidecar can estimate capacity only from the load
+	// that warm endpoints take.
 	endpointCapacity = 25
-	idleConnCount    = 70 // a third of the descriptors is for clients
-	newConnsAfter    = 400 * time.Millisecond
+	idleConnCount    = 70                     // a third of a sidecar's descriptors is for clients
+	newConnsAfter    = 400 * time.Millisecond // for which clients still open connections after SIGTERM
 )
 
-// TestSoak runs seeds; each has to be without a violation.
+// TestSoak runs each seed and fails for every violation of a rule.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "sidecar")
 	if out, err := exec.Command("go", "build", "-o", program, "rowancart/cmd/sidecar").CombinedOutput(); err != nil {
@@ -67,7 +68,7 @@
 	runs.Wait()
 }
 
-// summary returns the counts of a checker.
+// summary returns the number of violations and the checker's counts as one line.
 func (c *checker) summary() string {
 	var names []string
 	for name := range c.counts {
@@ -88,19 +89,19 @@
 	discovery *discovery
 	endpoints []*endpoint
 	sidecars  []*sidecar
-	current   []*process // of each sidecar; changed by the goroutine of the processes' faults
+	current   []*process // by sidecar; only the goroutine that injects faults into processes changes it
 	end       time.Time
 
 	stopEndpoints chan struct{} // closed after the clients have stopped
 	stopClients   chan struct{} // closed when no new request is to be sent
-	noDials       atomic.Bool   // clients may open no new connection any more
+	noDials       atomic.Bool   // set when clients must not open new connections
 	clients       sync.WaitGroup
 
 	mu       sync.Mutex
-	reserved map[string]bool // endpoints that a fault has reserved: no other may restart or disable them
+	reserved map[string]bool // by ID: endpoints reserved by one fault; no other may drain, restart or disable them
 }
 
-// runSeed runs one seed and returns its checker.
+// runSeed runs one seed and returns its checker, which holds the violations.
 func runSeed(seed uint64, program, dir string) (*checker, error) {
 	stopMeasuring := make(chan struct{})
 	defer close(stopMeasuring)
@@ -136,7 +137,7 @@
 	return r.checker, err
 }
 
-// start starts the endpoints, discovery and the sidecars.
+// start starts discovery, the endpoints and the sidecars.
 func (r *soakRun) start(program, dir string) (err error) {
 	if r.discovery, err = newDiscovery(); err != nil {
 		return err
@@ -147,7 +148,7 @@
 			return err
 		}
 		r.endpoints = append(r.endpoints, e)
-		r.list(e, platform.StateReady, 0)
+		r.publishEndpoint(e, platform.StateReady, 0)
 	}
 	for i := range sidecarCount {
 		s, err := newSidecar(i, program, dir, r.checker, r.discovery)
@@ -164,8 +165,9 @@
 	return nil
 }
 
-// list lists an endpoint and returns when all sidecars count as notified.
-func (r *soakRun) list(e *endpoint, state platform.State, startedMs int64) time.Time {
+// publishEndpoint publishes an endpoint's state in discovery and returns the time from which all
+// sidecars count as notified of it.
+func (r *soakRun) publishEndpoint(e *endpoint, state platform.State, startedMs int64) time.Time {
 	return r.discovery.publish(platform.Endpoint{
 		ID:        e.id,
 		Addr:      e.addr,
@@ -193,8 +195,8 @@
 	}
 }
 
-// openIdleConns opens idle connections to the first sidecar, and returns a function that closes
-// them.
+// openIdleConns opens idleConnCount connections to the first sidecar on which nothing is sent, and
+// returns a function that closes them.
 func (r *soakRun) openIdleConns() (closeAll func()) {
 	var conns []net.Conn
 	for range idleConnCount {
@@ -209,13 +211,13 @@
 	}
 }
 
-// injectFaults injects two series of faults at the same time, so that one comes within the window
-// of another.
+// injectFaults injects two series of faults concurrently, one into the sidecars' peers and one into
+// their processes, so that a fault can occur while another is in force.
 func (r *soakRun) injectFaults(rng *rand.Rand) error {
 	var series errgroup.Group
 	peers := faultInjector{r, rand.New(rand.NewPCG(r.seed, rng.Uint64()))}
 	series.Go(func() error {
-		return peers.run(peers.drain, peers.drain, peers.restart, peers.failForAWhile, peers.silenceWatches,
+		return peers.run(peers.drain, peers.drain, peers.restart, peers.failTemporarily, peers.silenceWatches,
 			peers.breakWatches, peers.slowDiscovery)
 	})
 	processes := faultInjector{r, rand.New(rand.NewPCG(r.seed, rng.Uint64()))}
@@ -226,8 +228,8 @@
 	return series.Wait()
 }
 
-// terminateSidecars ends all sidecars, with clients that go on sending on the connections that they
-// have. New ones keep coming for a moment.
+// terminateSidecars terminates all sidecars while clients continue to send on their open
+// connections. For newConnsAfter the clients also open new connections.
 func (r *soakRun) terminateSidecars(rng *rand.Rand) {
 	time.AfterFunc(newConnsAfter, func() { r.noDials.Store(true) })
 	var ends sync.WaitGroup
@@ -238,7 +240,7 @@
 	ends.Wait()
 }
 
-// drawSignals draws whether SIGTERM is sent once or twice.
+// drawSignals returns how often SIGTERM is sent: once or twice, at random.
 func drawSignals(rng *rand.Rand) int {
 	if rng.IntN(2) == 0 {
 		return 2
@@ -246,7 +248,8 @@
 	return 1
 }
 
-// stop stops clients and endpoints, and checks what the sidecars have left behind.
+// stop stops the clients and the endpoints, and checks that the sidecars' processes ended without a
+// crash and left no files behind.
 func (r *soakRun) stop() {
 	close(r.stopClients)
 	r.clients.Wait()
--- a/internal/tools/knownred/doc.go
+++ b/internal/tools/knownred/doc.go
@@ -1,3 +1,3 @@
-// Package knownred holds the tests of .ci/known-red, the script that runs the test command without
-// the tests that are known to fail.
+// Package knownred tests .ci/known-red, the script that runs the test command without the tests
+// that are listed as known to fail.
 package knownred
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// moduleFiles are a module with one test that passes, one that fails, and one of which a subtest
-// fails.
+// moduleFiles are the files of a module that has a test that passes, a test that fails, and a test
+// with one failing subtest.
 var moduleFiles = map[string]string{
 	"go.mod": "module example\n\ngo 1.26\n",
 	"a/a_test.go": `package a
@@ -27,7 +27,7 @@
 `,
 }
 
-// entry returns an entry of the list.
+// entry returns one entry of the list of tests that are known to fail.
 func entry(test, command, issue string) string {
 	return "test: " + test + "\ncommand: " + command + "\nseen: it fails\nissue: " + issue + "\n"
 }
@@ -37,7 +37,8 @@
 	failingSubtest = entry("./a TestParts/bad", "go test ./a -run TestParts", "8")
 )
 
-// runScript runs the script with a list and returns what it prints.
+// runScript runs the script in the test module with a list of known failures. It returns the
+// script's output, and an error if the script failed.
 func runScript(t *testing.T, list string) (output string, err error) {
 	t.Helper()
 	script, err := filepath.Abs("../../../.ci/known-red")
@@ -74,7 +75,7 @@
 		"ok  \texample/a",
 	} {
 		if !strings.Contains(out, want) {
-			t.Errorf("no %q in\n%s", want, out)
+			t.Errorf("the output lacks %q:\n%s", want, out)
 		}
 	}
 }
@@ -121,7 +122,7 @@
 			"test: ./a TestFails\nseen: it fails\nissue: 7\n",
 			`"command: ..." is wanted`,
 		},
-		"the list breaks off": {
+		"the last entry is incomplete": {
 			"test: ./a TestFails\n",
 			`"command: ..." is wanted`,
 		},
--- a/internal/tools/linelength/main.go
+++ b/internal/tools/linelength/main.go
@@ -1,6 +1,6 @@
-// Command linelength checks that the lines of Go files are short enough to read side by side: at
-// most 100 characters for a line that is only a comment, and 120 for any other. A tab counts as one
-// character. CI runs it over the whole repository; test data is not looked at.
+// Command linelength checks that the lines of Go files are short enough to read two files side by
+// side: at most 100 characters for a line that holds only a comment, and 120 for any other line. A
+// tab counts as one character. CI runs it over the whole repository; it skips test data.
 //
 // Usage: linelength DIR
 package main
@@ -17,9 +17,9 @@
 )
 
 const (
-	maxCommentLine = 100 // characters of a line that holds only a comment
-	maxCodeLine    = 120 // characters of any other line
-	maxScanned     = 1 << 20
+	maxCommentLine = 100     // characters of a line that holds only a comment
+	maxCodeLine    = 120     // characters of any other line
+	maxScanned     = 1 << 20 // bytes; a longer line is an error
 )
 
 func main() {
@@ -40,14 +40,14 @@
 	}
 }
 
-// checkTree returns one message for each line that is too long in the Go files below root.
+// checkTree returns one message for each line that is too long, over all Go files below root.
 func checkTree(root string) ([]string, error) {
 	var found []string
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && skipped(entry.Name()):
+		case entry.IsDir() && isSkippedDir(entry.Name()):
 			return filepath.SkipDir
 		case entry.IsDir() || !strings.HasSuffix(path, ".go"):
 			return nil
@@ -64,12 +64,12 @@
 	return found, err
 }
 
-func skipped(directory string) bool {
-	return directory == ".git" || directory == "journal" || directory == "testdata"
+func isSkippedDir(name string) bool {
+	return name == ".git" || name == "journal" || name == "testdata"
 }
 
-// check returns one message for each line of a file that is too long. A raw string is code: its
-// lines count like any other.
+// check returns one message for each line of a file that is too long. It does not parse Go: a line
+// of a raw string counts as code, unless it begins with "//".
 func check(path string, file io.Reader) ([]string, error) {
 	var found []string
 	lines := bufio.NewScanner(file)
--- a/internal/tools/linkage/main.go
+++ b/internal/tools/linkage/main.go
@@ -1,6 +1,6 @@
-// Linkage checks that a program is linked dynamically against the C library, which the platform
-// requires: a library that is loaded ahead of a program (LD_PRELOAD) silently has no effect on a
-// static one.
+// Linkage checks that a program is linked dynamically against the C library. The platform requires
+// this, because a library that is preloaded into a program (LD_PRELOAD) silently has no effect on a
+// statically linked one.
 package main
 
 import (
--- a/internal/tools/linkage/main_test.go
+++ b/internal/tools/linkage/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestOnlyADynamicProgramPasses builds the same program both ways: only the one that needs a loader
-// passes.
+// TestOnlyADynamicProgramPasses builds the same program statically and dynamically, and checks that
+// only the one that needs a dynamic loader is accepted.
 func TestOnlyADynamicProgramPasses(t *testing.T) {
 	dir := t.TempDir()
 	source := filepath.Join(dir, "main.go")
@@ -29,10 +29,10 @@
 		}
 		err := check(program)
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("CGO_ENABLED=%s: %v, want %q", cgo, err, want)
+			t.Errorf("CGO_ENABLED=%s: error %v, want %q", cgo, err, want)
 		}
 	}
 	if err := check(source); err == nil || !strings.Contains(err.Error(), source) {
-		t.Errorf("a text passes for a program, or the fault does not name it: %v", err)
+		t.Errorf("check of a source file: error %v, want one that names the file", err)
 	}
 }
