--- a/internal/faultproxy/conn.go
+++ b/internal/faultproxy/conn.go
@@ -99,8 +99,8 @@
 }
 
 // forward copies data from one side to the other, as the current fault permits. An EOF half-closes
-// the receiving side; any other read error closes it. If forwardChunk returns false, both
-// connections are left open, because the fault may require a half-open connection.
+// the receiving side; any other read error closes it. If forwardChunk returns false,
+// forward closes neither connection, because the fault may require a half-open connection.
 func (r *Relay) forward(from, to net.Conn, d Direction) {
 	buffer := make([]byte, chunkBytes)
 	for {
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -13,7 +13,7 @@
 	"rowancart/internal/testpeer"
 )
 
-// waitTimeout limits how long a test waits for data on a connection.
+// waitTimeout is the deadline of a test's connection, counted from the dial.
 const waitTimeout = 10 * time.Second
 
 func TestRelayRejectsTargetsThatAreNotLoopback(t *testing.T) {
--- a/internal/faultproxy/script.go
+++ b/internal/faultproxy/script.go
@@ -25,11 +25,11 @@
 	Delay     time.Duration // added to each chunk
 	Jitter    time.Duration // upper bound of a random delay that is also added to each chunk
 	Loss      float64       // probability that a new connection is reset at once
-	// Partition holds back all data. It is delivered when the partition ends, as TCP would do by
-	// retransmission.
+	// Partition holds back all data in Direction. It is delivered when the partition ends, as TCP
+	// would do by retransmission.
 	Partition bool
-	// HalfOpen stops all data in this direction and leaves the connections open. Such a connection
-	// stays half-open even after the fault has ended.
+	// HalfOpen discards all data in Direction and leaves the connections open. A connection on which
+	// data arrived during the fault stays half-open after the fault has ended.
 	HalfOpen bool
 	// Reset resets all open connections, and each new connection when it is accepted.
 	Reset bool
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -73,10 +73,10 @@
 	name string
 }
 
-// eventRetention is how old an event may be to be listed with a violation.
-const eventRetention = 4 * time.Second
+// eventMaxAge is the maximum age of the events that are listed with a violation.
+const eventMaxAge = 4 * time.Second
 
-// recordEvent counts an event and records it, so that violations within eventRetention list it.
+// recordEvent counts an event and records it, so that violations within eventMaxAge list it.
 func (c *checker) recordEvent(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,15 +101,16 @@
 func (c *checker) recordViolationLocked(r rule, format string, args ...any) {
 	text := fmt.Sprintf("%s: %s", r, fmt.Sprintf(format, args...))
 	for _, e := range c.events {
-		if age := time.Since(e.at); age < eventRetention {
+		if age := time.Since(e.at); age < eventMaxAge {
 			text += fmt.Sprintf("; %.3f s before: %s", age.Seconds(), e.name)
 		}
 	}
 	c.violations = append(c.violations, text)
 }
 
-// recordSent records that a client has sent a request, or has sent it again because its connection
-// was closed. For a request that is already recorded, a zero time keeps the earlier time.
+// recordSent records a request, or updates the time at which it was sent: in a later phase of the
+// write, or when the request is sent again on a new connection. For a request that is already
+// recorded, a zero time keeps the earlier time.
 func (c *checker) recordSent(id string, class class, body string, at time.Time, deadline time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,7 +147,7 @@
 			id, r.history(), status, late)
 	}
 	if status == http.StatusOK && len(r.mayHaveRun) == 0 {
-		c.recordViolationLocked(ruleResponse, "%s got status 200, but no attempt may have run", id)
+		c.recordViolationLocked(ruleResponse, "%s got status 200, but no endpoint accepted an attempt", id)
 	}
 }
 
@@ -209,7 +210,7 @@
 		return
 	}
 	recent := 0   // attempts within the window
-	notified := 0 // those of them that were sent after the notification of the start
+	notified := 0 // those of them that were received after the notification of the start
 	for _, earlier := range slices.Backward(e.attempts) {
 		if a.at.Sub(earlier) > c.budget.window || earlier.Before(e.startedAt) {
 			break
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -105,7 +105,7 @@
 	return sent.Text()
 }
 
-var errNotConnected = errors.New("no connection: the sidecar does not accept any, or no new ones are allowed")
+var errNotConnected = errors.New("not connected: the dial failed, or new connections are no longer allowed")
 
 // connect opens a connection unless one is open.
 func (c *client) connect() error {
@@ -235,7 +235,9 @@
 // exchange writes a request and reads its response.
 func (c *client) exchange(r request) error {
 	err := c.write(r)
-	// A sidecar may respond before it has read the whole request, and the write may then fail.
+	// A sidecar may respond before it has read the whole request, and the write may then fail. On a
+	// reused connection, a failed write of a short request is taken to mean that the sidecar had
+	// closed the connection.
 	mayRespond := err == nil || c.conn.Responses == 0 || r.isLong()
 	if !mayRespond {
 		return err
--- a/internal/soak/lateness_test.go
+++ b/internal/soak/lateness_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// timingAllowance is by how much any measured time may be late because of the machine.
+// timingAllowance is by how much a measured time may be late because of the machine, even if no
+// timer was measured to be late.
 const timingAllowance = 100 * time.Millisecond
 
 // timerLateness measures how late this process's own timers fire. The times that the process
@@ -20,7 +21,7 @@
 	by time.Duration // how late it fired
 }
 
-// measure records late timers until stop is closed.
+// measure records each timer that fires late by more than its interval, until stop is closed.
 func (l *timerLateness) measure(stop <-chan struct{}) {
 	const interval = 5 * time.Millisecond
 	for {
--- a/internal/soak/rules_test.go
+++ b/internal/soak/rules_test.go
@@ -11,12 +11,12 @@
 // The rules that a checker checks.
 const (
 	ruleResponse       rule = "exactly one final response, in time"
-	ruleDuplicate      rule = "no duplicate execution"
-	ruleUnavailable    rule = "no attempt at a draining or disabled endpoint after the grace period"
+	ruleDuplicate      rule = "no retry that may duplicate an effect"
+	ruleUnavailable    rule = "no attempt at a draining, removed or disabled endpoint after the grace period"
 	ruleDisconnect     rule = "no attempt later than 0.1 s after the client has disconnected"
 	ruleTimeout        rule = "no attempt timeout longer than the client's remaining time plus 0.15 s"
 	ruleWarmup         rule = "no warming endpoint receives requests beyond its budget"
-	ruleUnknown        rule = "no request that no client has sent"
+	ruleUnknown        rule = "endpoints receive only requests that a client has sent"
 	ruleCleanup        rule = "no crash, no process or file left behind"
 	ruleAdmin          rule = "every admin command gets a response within 1 s"
 	rulePartialRequest rule = "a client that sends a partial request gets an error or a close within 3 s"
@@ -43,7 +43,7 @@
 
 const (
 	idempotent idempotency = iota
-	keyed                  // may run again within the key's window
+	keyed                  // requests carry an idempotency key and may run again within its window
 	nonIdempotent
 )
 
--- a/internal/soak/sidecars_test.go
+++ b/internal/soak/sidecars_test.go
@@ -322,8 +322,8 @@
 	return os.Rename(moved, path)
 }
 
-// checkProcesses checks that all processes ended without a crash and left no files in the shared
-// directory except those that outlive a process.
+// checkProcesses checks that all processes ended without a crash and left no files in the
+// directories below TMPDIR except those that outlive a process.
 func (s *sidecar) checkProcesses() {
 	for _, p := range s.processes {
 		s.checkProcess(p)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -38,7 +38,7 @@
 	// that warm endpoints take.
 	endpointCapacity = 25
 	idleConnCount    = 70                     // a third of a sidecar's descriptors is for clients
-	newConnsAfter    = 400 * time.Millisecond // for which clients still open connections after SIGTERM
+	newConnsPeriod   = 400 * time.Millisecond // how long clients still open connections once termination begins
 )
 
 // TestSoak runs each seed and fails for every violation of a rule.
@@ -229,9 +229,9 @@
 }
 
 // terminateSidecars terminates all sidecars while clients continue to send on their open
-// connections. For newConnsAfter the clients also open new connections.
+// connections. For newConnsPeriod the clients also open new connections.
 func (r *soakRun) terminateSidecars(rng *rand.Rand) {
-	time.AfterFunc(newConnsAfter, func() { r.noDials.Store(true) })
+	time.AfterFunc(newConnsPeriod, func() { r.noDials.Store(true) })
 	var ends sync.WaitGroup
 	for i, s := range r.sidecars {
 		signals := drawSignals(rng)
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -64,7 +64,7 @@
 	return string(out), err
 }
 
-func TestListedTestsArePassedOver(t *testing.T) {
+func TestListedTestsAreSkipped(t *testing.T) {
 	out, err := runScript(t, failingTest+"\n"+failingSubtest)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
