--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -152,7 +152,7 @@
 	switch {
 	case req.isRetry():
 		return req.giveUpAt
-	case b.readyCount == 0: // an endpoint that becomes ready by then can still respond in time
+	case b.readyCount == 0: // an endpoint that becomes ready before this deadline can still respond in time
 		return req.giveUpAt - seconds(b.expectedLatency(req))
 	}
 	maxWait := seconds(maxQueueWaitShare * b.toleratedRatio() * b.meanObjective)
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -122,9 +122,9 @@
 	SlowStartWindow   time.Duration // time after which a started endpoint has warmed up at the latest
 
 	// SlowStartShare scales the request rate of a warming endpoint: 1 is an equal share of the
-	// traffic times the share of its capacity that the endpoint has by then. 0 means 1.5. Below 1, all
-	// instances together stay within the capacity that the endpoint has by then, whatever their number
-	// and the request rate.
+	// traffic times the share of its capacity that the endpoint has so far. 0 means 1.5. Below 1, all
+	// instances together stay within the capacity that the endpoint has so far, regardless of their
+	// number and the request rate.
 	SlowStartShare float64
 }
 
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -36,9 +36,9 @@
 }
 
 // CapDeadlines is used when the host has to stop at a given instant. Requests with a later deadline
-// must be answered by then: with a rejection if a retry by the client is harmless, otherwise with a
-// failure. Their attempts in flight must be canceled. Requests with an earlier deadline must not be
-// affected.
+// must be answered by that instant: with a rejection if a retry by the client is harmless,
+// otherwise with a failure. Their attempts in flight must be canceled. Requests with an earlier
+// deadline must not be affected.
 func TestCapDeadlinesEndsWaits(t *testing.T) {
 	h := newHarness(t, testSettingsWithObjective(20*time.Second), "a")
 	idempotent, _ := h.request("read")
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// recordLatencyRatio updates the recent latency ratio with that of a response. At a low-traffic
-// instance, where responses are few, the latest one has most of the weight.
+// recordLatencyRatio updates the recent latency ratio with the latency ratio of one response. At a
+// low-traffic instance, where responses are few, the latest one has most of the weight.
 func (l *concurrencyLimiter) recordLatencyRatio(now time.Duration, latencyRatio float64) {
 	gain := 1 - decay(now-l.updatedAt, latencyRatioMemory)
 	l.updatedAt = now
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// At the start of the standard runs, the first responses are those of the smallest requests. When
+// At the start of the standard runs, the first responses come from the smallest requests. When
 // these became the baseline, every later response looked slow, and requests were rejected while
 // capacity was left.
 func TestQuickFirstResponsesAreNotTheBaseline(t *testing.T) {
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -37,8 +37,8 @@
 	outcomeMemory           = 20 * time.Second // outcomes decay to 1/e in this time
 )
 
-// evaluateAttempt updates what is known of an endpoint from the result of an attempt, and ejects
-// the endpoint if it has become an outlier.
+// evaluateAttempt updates an endpoint's statistics from the result of an attempt, and ejects the
+// endpoint if it has become an outlier.
 func (b *Balancer) evaluateAttempt(
 	now time.Duration, req *request, a *attempt, r Result, latency time.Duration,
 ) {
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -191,9 +191,9 @@
 	}
 }
 
-// An endpoint's errors must be compared with those of the other endpoints only. When its own were
-// among them, one of four endpoints that failed fast had to fail six requests in a row before it
-// was ejected.
+// An endpoint's errors must be compared with those of the other endpoints only. When its own
+// errors were included, one of four endpoints that failed fast had to fail six requests in a row
+// before it was ejected.
 func TestErrorsOfOneEndpointAreAttributedToIt(t *testing.T) {
 	s := testSettings()
 	s.TiersBelow = 1
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -9,8 +9,8 @@
 	"rowancart/balancer"
 )
 
-// A disabled endpoint gets no new attempts, neither first ones nor retries nor trials, whatever
-// state the endpoint lists give it.
+// A disabled endpoint gets no new attempts, neither first ones nor retries nor trials, regardless
+// of its state in the endpoint lists.
 func TestDisabledEndpointGetsNothingWhateverTheListSays(t *testing.T) {
 	ready := func(id string) balancer.Endpoint { return balancer.Endpoint{ID: id} }
 	for name, lists := range map[string][]balancer.EndpointList{
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -164,8 +164,8 @@
 	return 0
 }
 
-// mayReject reports whether the request may be rejected: a rejection tells the client that a retry
-// of its own is harmless.
+// mayReject reports whether the request may be rejected: a rejection tells the client that it can
+// retry the request without harm.
 func (r *request) mayReject() bool {
 	return r.class.mayBeRetriedByClient() || !slices.ContainsFunc(r.attempts, attempt.runsOrMayHaveRun)
 }
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -14,7 +14,7 @@
 	Burst      float64 // largest number of tokens saved up
 }
 
-// The budget that a zero RetryBudget stands for.
+// The budget that applies if RetryBudget is zero.
 const (
 	defaultTokensPerRequest = 0.1
 	defaultTokenBurst       = 10.0
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -15,8 +15,8 @@
 	inFlightCharge = 1.0
 	// The tiers below are assumed to cause this share of the smallest active weight.
 	tiersBelowWeightShare = 0.7
-	// A deficit lags behind that of the endpoint just selected by at most maxDeficitLag times the
-	// weight of that endpoint.
+	// A deficit lags behind the deficit of the endpoint just selected by at most maxDeficitLag times
+	// the weight of the selected endpoint.
 	maxDeficitLag   = 2.0
 	maxLatencyRatio = 20.0 // upper limit of the latency ratio of one sample
 	// A due risky trial waits for an idempotent request for this number of backoffs.
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -19,14 +19,13 @@
 	slowStartSpeedUpStep  = 1.25
 	maxSlowStartSpeedUp   = 10.0
 
-	minCapacityShare = 0.05 // lower limit of an endpoint's capacity share, whatever the settings say
+	minCapacityShare = 0.05 // lower limit of an endpoint's capacity share, regardless of the settings
 
 	// minRecentRate is the lower limit of the recent rate while the long-term rate is higher, in
 	// requests per second.
 	minRecentRate = 0.2
 
-	// The multiples of goldenRatio modulo 1 spread evenly over the range from 0 to 1, whatever their
-	// number.
+	// Any number of multiples of goldenRatio modulo 1 spread evenly over the range from 0 to 1.
 	goldenRatio = 0.6180339887
 )
 
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -64,8 +64,7 @@
 	}
 }
 
-// The rate of sends to a warming endpoint stays near its share of the traffic, whatever the
-// request rate.
+// The rate of sends to a warming endpoint stays near its share of the traffic at any request rate.
 func TestSlowStartPacesSends(t *testing.T) {
 	h := newHarness(t, testSettings(), "a", "b", "c")
 	latency := evenLatency(20*ms, "a", "b", "c", "new")
@@ -99,7 +98,7 @@
 }
 
 // An endpoint with two resets and no response in between was down, so it warms up when it is back,
-// whatever the endpoint list says.
+// regardless of its state in the endpoint list.
 func TestSlowStartFollowsRepeatedResets(t *testing.T) {
 	if n := requestsAfterResets(t, 2); n > 60/3*2/3 {
 		t.Errorf("an endpoint that was down got %d of 60 requests, want at most 13", n)
--- a/balancer/straggling.go
+++ b/balancer/straggling.go
@@ -29,8 +29,8 @@
 	return max(seconds(delay), minStragglingResolutions*b.settings.Resolution)
 }
 
-// minStragglingDelay returns the shortest straggling delay of the class, in seconds, whatever its
-// latencies have been.
+// minStragglingDelay returns the lower limit of the class's straggling delay, in seconds. It
+// applies regardless of the latencies of the class.
 func (c *class) minStragglingDelay() float64 {
 	share := minStragglingShare
 	if c.latency.samples < minStragglingSamples {
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -48,8 +48,8 @@
 	return at
 }
 
-// runDueTimers does whatever is due: it subscribes to discovery, gives up on requests, hedges
-// them, handles straggling attempts and sends queued requests.
+// runDueTimers performs the actions that are due: it subscribes to discovery, gives up on requests,
+// hedges them, handles straggling attempts and sends queued requests.
 func (b *Balancer) runDueTimers(now time.Duration) {
 	if b.subscription.isDue(now) {
 		b.subscription.dueAt = 0
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -107,7 +107,7 @@
 // Policy limits the requests of a route. balancer.Class documents most of these fields.
 type Policy struct {
 	ClientTimeout     time.Duration // for requests that carry no timeout of their own
-	RequestTimeout    time.Duration // longest time for a request, whatever timeout it carries
+	RequestTimeout    time.Duration // longest time for a request, regardless of the timeout it carries
 	AttemptTimeout    time.Duration // 0: an attempt may last as long as its request
 	MaxAttempts       int
 	Retry             RetryMode
--- a/internal/connpool/attempt.go
+++ b/internal/connpool/attempt.go
@@ -11,7 +11,7 @@
 // The caller of RoundTrip sets the exported fields before the call, and may cancel the attempt from
 // any goroutine at any time.
 //
-// A cancellation is final. It closes whatever is in progress (a dial, the wait for the end of a
+// A cancellation is final. It closes what is in progress (a dial, the wait for the end of a
 // quarantine, or an exchange), and from then on setInProgress reports that the attempt must not
 // begin another step. Both happen under mu, so a cancellation between two steps is not lost.
 type Attempt struct {
--- a/internal/connpool/errors.go
+++ b/internal/connpool/errors.go
@@ -26,7 +26,7 @@
 	// Reset: after the request was written completely, the connection broke or something other than
 	// a response arrived.
 	Reset
-	// Canceled: the attempt was canceled, whatever else happened to it.
+	// Canceled: the attempt was canceled, regardless of what else happened to it.
 	Canceled
 )
 
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("FailureKind(%d)", int(k))
 }
 
-// Error says how an attempt failed. Its text is that of Err.
+// Error says how an attempt failed. Its text is the text of Err.
 type Error struct {
 	Kind FailureKind
 	Err  error // the cause
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -89,8 +89,8 @@
 	p.closeIdleUnlessLocked(e, func(*conn) bool { return false })
 }
 
-// closeIdleUnlessLocked closes those of an endpoint's idle connections for which isUsable returns
-// false. mu must be held.
+// closeIdleUnlessLocked closes an endpoint's idle connections for which isUsable returns false. mu
+// must be held.
 func (p *Pool) closeIdleUnlessLocked(e *endpointConns, isUsable func(*conn) bool) {
 	e.idle.removeIf(func(c *conn) bool {
 		if isUsable(c) {
@@ -101,8 +101,8 @@
 	})
 }
 
-// evictOldestIdleLocked closes the connection that has been idle longest among those of all
-// endpoints, and reports whether there was one. mu must be held.
+// evictOldestIdleLocked closes the connection that has been idle longest among all endpoints, and
+// reports whether there was one. mu must be held.
 func (p *Pool) evictOldestIdleLocked() bool {
 	var oldest *endpointConns
 	for _, e := range p.endpoints {
--- a/internal/connpool/idlepolicy_test.go
+++ b/internal/connpool/idlepolicy_test.go
@@ -19,7 +19,7 @@
 
 func TestIdlePolicyLearnsFromCloses(t *testing.T) {
 	const timeout, quarantine = 30 * time.Second, 20 * time.Millisecond
-	const ignoredUpTo = quarantine + sweepInterval // a close found by then may have come during the quarantine
+	const ignoredUpTo = quarantine + sweepInterval // a close found this early may have come during the quarantine
 	for name, row := range map[string]struct {
 		closes []time.Duration
 		want   time.Duration
--- a/internal/daemon/generation_test.go
+++ b/internal/daemon/generation_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// A pool has each class of all generations once, sorted by name, whatever the order of the
+// A pool has each class of all generations once, sorted by name, regardless of the order of the
 // generations.
 func TestPoolHasClassesOfAllGenerations(t *testing.T) {
 	retired := newRetiredGenerations()
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -12,7 +12,7 @@
 
 // handover is the state of a daemon's process handovers: the daemon inherits sockets from a
 // predecessor, and starts a successor on request. Only inherit may be called from goroutines other
-// than that of Run.
+// than the one that executes Run.
 type handover struct {
 	predecessor  *successor.Predecessor // nil if there is none
 	newSuccessor func() *exec.Cmd
--- a/internal/http1/body_test.go
+++ b/internal/http1/body_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// A chunked body must be decoded to the data that was encoded, whatever the pieces in which it
-// arrives, and no byte after the body may be read.
+// A chunked body must be decoded to the data that was encoded, regardless of how it is split on
+// arrival, and no byte after the body may be read.
 func TestChunkedRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text, want bytes.Buffer
--- a/internal/httpserver/disconnect_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -27,7 +27,7 @@
 }
 
 // Every kind of disconnect must be detected. A client that stays connected must not be reported as
-// disconnected, whatever it sends.
+// disconnected, regardless of what it sends.
 func TestDisconnectIsDetected(t *testing.T) {
 	sendAhead := func(client *net.TCPConn) { io.WriteString(client, "unread bytes") }
 	closeWrite := func(client *net.TCPConn) { client.CloseWrite() }
--- a/internal/proxy/call_test.go
+++ b/internal/proxy/call_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// If the clock of discovery is ahead, it may list a start time in the future. The endpoint must be
-// used all the same, and its connections must be kept.
+// If the clock of discovery is ahead, it may list a start time in the future. The endpoint must
+// be used nevertheless, and its connections must be kept.
 func TestFutureStartTimeDoesNotBlockEndpoint(t *testing.T) {
 	endpoints := newTestEndpoints(t, 1, respondOK)
 	p := newTestPool(t, balancer.Settings{CancelAllowed: true}, endpoints.addrs...)
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -18,7 +18,7 @@
 func (h host) Send(id, endpoint string, timeout time.Duration) {
 	c := h.calls.get(id)
 	if c == nil {
-		return // there is no such call in progress, and so no attempt whose outcome would be reported
+		return // no such call is in progress, so no attempt is made and no outcome is reported
 	}
 	a := h.newAttempt(c, endpoint, timeout)
 	switch {
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -102,8 +102,8 @@
 	return p
 }
 
-// Run maintains the connections until ctx is done, then closes the Pool. Calls that have no result
-// by then get the result Failed, and no further event is handled.
+// Run maintains the connections until ctx is done, then closes the Pool. Calls that still have
+// no result get the result Failed, and no further event is handled.
 func (p *Pool) Run(ctx context.Context) {
 	p.conns.Run(ctx)
 	p.mu.Lock()
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -169,8 +169,8 @@
 }
 
 // If a client disconnects while its request waits, the request must not be forwarded when the wait
-// ends, whatever it waits for. The request of a client that stays connected must be forwarded, even
-// if the client has sent further pipelined bytes.
+// ends, regardless of what it waits for. The request of a client that stays connected must be
+// forwarded, even if the client has sent further pipelined bytes.
 func TestNothingIsForwardedAfterClientDisconnect(t *testing.T) {
 	for name, startWait := range waitCases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -40,8 +40,8 @@
 	bytesPerMB = 1 << 20
 )
 
-// The reserved descriptors must cover those of the admin interface. Otherwise this constant is
-// negative and does not compile.
+// The reserved descriptors must include the descriptors of the admin interface. Otherwise this
+// constant is negative and does not compile.
 const _ uint = reservedDescriptors - spareClientConns - admin.MaxDescriptors
 
 // The number of processes that share the limits of a sidecar, outside and during a handover.
