--- a/balancer/class_test.go
+++ b/balancer/class_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// policyRequest is what a policyTest knows of a request.
+// policyRequest is the state of a request in a policyTest.
 type policyRequest struct {
 	class       string
 	maxAttempts int    // of its class when it arrived
--- a/balancer/logevent_test.go
+++ b/balancer/logevent_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// At most one event of each kind is passed to the host in an interval, whatever its fields.
+// At most one event of each kind is passed to the host in an interval, even if the fields differ.
 func TestLogEventsAreLimitedByKind(t *testing.T) {
 	r := &logRecorder{}
 	b := New(0, Settings{}, r)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if strings.HasSuffix(address, ":0") {
-		return // the system chooses a free port, so this is no conflict
+		return // the system chooses a free port, so this is not a conflict
 	}
 	if first, ok := d.addresses[address]; ok {
 		d.Errorf(at, "%s: %s is already in use at %s", attribute, address, hcldecode.PositionOf(first))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -196,7 +196,7 @@
 }
 
 // watchConfig watches the configuration file until ctx ends. The returned channel receives a value
-// after the text has changed. The argument text is what was read last.
+// after the text has changed. The argument text is the text that was read last.
 func (d *Daemon) watchConfig(ctx context.Context, text []byte) <-chan struct{} {
 	changed := make(chan struct{}, 1)
 	d.tasks.Go(func() error {
--- a/internal/hotrestart/shareddir_test.go
+++ b/internal/hotrestart/shareddir_test.go
@@ -20,7 +20,7 @@
 	if err := dir.Disable(longest + "y"); !errors.Is(err, ErrIDTooLong) {
 		t.Errorf("an ID that is too long: %v", err)
 	}
-	for range 2 { // enabling twice is no error
+	for range 2 { // enabling twice is not an error
 		if err := dir.Enable("s-1"); err != nil {
 			t.Error(err)
 		}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -36,7 +36,7 @@
 	Allowed []string // without a match: the methods with which the request would match, sorted
 }
 
-// noMatch is the index that stands for no match.
+// noMatch is the index that is used if no route matches.
 const noMatch = -1
 
 // New returns a table of matches, which must have passed Match.Check and must not overlap. Find
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -91,7 +91,7 @@
 
 // The endpoint hangs when SIGTERM arrives, and the deadlines of requests are long after SIGKILL.
 // Every accepted request must be answered before SIGKILL can arrive, and connections whose client
-// has sent no complete request by then must not delay the exit.
+// has sent no complete request by that time must not delay the exit.
 func TestShutdownAnswersEveryAcceptedRequestBeforeSIGKILL(t *testing.T) {
 	e := startBlockingEndpoint(t)
 	e.blockPrefix = ""
--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -27,7 +27,7 @@
 	// instances' admin sockets, state files and logs.
 	Folder         string
 	Seed           uint64        // of the random jitter of restart backoffs
-	ReadyTimeout   time.Duration // a started instance that is not healthy by then is killed
+	ReadyTimeout   time.Duration // a started instance that is not healthy within this time is killed
 	StopTimeout    time.Duration // an instance that has not exited this long after SIGTERM is killed
 	InitialBackoff time.Duration // before the restart after a first failure
 	MaxBackoff     time.Duration // before jitter
--- a/internal/supervisor/restart.go
+++ b/internal/supervisor/restart.go
@@ -31,7 +31,7 @@
 	Seed           uint64        // of the jitter of backoffs; each instance has its own random stream
 	InitialBackoff time.Duration // before the restart after a first failure (200ms)
 	MaxBackoff     time.Duration // before jitter (30s)
-	ReadyTimeout   time.Duration // a started instance that is not healthy by then is killed (15s)
+	ReadyTimeout   time.Duration // a started instance that is not healthy within this time is killed (15s)
 	StableAfter    time.Duration // an exit of an instance healthy for this long counts as its first failure (1m)
 }
 
