--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -217,7 +217,7 @@
 }
 
 // checkRestored checks that the log has exactly one line on whether the snapshot was restored, and
-// that it says what is expected.
+// that this line agrees with restored.
 func (in *instance) checkRestored(t *testing.T, i int, restored bool) {
 	t.Helper()
 	message := `msg="snapshot restored"()`
@@ -237,8 +237,8 @@
 	}
 }
 
-// corruptSnapshot makes the snapshots of the first six instances invalid, each in a different way,
-// and leaves those of other instances as they are. It reports whether it made the snapshot invalid.
+// corruptSnapshot makes the snapshot of instance i invalid if i is less than 6, in a different way
+// for each i. It reports whether it made the snapshot invalid.
 func corruptSnapshot(i int, in *instance) bool {
 	text, err := os.ReadFile(in.snapshot)
 	if err != nil {
--- a/internal/experiment/hclfile/decode.go
+++ b/internal/experiment/hclfile/decode.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// defaultExperiment returns an experiment with the defaults of all attributes. Its name is that of
-// the file without the extension.
+// defaultExperiment returns an experiment with the defaults of all attributes. Its name is the
+// file's name without the extension.
 func defaultExperiment(fileName string) experiment.Experiment {
 	return experiment.Experiment{
 		Name:  strings.TrimSuffix(fileName, ".hcl"),
--- a/internal/experiment/invariant/servers.go
+++ b/internal/experiment/invariant/servers.go
@@ -76,7 +76,7 @@
 }
 
 // checkDuplicate checks that no earlier attempt of a non-idempotent request can have run, and that
-// its client has not been told by a rejection that it did not run. mu must be held.
+// no rejection has told its client that the request did not run. mu must be held.
 func (c *Checker) checkDuplicate(r *request, a Arrival) {
 	if earlier := r.mayHaveRunBy(a.FirstByte); earlier != nil {
 		c.addViolation(RuleDuplicate, a.LastByte, "request %s reached %s after %s, where it may have run", a.ID, a.Server,
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -1,11 +1,11 @@
 // Package report summarises runs and writes the results: as JSON, as text for a terminal and as one
 // HTML page without external resources.
 //
-// The names of JSON fields, and the words of the text and the page, are those of stored reports and
-// must not change: refused (rejected), worth (served priority weight), box (server), fresh (added
-// during the run), broken (violated). Outcomes, served weight and latency percentiles exclude
-// requests that were due to be sent during the warm-up. The counts by second include them, and so
-// do attempts, reasons, counts of servers and costs.
+// The names of JSON fields, and the words of the text and the page, also occur in stored reports
+// and must not change: refused (rejected), worth (served priority weight), box (server), fresh
+// (added during the run), broken (violated). Outcomes, served weight and latency percentiles
+// exclude requests that were due to be sent during the warm-up. The counts by second, attempts,
+// reasons, counts of servers and costs include them.
 package report
 
 import (
@@ -83,7 +83,7 @@
 	ServedLate         float64 `json:"late"`
 	Rejected           float64 `json:"refused"`
 	Failed             float64 `json:"failed"`
-	ServedWeight       float64 `json:"worth"` // priority weight served in time, as a fraction of that of all requests
+	ServedWeight       float64 `json:"worth"` // priority weight served in time, as a fraction of all requests' weight
 	P50                float64 `json:"p50_ms"`
 	P99                float64 `json:"p99_ms"`
 	AttemptsPerRequest float64 `json:"attempts_per_request"`
--- a/internal/experiment/runner/select.go
+++ b/internal/experiment/runner/select.go
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// canRunInVirtualTime reports whether a variant is a policy that is part of this program and so
-// needs no process of its own.
+// canRunInVirtualTime reports whether a variant is a policy that is part of this program, so
+// that it does not need a separate process.
 func canRunInVirtualTime(v experiment.Variant) bool {
 	return v.Policy != experiment.ReverseProxyPolicy && v.Command == ""
 }
--- a/internal/experiment/search/bounds.go
+++ b/internal/experiment/search/bounds.go
@@ -2,7 +2,7 @@
 // random experiment: a service, a load and faults, drawn within bounds. The package runs the design
 // and the baselines on each site in virtual time and ranks the sites by regret. Served weight is
 // the fraction of the requests that is served in time, weighted by the priority of their class.
-// Regret is the served weight of the best baseline minus that of the design.
+// Regret is the served weight of the best baseline minus the served weight of the design.
 package search
 
 import (
--- a/internal/experiment/search/regret.go
+++ b/internal/experiment/search/regret.go
@@ -12,11 +12,11 @@
 // a baseline.
 const minRegret = 0.01
 
-// Regret is the served weight of the best baseline minus that of the design. It is negative where
-// the design is ahead.
+// Regret is the served weight of the best baseline minus the served weight of the design. It is
+// negative where the design serves more.
 type Regret struct {
 	Baseline      string  // the best baseline
-	Mean          float64 // over the runs that did not select the baseline; over those that did if there are no others
+	Mean          float64 // over the runs that did not select the baseline, or over all runs if each of them did
 	Bound         float64 // half the width of the 95% confidence interval of Mean; infinite if there are too few runs
 	selectionMean float64 // over the runs that selected the baseline
 }
--- a/internal/experiment/search/search_test.go
+++ b/internal/experiment/search/search_test.go
@@ -95,7 +95,7 @@
 }
 
 // A search that is killed while it writes a line leaves an incomplete last line. It must be
-// possible to resume it, with the same results as those of a search that was not interrupted.
+// possible to resume it, with the same results as a search that was not interrupted.
 func TestStoppedRunIsResumed(t *testing.T) {
 	b := parseBounds(t, smallBounds)
 	dir := t.TempDir()
--- a/internal/experiment/server/loadreport.go
+++ b/internal/experiment/server/loadreport.go
@@ -16,8 +16,8 @@
 }
 
 // recordLoad records the load for the refreshes that were due since the last call. It is called
-// before each change of the load, so the load was the same at all of them and one reading, at the
-// first of them, is enough. It also drops readings that are too old to be reported.
+// before each change of the load, so the load was the same at all of these refreshes and one
+// reading, at the first refresh, is enough. It also drops readings that are too old to be reported.
 func (s *Server) recordLoad() {
 	r := &s.reports
 	interval := s.spec.ReportInterval
--- a/internal/experiment/speed/program.go
+++ b/internal/experiment/speed/program.go
@@ -31,7 +31,7 @@
 	addr    string
 	cmd     *exec.Cmd
 	exited  chan error // receives the result of cmd.Wait, and is closed
-	samples []sample   // without that of the warm-up round
+	samples []sample   // one a round, without the warm-up round
 }
 
 // startPrograms starts all programs and waits until each responds to health checks. On an error it
--- a/internal/experiment/subsets/subsets.go
+++ b/internal/experiment/subsets/subsets.go
@@ -19,8 +19,8 @@
 	AddedPerReplacement float64 // mean number of servers added to a subset when one server is replaced by another
 	AddedPerNewInstance float64 // mean number of servers added to a subset when an instance is added to the fleet
 	// MinAddedPerReplacement is the lowest value of AddedPerReplacement that a method can reach if
-	// it keeps instances evenly distributed: size/servers to substitute the removed server, and as
-	// much again to use the new one.
+	// it keeps instances evenly distributed: size/servers to substitute the removed server, and
+	// size/servers again to use the new one.
 	MinAddedPerReplacement float64
 }
 
--- a/internal/experiment/testbed/client.go
+++ b/internal/experiment/testbed/client.go
@@ -122,8 +122,8 @@
 	return out
 }
 
-// minAttemptTimeout is the shortest timeout of an attempt. The client gives up if less time is
-// left.
+// minAttemptTimeout is the shortest timeout of an attempt. The client gives up if less time
+// remains.
 const minAttemptTimeout = time.Millisecond
 
 // client sends one request and its retries.
--- a/internal/experiment/testbed/discovery.go
+++ b/internal/experiment/testbed/discovery.go
@@ -18,7 +18,7 @@
 	oldAddressLifetime = 1500 * time.Millisecond // of watches at the old address after a move (TERMS)
 )
 
-// discoveryServer is the discovery service of one sidecar, at an address of its own.
+// discoveryServer is the discovery service of one sidecar, with its own address.
 type discoveryServer struct {
 	onDelivered func(platform.Endpoint) // called for each entry that was written to the sidecar
 
@@ -194,7 +194,7 @@
 }
 
 // publish sends a change of a tier's endpoint list to every sidecar before that tier. Each sidecar
-// gets its changes after a delay of its own, in order. While discovery is silent, changes are
+// gets its changes after its own delay, in order. While discovery is silent, changes are
 // withheld until that fault ends.
 func (r *testRun) publish(tier int, e platform.Endpoint) {
 	delay, withheld := r.discoveryFaults.intercept(endpointUpdate{tier, e})
--- a/internal/experiment/testbed/exchange.go
+++ b/internal/experiment/testbed/exchange.go
@@ -129,7 +129,7 @@
 }
 
 // drawFaults draws the faults that apply to a request after its last byte has arrived. drawResponse
-// draws those of its response.
+// draws the faults of its response.
 func (s *emulatedServer) drawFaults(lastByte time.Duration) drawnFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/experiment/testbed/faults.go
+++ b/internal/experiment/testbed/faults.go
@@ -9,8 +9,7 @@
 )
 
 // applyFault applies one fault event and returns when the event is complete, for example when a
-// killed sidecar has been restarted.
-// Each event has a goroutine of its own.
+// killed sidecar has been restarted. Each event is applied in a separate goroutine.
 func (r *testRun) applyFault(event traffic.FaultEvent) {
 	switch event.Kind {
 	case experiment.DiscoveryDelay:
--- a/internal/experiment/testbed/violation_test.go
+++ b/internal/experiment/testbed/violation_test.go
@@ -61,8 +61,8 @@
 	violation violation
 	rule      invariant.Rule // empty if there must be no report
 	faults    []experiment.Fault
-	duration  time.Duration // 0 means that of smallExperiment
-	work      time.Duration // of a request; 0 means that of smallExperiment
+	duration  time.Duration // 0 means the duration of smallExperiment
+	work      time.Duration // of a request; 0 means the work in smallExperiment
 }
 
 const slowDeployDuration = 2500 * time.Millisecond
--- a/internal/experiment/traffic/faults.go
+++ b/internal/experiment/traffic/faults.go
@@ -112,8 +112,8 @@
 const fractionTolerance = 1e-9
 
 // KindOf returns the kind of the server at an index of its tier. Each server in turn gets the kind
-// with the largest deficit: the kind that is furthest below its fraction. So the first servers of a
-// tier, however many, are a fair mix of its kinds.
+// with the largest deficit: the kind that is furthest below its fraction. So the first n
+// servers of a tier are a fair mix of its kinds, for any n.
 func KindOf(t experiment.Tier, index int) experiment.Kind {
 	assigned := make([]float64, len(t.Kinds))
 	sum := 0.0
--- a/internal/experiment/virtual/instance.go
+++ b/internal/experiment/virtual/instance.go
@@ -38,8 +38,8 @@
 	serverIncarnation int
 }
 
-// newInstance creates an instance, which is the one at index among count instances that send to a
-// tier. It is down until it is started.
+// newInstance creates an instance that sends to a tier. index is its position among the count
+// instances that send to this tier. The instance is down until it is started.
 func (s *simulation) newInstance(name string, tier, index, count int) *instance {
 	return &instance{
 		eventSource:     eventSource{rank: experiment.Seed(s.seed, name)},
@@ -202,8 +202,7 @@
 	delete(in.calls, c.id)
 }
 
-// takeIdleConn takes an idle connection to a server. It returns false if there is none that is
-// still open.
+// takeIdleConn takes an idle connection to a server. It returns false if none is still open.
 func (in *instance) takeIdleConn(now time.Duration, n *serverNode) bool {
 	conns := in.idleConns[n]
 	if len(conns) == 0 {
@@ -221,8 +220,8 @@
 	return false
 }
 
-// disconnect closes idle connections to the server. Those to an earlier incarnation have already
-// been broken by its crash.
+// disconnect closes idle connections to the server. Connections to an earlier
+// incarnation were already broken by its crash.
 func (n *serverNode) disconnect(conns []idleConn) {
 	for _, c := range conns {
 		if c.serverIncarnation == n.incarnation {
--- a/internal/experiment/virtual/virtual.go
+++ b/internal/experiment/virtual/virtual.go
@@ -35,7 +35,7 @@
 
 const (
 	// balancerEpoch is the balancers' time at the start of the run. It is not 0, because a balancer
-	// takes an endpoint whose start is at 0 for one that started long ago.
+	// treats an endpoint with start time 0 as one that started long ago.
 	balancerEpoch = 24 * time.Hour
 
 	dialTimeout        = 250 * time.Millisecond // after which an attempt fails if its connection is not accepted
@@ -66,7 +66,7 @@
 
 	endpointLists   [][]balancer.Endpoint // by tier: the list that discovery publishes
 	discoverySilent bool
-	discoveryDelay  time.Duration // added by a fault to that of the site
+	discoveryDelay  time.Duration // added by a fault to the site's discovery delay
 
 	events int
 	logs   []string
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -210,7 +210,7 @@
 		return
 	}
 	recent := 0   // attempts within the window
-	notified := 0 // those of them that were received after the notification of the start
+	notified := 0 // recent attempts received after the notification of the start
 	for _, earlier := range slices.Backward(e.attempts) {
 		if a.at.Sub(earlier) > c.budget.window || earlier.Before(e.startedAt) {
 			break
--- a/internal/soak/plantedviolations_test.go
+++ b/internal/soak/plantedviolations_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// The checker reports each planted violation under its rule and nothing else, and reports nothing
-// for the similar history without the violation.
+// The checker reports only the planted violation, under its rule, and reports no violation for the
+// similar history without it.
 func TestCheckerReportsPlantedViolations(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -195,7 +195,7 @@
 	}
 }
 
-// openIdleConns opens idleConnCount connections to the first sidecar on which nothing is sent, and
+// openIdleConns opens idleConnCount connections to the first sidecar, sends nothing on them, and
 // returns a function that closes them.
 func (r *soakRun) openIdleConns() (closeAll func()) {
 	var conns []net.Conn
