--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -187,7 +187,7 @@
 
 // restartAll kills all instances at once and restarts them. In between it calls corrupt, unless
 // that is nil, for each instance; corrupt reports whether it has made the instance's snapshot
-// invalid. RestartAll returns the time from the kill until each instance served again.
+// invalid. restartAll returns the time from the kill until each instance served again.
 func (f *fleet) restartAll(t *testing.T, o *outcomes, corrupt func(i int, in *instance) bool) []time.Duration {
 	t.Helper()
 	for _, in := range f.instances {
--- a/cmd/rowancart/supervisor_test.go
+++ b/cmd/rowancart/supervisor_test.go
@@ -82,7 +82,7 @@
 	file := filepath.Join(filepath.Dir(folder), "fleet.hcl")
 	s := &supervisorProcess{cmd: exec.Command(program, "fleet", file), folder: folder, instances: instances}
 	s.log = startProgram(t, s.cmd)
-	s.log.wait(t, instances, `msg="instance (?:adopted|started)"()`) // by then it handles SIGTERM
+	s.log.wait(t, instances, `msg="instance (?:adopted|started)"()`) // then it handles SIGTERM
 	return s
 }
 
@@ -159,7 +159,7 @@
 	return running
 }
 
-// kill kills the supervisor with SIGKILL; its instances go on running.
+// kill kills the supervisor with SIGKILL; its instances continue to run.
 func (s *supervisorProcess) kill() {
 	s.cmd.Process.Signal(syscall.SIGKILL)
 	s.cmd.Wait()
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -45,7 +45,8 @@
 type checker struct {
 	budget    warmupBudget
 	keyWindow time.Duration
-	// allowance returns by how much the times that this process has recorded since then may be late.
+	// allowance returns by how much the times that this process has recorded since the given time
+	// may be late.
 	allowance func(since time.Time) time.Duration
 
 	mu         sync.Mutex
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// write sends requests in one write, or at random in two.
+// write sends requests in a single write or, at random, in two.
 func (c *client) write(requests ...request) error {
 	text := ""
 	for _, r := range requests {
--- a/internal/soak/sidecars_test.go
+++ b/internal/soak/sidecars_test.go
@@ -304,8 +304,8 @@
 	_ = unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &before, nil)
 }
 
-// breakSharedDir makes the sidecar's shared directory fail for the duration d, by a file in its
-// place.
+// breakSharedDir makes the sidecar's shared directory fail for the duration d, by putting a file
+// in its place.
 func (s *sidecar) breakSharedDir(d time.Duration) error {
 	path := filepath.Join(s.tempDir(), "rowancart-"+s.name())
 	moved := filepath.Join(s.dir, "moved")
