--- a/cmd/rowancart/fleet_test.go
+++ b/cmd/rowancart/fleet_test.go
@@ -187,7 +187,7 @@
 
 // restartAll kills all instances at once and restarts them. In between it calls corrupt, unless
 // that is nil, for each instance; corrupt reports whether it has made the instance's snapshot
-// invalid. RestartAll returns the time from the kill until each instance served again.
+// invalid. restartAll returns the time from the kill until each instance served again.
 func (f *fleet) restartAll(t *testing.T, o *outcomes, corrupt func(i int, in *instance) bool) []time.Duration {
 	t.Helper()
 	for _, in := range f.instances {
@@ -217,7 +217,7 @@
 }
 
 // checkRestored checks that the log has exactly one line on whether the snapshot was restored, and
-// that it says what is expected.
+// that this line agrees with restored.
 func (in *instance) checkRestored(t *testing.T, i int, restored bool) {
 	t.Helper()
 	message := `msg="snapshot restored"()`
@@ -237,8 +237,8 @@
 	}
 }
 
-// corruptSnapshot makes the snapshots of the first six instances invalid, each in a different way,
-// and leaves those of other instances as they are. It reports whether it made the snapshot invalid.
+// corruptSnapshot makes the snapshot of instance i invalid if i is less than 6, in a different way
+// for each i. It reports whether it made the snapshot invalid.
 func corruptSnapshot(i int, in *instance) bool {
 	text, err := os.ReadFile(in.snapshot)
 	if err != nil {
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -45,7 +45,8 @@
 type checker struct {
 	budget    warmupBudget
 	keyWindow time.Duration
-	// allowance returns by how much the times that this process has recorded since then may be late.
+	// allowance returns by how much the times that this process has recorded since the given time
+	// may be late.
 	allowance func(since time.Time) time.Duration
 
 	mu         sync.Mutex
@@ -210,7 +211,7 @@
 		return
 	}
 	recent := 0   // attempts within the window
-	notified := 0 // those of them that were received after the notification of the start
+	notified := 0 // recent attempts received after the notification of the start
 	for _, earlier := range slices.Backward(e.attempts) {
 		if a.at.Sub(earlier) > c.budget.window || earlier.Before(e.startedAt) {
 			break
