--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -154,6 +154,7 @@
 		if err != nil {
 			return
 		}
+		defer conn.Close() // keeps it open until release: the garbage collector closes an unreachable connection
 		io.ReadFull(conn, make([]byte, 1))
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 		<-e.release
